--- a/crates/core/consult/src/call.rs
+++ b/crates/core/consult/src/call.rs
@@ -1,4 +1,4 @@
-use lemonusher::{BatchId, Effect, EngineId, Outcome};
+use lemonusher::{AttemptOutcome, EngineId, Idempotency, RequestId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     /// What is in doubt is remembered for so long: the longest time limit of any work.
     pub doubt: Duration,
     /// By service group.
-    pub effects: Vec<Effect>,
+    pub effects: Vec<Idempotency>,
     /// Calls at once.
     pub most_calls: usize,
     /// Batches that are remembered after they are over.
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone)]
 pub struct Asked {
     pub stream: StreamId,
-    pub batch: BatchId,
+    pub batch: RequestId,
     pub service_group: usize,
     pub table_group: u64,
     pub patience: Duration,
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Verdict {
     /// Send it to this engine, and wait so long. `dispatch` counts the batch's verdicts, from zero.
-    Go { engine: EngineId, time_limit: Duration, dispatch: u32 },
+    Go { engine: EngineId, time_limit: Duration, attempt: u32 },
     /// Answer at once that trying again is harmless, and when.
     PushBack(Option<Duration>),
     /// Answer at once, promising nothing.
@@ -64,9 +64,9 @@
     /// The owner takes a batch.
     Take(Asked),
     /// Nobody waits for the batch any more.
-    Leave(BatchId),
+    Leave(RequestId),
     /// The one outcome of a dispatch.
-    End { token: Token, outcome: Outcome },
+    End { token: Token, outcome: AttemptOutcome },
     /// The proxy is told.
     Tell { stream: StreamId, verdict: Verdict },
 }
@@ -85,7 +85,7 @@
     /// It has its verdict.
     Out { stream: StreamId, granted: Granted },
     /// The response has begun: the engine has answered so.
-    Answers { stream: StreamId, granted: Granted, outcome: Outcome },
+    Answers { stream: StreamId, granted: Granted, outcome: AttemptOutcome },
     /// A dispatch has failed. The proxy may try again until then, and find a verdict ready.
     Between { ready: Option<Granted>, until: Span },
 }
@@ -93,7 +93,7 @@
 #[derive(Debug)]
 struct Call {
     stage: Stage,
-    effect: Effect,
+    effect: Idempotency,
     verdicts: u32,
     /// A dispatch may have run, and nothing tells that it did not.
     may_have_run: bool,
@@ -112,12 +112,12 @@
 #[derive(Debug)]
 pub struct Consult {
     terms: Terms,
-    calls: BTreeMap<BatchId, Call>,
-    streams: BTreeMap<StreamId, BatchId>,
-    tokens: BTreeMap<Token, BatchId>,
-    due: BTreeSet<(Span, BatchId)>,
-    memory: BTreeMap<BatchId, (Memory, Span)>,
-    order: VecDeque<(Span, BatchId)>,
+    calls: BTreeMap<RequestId, Call>,
+    streams: BTreeMap<StreamId, RequestId>,
+    tokens: BTreeMap<Token, RequestId>,
+    due: BTreeSet<(Span, RequestId)>,
+    memory: BTreeMap<RequestId, (Memory, Span)>,
+    order: VecDeque<(Span, RequestId)>,
     /// How long verdicts take to the proxy and back: a decaying mean and spread, in seconds.
     trip: f64,
     spread: f64,
@@ -169,9 +169,9 @@
         self.trip += NEW * (trip - self.trip);
     }
 
-    fn effect(&self, service_group: usize) -> Effect {
+    fn effect(&self, service_group: usize) -> Idempotency {
         // What is not stated is taken as what must never run twice.
-        self.terms.effects.get(service_group).copied().unwrap_or(Effect::OnceOnly)
+        self.terms.effects.get(service_group).copied().unwrap_or(Idempotency::NonIdempotent)
     }
 
     /// A proxy asks about a request.
@@ -202,7 +202,7 @@
             Some(Memory::Clean) => false,
             None => asked.ticket || asked.attempt > 1,
         };
-        if doubt && effect != Effect::Repeatable {
+        if doubt && effect != Idempotency::Idempotent {
             return tell(stream, Verdict::Error);
         }
         if self.calls.len() >= self.terms.most_calls {
@@ -223,15 +223,15 @@
     }
 
     /// The owner wants a batch dispatched.
-    pub fn dispatch(
+    pub fn attempt(
         &mut self,
-        batch: &BatchId,
+        batch: &RequestId,
         token: Token,
         engine: EngineId,
         time_limit: Duration,
     ) -> Vec<Do> {
         let granted = Granted { token, engine, time_limit };
-        let not_sent = vec![Do::End { token, outcome: Outcome::NotSent }];
+        let not_sent = vec![Do::End { token, outcome: AttemptOutcome::NotSent }];
         let Some(call) = self.calls.get_mut(batch) else { return not_sent };
         match &mut call.stage {
             Stage::Waits { .. } => self.grant(batch, granted),
@@ -245,20 +245,26 @@
     }
 
     /// The verdict goes to the proxy that waits.
-    fn grant(&mut self, batch: &BatchId, granted: Granted) -> Vec<Do> {
+    fn grant(&mut self, batch: &RequestId, granted: Granted) -> Vec<Do> {
         let Some(call) = self.calls.get_mut(batch) else { return Vec::new() };
         let Stage::Waits { stream, until, .. } = call.stage else { return Vec::new() };
         self.due.remove(&(until, batch.clone()));
         self.tokens.insert(granted.token, batch.clone());
         call.stage = Stage::Out { stream, granted };
-        let dispatch = call.verdicts;
+        let attempt = call.verdicts;
         call.verdicts += 1;
         let Granted { engine, time_limit, .. } = granted;
-        vec![Do::Tell { stream, verdict: Verdict::Go { engine, time_limit, dispatch } }]
+        vec![Do::Tell { stream, verdict: Verdict::Go { engine, time_limit, attempt } }]
     }
 
     /// The owner gives a batch its final answer: pushed back, or errored.
-    pub fn answer(&mut self, now: Span, batch: &BatchId, push_back: bool, wait: Option<Duration>) -> Vec<Do> {
+    pub fn answer(
+        &mut self,
+        now: Span,
+        batch: &RequestId,
+        push_back: bool,
+        wait: Option<Duration>,
+    ) -> Vec<Do> {
         let Some(call) = self.calls.get(batch) else { return Vec::new() };
         let verdict = if push_back { Verdict::PushBack(wait) } else { Verdict::Error };
         match call.stage {
@@ -281,7 +287,7 @@
     }
 
     /// The engine has answered through the proxy: with an outcome that the edge read off the response.
-    pub fn answered(&mut self, stream: StreamId, outcome: Outcome) -> Vec<Do> {
+    pub fn answered(&mut self, stream: StreamId, outcome: AttemptOutcome) -> Vec<Do> {
         let Some(call) = self.streams.get(&stream).and_then(|batch| self.calls.get_mut(batch)) else {
             return Vec::new();
         };
@@ -306,23 +312,27 @@
             }
             Stage::Answers { stream: held, granted, outcome } if held == stream => {
                 // A response that broke off in the middle is no answer.
-                let outcome = if whole || outcome != Outcome::Returned { outcome } else { Outcome::Reset };
+                let outcome = if whole || outcome != AttemptOutcome::Returned {
+                    outcome
+                } else {
+                    AttemptOutcome::Reset
+                };
                 self.over(now, batch, granted, outcome)
             }
             // The verdict crossed the timeout, the client left, or the proxy lost the engine. Nothing tells these
             // apart: the proxy may have read the verdict at the last moment, so the dispatch may have run.
             Stage::Out { stream: held, granted } if held == stream => {
-                self.over(now, batch, granted, Outcome::Reset)
+                self.over(now, batch, granted, AttemptOutcome::Reset)
             }
             _ => Vec::new(),
         }
     }
 
     /// A dispatch has ended: the call is over, or the proxy may try again.
-    fn over(&mut self, now: Span, batch: BatchId, granted: Granted, outcome: Outcome) -> Vec<Do> {
+    fn over(&mut self, now: Span, batch: RequestId, granted: Granted, outcome: AttemptOutcome) -> Vec<Do> {
         self.tokens.remove(&granted.token);
         let end = Do::End { token: granted.token, outcome };
-        if outcome == Outcome::Returned {
+        if outcome == AttemptOutcome::Returned {
             let mut done = vec![end];
             done.extend(self.close(now, &batch, Memory::Doubt));
             return done;
@@ -335,7 +345,7 @@
         done
     }
 
-    fn wait_for_retry(&mut self, now: Span, batch: &BatchId) -> Vec<Do> {
+    fn wait_for_retry(&mut self, now: Span, batch: &RequestId) -> Vec<Do> {
         let until = now + self.terms.retry_within;
         if let Some(call) = self.calls.get_mut(batch)
             && let Stage::Between { until: old, .. } = &mut call.stage
@@ -370,7 +380,7 @@
                     }
                     // Pushed back in time, nothing of this attempt ran.
                     let clean = !call.may_have_run;
-                    let push_back = clean || call.effect == Effect::Repeatable;
+                    let push_back = clean || call.effect == Idempotency::Idempotent;
                     let verdict = if push_back { Verdict::PushBack(None) } else { Verdict::Error };
                     done.push(Do::Leave(batch.clone()));
                     done.extend(self.close(now, &batch, if clean { Memory::Clean } else { Memory::Doubt }));
@@ -388,7 +398,7 @@
     }
 
     /// The call is over here. A verdict that lay ready was never sent.
-    fn close(&mut self, now: Span, batch: &BatchId, memory: Memory) -> Vec<Do> {
+    fn close(&mut self, now: Span, batch: &RequestId, memory: Memory) -> Vec<Do> {
         let Some(call) = self.calls.remove(batch) else { return Vec::new() };
         let mut done = Vec::new();
         match call.stage {
@@ -400,7 +410,7 @@
                 self.due.remove(&(until, batch.clone()));
                 if let Some(granted) = ready {
                     self.tokens.remove(&granted.token);
-                    done.push(Do::End { token: granted.token, outcome: Outcome::NotSent });
+                    done.push(Do::End { token: granted.token, outcome: AttemptOutcome::NotSent });
                 }
             }
             Stage::Out { stream, granted, .. } | Stage::Answers { stream, granted, .. } => {
@@ -412,7 +422,7 @@
         done
     }
 
-    fn remember(&mut self, now: Span, batch: BatchId, memory: Memory) {
+    fn remember(&mut self, now: Span, batch: RequestId, memory: Memory) {
         let until = now + self.terms.doubt;
         self.memory.insert(batch.clone(), (memory, until));
         self.order.push_back((until, batch));
--- a/crates/core/consult/src/ticket.rs
+++ b/crates/core/consult/src/ticket.rs
@@ -43,7 +43,7 @@
     pub batch: String,
     pub engine: EngineId,
     /// Which of the batch's dispatches it was, from zero.
-    pub dispatch: u32,
+    pub attempt: u32,
     /// Unix time in milliseconds after which it says nothing.
     pub until: u64,
 }
@@ -62,7 +62,7 @@
     /// The ticket as it stands in a header.
     pub fn seal(&self, key: &Key) -> String {
         let batch = URL_SAFE_NO_PAD.encode(self.batch.as_bytes());
-        let text = format!("1.{batch}.{:x}.{:x}.{:x}", self.engine, self.dispatch, self.until);
+        let text = format!("1.{batch}.{:x}.{:x}.{:x}", self.engine, self.attempt, self.until);
         let signature = URL_SAFE_NO_PAD.encode(key.sign(&text));
         format!("{text}.{signature}")
     }
@@ -85,7 +85,7 @@
             Some(Ticket {
                 batch: String::from_utf8(batch).ok()?,
                 engine: number(u32::MAX.into())? as u32,
-                dispatch: number(u32::MAX.into())? as u32,
+                attempt: number(u32::MAX.into())? as u32,
                 until: number(u64::MAX)?,
             })
         })();
@@ -112,7 +112,7 @@
     #[test]
     fn a_ticket_is_read_by_its_key_in_time_and_for_its_batch_alone() {
         let key = Key::new(b"a key that is long enough");
-        let ticket = Ticket { batch: "b.1/ü".into(), engine: 7, dispatch: 2, until: 1000 };
+        let ticket = Ticket { batch: "b.1/ü".into(), engine: 7, attempt: 2, until: 1000 };
         let text = ticket.seal(&key);
         assert_eq!(Ticket::open(&text, &key, "b.1/ü", 1000), Ok(ticket));
         assert_eq!(Ticket::open(&text, &key, "b.1/ü", 1001), Err(Unsound::Expired));
--- a/crates/core/consult/tests/consult.rs
+++ b/crates/core/consult/tests/consult.rs
@@ -1,7 +1,7 @@
 //! Proxies, engines and processors that fail in any order: nothing that must run once runs twice, every stream has
 //! one answer, every dispatch one outcome.
 
-use lemonusher::{BatchId, Effect, Outcome};
+use lemonusher::{AttemptOutcome, Idempotency, RequestId};
 use lemonusher_consult::{Asked, Consult, Do, Terms, Verdict};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,7 +21,7 @@
         more_time: ms(more),
         retry_within: ms(300),
         doubt: ms(60_000),
-        effects: vec![Effect::OnceOnly, Effect::Repeatable],
+        effects: vec![Idempotency::NonIdempotent, Idempotency::Idempotent],
         most_calls: 100,
         most_remembered: 1000,
     }
@@ -48,7 +48,7 @@
     done.iter().filter_map(tell).collect()
 }
 
-fn ended(done: &[Do]) -> Vec<(u64, Outcome)> {
+fn ended(done: &[Do]) -> Vec<(u64, AttemptOutcome)> {
     let end = |act: &Do| match act {
         Do::End { token, outcome } => Some((*token, *outcome)),
         _ => None,
@@ -56,18 +56,18 @@
     done.iter().filter_map(end).collect()
 }
 
-fn go(stream: u64, engine: u32, dispatch: u32) -> Vec<(u64, Verdict)> {
-    vec![(stream, Verdict::Go { engine, time_limit: ms(900), dispatch })]
+fn go(stream: u64, engine: u32, attempt: u32) -> Vec<(u64, Verdict)> {
+    vec![(stream, Verdict::Go { engine, time_limit: ms(900), attempt })]
 }
 
 #[test]
 fn a_call_goes_from_its_headers_to_its_end() {
     let mut consult = Consult::new(terms(false, 0));
-    let batch: BatchId = "b".into();
+    let batch: RequestId = "b".into();
     assert!(matches!(consult.asked(ms(0), ask(1, "b", ONCE)).as_slice(), [Do::Take(_)]));
-    assert_eq!(told(&consult.dispatch(&batch, 10, 7, ms(900))), go(1, 7, 0));
-    consult.answered(1, Outcome::Returned);
-    assert_eq!(ended(&consult.ended(ms(50), 1, true)), [(10, Outcome::Returned)]);
+    assert_eq!(told(&consult.attempt(&batch, 10, 7, ms(900))), go(1, 7, 0));
+    consult.answered(1, AttemptOutcome::Returned);
+    assert_eq!(ended(&consult.ended(ms(50), 1, true)), [(10, AttemptOutcome::Returned)]);
     assert_eq!((consult.calls(), consult.due_at()), (0, None));
     // What ran is not let out again, whatever the proxy thinks of it.
     assert_eq!(told(&consult.asked(ms(60), ask(2, "b", ONCE))), [(2, Verdict::Error)]);
@@ -84,7 +84,7 @@
     assert!(matches!(done[0], Do::Leave(_)));
     assert_eq!(told(&done), [(1, Verdict::PushBack(None))]);
     // The owner's dispatch comes behind it: it was not sent, and the batch may be asked for again.
-    assert_eq!(ended(&consult.dispatch(&"b".into(), 10, 7, ms(900))), [(10, Outcome::NotSent)]);
+    assert_eq!(ended(&consult.attempt(&"b".into(), 10, 7, ms(900))), [(10, AttemptOutcome::NotSent)]);
     let again = Asked { attempt: 2, ..ask(2, "b", ONCE) };
     assert!(matches!(consult.asked(ms(300), again).as_slice(), [Do::Take(_)]));
     // A proxy that allows it is asked for more time first.
@@ -100,18 +100,18 @@
 #[test]
 fn a_retry_gets_what_the_gateway_grants_and_nothing_else() {
     let mut consult = Consult::new(terms(false, 0));
-    let batch: BatchId = "b".into();
+    let batch: RequestId = "b".into();
     consult.asked(ms(0), ask(1, "b", OFTEN));
-    consult.dispatch(&batch, 10, 7, ms(900));
+    consult.attempt(&batch, 10, 7, ms(900));
     // While the first is out, a second is never let out beside it.
     assert_eq!(told(&consult.asked(ms(5), ask(9, "b", OFTEN))), [(9, Verdict::Error)]);
-    consult.answered(1, Outcome::Full);
-    assert_eq!(ended(&consult.ended(ms(10), 1, true)), [(10, Outcome::Full)]);
+    consult.answered(1, AttemptOutcome::Rejected);
+    assert_eq!(ended(&consult.ended(ms(10), 1, true)), [(10, AttemptOutcome::Rejected)]);
     // Granted before the retry comes, it lies ready.
-    assert!(consult.dispatch(&batch, 11, 8, ms(900)).is_empty());
+    assert!(consult.attempt(&batch, 11, 8, ms(900)).is_empty());
     let retry = |stream| Asked { attempt: 2, ticket: true, ..ask(stream, "b", OFTEN) };
     assert_eq!(told(&consult.asked(ms(20), retry(2))), go(2, 8, 1));
-    consult.answered(2, Outcome::Errored);
+    consult.answered(2, AttemptOutcome::Errored);
     consult.ended(ms(30), 2, true);
     // Not granted, the retry is answered at once by what the gateway says.
     assert!(consult.asked(ms(40), retry(3)).is_empty());
@@ -121,12 +121,12 @@
     );
     // Ready, but nobody comes: it was not sent.
     consult.asked(ms(50), ask(4, "d", OFTEN));
-    consult.dispatch(&"d".into(), 12, 7, ms(900));
-    consult.answered(4, Outcome::NoConnection);
+    consult.attempt(&"d".into(), 12, 7, ms(900));
+    consult.answered(4, AttemptOutcome::ConnectFailed);
     consult.ended(ms(60), 4, true);
-    consult.dispatch(&"d".into(), 13, 8, ms(900));
+    consult.attempt(&"d".into(), 13, 8, ms(900));
     let done = consult.turn(ms(60 + 300));
-    assert_eq!(ended(&done), [(13, Outcome::NotSent)]);
+    assert_eq!(ended(&done), [(13, AttemptOutcome::NotSent)]);
     assert!(matches!(done[0], Do::Leave(_)) && consult.calls() == 0);
 }
 
@@ -147,9 +147,9 @@
 fn a_response_that_breaks_off_is_no_answer() {
     let mut consult = Consult::new(terms(false, 0));
     consult.asked(ms(0), ask(1, "b", ONCE));
-    consult.dispatch(&"b".into(), 10, 7, ms(900));
-    consult.answered(1, Outcome::Returned);
-    assert_eq!(ended(&consult.ended(ms(10), 1, false)), [(10, Outcome::Reset)]);
+    consult.attempt(&"b".into(), 10, 7, ms(900));
+    consult.answered(1, AttemptOutcome::Returned);
+    assert_eq!(ended(&consult.ended(ms(10), 1, false)), [(10, AttemptOutcome::Reset)]);
 }
 
 #[test]
@@ -211,7 +211,7 @@
 }
 
 struct Request {
-    id: BatchId,
+    id: RequestId,
     at: AtProxy,
     attempts: u32,
     ticket: bool,
@@ -228,8 +228,8 @@
 struct Run {
     consult: Consult,
     requests: Vec<Request>,
-    owned: BTreeMap<BatchId, Owned>,
-    tokens: BTreeMap<u64, (BatchId, bool)>,
+    owned: BTreeMap<RequestId, Owned>,
+    tokens: BTreeMap<u64, (RequestId, bool)>,
     inbox: Vec<(u64, Verdict)>,
     answered: BTreeSet<u64>,
     next: u64,
@@ -256,7 +256,7 @@
                     if let Some(owned) = self.owned.get_mut(&batch).filter(|owned| owned.out == Some(token)) {
                         owned.out = None;
                         owned.may_have_run |= !outcome.never_ran();
-                        if outcome == Outcome::Returned {
+                        if outcome == AttemptOutcome::Returned {
                             self.owned.remove(&batch);
                         }
                     }
@@ -318,7 +318,7 @@
                 let token = self.next;
                 owned.out = Some(token);
                 self.tokens.insert(token, (id.clone(), false));
-                let done = self.consult.dispatch(&id, token, 7, ms(900));
+                let done = self.consult.attempt(&id, token, 7, ms(900));
                 self.carry(done);
             }
             Step::Deliver => {
@@ -355,12 +355,12 @@
             Step::Answer(n, how) => {
                 let AtProxy::Upstream { stream, .. } = self.requests[n as usize].at else { return };
                 let outcome = match how {
-                    0 | 1 => Outcome::Returned,
-                    2 => Outcome::Errored,
+                    0 | 1 => AttemptOutcome::Returned,
+                    2 => AttemptOutcome::Errored,
                     // The engine proves that it never ran.
                     _ => {
                         self.requests[n as usize].runs -= 1;
-                        Outcome::Full
+                        AttemptOutcome::Rejected
                     }
                 };
                 let done = self.consult.answered(stream, outcome);
@@ -368,7 +368,7 @@
                 self.requests[n as usize].at = AtProxy::Idle;
                 let done = self.consult.ended(self.now, stream, true);
                 self.carry(done);
-                if outcome == Outcome::Returned {
+                if outcome == AttemptOutcome::Returned {
                     self.requests[n as usize].attempts = 99;
                 }
             }
--- a/crates/core/consult/tests/same_verdicts.rs
+++ b/crates/core/consult/tests/same_verdicts.rs
@@ -20,56 +20,56 @@
 }
 
 fn stated() -> Deployment {
-    let group = |goal, limit, effect, load| ServiceTerms {
-        response_goal: ms(goal),
-        stretch: 1.5,
-        time_limit: ms(limit),
-        utility: 1.0,
-        effect,
+    let group = |goal, limit, effect, load| RequestClassConfig {
+        latency_objective: ms(goal),
+        objective_work_factor: 1.5,
+        deadline: ms(limit),
+        priority_weight: 1.0,
+        idempotency: effect,
         threads: if load { 2.0 } else { 1.0 },
-        load,
-        waits_for_loads: !load,
-        ..ServiceTerms::default()
+        bulk_load: load,
+        waits_for_bulk_loads: !load,
+        ..RequestClassConfig::default()
     };
     Deployment {
         fronts: 1,
-        service_groups: vec![
-            group(1000, 5000, Effect::Repeatable, false),
-            group(4000, 20_000, Effect::OnceOnly, true),
+        request_classes: vec![
+            group(1000, 5000, Idempotency::Idempotent, false),
+            group(4000, 20_000, Idempotency::NonIdempotent, true),
         ],
-        machines: vec![Machine { cores: 2.0, memory_mb: 4096.0 }],
+        machine_kinds: vec![MachineKind { cores: 2.0, memory_mb: 4096.0 }],
         tick: ms(5),
-        permits: Permits {
-            come_back: true,
-            longest_come_back: ms(2000),
-            most_dispatches: 4,
+        capabilities: Capabilities {
+            retry_after: true,
+            max_retry_after: ms(2000),
+            max_attempts: 4,
             connect_timeout: ms(250),
-            ..Permits::default()
+            ..Capabilities::default()
         },
-        duties: Duties {
+        safety_rules: SafetyRules {
             drain_grace: ms(2000),
-            cold_from: 0.34,
-            cold_for: ms(14_000),
-            fall_multiple: 3.0,
-            fall_after: ms(1500),
-            ask_within: ms(10_000),
-            ..Duties::default()
+            slow_start_share: 0.34,
+            slow_start_window: ms(14_000),
+            overload_factor: 3.0,
+            overload_window: ms(1500),
+            discovery_poll_deadline: ms(10_000),
+            ..SafetyRules::default()
         },
         ..Deployment::default()
     }
 }
 
 /// How the dispatch of this number of a batch ends, and after how long: the same in both runs.
-fn fate(seed: u64, batch: usize, dispatch: u32) -> (Outcome, Duration) {
-    let mut dice = Dice(seed ^ ((batch as u64) << 20) ^ u64::from(dispatch) << 50 | 1);
+fn fate(seed: u64, batch: usize, attempt: u32) -> (AttemptOutcome, Duration) {
+    let mut dice = Dice(seed ^ ((batch as u64) << 20) ^ u64::from(attempt) << 50 | 1);
     dice.below(10);
     let outcome = match dice.below(20) {
-        0 => Outcome::Errored,
-        1 => Outcome::Full,
-        2 => Outcome::NoConnection,
-        3 => Outcome::Reset,
-        4 => Outcome::TimedOut,
-        _ => Outcome::Returned,
+        0 => AttemptOutcome::Errored,
+        1 => AttemptOutcome::Rejected,
+        2 => AttemptOutcome::ConnectFailed,
+        3 => AttemptOutcome::Reset,
+        4 => AttemptOutcome::TimedOut,
+        _ => AttemptOutcome::Returned,
     };
     (outcome, ms(5 + dice.below(400)))
 }
@@ -98,7 +98,7 @@
         more_time: ms(0),
         retry_within: ms(60_000),
         doubt: ms(60_000),
-        effects: vec![Effect::Repeatable, Effect::OnceOnly],
+        effects: vec![Idempotency::Idempotent, Idempotency::NonIdempotent],
         most_calls: 10_000,
         most_remembered: 10_000,
     });
@@ -119,10 +119,10 @@
     plan(&mut agenda, ms(4500), Due::Roster(2, true));
     let entry = |engine, state| EngineEntry { engine, state, ..EngineEntry::default() };
     let all = (1..=3).map(|engine| entry(engine, EngineState::Active)).collect();
-    gateway.hear(ms(0), Event::Roster(RosterKind::Full, all));
+    gateway.handle_event(ms(0), Event::Endpoints(EndpointUpdateKind::Full, all));
 
-    let id = |batch: usize| -> BatchId { format!("b{batch}").into() };
-    let number = |id: &BatchId| -> usize { id[1..].parse().unwrap() };
+    let id = |batch: usize| -> RequestId { format!("b{batch}").into() };
+    let number = |id: &RequestId| -> usize { id[1..].parse().unwrap() };
     let mut seen = Vec::new();
     let mut open: BTreeSet<usize> = BTreeSet::new();
     let mut sent: BTreeMap<usize, u32> = BTreeMap::new();
@@ -132,14 +132,17 @@
     while let Some(((now, _), due)) = agenda.pop_first() {
         let mut done: Vec<Do> = Vec::new();
         match due {
-            Due::Woke => gateway.hear(now, Event::Woke),
+            Due::Woke => gateway.handle_event(now, Event::TimerFired),
             Due::Roster(engine, active) => {
-                let state = if active { EngineState::Active } else { EngineState::Leaving };
-                gateway.hear(now, Event::Roster(RosterKind::Changes, vec![entry(engine, state)]));
+                let state = if active { EngineState::Active } else { EngineState::Draining };
+                gateway.handle_event(
+                    now,
+                    Event::Endpoints(EndpointUpdateKind::Delta, vec![entry(engine, state)]),
+                );
             }
             Due::Arrives(batch) => {
                 let group = usize::from(batch % 7 == 0);
-                let patience = stated().service_groups[group].time_limit;
+                let patience = stated().request_classes[group].deadline;
                 let asked = Asked {
                     stream: {
                         stream += 1;
@@ -159,15 +162,15 @@
                     false => done.push(Do::Take(asked)),
                 }
             }
-            Due::Ends(batch, dispatch, engine, token) => {
-                let (outcome, after) = fate(seed, batch, dispatch);
+            Due::Ends(batch, attempt, engine, token) => {
+                let (outcome, after) = fate(seed, batch, attempt);
                 if consulted {
                     let held: u64 = streams[&batch];
                     consult.answered(held, outcome);
-                    done.extend(consult.ended(now, held, outcome != Outcome::Reset));
-                    out.insert(token, (batch, dispatch, engine, after));
+                    done.extend(consult.ended(now, held, outcome != AttemptOutcome::Reset));
+                    out.insert(token, (batch, attempt, engine, after));
                 } else {
-                    out.insert(token, (batch, dispatch, engine, after));
+                    out.insert(token, (batch, attempt, engine, after));
                     done.push(Do::End { token, outcome });
                 }
             }
@@ -177,24 +180,23 @@
             match act {
                 Do::Take(asked) => {
                     open.insert(number(&asked.batch));
-                    gateway.hear(
+                    gateway.handle_event(
                         now,
                         Event::Arrived(Arrival {
-                            batch: asked.batch,
-                            service_group: asked.service_group,
+                            request: asked.batch,
+                            request_class: asked.service_group,
                             table_group: asked.table_group,
                             key: None,
-                            patience: asked.patience,
+                            client_timeout: asked.patience,
                             work: None,
                             memory_mb: 0.0,
-                            repeat: asked.repeat,
+                            client_retry: asked.repeat,
                         }),
                     );
                 }
                 Do::End { token, outcome } => {
-                    let (batch, dispatch, engine, after) =
-                        out.remove(&token).expect("a dispatch that is out");
-                    let returned = outcome == Outcome::Returned;
+                    let (batch, attempt, engine, after) = out.remove(&token).expect("a dispatch that is out");
+                    let returned = outcome == AttemptOutcome::Returned;
                     if returned {
                         open.remove(&batch);
                         seen.push(Seen::Returned(now, batch));
@@ -202,16 +204,16 @@
                         retries.push(batch);
                     }
                     let over = !open.contains(&batch);
-                    gateway.hear(
+                    gateway.handle_event(
                         now,
-                        Event::Ended(Ending {
-                            batch: id(batch),
-                            dispatch,
+                        Event::AttemptEnded(AttemptEnd {
+                            request: id(batch),
+                            attempt,
                             engine,
-                            after,
+                            elapsed: after,
                             outcome,
-                            over,
-                            cost: None,
+                            request_finished: over,
+                            usage: None,
                             load: None,
                         }),
                     );
@@ -241,29 +243,29 @@
         let actions = gateway.decide(now);
         for action in actions {
             match action {
-                Action::Dispatch { batch, engine, .. } => {
+                Action::Send { request: batch, engine, .. } => {
                     let batch_number = number(&batch);
                     token += 1;
                     if consulted {
                         // The outcome of what could not be given would be told under this token.
-                        done.extend(consult.dispatch(&batch, token, engine, ms(1000)));
+                        done.extend(consult.attempt(&batch, token, engine, ms(1000)));
                     } else {
                         done.push(Do::Tell {
                             stream: 0,
-                            verdict: Verdict::Go { engine, time_limit: ms(1000), dispatch: 0 },
+                            verdict: Verdict::Go { engine, time_limit: ms(1000), attempt: 0 },
                         });
                     }
                     let told =
                         done.iter().any(|act| matches!(act, Do::Tell { verdict: Verdict::Go { .. }, .. }));
                     assert!(told, "a verdict lies ready although the proxy waits");
                     done.clear();
-                    let dispatch = sent.entry(batch_number).or_default();
-                    let (_, after) = fate(seed, batch_number, *dispatch);
-                    plan(&mut agenda, now + after, Due::Ends(batch_number, *dispatch, engine, token));
-                    *dispatch += 1;
+                    let attempt = sent.entry(batch_number).or_default();
+                    let (_, after) = fate(seed, batch_number, *attempt);
+                    plan(&mut agenda, now + after, Due::Ends(batch_number, *attempt, engine, token));
+                    *attempt += 1;
                     seen.push(Seen::Dispatched(now, batch_number, engine));
                 }
-                Action::PushBack { batch, come_back } => {
+                Action::Reject { request: batch, retry_after: come_back } => {
                     open.remove(&number(&batch));
                     if consulted {
                         let told = consult.answer(now, &batch, true, come_back);
@@ -271,14 +273,14 @@
                     }
                     seen.push(Seen::PushedBack(now, number(&batch), come_back));
                 }
-                Action::Error { batch } => {
+                Action::Fail { request: batch } => {
                     open.remove(&number(&batch));
                     if consulted {
                         consult.answer(now, &batch, false, None);
                     }
                     seen.push(Seen::Errored(now, number(&batch)));
                 }
-                Action::Wake { at } => plan(&mut agenda, at, Due::Woke),
+                Action::SetTimer { at } => plan(&mut agenda, at, Due::Woke),
                 _ => {}
             }
         }
--- a/crates/core/desired-state/src/lib.rs
+++ b/crates/core/desired-state/src/lib.rs
@@ -1,5 +1,5 @@
 //! Reads a valid tree of the front's model as pools and limits, in the numbers that the deployment gives its
-//! places, machines and service groups. What names something that the deployment does not state is declined, so
+//! places, machines and request classes. What names something that the deployment does not state is declined, so
 //! that a wish never means less than it says. No input or output, no clock.
 
 use lemonusher_membership::{Admin, Limit, Pool, Wanted};
--- a/crates/core/desired-state/tests/wishes.rs
+++ b/crates/core/desired-state/tests/wishes.rs
@@ -41,7 +41,7 @@
     let limit = wishes.wanted.limits()[1].unwrap();
     assert_eq!((limit.most_open, limit.come_back.as_millis()), (7, 500));
     assert!(wishes.wanted.limits()[0].is_none());
-    let entry = |engine, location| EngineEntry { engine, location, ..EngineEntry::default() };
+    let entry = |engine, location| EngineEntry { engine, zone: location, ..EngineEntry::default() };
     assert_eq!(wishes.wanted.of(&entry(1, 1)).admin, Admin::Draining);
     assert_eq!(wishes.wanted.of(&entry(1, 0)).barred, 0);
     assert_eq!(wishes.wanted.of(&entry(10, 0)).barred, !2);
--- a/crates/core/failure-detector/src/facts.rs
+++ b/crates/core/failure-detector/src/facts.rs
@@ -14,7 +14,7 @@
 /// What a front tells of itself, now and then.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fact {
-    /// Batches that it takes a second.
+    /// Requests that it takes a second.
     pub taken: u32,
     /// Engines that it sends nothing to after faults, the lowest ids first.
     pub doubts: Vec<u32>,
--- a/crates/core/maintenance/src/foreman.rs
+++ b/crates/core/maintenance/src/foreman.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Dispatches elsewhere that fail or are slow beyond this part stop the queue.
+/// Attempts elsewhere that fail or are slow beyond this part stop the queue.
 const WORSE: f64 = 0.2;
 /// Moves settled at once, so that one change stays small.
 const STEPS: usize = 4;
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Seen {
     pub fleet: Fleet,
-    /// The part of dispatches that fail or are slow.
+    /// The part of attempts that fail or are slow.
     pub worse: f64,
     /// Sites that are not up by the plan for lost sites.
     pub sites_down: bool,
--- a/crates/core/membership/src/door.rs
+++ b/crates/core/membership/src/door.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-/// What may be open of one service group.
+/// What may be open of one request class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limit {
     pub most_open: u32,
@@ -24,7 +24,7 @@
     promised: Duration,
 }
 
-/// Counts what is open by service group, and says when one that finds no place is to come again: no earlier than
+/// Counts what is open by request class, and says when one that finds no place is to come again: no earlier than
 /// places come free at the pace seen lately, one promise after another, so that not all come at once.
 #[derive(Debug, Clone, Default)]
 pub struct Door {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// A batch wants in: it is open from now on, or is to come again after this span.
+    /// A request wants in: it is open from now on, or is to come again after this span.
     pub fn enter(&mut self, now: Duration, service_group: usize) -> Result<(), Duration> {
         let longest = self.longest;
         let Some(lane) = self.lanes.get_mut(service_group) else { return Ok(()) };
@@ -61,7 +61,7 @@
         }
     }
 
-    /// A batch that had entered is over.
+    /// A request that had entered is over.
     pub fn leave(&mut self, now: Duration, service_group: usize) {
         let Some(lane) = self.lanes.get_mut(service_group) else { return };
         lane.open = lane.open.saturating_sub(1);
--- a/crates/core/membership/src/pools.rs
+++ b/crates/core/membership/src/pools.rs
@@ -1,5 +1,5 @@
 use crate::Limit;
-use lemonusher::{Effect, EngineEntry, EngineId};
+use lemonusher::{EngineEntry, EngineId, Idempotency};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A manager's word on engines; the greater is the stricter.
@@ -14,10 +14,10 @@
 }
 
 impl Admin {
-    /// Whether a dispatch that is out there is called back when this begins to hold. Work that may have had
+    /// Whether an attempt that is out there is called back when this begins to hold. Work that may have had
     /// its effect and must not have it twice is left to its end.
-    pub fn recalls(self, effect: Effect) -> bool {
-        self == Admin::Disabled && effect == Effect::Repeatable
+    pub fn recalls(self, effect: Idempotency) -> bool {
+        self == Admin::Disabled && effect == Idempotency::Idempotent
     }
 }
 
@@ -30,7 +30,7 @@
     pub kinds: BTreeSet<u32>,
     pub cells: BTreeSet<u32>,
     pub engines: BTreeSet<EngineId>,
-    /// The service groups that it serves; empty for all.
+    /// The request classes that it serves; empty for all.
     pub serves: BTreeSet<usize>,
 }
 
@@ -40,8 +40,8 @@
         let met = |criterion: &BTreeSet<u32>, value| criterion.is_empty() || criterion.contains(&value);
         met(&self.engines, entry.engine)
             && met(&self.cells, entry.cell)
-            && met(&self.locations, entry.location)
-            && met(&self.kinds, entry.kind)
+            && met(&self.locations, entry.zone)
+            && met(&self.kinds, entry.machine_kind)
     }
 }
 
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Wish {
     pub admin: Admin,
-    /// A bit for each service group that may not be sent there.
+    /// A bit for each request class that may not be sent there.
     pub barred: u64,
 }
 
@@ -68,7 +68,7 @@
 }
 
 impl Wanted {
-    /// `limits` stand in the order of the service groups.
+    /// `limits` stand in the order of the request classes.
     pub fn new(pools: Vec<Pool>, limits: Vec<Option<Limit>>) -> Wanted {
         let mut wanted = Wanted { limits, ..Wanted::default() };
         for (number, pool) in pools.iter().enumerate() {
@@ -99,8 +99,8 @@
         let under = |index: &'a Index, value| index.get(&value).into_iter().flatten();
         under(&self.by_engine, entry.engine)
             .chain(under(&self.by_cell, entry.cell))
-            .chain(under(&self.by_location, entry.location))
-            .chain(under(&self.by_kind, entry.kind))
+            .chain(under(&self.by_location, entry.zone))
+            .chain(under(&self.by_kind, entry.machine_kind))
             .chain(&self.everywhere)
             .map(|number| &self.pools[*number])
             .filter(|pool| pool.holds(entry))
--- a/crates/core/membership/src/table.rs
+++ b/crates/core/membership/src/table.rs
@@ -1,5 +1,5 @@
 use crate::{Admin, Wanted, Wish};
-use lemonusher::{EngineEntry, EngineId, EngineState, RosterKind};
+use lemonusher::{EndpointUpdateKind, EngineEntry, EngineId, EngineState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -14,11 +14,11 @@
 impl Seen {
     /// Whether anything may be sent there, as far as the list and the managers go.
     pub fn open(&self) -> bool {
-        self.entry.state == EngineState::Active && self.entry.barred != u64::MAX
+        self.entry.state == EngineState::Active && self.entry.blocked_classes != u64::MAX
     }
 }
 
-/// A location that the fleet has closed in part: which of its engines are open, and what may not go to these.
+/// A zone that the fleet has closed in part: which of its engines are open, and what may not go to these.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Closure {
     pub location: u32,
@@ -62,16 +62,16 @@
     }
 
     /// The list has told this. What is to be told on is of the same kind, and holds the same engines.
-    pub fn list(&mut self, kind: RosterKind, mut entries: Vec<EngineEntry>) -> Change {
+    pub fn list(&mut self, kind: EndpointUpdateKind, mut entries: Vec<EngineEntry>) -> Change {
         let before = match kind {
-            RosterKind::Changes => None,
-            RosterKind::Full | RosterKind::Restored => Some(std::mem::take(&mut self.seen)),
+            EndpointUpdateKind::Delta => None,
+            EndpointUpdateKind::Full | EndpointUpdateKind::Restored => Some(std::mem::take(&mut self.seen)),
         };
         let mut recalled = Vec::new();
         for entry in &mut entries {
             let wish = self.wish(entry);
-            entry.barred = wish.barred;
-            if entry.state == EngineState::Left {
+            entry.blocked_classes = wish.barred;
+            if entry.state == EngineState::Removed {
                 self.seen.remove(&entry.engine);
                 continue;
             }
@@ -90,7 +90,7 @@
         self.renew()
     }
 
-    /// The fleet closes these locations from now on, and no others. Yields the difference alone.
+    /// The fleet closes these zones from now on, and no others. Yields the difference alone.
     pub fn close(&mut self, closures: Vec<Closure>) -> Change {
         self.closures = closures;
         self.renew()
@@ -107,7 +107,7 @@
         if self.all_out || self.out.contains(&entry.engine) {
             wish.barred = u64::MAX;
         }
-        let closed = self.closures.iter().filter(|closure| closure.location == entry.location);
+        let closed = self.closures.iter().filter(|closure| closure.location == entry.zone);
         wish.barred |= closed.fold(0, |bits, closure| bits | closure.bars(entry.engine));
         wish
     }
@@ -120,8 +120,8 @@
                 change.recalled.push(seen.entry.engine);
             }
             seen.admin = wish.admin;
-            if seen.entry.barred != wish.barred {
-                seen.entry.barred = wish.barred;
+            if seen.entry.blocked_classes != wish.barred {
+                seen.entry.blocked_classes = wish.barred;
                 change.entries.push(seen.entry.clone());
             }
         }
--- a/crates/core/membership/tests/membership.rs
+++ b/crates/core/membership/tests/membership.rs
@@ -1,6 +1,6 @@
 //! The table against a plain reference, through any order of lists and wishes; the door against counts.
 
-use lemonusher::{Effect, EngineEntry, EngineState, RosterKind};
+use lemonusher::{EndpointUpdateKind, EngineEntry, EngineState, Idempotency};
 use lemonusher_membership::{Admin, Closure, Door, Limit, Pool, Seen, Table, Wanted};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -16,8 +16,16 @@
 fn an_entry() -> impl Strategy<Value = EngineEntry> {
     (0..6u32, 0..2u32, 0..3u32, 0..2u32, 0..3u8, 0..4u64).prop_map(
         |(engine, location, cell, kind, state, s)| {
-            let state = [EngineState::Active, EngineState::Leaving, EngineState::Left][state as usize];
-            EngineEntry { engine, location, cell, kind, state, started: ms(s), barred: 0 }
+            let state = [EngineState::Active, EngineState::Draining, EngineState::Removed][state as usize];
+            EngineEntry {
+                engine,
+                zone: location,
+                cell,
+                machine_kind: kind,
+                state,
+                started_at: ms(s),
+                blocked_classes: 0,
+            }
         },
     )
 }
@@ -71,8 +79,8 @@
         for step in steps {
             let change = match step {
                 Step::List(kind, entries) => {
-                    let kind = [RosterKind::Changes, RosterKind::Full, RosterKind::Restored][kind as usize];
-                    if kind != RosterKind::Changes {
+                    let kind = [EndpointUpdateKind::Delta, EndpointUpdateKind::Full, EndpointUpdateKind::Restored][kind as usize];
+                    if kind != EndpointUpdateKind::Delta {
                         told.clear();
                         listed.clear();
                     }
@@ -99,7 +107,7 @@
                     // A manager never brings in what the list doesn't hold, nor another state.
                     for entry in &change.entries {
                         prop_assert_eq!(entry.state, listed[&entry.engine].state);
-                        prop_assert!(entry.state != EngineState::Left);
+                        prop_assert!(entry.state != EngineState::Removed);
                     }
                     change
                 }
@@ -107,10 +115,10 @@
             for entry in change.entries {
                 told.insert(entry.engine, entry);
             }
-            listed.retain(|_, entry| entry.state != EngineState::Left);
-            told.retain(|_, entry| entry.state != EngineState::Left);
+            listed.retain(|_, entry| entry.state != EngineState::Removed);
+            told.retain(|_, entry| entry.state != EngineState::Removed);
             let wanted: BTreeMap<u32, EngineEntry> = listed.iter()
-                .map(|(id, entry)| (*id, EngineEntry { barred: barred(&pools, entry).1, ..entry.clone() }))
+                .map(|(id, entry)| (*id, EngineEntry { blocked_classes: barred(&pools, entry).1, ..entry.clone() }))
                 .collect();
             prop_assert_eq!(&told, &wanted);
             prop_assert_eq!(table.len(), wanted.len());
@@ -168,29 +176,31 @@
 
 #[test]
 fn only_work_that_may_run_again_is_recalled() {
-    assert!(Admin::Disabled.recalls(Effect::Repeatable));
-    assert!(!Admin::Disabled.recalls(Effect::OnceOnly));
-    assert!(!Admin::Draining.recalls(Effect::Repeatable));
+    assert!(Admin::Disabled.recalls(Idempotency::Idempotent));
+    assert!(!Admin::Disabled.recalls(Idempotency::NonIdempotent));
+    assert!(!Admin::Draining.recalls(Idempotency::Idempotent));
 }
 
 #[test]
 fn a_closure_bars_the_same_part_at_every_front_and_opens_again_with_what_managers_wish() {
-    let entry = |engine: u32| EngineEntry { engine, location: engine % 2, ..EngineEntry::default() };
+    let entry = |engine: u32| EngineEntry { engine, zone: engine % 2, ..EngineEntry::default() };
     let mut table = Table::default();
-    table.list(RosterKind::Full, (0..400).map(entry).collect());
+    table.list(EndpointUpdateKind::Full, (0..400).map(entry).collect());
     let closed = table.close(vec![Closure { location: 1, open: 250, barred: 0b10 }]);
     let open = |table: &Table, location: u32| {
-        table.engines().filter(|seen| seen.entry.location == location && seen.open()).count()
+        table.engines().filter(|seen| seen.entry.zone == location && seen.open()).count()
     };
     assert_eq!((closed.entries.len(), open(&table, 0)), (200, 200));
     assert!((35..=65).contains(&open(&table, 1)), "{}", open(&table, 1));
-    assert!(table.engines().filter(|s| s.entry.location == 1 && s.open()).all(|s| s.entry.barred == 0b10));
+    assert!(
+        table.engines().filter(|s| s.entry.zone == 1 && s.open()).all(|s| s.entry.blocked_classes == 0b10)
+    );
     // What is open at first stays open as more is opened.
     let first: Vec<u32> = table.engines().filter(|s| s.open()).map(|s| s.entry.engine).collect();
     table.close(vec![Closure { location: 1, open: 500, barred: 0 }]);
     assert!(first.iter().all(|engine| table.get(*engine).is_some_and(Seen::open)));
     // An engine that is listed meanwhile is under it as well.
-    table.list(RosterKind::Changes, (400..600).map(entry).collect());
+    table.list(EndpointUpdateKind::Delta, (400..600).map(entry).collect());
     assert!((120..=180).contains(&open(&table, 1)), "{}", open(&table, 1));
     table.close(Vec::new());
     assert_eq!(open(&table, 1), 300);
--- a/crates/core/zone-failover/src/course.rs
+++ b/crates/core/zone-failover/src/course.rs
@@ -8,7 +8,7 @@
 const STEPS: [u16; 5] = [125, 250, 500, 750, ALL];
 /// Losses in a row that still make the wait longer.
 const MOST_LOSSES: u8 = 4;
-/// Dispatches that failed or were slow beyond this part stop a return, or end a drill.
+/// Attempts that failed or were slow beyond this part stop a return, or end a drill.
 const WORSE: f64 = 0.2;
 /// So many ends at least before outcomes are judged.
 const ENOUGH: u32 = 10;
@@ -70,7 +70,7 @@
         self.go(now, to, 0, why)
     }
 
-    /// Moves the site on, one step at most. `others_worse`: the part of dispatches elsewhere that fail or are slow.
+    /// Moves the site on, one step at most. `others_worse`: the part of attempts elsewhere that fail or are slow.
     pub fn turn(
         &mut self,
         now: Duration,
@@ -164,8 +164,8 @@
     STEPS.iter().rev().find(|step| **step < open).copied().unwrap_or(0)
 }
 
-/// Which service groups may not go yet to a site that returns: short work warms it first. `works` is the work of a
-/// batch of each.
+/// Which request classes may not go yet to a site that returns: short work warms it first. `works` is the work of a
+/// request of each.
 pub(crate) fn barred(open: u16, works: &[f64]) -> u64 {
     let mut order: Vec<usize> = (0..works.len()).collect();
     order.sort_by(|a, b| works[*a].total_cmp(&works[*b]).then(a.cmp(b)));
--- a/crates/core/zone-failover/src/door.rs
+++ b/crates/core/zone-failover/src/door.rs
@@ -1,4 +1,4 @@
-//! Lets in the part of each service group that the plan allows, evenly spaced, and tells the rest when to come again.
+//! Lets in the part of each request class that the plan allows, evenly spaced, and tells the rest when to come again.
 
 use crate::Effect;
 use std::time::Duration;
--- a/crates/core/zone-failover/src/eyes.rs
+++ b/crates/core/zone-failover/src/eyes.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A dispatch that took so many times its work over its threads, and the least that is ever called slow, counts as slow.
+/// An attempt that took so many times its work over its threads, and the least that is ever called slow, counts as slow.
 const SLOW: f64 = 4.0;
 const LEAST_SLOW: f64 = 0.25;
 /// An engine that was neither heard nor missed for so many periods counts as not tried.
@@ -42,7 +42,7 @@
     known: u32,
 }
 
-/// How a dispatch ended, as far as it tells of its engine.
+/// How an attempt ended, as far as it tells of its engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Ended {
     /// After this span, with this work (seconds on one thread) over so many threads; no work where none was told.
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Something was sent there, a batch or a probe.
+    /// Something was sent there, a request or a probe.
     pub fn sent(&mut self, now: Duration, engine: u32) {
         if let Some(engine) = self.engines.get_mut(&engine) {
             engine.asked = engine.asked.or(Some(now));
--- a/crates/core/zone-failover/src/follow.rs
+++ b/crates/core/zone-failover/src/follow.rs
@@ -19,7 +19,7 @@
     pub site: Site,
     /// In thousandths of its engines.
     pub open: u16,
-    /// A bit for each service group that may not go there.
+    /// A bit for each request class that may not go there.
     pub barred: u64,
 }
 
@@ -29,7 +29,7 @@
     /// The register's stamp, era and version, of the plan followed; none of its own rule.
     pub epoch: Option<(u64, u64)>,
     pub closures: Vec<Closure>,
-    /// By service group: the part that is let in, from 0 to 1.
+    /// By request class: the part that is let in, from 0 to 1.
     pub admitted: Vec<f64>,
     /// When what is refused may come again at the earliest, spread over as much again.
     pub back: Duration,
--- a/crates/core/zone-failover/src/holder.rs
+++ b/crates/core/zone-failover/src/holder.rs
@@ -11,7 +11,7 @@
 const ALIKE: u16 = 20;
 /// Periods between two plans that differ in nothing but what they let in.
 const APART: u32 = 4;
-/// Dispatches that must have ended elsewhere before outcomes there are judged.
+/// Attempts that must have ended elsewhere before outcomes there are judged.
 const ENOUGH: u32 = 10;
 
 /// Where a holder stands with the register.
--- a/crates/core/zone-failover/src/judge.rs
+++ b/crates/core/zone-failover/src/judge.rs
@@ -46,9 +46,9 @@
     pub cores: u32,
     /// The part of the engines tried that answer, with slow ones counted for less.
     pub part: f64,
-    /// The part of dispatches there that failed or were slow.
+    /// The part of attempts there that failed or were slow.
     pub worse: f64,
-    /// Dispatches that ended there.
+    /// Attempts that ended there.
     pub ended: u32,
 }
 
@@ -153,7 +153,7 @@
         self.evidence(site).finding(self.fronts(), had)
     }
 
-    /// What all fronts are asked for, by service group.
+    /// What all fronts are asked for, by request class.
     pub fn demand(&self, groups: usize) -> Vec<Demand> {
         let mut all = vec![Demand::default(); groups.min(MOST_GROUPS)];
         let (mut work, mut known) = (vec![0.0f32; all.len()], vec![0.0f32; all.len()]);
@@ -161,7 +161,7 @@
             for (group, demand) in report.demand.iter().enumerate().take(all.len()) {
                 let rate = demand.rate.max(0.0);
                 all[group].rate += rate;
-                // Who has not learned what a batch needs tells no work, and counts for none.
+                // Who has not learned what a request needs tells no work, and counts for none.
                 if demand.work > 0.0 {
                     known[group] += rate;
                     work[group] += rate * demand.work;
--- a/crates/core/zone-failover/src/lib.rs
+++ b/crates/core/zone-failover/src/lib.rs
@@ -24,9 +24,9 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A site is a location, by its number in the deployment.
+/// A site is a zone, by its number in the deployment.
 pub type Site = u32;
-/// Sites and service groups at most; what lies beyond is no part of any plan.
+/// Sites and request classes at most; what lies beyond is no part of any plan.
 pub const MOST_SITES: usize = 16;
 pub const MOST_GROUPS: usize = 64;
 /// All of a site's engines are open.
@@ -47,7 +47,7 @@
     pub wait: Duration,
     /// The part of a site's cores that a plan fills.
     pub safe: f64,
-    /// The part of each service group's demand that no plan refuses, as far as it can run at all.
+    /// The part of each request class's demand that no plan refuses, as far as it can run at all.
     pub floor: f64,
     /// A front that has not been sure of the plan for so long goes by itself.
     pub stale: Duration,
@@ -77,16 +77,16 @@
     /// Of those that it has tried lately: how many answer, and how many do not.
     pub answering: u16,
     pub silent: u16,
-    /// Dispatches that returned, that took far longer than their work, and that failed.
+    /// Attempts that returned, that took far longer than their work, and that failed.
     pub returned: u32,
     pub slow: u32,
     pub failed: u32,
 }
 
-/// How much of a service group one front is asked for.
+/// How much of a request class one front is asked for.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// Batches a second, also those that were refused.
+    /// Requests a second, also those that were refused.
     pub rate: f32,
     /// Work of one, in seconds on one thread; zero where no answer has told any yet.
     pub work: f32,
@@ -98,7 +98,7 @@
     /// Where the front stands.
     pub stands: Site,
     pub sights: Vec<Sight>,
-    /// In the order of the service groups.
+    /// In the order of the request classes.
     pub demand: Vec<Demand>,
 }
 
@@ -142,7 +142,7 @@
     pub state: State,
     /// The part of its engines that is open, in thousandths.
     pub open: u16,
-    /// A bit for each service group that may not go there yet.
+    /// A bit for each request class that may not go there yet.
     pub barred: u64,
     /// Losses in a row, which make the next wait longer.
     pub losses: u8,
@@ -152,7 +152,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
     pub sites: Vec<SitePlan>,
-    /// By service group: the part that is let in, in thousandths.
+    /// By request class: the part that is let in, in thousandths.
     pub admitted: Vec<u16>,
     /// When what is refused may hope for more, in ms from now.
     pub back_ms: u32,
--- a/crates/core/zone-failover/src/plan.rs
+++ b/crates/core/zone-failover/src/plan.rs
@@ -13,14 +13,14 @@
 /// In so many portions sites are filled, so that all fill alike.
 const PORTIONS: usize = 8;
 
-/// A service group as the planner sees it.
+/// A request class as the planner sees it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Group {
-    /// Of a batch answered in time.
+    /// Of a request answered in time.
     pub utility: f64,
-    /// Of a batch, in seconds on one thread.
+    /// Of a request, in seconds on one thread.
     pub work: f64,
-    /// Batches a second.
+    /// Requests a second.
     pub rate: f64,
     /// Seconds.
     pub goal: f64,
@@ -51,11 +51,11 @@
 
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Allocation {
-    /// By service group and site (in the order of the capacities): work a second.
+    /// By request class and site (in the order of the capacities): work a second.
     pub flows: Vec<Vec<f64>>,
-    /// By service group: the part of its demand that is served.
+    /// By request class: the part of its demand that is served.
     pub served: Vec<f64>,
-    /// By service group: the part that no site may take, however much room there is.
+    /// By request class: the part that no site may take, however much room there is.
     pub nowhere: Vec<f64>,
     /// By site: the part of its capacity that is filled.
     pub filled: Vec<f64>,
@@ -106,7 +106,7 @@
     Allocation { served, nowhere, filled, refused_first: order, flows: even.flows }
 }
 
-/// Worth for each second of engine work first, then the shorter response goal, then the shorter time limit: what has
+/// Worth for each second of engine work first, then the shorter latency objective, then the shorter deadline: what has
 /// longer may come again.
 fn dearer(a: &Group, b: &Group) -> Ordering {
     let worth = |group: &Group| group.utility / group.work.max(1e-6);
--- a/crates/edges/cli/benches/managed.rs
+++ b/crates/edges/cli/benches/managed.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-const BATCHES: u64 = 4000;
+const REQUESTS: u64 = 4000;
 
 fn main() {
     let runtime = runtime();
@@ -24,7 +24,7 @@
     let world = run(&[&engine], None, "");
     let mut id = 0;
     let mut ask = |histogram: &mut Histogram<u64>, client: &mut lemonusher_fakes::Client| {
-        for _ in 0..BATCHES / 8 {
+        for _ in 0..REQUESTS / 8 {
             id += 1;
             let from = Instant::now();
             client.ask(id, "look-up");
--- a/crates/edges/cli/src/file.rs
+++ b/crates/edges/cli/src/file.rs
@@ -349,7 +349,7 @@
     pub tick_us: Spanned<u64>,
     #[serde(default)]
     pub headers: Headers,
-    /// Path prefixes that stand for a service group.
+    /// Path prefixes that stand for a request class.
     #[serde(default)]
     pub paths: std::collections::BTreeMap<String, String>,
     #[serde(default = "Processor::patience")]
--- a/crates/edges/cli/src/journal.rs
+++ b/crates/edges/cli/src/journal.rs
@@ -1,5 +1,5 @@
 //! The log of this binary: `tracing`, as text or as JSON lines. What the front writes by `log` joins it, with
-//! the batch, engine and commit that it names as fields.
+//! the request, engine and commit that it names as fields.
 
 use crate::file::{Form, Level};
 use log::kv::{Key, Value, VisitSource};
@@ -25,7 +25,7 @@
 
 #[derive(Default)]
 struct Fields {
-    batch: Option<String>,
+    request: Option<String>,
     engine: Option<u64>,
     commit: Option<u64>,
 }
@@ -33,7 +33,7 @@
 impl<'k> VisitSource<'k> for Fields {
     fn visit_pair(&mut self, key: Key<'k>, value: Value<'k>) -> Result<(), log::kv::Error> {
         match key.as_str() {
-            "batch" => self.batch = Some(value.to_string()),
+            "batch" => self.request = Some(value.to_string()),
             "engine" => self.engine = value.to_u64(),
             "commit" => self.commit = value.to_u64(),
             _ => {}
@@ -48,7 +48,7 @@
         tracing::event!(
             target: "front",
             $level,
-            batch = $fields.batch.as_deref(),
+            request = $fields.request.as_deref(),
             engine = engine.as_deref(),
             commit = $fields.commit,
             "{}",
--- a/crates/edges/cli/src/main.rs
+++ b/crates/edges/cli/src/main.rs
@@ -284,7 +284,7 @@
     names: &lemonusher_front::Names,
 ) -> Result<(lemonusher_processor::Terms, lemonusher_consult::Terms, bool, Duration), Failure> {
     let ms = |ms: u64| Duration::from_millis(ms);
-    let longest = names.terms.iter().map(|terms| terms.time_limit).max().unwrap_or_default();
+    let longest = names.terms.iter().map(|terms| terms.deadline).max().unwrap_or_default();
     let key = match &held.key_file {
         Some(path) => {
             let path = path.get_ref();
@@ -295,7 +295,7 @@
         None => lemonusher_consult::Key::new(&rand::random::<[u8; 32]>()),
     };
     let groups = names.service_groups.iter().zip(&names.terms).map(|(name, terms)| {
-        let most_patience = terms.time_limit * 2;
+        let most_patience = terms.deadline * 2;
         lemonusher_processor::Group { name: name.clone(), most_patience }
     });
     let door = lemonusher_processor::Terms {
@@ -313,7 +313,7 @@
         more_time: ms(held.more_time_ms),
         retry_within: ms(held.retry_within_ms),
         doubt: longest * 2,
-        effects: names.terms.iter().map(|terms| terms.effect).collect(),
+        effects: names.terms.iter().map(|terms| terms.idempotency).collect(),
         most_calls: *held.streams.get_ref(),
         most_remembered: held.remembered,
     };
--- a/crates/edges/cli/tests/proof_managed.rs
+++ b/crates/edges/cli/tests/proof_managed.rs
@@ -119,7 +119,7 @@
         let schema = Schema::front().unwrap();
         let mut netconf = Netconf::connect(world.netconf).await;
         let mut leaves = 0;
-        // Time and memory never stand still; all else is the same once no batch is open.
+        // Time and memory never stand still; all else is the same once no request is open.
         for path in ["/front/pool", "/front/state/counter", "/front/state/engine", "/front/state/commit"] {
             let names: Vec<String> = parse_path(path).unwrap().into_iter().map(|step| step.name).collect();
             let open: String = names[1..].iter().map(|name| format!("<{name}>")).collect();
@@ -162,7 +162,7 @@
     leaves
 }
 
-/// `taken look-up=12 load=3; probes 4` by kind and service group.
+/// `taken look-up=12 load=3; probes 4` by kind and request class.
 fn counts(line: &str) -> BTreeMap<(String, String), u64> {
     let (_, line) = line.split_once("counts: ").unwrap();
     let (line, _) = line.split_once("; holds").unwrap();
@@ -180,7 +180,7 @@
 
 #[test]
 fn subscribed_counters_are_those_of_the_log() {
-    const BATCHES: u64 = 10_000;
+    const REQUESTS: u64 = 10_000;
     const CLIENTS: u64 = 8;
     let engines = [
         Tallying::start(|n| match n {
@@ -198,8 +198,8 @@
             scope.spawn(move || {
                 let mut client = world.front.client();
                 let (mut asked, mut open) = (0, 0);
-                while asked < BATCHES / CLIENTS || open > 0 {
-                    if asked < BATCHES / CLIENTS && open < 16 {
+                while asked < REQUESTS / CLIENTS || open > 0 {
+                    if asked < REQUESTS / CLIENTS && open < 16 {
                         client.ask(asked + 1, if asked % 10 == 0 { "load" } else { "look-up" });
                         (asked, open) = (asked + 1, open + 1);
                     } else {
@@ -243,15 +243,15 @@
             let of = |kind: &str| -> u64 {
                 before.iter().filter(|((name, _), _)| name == kind).map(|(_, count)| count).sum()
             };
-            assert_eq!(of("taken"), BATCHES);
-            assert_eq!(of("returned") + of("pushed back") + of("errored"), BATCHES);
+            assert_eq!(of("taken"), REQUESTS);
+            assert_eq!(of("returned") + of("pushed back") + of("errored"), REQUESTS);
             let tallied: u64 = engines.iter().map(|engine| engine.tally().len() as u64).sum();
             assert!(of("dispatched") >= tallied);
             let failed = of("dispatch ended errored") + of("dispatch ended full") + of("dispatch ended reset");
-            assert!(of("returned") > BATCHES / 2, "{before:?}");
+            assert!(of("returned") > REQUESTS / 2, "{before:?}");
             assert!(failed > 50, "{before:?}");
             println!(
-                "proof: counters {} of {BATCHES} batches, {failed} failed dispatches, equal to the log's line",
+                "proof: counters {} of {REQUESTS} batches, {failed} failed dispatches, equal to the log's line",
                 sample.len()
             );
             return;
@@ -499,15 +499,15 @@
         let mut reading = Gnmi::connect(world.gnmi).await;
         let mut fine =
             reading.subscribe(&["/front/state/counter"], SubscriptionMode::Sample, 20).await.unwrap();
-        // It is read until it has lost something, by the front's own count; batches are answered all the while.
+        // It is read until it has lost something, by the front's own count; requests are answered all the while.
         let mut client = world.front.client();
-        let (mut batches, mut lost) = (0, 0);
+        let (mut requests, mut lost) = (0, 0);
         let until = Instant::now() + LONG;
-        while lost == 0 || batches < 40 {
-            assert!(Instant::now() < until, "{lost} lost, {batches} answered");
-            batches += 1;
-            client.ask(batches, "look-up");
-            client.returned(batches, b"x\ty\tz\n");
+        while lost == 0 || requests < 40 {
+            assert!(Instant::now() < until, "{lost} lost, {requests} answered");
+            requests += 1;
+            client.ask(requests, "look-up");
+            client.returned(requests, b"x\ty\tz\n");
             updates(&mut fine).await;
             let state = gnmi.get("/", DataType::State).await.unwrap();
             let sessions = &state["lemonusher-front:front"]["state"]["session"];
@@ -525,7 +525,7 @@
                 break value_of(update);
             }
         };
-        println!("proof: stopped subscriber {lost} updates lost and counted, {told} told, {batches} batches answered meanwhile");
+        println!("proof: stopped subscriber {lost} updates lost and counted, {told} told, {requests} batches answered meanwhile");
     });
 }
 
--- a/crates/edges/cli/tests/proof_processor.rs
+++ b/crates/edges/cli/tests/proof_processor.rs
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn an_engine_that_drains_between_verdict_and_dispatch_gets_nothing_past_the_grace() {
+fn an_engine_that_drains_between_verdict_and_attempt_gets_nothing_past_the_grace() {
     const GRACE: Duration = Duration::from_secs(2); // As the stand-in's deployment states it.
     runtime().block_on(async {
         let engines = [HttpEngine::start(|_| Does::Serve).await, HttpEngine::start(|_| Does::Serve).await];
--- a/crates/edges/cli/tests/proof_sites.rs
+++ b/crates/edges/cli/tests/proof_sites.rs
@@ -43,7 +43,7 @@
 }
 
 impl Fleet {
-    /// `rates`: batches a second of each of the nine clients, by service group.
+    /// `rates`: requests a second of each of the nine clients, by request class.
     fn start(stands: fn(usize) -> usize, rates: [f64; 3], groups: Vec<GroupTerms>, seed: u64) -> Fleet {
         let turn = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
         let halls = Arc::new(Halls::start(HallsTerms {
--- a/crates/edges/cli/tests/proof_works.rs
+++ b/crates/edges/cli/tests/proof_works.rs
@@ -149,7 +149,7 @@
                 .all(|line| line.contains("0 asked, 0 out"))
     }
 
-    /// Batches that came to an engine while it was released.
+    /// Requests that came to an engine while it was released.
     fn disturbed(&self) -> usize {
         let mut all = 0;
         for site in 0..SITES {
--- a/crates/edges/deployment/src/lib.rs
+++ b/crates/edges/deployment/src/lib.rs
@@ -40,8 +40,8 @@
 fn set(load: &mut LoadReport, field: &str, value: f64) {
     match field {
         "busy" | "util" => load.cores_busy = Some(value),
-        "rif" | "inflight" => load.held = Some(value),
-        "q" | "queue" => load.waiting = Some(value),
+        "rif" | "inflight" => load.in_flight = Some(value),
+        "q" | "queue" => load.waiting_for_memory = Some(value),
         "x0" => load.memory_granted = Some(value),
         "x1" => load.disks_busy = Some(value),
         _ => {}
@@ -54,83 +54,83 @@
     let rules = &settled.obligations;
     Deployment {
         fronts: settled.balancers,
-        number: settled.my_number,
-        location: settled.zone,
-        service_groups: settled.classes.iter().enumerate().map(|(i, c)| terms(i, c, settled)).collect(),
-        machines: (family.cpu_of_kind.iter().enumerate())
-            .map(|(i, &cores)| Machine {
+        front_index: settled.my_number,
+        zone: settled.zone,
+        request_classes: settled.classes.iter().enumerate().map(|(i, c)| terms(i, c, settled)).collect(),
+        machine_kinds: (family.cpu_of_kind.iter().enumerate())
+            .map(|(i, &cores)| MachineKind {
                 cores,
                 memory_mb: family.memory_by_kind_mb.get(i).copied().unwrap_or(0.0),
             })
             .collect(),
         tick: span(settled.tick_us),
-        permits: Permits {
+        capabilities: Capabilities {
             probes: ceilings.probes,
-            messages: ceilings.peers,
+            peer_messages: ceilings.peers,
             cancel: ceilings.cancel,
-            come_back: ceilings.retry_after,
-            longest_come_back: span(ceilings.max_retry_after_us),
-            second_copies: ceilings.second_copies,
-            most_dispatches: ceilings.max_attempts,
+            retry_after: ceilings.retry_after,
+            max_retry_after: span(ceilings.max_retry_after_us),
+            hedging: ceilings.second_copies,
+            max_attempts: ceilings.max_attempts,
             connect_timeout: span(ceilings.connect_timeout_us),
         },
-        probe_price: settled.prices.probe,
-        duties: Duties {
+        probe_cost: settled.prices.probe,
+        safety_rules: SafetyRules {
             drain_grace: span(rules.drain_grace_us),
-            cold_from: rules.cold_from,
-            cold_for: span(rules.cold_us),
-            fall_multiple: rules.fall_multiple,
-            fall_after: span(rules.tip_after_us),
-            settle_after_doubt: span(rules.settle_after_doubt_us),
-            ask_within: span(rules.ask_within_us),
-            budget: rules.resend_span_us.map(|window| DispatchBudget {
-                free: rules.min_extra.unwrap_or(0.0),
-                share: rules.extra_ratio.unwrap_or(0.0),
-                span: span(window),
+            slow_start_share: rules.cold_from,
+            slow_start_window: span(rules.cold_us),
+            overload_factor: rules.fall_multiple,
+            overload_window: span(rules.tip_after_us),
+            unknown_outcome_delay: span(rules.settle_after_doubt_us),
+            discovery_poll_deadline: span(rules.ask_within_us),
+            retry_budget: rules.resend_span_us.map(|window| RetryBudget {
+                free_retries: rules.min_extra.unwrap_or(0.0),
+                retry_ratio: rules.extra_ratio.unwrap_or(0.0),
+                window: span(window),
             }),
         },
         discovery: match settled.discovery.as_str() {
-            "on_request" => Discovery::OnRequest,
+            "on_request" => Discovery::Polled,
             _ => Discovery::Pushed,
         },
-        reports: match settled.report.via.as_str() {
-            "inline" => Reports::WithAnswers,
-            "on_probe" => Reports::WhenProbed,
-            _ => Reports::None,
+        load_reporting: match settled.report.via.as_str() {
+            "inline" => LoadReporting::WithResponses,
+            "on_probe" => LoadReporting::WithProbes,
+            _ => LoadReporting::None,
         },
-        note_period: span(family.note_period_us),
+        progress_interval: span(family.note_period_us),
         priorities: family.lanes_count,
-        grants: family.takes_grants,
-        repeats_marked: settled.client_habits.marks_retry,
+        memory_grants: family.takes_grants,
+        retries_marked: settled.client_habits.marks_retry,
     }
 }
 
-fn terms(index: usize, class: &Class, settled: &Settled) -> ServiceTerms {
+fn terms(index: usize, class: &Class, settled: &Settled) -> RequestClassConfig {
     let family = &settled.family_info;
-    ServiceTerms {
-        response_goal: span(class.aim_us),
-        stretch: class.aim_stretch,
-        time_limit: span(class.hard_limit_us),
-        utility: class.points,
-        late_share: class.late_value,
-        effect: match class.effect {
-            ClassEffect::Safe => Effect::Repeatable,
-            ClassEffect::Unsafe => Effect::OnceOnly,
-            ClassEffect::Keyed => Effect::Referenced {
-                reach: match class.group {
-                    Group::All => Reach::Everywhere,
-                    Group::Zone => Reach::Location,
-                    Group::Cell => Reach::Cell,
+    RequestClassConfig {
+        latency_objective: span(class.aim_us),
+        objective_work_factor: class.aim_stretch,
+        deadline: span(class.hard_limit_us),
+        priority_weight: class.points,
+        late_value_share: class.late_value,
+        idempotency: match class.effect {
+            ClassEffect::Safe => Idempotency::Idempotent,
+            ClassEffect::Unsafe => Idempotency::NonIdempotent,
+            ClassEffect::Keyed => Idempotency::IdempotencyKeyed {
+                scope: match class.group {
+                    Group::All => DeduplicationScope::Everywhere,
+                    Group::Zone => DeduplicationScope::Zone,
+                    Group::Cell => DeduplicationScope::Cell,
                 },
-                remembered: span(class.key_ttl_us),
+                retention: span(class.key_ttl_us),
             },
         },
         ordered: class.by_arrival,
-        locations: class.areas_open.clone(),
-        kinds: class.kinds_open.clone(),
+        allowed_zones: class.areas_open.clone(),
+        allowed_machine_kinds: class.kinds_open.clone(),
         threads: family.class_threads.get(index).copied().unwrap_or(1.0),
-        load: family.class_load.get(index).copied().unwrap_or(false),
-        waits_for_loads: family.yields_to_loads.get(index).copied().unwrap_or(false),
+        bulk_load: family.class_load.get(index).copied().unwrap_or(false),
+        waits_for_bulk_loads: family.yields_to_loads.get(index).copied().unwrap_or(false),
     }
 }
 
@@ -153,7 +153,7 @@
     pub obligations: Obligations,
     #[serde(default)]
     pub report: Report,
-    /// Names of the locations and of the kinds of machine, in the order in which they are numbered.
+    /// Names of the zones and of the kinds of machine, in the order in which they are numbered.
     #[serde(default)]
     pub areas: Vec<String>,
     #[serde(default)]
@@ -182,7 +182,7 @@
     pub open_cap: usize,
 }
 
-/// What things cost, in shares of the utility asked for when one comes with each batch.
+/// What things cost, in shares of the priority weight asked for when one comes with each request.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct Prices {
--- a/crates/edges/front/src/program/channel.rs
+++ b/crates/edges/front/src/program/channel.rs
@@ -7,7 +7,7 @@
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::{AsyncWriteExt, FutureExt};
-use lemonusher::{EngineState, RosterKind};
+use lemonusher::{EndpointUpdateKind, EngineState};
 use lemonusher_routing::{Heard, Listed};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
 pub async fn run(shared: Rc<Shared>, addresses: Receiver<SocketAddr>, known: (u64, Vec<News>)) {
     let mut follower = Follower { shared, last: known.0, left_out: BTreeSet::new() };
     for news in known.1 {
-        follower.tell(news, RosterKind::Restored).await;
+        follower.tell(news, EndpointUpdateKind::Restored).await;
     }
     let (mut address, mut wait) = (None, FIRST_WAIT);
     loop {
@@ -91,16 +91,16 @@
             if frame.number > self.last + 1 && !whole {
                 return format!("event {} came after {}", frame.number, self.last);
             }
-            self.tell(frame.news, RosterKind::Full).await;
+            self.tell(frame.news, EndpointUpdateKind::Full).await;
             self.last = frame.number; // Only now: this may be dropped while it waits.
         }
     }
 
-    async fn tell(&mut self, news: News, whole: RosterKind) {
+    async fn tell(&mut self, news: News, whole: EndpointUpdateKind) {
         let (kind, members) = match news {
             News::Nothing => return,
             News::All(members) => (whole, members),
-            News::Changes(members) => (RosterKind::Changes, members),
+            News::Changes(members) => (EndpointUpdateKind::Delta, members),
         };
         let listed = members.into_iter().filter_map(|member| self.listed(member)).collect();
         let _ = self.shared.queue.send(Heard::Roster(kind, listed)).await;
@@ -125,8 +125,8 @@
             cell: member.cell,
             state: match member.state {
                 State::Ready => EngineState::Active,
-                State::Draining => EngineState::Leaving,
-                State::Gone => EngineState::Left,
+                State::Draining => EngineState::Draining,
+                State::Gone => EngineState::Removed,
             },
             // Option's order is the right one: no date is long ago.
             started: (member.started_ms > 0)
--- a/crates/edges/front/src/program/clients.rs
+++ b/crates/edges/front/src/program/clients.rs
@@ -1,16 +1,16 @@
-//! Client connections: batches are read as they come and put into the owner's queue; answers go out as the
+//! Client connections: requests are read as they come and put into the owner's queue; answers go out as the
 //! owner gives them.
 //!
 //! Each connection is its task's, which alone settles what becomes of it: others only ask it to look whether it may
 //! close. It says once, by `leave`, that its client has gone, and nothing that is read once it takes no more is sent on.
 
 use super::shared::Shared;
-use crate::protocol::client::{self, Batch, Fault, FaultKind, LONGEST_LINE, Message};
+use crate::protocol::client::{self, Fault, FaultKind, LONGEST_LINE, Message, Request};
 use crate::protocol::statement::table_group;
 use crate::transport::{self, Bounds, Broken, Now, Outbox, Wire};
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
-use lemonusher::BatchId;
+use lemonusher::RequestId;
 use lemonusher_routing::{Answer, Asker, Heard, Kind, Taken};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -20,14 +20,14 @@
 use std::time::{Duration, Instant};
 
 const MOST_OPEN: usize = 32;
-const OUTBOX: usize = MOST_OPEN * 96 * 1024; // An answer to each open batch fits, however large.
+const OUTBOX: usize = MOST_OPEN * 96 * 1024; // An answer to each open request fits, however large.
 const STALL: Duration = Duration::from_secs(10); // A client that reads nothing for so long has gone.
 const SLOW: Duration = Duration::from_secs(2); // A line takes no longer to come, nor the first one to begin.
 const IDLE: Duration = Duration::from_secs(6); // Past the time after which clients close idle connections.
 const FRESH: Duration = Duration::from_millis(100); // The first line of a new connection is on its way.
 const LINGER: Duration = Duration::from_secs(1); // A connection that has ended is read and dropped for so long.
 const TEND: Duration = Duration::from_millis(250);
-const MOST_TTL: u64 = 2; // No client waits longer than so many times the service group's time limit.
+const MOST_TTL: u64 = 2; // No client waits longer than so many times the request class's deadline.
 const MOST_UNREADABLE: u32 = 16; // Lines of a connection that could be read for nothing.
 const MOST_REPLIES: usize = 64 * 1024; // Bytes that wait for a client which goes on sending what is faulty.
 const MOST_DROPPED: usize = 1024 * 1024; // Bytes read after a fault while what is open gets its answers.
@@ -41,7 +41,7 @@
     shared: Rc<Shared>,
     outbox: Outbox,
     /// What was taken here and is owed an answer, by ticket.
-    open: RefCell<BTreeMap<u64, BatchId>>,
+    open: RefCell<BTreeMap<u64, RequestId>>,
     /// Whether lines that come are still taken.
     taking: Cell<bool>,
     /// Whether a line has come in part.
@@ -281,8 +281,8 @@
     /// The one place that says that its client has gone: what is open is nobody's any more.
     async fn leave(self: &Rc<Self>, tell: bool) {
         let open = std::mem::take(&mut *self.open.borrow_mut());
-        for (ticket, batch) in open {
-            let _ = self.shared.queue.send(Heard::Left { asker: self.clone(), ticket, batch }).await;
+        for (ticket, request) in open {
+            let _ = self.shared.queue.send(Heard::Left { asker: self.clone(), ticket, request }).await;
             if tell {
                 self.write(&client::errored(ticket));
             }
@@ -310,7 +310,7 @@
         let mut lines = transport::messages(wire.clone(), bounds, client::cut);
         loop {
             // All that has come is read before any of it is handed on: a client that sent much and went has gone
-            // before its batches begin, however long they waited to be read. What may be open bounds what is held.
+            // before its requests begin, however long they waited to be read. What may be open bounds what is held.
             let mut taken: Vec<Taken> = Vec::new();
             let mut read = 0;
             let mut stopped = loop {
@@ -395,10 +395,10 @@
         }
     }
 
-    /// What a line means. A batch joins those taken; what is to be told at once comes back.
+    /// What a line means. A request joins those taken; what is to be told at once comes back.
     fn hear(self: &Rc<Self>, line: Result<Message, Fault>, taken: &mut Vec<Taken>) -> Option<Heard> {
         match line {
-            Ok(Message::Batch(batch)) => taken.extend(self.take(batch)),
+            Ok(Message::Request(request)) => taken.extend(self.take(request)),
             Ok(Message::Heartbeat(id)) => self.write(&client::heartbeat(id, !self.shared.closing.get())),
             // A revoke may cross the answer; but nothing has ever been asked under a higher ticket.
             Ok(Message::Revoke(ticket)) if ticket > self.highest.get() => {
@@ -410,10 +410,10 @@
                 let heard_of = taken.len();
                 taken.retain(|one| one.ticket != ticket);
                 let known = heard_of == taken.len();
-                return left.filter(|_| known).map(|batch| Heard::Left {
+                return left.filter(|_| known).map(|request| Heard::Left {
                     asker: self.clone(),
                     ticket,
-                    batch,
+                    request,
                 });
             }
             Err(fault) => self.fault(fault),
@@ -421,42 +421,42 @@
         None
     }
 
-    fn take(self: &Rc<Self>, batch: Batch) -> Option<Taken> {
+    fn take(self: &Rc<Self>, request: Request) -> Option<Taken> {
         let faulty = |id, kind| {
             self.fault(Fault { id, kind });
             None
         };
-        let named = |class: &lemonusher_deployment::Class| class.name == batch.method;
+        let named = |class: &lemonusher_deployment::Class| class.name == request.method;
         let Some(service_group) = self.shared.settled.classes.iter().position(named) else {
-            return faulty(Some(batch.id), FaultKind::UnknownMethod);
+            return faulty(Some(request.id), FaultKind::UnknownMethod);
         };
-        self.highest.set(self.highest.get().max(batch.id));
+        self.highest.set(self.highest.get().max(request.id));
         let most = self.shared.settled.classes[service_group].hard_limit_us.saturating_mul(MOST_TTL);
-        if batch.ttl_ms == 0 || batch.ttl_ms.saturating_mul(1000) > most {
-            return faulty(Some(batch.id), FaultKind::InvalidParams);
+        if request.ttl_ms == 0 || request.ttl_ms.saturating_mul(1000) > most {
+            return faulty(Some(request.id), FaultKind::InvalidParams);
         }
         let (twice, many) = {
             let open = self.open.borrow();
-            (open.contains_key(&batch.id), open.len() >= MOST_OPEN)
+            (open.contains_key(&request.id), open.len() >= MOST_OPEN)
         };
         if twice || many {
-            // An error under an id that is open would end the batch that came under it first.
-            return faulty((!twice).then_some(batch.id), FaultKind::InvalidRequest);
+            // An error under an id that is open would end the request that came under it first.
+            return faulty((!twice).then_some(request.id), FaultKind::InvalidRequest);
         }
-        let call: BatchId = batch.call.into();
-        log::debug!("batch {call} taken: {} of {} ms", batch.method, batch.ttl_ms);
-        self.open.borrow_mut().insert(batch.id, call.clone());
+        let call: RequestId = request.call.into();
+        log::debug!("batch {call} taken: {} of {} ms", request.method, request.ttl_ms);
+        self.open.borrow_mut().insert(request.id, call.clone());
         Some(Taken {
             asker: self.clone(),
-            ticket: batch.id,
-            batch: call,
+            ticket: request.id,
+            request: call,
             service_group,
-            table_group: table_group(&String::from_utf8_lossy(&batch.statement)).unwrap_or_default(),
+            table_group: table_group(&String::from_utf8_lossy(&request.statement)).unwrap_or_default(),
             // The client's time runs from its sending, also while this process does not.
-            patience: Duration::from_millis(batch.ttl_ms)
+            patience: Duration::from_millis(request.ttl_ms)
                 .saturating_sub(self.shared.pulse.lag(Instant::now())),
-            repeat: batch.repeat,
-            statement: batch.statement.into(),
+            repeat: request.repeat,
+            statement: request.statement.into(),
         })
     }
 
--- a/crates/edges/front/src/program/consulted.rs
+++ b/crates/edges/front/src/program/consulted.rs
@@ -1,11 +1,11 @@
-//! Proxies that dispatch by themselves, in the place of clients and of connections to engines: what they tell goes
+//! Proxies that attempt by themselves, in the place of clients and of connections to engines: what they tell goes
 //! into the owner's queue, what the owner wants goes to them. The life of a call is `lemonusher-consult`'s.
 
 use super::shared::Shared;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::FutureExt;
-use lemonusher::{BatchId, EngineId, EngineState, RosterKind};
+use lemonusher::{EndpointUpdateKind, EngineId, EngineState, RequestId};
 use lemonusher_consult::{Asked, Consult, Do, StreamId, Terms, Verdict};
 use lemonusher_processor::{FromProxy, Told};
 use lemonusher_routing::{Answer, Asker, Heard, Listed, Order, Taken};
@@ -27,15 +27,15 @@
 
 /// Takes the owner's answers, which come in the middle of its turn, for later.
 struct Answers {
-    batches: RefCell<BTreeMap<u64, BatchId>>,
-    given: RefCell<VecDeque<(BatchId, Answer)>>,
+    requests: RefCell<BTreeMap<u64, RequestId>>,
+    given: RefCell<VecDeque<(RequestId, Answer)>>,
     wake: Sender<()>,
 }
 
 impl Asker for Answers {
     fn answer(&self, ticket: u64, answer: Answer) {
-        if let Some(batch) = self.batches.borrow_mut().remove(&ticket) {
-            self.given.borrow_mut().push_back((batch, answer));
+        if let Some(request) = self.requests.borrow_mut().remove(&ticket) {
+            self.given.borrow_mut().push_back((request, answer));
             let _ = self.wake.try_send(());
         }
     }
@@ -53,7 +53,7 @@
     shared: Rc<Shared>,
     consult: Consult,
     answers: Rc<Answers>,
-    tickets: BTreeMap<BatchId, u64>,
+    tickets: BTreeMap<RequestId, u64>,
     next: u64,
     lines: BTreeMap<StreamId, (Sender<Told>, Duration)>,
     addresses: BTreeMap<EngineId, SocketAddr>,
@@ -63,7 +63,7 @@
 /// Serves for as long as the front runs.
 pub async fn run(shared: Rc<Shared>, orders: Receiver<Order>, consulting: Consulting) {
     let (wake, woken) = async_channel::bounded(1);
-    let answers = Rc::new(Answers { batches: RefCell::default(), given: RefCell::default(), wake });
+    let answers = Rc::new(Answers { requests: RefCell::default(), given: RefCell::default(), wake });
     let mut bridge = Bridge {
         shared,
         consult: Consult::new(consulting.terms),
@@ -101,14 +101,14 @@
 
 impl Bridge {
     fn answered(&mut self, now: Duration) -> Vec<Do> {
-        let given: Vec<(BatchId, Answer)> = self.answers.given.borrow_mut().drain(..).collect();
+        let given: Vec<(RequestId, Answer)> = self.answers.given.borrow_mut().drain(..).collect();
         let mut done = Vec::new();
-        for (batch, answer) in given {
-            self.tickets.remove(&batch);
+        for (request, answer) in given {
+            self.tickets.remove(&request);
             done.extend(match answer {
                 Answer::Returned(_) => Vec::new(), // The proxy has passed it on already.
-                Answer::PushedBack(wait) => self.consult.answer(now, &batch, true, wait),
-                Answer::Errored => self.consult.answer(now, &batch, false, None),
+                Answer::PushedBack(wait) => self.consult.answer(now, &request, true, wait),
+                Answer::Errored => self.consult.answer(now, &request, false, None),
             });
         }
         done
@@ -116,9 +116,9 @@
 
     fn ordered(&mut self, order: Order) -> Vec<Do> {
         match order {
-            Order::Dispatch { token, engine, batch, terms, .. } => {
+            Order::Attempt { token, engine, request, terms, .. } => {
                 let patience = terms.until.saturating_duration_since(Instant::now());
-                self.consult.dispatch(&batch, token, engine, patience)
+                self.consult.attempt(&request, token, engine, patience)
             }
             Order::Roster(kind, listed) => {
                 self.list(kind, listed);
@@ -129,13 +129,13 @@
         }
     }
 
-    fn list(&mut self, kind: RosterKind, listed: Vec<Listed>) {
-        if kind != RosterKind::Changes {
+    fn list(&mut self, kind: EndpointUpdateKind, listed: Vec<Listed>) {
+        if kind != EndpointUpdateKind::Delta {
             self.addresses.clear();
         }
         for one in listed {
             match one.state {
-                EngineState::Left => self.addresses.remove(&one.engine),
+                EngineState::Removed => self.addresses.remove(&one.engine),
                 _ => self.addresses.insert(one.engine, one.address),
             };
         }
@@ -163,10 +163,10 @@
         for act in done {
             match act {
                 Do::Take(asked) => self.take(asked).await,
-                Do::Leave(batch) => {
-                    if let Some(ticket) = self.tickets.remove(&batch) {
-                        self.answers.batches.borrow_mut().remove(&ticket);
-                        let left = Heard::Left { asker: self.answers.clone(), ticket, batch };
+                Do::Leave(request) => {
+                    if let Some(ticket) = self.tickets.remove(&request) {
+                        self.answers.requests.borrow_mut().remove(&ticket);
+                        let left = Heard::Left { asker: self.answers.clone(), ticket, request };
                         let _ = self.shared.queue.send(left).await;
                     }
                 }
@@ -181,13 +181,13 @@
     async fn take(&mut self, asked: Asked) {
         self.next += 1;
         let ticket = self.next;
-        // Seldom, a batch of this id is still on its way out of the owner's tables: the new one has its ticket.
+        // Seldom, a request of this id is still on its way out of the owner's tables: the new one has its ticket.
         self.tickets.insert(asked.batch.clone(), ticket);
-        self.answers.batches.borrow_mut().insert(ticket, asked.batch.clone());
+        self.answers.requests.borrow_mut().insert(ticket, asked.batch.clone());
         let taken = Taken {
             asker: self.answers.clone(),
             ticket,
-            batch: asked.batch,
+            request: asked.batch,
             service_group: asked.service_group,
             table_group: asked.table_group,
             patience: asked.patience,
--- a/crates/edges/front/src/program/engines/link.rs
+++ b/crates/edges/front/src/program/engines/link.rs
@@ -3,7 +3,7 @@
 use super::super::shared::Shared;
 use crate::protocol::engine::{self, Answer, Malformed, Word};
 use crate::transport::{Outbox, Place, Wire};
-use lemonusher::{Cost, EngineId, LoadReport, Note, Outcome};
+use lemonusher::{AttemptOutcome, AttemptProgress, EngineId, LoadReport, ResourceUsage};
 use lemonusher_routing::{Heard, Kind, Token};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,7 +16,7 @@
 const LARGEST_RESULT: usize = 64 * 1024;
 const MOST_PAGES: usize = 64;
 
-/// How far a dispatch had come when its connection failed.
+/// How far an attempt had come when its connection failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HowFar {
     NotConnected,
@@ -27,10 +27,10 @@
 
 impl HowFar {
     /// What is known of it, and no more.
-    pub fn outcome(self) -> Outcome {
+    pub fn outcome(self) -> AttemptOutcome {
         match self {
-            HowFar::NotConnected | HowFar::NotWhollySent => Outcome::NoConnection,
-            HowFar::Sent | HowFar::Answering => Outcome::Reset,
+            HowFar::NotConnected | HowFar::NotWhollySent => AttemptOutcome::ConnectFailed,
+            HowFar::Sent | HowFar::Answering => AttemptOutcome::Reset,
         }
     }
 }
@@ -45,7 +45,7 @@
 
 pub enum OutKind {
     Probe,
-    Batch(Option<Pages>),
+    Request(Option<Pages>),
     /// Cancelled at this time; it counts as out until the engine is known to have read the cancel.
     GivenUp(Instant),
 }
@@ -56,7 +56,7 @@
     missing: usize,
     bytes: usize,
     place: Place,
-    cost: Option<Cost>,
+    cost: Option<ResourceUsage>,
     load: Option<LoadReport>,
 }
 
@@ -92,7 +92,7 @@
         self.carried.borrow().contains(id)
     }
 
-    /// Puts a dispatch or probe on the connection; false if it takes no more.
+    /// Puts an attempt or probe on the connection; false if it takes no more.
     pub fn put(&self, token: Token, id: Arc<str>, message: &[u8], kind: OutKind) -> bool {
         let Ok(end) = self.outbox.push(message) else {
             self.retire();
@@ -130,8 +130,8 @@
         let out = std::mem::take(&mut *self.out.borrow_mut());
         let heard = |out: Out| match out.kind {
             OutKind::Probe => Heard::Probed { token: out.token, answered: false, load: None },
-            OutKind::Batch(Some(_)) => Heard::ended(out.token, HowFar::Answering.outcome()),
-            OutKind::Batch(None) | OutKind::GivenUp(_) => {
+            OutKind::Request(Some(_)) => Heard::ended(out.token, HowFar::Answering.outcome()),
+            OutKind::Request(None) | OutKind::GivenUp(_) => {
                 let how_far = if written < out.end { HowFar::NotWhollySent } else { HowFar::Sent };
                 Heard::ended(out.token, how_far.outcome())
             }
@@ -162,9 +162,9 @@
     }
 
     /// Cancels what is out, and asks for a page of it: the engine answers that it knows of no such thing once
-    /// it has read the cancel. Until then the batch may not be out elsewhere, on whatever connection, as
+    /// it has read the cancel. Until then the request may not be out elsewhere, on whatever connection, as
     /// connections are not all alike in speed. Yields an outcome that is known at once.
-    pub fn give_up(&self, id: &Arc<str>) -> Option<Outcome> {
+    pub fn give_up(&self, id: &Arc<str>) -> Option<AttemptOutcome> {
         let mut all = self.out.borrow_mut();
         let out = all.get_mut(id)?;
         let (message, next) = match out.kind {
@@ -172,8 +172,8 @@
             // Nothing tells of these but their answer.
             OutKind::Probe => (String::new(), None),
             // The engine has written its end; only pages are left.
-            OutKind::Batch(Some(_)) => (engine::release(id), None),
-            OutKind::Batch(None) => {
+            OutKind::Request(Some(_)) => (engine::release(id), None),
+            OutKind::Request(None) => {
                 (engine::cancel(id) + &engine::read(id, 1), Some(OutKind::GivenUp(Instant::now())))
             }
         };
@@ -186,7 +186,7 @@
                 out.kind = kind;
                 None
             }
-            None => all.remove(id).map(|_| Outcome::Cancelled),
+            None => all.remove(id).map(|_| AttemptOutcome::Cancelled),
         }
     }
 
@@ -233,31 +233,31 @@
         let heard = match (&mut out.kind, answer.word) {
             (OutKind::Probe, Word::Pong) => Some((token, Heard::Probed { token, answered: true, load })),
             (OutKind::Probe, Word::Sick) => Some((token, Heard::Probed { token, answered: false, load })),
-            (OutKind::Batch(_), Word::Info(note)) => {
+            (OutKind::Request(_), Word::Info(note)) => {
                 return Ok(note.map(|note| (token, Heard::Noted { token, note: noted(note) })));
             }
             (OutKind::GivenUp(_), Word::Info(_)) => return Ok(None),
-            (OutKind::GivenUp(_), Word::Fault | Word::Part { .. }) => over(Outcome::Cancelled),
+            (OutKind::GivenUp(_), Word::Fault | Word::Part { .. }) => over(AttemptOutcome::Cancelled),
             (OutKind::GivenUp(_), Word::Hit { pages, .. }) if pages > 1 => {
                 let _ = self.outbox.push(engine::release(&id).as_bytes());
                 return Ok(None);
             }
             (OutKind::GivenUp(_), Word::Hit { cost, .. }) => {
-                let (outcome, rows, cost) = (Outcome::Returned, answer.body, cost.map(took));
+                let (outcome, rows, cost) = (AttemptOutcome::Returned, answer.body, cost.map(took));
                 Some((token, Heard::Ended { token, outcome, cost, load, rows }))
             }
-            (OutKind::Batch(None) | OutKind::GivenUp(_), Word::Shed) => over(Outcome::Full),
-            (OutKind::Batch(None) | OutKind::GivenUp(_), Word::Late) => over(Outcome::NotSent),
-            (OutKind::Batch(_), Word::Fault) => over(Outcome::Errored),
-            (OutKind::Batch(pages @ None), Word::Hit { pages: count, cost }) => {
+            (OutKind::Request(None) | OutKind::GivenUp(_), Word::Shed) => over(AttemptOutcome::Rejected),
+            (OutKind::Request(None) | OutKind::GivenUp(_), Word::Late) => over(AttemptOutcome::NotSent),
+            (OutKind::Request(_), Word::Fault) => over(AttemptOutcome::Errored),
+            (OutKind::Request(pages @ None), Word::Hit { pages: count, cost }) => {
                 let cost = cost.map(took);
                 let mut place = Place::new(self.shared.answers.clone());
                 if count == 1 {
-                    let (outcome, rows) = (Outcome::Returned, answer.body);
+                    let (outcome, rows) = (AttemptOutcome::Returned, answer.body);
                     Some((token, Heard::Ended { token, outcome, cost, load, rows }))
                 } else if count > MOST_PAGES || !place.set(answer.body.len()) {
                     let _ = self.outbox.push(engine::release(&id).as_bytes());
-                    over(Outcome::Errored)
+                    over(AttemptOutcome::Errored)
                 } else {
                     let ask: String = (1..count).map(|page| engine::read(&id, page)).collect();
                     let mut all = vec![None; count];
@@ -270,7 +270,7 @@
                     return Ok(None);
                 }
             }
-            (OutKind::Batch(Some(pages)), Word::Part { page }) => {
+            (OutKind::Request(Some(pages)), Word::Part { page }) => {
                 let Some(place) = pages.pages.get_mut(page).filter(|page| page.is_none()) else {
                     self.shared.counters.add(Kind::Stray, None);
                     return Ok(None);
@@ -280,13 +280,13 @@
                 pages.bytes += pages.pages[page].as_ref().map_or(0, Vec::len);
                 if pages.bytes > LARGEST_RESULT || !pages.place.set(pages.bytes) {
                     let _ = self.outbox.push(engine::release(&id).as_bytes());
-                    over(Outcome::Errored)
+                    over(AttemptOutcome::Errored)
                 } else if pages.missing > 0 {
                     return Ok(None);
                 } else {
                     let _ = self.outbox.push(engine::release(&id).as_bytes());
                     let rows = pages.pages.iter_mut().filter_map(Option::take).flatten().collect();
-                    let (outcome, cost, load) = (Outcome::Returned, pages.cost, pages.load);
+                    let (outcome, cost, load) = (AttemptOutcome::Returned, pages.cost, pages.load);
                     Some((token, Heard::Ended { token, outcome, cost, load, rows }))
                 }
             }
@@ -300,15 +300,15 @@
     }
 }
 
-fn took((work_ms, memory_mb): (f64, f64)) -> Cost {
-    Cost { work: Duration::from_secs_f64(work_ms.min(1e9) / 1e3), memory_mb }
+fn took((work_ms, memory_mb): (f64, f64)) -> ResourceUsage {
+    ResourceUsage { work: Duration::from_secs_f64(work_ms.min(1e9) / 1e3), memory_mb }
 }
 
-fn noted(note: engine::Note) -> Note {
+fn noted(note: engine::Note) -> AttemptProgress {
     match note {
-        engine::Note::Advance(share) => Note::Progress(share),
-        engine::Note::Disk(memory_mb) => Note::Spills(memory_mb),
-        engine::Note::StallForMemory => Note::WaitsForMemory,
-        engine::Note::StallForLoad => Note::WaitsForLoad,
+        engine::Note::Advance(share) => AttemptProgress::Done(share),
+        engine::Note::Disk(memory_mb) => AttemptProgress::Spilling(memory_mb),
+        engine::Note::StallForMemory => AttemptProgress::WaitingForMemory,
+        engine::Note::StallForLoad => AttemptProgress::WaitingForBulkLoad,
     }
 }
--- a/crates/edges/front/src/program/engines/mod.rs
+++ b/crates/edges/front/src/program/engines/mod.rs
@@ -9,7 +9,7 @@
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::FutureExt;
-use lemonusher::{EngineId, EngineState, Outcome, RosterKind};
+use lemonusher::{AttemptOutcome, EndpointUpdateKind, EngineId, EngineState};
 use lemonusher_routing::{Heard, Kind, Listed, Order, Token};
 use link::{HowFar, Link, OutKind};
 use std::cell::{Cell, RefCell};
@@ -84,7 +84,7 @@
         for link in links {
             for token in link.unconfirmed(engines.shared.connect_timeout) {
                 engines.places.borrow_mut().remove(&token);
-                let _ = engines.shared.queue.send(Heard::ended(token, Outcome::Cancelled)).await;
+                let _ = engines.shared.queue.send(Heard::ended(token, AttemptOutcome::Cancelled)).await;
             }
             let silent = !period.is_zero() && link.silent(quiet);
             if silent || link.unused(idle) {
@@ -116,18 +116,18 @@
                     let _ = link.outbox.push(engine::weigh(&id, priority).as_bytes());
                 }
             }
-            Order::Dispatch { engine, .. } | Order::Probe { engine, .. } => self.send(engine, order).await,
+            Order::Attempt { engine, .. } | Order::Probe { engine, .. } => self.send(engine, order).await,
         }
     }
 
     /// Pools follow the list: one is made for each new engine, and one that has gone opens nothing further. What waits
     /// for a connection to one that drains or has gone is not sent: it would begin after that was known.
-    async fn list(self: &Rc<Self>, kind: RosterKind, listed: Vec<Listed>) {
+    async fn list(self: &Rc<Self>, kind: EndpointUpdateKind, listed: Vec<Listed>) {
         let (mut opened, mut unsent) = (Vec::new(), Vec::new());
         {
             let mut pools = self.pools.borrow_mut();
-            if kind != RosterKind::Changes {
-                pools.values_mut().for_each(|pool| pool.state = EngineState::Left);
+            if kind != EndpointUpdateKind::Delta {
+                pools.values_mut().for_each(|pool| pool.state = EngineState::Removed);
             }
             for one in listed {
                 let pool = pools.entry(one.engine).or_insert_with(|| Pool::new(&one));
@@ -142,16 +142,16 @@
                     opened.push(one.engine);
                 }
             }
-            pools.values().filter(|p| p.state == EngineState::Left).for_each(|pool| {
+            pools.values().filter(|p| p.state == EngineState::Removed).for_each(|pool| {
                 pool.links.iter().for_each(|link| link.retire());
             });
             pools.values_mut().filter(|p| p.state != EngineState::Active).for_each(|pool| {
                 unsent.extend(std::mem::take(&mut pool.waiting).into_iter().map(|(_, order)| order));
             });
-            pools.retain(|_, p| p.state != EngineState::Left || p.holds() > 0);
+            pools.retain(|_, p| p.state != EngineState::Removed || p.holds() > 0);
         }
         for order in unsent {
-            self.end_of(&order, Outcome::NotSent).await;
+            self.end_of(&order, AttemptOutcome::NotSent).await;
         }
         // Where there are more engines than descriptors, those opened ahead would only be in the way of wanted ones.
         if self.is_short() {
@@ -197,14 +197,14 @@
             Placed::On(link) => self.hand_over(&link, order).await,
             Placed::Waits => {}
             Placed::Nowhere => self.fail(order, HowFar::NotConnected).await,
-            Placed::Drains => self.end_of(&order, Outcome::NotSent).await,
+            Placed::Drains => self.end_of(&order, AttemptOutcome::NotSent).await,
         }
     }
 
     /// Finds a connection for an order or lets it wait for one, and tells whether a further one is wanted.
     fn place(&self, engine: EngineId, order: &Order) -> (Placed, bool) {
         let mut pools = self.pools.borrow_mut();
-        let Some(pool) = pools.get_mut(&engine).filter(|p| p.state != EngineState::Left) else {
+        let Some(pool) = pools.get_mut(&engine).filter(|p| p.state != EngineState::Removed) else {
             return (Placed::Nowhere, false);
         };
         if pool.state != EngineState::Active {
@@ -250,11 +250,11 @@
     async fn hand_over(self: &Rc<Self>, link: &Rc<Link>, order: Order) {
         let now = Instant::now();
         let (token, id, message, kind) = match &order {
-            Order::Dispatch { terms, .. } if !terms.hold(now) => {
-                return self.end_of(&order, Outcome::NotSent).await;
+            Order::Attempt { terms, .. } if !terms.hold(now) => {
+                return self.end_of(&order, AttemptOutcome::NotSent).await;
             }
-            Order::Dispatch {
-                token, batch, service_group, statement, terms, priority, memory_mb, ..
+            Order::Attempt {
+                token, request, service_group, statement, terms, priority, memory_mb, ..
             } => {
                 let class = self.shared.settled.classes.get(*service_group);
                 let left = terms.until.saturating_duration_since(now);
@@ -264,7 +264,7 @@
                     weight: *priority,
                     workmem: memory_mb.max(0.0) as u64,
                 };
-                (*token, batch.clone(), engine::serve(batch, &terms, statement), OutKind::Batch(None))
+                (*token, request.clone(), engine::serve(request, &terms, statement), OutKind::Request(None))
             }
             Order::Probe { token, .. } => {
                 let id: Arc<str> = format!("p{token}").into();
@@ -298,7 +298,7 @@
             Some(pool.waiting.remove(place).1)
         });
         if let Some(order) = &waited {
-            self.end_of(order, Outcome::NotSent).await;
+            self.end_of(order, AttemptOutcome::NotSent).await;
         }
         waited.is_some()
     }
@@ -308,9 +308,9 @@
         self.end_of(&order, how_far.outcome()).await;
     }
 
-    async fn end_of(&self, order: &Order, outcome: Outcome) {
+    async fn end_of(&self, order: &Order, outcome: AttemptOutcome) {
         let heard = match order {
-            Order::Dispatch { token, .. } => Heard::ended(*token, outcome),
+            Order::Attempt { token, .. } => Heard::ended(*token, outcome),
             Order::Probe { token, .. } => Heard::Probed { token: *token, answered: false, load: None },
             _ => return,
         };
@@ -388,7 +388,7 @@
         self.shared.counters.add(Kind::Engines, None);
         let link = Rc::new(Link::new(self.shared.clone(), engine, wire));
         match self.pools.borrow_mut().get_mut(&engine) {
-            Some(pool) if pool.state != EngineState::Left && pool.address == address => {
+            Some(pool) if pool.state != EngineState::Removed && pool.address == address => {
                 pool.links.push(link.clone());
             }
             // It came up for one that is there no longer; what waits is for the one that is.
@@ -428,7 +428,7 @@
         let mut pools = self.pools.borrow_mut();
         if let Some(pool) = pools.get_mut(&engine) {
             pool.ending -= 1;
-            if pool.state == EngineState::Left && pool.holds() == 0 {
+            if pool.state == EngineState::Removed && pool.holds() == 0 {
                 pools.remove(&engine);
             }
         }
@@ -501,8 +501,9 @@
 
     /// The fullest connection that can take the order, so that others fall idle.
     fn free(&self, order: &Order, streams: usize) -> Option<Rc<Link>> {
-        let fits =
-            |link: &&Rc<Link>| link.free(streams) > 0 && order.batch().is_none_or(|id| !link.has_carried(id));
+        let fits = |link: &&Rc<Link>| {
+            link.free(streams) > 0 && order.request().is_none_or(|id| !link.has_carried(id))
+        };
         self.links.iter().filter(fits).min_by_key(|link| link.free(streams)).cloned()
     }
 }
--- a/crates/edges/front/src/program/start.rs
+++ b/crates/edges/front/src/program/start.rs
@@ -12,7 +12,7 @@
 use async_io::Timer;
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
-use lemonusher::{Reports, ServiceTerms};
+use lemonusher::{LoadReporting, RequestClassConfig};
 use lemonusher_deployment::{LoadFields, Settled, deployment, span};
 use lemonusher_membership::Wanted;
 use lemonusher_routing::{Clock, Counters, Heard, Limits, Managed, Noticed, Owner, Seen, Word};
@@ -28,8 +28,8 @@
 
 // Facts of the platform, as its pages state them.
 const LONGEST_CLOSING: Duration = Duration::from_millis(3000); // The kill comes this long after the signal,
-const CLOSING_GRACE: Duration = Duration::from_millis(700); // or a shorter longest time limit, and this.
-const STILL_COMING: Duration = Duration::from_millis(600); // So long after the signal batches still come.
+const CLOSING_GRACE: Duration = Duration::from_millis(700); // or a shorter longest deadline, and this.
+const STILL_COMING: Duration = Duration::from_millis(600); // So long after the signal requests still come.
 
 // Bounds of this program.
 const PULSE: Duration = Duration::from_millis(10);
@@ -109,7 +109,7 @@
     pub notices: async_channel::Sender<Noticed>,
 }
 
-/// Names by which the deployment speaks of its places, machines and service groups, in the order of their
+/// Names by which the deployment speaks of its places, machines and request classes, in the order of their
 /// numbers.
 #[derive(Debug, Clone, Default)]
 pub struct Names {
@@ -120,7 +120,7 @@
     /// Where this front stands.
     pub location: u32,
     /// What is stated of each.
-    pub terms: Vec<ServiceTerms>,
+    pub terms: Vec<RequestClassConfig>,
 }
 
 /// Reads the names from the file that a front is told.
@@ -129,7 +129,7 @@
     let settled =
         Settled::deserialize(&told.settings).map_err(|e| Unfit::Malformed(path.to_owned(), e.to_string()))?;
     Ok(Names {
-        terms: deployment(&settled).service_groups,
+        terms: deployment(&settled).request_classes,
         front: told.name,
         location: settled.zone,
         locations: settled.areas,
@@ -155,7 +155,7 @@
     pub works: bool,
 }
 
-/// Serves by this file until told to end: clients and engines, or proxies that dispatch by themselves.
+/// Serves by this file until told to end: clients and engines, or proxies that attempt by themselves.
 pub fn serve(
     path: String,
     door: Option<Door>,
@@ -178,15 +178,15 @@
         Some(consulting) => {
             stated.tick = consulting.tick;
             // Engines are reached by proxies alone, so nothing is probed and no load is reported.
-            (stated.permits.probes, stated.permits.cancel) = (false, false);
-            stated.reports = Reports::None;
+            (stated.capabilities.probes, stated.capabilities.cancel) = (false, false);
+            stated.load_reporting = LoadReporting::None;
             None
         }
     };
     let recovers = consulting.as_ref().is_some_and(|consulting| consulting.recovers);
 
-    let longest = stated.service_groups.iter().map(|t| t.time_limit).max().unwrap_or_default();
-    let clock = Clock::starting(oldest_cold(&known.1, stated.duties.cold_for) + stated.tick);
+    let longest = stated.request_classes.iter().map(|t| t.deadline).max().unwrap_or_default();
+    let clock = Clock::starting(oldest_cold(&known.1, stated.safety_rules.slow_start_window) + stated.tick);
     let names = settled.classes.iter().map(|class| class.name.clone()).collect();
     let counters = Rc::new(Counters::new(names));
     let (queue, heard) = async_channel::bounded(QUEUE);
@@ -198,7 +198,7 @@
     let limits = Limits {
         open: settled.ceilings.open_cap.max(1),
         bytes: memory / STATEMENT_SHARE,
-        probe: stated.permits.connect_timeout,
+        probe: stated.capabilities.connect_timeout,
     };
     let shared = Rc::new(Shared {
         fields: LoadFields::of(&settled),
@@ -263,7 +263,7 @@
         // All is answered by then, and written and closed in order by the end.
         let (by, end) = (kill - CLOSING_MARGIN, told_at + kill - ENDING_MARGIN);
         let _ = queue.send(Heard::Closing(by.saturating_sub(told_at.elapsed()))).await;
-        // Batches come for a while yet; then each connection ends once nothing is open on it.
+        // Requests come for a while yet; then each connection ends once nothing is open on it.
         let still = (STILL_COMING * 2).min(by.saturating_sub(CLOSING_MARGIN)).max(STILL_COMING);
         Timer::at(told_at + still).await;
         if let Some((clients, accepting)) = clients {
--- a/crates/edges/front/src/protocol/client.rs
+++ b/crates/edges/front/src/protocol/client.rs
@@ -1,6 +1,6 @@
-//! What clients say and are told: JSON-RPC 2.0, one message a line, no batches of messages.
+//! What clients say and are told: JSON-RPC 2.0, one message a line, no requests of messages.
 //!
-//! Seen from clients: `revoke` comes as a notification that names the batch's id in its params.
+//! Seen from clients: `revoke` comes as a notification that names the request's id in its params.
 
 use super::json::{self, Value};
 use base64::Engine as _;
@@ -12,17 +12,17 @@
 /// A message from a client.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
-    Batch(Batch),
-    /// The client no longer waits for the batch under this id.
+    Request(Request),
+    /// The client no longer waits for the request under this id.
     Revoke(u64),
     Heartbeat(u64),
 }
 
-/// A batch as a client sends it.
+/// A request as a client sends it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Batch {
+pub struct Request {
     pub id: u64,
-    /// The service group's name.
+    /// The request class's name.
     pub method: String,
     pub call: String,
     pub ttl_ms: u64,
@@ -71,7 +71,7 @@
     if method == "heartbeat" {
         return Ok(Message::Heartbeat(id));
     }
-    let batch = || {
+    let request = || {
         let params = params?;
         let call = params.get("call")?.text()?;
         let repeat = match params.get("rep") {
@@ -79,7 +79,7 @@
             Some(Value::Bool(mark)) => *mark,
             Some(value) => value.whole()? > 0,
         };
-        Some(Batch {
+        Some(Request {
             id,
             method: method.to_owned(),
             call: (call.len() == 16 && call.bytes().all(|b| b.is_ascii_hexdigit()))
@@ -89,7 +89,7 @@
             statement: STANDARD.decode(params.get("data")?.text()?).ok()?,
         })
     };
-    batch().map(Message::Batch).ok_or(fault(FaultKind::InvalidParams))
+    request().map(Message::Request).ok_or(fault(FaultKind::InvalidParams))
 }
 
 /// All rows of a result.
@@ -131,7 +131,7 @@
 mod tests {
     use super::*;
 
-    const BATCH: &str = r#"{"jsonrpc":"2.0","id":7,"method":"report","params":{"call":"9b1f03aa5c7e2d41","ttl":1500,"data":"eA=="}}"#;
+    const REQUEST: &str = r#"{"jsonrpc":"2.0","id":7,"method":"report","params":{"call":"9b1f03aa5c7e2d41","ttl":1500,"data":"eA=="}}"#;
 
     fn kind(line: &str) -> FaultKind {
         decode(line.as_bytes()).unwrap_err().kind
@@ -139,12 +139,19 @@
 
     #[test]
     fn reads_what_clients_say() {
-        let batch = |repeat| {
+        let request = |repeat| {
             let (method, call) = ("report".to_owned(), "9b1f03aa5c7e2d41".to_owned());
-            Ok(Message::Batch(Batch { id: 7, method, call, ttl_ms: 1500, repeat, statement: b"x".to_vec() }))
+            Ok(Message::Request(Request {
+                id: 7,
+                method,
+                call,
+                ttl_ms: 1500,
+                repeat,
+                statement: b"x".to_vec(),
+            }))
         };
-        assert_eq!(decode(BATCH.as_bytes()), batch(false));
-        assert_eq!(decode(BATCH.replace(r#""ttl""#, r#""rep":1,"ttl""#).as_bytes()), batch(true));
+        assert_eq!(decode(REQUEST.as_bytes()), request(false));
+        assert_eq!(decode(REQUEST.replace(r#""ttl""#, r#""rep":1,"ttl""#).as_bytes()), request(true));
         let revoke = |params: &str| format!(r#"{{"jsonrpc":"2.0","method":"revoke","params":{params}}}"#);
         for params in [r#"{"id":7}"#, "[7]"] {
             assert_eq!(decode(revoke(params).as_bytes()), Ok(Message::Revoke(7)));
@@ -170,7 +177,7 @@
             ("1500", "\"1500\"", FaultKind::InvalidParams),
             ("eA==", "eA", FaultKind::InvalidParams),
         ] {
-            assert_eq!(kind(&BATCH.replace(from, to)), wanted, "{to}");
+            assert_eq!(kind(&REQUEST.replace(from, to)), wanted, "{to}");
         }
     }
 
--- a/crates/edges/front/src/protocol/engine.rs
+++ b/crates/edges/front/src/protocol/engine.rs
@@ -10,10 +10,10 @@
 /// The most that a whole answer takes.
 pub const LONGEST_ANSWER: usize = LONGEST_LINE + LONGEST_BODY + 4;
 
-/// The terms that go with a batch.
+/// The terms that go with a request.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Terms<'a> {
-    /// The service group's name.
+    /// The request class's name.
     pub queue: &'a str,
     pub budget_ms: u64,
     pub weight: u8,
@@ -282,7 +282,7 @@
     }
 
     #[test]
-    fn writes_batches_with_their_terms() {
+    fn writes_requests_with_their_terms() {
         let mut terms = Terms { queue: "look-up", budget_ms: 900, weight: 3, workmem: 0 };
         assert_eq!(
             serve("a1", &terms, b"x\r\n"),
--- a/crates/edges/front/tests/crossings.rs
+++ b/crates/edges/front/tests/crossings.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_batch_that_is_revoked_in_the_piece_that_brings_it_is_not_sent_on() {
+fn a_request_that_is_revoked_in_the_piece_that_brings_it_is_not_sent_on() {
     let (front, engine, _commands) = one();
     let mut client = front.client();
     assert!(client.fit());
--- a/crates/edges/front/tests/fleet.rs
+++ b/crates/edges/front/tests/fleet.rs
@@ -11,7 +11,7 @@
 const FRONT: &str = env!("CARGO_BIN_EXE_lemonusher-front");
 /// Each of these tests takes all the machine.
 static ALONE: Mutex<()> = Mutex::new(());
-/// Work of a batch, as answers tell it.
+/// Work of a request, as answers tell it.
 const WORK_MS: u32 = 200;
 
 fn one_of(fronts: usize, number: usize, address: SocketAddr, engines: &Value, channel: SocketAddr) -> Value {
@@ -99,7 +99,7 @@
     stop.store(true, Ordering::Relaxed);
     drop(fronts);
     clients.into_iter().for_each(|client| client.join().unwrap());
-    // Three times 0.34 of 8 cores for 1.5 s, in batches of 200 ms.
+    // Three times 0.34 of 8 cores for 1.5 s, in requests of 200 ms.
     let allowed = 3.0 * 0.34 * 8.0 * 1.5 / (f64::from(WORK_MS) / 1e3);
     let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
     let tally: Vec<Instant> = engine.tally().into_iter().map(|(at, _)| at).collect();
--- a/crates/edges/front/tests/races.rs
+++ b/crates/edges/front/tests/races.rs
@@ -35,7 +35,7 @@
     (Front::start(FRONT, &told), late, other, commands)
 }
 
-/// What an engine is sent first is not the batch of this call, though it was sent to that engine before.
+/// What an engine is sent first is not the request of this call, though it was sent to that engine before.
 fn first_is_not(front: &Front, engine: &Engine, call: &str) {
     let mut client = front.client();
     let ours = client.ask(1, "look-up");
--- a/crates/edges/front/tests/sockets.rs
+++ b/crates/edges/front/tests/sockets.rs
@@ -16,7 +16,7 @@
     (front, engine, commands)
 }
 
-/// A front with two engines, the first of which a batch of these tests goes to.
+/// A front with two engines, the first of which a request of these tests goes to.
 fn two() -> (Front, [(u32, Engine); 2], Commands) {
     let (engines, commands) = ([(1, Engine::start()), (2, Engine::start())], Commands::start());
     let known: Vec<(u32, SocketAddr)> = engines.iter().map(|(id, e)| (*id, e.address)).collect();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_revoked_batch_is_cancelled_and_gets_no_answer() {
+fn a_revoked_request_is_cancelled_and_gets_no_answer() {
     let (front, engine, _commands) = one();
     let mut client = front.client();
     let call = client.ask(1, "look-up");
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_client_that_has_gone_leaves_its_batches() {
+fn a_client_that_has_gone_leaves_its_requests() {
     let (front, engine, _commands) = one();
     let mut client = front.client();
     let call = client.ask(1, "look-up");
@@ -143,9 +143,9 @@
     assert_eq!(engine.next("cancel").id, call);
 }
 
-/// Each of the ends of a dispatch that may cross another: the first counts, and the second harms nothing.
+/// Each of the ends of an attempt that may cross another: the first counts, and the second harms nothing.
 #[test]
-fn a_reset_that_crosses_a_cancel_is_the_end_of_the_dispatch() {
+fn a_reset_that_crosses_a_cancel_is_the_end_of_the_attempt() {
     let (front, engine, _commands) = one();
     let mut client = front.client();
     client.ask(1, "look-up");
@@ -153,7 +153,7 @@
     std::thread::sleep(PAUSE);
     serve.answer("INFO", "detail=advance,figure=0.001", b"");
     serve.hang_up();
-    let code = client.error(Some(1)); // The engine rests; the batch is pushed back once it starts too late.
+    let code = client.error(Some(1)); // The engine rests; the request is pushed back once it starts too late.
     assert_eq!(code, -32002);
     assert!(client.fit());
 }
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_lost_page_ends_a_batch_that_may_run_again_elsewhere() {
+fn a_lost_page_ends_a_request_that_may_run_again_elsewhere() {
     let (front, [(_, first), (_, second)], _commands) = two();
     let mut client = front.client();
     client.ask(2, "look-up");
@@ -302,7 +302,7 @@
 
 /// The engine is told twice over different connections, and the second may overtake the cancel of the first.
 #[test]
-fn a_batch_is_not_out_again_before_its_engine_has_read_the_cancel() {
+fn a_request_is_not_out_again_before_its_engine_has_read_the_cancel() {
     let (front, engine, _commands) = one();
     let mut client = front.client();
     client.ask(1, "look-up");
@@ -339,10 +339,10 @@
 }
 
 #[test]
-fn a_silent_engine_does_not_keep_a_cancelled_batch() {
+fn a_silent_engine_does_not_keep_a_cancelled_request() {
     let (engine, commands) = (Engine::start(), Commands::start());
     let mut told = told(&[(1, engine.address)], commands.address);
-    told["settings"]["classes"][0]["aim_us"] = json!(20_000_000); // It is worth a further dispatch for long.
+    told["settings"]["classes"][0]["aim_us"] = json!(20_000_000); // It is worth a retry for long.
     let front = Front::start(FRONT, &told);
     let mut client = front.client();
     client.ask(1, "look-up");
@@ -603,7 +603,7 @@
 }
 
 #[test]
-fn a_connection_carries_so_many_batches_and_no_more() {
+fn a_connection_carries_so_many_requests_and_no_more() {
     let (front, engine, _commands) = one();
     let mut client = front.client();
     for id in 1..=33 {
--- a/crates/edges/managed/src/state.rs
+++ b/crates/edges/managed/src/state.rs
@@ -131,8 +131,8 @@
         state.leaf("resident-bytes", bytes);
     }
     if let Some(snapshot) = sources.snapshot {
-        state.leaf("open-batches", snapshot.batches);
-        state.leaf("open-dispatches", snapshot.dispatches);
+        state.leaf("open-batches", snapshot.requests);
+        state.leaf("open-dispatches", snapshot.attempts);
         state.leaf("statement-bytes", snapshot.statement_bytes);
         state.leaf("deciding", snapshot.gateway.as_micros());
         state.leaf("notices-lost", snapshot.unnoticed);
@@ -205,15 +205,15 @@
         if let Some(address) = engine.address {
             entry.leaf("address", address);
         }
-        entry.leaf("location", name(&sources.names.locations, held.location));
-        entry.leaf("kind", name(&sources.names.kinds, held.kind));
+        entry.leaf("location", name(&sources.names.locations, held.zone));
+        entry.leaf("kind", name(&sources.names.kinds, held.machine_kind));
         entry.leaf("cell", held.cell);
         entry.leaf("listed", listed(held.state));
         entry.leaf("admin-state", admin(engine.seen.admin));
         entry.leaf("used", engine.seen.open());
         entry.leaf("resting", engine.resting);
-        if !held.started.is_zero() {
-            entry.leaf("age", snapshot.now.saturating_sub(held.started).as_millis());
+        if !held.started_at.is_zero() {
+            entry.leaf("age", snapshot.now.saturating_sub(held.started_at).as_millis());
         }
         entry.leaf("out", engine.out);
         entry.fields
@@ -224,8 +224,8 @@
 pub fn listed(state: EngineState) -> &'static str {
     match state {
         EngineState::Active => "active",
-        EngineState::Leaving => "leaving",
-        EngineState::Left => "left",
+        EngineState::Draining => "leaving",
+        EngineState::Removed => "left",
     }
 }
 
--- a/crates/edges/processor/src/door.rs
+++ b/crates/edges/processor/src/door.rs
@@ -12,7 +12,7 @@
     ProcessingResponse, TrailersResponse,
 };
 use envoy_types::pb::envoy::r#type::v3::HttpStatus;
-use lemonusher::BatchId;
+use lemonusher::RequestId;
 use lemonusher_consult::{Key, StreamId, Ticket, Verdict};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -164,7 +164,7 @@
     mut said: Streaming<ProcessingRequest>,
     line: mpsc::Sender<Result<ProcessingResponse, Status>>,
 ) {
-    let mut batch: Option<BatchId> = None;
+    let mut batch: Option<RequestId> = None;
     let mut verdicts: Option<async_channel::Receiver<Told>> = None;
     let mut decided = false;
     // What waits for its statement, and whether the verdict answers the body.
@@ -327,9 +327,9 @@
 fn answer_of(terms: &Terms, batch: &str, told: Told, by_body: bool) -> (ProcessingResponse, bool) {
     let names = &terms.names;
     match told.verdict {
-        Verdict::Go { engine, time_limit, dispatch } => {
+        Verdict::Go { engine, time_limit, attempt } => {
             let until = Ticket::until(unix_ms(), terms.ticket);
-            let ticket = Ticket { batch: batch.to_owned(), engine, dispatch, until };
+            let ticket = Ticket { batch: batch.to_owned(), engine, attempt, until };
             let mut set_headers = vec![
                 header(&names.ticket, ticket.seal(&terms.key)),
                 header(&names.time_limit, (time_limit.as_millis() as u64).max(1).to_string()),
--- a/crates/edges/processor/src/lib.rs
+++ b/crates/edges/processor/src/lib.rs
@@ -8,7 +8,7 @@
 pub use door::{Started, Terms, start};
 pub use names::{Fault, Group, Names, outcome_of};
 
-use lemonusher::Outcome;
+use lemonusher::AttemptOutcome;
 use lemonusher_consult::{Asked, StreamId, Verdict};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -23,7 +23,7 @@
     /// The engine has answered.
     Answered {
         stream: StreamId,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
     },
     /// A stream is over, whole or broken.
     Ended {
--- a/crates/edges/processor/src/names.rs
+++ b/crates/edges/processor/src/names.rs
@@ -1,7 +1,7 @@
 //! Which headers say what, by the operator's file.
 
 use envoy_types::pb::envoy::config::core::v3::HeaderMap;
-use lemonusher::Outcome;
+use lemonusher::AttemptOutcome;
 use lemonusher_consult::{Asked, Key, StreamId, Ticket};
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -149,27 +149,27 @@
 }
 
 /// How a dispatch ended, as far as the response tells. `details` is the proxy's own word where it answered itself.
-pub fn outcome_of(status: u32, told: Option<&str>, details: Option<&str>) -> Outcome {
+pub fn outcome_of(status: u32, told: Option<&str>, details: Option<&str>) -> AttemptOutcome {
     match told {
-        Some("full") => return Outcome::Full,
-        Some("late") => return Outcome::NotSent,
-        Some("errored") => return Outcome::Errored,
+        Some("full") => return AttemptOutcome::Rejected,
+        Some("late") => return AttemptOutcome::NotSent,
+        Some("errored") => return AttemptOutcome::Errored,
         _ => {}
     }
     if let Some(details) = details {
         // The proxy's words for what it answered in the engine's place. Only a connection that never came up
         // proves that nothing ran.
         if details.contains("connection_failure") || details.contains("no_healthy_upstream") {
-            return Outcome::NoConnection;
+            return AttemptOutcome::ConnectFailed;
         }
         if details.contains("timeout") {
-            return Outcome::TimedOut;
+            return AttemptOutcome::TimedOut;
         }
         if details.contains("upstream_reset") {
-            return Outcome::Reset;
+            return AttemptOutcome::Reset;
         }
     }
-    if (200..500).contains(&status) { Outcome::Returned } else { Outcome::Errored }
+    if (200..500).contains(&status) { AttemptOutcome::Returned } else { AttemptOutcome::Errored }
 }
 
 #[cfg(test)]
@@ -225,23 +225,23 @@
     #[test]
     fn no_more_is_claimed_of_a_response_than_it_tells() {
         for (status, told, details, outcome) in [
-            (200, None, None, Outcome::Returned),
-            (404, None, None, Outcome::Returned),
-            (500, None, None, Outcome::Errored),
-            (503, Some("full"), None, Outcome::Full),
+            (200, None, None, AttemptOutcome::Returned),
+            (404, None, None, AttemptOutcome::Returned),
+            (500, None, None, AttemptOutcome::Errored),
+            (503, Some("full"), None, AttemptOutcome::Rejected),
             (
                 503,
                 None,
                 Some("upstream_reset_before_response_started{connection_failure}"),
-                Outcome::NoConnection,
+                AttemptOutcome::ConnectFailed,
             ),
             (
                 503,
                 None,
                 Some("upstream_reset_before_response_started{connection_termination}"),
-                Outcome::Reset,
+                AttemptOutcome::Reset,
             ),
-            (504, None, Some("upstream_response_timeout"), Outcome::TimedOut),
+            (504, None, Some("upstream_response_timeout"), AttemptOutcome::TimedOut),
         ] {
             assert_eq!(outcome_of(status, told, details), outcome);
         }
--- a/crates/edges/routing/src/counters.rs
+++ b/crates/edges/routing/src/counters.rs
@@ -1,4 +1,4 @@
-use lemonusher::Outcome;
+use lemonusher::AttemptOutcome;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,7 +15,7 @@
     Left,
     Cancelled,
     Moved,
-    Outcome(&'static str),
+    AttemptOutcome(&'static str),
     Probed,
     ProbeFailed,
     Connections,
@@ -28,14 +28,14 @@
     Panics,
 }
 
-/// Counts since the start, by service group where that applies.
+/// Counts since the start, by request class where that applies.
 #[derive(Default)]
 pub struct Counters {
     names: Vec<String>,
     counts: RefCell<BTreeMap<(Kind, Option<usize>), u64>>,
     /// Time that the gateway has taken to decide.
     gateway: Cell<Duration>,
-    /// Batches, dispatches and engines in the tables now.
+    /// Requests, attempts and engines in the tables now.
     held: Cell<[usize; 3]>,
 }
 
@@ -57,7 +57,7 @@
         self.counts.borrow().iter().map(|((kind, group), count)| (*kind, *group, *count)).collect()
     }
 
-    /// The service groups' names.
+    /// The request classes' names.
     pub fn names(&self) -> &[String] {
         &self.names
     }
@@ -87,8 +87,8 @@
                 None => write!(f, " {count}")?,
             }
         }
-        let [batches, dispatches, engines] = self.held.get();
-        write!(f, "; holds {batches} batches, {dispatches} dispatches, {engines} engines")?;
+        let [requests, attempts, engines] = self.held.get();
+        write!(f, "; holds {requests} batches, {attempts} dispatches, {engines} engines")?;
         write!(f, "; gateway decided for {} ms", self.gateway.get().as_millis())
     }
 }
@@ -104,7 +104,7 @@
             Kind::Left => "left",
             Kind::Cancelled => "cancels",
             Kind::Moved => "further dispatches",
-            Kind::Outcome(name) => return write!(f, "dispatch ended {name}"),
+            Kind::AttemptOutcome(name) => return write!(f, "dispatch ended {name}"),
             Kind::Probed => "probes",
             Kind::ProbeFailed => "probes failed",
             Kind::Connections => "client connections",
@@ -120,15 +120,15 @@
 }
 
 /// An outcome's name in counts and log lines.
-pub fn name(outcome: Outcome) -> &'static str {
+pub fn name(outcome: AttemptOutcome) -> &'static str {
     match outcome {
-        Outcome::Returned => "returned",
-        Outcome::Errored => "errored",
-        Outcome::Full => "full",
-        Outcome::TimedOut => "timed out",
-        Outcome::NoConnection => "no connection",
-        Outcome::Reset => "reset",
-        Outcome::Cancelled => "cancelled",
-        Outcome::NotSent => "not sent",
+        AttemptOutcome::Returned => "returned",
+        AttemptOutcome::Errored => "errored",
+        AttemptOutcome::Rejected => "full",
+        AttemptOutcome::TimedOut => "timed out",
+        AttemptOutcome::ConnectFailed => "no connection",
+        AttemptOutcome::Reset => "reset",
+        AttemptOutcome::Cancelled => "cancelled",
+        AttemptOutcome::NotSent => "not sent",
     }
 }
--- a/crates/edges/routing/src/lib.rs
+++ b/crates/edges/routing/src/lib.rs
@@ -13,7 +13,10 @@
 pub use owner::{Limits, Owner};
 pub use watched::{Seen, groups};
 
-use lemonusher::{BatchId, Cost, EngineId, EngineState, LoadReport, Note, Outcome, RosterKind};
+use lemonusher::{
+    AttemptOutcome, AttemptProgress, EndpointUpdateKind, EngineId, EngineState, LoadReport, RequestId,
+    ResourceUsage,
+};
 use lemonusher_zone_failover::Effect;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -21,10 +24,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Number of a dispatch or probe, new for each.
+/// Number of an attempt or probe, new for each.
 pub type Token = u64;
 
-/// Where the answer to a batch goes.
+/// Where the answer to a request goes.
 pub trait Asker {
     /// Gives the one final answer to what came under this ticket.
     fn answer(&self, ticket: u64, answer: Answer);
@@ -37,11 +40,11 @@
     Errored,
 }
 
-/// A batch as its client sent it.
+/// A request as its client sent it.
 pub struct Taken {
     pub asker: Rc<dyn Asker>,
     pub ticket: u64,
-    pub batch: BatchId,
+    pub request: RequestId,
     pub service_group: usize,
     pub table_group: u64,
     pub patience: Duration,
@@ -65,24 +68,24 @@
 /// What the owner hears.
 pub enum Heard {
     Taken(Taken),
-    /// Who asked for this batch under this ticket no longer waits.
+    /// Who asked for this request under this ticket no longer waits.
     Left {
         asker: Rc<dyn Asker>,
         ticket: u64,
-        batch: BatchId,
+        request: RequestId,
     },
-    Roster(RosterKind, Vec<Listed>),
-    /// The one outcome of a dispatch; what it returned, if it did.
+    Roster(EndpointUpdateKind, Vec<Listed>),
+    /// The one outcome of an attempt; what it returned, if it did.
     Ended {
         token: Token,
-        outcome: Outcome,
-        cost: Option<Cost>,
+        outcome: AttemptOutcome,
+        cost: Option<ResourceUsage>,
         load: Option<LoadReport>,
         rows: Vec<u8>,
     },
     Noted {
         token: Token,
-        note: Note,
+        note: AttemptProgress,
     },
     /// The one outcome of a probe.
     Probed {
@@ -112,24 +115,24 @@
 /// What the owner wants of the engines' side.
 #[derive(Debug, Clone)]
 pub enum Order {
-    Roster(RosterKind, Vec<Listed>),
-    Dispatch {
+    Roster(EndpointUpdateKind, Vec<Listed>),
+    Attempt {
         token: Token,
         engine: EngineId,
-        batch: BatchId,
+        request: RequestId,
         service_group: usize,
         statement: Rc<[u8]>,
         terms: Terms,
         priority: u8,
         memory_mb: f64,
     },
-    /// Takes a dispatch back if none of it has been written yet; else it goes on.
+    /// Takes an attempt back if none of it has been written yet; else it goes on.
     Withdraw(Token),
     Weigh {
         token: Token,
         priority: u8,
     },
-    /// Gives a dispatch or probe up.
+    /// Gives an attempt or probe up.
     Cancel(Token),
     Probe {
         token: Token,
@@ -137,14 +140,14 @@
     },
 }
 
-/// What has to hold at the very moment in which a dispatch is written: it may have waited for a connection.
+/// What has to hold at the very moment in which an attempt is written: it may have waited for a connection.
 #[derive(Debug, Clone)]
 pub struct Terms {
-    /// Its batch is over by then.
+    /// Its request is over by then.
     pub until: Instant,
     /// It may not begin later than this.
     pub begin_by: Option<Instant>,
-    /// Alive for as long as somebody waits for its batch.
+    /// Alive for as long as somebody waits for its request.
     wanted: Weak<()>,
 }
 
@@ -156,23 +159,23 @@
 }
 
 impl Heard {
-    /// A dispatch that ended without rows.
-    pub fn ended(token: Token, outcome: Outcome) -> Self {
+    /// An attempt that ended without rows.
+    pub fn ended(token: Token, outcome: AttemptOutcome) -> Self {
         Heard::Ended { token, outcome, cost: None, load: None, rows: Vec::new() }
     }
 }
 
 impl Order {
-    /// Of a dispatch or probe.
+    /// Of an attempt or probe.
     pub fn token(&self) -> Option<Token> {
         match self {
-            Order::Dispatch { token, .. } | Order::Probe { token, .. } => Some(*token),
+            Order::Attempt { token, .. } | Order::Probe { token, .. } => Some(*token),
             _ => None,
         }
     }
 
     /// The id that it would go under, where that may have been out before.
-    pub fn batch(&self) -> Option<&BatchId> {
-        if let Order::Dispatch { batch, .. } = self { Some(batch) } else { None }
+    pub fn request(&self) -> Option<&RequestId> {
+        if let Order::Attempt { request, .. } = self { Some(request) } else { None }
     }
 }
--- a/crates/edges/routing/src/managed.rs
+++ b/crates/edges/routing/src/managed.rs
@@ -42,7 +42,7 @@
 pub struct Engine {
     pub seen: Seen,
     pub address: Option<SocketAddr>,
-    /// Dispatches out there, of this front.
+    /// Attempts out there, of this front.
     pub out: u32,
     /// Nothing is sent there for now, after faults.
     pub resting: bool,
@@ -55,8 +55,8 @@
     pub now: Duration,
     pub counts: Vec<(Kind, Option<usize>, u64)>,
     pub names: Vec<String>,
-    pub batches: usize,
-    pub dispatches: usize,
+    pub requests: usize,
+    pub attempts: usize,
     pub statement_bytes: usize,
     pub gateway: Duration,
     /// Notices lost because nobody took them in time.
--- a/crates/edges/routing/src/owner.rs
+++ b/crates/edges/routing/src/owner.rs
@@ -6,8 +6,8 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 use lemonusher::{
-    Action, Arrival, BatchId, Deployment, Ending, EngineEntry, EngineId, EngineState, Event, Gateway,
-    Outcome, RosterKind,
+    Action, Arrival, AttemptEnd, AttemptOutcome, Deployment, EndpointUpdateKind, EngineEntry, EngineId,
+    EngineState, Event, Gateway, RequestId,
 };
 use lemonusher_membership::{Change, Closure, Door, Table, Wanted};
 use lemonusher_zone_failover::{Effect, Terms as SiteTerms};
@@ -21,13 +21,13 @@
 
 /// Events heard in one turn before the gateway decides.
 const MOST_IN_A_TURN: usize = 1024;
-/// Orders that wait for the engines' side before dispatches and probes fail.
+/// Orders that wait for the engines' side before attempts and probes fail.
 const MOST_LATE: usize = 4096;
 
 /// What the owner may hold.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Batches open at once; further ones are pushed back unseen.
+    /// Requests open at once; further ones are pushed back unseen.
     pub open: usize,
     /// Bytes of statements held at once.
     pub bytes: usize,
@@ -43,13 +43,13 @@
     limit: Duration,
     priority: u8,
     memory_mb: f64,
-    dispatches: u32,
-    /// Its end is the batch's: what has not been written by then is not written any more.
+    attempts: u32,
+    /// Its end is the request's: what has not been written by then is not written any more.
     wanted: Rc<()>,
 }
 
 struct Flight {
-    batch: BatchId,
+    request: RequestId,
     service_group: usize,
     number: u32,
     engine: EngineId,
@@ -58,7 +58,7 @@
     priority: u8,
 }
 
-/// Owns the gateway, the clock and the tables of batches and dispatches.
+/// Owns the gateway, the clock and the tables of requests and attempts.
 pub struct Owner {
     stated: Deployment,
     gateway: Gateway,
@@ -66,15 +66,15 @@
     limits: Limits,
     orders: Sender<Order>,
     counters: Rc<Counters>,
-    /// Batches that are owed an answer, shared with what waits for the end.
+    /// Requests that are owed an answer, shared with what waits for the end.
     open: Rc<Cell<usize>>,
-    batches: BTreeMap<BatchId, Held>,
+    requests: BTreeMap<RequestId, Held>,
     bytes: usize,
     flights: BTreeMap<Token, Flight>,
     probes: BTreeMap<Token, (EngineId, Duration)>,
     due: BTreeSet<(Duration, Token)>,
     wakes: BTreeSet<Duration>,
-    /// By when dispatches have to begin, where that is bound.
+    /// By when attempts have to begin, where that is bound.
     begins: BTreeSet<(Duration, Token)>,
     next: Token,
     table: Table,
@@ -106,12 +106,15 @@
         orders: Sender<Order>,
         counters: Rc<Counters>,
     ) -> Self {
-        let longest =
-            if stated.permits.come_back { stated.permits.longest_come_back } else { Duration::ZERO };
-        let door = Door::new(stated.service_groups.len(), longest);
+        let longest = if stated.capabilities.retry_after {
+            stated.capabilities.max_retry_after
+        } else {
+            Duration::ZERO
+        };
+        let door = Door::new(stated.request_classes.len(), longest);
         let mut gateway = Gateway::new(stated.clone(), seed);
         // What an engine was sent by a process before this one is not known here.
-        gateway.hear(clock.at_start(), Event::Woke);
+        gateway.handle_event(clock.at_start(), Event::TimerFired);
         Owner {
             gateway,
             stated,
@@ -120,7 +123,7 @@
             orders,
             counters,
             open: Rc::default(),
-            batches: BTreeMap::new(),
+            requests: BTreeMap::new(),
             bytes: 0,
             flights: BTreeMap::new(),
             probes: BTreeMap::new(),
@@ -160,7 +163,7 @@
         self
     }
 
-    /// How many batches are owed an answer.
+    /// How many requests are owed an answer.
     pub fn open(&self) -> Rc<Cell<usize>> {
         self.open.clone()
     }
@@ -186,8 +189,8 @@
             if catch_unwind(AssertUnwindSafe(|| self.turn(now, turn))).is_err() {
                 self.start_over(now);
             }
-            self.open.set(self.batches.len());
-            self.counters.holds([self.batches.len(), self.flights.len(), self.table.len()]);
+            self.open.set(self.requests.len());
+            self.counters.holds([self.requests.len(), self.flights.len(), self.table.len()]);
         }
     }
 
@@ -229,7 +232,7 @@
             self.due.remove(&(at, token));
             self.undecided = true;
             self.order(Order::Cancel(token));
-            self.hear(now, Heard::ended(token, Outcome::TimedOut));
+            self.hear(now, Heard::ended(token, AttemptOutcome::TimedOut));
             self.hear(now, Heard::Probed { token, answered: false, load: None });
         }
         while let Some((at, token)) = self.begins.first().copied().filter(|(at, _)| *at <= now) {
@@ -238,7 +241,7 @@
         }
         if self.wakes.first().is_some_and(|at| *at <= now) {
             self.wakes = self.wakes.split_off(&(now + Duration::from_nanos(1)));
-            self.gateway.hear(now, Event::Woke);
+            self.gateway.handle_event(now, Event::TimerFired);
             self.undecided = true;
         }
         if let Some(watched) = &mut self.watched {
@@ -264,12 +267,12 @@
     fn hear(&mut self, now: Duration, heard: Heard) {
         match heard {
             Heard::Taken(taken) => self.take(now, taken),
-            Heard::Left { asker, ticket, batch } => {
+            Heard::Left { asker, ticket, request } => {
                 let theirs = |held: &&Held| held.ticket == ticket && Rc::ptr_eq(&held.asker, &asker);
-                if let Some(held) = self.batches.get(&batch).filter(theirs) {
+                if let Some(held) = self.requests.get(&request).filter(theirs) {
                     self.counters.add(Kind::Left, Some(held.service_group));
-                    self.close(&batch);
-                    self.gateway.hear(now, Event::Left(batch));
+                    self.close(&request);
+                    self.gateway.handle_event(now, Event::ClientGone(request));
                 }
             }
             Heard::Roster(kind, listed) => self.hear_roster(now, kind, listed),
@@ -278,7 +281,7 @@
                 if let Some(watched) = &mut self.watched {
                     let threads = self
                         .stated
-                        .service_groups
+                        .request_classes
                         .get(flight.service_group)
                         .map_or(1.0, |terms| terms.threads);
                     let span = now.saturating_sub(flight.at);
@@ -287,38 +290,38 @@
                     watched.ended(now, flight.engine, outcome);
                 }
                 self.due.remove(&(flight.until, token));
-                self.counters.add(Kind::Outcome(name(outcome)), Some(flight.service_group));
+                self.counters.add(Kind::AttemptOutcome(name(outcome)), Some(flight.service_group));
                 log::debug!(
-                    batch = &*flight.batch, engine = flight.engine;
+                    "batch" = &*flight.request, engine = flight.engine;
                     "batch {} dispatch {} on engine {:08x} ended {} after {:?}",
-                    flight.batch,
+                    flight.request,
                     flight.number,
                     flight.engine,
                     name(outcome),
                     now.saturating_sub(flight.at)
                 );
-                if outcome == Outcome::Returned {
-                    self.answer(&flight.batch, Answer::Returned(rows));
+                if outcome == AttemptOutcome::Returned {
+                    self.answer(&flight.request, Answer::Returned(rows));
                 }
-                let ending = Ending {
-                    over: !self.batches.contains_key(&flight.batch),
-                    batch: flight.batch,
-                    dispatch: flight.number,
+                let ending = AttemptEnd {
+                    request_finished: !self.requests.contains_key(&flight.request),
+                    request: flight.request,
+                    attempt: flight.number,
                     engine: flight.engine,
-                    after: now.saturating_sub(flight.at),
+                    elapsed: now.saturating_sub(flight.at),
                     outcome,
-                    cost,
+                    usage: cost,
                     load,
                 };
-                self.gateway.hear(now, Event::Ended(ending));
+                self.gateway.handle_event(now, Event::AttemptEnded(ending));
             }
             Heard::Noted { token, note } => {
                 let Some(flight) = self.flights.get(&token) else { return };
-                let (batch, dispatch, engine) = (flight.batch.clone(), flight.number, flight.engine);
+                let (request, attempt, engine) = (flight.request.clone(), flight.number, flight.engine);
                 if let Some(watched) = &mut self.watched {
                     watched.eyes.heard(now, engine);
                 }
-                self.gateway.hear(now, Event::Noted { batch, dispatch, engine, note });
+                self.gateway.handle_event(now, Event::Progress { request, attempt, engine, progress: note });
             }
             Heard::Probed { token, answered, load } => {
                 let Some((engine, at)) = self.probes.remove(&token) else { return };
@@ -328,10 +331,10 @@
                 if let Some(watched) = &mut self.watched {
                     watched.probed(now, engine, answered);
                 }
-                self.gateway.hear(now, Event::Probed { engine, answered, after, load });
+                self.gateway.handle_event(now, Event::ProbeEnded { engine, answered, elapsed: after, load });
             }
             Heard::Managed(managed) => self.manage(now, managed),
-            Heard::Fleet(Word::Share(part)) => self.gateway.hear(now, Event::Share(part)),
+            Heard::Fleet(Word::Share(part)) => self.gateway.handle_event(now, Event::Quota(part)),
             Heard::Fleet(Word::Sites(effect)) => self.follow(now, &effect),
             Heard::Fleet(Word::Works { version, sure, closed }) => {
                 let Some(watched) = &mut self.watched else { return };
@@ -341,11 +344,11 @@
                 );
                 (watched.closed, watched.closed_by) = (closed.clone(), version);
                 let change = self.table.take_out(closed, !sure);
-                self.change(now, RosterKind::Changes, change);
+                self.change(now, EndpointUpdateKind::Delta, change);
             }
             Heard::Closing(within) => {
-                log::info!("closing: {} batches are to be answered within {within:?}", self.batches.len());
-                self.gateway.hear(now, Event::Closing { by: now + within });
+                log::info!("closing: {} batches are to be answered within {within:?}", self.requests.len());
+                self.gateway.handle_event(now, Event::ShuttingDown { deadline: now + within });
             }
         }
     }
@@ -354,7 +357,7 @@
         let group = Some(taken.service_group);
         self.counters.add(Kind::Taken, group);
         let full =
-            self.batches.len() >= self.limits.open || self.bytes + taken.statement.len() > self.limits.bytes;
+            self.requests.len() >= self.limits.open || self.bytes + taken.statement.len() > self.limits.bytes;
         if full {
             self.counters.add(Kind::PushedBack, group);
             return taken.asker.answer(taken.ticket, Answer::PushedBack(None));
@@ -363,17 +366,19 @@
             watched.eyes.taken(taken.service_group);
             if let Err(wait) = watched.door.enter(taken.service_group) {
                 self.counters.add(Kind::PushedBack, group);
-                let wait = wait.min(self.stated.permits.longest_come_back);
-                let wait = Some(wait).filter(|_| self.stated.permits.come_back);
+                let wait = wait.min(self.stated.capabilities.max_retry_after);
+                let wait = Some(wait).filter(|_| self.stated.capabilities.retry_after);
                 return taken.asker.answer(taken.ticket, Answer::PushedBack(wait));
             }
         }
         if let Err(wait) = self.door.enter(now, taken.service_group) {
             self.counters.add(Kind::PushedBack, group);
-            let wait = Some(wait).filter(|_| self.stated.permits.come_back);
+            let wait = Some(wait).filter(|_| self.stated.capabilities.retry_after);
             return taken.asker.answer(taken.ticket, Answer::PushedBack(wait));
         }
-        if self.batches.contains_key(&taken.batch) || self.flights.values().any(|f| f.batch == taken.batch) {
+        if self.requests.contains_key(&taken.request)
+            || self.flights.values().any(|f| f.request == taken.request)
+        {
             self.counters.add(Kind::Errored, group);
             self.door.leave(now, taken.service_group);
             return taken.asker.answer(taken.ticket, Answer::Errored);
@@ -387,42 +392,42 @@
             limit: now + taken.patience,
             priority: 1,
             memory_mb: 0.0,
-            dispatches: 0,
+            attempts: 0,
             wanted: Rc::new(()),
         };
-        self.batches.insert(taken.batch.clone(), held);
-        self.gateway.hear(
+        self.requests.insert(taken.request.clone(), held);
+        self.gateway.handle_event(
             now,
             Event::Arrived(Arrival {
-                batch: taken.batch,
-                service_group: taken.service_group,
+                request: taken.request,
+                request_class: taken.service_group,
                 table_group: taken.table_group,
                 key: None,
-                patience: taken.patience,
+                client_timeout: taken.patience,
                 work: None,
                 memory_mb: 0.0,
-                repeat: taken.repeat,
+                client_retry: taken.repeat,
             }),
         );
     }
 
-    fn hear_roster(&mut self, now: Duration, kind: RosterKind, listed: Vec<Listed>) {
+    fn hear_roster(&mut self, now: Duration, kind: EndpointUpdateKind, listed: Vec<Listed>) {
         self.counters.add(Kind::ChannelEvents, None);
-        if kind != RosterKind::Changes {
+        if kind != EndpointUpdateKind::Delta {
             self.addresses.clear();
         }
         let entries: Vec<EngineEntry> = listed
             .iter()
             .map(|one| EngineEntry {
                 engine: one.engine,
-                location: one.location,
+                zone: one.location,
                 cell: one.cell,
-                kind: one.kind,
+                machine_kind: one.kind,
                 state: one.state,
-                started: one.started.map_or(Duration::ZERO, |unix| {
-                    self.clock.of_start(unix, now, self.stated.duties.cold_for)
+                started_at: one.started.map_or(Duration::ZERO, |unix| {
+                    self.clock.of_start(unix, now, self.stated.safety_rules.slow_start_window)
                 }),
-                barred: 0,
+                blocked_classes: 0,
             })
             .collect();
         for (entry, one) in entries.iter().zip(&listed) {
@@ -431,11 +436,11 @@
                 "engine {:08x} is {:?} in location {}, started {:?} ago",
                 entry.engine,
                 entry.state,
-                entry.location,
-                (!entry.started.is_zero()).then(|| now.saturating_sub(entry.started))
+                entry.zone,
+                (!entry.started_at.is_zero()).then(|| now.saturating_sub(entry.started_at))
             );
             match entry.state {
-                EngineState::Left => self.addresses.remove(&entry.engine),
+                EngineState::Removed => self.addresses.remove(&entry.engine),
                 _ => self.addresses.insert(entry.engine, one.address),
             };
         }
@@ -448,7 +453,7 @@
     }
 
     /// Tells the gateway what has changed among the engines, and calls back what is to be called back.
-    fn change(&mut self, now: Duration, kind: RosterKind, change: Change) {
+    fn change(&mut self, now: Duration, kind: EndpointUpdateKind, change: Change) {
         if self.notices.is_some() {
             for entry in &change.entries {
                 let admin = self.table.get(entry.engine).map(|seen| seen.admin).unwrap_or_default();
@@ -456,13 +461,13 @@
                     engine: entry.engine,
                     state: entry.state,
                     admin,
-                    barred: entry.barred,
+                    barred: entry.blocked_classes,
                 });
             }
         }
         for engine in &change.recalled {
             let admin = self.table.get(*engine).map(|seen| seen.admin).unwrap_or_default();
-            let effect = |group: usize| self.stated.service_groups.get(group).map(|terms| terms.effect);
+            let effect = |group: usize| self.stated.request_classes.get(group).map(|terms| terms.idempotency);
             let out: Vec<Token> = (self.flights.iter())
                 .filter(|(_, f)| {
                     f.engine == *engine && effect(f.service_group).is_some_and(|e| admin.recalls(e))
@@ -473,8 +478,8 @@
                 self.order(Order::Cancel(token));
             }
         }
-        if kind != RosterKind::Changes || !change.entries.is_empty() {
-            self.gateway.hear(now, Event::Roster(kind, change.entries));
+        if kind != EndpointUpdateKind::Delta || !change.entries.is_empty() {
+            self.gateway.handle_event(now, Event::Endpoints(kind, change.entries));
         }
     }
 
@@ -495,7 +500,7 @@
             barred: closure.barred,
         });
         let change = self.table.close(closures.collect());
-        self.change(now, RosterKind::Changes, change);
+        self.change(now, EndpointUpdateKind::Delta, change);
     }
 
     fn notice(&mut self, noticed: Noticed) {
@@ -510,7 +515,7 @@
     fn manage(&mut self, now: Duration, managed: Managed) {
         match managed {
             Managed::Prepare { number, wanted, reply } => {
-                let groups = self.stated.service_groups.len();
+                let groups = self.stated.request_classes.len();
                 let known = wanted.limits().len() <= groups;
                 let verdict =
                     if known { Ok(()) } else { Err(format!("only {groups} service groups are stated")) };
@@ -527,7 +532,7 @@
                 log::info!(commit = number; "commit {number} takes effect");
                 self.door.set(wanted.limits());
                 let change = self.table.manage(wanted);
-                self.change(now, RosterKind::Changes, change);
+                self.change(now, EndpointUpdateKind::Delta, change);
                 let _ = reply.try_send(Ok(()));
             }
             Managed::Abandon { number } => {
@@ -548,7 +553,7 @@
             .map(|seen| Engine {
                 address: self.addresses.get(&seen.entry.engine).copied(),
                 out: out.get(&seen.entry.engine).copied().unwrap_or_default(),
-                resting: self.gateway.resting(now, seen.entry.engine),
+                resting: self.gateway.is_ejected(now, seen.entry.engine),
                 seen: seen.clone(),
             })
             .collect();
@@ -556,8 +561,8 @@
             now,
             counts: self.counters.all(),
             names: self.counters.names().to_vec(),
-            batches: self.batches.len(),
-            dispatches: self.flights.len(),
+            requests: self.requests.len(),
+            attempts: self.flights.len(),
             statement_bytes: self.bytes,
             gateway: self.counters.gateway(),
             unnoticed: self.unnoticed,
@@ -567,11 +572,11 @@
 
     fn carry_out(&mut self, now: Duration, action: Action) {
         match action {
-            Action::Rank { batch, priority, memory_mb } => {
-                let Some(held) = self.batches.get_mut(&batch) else { return };
+            Action::SetPriority { request, priority, memory_mb } => {
+                let Some(held) = self.requests.get_mut(&request) else { return };
                 (held.priority, held.memory_mb) = (priority, memory_mb);
                 let out: Vec<Token> = (self.flights.iter_mut())
-                    .filter(|(_, f)| f.batch == batch && f.priority != priority)
+                    .filter(|(_, f)| f.request == request && f.priority != priority)
                     .map(|(token, flight)| {
                         flight.priority = priority;
                         *token
@@ -581,19 +586,21 @@
                     self.order(Order::Weigh { token, priority });
                 }
             }
-            Action::Dispatch { batch, engine, time_out, begin_by } => {
-                self.dispatch(now, batch, engine, time_out, begin_by);
+            Action::Send { request, engine, timeout: time_out, start_by: begin_by } => {
+                self.attempt(now, request, engine, time_out, begin_by);
             }
-            Action::Cancel { batch, dispatch } => {
-                let flight = self.flights.iter().find(|(_, f)| f.batch == batch && f.number == dispatch);
+            Action::Cancel { request, attempt } => {
+                let flight = self.flights.iter().find(|(_, f)| f.request == request && f.number == attempt);
                 if let Some((token, flight)) = flight.map(|(t, f)| (*t, f)) {
                     self.counters.add(Kind::Cancelled, Some(flight.service_group));
                     self.order(Order::Cancel(token));
                 }
             }
-            Action::PushBack { batch, come_back } => self.answer(&batch, Answer::PushedBack(come_back)),
-            Action::Error { batch } => self.answer(&batch, Answer::Errored),
-            Action::Wake { at } => {
+            Action::Reject { request, retry_after: come_back } => {
+                self.answer(&request, Answer::PushedBack(come_back))
+            }
+            Action::Fail { request } => self.answer(&request, Answer::Errored),
+            Action::SetTimer { at } => {
                 self.wakes.insert(at);
             }
             Action::Probe { engine } => {
@@ -605,29 +612,29 @@
                 self.due.insert((now + self.limits.probe, token));
                 self.order(Order::Probe { token, engine });
             }
-            Action::Follow => {} // The channel brings all changes anyway.
+            Action::WatchEndpoints => {} // The channel brings all changes anyway.
         }
     }
 
-    fn dispatch(
+    fn attempt(
         &mut self,
         now: Duration,
-        batch: BatchId,
+        request: RequestId,
         engine: EngineId,
         time_out: Duration,
         begin_by: Option<Duration>,
     ) {
         let token = self.token();
-        let Some(held) = self.batches.get_mut(&batch) else { return };
+        let Some(held) = self.requests.get_mut(&request) else { return };
         let until = if time_out.is_zero() { held.limit } else { held.limit.min(now + time_out) };
         self.counters.add(Kind::Dispatched, Some(held.service_group));
-        if held.dispatches > 0 {
+        if held.attempts > 0 {
             self.counters.add(Kind::Moved, Some(held.service_group));
         }
-        let order = Order::Dispatch {
+        let order = Order::Attempt {
             token,
             engine,
-            batch: batch.clone(),
+            request: request.clone(),
             service_group: held.service_group,
             statement: held.statement.clone(),
             terms: Terms {
@@ -639,15 +646,15 @@
             memory_mb: held.memory_mb,
         };
         let flight = Flight {
-            batch,
+            request,
             service_group: held.service_group,
-            number: held.dispatches,
+            number: held.attempts,
             engine,
             at: now,
             until,
             priority: held.priority,
         };
-        held.dispatches += 1;
+        held.attempts += 1;
         if let Some(watched) = &mut self.watched {
             watched.eyes.sent(now, engine);
         }
@@ -662,13 +669,13 @@
         self.next
     }
 
-    /// Hands an order to the engines' side, in turn. A dispatch or probe for which there is no room at all is
+    /// Hands an order to the engines' side, in turn. An attempt or probe for which there is no room at all is
     /// over at once: nothing was sent.
     fn order(&mut self, order: Order) {
         let full = self.late.len() >= MOST_LATE;
         match order {
-            Order::Dispatch { token, .. } if full => {
-                self.at_once.push_back(Heard::ended(token, Outcome::NoConnection));
+            Order::Attempt { token, .. } if full => {
+                self.at_once.push_back(Heard::ended(token, AttemptOutcome::ConnectFailed));
             }
             Order::Probe { token, .. } if full => {
                 self.at_once.push_back(Heard::Probed { token, answered: false, load: None });
@@ -688,23 +695,23 @@
         }
     }
 
-    fn answer(&mut self, batch: &BatchId, answer: Answer) {
-        let Some(held) = self.close(batch) else { return };
+    fn answer(&mut self, request: &RequestId, answer: Answer) {
+        let Some(held) = self.close(request) else { return };
         let kind = match &answer {
             Answer::Returned(_) => Kind::Returned,
             Answer::PushedBack(_) => Kind::PushedBack,
             Answer::Errored => Kind::Errored,
         };
         self.counters.add(kind, Some(held.service_group));
-        log::debug!(batch = &**batch; "batch {batch} {kind}");
+        log::debug!("batch" = &**request; "batch {request} {kind}");
         held.asker.answer(held.ticket, answer);
     }
 
-    /// The batch is owed nothing more; what is out of it still has its outcomes, and what waits to be written is not.
-    fn close(&mut self, batch: &BatchId) -> Option<Held> {
-        let held = self.batches.remove(batch)?;
-        if held.dispatches > 0 {
-            let out = self.flights.iter().filter(|(_, f)| f.batch == *batch);
+    /// The request is owed nothing more; what is out of it still has its outcomes, and what waits to be written is not.
+    fn close(&mut self, request: &RequestId) -> Option<Held> {
+        let held = self.requests.remove(request)?;
+        if held.attempts > 0 {
+            let out = self.flights.iter().filter(|(_, f)| f.request == *request);
             let out: Vec<Token> = out.map(|(token, _)| *token).collect();
             out.into_iter().for_each(|token| self.order(Order::Withdraw(token)));
         }
@@ -717,10 +724,10 @@
     /// the list.
     fn start_over(&mut self, now: Duration) {
         self.counters.add(Kind::Panics, None);
-        log::error!("the gateway panicked: {} batches are errored, and it starts over", self.batches.len());
-        let open: Vec<BatchId> = self.batches.keys().cloned().collect();
-        for batch in open {
-            self.answer(&batch, Answer::Errored);
+        log::error!("the gateway panicked: {} batches are errored, and it starts over", self.requests.len());
+        let open: Vec<RequestId> = self.requests.keys().cloned().collect();
+        for request in open {
+            self.answer(&request, Answer::Errored);
         }
         let out: Vec<Token> = self.flights.keys().chain(self.probes.keys()).copied().collect();
         for token in out {
@@ -733,7 +740,7 @@
         self.wakes.clear();
         self.gateway = Gateway::new(self.stated.clone(), now.as_nanos() as u64);
         let entries = self.table.engines().map(|seen| seen.entry.clone()).collect();
-        self.gateway.hear(now, Event::Roster(RosterKind::Full, entries));
+        self.gateway.handle_event(now, Event::Endpoints(EndpointUpdateKind::Full, entries));
         self.wakes.insert(now);
     }
 }
--- a/crates/edges/routing/src/watched.rs
+++ b/crates/edges/routing/src/watched.rs
@@ -2,13 +2,15 @@
 //! What that means is settled in `lemonusher-zone-failover`.
 
 use async_channel::Sender;
-use lemonusher::{Deployment, EngineEntry, EngineState, Outcome, RosterKind, ServiceTerms};
+use lemonusher::{
+    AttemptOutcome, Deployment, EndpointUpdateKind, EngineEntry, EngineState, RequestClassConfig,
+};
 use lemonusher_zone_failover::{Door, Ended, Eyes, Group, Own, Report, Terms};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The part of its goal over its threads that a batch's work is taken for, until answers tell.
+/// The part of its goal over its threads that a request's work is taken for, until answers tell.
 const WORK_GUESS: f64 = 0.5;
 
 /// Told each period.
@@ -23,16 +25,16 @@
     pub engines: Vec<(u32, u32, u32, Option<bool>)>,
 }
 
-/// The service groups as the planner wants them.
-pub fn groups(stated: &[ServiceTerms], floor: f64) -> Vec<Group> {
-    let group = |terms: &ServiceTerms| Group {
-        utility: terms.utility,
-        work: terms.response_goal.as_secs_f64() * terms.threads * WORK_GUESS,
+/// The request classes as the planner wants them.
+pub fn groups(stated: &[RequestClassConfig], floor: f64) -> Vec<Group> {
+    let group = |terms: &RequestClassConfig| Group {
+        utility: terms.priority_weight,
+        work: terms.latency_objective.as_secs_f64() * terms.threads * WORK_GUESS,
         rate: 0.0,
-        goal: terms.response_goal.as_secs_f64(),
-        limit: terms.time_limit.as_secs_f64(),
+        goal: terms.latency_objective.as_secs_f64(),
+        limit: terms.deadline.as_secs_f64(),
         floor,
-        only: terms.locations.clone(),
+        only: terms.allowed_zones.clone(),
     };
     stated.iter().map(group).collect()
 }
@@ -56,8 +58,8 @@
 impl Watched {
     pub fn new(now: Duration, stated: &Deployment, terms: Terms, told: Sender<Seen>) -> Watched {
         Watched {
-            eyes: Eyes::new(now, stated.location, groups(&stated.service_groups, terms.floor)),
-            door: Door::new(stated.service_groups.len()),
+            eyes: Eyes::new(now, stated.zone, groups(&stated.request_classes, terms.floor)),
+            door: Door::new(stated.request_classes.len()),
             told,
             share: 1.0 / f64::from(stated.fronts.max(1)),
             next: now + terms.period,
@@ -65,7 +67,7 @@
             closed: Arc::default(),
             closed_by: 0,
             doubts: BTreeMap::new(),
-            settle: stated.duties.settle_after_doubt.max(stated.permits.connect_timeout),
+            settle: stated.safety_rules.unknown_outcome_delay.max(stated.capabilities.connect_timeout),
         }
     }
 
@@ -84,23 +86,24 @@
         let _ = self.told.force_send(Seen { report, own, closed_by: self.closed_by, out, engines });
     }
 
-    /// A dispatch ended; where that proves nothing, the engine may still run it for a while.
-    pub fn ended(&mut self, now: Duration, engine: u32, outcome: Outcome) {
-        if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
+    /// An attempt ended; where that proves nothing, the engine may still run it for a while.
+    pub fn ended(&mut self, now: Duration, engine: u32, outcome: AttemptOutcome) {
+        if matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled) {
             self.doubts.insert(engine, now + self.settle);
         }
     }
 
-    pub fn list(&mut self, stated: &Deployment, kind: RosterKind, entries: &[EngineEntry]) {
-        if kind != RosterKind::Changes {
+    pub fn list(&mut self, stated: &Deployment, kind: EndpointUpdateKind, entries: &[EngineEntry]) {
+        if kind != EndpointUpdateKind::Delta {
             self.eyes.clear();
         }
         for entry in entries {
-            let cores = stated.machines.get(entry.kind as usize).map_or(1.0, |machine| machine.cores);
+            let cores =
+                stated.machine_kinds.get(entry.machine_kind as usize).map_or(1.0, |machine| machine.cores);
             let ready = entry.state == EngineState::Active;
-            self.eyes.list(entry.engine, entry.location, cores.round() as u32, ready);
+            self.eyes.list(entry.engine, entry.zone, cores.round() as u32, ready);
         }
-        if kind != RosterKind::Changes {
+        if kind != EndpointUpdateKind::Delta {
             self.eyes.settle();
         }
     }
@@ -114,14 +117,14 @@
 }
 
 /// What an outcome tells of the engine. `work` in seconds on one thread.
-pub fn ended(outcome: Outcome, span: Duration, work: Option<Duration>, threads: f64) -> Ended {
+pub fn ended(outcome: AttemptOutcome, span: Duration, work: Option<Duration>, threads: f64) -> Ended {
     match outcome {
-        Outcome::Returned => {
+        AttemptOutcome::Returned => {
             let work = work.map(|work| work.as_secs_f64());
             Ended::Returned { span: span.as_secs_f64(), work, threads }
         }
-        Outcome::NoConnection | Outcome::Reset | Outcome::TimedOut => Ended::Failed,
-        Outcome::Errored | Outcome::Full => Ended::Answered,
-        Outcome::Cancelled | Outcome::NotSent => Ended::CalledOff,
+        AttemptOutcome::ConnectFailed | AttemptOutcome::Reset | AttemptOutcome::TimedOut => Ended::Failed,
+        AttemptOutcome::Errored | AttemptOutcome::Rejected => Ended::Answered,
+        AttemptOutcome::Cancelled | AttemptOutcome::NotSent => Ended::CalledOff,
     }
 }
--- a/crates/testing/cluster/src/desk.rs
+++ b/crates/testing/cluster/src/desk.rs
@@ -1,4 +1,4 @@
-//! Clients: each asks at its own pace whichever front it reaches, its own site's first, and notes how each batch ended.
+//! Clients: each asks at its own pace whichever front it reaches, its own site's first, and notes how each request ended.
 
 use lemonusher_fakes::base64;
 use serde_json::{Value, json};
@@ -10,7 +10,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How batches of a service group ended, since this was last asked.
+/// How requests of a request class ended, since this was last asked.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Tally {
     pub asked: u32,
@@ -42,7 +42,7 @@
 /// One client.
 pub struct Desk {
     tallies: Tallies,
-    /// Batches a second, in thousandths, by service group.
+    /// Requests a second, in thousandths, by request class.
     rates: Arc<Vec<AtomicU64>>,
     fronts: Arc<Mutex<Vec<Option<SocketAddr>>>>,
     ending: Arc<AtomicBool>,
--- a/crates/testing/cluster/src/halls.rs
+++ b/crates/testing/cluster/src/halls.rs
@@ -15,12 +15,12 @@
 
 const TICK: Duration = Duration::from_millis(2);
 
-/// A service group, as the deployment states it and as engines run it.
+/// A request class, as the deployment states it and as engines run it.
 #[derive(Debug, Clone, Copy)]
 pub struct GroupTerms {
     pub name: &'static str,
     pub utility: f64,
-    /// Work of a batch, in seconds on one thread, and its threads.
+    /// Work of a request, in seconds on one thread, and its threads.
     pub work: f64,
     pub threads: f64,
     pub goal: Duration,
@@ -43,7 +43,7 @@
     pub fall_after: Duration,
 }
 
-/// A batch as it came to an engine.
+/// A request as it came to an engine.
 #[derive(Debug, Clone)]
 pub struct Came {
     pub at: Instant,
--- a/crates/testing/emulator/src/check.rs
+++ b/crates/testing/emulator/src/check.rs
@@ -6,18 +6,18 @@
 /// What happens, as the checker is told.
 #[derive(Debug, Clone)]
 pub enum Seen {
-    /// A client asks a front: a try, of a batch.
-    Asked { front: usize, id: u64, batch: u64, group: usize, key: Option<u64>, limit: Duration },
+    /// A client asks a front: a try, of a request.
+    Asked { front: usize, id: u64, request: u64, group: usize, key: Option<u64>, limit: Duration },
     /// The one answer to a try.
     Answered { id: u64 },
     /// The client left before its answer.
     Left { id: u64 },
-    /// A front sends a batch to an engine.
+    /// A front sends a request to an engine.
     Sent { front: usize, id: u64, number: u32, engine: usize, work: f64 },
-    /// A dispatch is over for its front; `may_have_run` as far as the front can know.
+    /// An attempt is over for its front; `may_have_run` as far as the front can know.
     Over { id: u64, may_have_run: bool },
     /// The engine really began to run it.
-    Ran { batch: u64 },
+    Ran { request: u64 },
     /// An engine drains, as one front has been told, or as all have to know.
     Draining { engine: usize, front: Option<usize> },
     /// An engine started, cold, with so many cores.
@@ -43,7 +43,7 @@
     pub fall_multiple: f64,
     pub fall_after: Duration,
     pub once_only: Vec<bool>,
-    /// Locations that a service group may go to, and where each engine stands.
+    /// Locations that a request class may go to, and where each engine stands.
     pub locations: Vec<Option<Vec<u32>>>,
     pub places: Vec<u32>,
     pub budget: Option<(f64, f64)>,
@@ -69,13 +69,13 @@
 pub struct Checker {
     terms: Terms,
     tries: BTreeMap<u64, Try>,
-    /// By request: its service group, and how often it was run.
+    /// By request: its request class, and how often it was run.
     groups: BTreeMap<u64, usize>,
     ran: BTreeMap<u64, u32>,
     /// Since when an engine drains, by the front that was told or for all.
     draining: BTreeMap<(usize, Option<usize>), Duration>,
     cold: BTreeMap<usize, Cold>,
-    /// By front: arrivals and further dispatches lately.
+    /// By front: arrivals and retries lately.
     budgets: BTreeMap<usize, (VecDeque<Duration>, VecDeque<Duration>)>,
     /// By front and key: tries in the order taken.
     lanes: BTreeMap<(usize, u64), VecDeque<u64>>,
@@ -97,12 +97,12 @@
 
     pub fn see(&mut self, now: Duration, seen: Seen) {
         match seen {
-            Seen::Asked { front, id, batch, group, key, limit } => {
+            Seen::Asked { front, id, request, group, key, limit } => {
                 self.budgets.entry(front).or_default().0.push_back(now);
                 if let Some(key) = key {
                     self.lanes.entry((front, key)).or_default().push_back(id);
                 }
-                self.groups.insert(batch, group);
+                self.groups.insert(request, group);
                 let held = Try { front, group, key, limit, answered: false, out: 0, may_have_run: false };
                 self.tries.insert(id, held);
             }
@@ -132,12 +132,12 @@
                     held.may_have_run |= may_have_run;
                 }
             }
-            Seen::Ran { batch } => {
-                let count = self.ran.entry(batch).or_default();
+            Seen::Ran { request } => {
+                let count = self.ran.entry(request).or_default();
                 *count += 1;
                 let again = *count > 1;
-                if again && self.groups.get(&batch).is_some_and(|group| self.terms.once_only[*group]) {
-                    self.say(2, now, format!("batch {batch} runs again"));
+                if again && self.groups.get(&request).is_some_and(|group| self.terms.once_only[*group]) {
+                    self.say(2, now, format!("batch {request} runs again"));
                 }
             }
             Seen::Draining { engine, front } => drop(self.draining.insert((engine, front), now)),
@@ -201,7 +201,7 @@
                     * *cores
                     * self.terms.fall_after.as_secs_f64();
                 let all: f64 = sent.iter().map(|(_, work)| work).sum();
-                // One batch alone may be more than it bears; that is nobody's doing.
+                // One request alone may be more than it bears; that is nobody's doing.
                 if all > bears && sent.len() > 1 {
                     found
                         .push((4, format!("engine {engine} is cold, bears {bears:.1} and is sent {all:.1}")));
--- a/crates/testing/emulator/src/clients.rs
+++ b/crates/testing/emulator/src/clients.rs
@@ -4,7 +4,7 @@
 use crate::check::Seen;
 use crate::run::{BEGIN, Fault, Held, Run};
 use crate::world::span;
-use lemonusher::{Arrival, BatchId, Event};
+use lemonusher::{Arrival, Event, RequestId};
 use std::time::Duration;
 
 /// A client's request, over all its tries.
@@ -71,41 +71,41 @@
     }
 
     /// A client asks a front, for the first time or again.
-    fn ask(&mut self, batch: u64) {
+    fn ask(&mut self, request: u64) {
         let front = falls_on(&self.traffic, self.dice.share());
-        let repeats = self.requests.get(&batch).map_or(0, |request| request.tries);
-        let name: BatchId = match self.world.clients {
-            Some(_) if repeats > 0 => format!("b{batch}.{repeats}").into(),
-            _ => format!("b{batch}").into(),
+        let repeats = self.requests.get(&request).map_or(0, |known| known.tries);
+        let name: RequestId = match self.world.clients {
+            Some(_) if repeats > 0 => format!("b{request}.{repeats}").into(),
+            _ => format!("b{request}").into(),
         };
         if self.fronts[front].held.contains_key(&name) {
             return;
         }
-        let Some(request) = self.requests.get_mut(&batch) else { return };
-        request.tries += 1;
-        let Request { group, first, tries } = *request;
+        let Some(known) = self.requests.get_mut(&request) else { return };
+        known.tries += 1;
+        let Request { group, first, tries } = *known;
         let limit = self.limit(group, first);
         let keys = self.world.groups[group].keys;
-        let key = (keys > 0).then(|| batch % keys);
+        let key = (keys > 0).then(|| request % keys);
         self.next += 1;
         let id = self.next;
         self.report.asked += 1;
         self.span().tries += 1;
-        self.see(Seen::Asked { front, id, batch, group, key, limit });
-        let held = Held { id, batch, group, asked: self.now, limit, dispatches: 0 };
+        self.see(Seen::Asked { front, id, request, group, key, limit });
+        let held = Held { id, request, group, asked: self.now, limit, attempts: 0 };
         self.fronts[front].held.insert(name.clone(), held);
         self.may_leave(front, &name, group, id);
         let marked = self.world.clients.is_none_or(|clients| clients.marked);
-        let table_group = self.tables_of(batch, group);
+        let table_group = self.tables_of(request, group);
         self.fronts[front].events.push_back(Event::Arrived(Arrival {
-            batch: name,
-            service_group: group,
+            request: name,
+            request_class: group,
             table_group,
             key: key.filter(|_| self.fault != Fault::ForgetsKeys),
-            patience: limit - self.now,
+            client_timeout: limit - self.now,
             work: None,
             memory_mb: 0.0,
-            repeat: tries > 1 && marked,
+            client_retry: tries > 1 && marked,
         }));
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// Some clients leave before their time is over.
-    fn may_leave(&mut self, front: usize, name: &BatchId, group: usize, id: u64) {
+    fn may_leave(&mut self, front: usize, name: &RequestId, group: usize, id: u64) {
         let Some(clients) = self.world.clients else { return };
         if self.dice.share() < clients.impatient {
             let after = span(self.world.groups[group].limit * 0.5 * self.dice.share());
@@ -133,7 +133,7 @@
             let front = &mut self.fronts[front];
             if front.held.get(&name).is_some_and(|held| held.id == id) {
                 front.held.remove(&name);
-                front.events.push_back(Event::Left(name));
+                front.events.push_back(Event::ClientGone(name));
                 self.see(Seen::Left { id });
             }
         }
@@ -147,17 +147,17 @@
         let Some(clients) = self.world.clients else {
             if self.dice.share() < self.world.ask_again {
                 let wait = come_back.unwrap_or(Duration::from_millis(500));
-                self.again.insert((self.now + wait, held.batch));
+                self.again.insert((self.now + wait, held.request));
             }
             return;
         };
-        let Some(request) = self.requests.get(&held.batch).copied() else { return };
+        let Some(request) = self.requests.get(&held.request).copied() else { return };
         let doubled = f64::from(1 << (request.tries - 1).min(16));
         let own = span(self.dice.between(clients.back_off) * doubled);
         let honours = self.dice.share() < clients.honour;
         let at = self.now + come_back.filter(|_| honours).unwrap_or(own);
         if request.tries < clients.tries && at < request.first + span(self.world.groups[held.group].limit) {
-            self.again.insert((at, held.batch));
+            self.again.insert((at, held.request));
         }
     }
 
@@ -165,7 +165,7 @@
     pub(crate) fn served(&mut self, held: &Held, work: f64) {
         let goal = span(self.world.groups[held.group].goal) + span(work * 1.5);
         self.report.in_goal += u64::from(self.now - held.asked <= goal);
-        let Some(request) = self.requests.remove(&held.batch) else { return };
+        let Some(request) = self.requests.remove(&held.request) else { return };
         let in_goal = self.now - request.first <= goal;
         let count = &mut self.report.tally.at((request.first - BEGIN).as_secs_f64()).classes[held.group];
         count.served += 1;
--- a/crates/testing/emulator/src/engine.rs
+++ b/crates/testing/emulator/src/engine.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// A batch as it runs.
+/// A request as it runs.
 #[derive(Debug, Clone)]
 pub struct Work {
     /// Work of all its threads that is left, in seconds.
--- a/crates/testing/emulator/src/failures.rs
+++ b/crates/testing/emulator/src/failures.rs
@@ -5,7 +5,7 @@
 use crate::run::{News, Run};
 use crate::settings::Between;
 use crate::world::{Manner, What, span};
-use lemonusher::{EngineState, Event, Outcome, RosterKind};
+use lemonusher::{AttemptOutcome, EndpointUpdateKind, EngineState, Event};
 use std::time::Duration;
 
 /// A list's news reaches the fronts so late, where the world states no watch.
@@ -78,7 +78,7 @@
     fn drain(&mut self, engine: usize, back: Option<f64>) {
         let grace = span(self.world.drain_grace) * 2;
         let host = &mut self.engines[engine];
-        host.state = EngineState::Leaving;
+        host.state = EngineState::Draining;
         host.gone_at = Some(self.now + grace);
         host.back_at = back.map(|back| self.now + grace + span(back));
         // Where each front is told in its own time, it is held to the rule from then on.
@@ -92,13 +92,13 @@
         let host = &mut self.engines[engine];
         host.engine.clear();
         host.unsaid.clear();
-        (host.state, host.gone_at) = (EngineState::Left, None);
+        (host.state, host.gone_at) = (EngineState::Removed, None);
         host.back_at = back.map(|back| self.now + span(back));
         (host.report, host.samples, host.connected, host.warm) = Default::default();
         self.tell(engine);
         let lost: Vec<u64> =
             self.flights.iter().filter(|(_, flight)| flight.engine == engine).map(|(n, _)| *n).collect();
-        lost.into_iter().for_each(|number| self.over(number, Outcome::Reset));
+        lost.into_iter().for_each(|number| self.over(number, AttemptOutcome::Reset));
     }
 
     /// The engine starts, cold.
@@ -125,16 +125,16 @@
                 self.engines[engine].back_at = back;
             }
             let host = &mut self.engines[engine];
-            if host.back_at.is_some_and(|at| at <= self.now) && host.state == EngineState::Left {
+            if host.back_at.is_some_and(|at| at <= self.now) && host.state == EngineState::Removed {
                 self.start(engine);
             }
         }
         while let Some(news) = self.news.first_entry().filter(|news| news.key().0 <= self.now) {
             let News { front, entry } = news.remove();
-            if self.world.watch.is_some() && entry.state == EngineState::Leaving {
+            if self.world.watch.is_some() && entry.state == EngineState::Draining {
                 self.see(Seen::Draining { engine: entry.engine as usize, front: Some(front) });
             }
-            let event = Event::Roster(RosterKind::Changes, vec![entry]);
+            let event = Event::Endpoints(EndpointUpdateKind::Delta, vec![entry]);
             self.fronts[front].events.push_back(event);
         }
     }
