--- a/crates/testing/emulator/src/flights.rs
+++ b/crates/testing/emulator/src/flights.rs
@@ -6,14 +6,16 @@
 use crate::run::{Fault, Run, TICK};
 use crate::settings::{ReportField, ReportedWith, Reports};
 use crate::world::span;
-use lemonusher::{BatchId, Cost, Ending, EngineState, Event, LoadReport, Note, Outcome};
+use lemonusher::{
+    AttemptEnd, AttemptOutcome, AttemptProgress, EngineState, Event, LoadReport, RequestId, ResourceUsage,
+};
 use std::time::Duration;
 
 /// An attempt that is out.
 pub(crate) struct Flight {
     pub front: usize,
-    pub batch: BatchId,
-    pub dispatch: u32,
+    pub name: RequestId,
+    pub attempt: u32,
     pub engine: usize,
     pub at: Duration,
     pub until: Duration,
@@ -57,30 +59,30 @@
         }
     }
 
-    pub(crate) fn dispatch(&mut self, front: usize, batch: BatchId, engine: usize, time_out: Duration) {
-        let Some(held) = self.fronts[front].held.get_mut(&batch) else { return };
-        let number = held.dispatches;
-        held.dispatches += 1;
+    pub(crate) fn attempt(&mut self, front: usize, name: RequestId, engine: usize, time_out: Duration) {
+        let Some(held) = self.fronts[front].held.get_mut(&name) else { return };
+        let number = held.attempts;
+        held.attempts += 1;
         let held = held.clone();
-        let work = self.work_of(held.batch, held.group);
+        let work = self.work_of(held.request, held.group);
         self.next += 1;
         let flight_number = self.next;
-        self.report.dispatches += 1;
+        self.report.attempts += 1;
         self.span().attempts += 1;
         let mean = self.world.groups[held.group].work;
         self.see(Seen::Sent { front, id: held.id, number, engine, work: mean });
         let until = if time_out.is_zero() { held.limit } else { held.limit.min(self.now + time_out) };
         let flight = Flight {
             front,
-            batch,
-            dispatch: number,
+            name,
+            attempt: number,
             engine,
             at: self.now,
             until,
             work,
             group: held.group,
             id: held.id,
-            request: held.batch,
+            request: held.request,
             next_note: self.now + span(self.world.notes.unwrap_or(0.0)),
         };
         self.flights.insert(flight_number, flight);
@@ -95,7 +97,7 @@
     /// How long a front's connection to an engine takes from now, and what becomes of it.
     fn connect(&mut self, front: usize, engine: usize) -> (Duration, Connection) {
         let host = &mut self.engines[engine];
-        if host.state == EngineState::Left {
+        if host.state == EngineState::Removed {
             return (span(self.world.refused_after), Connection::Failed);
         }
         let late = self.world.watch.map_or(0.0, |watch| watch.connect_late);
@@ -120,12 +122,12 @@
     fn connected(&mut self, number: u64, connection: Connection) {
         let Some(flight) = self.flights.get(&number) else { return };
         let (engine, request, stated) = (flight.engine, flight.request, flight.work);
-        if connection == Connection::Failed || self.engines[engine].state == EngineState::Left {
-            return self.over(number, Outcome::NoConnection);
+        if connection == Connection::Failed || self.engines[engine].state == EngineState::Removed {
+            return self.over(number, AttemptOutcome::ConnectFailed);
         }
         if self.engines[engine].engine.is_full() {
             self.span().refused_full += 1;
-            return self.over(number, Outcome::Full);
+            return self.over(number, AttemptOutcome::Rejected);
         }
         let (group, tables) = (&self.world.groups[flight.group], self.tables_of(request, flight.group));
         let host = &mut self.engines[engine];
@@ -145,7 +147,7 @@
         };
         self.engines[engine].engine.offer(number, work);
         self.span().work += left;
-        self.see(Seen::Ran { batch: request });
+        self.see(Seen::Ran { request });
         self.push_over(engine, left);
     }
 
@@ -187,7 +189,7 @@
                 if self.probes.contains_key(&number) {
                     self.probed(number, true);
                 } else {
-                    self.over(number, Outcome::Returned);
+                    self.over(number, AttemptOutcome::Returned);
                 }
             }
         }
@@ -201,49 +203,50 @@
             if self.world.cancel || self.world.drops_expired {
                 self.engines[engine].engine.cancel(number);
             }
-            self.over(number, Outcome::TimedOut);
+            self.over(number, AttemptOutcome::TimedOut);
         }
     }
 
     /// An attempt is over for its front.
-    pub(crate) fn over(&mut self, number: u64, outcome: Outcome) {
+    pub(crate) fn over(&mut self, number: u64, outcome: AttemptOutcome) {
         let Some(flight) = self.flights.remove(&number) else { return };
         self.see(Seen::Over { id: flight.id, may_have_run: !outcome.never_ran() });
         let front = &self.fronts[flight.front];
-        let held = front.held.get(&flight.batch).filter(|held| held.id == flight.id).cloned();
-        if outcome == Outcome::Returned {
+        let held = front.held.get(&flight.name).filter(|held| held.id == flight.id).cloned();
+        if outcome == AttemptOutcome::Returned {
             let idle = (flight.work / self.world.groups[flight.group].threads).max(TICK.as_secs_f64());
             let slowdown = (self.now - flight.at).as_secs_f64() / idle;
             let span = self.span();
             span.returned += 1;
             span.slowdown += slowdown;
         }
-        if let Some(held) = held.filter(|_| outcome == Outcome::Returned) {
-            self.fronts[flight.front].held.remove(&flight.batch);
+        if let Some(held) = held.filter(|_| outcome == AttemptOutcome::Returned) {
+            self.fronts[flight.front].held.remove(&flight.name);
             self.report.returned += 1;
             self.served(&held, flight.work);
             self.answered(held.id);
         }
         let front = &self.fronts[flight.front];
-        let over = front.held.get(&flight.batch).is_none_or(|held| held.id != flight.id);
-        let cost = Cost { work: span(flight.work), memory_mb: self.world.groups[flight.group].memory_mb };
-        let told = matches!(outcome, Outcome::Returned | Outcome::Full);
+        let over = front.held.get(&flight.name).is_none_or(|held| held.id != flight.id);
+        let cost =
+            ResourceUsage { work: span(flight.work), memory_mb: self.world.groups[flight.group].memory_mb };
+        let told = matches!(outcome, AttemptOutcome::Returned | AttemptOutcome::Rejected);
         let reported = told && self.reported_with(ReportedWith::Answers);
         let load = self.engines[flight.engine].report.filter(|_| reported);
-        self.fronts[flight.front].events.push_back(Event::Ended(Ending {
-            batch: flight.batch.clone(),
-            dispatch: flight.dispatch,
+        self.fronts[flight.front].events.push_back(Event::AttemptEnded(AttemptEnd {
+            request: flight.name.clone(),
+            attempt: flight.attempt,
             engine: flight.engine as u32,
-            after: self.now.saturating_sub(flight.at),
+            elapsed: self.now.saturating_sub(flight.at),
             outcome,
-            over,
-            cost: (outcome == Outcome::Returned).then_some(cost),
+            request_finished: over,
+            usage: (outcome == AttemptOutcome::Returned).then_some(cost),
             load,
         }));
         let once = self.world.groups[flight.group].once_only;
-        if self.fault == Fault::SendsAgain && once && outcome == Outcome::Reset && !over {
+        if self.fault == Fault::SendsAgain && once && outcome == AttemptOutcome::Reset && !over {
             let other = (flight.engine + 1) % self.engines.len();
-            self.dispatch(flight.front, flight.batch, other, Duration::ZERO);
+            self.attempt(flight.front, flight.name, other, Duration::ZERO);
         }
     }
 
@@ -268,7 +271,7 @@
         let after = self.now.saturating_sub(at) + PROBE_WAY;
         let load =
             self.engines[engine].report.filter(|_| answered && self.reported_with(ReportedWith::Probes));
-        let event = Event::Probed { engine: engine as u32, answered, after, load };
+        let event = Event::ProbeEnded { engine: engine as u32, answered, elapsed: after, load };
         self.fronts[front].events.push_back(event);
     }
 
@@ -310,7 +313,7 @@
         LoadReport {
             cores_busy: figure(ReportField::CoresBusy, engine.cores_busy()).map(|busy| busy.min(1.0)),
             memory_granted: figure(ReportField::MemoryGranted, engine.memory_granted()),
-            held: figure(ReportField::Held, engine.len() as f64),
+            in_flight: figure(ReportField::Held, engine.len() as f64),
             ..LoadReport::default()
         }
     }
@@ -325,11 +328,11 @@
             }
             flight.next_note = now + span(period);
             if let Some(left) = self.engines[flight.engine].engine.left(*number) {
-                self.fronts[flight.front].events.push_back(Event::Noted {
-                    batch: flight.batch.clone(),
-                    dispatch: flight.dispatch,
+                self.fronts[flight.front].events.push_back(Event::Progress {
+                    request: flight.name.clone(),
+                    attempt: flight.attempt,
                     engine: flight.engine as u32,
-                    note: Note::Progress(1.0 - left / flight.work),
+                    progress: AttemptProgress::Done(1.0 - left / flight.work),
                 });
             }
         }
--- a/crates/testing/emulator/src/run.rs
+++ b/crates/testing/emulator/src/run.rs
@@ -8,7 +8,9 @@
 use crate::host::Host;
 use crate::tally::{SpanCount, Tally};
 use crate::world::{Failure, World, span};
-use lemonusher::{Action, BatchId, EngineEntry, EngineState, Event, Gateway, Outcome, RosterKind};
+use lemonusher::{
+    Action, AttemptOutcome, EndpointUpdateKind, EngineEntry, EngineState, Event, Gateway, RequestId,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -45,7 +47,7 @@
     pub in_goal: u64,
     pub pushed_back: u64,
     pub errored: u64,
-    pub dispatches: u64,
+    pub attempts: u64,
     /// How often a cold engine fell over.
     pub fallen: u64,
     pub tally: Tally,
@@ -58,16 +60,16 @@
 #[derive(Clone)]
 pub(crate) struct Held {
     pub id: u64,
-    pub batch: u64,
+    pub request: u64,
     pub group: usize,
     pub asked: Duration,
     pub limit: Duration,
-    pub dispatches: u32,
+    pub attempts: u32,
 }
 
 pub(crate) struct Front {
     gateway: Gateway,
-    pub held: BTreeMap<BatchId, Held>,
+    pub held: BTreeMap<RequestId, Held>,
     wakes: BTreeSet<Duration>,
     pub events: VecDeque<Event>,
     /// From when to when its watch is silent.
@@ -107,7 +109,7 @@
     pub asked: u64,
     /// Requests to be asked again, and tries whose clients leave, by when.
     pub again: BTreeSet<(Duration, u64)>,
-    pub leaving: BTreeMap<(Duration, u64), (usize, BatchId)>,
+    pub leaving: BTreeMap<(Duration, u64), (usize, RequestId)>,
     checker: Checker,
     pub report: Report,
 }
@@ -184,13 +186,15 @@
     pub(crate) fn front(&self, number: u32, seed: u64) -> Front {
         let mut stated = self.world.deployment(number);
         match self.fault {
-            Fault::ForgetsPlaces => stated.service_groups.iter_mut().for_each(|terms| terms.locations = None),
-            Fault::ForgetsBudget => stated.duties.budget = None,
+            Fault::ForgetsPlaces => {
+                stated.request_classes.iter_mut().for_each(|terms| terms.allowed_zones = None)
+            }
+            Fault::ForgetsBudget => stated.safety_rules.retry_budget = None,
             _ => {}
         }
         let mut gateway = Gateway::new(stated, seed ^ u64::from(number) << 32);
-        let all = (0..self.engines.len()).map(|n| self.entry(n)).filter(|e| e.state != EngineState::Left);
-        gateway.hear(self.now, Event::Roster(RosterKind::Full, all.collect()));
+        let all = (0..self.engines.len()).map(|n| self.entry(n)).filter(|e| e.state != EngineState::Removed);
+        gateway.handle_event(self.now, Event::Endpoints(EndpointUpdateKind::Full, all.collect()));
         Front {
             gateway,
             held: BTreeMap::new(),
@@ -202,13 +206,13 @@
 
     pub(crate) fn entry(&self, number: usize) -> EngineEntry {
         let host = &self.engines[number];
-        let hidden = self.fault == Fault::HidesDrains && host.state == EngineState::Leaving;
+        let hidden = self.fault == Fault::HidesDrains && host.state == EngineState::Draining;
         EngineEntry {
             engine: number as u32,
-            location: host.location,
-            kind: host.kind,
+            zone: host.location,
+            machine_kind: host.kind,
             state: if hidden { EngineState::Active } else { host.state },
-            started: if self.fault == Fault::HidesColds { Duration::ZERO } else { host.started },
+            started_at: if self.fault == Fault::HidesColds { Duration::ZERO } else { host.started },
             ..EngineEntry::default()
         }
     }
@@ -273,39 +277,39 @@
             return;
         }
         while let Some(event) = front.events.pop_front() {
-            front.gateway.hear(now, event);
+            front.gateway.handle_event(now, event);
         }
         if woken {
             front.wakes = front.wakes.split_off(&(now + Duration::from_nanos(1)));
-            front.gateway.hear(now, Event::Woke);
+            front.gateway.handle_event(now, Event::TimerFired);
         }
         for action in front.gateway.decide(now) {
             match action {
-                Action::Dispatch { batch, engine, time_out, .. } => {
-                    self.dispatch(number, batch, engine as usize, time_out);
+                Action::Send { request, engine, timeout: time_out, .. } => {
+                    self.attempt(number, request, engine as usize, time_out);
                 }
-                Action::Cancel { batch, dispatch } => {
+                Action::Cancel { request, attempt } => {
                     let found = self
                         .flights
                         .iter()
-                        .find(|(_, f)| f.front == number && f.batch == batch && f.dispatch == dispatch);
+                        .find(|(_, f)| f.front == number && f.name == request && f.attempt == attempt);
                     if let Some((flight, engine)) = found.map(|(n, f)| (*n, f.engine)) {
                         self.engines[engine].engine.cancel(flight);
-                        self.over(flight, Outcome::Cancelled);
+                        self.over(flight, AttemptOutcome::Cancelled);
                     }
                 }
-                Action::PushBack { batch, come_back } => {
-                    let Some(held) = self.fronts[number].held.remove(&batch) else { continue };
+                Action::Reject { request, retry_after: come_back } => {
+                    let Some(held) = self.fronts[number].held.remove(&request) else { continue };
                     self.rejected(&held, come_back);
                 }
-                Action::Error { batch } => {
-                    let Some(held) = self.fronts[number].held.remove(&batch) else { continue };
+                Action::Fail { request } => {
+                    let Some(held) = self.fronts[number].held.remove(&request) else { continue };
                     self.report.errored += 1;
                     self.answered(held.id);
                 }
-                Action::Wake { at } => drop(self.fronts[number].wakes.insert(at)),
+                Action::SetTimer { at } => drop(self.fronts[number].wakes.insert(at)),
                 Action::Probe { engine } => self.probe(number, engine as usize),
-                Action::Rank { .. } | Action::Follow => {}
+                Action::SetPriority { .. } | Action::WatchEndpoints => {}
             }
         }
     }
--- a/crates/testing/emulator/src/settings.rs
+++ b/crates/testing/emulator/src/settings.rs
@@ -42,7 +42,7 @@
 pub struct Probes {
     /// Seconds on one thread.
     pub work: f64,
-    /// What one probe a request costs, as a share of the utility asked for.
+    /// What one probe a request costs, as a share of the priority weight asked for.
     pub price: f64,
 }
 
--- a/crates/testing/emulator/src/tally.rs
+++ b/crates/testing/emulator/src/tally.rs
@@ -5,7 +5,7 @@
 pub struct ClassCount {
     pub asked: u64,
     pub served: u64,
-    /// Served within the response goal, counted from the first try.
+    /// Served within the latency objective, counted from the first try.
     pub in_goal: u64,
 }
 
--- a/crates/testing/emulator/src/world.rs
+++ b/crates/testing/emulator/src/world.rs
@@ -1,5 +1,7 @@
 use crate::settings::{Clients, Probes, ReportedWith, Reports, Runaways, Watch};
-use lemonusher::{Deployment, DispatchBudget, Duties, Effect, Machine, Permits, ServiceTerms};
+use lemonusher::{
+    Capabilities, Deployment, Idempotency, MachineKind, RequestClassConfig, RetryBudget, SafetyRules,
+};
 use serde::Deserialize;
 use std::fmt;
 use std::time::Duration;
@@ -10,7 +12,7 @@
 pub struct World {
     pub seconds: f64,
     pub fronts: u32,
-    /// Batches a second, over all fronts.
+    /// Requests a second, over all fronts.
     pub per_second: f64,
     /// Share of clients that ask again after they were pushed back.
     #[serde(default)]
@@ -57,7 +59,7 @@
     pub watch: Option<Watch>,
     #[serde(default)]
     pub runaways: Option<Runaways>,
-    /// Further dispatches allowed: so many, and so many a batch, in ten seconds.
+    /// Further attempts allowed: so many, and so many a request, in ten seconds.
     #[serde(default)]
     pub budget: Option<(f64, f64)>,
     pub engines: Vec<EngineKind>,
@@ -111,7 +113,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Group {
     pub name: String,
-    /// Part of the batches.
+    /// Part of the requests.
     pub share: f64,
     /// Work of all threads, in seconds: the mean of an exponential.
     pub work: f64,
@@ -123,7 +125,7 @@
     pub once_only: bool,
     #[serde(default)]
     pub load: bool,
-    /// Batches of one key run in turn; so many keys.
+    /// Requests of one key run in turn; so many keys.
     #[serde(default)]
     pub keys: u64,
     pub tables: u64,
@@ -153,7 +155,7 @@
     Slow { engine: usize, times: f64, back: f64 },
     /// It is told to go, and is gone after the grace; a new one starts cold after this time.
     Drain { engine: usize, back: f64 },
-    /// All engines of a location die.
+    /// All engines of a zone die.
     Hall { location: u32, back: f64 },
     /// A share of the engines goes, spread over so many seconds; for each, a new one joins at once, cold.
     Replace { share: f64, over: f64, manner: Manner },
@@ -274,58 +276,60 @@
 
     /// What the fronts are told.
     pub fn deployment(&self, number: u32) -> Deployment {
-        let terms = |group: &Group| ServiceTerms {
-            response_goal: span(group.goal),
-            stretch: 1.5,
-            time_limit: span(group.limit),
-            utility: 1.0,
-            late_share: 0.5,
-            effect: if group.once_only { Effect::OnceOnly } else { Effect::Repeatable },
+        let terms = |group: &Group| RequestClassConfig {
+            latency_objective: span(group.goal),
+            objective_work_factor: 1.5,
+            deadline: span(group.limit),
+            priority_weight: 1.0,
+            late_value_share: 0.5,
+            idempotency: if group.once_only { Idempotency::NonIdempotent } else { Idempotency::Idempotent },
             ordered: group.keys > 0,
-            locations: group.locations.clone(),
+            allowed_zones: group.locations.clone(),
             threads: group.threads,
-            load: group.load,
-            waits_for_loads: !group.load,
-            ..ServiceTerms::default()
+            bulk_load: group.load,
+            waits_for_bulk_loads: !group.load,
+            ..RequestClassConfig::default()
         };
-        let machine = |kind: &EngineKind| Machine { cores: kind.cores, memory_mb: kind.memory_mb };
+        let machine = |kind: &EngineKind| MachineKind { cores: kind.cores, memory_mb: kind.memory_mb };
         Deployment {
             fronts: self.fronts,
-            number,
-            service_groups: self.groups.iter().map(terms).collect(),
-            machines: self.engines.iter().map(machine).collect(),
+            front_index: number,
+            request_classes: self.groups.iter().map(terms).collect(),
+            machine_kinds: self.engines.iter().map(machine).collect(),
             tick: Duration::from_millis(5),
-            permits: Permits {
+            capabilities: Capabilities {
                 cancel: self.cancel,
                 probes: self.probes.is_some(),
-                come_back: true,
-                longest_come_back: Duration::from_secs(2),
-                most_dispatches: 4,
+                retry_after: true,
+                max_retry_after: Duration::from_secs(2),
+                max_attempts: 4,
                 connect_timeout: Duration::from_millis(250),
-                ..Permits::default()
+                ..Capabilities::default()
             },
-            duties: Duties {
+            safety_rules: SafetyRules {
                 drain_grace: span(self.drain_grace),
-                cold_from: self.cold_from,
-                cold_for: span(self.cold_for),
-                fall_multiple: self.fall_multiple,
-                fall_after: span(self.fall_after),
-                settle_after_doubt: Duration::from_millis(700),
-                ask_within: Duration::from_secs(10),
-                budget: self.budget.map(|(free, share)| DispatchBudget {
-                    free,
-                    share,
-                    span: Duration::from_secs(10),
+                slow_start_share: self.cold_from,
+                slow_start_window: span(self.cold_for),
+                overload_factor: self.fall_multiple,
+                overload_window: span(self.fall_after),
+                unknown_outcome_delay: Duration::from_millis(700),
+                discovery_poll_deadline: Duration::from_secs(10),
+                retry_budget: self.budget.map(|(free, share)| RetryBudget {
+                    free_retries: free,
+                    retry_ratio: share,
+                    window: Duration::from_secs(10),
                 }),
             },
-            probe_price: self.probes.map_or(0.0, |probes| probes.price),
-            reports: self.reports.as_ref().map_or(lemonusher::Reports::None, |reports| match reports.how {
-                ReportedWith::Nothing => lemonusher::Reports::None,
-                ReportedWith::Answers => lemonusher::Reports::WithAnswers,
-                ReportedWith::Probes => lemonusher::Reports::WhenProbed,
+            probe_cost: self.probes.map_or(0.0, |probes| probes.price),
+            load_reporting: self.reports.as_ref().map_or(lemonusher::LoadReporting::None, |reports| {
+                match reports.how {
+                    ReportedWith::Nothing => lemonusher::LoadReporting::None,
+                    ReportedWith::Answers => lemonusher::LoadReporting::WithResponses,
+                    ReportedWith::Probes => lemonusher::LoadReporting::WithProbes,
+                }
             }),
-            note_period: span(self.notes.unwrap_or(1.0)),
-            repeats_marked: self.clients.is_none_or(|clients| clients.marked),
+            progress_interval: span(self.notes.unwrap_or(1.0)),
+            retries_marked: self.clients.is_none_or(|clients| clients.marked),
             ..Deployment::default()
         }
     }
--- a/crates/testing/emulator/tests/collapse.rs
+++ b/crates/testing/emulator/tests/collapse.rs
@@ -1,5 +1,5 @@
 //! Six in ten engines of a fleet with 300 fronts are replaced within seconds. Once the new engines are warm, each
-//! service group must be served as before: a fleet that rejects ever more for no present cause has collapsed.
+//! request class must be served as before: a fleet that rejects ever more for no present cause has collapsed.
 
 use lemonusher_emulator::{Fault, Report, SPAN_SECONDS, World, play};
 use std::sync::Mutex;
@@ -33,7 +33,7 @@
     (first.parse().unwrap()..=last.parse().unwrap()).collect()
 }
 
-/// Served of each service group in each span, and what was rejected, in hundredths.
+/// Served of each request class in each span, and what was rejected, in hundredths.
 fn proof(name: &str, seed: u64, world: &World, report: &Report, seconds: f64) -> String {
     let spans = (world.seconds / SPAN_SECONDS) as usize;
     let spans = &report.tally.spans[..spans.min(report.tally.spans.len())];
--- a/crates/testing/emulator/tests/emulator.rs
+++ b/crates/testing/emulator/tests/emulator.rs
@@ -13,10 +13,10 @@
     let until = |engine: &mut Engine, number: u64| {
         (1..).find(|_| engine.run(0.01, 1.0).contains(&Finished(number))).unwrap() as f64 * 0.01
     };
-    let alone = |batches: u64, memory: f64| {
+    let alone = |requests: u64, memory: f64| {
         let mut engine = Engine::new(4.0, 1000.0, 0.2);
-        (0..batches).for_each(|number| engine.put(number, work(1.0, 1.0, memory, false)));
-        until(&mut engine, batches - 1)
+        (0..requests).for_each(|number| engine.put(number, work(1.0, 1.0, memory, false)));
+        until(&mut engine, requests - 1)
     };
     let (one, full, twice, paging) = (alone(1, 10.0), alone(4, 10.0), alone(8, 10.0), alone(4, 500.0));
     assert!((one - 1.0).abs() < 0.02 && (full - 1.0).abs() < 0.02, "{one} {full}");
@@ -37,7 +37,7 @@
     assert_eq!(a, b);
     assert_ne!(a.digest, c.digest);
     assert!(a.asked > 1500 && a.returned * 10 > a.asked * 7, "{} of {}", a.returned, a.asked);
-    assert!(a.dispatches > a.returned && a.errored > 0 && a.pushed_back > 0);
+    assert!(a.attempts > a.returned && a.errored > 0 && a.pushed_back > 0);
 }
 
 #[test]
--- a/crates/testing/fakes/src/lib.rs
+++ b/crates/testing/fakes/src/lib.rs
@@ -410,7 +410,7 @@
         Some(said)
     }
 
-    /// A batch, if one comes within this time.
+    /// A request, if one comes within this time.
     pub fn try_next(&self, span: Duration) -> Option<Said> {
         self.said.recv_timeout(span).ok().filter(|said| said.verb == "serve")
     }
@@ -521,7 +521,7 @@
     frame
 }
 
-/// What a tallying engine does with a batch.
+/// What a tallying engine does with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answers {
     Hit,
@@ -543,7 +543,7 @@
 }
 
 impl Tallying {
-    /// `answers` is asked with the number of each batch, from zero.
+    /// `answers` is asked with the number of each request, from zero.
     pub fn start(answers: impl Fn(usize) -> Answers + Send + Sync + 'static) -> Tallying {
         let engine = Engine::start();
         let tally: Arc<Mutex<Vec<(Instant, String)>>> = Arc::default();
@@ -575,7 +575,7 @@
         Tallying { address, tally }
     }
 
-    /// Every batch that was sent there, and when.
+    /// Every request that was sent there, and when.
     pub fn tally(&self) -> Vec<(Instant, String)> {
         self.tally.lock().unwrap().clone()
     }
--- a/crates/tools/scale/src/fleet/setup.rs
+++ b/crates/tools/scale/src/fleet/setup.rs
@@ -12,7 +12,7 @@
 
 /// A task that every front is willing to hold.
 pub const TASK: &str = "account";
-/// Service groups of the plan for lost zones.
+/// Request classes of the plan for lost zones.
 const SERVICE_GROUPS: usize = 4;
 
 /// Which registers fronts follow.
--- a/crates/tools/scale/src/roles/decision.rs
+++ b/crates/tools/scale/src/roles/decision.rs
@@ -2,7 +2,7 @@
 //!
 //! Short requests find a place at once. Where requests are to be held, a part of the same request rate is of a second
 //! class, so wide that no engine lets it in: it is held, drawn again and again, and pushed back at a quarter of its
-//! response goal, as happens under overload. Only the gateway's own processor time is counted. A last case offers the
+//! latency objective, as happens under overload. Only the gateway's own processor time is counted. A last case offers the
 //! same rate to a real front process.
 
 mod host;
--- a/crates/tools/scale/src/roles/decision/host.rs
+++ b/crates/tools/scale/src/roles/decision/host.rs
@@ -3,8 +3,9 @@
 use crate::budget;
 use crate::process::thread_time;
 use lemonusher::{
-    Action, Arrival, BatchId, Cost, Deployment, Duties, Effect, Ending, EngineEntry, EngineId, EngineState,
-    Event, Gateway, LoadReport, Machine, Outcome, Permits, Reports, RosterKind, ServiceTerms,
+    Action, Arrival, AttemptEnd, AttemptOutcome, Capabilities, Deployment, EndpointUpdateKind, EngineEntry,
+    EngineId, EngineState, Event, Gateway, Idempotency, LoadReport, LoadReporting, MachineKind,
+    RequestClassConfig, RequestId, ResourceUsage, SafetyRules,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -36,7 +37,7 @@
 const CORES: f64 = 16.0;
 const MEMORY_MB: f64 = 65_536.0;
 const WORK: Duration = Duration::from_millis(8);
-/// Ticks until a dispatch is answered: from, and up to but not including.
+/// Ticks until an attempt is answered: from, and up to but not including.
 const ANSWER_TICKS: std::ops::Range<u64> = 1..4;
 /// Busy cores that engines report: from, and up to.
 const BUSY: std::ops::Range<f64> = 0.15..0.35;
@@ -53,11 +54,11 @@
 }
 
 impl Telling {
-    fn reports(self) -> Reports {
+    fn reports(self) -> LoadReporting {
         match self {
-            Telling::Never => Reports::None,
-            Telling::WithAnswers | Telling::AllFresh => Reports::WithAnswers,
-            Telling::WhenProbed => Reports::WhenProbed,
+            Telling::Never => LoadReporting::None,
+            Telling::WithAnswers | Telling::AllFresh => LoadReporting::WithResponses,
+            Telling::WhenProbed => LoadReporting::WithProbes,
         }
     }
 }
@@ -82,7 +83,7 @@
     /// Arrivals due that are not yet whole.
     due: f64,
     arrived: u64,
-    waiting: BTreeSet<BatchId>,
+    waiting: BTreeSet<RequestId>,
     answers: BTreeMap<u64, Vec<Event>>,
 }
 
@@ -90,7 +91,7 @@
     /// A host with the list of the warm-up.
     pub fn new(traffic: Traffic) -> Self {
         let mut gateway = Gateway::new(stated(traffic.telling.reports()), traffic.seed);
-        gateway.hear(Duration::ZERO, roster(WARM_ENGINES.min(traffic.engines)));
+        gateway.handle_event(Duration::ZERO, roster(WARM_ENGINES.min(traffic.engines)));
         Host {
             traffic,
             gateway,
@@ -109,7 +110,7 @@
         self.arrived
     }
 
-    /// Requests that wait for a dispatch.
+    /// Requests that wait for an attempt.
     pub fn held(&self) -> usize {
         self.waiting.len()
     }
@@ -120,11 +121,11 @@
         while self.now < WARM_UP {
             self.tick();
         }
-        self.gateway.hear(self.now, roster(self.traffic.engines));
+        self.gateway.handle_event(self.now, roster(self.traffic.engines));
         if self.traffic.telling == Telling::AllFresh {
             for engine in 0..self.traffic.engines {
                 let event = self.probed(engine);
-                self.gateway.hear(self.now, event);
+                self.gateway.handle_event(self.now, event);
             }
         }
         for _ in 0..SETTLE_TICKS {
@@ -135,10 +136,10 @@
     /// One engine goes and another comes. Yields the processor time until each table group was asked of once, and
     /// the ticks that took.
     pub fn replace_one(&mut self) -> (Duration, u32) {
-        let gone = EngineEntry { state: EngineState::Left, ..entry(0) };
-        let changes = Event::Roster(RosterKind::Changes, vec![gone, entry(self.traffic.engines)]);
+        let gone = EngineEntry { state: EngineState::Removed, ..entry(0) };
+        let changes = Event::Endpoints(EndpointUpdateKind::Delta, vec![gone, entry(self.traffic.engines)]);
         let begun = thread_time();
-        self.gateway.hear(self.now, changes);
+        self.gateway.handle_event(self.now, changes);
         let heard = thread_time().saturating_sub(begun);
         let ticks: Duration = (0..SETTLE_TICKS).map(|_| self.tick()).sum();
         (heard + ticks, SETTLE_TICKS as u32)
@@ -157,7 +158,7 @@
         }
         let begun = thread_time();
         for event in events {
-            self.gateway.hear(self.now, event);
+            self.gateway.handle_event(self.now, event);
         }
         let actions = self.gateway.decide(self.now);
         let spent = thread_time().saturating_sub(begun);
@@ -170,58 +171,61 @@
     fn arrival(&mut self) -> Event {
         let wide_a_second = f64::from(self.traffic.held) / (WIDE_GOAL.as_secs_f64() * GIVEN_UP_AFTER);
         let wide = self.random.random_bool((wide_a_second / f64::from(budget::REQUESTS_A_SECOND)).min(1.0));
-        let batch: BatchId = format!("{:016x}", self.arrived).into();
+        let request: RequestId = format!("{:016x}", self.arrived).into();
         let table_group = self.arrived % TABLE_GROUPS;
         self.arrived += 1;
-        self.waiting.insert(batch.clone());
+        self.waiting.insert(request.clone());
         Event::Arrived(Arrival {
-            batch,
-            service_group: if wide { WIDE } else { SHORT },
+            request,
+            request_class: if wide { WIDE } else { SHORT },
             table_group,
             key: None,
-            patience: if wide { WIDE_LIMIT } else { SHORT_LIMIT },
+            client_timeout: if wide { WIDE_LIMIT } else { SHORT_LIMIT },
             work: None,
             memory_mb: 0.0,
-            repeat: false,
+            client_retry: false,
         })
     }
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Dispatch { batch, engine, .. } => {
-                self.waiting.remove(&batch);
+            Action::Send { request, engine, .. } => {
+                self.waiting.remove(&request);
                 let ticks = self.random.random_range(ANSWER_TICKS);
-                let answer = self.answer(batch, engine, TICK * ticks as u32);
+                let answer = self.answer(request, engine, TICK * ticks as u32);
                 self.answers.entry(self.tick + ticks).or_default().push(answer);
             }
             Action::Probe { engine } => {
                 let answer = self.probed(engine);
                 self.answers.entry(self.tick + 1).or_default().push(answer);
             }
-            Action::PushBack { batch, .. } | Action::Error { batch } => {
-                self.waiting.remove(&batch);
+            Action::Reject { request, .. } | Action::Fail { request } => {
+                self.waiting.remove(&request);
             }
-            Action::Rank { .. } | Action::Cancel { .. } | Action::Wake { .. } | Action::Follow => {}
+            Action::SetPriority { .. }
+            | Action::Cancel { .. }
+            | Action::SetTimer { .. }
+            | Action::WatchEndpoints => {}
         }
     }
 
-    fn answer(&mut self, batch: BatchId, engine: EngineId, after: Duration) -> Event {
-        let with_answers = self.traffic.telling.reports() == Reports::WithAnswers;
-        Event::Ended(Ending {
-            batch,
-            dispatch: 0,
+    fn answer(&mut self, request: RequestId, engine: EngineId, after: Duration) -> Event {
+        let with_answers = self.traffic.telling.reports() == LoadReporting::WithResponses;
+        Event::AttemptEnded(AttemptEnd {
+            request,
+            attempt: 0,
             engine,
-            after,
-            outcome: Outcome::Returned,
-            over: true,
-            cost: Some(Cost { work: WORK, memory_mb: 1.0 }),
+            elapsed: after,
+            outcome: AttemptOutcome::Returned,
+            request_finished: true,
+            usage: Some(ResourceUsage { work: WORK, memory_mb: 1.0 }),
             load: with_answers.then(|| self.report()),
         })
     }
 
     fn probed(&mut self, engine: EngineId) -> Event {
         let load = Some(self.report());
-        Event::Probed { engine, answered: true, after: TICK, load }
+        Event::ProbeEnded { engine, answered: true, elapsed: TICK, load }
     }
 
     fn report(&mut self) -> LoadReport {
@@ -230,67 +234,62 @@
 }
 
 fn entry(engine: EngineId) -> EngineEntry {
-    EngineEntry {
-        engine,
-        location: engine % budget::ZONES,
-        state: EngineState::Active,
-        ..EngineEntry::default()
-    }
+    EngineEntry { engine, zone: engine % budget::ZONES, state: EngineState::Active, ..EngineEntry::default() }
 }
 
 fn roster(engines: u32) -> Event {
-    Event::Roster(RosterKind::Full, (0..engines).map(entry).collect())
+    Event::Endpoints(EndpointUpdateKind::Full, (0..engines).map(entry).collect())
 }
 
 /// A deployment of the design size in fronts, with the values of `docs/front-example.json`.
-fn stated(reports: Reports) -> Deployment {
-    let short = ServiceTerms {
-        response_goal: SHORT_GOAL,
-        stretch: 1.5,
-        time_limit: SHORT_LIMIT,
-        utility: 1.0,
-        effect: Effect::Repeatable,
+fn stated(reports: LoadReporting) -> Deployment {
+    let short = RequestClassConfig {
+        latency_objective: SHORT_GOAL,
+        objective_work_factor: 1.5,
+        deadline: SHORT_LIMIT,
+        priority_weight: 1.0,
+        idempotency: Idempotency::Idempotent,
         threads: 1.0,
-        ..ServiceTerms::default()
+        ..RequestClassConfig::default()
     };
-    let wide = ServiceTerms {
-        response_goal: WIDE_GOAL,
-        stretch: 0.0,
-        time_limit: WIDE_LIMIT,
+    let wide = RequestClassConfig {
+        latency_objective: WIDE_GOAL,
+        objective_work_factor: 0.0,
+        deadline: WIDE_LIMIT,
         threads: WIDE_THREADS,
         ..short.clone()
     };
     Deployment {
         fronts: budget::FRONTS,
-        service_groups: vec![short, wide],
-        machines: vec![Machine { cores: CORES, memory_mb: MEMORY_MB }],
+        request_classes: vec![short, wide],
+        machine_kinds: vec![MachineKind { cores: CORES, memory_mb: MEMORY_MB }],
         tick: TICK,
-        permits: permits(),
-        duties: duties(),
-        reports,
+        capabilities: permits(),
+        safety_rules: duties(),
+        load_reporting: reports,
         ..Deployment::default()
     }
 }
 
-fn permits() -> Permits {
-    Permits {
+fn permits() -> Capabilities {
+    Capabilities {
         probes: true,
         cancel: true,
-        come_back: true,
-        longest_come_back: Duration::from_secs(2),
-        most_dispatches: 4,
+        retry_after: true,
+        max_retry_after: Duration::from_secs(2),
+        max_attempts: 4,
         connect_timeout: Duration::from_millis(250),
-        ..Permits::default()
+        ..Capabilities::default()
     }
 }
 
-fn duties() -> Duties {
-    Duties {
+fn duties() -> SafetyRules {
+    SafetyRules {
         drain_grace: Duration::from_secs(2),
-        cold_from: 0.34,
-        cold_for: Duration::from_secs(14),
-        fall_multiple: 3.0,
-        fall_after: Duration::from_millis(1_500),
-        ..Duties::default()
+        slow_start_share: 0.34,
+        slow_start_window: Duration::from_secs(14),
+        overload_factor: 3.0,
+        overload_window: Duration::from_millis(1_500),
+        ..SafetyRules::default()
     }
 }
--- a/crates/tools/scale/src/roles/maintenance/sites.rs
+++ b/crates/tools/scale/src/roles/maintenance/sites.rs
@@ -16,7 +16,7 @@
 const LOST: u32 = 1;
 /// Machines of a zone that a front has tried within a period, at most.
 const TRIED: u32 = 64;
-/// Seconds of work of one request, by service group.
+/// Seconds of work of one request, by request class.
 const WORKS: [f64; 4] = [0.01, 0.05, 0.5, 4.0];
 const SPAN: f64 = 0.02;
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Service groups whose demand fills a part of this many machines, each group alike.
+/// Request classes whose demand fills a part of this many machines, each group alike.
 pub fn groups(machines: u32) -> Vec<Group> {
     let all = f64::from(machines * CORES) * UTILIZATION;
     let each = all / WORKS.len() as f64;
--- a/crates/tools/simhost/src/main.rs
+++ b/crates/tools/simhost/src/main.rs
@@ -5,7 +5,7 @@
 #[allow(non_camel_case_types, clippy::upper_case_acronyms)]
 mod wire;
 
-use lemonusher::{Action, Event, Gateway, RosterKind};
+use lemonusher::{Action, EndpointUpdateKind, Event, Gateway};
 use lemonusher_deployment::{deployment, span};
 use serde::de::IgnoredAny;
 use std::collections::{BTreeMap, BTreeSet};
@@ -102,42 +102,46 @@
             }
             Msg::PEERS_KNOWN { front_id, roster_id, mode } => {
                 let kind = match mode {
-                    Mode::Update => RosterKind::Changes,
-                    Mode::Replace => RosterKind::Full,
-                    Mode::Restored => RosterKind::Restored,
-                    Mode::Unavailable => return self.tell(now, front_id, |_| Some(Event::RosterUnavailable)),
+                    Mode::Update => EndpointUpdateKind::Delta,
+                    Mode::Replace => EndpointUpdateKind::Full,
+                    Mode::Restored => EndpointUpdateKind::Restored,
+                    Mode::Unavailable => {
+                        return self.tell(now, front_id, |_| Some(Event::DiscoveryUnavailable));
+                    }
                 };
                 let Some(list) = self.rosters.get(&roster_id) else {
                     eprintln!("list {roster_id} for instance {front_id} is not known: ignored");
                     return;
                 };
                 let entries = list.iter().map(translate::entry).collect();
-                self.tell(now, front_id, |_| Some(Event::Roster(kind, entries)));
+                self.tell(now, front_id, |_| Some(Event::Endpoints(kind, entries)));
             }
             Msg::INGRESS(ingress) => {
                 self.tell(now, ingress.front_id, |_| Some(translate::arrival(ingress)));
             }
-            Msg::BEGUN { front_id, call } => self.tell(now, front_id, |_| Some(Event::Began(call.into()))),
+            Msg::BEGUN { front_id, call } => {
+                self.tell(now, front_id, |_| Some(Event::ResponseStarted(call.into())))
+            }
             Msg::PROGRESS { front_id, call, n, engine, what, level } => self.tell(now, front_id, |_| {
                 let note = translate::note(what, level)?;
-                Some(Event::Noted { batch: call.into(), dispatch: n, engine, note })
+                Some(Event::Progress { request: call.into(), attempt: n, engine, progress: note })
             }),
             Msg::REPLY(ended) => {
                 self.tell(now, ended.front_id, |reading| Some(reading.ending(ended)));
             }
             Msg::CLIENT_LEFT { front_id, call } => {
-                self.tell(now, front_id, |_| Some(Event::Left(call.into())));
+                self.tell(now, front_id, |_| Some(Event::ClientGone(call.into())));
             }
-            Msg::RING { front_id } => self.tell(now, front_id, |_| Some(Event::Woke)),
+            Msg::RING { front_id } => self.tell(now, front_id, |_| Some(Event::TimerFired)),
             Msg::HEALTH { front_id, cost_time_us, code, engine, gauge } => {
                 self.tell(now, front_id, |reading| {
                     let answered = code == wire::Code::Done;
                     let after = span(cost_time_us);
-                    Some(Event::Probed { engine, answered, after, load: reading.gauge(gauge) })
+                    Some(Event::ProbeEnded { engine, answered, elapsed: after, load: reading.gauge(gauge) })
                 })
             }
             Msg::PEER_DATA { front_id, sender, data } => {
-                self.tell(now, front_id, |_| Some(Event::Message { from: sender, data }));
+                self.tell(now, front_id, |_| Some(Event::PeerMessage { from: sender, data }));
             }
         }
     }
@@ -149,7 +153,7 @@
         };
         self.heard.insert(front);
         let Some(event) = event(&instance.reading) else { return };
-        if let Err(panic) = catch_unwind(AssertUnwindSafe(|| instance.gateway.hear(now, event))) {
+        if let Err(panic) = catch_unwind(AssertUnwindSafe(|| instance.gateway.handle_event(now, event))) {
             self.crashes.push(crash(front, panic));
         }
     }
--- a/crates/tools/simhost/src/translate.rs
+++ b/crates/tools/simhost/src/translate.rs
@@ -25,92 +25,92 @@
     }
 
     pub fn ending(&self, ended: Ended) -> Event {
-        let cost = (self.says_cost && ended.code == Code::Done && ended.note > 0).then(|| Cost {
+        let cost = (self.says_cost && ended.code == Code::Done && ended.note > 0).then(|| ResourceUsage {
             work: Duration::from_millis(ended.note / 4096),
             memory_mb: (ended.note % 4096) as f64 * 4.0,
         });
-        Event::Ended(Ending {
-            batch: ended.call.into(),
-            dispatch: ended.n,
+        Event::AttemptEnded(AttemptEnd {
+            request: ended.call.into(),
+            attempt: ended.n,
             engine: ended.engine,
-            after: span(ended.cost_time_us),
+            elapsed: span(ended.cost_time_us),
             outcome: outcome(ended.code),
-            over: ended.no_more,
-            cost,
+            request_finished: ended.no_more,
+            usage: cost,
             load: self.gauge(ended.gauge),
         })
     }
 }
 
-fn outcome(code: Code) -> Outcome {
+fn outcome(code: Code) -> AttemptOutcome {
     match code {
-        Code::Done => Outcome::Returned,
-        Code::Err => Outcome::Errored,
-        Code::Busy => Outcome::Full,
-        Code::Etimedout => Outcome::TimedOut,
-        Code::Econnrefused => Outcome::NoConnection,
-        Code::Econnreset => Outcome::Reset,
-        Code::Ecanceled => Outcome::Cancelled,
-        Code::Skipped => Outcome::NotSent,
+        Code::Done => AttemptOutcome::Returned,
+        Code::Err => AttemptOutcome::Errored,
+        Code::Busy => AttemptOutcome::Rejected,
+        Code::Etimedout => AttemptOutcome::TimedOut,
+        Code::Econnrefused => AttemptOutcome::ConnectFailed,
+        Code::Econnreset => AttemptOutcome::Reset,
+        Code::Ecanceled => AttemptOutcome::Cancelled,
+        Code::Skipped => AttemptOutcome::NotSent,
     }
 }
 
 pub fn entry(entry: &Entry) -> EngineEntry {
     EngineEntry {
         engine: entry.engine,
-        location: entry.campus,
+        zone: entry.campus,
         cell: entry.unit_group,
-        kind: entry.generation_hw,
+        machine_kind: entry.generation_hw,
         state: match entry.state {
             State::Active => EngineState::Active,
-            State::Leaving => EngineState::Leaving,
-            State::Left => EngineState::Left,
+            State::Leaving => EngineState::Draining,
+            State::Left => EngineState::Removed,
         },
-        started: span(entry.started_at_us),
-        barred: 0,
+        started_at: span(entry.started_at_us),
+        blocked_classes: 0,
     }
 }
 
 pub fn arrival(ingress: Ingress) -> Event {
     Event::Arrived(Arrival {
-        batch: ingress.call.into(),
-        service_group: ingress.grade,
+        request: ingress.call.into(),
+        request_class: ingress.grade,
         table_group: ingress.tables,
         key: ingress.relation,
-        patience: span(ingress.time_budget_us),
+        client_timeout: span(ingress.time_budget_us),
         work: ingress.estimate_us.filter(|work| *work > 0).map(span),
         memory_mb: ingress.footprint_mb,
-        repeat: ingress.is_retry,
+        client_retry: ingress.is_retry,
     })
 }
 
-pub fn note(what: u32, level: f64) -> Option<Note> {
+pub fn note(what: u32, level: f64) -> Option<AttemptProgress> {
     match what {
-        1 => Some(Note::Progress(level)),
-        2 => Some(Note::Spills(level)),
-        3 if level >= 2.0 => Some(Note::WaitsForLoad),
-        3 => Some(Note::WaitsForMemory),
+        1 => Some(AttemptProgress::Done(level)),
+        2 => Some(AttemptProgress::Spilling(level)),
+        3 if level >= 2.0 => Some(AttemptProgress::WaitingForBulkLoad),
+        3 => Some(AttemptProgress::WaitingForMemory),
         _ => None,
     }
 }
 
 pub fn command(front_id: u32, action: Action) -> Cmd {
     match action {
-        Action::Rank { batch, priority, memory_mb } => {
-            Cmd::ASSIGN_TERMS { front_id, call: batch.to_string(), prio: priority, workspace_mb: memory_mb }
+        Action::SetPriority { request, priority, memory_mb } => {
+            Cmd::ASSIGN_TERMS { front_id, call: request.to_string(), prio: priority, workspace_mb: memory_mb }
         }
-        Action::Dispatch { batch, engine, time_out, .. } => {
-            Cmd::RELAY { front_id, call: batch.to_string(), try_for_us: us(time_out), engine }
+        Action::Send { request, engine, timeout: time_out, .. } => {
+            Cmd::RELAY { front_id, call: request.to_string(), try_for_us: us(time_out), engine }
         }
-        Action::Cancel { batch, dispatch } => {
-            Cmd::DROP_ATTEMPT { front_id, call: batch.to_string(), n: dispatch }
+        Action::Cancel { request, attempt } => {
+            Cmd::DROP_ATTEMPT { front_id, call: request.to_string(), n: attempt }
         }
-        Action::PushBack { batch, come_back } => {
-            Cmd::DECLINE { front_id, call: batch.to_string(), stay_away_us: come_back.map_or(0, us) }
+        Action::Reject { request, retry_after: come_back } => {
+            Cmd::DECLINE { front_id, call: request.to_string(), stay_away_us: come_back.map_or(0, us) }
         }
-        Action::Error { batch } => Cmd::DROP_REQUEST { front_id, call: batch.to_string() },
-        Action::Wake { at } => Cmd::ARM { front_id, fire_at_us: us(at), ctx: "due" },
+        Action::Fail { request } => Cmd::DROP_REQUEST { front_id, call: request.to_string() },
+        Action::SetTimer { at } => Cmd::ARM { front_id, fire_at_us: us(at), ctx: "due" },
         Action::Probe { engine } => Cmd::TEST { front_id, engine },
-        Action::Follow => Cmd::KEEP_INFORMED { front_id, want: true },
+        Action::WatchEndpoints => Cmd::KEEP_INFORMED { front_id, want: true },
     }
 }
--- a/src/candidate.rs
+++ b/src/candidate.rs
@@ -1,13 +1,13 @@
-//! An engine as the batches of one service group see it within one scan.
+//! An engine as the requests of one request class see it within one scan.
 
 use crate::interface::EngineId;
 
-/// What an engine is to the batches of one service group. None of it changes within a scan until a dispatch.
+/// What an engine is to the requests of one request class. None of it changes within a scan until an attempt.
 #[derive(Clone, Copy)]
 pub(crate) struct Candidate {
     /// Which engine.
     pub(crate) engine: EngineId,
-    /// Whether the rules and the engine's health let such a batch go there.
+    /// Whether the rules and the engine's health let such a request go there.
     pub(crate) usable: bool,
     /// Whether it has started so lately that it is not warm yet.
     pub(crate) cold: bool,
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -1,18 +1,18 @@
 //! What the gateway keeps of each engine and each request class. Nothing here decides.
 
-use crate::interface::{EngineEntry, LoadReport, ServiceTerms};
+use crate::interface::{EngineEntry, LoadReport, RequestClassConfig};
 use crate::statistics::Fading;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What is stated and learned of one request class (service group).
+/// What is stated and learned of one request class (request class).
 pub(crate) struct RequestClass {
-    pub(crate) terms: ServiceTerms,
+    pub(crate) terms: RequestClassConfig,
     /// The priority its attempts are given: 0 is the lowest.
     pub(crate) priority: u8,
     /// Work of a request, in seconds on one thread.
     pub(crate) work: Fading,
-    /// Time from dispatch to return: the logarithm of seconds, whose mean tells the usual.
+    /// Time from attempt to return: the logarithm of seconds, whose mean tells the usual.
     pub(crate) log_span: Fading,
     /// Memory that a request needs, in MB, as answers tell.
     pub(crate) memory: Fading,
@@ -78,7 +78,7 @@
 impl Engine {
     /// Whether it started less than the stated time ago.
     pub(crate) fn cold(&self, now: Duration, cold_for: Duration) -> bool {
-        let started = self.entry.started;
+        let started = self.entry.started_at;
         started > Duration::ZERO && now < started + cold_for
     }
 
@@ -95,8 +95,8 @@
         let step = |count: &mut u32| *count = if begins { *count + 1 } else { count.saturating_sub(1) };
         step(&mut self.out);
         step(&mut self.rows[index]);
-        if class.terms.load || class.terms.waits_for_loads {
-            let groups = if class.terms.load { &mut self.loads } else { &mut self.readers };
+        if class.terms.bulk_load || class.terms.waits_for_bulk_loads {
+            let groups = if class.terms.bulk_load { &mut self.loads } else { &mut self.readers };
             step(groups.entry(tables).or_default());
             groups.retain(|_, count| *count > 0);
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A batch's id, kept as the caller gave it.
-pub type BatchId = Arc<str>;
+/// A request's id, kept as the caller gave it.
+pub type RequestId = Arc<str>;
 /// An engine's id.
 pub type EngineId = u32;
 
@@ -13,176 +13,176 @@
 pub struct Deployment {
     /// How many fronts the deployment runs.
     pub fronts: u32,
-    /// This front's number among them.
-    pub number: u32,
-    /// Where this front stands.
-    pub location: u32,
-    pub service_groups: Vec<ServiceTerms>,
+    /// This front's index among them.
+    pub front_index: u32,
+    /// The zone of this front.
+    pub zone: u32,
+    pub request_classes: Vec<RequestClassConfig>,
     /// One entry a kind of machine.
-    pub machines: Vec<Machine>,
+    pub machine_kinds: Vec<MachineKind>,
     pub tick: Duration,
-    pub permits: Permits,
-    /// What one probe a batch costs, as a share of the utility asked for; zero where it is not stated.
-    pub probe_price: f64,
-    pub duties: Duties,
+    pub capabilities: Capabilities,
+    /// What one probe a request costs, as a share of the priority weight asked for; zero where it is not stated.
+    pub probe_cost: f64,
+    pub safety_rules: SafetyRules,
     pub discovery: Discovery,
-    pub reports: Reports,
-    /// Time between progress notes; zero for none.
-    pub note_period: Duration,
-    /// Whether a priority given with a batch is heeded.
+    pub load_reporting: LoadReporting,
+    /// Time between progress reports of an attempt; zero for none.
+    pub progress_interval: Duration,
+    /// Whether a priority given with a request is heeded.
     pub priorities: bool,
-    /// Whether a memory grant given with a batch is heeded.
-    pub grants: bool,
-    /// Whether clients mark the batches they ask again.
-    pub repeats_marked: bool,
+    /// Whether a memory grant given with a request is heeded.
+    pub memory_grants: bool,
+    /// Whether clients mark the requests they ask again.
+    pub retries_marked: bool,
 }
 
-/// What is stated of one service group.
+/// What is stated of one request class.
 #[derive(Debug, Clone, Default)]
-pub struct ServiceTerms {
+pub struct RequestClassConfig {
     /// An answer within this time, and `stretch` times its work over its threads, is in time.
-    pub response_goal: Duration,
-    pub stretch: f64,
+    pub latency_objective: Duration,
+    pub objective_work_factor: f64,
     /// The longest that a client waits, over all its tries.
-    pub time_limit: Duration,
-    pub utility: f64,
-    /// Share of the utility that a late answer still earns.
-    pub late_share: f64,
-    pub effect: Effect,
-    /// Batches of one key run one at a time, in the order taken.
+    pub deadline: Duration,
+    pub priority_weight: f64,
+    /// Share of the priority weight that a late answer still earns.
+    pub late_value_share: f64,
+    pub idempotency: Idempotency,
+    /// Requests of one key run one at a time, in the order taken.
     pub ordered: bool,
-    /// The only locations, and kinds of machine, that may be sent to.
-    pub locations: Option<Vec<u32>>,
-    pub kinds: Option<Vec<u32>>,
+    /// The only zones, and kinds of machine, that may be sent to.
+    pub allowed_zones: Option<Vec<u32>>,
+    pub allowed_machine_kinds: Option<Vec<u32>>,
     pub threads: f64,
     /// It holds its table group on its engine while it runs.
-    pub load: bool,
+    pub bulk_load: bool,
     /// It stands still while a load holds its table group there.
-    pub waits_for_loads: bool,
+    pub waits_for_bulk_loads: bool,
 }
 
-impl ServiceTerms {
-    /// Whether an engine stands in a location, and is of a kind, that may be sent to.
-    pub fn permits(&self, entry: &EngineEntry) -> bool {
-        self.locations.as_ref().is_none_or(|list| list.contains(&entry.location))
-            && self.kinds.as_ref().is_none_or(|list| list.contains(&entry.kind))
+impl RequestClassConfig {
+    /// Whether an engine stands in a zone, and is of a kind, that may be sent to.
+    pub fn allows(&self, entry: &EngineEntry) -> bool {
+        self.allowed_zones.as_ref().is_none_or(|list| list.contains(&entry.zone))
+            && self.allowed_machine_kinds.as_ref().is_none_or(|list| list.contains(&entry.machine_kind))
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Effect {
+pub enum Idempotency {
     /// May run again.
     #[default]
-    Repeatable,
+    Idempotent,
     /// Repeats are spotted and dropped by the engines in reach, for a while after the first send.
-    Referenced { reach: Reach, remembered: Duration },
+    IdempotencyKeyed { scope: DeduplicationScope, retention: Duration },
     /// Must never run twice.
-    OnceOnly,
+    NonIdempotent,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reach {
+pub enum DeduplicationScope {
     Everywhere,
-    Location,
+    Zone,
     Cell,
 }
 
 impl Deployment {
     /// Cores of an engine; one where its kind of machine is not stated.
     pub fn cores(&self, entry: &EngineEntry) -> f64 {
-        self.machines.get(entry.kind as usize).map_or(1.0, |machine| machine.cores.max(1.0))
+        self.machine_kinds.get(entry.machine_kind as usize).map_or(1.0, |machine| machine.cores.max(1.0))
     }
 }
 
 #[derive(Debug, Clone, Copy)]
-pub struct Machine {
+pub struct MachineKind {
     pub cores: f64,
     pub memory_mb: f64,
 }
 
 #[derive(Debug, Clone, Default)]
-pub struct Permits {
+pub struct Capabilities {
     pub probes: bool,
-    pub messages: bool,
+    pub peer_messages: bool,
     pub cancel: bool,
-    pub come_back: bool,
-    pub longest_come_back: Duration,
-    /// Two dispatches of a batch may be out at once.
-    pub second_copies: bool,
-    pub most_dispatches: u32,
+    pub retry_after: bool,
+    pub max_retry_after: Duration,
+    /// Two attempts of a request may be out at once.
+    pub hedging: bool,
+    pub max_attempts: u32,
     pub connect_timeout: Duration,
 }
 
 /// The figures behind the rules.
 #[derive(Debug, Clone, Default)]
-pub struct Duties {
+pub struct SafetyRules {
     pub drain_grace: Duration,
-    pub cold_from: f64,
-    pub cold_for: Duration,
-    pub fall_multiple: f64,
-    pub fall_after: Duration,
-    pub settle_after_doubt: Duration,
-    pub ask_within: Duration,
-    pub budget: Option<DispatchBudget>,
+    pub slow_start_share: f64,
+    pub slow_start_window: Duration,
+    pub overload_factor: f64,
+    pub overload_window: Duration,
+    pub unknown_outcome_delay: Duration,
+    pub discovery_poll_deadline: Duration,
+    pub retry_budget: Option<RetryBudget>,
 }
 
-/// Further dispatches allowed in any window of `span`.
+/// Further attempts allowed in any window of `span`.
 #[derive(Debug, Clone, Copy)]
-pub struct DispatchBudget {
-    pub free: f64,
-    pub share: f64,
-    pub span: Duration,
+pub struct RetryBudget {
+    pub free_retries: f64,
+    pub retry_ratio: f64,
+    pub window: Duration,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Discovery {
     #[default]
     Pushed,
-    OnRequest,
+    Polled,
 }
 
 /// How load reports come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Reports {
+pub enum LoadReporting {
     #[default]
     None,
-    WithAnswers,
-    WhenProbed,
+    WithResponses,
+    WithProbes,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum EngineState {
     #[default]
     Active,
-    Leaving,
-    Left,
+    Draining,
+    Removed,
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EngineEntry {
     pub engine: EngineId,
-    pub location: u32,
+    pub zone: u32,
     pub cell: u32,
-    pub kind: u32,
+    pub machine_kind: u32,
     pub state: EngineState,
     /// When it last started; zero for long ago.
-    pub started: Duration,
-    /// A bit for each service group that may not be sent there, whatever else holds. An engine that is barred
+    pub started_at: Duration,
+    /// A bit for each request class that may not be sent there, whatever else holds. An engine that is barred
     /// to all is kept in mind: what it had been sent while cold still counts once it is open again.
-    pub barred: u64,
+    pub blocked_classes: u64,
 }
 
 impl EngineEntry {
-    /// Whether a service group, by its index, may not be sent there, whatever else holds.
-    pub fn bars(&self, service_group: usize) -> bool {
-        self.barred.checked_shr(service_group as u32).is_some_and(|bits| bits & 1 == 1)
+    /// Whether a request class, by its index, may not be sent there, whatever else holds.
+    pub fn blocks(&self, request_class: usize) -> bool {
+        self.blocked_classes.checked_shr(request_class as u32).is_some_and(|bits| bits & 1 == 1)
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RosterKind {
+pub enum EndpointUpdateKind {
     /// Only what has changed.
-    Changes,
+    Delta,
     /// All there is: what is missing has gone.
     Full,
     /// All there was when this front last ran; perhaps stale.
@@ -191,52 +191,52 @@
 
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    pub batch: BatchId,
-    pub service_group: usize,
+    pub request: RequestId,
+    pub request_class: usize,
     pub table_group: u64,
-    /// Key of a batch that keeps order.
+    /// Key of a request that keeps order.
     pub key: Option<u64>,
     /// Time until the client gives up on this try.
-    pub patience: Duration,
+    pub client_timeout: Duration,
     /// Stated work of all its threads; rough.
     pub work: Option<Duration>,
     pub memory_mb: f64,
-    pub repeat: bool,
+    pub client_retry: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Note {
+pub enum AttemptProgress {
     /// Share done.
-    Progress(f64),
+    Done(f64),
     /// Memory missing, in MB.
-    Spills(f64),
-    WaitsForMemory,
-    WaitsForLoad,
+    Spilling(f64),
+    WaitingForMemory,
+    WaitingForBulkLoad,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     Returned,
     Errored,
     /// Turned away unseen.
-    Full,
+    Rejected,
     TimedOut,
-    NoConnection,
+    ConnectFailed,
     Reset,
     Cancelled,
     NotSent,
 }
 
-impl Outcome {
-    /// Whether the outcome proves that the engine never ran the batch.
+impl AttemptOutcome {
+    /// Whether the outcome proves that the engine never ran the request.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::NoConnection | Outcome::NotSent)
+        matches!(self, AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent)
     }
 }
 
-/// What an answer tells of a batch's need.
+/// What an answer tells of a request's need.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Cost {
+pub struct ResourceUsage {
     pub work: Duration,
     pub memory_mb: f64,
 }
@@ -247,98 +247,98 @@
     pub cores_busy: Option<f64>,
     pub disks_busy: Option<f64>,
     pub memory_granted: Option<f64>,
-    /// Batches it holds.
-    pub held: Option<f64>,
-    /// Batches waiting for memory.
-    pub waiting: Option<f64>,
+    /// Requests it holds.
+    pub in_flight: Option<f64>,
+    /// Requests waiting for memory.
+    pub waiting_for_memory: Option<f64>,
 }
 
 #[derive(Debug, Clone)]
-pub struct Ending {
-    pub batch: BatchId,
-    pub dispatch: u32,
+pub struct AttemptEnd {
+    pub request: RequestId,
+    pub attempt: u32,
     pub engine: EngineId,
-    pub after: Duration,
-    pub outcome: Outcome,
-    /// The batch is over, and owes no further answer.
-    pub over: bool,
-    pub cost: Option<Cost>,
+    pub elapsed: Duration,
+    pub outcome: AttemptOutcome,
+    /// The request is over, and owes no further answer.
+    pub request_finished: bool,
+    pub usage: Option<ResourceUsage>,
     pub load: Option<LoadReport>,
 }
 
 /// What the gateway is told.
 #[derive(Debug, Clone)]
 pub enum Event {
-    Roster(RosterKind, Vec<EngineEntry>),
+    Endpoints(EndpointUpdateKind, Vec<EngineEntry>),
     /// A call to discovery failed.
-    RosterUnavailable,
+    DiscoveryUnavailable,
     Arrived(Arrival),
     /// The answer has begun to flow to the client.
-    Began(BatchId),
-    Noted {
-        batch: BatchId,
-        dispatch: u32,
+    ResponseStarted(RequestId),
+    Progress {
+        request: RequestId,
+        attempt: u32,
         engine: EngineId,
-        note: Note,
+        progress: AttemptProgress,
     },
-    Ended(Ending),
+    AttemptEnded(AttemptEnd),
     /// The client has left; nothing more is owed.
-    Left(BatchId),
-    Probed {
+    ClientGone(RequestId),
+    ProbeEnded {
         engine: EngineId,
         answered: bool,
         /// How long ago the probe was sent.
-        after: Duration,
+        elapsed: Duration,
         load: Option<LoadReport>,
     },
-    Message {
+    PeerMessage {
         from: u32,
         data: String,
     },
     /// This front has been told to end; what it has not answered by then is lost.
-    Closing {
-        by: Duration,
+    ShuttingDown {
+        deadline: Duration,
     },
     /// The part of what all fronts may send to a cold engine that is this front's own, from 0 to 1, where fronts
     /// agree on it. Never told, it is one over the number of fronts.
-    Share(f64),
+    Quota(f64),
     /// A wake-up asked for has come.
-    Woke,
+    TimerFired,
 }
 
 /// What the gateway wants done, in this order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Sets priority and memory (0: the engine's choice) of a batch, also of what is out.
-    Rank {
-        batch: BatchId,
+    /// Sets priority and memory (0: the engine's choice) of a request, also of what is out.
+    SetPriority {
+        request: RequestId,
         priority: u8,
         memory_mb: f64,
     },
-    Dispatch {
-        batch: BatchId,
+    Send {
+        request: RequestId,
         engine: EngineId,
-        time_out: Duration,
+        timeout: Duration,
         /// If none of it has been written by then, it must not be any more.
-        begin_by: Option<Duration>,
+        start_by: Option<Duration>,
     },
     Cancel {
-        batch: BatchId,
-        dispatch: u32,
+        request: RequestId,
+        attempt: u32,
     },
-    PushBack {
-        batch: BatchId,
-        come_back: Option<Duration>,
+    Reject {
+        request: RequestId,
+        retry_after: Option<Duration>,
     },
-    Error {
-        batch: BatchId,
+    Fail {
+        request: RequestId,
     },
-    Wake {
+    SetTimer {
         at: Duration,
     },
     Probe {
         engine: EngineId,
     },
     /// Asks discovery for changes from now on.
-    Follow,
+    WatchEndpoints,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,7 +10,6 @@
 //! assert!(gateway.decide(Duration::from_secs(1)).is_empty());
 //! ```
 
-mod batch;
 mod candidate;
 mod engine;
 mod engine_table;
@@ -18,6 +17,7 @@
 mod interface;
 mod logic;
 mod orders;
+mod request;
 mod statistics;
 
 pub use interface::*;
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The work, in seconds, that a batch really takes.
+/// The work, in seconds, that a request really takes.
 const WORK: [f64; 3] = [0.2, 2.4, 6.0];
 const STEP: u64 = 50;
 const STEPS: u64 = 120;
@@ -26,18 +26,18 @@
 /// One fleet before one cold engine, and nothing else to go to: how much was sent at each step, in seconds of work.
 struct Story {
     sent: Vec<f64>,
-    batches: usize,
+    requests: usize,
     bears: f64,
 }
 
 fn play(fronts: u32, seed: u64, knows: bool, again: &[u64]) -> Story {
     let mut chance = Chance(seed.wrapping_mul(7919) + u64::from(fronts));
-    let terms = |number| Deployment { fronts, number, ..stated() };
-    let duties = stated().duties;
-    let bears = duties.fall_multiple * duties.cold_from * 8.0 * duties.fall_after.as_secs_f64();
+    let terms = |number| Deployment { fronts, front_index: number, ..stated() };
+    let duties = stated().safety_rules;
+    let bears = duties.overload_factor * duties.slow_start_share * 8.0 * duties.overload_window.as_secs_f64();
     // The clocks of the fronts have nothing in common but that they go on alike; the engine starts at zero of ours.
     let origins: Vec<u64> = (0..fronts).map(|_| 60_000 + chance.draw() % 50_000).collect();
-    let engine = |number: usize| EngineEntry { started: ms(origins[number]), ..entry(9) };
+    let engine = |number: usize| EngineEntry { started_at: ms(origins[number]), ..entry(9) };
     let start = |number: usize, at: u64, seed| {
         Host::starting(terms(number as u32), seed, ms(origins[number] + at), vec![engine(number)])
     };
@@ -46,7 +46,7 @@
         .map(|number| {
             let mut host = Host::starting(terms(number as u32), seed, ms(origins[number] - 1000), vec![]);
             host.now = ms(origins[number]);
-            host.tell(Event::Roster(RosterKind::Changes, vec![engine(number)]));
+            host.tell(Event::Endpoints(EndpointUpdateKind::Delta, vec![engine(number)]));
             host
         })
         .collect();
@@ -62,7 +62,7 @@
     for step in again {
         restarts.insert(*step, (0..fronts as usize).collect());
     }
-    let mut story = Story { sent: vec![0.0; STEPS as usize], batches: 0, bears };
+    let mut story = Story { sent: vec![0.0; STEPS as usize], requests: 0, bears };
     for step in 0..STEPS {
         for number in restarts.remove(&step).unwrap_or_default() {
             hosts[number] = start(number, step * STEP, seed ^ step);
@@ -72,15 +72,15 @@
             for ask in 0..2 {
                 let group = [SHORT, SHORT, SHORT, REPORT][chance.draw() as usize % 4];
                 let actions = host.ask(&format!("{group}-{step}-{ask}"), group, chance.draw() % 40);
-                for (batch, engine) in sent(&actions).collect::<Vec<_>>() {
-                    let group = usize::from(batch.as_bytes()[0] - b'0'); // It may be one that had been held.
+                for (request, engine) in sent(&actions).collect::<Vec<_>>() {
+                    let group = usize::from(request.as_bytes()[0] - b'0'); // It may be one that had been held.
                     story.sent[step as usize] += WORK[group];
-                    story.batches += 1;
+                    story.requests += 1;
                     // Where answers tell what work there was, the fronts learn it; else from how long it took.
                     let work = Duration::from_secs_f64(WORK[group]);
-                    host.end_with(&batch, 0, engine, Outcome::Returned, |ending| {
-                        ending.cost = knows.then_some(Cost { work, memory_mb: 1.0 });
-                        ending.after = work.div_f64([1.0, 4.0, 2.0][group]);
+                    host.end_with(&request, 0, engine, AttemptOutcome::Returned, |ending| {
+                        ending.usage = knows.then_some(ResourceUsage { work, memory_mb: 1.0 });
+                        ending.elapsed = work.div_f64([1.0, 4.0, 2.0][group]);
                     });
                 }
             }
@@ -91,12 +91,12 @@
 
 #[test]
 fn all_fronts_together_stay_within_what_a_cold_engine_bears_through_their_restarts() {
-    let window = (stated().duties.fall_after.as_millis() as u64 / STEP) as usize;
+    let window = (stated().safety_rules.overload_window.as_millis() as u64 / STEP) as usize;
     for (fronts, seeds) in [(2, 8), (5, 8), (20, 12), (30, 12), (300, 2)] {
         let (mut windows, mut beyond, mut used, mut largest) = (0, 0, 0.0, 0.0f64);
         for seed in 1..=seeds {
             let story = play(fronts, seed, seed % 2 == 0, &[]);
-            let mean = story.sent.iter().sum::<f64>() / (story.batches as f64).max(1.0);
+            let mean = story.sent.iter().sum::<f64>() / (story.requests as f64).max(1.0);
             let allowed = story.bears / mean.max(1e-9);
             for part in story.sent.windows(window) {
                 let sent = part.iter().sum::<f64>() / mean.max(1e-9);
@@ -125,7 +125,7 @@
         let worst = story.sent.windows(30).map(|part| part.iter().sum::<f64>()).fold(0.0, f64::max);
         println!("{fronts} fronts, seed {seed}: {worst:.1} s of {:.1} s", story.bears);
         assert!(worst <= story.bears, "{fronts} fronts: {worst:.1} s of {:.1} s", story.bears);
-        assert!(story.batches > 0);
+        assert!(story.requests > 0);
     }
 }
 
@@ -138,8 +138,11 @@
     let before = host.flood(8, SHORT, 3).len();
     assert!(before >= 6, "{before}");
     host.now = started + ms(500);
-    host.tell(Event::Roster(RosterKind::Changes, vec![EngineEntry { started, ..entry(1) }]));
-    // Six batches of half a second are all of this front's share.
+    host.tell(Event::Endpoints(
+        EndpointUpdateKind::Delta,
+        vec![EngineEntry { started_at: started, ..entry(1) }],
+    ));
+    // Six requests of half a second are all of this front's share.
     let after = host.flood(40, SHORT, 3).len();
     assert!(after + before <= 10, "{before} and {after}");
 }
--- a/tests/decision_equality.rs
+++ b/tests/decision_equality.rs
@@ -35,7 +35,7 @@
     let outlines: Vec<Outline> = (0..SEEDS).map(play).collect();
     let seeds_with = |count: fn(&Outline) -> u32| outlines.iter().filter(|o| count(o) > 0).count() as u64;
     println!("seed 0: {:?}", outlines[0]);
-    assert!(seeds_with(|o| o.dispatches) > SEEDS * 9 / 10);
+    assert!(seeds_with(|o| o.attempts) > SEEDS * 9 / 10);
     assert!(seeds_with(|o| o.push_backs) > SEEDS / 2);
     assert!(seeds_with(|o| o.errors) > SEEDS / 4);
     assert!(seeds_with(|o| o.cancels) > SEEDS / 4);
--- a/tests/histories/mod.rs
+++ b/tests/histories/mod.rs
@@ -3,10 +3,12 @@
 
 mod deployment;
 mod random;
+mod recorded_form;
 
 use deployment::deployment;
 use lemonusher::*;
 use random::Random;
+use recorded_form::recorded_form;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -23,9 +25,9 @@
 /// What a history came to.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Outline {
-    /// Hash of the time and the text of every action.
+    /// Hash of the time and the recorded form of every action.
     pub digest: u64,
-    pub dispatches: u32,
+    pub attempts: u32,
     pub cancels: u32,
     pub probes: u32,
     pub push_backs: u32,
@@ -34,21 +36,21 @@
 
 impl Outline {
     fn note(&mut self, now: Duration, action: &Action) {
-        for byte in format!("{now:?} {action:?}\n").bytes() {
+        for byte in format!("{now:?} {}\n", recorded_form(action)).bytes() {
             self.digest = (self.digest ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
         }
         match action {
-            Action::Dispatch { .. } => self.dispatches += 1,
+            Action::Send { .. } => self.attempts += 1,
             Action::Cancel { .. } => self.cancels += 1,
             Action::Probe { .. } => self.probes += 1,
-            Action::PushBack { .. } => self.push_backs += 1,
-            Action::Error { .. } => self.errors += 1,
-            Action::Rank { .. } | Action::Wake { .. } | Action::Follow => {}
+            Action::Reject { .. } => self.push_backs += 1,
+            Action::Fail { .. } => self.errors += 1,
+            Action::SetPriority { .. } | Action::SetTimer { .. } | Action::WatchEndpoints => {}
         }
     }
 }
 
-/// A dispatch that is out.
+/// An attempt that is out.
 struct Dispatched {
     engine: EngineId,
     at: Duration,
@@ -61,8 +63,8 @@
     deployment: Deployment,
     gateway: Gateway,
     engines: BTreeMap<EngineId, EngineEntry>,
-    out: BTreeMap<(BatchId, u32), Dispatched>,
-    sent: BTreeMap<BatchId, u32>,
+    out: BTreeMap<(RequestId, u32), Dispatched>,
+    sent: BTreeMap<RequestId, u32>,
     /// What comes later, in order of time and then of planning.
     planned: BTreeMap<(Duration, u64), Planned>,
     plans: u64,
@@ -73,8 +75,8 @@
 
 enum Planned {
     Event(Event),
-    Note(BatchId, u32, Note),
-    End(BatchId, u32, Outcome),
+    AttemptProgress(RequestId, u32, AttemptProgress),
+    End(RequestId, u32, AttemptOutcome),
 }
 
 /// Plays the history of one seed.
@@ -111,14 +113,14 @@
         self.happen(now);
         if self.random.one_in(200) {
             let part = self.random.share() / 10.0;
-            self.gateway.hear(now, Event::Share(part));
+            self.gateway.handle_event(now, Event::Quota(part));
         }
         if now == TICK * (TICKS - 40) && self.random.one_in(5) {
-            self.gateway.hear(now, Event::Closing { by: now + TICK * 30 });
+            self.gateway.handle_event(now, Event::ShuttingDown { deadline: now + TICK * 30 });
         }
         for _ in 0..self.random.below(MOST_ARRIVALS_A_TICK + 1) {
             let arrival = self.arrival();
-            self.gateway.hear(now, Event::Arrived(arrival));
+            self.gateway.handle_event(now, Event::Arrived(arrival));
         }
         for action in self.gateway.decide(now) {
             self.outline.note(now, &action);
@@ -136,21 +138,21 @@
         if self.engines.is_empty() {
             let count = self.random.pick(&ENGINE_COUNTS) as u32;
             self.engines = (0..count).map(|number| (number * 3, self.entry(number * 3, now))).collect();
-            let kind = self.random.pick(&[RosterKind::Full, RosterKind::Restored]);
+            let kind = self.random.pick(&[EndpointUpdateKind::Full, EndpointUpdateKind::Restored]);
             let entries = self.engines.values().cloned().collect();
-            self.gateway.hear(now, Event::Roster(kind, entries));
+            self.gateway.handle_event(now, Event::Endpoints(kind, entries));
         } else if self.random.one_in(25) {
             let changed: Vec<EngineEntry> =
                 (0..1 + self.random.below(3)).map(|_| self.changed(now)).collect();
             self.engines.extend(changed.iter().map(|entry| (entry.engine, entry.clone())));
-            self.gateway.hear(now, Event::Roster(RosterKind::Changes, changed));
-            self.engines.retain(|_, entry| entry.state != EngineState::Left);
+            self.gateway.handle_event(now, Event::Endpoints(EndpointUpdateKind::Delta, changed));
+            self.engines.retain(|_, entry| entry.state != EngineState::Removed);
         } else if self.random.one_in(120) {
             let keep: BTreeSet<EngineId> =
                 self.engines.keys().copied().filter(|_| !self.random.one_in(10)).collect();
             self.engines.retain(|engine, _| keep.contains(engine));
             let entries = self.engines.values().cloned().collect();
-            self.gateway.hear(now, Event::Roster(RosterKind::Full, entries));
+            self.gateway.handle_event(now, Event::Endpoints(EndpointUpdateKind::Full, entries));
         }
     }
 
@@ -159,12 +161,12 @@
         let started = if cold { now.saturating_sub(self.random.millis(0, 3_000)) } else { Duration::ZERO };
         EngineEntry {
             engine,
-            location: self.random.below(2) as u32,
+            zone: self.random.below(2) as u32,
             cell: self.random.below(4) as u32,
-            kind: self.random.below(3) as u32,
+            machine_kind: self.random.below(3) as u32,
             state: EngineState::Active,
-            started,
-            barred: if self.random.one_in(15) { self.random.below(8) } else { 0 },
+            started_at: started,
+            blocked_classes: if self.random.one_in(15) { self.random.below(8) } else { 0 },
         }
     }
 
@@ -173,94 +175,98 @@
         if known.is_empty() || self.random.one_in(3) {
             let engine = 1_000 + self.random.below(1_000) as u32;
             let mut entry = self.entry(engine, now);
-            entry.started = now;
+            entry.started_at = now;
             return entry;
         }
         let mut entry = self.engines[&self.random.pick(&known)].clone();
         match self.random.below(4) {
-            0 => entry.state = EngineState::Leaving,
-            1 => entry.state = EngineState::Left,
-            2 => (entry.state, entry.started) = (EngineState::Active, now),
-            _ => entry.barred = self.random.below(8),
+            0 => entry.state = EngineState::Draining,
+            1 => entry.state = EngineState::Removed,
+            2 => (entry.state, entry.started_at) = (EngineState::Active, now),
+            _ => entry.blocked_classes = self.random.below(8),
         }
         entry
     }
 
     fn arrival(&mut self) -> Arrival {
         self.arrived += 1;
-        let service_group = self.random.below(self.deployment.service_groups.len() as u64) as usize;
-        let limit = self.deployment.service_groups[service_group].time_limit;
+        let service_group = self.random.below(self.deployment.request_classes.len() as u64) as usize;
+        let limit = self.deployment.request_classes[service_group].deadline;
         let repeat = self.random.one_in(8);
         // One table group draws most of the traffic, so that it has several homes.
         let table_group = if self.random.one_in(2) { 0 } else { self.random.below(40) };
         Arrival {
-            batch: format!("batch-{}", self.arrived).into(),
-            service_group,
+            request: format!("batch-{}", self.arrived).into(),
+            request_class: service_group,
             table_group,
             key: self.random.one_in(3).then(|| self.random.below(6)),
-            patience: if repeat { limit.mul_f64(0.2 + 0.7 * self.random.share()) } else { limit },
+            client_timeout: if repeat { limit.mul_f64(0.2 + 0.7 * self.random.share()) } else { limit },
             work: None,
             memory_mb: 0.0,
-            repeat,
+            client_retry: repeat,
         }
     }
 
     fn act(&mut self, now: Duration, action: Action) {
         match action {
-            Action::Dispatch { batch, engine, .. } => self.dispatch(now, batch, engine),
-            Action::Cancel { batch, dispatch } => {
+            Action::Send { request, engine, .. } => self.attempt(now, request, engine),
+            Action::Cancel { request, attempt } => {
                 let at = now + self.random.millis(1, 100);
-                self.plan(at, Planned::End(batch, dispatch, Outcome::Cancelled));
+                self.plan(at, Planned::End(request, attempt, AttemptOutcome::Cancelled));
             }
             Action::Probe { engine } => {
                 let after = self.random.millis(1, 60);
                 let answered = !self.random.one_in(12);
                 let load = answered.then(|| self.load());
-                let event = Event::Probed { engine, answered, after, load };
+                let event = Event::ProbeEnded { engine, answered, elapsed: after, load };
                 self.plan(now + after, Planned::Event(event));
             }
-            Action::Follow => {
+            Action::WatchEndpoints => {
                 let at = now + self.random.millis(1, 50);
                 let event = if self.random.one_in(2) {
-                    Event::RosterUnavailable
+                    Event::DiscoveryUnavailable
                 } else {
-                    Event::Roster(RosterKind::Changes, Vec::new())
+                    Event::Endpoints(EndpointUpdateKind::Delta, Vec::new())
                 };
                 self.plan(at, Planned::Event(event));
             }
-            Action::Wake { at } => self.plan(at, Planned::Event(Event::Woke)),
-            Action::Rank { .. } | Action::PushBack { .. } | Action::Error { .. } => {}
+            Action::SetTimer { at } => self.plan(at, Planned::Event(Event::TimerFired)),
+            Action::SetPriority { .. } | Action::Reject { .. } | Action::Fail { .. } => {}
         }
     }
 
-    fn dispatch(&mut self, now: Duration, batch: BatchId, engine: EngineId) {
-        let count = self.sent.entry(batch.clone()).or_default();
+    fn attempt(&mut self, now: Duration, request: RequestId, engine: EngineId) {
+        let count = self.sent.entry(request.clone()).or_default();
         let number = *count;
         *count += 1;
         let cost = self.random.millis(5, 1_500);
-        self.out.insert((batch.clone(), number), Dispatched { engine, at: now, cost });
+        self.out.insert((request.clone(), number), Dispatched { engine, at: now, cost });
         let outcome = match self.random.below(24) {
-            0 => Outcome::Full,
-            1 => Outcome::NoConnection,
-            2 => Outcome::Reset,
-            3 => Outcome::TimedOut,
-            4 => Outcome::Errored,
-            5 => Outcome::NotSent,
-            _ => Outcome::Returned,
+            0 => AttemptOutcome::Rejected,
+            1 => AttemptOutcome::ConnectFailed,
+            2 => AttemptOutcome::Reset,
+            3 => AttemptOutcome::TimedOut,
+            4 => AttemptOutcome::Errored,
+            5 => AttemptOutcome::NotSent,
+            _ => AttemptOutcome::Returned,
         };
         let after = if outcome.never_ran() { self.random.millis(1, 80) } else { cost.mul_f64(self.slowed()) };
-        self.plan(now + after, Planned::End(batch.clone(), number, outcome));
+        self.plan(now + after, Planned::End(request.clone(), number, outcome));
         if self.random.one_in(4) {
             let note = match self.random.below(4) {
-                0 => Note::WaitsForLoad,
-                1 => Note::WaitsForMemory,
-                _ => Note::Progress(self.random.share() * 0.5),
+                0 => AttemptProgress::WaitingForBulkLoad,
+                1 => AttemptProgress::WaitingForMemory,
+                _ => AttemptProgress::Done(self.random.share() * 0.5),
             };
             let at = now + after.mul_f64(self.random.share());
-            self.plan(at, Planned::Note(batch.clone(), number, note));
+            self.plan(at, Planned::AttemptProgress(request.clone(), number, note));
         }
         if self.random.one_in(20) {
-            let event = if self.random.one_in(2) { Event::Left(batch) } else { Event::Began(batch) };
+            let event = if self.random.one_in(2) {
+                Event::ClientGone(request)
+            } else {
+                Event::ResponseStarted(request)
+            };
             self.plan(now + after.mul_f64(0.7), Planned::Event(event));
         }
     }
@@ -273,7 +279,7 @@
         let in_cores = !self.random.one_in(4);
         LoadReport {
             cores_busy: in_cores.then(|| self.random.share()),
-            held: (!in_cores || self.random.one_in(8)).then(|| self.random.below(40) as f64),
+            in_flight: (!in_cores || self.random.one_in(8)).then(|| self.random.below(40) as f64),
             memory_granted: self.random.one_in(4).then(|| self.random.share() * 2.0),
             ..LoadReport::default()
         }
@@ -283,34 +289,35 @@
     fn happen(&mut self, now: Duration) {
         while let Some(first) = self.planned.first_entry().filter(|first| first.key().0 <= now) {
             match first.remove() {
-                Planned::Event(event) => self.gateway.hear(now, event),
-                Planned::Note(batch, dispatch, note) => {
-                    if let Some(out) = self.out.get(&(batch.clone(), dispatch)) {
+                Planned::Event(event) => self.gateway.handle_event(now, event),
+                Planned::AttemptProgress(request, attempt, note) => {
+                    if let Some(out) = self.out.get(&(request.clone(), attempt)) {
                         let engine = out.engine;
-                        self.gateway.hear(now, Event::Noted { batch, dispatch, engine, note });
+                        self.gateway
+                            .handle_event(now, Event::Progress { request, attempt, engine, progress: note });
                     }
                 }
-                Planned::End(batch, dispatch, outcome) => self.end(now, batch, dispatch, outcome),
+                Planned::End(request, attempt, outcome) => self.end(now, request, attempt, outcome),
             }
         }
     }
 
-    fn end(&mut self, now: Duration, batch: BatchId, dispatch: u32, outcome: Outcome) {
-        let Some(out) = self.out.remove(&(batch.clone(), dispatch)) else { return };
-        let returned = outcome == Outcome::Returned;
-        let told = self.deployment.reports == Reports::WithAnswers && !outcome.never_ran();
+    fn end(&mut self, now: Duration, request: RequestId, attempt: u32, outcome: AttemptOutcome) {
+        let Some(out) = self.out.remove(&(request.clone(), attempt)) else { return };
+        let returned = outcome == AttemptOutcome::Returned;
+        let told = self.deployment.load_reporting == LoadReporting::WithResponses && !outcome.never_ran();
         let cost = (returned && !self.random.one_in(3))
-            .then(|| Cost { work: out.cost, memory_mb: self.random.share() * 900.0 });
-        let ending = Ending {
-            batch,
-            dispatch,
+            .then(|| ResourceUsage { work: out.cost, memory_mb: self.random.share() * 900.0 });
+        let ending = AttemptEnd {
+            request,
+            attempt,
             engine: out.engine,
-            after: now.saturating_sub(out.at),
+            elapsed: now.saturating_sub(out.at),
             outcome,
-            over: outcome == Outcome::Errored && self.random.one_in(2),
-            cost,
+            request_finished: outcome == AttemptOutcome::Errored && self.random.one_in(2),
+            usage: cost,
             load: told.then(|| self.load()),
         };
-        self.gateway.hear(now, Event::Ended(ending));
+        self.gateway.handle_event(now, Event::AttemptEnded(ending));
     }
 }
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -12,57 +12,57 @@
 }
 
 pub fn stated() -> Deployment {
-    let short = ServiceTerms {
-        response_goal: ms(1000),
-        stretch: 1.5,
-        time_limit: ms(5000),
-        utility: 1.0,
+    let short = RequestClassConfig {
+        latency_objective: ms(1000),
+        objective_work_factor: 1.5,
+        deadline: ms(5000),
+        priority_weight: 1.0,
         threads: 1.0,
-        waits_for_loads: true,
-        ..ServiceTerms::default()
+        waits_for_bulk_loads: true,
+        ..RequestClassConfig::default()
     };
-    let report = ServiceTerms {
-        response_goal: ms(3000),
-        time_limit: ms(20_000),
+    let report = RequestClassConfig {
+        latency_objective: ms(3000),
+        deadline: ms(20_000),
         threads: 4.0,
-        utility: 10.0,
+        priority_weight: 10.0,
         ..short.clone()
     };
-    let load = ServiceTerms {
-        response_goal: ms(4000),
+    let load = RequestClassConfig {
+        latency_objective: ms(4000),
         threads: 2.0,
-        load: true,
-        waits_for_loads: false,
-        effect: Effect::OnceOnly,
+        bulk_load: true,
+        waits_for_bulk_loads: false,
+        idempotency: Idempotency::NonIdempotent,
         ..report.clone()
     };
     Deployment {
         fronts: 2,
-        service_groups: vec![short, report, load],
-        machines: vec![
-            Machine { cores: 8.0, memory_mb: 16_000.0 },
-            Machine { cores: 8.0, memory_mb: 16_000.0 },
+        request_classes: vec![short, report, load],
+        machine_kinds: vec![
+            MachineKind { cores: 8.0, memory_mb: 16_000.0 },
+            MachineKind { cores: 8.0, memory_mb: 16_000.0 },
         ],
         tick: ms(5),
-        permits: Permits {
+        capabilities: Capabilities {
             cancel: true,
-            come_back: true,
-            longest_come_back: ms(2000),
-            most_dispatches: 4,
+            retry_after: true,
+            max_retry_after: ms(2000),
+            max_attempts: 4,
             connect_timeout: ms(250),
-            ..Permits::default()
+            ..Capabilities::default()
         },
-        duties: Duties {
+        safety_rules: SafetyRules {
             drain_grace: ms(1000),
-            cold_from: 0.3,
-            cold_for: ms(14_000),
-            fall_multiple: 3.0,
-            fall_after: ms(1500),
-            settle_after_doubt: ms(700),
-            ask_within: ms(10_000),
-            budget: None,
+            slow_start_share: 0.3,
+            slow_start_window: ms(14_000),
+            overload_factor: 3.0,
+            overload_window: ms(1500),
+            unknown_outcome_delay: ms(700),
+            discovery_poll_deadline: ms(10_000),
+            retry_budget: None,
         },
-        note_period: ms(1000),
+        progress_interval: ms(1000),
         priorities: true,
         ..Deployment::default()
     }
@@ -86,7 +86,7 @@
     /// A front that starts at this time of its own clock.
     pub fn starting(stated: Deployment, seed: u64, now: Duration, entries: Vec<EngineEntry>) -> Host {
         let mut host = Host { gateway: Gateway::new(stated, seed), now, count: 0 };
-        host.tell(Event::Roster(RosterKind::Restored, entries));
+        host.tell(Event::Endpoints(EndpointUpdateKind::Restored, entries));
         host
     }
 
@@ -95,19 +95,19 @@
     }
 
     pub fn tell(&mut self, event: Event) -> Vec<Action> {
-        self.gateway.hear(self.now, event);
+        self.gateway.handle_event(self.now, event);
         self.gateway.decide(self.now)
     }
 
     pub fn wait(&mut self, span: Duration) -> Vec<Action> {
         self.now += span;
-        self.tell(Event::Woke)
+        self.tell(Event::TimerFired)
     }
 
-    /// A batch arrives; what is done at once.
+    /// A request arrives; what is done at once.
     pub fn ask(&mut self, id: &str, group: usize, tables: u64) -> Vec<Action> {
         let patience = [5000, 20_000, 20_000][group];
-        self.ask_with(id, group, tables, |arrival| arrival.patience = ms(patience))
+        self.ask_with(id, group, tables, |arrival| arrival.client_timeout = ms(patience))
     }
 
     pub fn ask_with(
@@ -118,20 +118,20 @@
         shape: impl Fn(&mut Arrival),
     ) -> Vec<Action> {
         let mut arrival = Arrival {
-            batch: id.into(),
-            service_group: group,
+            request: id.into(),
+            request_class: group,
             table_group: tables,
             key: None,
-            patience: ms(4000),
+            client_timeout: ms(4000),
             work: None,
             memory_mb: 0.0,
-            repeat: false,
+            client_retry: false,
         };
         shape(&mut arrival);
         self.tell(Event::Arrived(arrival))
     }
 
-    /// `count` batches arrive; how many were dispatched, and where.
+    /// `count` requests arrive; how many were dispatched, and where.
     pub fn flood(&mut self, count: u32, group: usize, tables: u64) -> Vec<EngineId> {
         let mut engines = Vec::new();
         for _ in 0..count {
@@ -142,47 +142,56 @@
         engines
     }
 
-    pub fn end(&mut self, id: &str, dispatch: u32, engine: EngineId, outcome: Outcome) -> Vec<Action> {
-        self.end_with(id, dispatch, engine, outcome, |_| {})
+    pub fn end(&mut self, id: &str, attempt: u32, engine: EngineId, outcome: AttemptOutcome) -> Vec<Action> {
+        self.end_with(id, attempt, engine, outcome, |_| {})
     }
 
     pub fn end_with(
         &mut self,
         id: &str,
-        dispatch: u32,
+        attempt: u32,
         engine: EngineId,
-        outcome: Outcome,
-        shape: impl Fn(&mut Ending),
+        outcome: AttemptOutcome,
+        shape: impl Fn(&mut AttemptEnd),
     ) -> Vec<Action> {
-        let over = outcome == Outcome::Returned;
-        let batch: BatchId = id.into();
+        let over = outcome == AttemptOutcome::Returned;
+        let request: RequestId = id.into();
         let after = ms(100);
-        let mut ending = Ending { batch, dispatch, engine, after, outcome, over, cost: None, load: None };
+        let mut ending = AttemptEnd {
+            request,
+            attempt,
+            engine,
+            elapsed: after,
+            outcome,
+            request_finished: over,
+            usage: None,
+            load: None,
+        };
         shape(&mut ending);
-        self.tell(Event::Ended(ending))
+        self.tell(Event::AttemptEnded(ending))
     }
 
-    pub fn note(&mut self, id: &str, dispatch: u32, engine: EngineId, note: Note) -> Vec<Action> {
-        self.tell(Event::Noted { batch: id.into(), dispatch, engine, note })
+    pub fn note(&mut self, id: &str, attempt: u32, engine: EngineId, note: AttemptProgress) -> Vec<Action> {
+        self.tell(Event::Progress { request: id.into(), attempt, engine, progress: note })
     }
 }
 
 pub fn sent(actions: &[Action]) -> impl Iterator<Item = (String, EngineId)> + '_ {
     actions.iter().filter_map(|action| match action {
-        Action::Dispatch { batch, engine, .. } => Some((batch.to_string(), *engine)),
+        Action::Send { request, engine, .. } => Some((request.to_string(), *engine)),
         _ => None,
     })
 }
 
-/// The engine that the batch went to.
+/// The engine that the request went to.
 pub fn engine_of(actions: &[Action], id: &str) -> Option<EngineId> {
-    sent(actions).find(|(batch, _)| batch == id).map(|(_, engine)| engine)
+    sent(actions).find(|(request, _)| request == id).map(|(_, engine)| engine)
 }
 
 pub fn pushed_back(actions: &[Action], id: &str) -> bool {
-    actions.iter().any(|a| matches!(a, Action::PushBack { batch, .. } if &**batch == id))
+    actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if &**request == id))
 }
 
 pub fn errored(actions: &[Action], id: &str) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Error { batch } if &**batch == id))
+    actions.iter().any(|a| matches!(a, Action::Fail { request } if &**request == id))
 }
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -8,7 +8,8 @@
 #[test]
 fn a_table_group_has_the_same_home_at_every_front() {
     let homes = |number| {
-        let mut host = Host::with(Deployment { number, ..stated() }, (1..=6).map(entry).collect());
+        let mut host =
+            Host::with(Deployment { front_index: number, ..stated() }, (1..=6).map(entry).collect());
         (0..20)
             .map(|t| engine_of(&host.ask(&format!("b{t}"), SHORT, t), &format!("b{t}")))
             .collect::<Vec<_>>()
@@ -23,18 +24,19 @@
     let loading = engine_of(&host.ask("load", LOAD, 9), "load").unwrap();
     let reading = engine_of(&host.ask("read", SHORT, 9), "read").unwrap();
     assert_ne!(loading, reading);
-    host.end("read", 0, reading, Outcome::Returned);
+    host.end("read", 0, reading, AttemptOutcome::Returned);
     let mut host = Host::of(1);
     host.ask("load", LOAD, 9);
     assert_eq!(engine_of(&host.ask("read", SHORT, 9), "read"), None);
     assert!(engine_of(&host.ask("other", SHORT, 8), "other").is_some());
-    assert!(engine_of(&host.end("load", 0, 1, Outcome::Returned), "read").is_some());
+    assert!(engine_of(&host.end("load", 0, 1, AttemptOutcome::Returned), "read").is_some());
 }
 
 #[test]
 fn loads_of_one_group_from_two_fronts_keep_apart_and_off_the_readers_home() {
     let at = |number, group| {
-        let mut host = Host::with(Deployment { number, ..stated() }, (1..=6).map(entry).collect());
+        let mut host =
+            Host::with(Deployment { front_index: number, ..stated() }, (1..=6).map(entry).collect());
         engine_of(&host.ask("a", group, 9), "a").unwrap()
     };
     assert_ne!(at(0, LOAD), at(1, LOAD));
@@ -44,13 +46,13 @@
 #[test]
 fn the_header_keeps_later_readers_from_its_engine() {
     let mut terms = stated();
-    terms.service_groups[LOAD].response_goal = ms(40_000);
+    terms.request_classes[LOAD].latency_objective = ms(40_000);
     let mut host = Host::with(terms, vec![entry(1)]);
     host.ask("reader", SHORT, 9);
     assert_eq!(engine_of(&host.ask("load", LOAD, 9), "load"), None);
     host.wait(ms(2100));
     assert_eq!(engine_of(&host.ask("late", SHORT, 9), "late"), None);
-    let after = host.end("reader", 0, 1, Outcome::Returned);
+    let after = host.end("reader", 0, 1, AttemptOutcome::Returned);
     assert_eq!(engine_of(&after, "load"), Some(1));
     assert_eq!(engine_of(&after, "late"), None);
 }
@@ -59,22 +61,22 @@
 fn once_only_work_goes_again_only_if_it_never_ran() {
     let mut host = Host::of(3);
     let first = engine_of(&host.ask("load", LOAD, 1), "load").unwrap();
-    let second = engine_of(&host.end("load", 0, first, Outcome::NoConnection), "load").unwrap();
+    let second = engine_of(&host.end("load", 0, first, AttemptOutcome::ConnectFailed), "load").unwrap();
     assert_ne!(first, second);
-    let after = host.end("load", 1, second, Outcome::Reset);
+    let after = host.end("load", 1, second, AttemptOutcome::Reset);
     assert!(errored(&after, "load") && !pushed_back(&after, "load"));
     assert_eq!(engine_of(&after, "load"), None);
 }
 
 #[test]
-fn a_batch_out_at_its_limit_is_answered_before_it() {
+fn a_request_out_at_its_limit_is_answered_before_it() {
     let mut host = Host::of(1);
     host.ask("load", LOAD, 1);
     assert!(!errored(&host.wait(ms(19_900)), "load"));
     let last = host.wait(ms(95));
     assert!(errored(&last, "load"));
-    assert!(last.contains(&Action::Cancel { batch: "load".into(), dispatch: 0 }));
-    assert!(!errored(&host.end("load", 0, 1, Outcome::Cancelled), "load"));
+    assert!(last.contains(&Action::Cancel { request: "load".into(), attempt: 0 }));
+    assert!(!errored(&host.end("load", 0, 1, AttemptOutcome::Cancelled), "load"));
 }
 
 #[test]
@@ -82,37 +84,37 @@
     let mut host = Host::with(stated(), vec![]);
     assert!(!pushed_back(&host.ask("a", SHORT, 1), "a"));
     let answer = host.wait(ms(600));
-    let told = |a: &Action| matches!(a, Action::PushBack { come_back: Some(wait), .. } if *wait <= ms(2000));
+    let told = |a: &Action| matches!(a, Action::Reject { retry_after: Some(wait), .. } if *wait <= ms(2000));
     assert!(pushed_back(&answer, "a") && answer.iter().any(told));
 }
 
 #[test]
 fn a_repeat_that_comes_too_late_is_not_served() {
-    let mut host = Host::with(Deployment { repeats_marked: true, ..stated() }, vec![entry(1)]);
-    let late = host.ask_with("late", SHORT, 1, |a| (a.repeat, a.patience) = (true, ms(2000)));
+    let mut host = Host::with(Deployment { retries_marked: true, ..stated() }, vec![entry(1)]);
+    let late = host.ask_with("late", SHORT, 1, |a| (a.client_retry, a.client_timeout) = (true, ms(2000)));
     assert!(pushed_back(&late, "late") && engine_of(&late, "late").is_none());
 }
 
 #[test]
 fn one_quick_repeat_does_not_make_all_first_tries_look_late() {
     let mut host = Host::of(2);
-    let usual = |a: &mut Arrival| a.patience = ms(4300);
+    let usual = |a: &mut Arrival| a.client_timeout = ms(4300);
     for n in 0..9 {
         host.ask_with(&format!("{n}"), SHORT, n, usual);
     }
-    host.ask_with("quick", SHORT, 20, |a| a.patience = ms(4900));
+    host.ask_with("quick", SHORT, 20, |a| a.client_timeout = ms(4900));
     assert!(!pushed_back(&host.ask_with("first", SHORT, 21, usual), "first"));
-    assert!(pushed_back(&host.ask_with("slow", SHORT, 22, |a| a.patience = ms(2000)), "slow"));
+    assert!(pushed_back(&host.ask_with("slow", SHORT, 22, |a| a.client_timeout = ms(2000)), "slow"));
 }
 
 #[test]
 fn a_draining_engine_gets_nothing_and_a_full_list_drops_the_missing() {
     let mut host = Host::of(2);
-    let leaving = EngineEntry { state: EngineState::Leaving, ..entry(1) };
-    host.tell(Event::Roster(RosterKind::Changes, vec![leaving]));
+    let leaving = EngineEntry { state: EngineState::Draining, ..entry(1) };
+    host.tell(Event::Endpoints(EndpointUpdateKind::Delta, vec![leaving]));
     let engines = host.flood(4, SHORT, 3);
     assert!(!engines.is_empty() && engines.iter().all(|e| *e == 2));
-    host.tell(Event::Roster(RosterKind::Full, vec![entry(3)]));
+    host.tell(Event::Endpoints(EndpointUpdateKind::Full, vec![entry(3)]));
     let engines = host.flood(4, SHORT, 3);
     assert!(!engines.is_empty() && engines.iter().all(|e| *e == 3));
 }
@@ -120,20 +122,20 @@
 #[test]
 fn an_engine_barred_to_a_service_group_gets_none_of_it_and_stays_as_cold_as_it_is() {
     let mut host = Host::of(2);
-    let barred = |bits, started| EngineEntry { barred: bits, started, ..entry(1) };
-    host.tell(Event::Roster(RosterKind::Changes, vec![barred(1 << SHORT, ms(0))]));
+    let barred = |bits, started| EngineEntry { blocked_classes: bits, started_at: started, ..entry(1) };
+    host.tell(Event::Endpoints(EndpointUpdateKind::Delta, vec![barred(1 << SHORT, ms(0))]));
     assert!(host.flood(6, SHORT, 3).iter().all(|e| *e == 2));
     assert!(host.flood(6, REPORT, 3).contains(&1));
 
     // Barred to all and opened again within the window, a cold engine takes no second share.
     let mut host = Host::of(0);
     let started = host.now;
-    host.tell(Event::Roster(RosterKind::Changes, vec![barred(0, started)]));
+    host.tell(Event::Endpoints(EndpointUpdateKind::Delta, vec![barred(0, started)]));
     let mut early = 0;
     for turn in 0..15 {
         early += host.flood(20, SHORT, 3).len();
         let bits = if turn % 2 == 0 { u64::MAX } else { 0 };
-        host.tell(Event::Roster(RosterKind::Changes, vec![barred(bits, started)]));
+        host.tell(Event::Endpoints(EndpointUpdateKind::Delta, vec![barred(bits, started)]));
         host.wait(ms(100));
     }
     assert!((1..=10).contains(&early), "{early} went to the cold engine");
@@ -142,27 +144,27 @@
 #[test]
 fn a_cold_engine_gets_no_more_work_than_its_share_in_any_window() {
     let mut host = Host::of(0);
-    let fresh = EngineEntry { started: host.now, ..entry(1) };
-    host.tell(Event::Roster(RosterKind::Changes, vec![fresh]));
+    let fresh = EngineEntry { started_at: host.now, ..entry(1) };
+    host.tell(Event::Endpoints(EndpointUpdateKind::Delta, vec![fresh]));
     let mut early = 0;
     for _ in 0..15 {
         early += host.flood(20, SHORT, 3).len();
         host.wait(ms(100));
     }
-    // Three times 0.3 of 8 cores for 1.5 s bears 10.8 s of work, of which half is ours; a batch weighs 0.5 s.
+    // Three times 0.3 of 8 cores for 1.5 s bears 10.8 s of work, of which half is ours; a request weighs 0.5 s.
     assert!((1..=10).contains(&early), "{early} went to the cold engine");
 }
 
 #[test]
-fn batches_of_one_key_go_one_at_a_time_and_wait_out_a_doubt() {
+fn requests_of_one_key_go_one_at_a_time_and_wait_out_a_doubt() {
     let mut terms = stated();
-    terms.service_groups[SHORT].ordered = true;
+    terms.request_classes[SHORT].ordered = true;
     let mut host = Host::with(terms, vec![entry(1), entry(2)]);
-    let keyed = |a: &mut Arrival| (a.key, a.patience) = (Some(5), ms(5000));
+    let keyed = |a: &mut Arrival| (a.key, a.client_timeout) = (Some(5), ms(5000));
     let first = engine_of(&host.ask_with("first", SHORT, 1, keyed), "first").unwrap();
     assert_eq!(engine_of(&host.ask_with("second", SHORT, 1, keyed), "second"), None);
     assert!(engine_of(&host.ask("free", SHORT, 1), "free").is_some());
-    let after = host.end_with("first", 0, first, Outcome::TimedOut, |e| e.over = true);
+    let after = host.end_with("first", 0, first, AttemptOutcome::TimedOut, |e| e.request_finished = true);
     assert_eq!(engine_of(&after, "second"), None);
     assert_eq!(engine_of(&host.wait(ms(690)), "second"), None);
     assert!(engine_of(&host.wait(ms(60)), "second").is_some());
@@ -171,37 +173,39 @@
 #[test]
 fn a_bound_service_group_stays_where_it_may_go() {
     let mut terms = stated();
-    terms.service_groups[SHORT].locations = Some(vec![1]);
-    let far = EngineEntry { location: 1, ..entry(3) };
+    terms.request_classes[SHORT].allowed_zones = Some(vec![1]);
+    let far = EngineEntry { zone: 1, ..entry(3) };
     let mut host = Host::with(terms, vec![entry(1), entry(2), far]);
     assert_eq!(host.flood(3, SHORT, 4), vec![3; 3]);
-    let again = host.end("flood-1", 0, 3, Outcome::NoConnection);
+    let again = host.end("flood-1", 0, 3, AttemptOutcome::ConnectFailed);
     assert_eq!(sent(&again).count(), 0);
 }
 
 #[test]
-fn further_dispatches_stay_within_their_budget() {
+fn further_attempts_stay_within_their_budget() {
     let mut terms = stated();
-    terms.duties.budget = Some(DispatchBudget { free: 1.0, share: 0.0, span: ms(10_000) });
+    terms.safety_rules.retry_budget =
+        Some(RetryBudget { free_retries: 1.0, retry_ratio: 0.0, window: ms(10_000) });
     let mut host = Host::with(terms, (1..=4).map(entry).collect());
     let a = engine_of(&host.ask("a", SHORT, 1), "a").unwrap();
     let b = engine_of(&host.ask("b", SHORT, 2), "b").unwrap();
-    assert!(engine_of(&host.end("a", 0, a, Outcome::Errored), "a").is_some());
-    assert_eq!(engine_of(&host.end("b", 0, b, Outcome::Errored), "b"), None);
+    assert!(engine_of(&host.end("a", 0, a, AttemptOutcome::Errored), "a").is_some());
+    assert_eq!(engine_of(&host.end("b", 0, b, AttemptOutcome::Errored), "b"), None);
 }
 
 #[test]
 fn referenced_work_in_doubt_goes_only_where_repeats_are_dropped() {
     let mut terms = stated();
-    terms.service_groups[SHORT].effect = Effect::Referenced { reach: Reach::Location, remembered: ms(5000) };
-    let far = |engine| EngineEntry { location: 1, ..entry(engine) };
+    terms.request_classes[SHORT].idempotency =
+        Idempotency::IdempotencyKeyed { scope: DeduplicationScope::Zone, retention: ms(5000) };
+    let far = |engine| EngineEntry { zone: 1, ..entry(engine) };
     let mut host = Host::with(terms, vec![entry(1), entry(2), far(3), far(4)]);
     let first = engine_of(&host.ask("a", SHORT, 1), "a").unwrap();
-    let second = engine_of(&host.end("a", 0, first, Outcome::Reset), "a").unwrap();
+    let second = engine_of(&host.end("a", 0, first, AttemptOutcome::Reset), "a").unwrap();
     assert_eq!(first > 2, second > 2);
-    let gone: Vec<_> = [1, 2, 3, 4].map(|e| EngineEntry { state: EngineState::Left, ..entry(e) }).into();
-    host.tell(Event::Roster(RosterKind::Changes, gone));
-    host.end("a", 1, second, Outcome::Reset);
+    let gone: Vec<_> = [1, 2, 3, 4].map(|e| EngineEntry { state: EngineState::Removed, ..entry(e) }).into();
+    host.tell(Event::Endpoints(EndpointUpdateKind::Delta, gone));
+    host.end("a", 1, second, AttemptOutcome::Reset);
     let answer = host.wait(ms(2000));
     assert!(errored(&answer, "a") && !pushed_back(&answer, "a"));
 }
@@ -210,7 +214,7 @@
 fn an_engine_without_connections_rests_and_is_tried_with_care() {
     let mut host = Host::of(2);
     let dead = engine_of(&host.ask("a", SHORT, 1), "a").unwrap();
-    assert_ne!(engine_of(&host.end("a", 0, dead, Outcome::NoConnection), "a"), Some(dead));
+    assert_ne!(engine_of(&host.end("a", 0, dead, AttemptOutcome::ConnectFailed), "a"), Some(dead));
     assert!(!host.flood(6, SHORT, 1).contains(&dead));
     host.wait(ms(600));
     let trials = host.flood(6, SHORT, 1).into_iter().filter(|e| *e == dead).count();
@@ -221,28 +225,32 @@
 fn a_note_of_waiting_for_a_load_moves_the_reader_and_warns_the_next() {
     let mut host = Host::of(2);
     let home = engine_of(&host.ask("a", SHORT, 1), "a").unwrap();
-    let cancel = host.note("a", 0, home, Note::WaitsForLoad);
-    assert!(cancel.contains(&Action::Cancel { batch: "a".into(), dispatch: 0 }));
-    let moved = engine_of(&host.end("a", 0, home, Outcome::Cancelled), "a").unwrap();
+    let cancel = host.note("a", 0, home, AttemptProgress::WaitingForBulkLoad);
+    assert!(cancel.contains(&Action::Cancel { request: "a".into(), attempt: 0 }));
+    let moved = engine_of(&host.end("a", 0, home, AttemptOutcome::Cancelled), "a").unwrap();
     assert_ne!(moved, home);
     assert_eq!(engine_of(&host.ask("b", SHORT, 1), "b"), Some(moved));
 }
 
 #[test]
-fn a_dispatch_far_behind_is_moved_but_a_truly_large_batch_stays() {
+fn a_attempt_far_behind_is_moved_but_a_truly_large_request_stays() {
     let mut host = Host::of(2);
     let first = engine_of(&host.ask("a", REPORT, 1), "a").unwrap();
     host.now += ms(500);
-    let cancel = host.note("a", 0, first, Note::Progress(0.04));
-    assert!(cancel.contains(&Action::Cancel { batch: "a".into(), dispatch: 0 }));
-    let second = engine_of(&host.end("a", 0, first, Outcome::Cancelled), "a").unwrap();
+    let cancel = host.note("a", 0, first, AttemptProgress::Done(0.04));
+    assert!(cancel.contains(&Action::Cancel { request: "a".into(), attempt: 0 }));
+    let second = engine_of(&host.end("a", 0, first, AttemptOutcome::Cancelled), "a").unwrap();
     host.now += ms(500);
-    let cancel = host.note("a", 1, second, Note::Progress(0.04));
-    assert!(cancel.contains(&Action::Cancel { batch: "a".into(), dispatch: 1 }));
-    let third = host.end("a", 1, second, Outcome::Cancelled);
+    let cancel = host.note("a", 1, second, AttemptProgress::Done(0.04));
+    assert!(cancel.contains(&Action::Cancel { request: "a".into(), attempt: 1 }));
+    let third = host.end("a", 1, second, AttemptOutcome::Cancelled);
     let third = engine_of(&third, "a").unwrap_or_else(|| panic!("{third:?}"));
     host.now += ms(500);
-    assert!(host.note("a", 2, third, Note::Progress(0.04)).iter().all(|a| matches!(a, Action::Wake { .. })));
+    assert!(
+        host.note("a", 2, third, AttemptProgress::Done(0.04))
+            .iter()
+            .all(|a| matches!(a, Action::SetTimer { .. }))
+    );
 }
 
 #[test]
@@ -252,8 +260,8 @@
     for n in 0..8 {
         let id = format!("{n}");
         host.ask(&id, REPORT, 1);
-        let cost = Cost { work: ms(400), memory_mb: 6000.0 };
-        host.end_with(&id, 0, 1, Outcome::Returned, |e| e.cost = Some(cost));
+        let cost = ResourceUsage { work: ms(400), memory_mb: 6000.0 };
+        host.end_with(&id, 0, 1, AttemptOutcome::Returned, |e| e.usage = Some(cost));
     }
     assert!(open > 1);
     assert_eq!(host.flood(6, REPORT, 1).len(), 1);
@@ -263,11 +271,13 @@
 fn less_memory_may_be_in_use_where_returns_come_late() {
     let after = |late: u64| {
         let mut host = Host::of(1);
-        let cost = Cost { work: ms(400), memory_mb: 3800.0 };
+        let cost = ResourceUsage { work: ms(400), memory_mb: 3800.0 };
         for n in 0..8 {
             let id = format!("{n}");
             host.ask(&id, REPORT, 1);
-            host.end_with(&id, 0, 1, Outcome::Returned, |e| (e.cost, e.after) = (Some(cost), ms(late)));
+            host.end_with(&id, 0, 1, AttemptOutcome::Returned, |e| {
+                (e.usage, e.elapsed) = (Some(cost), ms(late))
+            });
         }
         host.wait(ms(60));
         host.flood(6, REPORT, 1).len()
@@ -276,13 +286,14 @@
 }
 
 #[test]
-fn memory_reported_as_granted_holds_batches_back() {
-    let mut host = Host::with(Deployment { reports: Reports::WithAnswers, ..stated() }, vec![entry(1)]);
+fn memory_reported_as_granted_holds_requests_back() {
+    let mut host =
+        Host::with(Deployment { load_reporting: LoadReporting::WithResponses, ..stated() }, vec![entry(1)]);
     let report = |granted| LoadReport { memory_granted: Some(granted), ..LoadReport::default() };
     host.ask("a", SHORT, 1);
-    host.end_with("a", 0, 1, Outcome::Returned, |e| e.load = Some(report(1.6)));
+    host.end_with("a", 0, 1, AttemptOutcome::Returned, |e| e.load = Some(report(1.6)));
     assert_eq!(engine_of(&host.ask("b", SHORT, 1), "b"), None);
-    host.tell(Event::Probed { engine: 1, answered: true, after: ms(2), load: Some(report(0.5)) });
+    host.tell(Event::ProbeEnded { engine: 1, answered: true, elapsed: ms(2), load: Some(report(0.5)) });
     assert_eq!(engine_of(&host.wait(ms(60)), "b"), Some(1));
 }
 
@@ -294,7 +305,7 @@
             let id = format!("{n}");
             host.ask(&id, SHORT, 1);
             host.now += ms(600);
-            host.end_with(&id, 0, 1, Outcome::Returned, |e| e.after = ms(late));
+            host.end_with(&id, 0, 1, AttemptOutcome::Returned, |e| e.elapsed = ms(late));
         }
         host.flood(30, SHORT, 1).len()
     };
@@ -303,12 +314,12 @@
 
 #[test]
 fn discovery_is_asked_again_after_a_failure() {
-    let terms = Deployment { discovery: Discovery::OnRequest, ..stated() };
+    let terms = Deployment { discovery: Discovery::Polled, ..stated() };
     let mut gateway = Gateway::new(terms, 1);
-    assert!(gateway.decide(ms(1000)).contains(&Action::Follow));
-    gateway.hear(ms(1100), Event::RosterUnavailable);
-    assert!(!gateway.decide(ms(1100)).contains(&Action::Follow));
-    assert!(gateway.decide(ms(4000)).contains(&Action::Follow));
+    assert!(gateway.decide(ms(1000)).contains(&Action::WatchEndpoints));
+    gateway.handle_event(ms(1100), Event::DiscoveryUnavailable);
+    assert!(!gateway.decide(ms(1100)).contains(&Action::WatchEndpoints));
+    assert!(gateway.decide(ms(4000)).contains(&Action::WatchEndpoints));
 }
 
 #[test]
@@ -327,8 +338,8 @@
 
 /// A deployment of so many fronts that each sees a sliver of the traffic.
 fn crowd() -> Deployment {
-    let permits = Permits { probes: true, ..stated().permits };
-    Deployment { fronts: 50, permits, reports: Reports::WhenProbed, ..stated() }
+    let permits = Capabilities { probes: true, ..stated().capabilities };
+    Deployment { fronts: 50, capabilities: permits, load_reporting: LoadReporting::WithProbes, ..stated() }
 }
 
 fn probed(actions: &[Action]) -> Option<EngineId> {
@@ -337,7 +348,7 @@
 
 fn answer(host: &mut Host, engine: EngineId, busy: f64, after: u64) -> Vec<Action> {
     let load = Some(LoadReport { cores_busy: Some(busy), ..LoadReport::default() });
-    host.tell(Event::Probed { engine, answered: true, after: ms(after), load })
+    host.tell(Event::ProbeEnded { engine, answered: true, elapsed: ms(after), load })
 }
 
 #[test]
@@ -365,7 +376,7 @@
 }
 
 #[test]
-fn one_of_many_fronts_holds_back_while_its_batches_stand_still() {
+fn one_of_many_fronts_holds_back_while_its_requests_stand_still() {
     let mut host = Host::with(crowd(), vec![entry(1)]);
     host.flood(30, SHORT, 9);
     assert!(sent(&answer(&mut host, 1, 0.1, 2)).count() > 9);
@@ -377,7 +388,7 @@
 #[test]
 fn a_hot_group_has_several_homes_shared_out_among_many_fronts() {
     let home = |number| {
-        let stated = Deployment { number, ..crowd() };
+        let stated = Deployment { front_index: number, ..crowd() };
         let mut host = Host::with(stated, (1..=20).map(entry).collect());
         host.flood(60, SHORT, 9);
         host.wait(ms(900));
@@ -391,19 +402,21 @@
 fn a_first_try_in_a_hurry_is_not_taken_for_a_late_repeat() {
     let mut host = Host::of(2);
     for n in 0..9 {
-        host.ask_with(&format!("{n}"), SHORT, n, |a| a.patience = ms(4300));
+        host.ask_with(&format!("{n}"), SHORT, n, |a| a.client_timeout = ms(4300));
     }
-    let hurried = host.ask_with("hurried", SHORT, 30, |a| a.patience = ms(400));
+    let hurried = host.ask_with("hurried", SHORT, 30, |a| a.client_timeout = ms(400));
     assert!(engine_of(&hurried, "hurried").is_some());
 }
 
 #[test]
 fn many_fronts_together_keep_a_cold_engine_standing_and_yet_use_it() {
-    let duties = stated().duties;
-    let bears = duties.fall_multiple * duties.cold_from * 8.0 * duties.fall_after.as_secs_f64();
-    let started = EngineEntry { started: ms(60_000), ..entry(1) };
+    let duties = stated().safety_rules;
+    let bears = duties.overload_factor * duties.slow_start_share * 8.0 * duties.overload_window.as_secs_f64();
+    let started = EngineEntry { started_at: ms(60_000), ..entry(1) };
     let mut hosts: Vec<Host> = (0..200)
-        .map(|number| Host::with(Deployment { fronts: 200, number, ..stated() }, vec![started.clone()]))
+        .map(|number| {
+            Host::with(Deployment { fronts: 200, front_index: number, ..stated() }, vec![started.clone()])
+        })
         .collect();
     let mut sends = Vec::new();
     for step in 0..100u32 {
@@ -412,7 +425,7 @@
             sends.extend(host.flood(1, [SHORT, SHORT, REPORT][step as usize % 3], 9).iter().map(|_| step));
         }
     }
-    // Before answers tell, a short batch counts as half a second of work.
+    // Before answers tell, a short request counts as half a second of work.
     let worst = (0..100).map(|from| sends.iter().filter(|at| (from..from + 15).contains(*at)).count()).max();
     assert!(sends.len() > 20, "{}", sends.len());
     assert!(worst.unwrap() as f64 * 0.5 <= bears, "{worst:?} against {bears}");
@@ -431,7 +444,7 @@
         }
         if let Some(engine) = engine_of(&actions, &id) {
             to_idle += u32::from(engine == 1);
-            host.end(&id, 0, engine, Outcome::Returned);
+            host.end(&id, 0, engine, AttemptOutcome::Returned);
         }
         host.wait(ms(500));
     }
@@ -443,7 +456,7 @@
     let mut host = Host::with(crowd(), vec![entry(1)]);
     host.ask("a", SHORT, 9);
     assert_eq!(engine_of(&answer(&mut host, 1, 0.1, 2), "a"), Some(1));
-    host.end("a", 0, 1, Outcome::Full);
+    host.end("a", 0, 1, AttemptOutcome::Rejected);
     host.wait(ms(1500));
     assert_eq!(probed(&host.ask("b", SHORT, 9)), None);
     host.wait(ms(600));
@@ -454,13 +467,13 @@
 fn what_is_out_for_a_client_that_has_left_is_cancelled_once() {
     let mut host = Host::of(1);
     let engine = engine_of(&host.ask("a", REPORT, 9), "a").unwrap();
-    let cancel = Action::Cancel { batch: "a".into(), dispatch: 0 };
-    assert_eq!(host.tell(Event::Left("a".into())).iter().filter(|a| **a == cancel).count(), 1);
-    assert!(!host.tell(Event::Left("a".into())).contains(&cancel));
-    host.end("a", 0, engine, Outcome::Cancelled);
+    let cancel = Action::Cancel { request: "a".into(), attempt: 0 };
+    assert_eq!(host.tell(Event::ClientGone("a".into())).iter().filter(|a| **a == cancel).count(), 1);
+    assert!(!host.tell(Event::ClientGone("a".into())).contains(&cancel));
+    host.end("a", 0, engine, AttemptOutcome::Cancelled);
     host.ask("b", REPORT, 9);
     host.wait(ms(19_995));
-    host.tell(Event::Left("b".into())); // It has its answer, and gets no second one.
+    host.tell(Event::ClientGone("b".into())); // It has its answer, and gets no second one.
     assert!(!pushed_back(&host.wait(ms(50)), "b"));
 }
 
@@ -470,7 +483,7 @@
     host.ask("report", REPORT, 9);
     host.ask("load", LOAD, 8);
     let by = host.now + ms(3000);
-    host.tell(Event::Closing { by });
+    host.tell(Event::ShuttingDown { deadline: by });
     let before = host.wait(ms(2900));
     assert!(!errored(&before, "load") && !pushed_back(&before, "report"));
     let late = host.ask("late", SHORT, 7);
@@ -489,8 +502,13 @@
 fn a_blind_front_asks_no_more_than_the_stated_price_allows() {
     let probes = |probe_price| {
         // So few fronts keep to all of the engines; where a front keeps to fewer, it has fewer to ask.
-        let mut terms = Deployment { fronts: 20, probe_price, reports: Reports::WhenProbed, ..blind() };
-        terms.permits.probes = true;
+        let mut terms = Deployment {
+            fronts: 20,
+            probe_cost: probe_price,
+            load_reporting: LoadReporting::WithProbes,
+            ..blind()
+        };
+        terms.capabilities.probes = true;
         let mut host = Host::with(terms, (1..=30).map(entry).collect());
         let asked = (0..60).flat_map(|n| host.ask(&format!("b{n}"), [SHORT, REPORT][n as usize % 2], n));
         asked.filter(|action| matches!(action, Action::Probe { .. })).count()
@@ -500,7 +518,7 @@
 }
 
 #[test]
-fn what_is_out_at_engines_that_say_nothing_turns_no_other_batch_away() {
+fn what_is_out_at_engines_that_say_nothing_turns_no_other_request_away() {
     let let_in = |alive: bool| {
         let mut host = Host::with(blind(), (1..=20).map(entry).collect());
         let mut out: Vec<(String, EngineId)> = Vec::new();
@@ -510,7 +528,7 @@
         }
         host.wait(ms(1000));
         for (id, engine) in out.iter().filter(|_| alive) {
-            host.note(id, 0, *engine, Note::Progress(0.9));
+            host.note(id, 0, *engine, AttemptProgress::Done(0.9));
         }
         host.wait(ms(900)); // By now all of it is slowed down, or lost.
         (20..40)
@@ -525,10 +543,10 @@
 fn a_front_sends_to_a_cold_engine_by_its_part_of_what_all_may_send() {
     let sent = |share: Option<f64>| {
         let mut host = Host::with(stated(), vec![]);
-        let cold = EngineEntry { started: host.now, ..entry(1) };
-        host.tell(Event::Roster(RosterKind::Full, vec![cold]));
+        let cold = EngineEntry { started_at: host.now, ..entry(1) };
+        host.tell(Event::Endpoints(EndpointUpdateKind::Full, vec![cold]));
         if let Some(share) = share {
-            host.tell(Event::Share(share));
+            host.tell(Event::Quota(share));
         }
         (0..200)
             .filter(|n| engine_of(&host.ask(&format!("b{n}"), SHORT, *n), &format!("b{n}")).is_some())
@@ -540,16 +558,16 @@
 
 /// One of many, who may ask engines but never does, as a probe costs too much.
 fn dear() -> Deployment {
-    Deployment { probe_price: 1e9, repeats_marked: true, ..crowd() }
+    Deployment { probe_cost: 1e9, retries_marked: true, ..crowd() }
 }
 
-/// Lets a front learn that short batches take a tenth of a second.
+/// Lets a front learn that short requests take a tenth of a second.
 fn taught(stated: Deployment, engines: u32) -> Host {
     let mut host = Host::with(stated, (1..=engines).map(entry).collect());
     for n in 0..9 {
         let id = format!("t{n}");
         let engine = engine_of(&host.ask(&id, SHORT, n), &id).unwrap();
-        host.end(&id, 0, engine, Outcome::Returned);
+        host.end(&id, 0, engine, AttemptOutcome::Returned);
     }
     host
 }
@@ -558,12 +576,13 @@
 fn what_comes_again_is_held_by_the_time_left_where_a_front_may_ask() {
     let ask_again = |stated| {
         let mut host = taught(stated, 2);
-        host.tell(Event::Roster(RosterKind::Full, vec![]));
-        let at_once = host.ask_with("again", SHORT, 1, |a| (a.repeat, a.patience) = (true, ms(4500)));
+        host.tell(Event::Endpoints(EndpointUpdateKind::Full, vec![]));
+        let at_once =
+            host.ask_with("again", SHORT, 1, |a| (a.client_retry, a.client_timeout) = (true, ms(4500)));
         (pushed_back(&at_once, "again"), pushed_back(&host.wait(ms(250)), "again"))
     };
     assert_eq!(ask_again(dear()), (false, true));
-    assert_eq!(ask_again(Deployment { repeats_marked: true, ..blind() }), (true, false));
+    assert_eq!(ask_again(Deployment { retries_marked: true, ..blind() }), (true, false));
 }
 
 #[test]
@@ -571,9 +590,9 @@
     let mut host = taught(dear(), 4);
     let first = engine_of(&host.ask("a", SHORT, 3), "a").unwrap();
     host.now += ms(500);
-    let cancel = host.note("a", 0, first, Note::WaitsForLoad);
-    assert!(cancel.contains(&Action::Cancel { batch: "a".into(), dispatch: 0 }));
-    let after = host.end("a", 0, first, Outcome::Cancelled);
+    let cancel = host.note("a", 0, first, AttemptProgress::WaitingForBulkLoad);
+    assert!(cancel.contains(&Action::Cancel { request: "a".into(), attempt: 0 }));
+    let after = host.end("a", 0, first, AttemptOutcome::Cancelled);
     assert!(engine_of(&after, "a").is_some_and(|engine| engine != first) && !pushed_back(&after, "a"));
 }
 
@@ -582,12 +601,12 @@
     let mut host = Host::of(2);
     let first = engine_of(&host.ask("a", REPORT, 1), "a").unwrap();
     host.now += ms(500);
-    host.note("a", 0, first, Note::Progress(0.01));
-    let second = engine_of(&host.end("a", 0, first, Outcome::Cancelled), "a").unwrap();
+    host.note("a", 0, first, AttemptProgress::Done(0.01));
+    let second = engine_of(&host.end("a", 0, first, AttemptOutcome::Cancelled), "a").unwrap();
     host.now += ms(500);
-    let given_up = host.note("a", 1, second, Note::Progress(0.01)); // 50 s in all; the client waits 20.
+    let given_up = host.note("a", 1, second, AttemptProgress::Done(0.01)); // 50 s in all; the client waits 20.
     assert!(pushed_back(&given_up, "a"));
-    assert!(given_up.contains(&Action::Cancel { batch: "a".into(), dispatch: 1 }));
+    assert!(given_up.contains(&Action::Cancel { request: "a".into(), attempt: 1 }));
 }
 
 #[test]
@@ -605,7 +624,7 @@
         .map(|n| {
             let id = format!("b{n}");
             let engine = engine_of(&host.ask(&id, SHORT, same[n % same.len()]), &id);
-            engine.into_iter().for_each(|engine| _ = host.end(&id, 0, engine, Outcome::Returned));
+            engine.into_iter().for_each(|engine| _ = host.end(&id, 0, engine, AttemptOutcome::Returned));
             engine
         })
         .collect();
@@ -621,9 +640,9 @@
             .map(|n| engine_of(&host.ask(&format!("t{n}"), SHORT, n), &format!("t{n}")).unwrap())
             .collect();
         for (n, engine) in out.into_iter().enumerate() {
-            host.end_with(&format!("t{n}"), 0, engine, Outcome::Returned, |ending| {
-                ending.cost = Some(Cost { work: ms(100), memory_mb: 1.0 });
-                ending.after = ms(if n < 4 { 2000 } else { 100 });
+            host.end_with(&format!("t{n}"), 0, engine, AttemptOutcome::Returned, |ending| {
+                ending.usage = Some(ResourceUsage { work: ms(100), memory_mb: 1.0 });
+                ending.elapsed = ms(if n < 4 { 2000 } else { 100 });
             });
         }
         (0..40)
@@ -638,38 +657,46 @@
 fn referenced_work_in_doubt_is_neither_sent_nor_pushed_back_near_the_end_of_its_window() {
     let play = |remembered, waits, reach| {
         let mut terms = stated();
-        terms.service_groups[SHORT].effect = Effect::Referenced { reach, remembered };
-        terms.service_groups[SHORT].response_goal = ms(20_000); // It is worth another dispatch for long.
+        terms.request_classes[SHORT].idempotency =
+            Idempotency::IdempotencyKeyed { scope: reach, retention: remembered };
+        terms.request_classes[SHORT].latency_objective = ms(20_000); // It is worth another attempt for long.
         let mut host = Host::with(terms, vec![entry(1), entry(2)]);
         let first = engine_of(&host.ask("a", SHORT, 1), "a").unwrap();
         host.now += waits;
-        host.end_with("a", 0, first, Outcome::Errored, |ending| ending.after = waits)
+        host.end_with("a", 0, first, AttemptOutcome::Errored, |ending| ending.elapsed = waits)
     };
     let begin_by = |actions: &[Action]| {
-        actions.iter().find_map(|a| if let Action::Dispatch { begin_by, .. } = a { *begin_by } else { None })
+        actions
+            .iter()
+            .find_map(|a| if let Action::Send { start_by: begin_by, .. } = a { *begin_by } else { None })
     };
     // Well within it is sent again, and told by when that has to begin.
-    let again = play(ms(1000), ms(300), Reach::Everywhere);
+    let again = play(ms(1000), ms(300), DeduplicationScope::Everywhere);
     let by = begin_by(&again).expect("not sent again");
     assert!(by > ms(60_300) && by < ms(61_000), "{by:?}");
     // Near its end the way there may take all that is left; who came back would come too late, too.
-    for reach in [Reach::Everywhere, Reach::Location] {
+    for reach in [DeduplicationScope::Everywhere, DeduplicationScope::Zone] {
         let over = play(ms(1000), ms(900), reach);
         assert!(errored(&over, "a") && sent(&over).count() == 0, "{reach:?}");
     }
     let mut terms = stated();
-    terms.service_groups[SHORT].effect =
-        Effect::Referenced { reach: Reach::Everywhere, remembered: ms(60_000) };
-    terms.permits.most_dispatches = 1;
+    terms.request_classes[SHORT].idempotency =
+        Idempotency::IdempotencyKeyed { scope: DeduplicationScope::Everywhere, retention: ms(60_000) };
+    terms.capabilities.max_attempts = 1;
     let mut host = Host::with(terms, vec![entry(1)]);
     host.ask("a", SHORT, 1);
-    assert!(pushed_back(&host.end("a", 0, 1, Outcome::Errored), "a"));
+    assert!(pushed_back(&host.end("a", 0, 1, AttemptOutcome::Errored), "a"));
 }
 
-/// One of many, told with each answer how many batches its engine holds, and nothing else.
+/// One of many, told with each answer how many requests its engine holds, and nothing else.
 fn told_what_is_held() -> Deployment {
-    let permits = Permits { probes: false, cancel: false, ..stated().permits };
-    Deployment { fronts: 300, permits, reports: Reports::WithAnswers, ..stated() }
+    let permits = Capabilities { probes: false, cancel: false, ..stated().capabilities };
+    Deployment {
+        fronts: 300,
+        capabilities: permits,
+        load_reporting: LoadReporting::WithResponses,
+        ..stated()
+    }
 }
 
 fn returned(host: &mut Host, group: usize, held: f64) {
@@ -677,9 +704,9 @@
     let went = engine_of(&host.ask(&id, group, host.now.as_millis() as u64), &id);
     host.now += ms(200);
     let Some(engine) = went else { return };
-    host.end_with(&id, 0, engine, Outcome::Returned, |ending| {
-        ending.after = ms(200);
-        ending.load = Some(LoadReport { held: Some(held), ..LoadReport::default() });
+    host.end_with(&id, 0, engine, AttemptOutcome::Returned, |ending| {
+        ending.elapsed = ms(200);
+        ending.load = Some(LoadReport { in_flight: Some(held), ..LoadReport::default() });
     });
 }
 
@@ -689,7 +716,7 @@
         let mut host = Host::with(told_what_is_held(), (1..=3).map(entry).collect());
         (0..40).for_each(|_| returned(&mut host, SHORT, held));
         // Of a fourth nothing was ever told.
-        host.tell(Event::Roster(RosterKind::Changes, vec![entry(4)]));
+        host.tell(Event::Endpoints(EndpointUpdateKind::Delta, vec![entry(4)]));
         (0..40).filter(|n| !host.flood(1, SHORT, 100 + n).is_empty()).count()
     };
     let (idle, full) = (sent(1.0), sent(40.0));
@@ -705,32 +732,32 @@
         }
         (0..6).filter(|n| !host.flood(1, SHORT, 100 + n).is_empty()).count()
     };
-    // Eight batches of one thread each on eight cores leave room; eight of four threads do not.
+    // Eight requests of one thread each on eight cores leave room; eight of four threads do not.
     assert_eq!((sent(SHORT), sent(REPORT)), (6, 0));
 }
 
 /// One of many, told nothing of any engine's load.
 fn told_nothing() -> Deployment {
-    let permits = Permits { probes: false, cancel: false, ..stated().permits };
-    Deployment { fronts: 300, permits, reports: Reports::None, ..stated() }
+    let permits = Capabilities { probes: false, cancel: false, ..stated().capabilities };
+    Deployment { fronts: 300, capabilities: permits, load_reporting: LoadReporting::None, ..stated() }
 }
 
 #[test]
-fn a_front_whose_batches_are_turned_away_unseen_sends_fewer_though_nothing_returns() {
+fn a_front_whose_requests_are_turned_away_unseen_sends_fewer_though_nothing_returns() {
     let sent_after = |outcome| {
         let mut host = Host::with(told_nothing(), (1..=40).map(entry).collect());
         for n in 0..40 {
             let id = format!("a{n}");
             if let Some(engine) = engine_of(&host.ask(&id, SHORT, n), &id) {
-                host.end_with(&id, 0, engine, outcome, |ending| ending.over = true);
+                host.end_with(&id, 0, engine, outcome, |ending| ending.request_finished = true);
             }
             host.wait(ms(20));
         }
         // Engines that have turned nothing away.
-        host.tell(Event::Roster(RosterKind::Changes, (100..140).map(entry).collect()));
+        host.tell(Event::Endpoints(EndpointUpdateKind::Delta, (100..140).map(entry).collect()));
         (0..60).filter(|n| !host.flood(1, SHORT, 1000 + n).is_empty()).count()
     };
-    let (errored, full) = (sent_after(Outcome::Errored), sent_after(Outcome::Full));
+    let (errored, full) = (sent_after(AttemptOutcome::Errored), sent_after(AttemptOutcome::Rejected));
     assert!(errored > 40 && full < 20, "{errored} and {full}");
 }
 
@@ -746,7 +773,7 @@
         .filter(|n| {
             let id = format!("b{n}");
             let engine = engine_of(&host.ask(&id, SHORT, same[n % same.len()]), &id);
-            engine.into_iter().for_each(|engine| _ = host.end(&id, 0, engine, Outcome::Returned));
+            engine.into_iter().for_each(|engine| _ = host.end(&id, 0, engine, AttemptOutcome::Returned));
             engine == home(0)
         })
         .count();
