--- a/crates/core/desired-state/src/lib.rs
+++ b/crates/core/desired-state/src/lib.rs
@@ -2,7 +2,7 @@
 //! places, machines and request classes. What names something that the deployment does not state is declined, so
 //! that a wish never means less than it says. No input or output, no clock.
 
-use lemonusher_membership::{Admin, Limit, Pool, Wanted};
+use lemonusher_membership::{AdminState, DesiredState, Limit, Pool};
 use lemonusher_model::{Fault, FaultKind, Fields, Found, Node, NodeId, Place, Schema, Seg, Text, Tree};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,8 +10,8 @@
 /// What the deployment's numbers are called, in order.
 #[derive(Debug, Clone, Default)]
 pub struct Names {
-    pub locations: Vec<String>,
-    pub kinds: Vec<String>,
+    pub zones: Vec<String>,
+    pub machine_kinds: Vec<String>,
     pub service_groups: Vec<String>,
 }
 
@@ -29,8 +29,8 @@
 
 /// What a tree asks for.
 #[derive(Debug, Clone)]
-pub struct Wishes {
-    pub wanted: Wanted,
+pub struct DesiredConfig {
+    pub desired_state: DesiredState,
     pub log_level: String,
 }
 
@@ -59,14 +59,14 @@
         Some(Reader { front, pool, service_group, log_level, of_pool, of_group, names })
     }
 
-    pub fn read(&self, schema: &Schema, tree: &Tree) -> Result<Wishes, Vec<Fault>> {
+    pub fn read(&self, schema: &Schema, tree: &Tree) -> Result<DesiredConfig, Vec<Fault>> {
         let mut look = Look { schema, reader: self, faults: Vec::new() };
         let limits = look.limits(tree);
         let pools = look.pools(tree);
         let level = [Seg { node: self.front, keys: None }, Seg { node: self.log_level, keys: None }];
         let log_level = tree.leaf(schema, &level).unwrap_or("info").to_owned();
         match look.faults.is_empty() {
-            true => Ok(Wishes { wanted: Wanted::new(pools, limits), log_level }),
+            true => Ok(DesiredConfig { desired_state: DesiredState::new(pools, limits), log_level }),
             false => Err(look.faults),
         }
     }
@@ -103,9 +103,9 @@
                 text.and_then(|text| text.parse::<u32>().ok())
             };
             limits[number] = value(most_open).map(|most_open| Limit {
-                most_open,
-                come_back: span(value(come_back)),
-                longest: span(value(longest)),
+                max_open: most_open,
+                retry_after: span(value(come_back)),
+                max_retry_after: span(value(longest)),
             });
         }
         limits
@@ -116,19 +116,19 @@
         let mut pools = Vec::new();
         for (place, entry) in self.entries(tree, self.reader.pool) {
             let admin = match leaf(entry, admin).map(|text| &**text) {
-                Some("draining") => Admin::Draining,
-                Some("disabled") => Admin::Disabled,
-                _ => Admin::Enabled,
+                Some("draining") => AdminState::Draining,
+                Some("disabled") => AdminState::Disabled,
+                _ => AdminState::Enabled,
             };
             let names = &self.reader.names;
             pools.push(Pool {
                 name: leaf(entry, name).map(|name| name.to_string()).unwrap_or_default(),
                 admin,
-                locations: self.numbers(&place, entry, location, &names.locations),
-                kinds: self.numbers(&place, entry, kind, &names.kinds),
+                zones: self.numbers(&place, entry, location, &names.zones),
+                machine_kinds: self.numbers(&place, entry, kind, &names.machine_kinds),
                 cells: members(entry, cell).filter_map(|text| text.parse().ok()).collect(),
                 engines: members(entry, engine).filter_map(|id| u32::from_str_radix(id, 16).ok()).collect(),
-                serves: self
+                request_classes: self
                     .numbers(&place, entry, serves, &names.service_groups)
                     .into_iter()
                     .map(|number| number as usize)
--- a/crates/core/desired-state/tests/wishes.rs
+++ b/crates/core/desired-state/tests/wishes.rs
@@ -1,6 +1,6 @@
 use lemonusher::EngineEntry;
 use lemonusher_desired_state::{Names, Reader};
-use lemonusher_membership::Admin;
+use lemonusher_membership::AdminState;
 use lemonusher_model::{FaultKind, Node, Op, Schema, Tree, parse_path};
 
 fn tree(schema: &Schema, leaves: &[(&str, &str)]) -> Tree {
@@ -15,8 +15,8 @@
 fn reader(schema: &Schema) -> Reader {
     let list = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
     let names = Names {
-        locations: list(&["east", "west"]),
-        kinds: list(&["std"]),
+        zones: list(&["east", "west"]),
+        machine_kinds: list(&["std"]),
         service_groups: list(&["look-up", "report"]),
     };
     Reader::new(schema, names).unwrap()
@@ -38,14 +38,14 @@
     );
     let wishes = reader(&schema).read(&schema, &tree).unwrap();
     assert_eq!(wishes.log_level, "debug");
-    let limit = wishes.wanted.limits()[1].unwrap();
-    assert_eq!((limit.most_open, limit.come_back.as_millis()), (7, 500));
-    assert!(wishes.wanted.limits()[0].is_none());
+    let limit = wishes.desired_state.limits()[1].unwrap();
+    assert_eq!((limit.max_open, limit.retry_after.as_millis()), (7, 500));
+    assert!(wishes.desired_state.limits()[0].is_none());
     let entry = |engine, location| EngineEntry { engine, zone: location, ..EngineEntry::default() };
-    assert_eq!(wishes.wanted.of(&entry(1, 1)).admin, Admin::Draining);
-    assert_eq!(wishes.wanted.of(&entry(1, 0)).barred, 0);
-    assert_eq!(wishes.wanted.of(&entry(10, 0)).barred, !2);
-    assert_eq!(wishes.wanted.of(&entry(10, 1)).barred, u64::MAX);
+    assert_eq!(wishes.desired_state.admission_of(&entry(1, 1)).admin, AdminState::Draining);
+    assert_eq!(wishes.desired_state.admission_of(&entry(1, 0)).blocked_classes, 0);
+    assert_eq!(wishes.desired_state.admission_of(&entry(10, 0)).blocked_classes, !2);
+    assert_eq!(wishes.desired_state.admission_of(&entry(10, 1)).blocked_classes, u64::MAX);
 }
 
 #[test]
--- a/crates/core/failure-detector/src/facts.rs
+++ b/crates/core/failure-detector/src/gossip.rs
@@ -1,6 +1,6 @@
 //! Small facts that ride on the detector's messages: one a member, the latest.
 
-use crate::MOST_MEMBERS;
+use crate::MAX_MEMBERS;
 use foca::{BroadcastHandler, Invalidates};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -8,42 +8,42 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// Engines in doubt that a fact names at most.
-pub const MOST_DOUBTS: usize = 8;
-const LONGEST: usize = 128;
+pub const MAX_EJECTED_ENGINES: usize = 8;
+const MAX_MESSAGE_BYTES: usize = 128;
 
 /// What a front tells of itself, now and then.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fact {
+pub struct GossipRecord {
     /// Requests that it takes a second.
-    pub taken: u32,
+    pub requests_per_second: u32,
     /// Engines that it sends nothing to after faults, the lowest ids first.
-    pub doubts: Vec<u32>,
+    pub ejected_engines: Vec<u32>,
     /// Which version of the pools it follows.
-    pub pools: u64,
+    pub desired_state_version: u64,
 }
 
 #[derive(Serialize, Deserialize)]
 struct Sealed {
     born: u64,
     number: u32,
-    fact: Fact,
+    fact: GossipRecord,
 }
 
-pub(crate) fn sealed(born: u64, number: u32, mut fact: Fact) -> Option<Vec<u8>> {
-    fact.doubts.truncate(MOST_DOUBTS);
+pub(crate) fn sealed(born: u64, number: u32, mut fact: GossipRecord) -> Option<Vec<u8>> {
+    fact.ejected_engines.truncate(MAX_EJECTED_ENGINES);
     postcard::to_allocvec(&Sealed { born, number, fact }).ok()
 }
 
 /// The facts of all, shared with the detector that hands them on.
 #[derive(Clone, Default)]
-pub(crate) struct Facts(Arc<Mutex<BTreeMap<u64, (u32, Fact)>>>);
+pub(crate) struct Facts(Arc<Mutex<BTreeMap<u64, (u32, GossipRecord)>>>);
 
 impl Facts {
-    fn table(&self) -> MutexGuard<'_, BTreeMap<u64, (u32, Fact)>> {
+    fn table(&self) -> MutexGuard<'_, BTreeMap<u64, (u32, GossipRecord)>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn of(&self, born: u64) -> Option<Fact> {
+    pub(crate) fn of(&self, born: u64) -> Option<GossipRecord> {
         self.table().get(&born).map(|(_, fact)| fact.clone())
     }
 
@@ -78,13 +78,14 @@
 
     /// Only what is newer than what is known is kept and handed on.
     fn receive_item(&mut self, data: &[u8], _: Option<&T>) -> Result<Option<FactKey>, Unreadable> {
-        if data.len() > LONGEST {
+        if data.len() > MAX_MESSAGE_BYTES {
             return Err(Unreadable);
         }
         let Sealed { born, number, fact } = postcard::from_bytes(data).map_err(|_| Unreadable)?;
         let mut table = self.table();
         let known = table.get(&born).map(|(known, _)| *known);
-        let fits = fact.doubts.len() <= MOST_DOUBTS && (known.is_some() || table.len() < MOST_MEMBERS);
+        let fits = fact.ejected_engines.len() <= MAX_EJECTED_ENGINES
+            && (known.is_some() || table.len() < MAX_MEMBERS);
         if known >= Some(number) || !fits {
             return Ok(None);
         }
--- a/crates/core/failure-detector/src/lib.rs
+++ b/crates/core/failure-detector/src/lib.rs
@@ -4,12 +4,12 @@
 //!
 //! Nothing here opens sockets or reads clocks: time is a span since any origin, chance comes from a seed.
 
-mod facts;
+mod gossip;
 
-pub use facts::{Fact, MOST_DOUBTS};
+pub use gossip::{GossipRecord, MAX_EJECTED_ENGINES};
 
-use facts::Facts;
 use foca::{AccumulatingRuntime, Config, Foca, Identity, OwnedNotification, PostcardCodec, Timer};
+use gossip::Facts;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use serde::{Deserialize, Serialize};
@@ -19,77 +19,77 @@
 use std::time::Duration;
 
 /// Members that are kept at most; who comes beyond is not let in.
-pub const MOST_MEMBERS: usize = 4096;
+pub const MAX_MEMBERS: usize = 4096;
 /// What is sent is no longer than this, in bytes, so that it fits a datagram with what goes round it.
-pub const LONGEST: usize = 900;
+pub const MAX_MESSAGE_BYTES: usize = 900;
 /// Bytes of a member's name at most.
-pub const LONGEST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 const INDIRECT: usize = 3; // Members that are asked to look after one who does not answer.
 const ANSWERED_BY: u32 = 3; // A probe is answered within this part of the period, or others look after him.
 const SUSPECTED: u32 = 6; // Periods for which one under suspicion may still speak up.
 const FORGOTTEN: u32 = 60; // Periods after which one who is gone is forgotten.
 const GREETED: u32 = 4; // Periods between greetings to one who should be there and is not.
-const MOST_GREETED: usize = MOST_MEMBERS;
-const MOST_TIMERS: usize = MOST_MEMBERS * 4;
+const MOST_GREETED: usize = MAX_MEMBERS;
+const MOST_TIMERS: usize = MAX_MEMBERS * 4;
 
-/// One life of one front. A front that has restarted, also under the same name and address, is another member: the old
-/// life is found gone by itself, whatever its clock said.
+/// One incarnation of one front. A front that has restarted, also under the same name and address, is another member: the old
+/// incarnation is found gone by itself, whatever its clock said.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
     pub name: String,
     pub address: SocketAddr,
     /// Drawn anew at each start; never 0.
-    pub born: u64,
+    pub incarnation: u64,
     /// Where it stands.
-    pub location: u32,
+    pub zone: u32,
     /// Counts up when it hears that others hold it for gone.
-    pub risen: u16,
+    pub refutations: u16,
 }
 
-/// By what a member is reached: a life, or, where that is not known, whoever listens there.
+/// By what a member is reached: an incarnation, or, where that is not known, whoever listens there.
 #[derive(Debug, Clone, Copy)]
-pub struct Reached {
+pub struct MemberAddress {
     born: u64,
 }
 
-impl PartialEq for Reached {
+impl PartialEq for MemberAddress {
     /// A greeting to whoever listens there is meant for whoever hears it, by what address ever: relays hide addresses.
-    fn eq(&self, other: &Reached) -> bool {
+    fn eq(&self, other: &MemberAddress) -> bool {
         self.born == other.born || self.born == 0 || other.born == 0
     }
 }
 
 impl Identity for Member {
-    type Addr = Reached;
+    type Addr = MemberAddress;
 
     fn renew(&self) -> Option<Self> {
-        Some(Member { risen: self.risen.wrapping_add(1), ..self.clone() })
+        Some(Member { refutations: self.refutations.wrapping_add(1), ..self.clone() })
     }
 
-    fn addr(&self) -> Reached {
-        Reached { born: self.born }
+    fn addr(&self) -> MemberAddress {
+        MemberAddress { born: self.incarnation }
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
-        self.risen > other.risen
+        self.refutations > other.refutations
     }
 }
 
 /// What has changed among the members.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Change {
-    Came(Member),
+pub enum MembershipChange {
+    Joined(Member),
     /// It has not answered for long, or said that it leaves.
-    Went(Member),
+    Left(Member),
     /// Others held this front for gone; it has said that it is not.
-    Risen,
+    Refuted,
 }
 
 /// What a fleet states alike of its members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Terms {
+pub struct DetectorConfig {
     /// Each looks after one other in this span.
-    pub period: Duration,
+    pub probe_interval: Duration,
 }
 
 /// The members as one front sees them.
@@ -99,9 +99,9 @@
     facts: Facts,
     timers: BTreeMap<(Duration, u64), Timer<Member>>,
     next: u64,
-    sends: VecDeque<(SocketAddr, Vec<u8>)>,
-    changes: Vec<Change>,
-    there: BTreeMap<u64, Member>,
+    take_outgoing: VecDeque<(SocketAddr, Vec<u8>)>,
+    take_changes: Vec<MembershipChange>,
+    alive: BTreeMap<u64, Member>,
     fact_number: u32,
     left: bool,
     period: Duration,
@@ -111,7 +111,7 @@
 }
 
 impl FailureDetector {
-    pub fn new(me: Member, terms: Terms, seed: u64) -> FailureDetector {
+    pub fn new(me: Member, terms: DetectorConfig, seed: u64) -> FailureDetector {
         let facts = Facts::default();
         let swim = Foca::with_custom_broadcast(
             me.clone(),
@@ -126,12 +126,12 @@
             facts,
             timers: BTreeMap::new(),
             next: 0,
-            sends: VecDeque::new(),
-            changes: Vec::new(),
-            there: BTreeMap::new(),
+            take_outgoing: VecDeque::new(),
+            take_changes: Vec::new(),
+            alive: BTreeMap::new(),
             fact_number: 0,
             left: false,
-            period: terms.period,
+            period: terms.probe_interval,
             greeted: VecDeque::new(),
             greets: Duration::ZERO,
         }
@@ -139,17 +139,17 @@
 
     /// The others that are there, as far as is known.
     pub fn there(&self) -> impl Iterator<Item = &Member> {
-        self.there.values()
+        self.alive.values()
     }
 
     /// The latest fact that a member has told of itself.
-    pub fn fact(&self, born: u64) -> Option<Fact> {
+    pub fn gossip_of(&self, born: u64) -> Option<GossipRecord> {
         self.facts.of(born)
     }
 
     /// Makes itself known to whoever listens there, now and whenever nobody there is known: so parts of a fleet that
     /// lost sight of each other find together again.
-    pub fn meet(&mut self, now: Duration, address: SocketAddr) {
+    pub fn add_seed(&mut self, now: Duration, address: SocketAddr) {
         if address != self.me.address && self.greeted.len() < MOST_GREETED && !self.greeted.contains(&address)
         {
             self.greeted.push_back(address);
@@ -161,27 +161,27 @@
         if address == self.me.address || self.left {
             return;
         }
-        let unknown = Member { name: String::new(), address, born: 0, location: 0, risen: 0 };
+        let unknown = Member { name: String::new(), address, incarnation: 0, zone: 0, refutations: 0 };
         self.with(now, |swim, out| swim.announce(unknown, out));
     }
 
     /// Tells the others a fact about this front; it takes the place of the one before.
-    pub fn tell(&mut self, fact: Fact) {
+    pub fn publish(&mut self, fact: GossipRecord) {
         self.fact_number += 1;
-        if let Some(bytes) = facts::sealed(self.me.born, self.fact_number, fact) {
+        if let Some(bytes) = gossip::sealed(self.me.incarnation, self.fact_number, fact) {
             let _ = self.swim.add_broadcast(&bytes);
         }
     }
 
-    /// Takes in what another has sent; bytes that can't be read, or are not for this life, change nothing.
-    pub fn hear(&mut self, now: Duration, bytes: &[u8]) {
-        if bytes.len() <= LONGEST {
+    /// Takes in what another has sent; bytes that can't be read, or are not for this incarnation, change nothing.
+    pub fn handle_datagram(&mut self, now: Duration, bytes: &[u8]) {
+        if bytes.len() <= MAX_MESSAGE_BYTES {
             self.with(now, |swim, out| swim.handle_data(bytes, out));
         }
     }
 
     /// Does what is due.
-    pub fn turn(&mut self, now: Duration) {
+    pub fn poll(&mut self, now: Duration) {
         while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= now) {
             let timer = entry.remove();
             self.with(now, |swim, out| swim.handle_timer(timer, out));
@@ -190,14 +190,14 @@
             self.greets = now + self.period * GREETED;
             if let Some(next) = self.greeted.pop_front() {
                 self.greeted.push_back(next);
-                if !self.there.values().any(|member| member.address == next) {
+                if !self.alive.values().any(|member| member.address == next) {
                     self.greet(now, next);
                 }
             }
         }
     }
 
-    pub fn due(&self) -> Option<Duration> {
+    pub fn next_timeout(&self) -> Option<Duration> {
         let timer = self.timers.first_key_value().map(|((at, _), _)| *at);
         timer.into_iter().chain((!self.greeted.is_empty()).then_some(self.greets)).min()
     }
@@ -211,11 +211,11 @@
 
     /// What is to be sent, in order.
     pub fn sends(&mut self) -> impl Iterator<Item = (SocketAddr, Vec<u8>)> + '_ {
-        self.sends.drain(..)
+        self.take_outgoing.drain(..)
     }
 
-    pub fn changes(&mut self) -> Vec<Change> {
-        std::mem::take(&mut self.changes)
+    pub fn changes(&mut self) -> Vec<MembershipChange> {
+        std::mem::take(&mut self.take_changes)
     }
 
     /// Runs a part of the detector, and takes over what it wants.
@@ -231,10 +231,10 @@
             return;
         }
         let mut out = AccumulatingRuntime::new();
-        // What can't be read, or is meant for an earlier life, is as if it had been lost.
+        // What can't be read, or is meant for an earlier incarnation, is as if it had been lost.
         let _ = part(&mut self.swim, &mut out);
         while let Some((to, bytes)) = out.to_send() {
-            self.sends.push_back((to.address, bytes.to_vec()));
+            self.take_outgoing.push_back((to.address, bytes.to_vec()));
         }
         while let Some((after, timer)) = out.to_schedule() {
             if self.timers.len() < MOST_TIMERS {
@@ -245,21 +245,21 @@
         while let Some(notice) = out.to_notify() {
             match notice {
                 OwnedNotification::MemberUp(member) if self.fits(&member) => {
-                    self.there.insert(member.born, member.clone());
-                    self.changes.push(Change::Came(member));
+                    self.alive.insert(member.incarnation, member.clone());
+                    self.take_changes.push(MembershipChange::Joined(member));
                 }
                 OwnedNotification::MemberDown(member) => {
-                    self.facts.forget(member.born);
-                    if let Some(member) = self.there.remove(&member.born) {
-                        self.changes.push(Change::Went(member));
+                    self.facts.forget(member.incarnation);
+                    if let Some(member) = self.alive.remove(&member.incarnation) {
+                        self.take_changes.push(MembershipChange::Left(member));
                     }
                 }
                 OwnedNotification::Rename(_, after) => {
-                    self.there.insert(after.born, after);
+                    self.alive.insert(after.incarnation, after);
                 }
                 OwnedNotification::Rejoin(me) => {
                     self.me = me;
-                    self.changes.push(Change::Risen);
+                    self.take_changes.push(MembershipChange::Refuted);
                 }
                 _ => {}
             }
@@ -268,13 +268,13 @@
 
     /// Guards the table against names without end.
     fn fits(&self, member: &Member) -> bool {
-        let room = self.there.len() < MOST_MEMBERS || self.there.contains_key(&member.born);
-        member.name.len() <= LONGEST_NAME && room
+        let room = self.alive.len() < MAX_MEMBERS || self.alive.contains_key(&member.incarnation);
+        member.name.len() <= MAX_NAME_BYTES && room
     }
 }
 
-fn settled(terms: Terms) -> Config {
-    let period = terms.period.max(Duration::from_millis(20));
+fn settled(terms: DetectorConfig) -> Config {
+    let period = terms.probe_interval.max(Duration::from_millis(20));
     let some = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
     Config {
         probe_period: period,
@@ -283,7 +283,7 @@
         max_transmissions: NonZeroU8::new(10).unwrap_or(NonZeroU8::MIN),
         suspect_to_down_after: period * SUSPECTED,
         remove_down_after: Some(period * FORGOTTEN),
-        max_packet_size: some(LONGEST),
+        max_packet_size: some(MAX_MESSAGE_BYTES),
         notify_down_members: true,
         periodic_announce: Some(foca::PeriodicParams { frequency: period * 20, num_members: some(1) }),
         periodic_announce_to_down_members: Some(foca::PeriodicParams {
--- a/crates/core/failure-detector/tests/limits.rs
+++ b/crates/core/failure-detector/tests/limits.rs
@@ -1,6 +1,6 @@
 //! 1,024 members, as many as are kept, and one more.
 
-use lemonusher_failure_detector::{FailureDetector, MOST_MEMBERS, Member, Terms};
+use lemonusher_failure_detector::{DetectorConfig, FailureDetector, MAX_MEMBERS, Member};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,8 +8,9 @@
 const PERIOD: Duration = Duration::from_millis(500);
 
 fn detector(n: usize) -> FailureDetector {
-    let me = Member { name: format!("n{n}"), address: at(n), born: n as u64 + 1, location: 0, risen: 0 };
-    FailureDetector::new(me, Terms { period: PERIOD }, n as u64)
+    let me =
+        Member { name: format!("n{n}"), address: at(n), incarnation: n as u64 + 1, zone: 0, refutations: 0 };
+    FailureDetector::new(me, DetectorConfig { probe_interval: PERIOD }, n as u64)
 }
 
 fn at(n: usize) -> SocketAddr {
@@ -20,12 +21,12 @@
 fn as_many_members_are_kept_as_come_up_to_the_bound() {
     let mut one = detector(0);
     let mut came = 0;
-    for (count, kept) in [(1024, 1024), (MOST_MEMBERS, MOST_MEMBERS), (MOST_MEMBERS + 1, MOST_MEMBERS)] {
+    for (count, kept) in [(1024, 1024), (MAX_MEMBERS, MAX_MEMBERS), (MAX_MEMBERS + 1, MAX_MEMBERS)] {
         while came < count {
             came += 1;
             let mut other = detector(came);
-            other.meet(Duration::ZERO, at(0));
-            other.sends().for_each(|(_, bytes)| one.hear(Duration::ZERO, &bytes));
+            other.add_seed(Duration::ZERO, at(0));
+            other.sends().for_each(|(_, bytes)| one.handle_datagram(Duration::ZERO, &bytes));
             let _ = one.sends().count();
         }
         assert_eq!(one.there().count(), kept, "of {count}");
@@ -34,14 +35,13 @@
 
 #[test]
 fn each_address_that_should_answer_is_greeted_again() {
-    for (addresses, greeted) in [(1024, 1024), (MOST_MEMBERS, MOST_MEMBERS), (MOST_MEMBERS + 1, MOST_MEMBERS)]
-    {
+    for (addresses, greeted) in [(1024, 1024), (MAX_MEMBERS, MAX_MEMBERS), (MAX_MEMBERS + 1, MAX_MEMBERS)] {
         let mut one = detector(0);
-        (1..=addresses).for_each(|n| one.meet(Duration::ZERO, at(n)));
+        (1..=addresses).for_each(|n| one.add_seed(Duration::ZERO, at(n)));
         let _ = one.sends().count();
         let mut again = BTreeSet::new();
         for turn in 1..=addresses as u32 {
-            one.turn(PERIOD * 4 * turn);
+            one.poll(PERIOD * 4 * turn);
             again.extend(one.sends().map(|(to, _)| to));
         }
         assert_eq!(again.len(), greeted, "of {addresses}");
--- a/crates/core/failure-detector/tests/stories.rs
+++ b/crates/core/failure-detector/tests/stories.rs
@@ -1,6 +1,8 @@
 //! The failure detector in virtual time: losses, crashes, restarts, leaving, and how many are told as gone that are not.
 
-use lemonusher_failure_detector::{Change, Fact, FailureDetector, LONGEST, Member, Terms};
+use lemonusher_failure_detector::{
+    DetectorConfig, FailureDetector, GossipRecord, MAX_MESSAGE_BYTES, Member, MembershipChange,
+};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -40,9 +42,15 @@
 
     fn start(&mut self, n: usize) {
         let born = self.chance.u64(1..);
-        let me = Member { name: format!("n{n}"), address: at(n), born, location: n as u32 % 3, risen: 0 };
-        let mut detector = FailureDetector::new(me, Terms { period: PERIOD }, born);
-        (0..3).for_each(|known| detector.meet(self.now, at(known)));
+        let me = Member {
+            name: format!("n{n}"),
+            address: at(n),
+            incarnation: born,
+            zone: n as u32 % 3,
+            refutations: 0,
+        };
+        let mut detector = FailureDetector::new(me, DetectorConfig { probe_interval: PERIOD }, born);
+        (0..3).for_each(|known| detector.add_seed(self.now, at(known)));
         self.detectors.insert(at(n), detector);
     }
 
@@ -54,13 +62,13 @@
             let due: Vec<_> = self.way.extract_if(.., |(at, ..)| *at <= now).collect();
             for (_, to, bytes) in due {
                 if let Some(detector) = self.detectors.get_mut(&to) {
-                    detector.hear(now, &bytes);
+                    detector.handle_datagram(now, &bytes);
                 }
             }
             for (me, detector) in &mut self.detectors {
-                detector.turn(now);
+                detector.poll(now);
                 for (to, bytes) in detector.sends() {
-                    assert!(bytes.len() <= LONGEST);
+                    assert!(bytes.len() <= MAX_MESSAGE_BYTES);
                     self.sent += 1;
                     self.bytes += bytes.len();
                     if self.chance.f64() >= self.lost {
@@ -69,7 +77,7 @@
                     }
                 }
                 for change in detector.changes() {
-                    if let Change::Went(member) = change {
+                    if let MembershipChange::Left(member) = change {
                         self.went.push((*me, member));
                     }
                 }
@@ -108,7 +116,7 @@
     world.detectors.remove(&at(4));
     assert_eq!(world.known(), [7; 8]);
     let before = world.went.len();
-    world.start(5); // A new life before anybody has missed the old one.
+    world.start(5); // A new incarnation before anybody has missed the old one.
     world.run(PERIOD * 40);
     assert_eq!(world.known(), [7; 8]);
     assert!(
@@ -122,15 +130,23 @@
     let mut world = World::new(3, 20, 0.2);
     world.run(PERIOD * 20);
     for taken in [5, 9] {
-        let fact = Fact { taken, doubts: (0..20).collect(), pools: 3 };
-        world.detectors.get_mut(&at(2)).unwrap().tell(fact);
+        let fact = GossipRecord {
+            requests_per_second: taken,
+            ejected_engines: (0..20).collect(),
+            desired_state_version: 3,
+        };
+        world.detectors.get_mut(&at(2)).unwrap().publish(fact);
         world.run(PERIOD * 12);
     }
-    let born = world.detectors[&at(3)].there().find(|member| member.name == "n2").unwrap().born;
+    let born = world.detectors[&at(3)].there().find(|member| member.name == "n2").unwrap().incarnation;
     let told =
-        world.detectors.iter().filter(|(me, _)| **me != at(2)).map(|(_, detector)| detector.fact(born));
-    let told: Vec<Option<Fact>> = told.collect();
-    let fresh = told.iter().flatten().filter(|fact| fact.taken == 9 && fact.doubts.len() == 8).count();
+        world.detectors.iter().filter(|(me, _)| **me != at(2)).map(|(_, detector)| detector.gossip_of(born));
+    let told: Vec<Option<GossipRecord>> = told.collect();
+    let fresh = told
+        .iter()
+        .flatten()
+        .filter(|fact| fact.requests_per_second == 9 && fact.ejected_engines.len() == 8)
+        .count();
     assert!(fresh >= 18, "{fresh} of 19: {told:?}");
 }
 
@@ -178,8 +194,8 @@
     let now = world.now;
     let detector = world.detectors.get_mut(&at(0)).unwrap();
     for _ in 0..20_000 {
-        let bytes: Vec<u8> = (0..chance.usize(..LONGEST + 40)).map(|_| chance.u8(..)).collect();
-        detector.hear(now, &bytes);
+        let bytes: Vec<u8> = (0..chance.usize(..MAX_MESSAGE_BYTES + 40)).map(|_| chance.u8(..)).collect();
+        detector.handle_datagram(now, &bytes);
     }
     assert!(detector.there().count() >= 2);
 }
--- a/crates/core/leases/src/asker.rs
+++ b/crates/core/leases/src/client.rs
@@ -1,6 +1,6 @@
-//! An asker: it attempts, holds, renews and lets go. Whether it holds a task is told by its own clock alone.
+//! A lease client: it attempts, holds, renews and lets go. Whether it holds a task is told by its own clock alone.
 
-use crate::{Ask, Ballot, Life, Reply, Task, Terms};
+use crate::{Ballot, Incarnation, LeaseConfig, LeaseReply, LeaseRequest, Task};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -12,22 +12,22 @@
 
 /// To the voter of this place in the list.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Post {
+pub struct OutboundMessage {
     pub voter: usize,
-    pub ask: Ask,
+    pub request: LeaseRequest,
 }
 
 /// How a task stands at this front.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Standing {
+pub enum LeaseState {
     Unwanted,
     /// It is wanted; the last that was heard of another who holds it.
     Wanted {
-        other: Option<(Life, u64)>,
+        other: Option<(Incarnation, u64)>,
     },
     /// It may act under this number until then, from `from` on.
     Held {
-        number: u64,
+        fencing_token: u64,
         from: Duration,
         until: Duration,
     },
@@ -35,20 +35,20 @@
 
 /// What has changed at this front, and why.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Change {
-    Taken {
+pub enum LeaseChange {
+    Acquired {
         task: Task,
-        number: u64,
+        fencing_token: u64,
     },
     /// It was not renewed in time.
-    RanOut {
+    Expired {
         task: Task,
-        number: u64,
+        fencing_token: u64,
     },
     /// It was let go.
     Released {
         task: Task,
-        number: u64,
+        fencing_token: u64,
     },
 }
 
@@ -81,32 +81,32 @@
     holding: Option<Holding>,
     attempt: Option<Attempt>,
     next: Duration,
-    other: Option<(Life, u64)>,
+    other: Option<(Incarnation, u64)>,
     /// The highest number that is known of: what is granted next is above it.
     seen: u64,
     round: u64,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Asker {
-    me: Life,
+pub struct LeaseClient {
+    me: Incarnation,
     voters: usize,
     wants: BTreeMap<Task, Want>,
-    changes: Vec<Change>,
+    take_changes: Vec<LeaseChange>,
 }
 
-impl Asker {
-    pub fn new(me: Life, voters: usize) -> Asker {
-        Asker { me, voters, wants: BTreeMap::new(), changes: Vec::new() }
+impl LeaseClient {
+    pub fn new(me: Incarnation, voters: usize) -> LeaseClient {
+        LeaseClient { me, voters, wants: BTreeMap::new(), take_changes: Vec::new() }
     }
 
-    pub fn me(&self) -> &Life {
+    pub fn me(&self) -> &Incarnation {
         &self.me
     }
 
     /// Asks for a task from now on. `fenced`: what is acted upon refuses an older number, so that nothing need be
     /// waited out for an act that its last holder may have half done.
-    pub fn want(&mut self, now: Duration, task: &str, fenced: bool) {
+    pub fn acquire(&mut self, now: Duration, task: &str, fenced: bool) {
         let want = self.wants.entry(task.to_owned()).or_default();
         if !want.wanted {
             (want.wanted, want.fenced, want.next) = (true, fenced, want.next.max(now));
@@ -114,7 +114,7 @@
     }
 
     /// Somebody has shown a number, such as what refused an older one.
-    pub fn seen(&mut self, task: &str, number: u64) {
+    pub fn observe_token(&mut self, task: &str, number: u64) {
         if let Some(want) = self.wants.get_mut(task) {
             want.seen = want.seen.max(number);
         }
@@ -122,18 +122,25 @@
 
     /// Lets a task go: at once for this front, and for others once the voters hear of it. Comes back to it, where it
     /// is still wanted, only after others have had their turn.
-    pub fn release(&mut self, now: Duration, terms: &Terms, task: &str, stays: bool) -> Vec<Post> {
+    pub fn release(
+        &mut self,
+        now: Duration,
+        terms: &LeaseConfig,
+        task: &str,
+        stays: bool,
+    ) -> Vec<OutboundMessage> {
         let Some(want) = self.wants.get_mut(task) else { return Vec::new() };
         want.wanted = stays;
-        want.next = now + terms.lease * AWAY;
+        want.next = now + terms.duration * AWAY;
         // An attempt under way may yet be granted; it is told as over too.
         let attempted = want.attempt.take().and_then(|attempt| attempt.number);
         let Some(number) = want.holding.take().map(|held| held.number).max(attempted) else {
             return Vec::new();
         };
-        self.changes.push(Change::Released { task: task.to_owned(), number });
-        let ask = Ask::Release { task: task.to_owned(), who: self.me.clone(), number };
-        (0..self.voters).map(|voter| Post { voter, ask: ask.clone() }).collect()
+        self.take_changes.push(LeaseChange::Released { task: task.to_owned(), fencing_token: number });
+        let ask =
+            LeaseRequest::Release { task: task.to_owned(), client: self.me.clone(), fencing_token: number };
+        (0..self.voters).map(|voter| OutboundMessage { voter, request: ask.clone() }).collect()
     }
 
     /// Whether an act may begin now, and under which number; it must end by the time given.
@@ -142,20 +149,20 @@
         (held.from <= now && now < held.until).then_some((held.number, held.until))
     }
 
-    pub fn standing(&self, now: Duration, task: &str) -> Standing {
+    pub fn state(&self, now: Duration, task: &str) -> LeaseState {
         let Some(want) = self.wants.get(task).filter(|want| want.wanted || want.holding.is_some()) else {
-            return Standing::Unwanted;
+            return LeaseState::Unwanted;
         };
         match &want.holding {
             Some(held) if now < held.until => {
-                Standing::Held { number: held.number, from: held.from, until: held.until }
+                LeaseState::Held { fencing_token: held.number, from: held.from, until: held.until }
             }
-            _ => Standing::Wanted { other: want.other.clone() },
+            _ => LeaseState::Wanted { other: want.other.clone() },
         }
     }
 
     /// Whether it asks for this, or has lately.
-    pub fn knows(&self, task: &str) -> bool {
+    pub fn is_tracking(&self, task: &str) -> bool {
         self.wants.contains_key(task)
     }
 
@@ -164,14 +171,14 @@
     }
 
     /// What has changed since this was last asked, in order.
-    pub fn changes(&mut self) -> Vec<Change> {
-        std::mem::take(&mut self.changes)
+    pub fn changes(&mut self) -> Vec<LeaseChange> {
+        std::mem::take(&mut self.take_changes)
     }
 
     /// When `turn` has something to do again.
-    pub fn due(&self, terms: &Terms) -> Option<Duration> {
+    pub fn next_timeout(&self, terms: &LeaseConfig) -> Option<Duration> {
         let dues = self.wants.values().flat_map(|want| {
-            let attempt = want.attempt.as_ref().map(|attempt| attempt.begun + terms.lease / PATIENCE);
+            let attempt = want.attempt.as_ref().map(|attempt| attempt.begun + terms.duration / PATIENCE);
             let next = (want.wanted && want.attempt.is_none()).then_some(want.next);
             [attempt, next, want.holding.as_ref().map(|held| held.until)]
         });
@@ -179,12 +186,18 @@
     }
 
     /// Ends what has run out and begins what is due. `chance` yields shares from 0 up to 1.
-    pub fn turn(&mut self, now: Duration, terms: &Terms, chance: &mut impl FnMut() -> f64) -> Vec<Post> {
+    pub fn poll(
+        &mut self,
+        now: Duration,
+        terms: &LeaseConfig,
+        chance: &mut impl FnMut() -> f64,
+    ) -> Vec<OutboundMessage> {
         let mut posts = Vec::new();
         for (task, want) in &mut self.wants {
-            let patience = terms.lease / PATIENCE;
+            let patience = terms.duration / PATIENCE;
             if let Some(held) = want.holding.take_if(|held| held.until <= now) {
-                self.changes.push(Change::RanOut { task: task.clone(), number: held.number });
+                self.take_changes
+                    .push(LeaseChange::Expired { task: task.clone(), fencing_token: held.number });
                 if want.attempt.take_if(|attempt| attempt.renews).is_some() {
                     want.next = now + patience.mul_f64(chance());
                 }
@@ -196,7 +209,7 @@
                 continue;
             }
             want.round += 1;
-            let ballot = Ballot { round: want.round, born: self.me.born };
+            let ballot = Ballot { round: want.round, proposer: self.me.id };
             // Whoever holds needs no promise: while its lease lasts, a majority refuses all others, so nobody else can have
             // been granted the task, nor a higher number.
             let renewed = want.holding.as_ref().map(|held| held.number);
@@ -212,10 +225,10 @@
             });
             let (task, who) = (task.clone(), self.me.clone());
             let ask = match renewed {
-                Some(number) => Ask::Accept { task, ballot, who, number },
-                None => Ask::Prepare { task, ballot, who },
+                Some(number) => LeaseRequest::Accept { task, ballot, client: who, fencing_token: number },
+                None => LeaseRequest::Prepare { task, ballot, client: who },
             };
-            posts.extend((0..self.voters).map(|voter| Post { voter, ask: ask.clone() }));
+            posts.extend((0..self.voters).map(|voter| OutboundMessage { voter, request: ask.clone() }));
         }
         self.wants.retain(|_, want| {
             want.wanted || want.holding.is_some() || want.attempt.is_some() || want.next > now
@@ -224,14 +237,14 @@
     }
 
     /// Hears what a voter answers. What belongs to no attempt that is still on changes nothing.
-    pub fn hear(
+    pub fn handle_reply(
         &mut self,
         now: Duration,
-        terms: &Terms,
+        terms: &LeaseConfig,
         voter: usize,
-        reply: Reply,
+        reply: LeaseReply,
         chance: &mut impl FnMut() -> f64,
-    ) -> Vec<Post> {
+    ) -> Vec<OutboundMessage> {
         let (task, ballot) = reply.task();
         let task = task.clone();
         let (most, me) = (self.voters / 2 + 1, self.me.clone());
@@ -240,9 +253,9 @@
         let Some(attempt) = want.attempt.as_mut().filter(|attempt| attempt.ballot == ballot) else {
             return Vec::new();
         };
-        let patience = terms.lease / PATIENCE;
+        let patience = terms.duration / PATIENCE;
         match reply {
-            Reply::Promise { number, .. } if attempt.number.is_none() => {
+            LeaseReply::Promise { fencing_token: number, .. } if attempt.number.is_none() => {
                 attempt.highest = attempt.highest.max(number);
                 attempt.promises.insert(voter);
                 if attempt.promises.len() < most {
@@ -252,10 +265,12 @@
                 // What is granted goes above all that a majority knows.
                 let number = attempt.highest + 1;
                 attempt.number = Some(number);
-                let ask = Ask::Accept { task, ballot, who: me, number };
-                return (0..self.voters).map(|voter| Post { voter, ask: ask.clone() }).collect();
+                let ask = LeaseRequest::Accept { task, ballot, client: me, fencing_token: number };
+                return (0..self.voters)
+                    .map(|voter| OutboundMessage { voter, request: ask.clone() })
+                    .collect();
             }
-            Reply::Accepted { .. } => {
+            LeaseReply::Accepted { .. } => {
                 attempt.accepted.insert(voter);
                 let Some(number) = attempt.number.filter(|_| attempt.accepted.len() >= most) else {
                     return Vec::new();
@@ -266,9 +281,9 @@
                     return Vec::new();
                 }
                 // Counted from before anything was sent, so that it ends here before it does at any voter.
-                let until = attempt.begun + terms.lease;
+                let until = attempt.begun + terms.duration;
                 want.attempt = None;
-                want.next = now + terms.lease / RENEW;
+                want.next = now + terms.duration / RENEW;
                 want.seen = want.seen.max(number);
                 if until <= now {
                     return Vec::new();
@@ -277,14 +292,15 @@
                     Some(held) if held.number == number => held.until = held.until.max(until),
                     _ => {
                         // Guards what can't refuse: an act that the last holder began may go on for so long.
-                        let from = if want.fenced { now } else { now + terms.stretched(terms.act) };
+                        let from =
+                            if want.fenced { now } else { now + terms.with_drift(terms.max_action_time) };
                         want.holding = Some(Holding { number, from, until });
-                        self.changes.push(Change::Taken { task, number });
+                        self.take_changes.push(LeaseChange::Acquired { task, fencing_token: number });
                     }
                 }
                 want.other = None;
             }
-            Reply::Held { who, number, left, .. } => {
+            LeaseReply::Held { holder: who, fencing_token: number, remaining: left, .. } => {
                 want.seen = want.seen.max(number);
                 if want.holding.is_none() {
                     want.other = Some((who, number));
@@ -293,10 +309,10 @@
                 if attempt.refused.len() + most > self.voters {
                     want.attempt = None;
                     // Spread, so that hundreds who want one task don't all come in the moment that it is free.
-                    want.next = now + left + (terms.lease * SPREAD).mul_f64(chance() + burden);
+                    want.next = now + left + (terms.duration * SPREAD).mul_f64(chance() + burden);
                 }
             }
-            Reply::Behind { round, .. } => {
+            LeaseReply::StaleBallot { round, .. } => {
                 want.round = want.round.max(round);
                 attempt.refused.insert(voter);
                 if attempt.refused.len() + most > self.voters {
@@ -304,14 +320,14 @@
                     want.next = now + patience.mul_f64(chance());
                 }
             }
-            Reply::Mute { left, .. } => {
+            LeaseReply::Silent { remaining: left, .. } => {
                 attempt.refused.insert(voter);
                 if attempt.refused.len() + most > self.voters {
                     want.attempt = None;
-                    want.next = now + left.min(terms.lease) + patience.mul_f64(chance());
+                    want.next = now + left.min(terms.duration) + patience.mul_f64(chance());
                 }
             }
-            Reply::Promise { .. } => {}
+            LeaseReply::Promise { .. } => {}
         }
         Vec::new()
     }
--- a/crates/core/leases/src/lib.rs
+++ b/crates/core/leases/src/lib.rs
@@ -2,38 +2,38 @@
 //! trusted but for its rate, and no voter needs a disk. docs/leases.md gives the options and the proof.
 //!
 //! Nothing here opens sockets or reads clocks: time is a span since any origin of the process, chance is an argument.
-//! [`Voter`] answers asks, [`Asker`] asks and holds, [`Seats`] says which tasks a front wants.
+//! [`Voter`] answers asks, [`Asker`] asks and holds, [`Quota slots`] says which tasks a front wants.
 
-mod asker;
-mod seats;
+mod client;
+mod quota;
 mod voter;
 
-pub use asker::{Asker, Change, Post, Standing};
-pub use seats::{Seats, share};
-pub use voter::{Granted, Voter};
+pub use client::{LeaseChange, LeaseClient, LeaseState, OutboundMessage};
+pub use quota::{QuotaSlots, quota};
+pub use voter::{Grant, Voter};
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::time::Duration;
 
-/// A task of the fleet, such as `account` or `seat.17`; at most [`LONGEST_NAME`] bytes.
+/// A task of the fleet, such as `account` or `quota slot.17`; at most [`LONGEST_NAME`] bytes.
 pub type Task = String;
 /// A task's name in bytes.
-pub const LONGEST_NAME: usize = 48;
+pub const MAX_NAME_BYTES: usize = 48;
 /// Tasks that a voter keeps at most; what is asked beyond is refused.
-pub const MOST_TASKS: usize = 4096;
+pub const MAX_TASKS: usize = 4096;
 
-/// One life of one front: its name, and a number drawn anew at each start. A front that has restarted is another,
+/// One incarnation of one front: its name, and a number drawn anew at each start. A front that has restarted is another,
 /// so that it never takes over what it held before without waiting as everybody does.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life {
+pub struct Incarnation {
     pub name: String,
-    pub born: u64,
+    pub id: u64,
 }
 
-impl fmt::Display for Life {
+impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{}/{:08x}", self.name, self.born as u32)
+        write!(f, "{}/{:08x}", self.name, self.id as u32)
     }
 }
 
@@ -41,60 +41,60 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Ballot {
     pub round: u64,
-    pub born: u64,
+    pub proposer: u64,
 }
 
 /// What all fronts and voters of a fleet must state alike.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct LeaseConfig {
     /// For how long a lease is granted.
-    pub lease: Duration,
+    pub duration: Duration,
     /// By how many thousandths a clock may run fast or slow against true time; under 500.
-    pub drift: u32,
+    pub clock_drift_permille: u32,
     /// How long an act may take where what is acted upon can't refuse an older number.
-    pub act: Duration,
+    pub max_action_time: Duration,
 }
 
-impl Terms {
+impl LeaseConfig {
     /// For how long a voter counts what it has granted as held, on its own clock: however fast that runs, and however
     /// slow the holder's, the holder's lease has ended by then.
-    pub fn kept(&self) -> Duration {
-        self.stretched(self.lease)
+    pub fn voter_hold_time(&self) -> Duration {
+        self.with_drift(self.duration)
     }
 
     /// A span on one clock that is sure to be as long as `span` on any other.
-    pub fn stretched(&self, span: Duration) -> Duration {
-        span * (1000 + self.drift) / (1000 - self.drift).max(1)
+    pub fn with_drift(&self, span: Duration) -> Duration {
+        span * (1000 + self.clock_drift_permille) / (1000 - self.clock_drift_permille).max(1)
     }
 
     /// What is wrong with them, if anything.
     pub fn wrong(&self) -> Option<&'static str> {
-        if self.lease < Duration::from_millis(100) || self.lease > Duration::from_secs(600) {
+        if self.duration < Duration::from_millis(100) || self.duration > Duration::from_secs(600) {
             return Some("a lease lasts from 100 ms to 10 minutes");
         }
-        (self.drift >= 500).then_some("a clock's drift is under 500 thousandths")
+        (self.clock_drift_permille >= 500).then_some("a clock's drift is under 500 thousandths")
     }
 }
 
-/// What an asker sends to a voter.
+/// What a lease client sends to a voter.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Ask {
+pub enum LeaseRequest {
     /// May I attempt this? Changes nothing while another holds it.
-    Prepare { task: Task, ballot: Ballot, who: Life },
+    Prepare { task: Task, ballot: Ballot, client: Incarnation },
     /// Grant it, under this number.
-    Accept { task: Task, ballot: Ballot, who: Life, number: u64 },
+    Accept { task: Task, ballot: Ballot, client: Incarnation, fencing_token: u64 },
     /// I no longer act on it.
-    Release { task: Task, who: Life, number: u64 },
+    Release { task: Task, client: Incarnation, fencing_token: u64 },
 }
 
 /// What a voter answers.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Reply {
+pub enum LeaseReply {
     /// No older attempt is let in from here on. The highest number known of the task goes with it.
     Promise {
         task: Task,
         ballot: Ballot,
-        number: u64,
+        fencing_token: u64,
     },
     Accepted {
         task: Task,
@@ -104,40 +104,42 @@
     Held {
         task: Task,
         ballot: Ballot,
-        who: Life,
-        number: u64,
-        left: Duration,
+        holder: Incarnation,
+        fencing_token: u64,
+        remaining: Duration,
     },
     /// A later attempt is under way, of this round.
-    Behind {
+    StaleBallot {
         task: Task,
         ballot: Ballot,
         round: u64,
     },
     /// It has started lately and does not vote yet, or has no room.
-    Mute {
+    Silent {
         task: Task,
         ballot: Ballot,
-        left: Duration,
+        remaining: Duration,
     },
 }
 
-impl Reply {
+impl LeaseReply {
     pub fn task(&self) -> (&Task, Ballot) {
         match self {
-            Reply::Promise { task, ballot, .. }
-            | Reply::Accepted { task, ballot }
-            | Reply::Held { task, ballot, .. }
-            | Reply::Behind { task, ballot, .. }
-            | Reply::Mute { task, ballot, .. } => (task, *ballot),
+            LeaseReply::Promise { task, ballot, .. }
+            | LeaseReply::Accepted { task, ballot }
+            | LeaseReply::Held { task, ballot, .. }
+            | LeaseReply::StaleBallot { task, ballot, .. }
+            | LeaseReply::Silent { task, ballot, .. } => (task, *ballot),
         }
     }
 }
 
-impl Ask {
+impl LeaseRequest {
     pub fn task(&self) -> &Task {
         match self {
-            Ask::Prepare { task, .. } | Ask::Accept { task, .. } | Ask::Release { task, .. } => task,
+            LeaseRequest::Prepare { task, .. }
+            | LeaseRequest::Accept { task, .. }
+            | LeaseRequest::Release { task, .. } => task,
         }
     }
 }
--- a/crates/core/leases/src/voter.rs
+++ b/crates/core/leases/src/voter.rs
@@ -1,14 +1,14 @@
 //! A voter: it promises, grants and forgets. It needs no disk, as a grant means nothing once it has run out.
 
-use crate::{Ask, Ballot, LONGEST_NAME, Life, MOST_TASKS, Reply, Task, Terms};
+use crate::{Ballot, Incarnation, LeaseConfig, LeaseReply, LeaseRequest, MAX_NAME_BYTES, MAX_TASKS, Task};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// What is granted as this voter knows it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Granted {
-    pub who: Life,
-    pub number: u64,
+pub struct Grant {
+    pub holder: Incarnation,
+    pub fencing_token: u64,
     /// Until then, on the voter's clock, it counts as held.
     pub until: Duration,
 }
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 struct Slot {
     promised: Ballot,
-    granted: Option<Granted>,
+    granted: Option<Grant>,
     /// The highest number that was ever granted here, or that somebody has told of.
     number: u64,
     /// When it was last asked about.
@@ -26,87 +26,104 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Voter {
     /// It has forgotten what it granted and promised before; by then all of it has run out.
-    mute_until: Duration,
+    silent_until: Duration,
     /// No number under this is granted; from a folder, where there is one.
     floor: u64,
     slots: BTreeMap<Task, Slot>,
 }
 
 impl Voter {
-    /// A voter that starts, and knows nothing. It is silent until whatever it granted in an earlier life, and whatever
+    /// A voter that starts, and knows nothing. It is silent until whatever it granted in an earlier incarnation, and whatever
     /// attempt it let in, must be over for whoever held it: an attempt ends with the lease that it asks for.
-    pub fn new(now: Duration, terms: &Terms, floor: u64) -> Voter {
-        Voter { mute_until: now + terms.kept(), floor, slots: BTreeMap::new() }
+    pub fn new(now: Duration, terms: &LeaseConfig, floor: u64) -> Voter {
+        Voter { silent_until: now + terms.voter_hold_time(), floor, slots: BTreeMap::new() }
     }
 
-    pub fn mute(&self, now: Duration) -> bool {
-        now < self.mute_until
+    pub fn is_silent(&self, now: Duration) -> bool {
+        now < self.silent_until
     }
 
     /// The highest number of all, to be kept where a folder lasts.
-    pub fn highest(&self) -> u64 {
+    pub fn highest_token(&self) -> u64 {
         self.slots.values().map(|slot| slot.number).max().unwrap_or_default().max(self.floor)
     }
 
     /// What is held, as far as this voter knows.
-    pub fn granted(&self, now: Duration) -> impl Iterator<Item = (&Task, &Granted)> {
+    pub fn grants(&self, now: Duration) -> impl Iterator<Item = (&Task, &Grant)> {
         self.slots.iter().filter_map(move |(task, slot)| {
             slot.granted.as_ref().filter(|granted| granted.until > now).map(|granted| (task, granted))
         })
     }
 
     /// Answers an ask; a release has no answer.
-    pub fn hear(&mut self, now: Duration, terms: &Terms, ask: Ask) -> Option<Reply> {
-        let mute = self.mute_until.saturating_sub(now);
+    pub fn handle_request(
+        &mut self,
+        now: Duration,
+        terms: &LeaseConfig,
+        ask: LeaseRequest,
+    ) -> Option<LeaseReply> {
+        let mute = self.silent_until.saturating_sub(now);
         let (task, ballot) = match &ask {
-            Ask::Prepare { task, ballot, .. } | Ask::Accept { task, ballot, .. } => (task.clone(), *ballot),
-            Ask::Release { task, who, number } => {
+            LeaseRequest::Prepare { task, ballot, .. } | LeaseRequest::Accept { task, ballot, .. } => {
+                (task.clone(), *ballot)
+            }
+            LeaseRequest::Release { task, client: who, fencing_token: number } => {
                 let slot = self.slots.get_mut(task)?;
-                slot.granted.take_if(|granted| granted.who == *who && granted.number <= *number);
+                slot.granted.take_if(|granted| granted.holder == *who && granted.fencing_token <= *number);
                 return None;
             }
         };
         // Guards against two holders after a loss of memory: what was promised before is not known here.
-        if !mute.is_zero() || task.is_empty() || task.len() > LONGEST_NAME {
-            return Some(Reply::Mute { task, ballot, left: mute });
+        if !mute.is_zero() || task.is_empty() || task.len() > MAX_NAME_BYTES {
+            return Some(LeaseReply::Silent { task, ballot, remaining: mute });
         }
         if !self.slots.contains_key(&task) && !self.room(now, terms) {
-            return Some(Reply::Mute { task, ballot, left: terms.kept() });
+            return Some(LeaseReply::Silent { task, ballot, remaining: terms.voter_hold_time() });
         }
         let floor = self.floor;
         let slot =
             self.slots.entry(task.clone()).or_insert_with(|| Slot { number: floor, ..Slot::default() });
         slot.asked = now;
         slot.granted.take_if(|granted| granted.until <= now);
-        let (Ask::Prepare { who, .. } | Ask::Accept { who, .. } | Ask::Release { who, .. }) = &ask;
+        let (LeaseRequest::Prepare { client: who, .. }
+        | LeaseRequest::Accept { client: who, .. }
+        | LeaseRequest::Release { client: who, .. }) = &ask;
         // A prepare that can't succeed must not raise what is promised, or many who want a task would keep its holder
         // from renewing it.
-        if let Some(other) = slot.granted.as_ref().filter(|granted| granted.who != *who) {
-            let (who, number, left) = (other.who.clone(), other.number, other.until.saturating_sub(now));
-            return Some(Reply::Held { task, ballot, who, number, left });
+        if let Some(other) = slot.granted.as_ref().filter(|granted| granted.holder != *who) {
+            let (who, number, left) =
+                (other.holder.clone(), other.fencing_token, other.until.saturating_sub(now));
+            return Some(LeaseReply::Held {
+                task,
+                ballot,
+                holder: who,
+                fencing_token: number,
+                remaining: left,
+            });
         }
         if ballot < slot.promised {
-            return Some(Reply::Behind { task, ballot, round: slot.promised.round });
+            return Some(LeaseReply::StaleBallot { task, ballot, round: slot.promised.round });
         }
         slot.promised = ballot;
         match ask {
-            Ask::Accept { who, number, .. } => {
+            LeaseRequest::Accept { client: who, fencing_token: number, .. } => {
                 slot.number = slot.number.max(number);
-                slot.granted = Some(Granted { who, number, until: now + terms.kept() });
-                Some(Reply::Accepted { task, ballot })
+                slot.granted =
+                    Some(Grant { holder: who, fencing_token: number, until: now + terms.voter_hold_time() });
+                Some(LeaseReply::Accepted { task, ballot })
             }
-            _ => Some(Reply::Promise { task, ballot, number: slot.number }),
+            _ => Some(LeaseReply::Promise { task, ballot, fencing_token: slot.number }),
         }
     }
 
     /// Makes room by forgetting the task that was asked about longest ago, once nothing of it can matter any more.
-    fn room(&mut self, now: Duration, terms: &Terms) -> bool {
-        if self.slots.len() < MOST_TASKS {
+    fn room(&mut self, now: Duration, terms: &LeaseConfig) -> bool {
+        if self.slots.len() < MAX_TASKS {
             return true;
         }
         let oldest = self.slots.iter().min_by_key(|(_, slot)| slot.asked);
         let Some((task, number)) = oldest
-            .filter(|(_, slot)| slot.asked + terms.kept() <= now)
+            .filter(|(_, slot)| slot.asked + terms.voter_hold_time() <= now)
             .map(|(task, slot)| (task.clone(), slot.number))
         else {
             return false;
--- a/crates/core/leases/tests/exhaustive.rs
+++ b/crates/core/leases/tests/exhaustive.rs
@@ -1,5 +1,5 @@
-//! Every interleaving of a small fleet, on the code that runs: three voters, two askers, messages lost, repeated and
-//! delayed without bound, voters and askers that lose all memory, clocks at the ends of the stated drift.
+//! Every interleaving of a small fleet, on the code that runs: three voters, two lease clients, messages lost, repeated and
+//! delayed without bound, voters and lease clients that lose all memory, clocks at the ends of the stated drift.
 
 use lemonusher_leases::*;
 use stateright::{Checker, Model, Property};
@@ -30,8 +30,8 @@
 /// A message on its way; it stays there for good, as a network may repeat it and deliver it at any time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Sent {
-    Ask(usize, usize, Ask),
-    Reply(usize, usize, Reply),
+    LeaseRequest(usize, usize, LeaseRequest),
+    LeaseReply(usize, usize, LeaseReply),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -40,8 +40,8 @@
     lost: u32,
     begun: u32,
     voters: Vec<Voter>,
-    askers: Vec<Asker>,
-    /// The number under which each asker may act now.
+    askers: Vec<LeaseClient>,
+    /// The number under which each lease client may act now.
     acts: Vec<Option<u64>>,
     sent: BTreeSet<Sent>,
 }
@@ -49,17 +49,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Tick,
-    /// An asker begins what is due, its first attempt or a renewal.
+    /// A lease client begins what is due, its first attempt or a renewal.
     Begin(usize),
     Deliver(Sent),
     Forget(usize),
 }
 
 impl Small {
-    fn terms(&self) -> Terms {
-        // Drift of a third: the askers' clocks are slow, one unit a tick; the voters' fast, two.
+    fn terms(&self) -> LeaseConfig {
+        // Drift of a third: the lease clients' clocks are slow, one unit a tick; the voters' fast, two.
         let drift = if self.spoilt == Spoilt::NoDriftMargin { 0 } else { 333 };
-        Terms { lease: Duration::from_millis(400), drift, act: Duration::ZERO }
+        LeaseConfig {
+            duration: Duration::from_millis(400),
+            clock_drift_permille: drift,
+            max_action_time: Duration::ZERO,
+        }
     }
 
     fn asker_now(&self, tick: u32) -> Duration {
@@ -72,14 +76,14 @@
 
     fn turn(&self, state: &mut State, asker: usize) {
         let now = self.asker_now(state.tick);
-        let posts = state.askers[asker].turn(now, &self.terms(), &mut || 0.0);
+        let posts = state.askers[asker].poll(now, &self.terms(), &mut || 0.0);
         self.post(state, asker, posts);
         self.note(state, asker);
     }
 
-    fn post(&self, state: &mut State, asker: usize, posts: Vec<Post>) {
-        for Post { voter, ask } in posts {
-            state.sent.insert(Sent::Ask(asker, voter, ask));
+    fn post(&self, state: &mut State, asker: usize, posts: Vec<OutboundMessage>) {
+        for OutboundMessage { voter, request: ask } in posts {
+            state.sent.insert(Sent::LeaseRequest(asker, voter, ask));
         }
     }
 
@@ -96,7 +100,7 @@
 
     fn init_states(&self) -> Vec<State> {
         let terms = self.terms();
-        let ready = Terms { lease: Duration::ZERO, ..terms };
+        let ready = LeaseConfig { duration: Duration::ZERO, ..terms };
         let mut state = State {
             tick: 0,
             lost: 0,
@@ -104,13 +108,13 @@
             // They have been up for long.
             voters: (0..VOTERS).map(|_| Voter::new(Duration::ZERO, &ready, 0)).collect(),
             askers: (0..ASKERS)
-                .map(|n| Asker::new(Life { name: format!("{n}"), born: n as u64 + 1 }, VOTERS))
+                .map(|n| LeaseClient::new(Incarnation { name: format!("{n}"), id: n as u64 + 1 }, VOTERS))
                 .collect(),
             acts: vec![None; ASKERS],
             sent: BTreeSet::new(),
         };
         for asker in 0..ASKERS {
-            state.askers[asker].want(Duration::ZERO, TASK, true);
+            state.askers[asker].acquire(Duration::ZERO, TASK, true);
         }
         vec![state]
     }
@@ -142,51 +146,54 @@
                     return None;
                 }
                 state.begun += 1;
-                // What belongs to an attempt that was given up changes nothing at its asker, and a prepare of one only
+                // What belongs to an attempt that was given up changes nothing at its lease client, and a prepare of one only
                 // bars others: both count as lost. Its accepts may still come, at any time.
                 let latest = state.sent.iter().filter_map(|sent| match sent {
-                    Sent::Ask(from, _, Ask::Prepare { ballot, .. }) if *from == asker => Some(*ballot),
+                    Sent::LeaseRequest(from, _, LeaseRequest::Prepare { ballot, .. }) if *from == asker => {
+                        Some(*ballot)
+                    }
                     _ => None,
                 });
                 let latest = latest.max();
                 state.sent.retain(|sent| match sent {
-                    Sent::Ask(from, _, Ask::Prepare { ballot, .. }) => {
+                    Sent::LeaseRequest(from, _, LeaseRequest::Prepare { ballot, .. }) => {
                         *from != asker || Some(*ballot) == latest
                     }
-                    Sent::Reply(_, to, reply) => *to != asker || Some(reply.task().1) == latest,
+                    Sent::LeaseReply(_, to, reply) => *to != asker || Some(reply.task().1) == latest,
                     _ => true,
                 });
             }
             Step::Forget(voter) => {
                 state.lost += 1;
                 let counted = if self.spoilt == Spoilt::ForgetfulVoters {
-                    Terms { lease: Duration::ZERO, ..terms }
+                    LeaseConfig { duration: Duration::ZERO, ..terms }
                 } else {
                     terms
                 };
                 state.voters[voter] = Voter::new(self.voter_now(state.tick), &counted, 0);
             }
-            Step::Deliver(Sent::Ask(asker, voter, ask)) => {
+            Step::Deliver(Sent::LeaseRequest(asker, voter, ask)) => {
                 let now = self.voter_now(state.tick);
-                if let Some(reply) = state.voters[voter].hear(now, &terms, ask) {
-                    // A refusal only keeps an asker from going on, which losing it does as well.
+                if let Some(reply) = state.voters[voter].handle_request(now, &terms, ask) {
+                    // A refusal only keeps a lease client from going on, which losing it does as well.
                     // A promise that is late is as good as accepts that are late, so it comes at once or never.
                     match &reply {
-                        Reply::Promise { .. } => {
+                        LeaseReply::Promise { .. } => {
                             let now = self.asker_now(state.tick);
-                            let posts = state.askers[asker].hear(now, &terms, voter, reply, &mut || 0.0);
+                            let posts =
+                                state.askers[asker].handle_reply(now, &terms, voter, reply, &mut || 0.0);
                             self.post(&mut state, asker, posts);
                         }
-                        Reply::Accepted { .. } => {
-                            state.sent.insert(Sent::Reply(voter, asker, reply));
+                        LeaseReply::Accepted { .. } => {
+                            state.sent.insert(Sent::LeaseReply(voter, asker, reply));
                         }
                         _ => {}
                     }
                 }
             }
-            Step::Deliver(Sent::Reply(voter, asker, reply)) => {
+            Step::Deliver(Sent::LeaseReply(voter, asker, reply)) => {
                 let now = self.asker_now(state.tick);
-                let posts = state.askers[asker].hear(now, &terms, voter, reply, &mut || 0.0);
+                let posts = state.askers[asker].handle_reply(now, &terms, voter, reply, &mut || 0.0);
                 self.post(&mut state, asker, posts);
                 self.note(&mut state, asker);
             }
--- a/crates/core/leases/tests/stories.rs
+++ b/crates/core/leases/tests/stories.rs
@@ -1,48 +1,53 @@
-//! Stories of voters and askers, each with the failure that it guards against.
+//! Stories of voters and lease clients, each with the failure that it guards against.
 
 use lemonusher_leases::*;
 use std::time::Duration;
 
-const TERMS: Terms = Terms { lease: Duration::from_secs(3), drift: 100, act: Duration::from_millis(500) };
+const TERMS: LeaseConfig = LeaseConfig {
+    duration: Duration::from_secs(3),
+    clock_drift_permille: 100,
+    max_action_time: Duration::from_millis(500),
+};
 const TASK: &str = "account";
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// Voters and askers on one clock; links can be cut.
+/// Voters and lease clients on one clock; links can be cut.
 struct Fleet {
     now: Duration,
     voters: Vec<Voter>,
-    askers: Vec<Asker>,
-    cut: Vec<(usize, usize)>, // From asker to voter, both ways.
+    askers: Vec<LeaseClient>,
+    cut: Vec<(usize, usize)>, // From lease client to voter, both ways.
     chance: fastrand::Rng,
     messages: usize,
 }
 
 impl Fleet {
     fn new(voters: usize, askers: usize) -> Fleet {
-        let life = |n: usize| Life { name: format!("n{n}"), born: n as u64 + 1 };
+        let life = |n: usize| Incarnation { name: format!("n{n}"), id: n as u64 + 1 };
         Fleet {
             now: ms(0),
             voters: (0..voters).map(|_| Voter::new(ms(0), &TERMS, 0)).collect(),
-            askers: (0..askers).map(|n| Asker::new(life(n), voters)).collect(),
+            askers: (0..askers).map(|n| LeaseClient::new(life(n), voters)).collect(),
             cut: Vec::new(),
             chance: fastrand::Rng::with_seed(7),
             messages: 0,
         }
     }
 
-    fn post(&mut self, asker: usize, posts: Vec<Post>) {
-        for Post { voter, ask } in posts {
+    fn post(&mut self, asker: usize, posts: Vec<OutboundMessage>) {
+        for OutboundMessage { voter, request: ask } in posts {
             self.messages += 1;
             if self.cut.contains(&(asker, voter)) {
                 continue;
             }
-            if let Some(reply) = self.voters[voter].hear(self.now, &TERMS, ask) {
+            if let Some(reply) = self.voters[voter].handle_request(self.now, &TERMS, ask) {
                 self.messages += 1;
                 let chance = &mut self.chance;
-                let more = self.askers[asker].hear(self.now, &TERMS, voter, reply, &mut || chance.f64());
+                let more =
+                    self.askers[asker].handle_reply(self.now, &TERMS, voter, reply, &mut || chance.f64());
                 self.post(asker, more);
             }
         }
@@ -55,7 +60,7 @@
             self.now += ms(50);
             for asker in 0..self.askers.len() {
                 let chance = &mut self.chance;
-                let posts = self.askers[asker].turn(self.now, &TERMS, &mut || chance.f64());
+                let posts = self.askers[asker].poll(self.now, &TERMS, &mut || chance.f64());
                 self.post(asker, posts);
             }
             assert!(self.holders(TASK).len() <= 1, "{:?}", self.holders(TASK));
@@ -63,13 +68,13 @@
     }
 
     fn holders(&self, task: &str) -> Vec<(usize, u64)> {
-        let acts = |(n, a): (usize, &Asker)| Some((n, a.may_act(self.now, task)?.0));
+        let acts = |(n, a): (usize, &LeaseClient)| Some((n, a.may_act(self.now, task)?.0));
         self.askers.iter().enumerate().filter_map(acts).collect()
     }
 
     fn want(&mut self, asker: usize, fenced: bool) {
         let now = self.now;
-        self.askers[asker].want(now, TASK, fenced);
+        self.askers[asker].acquire(now, TASK, fenced);
     }
 }
 
@@ -77,16 +82,16 @@
 fn one_of_many_holds_keeps_and_hands_over() {
     let mut fleet = Fleet::new(3, 20);
     (0..20).for_each(|n| fleet.want(n, true));
-    fleet.pass(TERMS.kept() - ms(50));
+    fleet.pass(TERMS.voter_hold_time() - ms(50));
     assert!(fleet.holders(TASK).is_empty()); // All voters have just started.
-    fleet.pass(TERMS.lease);
+    fleet.pass(TERMS.duration);
     let first = fleet.holders(TASK)[0];
-    fleet.pass(TERMS.lease * 20);
+    fleet.pass(TERMS.duration * 20);
     assert_eq!(fleet.holders(TASK), [first], "it is kept, under one number");
     let now = fleet.now;
     let posts = fleet.askers[first.0].release(now, &TERMS, TASK, true);
     fleet.post(first.0, posts);
-    fleet.pass(TERMS.lease * 3);
+    fleet.pass(TERMS.duration * 3);
     let second = fleet.holders(TASK)[0];
     assert!(second.0 != first.0 && second.1 > first.1, "{first:?} {second:?}");
 }
@@ -95,24 +100,24 @@
 fn who_is_cut_off_lets_go_before_anybody_else_takes_it() {
     let mut fleet = Fleet::new(3, 2);
     fleet.want(0, true);
-    fleet.pass(TERMS.lease * 3);
+    fleet.pass(TERMS.duration * 3);
     fleet.want(1, true);
     fleet.cut = (0..3).map(|voter| (0, voter)).collect();
     let from = fleet.now;
     while fleet.holders(TASK) != [(1, 2)] {
         fleet.pass(ms(50));
-        assert!(fleet.now < from + TERMS.kept() + TERMS.lease * 3, "nobody has taken it");
+        assert!(fleet.now < from + TERMS.voter_hold_time() + TERMS.duration * 3, "nobody has taken it");
     }
     let (a, b) = (fleet.askers[0].changes(), fleet.askers[1].changes());
-    assert_eq!(a[1], Change::RanOut { task: TASK.into(), number: 1 });
-    assert_eq!(b, [Change::Taken { task: TASK.into(), number: 2 }]);
+    assert_eq!(a[1], LeaseChange::Expired { task: TASK.into(), fencing_token: 1 });
+    assert_eq!(b, [LeaseChange::Acquired { task: TASK.into(), fencing_token: 2 }]);
 }
 
 #[test]
 fn a_majority_without_memory_grants_nothing_until_all_it_granted_is_over() {
     let mut fleet = Fleet::new(3, 2);
     fleet.want(0, true);
-    fleet.pass(TERMS.lease * 3);
+    fleet.pass(TERMS.duration * 3);
     fleet.cut = (0..3).map(|voter| (0, voter)).collect(); // Its holder does not hear of it.
     let (now, restarted) = (fleet.now, fleet.now);
     (0..2).for_each(|voter| fleet.voters[voter] = Voter::new(now, &TERMS, 0));
@@ -120,16 +125,16 @@
     while fleet.holders(TASK).iter().all(|(n, _)| *n == 0) {
         fleet.pass(ms(50));
     }
-    assert!(fleet.now >= restarted + TERMS.kept());
+    assert!(fleet.now >= restarted + TERMS.voter_hold_time());
     // The third voter still knew the number; but a majority that does not hear it has forgotten, and only what is
     // acted upon, a folder, or whoever has seen the number, tells it again.
     let told = fleet.holders(TASK)[0].1;
     assert!(told == 1 || told == 2);
-    fleet.askers[1].seen(TASK, 7);
+    fleet.askers[1].observe_token(TASK, 7);
     let now = fleet.now;
     let posts = fleet.askers[1].release(now, &TERMS, TASK, true);
     fleet.post(1, posts);
-    fleet.pass(TERMS.lease * 3);
+    fleet.pass(TERMS.duration * 3);
     assert_eq!(fleet.holders(TASK), [(1, 8)]);
 }
 
@@ -139,15 +144,15 @@
     fleet.want(0, true);
     let now = fleet.now;
     fleet.voters.iter_mut().for_each(|voter| *voter = Voter::new(now, &TERMS, 0));
-    fleet.askers[0].seen(TASK, 41);
-    fleet.pass(TERMS.lease * 3);
+    fleet.askers[0].observe_token(TASK, 41);
+    fleet.pass(TERMS.duration * 3);
     assert_eq!(fleet.holders(TASK), [(0, 42)]);
-    let folder = fleet.voters.iter().map(Voter::highest).max().unwrap();
+    let folder = fleet.voters.iter().map(Voter::highest_token).max().unwrap();
     let now = fleet.now;
     fleet.voters.iter_mut().for_each(|voter| *voter = Voter::new(now, &TERMS, folder));
-    fleet.askers[0] = Asker::new(Life { name: "n0".into(), born: 99 }, 3);
+    fleet.askers[0] = LeaseClient::new(Incarnation { name: "n0".into(), id: 99 }, 3);
     fleet.want(0, true);
-    fleet.pass(TERMS.lease * 3);
+    fleet.pass(TERMS.duration * 3);
     assert_eq!(fleet.holders(TASK), [(0, 43)]);
 }
 
@@ -157,66 +162,85 @@
     fleet.want(0, false);
     let taken = loop {
         fleet.pass(ms(50));
-        if let Some(Change::Taken { .. }) = fleet.askers[0].changes().first() {
+        if let Some(LeaseChange::Acquired { .. }) = fleet.askers[0].changes().first() {
             break fleet.now;
         }
     };
     assert!(fleet.holders(TASK).is_empty());
-    fleet.pass(TERMS.stretched(TERMS.act) - ms(50));
+    fleet.pass(TERMS.with_drift(TERMS.max_action_time) - ms(50));
     assert!(fleet.holders(TASK).is_empty());
     fleet.pass(ms(100));
-    assert!(fleet.holders(TASK) == [(0, 1)] && fleet.now <= taken + TERMS.stretched(TERMS.act) + ms(100));
+    assert!(
+        fleet.holders(TASK) == [(0, 1)]
+            && fleet.now <= taken + TERMS.with_drift(TERMS.max_action_time) + ms(100)
+    );
 }
 
 #[test]
 fn a_delayed_grant_and_a_repeated_one_change_nothing() {
     let mut voter = Voter::new(ms(0), &TERMS, 0);
-    let (a, b) = (Life { name: "a".into(), born: 1 }, Life { name: "b".into(), born: 2 });
-    let ballot = |round, born| Ballot { round, born };
-    let accept = |who: &Life, round, number| Ask::Accept {
+    let (a, b) = (Incarnation { name: "a".into(), id: 1 }, Incarnation { name: "b".into(), id: 2 });
+    let ballot = |round, born| Ballot { round, proposer: born };
+    let accept = |who: &Incarnation, round, number| LeaseRequest::Accept {
         task: TASK.into(),
-        ballot: ballot(round, who.born),
-        who: who.clone(),
-        number,
+        ballot: ballot(round, who.id),
+        client: who.clone(),
+        fencing_token: number,
     };
-    let at = TERMS.kept();
-    let prepare = Ask::Prepare { task: TASK.into(), ballot: ballot(2, 2), who: b.clone() };
-    assert!(matches!(voter.hear(at, &TERMS, prepare), Some(Reply::Promise { .. })));
-    assert!(matches!(voter.hear(at, &TERMS, accept(&a, 1, 1)), Some(Reply::Behind { round: 2, .. })));
-    assert!(matches!(voter.hear(at, &TERMS, accept(&b, 2, 1)), Some(Reply::Accepted { .. })));
+    let at = TERMS.voter_hold_time();
+    let prepare = LeaseRequest::Prepare { task: TASK.into(), ballot: ballot(2, 2), client: b.clone() };
+    assert!(matches!(voter.handle_request(at, &TERMS, prepare), Some(LeaseReply::Promise { .. })));
+    assert!(matches!(
+        voter.handle_request(at, &TERMS, accept(&a, 1, 1)),
+        Some(LeaseReply::StaleBallot { round: 2, .. })
+    ));
+    assert!(matches!(voter.handle_request(at, &TERMS, accept(&b, 2, 1)), Some(LeaseReply::Accepted { .. })));
     // The same again, long after: it would hold b's lease longer, which b does not count on; others only wait.
-    let late = at + TERMS.kept() * 2;
-    assert!(matches!(voter.hear(late, &TERMS, accept(&b, 2, 1)), Some(Reply::Accepted { .. })));
-    let release = |who: &Life, number| Ask::Release { task: TASK.into(), who: who.clone(), number };
-    assert_eq!(voter.hear(late, &TERMS, release(&a, 9)), None);
-    assert_eq!(voter.granted(late).count(), 1, "nobody lets go for another");
-    voter.hear(late, &TERMS, release(&b, 1));
-    assert_eq!(voter.granted(late).count(), 0);
+    let late = at + TERMS.voter_hold_time() * 2;
+    assert!(matches!(
+        voter.handle_request(late, &TERMS, accept(&b, 2, 1)),
+        Some(LeaseReply::Accepted { .. })
+    ));
+    let release = |who: &Incarnation, number| LeaseRequest::Release {
+        task: TASK.into(),
+        client: who.clone(),
+        fencing_token: number,
+    };
+    assert_eq!(voter.handle_request(late, &TERMS, release(&a, 9)), None);
+    assert_eq!(voter.grants(late).count(), 1, "nobody lets go for another");
+    voter.handle_request(late, &TERMS, release(&b, 1));
+    assert_eq!(voter.grants(late).count(), 0);
 }
 
-/// An asker that holds the task at time zero, by two of three voters.
-fn holding() -> Asker {
-    let mut asker = Asker::new(Life { name: "a".into(), born: 1 }, 3);
-    asker.want(ms(0), TASK, true);
-    let prepared = asker.turn(ms(0), &TERMS, &mut || 0.0);
-    let Ask::Prepare { ballot, .. } = prepared[0].ask else { panic!("{prepared:?}") };
+/// A lease client that holds the task at time zero, by two of three voters.
+fn holding() -> LeaseClient {
+    let mut asker = LeaseClient::new(Incarnation { name: "a".into(), id: 1 }, 3);
+    asker.acquire(ms(0), TASK, true);
+    let prepared = asker.poll(ms(0), &TERMS, &mut || 0.0);
+    let LeaseRequest::Prepare { ballot, .. } = prepared[0].request else { panic!("{prepared:?}") };
     for voter in 0..2 {
-        let promise = Reply::Promise { task: TASK.into(), ballot, number: 4 };
-        asker.hear(ms(0), &TERMS, voter, promise, &mut || 0.0);
+        let promise = LeaseReply::Promise { task: TASK.into(), ballot, fencing_token: 4 };
+        asker.handle_reply(ms(0), &TERMS, voter, promise, &mut || 0.0);
     }
     for voter in 0..2 {
-        asker.hear(ms(0), &TERMS, voter, Reply::Accepted { task: TASK.into(), ballot }, &mut || 0.0);
+        asker.handle_reply(
+            ms(0),
+            &TERMS,
+            voter,
+            LeaseReply::Accepted { task: TASK.into(), ballot },
+            &mut || 0.0,
+        );
     }
-    assert_eq!(asker.may_act(ms(0), TASK), Some((5, TERMS.lease)));
+    assert_eq!(asker.may_act(ms(0), TASK), Some((5, TERMS.duration)));
     asker
 }
 
 /// The ballot under which all voters are asked to renew at this time.
-fn renewal(asker: &mut Asker, now: Duration) -> Ballot {
-    let posts = asker.turn(now, &TERMS, &mut || 0.0);
+fn renewal(asker: &mut LeaseClient, now: Duration) -> Ballot {
+    let posts = asker.poll(now, &TERMS, &mut || 0.0);
     assert_eq!(posts.len(), 3);
-    let ballot = |post: &Post| match post.ask {
-        Ask::Accept { ballot, number: 5, .. } => ballot,
+    let ballot = |post: &OutboundMessage| match post.request {
+        LeaseRequest::Accept { ballot, fencing_token: 5, .. } => ballot,
         _ => panic!("{post:?}"),
     };
     ballot(&posts[2])
@@ -225,37 +249,49 @@
 #[test]
 fn a_lease_is_renewed_in_one_round() {
     let mut asker = holding();
-    let now = TERMS.lease / 2;
+    let now = TERMS.duration / 2;
     let ballot = renewal(&mut asker, now);
     for voter in 1..3 {
-        asker.hear(now, &TERMS, voter, Reply::Accepted { task: TASK.into(), ballot }, &mut || 0.0);
+        asker.handle_reply(
+            now,
+            &TERMS,
+            voter,
+            LeaseReply::Accepted { task: TASK.into(), ballot },
+            &mut || 0.0,
+        );
     }
-    assert_eq!(asker.may_act(now, TASK), Some((5, now + TERMS.lease)));
+    assert_eq!(asker.may_act(now, TASK), Some((5, now + TERMS.duration)));
 }
 
 #[test]
 fn a_renewal_that_is_accepted_once_the_lease_has_run_out_renews_nothing() {
     for turned in [false, true] {
         let mut asker = holding();
-        let ballot = renewal(&mut asker, TERMS.lease - ms(1));
-        let late = TERMS.lease;
+        let ballot = renewal(&mut asker, TERMS.duration - ms(1));
+        let late = TERMS.duration;
         if turned {
-            asker.turn(late, &TERMS, &mut || 0.5);
+            asker.poll(late, &TERMS, &mut || 0.5);
         }
         for voter in 0..3 {
-            asker.hear(late, &TERMS, voter, Reply::Accepted { task: TASK.into(), ballot }, &mut || 0.0);
+            asker.handle_reply(
+                late,
+                &TERMS,
+                voter,
+                LeaseReply::Accepted { task: TASK.into(), ballot },
+                &mut || 0.0,
+            );
         }
         assert_eq!(asker.may_act(late, TASK), None);
-        asker.turn(late, &TERMS, &mut || 0.5);
-        let again = asker.turn(late + TERMS.lease, &TERMS, &mut || 0.0);
-        assert!(matches!(again[0].ask, Ask::Prepare { .. }), "{again:?}");
+        asker.poll(late, &TERMS, &mut || 0.5);
+        let again = asker.poll(late + TERMS.duration, &TERMS, &mut || 0.0);
+        assert!(matches!(again[0].request, LeaseRequest::Prepare { .. }), "{again:?}");
     }
 }
 
 #[test]
 fn seats_go_round_without_two_on_one_and_the_parts_never_exceed_the_whole() {
     let mut fleet = Fleet::new(3, 40);
-    let mut seats: Vec<Seats> = (0..40).map(|n| Seats::new(30, 1, n / 2)).collect(); // Two begin at each number.
+    let mut seats: Vec<QuotaSlots> = (0..40).map(|n| QuotaSlots::new(30, 1, n / 2)).collect(); // Two begin at each number.
     let mut worst: f64 = 0.0;
     let mut random = fastrand::Rng::with_seed(3);
     for step in 0..600 {
@@ -267,12 +303,12 @@
             fleet.voters[voter] = Voter::new(now, &TERMS, 0);
         }
         for (n, seat) in seats.iter_mut().enumerate() {
-            let posts = seat.turn(fleet.now, &TERMS, &mut fleet.askers[n]);
+            let posts = seat.poll(fleet.now, &TERMS, &mut fleet.askers[n]);
             fleet.post(n, posts);
         }
         fleet.pass(ms(100));
         let mut held: Vec<u32> = (0..40).flat_map(|n| seats[n].held(fleet.now, &fleet.askers[n])).collect();
-        worst = worst.max(share(held.len(), 30));
+        worst = worst.max(quota(held.len(), 30));
         held.sort();
         assert!(held.windows(2).all(|two| two[0] != two[1]), "{held:?}");
     }
@@ -283,28 +319,29 @@
 fn messages_a_front_do_not_grow_with_the_fleet_and_a_mass_restart_settles() {
     for fronts in [4, 40, 300] {
         let mut fleet = Fleet::new(3, fronts);
-        let mut seats: Vec<Seats> = (0..fronts).map(|n| Seats::new(fronts as u32, 1, n as u32 / 2)).collect();
+        let mut seats: Vec<QuotaSlots> =
+            (0..fronts).map(|n| QuotaSlots::new(fronts as u32, 1, n as u32 / 2)).collect();
         (0..fronts).for_each(|n| fleet.want(n, true));
-        let run = |fleet: &mut Fleet, seats: &mut [Seats], span: Duration| {
+        let run = |fleet: &mut Fleet, seats: &mut [QuotaSlots], span: Duration| {
             let end = fleet.now + span;
             while fleet.now < end {
                 for (n, seat) in seats.iter_mut().enumerate() {
-                    let posts = seat.turn(fleet.now, &TERMS, &mut fleet.askers[n]);
+                    let posts = seat.poll(fleet.now, &TERMS, &mut fleet.askers[n]);
                     fleet.post(n, posts);
                 }
                 fleet.pass(ms(50));
             }
         };
-        let held = |fleet: &Fleet, seats: &[Seats]| {
+        let held = |fleet: &Fleet, seats: &[QuotaSlots]| {
             seats
                 .iter()
                 .enumerate()
                 .map(|(n, seat)| seat.held(fleet.now, &fleet.askers[n]).len())
                 .sum::<usize>()
         };
-        run(&mut fleet, &mut seats, TERMS.lease * 20);
+        run(&mut fleet, &mut seats, TERMS.duration * 20);
         let (before, from) = (fleet.messages, fleet.now);
-        run(&mut fleet, &mut seats, TERMS.lease * 10);
+        run(&mut fleet, &mut seats, TERMS.duration * 10);
         let rate = (fleet.messages - before) as f64 / (fleet.now - from).as_secs_f64() / fronts as f64;
         println!("proof: leases_messages_a_second_a_front_of_{fronts} {rate:.1}");
         assert!(rate < 24.0, "{rate}");
@@ -312,15 +349,15 @@
         let now = fleet.now;
         fleet.voters.iter_mut().for_each(|voter| *voter = Voter::new(now, &TERMS, 0));
         for n in 0..fronts {
-            let life = Life { name: format!("n{n}"), born: (1000 + n) as u64 };
-            fleet.askers[n] = Asker::new(life, 3);
+            let life = Incarnation { name: format!("n{n}"), id: (1000 + n) as u64 };
+            fleet.askers[n] = LeaseClient::new(life, 3);
             fleet.want(n, true);
         }
         while held(&fleet, &seats) * 10 < fronts * 9 {
             run(&mut fleet, &mut seats, ms(200));
-            assert!(fleet.now < now + TERMS.lease * 40, "{} of {fronts} seats", held(&fleet, &seats));
+            assert!(fleet.now < now + TERMS.duration * 40, "{} of {fronts} seats", held(&fleet, &seats));
         }
-        let leases = (fleet.now - now).as_secs_f64() / TERMS.lease.as_secs_f64();
+        let leases = (fleet.now - now).as_secs_f64() / TERMS.duration.as_secs_f64();
         println!("proof: leases_until_nine_in_ten_of_{fronts}_seats_after_a_mass_restart {leases:.1}");
     }
 }
--- a/crates/core/maintenance/src/foreman.rs
+++ b/crates/core/maintenance/src/coordinator.rs
@@ -1,6 +1,9 @@
 //! Whoever holds the lease: it settles what goes next, releases what all have let go, and takes back what returns.
 
-use crate::{Fleet, LetGo, MOST_WORKS, Machine, Phase, Reserve, Terms, Work};
+use crate::{
+    CapacityReserve, DrainConfirmation, FleetCapacity, MAX_REQUESTS, Machine, MaintenanceConfig,
+    MaintenanceRequest, Phase,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -11,61 +14,61 @@
 
 /// What is to be settled: this request's register, if what stands there is still of this stamp.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Change {
-    pub work: u8,
-    pub after: (u64, u64),
-    pub value: Work,
+pub struct RegisterWrite {
+    pub request: u8,
+    pub expected: (u64, u64),
+    pub value: MaintenanceRequest,
 }
 
 /// What is wanted of the registers.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Want {
-    /// What stands there, by a whole round, which also ends whatever an earlier foreman may still have under way.
+pub enum RegisterAction {
+    /// What stands there, by a whole round, which also ends whatever an earlier coordinator may still have under way.
     Read(u8),
-    Settle(Change),
+    Write(RegisterWrite),
 }
 
-/// What the foreman is told of the fleet.
+/// What the coordinator is told of the fleet.
 #[derive(Debug, Clone, Default)]
-pub struct Seen {
-    pub fleet: Fleet,
+pub struct FleetView {
+    pub capacity: FleetCapacity,
     /// The part of attempts that fail or are slow.
-    pub worse: f64,
-    /// Sites that are not up by the plan for lost sites.
-    pub sites_down: bool,
+    pub degraded_share: f64,
+    /// Zones that are not up by the plan for lost zones.
+    pub zones_down: bool,
 }
 
 /// Why a request waits, for its operator; or who is to be told that a machine is released.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Told {
-    Waits { work: u8, machine: Machine, why: String },
-    Released { work: u8, machine: Machine, number: u64 },
+pub enum Notice {
+    Blocked { request: u8, machine: Machine, reason: String },
+    Released { request: u8, machine: Machine, fencing_token: u64 },
 }
 
 #[derive(Debug, Clone, Default)]
-pub struct Foreman {
-    works: BTreeMap<u8, ((u64, u64), Work)>,
+pub struct MaintenanceCoordinator {
+    requests: BTreeMap<u8, ((u64, u64), MaintenanceRequest)>,
     /// By machine and request: the fronts that have let go, and under which stamp.
-    gone: BTreeMap<(u8, Machine), BTreeMap<String, (u64, u64)>>,
-    /// Since when each machine is in its phase, as this foreman has seen; a new one counts anew.
+    confirmed: BTreeMap<(u8, Machine), BTreeMap<String, (u64, u64)>>,
+    /// Since when each machine is in its phase, as this coordinator has seen; a new one counts anew.
     since: BTreeMap<(u8, Machine), (Phase, Duration)>,
-    asked: BTreeMap<u8, Duration>,
+    requested_at: BTreeMap<u8, Duration>,
     next: Duration,
-    waits: Vec<Told>,
+    blocked: Vec<Notice>,
     /// The number of the lease under which it acts.
-    held: Option<u64>,
+    fencing_token: Option<u64>,
     /// Requests of which it does not know for sure what stands there: nothing is drained before it does, as what an
-    /// earlier foreman has out, or a change of its own with an unknown end, would not be counted.
+    /// earlier coordinator has out, or a change of its own with an unknown end, would not be counted.
     unread: BTreeSet<u8>,
     /// A round is under way.
     busy: bool,
 }
 
-impl Foreman {
+impl MaintenanceCoordinator {
     /// A majority shows this request.
-    pub fn hear(&mut self, now: Duration, number: u8, stamp: (u64, u64), work: Work) {
-        if usize::from(number) >= MOST_WORKS
-            || self.works.get(&number).is_some_and(|(known, _)| *known >= stamp)
+    pub fn handle_request(&mut self, now: Duration, number: u8, stamp: (u64, u64), work: MaintenanceRequest) {
+        if usize::from(number) >= MAX_REQUESTS
+            || self.requests.get(&number).is_some_and(|(known, _)| *known >= stamp)
         {
             return;
         }
@@ -74,72 +77,77 @@
             if self.since.get(&at).is_none_or(|(known, _)| known != phase) {
                 self.since.insert(at, (*phase, now));
                 if *phase == Phase::Draining {
-                    self.gone.remove(&at);
+                    self.confirmed.remove(&at);
                 }
             }
         }
         self.since.retain(|(other, machine), _| *other != number || work.phase(*machine).is_some());
-        self.asked.entry(number).or_insert(now);
-        self.works.insert(number, (stamp, work));
+        self.requested_at.entry(number).or_insert(now);
+        self.requests.insert(number, (stamp, work));
     }
 
     /// The lease is held under this number, or not held.
-    pub fn holds(&mut self, number: Option<u64>) {
-        if self.held != number {
-            self.held = number;
-            self.unread = (0..MOST_WORKS as u8).collect();
+    pub fn set_lease(&mut self, number: Option<u64>) {
+        if self.fencing_token != number {
+            self.fencing_token = number;
+            self.unread = (0..MAX_REQUESTS as u8).collect();
             self.busy = false;
         }
     }
 
-    pub fn acts(&self) -> bool {
-        self.held.is_some()
+    pub fn is_active(&self) -> bool {
+        self.fencing_token.is_some()
     }
 
     /// A whole round has shown what stands there.
-    pub fn settled(&mut self, now: Duration, number: u8, stands: Option<((u64, u64), Work)>) {
+    pub fn on_committed(
+        &mut self,
+        now: Duration,
+        number: u8,
+        stands: Option<((u64, u64), MaintenanceRequest)>,
+    ) {
         self.busy = false;
         self.unread.remove(&number);
         match stands {
-            Some((stamp, work)) => self.hear(now, number, stamp, work),
-            None => _ = self.works.remove(&number),
+            Some((stamp, work)) => self.handle_request(now, number, stamp, work),
+            None => _ = self.requests.remove(&number),
         }
     }
 
     /// A round came to no known end.
-    pub fn failed(&mut self, number: u8) {
+    pub fn on_failure(&mut self, number: u8) {
         self.busy = false;
         self.unread.insert(number);
     }
 
     /// A front that counts says that it has let go.
-    pub fn let_go(&mut self, front: &str, told: &[LetGo]) {
-        for LetGo { work, stamp, machine } in told {
-            let known = self.works.get(work).and_then(|(_, work)| work.phase(*machine));
+    pub fn handle_confirmations(&mut self, front: &str, told: &[DrainConfirmation]) {
+        for DrainConfirmation { request: work, version: stamp, machine } in told {
+            let known = self.requests.get(work).and_then(|(_, work)| work.phase(*machine));
             if known == Some(Phase::Draining) {
-                self.gone.entry((*work, *machine)).or_default().insert(front.to_owned(), *stamp);
+                self.confirmed.entry((*work, *machine)).or_default().insert(front.to_owned(), *stamp);
             }
         }
     }
 
     /// Machines that are out, over all requests.
-    pub fn out(&self) -> BTreeSet<Machine> {
-        let all = self.works.values().flat_map(|(_, work)| &work.machines);
-        all.filter(|(_, phase)| phase.out()).map(|(machine, _)| *machine).collect()
+    pub fn machines_out(&self) -> BTreeSet<Machine> {
+        let all = self.requests.values().flat_map(|(_, work)| &work.machines);
+        all.filter(|(_, phase)| phase.is_out()).map(|(machine, _)| *machine).collect()
     }
 
     /// Why requests wait, as of the last turn.
-    pub fn waits(&self) -> &[Told] {
-        &self.waits
+    pub fn waits(&self) -> &[Notice] {
+        &self.blocked
     }
 
     /// Machines that are released: whoever works on them is told again and again until they are back.
-    pub fn released(&self) -> Vec<Told> {
+    pub fn released(&self) -> Vec<Notice> {
         let mut all = Vec::new();
-        for (number, (_, work)) in &self.works {
+        for (number, (_, work)) in &self.requests {
             for (machine, phase) in &work.machines {
-                if let Phase::Released { number: under } = phase {
-                    all.push(Told::Released { work: *number, machine: *machine, number: *under });
+                if let Phase::Released { fencing_token: under } = phase {
+                    all.push(Notice::Released { request: *number, machine: *machine, fencing_token: *under });
                 }
             }
         }
@@ -147,41 +155,51 @@
     }
 
     /// What is wanted next, one thing at a time; nothing while the lease is not held.
-    pub fn turn(&mut self, now: Duration, terms: &Terms, seen: &Seen) -> Option<Want> {
-        let number = self.held.filter(|_| !self.busy)?;
+    pub fn poll(
+        &mut self,
+        now: Duration,
+        terms: &MaintenanceConfig,
+        seen: &FleetView,
+    ) -> Option<RegisterAction> {
+        let number = self.fencing_token.filter(|_| !self.busy)?;
         if let Some(unread) = self.unread.first().copied() {
             self.busy = true;
-            return Some(Want::Read(unread));
+            return Some(RegisterAction::Read(unread));
         }
         if now < self.next {
             return None;
         }
-        self.next = now + terms.period;
-        self.waits.clear();
+        self.next = now + terms.poll_interval;
+        self.blocked.clear();
         let change = self.returns(now, terms, seen).or_else(|| self.releases(terms, number));
         let change = change.or_else(|| self.drains(now, terms, seen))?;
         self.busy = true;
-        Some(Want::Settle(change))
+        Some(RegisterAction::Write(change))
     }
 
-    fn change(&self, work: u8, moves: &[(Machine, Phase)]) -> Option<Change> {
-        let (after, value) = self.works.get(&work)?;
+    fn change(&self, work: u8, moves: &[(Machine, Phase)]) -> Option<RegisterWrite> {
+        let (after, value) = self.requests.get(&work)?;
         let mut value = value.clone();
         moves.iter().for_each(|(machine, phase)| value.set(*machine, *phase));
-        Some(Change { work, after: *after, value })
+        Some(RegisterWrite { request: work, expected: *after, value })
     }
 
     /// What is back and has answered for long enough is done.
-    fn returns(&mut self, now: Duration, terms: &Terms, seen: &Seen) -> Option<Change> {
-        for (number, (_, work)) in &self.works {
-            for (machine, phase) in work.machines.iter().filter(|(_, phase)| *phase == Phase::Back) {
-                let answers = seen.fleet.machines.get(machine).is_some_and(|(_, _, answers)| *answers);
+    fn returns(
+        &mut self,
+        now: Duration,
+        terms: &MaintenanceConfig,
+        seen: &FleetView,
+    ) -> Option<RegisterWrite> {
+        for (number, (_, work)) in &self.requests {
+            for (machine, phase) in work.machines.iter().filter(|(_, phase)| *phase == Phase::Returned) {
+                let answers = seen.capacity.machines.get(machine).is_some_and(|(_, _, answers)| *answers);
                 let at = self.since.entry((*number, *machine)).or_insert((*phase, now));
                 if !answers {
                     at.1 = now;
                     let why = "it was told as back, but does not answer".to_owned();
-                    self.waits.push(Told::Waits { work: *number, machine: *machine, why });
-                } else if now >= at.1 + terms.steady {
+                    self.blocked.push(Notice::Blocked { request: *number, machine: *machine, reason: why });
+                } else if now >= at.1 + terms.probation {
                     let (work, machine) = (*number, *machine);
                     return self.change(work, &[(machine, Phase::Done)]);
                 }
@@ -191,20 +209,20 @@
     }
 
     /// What all who count have let go is released.
-    fn releases(&mut self, terms: &Terms, number: u64) -> Option<Change> {
-        for (work, (_, value)) in &self.works {
+    fn releases(&mut self, terms: &MaintenanceConfig, number: u64) -> Option<RegisterWrite> {
+        for (work, (_, value)) in &self.requests {
             for (machine, _) in value.machines.iter().filter(|(_, phase)| *phase == Phase::Draining) {
-                let gone = self.gone.get(&(*work, *machine));
-                let missing: Vec<&str> = (terms.fronts.iter())
-                    .filter(|front| !value.leaves_out(&terms.fronts, front))
+                let gone = self.confirmed.get(&(*work, *machine));
+                let missing: Vec<&str> = (terms.required_fronts.iter())
+                    .filter(|front| !value.excludes(&terms.required_fronts, front))
                     .filter(|front| gone.is_none_or(|gone| !gone.contains_key(*front)))
                     .map(String::as_str)
                     .collect();
                 if missing.is_empty() {
-                    return self.change(*work, &[(*machine, Phase::Released { number })]);
+                    return self.change(*work, &[(*machine, Phase::Released { fencing_token: number })]);
                 }
                 let why = format!("draining; {} have not let go: {}", missing.len(), missing.join(", "));
-                self.waits.push(Told::Waits { work: *work, machine: *machine, why });
+                self.blocked.push(Notice::Blocked { request: *work, machine: *machine, reason: why });
             }
         }
         None
@@ -212,50 +230,57 @@
 
     /// What goes next: the most urgent request, then who has waited longest; of its machines those whose loss leaves
     /// most to spare.
-    fn drains(&mut self, now: Duration, terms: &Terms, seen: &Seen) -> Option<Change> {
+    fn drains(
+        &mut self,
+        now: Duration,
+        terms: &MaintenanceConfig,
+        seen: &FleetView,
+    ) -> Option<RegisterWrite> {
         let stop = self.stopped(now, seen);
-        let mut order: Vec<u8> = self.works.keys().copied().collect();
+        let mut order: Vec<u8> = self.requests.keys().copied().collect();
         order.sort_by_key(|number| {
-            let urgency = self.works[number].1.urgency;
-            (std::cmp::Reverse(urgency), self.asked.get(number).copied().unwrap_or(now), *number)
+            let urgency = self.requests[number].1.urgency;
+            (std::cmp::Reverse(urgency), self.requested_at.get(number).copied().unwrap_or(now), *number)
         });
         let mut reserve = None;
         for number in order {
-            let (_, work) = &self.works[&number];
+            let (_, work) = &self.requests[&number];
             let asked: Vec<Machine> = (work.machines.iter())
-                .filter(|(_, phase)| *phase == Phase::Asked)
+                .filter(|(_, phase)| *phase == Phase::Pending)
                 .map(|(machine, _)| *machine)
                 .collect();
             let Some(first) = asked.first().copied() else { continue };
             let here = self.out_of(work);
-            let room = usize::from(work.at_once).saturating_sub(here).min(STEPS);
-            let wait = |why: &str| Told::Waits { work: number, machine: first, why: why.to_owned() };
+            let room = usize::from(work.max_concurrent).saturating_sub(here).min(STEPS);
+            let wait =
+                |why: &str| Notice::Blocked { request: number, machine: first, reason: why.to_owned() };
             let why = match &stop {
                 Some(why) => Some(why.clone()),
-                None if work.held => Some("held by an operator".to_owned()),
+                None if work.on_hold => Some("held by an operator".to_owned()),
                 None if room == 0 => Some(format!("{here} of it are out, as many as asked for")),
                 None => None,
             };
             if let Some(why) = why {
-                self.waits.push(wait(&why));
+                self.blocked.push(wait(&why));
                 continue;
             }
-            let reserve =
-                reserve.get_or_insert_with(|| Reserve::new(seen.fleet.clone(), terms.keep, terms.margin));
-            let mut out = self.out();
+            let reserve = reserve.get_or_insert_with(|| {
+                CapacityReserve::new(seen.capacity.clone(), terms.min_reserve, terms.demand_margin)
+            });
+            let mut out = self.machines_out();
             let mut moves = Vec::new();
             let mut left: Vec<Machine> = asked
                 .into_iter()
                 .filter(|machine| reserve.knows(*machine) && !out.contains(machine))
                 .collect();
             if left.is_empty() {
-                self.waits.push(wait("it is not among the engines, or out for another"));
+                self.blocked.push(wait("it is not among the engines, or out for another"));
             }
             while moves.len() < room && !left.is_empty() {
                 let spare = |machine: &Machine| {
                     let mut with = out.clone();
                     with.insert(*machine);
-                    reserve.spare(&with)
+                    reserve.headroom(&with)
                 };
                 let spares: Vec<f64> = left.iter().map(spare).collect();
                 let best = (0..left.len()).max_by(|a, b| spares[*a].total_cmp(&spares[*b]).then(b.cmp(a)));
@@ -268,32 +293,34 @@
                 return self.change(number, &moves);
             }
             if !left.is_empty() {
-                self.waits.push(wait("the rest could not carry it, or the loss of a site besides"));
+                self.blocked.push(wait("the rest could not carry it, or the loss of a site besides"));
             }
         }
         None
     }
 
     /// How many machines of the whole request are out, of which this may be a part.
-    fn out_of(&self, work: &Work) -> usize {
-        let out = |work: &Work| work.machines.iter().filter(|(_, phase)| phase.out()).count();
-        if work.added.request == 0 {
+    fn out_of(&self, work: &MaintenanceRequest) -> usize {
+        let out =
+            |work: &MaintenanceRequest| work.machines.iter().filter(|(_, phase)| phase.is_out()).count();
+        if work.extension.request_group == 0 {
             return out(work);
         }
-        let parts = self.works.values().map(|(_, other)| other).filter(|other| other.is_part_with(work));
+        let parts =
+            self.requests.values().map(|(_, other)| other).filter(|other| other.is_same_request(work));
         parts.map(out).sum()
     }
 
     /// Why nothing further may be begun at all.
-    fn stopped(&self, now: Duration, seen: &Seen) -> Option<String> {
-        if seen.sites_down {
+    fn stopped(&self, now: Duration, seen: &FleetView) -> Option<String> {
+        if seen.zones_down {
             return Some("a site is not up".to_owned());
         }
-        if seen.worse > WORSE {
+        if seen.degraded_share > WORSE {
             return Some("outcomes have worsened".to_owned());
         }
         for ((number, machine), (phase, since)) in &self.since {
-            let out = self.works.get(number).map_or(0, |(_, work)| work.out_s);
+            let out = self.requests.get(number).map_or(0, |(_, work)| work.max_outage_s);
             let late = now >= *since + Duration::from_secs(u64::from(out.max(1)));
             if matches!(phase, Phase::Released { .. }) && late {
                 return Some(format!("machine {machine:08x} has been out for longer than was asked"));
--- a/crates/core/maintenance/src/dead.rs
+++ b/crates/core/maintenance/src/dead_fronts.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Fronts that can be declared dead: a bit each.
-pub const MOST_FRONTS: usize = 2048;
+pub const MAX_FRONTS: usize = 2048;
 
 /// Names would not fit a register; a set of bits does. It is void against any other list of fronts, so that a place is
 /// never taken for another front's.
@@ -21,7 +21,7 @@
     pub fn add(&mut self, fronts: &[String], front: &str) -> bool {
         let sorted = sorted(fronts);
         let Ok(place) = sorted.binary_search(&front) else { return false };
-        if place >= MOST_FRONTS {
+        if place >= MAX_FRONTS {
             return false;
         }
         let list = checksum(&sorted);
@@ -36,7 +36,7 @@
     }
 
     /// Whether this front is in the set, counted in this list.
-    pub fn names(&self, fronts: &[String], front: &str) -> bool {
+    pub fn contains(&self, fronts: &[String], front: &str) -> bool {
         if self.bits.is_empty() {
             return false;
         }
--- a/crates/core/maintenance/tests/fleet.rs
+++ b/crates/core/maintenance/tests/fleet.rs
@@ -1,8 +1,8 @@
-//! A night of works in virtual time: fronts that send, restart, hear late and let go late, foremen that die and lose what
+//! A night of works in virtual time: fronts that send, restart, hear late and let go late, coordinators that die and lose what
 //! they knew, operators that ask, withdraw and say that machines are back. Judged by what machines were sent.
 
 use lemonusher_maintenance::*;
-use lemonusher_zone_failover::Group;
+use lemonusher_zone_failover::ClassLoad;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -14,13 +14,13 @@
     Duration::from_millis(ms)
 }
 
-fn terms() -> Terms {
-    Terms {
-        period: ms(100),
-        fronts: (0..FRONTS).map(|front| format!("n{front}")).collect(),
-        keep: 0.9,
-        margin: 0.1,
-        steady: ms(300),
+fn terms() -> MaintenanceConfig {
+    MaintenanceConfig {
+        poll_interval: ms(100),
+        required_fronts: (0..FRONTS).map(|front| format!("n{front}")).collect(),
+        min_reserve: 0.9,
+        demand_margin: 0.1,
+        probation: ms(300),
     }
 }
 
@@ -28,17 +28,24 @@
     machine / EACH
 }
 
-/// 24 machines of 8; what is asked for fills a loss of any site to nine tenths.
-fn fleet(dead: &BTreeSet<Machine>) -> Fleet {
+/// 24 machines of 8; what is asked for fills a loss of any zone to nine tenths.
+fn fleet(dead: &BTreeSet<Machine>) -> FleetCapacity {
     let machines = (0..SITES * EACH).map(|machine| (machine, (site(machine), 8.0, !dead.contains(&machine))));
-    let group =
-        Group { utility: 1.0, work: 1.0, rate: 104.0, goal: 1.0, limit: 20.0, floor: 0.0, only: None };
-    Fleet { machines: machines.collect(), groups: vec![group] }
+    let group = ClassLoad {
+        priority_weight: 1.0,
+        work: 1.0,
+        rate: 104.0,
+        latency_objective: 1.0,
+        deadline: 20.0,
+        floor: 0.0,
+        allowed_zones: None,
+    };
+    FleetCapacity { machines: machines.collect(), classes: vec![group] }
 }
 
 #[derive(Default)]
 struct Front {
-    crew: Crew,
+    crew: Participant,
     /// What the owner has closed, by which version; it follows a round later.
     applied: (u64, BTreeSet<Machine>, bool),
     out: BTreeMap<Machine, u32>,
@@ -62,18 +69,18 @@
 struct World {
     now: Duration,
     spoilt: Spoilt,
-    registers: BTreeMap<u8, ((u64, u64), Work)>,
+    registers: BTreeMap<u8, ((u64, u64), MaintenanceRequest)>,
     fronts: Vec<Front>,
-    foreman: Foreman,
+    foreman: MaintenanceCoordinator,
     number: u64,
-    told: Vec<(Duration, String, Vec<LetGo>)>,
+    told: Vec<(Duration, String, Vec<DrainConfirmation>)>,
     chance: fastrand::Rng,
     dead: BTreeSet<Machine>,
     sites_down: bool,
     wrong: Vec<String>,
     most_out: usize,
     released: usize,
-    wanted: Option<Want>,
+    wanted: Option<RegisterAction>,
 }
 
 impl World {
@@ -84,7 +91,7 @@
             spoilt,
             registers: BTreeMap::new(),
             fronts: (0..FRONTS).map(|_| front()).collect(),
-            foreman: Foreman::default(),
+            foreman: MaintenanceCoordinator::default(),
             number: 1,
             told: Vec::new(),
             chance: fastrand::Rng::with_seed(seed),
@@ -97,7 +104,7 @@
         }
     }
 
-    fn settle(&mut self, number: u8, work: Work) {
+    fn settle(&mut self, number: u8, work: MaintenanceRequest) {
         let version = self.registers.get(&number).map_or(0, |((_, version), _)| *version) + 1;
         self.registers.insert(number, ((1, version), work));
     }
@@ -117,16 +124,16 @@
             if !front.alive {
                 continue;
             }
-            // The owner follows what the crew knows some time later.
+            // The owner follows what the participant knows some time later.
             if self.chance.f64() < 0.1 || !front.applied.2 {
                 let open = front.crew.sure() || starts_open;
-                front.applied = (front.crew.version(), front.crew.closed(), open);
+                front.applied = (front.crew.version(), front.crew.closed_machines(), open);
             }
             if hears {
-                for work in 0..MOST_WORKS as u8 {
+                for work in 0..MAX_REQUESTS as u8 {
                     match self.registers.get(&work) {
-                        Some((stamp, value)) => front.crew.hear(work, *stamp, value.clone()),
-                        None => front.crew.none(work),
+                        Some((stamp, value)) => front.crew.handle_request(work, *stamp, value.clone()),
+                        None => front.crew.handle_no_request(work),
                     }
                 }
             }
@@ -143,7 +150,7 @@
             front.out.values_mut().for_each(|out| *out -= u32::from(*out > 0 && chance.f64() < 0.5));
             if self.chance.f64() < 0.5 {
                 let by = if self.spoilt == Spoilt::CountedBefore { u64::MAX } else { front.applied.0 };
-                let let_go = front.crew.let_go(by, &front.out);
+                let let_go = front.crew.confirmations(by, &front.out);
                 let late = ms(self.chance.u64(0..400));
                 self.told.push((self.now + late, format!("n{number}"), let_go));
             }
@@ -155,21 +162,22 @@
         }
         let now = self.now;
         let due: Vec<_> = self.told.extract_if(.., |(at, ..)| *at <= now).collect();
-        due.into_iter().for_each(|(_, front, told)| self.foreman.let_go(&front, &told));
+        due.into_iter().for_each(|(_, front, told)| self.foreman.handle_confirmations(&front, &told));
         for (number, (stamp, work)) in &self.registers {
             if self.chance.f64() < 0.5 {
-                self.foreman.hear(now, *number, *stamp, work.clone());
+                self.foreman.handle_request(now, *number, *stamp, work.clone());
             }
         }
         let mut terms = terms();
         match self.spoilt {
-            Spoilt::FrontLeftOut => drop(terms.fronts.pop()),
-            Spoilt::NoReserve => (terms.keep, terms.margin) = (0.0, -1.0),
+            Spoilt::FrontLeftOut => drop(terms.required_fronts.pop()),
+            Spoilt::NoReserve => (terms.min_reserve, terms.demand_margin) = (0.0, -1.0),
             _ => {}
         }
-        let seen = Seen { fleet: fleet(&self.dead), worse: 0.0, sites_down: self.sites_down };
-        self.foreman.holds(Some(self.number));
-        let want = self.foreman.turn(now, &terms, &seen);
+        let seen =
+            FleetView { capacity: fleet(&self.dead), degraded_share: 0.0, zones_down: self.sites_down };
+        self.foreman.set_lease(Some(self.number));
+        let want = self.foreman.poll(now, &terms, &seen);
         // Rounds take a while, and now and then nobody learns how one ended.
         if let Some(want) = want.or_else(|| self.wanted.take()) {
             if self.chance.f64() < 0.5 {
@@ -178,18 +186,18 @@
                 self.round(want);
             }
         }
-        let out = self.phases(Phase::out);
-        let whole = Reserve::new(fleet(&self.dead), 0.9, 0.1);
-        if whole.spare(&out) < 1.0 && !self.sites_down && self.dead.is_empty() {
+        let out = self.phases(Phase::is_out);
+        let whole = CapacityReserve::new(fleet(&self.dead), 0.9, 0.1);
+        if whole.headroom(&out) < 1.0 && !self.sites_down && self.dead.is_empty() {
             self.wrong.push(format!("more is out than the rest can carry: {out:?}"));
         }
         self.most_out = self.most_out.max(out.len());
     }
 
-    fn round(&mut self, want: Want) {
+    fn round(&mut self, want: RegisterAction) {
         let work = match want {
-            Want::Read(work) => work,
-            Want::Settle(Change { work, after, value }) => {
+            RegisterAction::Read(work) => work,
+            RegisterAction::Write(RegisterWrite { request: work, expected: after, value }) => {
                 // The register settles it only if what stands there is still what it was worked out from.
                 if self.registers.get(&work).is_some_and(|(stamp, _)| *stamp == after) {
                     self.settle(work, value);
@@ -198,10 +206,10 @@
             }
         };
         if self.chance.f64() < 0.1 {
-            return self.foreman.failed(work);
+            return self.foreman.on_failure(work);
         }
         let stands = self.registers.get(&work).cloned();
-        self.foreman.settled(self.now, work, stands);
+        self.foreman.on_committed(self.now, work, stands);
     }
 
     /// Those who work on machines: at their own pace, and now and then they say so twice.
@@ -216,7 +224,7 @@
         for (number, machine) in released {
             if self.chance.f64() < 0.02 {
                 let mut work = self.registers[&number].1.clone();
-                assert!(work.back(machine) && !work.back(machine));
+                assert!(work.mark_returned(machine) && !work.mark_returned(machine));
                 self.settle(number, work);
                 self.released += 1;
             }
@@ -229,15 +237,15 @@
     }
 
     fn over(&self) -> bool {
-        self.registers.values().all(|(_, work)| work.over())
+        self.registers.values().all(|(_, work)| work.is_over())
     }
 }
 
 fn play(seed: u64, spoilt: Spoilt) -> World {
     let mut world = World::new(seed, spoilt);
     let all: Vec<Machine> = (0..SITES * EACH).collect();
-    world.settle(0, Work::new("ann", 1, 3, 600, &all[..12]));
-    world.settle(1, Work::new("bob", 5, 2, 600, &all[6..]));
+    world.settle(0, MaintenanceRequest::new("ann", 1, 3, 600, &all[..12]));
+    world.settle(1, MaintenanceRequest::new("bob", 5, 2, 600, &all[6..]));
     for turn in 0..6000 {
         world.step();
         world.yard();
@@ -247,9 +255,10 @@
                 0 => world.restart(front),
                 1 => world.fronts[front].deaf = true,
                 2..=4 => world.fronts[front].deaf = false,
-                // What the last foreman had under way is ended by the next one's reading.
+                // What the last coordinator had under way is ended by the next one's reading.
                 5 => {
-                    (world.foreman, world.number, world.wanted) = (Foreman::default(), world.number + 1, None)
+                    (world.foreman, world.number, world.wanted) =
+                        (MaintenanceCoordinator::default(), world.number + 1, None)
                 }
                 6 => world.sites_down = !world.sites_down,
                 _ => {}
@@ -300,17 +309,17 @@
         world.step();
     }
     world.fronts[2].deaf = true;
-    world.settle(0, Work::new("ann", 1, 1, 600, &[4]));
+    world.settle(0, MaintenanceRequest::new("ann", 1, 1, 600, &[4]));
     (0..500).for_each(|_| world.step());
     assert_eq!(world.registers[&0].1.phase(4), Some(Phase::Draining));
-    let says = |told: &Told| matches!(told, Told::Waits { why, .. } if why.contains("n2"));
+    let says = |told: &Notice| matches!(told, Notice::Blocked { reason: why, .. } if why.contains("n2"));
     assert!((0..20).any(|_| {
         world.step();
         world.foreman.waits().iter().any(says)
     }));
     world.fronts[2].alive = false;
     let mut work = world.registers[&0].1.clone();
-    work.without.push("n2".to_owned());
+    work.excluded_fronts.push("n2".to_owned());
     world.settle(0, work);
     (0..100).for_each(|_| world.step());
     assert!(matches!(world.registers[&0].1.phase(4), Some(Phase::Released { .. })));
@@ -320,18 +329,18 @@
 #[test]
 fn a_failed_machine_counts_as_out_and_a_late_one_stops_the_queue() {
     let mut world = World::new(4, Spoilt::Nothing);
-    world.dead = (0..8).collect(); // A whole site has failed by itself.
-    world.settle(0, Work::new("ann", 1, 5, 1, &[9, 10, 11]));
+    world.dead = (0..8).collect(); // A whole zone has failed by itself.
+    world.settle(0, MaintenanceRequest::new("ann", 1, 5, 1, &[9, 10, 11]));
     (0..300).for_each(|_| world.step());
-    assert_eq!(world.phases(Phase::out).len(), 0, "nothing is to spare");
+    assert_eq!(world.phases(Phase::is_out).len(), 0, "nothing is to spare");
     world.dead.clear();
     (0..100).for_each(|_| world.step());
-    let out = world.phases(Phase::out);
+    let out = world.phases(Phase::is_out);
     assert!(!out.is_empty());
     // Nobody brings it back: after the second that was asked for, nothing further goes.
-    world.settle(1, Work::new("bob", 9, 5, 600, &[20]));
+    world.settle(1, MaintenanceRequest::new("bob", 9, 5, 600, &[20]));
     (0..100).for_each(|_| world.step());
-    let late = |told: &Told| matches!(told, Told::Waits { why, .. } if why.contains("longer than was asked"));
+    let late = |told: &Notice| matches!(told, Notice::Blocked { reason: why, .. } if why.contains("longer than was asked"));
     assert!((0..20).any(|_| {
         world.step();
         world.foreman.waits().iter().any(late)
@@ -340,25 +349,25 @@
 
 #[test]
 fn what_is_withdrawn_is_opened_unless_it_is_released() {
-    let mut work = Work::new("ann", 1, 9, 60, &[1, 2, 3]);
-    assert!(!work.back(1), "it was never released");
+    let mut work = MaintenanceRequest::new("ann", 1, 9, 60, &[1, 2, 3]);
+    assert!(!work.mark_returned(1), "it was never released");
     let mut moved = work.to_bytes();
-    assert_eq!(Work::from_bytes(&moved), Some(work.clone()));
-    work.machines[0].1 = Phase::Released { number: 7 };
+    assert_eq!(MaintenanceRequest::from_bytes(&moved), Some(work.clone()));
+    work.machines[0].1 = Phase::Released { fencing_token: 7 };
     work.machines[1].1 = Phase::Draining;
     work.withdraw();
     assert_eq!(
         work.machines.iter().map(|(_, phase)| *phase).collect::<Vec<_>>(),
-        [Phase::Released { number: 7 }, Phase::Withdrawn, Phase::Withdrawn]
+        [Phase::Released { fencing_token: 7 }, Phase::Withdrawn, Phase::Withdrawn]
     );
-    assert!(!work.over() && work.back(1) && !work.over());
+    assert!(!work.is_over() && work.mark_returned(1) && !work.is_over());
     moved.truncate(3);
-    assert_eq!(Work::from_bytes(&moved), None);
-    let machines: Vec<Machine> = (0..MOST_MACHINES as u32).map(|n| u32::MAX - n).collect();
-    let mut full = Work::new(&"w".repeat(LONGEST_NAME), 9, 9, u32::MAX, &machines);
+    assert_eq!(MaintenanceRequest::from_bytes(&moved), None);
+    let machines: Vec<Machine> = (0..MAX_MACHINES as u32).map(|n| u32::MAX - n).collect();
+    let mut full = MaintenanceRequest::new(&"w".repeat(MAX_NAME_BYTES), 9, 9, u32::MAX, &machines);
     full.machines
         .iter_mut()
-        .take(usize::from(MOST_AT_ONCE))
-        .for_each(|one| one.1 = Phase::Released { number: u64::MAX });
+        .take(usize::from(MAX_CONCURRENT))
+        .for_each(|one| one.1 = Phase::Released { fencing_token: u64::MAX });
     assert!(full.to_bytes().len() <= 640, "{}", full.to_bytes().len());
 }
--- a/crates/core/membership/src/lib.rs
+++ b/crates/core/membership/src/lib.rs
@@ -16,10 +16,10 @@
 //! 6. Withdrawing takes effect with the event that tells it, within any drain grace. Work that is out goes to
 //!    its end where the engine is draining; a disabled engine's repeatable work is recalled.
 
-mod door;
+mod admission;
+mod endpoint_table;
 mod pools;
-mod table;
 
-pub use door::{Door, Limit};
-pub use pools::{Admin, Pool, Wanted, Wish};
-pub use table::{Change, Closure, Seen, Table};
+pub use admission::{AdmissionLimiter, Limit};
+pub use endpoint_table::{EndpointChange, EndpointStatus, EndpointTable, ZoneRestriction};
+pub use pools::{AdminState, DesiredState, EngineAdmission, Pool};
--- a/crates/core/membership/tests/membership.rs
+++ b/crates/core/membership/tests/membership.rs
@@ -1,7 +1,9 @@
 //! The table against a plain reference, through any order of lists and wishes; the door against counts.
 
 use lemonusher::{EndpointUpdateKind, EngineEntry, EngineState, Idempotency};
-use lemonusher_membership::{Admin, Closure, Door, Limit, Pool, Seen, Table, Wanted};
+use lemonusher_membership::{
+    AdminState, AdmissionLimiter, DesiredState, EndpointStatus, EndpointTable, Limit, Pool, ZoneRestriction,
+};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -32,11 +34,19 @@
 
 fn a_pool() -> impl Strategy<Value = Pool> {
     let few = |most: u32| prop::collection::btree_set(0..most, 0..2);
-    let admin = prop::sample::select(vec![Admin::Enabled, Admin::Draining, Admin::Disabled]);
+    let admin = prop::sample::select(vec![AdminState::Enabled, AdminState::Draining, AdminState::Disabled]);
     (admin, few(2), few(2), few(3), few(6), prop::collection::btree_set(0..GROUPS, 0..3)).prop_map(
         |(admin, locations, kinds, cells, engines, serves)| {
             let name = String::new();
-            Pool { name, admin, locations, kinds, cells, engines, serves }
+            Pool {
+                name,
+                admin,
+                zones: locations,
+                machine_kinds: kinds,
+                cells,
+                engines,
+                request_classes: serves,
+            }
         },
     )
 }
@@ -55,14 +65,14 @@
 }
 
 /// The written rule, word for word.
-fn barred(pools: &[Pool], entry: &EngineEntry) -> (Admin, u64) {
-    let mine: Vec<&Pool> = pools.iter().filter(|pool| pool.holds(entry)).collect();
+fn barred(pools: &[Pool], entry: &EngineEntry) -> (AdminState, u64) {
+    let mine: Vec<&Pool> = pools.iter().filter(|pool| pool.matches(entry)).collect();
     let admin = mine.iter().map(|pool| pool.admin).max().unwrap_or_default();
-    let naming: Vec<&&Pool> = mine.iter().filter(|pool| !pool.serves.is_empty()).collect();
+    let naming: Vec<&&Pool> = mine.iter().filter(|pool| !pool.request_classes.is_empty()).collect();
     let mut bits = 0;
     for group in 0..64 {
-        let served = naming.is_empty() || naming.iter().any(|pool| pool.serves.contains(&group));
-        if admin != Admin::Enabled || !served {
+        let served = naming.is_empty() || naming.iter().any(|pool| pool.request_classes.contains(&group));
+        if admin != AdminState::Enabled || !served {
             bits |= 1 << group;
         }
     }
@@ -72,7 +82,7 @@
 proptest! {
     #[test]
     fn what_the_gateway_is_told_is_always_the_rule(steps in prop::collection::vec(a_step(), 1..24)) {
-        let mut table = Table::default();
+        let mut table = EndpointTable::default();
         let mut pools: Vec<Pool> = Vec::new();
         let mut told: BTreeMap<u32, EngineEntry> = BTreeMap::new(); // As the gateway would have it.
         let mut listed: BTreeMap<u32, EngineEntry> = BTreeMap::new();
@@ -87,19 +97,19 @@
                     for entry in &entries {
                         listed.insert(entry.engine, entry.clone());
                     }
-                    let change = table.list(kind, entries.clone());
+                    let change = table.apply_list(kind, entries.clone());
                     prop_assert_eq!(change.entries.len(), entries.len());
                     change
                 }
                 Step::Manage(next) => {
-                    let before: Vec<(u32, Admin)> =
+                    let before: Vec<(u32, AdminState)> =
                         table.engines().map(|seen| (seen.entry.engine, seen.admin)).collect();
                     pools = next.clone();
-                    let change = table.manage(Arc::new(Wanted::new(next, Vec::new())));
+                    let change = table.apply_desired_state(Arc::new(DesiredState::new(next, Vec::new())));
                     let newly: Vec<u32> = before.into_iter()
                         .filter(|(engine, admin)| {
                             let now = barred(&pools, &listed[engine]).0;
-                            now == Admin::Disabled && *admin != Admin::Disabled
+                            now == AdminState::Disabled && *admin != AdminState::Disabled
                         })
                         .map(|(engine, _)| engine)
                         .collect();
@@ -133,17 +143,17 @@
         most in 1..5u32,
     ) {
         let (least, longest) = (ms(100), ms(2000));
-        let mut door = Door::new(GROUPS, longest);
-        let limit = Limit { most_open: most, come_back: least, longest: ms(1500) };
+        let mut door = AdmissionLimiter::new(GROUPS, longest);
+        let limit = Limit { max_open: most, retry_after: least, max_retry_after: ms(1500) };
         door.set(&[Some(limit), None, Some(limit)]);
         let (mut open, mut now) = ([0u32; GROUPS], Duration::ZERO);
         for (what, group, later) in steps {
             now += ms(later);
             if what == 0 && open[group] > 0 {
-                door.leave(now, group);
+                door.release(now, group);
                 open[group] -= 1;
             } else {
-                match door.enter(now, group) {
+                match door.admit(now, group) {
                     Ok(()) => open[group] += 1,
                     Err(wait) => {
                         prop_assert!(group != 1 && open[group] == most);
@@ -159,15 +169,15 @@
 
 #[test]
 fn promises_follow_the_pace_at_which_places_come_free() {
-    let mut door = Door::new(1, ms(10_000));
-    door.set(&[Some(Limit { most_open: 2, come_back: ms(100), longest: ms(20_000) })]);
-    assert!(door.enter(ms(0), 0).is_ok() && door.enter(ms(0), 0).is_ok());
+    let mut door = AdmissionLimiter::new(1, ms(10_000));
+    door.set(&[Some(Limit { max_open: 2, retry_after: ms(100), max_retry_after: ms(20_000) })]);
+    assert!(door.admit(ms(0), 0).is_ok() && door.admit(ms(0), 0).is_ok());
     // One place each 200 ms, for long.
     for turn in 1..100 {
-        door.leave(ms(200 * turn), 0);
-        assert!(door.enter(ms(200 * turn), 0).is_ok());
+        door.release(ms(200 * turn), 0);
+        assert!(door.admit(ms(200 * turn), 0).is_ok());
     }
-    let waits: Vec<Duration> = (0..5).map(|_| door.enter(ms(19_850), 0).unwrap_err()).collect();
+    let waits: Vec<Duration> = (0..5).map(|_| door.admit(ms(19_850), 0).unwrap_err()).collect();
     for pair in waits.windows(2) {
         let gap = (pair[1] - pair[0]).as_secs_f64() / 0.2;
         assert!((0.5..1.5).contains(&gap), "{waits:?}");
@@ -176,32 +186,36 @@
 
 #[test]
 fn only_work_that_may_run_again_is_recalled() {
-    assert!(Admin::Disabled.recalls(Idempotency::Idempotent));
-    assert!(!Admin::Disabled.recalls(Idempotency::NonIdempotent));
-    assert!(!Admin::Draining.recalls(Idempotency::Idempotent));
+    assert!(AdminState::Disabled.recalls(Idempotency::Idempotent));
+    assert!(!AdminState::Disabled.recalls(Idempotency::NonIdempotent));
+    assert!(!AdminState::Draining.recalls(Idempotency::Idempotent));
 }
 
 #[test]
 fn a_closure_bars_the_same_part_at_every_front_and_opens_again_with_what_managers_wish() {
     let entry = |engine: u32| EngineEntry { engine, zone: engine % 2, ..EngineEntry::default() };
-    let mut table = Table::default();
-    table.list(EndpointUpdateKind::Full, (0..400).map(entry).collect());
-    let closed = table.close(vec![Closure { location: 1, open: 250, barred: 0b10 }]);
-    let open = |table: &Table, location: u32| {
-        table.engines().filter(|seen| seen.entry.zone == location && seen.open()).count()
+    let mut table = EndpointTable::default();
+    table.apply_list(EndpointUpdateKind::Full, (0..400).map(entry).collect());
+    let closed = table.apply_restrictions(vec![ZoneRestriction {
+        zone: 1,
+        open_permille: 250,
+        blocked_classes: 0b10,
+    }]);
+    let open = |table: &EndpointTable, location: u32| {
+        table.engines().filter(|seen| seen.entry.zone == location && seen.is_open()).count()
     };
     assert_eq!((closed.entries.len(), open(&table, 0)), (200, 200));
     assert!((35..=65).contains(&open(&table, 1)), "{}", open(&table, 1));
     assert!(
-        table.engines().filter(|s| s.entry.zone == 1 && s.open()).all(|s| s.entry.blocked_classes == 0b10)
+        table.engines().filter(|s| s.entry.zone == 1 && s.is_open()).all(|s| s.entry.blocked_classes == 0b10)
     );
     // What is open at first stays open as more is opened.
-    let first: Vec<u32> = table.engines().filter(|s| s.open()).map(|s| s.entry.engine).collect();
-    table.close(vec![Closure { location: 1, open: 500, barred: 0 }]);
-    assert!(first.iter().all(|engine| table.get(*engine).is_some_and(Seen::open)));
+    let first: Vec<u32> = table.engines().filter(|s| s.is_open()).map(|s| s.entry.engine).collect();
+    table.apply_restrictions(vec![ZoneRestriction { zone: 1, open_permille: 500, blocked_classes: 0 }]);
+    assert!(first.iter().all(|engine| table.get(*engine).is_some_and(EndpointStatus::is_open)));
     // An engine that is listed meanwhile is under it as well.
-    table.list(EndpointUpdateKind::Delta, (400..600).map(entry).collect());
+    table.apply_list(EndpointUpdateKind::Delta, (400..600).map(entry).collect());
     assert!((120..=180).contains(&open(&table, 1)), "{}", open(&table, 1));
-    table.close(Vec::new());
+    table.apply_restrictions(Vec::new());
     assert_eq!(open(&table, 1), 300);
 }
--- a/crates/core/registers/src/lib.rs
+++ b/crates/core/registers/src/lib.rs
@@ -4,49 +4,49 @@
 //! Who follows registers asks a voter only for what has changed since a revision that this voter has told (as a watch with
 //! revisions does elsewhere), so registers that do not change cost one small message each way, however many there are.
 //!
-//! Nothing here opens sockets, reads clocks or files. A [`Keeper`] is a voter's part, a [`Proposer`] changes values, a
+//! Nothing here opens sockets, reads clocks or files. A [`Acceptor`] is a voter's part, a [`Proposer`] changes values, a
 //! [`Follower`] learns which are settled. An attempt lasts a lease at most by its proposer's clock: on that, and on
-//! nothing else of time, rests what a keeper without memory may do.
+//! nothing else of time, rests what an acceptor without memory may do.
 
-mod follower;
-mod keeper;
+mod acceptor;
+mod learner;
 mod proposer;
 
-pub use follower::Follower;
-pub use keeper::{Keeper, Kept, State};
-pub use proposer::{Change, Outcome, Proposer};
+pub use acceptor::{Acceptor, AcceptorState, PersistentState};
+pub use learner::Learner;
+pub use proposer::{Operation, ProposalOutcome, Proposer};
 
-use lemonusher_leases::{Ballot, Life};
+use lemonusher_leases::{Ballot, Incarnation};
 use serde::{Deserialize, Serialize};
 
-/// A register's name, such as `sites`; at most [`lemonusher_leases::LONGEST_NAME`] bytes.
+/// A register's name, such as `zones`; at most [`lemonusher_leases::LONGEST_NAME`] bytes.
 pub type Name = String;
 /// Registers at most; what is asked beyond is refused.
-pub const MOST_REGISTERS: usize = 256;
+pub const MAX_REGISTERS: usize = 256;
 /// A value's bytes at most, so that it fits a datagram with what goes round it.
-pub const LONGEST_VALUE: usize = 860;
+pub const MAX_VALUE_BYTES: usize = 860;
 /// Bytes of values and names in one page of a copy or of changes, unless one row alone is more.
 const PAGE: usize = 700;
 /// Bytes of a row beside its name and value, at most.
 const ROW: usize = 48;
-/// The life in the ballot of what a new era begins with. Nobody has proposed that: it was copied from fewer than a majority
+/// The incarnation in the ballot of what a new epoch begins with. Nobody has proposed that: it was copied from fewer than a majority
 /// and may never have been settled, so that a majority that shows it settles nothing until somebody proposes it.
 const NOBODY: u64 = 0;
 
-/// Which of a register's values is the newer. The era grows whenever a majority of the voters has lost its memory and
-/// values may have gone back; within an era versions count up by one.
+/// Which of a register's values is the newer. The epoch grows whenever a majority of the voters has lost its memory and
+/// values may have gone back; within an epoch versions count up by one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
-pub struct Stamp {
-    pub era: u64,
-    pub version: u64,
+pub struct EntryVersion {
+    pub epoch: u64,
+    pub counter: u64,
 }
 
 /// A register's value, who wrote it by his fencing number, and its place in time.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    pub stamp: Stamp,
+    pub version: EntryVersion,
     /// The fencing number of the lease under which it was written.
-    pub number: u64,
+    pub fencing_token: u64,
     pub value: Vec<u8>,
 }
 
@@ -55,7 +55,7 @@
 
 /// A row of a copy.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Row {
+pub struct RegisterState {
     pub name: Name,
     pub promised: Ballot,
     pub accepted: Accepted,
@@ -63,7 +63,7 @@
 
 /// To a voter.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Ask {
+pub enum RegisterRequest {
     Prepare {
         name: Name,
         ballot: Ballot,
@@ -74,29 +74,29 @@
         entry: Entry,
     },
     /// What is accepted, unless it is what is known.
-    Peek {
+    Read {
         name: Name,
-        known: Option<Stamp>,
+        known: Option<EntryVersion>,
     },
     /// Of a voter without memory: all that is promised and accepted, after this name.
-    Copy {
+    CopyState {
         round: u64,
         after: Name,
     },
-    /// What has been accepted since a revision of the voter's life, all of it where its life is another.
-    Changes {
-        born: u64,
-        since: u64,
+    /// What has been accepted since a revision of the voter's incarnation, all of it where its incarnation is another.
+    ChangesSince {
+        incarnation: u64,
+        revision: u64,
     },
 }
 
 /// From a voter.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Reply {
+pub enum RegisterReply {
     Promise {
         name: Name,
         ballot: Ballot,
-        era: u64,
+        epoch: u64,
         accepted: Accepted,
     },
     Accepted {
@@ -104,7 +104,7 @@
         ballot: Ballot,
     },
     /// A later attempt is under way, of this round.
-    Behind {
+    StaleBallot {
         name: Name,
         ballot: Ballot,
         round: u64,
@@ -115,43 +115,43 @@
         ballot: Ballot,
     },
     /// In which round its value was accepted; the value itself where that is not known yet.
-    Peeked {
+    Value {
         name: Name,
         ballot: Ballot,
-        stamp: Stamp,
+        version: EntryVersion,
         entry: Option<Entry>,
     },
     /// Nothing was ever accepted there.
-    Empty {
+    NotFound {
         name: Name,
     },
-    Copied {
+    StateCopy {
         round: u64,
-        /// The life of who answers, so that one who starts in between is noticed.
-        born: u64,
+        /// The incarnation of who answers, so that one who starts in between is noticed.
+        incarnation: u64,
         /// It has no memory itself.
-        blank: bool,
-        era: u64,
-        rows: Vec<Row>,
+        without_memory: bool,
+        epoch: u64,
+        registers: Vec<RegisterState>,
         more: bool,
     },
-    Changed(Changes),
+    Changes(Changes),
 }
 
-/// What a voter accepted after the revision `since` and up to `revision`, both of its life `born`.
+/// What a voter accepted after the revision `since` and up to `revision`, both of its incarnation `born`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Changes {
-    pub born: u64,
+    pub incarnation: u64,
     pub since: u64,
     pub revision: u64,
-    pub rows: Vec<ChangedRow>,
+    pub registers: Vec<ChangedRegister>,
     /// There is more after `revision`.
     pub more: bool,
 }
 
 /// A register as a voter last accepted it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct ChangedRow {
+pub struct ChangedRegister {
     pub name: Name,
     pub ballot: Ballot,
     pub entry: Entry,
@@ -159,14 +159,14 @@
 
 /// To the voter of this place in the list.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Post {
+pub struct OutboundMessage {
     pub voter: usize,
-    pub ask: Ask,
+    pub request: RegisterRequest,
 }
 
 /// To all voters.
-fn to_all(voters: usize, ask: &Ask) -> Vec<Post> {
-    (0..voters).map(|voter| Post { voter, ask: ask.clone() }).collect()
+fn to_all(voters: usize, ask: &RegisterRequest) -> Vec<OutboundMessage> {
+    (0..voters).map(|voter| OutboundMessage { voter, request: ask.clone() }).collect()
 }
 
 /// So many are a majority.
@@ -175,6 +175,6 @@
 }
 
 /// Who proposes, in the order of ballots.
-fn ballot(round: u64, me: &Life) -> Ballot {
-    Ballot { round, born: me.born }
+fn ballot(round: u64, me: &Incarnation) -> Ballot {
+    Ballot { round, proposer: me.id }
 }
--- a/crates/core/registers/tests/exhaustive.rs
+++ b/crates/core/registers/tests/exhaustive.rs
@@ -2,7 +2,7 @@
 //! proposers that each want one change; what is
 //! asked is lost, delayed without bound, and overtaken; an answer comes at once or never.
 
-use lemonusher_leases::{Life, Terms};
+use lemonusher_leases::{Incarnation, LeaseConfig};
 use lemonusher_registers::*;
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
@@ -28,21 +28,21 @@
 /// A message on its way, for as long as it likes; what is never delivered is lost.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Sent {
-    Ask(usize, usize, Ask),
-    /// Between voters: from, in which life, to.
-    Copy(usize, u64, usize, Ask),
+    RegisterRequest(usize, usize, RegisterRequest),
+    /// Between voters: from, in which incarnation, to.
+    Copy(usize, u64, usize, RegisterRequest),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    keepers: Vec<Keeper>,
+    keepers: Vec<Acceptor>,
     lives: Vec<u64>,
     proposers: Vec<Proposer>,
     begun: Vec<bool>,
     forgot: bool,
     past: bool,
     /// What proposers were told as settled.
-    settled: BTreeMap<Stamp, BTreeSet<Vec<u8>>>,
+    settled: BTreeMap<EntryVersion, BTreeSet<Vec<u8>>>,
     sent: BTreeSet<Sent>,
 }
 
@@ -58,8 +58,8 @@
 const NOW: Duration = Duration::from_millis(10);
 const LATER: Duration = Duration::from_secs(100);
 
-fn terms() -> Terms {
-    Terms { lease: Duration::from_secs(6), drift: 0, act: Duration::ZERO }
+fn terms() -> LeaseConfig {
+    LeaseConfig { duration: Duration::from_secs(6), clock_drift_permille: 0, max_action_time: Duration::ZERO }
 }
 
 impl Small {
@@ -67,14 +67,14 @@
         if state.past { LATER } else { NOW }
     }
 
-    fn post(&self, state: &mut State, from: usize, posts: Vec<Post>) {
-        for Post { voter, ask } in posts {
-            state.sent.insert(Sent::Ask(from, voter, ask));
+    fn post(&self, state: &mut State, from: usize, posts: Vec<OutboundMessage>) {
+        for OutboundMessage { voter, request: ask } in posts {
+            state.sent.insert(Sent::RegisterRequest(from, voter, ask));
         }
     }
 
-    fn copies(&self, state: &mut State, from: usize, posts: Vec<Post>) {
-        for Post { voter, ask } in posts {
+    fn copies(&self, state: &mut State, from: usize, posts: Vec<OutboundMessage>) {
+        for OutboundMessage { voter, request: ask } in posts {
             state.sent.insert(Sent::Copy(from, state.lives[from], voter, ask));
         }
     }
@@ -82,11 +82,11 @@
     fn note(&self, state: &mut State, who: usize) {
         for outcome in state.proposers[who].outcomes() {
             let entry = match outcome {
-                Outcome::Settled { entry, .. } | Outcome::Overtaken { entry, .. } => entry,
-                Outcome::Unknown { .. } => continue,
+                ProposalOutcome::Committed { entry, .. } | ProposalOutcome::Conflict { entry, .. } => entry,
+                ProposalOutcome::Unknown { .. } => continue,
             };
             if let Some(entry) = entry {
-                state.settled.entry(entry.stamp).or_default().insert(entry.value);
+                state.settled.entry(entry.version).or_default().insert(entry.value);
             }
         }
     }
@@ -97,12 +97,12 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let keeper = |place| Keeper::remembering(VOTERS, place, 1, Kept::default());
+        let keeper = |place| Acceptor::restored(VOTERS, place, 1, PersistentState::default());
         vec![State {
             keepers: (0..VOTERS).map(keeper).collect(),
             lives: vec![1; VOTERS],
             proposers: (0..PROPOSERS)
-                .map(|n| Proposer::new(Life { name: format!("{n}"), born: n as u64 + 1 }, VOTERS))
+                .map(|n| Proposer::new(Incarnation { name: format!("{n}"), id: n as u64 + 1 }, VOTERS))
                 .collect(),
             begun: vec![false; PROPOSERS],
             forgot: false,
@@ -129,7 +129,8 @@
             Step::Begin(who) => {
                 state.begun[who] = true;
                 let known = last.settled.last_key_value().map(|(stamp, _)| *stamp);
-                let change = Change::Set { after: known, number: 1, value: vec![who as u8] };
+                let change =
+                    Operation::CompareAndSet { expected: known, fencing_token: 1, value: vec![who as u8] };
                 let posts = state.proposers[who].propose(now, NAME, change);
                 self.post(&mut state, who, posts);
             }
@@ -137,36 +138,37 @@
                 state.forgot = true;
                 state.lives[0] = 2;
                 state.keepers[0] = match self.spoilt {
-                    Spoilt::ForgetfulVoter => Keeper::remembering(VOTERS, 0, 2, Kept::default()),
-                    _ => Keeper::blank(NOW, &terms(), VOTERS, 0, 2, 9),
+                    Spoilt::ForgetfulVoter => Acceptor::restored(VOTERS, 0, 2, PersistentState::default()),
+                    _ => Acceptor::without_memory(NOW, &terms(), VOTERS, 0, 2, 9),
                 };
             }
             Step::Pass => {
                 state.past = true;
-                let posts = state.keepers[0].turn(LATER, &terms());
+                let posts = state.keepers[0].poll(LATER, &terms());
                 self.copies(&mut state, 0, posts);
             }
             Step::Deliver(sent) => {
                 state.sent.remove(&sent);
                 match sent {
-                    Sent::Ask(who, voter, ask) => {
-                        let reply = state.keepers[voter].answer(now, ask)?;
-                        let posts = state.proposers[who].hear(now, &terms(), voter, reply, &mut || 0.0);
+                    Sent::RegisterRequest(who, voter, ask) => {
+                        let reply = state.keepers[voter].handle_request(now, ask)?;
+                        let posts =
+                            state.proposers[who].handle_reply(now, &terms(), voter, reply, &mut || 0.0);
                         self.post(&mut state, who, posts);
                         self.note(&mut state, who);
                     }
                     Sent::Copy(from, life, to, ask) => {
-                        let reply = state.keepers[to].answer(now, ask)?;
+                        let reply = state.keepers[to].handle_request(now, ask)?;
                         if state.lives[from] != life {
                             return None;
                         }
                         if self.spoilt == Spoilt::CopiesFromOne
-                            && let Reply::Copied { rows, .. } = &reply
+                            && let RegisterReply::StateCopy { registers: rows, .. } = &reply
                         {
-                            let kept = Kept { era: 0, rows: rows.clone() };
-                            state.keepers[from] = Keeper::remembering(VOTERS, from, life, kept);
+                            let kept = PersistentState { epoch: 0, registers: rows.clone() };
+                            state.keepers[from] = Acceptor::restored(VOTERS, from, life, kept);
                         }
-                        let posts = state.keepers[from].hear(now, to, reply);
+                        let posts = state.keepers[from].handle_copy(now, to, reply);
                         self.copies(&mut state, from, posts);
                     }
                 }
--- a/crates/core/registers/tests/stories.rs
+++ b/crates/core/registers/tests/stories.rs
@@ -1,15 +1,15 @@
 //! Registers under chance: messages lost, repeated, held up and overtaken, voters that lose their memory, proposers
 //! that compete, clocks at the ends of the drift. Everything comes from one seed.
 
-use lemonusher_leases::{Life, Terms};
+use lemonusher_leases::{Incarnation, LeaseConfig};
 use lemonusher_registers::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 const NAME: &str = "sites";
 
-fn terms() -> Terms {
-    Terms { lease: ms(600), drift: 100, act: Duration::ZERO }
+fn terms() -> LeaseConfig {
+    LeaseConfig { duration: ms(600), clock_drift_permille: 100, max_action_time: Duration::ZERO }
 }
 
 fn ms(ms: u64) -> Duration {
@@ -18,27 +18,27 @@
 
 #[derive(Clone)]
 enum Sent {
-    Ask { from: From, to: usize, ask: Ask },
-    Reply { to: From, from: usize, reply: Reply },
+    RegisterRequest { from: From, to: usize, ask: RegisterRequest },
+    RegisterReply { to: From, from: usize, reply: RegisterReply },
 }
 
 #[derive(Clone, Copy, PartialEq)]
 enum From {
-    Keeper(usize, u64), // Place and life.
+    Acceptor(usize, u64), // Place and incarnation.
     Front(usize),
 }
 
 struct Front {
     proposer: Proposer,
-    follower: Follower,
-    known: Option<Stamp>,
-    followed: Option<Stamp>,
+    follower: Learner,
+    known: Option<EntryVersion>,
+    followed: Option<EntryVersion>,
     begun: Duration,
 }
 
 struct World {
     now: Duration,
-    keepers: Vec<Option<(Keeper, u64)>>,
+    keepers: Vec<Option<(Acceptor, u64)>>,
     rates: Vec<f64>,
     fronts: Vec<Front>,
     way: Vec<(Duration, Sent)>,
@@ -47,9 +47,9 @@
     forgetful: bool,
     next: u64,
     lost: f64,
-    settled: BTreeMap<Stamp, Vec<u8>>,
+    settled: BTreeMap<EntryVersion, Vec<u8>>,
     /// The highest settled so far with the time at which its proposer heard of it.
-    highest: Vec<(Duration, Stamp)>,
+    highest: Vec<(Duration, EntryVersion)>,
     wrong: Vec<String>,
 }
 
@@ -57,14 +57,14 @@
     fn new(seed: u64, voters: usize, forgetful: bool) -> World {
         let mut chance = fastrand::Rng::with_seed(seed);
         let front = |n: usize| Front {
-            proposer: Proposer::new(Life { name: format!("n{n}"), born: n as u64 + 1 }, voters),
-            follower: Follower::new(voters, ms(80)),
+            proposer: Proposer::new(Incarnation { name: format!("n{n}"), id: n as u64 + 1 }, voters),
+            follower: Learner::new(voters, ms(80)),
             known: None,
             followed: None,
             begun: Duration::ZERO,
         };
         let mut fronts: Vec<Front> = (0..3).map(front).collect();
-        fronts.iter_mut().for_each(|front| front.follower.follow(NAME));
+        fronts.iter_mut().for_each(|front| front.follower.watch(NAME));
         let rates = (0..voters).map(|_| [0.91, 1.0, 1.09][chance.usize(..3)]).collect();
         let mut world = World {
             now: Duration::ZERO,
@@ -92,9 +92,9 @@
         self.next += 1;
         let (born, voters, founding) = (self.next, self.keepers.len(), 1000 + self.next);
         let keeper = if self.forgetful {
-            Keeper::remembering(voters, place, born, Kept::default())
+            Acceptor::restored(voters, place, born, PersistentState::default())
         } else {
-            Keeper::blank(self.clock(place), &terms(), voters, place, born, founding)
+            Acceptor::without_memory(self.clock(place), &terms(), voters, place, born, founding)
         };
         self.keepers[place] = Some((keeper, born));
     }
@@ -108,8 +108,10 @@
         }
     }
 
-    fn post(&mut self, from: From, posts: Vec<Post>) {
-        posts.into_iter().for_each(|Post { voter, ask }| self.send(Sent::Ask { from, to: voter, ask }));
+    fn post(&mut self, from: From, posts: Vec<OutboundMessage>) {
+        posts.into_iter().for_each(|OutboundMessage { voter, request: ask }| {
+            self.send(Sent::RegisterRequest { from, to: voter, ask })
+        });
     }
 
     fn step(&mut self) {
@@ -117,21 +119,21 @@
         for place in 0..self.keepers.len() {
             let clock = self.clock(place);
             if let Some((keeper, born)) = &mut self.keepers[place] {
-                let (posts, born) = (keeper.turn(clock, &terms()), *born);
-                self.post(From::Keeper(place, born), posts);
+                let (posts, born) = (keeper.poll(clock, &terms()), *born);
+                self.post(From::Acceptor(place, born), posts);
             }
         }
         for n in 0..self.fronts.len() {
             let mut chance = self.chance.clone();
             let now = self.now;
             let front = &mut self.fronts[n];
-            let mut posts = front.proposer.turn(now, &terms(), &mut || chance.f64());
-            posts.extend(front.follower.turn(now, &mut || chance.f64()));
-            if !front.proposer.busy(NAME) && chance.f64() < 0.03 {
+            let mut posts = front.proposer.poll(now, &terms(), &mut || chance.f64());
+            posts.extend(front.follower.poll(now, &mut || chance.f64()));
+            if !front.proposer.is_busy(NAME) && chance.f64() < 0.03 {
                 self.next += 1;
                 front.begun = now;
                 let value = self.next.to_le_bytes().to_vec();
-                let change = Change::Set { after: front.known, number: 1, value };
+                let change = Operation::CompareAndSet { expected: front.known, fencing_token: 1, value };
                 posts.extend(front.proposer.propose(now, NAME, change));
             }
             self.chance = chance;
@@ -147,26 +149,27 @@
 
     fn deliver(&mut self, sent: Sent) {
         match sent {
-            Sent::Ask { from, to, ask } => {
+            Sent::RegisterRequest { from, to, ask } => {
                 let clock = self.clock(to);
                 let Some((keeper, _)) = &mut self.keepers[to] else { return };
-                if let Some(reply) = keeper.answer(clock, ask) {
-                    self.send(Sent::Reply { to: from, from: to, reply });
+                if let Some(reply) = keeper.handle_request(clock, ask) {
+                    self.send(Sent::RegisterReply { to: from, from: to, reply });
                 }
             }
-            Sent::Reply { to: From::Keeper(place, life), from, reply } => {
+            Sent::RegisterReply { to: From::Acceptor(place, life), from, reply } => {
                 let clock = self.clock(place);
                 let Some((keeper, born)) = &mut self.keepers[place] else { return };
                 if *born == life {
-                    let posts = keeper.hear(clock, from, reply);
-                    self.post(From::Keeper(place, life), posts);
+                    let posts = keeper.handle_copy(clock, from, reply);
+                    self.post(From::Acceptor(place, life), posts);
                 }
             }
-            Sent::Reply { to: From::Front(n), from, reply } => {
+            Sent::RegisterReply { to: From::Front(n), from, reply } => {
                 let mut chance = self.chance.clone();
                 let front = &mut self.fronts[n];
-                front.follower.hear(self.now, from, reply.clone());
-                let posts = front.proposer.hear(self.now, &terms(), from, reply, &mut || chance.f64());
+                front.follower.handle_reply(self.now, from, reply.clone());
+                let posts =
+                    front.proposer.handle_reply(self.now, &terms(), from, reply, &mut || chance.f64());
                 self.chance = chance;
                 self.post(From::Front(n), posts);
                 self.note(n);
@@ -178,38 +181,38 @@
         let now = self.now;
         for outcome in self.fronts[n].proposer.outcomes() {
             let (entry, own) = match outcome {
-                Outcome::Settled { entry, .. } => (entry, true),
-                Outcome::Overtaken { entry, .. } => (entry, false),
-                Outcome::Unknown { .. } => continue,
+                ProposalOutcome::Committed { entry, .. } => (entry, true),
+                ProposalOutcome::Conflict { entry, .. } => (entry, false),
+                ProposalOutcome::Unknown { .. } => continue,
             };
             let begun = self.fronts[n].begun;
-            self.fronts[n].known = entry.as_ref().map(|entry| entry.stamp);
+            self.fronts[n].known = entry.as_ref().map(|entry| entry.version);
             let Some(entry) = entry else { continue };
             self.seen(&entry);
             // What was settled before this attempt began must show in it.
             let before = self.highest.iter().filter(|(at, _)| *at < begun).map(|(_, stamp)| *stamp).max();
-            if Some(entry.stamp) < before || (own && Some(entry.stamp) == before) {
-                self.wrong.push(format!("{:?} after {before:?} at {now:?}", entry.stamp));
+            if Some(entry.version) < before || (own && Some(entry.version) == before) {
+                self.wrong.push(format!("{:?} after {before:?} at {now:?}", entry.version));
             }
             if own {
-                self.highest.push((now, entry.stamp));
+                self.highest.push((now, entry.version));
             }
         }
         let front = &mut self.fronts[n];
-        if let Some((entry, _)) = front.follower.settled(NAME) {
+        if let Some((entry, _)) = front.follower.committed(NAME) {
             let entry = entry.clone();
-            if Some(entry.stamp) < front.followed {
-                self.wrong.push(format!("a follower went back to {:?}", entry.stamp));
+            if Some(entry.version) < front.followed {
+                self.wrong.push(format!("a follower went back to {:?}", entry.version));
             }
-            front.followed = Some(entry.stamp);
+            front.followed = Some(entry.version);
             self.seen(&entry);
         }
     }
 
     fn seen(&mut self, entry: &Entry) {
-        let value = self.settled.entry(entry.stamp).or_insert_with(|| entry.value.clone());
+        let value = self.settled.entry(entry.version).or_insert_with(|| entry.value.clone());
         if *value != entry.value {
-            self.wrong.push(format!("two values for {:?}", entry.stamp));
+            self.wrong.push(format!("two values for {:?}", entry.version));
         }
     }
 
@@ -229,7 +232,9 @@
             let now = self.now;
             let blank = |place: usize, world: &World| {
                 let clock = now.mul_f64(world.rates[place]);
-                world.keepers[place].as_ref().is_none_or(|(keeper, _)| keeper.state(clock) != State::Voting)
+                world.keepers[place]
+                    .as_ref()
+                    .is_none_or(|(keeper, _)| keeper.state(clock) != AcceptorState::Voting)
             };
             let place = self.chance.usize(..self.keepers.len());
             let others = (0..self.keepers.len()).filter(|p| *p != place && blank(*p, self)).count();
@@ -245,12 +250,12 @@
     let (mut settled, mut eras) = (0, BTreeSet::new());
     for seed in 0..900 {
         let mut world = World::new(seed, [3, 5][seed as usize % 2], false);
-        world.run(ms(3000)); // All are blank at the first start of all, and found an era.
+        world.run(ms(3000)); // All are blank at the first start of all, and found an epoch.
         world.play_minorities();
         world.run(ms(500));
         assert!(world.wrong.is_empty(), "seed {seed}: {:?}", world.wrong);
         let later = world.highest.iter().filter(|(at, _)| *at > ms(3000));
-        let all: BTreeSet<u64> = later.map(|(_, stamp)| stamp.era).collect();
+        let all: BTreeSet<u64> = later.map(|(_, stamp)| stamp.epoch).collect();
         eras.insert(all.len());
         settled += world.highest.len();
     }
@@ -271,75 +276,78 @@
         (0..forget).for_each(|next| world.start((place + next) % voters));
         world.run(ms(4000));
         let after = world.highest.last().unwrap().1;
-        assert!(after.era > before.era, "seed {seed}: {before:?} {after:?}");
+        assert!(after.epoch > before.epoch, "seed {seed}: {before:?} {after:?}");
         assert!(world.wrong.is_empty(), "seed {seed}: {:?}", world.wrong);
     }
 }
 
 #[test]
 fn what_was_asked_in_an_earlier_era_is_not_accepted() {
-    let kept = Kept { era: 7, rows: Vec::new() };
-    let mut keeper = Keeper::remembering(3, 0, 1, kept);
-    let ballot = lemonusher_leases::Ballot { round: 1, born: 1 };
+    let kept = PersistentState { epoch: 7, registers: Vec::new() };
+    let mut keeper = Acceptor::restored(3, 0, 1, kept);
+    let ballot = lemonusher_leases::Ballot { round: 1, proposer: 1 };
     let mut accept = |era: u64| {
-        let entry = Entry { stamp: Stamp { era, version: 1 }, number: 1, value: vec![1] };
-        keeper.answer(ms(1), Ask::Accept { name: NAME.to_owned(), ballot, entry })
+        let entry =
+            Entry { version: EntryVersion { epoch: era, counter: 1 }, fencing_token: 1, value: vec![1] };
+        keeper.handle_request(ms(1), RegisterRequest::Accept { name: NAME.to_owned(), ballot, entry })
     };
-    assert!(matches!(accept(6), Some(Reply::Behind { .. })));
-    assert!(matches!(accept(7), Some(Reply::Accepted { .. })));
-    assert!(matches!(accept(8), Some(Reply::Accepted { .. })));
-    assert!(matches!(accept(7), Some(Reply::Behind { .. })));
+    assert!(matches!(accept(6), Some(RegisterReply::StaleBallot { .. })));
+    assert!(matches!(accept(7), Some(RegisterReply::Accepted { .. })));
+    assert!(matches!(accept(8), Some(RegisterReply::Accepted { .. })));
+    assert!(matches!(accept(7), Some(RegisterReply::StaleBallot { .. })));
 }
 
 /// A value that one voter alone had accepted is all that is left: copied to the others it looks as if a majority had
 /// accepted it, while another one had been settled under its stamp.
 #[test]
 fn what_a_new_era_begins_with_is_settled_only_once_it_is_proposed() {
-    let mut keepers: Vec<Keeper> = (0..3).map(|p| Keeper::remembering(3, p, 1, Kept::default())).collect();
-    let ballot = lemonusher_leases::Ballot { round: 1, born: 9 };
-    let entry = Entry { stamp: Stamp { era: 1, version: 1 }, number: 1, value: vec![1] };
-    keepers[0].answer(ms(1), Ask::Accept { name: NAME.to_owned(), ballot, entry });
-    (1..3).for_each(|p| keepers[p] = Keeper::blank(Duration::ZERO, &terms(), 3, p, 2, 5));
-    let copied =
-        |keepers: &[Keeper]| keepers[1..].iter().all(|keeper| keeper.state(ms(2000)) == State::Voting);
+    let mut keepers: Vec<Acceptor> =
+        (0..3).map(|p| Acceptor::restored(3, p, 1, PersistentState::default())).collect();
+    let ballot = lemonusher_leases::Ballot { round: 1, proposer: 9 };
+    let entry = Entry { version: EntryVersion { epoch: 1, counter: 1 }, fencing_token: 1, value: vec![1] };
+    keepers[0].handle_request(ms(1), RegisterRequest::Accept { name: NAME.to_owned(), ballot, entry });
+    (1..3).for_each(|p| keepers[p] = Acceptor::without_memory(Duration::ZERO, &terms(), 3, p, 2, 5));
+    let copied = |keepers: &[Acceptor]| {
+        keepers[1..].iter().all(|keeper| keeper.state(ms(2000)) == AcceptorState::Voting)
+    };
     for step in 0..20 {
         let now = ms(2000) + ms(100) * step;
         for place in 1..3 {
-            let mut posts = keepers[place].turn(now, &terms());
-            while let Some(Post { voter, ask }) = posts.pop() {
-                let reply = keepers[voter].answer(now, ask).unwrap();
-                posts.extend(keepers[place].hear(now, voter, reply));
+            let mut posts = keepers[place].poll(now, &terms());
+            while let Some(OutboundMessage { voter, request: ask }) = posts.pop() {
+                let reply = keepers[voter].handle_request(now, ask).unwrap();
+                posts.extend(keepers[place].handle_copy(now, voter, reply));
             }
         }
     }
     assert!(copied(&keepers), "a majority is blank: the two begin an era");
     let now = ms(5000);
-    assert_eq!(keepers[1].left_over(now), Some(&NAME.to_owned()));
-    let mut follower = Follower::new(3, ms(80));
-    follower.follow(NAME);
-    let look = |follower: &mut Follower, keepers: &mut [Keeper], now: Duration| {
-        for Post { voter, ask } in follower.turn(now, &mut || 0.5) {
-            let reply = keepers[voter].answer(now, ask).unwrap();
-            follower.hear(now, voter, reply);
+    assert_eq!(keepers[1].unproposed_register(now), Some(&NAME.to_owned()));
+    let mut follower = Learner::new(3, ms(80));
+    follower.watch(NAME);
+    let look = |follower: &mut Learner, keepers: &mut [Acceptor], now: Duration| {
+        for OutboundMessage { voter, request: ask } in follower.poll(now, &mut || 0.5) {
+            let reply = keepers[voter].handle_request(now, ask).unwrap();
+            follower.handle_reply(now, voter, reply);
         }
-        follower.settled(NAME).map(|(entry, _)| entry.clone())
+        follower.committed(NAME).map(|(entry, _)| entry.clone())
     };
     assert_eq!(look(&mut follower, &mut keepers, now), None);
-    assert!(!follower.empty(NAME));
-    let mut proposer = Proposer::new(Life { name: "n".into(), born: 7 }, 3);
-    let mut posts = proposer.propose(now, NAME, Change::Read);
+    assert!(!follower.is_known_empty(NAME));
+    let mut proposer = Proposer::new(Incarnation { name: "n".into(), id: 7 }, 3);
+    let mut posts = proposer.propose(now, NAME, Operation::Read);
     for step in 0..100 {
         let now = now + ms(5) * step;
-        posts.extend(proposer.turn(now, &terms(), &mut || 0.0));
-        for Post { voter, ask } in std::mem::take(&mut posts) {
-            let reply = keepers[voter].answer(now, ask).unwrap();
-            posts.extend(proposer.hear(now, &terms(), voter, reply, &mut || 0.0));
+        posts.extend(proposer.poll(now, &terms(), &mut || 0.0));
+        for OutboundMessage { voter, request: ask } in std::mem::take(&mut posts) {
+            let reply = keepers[voter].handle_request(now, ask).unwrap();
+            posts.extend(proposer.handle_reply(now, &terms(), voter, reply, &mut || 0.0));
         }
     }
-    assert!(matches!(&proposer.outcomes()[..], [Outcome::Settled { entry: Some(_), .. }]));
+    assert!(matches!(&proposer.outcomes()[..], [ProposalOutcome::Committed { entry: Some(_), .. }]));
     let settled = look(&mut follower, &mut keepers, ms(9000)).expect("it was proposed");
-    assert!(settled.stamp.era > 1 && settled.value == [1], "{settled:?}");
-    assert!(keepers.iter().all(|keeper| keeper.left_over(ms(9000)).is_none()));
+    assert!(settled.version.epoch > 1 && settled.value == [1], "{settled:?}");
+    assert!(keepers.iter().all(|keeper| keeper.unproposed_register(ms(9000)).is_none()));
 }
 
 #[test]
@@ -373,50 +381,59 @@
 
 #[test]
 fn an_older_number_changes_nothing() {
-    let mut keepers: Vec<Keeper> = (0..3).map(|p| Keeper::remembering(3, p, 1, Kept::default())).collect();
-    let mut propose = |who: u64, after: Option<Stamp>, number: u64, value: &[u8]| {
-        let mut proposer = Proposer::new(Life { name: "n".into(), born: who }, 3);
-        let change = Change::Set { after, number, value: value.to_vec() };
+    let mut keepers: Vec<Acceptor> =
+        (0..3).map(|p| Acceptor::restored(3, p, 1, PersistentState::default())).collect();
+    let mut propose = |who: u64, after: Option<EntryVersion>, number: u64, value: &[u8]| {
+        let mut proposer = Proposer::new(Incarnation { name: "n".into(), id: who }, 3);
+        let change =
+            Operation::CompareAndSet { expected: after, fencing_token: number, value: value.to_vec() };
         let mut now = ms(1);
         let mut posts = proposer.propose(now, NAME, change);
         for _ in 0..60 {
             now += ms(20);
-            let mut next = proposer.turn(now, &terms(), &mut || 0.0);
-            for Post { voter, ask } in posts {
-                let reply = keepers[voter].answer(now, ask).unwrap();
-                next.extend(proposer.hear(now, &terms(), voter, reply, &mut || 0.0));
+            let mut next = proposer.poll(now, &terms(), &mut || 0.0);
+            for OutboundMessage { voter, request: ask } in posts {
+                let reply = keepers[voter].handle_request(now, ask).unwrap();
+                next.extend(proposer.handle_reply(now, &terms(), voter, reply, &mut || 0.0));
             }
             posts = next;
         }
         proposer.outcomes().remove(0)
     };
-    let Outcome::Settled { entry: Some(first), .. } = propose(1, None, 5, b"a") else { panic!() };
-    let late = propose(2, Some(first.stamp), 4, b"b");
-    assert!(matches!(late, Outcome::Overtaken { entry: Some(entry), .. } if entry == first));
+    let ProposalOutcome::Committed { entry: Some(first), .. } = propose(1, None, 5, b"a") else { panic!() };
+    let late = propose(2, Some(first.version), 4, b"b");
+    assert!(matches!(late, ProposalOutcome::Conflict { entry: Some(entry), .. } if entry == first));
     let stale = propose(3, None, 6, b"c");
-    assert!(matches!(stale, Outcome::Overtaken { .. }));
-    let Outcome::Settled { entry: Some(second), .. } = propose(4, Some(first.stamp), 6, b"d") else {
+    assert!(matches!(stale, ProposalOutcome::Conflict { .. }));
+    let ProposalOutcome::Committed { entry: Some(second), .. } = propose(4, Some(first.version), 6, b"d")
+    else {
         panic!()
     };
-    assert_eq!((second.stamp.version, second.value.as_slice()), (2, &b"d"[..]));
+    assert_eq!((second.version.counter, second.value.as_slice()), (2, &b"d"[..]));
 }
 
 #[test]
 fn bounds_hold_against_names_values_and_registers_without_end() {
-    let mut keeper = Keeper::remembering(3, 0, 1, Kept::default());
-    let ballot = lemonusher_leases::Ballot { round: 1, born: 1 };
-    for n in 0..MOST_REGISTERS * 2 {
-        let reply = keeper.answer(ms(1), Ask::Prepare { name: format!("r{n}"), ballot }).unwrap();
-        assert_eq!(matches!(reply, Reply::Silent { .. }), n >= MOST_REGISTERS);
+    let mut keeper = Acceptor::restored(3, 0, 1, PersistentState::default());
+    let ballot = lemonusher_leases::Ballot { round: 1, proposer: 1 };
+    for n in 0..MAX_REGISTERS * 2 {
+        let reply =
+            keeper.handle_request(ms(1), RegisterRequest::Prepare { name: format!("r{n}"), ballot }).unwrap();
+        assert_eq!(matches!(reply, RegisterReply::Silent { .. }), n >= MAX_REGISTERS);
     }
     let name = "r0".to_owned();
-    let entry = Entry { stamp: Stamp::default(), number: 0, value: vec![0; LONGEST_VALUE + 1] };
-    let reply = keeper.answer(ms(1), Ask::Accept { name: name.clone(), ballot, entry });
-    assert!(matches!(reply, Some(Reply::Silent { .. })));
-    let none = keeper.answer(ms(1), Ask::Prepare { name: "x".repeat(100), ballot });
-    assert!(matches!(none, Some(Reply::Silent { .. })));
-    let mut proposer = Proposer::new(Life { name: "n".into(), born: 1 }, 3);
-    let value = vec![0; LONGEST_VALUE + 1];
-    assert!(proposer.propose(ms(1), "r", Change::Set { after: None, number: 0, value }).is_empty());
-    assert!(matches!(proposer.outcomes()[..], [Outcome::Overtaken { .. }]));
+    let entry =
+        Entry { version: EntryVersion::default(), fencing_token: 0, value: vec![0; MAX_VALUE_BYTES + 1] };
+    let reply = keeper.handle_request(ms(1), RegisterRequest::Accept { name: name.clone(), ballot, entry });
+    assert!(matches!(reply, Some(RegisterReply::Silent { .. })));
+    let none = keeper.handle_request(ms(1), RegisterRequest::Prepare { name: "x".repeat(100), ballot });
+    assert!(matches!(none, Some(RegisterReply::Silent { .. })));
+    let mut proposer = Proposer::new(Incarnation { name: "n".into(), id: 1 }, 3);
+    let value = vec![0; MAX_VALUE_BYTES + 1];
+    assert!(
+        proposer
+            .propose(ms(1), "r", Operation::CompareAndSet { expected: None, fencing_token: 0, value })
+            .is_empty()
+    );
+    assert!(matches!(proposer.outcomes()[..], [ProposalOutcome::Conflict { .. }]));
 }
--- a/crates/core/zone-failover/src/plan.rs
+++ b/crates/core/zone-failover/src/allocation.rs
@@ -1,77 +1,81 @@
-//! Who is served where, and who is refused: the most worth that the sites can bear, with a floor for every service
-//! group, and then as evenly as can be over the sites.
+//! Who is served where, and who is refused: the most worth that the zones can bear, with a floor for every service
+//! group, and then as evenly as can be over the zones.
 //!
 //! All groups draw on one resource, seconds of engine work, so taking groups by worth for each second, each as far as
 //! flows can be rearranged to make room for it, yields the most worth there is (the sets that can be served form a
 //! polymatroid). Floors come first, then the rest. That order is also the order of refusal, read backwards.
 
-use crate::Site;
+use crate::Zone;
 use std::cmp::Ordering;
 
 /// Less than this much work a second counts as nothing.
 const NOTHING: f64 = 1e-9;
-/// In so many portions sites are filled, so that all fill alike.
+/// In so many portions zones are filled, so that all fill alike.
 const PORTIONS: usize = 8;
 
 /// A request class as the planner sees it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Group {
+pub struct ClassLoad {
     /// Of a request answered in time.
-    pub utility: f64,
+    pub priority_weight: f64,
     /// Of a request, in seconds on one thread.
     pub work: f64,
     /// Requests a second.
     pub rate: f64,
     /// Seconds.
-    pub goal: f64,
-    pub limit: f64,
+    pub latency_objective: f64,
+    pub deadline: f64,
     /// The part that is served before any group gets more.
     pub floor: f64,
-    /// The only sites where it may run.
-    pub only: Option<Vec<Site>>,
+    /// The only zones where it may run.
+    pub allowed_zones: Option<Vec<Zone>>,
 }
 
-impl Group {
+impl ClassLoad {
     /// Work a second that is asked for.
     pub fn demand(&self) -> f64 {
         self.rate * self.work
     }
 
-    fn may(&self, site: Site) -> bool {
-        self.only.as_ref().is_none_or(|only| only.contains(&site))
+    fn allows(&self, site: Zone) -> bool {
+        self.allowed_zones.as_ref().is_none_or(|only| only.contains(&site))
     }
 }
 
-/// Work a second that a site can take before it falls over.
+/// Work a second that a zone can take before it falls over.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Capacity {
-    pub site: Site,
+pub struct ZoneCapacity {
+    pub zone: Zone,
     pub work: f64,
 }
 
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Allocation {
-    /// By request class and site (in the order of the capacities): work a second.
+    /// By request class and zone (in the order of the capacities): work a second.
     pub flows: Vec<Vec<f64>>,
     /// By request class: the part of its demand that is served.
-    pub served: Vec<f64>,
-    /// By request class: the part that no site may take, however much room there is.
-    pub nowhere: Vec<f64>,
-    /// By site: the part of its capacity that is filled.
-    pub filled: Vec<f64>,
+    pub served_shares: Vec<f64>,
+    /// By request class: the part that no zone may take, however much room there is.
+    pub unplaceable_shares: Vec<f64>,
+    /// By zone: the part of its capacity that is filled.
+    pub utilization: Vec<f64>,
     /// Groups in the order in which they are refused: the first loses first.
-    pub refused_first: Vec<usize>,
+    pub shed_order: Vec<usize>,
 }
 
 impl Allocation {
     /// Worth served a second.
-    pub fn worth(&self, groups: &[Group]) -> f64 {
-        groups.iter().zip(&self.served).map(|(group, part)| part * group.rate * group.utility).sum()
+    pub fn value(&self, groups: &[ClassLoad]) -> f64 {
+        groups
+            .iter()
+            .zip(&self.served_shares)
+            .map(|(group, part)| part * group.rate * group.priority_weight)
+            .sum()
     }
 }
 
 /// Works out who is served where.
-pub fn allocate(groups: &[Group], capacities: &[Capacity]) -> Allocation {
+pub fn allocate(groups: &[ClassLoad], capacities: &[ZoneCapacity]) -> Allocation {
     let mut order: Vec<usize> = (0..groups.len()).collect();
     order.sort_by(|a, b| dearer(&groups[*a], &groups[*b]).then(a.cmp(b)));
     let mut net = Net::new(groups, capacities);
@@ -81,7 +85,7 @@
     for group in &order {
         net.serve(*group, groups[*group].demand());
     }
-    // How much of each is settled; now the same again in portions, so that all sites fill alike.
+    // How much of each is settled; now the same again in portions, so that all zones fill alike.
     let settled: Vec<f64> = (0..groups.len()).map(|group| net.served(group)).collect();
     let mut even = Net::new(groups, capacities);
     for portion in 1..=PORTIONS {
@@ -94,7 +98,8 @@
     let part = |some: f64, of: f64| if of > NOTHING { (some / of).clamp(0.0, 1.0) } else { 1.0 };
     let served = (0..groups.len()).map(|group| part(even.served(group), groups[group].demand())).collect();
     let nowhere = groups.iter().map(|group| {
-        let anywhere = capacities.iter().any(|capacity| capacity.work > NOTHING && group.may(capacity.site));
+        let anywhere =
+            capacities.iter().any(|capacity| capacity.work > NOTHING && group.allows(capacity.zone));
         if anywhere { 0.0 } else { 1.0 }
     });
     let filled = (0..capacities.len()).map(|site| {
@@ -103,26 +108,32 @@
     });
     let (nowhere, filled) = (nowhere.collect(), filled.collect());
     order.reverse();
-    Allocation { served, nowhere, filled, refused_first: order, flows: even.flows }
+    Allocation {
+        served_shares: served,
+        unplaceable_shares: nowhere,
+        utilization: filled,
+        shed_order: order,
+        flows: even.flows,
+    }
 }
 
 /// Worth for each second of engine work first, then the shorter latency objective, then the shorter deadline: what has
 /// longer may come again.
-fn dearer(a: &Group, b: &Group) -> Ordering {
-    let worth = |group: &Group| group.utility / group.work.max(1e-6);
+fn dearer(a: &ClassLoad, b: &ClassLoad) -> Ordering {
+    let worth = |group: &ClassLoad| group.priority_weight / group.work.max(1e-6);
     let by_worth = worth(b).total_cmp(&worth(a));
-    by_worth.then(a.goal.total_cmp(&b.goal)).then(a.limit.total_cmp(&b.limit))
+    by_worth.then(a.latency_objective.total_cmp(&b.latency_objective)).then(a.deadline.total_cmp(&b.deadline))
 }
 
 struct Net<'a> {
-    groups: &'a [Group],
-    capacities: &'a [Capacity],
+    groups: &'a [ClassLoad],
+    capacities: &'a [ZoneCapacity],
     room: Vec<f64>,
     flows: Vec<Vec<f64>>,
 }
 
 impl<'a> Net<'a> {
-    fn new(groups: &'a [Group], capacities: &'a [Capacity]) -> Net<'a> {
+    fn new(groups: &'a [ClassLoad], capacities: &'a [ZoneCapacity]) -> Net<'a> {
         let room = capacities.iter().map(|capacity| capacity.work.max(0.0)).collect();
         Net { groups, capacities, room, flows: vec![vec![0.0; capacities.len()]; groups.len()] }
     }
@@ -137,7 +148,7 @@
 
     /// Raises what a group is served to this much, as far as others can be moved to make room.
     fn serve(&mut self, group: usize, wanted: f64) {
-        // Each turn fills a site or empties a flow, so there are few; the bound is against rounding alone.
+        // Each turn fills a zone or empties a flow, so there are few; the bound is against rounding alone.
         for _ in 0..self.groups.len() * self.capacities.len() * 4 + 16 {
             let missing = wanted - self.served(group);
             if missing <= NOTHING {
@@ -148,13 +159,13 @@
         }
     }
 
-    /// The shortest way to room: sites, and between each two the group that moves from the first to the second.
+    /// The shortest way to room: zones, and between each two the group that moves from the first to the second.
     fn path(&self, group: usize) -> Option<Vec<(usize, usize)>> {
         let sites = self.capacities.len();
         let mut from: Vec<Option<(usize, Option<usize>)>> = vec![None; sites];
         let mut reached = Vec::new();
         let mut emptiest: Vec<usize> =
-            (0..sites).filter(|site| self.groups[group].may(self.capacities[*site].site)).collect();
+            (0..sites).filter(|site| self.groups[group].allows(self.capacities[*site].zone)).collect();
         emptiest.sort_by(|a, b| self.left(*b).total_cmp(&self.left(*a)));
         for site in emptiest {
             from[site] = Some((group, None));
@@ -176,7 +187,7 @@
             }
             for (mover, flow) in self.flows.iter().enumerate().filter(|(_, flow)| flow[site] > NOTHING) {
                 for (next, capacity) in self.capacities.iter().enumerate() {
-                    if from[next].is_none() && self.groups[mover].may(capacity.site) && flow[site] > 0.0 {
+                    if from[next].is_none() && self.groups[mover].allows(capacity.zone) && flow[site] > 0.0 {
                         from[next] = Some((mover, Some(site)));
                         reached.push(next);
                     }
--- a/crates/core/zone-failover/src/judge.rs
+++ b/crates/core/zone-failover/src/health.rs
@@ -1,17 +1,18 @@
-//! Weighs what many fronts see of a site.
+//! Weighs what many fronts see of a zone.
 //!
-//! The rule where evidence disagrees: a front's view of a site is good if at least half of the engines there that it
-//! has tried answer, and bad otherwise; one that has tried none has no view. Fronts **at** the site and fronts
+//! The rule where evidence disagrees: a front's view of a zone is good if at least half of the engines there that it
+//! has tried answer, and bad otherwise; one that has tried none has no view. Fronts **at** the zone and fronts
 //! **elsewhere** are counted apart.
 //!
 //! - Gone: most of those elsewhere who have a view find it bad, two of them at least (one where there is but one), and
-//!   of those at the site none is heard, or most find it bad too. One front with a bad link is never enough.
-//! - Cut off: most of those elsewhere find it bad, most of those at the site find it good.
+//!   of those at the zone none is heard, or most find it bad too. One front with a bad link is never enough.
+//! - Cut off: most of those elsewhere find it bad, most of those at the zone find it good.
 //! - Bare: its engines answer those elsewhere, but no front that stood there is heard any more.
-//! - Well: anything else. The list alone never makes a site well or gone: it lags, and names what no longer answers.
+//! - Well: anything else. The list alone never makes a zone well or gone: it lags, and names what no longer answers.
 
-use crate::{Demand, MOST_GROUPS, MOST_SITES, Report, Site};
+use crate::{Demand, FrontReport, MAX_CLASSES, MAX_ZONES, Zone};
 use std::collections::BTreeMap;
+use std::fmt;
 use std::time::Duration;
 
 /// Periods for which a report counts.
@@ -22,106 +23,123 @@
 const SLOW: f64 = 0.25;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Finding {
-    Well,
+pub enum ZoneHealth {
+    Healthy,
     /// Its engines serve, its fronts are gone.
-    Bare,
-    CutOff,
-    Gone,
+    FrontsLost,
+    Partitioned,
+    Unreachable,
     /// Nobody has a view.
-    Unseen,
+    Unknown,
 }
 
-/// What all fronts together see of a site.
+impl fmt::Display for ZoneHealth {
+    /// The name on the wire and in what operators are shown.
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            ZoneHealth::Healthy => "Well",
+            ZoneHealth::FrontsLost => "Bare",
+            ZoneHealth::Partitioned => "CutOff",
+            ZoneHealth::Unreachable => "Gone",
+            ZoneHealth::Unknown => "Unseen",
+        })
+    }
+}
+
+/// What all fronts together see of a zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Evidence {
-    /// Fronts elsewhere, and at the site, that find it good or bad.
-    pub good_away: u32,
-    pub bad_away: u32,
-    pub good_there: u32,
-    pub bad_there: u32,
-    /// Fronts at the site that are heard at all.
-    pub fronts_there: u32,
+    /// Fronts elsewhere, and at the zone, that find it good or bad.
+    pub healthy_remote: u32,
+    pub unhealthy_remote: u32,
+    pub healthy_local: u32,
+    pub unhealthy_local: u32,
+    /// Fronts at the zone that are heard at all.
+    pub local_fronts: u32,
     /// Cores listed there, as most that any front is told.
     pub cores: u32,
     /// The part of the engines tried that answer, with slow ones counted for less.
-    pub part: f64,
+    pub answering_share: f64,
     /// The part of attempts there that failed or were slow.
-    pub worse: f64,
+    pub degraded_share: f64,
     /// Attempts that ended there.
-    pub ended: u32,
+    pub attempts: u32,
 }
 
 impl Evidence {
-    pub fn finding(&self, fronts: usize, had_fronts: bool) -> Finding {
+    pub fn health(&self, fronts: usize, had_fronts: bool) -> ZoneHealth {
         let enough = if fronts > 1 { 2 } else { 1 };
-        let away = self.good_away + self.bad_away;
-        let there = self.good_there + self.bad_there;
-        let bad_away = self.bad_away * 2 > away;
-        let bad_there = self.bad_there * 2 > there;
+        let away = self.healthy_remote + self.unhealthy_remote;
+        let there = self.healthy_local + self.unhealthy_local;
+        let bad_away = self.unhealthy_remote * 2 > away;
+        let bad_there = self.unhealthy_local * 2 > there;
         if away + there == 0 {
-            return Finding::Unseen;
+            return ZoneHealth::Unknown;
         }
-        if bad_away && self.good_there * 2 > there && there > 0 {
-            return if self.bad_away >= enough { Finding::CutOff } else { Finding::Well };
+        if bad_away && self.healthy_local * 2 > there && there > 0 {
+            return if self.unhealthy_remote >= enough {
+                ZoneHealth::Partitioned
+            } else {
+                ZoneHealth::Healthy
+            };
         }
         let all_bad = (bad_away || away == 0) && (bad_there || there == 0);
-        if all_bad && self.bad_away + self.bad_there >= enough {
-            return Finding::Gone;
+        if all_bad && self.unhealthy_remote + self.unhealthy_local >= enough {
+            return ZoneHealth::Unreachable;
         }
-        let bare = had_fronts && self.fronts_there == 0 && self.good_away * 2 >= away;
-        if bare { Finding::Bare } else { Finding::Well }
+        let bare = had_fronts && self.local_fronts == 0 && self.healthy_remote * 2 >= away;
+        if bare { ZoneHealth::FrontsLost } else { ZoneHealth::Healthy }
     }
 }
 
 /// Keeps the latest report of each front.
 #[derive(Debug, Clone, Default)]
-pub struct Judge {
-    reports: BTreeMap<u64, (Duration, Report)>,
-    /// Sites at which fronts have been heard.
-    had_fronts: [bool; MOST_SITES],
+pub struct HealthEvaluator {
+    reports: BTreeMap<u64, (Duration, FrontReport)>,
+    /// Zones at which fronts have been heard.
+    had_fronts: [bool; MAX_ZONES],
 }
 
-impl Judge {
-    /// A front, by its life, has told this.
-    pub fn hear(&mut self, now: Duration, front: u64, report: Report) {
-        let fits = report.sights.len() <= MOST_SITES && report.demand.len() <= MOST_GROUPS;
+impl HealthEvaluator {
+    /// A front, by its incarnation, has told this.
+    pub fn handle_report(&mut self, now: Duration, front: u64, report: FrontReport) {
+        let fits = report.zones.len() <= MAX_ZONES && report.demand.len() <= MAX_CLASSES;
         let finite = report.demand.iter().all(|d| d.rate.is_finite() && d.work.is_finite());
         let room = self.reports.contains_key(&front) || self.reports.len() < MOST_FRONTS;
         if !fits || !finite || !room {
             return;
         }
-        if let Some(had) = self.had_fronts.get_mut(report.stands as usize) {
+        if let Some(had) = self.had_fronts.get_mut(report.zone as usize) {
             *had = true;
         }
         self.reports.insert(front, (now, report));
     }
 
     /// Drops what is too old to count.
-    pub fn turn(&mut self, now: Duration, period: Duration) {
+    pub fn expire(&mut self, now: Duration, period: Duration) {
         self.reports.retain(|_, (at, _)| *at + period * FRESH > now);
     }
 
-    pub fn fronts(&self) -> usize {
+    pub fn front_count(&self) -> usize {
         self.reports.len()
     }
 
-    /// How many sites any front has told of.
-    pub fn sites(&self) -> usize {
-        let sights = self.reports.values().flat_map(|(_, report)| &report.sights);
-        let stands = self.reports.values().map(|(_, report)| report.stands);
-        let most = sights.map(|sight| sight.site).chain(stands).max().map_or(0, |site| site as usize + 1);
-        most.min(MOST_SITES)
+    /// How many zones any front has told of.
+    pub fn zone_count(&self) -> usize {
+        let sights = self.reports.values().flat_map(|(_, report)| &report.zones);
+        let stands = self.reports.values().map(|(_, report)| report.zone);
+        let most = sights.map(|sight| sight.zone).chain(stands).max().map_or(0, |site| site as usize + 1);
+        most.min(MAX_ZONES)
     }
 
-    pub fn evidence(&self, site: Site) -> Evidence {
+    pub fn evidence(&self, site: Zone) -> Evidence {
         let mut all = Evidence::default();
         let (mut answering, mut tried) = (0u32, 0u32);
         let (mut returned, mut slow, mut failed) = (0u32, 0u32, 0u32);
         for (_, report) in self.reports.values() {
-            let there = report.stands == site;
-            all.fronts_there += u32::from(there);
-            let Some(sight) = report.sights.iter().find(|sight| sight.site == site) else { continue };
+            let there = report.zone == site;
+            all.local_fronts += u32::from(there);
+            let Some(sight) = report.zones.iter().find(|sight| sight.zone == site) else { continue };
             all.cores = all.cores.max(sight.cores);
             let seen = u32::from(sight.answering) + u32::from(sight.silent);
             answering += u32::from(sight.answering);
@@ -134,28 +152,28 @@
             }
             let good = u32::from(sight.answering) * 2 >= seen;
             match (there, good) {
-                (false, true) => all.good_away += 1,
-                (false, false) => all.bad_away += 1,
-                (true, true) => all.good_there += 1,
-                (true, false) => all.bad_there += 1,
+                (false, true) => all.healthy_remote += 1,
+                (false, false) => all.unhealthy_remote += 1,
+                (true, true) => all.healthy_local += 1,
+                (true, false) => all.unhealthy_local += 1,
             }
         }
         let part = |some: u32, of: u32| if of == 0 { 0.0 } else { f64::from(some) / f64::from(of) };
         let quick = 1.0 - part(slow, returned) * (1.0 - SLOW);
-        all.part = if tried == 0 { 1.0 } else { part(answering, tried) } * quick;
-        all.ended = returned.saturating_add(failed);
-        all.worse = part(slow.saturating_add(failed), all.ended);
+        all.answering_share = if tried == 0 { 1.0 } else { part(answering, tried) } * quick;
+        all.attempts = returned.saturating_add(failed);
+        all.degraded_share = part(slow.saturating_add(failed), all.attempts);
         all
     }
 
-    pub fn finding(&self, site: Site) -> Finding {
+    pub fn health(&self, site: Zone) -> ZoneHealth {
         let had = self.had_fronts.get(site as usize).copied().unwrap_or_default();
-        self.evidence(site).finding(self.fronts(), had)
+        self.evidence(site).health(self.front_count(), had)
     }
 
     /// What all fronts are asked for, by request class.
     pub fn demand(&self, groups: usize) -> Vec<Demand> {
-        let mut all = vec![Demand::default(); groups.min(MOST_GROUPS)];
+        let mut all = vec![Demand::default(); groups.min(MAX_CLASSES)];
         let (mut work, mut known) = (vec![0.0f32; all.len()], vec![0.0f32; all.len()]);
         for (_, report) in self.reports.values() {
             for (group, demand) in report.demand.iter().enumerate().take(all.len()) {
