--- a/crates/core/zone-failover/src/lib.rs
+++ b/crates/core/zone-failover/src/lib.rs
@@ -1,76 +1,80 @@
-//! The fleet's plan for the loss of a whole site (docs/site-loss.md).
+//! The fleet's plan for the loss of a whole zone (docs/zone-loss.md).
 //!
-//! Each front tells what it sees ([`Report`]). Whoever holds the lease weighs it ([`Judge`]), moves each site through
+//! Each front tells what it sees ([`Report`]). Whoever holds the lease weighs it ([`Judge`]), moves each zone through
 //! its states ([`Course`]), works out who is served where and who is refused ([`allocate`]), and has the [`Plan`]
 //! settled in a register. Every front follows it ([`Follow`]); one that hears nothing goes by a rule that is safe if
 //! all do the same. Nothing here opens sockets, reads clocks or draws chance.
 
-mod course;
-mod door;
-mod eyes;
-mod follow;
-mod holder;
-mod judge;
-mod plan;
-
-pub use course::{Course, Step};
-pub use door::Door;
-pub use eyes::{Ended, Eyes, with};
-pub use follow::{Closure, Effect, Follow, Own, planned};
-pub use holder::{Holder, Shown, Want};
-pub use judge::{Evidence, Finding, Judge};
-pub use plan::{Allocation, Capacity, Group, allocate};
+mod admission;
+mod allocation;
+mod coordinator;
+mod follower;
+mod health;
+mod observer;
+mod state_machine;
+
+pub use admission::PlanAdmission;
+pub use allocation::{Allocation, ClassLoad, ZoneCapacity, allocate};
+pub use coordinator::{Coordinator, PlanPreview, RegisterAction};
+pub use follower::{LocalView, PlanEffect, PlanFollower, ZoneRestriction, build_plan};
+pub use health::{Evidence, HealthEvaluator, ZoneHealth};
+pub use observer::{AttemptResult, Observer, with_demand};
+pub use state_machine::{Transition, ZoneStateMachine};
 
 use serde::{Deserialize, Serialize};
+use std::fmt;
 use std::time::Duration;
 
-/// A site is a zone, by its number in the deployment.
-pub type Site = u32;
-/// Sites and request classes at most; what lies beyond is no part of any plan.
-pub const MOST_SITES: usize = 16;
-pub const MOST_GROUPS: usize = 64;
-/// All of a site's engines are open.
-pub const ALL: u16 = 1000;
+/// A zone is a zone, by its number in the deployment.
+pub type Zone = u32;
+/// Zones and request classes at most; what lies beyond is no part of any plan.
+pub const MAX_ZONES: usize = 16;
+pub const MAX_CLASSES: usize = 64;
+/// All of a zone's engines are open.
+pub const FULLY_OPEN: u16 = 1000;
 
-/// What an operator states of site loss, alike at every front.
+/// What an operator states of zone loss, alike at every front.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Terms {
+pub struct FailoverConfig {
     /// How often a front tells what it sees.
-    pub period: Duration,
-    /// For how long the evidence must last before a site counts as lost.
-    pub confirm: Duration,
-    /// For how long a site that is tried out must answer before it returns.
-    pub steady: Duration,
+    pub report_interval: Duration,
+    /// For how long the evidence must last before a zone counts as lost.
+    pub confirmation_time: Duration,
+    /// For how long a zone that is tried out must answer before it returns.
+    pub probation: Duration,
     /// The least time between two steps of a return.
-    pub pace: Duration,
-    /// How long a lost site is left alone before it is tried out; doubled with each loss in a row, 16-fold at most.
-    pub wait: Duration,
-    /// The part of a site's cores that a plan fills.
-    pub safe: f64,
+    pub ramp_interval: Duration,
+    /// How long a lost zone is left alone before it is tried out; doubled with each loss in a row, 16-fold at most.
+    pub recovery_backoff: Duration,
+    /// The part of a zone's cores that a plan fills.
+    pub max_utilization: f64,
     /// The part of each request class's demand that no plan refuses, as far as it can run at all.
-    pub floor: f64,
+    pub admission_floor: f64,
     /// A front that has not been sure of the plan for so long goes by itself.
-    pub stale: Duration,
+    pub plan_timeout: Duration,
 }
 
-impl Terms {
+impl FailoverConfig {
     /// What is wrong with them, if anything.
     pub fn wrong(&self) -> Option<&'static str> {
-        if self.period.is_zero() || self.confirm < self.period * 2 {
+        if self.report_interval.is_zero() || self.confirmation_time < self.report_interval * 2 {
             return Some("a loss is confirmed over two periods at least");
         }
         // What is no number lies in no range.
-        if !(f64::MIN_POSITIVE..=1.0).contains(&self.safe) || !(0.0..=0.5).contains(&self.floor) {
+        if !(f64::MIN_POSITIVE..=1.0).contains(&self.max_utilization)
+            || !(0.0..=0.5).contains(&self.admission_floor)
+        {
             return Some("the safe part goes up to 1, the floor up to 0.5");
         }
-        (self.stale < self.period * 4).then_some("a plan is stale after four periods at least")
+        (self.plan_timeout < self.report_interval * 4)
+            .then_some("a plan is stale after four periods at least")
     }
 }
 
-/// What one front saw of one site over the last period.
+/// What one front saw of one zone over the last period.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sight {
-    pub site: Site,
+pub struct ZoneStats {
+    pub zone: Zone,
     /// Engines that the list names as ready, and the cores of these.
     pub listed: u16,
     pub cores: u32,
@@ -94,81 +98,117 @@
 
 /// What a front tells, each period.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct FrontReport {
     /// Where the front stands.
-    pub stands: Site,
-    pub sights: Vec<Sight>,
+    pub zone: Zone,
+    pub zones: Vec<ZoneStats>,
     /// In the order of the request classes.
     pub demand: Vec<Demand>,
 }
 
-/// How a site stands, as the fleet has settled it.
+/// How a zone stands, as the fleet has settled it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum State {
+pub enum ZoneState {
     #[default]
     Up,
     /// Evidence speaks against it, not yet for long enough; nothing is moved yet, and no return goes on.
-    Doubt,
+    #[serde(rename = "Doubt")]
+    Suspected,
     /// Nothing is sent there.
     Lost,
     /// Its own fronts use it, the others can't reach it.
-    Cut,
+    #[serde(rename = "Cut")]
+    Partitioned,
     /// One front tries it out.
-    Trial,
+    #[serde(rename = "Trial")]
+    Probing,
     /// It is opened step by step.
-    Returning,
+    #[serde(rename = "Returning")]
+    Recovering,
     /// An operator has it out.
-    Out,
+    #[serde(rename = "Out")]
+    Disabled,
+}
+
+impl fmt::Display for ZoneState {
+    /// The name in logs and in what operators are shown.
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            ZoneState::Up => "Up",
+            ZoneState::Suspected => "Doubt",
+            ZoneState::Lost => "Lost",
+            ZoneState::Partitioned => "Cut",
+            ZoneState::Probing => "Trial",
+            ZoneState::Recovering => "Returning",
+            ZoneState::Disabled => "Out",
+        })
+    }
 }
 
-/// What an operator wants of a site.
+/// What an operator wants of a zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Wish {
+pub enum OperatorOverride {
     #[default]
     Auto,
     /// Taken out in steps, and kept out.
-    Out,
+    #[serde(rename = "Out")]
+    Disable,
     /// The same, and given back by itself if outcomes worsen.
     Drill,
     /// Not returned until told.
-    HoldReturn,
+    #[serde(rename = "HoldReturn")]
+    HoldRecovery,
     /// Returned at twice the pace.
-    Hurry,
+    #[serde(rename = "Hurry")]
+    FastRecovery,
+}
+
+impl fmt::Display for OperatorOverride {
+    /// The name in what operators are shown.
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            OperatorOverride::Auto => "Auto",
+            OperatorOverride::Disable => "Out",
+            OperatorOverride::Drill => "Drill",
+            OperatorOverride::HoldRecovery => "HoldReturn",
+            OperatorOverride::FastRecovery => "Hurry",
+        })
+    }
 }
 
-/// A site in the plan.
+/// A zone in the plan.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SitePlan {
-    pub state: State,
+pub struct ZonePlan {
+    pub state: ZoneState,
     /// The part of its engines that is open, in thousandths.
-    pub open: u16,
+    pub open_permille: u16,
     /// A bit for each request class that may not go there yet.
-    pub barred: u64,
+    pub blocked_classes: u64,
     /// Losses in a row, which make the next wait longer.
-    pub losses: u8,
+    pub consecutive_losses: u8,
 }
 
 /// What all fronts follow. Its epoch is the stamp of the register that holds it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Plan {
-    pub sites: Vec<SitePlan>,
+pub struct FailoverPlan {
+    pub zones: Vec<ZonePlan>,
     /// By request class: the part that is let in, in thousandths.
-    pub admitted: Vec<u16>,
+    pub admitted_permille: Vec<u16>,
     /// When what is refused may hope for more, in ms from now.
-    pub back_ms: u32,
-    /// The front that tries sites out, by its life.
-    pub tries: u64,
+    pub retry_after_ms: u32,
+    /// The front that tries zones out, by its incarnation.
+    pub prober: u64,
 }
 
-impl Plan {
+impl FailoverPlan {
     pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
     /// None for what is no plan.
-    pub fn from_bytes(bytes: &[u8]) -> Option<Plan> {
-        let plan: Plan = postcard::from_bytes(bytes).ok()?;
-        let fits = plan.sites.len() <= MOST_SITES && plan.admitted.len() <= MOST_GROUPS;
-        (fits && plan.sites.iter().all(|site| site.open <= ALL)).then_some(plan)
+    pub fn from_bytes(bytes: &[u8]) -> Option<FailoverPlan> {
+        let plan: FailoverPlan = postcard::from_bytes(bytes).ok()?;
+        let fits = plan.zones.len() <= MAX_ZONES && plan.admitted_permille.len() <= MAX_CLASSES;
+        (fits && plan.zones.iter().all(|site| site.open_permille <= FULLY_OPEN)).then_some(plan)
     }
 }
--- a/crates/core/zone-failover/tests/limits.rs
+++ b/crates/core/zone-failover/tests/limits.rs
@@ -8,14 +8,14 @@
 #[test]
 fn a_whole_list_that_comes_again_keeps_all_that_were_known() {
     for (engines, listed) in [(1024, 1024), (KEPT, KEPT), (KEPT + 1, KEPT)] {
-        let mut eyes = Eyes::new(Duration::ZERO, 0, Vec::new());
+        let mut eyes = Observer::new(Duration::ZERO, 0, Vec::new());
         for _ in 0..2 {
-            eyes.clear();
-            (0..engines).for_each(|engine| eyes.list(engine, 1, 8, true));
-            eyes.settle();
+            eyes.begin_full_list();
+            (0..engines).for_each(|engine| eyes.update_engine(engine, 1, 8, true));
+            eyes.end_full_list();
         }
         let report = eyes.report(Duration::from_secs(1), &terms(), 1.0).0;
-        let sight = report.sights.iter().find(|sight| sight.site == 1).map(|sight| u32::from(sight.listed));
+        let sight = report.zones.iter().find(|sight| sight.zone == 1).map(|sight| u32::from(sight.listed));
         assert_eq!(sight, (listed > 0).then_some(listed), "{engines} engines");
     }
 }
@@ -23,24 +23,24 @@
 #[test]
 fn reports_of_many_fronts_count() {
     for (fronts, kept) in [(1024, 1024), (u64::from(KEPT), KEPT), (u64::from(KEPT) + 1, KEPT)] {
-        let mut judge = Judge::default();
+        let mut judge = HealthEvaluator::default();
         for _ in 0..2 {
-            (0..fronts).for_each(|front| judge.hear(Duration::ZERO, front, Report::default()));
+            (0..fronts).for_each(|front| judge.handle_report(Duration::ZERO, front, FrontReport::default()));
         }
-        assert_eq!(judge.fronts(), kept as usize);
+        assert_eq!(judge.front_count(), kept as usize);
     }
 }
 
-fn terms() -> Terms {
+fn terms() -> FailoverConfig {
     let ms = Duration::from_millis;
-    Terms {
-        period: ms(500),
-        confirm: ms(2000),
-        steady: ms(4000),
-        pace: ms(5000),
-        wait: ms(5000),
-        stale: ms(10_000),
-        safe: 0.8,
-        floor: 0.05,
+    FailoverConfig {
+        report_interval: ms(500),
+        confirmation_time: ms(2000),
+        probation: ms(4000),
+        ramp_interval: ms(5000),
+        recovery_backoff: ms(5000),
+        plan_timeout: ms(10_000),
+        max_utilization: 0.8,
+        admission_floor: 0.05,
     }
 }
--- a/crates/core/zone-failover/tests/planner.rs
+++ b/crates/core/zone-failover/tests/planner.rs
@@ -1,33 +1,34 @@
 //! The planner against every plan there is, on small cases drawn from a seed.
 
-use lemonusher_zone_failover::{Capacity, Group, allocate};
+use lemonusher_zone_failover::{ClassLoad, ZoneCapacity, allocate};
 
 /// Demands and capacities in whole units, so that all plans can be tried.
 struct Case {
-    groups: Vec<Group>,
-    capacities: Vec<Capacity>,
+    groups: Vec<ClassLoad>,
+    capacities: Vec<ZoneCapacity>,
 }
 
 fn case(chance: &mut fastrand::Rng) -> Case {
     let sites = chance.u32(1..4);
     let group = |chance: &mut fastrand::Rng| {
         let only = chance.bool().then(|| (0..sites).filter(|_| chance.bool()).collect::<Vec<u32>>());
-        Group {
-            utility: f64::from(chance.u32(1..10)),
+        ClassLoad {
+            priority_weight: f64::from(chance.u32(1..10)),
             work: f64::from(chance.u32(1..4)),
             rate: f64::from(chance.u32(0..4)),
-            goal: f64::from(chance.u32(1..5)),
-            limit: 20.0,
+            latency_objective: f64::from(chance.u32(1..5)),
+            deadline: 20.0,
             floor: 0.0,
-            only,
+            allowed_zones: only,
         }
     };
     let groups = (0..chance.u32(1..4)).map(|_| group(chance)).collect();
-    let capacities = (0..sites).map(|site| Capacity { site, work: f64::from(chance.u32(0..8)) }).collect();
+    let capacities =
+        (0..sites).map(|site| ZoneCapacity { zone: site, work: f64::from(chance.u32(0..8)) }).collect();
     Case { groups, capacities }
 }
 
-/// Whether so much of each group (in units of work) fits the sites.
+/// Whether so much of each group (in units of work) fits the zones.
 fn fits(case: &Case, wanted: &[u32], group: usize, left: &mut Vec<u32>) -> bool {
     if group == wanted.len() {
         return true;
@@ -43,7 +44,7 @@
         if site == left.len() {
             return much == 0 && fits(case, wanted, group + 1, left);
         }
-        let may = case.groups[group].only.as_ref().is_none_or(|only| only.contains(&(site as u32)));
+        let may = case.groups[group].allowed_zones.as_ref().is_none_or(|only| only.contains(&(site as u32)));
         let most = if may { much.min(left[site]) } else { 0 };
         for some in 0..=most {
             left[site] -= some;
@@ -66,7 +67,7 @@
         let worth: f64 = wanted
             .iter()
             .zip(&case.groups)
-            .map(|(units, group)| f64::from(*units) / group.work * group.utility)
+            .map(|(units, group)| f64::from(*units) / group.work * group.priority_weight)
             .sum();
         let mut left: Vec<u32> = case.capacities.iter().map(|capacity| capacity.work as u32).collect();
         if worth > best && fits(case, &wanted, 0, &mut left) {
@@ -85,11 +86,11 @@
     while cases < 1500 {
         let case = case(&mut chance);
         let plan = allocate(&case.groups, &case.capacities);
-        let (found, best) = (plan.worth(&case.groups), best(&case));
+        let (found, best) = (plan.value(&case.groups), best(&case));
         assert!(found >= best * 0.999 - 1e-6, "{found} of {best}: {:?} {:?}", case.groups, case.capacities);
         assert!(found <= best * 1.0001 + 1e-6, "more than there is: {:?} {:?}", case.groups, case.capacities);
         cases += 1;
-        tight += usize::from(plan.served.iter().any(|part| *part < 0.999));
+        tight += usize::from(plan.served_shares.iter().any(|part| *part < 0.999));
     }
     println!("proof: sites_plans_against_all_plans {cases}, of which {tight} refuse something");
     assert!(tight > cases / 4);
@@ -107,15 +108,23 @@
         }
         for (group, flow) in case.groups.iter().zip(&plan.flows) {
             for (site, much) in flow.iter().enumerate() {
-                let may = group.only.as_ref().is_none_or(|only| only.contains(&(site as u32)));
+                let may = group.allowed_zones.as_ref().is_none_or(|only| only.contains(&(site as u32)));
                 assert!(*much >= -1e-9 && (may || *much < 1e-9));
             }
         }
     }
 }
 
-fn group(utility: f64, work: f64, rate: f64, floor: f64) -> Group {
-    Group { utility, work, rate, goal: 1.0, limit: 20.0, floor, only: None }
+fn group(utility: f64, work: f64, rate: f64, floor: f64) -> ClassLoad {
+    ClassLoad {
+        priority_weight: utility,
+        work,
+        rate,
+        latency_objective: 1.0,
+        deadline: 20.0,
+        floor,
+        allowed_zones: None,
+    }
 }
 
 #[test]
@@ -124,48 +133,52 @@
     let groups = [group(10.0, 1.0, 4.0, 0.1), group(8.0, 4.0, 2.0, 0.1), group(5.0, 1.0, 4.0, 0.1)];
     let mut before = vec![1.0; 3];
     for room in (1..=17).rev() {
-        let halves = [0, 1].map(|site| Capacity { site, work: f64::from(room) / 2.0 });
+        let halves = [0, 1].map(|site| ZoneCapacity { zone: site, work: f64::from(room) / 2.0 });
         let plan = allocate(&groups, &halves);
-        assert_eq!(plan.refused_first, [1, 2, 0]);
-        let at_floor = |group: usize| plan.served[group] <= 0.1 + 1e-6;
+        assert_eq!(plan.shed_order, [1, 2, 0]);
+        let at_floor = |group: usize| plan.served_shares[group] <= 0.1 + 1e-6;
         // Nobody loses more while one who is to lose first has anything above its floor.
-        assert!(plan.served[2] > 0.999 || at_floor(1), "{:?}", plan.served);
-        assert!(plan.served[0] > 0.999 || (at_floor(1) && at_floor(2)), "{:?}", plan.served);
-        for (now, before) in plan.served.iter().zip(&before) {
+        assert!(plan.served_shares[2] > 0.999 || at_floor(1), "{:?}", plan.served_shares);
+        assert!(plan.served_shares[0] > 0.999 || (at_floor(1) && at_floor(2)), "{:?}", plan.served_shares);
+        for (now, before) in plan.served_shares.iter().zip(&before) {
             assert!(now <= &(before + 1e-6));
         }
         if room >= 2 {
-            assert!(plan.served.iter().all(|part| *part >= 0.1 - 1e-6), "{room}: {:?}", plan.served);
+            assert!(
+                plan.served_shares.iter().all(|part| *part >= 0.1 - 1e-6),
+                "{room}: {:?}",
+                plan.served_shares
+            );
         }
-        assert!((plan.filled[0] - plan.filled[1]).abs() < 0.13, "uneven: {:?}", plan.filled);
-        before = plan.served;
+        assert!((plan.utilization[0] - plan.utilization[1]).abs() < 0.13, "uneven: {:?}", plan.utilization);
+        before = plan.served_shares;
     }
 }
 
 #[test]
 fn what_may_run_nowhere_is_told_and_takes_nothing_from_others() {
     let mut bound = group(100.0, 1.0, 5.0, 0.1);
-    bound.only = Some(vec![0]);
-    let lost = [Capacity { site: 0, work: 0.0 }, Capacity { site: 1, work: 3.0 }];
+    bound.allowed_zones = Some(vec![0]);
+    let lost = [ZoneCapacity { zone: 0, work: 0.0 }, ZoneCapacity { zone: 1, work: 3.0 }];
     let plan = allocate(&[bound, group(1.0, 1.0, 3.0, 0.1)], &lost);
-    assert_eq!((plan.nowhere[0], plan.served[0]), (1.0, 0.0));
-    assert!(plan.served[1] > 0.999 && plan.nowhere[1] == 0.0);
+    assert_eq!((plan.unplaceable_shares[0], plan.served_shares[0]), (1.0, 0.0));
+    assert!(plan.served_shares[1] > 0.999 && plan.unplaceable_shares[1] == 0.0);
 }
 
 #[test]
 fn ten_sites_and_fifty_groups_are_planned_quickly() {
     let mut chance = fastrand::Rng::with_seed(13);
-    let groups: Vec<Group> = (0..50)
+    let groups: Vec<ClassLoad> = (0..50)
         .map(|_| {
             let mut one = group(chance.f64() * 10.0, 0.05 + chance.f64() * 5.0, chance.f64() * 400.0, 0.05);
-            one.only = (chance.f64() < 0.3).then(|| (0..10).filter(|_| chance.bool()).collect());
+            one.allowed_zones = (chance.f64() < 0.3).then(|| (0..10).filter(|_| chance.bool()).collect());
             one
         })
         .collect();
-    let sites: Vec<Capacity> =
-        (0..10).map(|site| Capacity { site, work: 8.0 * 40.0 * (0.5 + chance.f64()) }).collect();
+    let sites: Vec<ZoneCapacity> =
+        (0..10).map(|site| ZoneCapacity { zone: site, work: 8.0 * 40.0 * (0.5 + chance.f64()) }).collect();
     let from = std::time::Instant::now();
     let plan = allocate(&groups, &sites);
     println!("proof: sites_plan_of_10_sites_50_groups {:?}", from.elapsed());
-    assert!(plan.filled.iter().all(|part| *part <= 1.0 + 1e-6));
+    assert!(plan.utilization.iter().all(|part| *part <= 1.0 + 1e-6));
 }
--- a/crates/edges/cli/src/file.rs
+++ b/crates/edges/cli/src/file.rs
@@ -104,13 +104,13 @@
         10_000
     }
 
-    pub fn terms(&self, period: Duration) -> lemonusher_maintenance::Terms {
-        lemonusher_maintenance::Terms {
-            period,
-            fronts: self.fronts.clone(),
-            keep: self.keep_part,
-            margin: self.margin_part,
-            steady: Duration::from_millis(self.steady_ms),
+    pub fn terms(&self, period: Duration) -> lemonusher_maintenance::MaintenanceConfig {
+        lemonusher_maintenance::MaintenanceConfig {
+            poll_interval: period,
+            required_fronts: self.fronts.clone(),
+            min_reserve: self.keep_part,
+            demand_margin: self.margin_part,
+            probation: Duration::from_millis(self.steady_ms),
         }
     }
 }
@@ -131,17 +131,17 @@
 }
 
 impl Sites {
-    pub fn terms(&self) -> lemonusher_zone_failover::Terms {
+    pub fn terms(&self) -> lemonusher_zone_failover::FailoverConfig {
         let ms = Duration::from_millis;
-        lemonusher_zone_failover::Terms {
-            period: ms(self.period_ms),
-            confirm: ms(self.confirm_ms),
-            steady: ms(self.steady_ms),
-            pace: ms(self.pace_ms),
-            wait: ms(self.wait_ms),
-            stale: ms(self.stale_ms),
-            safe: self.safe_part,
-            floor: self.floor_part,
+        lemonusher_zone_failover::FailoverConfig {
+            report_interval: ms(self.period_ms),
+            confirmation_time: ms(self.confirm_ms),
+            probation: ms(self.steady_ms),
+            ramp_interval: ms(self.pace_ms),
+            recovery_backoff: ms(self.wait_ms),
+            plan_timeout: ms(self.stale_ms),
+            max_utilization: self.safe_part,
+            admission_floor: self.floor_part,
         }
     }
 }
@@ -541,8 +541,8 @@
     let mut names = std::collections::BTreeSet::new();
     for task in &fleet.tasks {
         let name = task.name.get_ref();
-        if name.is_empty() || name.len() > lemonusher_leases::LONGEST_NAME || name.starts_with("seat.") {
-            let most = lemonusher_leases::LONGEST_NAME;
+        if name.is_empty() || name.len() > lemonusher_leases::MAX_NAME_BYTES || name.starts_with("seat.") {
+            let most = lemonusher_leases::MAX_NAME_BYTES;
             say(
                 task.name.span(),
                 format!("a task's 'name' has 1 to {most} bytes and does not begin with 'seat.'"),
--- a/crates/edges/cli/src/fleet.rs
+++ b/crates/edges/cli/src/fleet.rs
@@ -2,9 +2,9 @@
 
 use crate::{Failure, file, read_file};
 use lemonusher_fleet::{Body, Frame, Key, MemberRow, RegisterRow, Row, Task, Terms};
-use lemonusher_leases::{Life, Terms as LeaseTerms};
-use lemonusher_registers::{Change, Outcome, Proposer};
-use lemonusher_zone_failover::Wish;
+use lemonusher_leases::{Incarnation, LeaseConfig as LeaseTerms};
+use lemonusher_registers::{Operation, ProposalOutcome, Proposer};
+use lemonusher_zone_failover::OperatorOverride;
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
 use std::time::Duration;
@@ -26,9 +26,9 @@
         listen: *held.listen.get_ref(),
         key: Key::new(key.trim_ascii()),
         leases: LeaseTerms {
-            lease: ms(*held.lease_ms.get_ref()),
-            drift: *held.drift_thousandths.get_ref(),
-            act: ms(held.act_ms),
+            duration: ms(*held.lease_ms.get_ref()),
+            clock_drift_permille: *held.drift_thousandths.get_ref(),
+            max_action_time: ms(held.act_ms),
         },
         voters: held.voters.get_ref().clone(),
         votes: held.votes,
@@ -56,7 +56,7 @@
 /// An operator beside the fleet: it speaks under a name of its own and holds nothing.
 pub struct Operator {
     pub terms: Terms,
-    me: Life,
+    me: Incarnation,
     seq: u64,
     socket: UdpSocket,
 }
@@ -70,7 +70,7 @@
         let failed = |error: std::io::Error| Failure::Failed(error.to_string());
         let socket = UdpSocket::bind(("127.0.0.1", 0)).map_err(failed)?;
         socket.set_read_timeout(Some(PATIENCE)).map_err(failed)?;
-        let me = Life { name: "operator".to_owned(), born: rand::random() };
+        let me = Incarnation { name: "operator".to_owned(), id: rand::random() };
         Ok(Operator { terms: terms_of(held, "operator", 0)?, me, seq: 0, socket })
     }
 
@@ -101,8 +101,8 @@
         let mut all: Vec<Row> = Vec::new();
         loop {
             let after = all.last().map(|row| row.task.clone()).unwrap_or_default();
-            match self.ask(voter, &Body::Show { after })? {
-                Some(Body::Table { mute, rows, more }) => {
+            match self.ask(voter, &Body::ShowLeases { after })? {
+                Some(Body::Leases { mute, rows, more }) => {
                     all.extend(rows);
                     if !more {
                         return Ok(Some((mute, all)));
@@ -185,7 +185,7 @@
         if let Some((votes, era, rows)) = registers {
             println!("  registers: {}, era {era}", if votes { "it votes" } else { "it has no memory yet" });
             for RegisterRow { name, stamp, number, long } in rows {
-                println!("  {name:<24} version {}, written under {number}, {long} bytes", stamp.version);
+                println!("  {name:<24} version {}, written under {number}, {long} bytes", stamp.counter);
             }
         }
         if let Some(members) = members {
@@ -216,7 +216,7 @@
     for voter in operator.terms.voters.clone() {
         operator.say(Body::HandOver { task: task.to_owned() }, voter)?;
     }
-    let until = std::time::Instant::now() + operator.terms.leases.kept() * 4;
+    let until = std::time::Instant::now() + operator.terms.leases.voter_hold_time() * 4;
     while std::time::Instant::now() < until {
         std::thread::sleep(PATIENCE / 5);
         if let Some(now) = holder(&mut operator)?.filter(|row| row.number > before.number) {
@@ -249,13 +249,13 @@
     Hurry,
 }
 
-fn wish_of(wish: SiteWish) -> Wish {
+fn wish_of(wish: SiteWish) -> OperatorOverride {
     match wish {
-        SiteWish::Auto => Wish::Auto,
-        SiteWish::Out => Wish::Out,
-        SiteWish::Drill => Wish::Drill,
-        SiteWish::HoldReturn => Wish::HoldReturn,
-        SiteWish::Hurry => Wish::Hurry,
+        SiteWish::Auto => OperatorOverride::Auto,
+        SiteWish::Out => OperatorOverride::Disable,
+        SiteWish::Drill => OperatorOverride::Drill,
+        SiteWish::HoldReturn => OperatorOverride::HoldRecovery,
+        SiteWish::Hurry => OperatorOverride::FastRecovery,
     }
 }
 
@@ -308,7 +308,7 @@
             }
             for (at, one) in sites.iter().enumerate() {
                 println!(
-                    "site {:<16} {:?}, {:.1} % open; looks {}, {} cores, {:.0} % answer; filled to {:.0} %",
+                    "site {:<16} {}, {:.1} % open; looks {}, {} cores, {:.0} % answer; filled to {:.0} %",
                     site(at),
                     one.state,
                     part(one.open) * 100.0,
@@ -345,31 +345,32 @@
     let number = site_of(&names_of(path)?, site)? as usize;
     let mut operator = Operator::of(path)?;
     let mut wishes = Vec::new();
-    let mut change = Change::Read;
+    let mut change = Operation::Read;
     for _ in 0..TRIES * 2 {
         match operator.propose(lemonusher_fleet::WISHES, change)? {
-            Outcome::Settled { entry: Some(entry), .. }
+            ProposalOutcome::Committed { entry: Some(entry), .. }
                 if lemonusher_fleet::read_wishes(&entry.value) == wishes && !wishes.is_empty() =>
             {
                 if json {
-                    println!("{}", serde_json::json!({"site": site, "version": entry.stamp.version}));
+                    println!("{}", serde_json::json!({"site": site, "version": entry.version.counter}));
                 } else {
-                    println!("{site}: {wish:?} is settled, version {}", entry.stamp.version);
+                    println!("{site}: {wish:?} is settled, version {}", entry.version.counter);
                 }
                 return Ok(());
             }
-            Outcome::Settled { entry, .. } | Outcome::Overtaken { entry, .. } => {
+            ProposalOutcome::Committed { entry, .. } | ProposalOutcome::Conflict { entry, .. } => {
                 wishes = entry
                     .as_ref()
                     .map(|entry| lemonusher_fleet::read_wishes(&entry.value))
                     .unwrap_or_default();
-                wishes.resize(wishes.len().max(number + 1), Wish::Auto);
+                wishes.resize(wishes.len().max(number + 1), OperatorOverride::Auto);
                 wishes[number] = wish_of(wish);
                 let value = lemonusher_fleet::write_wishes(&wishes);
-                let (after, number) = entry.map_or((None, 0), |entry| (Some(entry.stamp), entry.number));
-                change = Change::Set { after, number, value };
+                let (after, number) =
+                    entry.map_or((None, 0), |entry| (Some(entry.version), entry.fencing_token));
+                change = Operation::CompareAndSet { expected: after, fencing_token: number, value };
             }
-            Outcome::Unknown { .. } => break,
+            ProposalOutcome::Unknown { .. } => break,
         }
     }
     Err(Failure::Failed("too few voters answered; ask again".to_owned()))
@@ -377,32 +378,33 @@
 
 impl Operator {
     /// Changes a register as any front would, and waits for the outcome.
-    pub fn propose(&mut self, name: &str, change: Change) -> Result<Outcome, Failure> {
+    pub fn propose(&mut self, name: &str, change: Operation) -> Result<ProposalOutcome, Failure> {
         let clock = std::time::Instant::now();
         let mut proposer = Proposer::new(self.me.clone(), self.terms.voters.len());
         let terms = self.terms.leases;
         self.socket.set_read_timeout(Some(PATIENCE / 10)).map_err(|e| Failure::Failed(e.to_string()))?;
         let mut posts = proposer.propose(clock.elapsed(), name, change);
-        let until = terms.lease * 4 + PATIENCE * 4;
+        let until = terms.duration * 4 + PATIENCE * 4;
         while clock.elapsed() < until {
             for post in std::mem::take(&mut posts) {
                 if let Some(voter) = self.terms.voters.get(post.voter).copied() {
-                    self.say(Body::Register(post.ask), voter)?;
+                    self.say(Body::RegisterRequest(post.request), voter)?;
                 }
             }
             let mut bytes = [0; 2048];
             if let Ok((long, from)) = self.socket.recv_from(&mut bytes)
                 && let Some(voter) = self.terms.voters.iter().position(|known| *known == from)
-                && let Ok(Frame { body: Body::Registered(reply), .. }) =
+                && let Ok(Frame { body: Body::RegisterReply(reply), .. }) =
                     Frame::open(&bytes[..long], &self.terms.key)
             {
-                posts = proposer.hear(clock.elapsed(), &terms, voter, reply, &mut rand::random::<f64>);
+                posts =
+                    proposer.handle_reply(clock.elapsed(), &terms, voter, reply, &mut rand::random::<f64>);
             }
-            posts.extend(proposer.turn(clock.elapsed(), &terms, &mut rand::random::<f64>));
+            posts.extend(proposer.poll(clock.elapsed(), &terms, &mut rand::random::<f64>));
             if let Some(outcome) = proposer.outcomes().pop() {
                 return Ok(outcome);
             }
         }
-        Ok(Outcome::Unknown { name: name.to_owned() })
+        Ok(ProposalOutcome::Unknown { name: name.to_owned() })
     }
 }
--- a/crates/edges/cli/src/main.rs
+++ b/crates/edges/cli/src/main.rs
@@ -186,7 +186,7 @@
     } else {
         println!("{}: can be used; it runs front {}", path.display(), names.front);
         if let Some(fleet) = &fleet {
-            let (voters, kept) = (fleet.voters.len(), fleet.leases.kept());
+            let (voters, kept) = (fleet.voters.len(), fleet.leases.voter_hold_time());
             println!("{voters} fronts vote; after a crash of its holder a task is free within {kept:?}");
         }
         if let Some(managed) = &file.managed {
@@ -212,8 +212,8 @@
         Some(terms) => {
             let front = names.front.clone();
             let known = Names {
-                locations: names.locations.clone(),
-                kinds: names.kinds.clone(),
+                zones: names.locations.clone(),
+                machine_kinds: names.kinds.clone(),
                 service_groups: names.service_groups.clone(),
             };
             let level = Arc::new(move |level: &str| dial.set(level));
@@ -246,12 +246,12 @@
     let mut sites = None;
     if let Some((fleet, terms)) = fleet.as_mut().zip(planned) {
         let (told, seen) = async_channel::bounded(1);
-        let groups = lemonusher_routing::groups(&names.terms, terms.floor);
+        let groups = lemonusher_routing::groups(&names.terms, terms.admission_floor);
         fleet.sites = Some(lemonusher_fleet::SitesTerms { terms, groups, seen });
         sites = Some((terms, told));
         let works = file.fleet.as_ref().and_then(|held| held.works.as_ref()).map(|held| held.get_ref());
         fleet.works = works.map(|works| lemonusher_fleet::WorksTerms {
-            terms: works.terms(terms.period),
+            terms: works.terms(terms.report_interval),
             tell: works.tell.as_ref().map(|to| *to.get_ref()),
         });
     }
--- a/crates/edges/cli/src/works.rs
+++ b/crates/edges/cli/src/works.rs
@@ -3,8 +3,10 @@
 use crate::fleet::Operator;
 use crate::{Failure, read_file};
 use lemonusher_fleet::{Body, works_register};
-use lemonusher_maintenance::{MOST_AT_ONCE, MOST_MACHINES, MOST_WORKS, Machine, Phase, Work};
-use lemonusher_registers::{Change, Entry, Outcome};
+use lemonusher_maintenance::{
+    MAX_CONCURRENT, MAX_MACHINES, MAX_REQUESTS, Machine, MaintenanceRequest, Phase,
+};
+use lemonusher_registers::{Entry, Operation, ProposalOutcome};
 use std::collections::BTreeMap;
 use std::path::Path;
 
@@ -53,26 +55,26 @@
     match verb {
         Verb::Ask { machines, who, at_once, out_for, urgency } => {
             let machines = machines.iter().map(|text| machine_of(text)).collect::<Result<Vec<_>, _>>()?;
-            let most = MOST_MACHINES * MOST_WORKS;
+            let most = MAX_MACHINES * MAX_REQUESTS;
             if machines.len() > most
-                || at_once > MOST_AT_ONCE
-                || who.len() > lemonusher_maintenance::LONGEST_NAME
+                || at_once > MAX_CONCURRENT
+                || who.len() > lemonusher_maintenance::MAX_NAME_BYTES
             {
                 return Err(Failure::Failed(format!(
-                    "one request names {most} machines at most, {MOST_AT_ONCE} of them out at once, and who asks in {} \
+                    "one request names {most} machines at most, {MAX_CONCURRENT} of them out at once, and who asks in {} \
                      bytes",
-                    lemonusher_maintenance::LONGEST_NAME
+                    lemonusher_maintenance::MAX_NAME_BYTES
                 )));
             }
-            ask(&mut operator, &Work::new(&who, urgency, at_once, out_for, &machines), json)
+            ask(&mut operator, &MaintenanceRequest::new(&who, urgency, at_once, out_for, &machines), json)
         }
         Verb::List => list(&mut operator, &fronts_that_count(path).unwrap_or_default(), json),
         Verb::Hold { number } => edit(&mut operator, number, json, "is held", |work| {
-            work.held = true;
+            work.on_hold = true;
             true
         }),
         Verb::GoOn { number } => edit(&mut operator, number, json, "goes on", |work| {
-            work.held = false;
+            work.on_hold = false;
             true
         }),
         Verb::Withdraw { number } => edit(&mut operator, number, json, "is withdrawn", |work| {
@@ -82,14 +84,15 @@
         Verb::Without { number, front } => {
             let fronts = fronts_that_count(path)?;
             edit(&mut operator, number, json, "does not wait for it", |work| {
-                work.added.dead.add(&fronts, &front)
+                work.extension.dead_fronts.add(&fronts, &front)
             })
         }
         Verb::Back { machine } => {
             let machine = machine_of(&machine)?;
-            for number in 0..MOST_WORKS as u8 {
-                let back =
-                    |stands: Option<Work>| stands.and_then(|mut work| work.back(machine).then_some(work));
+            for number in 0..MAX_REQUESTS as u8 {
+                let back = |stands: Option<MaintenanceRequest>| {
+                    stands.and_then(|mut work| work.mark_returned(machine).then_some(work))
+                };
                 if let Some(version) = change(&mut operator, number, back)? {
                     tell(json, number, version, "has a machine back");
                     return Ok(());
@@ -117,24 +120,24 @@
 }
 
 /// Asks for machines, in as many registers as they need; nothing is asked for unless there are as many free.
-fn ask(operator: &mut Operator, work: &Work, json: bool) -> Result<(), Failure> {
-    let mut parts = work.parts(rand::random());
-    let free = |stands: &Option<Work>| stands.as_ref().is_none_or(Work::over);
+fn ask(operator: &mut Operator, work: &MaintenanceRequest, json: bool) -> Result<(), Failure> {
+    let mut parts = work.split(rand::random());
+    let free = |stands: &Option<MaintenanceRequest>| stands.as_ref().is_none_or(MaintenanceRequest::is_over);
     if parts.len() > 1 {
         let mut room = 0;
-        for number in 0..MOST_WORKS as u8 {
+        for number in 0..MAX_REQUESTS as u8 {
             room += usize::from(free(&read(operator, number)?));
         }
         if room < parts.len() {
             return Err(Failure::Failed(format!(
-                "{room} of {MOST_WORKS} places for {MOST_MACHINES} machines each are free, and this takes {}; ask again \
+                "{room} of {MAX_REQUESTS} places for {MAX_MACHINES} machines each are free, and this takes {}; ask again \
                  when a request is over",
                 parts.len()
             )));
         }
     }
     parts.reverse();
-    for number in 0..MOST_WORKS as u8 {
+    for number in 0..MAX_REQUESTS as u8 {
         let Some(part) = parts.last() else { return Ok(()) };
         if let Some(version) = change(operator, number, |stands| free(&stands).then(|| part.clone()))? {
             tell(json, number, version, "is asked for");
@@ -144,7 +147,7 @@
     if parts.is_empty() {
         return Ok(());
     }
-    Err(Failure::Failed(format!("{MOST_WORKS} requests are under way; ask again when one is over")))
+    Err(Failure::Failed(format!("{MAX_REQUESTS} requests are under way; ask again when one is over")))
 }
 
 /// Edits a request, in all registers that hold parts of it.
@@ -153,15 +156,18 @@
     number: u8,
     json: bool,
     what: &str,
-    edit: impl Fn(&mut Work) -> bool,
+    edit: impl Fn(&mut MaintenanceRequest) -> bool,
 ) -> Result<(), Failure> {
-    let edited = |stands: Option<Work>| stands.and_then(|mut work| edit(&mut work).then_some(work));
+    let edited =
+        |stands: Option<MaintenanceRequest>| stands.and_then(|mut work| edit(&mut work).then_some(work));
     let whole = read(operator, number)?;
-    for part in 0..MOST_WORKS as u8 {
+    for part in 0..MAX_REQUESTS as u8 {
         if part != number
-            && let Some(whole) = whole.as_ref().filter(|whole| whole.added.request != 0)
+            && let Some(whole) = whole.as_ref().filter(|whole| whole.extension.request_group != 0)
         {
-            let part_of_it = |stands: Option<Work>| edited(stands.filter(|other| other.is_part_with(whole)));
+            let part_of_it = |stands: Option<MaintenanceRequest>| {
+                edited(stands.filter(|other| other.is_same_request(whole)))
+            };
             if let Some(version) = change(operator, part, part_of_it)? {
                 tell(json, part, version, what);
             }
@@ -177,12 +183,12 @@
 }
 
 /// What stands in a register, by a whole round.
-fn read(operator: &mut Operator, number: u8) -> Result<Option<Work>, Failure> {
-    match operator.propose(&works_register(number), Change::Read)? {
-        Outcome::Settled { entry, .. } | Outcome::Overtaken { entry, .. } => {
-            Ok(entry.and_then(|entry| Work::from_bytes(&entry.value)))
+fn read(operator: &mut Operator, number: u8) -> Result<Option<MaintenanceRequest>, Failure> {
+    match operator.propose(&works_register(number), Operation::Read)? {
+        ProposalOutcome::Committed { entry, .. } | ProposalOutcome::Conflict { entry, .. } => {
+            Ok(entry.and_then(|entry| MaintenanceRequest::from_bytes(&entry.value)))
         }
-        Outcome::Unknown { .. } => {
+        ProposalOutcome::Unknown { .. } => {
             Err(Failure::Failed("too few voters answered; look and ask again".to_owned()))
         }
     }
@@ -192,22 +198,26 @@
 fn change(
     operator: &mut Operator,
     number: u8,
-    next: impl Fn(Option<Work>) -> Option<Work>,
+    next: impl Fn(Option<MaintenanceRequest>) -> Option<MaintenanceRequest>,
 ) -> Result<Option<u64>, Failure> {
     let name = works_register(number);
-    let mut wanted = Change::Read;
+    let mut wanted = Operation::Read;
     for _ in 0..TRIES {
-        let reads = wanted == Change::Read;
+        let reads = wanted == Operation::Read;
         let stands: Option<Entry> = match operator.propose(&name, wanted)? {
-            Outcome::Settled { entry, .. } if !reads => return Ok(entry.map(|entry| entry.stamp.version)),
-            Outcome::Settled { entry, .. } | Outcome::Overtaken { entry, .. } => entry,
-            Outcome::Unknown { .. } => break,
+            ProposalOutcome::Committed { entry, .. } if !reads => {
+                return Ok(entry.map(|entry| entry.version.counter));
+            }
+            ProposalOutcome::Committed { entry, .. } | ProposalOutcome::Conflict { entry, .. } => entry,
+            ProposalOutcome::Unknown { .. } => break,
         };
-        let Some(value) = next(stands.as_ref().and_then(|entry| Work::from_bytes(&entry.value))) else {
+        let Some(value) =
+            next(stands.as_ref().and_then(|entry| MaintenanceRequest::from_bytes(&entry.value)))
+        else {
             return Ok(None);
         };
-        let (after, number) = stands.map_or((None, 0), |entry| (Some(entry.stamp), entry.number));
-        wanted = Change::Set { after, number, value: value.to_bytes() };
+        let (after, number) = stands.map_or((None, 0), |entry| (Some(entry.version), entry.fencing_token));
+        wanted = Operation::CompareAndSet { expected: after, fencing_token: number, value: value.to_bytes() };
     }
     Err(Failure::Failed("too few voters answered, or others came first; look and ask again".to_owned()))
 }
@@ -216,12 +226,12 @@
     let mut answered = false;
     let mut voters = operator.terms.voters.clone();
     let mut first_part: BTreeMap<u64, u8> = BTreeMap::new();
-    for number in 0..MOST_WORKS as u8 {
-        let mut best: Option<((u64, u64), Work)> = None;
+    for number in 0..MAX_REQUESTS as u8 {
+        let mut best: Option<((u64, u64), MaintenanceRequest)> = None;
         let mut waits = None;
         for voter in voters.clone() {
-            let Some(Body::WorkShown { work, why, foreman, .. }) =
-                operator.ask(voter, &Body::ShowWork { number })?
+            let Some(Body::MaintenanceShown { work, why, foreman, .. }) =
+                operator.ask(voter, &Body::ShowMaintenance { number })?
             else {
                 voters.retain(|other| *other != voter); // It would cost its patience for each register.
                 continue;
@@ -230,24 +240,24 @@
             if foreman {
                 waits = why;
             }
-            let shown = work.and_then(|(stamp, bytes)| Some((stamp, Work::from_bytes(&bytes)?)));
+            let shown =
+                work.and_then(|(stamp, bytes)| Some((stamp, MaintenanceRequest::from_bytes(&bytes)?)));
             if shown.as_ref().map(|(stamp, _)| *stamp) > best.as_ref().map(|(stamp, _)| *stamp) {
                 best = shown;
             }
         }
         let Some((stamp, work)) = best else { continue };
-        let first = *first_part.entry(work.added.request).or_insert(number);
-        let part_of = (work.added.request != 0).then_some(first);
+        let first = *first_part.entry(work.extension.request_group).or_insert(number);
+        let part_of = (work.extension.request_group != 0).then_some(first);
         if json {
-            let left_out: Vec<&String> =
-                fronts.iter().filter(|front| work.leaves_out(fronts, front)).collect();
+            let left_out: Vec<&String> = fronts.iter().filter(|front| work.excludes(fronts, front)).collect();
             let machines = work.machines.iter().map(
                 |(machine, phase)| serde_json::json!({"machine": format!("{machine:08x}"), "phase": phase}),
             );
             println!(
                 "{}",
-                serde_json::json!({"request": number, "version": stamp.1, "who": work.who, "urgency": work.urgency,
-                    "at_once": work.at_once, "part_of": part_of, "held": work.held, "over": work.over(), "waits": waits,
+                serde_json::json!({"request": number, "version": stamp.1, "who": work.requester, "urgency": work.urgency,
+                    "at_once": work.max_concurrent, "part_of": part_of, "held": work.on_hold, "over": work.is_over(), "waits": waits,
                     "without": left_out, "machines": machines.collect::<Vec<_>>()})
             );
             continue;
@@ -256,18 +266,18 @@
             |holds: fn(&Phase) -> bool| work.machines.iter().filter(|(_, phase)| holds(phase)).count();
         println!(
             "request {number} of {}: {} machines, {} asked, {} out, {} over{}",
-            work.who,
+            work.requester,
             work.machines.len(),
-            count(|phase| *phase == Phase::Asked),
-            count(|phase| phase.out()),
-            count(|phase| phase.over()),
-            if work.held { "; held" } else { "" }
+            count(|phase| *phase == Phase::Pending),
+            count(|phase| phase.is_out()),
+            count(|phase| phase.is_over()),
+            if work.on_hold { "; held" } else { "" }
         );
         if let Some(first) = part_of.filter(|first| *first != number) {
             println!("  part of request {first}");
         }
-        for (machine, phase) in work.machines.iter().filter(|(_, phase)| phase.out()) {
-            println!("  {machine:08x} {phase:?}");
+        for (machine, phase) in work.machines.iter().filter(|(_, phase)| phase.is_out()) {
+            println!("  {machine:08x} {phase}");
         }
         if let Some(why) = waits {
             println!("  waits: {why}");
--- a/crates/edges/fleet/src/acts.rs
+++ b/crates/edges/fleet/src/acts.rs
@@ -1,7 +1,7 @@
 //! Acts: what a holder does with its task, told by datagrams to whoever is acted upon.
 
 use crate::{Datagram, Task};
-use lemonusher_leases::Asker;
+use lemonusher_leases::LeaseClient;
 use std::time::Duration;
 
 struct Act {
@@ -37,7 +37,7 @@
     }
 
     /// Begins acts that are due and may begin, and ends those that are done; what is to be told of them.
-    pub(crate) fn turn(&mut self, now: Duration, asker: &Asker) -> Vec<Datagram> {
+    pub(crate) fn turn(&mut self, now: Duration, asker: &LeaseClient) -> Vec<Datagram> {
         let mut told = Vec::new();
         for Act { task, next, under_way } in &mut self.acts {
             let Some(to) = task.tell else { continue };
--- a/crates/edges/fleet/src/disk.rs
+++ b/crates/edges/fleet/src/disk.rs
@@ -1,6 +1,6 @@
 //! What lasts in a folder: the highest number, and a voter's registers. Each is written beside and put in place whole.
 
-use lemonusher_registers::Kept;
+use lemonusher_registers::PersistentState;
 use std::io;
 use std::path::{Path, PathBuf};
 
@@ -10,7 +10,7 @@
 pub struct Disk {
     folder: PathBuf,
     number: u64,
-    registers: Option<Kept>,
+    registers: Option<PersistentState>,
 }
 
 impl Disk {
@@ -36,7 +36,7 @@
     }
 
     /// What this voter had promised and accepted; none if it never voted here.
-    pub fn registers(&self) -> Option<Kept> {
+    pub fn registers(&self) -> Option<PersistentState> {
         self.registers.clone()
     }
 
@@ -49,7 +49,7 @@
         Ok(())
     }
 
-    pub fn keep_registers(&mut self, kept: Kept) -> io::Result<()> {
+    pub fn keep_registers(&mut self, kept: PersistentState) -> io::Result<()> {
         if self.registers.as_ref() != Some(&kept) {
             let told = postcard::to_allocvec(&kept).map_err(io::Error::other)?;
             let mut bytes = blake3::hash(&told).as_bytes().to_vec();
@@ -61,7 +61,7 @@
     }
 }
 
-fn read(bytes: &[u8]) -> Option<Kept> {
+fn read(bytes: &[u8]) -> Option<PersistentState> {
     let (sum, told) = bytes.split_at_checked(SUM)?;
     (blake3::hash(told).as_bytes() == sum).then(|| postcard::from_bytes(told).ok()).flatten()
 }
@@ -86,7 +86,7 @@
         let mut disk = Disk::open(&folder).unwrap();
         assert_eq!((disk.number(), disk.registers()), (0, None));
         disk.keep_number(5).unwrap();
-        let kept = Kept { era: 7, rows: Vec::new() };
+        let kept = PersistentState { epoch: 7, registers: Vec::new() };
         disk.keep_registers(kept.clone()).unwrap();
         let again = Disk::open(&folder).unwrap();
         assert_eq!((again.number(), again.registers()), (5 + KEPT_AHEAD, Some(kept)));
--- a/crates/edges/fleet/src/frame.rs
+++ b/crates/edges/fleet/src/frame.rs
@@ -1,6 +1,6 @@
 //! A datagram: what is said, by whom, in which order, and a tag that only who has the key can make.
 
-use lemonusher_leases::{Ask, Life, Reply};
+use lemonusher_leases::{Incarnation, LeaseReply, LeaseRequest};
 use lemonusher_registers as registers;
 use lemonusher_zone_failover as sites;
 use serde::{Deserialize, Serialize};
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     pub task: String,
-    pub who: Life,
+    pub who: Incarnation,
     pub number: u64,
     /// How much longer the voter counts it as held.
     pub left: Duration,
@@ -59,16 +59,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegisterRow {
     pub name: String,
-    pub stamp: registers::Stamp,
+    pub stamp: registers::EntryVersion,
     pub number: u64,
     /// The value's bytes.
     pub long: u32,
 }
 
-/// A site in the plan that is shown; parts in thousandths.
+/// A zone in the plan that is shown; parts in thousandths.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlanSite {
-    pub state: sites::State,
+    pub state: sites::ZoneState,
     pub open: u16,
     pub finding: String,
     pub cores: u32,
@@ -88,15 +88,15 @@
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    Ask(Ask),
-    Reply(Reply),
-    Register(registers::Ask),
-    Registered(registers::Reply),
+    LeaseRequest(LeaseRequest),
+    LeaseReply(LeaseReply),
+    RegisterRequest(registers::RegisterRequest),
+    RegisterReply(registers::RegisterReply),
     /// A message of the failure detector.
     FailureDetector(Vec<u8>),
-    /// What a front sees of the sites.
-    Sights(sites::Report),
-    /// Asks a voter for the plan, as it stands or without these sites.
+    /// What a front sees of the zones.
+    FrontReport(sites::FrontReport),
+    /// Asks a voter for the plan, as it stands or without these zones.
     ShowPlan {
         without: Vec<u32>,
     },
@@ -108,12 +108,12 @@
         refused_first: Vec<u8>,
     },
     /// What a front has let go of machines that are to be worked on.
-    LetGo(Vec<lemonusher_maintenance::LetGo>),
-    ShowWork {
+    DrainConfirmations(Vec<lemonusher_maintenance::DrainConfirmation>),
+    ShowMaintenance {
         number: u8,
     },
-    /// A request as a front follows it (stamp, value), and why it waits, as far as the foreman tells.
-    WorkShown {
+    /// A request as a front follows it (stamp, value), and why it waits, as far as the coordinator tells.
+    MaintenanceShown {
         number: u8,
         work: Option<((u64, u64), Vec<u8>)>,
         foreman: bool,
@@ -136,10 +136,10 @@
         more: bool,
     },
     /// Asks a voter for what it knows to be held, after this task.
-    Show {
+    ShowLeases {
         after: String,
     },
-    Table {
+    Leases {
         mute: bool,
         rows: Vec<Row>,
         more: bool,
@@ -156,7 +156,7 @@
     FailureDetector,
     Leases,
     Registers,
-    /// What fronts report of sites and works.
+    /// What fronts report of zones and works.
     Reports,
     /// What operators ask, and the answers.
     Operators,
@@ -166,9 +166,9 @@
     pub fn kind(&self) -> Kind {
         match self {
             Body::FailureDetector(_) => Kind::FailureDetector,
-            Body::Ask(_) | Body::Reply(_) => Kind::Leases,
-            Body::Register(_) | Body::Registered(_) => Kind::Registers,
-            Body::Sights(_) | Body::LetGo(_) => Kind::Reports,
+            Body::LeaseRequest(_) | Body::LeaseReply(_) => Kind::Leases,
+            Body::RegisterRequest(_) | Body::RegisterReply(_) => Kind::Registers,
+            Body::FrontReport(_) | Body::DrainConfirmations(_) => Kind::Reports,
             _ => Kind::Operators,
         }
     }
@@ -176,8 +176,8 @@
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
-    pub from: Life,
-    /// Counts up within a life.
+    pub from: Incarnation,
+    /// Counts up within an incarnation.
     pub seq: u64,
     /// What the sender states of leases, as one number: who states other terms is not listened to.
     pub terms: u64,
@@ -226,7 +226,7 @@
     #[test]
     fn only_what_the_key_has_sealed_whole_is_opened() {
         let (key, other) = (Key::new(b"a secret"), Key::new(b"another"));
-        let from = Life { name: "n1".into(), born: 5 };
+        let from = Incarnation { name: "n1".into(), id: 5 };
         let frame = Frame { from, seq: 1, terms: 9, body: Body::HandOver { task: "account".into() } };
         let sealed = frame.seal(&key).unwrap();
         assert_eq!(Frame::open(&sealed, &key), Ok(frame));
@@ -242,42 +242,54 @@
 
     #[test]
     fn a_full_table_fits_a_datagram() {
-        let life = Life { name: "n".repeat(40), born: u64::MAX };
+        let life = Incarnation { name: "n".repeat(40), id: u64::MAX };
         let row = Row { task: "t".repeat(48), who: life.clone(), number: u64::MAX, left: Duration::MAX };
         let fits = |body| {
             let frame = Frame { from: life.clone(), seq: u64::MAX, terms: u64::MAX, body };
             assert!(frame.seal(&Key::new(b"k")).is_some());
         };
-        fits(Body::Table { mute: false, rows: vec![row; ROWS], more: true });
-        let stamp = registers::Stamp { era: u64::MAX, version: u64::MAX };
+        fits(Body::Leases { mute: false, rows: vec![row; ROWS], more: true });
+        let stamp = registers::EntryVersion { epoch: u64::MAX, counter: u64::MAX };
         let row = RegisterRow { name: "r".repeat(48), stamp, number: u64::MAX, long: u32::MAX };
         fits(Body::Registers { votes: true, era: u64::MAX, rows: vec![row; ROWS], more: true });
         let address = "[ffff:ffff::ffff]:65535".parse().unwrap();
         let row = MemberRow { name: "n".repeat(64), address, location: u32::MAX, born: u64::MAX };
         fits(Body::Members { rows: vec![row; ROWS], more: true });
-        let ballot = lemonusher_leases::Ballot { round: u64::MAX, born: u64::MAX };
-        let entry = registers::Entry { stamp, number: u64::MAX, value: vec![1; registers::LONGEST_VALUE] };
-        let row = registers::Row { name: "r".repeat(48), promised: ballot, accepted: Some((ballot, entry)) };
-        fits(Body::Registered(registers::Reply::Copied {
+        let ballot = lemonusher_leases::Ballot { round: u64::MAX, proposer: u64::MAX };
+        let entry = registers::Entry {
+            version: stamp,
+            fencing_token: u64::MAX,
+            value: vec![1; registers::MAX_VALUE_BYTES],
+        };
+        let row = registers::RegisterState {
+            name: "r".repeat(48),
+            promised: ballot,
+            accepted: Some((ballot, entry)),
+        };
+        fits(Body::RegisterReply(registers::RegisterReply::StateCopy {
             round: u64::MAX,
-            born: u64::MAX,
-            blank: false,
-            era: u64::MAX,
-            rows: vec![row],
+            incarnation: u64::MAX,
+            without_memory: false,
+            epoch: u64::MAX,
+            registers: vec![row],
             more: true,
         }));
-        let entry = registers::Entry { stamp, number: u64::MAX, value: vec![1; registers::LONGEST_VALUE] };
-        let row = registers::ChangedRow { name: "r".repeat(48), ballot, entry };
-        fits(Body::Registered(registers::Reply::Changed(registers::Changes {
-            born: u64::MAX,
+        let entry = registers::Entry {
+            version: stamp,
+            fencing_token: u64::MAX,
+            value: vec![1; registers::MAX_VALUE_BYTES],
+        };
+        let row = registers::ChangedRegister { name: "r".repeat(48), ballot, entry };
+        fits(Body::RegisterReply(registers::RegisterReply::Changes(registers::Changes {
+            incarnation: u64::MAX,
             since: u64::MAX,
             revision: u64::MAX,
-            rows: vec![row],
+            registers: vec![row],
             more: true,
         })));
-        fits(Body::FailureDetector(vec![1; lemonusher_failure_detector::LONGEST]));
-        let sight = sites::Sight {
-            site: 15,
+        fits(Body::FailureDetector(vec![1; lemonusher_failure_detector::MAX_MESSAGE_BYTES]));
+        let sight = sites::ZoneStats {
+            zone: 15,
             listed: u16::MAX,
             cores: u32::MAX,
             answering: u16::MAX,
@@ -287,24 +299,27 @@
             failed: 1 << 20,
         };
         let demand = sites::Demand { rate: 1e9, work: 1e9 };
-        fits(Body::Sights(sites::Report {
-            stands: 15,
-            sights: vec![sight; sites::MOST_SITES],
-            demand: vec![demand; sites::MOST_GROUPS],
+        fits(Body::FrontReport(sites::FrontReport {
+            zone: 15,
+            zones: vec![sight; sites::MAX_ZONES],
+            demand: vec![demand; sites::MAX_CLASSES],
         }));
-        let let_go =
-            lemonusher_maintenance::LetGo { work: 15, stamp: (u64::MAX, u64::MAX), machine: u32::MAX };
-        fits(Body::LetGo(vec![let_go; 32]));
-        let work = Some(((u64::MAX, u64::MAX), vec![1; registers::LONGEST_VALUE]));
-        fits(Body::WorkShown { number: 15, work, foreman: true, why: Some("w".repeat(160)) });
-        let (state, finding) = (sites::State::Returning, "CutOff".to_owned());
+        let let_go = lemonusher_maintenance::DrainConfirmation {
+            request: 15,
+            version: (u64::MAX, u64::MAX),
+            machine: u32::MAX,
+        };
+        fits(Body::DrainConfirmations(vec![let_go; 32]));
+        let work = Some(((u64::MAX, u64::MAX), vec![1; registers::MAX_VALUE_BYTES]));
+        fits(Body::MaintenanceShown { number: 15, work, foreman: true, why: Some("w".repeat(160)) });
+        let (state, finding) = (sites::ZoneState::Recovering, "CutOff".to_owned());
         let site = PlanSite { state, open: 1000, finding, cores: u32::MAX, part: 1000, filled: 1000 };
         let group = PlanGroup { rate: 1e9, work: 1e9, served: 1000, nowhere: true };
         fits(Body::PlanShown {
             epoch: Some((u64::MAX, u64::MAX)),
-            sites: vec![site; sites::MOST_SITES],
-            groups: vec![group; sites::MOST_GROUPS],
-            refused_first: vec![63; sites::MOST_GROUPS],
+            sites: vec![site; sites::MAX_ZONES],
+            groups: vec![group; sites::MAX_CLASSES],
+            refused_first: vec![63; sites::MAX_CLASSES],
         });
     }
 }
--- a/crates/edges/fleet/src/lib.rs
+++ b/crates/edges/fleet/src/lib.rs
@@ -1,4 +1,4 @@
-//! Talk between fronts: datagrams under a shared key, a [`Node`] that runs the voter, the asker and the acts, and the
+//! Talk between fronts: datagrams under a shared key, a [`Node`] that runs the voter, the lease client and the acts, and the
 //! thread that drives it. It decides nothing: who may hold and act what is settled in `lemonusher-leases`, what is agreed on in
 //! `lemonusher-registers`, who is there in `lemonusher-failure-detector`.
 
@@ -22,7 +22,7 @@
 pub use wire::Counts;
 pub use works::{NAME as WORKS, WorksTerms, register as works_register};
 
-use lemonusher_leases::Terms as LeaseTerms;
+use lemonusher_leases::LeaseConfig as LeaseTerms;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -58,12 +58,12 @@
     /// Where the highest number lasts.
     pub folder: Option<PathBuf>,
     pub tasks: Vec<Task>,
-    /// Into how many seats what fronts share is cut; none for no seats.
+    /// Into how many quota slots what fronts share is cut; none for no quota slots.
     pub seats: u32,
     /// How many of them this front wants, and where it begins to look.
     pub wants: usize,
     pub number: u32,
-    /// The plan for lost sites, where there is one.
+    /// The plan for lost zones, where there is one.
     pub sites: Option<SitesTerms>,
     /// Works on machines, where there are any; they need the plan's sight.
     pub works: Option<WorksTerms>,
@@ -72,7 +72,12 @@
 /// What a fleet must state alike, as one number.
 pub fn mark(terms: &Terms) -> u64 {
     let lease = &terms.leases;
-    let text =
-        format!("{} {} {} {}", lease.lease.as_nanos(), lease.drift, lease.act.as_nanos(), terms.voters.len());
+    let text = format!(
+        "{} {} {} {}",
+        lease.duration.as_nanos(),
+        lease.clock_drift_permille,
+        lease.max_action_time.as_nanos(),
+        terms.voters.len()
+    );
     u64::from_le_bytes(blake3::hash(text.as_bytes()).as_bytes()[..8].try_into().unwrap_or_default())
 }
--- a/crates/edges/fleet/src/node/mod.rs
+++ b/crates/edges/fleet/src/node/mod.rs
@@ -1,5 +1,5 @@
 //! A front's part in the fleet as a state machine: it hears datagrams and is woken, and what it wants sent is taken from
-//! it. It opens no socket and reads no clock: time is a span since this life began, chance comes from a seed. A thread
+//! it. It opens no socket and reads no clock: time is a span since this incarnation began, chance comes from a seed. A thread
 //! drives one with a socket ([`crate::start`]); hundreds can be driven in virtual time.
 
 mod hear;
@@ -14,10 +14,12 @@
 use crate::wire::{Counts, Wire};
 use crate::works::{self, Works};
 use lemonusher_failure_detector as detector;
-use lemonusher_leases::{Asker, Change, Life, MOST_TASKS, Post, Seats, Voter, share};
-use lemonusher_maintenance::MOST_WORKS;
-use lemonusher_registers::{self as registers, Follower, Keeper, Proposer, State};
-use lemonusher_routing::Word;
+use lemonusher_leases::{
+    Incarnation, LeaseChange, LeaseClient, MAX_TASKS, OutboundMessage, QuotaSlots, Voter, quota,
+};
+use lemonusher_maintenance::MAX_REQUESTS;
+use lemonusher_registers::{self as registers, Acceptor, AcceptorState, Learner, Proposer};
+use lemonusher_routing::ControlUpdate;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -44,7 +46,7 @@
 pub struct Birth {
     /// Where it listens.
     pub address: SocketAddr,
-    /// The number of this life; never 0.
+    /// The number of this incarnation; never 0.
     pub life: u64,
     /// Milliseconds since 1970.
     pub date_ms: u64,
@@ -76,15 +78,15 @@
     chance: fastrand::Rng,
     disk: Option<Disk>,
     voter: Option<Voter>,
-    asker: Asker,
-    seats: Option<Seats>,
-    share: f64,
-    keeper: Option<Keeper>,
-    stood: Option<State>,
+    asker: LeaseClient,
+    seats: Option<QuotaSlots>,
+    quota: f64,
+    keeper: Option<Acceptor>,
+    stood: Option<AcceptorState>,
     proposer: Proposer,
-    /// The register that it proposes anew since nobody has in a new era.
+    /// The register that it proposes anew since nobody has in a new epoch.
     reproposed: Option<registers::Name>,
-    follower: Follower,
+    follower: Learner,
     detector: detector::FailureDetector,
     acts: Acts,
     sites: Option<Sites>,
@@ -92,33 +94,33 @@
     members_lost: u64,
     outgoing: Vec<Message>,
     acts_told: Vec<Datagram>,
-    words: Vec<Word>,
+    words: Vec<ControlUpdate>,
 }
 
 impl Node {
     pub fn new(terms: Terms, birth: Birth, disk: Option<Disk>, counts: Arc<Counts>) -> Node {
-        // Guards against numbers that fall where no voter remembers them: they begin above what an earlier life can
+        // Guards against numbers that fall where no voter remembers them: they begin above what an earlier incarnation can
         // have reached, by the folder, or else by the date. Should the date go back, what is acted upon tells what it
         // has seen.
         let floor = disk.as_ref().map_or(birth.date_ms, Disk::number);
-        let me = Life { name: terms.name.clone(), born: birth.life };
+        let me = Incarnation { name: terms.name.clone(), id: birth.life };
         let voters = terms.voters.len();
-        let period = detector::Terms { period: terms.leases.lease / DETECTOR_PART };
+        let period = detector::DetectorConfig { probe_interval: terms.leases.duration / DETECTOR_PART };
         let mut node = Node {
             wire: Wire::new(terms.key.clone(), me.clone(), crate::mark(&terms), counts),
             chance: fastrand::Rng::with_seed(birth.seed),
             voter: terms.votes.then(|| Voter::new(Duration::ZERO, &terms.leases, floor)),
-            asker: Asker::new(me.clone(), voters),
-            seats: (terms.seats > 0).then(|| Seats::new(terms.seats, terms.wants, terms.number)),
-            share: 0.0,
+            asker: LeaseClient::new(me.clone(), voters),
+            seats: (terms.seats > 0).then(|| QuotaSlots::new(terms.seats, terms.wants, terms.number)),
+            quota: 0.0,
             keeper: keeper_of(&terms, &birth, disk.as_ref()),
             stood: None,
             proposer: Proposer::new(me.clone(), voters),
             reproposed: None,
-            follower: Follower::new(voters, terms.leases.lease / FOLLOW_PART),
+            follower: Learner::new(voters, terms.leases.duration / FOLLOW_PART),
             detector: detector::FailureDetector::new(member_of(&terms, &birth), period, birth.life),
             acts: Acts::new(&terms.tasks),
-            sites: terms.sites.as_ref().map(|told| Sites::new(told, terms.location, me.born, terms.votes)),
+            sites: terms.sites.as_ref().map(|told| Sites::new(told, terms.location, me.id, terms.votes)),
             works: terms.works.as_ref().map(|told| Works::new(told, terms.votes)),
             disk,
             members_lost: 0,
@@ -134,27 +136,27 @@
     /// Asks for what the terms say that it is to hold and follow.
     fn begin(&mut self) {
         if self.seats.is_some() {
-            self.say(Word::Share(0.0));
+            self.say(ControlUpdate::Quota(0.0));
         }
         for task in &self.terms.tasks {
-            self.asker.want(Duration::ZERO, &task.name, task.fenced);
+            self.asker.acquire(Duration::ZERO, &task.name, task.fenced);
         }
         if self.sites.is_some() {
-            self.follower.follow(sites::NAME);
-            self.follower.follow(sites::WISHES);
+            self.follower.watch(sites::NAME);
+            self.follower.watch(sites::WISHES);
             // A register refuses what was written under an older number, so nothing need be waited out.
             if self.terms.votes {
-                self.asker.want(Duration::ZERO, sites::NAME, true);
+                self.asker.acquire(Duration::ZERO, sites::NAME, true);
             }
         }
         if self.works.is_some() {
-            (0..MOST_WORKS as u8).for_each(|work| self.follower.follow(&works::register(work)));
+            (0..MAX_REQUESTS as u8).for_each(|work| self.follower.watch(&works::register(work)));
             if self.terms.votes {
-                self.asker.want(Duration::ZERO, works::NAME, true);
+                self.asker.acquire(Duration::ZERO, works::NAME, true);
             }
         }
         for voter in &self.terms.voters {
-            self.detector.meet(Duration::ZERO, *voter);
+            self.detector.add_seed(Duration::ZERO, *voter);
         }
         self.send_detector();
     }
@@ -162,28 +164,28 @@
     /// Does what is due.
     pub fn wake(&mut self, now: Duration) {
         let rng = &mut self.chance;
-        let posts = self.asker.turn(now, &self.terms.leases, &mut || rng.f64());
+        let posts = self.asker.poll(now, &self.terms.leases, &mut || rng.f64());
         self.post(posts);
         self.turn_seats(now);
         self.turn_registers(now);
         self.turn_sites(now);
         self.turn_works(now);
-        self.detector.turn(now);
+        self.detector.poll(now);
         let told = self.acts.turn(now, &self.asker);
         self.acts_told.extend(told);
         self.tell_changes();
         self.send_detector();
     }
 
-    /// When it wants to be woken next, at the latest. Acts, seats and what the front tells are looked at at each wake
+    /// When it wants to be woken next, at the latest. Acts, quota slots and what the front tells are looked at at each wake
     /// and are not counted here, so whoever drives it wakes it now and then besides.
     pub fn due(&self) -> Option<Duration> {
         let due = [
-            self.asker.due(&self.terms.leases),
-            self.proposer.due(&self.terms.leases),
-            self.follower.due(),
-            self.detector.due(),
-            self.keeper.as_ref().and_then(Keeper::due),
+            self.asker.next_timeout(&self.terms.leases),
+            self.proposer.next_timeout(&self.terms.leases),
+            self.follower.next_timeout(),
+            self.detector.next_timeout(),
+            self.keeper.as_ref().and_then(Acceptor::next_timeout),
         ];
         due.into_iter().flatten().min()
     }
@@ -199,14 +201,14 @@
     }
 
     /// What this front is to know, in order.
-    pub fn take_words(&mut self) -> Vec<Word> {
+    pub fn take_words(&mut self) -> Vec<ControlUpdate> {
         std::mem::take(&mut self.words)
     }
 
     /// What was acted upon has seen a higher number, and refuses this front's: it asks for one above that.
     pub fn refused(&mut self, now: Duration, refusal: &Refusal) {
         let Refusal { task, seen } = refusal;
-        self.asker.seen(task, *seen);
+        self.asker.observe_token(task, *seen);
         if self.asker.may_act(now, task).is_some_and(|(number, _)| number < *seen) {
             tracing::warn!(task, seen, "fleet: a higher number has been seen; asks anew");
             let posts = self.asker.release(now, &self.terms.leases, task, true);
@@ -243,17 +245,17 @@
 
     fn turn_seats(&mut self, now: Duration) {
         let Some(mut seats) = self.seats.take() else { return };
-        let posts = seats.turn(now, &self.terms.leases, &mut self.asker);
-        let held = share(seats.held(now, &self.asker).len(), self.terms.seats);
+        let posts = seats.poll(now, &self.terms.leases, &mut self.asker);
+        let held = quota(seats.held(now, &self.asker).len(), self.terms.seats);
         self.seats = Some(seats);
         self.post(posts);
-        if held != self.share {
-            self.share = held;
-            self.say(Word::Share(held));
+        if held != self.quota {
+            self.quota = held;
+            self.say(ControlUpdate::Quota(held));
         }
     }
 
-    fn say(&mut self, word: Word) {
+    fn say(&mut self, word: ControlUpdate) {
         self.words.push(word);
     }
 
@@ -277,10 +279,10 @@
         }
     }
 
-    fn post(&mut self, posts: Vec<Post>) {
-        for Post { voter, ask } in posts {
+    fn post(&mut self, posts: Vec<OutboundMessage>) {
+        for OutboundMessage { voter, request: ask } in posts {
             if let Some(address) = self.terms.voters.get(voter).copied() {
-                self.send(Body::Ask(ask), address);
+                self.send(Body::LeaseRequest(ask), address);
             }
         }
     }
@@ -288,40 +290,50 @@
     fn tell_changes(&mut self) {
         for change in self.asker.changes() {
             match change {
-                Change::Taken { task, number } => tracing::info!(task, number, "fleet: holds a task"),
-                Change::RanOut { task, number } => {
+                LeaseChange::Acquired { task, fencing_token: number } => {
+                    tracing::info!(task, number, "fleet: holds a task")
+                }
+                LeaseChange::Expired { task, fencing_token: number } => {
                     tracing::warn!(
                         task,
                         number,
                         "fleet: a lease ran out, as too few voters answered in time"
                     );
                 }
-                Change::Released { task, number } => tracing::info!(task, number, "fleet: let a task go"),
+                LeaseChange::Released { task, fencing_token: number } => {
+                    tracing::info!(task, number, "fleet: let a task go")
+                }
             }
         }
         for change in self.detector.changes() {
             match change {
-                detector::Change::Came(who) => tracing::info!(name = who.name, "fleet: a front is there"),
-                detector::Change::Went(who) => {
+                detector::MembershipChange::Joined(who) => {
+                    tracing::info!(name = who.name, "fleet: a front is there")
+                }
+                detector::MembershipChange::Left(who) => {
                     self.members_lost += 1;
                     tracing::info!(name = who.name, "fleet: a front seems gone");
                 }
-                detector::Change::Risen => tracing::info!("fleet: others held this front for gone"),
+                detector::MembershipChange::Refuted => {
+                    tracing::info!("fleet: others held this front for gone")
+                }
             }
         }
-        debug_assert!(self.asker.tasks().count() <= MOST_TASKS);
+        debug_assert!(self.asker.tasks().count() <= MAX_TASKS);
     }
 }
 
 /// A voter's part in registers; none for who does not vote.
-fn keeper_of(terms: &Terms, birth: &Birth, disk: Option<&Disk>) -> Option<Keeper> {
+fn keeper_of(terms: &Terms, birth: &Birth, disk: Option<&Disk>) -> Option<Acceptor> {
     let place = terms.place.filter(|_| terms.votes)?;
     let voters = terms.voters.len();
     // A folder that has never held a vote belongs to a voter that has never voted, or has lost it.
     let kept = disk.and_then(Disk::registers);
     Some(match kept {
-        Some(kept) => Keeper::remembering(voters, place, birth.life, kept),
-        None => Keeper::blank(Duration::ZERO, &terms.leases, voters, place, birth.life, birth.date_ms),
+        Some(kept) => Acceptor::restored(voters, place, birth.life, kept),
+        None => {
+            Acceptor::without_memory(Duration::ZERO, &terms.leases, voters, place, birth.life, birth.date_ms)
+        }
     })
 }
 
@@ -330,8 +342,8 @@
     detector::Member {
         name: terms.name.clone(),
         address: terms.known_as.unwrap_or(birth.address),
-        born: birth.life,
-        location: terms.location,
-        risen: 0,
+        incarnation: birth.life,
+        zone: terms.location,
+        refutations: 0,
     }
 }
--- a/crates/edges/fleet/src/node/show.rs
+++ b/crates/edges/fleet/src/node/show.rs
@@ -3,23 +3,23 @@
 use super::{Census, Node};
 use crate::frame::{Body, MemberRow, ROWS, RegisterRow, Row};
 use lemonusher_leases::Voter;
-use lemonusher_registers::{Entry, Keeper, State};
+use lemonusher_registers::{Acceptor, AcceptorState, Entry};
 use std::time::Duration;
 
 /// Bytes of a lease's times and numbers beside its names.
 const LEASE_FIXED: usize = 40;
 /// Bytes of a register's stamp and number beside its name and value.
 const REGISTER_FIXED: usize = 24;
-/// Bytes that are remembered of a life beside its name: its number, its last datagram's, its address and time.
+/// Bytes that are remembered of an incarnation beside its name: its number, its last datagram's, its address and time.
 const LIFE_FIXED: usize = 46;
 
 impl Node {
     /// The page that is asked for, if this front has it.
     pub(super) fn show(&self, now: Duration, asked: Body) -> Option<Body> {
         match asked {
-            Body::ShowWork { number } => self.works.as_ref().map(|works| works.show(number)),
+            Body::ShowMaintenance { number } => self.works.as_ref().map(|works| works.show(number)),
             Body::ShowPlan { without } => self.sites.as_ref().and_then(|sites| sites.show(&without)),
-            Body::Show { after } => self.voter.as_ref().map(|voter| show_leases(voter, now, &after)),
+            Body::ShowLeases { after } => self.voter.as_ref().map(|voter| show_leases(voter, now, &after)),
             Body::ShowMembers { after } => Some(self.show_members(&after)),
             Body::ShowRegisters { after } => {
                 self.keeper.as_ref().map(|keeper| show_registers(keeper, now, &after))
@@ -32,8 +32,8 @@
         self.detector.there().map(|member| MemberRow {
             name: member.name.clone(),
             address: member.address,
-            location: member.location,
-            born: member.born,
+            location: member.zone,
+            born: member.incarnation,
         })
     }
 
@@ -52,14 +52,14 @@
         let (lives, life_bytes) = tally(self.wire.lives().map(|life| life.name.len() + LIFE_FIXED));
         let held = self.asker.tasks().filter(|task| self.asker.may_act(now, task).is_some());
         let (leases_held, held_bytes) = tally(held.map(|task| task.len() + LEASE_FIXED));
-        let granted = self.voter.iter().flat_map(|voter| voter.granted(now));
+        let granted = self.voter.iter().flat_map(|voter| voter.grants(now));
         let (leases_granted, granted_bytes) =
-            tally(granted.map(|(task, held)| task.len() + held.who.name.len() + LEASE_FIXED));
+            tally(granted.map(|(task, held)| task.len() + held.holder.name.len() + LEASE_FIXED));
         let register = |name: &str, entry: &Entry| name.len() + entry.value.len() + REGISTER_FIXED;
-        let accepted = self.keeper.iter().flat_map(Keeper::accepted);
+        let accepted = self.keeper.iter().flat_map(Acceptor::accepted);
         let (accepted, accepted_bytes) = tally(accepted.map(|(name, entry)| register(name, entry)));
         let (followed, followed_bytes) =
-            tally(self.follower.all_settled().map(|(name, entry)| register(name, entry)));
+            tally(self.follower.all_committed().map(|(name, entry)| register(name, entry)));
         Census {
             members,
             members_lost: self.members_lost,
@@ -73,33 +73,33 @@
 }
 
 fn show_leases(voter: &Voter, now: Duration, after: &str) -> Body {
-    let later = voter.granted(now).filter(|(task, _)| task.as_str() > after).take(ROWS + 1);
+    let later = voter.grants(now).filter(|(task, _)| task.as_str() > after).take(ROWS + 1);
     let mut rows: Vec<Row> = later
         .map(|(task, held)| Row {
             task: task.clone(),
-            who: held.who.clone(),
-            number: held.number,
+            who: held.holder.clone(),
+            number: held.fencing_token,
             left: held.until.saturating_sub(now),
         })
         .collect();
     let more = rows.len() > ROWS;
     rows.truncate(ROWS);
-    Body::Table { mute: voter.mute(now), rows, more }
+    Body::Leases { mute: voter.is_silent(now), rows, more }
 }
 
-fn show_registers(keeper: &Keeper, now: Duration, after: &str) -> Body {
+fn show_registers(keeper: &Acceptor, now: Duration, after: &str) -> Body {
     let later = keeper.accepted().filter(|(name, _)| name.as_str() > after).take(ROWS + 1);
     let mut rows: Vec<RegisterRow> = later
         .map(|(name, entry)| RegisterRow {
             name: name.clone(),
-            stamp: entry.stamp,
-            number: entry.number,
+            stamp: entry.version,
+            number: entry.fencing_token,
             long: entry.value.len() as u32,
         })
         .collect();
     let more = rows.len() > ROWS;
     rows.truncate(ROWS);
-    Body::Registers { votes: keeper.state(now) == State::Voting, era: keeper.era(), rows, more }
+    Body::Registers { votes: keeper.state(now) == AcceptorState::Voting, era: keeper.era(), rows, more }
 }
 
 /// How many there are, and the sum of their bytes.
--- a/crates/edges/fleet/src/run.rs
+++ b/crates/edges/fleet/src/run.rs
@@ -7,7 +7,7 @@
 use crate::node::{Birth, Census, Datagram, Message, Node};
 use crate::wire::{Counts, add};
 use async_channel::{Receiver, Sender};
-use lemonusher_routing::Word;
+use lemonusher_routing::ControlUpdate;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -24,7 +24,7 @@
 
 pub struct Started {
     /// What this front is to know, in order; where it is slow to listen, only the latest of each kind counts.
-    pub words: Receiver<Word>,
+    pub words: Receiver<ControlUpdate>,
     pub address: SocketAddr,
     pub counts: Arc<Counts>,
     census: Arc<Mutex<Census>>,
@@ -59,7 +59,7 @@
     counts: Arc<Counts>,
     census: Arc<Mutex<Census>>,
     next_census: Duration,
-    words: Sender<Word>,
+    words: Sender<ControlUpdate>,
 }
 
 /// Binds and starts the thread.
--- a/crates/edges/fleet/src/sites.rs
+++ b/crates/edges/fleet/src/sites.rs
@@ -1,10 +1,13 @@
-//! The plan for lost sites, on the wire: hands on what fronts see, has the register settled that the lease's holder
+//! The plan for lost zones, on the wire: hands on what fronts see, has the register settled that the lease's holder
 //! wants, and tells the front what the plan means for it.
 
 use crate::frame::{Body, PlanGroup, PlanSite};
-use lemonusher_registers::{Change, Entry, Follower, Outcome, Stamp};
-use lemonusher_routing::{Seen, Word};
-use lemonusher_zone_failover::{Effect, Follow, Group, Holder, Own, Plan, State, Terms, Want, Wish};
+use lemonusher_registers::{Entry, EntryVersion, Learner, Operation, ProposalOutcome};
+use lemonusher_routing::{ControlUpdate, ZoneObservation};
+use lemonusher_zone_failover::{
+    ClassLoad, Coordinator, FailoverConfig, FailoverPlan, LocalView, OperatorOverride, PlanEffect,
+    PlanFollower, RegisterAction, ZoneState,
+};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -12,27 +15,27 @@
 pub const NAME: &str = "sites";
 pub const WISHES: &str = "sites.wishes";
 
-/// What the operator's file says of sites.
+/// What the operator's file says of zones.
 #[derive(Debug, Clone)]
 pub struct SitesTerms {
-    pub terms: Terms,
-    pub groups: Vec<Group>,
+    pub terms: FailoverConfig,
+    pub groups: Vec<ClassLoad>,
     /// What the front sees, told each period.
-    pub seen: async_channel::Receiver<Seen>,
+    pub seen: async_channel::Receiver<ZoneObservation>,
 }
 
 pub struct Sites {
-    terms: Terms,
-    seen: async_channel::Receiver<Seen>,
-    holder: Option<Holder>,
-    follow: Follow,
-    own: Own,
-    effect: Option<Effect>,
-    wishes: Vec<Wish>,
+    terms: FailoverConfig,
+    seen: async_channel::Receiver<ZoneObservation>,
+    holder: Option<Coordinator>,
+    follow: PlanFollower,
+    own: LocalView,
+    effect: Option<PlanEffect>,
+    wishes: Vec<OperatorOverride>,
 }
 
-fn epoch(stamp: Stamp) -> (u64, u64) {
-    (stamp.era, stamp.version)
+fn epoch(stamp: EntryVersion) -> (u64, u64) {
+    (stamp.epoch, stamp.counter)
 }
 
 impl Sites {
@@ -41,87 +44,90 @@
         Sites {
             terms: told.terms,
             seen: told.seen.clone(),
-            holder: votes.then(|| Holder::new(life, told.groups.clone())),
-            follow: Follow::new(Duration::ZERO, location, life),
-            own: Own::default(),
+            holder: votes.then(|| Coordinator::new(life, told.groups.clone())),
+            follow: PlanFollower::new(Duration::ZERO, location, life),
+            own: LocalView::default(),
             effect: None,
             wishes: Vec::new(),
         }
     }
 
     /// What is to be told to the voters.
-    pub fn told(&mut self) -> Option<(Body, Seen)> {
+    pub fn told(&mut self) -> Option<(Body, ZoneObservation)> {
         let mut told = None;
         while let Ok(seen) = self.seen.try_recv() {
-            self.own = seen.own.clone();
-            told = Some((Body::Sights(seen.report.clone()), seen));
+            self.own = seen.local.clone();
+            told = Some((Body::FrontReport(seen.report.clone()), seen));
         }
         told
     }
 
-    /// What works need to know: what is asked for over all fronts, how outcomes are, and whether a site is not up.
-    pub fn load(&self) -> Option<(Vec<Group>, f64, bool)> {
-        let shown = self.holder.as_ref()?.show(&self.terms, self.follow.plan(), &[]);
-        let worse =
-            shown.sites.iter().filter(|(_, _, seen, _)| seen.ended >= 10).map(|(_, _, seen, _)| seen.worse);
-        let down = shown.sites.iter().any(|(plan, ..)| plan.state != State::Up);
-        Some((shown.groups, worse.fold(0.0, f64::max), down))
+    /// What works need to know: what is asked for over all fronts, how outcomes are, and whether a zone is not up.
+    pub fn load(&self) -> Option<(Vec<ClassLoad>, f64, bool)> {
+        let shown = self.holder.as_ref()?.preview(&self.terms, self.follow.plan(), &[]);
+        let worse = shown
+            .zones
+            .iter()
+            .filter(|(_, _, seen, _)| seen.attempts >= 10)
+            .map(|(_, _, seen, _)| seen.degraded_share);
+        let down = shown.zones.iter().any(|(plan, ..)| plan.state != ZoneState::Up);
+        Some((shown.classes, worse.fold(0.0, f64::max), down))
     }
 
     pub fn safe(&self) -> f64 {
-        self.terms.safe
+        self.terms.max_utilization
     }
 
-    pub fn hear(&mut self, now: Duration, front: u64, report: lemonusher_zone_failover::Report) {
+    pub fn hear(&mut self, now: Duration, front: u64, report: lemonusher_zone_failover::FrontReport) {
         if let Some(holder) = &mut self.holder {
-            holder.hear(now, front, report);
+            holder.handle_report(now, front, report);
         }
     }
 
     /// What is wanted of the register, while the lease is held under this number.
-    pub fn wants(&mut self, now: Duration, number: Option<u64>) -> Option<Change> {
+    pub fn wants(&mut self, now: Duration, number: Option<u64>) -> Option<Operation> {
         let holder = self.holder.as_mut()?;
-        holder.holds(number);
-        let want = holder.turn(now, &self.terms, &self.wishes);
+        holder.set_lease(number);
+        let want = holder.poll(now, &self.terms, &self.wishes);
         for (site, step) in holder.steps() {
             tracing::info!(
                 site,
-                "sites: site {site} from {:?} to {:?}, {} in 1000 open: {}",
+                "sites: site {site} from {} to {}, {} in 1000 open: {}",
                 step.from,
                 step.to,
-                step.open,
-                step.why
+                step.open_permille,
+                step.reason
             );
         }
         want.map(|want| match want {
-            Want::Read => Change::Read,
-            Want::Settle { after, number, plan } => {
-                let after = after.map(|(era, version)| Stamp { era, version });
-                Change::Set { after, number, value: plan.to_bytes() }
+            RegisterAction::Read => Operation::Read,
+            RegisterAction::Write { expected: after, fencing_token: number, plan } => {
+                let after = after.map(|(era, version)| EntryVersion { epoch: era, counter: version });
+                Operation::CompareAndSet { expected: after, fencing_token: number, value: plan.to_bytes() }
             }
         })
     }
 
     /// What has come of it.
-    pub fn outcome(&mut self, now: Duration, outcome: &Outcome) {
+    pub fn outcome(&mut self, now: Duration, outcome: &ProposalOutcome) {
         let Some(holder) = &mut self.holder else { return };
         match outcome {
-            Outcome::Settled { entry, .. } => {
-                let plan = entry.as_ref().and_then(|entry| Plan::from_bytes(&entry.value));
-                holder.settled(now, entry.as_ref().map(|entry| epoch(entry.stamp)), plan);
+            ProposalOutcome::Committed { entry, .. } => {
+                let plan = entry.as_ref().and_then(|entry| FailoverPlan::from_bytes(&entry.value));
+                holder.on_committed(now, entry.as_ref().map(|entry| epoch(entry.version)), plan);
             }
-            Outcome::Overtaken { .. } | Outcome::Unknown { .. } => holder.failed(),
+            ProposalOutcome::Conflict { .. } | ProposalOutcome::Unknown { .. } => holder.on_failure(),
         }
     }
 
     /// What the front is to do from now on, if that has changed.
-    pub fn word(&mut self, now: Duration, follower: &Follower) -> Option<Word> {
-        if let Some((Entry { stamp, value, .. }, sure)) = follower.settled(NAME)
-            && let Some(plan) = Plan::from_bytes(value)
+    pub fn word(&mut self, now: Duration, follower: &Learner) -> Option<ControlUpdate> {
+        if let Some((Entry { version: stamp, value, .. }, sure)) = follower.committed(NAME)
+            && let Some(plan) = FailoverPlan::from_bytes(value)
         {
-            self.follow.hear(sure, epoch(*stamp), &plan);
+            self.follow.handle_plan(sure, epoch(*stamp), &plan);
         }
-        if let Some((entry, _)) = follower.settled(WISHES) {
+        if let Some((entry, _)) = follower.committed(WISHES) {
             self.wishes = read_wishes(&entry.value);
         }
         let effect = self.follow.effect(now, &self.terms, &self.own);
@@ -129,28 +135,28 @@
             return None;
         }
         self.effect = Some(effect.clone());
-        Some(Word::Sites(Arc::new(effect)))
+        Some(ControlUpdate::ZonePlan(Arc::new(effect)))
     }
 
-    /// The plan as it stands, or as it would be without some sites; none where nothing is known.
+    /// The plan as it stands, or as it would be without some zones; none where nothing is known.
     pub fn show(&self, without: &[u32]) -> Option<Body> {
-        let shown = self.holder.as_ref()?.show(&self.terms, self.follow.plan(), without);
+        let shown = self.holder.as_ref()?.preview(&self.terms, self.follow.plan(), without);
         let thousandths = |part: f64| (part * 1000.0).round().clamp(0.0, 65535.0) as u16;
-        let sites = shown.sites.iter().map(|(plan, finding, seen, filled)| PlanSite {
+        let sites = shown.zones.iter().map(|(plan, finding, seen, filled)| PlanSite {
             state: plan.state,
-            open: plan.open,
-            finding: format!("{finding:?}"),
+            open: plan.open_permille,
+            finding: finding.to_string(),
             cores: seen.cores,
-            part: thousandths(seen.part),
+            part: thousandths(seen.answering_share),
             filled: thousandths(*filled),
         });
-        let groups = shown.groups.iter().enumerate().map(|(at, group)| PlanGroup {
+        let groups = shown.classes.iter().enumerate().map(|(at, group)| PlanGroup {
             rate: group.rate as f32,
             work: group.work as f32,
-            served: thousandths(shown.allocation.served[at]),
-            nowhere: shown.allocation.nowhere[at] > 0.0,
+            served: thousandths(shown.allocation.served_shares[at]),
+            nowhere: shown.allocation.unplaceable_shares[at] > 0.0,
         });
-        let refused_first = shown.allocation.refused_first.iter().map(|group| *group as u8);
+        let refused_first = shown.allocation.shed_order.iter().map(|group| *group as u8);
         Some(Body::PlanShown {
             epoch: self.follow.epoch(),
             sites: sites.collect(),
@@ -160,11 +166,11 @@
     }
 }
 
-pub fn read_wishes(bytes: &[u8]) -> Vec<Wish> {
-    let wishes: Vec<Wish> = postcard::from_bytes(bytes).unwrap_or_default();
-    if wishes.len() <= lemonusher_zone_failover::MOST_SITES { wishes } else { Vec::new() }
+pub fn read_wishes(bytes: &[u8]) -> Vec<OperatorOverride> {
+    let wishes: Vec<OperatorOverride> = postcard::from_bytes(bytes).unwrap_or_default();
+    if wishes.len() <= lemonusher_zone_failover::MAX_ZONES { wishes } else { Vec::new() }
 }
 
-pub fn write_wishes(wishes: &[Wish]) -> Vec<u8> {
+pub fn write_wishes(wishes: &[OperatorOverride]) -> Vec<u8> {
     postcard::to_allocvec(wishes).unwrap_or_default()
 }
--- a/crates/edges/fleet/src/wire.rs
+++ b/crates/edges/fleet/src/wire.rs
@@ -3,14 +3,14 @@
 
 use crate::frame::{Body, Frame, Key, Unfit};
 use crate::replay_window::ReplayWindow;
-use lemonusher_leases::{Ask, Life};
+use lemonusher_leases::{Incarnation, LeaseRequest};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-const MOST_LIVES: usize = 4096; // Fronts' lives that are remembered.
+const MOST_LIVES: usize = 4096; // Fronts' incarnations that are remembered.
 const MOST_A_SECOND: u32 = 20_000; // Datagrams that are looked at; the rest are dropped unread.
 
 /// What was dropped, and what went well; for the log and for managers.
@@ -33,7 +33,7 @@
     count.fetch_add(1, Ordering::Relaxed);
 }
 
-/// What is known of the life that a datagram came from.
+/// What is known of the incarnation that a datagram came from.
 struct Heard {
     numbers: ReplayWindow,
     /// The number of the last message of each stream that others of it must not follow.
@@ -56,10 +56,12 @@
             return false;
         }
         match &frame.body {
-            Body::Ask(Ask::Release { .. }) => self.last_release = self.last_release.max(frame.seq),
-            Body::Ask(_) => return frame.seq > self.last_release,
-            Body::Sights(_) if frame.seq < self.last_report => return false,
-            Body::Sights(_) => self.last_report = frame.seq,
+            Body::LeaseRequest(LeaseRequest::Release { .. }) => {
+                self.last_release = self.last_release.max(frame.seq)
+            }
+            Body::LeaseRequest(_) => return frame.seq > self.last_release,
+            Body::FrontReport(_) if frame.seq < self.last_report => return false,
+            Body::FrontReport(_) => self.last_report = frame.seq,
             _ => {}
         }
         true
@@ -68,17 +70,17 @@
 
 pub(crate) struct Wire {
     key: Key,
-    me: Life,
+    me: Incarnation,
     mark: u64,
     seq: u64,
     counts: Arc<Counts>,
-    lives: BTreeMap<Life, Heard>,
+    lives: BTreeMap<Incarnation, Heard>,
     /// The second that is under way, and the datagrams that were looked at in it.
     second: (u64, u32),
 }
 
 impl Wire {
-    pub(crate) fn new(key: Key, me: Life, mark: u64, counts: Arc<Counts>) -> Wire {
+    pub(crate) fn new(key: Key, me: Incarnation, mark: u64, counts: Arc<Counts>) -> Wire {
         Wire { key, me, mark, seq: 0, counts, lives: BTreeMap::new(), second: (0, 0) }
     }
 
@@ -89,13 +91,13 @@
         frame.seal(&self.key)
     }
 
-    /// Where a life was last heard from.
-    pub(crate) fn address_of(&self, life: &Life) -> Option<SocketAddr> {
+    /// Where an incarnation was last heard from.
+    pub(crate) fn address_of(&self, life: &Incarnation) -> Option<SocketAddr> {
         self.lives.get(life).map(|heard| heard.address)
     }
 
     /// Lives that are remembered.
-    pub(crate) fn lives(&self) -> impl Iterator<Item = &Life> {
+    pub(crate) fn lives(&self) -> impl Iterator<Item = &Incarnation> {
         self.lives.keys()
     }
 
@@ -130,7 +132,7 @@
         Some(frame)
     }
 
-    /// Notes that a life was heard from; false if the message is to be dropped, as if it had been lost.
+    /// Notes that an incarnation was heard from; false if the message is to be dropped, as if it had been lost.
     fn remember(&mut self, frame: &Frame, from: SocketAddr, now: Duration) -> bool {
         if self.lives.len() >= MOST_LIVES && !self.lives.contains_key(&frame.from) {
             let oldest = self.lives.iter().min_by_key(|(_, heard)| heard.at).map(|(life, _)| life.clone());
--- a/crates/edges/fleet/src/works.rs
+++ b/crates/edges/fleet/src/works.rs
@@ -1,14 +1,15 @@
-//! Works on the wire: follows requests, hands on what fronts have let go, has registers settled that the foreman wants,
+//! Works on the wire: follows requests, hands on what fronts have let go, has registers settled that the coordinator wants,
 //! and tells whoever works on machines which are released. What goes when is settled in `lemonusher-maintenance`.
 
 use crate::Datagram;
 use crate::frame::Body;
 use lemonusher_maintenance::{
-    Change as Settle, Crew, Fleet, Foreman, LetGo, MOST_WORKS, Machine, Seen, Terms, Told, Want, Work,
+    DrainConfirmation, FleetCapacity, FleetView, MAX_REQUESTS, Machine, MaintenanceConfig,
+    MaintenanceCoordinator, MaintenanceRequest, Notice, Participant, RegisterAction, RegisterWrite as Settle,
 };
-use lemonusher_registers::{Change, Entry, Follower, Outcome, Stamp};
-use lemonusher_routing::Word;
-use lemonusher_zone_failover::Own;
+use lemonusher_registers::{Entry, EntryVersion, Learner, Operation, ProposalOutcome};
+use lemonusher_routing::ControlUpdate;
+use lemonusher_zone_failover::LocalView;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,28 +23,28 @@
 /// What the operator's file says of works.
 #[derive(Debug, Clone)]
 pub struct WorksTerms {
-    pub terms: Terms,
+    pub terms: MaintenanceConfig,
     /// Who is told of each machine that is released.
     pub tell: Option<SocketAddr>,
 }
 
 pub struct Works {
-    terms: Terms,
+    terms: MaintenanceConfig,
     tell: Option<SocketAddr>,
-    crew: Crew,
-    foreman: Option<Foreman>,
+    crew: Participant,
+    foreman: Option<MaintenanceCoordinator>,
     said: Option<(u64, bool)>,
     /// What the owner has closed, by which version, and what is out there.
     closed_by: u64,
     out: BTreeMap<Machine, u32>,
     next: Duration,
-    pub seen: Seen,
+    pub seen: FleetView,
 }
 
 /// What is to be told once a period.
 pub struct Report {
     /// Machines that this front has let go.
-    pub let_go: Vec<LetGo>,
+    pub let_go: Vec<DrainConfirmation>,
     /// For whoever works on machines: those that are released.
     pub released: Vec<Datagram>,
 }
@@ -55,11 +56,11 @@
 /// Of which request a register is.
 pub fn number(register: &str) -> Option<u8> {
     let number = register.strip_prefix(NAME)?.strip_prefix('.')?.parse::<u8>().ok()?;
-    (usize::from(number) < MOST_WORKS).then_some(number)
+    (usize::from(number) < MAX_REQUESTS).then_some(number)
 }
 
-fn read(entry: &Entry) -> Option<((u64, u64), Work)> {
-    Some(((entry.stamp.era, entry.stamp.version), Work::from_bytes(&entry.value)?))
+fn read(entry: &Entry) -> Option<((u64, u64), MaintenanceRequest)> {
+    Some(((entry.version.epoch, entry.version.counter), MaintenanceRequest::from_bytes(&entry.value)?))
 }
 
 impl Works {
@@ -67,39 +68,46 @@
         Works {
             terms: told.terms.clone(),
             tell: told.tell,
-            crew: Crew::default(),
-            foreman: votes.then(Foreman::default),
+            crew: Participant::default(),
+            foreman: votes.then(MaintenanceCoordinator::default),
             said: None,
             closed_by: 0,
             out: BTreeMap::new(),
             next: Duration::ZERO,
-            seen: Seen::default(),
+            seen: FleetView::default(),
         }
     }
 
     /// The owner has told what it has closed and has out; and what it sees of machines.
-    pub fn counted(&mut self, closed_by: u64, out: BTreeMap<Machine, u32>, fleet: Fleet, own: &Own) {
+    pub fn counted(
+        &mut self,
+        closed_by: u64,
+        out: BTreeMap<Machine, u32>,
+        fleet: FleetCapacity,
+        own: &LocalView,
+    ) {
         (self.closed_by, self.out) = (closed_by, out);
-        self.seen.fleet = Fleet { groups: own.groups.clone(), ..fleet };
+        self.seen.capacity = FleetCapacity { classes: own.classes.clone(), ..fleet };
     }
 
     /// What is asked for over all fronts, and how outcomes are, as a voter knows it.
-    pub fn load(&mut self, groups: Vec<lemonusher_zone_failover::Group>, worse: f64, sites_down: bool) {
-        (self.seen.fleet.groups, self.seen.worse, self.seen.sites_down) = (groups, worse, sites_down);
+    pub fn load(&mut self, groups: Vec<lemonusher_zone_failover::ClassLoad>, worse: f64, sites_down: bool) {
+        (self.seen.capacity.classes, self.seen.degraded_share, self.seen.zones_down) =
+            (groups, worse, sites_down);
     }
 
     /// Takes in what is settled; what the front is to know, if that has changed.
-    pub fn follow(&mut self, now: Duration, follower: &Follower) -> Option<Word> {
-        for work in 0..MOST_WORKS as u8 {
+    pub fn follow(&mut self, now: Duration, follower: &Learner) -> Option<ControlUpdate> {
+        for work in 0..MAX_REQUESTS as u8 {
             let name = register(work);
-            match follower.settled(&name).and_then(|(entry, _)| read(entry)) {
+            match follower.committed(&name).and_then(|(entry, _)| read(entry)) {
                 Some((stamp, value)) => {
                     if let Some(foreman) = &mut self.foreman {
-                        foreman.hear(now, work, stamp, value.clone());
+                        foreman.handle_request(now, work, stamp, value.clone());
                     }
-                    self.crew.hear(work, stamp, value);
+                    self.crew.handle_request(work, stamp, value);
                 }
-                None if follower.empty(&name) => self.crew.none(work),
+                None if follower.is_known_empty(&name) => self.crew.handle_no_request(work),
                 None => {}
             }
         }
@@ -108,7 +116,11 @@
             return None;
         }
         self.said = Some(state);
-        Some(Word::Works { version: state.0, sure: state.1, closed: Arc::new(self.crew.closed()) })
+        Some(ControlUpdate::Maintenance {
+            version: state.0,
+            complete: state.1,
+            closed: Arc::new(self.crew.closed_machines()),
+        })
     }
 
     /// Once a period: what this front has let go, and what is released.
@@ -116,16 +128,16 @@
         if now < self.next {
             return None;
         }
-        self.next = now + self.terms.period;
-        let let_go = self.crew.next_let_go(self.closed_by, &self.out, ROWS);
+        self.next = now + self.terms.poll_interval;
+        let let_go = self.crew.next_confirmations(self.closed_by, &self.out, ROWS);
         Some(Report { let_go, released: self.released() })
     }
 
     fn released(&self) -> Vec<Datagram> {
-        let foreman = self.foreman.as_ref().filter(|foreman| foreman.acts());
+        let foreman = self.foreman.as_ref().filter(|foreman| foreman.is_active());
         let Some((to, foreman)) = self.tell.zip(foreman) else { return Vec::new() };
         let released = foreman.released().into_iter().filter_map(|told| match told {
-            Told::Released { work, machine, number } => {
+            Notice::Released { request: work, machine, fencing_token: number } => {
                 let said =
                     serde_json::json!({"work": work, "machine": format!("{machine:08x}"), "number": number});
                 Some(Datagram { to, bytes: said.to_string().into_bytes() })
@@ -135,52 +147,62 @@
         released.collect()
     }
 
-    pub fn hear(&mut self, front: &str, told: &[lemonusher_maintenance::LetGo]) {
+    pub fn hear(&mut self, front: &str, told: &[lemonusher_maintenance::DrainConfirmation]) {
         if let Some(foreman) = &mut self.foreman {
-            foreman.let_go(front, told);
+            foreman.handle_confirmations(front, told);
         }
     }
 
     /// What is wanted of a register, while the lease is held under this number.
-    pub fn wants(&mut self, now: Duration, number: Option<u64>) -> Option<(String, Change)> {
+    pub fn wants(&mut self, now: Duration, number: Option<u64>) -> Option<(String, Operation)> {
         let foreman = self.foreman.as_mut()?;
-        foreman.holds(number);
-        match foreman.turn(now, &self.terms, &self.seen)? {
-            Want::Read(work) => Some((register(work), Change::Read)),
-            Want::Settle(Settle { work, after: (era, version), value }) => {
+        foreman.set_lease(number);
+        match foreman.poll(now, &self.terms, &self.seen)? {
+            RegisterAction::Read(work) => Some((register(work), Operation::Read)),
+            RegisterAction::Write(Settle { request: work, expected: (era, version), value }) => {
                 for (machine, phase) in &value.machines {
-                    tracing::debug!(work, "works: machine {machine:08x} {phase:?}");
+                    tracing::debug!(work, "works: machine {machine:08x} {phase}");
                 }
-                let after = Some(Stamp { era, version });
-                let change = Change::Set { after, number: number?, value: value.to_bytes() };
+                let after = Some(EntryVersion { epoch: era, counter: version });
+                let change = Operation::CompareAndSet {
+                    expected: after,
+                    fencing_token: number?,
+                    value: value.to_bytes(),
+                };
                 Some((register(work), change))
             }
         }
     }
 
-    pub fn outcome(&mut self, now: Duration, name: &str, outcome: &Outcome) {
+    pub fn outcome(&mut self, now: Duration, name: &str, outcome: &ProposalOutcome) {
         let (Some(foreman), Some(work)) = (&mut self.foreman, number(name)) else { return };
         match outcome {
-            Outcome::Settled { entry, .. } | Outcome::Overtaken { entry, .. } => {
-                foreman.settled(now, work, entry.as_ref().and_then(read));
+            ProposalOutcome::Committed { entry, .. } | ProposalOutcome::Conflict { entry, .. } => {
+                foreman.on_committed(now, work, entry.as_ref().and_then(read));
             }
-            Outcome::Unknown { .. } => foreman.failed(work),
+            ProposalOutcome::Unknown { .. } => foreman.on_failure(work),
         }
     }
 
     /// A request as this front knows it, and why it waits.
     pub fn show(&self, number: u8) -> Body {
         let known = self.crew.works().find(|(work, ..)| *work == number);
-        let waits =
-            self.foreman.as_ref().filter(|foreman| foreman.acts()).map(Foreman::waits).unwrap_or_default();
+        let waits = self
+            .foreman
+            .as_ref()
+            .filter(|foreman| foreman.is_active())
+            .map(MaintenanceCoordinator::waits)
+            .unwrap_or_default();
         let why = waits.iter().find_map(|told| match told {
-            Told::Waits { work, machine, why } if *work == number => Some(format!("{machine:08x}: {why}")),
+            Notice::Blocked { request: work, machine, reason: why } if *work == number => {
+                Some(format!("{machine:08x}: {why}"))
+            }
             _ => None,
         });
-        Body::WorkShown {
+        Body::MaintenanceShown {
             number,
             work: known.map(|(_, stamp, work)| (*stamp, work.to_bytes())),
-            foreman: self.foreman.as_ref().is_some_and(Foreman::acts),
+            foreman: self.foreman.as_ref().is_some_and(MaintenanceCoordinator::is_active),
             why: why.map(|why| why.chars().take(160).collect()),
         }
     }
--- a/crates/edges/fleet/tests/limits.rs
+++ b/crates/edges/fleet/tests/limits.rs
@@ -1,12 +1,14 @@
 //! What a datagram and a table of the fleet hold: 1,024 fronts, and one more than a page, a group or a register.
 
-use lemonusher_failure_detector::{FailureDetector, Member, Terms as DetectorTerms};
+use lemonusher_failure_detector::{DetectorConfig as DetectorTerms, FailureDetector, Member};
 use lemonusher_fleet::*;
-use lemonusher_leases::{Ballot, Life, Terms as LeaseTerms};
+use lemonusher_leases::{Ballot, Incarnation, LeaseConfig as LeaseTerms};
 use lemonusher_maintenance::{
-    LONGEST_NAME, MOST_AT_ONCE, MOST_FRONTS, MOST_MACHINES, MOST_WORKS, Phase, Work,
+    MAX_CONCURRENT, MAX_FRONTS, MAX_MACHINES, MAX_NAME_BYTES, MAX_REQUESTS, MaintenanceRequest, Phase,
+};
+use lemonusher_registers::{
+    Changes, Entry, EntryVersion, MAX_REGISTERS, MAX_VALUE_BYTES, RegisterReply, RegisterRequest,
 };
-use lemonusher_registers::{Ask, Changes, Entry, LONGEST_VALUE, MOST_REGISTERS, Reply, Stamp};
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
@@ -27,7 +29,8 @@
 }
 
 fn terms(place: usize, voters: &[SocketAddr]) -> Terms {
-    let leases = LeaseTerms { lease: LEASE, drift: 20, act: Duration::from_millis(10) };
+    let leases =
+        LeaseTerms { duration: LEASE, clock_drift_permille: 20, max_action_time: Duration::from_millis(10) };
     Terms {
         name: format!("voter {place}"),
         listen: voters[place],
@@ -65,7 +68,7 @@
 
     fn say(&mut self, body: Body, to: SocketAddr) {
         self.seq += 1;
-        let from = Life { name: "speaker".to_owned(), born: 5 };
+        let from = Incarnation { name: "speaker".to_owned(), id: 5 };
         let frame = Frame { from, seq: self.seq, terms: self.mark, body };
         let sealed = frame.seal(&Key::new(b"a key of a test")).expect("too long for a datagram");
         self.socket.send_to(&sealed, to).unwrap();
@@ -82,11 +85,14 @@
         panic!("no answer after {after:?}")
     }
 
-    /// What a voter has accepted since a revision of a life; asked again while a busy machine does not answer.
+    /// What a voter has accepted since a revision of an incarnation; asked again while a busy machine does not answer.
     fn changes(&mut self, (born, since): (u64, u64), voter: SocketAddr) -> Changes {
         for _ in 0..ASKED_AT_MOST {
-            self.say(Body::Register(Ask::Changes { born, since }), voter);
-            if let Some(Body::Registered(Reply::Changed(changes))) = self.hear() {
+            self.say(
+                Body::RegisterRequest(RegisterRequest::ChangesSince { incarnation: born, revision: since }),
+                voter,
+            );
+            if let Some(Body::RegisterReply(RegisterReply::Changes(changes))) = self.hear() {
                 return changes;
             }
         }
@@ -102,18 +108,19 @@
 
 #[test]
 fn a_full_part_of_a_request_fits_a_register_and_one_machine_more_does_not_stand_in_it() {
-    let fronts: Vec<String> = (0..MOST_FRONTS).map(|front| format!("front-{front:06}")).collect();
-    let machines: Vec<u32> = (0..=MOST_MACHINES as u32).map(|n| u32::MAX - n).collect();
+    let fronts: Vec<String> = (0..MAX_FRONTS).map(|front| format!("front-{front:06}")).collect();
+    let machines: Vec<u32> = (0..=MAX_MACHINES as u32).map(|n| u32::MAX - n).collect();
     let full = |machines: &[u32]| {
-        let mut work = Work::new(&"w".repeat(LONGEST_NAME), 9, MOST_AT_ONCE, u32::MAX, machines);
-        fronts.iter().for_each(|front| assert!(work.added.dead.add(&fronts, front)));
-        work.machines.iter_mut().for_each(|one| one.1 = Phase::Released { number: u64::MAX });
-        work.parts(u64::MAX)
+        let mut work =
+            MaintenanceRequest::new(&"w".repeat(MAX_NAME_BYTES), 9, MAX_CONCURRENT, u32::MAX, machines);
+        fronts.iter().for_each(|front| assert!(work.extension.dead_fronts.add(&fronts, front)));
+        work.machines.iter_mut().for_each(|one| one.1 = Phase::Released { fencing_token: u64::MAX });
+        work.split(u64::MAX)
     };
     let long: Vec<usize> = full(&machines).iter().map(|part| part.to_bytes().len()).collect();
     assert_eq!(long.len(), 2, "{long:?}");
-    assert!(long.iter().all(|long| *long <= LONGEST_VALUE), "{long:?}");
-    assert!(full(&machines[1..]).len() == 1 && MOST_WORKS < MOST_REGISTERS);
+    assert!(long.iter().all(|long| *long <= MAX_VALUE_BYTES), "{long:?}");
+    assert!(full(&machines[1..]).len() == 1 && MAX_REQUESTS < MAX_REGISTERS);
 }
 
 #[test]
@@ -122,9 +129,9 @@
     let voter = voters[0].address;
     for n in 1..=1025 {
         let address = SocketAddr::from(([127, 0, (n >> 8) as u8, n as u8], 9));
-        let me = Member { name: format!("n{n}"), address, born: n as u64, location: 0, risen: 0 };
-        let mut detector = FailureDetector::new(me, DetectorTerms { period: LEASE }, n as u64);
-        detector.meet(Duration::ZERO, voter);
+        let me = Member { name: format!("n{n}"), address, incarnation: n as u64, zone: 0, refutations: 0 };
+        let mut detector = FailureDetector::new(me, DetectorTerms { probe_interval: LEASE }, n as u64);
+        detector.add_seed(Duration::ZERO, voter);
         let said: Vec<Vec<u8>> = detector.sends().map(|(_, bytes)| bytes).collect();
         said.into_iter().for_each(|bytes| speaker.say(Body::FailureDetector(bytes), voter));
         if n % FRONTS_BEFORE_ANSWER == 0 {
@@ -155,19 +162,24 @@
         }
     };
     assert!((0..200).any(|_| votes(&mut speaker)), "it never votes");
-    let names: BTreeSet<String> = (0..MOST_WORKS as u8).map(works_register).collect();
-    let ballot = Ballot { round: 1, born: 5 };
+    let names: BTreeSet<String> = (0..MAX_REQUESTS as u8).map(works_register).collect();
+    let ballot = Ballot { round: 1, proposer: 5 };
     for name in &names {
-        let entry = Entry { stamp: Stamp { era: u64::MAX, version: 1 }, number: 1, value: vec![7; 20] };
-        speaker.say(Body::Register(Ask::Accept { name: name.clone(), ballot, entry }), voter);
-        assert!(matches!(speaker.hear(), Some(Body::Registered(Reply::Accepted { .. }))));
+        let entry = Entry {
+            version: EntryVersion { epoch: u64::MAX, counter: 1 },
+            fencing_token: 1,
+            value: vec![7; 20],
+        };
+        speaker
+            .say(Body::RegisterRequest(RegisterRequest::Accept { name: name.clone(), ballot, entry }), voter);
+        assert!(matches!(speaker.hear(), Some(Body::RegisterReply(RegisterReply::Accepted { .. }))));
     }
     let (mut known, mut shown, mut datagrams) = ((0, 0), BTreeSet::new(), 0);
     loop {
         let changes = speaker.changes(known, voter);
         datagrams += 1;
-        shown.extend(changes.rows.into_iter().map(|row| row.name));
-        known = (changes.born, changes.revision);
+        shown.extend(changes.registers.into_iter().map(|row| row.name));
+        known = (changes.incarnation, changes.revision);
         if !changes.more {
             break;
         }
@@ -175,5 +187,5 @@
     assert_eq!(shown, names);
     assert!(datagrams <= 8, "{datagrams} datagrams");
     let changes = speaker.changes(known, voter);
-    assert!(changes.rows.is_empty() && !changes.more, "{changes:?}");
+    assert!(changes.registers.is_empty() && !changes.more, "{changes:?}");
 }
--- a/crates/edges/fleet/tests/nodes.rs
+++ b/crates/edges/fleet/tests/nodes.rs
@@ -2,8 +2,8 @@
 //! what may not is dropped; what is followed costs little, and is known again after voters have lost their memory.
 
 use lemonusher_fleet::*;
-use lemonusher_leases::{Ask, Ballot, Life, Reply, Terms as LeaseTerms};
-use lemonusher_registers::{self as registers, Entry, Stamp};
+use lemonusher_leases::{Ballot, Incarnation, LeaseConfig as LeaseTerms, LeaseReply, LeaseRequest};
+use lemonusher_registers::{self as registers, Entry, EntryVersion};
 use lemonusher_zone_failover as zones;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,26 +23,27 @@
 }
 
 fn terms(place: usize) -> Terms {
-    let leases = LeaseTerms { lease: LEASE, drift: 20, act: Duration::from_millis(10) };
+    let leases =
+        LeaseTerms { duration: LEASE, clock_drift_permille: 20, max_action_time: Duration::from_millis(10) };
     let ms = Duration::from_millis;
-    let zone_terms = zones::Terms {
-        period: ms(100),
-        confirm: ms(400),
-        steady: ms(800),
-        pace: ms(1_000),
-        wait: ms(1_000),
-        safe: 0.8,
-        floor: 0.05,
-        stale: ms(2_000),
+    let zone_terms = zones::FailoverConfig {
+        report_interval: ms(100),
+        confirmation_time: ms(400),
+        probation: ms(800),
+        ramp_interval: ms(1_000),
+        recovery_backoff: ms(1_000),
+        max_utilization: 0.8,
+        admission_floor: 0.05,
+        plan_timeout: ms(2_000),
     };
     let (_, seen) = async_channel::bounded(1);
     let votes = place < VOTERS;
-    let maintenance = lemonusher_maintenance::Terms {
-        period: ms(100),
-        fronts: (0..=VOTERS).map(|front| format!("front {front}")).collect(),
-        keep: 0.9,
-        margin: 0.1,
-        steady: ms(1_000),
+    let maintenance = lemonusher_maintenance::MaintenanceConfig {
+        poll_interval: ms(100),
+        required_fronts: (0..=VOTERS).map(|front| format!("front {front}")).collect(),
+        min_reserve: 0.9,
+        demand_margin: 0.1,
+        probation: ms(1_000),
     };
     Terms {
         name: format!("front {place}"),
@@ -82,7 +83,7 @@
     nodes: Vec<Node>,
     under_way: Vec<(SocketAddr, Datagram)>,
     now: Duration,
-    /// When each node's life began.
+    /// When each node's incarnation began.
     born: Vec<Duration>,
     /// Messages of each kind that each node has sent.
     sent: BTreeMap<(usize, Kind), usize>,
@@ -145,9 +146,16 @@
     let mut fleet = Reversed::new(VOTERS);
     fleet.run_for(SETTLED);
     // Nobody but operators proposes wishes, so nobody reads them anew for purposes of its own.
-    let entry = Entry { stamp: Stamp { era: u64::MAX - 1, version: 1 }, number: 1, value: vec![1; LONG] };
-    let ballot = Ballot { round: 9, born: 5 };
-    let bytes = said(1, Body::Register(registers::Ask::Accept { name: WISHES.to_owned(), ballot, entry }));
+    let entry = Entry {
+        version: EntryVersion { epoch: u64::MAX - 1, counter: 1 },
+        fencing_token: 1,
+        value: vec![1; LONG],
+    };
+    let ballot = Ballot { round: 9, proposer: 5 };
+    let bytes = said(
+        1,
+        Body::RegisterRequest(registers::RegisterRequest::Accept { name: WISHES.to_owned(), ballot, entry }),
+    );
     (0..VOTERS).for_each(|place| fleet.nodes[place].hear(fleet.now, address(9), &bytes));
     fleet.restart(0, 100);
     fleet.restart(2, 102);
@@ -162,23 +170,32 @@
 
 /// One that speaks to a voter under the fleet's key, with numbers of its choice.
 fn said(seq: u64, body: Body) -> Vec<u8> {
-    let from = Life { name: "speaker".to_owned(), born: 5 };
+    let from = Incarnation { name: "speaker".to_owned(), id: 5 };
     Frame { from, seq, terms: mark(&terms(0)), body }.seal(&key()).expect("too long for a datagram")
 }
 
 fn accept(round: u64) -> Body {
-    let who = Life { name: "speaker".to_owned(), born: 5 };
-    let ballot = Ballot { round, born: 5 };
-    Body::Ask(Ask::Accept { task: "account".to_owned(), ballot, who, number: round })
+    let who = Incarnation { name: "speaker".to_owned(), id: 5 };
+    let ballot = Ballot { round, proposer: 5 };
+    Body::LeaseRequest(LeaseRequest::Accept {
+        task: "account".to_owned(),
+        ballot,
+        client: who,
+        fencing_token: round,
+    })
 }
 
 fn release(round: u64) -> Body {
-    let who = Life { name: "speaker".to_owned(), born: 5 };
-    Body::Ask(Ask::Release { task: "account".to_owned(), who, number: round })
+    let who = Incarnation { name: "speaker".to_owned(), id: 5 };
+    Body::LeaseRequest(LeaseRequest::Release {
+        task: "account".to_owned(),
+        client: who,
+        fencing_token: round,
+    })
 }
 
 /// The replies of a voter that has got its say, to these messages in this order.
-fn replies(messages: &[Vec<u8>]) -> Vec<Reply> {
+fn replies(messages: &[Vec<u8>]) -> Vec<LeaseReply> {
     let mut voter = node(0);
     let now = SETTLED;
     voter.wake(now);
@@ -188,7 +205,7 @@
     let sent = voter.take_outgoing().into_iter().filter(|message| message.datagram.to == speaker);
     let bodies = sent.filter_map(|message| Frame::open(&message.datagram.bytes, &key()).ok());
     let replies = bodies.filter_map(|frame| match frame.body {
-        Body::Reply(reply) => Some(reply),
+        Body::LeaseReply(reply) => Some(reply),
         _ => None,
     });
     replies.collect()
--- a/crates/edges/front/src/program/channel.rs
+++ b/crates/edges/front/src/program/channel.rs
@@ -8,7 +8,7 @@
 use async_io::Timer;
 use futures_lite::{AsyncWriteExt, FutureExt};
 use lemonusher::{EndpointUpdateKind, EngineState};
-use lemonusher_routing::{Heard, Listed};
+use lemonusher_routing::{Endpoint, RouterEvent};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -103,11 +103,11 @@
             News::Changes(members) => (EndpointUpdateKind::Delta, members),
         };
         let listed = members.into_iter().filter_map(|member| self.listed(member)).collect();
-        let _ = self.shared.queue.send(Heard::Roster(kind, listed)).await;
+        let _ = self.shared.queue.send(RouterEvent::Endpoints(kind, listed)).await;
     }
 
     /// An engine whose place or kind the deployment does not state is left out.
-    fn listed(&mut self, member: Member) -> Option<Listed> {
+    fn listed(&mut self, member: Member) -> Option<Endpoint> {
         let settled = &self.shared.settled;
         let place = |number: Option<u32>, names: &[String]| number.filter(|n| (*n as usize) < names.len());
         let places = place(member.zone, &settled.areas).zip(place(member.kind, &settled.kinds));
@@ -117,11 +117,11 @@
             }
             return None;
         };
-        Some(Listed {
+        Some(Endpoint {
             engine: member.id,
             address: member.address,
-            location,
-            kind,
+            zone: location,
+            machine_kind: kind,
             cell: member.cell,
             state: match member.state {
                 State::Ready => EngineState::Active,
@@ -129,7 +129,7 @@
                 State::Gone => EngineState::Removed,
             },
             // Option's order is the right one: no date is long ago.
-            started: (member.started_ms > 0)
+            started_at: (member.started_ms > 0)
                 .then(|| Duration::from_millis(member.started_ms))
                 .max(self.shared.cold_since),
         })
--- a/crates/edges/front/src/program/clients.rs
+++ b/crates/edges/front/src/program/clients.rs
@@ -11,7 +11,7 @@
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
 use lemonusher::RequestId;
-use lemonusher_routing::{Answer, Asker, Heard, Kind, Taken};
+use lemonusher_routing::{Counter, IncomingRequest, Response, ResponseSink, RouterEvent};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::{Shutdown, TcpListener};
@@ -110,14 +110,14 @@
 
     fn serve(&self, wire: Wire) {
         let _ = wire.get_ref().set_nodelay(true);
-        self.shared.counters.add(Kind::Connections, None);
+        self.shared.counters.add(Counter::ClientConnections, None);
         let number = self.next.replace(self.next.get() + 1);
         let session = Rc::new(Session::new(self.shared.clone(), wire));
         self.sessions.borrow_mut().insert(number, session.clone());
         let sessions = self.sessions.clone();
         let serve = async move {
             if AssertUnwindSafe(session.serve()).catch_unwind().await.is_err() {
-                session.shared.counters.add(Kind::Panics, None);
+                session.shared.counters.add(Counter::Panics, None);
                 log::error!("a client's connection panicked and ends");
             }
             session.end().await;
@@ -282,7 +282,8 @@
     async fn leave(self: &Rc<Self>, tell: bool) {
         let open = std::mem::take(&mut *self.open.borrow_mut());
         for (ticket, request) in open {
-            let _ = self.shared.queue.send(Heard::Left { asker: self.clone(), ticket, request }).await;
+            let _ =
+                self.shared.queue.send(RouterEvent::ClientGone { sink: self.clone(), ticket, request }).await;
             if tell {
                 self.write(&client::errored(ticket));
             }
@@ -311,7 +312,7 @@
         loop {
             // All that has come is read before any of it is handed on: a client that sent much and went has gone
             // before its requests begin, however long they waited to be read. What may be open bounds what is held.
-            let mut taken: Vec<Taken> = Vec::new();
+            let mut taken: Vec<IncomingRequest> = Vec::new();
             let mut read = 0;
             let mut stopped = loop {
                 if read == MOST_AT_ONCE {
@@ -340,7 +341,7 @@
             }
             if !matches!(stopped, Some(Stopped::Gone | Stopped::Broken)) {
                 for one in taken {
-                    let _ = self.shared.queue.send(Heard::Taken(one)).await;
+                    let _ = self.shared.queue.send(RouterEvent::Request(one)).await;
                 }
                 if read == MOST_AT_ONCE {
                     futures_lite::future::yield_now().await;
@@ -388,7 +389,7 @@
             }
             Broken::NoRoom | Broken::Slow | Broken::Bad(_) => {
                 if let Broken::NoRoom = error {
-                    self.shared.counters.add(Kind::NoRoom, None);
+                    self.shared.counters.add(Counter::LinesWithoutRoom, None);
                 }
                 Stopped::Faulty
             }
@@ -396,7 +397,11 @@
     }
 
     /// What a line means. A request joins those taken; what is to be told at once comes back.
-    fn hear(self: &Rc<Self>, line: Result<Message, Fault>, taken: &mut Vec<Taken>) -> Option<Heard> {
+    fn hear(
+        self: &Rc<Self>,
+        line: Result<Message, Fault>,
+        taken: &mut Vec<IncomingRequest>,
+    ) -> Option<RouterEvent> {
         match line {
             Ok(Message::Request(request)) => taken.extend(self.take(request)),
             Ok(Message::Heartbeat(id)) => self.write(&client::heartbeat(id, !self.shared.closing.get())),
@@ -410,8 +415,8 @@
                 let heard_of = taken.len();
                 taken.retain(|one| one.ticket != ticket);
                 let known = heard_of == taken.len();
-                return left.filter(|_| known).map(|request| Heard::Left {
-                    asker: self.clone(),
+                return left.filter(|_| known).map(|request| RouterEvent::ClientGone {
+                    sink: self.clone(),
                     ticket,
                     request,
                 });
@@ -421,7 +426,7 @@
         None
     }
 
-    fn take(self: &Rc<Self>, request: Request) -> Option<Taken> {
+    fn take(self: &Rc<Self>, request: Request) -> Option<IncomingRequest> {
         let faulty = |id, kind| {
             self.fault(Fault { id, kind });
             None
@@ -446,22 +451,22 @@
         let call: RequestId = request.call.into();
         log::debug!("batch {call} taken: {} of {} ms", request.method, request.ttl_ms);
         self.open.borrow_mut().insert(request.id, call.clone());
-        Some(Taken {
-            asker: self.clone(),
+        Some(IncomingRequest {
+            sink: self.clone(),
             ticket: request.id,
             request: call,
             service_group,
             table_group: table_group(&String::from_utf8_lossy(&request.statement)).unwrap_or_default(),
             // The client's time runs from its sending, also while this process does not.
-            patience: Duration::from_millis(request.ttl_ms)
+            client_timeout: Duration::from_millis(request.ttl_ms)
                 .saturating_sub(self.shared.pulse.lag(Instant::now())),
-            repeat: request.repeat,
+            client_retry: request.repeat,
             statement: request.statement.into(),
         })
     }
 
     fn fault(&self, fault: Fault) {
-        self.shared.counters.add(Kind::Faulty, None);
+        self.shared.counters.add(Counter::FaultyLines, None);
         log::debug!("a client's line is faulty: {fault:?}");
         self.write(&client::fault(&fault));
         // Errors cost little, but not to no end.
@@ -481,8 +486,8 @@
     }
 }
 
-impl Asker for Session {
-    fn answer(&self, ticket: u64, answer: Answer) {
+impl ResponseSink for Session {
+    fn respond(&self, ticket: u64, answer: Response) {
         if self.open.borrow_mut().remove(&ticket).is_none() {
             return;
         }
@@ -490,10 +495,10 @@
         // While clients read too slowly for the memory there is, results give way to errors.
         let full = self.shared.unwritten.get() > self.shared.most_unwritten;
         self.write(&match answer {
-            Answer::Returned(_) if full => client::errored(ticket),
-            Answer::Returned(rows) => client::result(ticket, &rows),
-            Answer::PushedBack(wait) => client::pushed_back(ticket, wait.map(|w| w.as_millis() as u64)),
-            Answer::Errored => client::errored(ticket),
+            Response::Returned(_) if full => client::errored(ticket),
+            Response::Returned(rows) => client::result(ticket, &rows),
+            Response::Rejected(wait) => client::pushed_back(ticket, wait.map(|w| w.as_millis() as u64)),
+            Response::Failed => client::errored(ticket),
         });
         // What takes no more ends with its last answer.
         if !self.taking.get() && self.open.borrow().is_empty() {
--- a/crates/edges/front/src/program/consulted.rs
+++ b/crates/edges/front/src/program/consulted.rs
@@ -8,7 +8,7 @@
 use lemonusher::{EndpointUpdateKind, EngineId, EngineState, RequestId};
 use lemonusher_consult::{Asked, Consult, Do, StreamId, Terms, Verdict};
 use lemonusher_processor::{FromProxy, Told};
-use lemonusher_routing::{Answer, Asker, Heard, Listed, Order, Taken};
+use lemonusher_routing::{Endpoint, EngineCommand, IncomingRequest, Response, ResponseSink, RouterEvent};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -28,12 +28,12 @@
 /// Takes the owner's answers, which come in the middle of its turn, for later.
 struct Answers {
     requests: RefCell<BTreeMap<u64, RequestId>>,
-    given: RefCell<VecDeque<(RequestId, Answer)>>,
+    given: RefCell<VecDeque<(RequestId, Response)>>,
     wake: Sender<()>,
 }
 
-impl Asker for Answers {
-    fn answer(&self, ticket: u64, answer: Answer) {
+impl ResponseSink for Answers {
+    fn respond(&self, ticket: u64, answer: Response) {
         if let Some(request) = self.requests.borrow_mut().remove(&ticket) {
             self.given.borrow_mut().push_back((request, answer));
             let _ = self.wake.try_send(());
@@ -42,8 +42,8 @@
 }
 
 enum Next {
-    Order(Order),
-    Heard(FromProxy),
+    EngineCommand(EngineCommand),
+    RouterEvent(FromProxy),
     Answered,
     Due,
     Over,
@@ -61,7 +61,7 @@
 }
 
 /// Serves for as long as the front runs.
-pub async fn run(shared: Rc<Shared>, orders: Receiver<Order>, consulting: Consulting) {
+pub async fn run(shared: Rc<Shared>, orders: Receiver<EngineCommand>, consulting: Consulting) {
     let (wake, woken) = async_channel::bounded(1);
     let answers = Rc::new(Answers { requests: RefCell::default(), given: RefCell::default(), wake });
     let mut bridge = Bridge {
@@ -83,17 +83,17 @@
             Next::Due
         };
         // What the owner says goes first: a verdict must not wait behind questions.
-        let order = async { orders.recv().await.map_or(Next::Over, Next::Order) };
+        let order = async { orders.recv().await.map_or(Next::Over, Next::EngineCommand) };
         let answered = async { woken.recv().await.map_or(Next::Over, |()| Next::Answered) };
-        let heard = async { consulting.heard.recv().await.map_or(Next::Over, Next::Heard) };
+        let heard = async { consulting.heard.recv().await.map_or(Next::Over, Next::RouterEvent) };
         let next = order.or(answered).or(due).or(heard).await;
         let now = bridge.began.elapsed();
         let done = match next {
             Next::Over => return,
             Next::Due => bridge.consult.turn(now),
             Next::Answered => bridge.answered(now),
-            Next::Order(order) => bridge.ordered(order),
-            Next::Heard(heard) => bridge.heard(now, heard),
+            Next::EngineCommand(order) => bridge.ordered(order),
+            Next::RouterEvent(heard) => bridge.heard(now, heard),
         };
         bridge.carry_out(done).await;
     }
@@ -101,35 +101,38 @@
 
 impl Bridge {
     fn answered(&mut self, now: Duration) -> Vec<Do> {
-        let given: Vec<(RequestId, Answer)> = self.answers.given.borrow_mut().drain(..).collect();
+        let given: Vec<(RequestId, Response)> = self.answers.given.borrow_mut().drain(..).collect();
         let mut done = Vec::new();
         for (request, answer) in given {
             self.tickets.remove(&request);
             done.extend(match answer {
-                Answer::Returned(_) => Vec::new(), // The proxy has passed it on already.
-                Answer::PushedBack(wait) => self.consult.answer(now, &request, true, wait),
-                Answer::Errored => self.consult.answer(now, &request, false, None),
+                Response::Returned(_) => Vec::new(), // The proxy has passed it on already.
+                Response::Rejected(wait) => self.consult.answer(now, &request, true, wait),
+                Response::Failed => self.consult.answer(now, &request, false, None),
             });
         }
         done
     }
 
-    fn ordered(&mut self, order: Order) -> Vec<Do> {
+    fn ordered(&mut self, order: EngineCommand) -> Vec<Do> {
         match order {
-            Order::Attempt { token, engine, request, terms, .. } => {
+            EngineCommand::Send { token, engine, request, conditions: terms, .. } => {
                 let patience = terms.until.saturating_duration_since(Instant::now());
                 self.consult.attempt(&request, token, engine, patience)
             }
-            Order::Roster(kind, listed) => {
+            EngineCommand::Endpoints(kind, listed) => {
                 self.list(kind, listed);
                 Vec::new()
             }
             // Nothing is probed, and what is out can't be called back.
-            Order::Probe { .. } | Order::Weigh { .. } | Order::Cancel(_) | Order::Withdraw(_) => Vec::new(),
+            EngineCommand::Probe { .. }
+            | EngineCommand::SetPriority { .. }
+            | EngineCommand::Cancel(_)
+            | EngineCommand::Withdraw(_) => Vec::new(),
         }
     }
 
-    fn list(&mut self, kind: EndpointUpdateKind, listed: Vec<Listed>) {
+    fn list(&mut self, kind: EndpointUpdateKind, listed: Vec<Endpoint>) {
         if kind != EndpointUpdateKind::Delta {
             self.addresses.clear();
         }
@@ -166,12 +169,12 @@
                 Do::Leave(request) => {
                     if let Some(ticket) = self.tickets.remove(&request) {
                         self.answers.requests.borrow_mut().remove(&ticket);
-                        let left = Heard::Left { asker: self.answers.clone(), ticket, request };
+                        let left = RouterEvent::ClientGone { sink: self.answers.clone(), ticket, request };
                         let _ = self.shared.queue.send(left).await;
                     }
                 }
                 Do::End { token, outcome } => {
-                    let _ = self.shared.queue.send(Heard::ended(token, outcome)).await;
+                    let _ = self.shared.queue.send(RouterEvent::attempt_ended(token, outcome)).await;
                 }
                 Do::Tell { stream, verdict } => self.tell(stream, verdict),
             }
@@ -184,17 +187,17 @@
         // Seldom, a request of this id is still on its way out of the owner's tables: the new one has its ticket.
         self.tickets.insert(asked.batch.clone(), ticket);
         self.answers.requests.borrow_mut().insert(ticket, asked.batch.clone());
-        let taken = Taken {
-            asker: self.answers.clone(),
+        let taken = IncomingRequest {
+            sink: self.answers.clone(),
             ticket,
             request: asked.batch,
             service_group: asked.service_group,
             table_group: asked.table_group,
-            patience: asked.patience,
-            repeat: asked.repeat,
+            client_timeout: asked.patience,
+            client_retry: asked.repeat,
             statement: Rc::from([]),
         };
-        let _ = self.shared.queue.send(Heard::Taken(taken)).await;
+        let _ = self.shared.queue.send(RouterEvent::Request(taken)).await;
     }
 
     fn tell(&mut self, stream: StreamId, verdict: Verdict) {
--- a/crates/edges/front/src/program/engines/link.rs
+++ b/crates/edges/front/src/program/engines/link.rs
@@ -4,7 +4,7 @@
 use crate::protocol::engine::{self, Answer, Malformed, Word};
 use crate::transport::{Outbox, Place, Wire};
 use lemonusher::{AttemptOutcome, AttemptProgress, EngineId, LoadReport, ResourceUsage};
-use lemonusher_routing::{Heard, Kind, Token};
+use lemonusher_routing::{Counter, RouterEvent, Token};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -123,17 +123,17 @@
     }
 
     /// It has ended: all that was out on it is over, by how far it had come.
-    pub fn end(&self) -> Vec<(Token, Heard)> {
+    pub fn end(&self) -> Vec<(Token, RouterEvent)> {
         self.retired.set(true);
         self.outbox.close();
         let written = self.outbox.written();
         let out = std::mem::take(&mut *self.out.borrow_mut());
         let heard = |out: Out| match out.kind {
-            OutKind::Probe => Heard::Probed { token: out.token, answered: false, load: None },
-            OutKind::Request(Some(_)) => Heard::ended(out.token, HowFar::Answering.outcome()),
+            OutKind::Probe => RouterEvent::ProbeEnded { token: out.token, answered: false, load: None },
+            OutKind::Request(Some(_)) => RouterEvent::attempt_ended(out.token, HowFar::Answering.outcome()),
             OutKind::Request(None) | OutKind::GivenUp(_) => {
                 let how_far = if written < out.end { HowFar::NotWhollySent } else { HowFar::Sent };
-                Heard::ended(out.token, how_far.outcome())
+                RouterEvent::attempt_ended(out.token, how_far.outcome())
             }
         };
         out.into_values().map(|out| (out.token, heard(out))).collect()
@@ -204,7 +204,7 @@
 
     /// What an answer means for what is out. One that belongs to nothing that is out, or for which what is out
     /// does not wait, is passed over: it does no harm, and all else on the connection goes on.
-    pub fn hear(&self, answer: Answer) -> Result<Option<(Token, Heard)>, Malformed> {
+    pub fn hear(&self, answer: Answer) -> Result<Option<(Token, RouterEvent)>, Malformed> {
         self.used.set(Instant::now());
         self.asked.set(None);
         let load = answer.load.map(|values| {
@@ -221,20 +221,25 @@
             if self.has_carried(&answer.id) && matches!(answer.word, Word::Hit { pages, .. } if pages > 1) {
                 let _ = self.outbox.push(engine::release(&answer.id).as_bytes());
             }
-            self.shared.counters.add(Kind::Stray, None);
+            self.shared.counters.add(Counter::StrayAnswers, None);
             return Ok(None);
         };
         if matches!(answer.word, Word::Hit { .. } | Word::Part { .. }) && !engine::whole_rows(&answer.body) {
             return Err(Malformed::Rows);
         }
         let token = out.token;
-        let over =
-            |outcome| Some((token, Heard::Ended { token, outcome, cost: None, load, rows: Vec::new() }));
+        let over = |outcome| {
+            Some((token, RouterEvent::AttemptEnded { token, outcome, usage: None, load, body: Vec::new() }))
+        };
         let heard = match (&mut out.kind, answer.word) {
-            (OutKind::Probe, Word::Pong) => Some((token, Heard::Probed { token, answered: true, load })),
-            (OutKind::Probe, Word::Sick) => Some((token, Heard::Probed { token, answered: false, load })),
+            (OutKind::Probe, Word::Pong) => {
+                Some((token, RouterEvent::ProbeEnded { token, answered: true, load }))
+            }
+            (OutKind::Probe, Word::Sick) => {
+                Some((token, RouterEvent::ProbeEnded { token, answered: false, load }))
+            }
             (OutKind::Request(_), Word::Info(note)) => {
-                return Ok(note.map(|note| (token, Heard::Noted { token, note: noted(note) })));
+                return Ok(note.map(|note| (token, RouterEvent::Progress { token, progress: noted(note) })));
             }
             (OutKind::GivenUp(_), Word::Info(_)) => return Ok(None),
             (OutKind::GivenUp(_), Word::Fault | Word::Part { .. }) => over(AttemptOutcome::Cancelled),
@@ -244,7 +249,7 @@
             }
             (OutKind::GivenUp(_), Word::Hit { cost, .. }) => {
                 let (outcome, rows, cost) = (AttemptOutcome::Returned, answer.body, cost.map(took));
-                Some((token, Heard::Ended { token, outcome, cost, load, rows }))
+                Some((token, RouterEvent::AttemptEnded { token, outcome, usage: cost, load, body: rows }))
             }
             (OutKind::Request(None) | OutKind::GivenUp(_), Word::Shed) => over(AttemptOutcome::Rejected),
             (OutKind::Request(None) | OutKind::GivenUp(_), Word::Late) => over(AttemptOutcome::NotSent),
@@ -254,7 +259,7 @@
                 let mut place = Place::new(self.shared.answers.clone());
                 if count == 1 {
                     let (outcome, rows) = (AttemptOutcome::Returned, answer.body);
-                    Some((token, Heard::Ended { token, outcome, cost, load, rows }))
+                    Some((token, RouterEvent::AttemptEnded { token, outcome, usage: cost, load, body: rows }))
                 } else if count > MOST_PAGES || !place.set(answer.body.len()) {
                     let _ = self.outbox.push(engine::release(&id).as_bytes());
                     over(AttemptOutcome::Errored)
@@ -272,7 +277,7 @@
             }
             (OutKind::Request(Some(pages)), Word::Part { page }) => {
                 let Some(place) = pages.pages.get_mut(page).filter(|page| page.is_none()) else {
-                    self.shared.counters.add(Kind::Stray, None);
+                    self.shared.counters.add(Counter::StrayAnswers, None);
                     return Ok(None);
                 };
                 *place = Some(answer.body);
@@ -287,11 +292,11 @@
                     let _ = self.outbox.push(engine::release(&id).as_bytes());
                     let rows = pages.pages.iter_mut().filter_map(Option::take).flatten().collect();
                     let (outcome, cost, load) = (AttemptOutcome::Returned, pages.cost, pages.load);
-                    Some((token, Heard::Ended { token, outcome, cost, load, rows }))
+                    Some((token, RouterEvent::AttemptEnded { token, outcome, usage: cost, load, body: rows }))
                 }
             }
             _ => {
-                self.shared.counters.add(Kind::Stray, None);
+                self.shared.counters.add(Counter::StrayAnswers, None);
                 return Ok(None);
             }
         };
--- a/crates/edges/front/src/program/engines/mod.rs
+++ b/crates/edges/front/src/program/engines/mod.rs
@@ -10,7 +10,7 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 use lemonusher::{AttemptOutcome, EndpointUpdateKind, EngineId, EngineState};
-use lemonusher_routing::{Heard, Kind, Listed, Order, Token};
+use lemonusher_routing::{Counter, Endpoint, EngineCommand, RouterEvent, Token};
 use link::{HowFar, Link, OutKind};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -45,7 +45,7 @@
     /// Whether it is looked again soon for a descriptor for one.
     looks: bool,
     /// What waits for a connection, and since when.
-    waiting: Vec<(Instant, Order)>,
+    waiting: Vec<(Instant, EngineCommand)>,
 }
 
 /// Where a token is out, and under what id.
@@ -60,13 +60,13 @@
 }
 
 /// Carries out the owner's orders for as long as the front runs.
-pub async fn run(shared: Rc<Shared>, orders: Receiver<Order>) {
+pub async fn run(shared: Rc<Shared>, orders: Receiver<EngineCommand>) {
     let (pools, places) = (RefCell::default(), RefCell::default());
     let engines = Rc::new(Engines { shared, pools, places, short: Cell::new(false) });
     engines.shared.executor.spawn(tend(engines.clone())).detach();
     while let Ok(order) = orders.recv().await {
         if AssertUnwindSafe(engines.take(order)).catch_unwind().await.is_err() {
-            engines.shared.counters.add(Kind::Panics, None);
+            engines.shared.counters.add(Counter::Panics, None);
             log::error!("an order for the engines panicked");
         }
     }
@@ -84,7 +84,11 @@
         for link in links {
             for token in link.unconfirmed(engines.shared.connect_timeout) {
                 engines.places.borrow_mut().remove(&token);
-                let _ = engines.shared.queue.send(Heard::ended(token, AttemptOutcome::Cancelled)).await;
+                let _ = engines
+                    .shared
+                    .queue
+                    .send(RouterEvent::attempt_ended(token, AttemptOutcome::Cancelled))
+                    .await;
             }
             let silent = !period.is_zero() && link.silent(quiet);
             if silent || link.unused(idle) {
@@ -92,7 +96,7 @@
             }
         }
         let patience = engines.shared.connect_timeout;
-        let late: Vec<Order> = (engines.pools.borrow_mut().values_mut())
+        let late: Vec<EngineCommand> = (engines.pools.borrow_mut().values_mut())
             .flat_map(|pool| {
                 pool.waiting.extract_if(.., |(at, _)| at.elapsed() > patience).collect::<Vec<_>>()
             })
@@ -105,24 +109,26 @@
 }
 
 impl Engines {
-    async fn take(self: &Rc<Self>, order: Order) {
+    async fn take(self: &Rc<Self>, order: EngineCommand) {
         match order {
-            Order::Roster(kind, listed) => self.list(kind, listed).await,
-            Order::Cancel(token) => self.cancel(token).await,
-            Order::Withdraw(token) => drop(self.withdraw(token).await),
-            Order::Weigh { token, priority } => {
+            EngineCommand::Endpoints(kind, listed) => self.list(kind, listed).await,
+            EngineCommand::Cancel(token) => self.cancel(token).await,
+            EngineCommand::Withdraw(token) => drop(self.withdraw(token).await),
+            EngineCommand::SetPriority { token, priority } => {
                 let place = self.places.borrow().get(&token).cloned();
                 if let Some((link, id)) = place {
                     let _ = link.outbox.push(engine::weigh(&id, priority).as_bytes());
                 }
             }
-            Order::Attempt { engine, .. } | Order::Probe { engine, .. } => self.send(engine, order).await,
+            EngineCommand::Send { engine, .. } | EngineCommand::Probe { engine, .. } => {
+                self.send(engine, order).await
+            }
         }
     }
 
     /// Pools follow the list: one is made for each new engine, and one that has gone opens nothing further. What waits
     /// for a connection to one that drains or has gone is not sent: it would begin after that was known.
-    async fn list(self: &Rc<Self>, kind: EndpointUpdateKind, listed: Vec<Listed>) {
+    async fn list(self: &Rc<Self>, kind: EndpointUpdateKind, listed: Vec<Endpoint>) {
         let (mut opened, mut unsent) = (Vec::new(), Vec::new());
         {
             let mut pools = self.pools.borrow_mut();
@@ -131,10 +137,10 @@
             }
             for one in listed {
                 let pool = pools.entry(one.engine).or_insert_with(|| Pool::new(&one));
-                if pool.address != one.address || pool.started != one.started {
+                if pool.address != one.address || pool.started != one.started_at {
                     pool.links.iter().for_each(|link| link.retire());
                 }
-                (pool.address, pool.state, pool.started) = (one.address, one.state, one.started);
+                (pool.address, pool.state, pool.started) = (one.address, one.state, one.started_at);
                 // Where connections cost, hundreds of fronts that all open one to each engine at once are what engines
                 // that hold few can't bear: each is opened when it is first wanted.
                 let free = self.shared.settled.prices.handshake == 0.0;
@@ -188,7 +194,7 @@
         held >= self.shared.descriptors.engines
     }
 
-    async fn send(self: &Rc<Self>, engine: EngineId, order: Order) {
+    async fn send(self: &Rc<Self>, engine: EngineId, order: EngineCommand) {
         let (link, opens) = self.place(engine, &order);
         if opens {
             self.open(engine, true);
@@ -202,7 +208,7 @@
     }
 
     /// Finds a connection for an order or lets it wait for one, and tells whether a further one is wanted.
-    fn place(&self, engine: EngineId, order: &Order) -> (Placed, bool) {
+    fn place(&self, engine: EngineId, order: &EngineCommand) -> (Placed, bool) {
         let mut pools = self.pools.borrow_mut();
         let Some(pool) = pools.get_mut(&engine).filter(|p| p.state != EngineState::Removed) else {
             return (Placed::Nowhere, false);
@@ -234,7 +240,7 @@
             let next = {
                 let mut pools = self.pools.borrow_mut();
                 let Some(pool) = pools.get_mut(&engine) else { return };
-                let free = |(_, order): &(Instant, Order)| pool.free(order, streams).is_some();
+                let free = |(_, order): &(Instant, EngineCommand)| pool.free(order, streams).is_some();
                 let Some(place) = pool.waiting.iter().position(free) else { return };
                 let (_, order) = pool.waiting.remove(place);
                 pool.free(&order, streams).map(|link| (link, order))
@@ -247,14 +253,21 @@
 
     /// Puts an order on a connection that takes it at once, so that this is the moment in which it begins: all that
     /// it rests on is looked at again, as much may have happened while it waited.
-    async fn hand_over(self: &Rc<Self>, link: &Rc<Link>, order: Order) {
+    async fn hand_over(self: &Rc<Self>, link: &Rc<Link>, order: EngineCommand) {
         let now = Instant::now();
         let (token, id, message, kind) = match &order {
-            Order::Attempt { terms, .. } if !terms.hold(now) => {
+            EngineCommand::Send { conditions: terms, .. } if !terms.hold(now) => {
                 return self.end_of(&order, AttemptOutcome::NotSent).await;
             }
-            Order::Attempt {
-                token, request, service_group, statement, terms, priority, memory_mb, ..
+            EngineCommand::Send {
+                token,
+                request,
+                service_group,
+                statement,
+                conditions: terms,
+                priority,
+                memory_mb,
+                ..
             } => {
                 let class = self.shared.settled.classes.get(*service_group);
                 let left = terms.until.saturating_duration_since(now);
@@ -266,7 +279,7 @@
                 };
                 (*token, request.clone(), engine::serve(request, &terms, statement), OutKind::Request(None))
             }
-            Order::Probe { token, .. } => {
+            EngineCommand::Probe { token, .. } => {
                 let id: Arc<str> = format!("p{token}").into();
                 let report = !self.shared.settled.report.fields.is_empty();
                 (*token, id.clone(), engine::probe(&id, report).into_bytes(), OutKind::Probe)
@@ -286,7 +299,7 @@
         let Some((link, id)) = self.places.borrow().get(&token).cloned() else { return };
         if let Some(outcome) = link.give_up(&id) {
             self.places.borrow_mut().remove(&token);
-            let _ = self.shared.queue.send(Heard::ended(token, outcome)).await;
+            let _ = self.shared.queue.send(RouterEvent::attempt_ended(token, outcome)).await;
         }
         link.settle();
     }
@@ -304,14 +317,16 @@
     }
 
     /// An order that never got on a connection, or not wholly.
-    async fn fail(&self, order: Order, how_far: HowFar) {
+    async fn fail(&self, order: EngineCommand, how_far: HowFar) {
         self.end_of(&order, how_far.outcome()).await;
     }
 
-    async fn end_of(&self, order: &Order, outcome: AttemptOutcome) {
+    async fn end_of(&self, order: &EngineCommand, outcome: AttemptOutcome) {
         let heard = match order {
-            Order::Attempt { token, .. } => Heard::ended(*token, outcome),
-            Order::Probe { token, .. } => Heard::Probed { token: *token, answered: false, load: None },
+            EngineCommand::Send { token, .. } => RouterEvent::attempt_ended(*token, outcome),
+            EngineCommand::Probe { token, .. } => {
+                RouterEvent::ProbeEnded { token: *token, answered: false, load: None }
+            }
             _ => return,
         };
         let _ = self.shared.queue.send(heard).await;
@@ -385,7 +400,7 @@
 
     /// One connection, from when it is up to its end.
     async fn serve(self: &Rc<Self>, engine: EngineId, address: SocketAddr, wire: Wire) {
-        self.shared.counters.add(Kind::Engines, None);
+        self.shared.counters.add(Counter::EngineConnections, None);
         let link = Rc::new(Link::new(self.shared.clone(), engine, wire));
         match self.pools.borrow_mut().get_mut(&engine) {
             Some(pool) if pool.state != EngineState::Removed && pool.address == address => {
@@ -406,7 +421,7 @@
             Ok(Some(error)) => log::debug!("engine {engine:08x}: a connection ends: {error}"),
             Ok(None) => {}
             Err(_) => {
-                self.shared.counters.add(Kind::Panics, None);
+                self.shared.counters.add(Counter::Panics, None);
                 log::error!("engine {engine:08x}: a connection panicked and ends");
             }
         }
@@ -464,11 +479,11 @@
         while let Some(answer) = answers.next().await {
             let answer = answer.inspect_err(|error| {
                 if !matches!(error, Broken::Io(_)) {
-                    self.shared.counters.add(Kind::Spoilt, None);
+                    self.shared.counters.add(Counter::SpoiltConnections, None);
                 }
             })?;
             if let Some((token, heard)) = link.hear(answer).map_err(Broken::Bad)? {
-                if !matches!(heard, Heard::Noted { .. }) {
+                if !matches!(heard, RouterEvent::Progress { .. }) {
                     self.places.borrow_mut().remove(&token);
                 }
                 let _ = self.shared.queue.send(heard).await;
@@ -481,11 +496,11 @@
 }
 
 impl Pool {
-    fn new(listed: &Listed) -> Self {
+    fn new(listed: &Endpoint) -> Self {
         Pool {
             address: listed.address,
             state: listed.state,
-            started: listed.started,
+            started: listed.started_at,
             links: Vec::new(),
             connecting: 0,
             ending: 0,
@@ -500,7 +515,7 @@
     }
 
     /// The fullest connection that can take the order, so that others fall idle.
-    fn free(&self, order: &Order, streams: usize) -> Option<Rc<Link>> {
+    fn free(&self, order: &EngineCommand, streams: usize) -> Option<Rc<Link>> {
         let fits = |link: &&Rc<Link>| {
             link.free(streams) > 0 && order.request().is_none_or(|id| !link.has_carried(id))
         };
--- a/crates/edges/front/src/program/shared.rs
+++ b/crates/edges/front/src/program/shared.rs
@@ -4,7 +4,7 @@
 use crate::transport::{Pulse, Room};
 use async_executor::LocalExecutor;
 use lemonusher_deployment::{LoadFields, Settled};
-use lemonusher_routing::{Counters, Heard};
+use lemonusher_routing::{Counters, RouterEvent};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     pub settled: Settled,
     pub fields: LoadFields,
     pub counters: Rc<Counters>,
-    pub queue: async_channel::Sender<Heard>,
+    pub queue: async_channel::Sender<RouterEvent>,
     pub executor: Rc<LocalExecutor<'static>>,
     pub closing: std::cell::Cell<bool>,
     /// Bytes of answers that wait for clients to read them, and how many may.
--- a/crates/edges/front/src/program/start.rs
+++ b/crates/edges/front/src/program/start.rs
@@ -14,8 +14,11 @@
 use futures_lite::StreamExt;
 use lemonusher::{LoadReporting, RequestClassConfig};
 use lemonusher_deployment::{LoadFields, Settled, deployment, span};
-use lemonusher_membership::Wanted;
-use lemonusher_routing::{Clock, Counters, Heard, Limits, Managed, Noticed, Owner, Seen, Word};
+use lemonusher_membership::DesiredState;
+use lemonusher_routing::{
+    Clock, ControlUpdate, Counters, EngineNotification, Limits, ManagementCall, RequestRouter, RouterEvent,
+    ZoneObservation,
+};
 use serde::Deserialize;
 use serde_json::Value;
 use serde_json::value::RawValue;
@@ -103,10 +106,10 @@
 /// What stands beside the front when it is managed. On the platform there is none.
 pub struct Door {
     /// Requests of the managers' side; they join the owner's one queue.
-    pub requests: async_channel::Receiver<Managed>,
+    pub requests: async_channel::Receiver<ManagementCall>,
     /// What managers wanted when this front last ran.
-    pub wanted: Arc<Wanted>,
-    pub notices: async_channel::Sender<Noticed>,
+    pub wanted: Arc<DesiredState>,
+    pub notices: async_channel::Sender<EngineNotification>,
 }
 
 /// Names by which the deployment speaks of its places, machines and request classes, in the order of their
@@ -146,11 +149,11 @@
 
 /// What the fleet tells this front.
 pub struct Fleet {
-    pub words: async_channel::Receiver<Word>,
+    pub words: async_channel::Receiver<ControlUpdate>,
     /// Whether fronts agree on their parts of what they share.
     pub seats: bool,
     /// Where there is a plan for lost sites: its terms, and who is told what is seen.
-    pub sites: Option<(lemonusher_zone_failover::Terms, async_channel::Sender<Seen>)>,
+    pub sites: Option<(lemonusher_zone_failover::FailoverConfig, async_channel::Sender<ZoneObservation>)>,
     /// Whether engines are taken out for work: then none is used before it is known which are.
     pub works: bool,
 }
@@ -223,7 +226,7 @@
         }
         None => log::info!("front {} serves proxies, {} engine events known", told.name, known.1.len()),
     }
-    let mut owner = Owner::new(stated, seed, clock, limits, orders, counters.clone());
+    let mut owner = RequestRouter::new(stated, seed, clock, limits, orders, counters.clone());
     if let Some(door) = door {
         owner = owner.managed(door.wanted, door.notices);
         executor.spawn(hand_on(door.requests, queue.clone())).detach();
@@ -231,11 +234,15 @@
     if let Some(fleet) = fleet {
         // Before anything is heard, so that this front never counts on a part that it has no seat for.
         if fleet.seats {
-            let _ = queue.try_send(Heard::Fleet(Word::Share(0.0)));
+            let _ = queue.try_send(RouterEvent::Control(ControlUpdate::Quota(0.0)));
         }
         if fleet.works {
             let closed = Arc::default();
-            let _ = queue.try_send(Heard::Fleet(Word::Works { version: 0, sure: false, closed }));
+            let _ = queue.try_send(RouterEvent::Control(ControlUpdate::Maintenance {
+                version: 0,
+                complete: false,
+                closed,
+            }));
         }
         if let Some((terms, told)) = fleet.sites {
             owner = owner.watched(terms, told);
@@ -262,7 +269,7 @@
         shared.closing.set(true);
         // All is answered by then, and written and closed in order by the end.
         let (by, end) = (kill - CLOSING_MARGIN, told_at + kill - ENDING_MARGIN);
-        let _ = queue.send(Heard::Closing(by.saturating_sub(told_at.elapsed()))).await;
+        let _ = queue.send(RouterEvent::ShutDown(by.saturating_sub(told_at.elapsed()))).await;
         // Requests come for a while yet; then each connection ends once nothing is open on it.
         let still = (STILL_COMING * 2).min(by.saturating_sub(CLOSING_MARGIN)).max(STILL_COMING);
         Timer::at(told_at + still).await;
@@ -284,17 +291,23 @@
 }
 
 /// Managers' requests take their turn in the owner's queue like all else.
-async fn hand_on(requests: async_channel::Receiver<Managed>, queue: async_channel::Sender<Heard>) {
+async fn hand_on(
+    requests: async_channel::Receiver<ManagementCall>,
+    queue: async_channel::Sender<RouterEvent>,
+) {
     while let Ok(request) = requests.recv().await {
-        if queue.send(Heard::Managed(request)).await.is_err() {
+        if queue.send(RouterEvent::Management(request)).await.is_err() {
             return;
         }
     }
 }
 
-async fn hand_words_on(words: async_channel::Receiver<Word>, queue: async_channel::Sender<Heard>) {
+async fn hand_words_on(
+    words: async_channel::Receiver<ControlUpdate>,
+    queue: async_channel::Sender<RouterEvent>,
+) {
     while let Ok(word) = words.recv().await {
-        if queue.send(Heard::Fleet(word)).await.is_err() {
+        if queue.send(RouterEvent::Control(word)).await.is_err() {
             return;
         }
     }
--- a/crates/edges/managed/src/hub.rs
+++ b/crates/edges/managed/src/hub.rs
@@ -7,7 +7,7 @@
 use async_channel::Sender;
 use lemonusher_desired_state::Names;
 use lemonusher_model::{Schema, Tree};
-use lemonusher_routing::{Managed, Noticed, Snapshot};
+use lemonusher_routing::{EngineNotification, ManagementCall, Snapshot};
 use lemonusher_store::{
     Ask, Cause, Datastore, Plan, Record, Refused, Round, SessionId, Store, Told, Version,
 };
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone)]
 pub enum Happened {
     Committed(Arc<Version>),
-    Engine(Noticed),
+    Engine(EngineNotification),
 }
 
 struct Core {
@@ -42,7 +42,7 @@
     core: Mutex<Core>,
     lane: tokio::sync::Mutex<()>,
     parts: Vec<Arc<dyn Part>>,
-    requests: Sender<Managed>,
+    requests: Sender<ManagementCall>,
     began: Instant,
     freshness: Duration,
     latest: tokio::sync::Mutex<Option<(Instant, Arc<Snapshot>)>>,
@@ -59,7 +59,7 @@
         store: Store,
         disk: Option<Disk>,
         parts: Vec<Arc<dyn Part>>,
-        requests: Sender<Managed>,
+        requests: Sender<ManagementCall>,
         freshness: Duration,
     ) -> Arc<Hub> {
         Arc::new(Hub {
@@ -262,7 +262,7 @@
     }
 
     /// Passes the owner's notices on.
-    pub async fn hear(self: Arc<Self>, notices: async_channel::Receiver<Noticed>) {
+    pub async fn hear(self: Arc<Self>, notices: async_channel::Receiver<EngineNotification>) {
         while let Ok(noticed) = notices.recv().await {
             tracing::debug!(engine = format!("{:08x}", noticed.engine), "engine changed");
             let _ = self.happened.send(Happened::Engine(noticed));
@@ -278,7 +278,7 @@
             return Some(snapshot.clone());
         }
         let (reply, answer) = async_channel::bounded(1);
-        self.requests.send(Managed::Read { reply }).await.ok()?;
+        self.requests.send(ManagementCall::Read { reply }).await.ok()?;
         let snapshot = tokio::time::timeout(PART_PATIENCE, answer.recv()).await.ok()?.ok()?;
         let snapshot = Arc::new(snapshot);
         *latest = Some((Instant::now(), snapshot.clone()));
--- a/crates/edges/managed/src/parts.rs
+++ b/crates/edges/managed/src/parts.rs
@@ -3,7 +3,7 @@
 use async_channel::{Sender, bounded};
 use lemonusher_desired_state::Reader;
 use lemonusher_model::Schema;
-use lemonusher_routing::Managed;
+use lemonusher_routing::ManagementCall;
 use lemonusher_store::Version;
 use std::future::Future;
 use std::pin::Pin;
@@ -26,7 +26,7 @@
 pub(crate) struct OwnerPart {
     pub schema: Arc<Schema>,
     pub reader: Reader,
-    pub requests: Sender<Managed>,
+    pub requests: Sender<ManagementCall>,
 }
 
 impl Part for OwnerPart {
@@ -43,8 +43,8 @@
                 faults.iter().map(|fault| fault.to_string()).collect::<Vec<_>>().join("; ")
             })?;
             let (reply, answer) = bounded(1);
-            let wanted = Arc::new(wishes.wanted);
-            let request = Managed::Prepare { number: version.number, wanted, reply };
+            let wanted = Arc::new(wishes.desired_state);
+            let request = ManagementCall::Prepare { number: version.number, desired_state: wanted, reply };
             requests.send(request).await.map_err(|_| "it has ended".to_owned())?;
             answer.recv().await.map_err(|_| "it has ended".to_owned())?
         })
@@ -54,7 +54,7 @@
         let requests = self.requests.clone();
         Box::pin(async move {
             let (reply, answer) = bounded(1);
-            let request = Managed::Switch { number, reply };
+            let request = ManagementCall::Activate { number, reply };
             requests.send(request).await.map_err(|_| "it has ended".to_owned())?;
             answer.recv().await.map_err(|_| "it has ended".to_owned())?
         })
@@ -63,7 +63,7 @@
     fn abandon(&self, number: u64) -> PartFuture {
         let requests = self.requests.clone();
         Box::pin(async move {
-            let request = Managed::Abandon { number };
+            let request = ManagementCall::Discard { number };
             requests.send(request).await.map_err(|_| "it has ended".to_owned())
         })
     }
--- a/crates/edges/managed/src/start.rs
+++ b/crates/edges/managed/src/start.rs
@@ -6,9 +6,9 @@
 use crate::users::Users;
 use crate::{gnmi, netconf};
 use lemonusher_desired_state::{Names, Reader};
-use lemonusher_membership::Wanted;
+use lemonusher_membership::DesiredState;
 use lemonusher_model::Schema;
-use lemonusher_routing::{Managed, Noticed};
+use lemonusher_routing::{EngineNotification, ManagementCall};
 use lemonusher_store::{Bounds, Record, Store};
 use std::fmt;
 use std::io;
@@ -60,9 +60,9 @@
 
 /// What the front needs of the managed side.
 pub struct Started {
-    pub requests: async_channel::Receiver<Managed>,
-    pub wanted: Arc<Wanted>,
-    pub notices: async_channel::Sender<Noticed>,
+    pub requests: async_channel::Receiver<ManagementCall>,
+    pub wanted: Arc<DesiredState>,
+    pub notices: async_channel::Sender<EngineNotification>,
     pub gnmi: Option<SocketAddr>,
     pub netconf: Option<SocketAddr>,
     pub hub: Arc<Hub>,
@@ -155,7 +155,7 @@
     let address = |listener: &Option<TcpListener>| listener.as_ref().and_then(|l| l.local_addr().ok());
     let started = Started {
         requests: asked,
-        wanted: Arc::new(wishes.wanted),
+        wanted: Arc::new(wishes.desired_state),
         notices,
         gnmi: address(&gnmi_listener),
         netconf: address(&netconf_listener),
--- a/crates/edges/managed/src/state.rs
+++ b/crates/edges/managed/src/state.rs
@@ -2,7 +2,7 @@
 
 use lemonusher::EngineState;
 use lemonusher_desired_state::Names;
-use lemonusher_membership::Admin;
+use lemonusher_membership::AdminState;
 use lemonusher_model::{Fields, Node, NodeId, Pattern, Schema, Text, Tree};
 use lemonusher_routing::Snapshot;
 use lemonusher_store::{SessionId, Store};
@@ -135,7 +135,7 @@
         state.leaf("open-dispatches", snapshot.attempts);
         state.leaf("statement-bytes", snapshot.statement_bytes);
         state.leaf("deciding", snapshot.gateway.as_micros());
-        state.leaf("notices-lost", snapshot.unnoticed);
+        state.leaf("notices-lost", snapshot.dropped_notifications);
         if needs.counters {
             counters(&mut state, snapshot);
         }
@@ -199,23 +199,23 @@
         None => number.to_string(),
     };
     let entries = snapshot.engines.iter().map(|engine| {
-        let held = &engine.seen.entry;
+        let held = &engine.endpoint.entry;
         let mut entry = Maker::new(list.schema, list.holder);
         entry.leaf("id", format!("{:08x}", held.engine));
         if let Some(address) = engine.address {
             entry.leaf("address", address);
         }
-        entry.leaf("location", name(&sources.names.locations, held.zone));
-        entry.leaf("kind", name(&sources.names.kinds, held.machine_kind));
+        entry.leaf("location", name(&sources.names.zones, held.zone));
+        entry.leaf("kind", name(&sources.names.machine_kinds, held.machine_kind));
         entry.leaf("cell", held.cell);
         entry.leaf("listed", listed(held.state));
-        entry.leaf("admin-state", admin(engine.seen.admin));
-        entry.leaf("used", engine.seen.open());
-        entry.leaf("resting", engine.resting);
+        entry.leaf("admin-state", admin(engine.endpoint.admin));
+        entry.leaf("used", engine.endpoint.is_open());
+        entry.leaf("resting", engine.ejected);
         if !held.started_at.is_zero() {
             entry.leaf("age", snapshot.now.saturating_sub(held.started_at).as_millis());
         }
-        entry.leaf("out", engine.out);
+        entry.leaf("out", engine.in_flight);
         entry.fields
     });
     state.list("engine", entries);
@@ -229,11 +229,11 @@
     }
 }
 
-pub fn admin(admin: Admin) -> &'static str {
+pub fn admin(admin: AdminState) -> &'static str {
     match admin {
-        Admin::Enabled => "enabled",
-        Admin::Draining => "draining",
-        Admin::Disabled => "disabled",
+        AdminState::Enabled => "enabled",
+        AdminState::Draining => "draining",
+        AdminState::Disabled => "disabled",
     }
 }
 
--- a/crates/edges/managed/tests/parts.rs
+++ b/crates/edges/managed/tests/parts.rs
@@ -2,7 +2,7 @@
 
 use lemonusher_managed::{Names, Part, PartFuture, Started, Terms, Users, start};
 use lemonusher_model::{Node, Op, parse_path};
-use lemonusher_routing::Managed;
+use lemonusher_routing::ManagementCall;
 use lemonusher_store::{Commit, Edit, Protocol, Refused, Version};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -59,22 +59,22 @@
 }
 
 /// An owner that does what it is asked, and tells which version it last took up.
-fn owner(requests: async_channel::Receiver<Managed>, in_force: Arc<AtomicU64>) {
+fn owner(requests: async_channel::Receiver<ManagementCall>, in_force: Arc<AtomicU64>) {
     std::thread::spawn(move || {
         let mut ready = None;
         while let Ok(request) = requests.recv_blocking() {
             match request {
-                Managed::Prepare { number, reply, .. } => {
+                ManagementCall::Prepare { number, reply, .. } => {
                     ready = Some(number);
                     let _ = reply.try_send(Ok(()));
                 }
-                Managed::Switch { number, reply } => {
+                ManagementCall::Activate { number, reply } => {
                     assert_eq!(ready.take(), Some(number));
                     in_force.store(number, Ordering::SeqCst);
                     let _ = reply.try_send(Ok(()));
                 }
-                Managed::Abandon { number } => drop(ready.take_if(|held| *held == number)),
-                Managed::Read { .. } => {}
+                ManagementCall::Discard { number } => drop(ready.take_if(|held| *held == number)),
+                ManagementCall::Read { .. } => {}
             }
         }
     });
@@ -92,7 +92,7 @@
         netconf: None,
         users: Users::default(),
     };
-    let names = Names { locations: vec!["east".into()], kinds: Vec::new(), service_groups: Vec::new() };
+    let names = Names { zones: vec!["east".into()], machine_kinds: Vec::new(), service_groups: Vec::new() };
     start(terms, names, "n0".into(), Arc::new(|_| {}), vec![part]).map_err(|unfit| unfit.to_string()).unwrap()
 }
 
--- a/crates/edges/routing/src/counters.rs
+++ b/crates/edges/routing/src/counters.rs
@@ -6,24 +6,24 @@
 
 /// What is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
-    Taken,
-    Dispatched,
+pub enum Counter {
+    Received,
+    Attempts,
     Returned,
-    PushedBack,
-    Errored,
-    Left,
-    Cancelled,
-    Moved,
+    Rejected,
+    Failed,
+    ClientGone,
+    Cancels,
+    Retries,
     AttemptOutcome(&'static str),
-    Probed,
-    ProbeFailed,
-    Connections,
-    Faulty,
-    NoRoom,
-    Engines,
-    Stray,
-    Spoilt,
+    Probes,
+    ProbeFailures,
+    ClientConnections,
+    FaultyLines,
+    LinesWithoutRoom,
+    EngineConnections,
+    StrayAnswers,
+    SpoiltConnections,
     ChannelEvents,
     Panics,
 }
@@ -32,7 +32,7 @@
 #[derive(Default)]
 pub struct Counters {
     names: Vec<String>,
-    counts: RefCell<BTreeMap<(Kind, Option<usize>), u64>>,
+    counts: RefCell<BTreeMap<(Counter, Option<usize>), u64>>,
     /// Time that the gateway has taken to decide.
     gateway: Cell<Duration>,
     /// Requests, attempts and engines in the tables now.
@@ -44,7 +44,7 @@
         Counters { names: service_groups, ..Counters::default() }
     }
 
-    pub fn add(&self, kind: Kind, service_group: Option<usize>) {
+    pub fn add(&self, kind: Counter, service_group: Option<usize>) {
         *self.counts.borrow_mut().entry((kind, service_group)).or_default() += 1;
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// Every count, in the order of the line.
-    pub fn all(&self) -> Vec<(Kind, Option<usize>, u64)> {
+    pub fn all(&self) -> Vec<(Counter, Option<usize>, u64)> {
         self.counts.borrow().iter().map(|((kind, group), count)| (*kind, *group, *count)).collect()
     }
 
@@ -93,28 +93,28 @@
     }
 }
 
-impl fmt::Display for Kind {
+impl fmt::Display for Counter {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Kind::Taken => "taken",
-            Kind::Dispatched => "dispatched",
-            Kind::Returned => "returned",
-            Kind::PushedBack => "pushed back",
-            Kind::Errored => "errored",
-            Kind::Left => "left",
-            Kind::Cancelled => "cancels",
-            Kind::Moved => "further dispatches",
-            Kind::AttemptOutcome(name) => return write!(f, "dispatch ended {name}"),
-            Kind::Probed => "probes",
-            Kind::ProbeFailed => "probes failed",
-            Kind::Connections => "client connections",
-            Kind::Faulty => "faulty lines",
-            Kind::NoRoom => "lines with no room",
-            Kind::Engines => "engine connections",
-            Kind::Stray => "stray answers",
-            Kind::Spoilt => "engine connections spoilt",
-            Kind::ChannelEvents => "channel events",
-            Kind::Panics => "panics",
+            Counter::Received => "taken",
+            Counter::Attempts => "dispatched",
+            Counter::Returned => "returned",
+            Counter::Rejected => "pushed back",
+            Counter::Failed => "errored",
+            Counter::ClientGone => "left",
+            Counter::Cancels => "cancels",
+            Counter::Retries => "further dispatches",
+            Counter::AttemptOutcome(name) => return write!(f, "dispatch ended {name}"),
+            Counter::Probes => "probes",
+            Counter::ProbeFailures => "probes failed",
+            Counter::ClientConnections => "client connections",
+            Counter::FaultyLines => "faulty lines",
+            Counter::LinesWithoutRoom => "lines with no room",
+            Counter::EngineConnections => "engine connections",
+            Counter::StrayAnswers => "stray answers",
+            Counter::SpoiltConnections => "engine connections spoilt",
+            Counter::ChannelEvents => "channel events",
+            Counter::Panics => "panics",
         })
     }
 }
--- a/crates/edges/routing/src/lib.rs
+++ b/crates/edges/routing/src/lib.rs
@@ -3,21 +3,21 @@
 
 mod clock;
 mod counters;
-mod managed;
-mod owner;
-mod watched;
+mod management;
+mod router;
+mod zone_monitor;
 
 pub use clock::Clock;
-pub use counters::{Counters, Kind};
-pub use managed::{Engine, Managed, Noticed, Snapshot};
-pub use owner::{Limits, Owner};
-pub use watched::{Seen, groups};
+pub use counters::{Counter, Counters};
+pub use management::{EngineNotification, EngineStatus, ManagementCall, Snapshot};
+pub use router::{Limits, RequestRouter};
+pub use zone_monitor::{ZoneObservation, groups};
 
 use lemonusher::{
     AttemptOutcome, AttemptProgress, EndpointUpdateKind, EngineId, EngineState, LoadReport, RequestId,
     ResourceUsage,
 };
-use lemonusher_zone_failover::Effect;
+use lemonusher_zone_failover::PlanEffect;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
@@ -28,107 +28,107 @@
 pub type Token = u64;
 
 /// Where the answer to a request goes.
-pub trait Asker {
+pub trait ResponseSink {
     /// Gives the one final answer to what came under this ticket.
-    fn answer(&self, ticket: u64, answer: Answer);
+    fn respond(&self, ticket: u64, answer: Response);
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Answer {
+pub enum Response {
     Returned(Vec<u8>),
-    PushedBack(Option<Duration>),
-    Errored,
+    Rejected(Option<Duration>),
+    Failed,
 }
 
 /// A request as its client sent it.
-pub struct Taken {
-    pub asker: Rc<dyn Asker>,
+pub struct IncomingRequest {
+    pub sink: Rc<dyn ResponseSink>,
     pub ticket: u64,
     pub request: RequestId,
     pub service_group: usize,
     pub table_group: u64,
-    pub patience: Duration,
-    pub repeat: bool,
+    pub client_timeout: Duration,
+    pub client_retry: bool,
     pub statement: Rc<[u8]>,
 }
 
 /// An engine as the list names it.
 #[derive(Debug, Clone)]
-pub struct Listed {
+pub struct Endpoint {
     pub engine: EngineId,
     pub address: SocketAddr,
-    pub location: u32,
-    pub kind: u32,
+    pub zone: u32,
+    pub machine_kind: u32,
     pub cell: u32,
     pub state: EngineState,
     /// Unix time of a late start.
-    pub started: Option<Duration>,
+    pub started_at: Option<Duration>,
 }
 
 /// What the owner hears.
-pub enum Heard {
-    Taken(Taken),
+pub enum RouterEvent {
+    Request(IncomingRequest),
     /// Who asked for this request under this ticket no longer waits.
-    Left {
-        asker: Rc<dyn Asker>,
+    ClientGone {
+        sink: Rc<dyn ResponseSink>,
         ticket: u64,
         request: RequestId,
     },
-    Roster(EndpointUpdateKind, Vec<Listed>),
+    Endpoints(EndpointUpdateKind, Vec<Endpoint>),
     /// The one outcome of an attempt; what it returned, if it did.
-    Ended {
+    AttemptEnded {
         token: Token,
         outcome: AttemptOutcome,
-        cost: Option<ResourceUsage>,
+        usage: Option<ResourceUsage>,
         load: Option<LoadReport>,
-        rows: Vec<u8>,
+        body: Vec<u8>,
     },
-    Noted {
+    Progress {
         token: Token,
-        note: AttemptProgress,
+        progress: AttemptProgress,
     },
     /// The one outcome of a probe.
-    Probed {
+    ProbeEnded {
         token: Token,
         answered: bool,
         load: Option<LoadReport>,
     },
     /// The fleet says.
-    Fleet(Word),
+    Control(ControlUpdate),
     /// A manager's part asks.
-    Managed(Managed),
+    Management(ManagementCall),
     /// The front has been told to end: all is to be answered within this time.
-    Closing(Duration),
+    ShutDown(Duration),
 }
 
 /// What the fleet, where there is one, tells its front.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Word {
+pub enum ControlUpdate {
     /// The part of what all fronts share that this one may use from now on.
-    Share(f64),
+    Quota(f64),
     /// What the plan for lost sites means here from now on.
-    Sites(Arc<Effect>),
+    ZonePlan(Arc<PlanEffect>),
     /// Engines that are out for work, up to this version; unless it is sure of all works, all count as out.
-    Works { version: u64, sure: bool, closed: Arc<BTreeSet<EngineId>> },
+    Maintenance { version: u64, complete: bool, closed: Arc<BTreeSet<EngineId>> },
 }
 
 /// What the owner wants of the engines' side.
 #[derive(Debug, Clone)]
-pub enum Order {
-    Roster(EndpointUpdateKind, Vec<Listed>),
-    Attempt {
+pub enum EngineCommand {
+    Endpoints(EndpointUpdateKind, Vec<Endpoint>),
+    Send {
         token: Token,
         engine: EngineId,
         request: RequestId,
         service_group: usize,
         statement: Rc<[u8]>,
-        terms: Terms,
+        conditions: WriteConditions,
         priority: u8,
         memory_mb: f64,
     },
     /// Takes an attempt back if none of it has been written yet; else it goes on.
     Withdraw(Token),
-    Weigh {
+    SetPriority {
         token: Token,
         priority: u8,
     },
@@ -142,40 +142,40 @@
 
 /// What has to hold at the very moment in which an attempt is written: it may have waited for a connection.
 #[derive(Debug, Clone)]
-pub struct Terms {
+pub struct WriteConditions {
     /// Its request is over by then.
     pub until: Instant,
     /// It may not begin later than this.
-    pub begin_by: Option<Instant>,
+    pub start_by: Option<Instant>,
     /// Alive for as long as somebody waits for its request.
     wanted: Weak<()>,
 }
 
-impl Terms {
+impl WriteConditions {
     /// Whether it may still be written.
     pub fn hold(&self, now: Instant) -> bool {
-        self.wanted.strong_count() > 0 && now < self.until && self.begin_by.is_none_or(|by| now < by)
+        self.wanted.strong_count() > 0 && now < self.until && self.start_by.is_none_or(|by| now < by)
     }
 }
 
-impl Heard {
+impl RouterEvent {
     /// An attempt that ended without rows.
-    pub fn ended(token: Token, outcome: AttemptOutcome) -> Self {
-        Heard::Ended { token, outcome, cost: None, load: None, rows: Vec::new() }
+    pub fn attempt_ended(token: Token, outcome: AttemptOutcome) -> Self {
+        RouterEvent::AttemptEnded { token, outcome, usage: None, load: None, body: Vec::new() }
     }
 }
 
-impl Order {
+impl EngineCommand {
     /// Of an attempt or probe.
     pub fn token(&self) -> Option<Token> {
         match self {
-            Order::Attempt { token, .. } | Order::Probe { token, .. } => Some(*token),
+            EngineCommand::Send { token, .. } | EngineCommand::Probe { token, .. } => Some(*token),
             _ => None,
         }
     }
 
     /// The id that it would go under, where that may have been out before.
     pub fn request(&self) -> Option<&RequestId> {
-        if let Order::Attempt { request, .. } = self { Some(request) } else { None }
+        if let EngineCommand::Send { request, .. } = self { Some(request) } else { None }
     }
 }
--- a/crates/edges/routing/src/managed.rs
+++ b/crates/edges/routing/src/management.rs
@@ -1,27 +1,27 @@
 //! What the managers' side asks of the owner, and what it is told. All of it may cross threads.
 
-use crate::Kind;
+use crate::Counter;
 use async_channel::Sender;
 use lemonusher::{EngineId, EngineState};
-use lemonusher_membership::{Admin, Seen, Wanted};
+use lemonusher_membership::{AdminState, DesiredState, EndpointStatus};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-pub enum Managed {
+pub enum ManagementCall {
     /// Looks at these wishes, and holds them ready or declines.
     Prepare {
         number: u64,
-        wanted: Arc<Wanted>,
+        desired_state: Arc<DesiredState>,
         reply: Sender<Result<(), String>>,
     },
     /// Puts what was prepared in force, all at once.
-    Switch {
+    Activate {
         number: u64,
         reply: Sender<Result<(), String>>,
     },
     /// Forgets what was prepared.
-    Abandon {
+    Discard {
         number: u64,
     },
     Read {
@@ -31,21 +31,21 @@
 
 /// An engine's state has changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Noticed {
+pub struct EngineNotification {
     pub engine: EngineId,
     pub state: EngineState,
-    pub admin: Admin,
+    pub admin: AdminState,
     pub barred: u64,
 }
 
 #[derive(Debug, Clone)]
-pub struct Engine {
-    pub seen: Seen,
+pub struct EngineStatus {
+    pub endpoint: EndpointStatus,
     pub address: Option<SocketAddr>,
     /// Attempts out there, of this front.
-    pub out: u32,
+    pub in_flight: u32,
     /// Nothing is sent there for now, after faults.
-    pub resting: bool,
+    pub ejected: bool,
 }
 
 /// The front as it stands between two events.
@@ -53,13 +53,13 @@
 pub struct Snapshot {
     /// Since the clock's origin.
     pub now: Duration,
-    pub counts: Vec<(Kind, Option<usize>, u64)>,
+    pub counts: Vec<(Counter, Option<usize>, u64)>,
     pub names: Vec<String>,
     pub requests: usize,
     pub attempts: usize,
     pub statement_bytes: usize,
     pub gateway: Duration,
     /// Notices lost because nobody took them in time.
-    pub unnoticed: u64,
-    pub engines: Vec<Engine>,
+    pub dropped_notifications: u64,
+    pub engines: Vec<EngineStatus>,
 }
