--- a/crates/edges/routing/src/owner.rs
+++ b/crates/edges/routing/src/router.rs
@@ -1,7 +1,10 @@
 use super::counters::name;
-use super::{Answer, Asker, Clock, Counters, Heard, Kind, Listed, Order, Taken, Terms, Token, Word};
-use crate::managed::{Engine, Managed, Noticed, Snapshot};
-use crate::watched::{Seen, Watched, ended};
+use super::{
+    Clock, ControlUpdate, Counter, Counters, Endpoint, EngineCommand, IncomingRequest, Response,
+    ResponseSink, RouterEvent, Token, WriteConditions,
+};
+use crate::management::{EngineNotification, EngineStatus, ManagementCall, Snapshot};
+use crate::zone_monitor::{Watched, ZoneObservation, ended};
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::FutureExt;
@@ -9,8 +12,8 @@
     Action, Arrival, AttemptEnd, AttemptOutcome, Deployment, EndpointUpdateKind, EngineEntry, EngineId,
     EngineState, Event, Gateway, RequestId,
 };
-use lemonusher_membership::{Change, Closure, Door, Table, Wanted};
-use lemonusher_zone_failover::{Effect, Terms as SiteTerms};
+use lemonusher_membership::{AdmissionLimiter, DesiredState, EndpointChange, EndpointTable, ZoneRestriction};
+use lemonusher_zone_failover::{FailoverConfig, PlanEffect};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -36,7 +39,7 @@
 }
 
 struct Held {
-    asker: Rc<dyn Asker>,
+    asker: Rc<dyn ResponseSink>,
     ticket: u64,
     service_group: usize,
     statement: Rc<[u8]>,
@@ -59,12 +62,12 @@
 }
 
 /// Owns the gateway, the clock and the tables of requests and attempts.
-pub struct Owner {
+pub struct RequestRouter {
     stated: Deployment,
     gateway: Gateway,
     clock: Clock,
     limits: Limits,
-    orders: Sender<Order>,
+    orders: Sender<EngineCommand>,
     counters: Rc<Counters>,
     /// Requests that are owed an answer, shared with what waits for the end.
     open: Rc<Cell<usize>>,
@@ -77,19 +80,19 @@
     /// By when attempts have to begin, where that is bound.
     begins: BTreeSet<(Duration, Token)>,
     next: Token,
-    table: Table,
-    door: Door,
+    table: EndpointTable,
+    door: AdmissionLimiter,
     addresses: BTreeMap<EngineId, SocketAddr>,
     /// Wishes that were prepared and wait for the word to switch.
-    prepared: Option<(u64, Arc<Wanted>)>,
-    notices: Option<Sender<Noticed>>,
+    prepared: Option<(u64, Arc<DesiredState>)>,
+    notices: Option<Sender<EngineNotification>>,
     watched: Option<Watched>,
     /// Notices for which there was no room.
     unnoticed: u64,
     /// What the carrying out of actions has brought; heard in the next turn.
-    at_once: VecDeque<Heard>,
+    at_once: VecDeque<RouterEvent>,
     /// Orders that the engines' side has no room for yet, in turn.
-    late: VecDeque<Order>,
+    late: VecDeque<EngineCommand>,
     /// When the gateway decided last, and whether it has heard anything since.
     decided: Duration,
     undecided: bool,
@@ -97,13 +100,13 @@
     armed: Option<Duration>,
 }
 
-impl Owner {
+impl RequestRouter {
     pub fn new(
         stated: Deployment,
         seed: u64,
         clock: Clock,
         limits: Limits,
-        orders: Sender<Order>,
+        orders: Sender<EngineCommand>,
         counters: Rc<Counters>,
     ) -> Self {
         let longest = if stated.capabilities.retry_after {
@@ -111,11 +114,11 @@
         } else {
             Duration::ZERO
         };
-        let door = Door::new(stated.request_classes.len(), longest);
+        let door = AdmissionLimiter::new(stated.request_classes.len(), longest);
         let mut gateway = Gateway::new(stated.clone(), seed);
         // What an engine was sent by a process before this one is not known here.
         gateway.handle_event(clock.at_start(), Event::TimerFired);
-        Owner {
+        RequestRouter {
             gateway,
             stated,
             clock,
@@ -131,7 +134,7 @@
             wakes: BTreeSet::new(),
             begins: BTreeSet::new(),
             next: 0,
-            table: Table::default(),
+            table: EndpointTable::default(),
             door,
             addresses: BTreeMap::new(),
             prepared: None,
@@ -148,15 +151,15 @@
     }
 
     /// What managers wanted when this front last ran: in force before anything is heard.
-    pub fn managed(mut self, wanted: Arc<Wanted>, notices: Sender<Noticed>) -> Self {
+    pub fn managed(mut self, wanted: Arc<DesiredState>, notices: Sender<EngineNotification>) -> Self {
         self.door.set(wanted.limits());
-        self.table = Table::new(wanted);
+        self.table = EndpointTable::new(wanted);
         self.notices = Some(notices);
         self
     }
 
     /// Tells the fleet what is seen of the sites, and follows its plan.
-    pub fn watched(mut self, terms: SiteTerms, told: Sender<Seen>) -> Self {
+    pub fn watched(mut self, terms: FailoverConfig, told: Sender<ZoneObservation>) -> Self {
         let now = self.clock.now();
         self.watched = Some(Watched::new(now, &self.stated, terms, told));
         self.wakes.insert(now);
@@ -169,7 +172,7 @@
     }
 
     /// Runs until the queue is closed.
-    pub async fn run(mut self, queue: Receiver<Heard>) {
+    pub async fn run(mut self, queue: Receiver<RouterEvent>) {
         loop {
             let mut first = None;
             if self.at_once.is_empty() {
@@ -179,7 +182,7 @@
                     None => {}
                 }
             }
-            let mut turn: Vec<Heard> = self.at_once.drain(..).chain(first).collect();
+            let mut turn: Vec<RouterEvent> = self.at_once.drain(..).chain(first).collect();
             while turn.len() < MOST_IN_A_TURN
                 && let Ok(heard) = queue.try_recv()
             {
@@ -195,7 +198,10 @@
     }
 
     /// The next that is heard, or nothing if something is due before.
-    async fn wait(&mut self, queue: &Receiver<Heard>) -> Option<Result<Heard, async_channel::RecvError>> {
+    async fn wait(
+        &mut self,
+        queue: &Receiver<RouterEvent>,
+    ) -> Option<Result<RouterEvent, async_channel::RecvError>> {
         let decision = self.undecided.then_some(self.decided + self.stated.tick);
         let wake = self.wakes.first().copied();
         let dates = self.due.first().into_iter().chain(self.begins.first()).map(|date| date.0);
@@ -222,7 +228,7 @@
 
     /// Tells the gateway all that was heard and is due. It decides once a tick at most, as what comes together
     /// is better decided together; what a decision wants is carried out at once.
-    fn turn(&mut self, now: Duration, turn: Vec<Heard>) {
+    fn turn(&mut self, now: Duration, turn: Vec<RouterEvent>) {
         self.hand_over();
         self.undecided |= !turn.is_empty();
         for heard in turn {
@@ -231,13 +237,13 @@
         while let Some((at, token)) = self.due.first().copied().filter(|(at, _)| *at <= now) {
             self.due.remove(&(at, token));
             self.undecided = true;
-            self.order(Order::Cancel(token));
-            self.hear(now, Heard::ended(token, AttemptOutcome::TimedOut));
-            self.hear(now, Heard::Probed { token, answered: false, load: None });
+            self.order(EngineCommand::Cancel(token));
+            self.hear(now, RouterEvent::attempt_ended(token, AttemptOutcome::TimedOut));
+            self.hear(now, RouterEvent::ProbeEnded { token, answered: false, load: None });
         }
         while let Some((at, token)) = self.begins.first().copied().filter(|(at, _)| *at <= now) {
             self.begins.remove(&(at, token));
-            self.order(Order::Withdraw(token));
+            self.order(EngineCommand::Withdraw(token));
         }
         if self.wakes.first().is_some_and(|at| *at <= now) {
             self.wakes = self.wakes.split_off(&(now + Duration::from_nanos(1)));
@@ -264,19 +270,19 @@
         }
     }
 
-    fn hear(&mut self, now: Duration, heard: Heard) {
+    fn hear(&mut self, now: Duration, heard: RouterEvent) {
         match heard {
-            Heard::Taken(taken) => self.take(now, taken),
-            Heard::Left { asker, ticket, request } => {
+            RouterEvent::Request(taken) => self.take(now, taken),
+            RouterEvent::ClientGone { sink: asker, ticket, request } => {
                 let theirs = |held: &&Held| held.ticket == ticket && Rc::ptr_eq(&held.asker, &asker);
                 if let Some(held) = self.requests.get(&request).filter(theirs) {
-                    self.counters.add(Kind::Left, Some(held.service_group));
+                    self.counters.add(Counter::ClientGone, Some(held.service_group));
                     self.close(&request);
                     self.gateway.handle_event(now, Event::ClientGone(request));
                 }
             }
-            Heard::Roster(kind, listed) => self.hear_roster(now, kind, listed),
-            Heard::Ended { token, outcome, cost, load, rows } => {
+            RouterEvent::Endpoints(kind, listed) => self.hear_roster(now, kind, listed),
+            RouterEvent::AttemptEnded { token, outcome, usage: cost, load, body: rows } => {
                 let Some(flight) = self.flights.remove(&token) else { return };
                 if let Some(watched) = &mut self.watched {
                     let threads = self
@@ -286,11 +292,11 @@
                         .map_or(1.0, |terms| terms.threads);
                     let span = now.saturating_sub(flight.at);
                     let ended = ended(outcome, span, cost.map(|cost| cost.work), threads);
-                    watched.eyes.ended(now, flight.engine, flight.service_group, ended);
+                    watched.eyes.attempt_ended(now, flight.engine, flight.service_group, ended);
                     watched.ended(now, flight.engine, outcome);
                 }
                 self.due.remove(&(flight.until, token));
-                self.counters.add(Kind::AttemptOutcome(name(outcome)), Some(flight.service_group));
+                self.counters.add(Counter::AttemptOutcome(name(outcome)), Some(flight.service_group));
                 log::debug!(
                     "batch" = &*flight.request, engine = flight.engine;
                     "batch {} dispatch {} on engine {:08x} ended {} after {:?}",
@@ -301,7 +307,7 @@
                     now.saturating_sub(flight.at)
                 );
                 if outcome == AttemptOutcome::Returned {
-                    self.answer(&flight.request, Answer::Returned(rows));
+                    self.answer(&flight.request, Response::Returned(rows));
                 }
                 let ending = AttemptEnd {
                     request_finished: !self.requests.contains_key(&flight.request),
@@ -315,81 +321,83 @@
                 };
                 self.gateway.handle_event(now, Event::AttemptEnded(ending));
             }
-            Heard::Noted { token, note } => {
+            RouterEvent::Progress { token, progress: note } => {
                 let Some(flight) = self.flights.get(&token) else { return };
                 let (request, attempt, engine) = (flight.request.clone(), flight.number, flight.engine);
                 if let Some(watched) = &mut self.watched {
-                    watched.eyes.heard(now, engine);
+                    watched.eyes.engine_answered(now, engine);
                 }
                 self.gateway.handle_event(now, Event::Progress { request, attempt, engine, progress: note });
             }
-            Heard::Probed { token, answered, load } => {
+            RouterEvent::ProbeEnded { token, answered, load } => {
                 let Some((engine, at)) = self.probes.remove(&token) else { return };
                 self.due.remove(&(at + self.limits.probe, token));
-                self.counters.add(if answered { Kind::Probed } else { Kind::ProbeFailed }, None);
+                self.counters.add(if answered { Counter::Probes } else { Counter::ProbeFailures }, None);
                 let after = now.saturating_sub(at);
                 if let Some(watched) = &mut self.watched {
                     watched.probed(now, engine, answered);
                 }
                 self.gateway.handle_event(now, Event::ProbeEnded { engine, answered, elapsed: after, load });
             }
-            Heard::Managed(managed) => self.manage(now, managed),
-            Heard::Fleet(Word::Share(part)) => self.gateway.handle_event(now, Event::Quota(part)),
-            Heard::Fleet(Word::Sites(effect)) => self.follow(now, &effect),
-            Heard::Fleet(Word::Works { version, sure, closed }) => {
+            RouterEvent::Management(managed) => self.manage(now, managed),
+            RouterEvent::Control(ControlUpdate::Quota(part)) => {
+                self.gateway.handle_event(now, Event::Quota(part))
+            }
+            RouterEvent::Control(ControlUpdate::ZonePlan(effect)) => self.follow(now, &effect),
+            RouterEvent::Control(ControlUpdate::Maintenance { version, complete: sure, closed }) => {
                 let Some(watched) = &mut self.watched else { return };
                 log::info!(
                     "works: version {version}, {}out: {closed:x?}",
                     if sure { "" } else { "not sure yet, " }
                 );
                 (watched.closed, watched.closed_by) = (closed.clone(), version);
-                let change = self.table.take_out(closed, !sure);
+                let change = self.table.set_out_of_service(closed, !sure);
                 self.change(now, EndpointUpdateKind::Delta, change);
             }
-            Heard::Closing(within) => {
+            RouterEvent::ShutDown(within) => {
                 log::info!("closing: {} batches are to be answered within {within:?}", self.requests.len());
                 self.gateway.handle_event(now, Event::ShuttingDown { deadline: now + within });
             }
         }
     }
 
-    fn take(&mut self, now: Duration, taken: Taken) {
+    fn take(&mut self, now: Duration, taken: IncomingRequest) {
         let group = Some(taken.service_group);
-        self.counters.add(Kind::Taken, group);
+        self.counters.add(Counter::Received, group);
         let full =
             self.requests.len() >= self.limits.open || self.bytes + taken.statement.len() > self.limits.bytes;
         if full {
-            self.counters.add(Kind::PushedBack, group);
-            return taken.asker.answer(taken.ticket, Answer::PushedBack(None));
+            self.counters.add(Counter::Rejected, group);
+            return taken.sink.respond(taken.ticket, Response::Rejected(None));
         }
         if let Some(watched) = &mut self.watched {
-            watched.eyes.taken(taken.service_group);
-            if let Err(wait) = watched.door.enter(taken.service_group) {
-                self.counters.add(Kind::PushedBack, group);
+            watched.eyes.request_arrived(taken.service_group);
+            if let Err(wait) = watched.door.admit(taken.service_group) {
+                self.counters.add(Counter::Rejected, group);
                 let wait = wait.min(self.stated.capabilities.max_retry_after);
                 let wait = Some(wait).filter(|_| self.stated.capabilities.retry_after);
-                return taken.asker.answer(taken.ticket, Answer::PushedBack(wait));
+                return taken.sink.respond(taken.ticket, Response::Rejected(wait));
             }
         }
-        if let Err(wait) = self.door.enter(now, taken.service_group) {
-            self.counters.add(Kind::PushedBack, group);
+        if let Err(wait) = self.door.admit(now, taken.service_group) {
+            self.counters.add(Counter::Rejected, group);
             let wait = Some(wait).filter(|_| self.stated.capabilities.retry_after);
-            return taken.asker.answer(taken.ticket, Answer::PushedBack(wait));
+            return taken.sink.respond(taken.ticket, Response::Rejected(wait));
         }
         if self.requests.contains_key(&taken.request)
             || self.flights.values().any(|f| f.request == taken.request)
         {
-            self.counters.add(Kind::Errored, group);
-            self.door.leave(now, taken.service_group);
-            return taken.asker.answer(taken.ticket, Answer::Errored);
+            self.counters.add(Counter::Failed, group);
+            self.door.release(now, taken.service_group);
+            return taken.sink.respond(taken.ticket, Response::Failed);
         }
         self.bytes += taken.statement.len();
         let held = Held {
-            asker: taken.asker,
+            asker: taken.sink,
             ticket: taken.ticket,
             service_group: taken.service_group,
             statement: taken.statement,
-            limit: now + taken.patience,
+            limit: now + taken.client_timeout,
             priority: 1,
             memory_mb: 0.0,
             attempts: 0,
@@ -403,16 +411,16 @@
                 request_class: taken.service_group,
                 table_group: taken.table_group,
                 key: None,
-                client_timeout: taken.patience,
+                client_timeout: taken.client_timeout,
                 work: None,
                 memory_mb: 0.0,
-                client_retry: taken.repeat,
+                client_retry: taken.client_retry,
             }),
         );
     }
 
-    fn hear_roster(&mut self, now: Duration, kind: EndpointUpdateKind, listed: Vec<Listed>) {
-        self.counters.add(Kind::ChannelEvents, None);
+    fn hear_roster(&mut self, now: Duration, kind: EndpointUpdateKind, listed: Vec<Endpoint>) {
+        self.counters.add(Counter::ChannelEvents, None);
         if kind != EndpointUpdateKind::Delta {
             self.addresses.clear();
         }
@@ -420,11 +428,11 @@
             .iter()
             .map(|one| EngineEntry {
                 engine: one.engine,
-                zone: one.location,
+                zone: one.zone,
                 cell: one.cell,
-                machine_kind: one.kind,
+                machine_kind: one.machine_kind,
                 state: one.state,
-                started_at: one.started.map_or(Duration::ZERO, |unix| {
+                started_at: one.started_at.map_or(Duration::ZERO, |unix| {
                     self.clock.of_start(unix, now, self.stated.safety_rules.slow_start_window)
                 }),
                 blocked_classes: 0,
@@ -433,9 +441,9 @@
         for (entry, one) in entries.iter().zip(&listed) {
             log::info!(
                 engine = entry.engine;
-                "engine {:08x} is {:?} in location {}, started {:?} ago",
+                "engine {:08x} is {} in location {}, started {:?} ago",
                 entry.engine,
-                entry.state,
+                log_name(entry.state),
                 entry.zone,
                 (!entry.started_at.is_zero()).then(|| now.saturating_sub(entry.started_at))
             );
@@ -447,17 +455,17 @@
         if let Some(watched) = &mut self.watched {
             watched.list(&self.stated, kind, &entries);
         }
-        self.order(Order::Roster(kind, listed));
-        let change = self.table.list(kind, entries);
+        self.order(EngineCommand::Endpoints(kind, listed));
+        let change = self.table.apply_list(kind, entries);
         self.change(now, kind, change);
     }
 
     /// Tells the gateway what has changed among the engines, and calls back what is to be called back.
-    fn change(&mut self, now: Duration, kind: EndpointUpdateKind, change: Change) {
+    fn change(&mut self, now: Duration, kind: EndpointUpdateKind, change: EndpointChange) {
         if self.notices.is_some() {
             for entry in &change.entries {
                 let admin = self.table.get(entry.engine).map(|seen| seen.admin).unwrap_or_default();
-                self.notice(Noticed {
+                self.notice(EngineNotification {
                     engine: entry.engine,
                     state: entry.state,
                     admin,
@@ -475,7 +483,7 @@
                 .map(|(token, _)| *token)
                 .collect();
             for token in out {
-                self.order(Order::Cancel(token));
+                self.order(EngineCommand::Cancel(token));
             }
         }
         if kind != EndpointUpdateKind::Delta || !change.entries.is_empty() {
@@ -484,26 +492,26 @@
     }
 
     /// The fleet's plan means this here from now on.
-    fn follow(&mut self, now: Duration, effect: &Effect) {
+    fn follow(&mut self, now: Duration, effect: &PlanEffect) {
         let Some(watched) = &mut self.watched else { return };
         watched.door.set(effect);
         log::info!(
             "sites: epoch {:?}{}, closed in part: {:?}, let in: {:?}",
             effect.epoch,
-            if effect.solitary { ", goes by itself" } else { "" },
-            effect.closures,
-            effect.admitted
+            if effect.isolated { ", goes by itself" } else { "" },
+            effect.restrictions,
+            effect.admitted_shares
         );
-        let closures = effect.closures.iter().map(|closure| Closure {
-            location: closure.site,
-            open: closure.open,
-            barred: closure.barred,
+        let closures = effect.restrictions.iter().map(|closure| ZoneRestriction {
+            zone: closure.zone,
+            open_permille: closure.open_permille,
+            blocked_classes: closure.blocked_classes,
         });
-        let change = self.table.close(closures.collect());
+        let change = self.table.apply_restrictions(closures.collect());
         self.change(now, EndpointUpdateKind::Delta, change);
     }
 
-    fn notice(&mut self, noticed: Noticed) {
+    fn notice(&mut self, noticed: EngineNotification) {
         if let Some(notices) = &self.notices
             && notices.try_send(noticed).is_err()
         {
@@ -512,9 +520,9 @@
     }
 
     /// What managers ask. Wishes are looked at first and take effect with the word to switch, all in one event.
-    fn manage(&mut self, now: Duration, managed: Managed) {
+    fn manage(&mut self, now: Duration, managed: ManagementCall) {
         match managed {
-            Managed::Prepare { number, wanted, reply } => {
+            ManagementCall::Prepare { number, desired_state: wanted, reply } => {
                 let groups = self.stated.request_classes.len();
                 let known = wanted.limits().len() <= groups;
                 let verdict =
@@ -524,21 +532,21 @@
                 }
                 let _ = reply.try_send(verdict);
             }
-            Managed::Switch { number, reply } => {
+            ManagementCall::Activate { number, reply } => {
                 let Some((_, wanted)) = self.prepared.take_if(|(prepared, _)| *prepared == number) else {
                     let _ = reply.try_send(Err(format!("commit {number} was not prepared")));
                     return;
                 };
                 log::info!(commit = number; "commit {number} takes effect");
                 self.door.set(wanted.limits());
-                let change = self.table.manage(wanted);
+                let change = self.table.apply_desired_state(wanted);
                 self.change(now, EndpointUpdateKind::Delta, change);
                 let _ = reply.try_send(Ok(()));
             }
-            Managed::Abandon { number } => {
+            ManagementCall::Discard { number } => {
                 self.prepared.take_if(|(prepared, _)| *prepared == number);
             }
-            Managed::Read { reply } => {
+            ManagementCall::Read { reply } => {
                 let _ = reply.try_send(self.snapshot(now));
             }
         }
@@ -550,11 +558,11 @@
             *out.entry(flight.engine).or_default() += 1;
         }
         let engines = (self.table.engines())
-            .map(|seen| Engine {
+            .map(|seen| EngineStatus {
                 address: self.addresses.get(&seen.entry.engine).copied(),
-                out: out.get(&seen.entry.engine).copied().unwrap_or_default(),
-                resting: self.gateway.is_ejected(now, seen.entry.engine),
-                seen: seen.clone(),
+                in_flight: out.get(&seen.entry.engine).copied().unwrap_or_default(),
+                ejected: self.gateway.is_ejected(now, seen.entry.engine),
+                endpoint: seen.clone(),
             })
             .collect();
         Snapshot {
@@ -565,7 +573,7 @@
             attempts: self.flights.len(),
             statement_bytes: self.bytes,
             gateway: self.counters.gateway(),
-            unnoticed: self.unnoticed,
+            dropped_notifications: self.unnoticed,
             engines,
         }
     }
@@ -583,7 +591,7 @@
                     })
                     .collect();
                 for token in out {
-                    self.order(Order::Weigh { token, priority });
+                    self.order(EngineCommand::SetPriority { token, priority });
                 }
             }
             Action::Send { request, engine, timeout: time_out, start_by: begin_by } => {
@@ -592,14 +600,14 @@
             Action::Cancel { request, attempt } => {
                 let flight = self.flights.iter().find(|(_, f)| f.request == request && f.number == attempt);
                 if let Some((token, flight)) = flight.map(|(t, f)| (*t, f)) {
-                    self.counters.add(Kind::Cancelled, Some(flight.service_group));
-                    self.order(Order::Cancel(token));
+                    self.counters.add(Counter::Cancels, Some(flight.service_group));
+                    self.order(EngineCommand::Cancel(token));
                 }
             }
             Action::Reject { request, retry_after: come_back } => {
-                self.answer(&request, Answer::PushedBack(come_back))
+                self.answer(&request, Response::Rejected(come_back))
             }
-            Action::Fail { request } => self.answer(&request, Answer::Errored),
+            Action::Fail { request } => self.answer(&request, Response::Failed),
             Action::SetTimer { at } => {
                 self.wakes.insert(at);
             }
@@ -607,10 +615,10 @@
                 let token = self.token();
                 self.probes.insert(token, (engine, now));
                 if let Some(watched) = &mut self.watched {
-                    watched.eyes.sent(now, engine);
+                    watched.eyes.attempt_sent(now, engine);
                 }
                 self.due.insert((now + self.limits.probe, token));
-                self.order(Order::Probe { token, engine });
+                self.order(EngineCommand::Probe { token, engine });
             }
             Action::WatchEndpoints => {} // The channel brings all changes anyway.
         }
@@ -627,19 +635,19 @@
         let token = self.token();
         let Some(held) = self.requests.get_mut(&request) else { return };
         let until = if time_out.is_zero() { held.limit } else { held.limit.min(now + time_out) };
-        self.counters.add(Kind::Dispatched, Some(held.service_group));
+        self.counters.add(Counter::Attempts, Some(held.service_group));
         if held.attempts > 0 {
-            self.counters.add(Kind::Moved, Some(held.service_group));
+            self.counters.add(Counter::Retries, Some(held.service_group));
         }
-        let order = Order::Attempt {
+        let order = EngineCommand::Send {
             token,
             engine,
             request: request.clone(),
             service_group: held.service_group,
             statement: held.statement.clone(),
-            terms: Terms {
+            conditions: WriteConditions {
                 until: self.clock.instant(until),
-                begin_by: begin_by.map(|by| self.clock.instant(by)),
+                start_by: begin_by.map(|by| self.clock.instant(by)),
                 wanted: Rc::downgrade(&held.wanted),
             },
             priority: held.priority,
@@ -656,7 +664,7 @@
         };
         held.attempts += 1;
         if let Some(watched) = &mut self.watched {
-            watched.eyes.sent(now, engine);
+            watched.eyes.attempt_sent(now, engine);
         }
         self.flights.insert(token, flight);
         self.due.insert((until, token));
@@ -671,14 +679,14 @@
 
     /// Hands an order to the engines' side, in turn. An attempt or probe for which there is no room at all is
     /// over at once: nothing was sent.
-    fn order(&mut self, order: Order) {
+    fn order(&mut self, order: EngineCommand) {
         let full = self.late.len() >= MOST_LATE;
         match order {
-            Order::Attempt { token, .. } if full => {
-                self.at_once.push_back(Heard::ended(token, AttemptOutcome::ConnectFailed));
+            EngineCommand::Send { token, .. } if full => {
+                self.at_once.push_back(RouterEvent::attempt_ended(token, AttemptOutcome::ConnectFailed));
             }
-            Order::Probe { token, .. } if full => {
-                self.at_once.push_back(Heard::Probed { token, answered: false, load: None });
+            EngineCommand::Probe { token, .. } if full => {
+                self.at_once.push_back(RouterEvent::ProbeEnded { token, answered: false, load: None });
             }
             order => self.late.push_back(order),
         }
@@ -695,16 +703,16 @@
         }
     }
 
-    fn answer(&mut self, request: &RequestId, answer: Answer) {
+    fn answer(&mut self, request: &RequestId, answer: Response) {
         let Some(held) = self.close(request) else { return };
         let kind = match &answer {
-            Answer::Returned(_) => Kind::Returned,
-            Answer::PushedBack(_) => Kind::PushedBack,
-            Answer::Errored => Kind::Errored,
+            Response::Returned(_) => Counter::Returned,
+            Response::Rejected(_) => Counter::Rejected,
+            Response::Failed => Counter::Failed,
         };
         self.counters.add(kind, Some(held.service_group));
         log::debug!("batch" = &**request; "batch {request} {kind}");
-        held.asker.answer(held.ticket, answer);
+        held.asker.respond(held.ticket, answer);
     }
 
     /// The request is owed nothing more; what is out of it still has its outcomes, and what waits to be written is not.
@@ -713,25 +721,25 @@
         if held.attempts > 0 {
             let out = self.flights.iter().filter(|(_, f)| f.request == *request);
             let out: Vec<Token> = out.map(|(token, _)| *token).collect();
-            out.into_iter().for_each(|token| self.order(Order::Withdraw(token)));
+            out.into_iter().for_each(|token| self.order(EngineCommand::Withdraw(token)));
         }
         self.bytes -= held.statement.len();
-        self.door.leave(self.clock.now(), held.service_group);
+        self.door.release(self.clock.now(), held.service_group);
         Some(held)
     }
 
     /// After a panic in the gateway: what it held is errored, which promises nothing, and a new one is told
     /// the list.
     fn start_over(&mut self, now: Duration) {
-        self.counters.add(Kind::Panics, None);
+        self.counters.add(Counter::Panics, None);
         log::error!("the gateway panicked: {} batches are errored, and it starts over", self.requests.len());
         let open: Vec<RequestId> = self.requests.keys().cloned().collect();
         for request in open {
-            self.answer(&request, Answer::Errored);
+            self.answer(&request, Response::Failed);
         }
         let out: Vec<Token> = self.flights.keys().chain(self.probes.keys()).copied().collect();
         for token in out {
-            self.order(Order::Cancel(token));
+            self.order(EngineCommand::Cancel(token));
         }
         self.flights.clear();
         self.probes.clear();
@@ -744,3 +752,12 @@
         self.wakes.insert(now);
     }
 }
+
+/// An engine's state as log lines name it.
+fn log_name(state: EngineState) -> &'static str {
+    match state {
+        EngineState::Active => "Active",
+        EngineState::Draining => "Leaving",
+        EngineState::Removed => "Left",
+    }
+}
--- a/crates/tools/scale/src/fleet/hollow.rs
+++ b/crates/tools/scale/src/fleet/hollow.rs
@@ -5,7 +5,7 @@
 use crate::process::thread_time;
 use async_channel::Sender;
 use lemonusher_fleet::{Birth, Census, Counts, Message, Node};
-use lemonusher_routing::Seen;
+use lemonusher_routing::ZoneObservation;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,7 +25,7 @@
     /// The number of this life, which parts its wake-ups from those of an earlier one.
     pub life: u64,
     location: u32,
-    sees: Option<Sender<Seen>>,
+    sees: Option<Sender<ZoneObservation>>,
     pub traffic: Traffic,
     /// What all calls into the state machine took.
     pub processor: Duration,
--- a/crates/tools/scale/src/fleet/setup.rs
+++ b/crates/tools/scale/src/fleet/setup.rs
@@ -4,8 +4,8 @@
 use crate::budget;
 use async_channel::Receiver;
 use lemonusher_fleet::{Key, SitesTerms, Task, Terms, WorksTerms};
-use lemonusher_leases::Terms as LeaseTerms;
-use lemonusher_routing::Seen;
+use lemonusher_leases::LeaseConfig as LeaseTerms;
+use lemonusher_routing::ZoneObservation;
 use lemonusher_zone_failover as zones;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -48,7 +48,11 @@
         Setup {
             fronts,
             voters: 3,
-            leases: LeaseTerms { lease: Duration::from_secs(3), drift: 20, act: Duration::from_secs(1) },
+            leases: LeaseTerms {
+                duration: Duration::from_secs(3),
+                clock_drift_permille: 20,
+                max_action_time: Duration::from_secs(1),
+            },
             seats: false,
             task: false,
             registers: Registers::None,
@@ -65,7 +69,7 @@
         listen: SocketAddr,
         voters: Vec<SocketAddr>,
         location: u32,
-        seen: Receiver<Seen>,
+        seen: Receiver<ZoneObservation>,
     ) -> Terms {
         let votes = front < self.voters;
         Terms {
@@ -89,12 +93,12 @@
     }
 
     fn works(&self) -> WorksTerms {
-        let terms = lemonusher_maintenance::Terms {
-            period: zone_terms().period,
-            fronts: (0..self.fronts).map(front_name).collect(),
-            keep: 0.9,
-            margin: 0.1,
-            steady: Duration::from_secs(10),
+        let terms = lemonusher_maintenance::MaintenanceConfig {
+            poll_interval: zone_terms().report_interval,
+            required_fronts: (0..self.fronts).map(front_name).collect(),
+            min_reserve: 0.9,
+            demand_margin: 0.1,
+            probation: Duration::from_secs(10),
         };
         WorksTerms { terms, tell: None }
     }
@@ -114,39 +118,39 @@
     Task { name: TASK.to_owned(), tell: None, every, takes: Duration::from_millis(100), fenced: true }
 }
 
-fn sites(seen: Receiver<Seen>) -> SitesTerms {
-    let group = zones::Group {
-        utility: 1.0,
+fn sites(seen: Receiver<ZoneObservation>) -> SitesTerms {
+    let group = zones::ClassLoad {
+        priority_weight: 1.0,
         work: 0.01,
         rate: 0.0,
-        goal: 0.1,
-        limit: 5.0,
-        floor: zone_terms().floor,
-        only: None,
+        latency_objective: 0.1,
+        deadline: 5.0,
+        floor: zone_terms().admission_floor,
+        allowed_zones: None,
     };
     SitesTerms { terms: zone_terms(), groups: vec![group; SERVICE_GROUPS], seen }
 }
 
 /// The defaults of an operator's file.
-pub fn zone_terms() -> zones::Terms {
+pub fn zone_terms() -> zones::FailoverConfig {
     let ms = Duration::from_millis;
-    zones::Terms {
-        period: ms(500),
-        confirm: ms(2_000),
-        steady: ms(4_000),
-        pace: ms(5_000),
-        wait: ms(5_000),
-        safe: 0.8,
-        floor: 0.05,
-        stale: ms(10_000),
+    zones::FailoverConfig {
+        report_interval: ms(500),
+        confirmation_time: ms(2_000),
+        probation: ms(4_000),
+        ramp_interval: ms(5_000),
+        recovery_backoff: ms(5_000),
+        max_utilization: 0.8,
+        admission_floor: 0.05,
+        plan_timeout: ms(10_000),
     }
 }
 
 /// What a front sees in a period in which all is well: each zone's engines answer.
-pub fn seen(location: u32) -> Seen {
+pub fn seen(location: u32) -> ZoneObservation {
     let engines_a_zone = budget::ENGINES / budget::ZONES;
-    let sights = (0..budget::ZONES).map(|site| zones::Sight {
-        site,
+    let sights = (0..budget::ZONES).map(|site| zones::ZoneStats {
+        zone: site,
         listed: engines_a_zone as u16,
         cores: engines_a_zone * CORES,
         answering: engines_a_zone as u16,
@@ -157,13 +161,13 @@
     });
     let rate = budget::REQUESTS_A_SECOND as f32 / SERVICE_GROUPS as f32;
     let demand = vec![zones::Demand { rate, work: 0.01 }; SERVICE_GROUPS];
-    let report = zones::Report { stands: location, sights: sights.collect(), demand };
+    let report = zones::FrontReport { zone: location, zones: sights.collect(), demand };
     let engine = |id: u32| (id, id % budget::ZONES, CORES, Some(true));
-    Seen {
+    ZoneObservation {
         report,
-        own: zones::Own::default(),
+        local: zones::LocalView::default(),
         closed_by: 0,
-        out: Default::default(),
+        in_flight: Default::default(),
         engines: (0..budget::ENGINES).map(engine).collect(),
     }
 }
--- a/crates/tools/scale/src/fleet/side_by_side.rs
+++ b/crates/tools/scale/src/fleet/side_by_side.rs
@@ -8,7 +8,7 @@
 use crate::watch::Watch;
 use async_channel::Sender;
 use lemonusher_fleet::{Counts, Kind};
-use lemonusher_routing::Seen;
+use lemonusher_routing::ZoneObservation;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -87,15 +87,15 @@
             return Err(io::Error::new(io::ErrorKind::TimedOut, "no hollow front got hold of the task"));
         }
         hollow.see();
-        hollow.run_for(zone_terms().period);
-        waited += zone_terms().period;
+        hollow.run_for(zone_terms().report_interval);
+        waited += zone_terms().report_interval;
     }
     Ok(())
 }
 
 /// Lets all fronts run, and tells them once a period what requests would have shown.
-fn run(hollow: &mut Loopback, sees: &Sender<Seen>, location: u32, span: Duration) -> Duration {
-    let period = zone_terms().period;
+fn run(hollow: &mut Loopback, sees: &Sender<ZoneObservation>, location: u32, span: Duration) -> Duration {
+    let period = zone_terms().report_interval;
     let mut lateness = Duration::ZERO;
     for _ in 0..span.as_nanos().div_ceil(period.as_nanos()) {
         let _ = sees.force_send(seen(location));
--- a/crates/tools/scale/src/fleet/simulation.rs
+++ b/crates/tools/scale/src/fleet/simulation.rs
@@ -226,7 +226,7 @@
         self.send(front, sent);
         self.schedule(front);
         if self.setup.registers != Registers::None {
-            let first = zone_terms().period.mul_f64(self.chance.f64());
+            let first = zone_terms().report_interval.mul_f64(self.chance.f64());
             self.push(now + first, front, What::See { life });
         }
     }
@@ -249,7 +249,7 @@
             return;
         };
         hollow.see();
-        self.push(self.now + zone_terms().period, front, What::See { life });
+        self.push(self.now + zone_terms().report_interval, front, What::See { life });
     }
 
     fn deliver(&mut self, front: usize, from: SocketAddr, kind: Kind, bytes: &[u8]) {
--- a/crates/tools/scale/src/managed/doors.rs
+++ b/crates/tools/scale/src/managed/doors.rs
@@ -3,7 +3,7 @@
 
 use crate::role::MeasureError;
 use lemonusher_managed::{GnmiTerms, Hub, Names, Started, Terms, Users, start};
-use lemonusher_routing::Managed;
+use lemonusher_routing::ManagementCall;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -40,8 +40,8 @@
 /// The names of a deployment, as a front's file states them.
 pub fn names() -> Names {
     Names {
-        locations: vec!["east".into(), "west".into()],
-        kinds: vec!["std".into()],
+        zones: vec!["east".into(), "west".into()],
+        machine_kinds: vec!["std".into()],
         service_groups: vec!["look-up".into()],
     }
 }
@@ -85,11 +85,13 @@
 }
 
 /// An owner that is always ready, and takes up whatever it is told.
-async fn agree(requests: async_channel::Receiver<Managed>) {
+async fn agree(requests: async_channel::Receiver<ManagementCall>) {
     while let Ok(request) = requests.recv().await {
         match request {
-            Managed::Prepare { reply, .. } | Managed::Switch { reply, .. } => drop(reply.try_send(Ok(()))),
-            Managed::Abandon { .. } | Managed::Read { .. } => {}
+            ManagementCall::Prepare { reply, .. } | ManagementCall::Activate { reply, .. } => {
+                drop(reply.try_send(Ok(())))
+            }
+            ManagementCall::Discard { .. } | ManagementCall::Read { .. } => {}
         }
     }
 }
--- a/crates/tools/scale/src/roles/maintenance/machines.rs
+++ b/crates/tools/scale/src/roles/maintenance/machines.rs
@@ -5,7 +5,8 @@
 use crate::budget;
 use crate::role::MeasureError;
 use lemonusher_maintenance::{
-    Fleet, Foreman, LetGo, MOST_AT_ONCE, MOST_MACHINES, Machine, Phase, Seen, Terms, Want, Work,
+    DrainConfirmation, FleetCapacity, FleetView, MAX_CONCURRENT, MAX_MACHINES, Machine, MaintenanceConfig,
+    MaintenanceCoordinator, MaintenanceRequest, Phase, RegisterAction,
 };
 use std::time::Duration;
 
@@ -17,13 +18,13 @@
 /// Turns at most for each machine of the request.
 const TURNS_A_MACHINE: usize = 40;
 
-fn terms() -> Terms {
-    Terms {
-        period: PERIOD,
-        fronts: (0..budget::FRONTS).map(name).collect(),
-        keep: 0.9,
-        margin: 0.1,
-        steady: PERIOD * 2,
+fn terms() -> MaintenanceConfig {
+    MaintenanceConfig {
+        poll_interval: PERIOD,
+        required_fronts: (0..budget::FRONTS).map(name).collect(),
+        min_reserve: 0.9,
+        demand_margin: 0.1,
+        probation: PERIOD * 2,
     }
 }
 
@@ -31,19 +32,19 @@
     format!("front-{front}")
 }
 
-fn fleet(machines: u32) -> Fleet {
+fn fleet(machines: u32) -> FleetCapacity {
     let entry = |machine| (machine, (zone(machine), f64::from(CORES), true));
-    Fleet { machines: (0..machines).map(entry).collect(), groups: sites::groups(machines) }
+    FleetCapacity { machines: (0..machines).map(entry).collect(), classes: sites::groups(machines) }
 }
 
 /// The register of the request: what stands there, and under which stamp.
 struct Register {
     stamp: (u64, u64),
-    work: Work,
+    work: MaintenanceRequest,
 }
 
 impl Register {
-    fn settle(&mut self, work: Work) {
+    fn settle(&mut self, work: MaintenanceRequest) {
         self.stamp.1 += 1;
         self.work = work;
     }
@@ -56,14 +57,14 @@
 
 /// Works off one request as large as a register holds.
 pub fn request(machines: u32, quick: bool) -> Result<Shown, MeasureError> {
-    let asked = if quick { QUICK_MACHINES } else { MOST_MACHINES }.min(machines as usize);
+    let asked = if quick { QUICK_MACHINES } else { MAX_MACHINES }.min(machines as usize);
     let wanted: Vec<Machine> =
         (0..machines).step_by((machines as usize / asked).max(1)).take(asked).collect();
-    let work = Work::new("operator", 0, MOST_AT_ONCE, OUT_SECONDS, &wanted);
+    let work = MaintenanceRequest::new("operator", 0, MAX_CONCURRENT, OUT_SECONDS, &wanted);
     let mut register = Register { stamp: (1, 1), work };
-    let (terms, seen) = (terms(), Seen { fleet: fleet(machines), ..Seen::default() });
-    let mut foreman = Foreman::default();
-    foreman.holds(Some(1));
+    let (terms, seen) = (terms(), FleetView { capacity: fleet(machines), ..FleetView::default() });
+    let mut foreman = MaintenanceCoordinator::default();
+    foreman.set_lease(Some(1));
     let (mut turns, mut now) = (Turns::default(), Duration::ZERO);
     let fronts: Vec<String> = (0..budget::FRONTS).map(name).collect();
     for _ in 0..asked * TURNS_A_MACHINE {
@@ -72,7 +73,7 @@
             tell(&mut foreman, &register, &fronts);
             act(&mut foreman, &mut register, now, &terms, &seen);
         });
-        if register.work.over() {
+        if register.work.is_over() {
             let more = vec![(DONE_AFTER, now.as_secs_f64())];
             return Ok(Shown { turns, bytes: bytes_of((foreman, seen)), more });
         }
@@ -82,24 +83,30 @@
 }
 
 /// Every front says each period what it has let go.
-fn tell(foreman: &mut Foreman, register: &Register, fronts: &[String]) {
+fn tell(foreman: &mut MaintenanceCoordinator, register: &Register, fronts: &[String]) {
     let draining = register.machines(|phase| phase == Phase::Draining);
-    let let_go = |machine| LetGo { work: NUMBER, stamp: register.stamp, machine };
-    let told: Vec<LetGo> = draining.into_iter().map(let_go).collect();
-    fronts.iter().for_each(|front| foreman.let_go(front, &told));
+    let let_go = |machine| DrainConfirmation { request: NUMBER, version: register.stamp, machine };
+    let told: Vec<DrainConfirmation> = draining.into_iter().map(let_go).collect();
+    fronts.iter().for_each(|front| foreman.handle_confirmations(front, &told));
 }
 
 /// One period of the holder: all reads are answered at once, and one change settled.
-fn act(foreman: &mut Foreman, register: &mut Register, now: Duration, terms: &Terms, seen: &Seen) {
-    while let Some(want) = foreman.turn(now, terms, seen) {
+fn act(
+    foreman: &mut MaintenanceCoordinator,
+    register: &mut Register,
+    now: Duration,
+    terms: &MaintenanceConfig,
+    seen: &FleetView,
+) {
+    while let Some(want) = foreman.poll(now, terms, seen) {
         match want {
-            Want::Read(NUMBER) => {
-                foreman.settled(now, NUMBER, Some((register.stamp, register.work.clone())));
+            RegisterAction::Read(NUMBER) => {
+                foreman.on_committed(now, NUMBER, Some((register.stamp, register.work.clone())));
             }
-            Want::Read(other) => foreman.settled(now, other, None),
-            Want::Settle(change) => {
+            RegisterAction::Read(other) => foreman.on_committed(now, other, None),
+            RegisterAction::Write(change) => {
                 register.settle(change.value);
-                foreman.settled(now, NUMBER, Some((register.stamp, register.work.clone())));
+                foreman.on_committed(now, NUMBER, Some((register.stamp, register.work.clone())));
                 return;
             }
         }
@@ -107,15 +114,15 @@
 }
 
 /// Whoever works on the machines says at once that they are back.
-fn work_done(foreman: &mut Foreman, register: &mut Register, now: Duration) {
+fn work_done(foreman: &mut MaintenanceCoordinator, register: &mut Register, now: Duration) {
     let released = register.machines(|phase| matches!(phase, Phase::Released { .. }));
     if released.is_empty() {
         return;
     }
     let mut work = register.work.clone();
     released.into_iter().for_each(|machine| {
-        work.back(machine);
+        work.mark_returned(machine);
     });
     register.settle(work);
-    foreman.hear(now, NUMBER, register.stamp, register.work.clone());
+    foreman.handle_request(now, NUMBER, register.stamp, register.work.clone());
 }
--- a/crates/tools/scale/src/roles/maintenance/sites.rs
+++ b/crates/tools/scale/src/roles/maintenance/sites.rs
@@ -3,7 +3,10 @@
 use super::{CORES, PERIOD, PLANNED_AFTER, REPORT, Shown, Turns, UTILIZATION, bytes_of, zone};
 use crate::budget;
 use crate::role::MeasureError;
-use lemonusher_zone_failover::{Demand, Ended, Eyes, Group, Holder, Plan, Report, Sight, State, Terms, Want};
+use lemonusher_zone_failover::{
+    AttemptResult, ClassLoad, Coordinator, Demand, FailoverConfig, FailoverPlan, FrontReport, Observer,
+    RegisterAction, ZoneState, ZoneStats,
+};
 use std::time::Duration;
 
 /// Periods before the zone is lost, and at most until the plan closes it.
@@ -20,39 +23,39 @@
 const WORKS: [f64; 4] = [0.01, 0.05, 0.5, 4.0];
 const SPAN: f64 = 0.02;
 
-pub fn terms() -> Terms {
-    Terms {
-        period: PERIOD,
-        confirm: PERIOD * 3,
-        steady: PERIOD * 4,
-        pace: PERIOD * 4,
-        wait: PERIOD * 8,
-        safe: 0.8,
-        floor: 0.1,
-        stale: PERIOD * 12,
+pub fn terms() -> FailoverConfig {
+    FailoverConfig {
+        report_interval: PERIOD,
+        confirmation_time: PERIOD * 3,
+        probation: PERIOD * 4,
+        ramp_interval: PERIOD * 4,
+        recovery_backoff: PERIOD * 8,
+        max_utilization: 0.8,
+        admission_floor: 0.1,
+        plan_timeout: PERIOD * 12,
     }
 }
 
 /// Request classes whose demand fills a part of this many machines, each group alike.
-pub fn groups(machines: u32) -> Vec<Group> {
+pub fn groups(machines: u32) -> Vec<ClassLoad> {
     let all = f64::from(machines * CORES) * UTILIZATION;
     let each = all / WORKS.len() as f64;
-    let group = |work: f64| Group {
-        utility: 1.0,
+    let group = |work: f64| ClassLoad {
+        priority_weight: 1.0,
         work,
         rate: each / work,
-        goal: 1.0,
-        limit: 20.0,
+        latency_objective: 1.0,
+        deadline: 20.0,
         floor: 0.1,
-        only: None,
+        allowed_zones: None,
     };
     WORKS.into_iter().map(group).collect()
 }
 
 /// A front that hears from every machine in every period.
 pub fn front(machines: u32, quick: bool) -> Result<Shown, MeasureError> {
-    let mut eyes = Eyes::new(Duration::ZERO, 0, groups(machines));
-    (0..machines).for_each(|machine| eyes.list(machine, zone(machine), CORES, true));
+    let mut eyes = Observer::new(Duration::ZERO, 0, groups(machines));
+    (0..machines).for_each(|machine| eyes.update_engine(machine, zone(machine), CORES, true));
     let share = 1.0 / f64::from(budget::FRONTS);
     let (mut turns, mut now, mut bytes) = (Turns::default(), Duration::ZERO, 0);
     for _ in 0..if quick { QUICK_PERIODS } else { WATCHED_PERIODS } {
@@ -60,10 +63,15 @@
         let (report, _) = turns.time(|| {
             for machine in 0..machines {
                 let group = machine as usize % WORKS.len();
-                eyes.taken(group);
-                eyes.sent(now, machine);
+                eyes.request_arrived(group);
+                eyes.attempt_sent(now, machine);
                 let work = Some(WORKS[group]);
-                eyes.ended(now, machine, group, Ended::Returned { span: SPAN, work, threads: 1.0 });
+                eyes.attempt_ended(
+                    now,
+                    machine,
+                    group,
+                    AttemptResult::Returned { span: SPAN, work, threads: 1.0 },
+                );
             }
             eyes.report(now, &terms(), share)
         });
@@ -73,11 +81,11 @@
 }
 
 /// What a front sees of one zone.
-fn sight(site: u32, machines: u32, lost: bool) -> Sight {
+fn sight(site: u32, machines: u32, lost: bool) -> ZoneStats {
     let listed = machines / budget::ZONES;
     let tried = listed.min(TRIED) as u16;
-    Sight {
-        site,
+    ZoneStats {
+        zone: site,
         listed: listed.min(u32::from(u16::MAX)) as u16,
         cores: listed * CORES,
         answering: if lost { 0 } else { tried },
@@ -88,43 +96,46 @@
     }
 }
 
-fn report(front: u32, machines: u32, lost: Option<u32>) -> Report {
+fn report(front: u32, machines: u32, lost: Option<u32>) -> FrontReport {
     let share = 1.0 / f64::from(budget::FRONTS);
     let demand = groups(machines)
         .into_iter()
         .map(|group| Demand { rate: (group.rate * share) as f32, work: group.work as f32 });
-    Report {
-        stands: front % budget::ZONES,
-        sights: (0..budget::ZONES).map(|site| sight(site, machines, lost == Some(site))).collect(),
+    FrontReport {
+        zone: front % budget::ZONES,
+        zones: (0..budget::ZONES).map(|site| sight(site, machines, lost == Some(site))).collect(),
         demand: demand.collect(),
     }
 }
 
 /// The holder of the lease over a fleet of the design size, until it has planned the loss of a zone.
 pub fn planner(machines: u32) -> Result<Shown, MeasureError> {
-    let mut holder = Holder::new(1, groups(machines));
-    holder.holds(Some(1));
+    let mut holder = Coordinator::new(1, groups(machines));
+    holder.set_lease(Some(1));
     let (mut turns, mut now, mut version) = (Turns::default(), Duration::ZERO, 0);
     for period in 0..STEADY_PERIODS + MOST_PERIODS {
         now += PERIOD;
         let lost = (period >= STEADY_PERIODS).then_some(LOST);
         // Who stood in the lost zone is not heard any more.
         let heard = (0..budget::FRONTS).filter(|front| lost != Some(front % budget::ZONES));
-        let reports: Vec<(u32, Report)> = heard.map(|front| (front, report(front, machines, lost))).collect();
+        let reports: Vec<(u32, FrontReport)> =
+            heard.map(|front| (front, report(front, machines, lost))).collect();
         let want = turns.time(|| {
-            reports.into_iter().for_each(|(front, report)| holder.hear(now, u64::from(front), report));
-            holder.turn(now, &terms(), &[])
+            reports
+                .into_iter()
+                .for_each(|(front, report)| holder.handle_report(now, u64::from(front), report));
+            holder.poll(now, &terms(), &[])
         });
         match want {
-            Some(Want::Read) => holder.settled(now, None, None),
-            Some(Want::Settle { plan, .. }) => {
+            Some(RegisterAction::Read) => holder.on_committed(now, None, None),
+            Some(RegisterAction::Write { plan, .. }) => {
                 version += 1;
                 if closes(&plan) {
                     let after = PERIOD * (period + 1 - STEADY_PERIODS);
                     let more = vec![(PLANNED_AFTER, after.as_secs_f64())];
                     return Ok(Shown { turns, bytes: bytes_of(holder), more });
                 }
-                holder.settled(now, Some((1, version)), Some(plan));
+                holder.on_committed(now, Some((1, version)), Some(plan));
             }
             None => {}
         }
@@ -132,6 +143,6 @@
     Err(MeasureError::Failed("the loss of a zone was never planned".into()))
 }
 
-fn closes(plan: &Plan) -> bool {
-    plan.sites.get(LOST as usize).is_some_and(|site| site.state == State::Lost)
+fn closes(plan: &FailoverPlan) -> bool {
+    plan.zones.get(LOST as usize).is_some_and(|site| site.state == ZoneState::Lost)
 }
--- a/crates/tools/scale/tests/proof_scale_fleet/hollow.rs
+++ b/crates/tools/scale/tests/proof_scale_fleet/hollow.rs
@@ -19,8 +19,8 @@
 
 fn setup(registers: Registers, lease: Duration) -> Setup {
     let mut setup = Setup::detector(FRONTS, 0.0, 1);
-    setup.leases.lease = lease;
-    setup.leases.act = Duration::from_millis(100);
+    setup.leases.duration = lease;
+    setup.leases.max_action_time = Duration::from_millis(100);
     Setup { seats: true, task: true, registers, ..setup }
 }
 
