--- a/crates/core/failure-detector/src/gossip.rs
+++ b/crates/core/failure-detector/src/gossip.rs
@@ -23,73 +23,74 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct Sealed {
-    born: u64,
-    number: u32,
-    fact: GossipRecord,
+struct EncodedRecord {
+    incarnation: u64,
+    sequence: u32,
+    record: GossipRecord,
 }
 
-pub(crate) fn sealed(born: u64, number: u32, mut fact: GossipRecord) -> Option<Vec<u8>> {
-    fact.ejected_engines.truncate(MAX_EJECTED_ENGINES);
-    postcard::to_allocvec(&Sealed { born, number, fact }).ok()
+pub(crate) fn encode(incarnation: u64, sequence: u32, mut record: GossipRecord) -> Option<Vec<u8>> {
+    record.ejected_engines.truncate(MAX_EJECTED_ENGINES);
+    postcard::to_allocvec(&EncodedRecord { incarnation, sequence, record }).ok()
 }
 
 /// The facts of all, shared with the detector that hands them on.
 #[derive(Clone, Default)]
-pub(crate) struct Facts(Arc<Mutex<BTreeMap<u64, (u32, GossipRecord)>>>);
+pub(crate) struct GossipRecords(Arc<Mutex<BTreeMap<u64, (u32, GossipRecord)>>>);
 
-impl Facts {
+impl GossipRecords {
     fn table(&self) -> MutexGuard<'_, BTreeMap<u64, (u32, GossipRecord)>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn of(&self, born: u64) -> Option<GossipRecord> {
-        self.table().get(&born).map(|(_, fact)| fact.clone())
+    pub(crate) fn of(&self, incarnation: u64) -> Option<GossipRecord> {
+        self.table().get(&incarnation).map(|(_, record)| record.clone())
     }
 
-    pub(crate) fn forget(&self, born: u64) {
-        self.table().remove(&born);
+    pub(crate) fn forget(&self, incarnation: u64) {
+        self.table().remove(&incarnation);
     }
 }
 
 /// Of which member, and which in order.
-pub(crate) struct FactKey(u64, u32);
+pub(crate) struct RecordKey(u64, u32);
 
-impl Invalidates for FactKey {
+impl Invalidates for RecordKey {
     fn invalidates(&self, other: &Self) -> bool {
         self.0 == other.0 && self.1 >= other.1
     }
 }
 
 #[derive(Debug)]
-pub(crate) struct Unreadable;
+pub(crate) struct UnreadableRecord;
 
-impl fmt::Display for Unreadable {
+impl fmt::Display for UnreadableRecord {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str("a fact can't be read")
     }
 }
 
-impl std::error::Error for Unreadable {}
+impl std::error::Error for UnreadableRecord {}
 
-impl<T> BroadcastHandler<T> for Facts {
-    type Key = FactKey;
-    type Error = Unreadable;
+impl<T> BroadcastHandler<T> for GossipRecords {
+    type Key = RecordKey;
+    type Error = UnreadableRecord;
 
     /// Only what is newer than what is known is kept and handed on.
-    fn receive_item(&mut self, data: &[u8], _: Option<&T>) -> Result<Option<FactKey>, Unreadable> {
+    fn receive_item(&mut self, data: &[u8], _: Option<&T>) -> Result<Option<RecordKey>, UnreadableRecord> {
         if data.len() > MAX_MESSAGE_BYTES {
-            return Err(Unreadable);
+            return Err(UnreadableRecord);
         }
-        let Sealed { born, number, fact } = postcard::from_bytes(data).map_err(|_| Unreadable)?;
+        let EncodedRecord { incarnation, sequence, record } =
+            postcard::from_bytes(data).map_err(|_| UnreadableRecord)?;
         let mut table = self.table();
-        let known = table.get(&born).map(|(known, _)| *known);
-        let fits = fact.ejected_engines.len() <= MAX_EJECTED_ENGINES
+        let known = table.get(&incarnation).map(|(known, _)| *known);
+        let is_admissible = record.ejected_engines.len() <= MAX_EJECTED_ENGINES
             && (known.is_some() || table.len() < MAX_MEMBERS);
-        if known >= Some(number) || !fits {
+        if known >= Some(sequence) || !is_admissible {
             return Ok(None);
         }
-        table.insert(born, (number, fact));
-        Ok(Some(FactKey(born, number)))
+        table.insert(incarnation, (sequence, record));
+        Ok(Some(RecordKey(incarnation, sequence)))
     }
 }
--- a/crates/core/failure-detector/tests/stories.rs
+++ b/crates/core/failure-detector/tests/stories.rs
@@ -67,7 +67,7 @@
             }
             for (me, detector) in &mut self.detectors {
                 detector.poll(now);
-                for (to, bytes) in detector.sends() {
+                for (to, bytes) in detector.take_outgoing() {
                     assert!(bytes.len() <= MAX_MESSAGE_BYTES);
                     self.sent += 1;
                     self.bytes += bytes.len();
@@ -76,7 +76,7 @@
                         self.way.push((now + late, to, bytes));
                     }
                 }
-                for change in detector.changes() {
+                for change in detector.take_changes() {
                     if let MembershipChange::Left(member) = change {
                         self.went.push((*me, member));
                     }
@@ -87,7 +87,7 @@
 
     /// How many each knows.
     fn known(&self) -> Vec<usize> {
-        self.detectors.values().map(|detector| detector.there().count()).collect()
+        self.detectors.values().map(|detector| detector.members().count()).collect()
     }
 }
 
@@ -102,7 +102,7 @@
     world.start(7);
     world.run(PERIOD * 30);
     assert_eq!(world.known(), [11; 12]);
-    let one = |detector: &FailureDetector| detector.there().filter(|member| member.name == "n7").count();
+    let one = |detector: &FailureDetector| detector.members().filter(|member| member.name == "n7").count();
     assert!(world.detectors.iter().filter(|(me, _)| **me != at(7)).all(|(_, detector)| one(detector) == 1));
 }
 
@@ -138,7 +138,7 @@
         world.detectors.get_mut(&at(2)).unwrap().publish(fact);
         world.run(PERIOD * 12);
     }
-    let born = world.detectors[&at(3)].there().find(|member| member.name == "n2").unwrap().incarnation;
+    let born = world.detectors[&at(3)].members().find(|member| member.name == "n2").unwrap().incarnation;
     let told =
         world.detectors.iter().filter(|(me, _)| **me != at(2)).map(|(_, detector)| detector.gossip_of(born));
     let told: Vec<Option<GossipRecord>> = told.collect();
@@ -197,5 +197,5 @@
         let bytes: Vec<u8> = (0..chance.usize(..MAX_MESSAGE_BYTES + 40)).map(|_| chance.u8(..)).collect();
         detector.handle_datagram(now, &bytes);
     }
-    assert!(detector.there().count() >= 2);
+    assert!(detector.members().count() >= 2);
 }
--- a/crates/core/leases/src/voter.rs
+++ b/crates/core/leases/src/voter.rs
@@ -14,13 +14,13 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-struct Slot {
+struct TaskState {
     promised: Ballot,
-    granted: Option<Grant>,
+    grant: Option<Grant>,
     /// The highest number that was ever granted here, or that somebody has told of.
-    number: u64,
+    highest_token: u64,
     /// When it was last asked about.
-    asked: Duration,
+    last_request: Duration,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -29,14 +29,14 @@
     silent_until: Duration,
     /// No number under this is granted; from a folder, where there is one.
     floor: u64,
-    slots: BTreeMap<Task, Slot>,
+    tasks: BTreeMap<Task, TaskState>,
 }
 
 impl Voter {
     /// A voter that starts, and knows nothing. It is silent until whatever it granted in an earlier incarnation, and whatever
     /// attempt it let in, must be over for whoever held it: an attempt ends with the lease that it asks for.
-    pub fn new(now: Duration, terms: &LeaseConfig, floor: u64) -> Voter {
-        Voter { silent_until: now + terms.voter_hold_time(), floor, slots: BTreeMap::new() }
+    pub fn new(now: Duration, config: &LeaseConfig, floor: u64) -> Voter {
+        Voter { silent_until: now + config.voter_hold_time(), floor, tasks: BTreeMap::new() }
     }
 
     pub fn is_silent(&self, now: Duration) -> bool {
@@ -45,13 +45,13 @@
 
     /// The highest number of all, to be kept where a folder lasts.
     pub fn highest_token(&self) -> u64 {
-        self.slots.values().map(|slot| slot.number).max().unwrap_or_default().max(self.floor)
+        self.tasks.values().map(|state| state.highest_token).max().unwrap_or_default().max(self.floor)
     }
 
     /// What is held, as far as this voter knows.
     pub fn grants(&self, now: Duration) -> impl Iterator<Item = (&Task, &Grant)> {
-        self.slots.iter().filter_map(move |(task, slot)| {
-            slot.granted.as_ref().filter(|granted| granted.until > now).map(|granted| (task, granted))
+        self.tasks.iter().filter_map(move |(task, state)| {
+            state.grant.as_ref().filter(|grant| grant.until > now).map(|grant| (task, grant))
         })
     }
 
@@ -59,76 +59,81 @@
     pub fn handle_request(
         &mut self,
         now: Duration,
-        terms: &LeaseConfig,
-        ask: LeaseRequest,
+        config: &LeaseConfig,
+        request: LeaseRequest,
     ) -> Option<LeaseReply> {
-        let mute = self.silent_until.saturating_sub(now);
-        let (task, ballot) = match &ask {
+        let silent_for = self.silent_until.saturating_sub(now);
+        let (task, ballot) = match &request {
             LeaseRequest::Prepare { task, ballot, .. } | LeaseRequest::Accept { task, ballot, .. } => {
                 (task.clone(), *ballot)
             }
-            LeaseRequest::Release { task, client: who, fencing_token: number } => {
-                let slot = self.slots.get_mut(task)?;
-                slot.granted.take_if(|granted| granted.holder == *who && granted.fencing_token <= *number);
+            LeaseRequest::Release { task, client, fencing_token: highest_token } => {
+                let state = self.tasks.get_mut(task)?;
+                state.grant.take_if(|grant| grant.holder == *client && grant.fencing_token <= *highest_token);
                 return None;
             }
         };
         // Guards against two holders after a loss of memory: what was promised before is not known here.
-        if !mute.is_zero() || task.is_empty() || task.len() > MAX_NAME_BYTES {
-            return Some(LeaseReply::Silent { task, ballot, remaining: mute });
+        if !silent_for.is_zero() || task.is_empty() || task.len() > MAX_NAME_BYTES {
+            return Some(LeaseReply::Silent { task, ballot, remaining: silent_for });
         }
-        if !self.slots.contains_key(&task) && !self.room(now, terms) {
-            return Some(LeaseReply::Silent { task, ballot, remaining: terms.voter_hold_time() });
+        if !self.tasks.contains_key(&task) && !self.make_room(now, config) {
+            return Some(LeaseReply::Silent { task, ballot, remaining: config.voter_hold_time() });
         }
         let floor = self.floor;
-        let slot =
-            self.slots.entry(task.clone()).or_insert_with(|| Slot { number: floor, ..Slot::default() });
-        slot.asked = now;
-        slot.granted.take_if(|granted| granted.until <= now);
-        let (LeaseRequest::Prepare { client: who, .. }
-        | LeaseRequest::Accept { client: who, .. }
-        | LeaseRequest::Release { client: who, .. }) = &ask;
+        let state = self
+            .tasks
+            .entry(task.clone())
+            .or_insert_with(|| TaskState { highest_token: floor, ..TaskState::default() });
+        state.last_request = now;
+        state.grant.take_if(|grant| grant.until <= now);
+        let (LeaseRequest::Prepare { client, .. }
+        | LeaseRequest::Accept { client, .. }
+        | LeaseRequest::Release { client, .. }) = &request;
         // A prepare that can't succeed must not raise what is promised, or many who want a task would keep its holder
         // from renewing it.
-        if let Some(other) = slot.granted.as_ref().filter(|granted| granted.holder != *who) {
-            let (who, number, left) =
-                (other.holder.clone(), other.fencing_token, other.until.saturating_sub(now));
+        if let Some(grant) = state.grant.as_ref().filter(|grant| grant.holder != *client) {
+            let (client, highest_token, remaining) =
+                (grant.holder.clone(), grant.fencing_token, grant.until.saturating_sub(now));
             return Some(LeaseReply::Held {
                 task,
                 ballot,
-                holder: who,
-                fencing_token: number,
-                remaining: left,
+                holder: client,
+                fencing_token: highest_token,
+                remaining,
             });
         }
-        if ballot < slot.promised {
-            return Some(LeaseReply::StaleBallot { task, ballot, round: slot.promised.round });
+        if ballot < state.promised {
+            return Some(LeaseReply::StaleBallot { task, ballot, round: state.promised.round });
         }
-        slot.promised = ballot;
-        match ask {
-            LeaseRequest::Accept { client: who, fencing_token: number, .. } => {
-                slot.number = slot.number.max(number);
-                slot.granted =
-                    Some(Grant { holder: who, fencing_token: number, until: now + terms.voter_hold_time() });
+        state.promised = ballot;
+        match request {
+            LeaseRequest::Accept { client, fencing_token: highest_token, .. } => {
+                state.highest_token = state.highest_token.max(highest_token);
+                state.grant = Some(Grant {
+                    holder: client,
+                    fencing_token: highest_token,
+                    until: now + config.voter_hold_time(),
+                });
                 Some(LeaseReply::Accepted { task, ballot })
             }
-            _ => Some(LeaseReply::Promise { task, ballot, fencing_token: slot.number }),
+            _ => Some(LeaseReply::Promise { task, ballot, fencing_token: state.highest_token }),
         }
     }
 
     /// Makes room by forgetting the task that was asked about longest ago, once nothing of it can matter any more.
-    fn room(&mut self, now: Duration, terms: &LeaseConfig) -> bool {
-        if self.slots.len() < MAX_TASKS {
+    fn make_room(&mut self, now: Duration, config: &LeaseConfig) -> bool {
+        if self.tasks.len() < MAX_TASKS {
             return true;
         }
-        let oldest = self.slots.iter().min_by_key(|(_, slot)| slot.asked);
-        let Some((task, number)) = oldest
-            .filter(|(_, slot)| slot.asked + terms.voter_hold_time() <= now)
-            .map(|(task, slot)| (task.clone(), slot.number))
+        let oldest = self.tasks.iter().min_by_key(|(_, state)| state.last_request);
+        let Some((task, highest_token)) = oldest
+            .filter(|(_, state)| state.last_request + config.voter_hold_time() <= now)
+            .map(|(task, state)| (task.clone(), state.highest_token))
         else {
             return false;
         };
-        self.floor = self.floor.max(number);
-        self.slots.remove(&task).is_some()
+        self.floor = self.floor.max(highest_token);
+        self.tasks.remove(&task).is_some()
     }
 }
--- a/crates/core/leases/tests/exhaustive.rs
+++ b/crates/core/leases/tests/exhaustive.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 const VOTERS: usize = 3;
-const ASKERS: usize = 2;
+const CLIENTS: usize = 2;
 const TASK: &str = "t";
 
 /// What is spoilt on purpose, to see that the check would catch it.
@@ -40,7 +40,7 @@
     lost: u32,
     begun: u32,
     voters: Vec<Voter>,
-    askers: Vec<LeaseClient>,
+    clients: Vec<LeaseClient>,
     /// The number under which each lease client may act now.
     acts: Vec<Option<u64>>,
     sent: BTreeSet<Sent>,
@@ -56,7 +56,7 @@
 }
 
 impl Small {
-    fn terms(&self) -> LeaseConfig {
+    fn config(&self) -> LeaseConfig {
         // Drift of a third: the lease clients' clocks are slow, one unit a tick; the voters' fast, two.
         let drift = if self.spoilt == Spoilt::NoDriftMargin { 0 } else { 333 };
         LeaseConfig {
@@ -74,23 +74,23 @@
         Duration::from_millis(400) * tick
     }
 
-    fn turn(&self, state: &mut State, asker: usize) {
+    fn poll(&self, state: &mut State, client: usize) {
         let now = self.asker_now(state.tick);
-        let posts = state.askers[asker].poll(now, &self.terms(), &mut || 0.0);
-        self.post(state, asker, posts);
-        self.note(state, asker);
+        let messages = state.clients[client].poll(now, &self.config(), &mut || 0.0);
+        self.send(state, client, messages);
+        self.note(state, client);
     }
 
-    fn post(&self, state: &mut State, asker: usize, posts: Vec<OutboundMessage>) {
-        for OutboundMessage { voter, request: ask } in posts {
-            state.sent.insert(Sent::LeaseRequest(asker, voter, ask));
+    fn send(&self, state: &mut State, client: usize, messages: Vec<OutboundMessage>) {
+        for OutboundMessage { voter, request } in messages {
+            state.sent.insert(Sent::LeaseRequest(client, voter, request));
         }
     }
 
-    fn note(&self, state: &mut State, asker: usize) {
+    fn note(&self, state: &mut State, client: usize) {
         let now = self.asker_now(state.tick);
-        state.askers[asker].changes();
-        state.acts[asker] = state.askers[asker].may_act(now, TASK).map(|(number, _)| number);
+        state.clients[client].take_changes();
+        state.acts[client] = state.clients[client].may_act(now, TASK).map(|(number, _)| number);
     }
 }
 
@@ -99,22 +99,22 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let terms = self.terms();
-        let ready = LeaseConfig { duration: Duration::ZERO, ..terms };
+        let config = self.config();
+        let ready = LeaseConfig { duration: Duration::ZERO, ..config };
         let mut state = State {
             tick: 0,
             lost: 0,
             begun: 0,
             // They have been up for long.
             voters: (0..VOTERS).map(|_| Voter::new(Duration::ZERO, &ready, 0)).collect(),
-            askers: (0..ASKERS)
+            clients: (0..CLIENTS)
                 .map(|n| LeaseClient::new(Incarnation { name: format!("{n}"), id: n as u64 + 1 }, VOTERS))
                 .collect(),
-            acts: vec![None; ASKERS],
+            acts: vec![None; CLIENTS],
             sent: BTreeSet::new(),
         };
-        for asker in 0..ASKERS {
-            state.askers[asker].acquire(Duration::ZERO, TASK, true);
+        for client in 0..CLIENTS {
+            state.clients[client].acquire(Duration::ZERO, TASK, true);
         }
         vec![state]
     }
@@ -125,7 +125,7 @@
             steps.push(Step::Tick);
         }
         if state.begun < self.attempts {
-            steps.extend((0..ASKERS).map(Step::Begin));
+            steps.extend((0..CLIENTS).map(Step::Begin));
         }
         if state.lost < self.lost {
             steps.extend((0..VOTERS).map(Step::Forget));
@@ -133,15 +133,15 @@
     }
 
     fn next_state(&self, last: &State, step: Step) -> Option<State> {
-        let (terms, mut state) = (self.terms(), last.clone());
+        let (config, mut state) = (self.config(), last.clone());
         match step {
             Step::Tick => {
                 state.tick += 1;
-                (0..ASKERS).for_each(|asker| self.note(&mut state, asker));
+                (0..CLIENTS).for_each(|client| self.note(&mut state, client));
             }
-            Step::Begin(asker) => {
+            Step::Begin(client) => {
                 let before = state.sent.len();
-                self.turn(&mut state, asker);
+                self.poll(&mut state, client);
                 if state.sent.len() == before {
                     return None;
                 }
@@ -149,7 +149,7 @@
                 // What belongs to an attempt that was given up changes nothing at its lease client, and a prepare of one only
                 // bars others: both count as lost. Its accepts may still come, at any time.
                 let latest = state.sent.iter().filter_map(|sent| match sent {
-                    Sent::LeaseRequest(from, _, LeaseRequest::Prepare { ballot, .. }) if *from == asker => {
+                    Sent::LeaseRequest(from, _, LeaseRequest::Prepare { ballot, .. }) if *from == client => {
                         Some(*ballot)
                     }
                     _ => None,
@@ -157,45 +157,45 @@
                 let latest = latest.max();
                 state.sent.retain(|sent| match sent {
                     Sent::LeaseRequest(from, _, LeaseRequest::Prepare { ballot, .. }) => {
-                        *from != asker || Some(*ballot) == latest
+                        *from != client || Some(*ballot) == latest
                     }
-                    Sent::LeaseReply(_, to, reply) => *to != asker || Some(reply.task().1) == latest,
+                    Sent::LeaseReply(_, to, reply) => *to != client || Some(reply.task().1) == latest,
                     _ => true,
                 });
             }
             Step::Forget(voter) => {
                 state.lost += 1;
                 let counted = if self.spoilt == Spoilt::ForgetfulVoters {
-                    LeaseConfig { duration: Duration::ZERO, ..terms }
+                    LeaseConfig { duration: Duration::ZERO, ..config }
                 } else {
-                    terms
+                    config
                 };
                 state.voters[voter] = Voter::new(self.voter_now(state.tick), &counted, 0);
             }
-            Step::Deliver(Sent::LeaseRequest(asker, voter, ask)) => {
+            Step::Deliver(Sent::LeaseRequest(client, voter, request)) => {
                 let now = self.voter_now(state.tick);
-                if let Some(reply) = state.voters[voter].handle_request(now, &terms, ask) {
+                if let Some(reply) = state.voters[voter].handle_request(now, &config, request) {
                     // A refusal only keeps a lease client from going on, which losing it does as well.
                     // A promise that is late is as good as accepts that are late, so it comes at once or never.
                     match &reply {
                         LeaseReply::Promise { .. } => {
                             let now = self.asker_now(state.tick);
-                            let posts =
-                                state.askers[asker].handle_reply(now, &terms, voter, reply, &mut || 0.0);
-                            self.post(&mut state, asker, posts);
+                            let messages =
+                                state.clients[client].handle_reply(now, &config, voter, reply, &mut || 0.0);
+                            self.send(&mut state, client, messages);
                         }
                         LeaseReply::Accepted { .. } => {
-                            state.sent.insert(Sent::LeaseReply(voter, asker, reply));
+                            state.sent.insert(Sent::LeaseReply(voter, client, reply));
                         }
                         _ => {}
                     }
                 }
             }
-            Step::Deliver(Sent::LeaseReply(voter, asker, reply)) => {
+            Step::Deliver(Sent::LeaseReply(voter, client, reply)) => {
                 let now = self.asker_now(state.tick);
-                let posts = state.askers[asker].handle_reply(now, &terms, voter, reply, &mut || 0.0);
-                self.post(&mut state, asker, posts);
-                self.note(&mut state, asker);
+                let messages = state.clients[client].handle_reply(now, &config, voter, reply, &mut || 0.0);
+                self.send(&mut state, client, messages);
+                self.note(&mut state, client);
             }
         }
         (state != *last).then_some(state)
--- a/crates/core/leases/tests/limits.rs
+++ b/crates/core/leases/tests/limits.rs
@@ -3,7 +3,7 @@
 use lemonusher_leases::*;
 use std::time::Duration;
 
-const TERMS: LeaseConfig = LeaseConfig {
+const CONFIG: LeaseConfig = LeaseConfig {
     duration: Duration::from_secs(3),
     clock_drift_permille: 100,
     max_action_time: Duration::from_millis(500),
@@ -13,19 +13,19 @@
 
 #[test]
 fn a_voter_grants_as_many_seats_as_it_keeps_tasks_and_no_more() {
-    for (seats, granted) in [(1024, 1024), (MAX_TASKS, MAX_TASKS), (MAX_TASKS + 1, MAX_TASKS)] {
-        let mut voter = Voter::new(Duration::ZERO, &TERMS, 0);
-        let mut accepted = |seat: u32| {
-            let who = Incarnation { name: format!("n{seat}"), id: u64::from(seat) + 1 };
-            let (task, ballot) = (QuotaSlots::task(seat), Ballot { round: 1, proposer: who.id });
+    for (slots, granted) in [(1024, 1024), (MAX_TASKS, MAX_TASKS), (MAX_TASKS + 1, MAX_TASKS)] {
+        let mut voter = Voter::new(Duration::ZERO, &CONFIG, 0);
+        let mut accepted = |slot: u32| {
+            let who = Incarnation { name: format!("n{slot}"), id: u64::from(slot) + 1 };
+            let (task, ballot) = (QuotaSlots::task(slot), Ballot { round: 1, proposer: who.id });
             let reply = voter.handle_request(
                 NOW,
-                &TERMS,
+                &CONFIG,
                 LeaseRequest::Accept { task, ballot, client: who, fencing_token: 1 },
             );
             matches!(reply, Some(LeaseReply::Accepted { .. }))
         };
-        assert_eq!((0..seats as u32).filter(|seat| accepted(*seat)).count(), granted);
+        assert_eq!((0..slots as u32).filter(|slot| accepted(*slot)).count(), granted);
         assert_eq!(voter.grants(NOW).count(), granted);
     }
 }
--- a/crates/core/leases/tests/stories.rs
+++ b/crates/core/leases/tests/stories.rs
@@ -3,7 +3,7 @@
 use lemonusher_leases::*;
 use std::time::Duration;
 
-const TERMS: LeaseConfig = LeaseConfig {
+const CONFIG: LeaseConfig = LeaseConfig {
     duration: Duration::from_secs(3),
     clock_drift_permille: 100,
     max_action_time: Duration::from_millis(500),
@@ -18,37 +18,37 @@
 struct Fleet {
     now: Duration,
     voters: Vec<Voter>,
-    askers: Vec<LeaseClient>,
+    clients: Vec<LeaseClient>,
     cut: Vec<(usize, usize)>, // From lease client to voter, both ways.
     chance: fastrand::Rng,
     messages: usize,
 }
 
 impl Fleet {
-    fn new(voters: usize, askers: usize) -> Fleet {
-        let life = |n: usize| Incarnation { name: format!("n{n}"), id: n as u64 + 1 };
+    fn new(voters: usize, clients: usize) -> Fleet {
+        let incarnation = |n: usize| Incarnation { name: format!("n{n}"), id: n as u64 + 1 };
         Fleet {
             now: ms(0),
-            voters: (0..voters).map(|_| Voter::new(ms(0), &TERMS, 0)).collect(),
-            askers: (0..askers).map(|n| LeaseClient::new(life(n), voters)).collect(),
+            voters: (0..voters).map(|_| Voter::new(ms(0), &CONFIG, 0)).collect(),
+            clients: (0..clients).map(|n| LeaseClient::new(incarnation(n), voters)).collect(),
             cut: Vec::new(),
             chance: fastrand::Rng::with_seed(7),
             messages: 0,
         }
     }
 
-    fn post(&mut self, asker: usize, posts: Vec<OutboundMessage>) {
-        for OutboundMessage { voter, request: ask } in posts {
+    fn send(&mut self, client: usize, messages: Vec<OutboundMessage>) {
+        for OutboundMessage { voter, request } in messages {
             self.messages += 1;
-            if self.cut.contains(&(asker, voter)) {
+            if self.cut.contains(&(client, voter)) {
                 continue;
             }
-            if let Some(reply) = self.voters[voter].handle_request(self.now, &TERMS, ask) {
+            if let Some(reply) = self.voters[voter].handle_request(self.now, &CONFIG, request) {
                 self.messages += 1;
                 let chance = &mut self.chance;
                 let more =
-                    self.askers[asker].handle_reply(self.now, &TERMS, voter, reply, &mut || chance.f64());
-                self.post(asker, more);
+                    self.clients[client].handle_reply(self.now, &CONFIG, voter, reply, &mut || chance.f64());
+                self.send(client, more);
             }
         }
     }
@@ -58,10 +58,10 @@
         let end = self.now + span;
         while self.now < end {
             self.now += ms(50);
-            for asker in 0..self.askers.len() {
+            for client in 0..self.clients.len() {
                 let chance = &mut self.chance;
-                let posts = self.askers[asker].poll(self.now, &TERMS, &mut || chance.f64());
-                self.post(asker, posts);
+                let messages = self.clients[client].poll(self.now, &CONFIG, &mut || chance.f64());
+                self.send(client, messages);
             }
             assert!(self.holders(TASK).len() <= 1, "{:?}", self.holders(TASK));
         }
@@ -69,12 +69,12 @@
 
     fn holders(&self, task: &str) -> Vec<(usize, u64)> {
         let acts = |(n, a): (usize, &LeaseClient)| Some((n, a.may_act(self.now, task)?.0));
-        self.askers.iter().enumerate().filter_map(acts).collect()
+        self.clients.iter().enumerate().filter_map(acts).collect()
     }
 
-    fn want(&mut self, asker: usize, fenced: bool) {
+    fn want(&mut self, client: usize, fenced: bool) {
         let now = self.now;
-        self.askers[asker].acquire(now, TASK, fenced);
+        self.clients[client].acquire(now, TASK, fenced);
     }
 }
 
@@ -82,16 +82,16 @@
 fn one_of_many_holds_keeps_and_hands_over() {
     let mut fleet = Fleet::new(3, 20);
     (0..20).for_each(|n| fleet.want(n, true));
-    fleet.pass(TERMS.voter_hold_time() - ms(50));
+    fleet.pass(CONFIG.voter_hold_time() - ms(50));
     assert!(fleet.holders(TASK).is_empty()); // All voters have just started.
-    fleet.pass(TERMS.duration);
+    fleet.pass(CONFIG.duration);
     let first = fleet.holders(TASK)[0];
-    fleet.pass(TERMS.duration * 20);
+    fleet.pass(CONFIG.duration * 20);
     assert_eq!(fleet.holders(TASK), [first], "it is kept, under one number");
     let now = fleet.now;
-    let posts = fleet.askers[first.0].release(now, &TERMS, TASK, true);
-    fleet.post(first.0, posts);
-    fleet.pass(TERMS.duration * 3);
+    let messages = fleet.clients[first.0].release(now, &CONFIG, TASK, true);
+    fleet.send(first.0, messages);
+    fleet.pass(CONFIG.duration * 3);
     let second = fleet.holders(TASK)[0];
     assert!(second.0 != first.0 && second.1 > first.1, "{first:?} {second:?}");
 }
@@ -100,15 +100,15 @@
 fn who_is_cut_off_lets_go_before_anybody_else_takes_it() {
     let mut fleet = Fleet::new(3, 2);
     fleet.want(0, true);
-    fleet.pass(TERMS.duration * 3);
+    fleet.pass(CONFIG.duration * 3);
     fleet.want(1, true);
     fleet.cut = (0..3).map(|voter| (0, voter)).collect();
     let from = fleet.now;
     while fleet.holders(TASK) != [(1, 2)] {
         fleet.pass(ms(50));
-        assert!(fleet.now < from + TERMS.voter_hold_time() + TERMS.duration * 3, "nobody has taken it");
+        assert!(fleet.now < from + CONFIG.voter_hold_time() + CONFIG.duration * 3, "nobody has taken it");
     }
-    let (a, b) = (fleet.askers[0].changes(), fleet.askers[1].changes());
+    let (a, b) = (fleet.clients[0].take_changes(), fleet.clients[1].take_changes());
     assert_eq!(a[1], LeaseChange::Expired { task: TASK.into(), fencing_token: 1 });
     assert_eq!(b, [LeaseChange::Acquired { task: TASK.into(), fencing_token: 2 }]);
 }
@@ -117,24 +117,24 @@
 fn a_majority_without_memory_grants_nothing_until_all_it_granted_is_over() {
     let mut fleet = Fleet::new(3, 2);
     fleet.want(0, true);
-    fleet.pass(TERMS.duration * 3);
+    fleet.pass(CONFIG.duration * 3);
     fleet.cut = (0..3).map(|voter| (0, voter)).collect(); // Its holder does not hear of it.
     let (now, restarted) = (fleet.now, fleet.now);
-    (0..2).for_each(|voter| fleet.voters[voter] = Voter::new(now, &TERMS, 0));
+    (0..2).for_each(|voter| fleet.voters[voter] = Voter::new(now, &CONFIG, 0));
     fleet.want(1, true);
     while fleet.holders(TASK).iter().all(|(n, _)| *n == 0) {
         fleet.pass(ms(50));
     }
-    assert!(fleet.now >= restarted + TERMS.voter_hold_time());
+    assert!(fleet.now >= restarted + CONFIG.voter_hold_time());
     // The third voter still knew the number; but a majority that does not hear it has forgotten, and only what is
     // acted upon, a folder, or whoever has seen the number, tells it again.
-    let told = fleet.holders(TASK)[0].1;
-    assert!(told == 1 || told == 2);
-    fleet.askers[1].observe_token(TASK, 7);
+    let token = fleet.holders(TASK)[0].1;
+    assert!(token == 1 || token == 2);
+    fleet.clients[1].observe_token(TASK, 7);
     let now = fleet.now;
-    let posts = fleet.askers[1].release(now, &TERMS, TASK, true);
-    fleet.post(1, posts);
-    fleet.pass(TERMS.duration * 3);
+    let messages = fleet.clients[1].release(now, &CONFIG, TASK, true);
+    fleet.send(1, messages);
+    fleet.pass(CONFIG.duration * 3);
     assert_eq!(fleet.holders(TASK), [(1, 8)]);
 }
 
@@ -143,16 +143,16 @@
     let mut fleet = Fleet::new(3, 1);
     fleet.want(0, true);
     let now = fleet.now;
-    fleet.voters.iter_mut().for_each(|voter| *voter = Voter::new(now, &TERMS, 0));
-    fleet.askers[0].observe_token(TASK, 41);
-    fleet.pass(TERMS.duration * 3);
+    fleet.voters.iter_mut().for_each(|voter| *voter = Voter::new(now, &CONFIG, 0));
+    fleet.clients[0].observe_token(TASK, 41);
+    fleet.pass(CONFIG.duration * 3);
     assert_eq!(fleet.holders(TASK), [(0, 42)]);
     let folder = fleet.voters.iter().map(Voter::highest_token).max().unwrap();
     let now = fleet.now;
-    fleet.voters.iter_mut().for_each(|voter| *voter = Voter::new(now, &TERMS, folder));
-    fleet.askers[0] = LeaseClient::new(Incarnation { name: "n0".into(), id: 99 }, 3);
+    fleet.voters.iter_mut().for_each(|voter| *voter = Voter::new(now, &CONFIG, folder));
+    fleet.clients[0] = LeaseClient::new(Incarnation { name: "n0".into(), id: 99 }, 3);
     fleet.want(0, true);
-    fleet.pass(TERMS.duration * 3);
+    fleet.pass(CONFIG.duration * 3);
     assert_eq!(fleet.holders(TASK), [(0, 43)]);
 }
 
@@ -160,25 +160,25 @@
 fn where_nothing_refuses_an_older_number_an_act_is_waited_out() {
     let mut fleet = Fleet::new(3, 1);
     fleet.want(0, false);
-    let taken = loop {
+    let acquired_at = loop {
         fleet.pass(ms(50));
-        if let Some(LeaseChange::Acquired { .. }) = fleet.askers[0].changes().first() {
+        if let Some(LeaseChange::Acquired { .. }) = fleet.clients[0].take_changes().first() {
             break fleet.now;
         }
     };
     assert!(fleet.holders(TASK).is_empty());
-    fleet.pass(TERMS.with_drift(TERMS.max_action_time) - ms(50));
+    fleet.pass(CONFIG.with_drift(CONFIG.max_action_time) - ms(50));
     assert!(fleet.holders(TASK).is_empty());
     fleet.pass(ms(100));
     assert!(
         fleet.holders(TASK) == [(0, 1)]
-            && fleet.now <= taken + TERMS.with_drift(TERMS.max_action_time) + ms(100)
+            && fleet.now <= acquired_at + CONFIG.with_drift(CONFIG.max_action_time) + ms(100)
     );
 }
 
 #[test]
 fn a_delayed_grant_and_a_repeated_one_change_nothing() {
-    let mut voter = Voter::new(ms(0), &TERMS, 0);
+    let mut voter = Voter::new(ms(0), &CONFIG, 0);
     let (a, b) = (Incarnation { name: "a".into(), id: 1 }, Incarnation { name: "b".into(), id: 2 });
     let ballot = |round, born| Ballot { round, proposer: born };
     let accept = |who: &Incarnation, round, number| LeaseRequest::Accept {
@@ -187,18 +187,18 @@
         client: who.clone(),
         fencing_token: number,
     };
-    let at = TERMS.voter_hold_time();
+    let at = CONFIG.voter_hold_time();
     let prepare = LeaseRequest::Prepare { task: TASK.into(), ballot: ballot(2, 2), client: b.clone() };
-    assert!(matches!(voter.handle_request(at, &TERMS, prepare), Some(LeaseReply::Promise { .. })));
+    assert!(matches!(voter.handle_request(at, &CONFIG, prepare), Some(LeaseReply::Promise { .. })));
     assert!(matches!(
-        voter.handle_request(at, &TERMS, accept(&a, 1, 1)),
+        voter.handle_request(at, &CONFIG, accept(&a, 1, 1)),
         Some(LeaseReply::StaleBallot { round: 2, .. })
     ));
-    assert!(matches!(voter.handle_request(at, &TERMS, accept(&b, 2, 1)), Some(LeaseReply::Accepted { .. })));
+    assert!(matches!(voter.handle_request(at, &CONFIG, accept(&b, 2, 1)), Some(LeaseReply::Accepted { .. })));
     // The same again, long after: it would hold b's lease longer, which b does not count on; others only wait.
-    let late = at + TERMS.voter_hold_time() * 2;
+    let late = at + CONFIG.voter_hold_time() * 2;
     assert!(matches!(
-        voter.handle_request(late, &TERMS, accept(&b, 2, 1)),
+        voter.handle_request(late, &CONFIG, accept(&b, 2, 1)),
         Some(LeaseReply::Accepted { .. })
     ));
     let release = |who: &Incarnation, number| LeaseRequest::Release {
@@ -206,84 +206,84 @@
         client: who.clone(),
         fencing_token: number,
     };
-    assert_eq!(voter.handle_request(late, &TERMS, release(&a, 9)), None);
+    assert_eq!(voter.handle_request(late, &CONFIG, release(&a, 9)), None);
     assert_eq!(voter.grants(late).count(), 1, "nobody lets go for another");
-    voter.handle_request(late, &TERMS, release(&b, 1));
+    voter.handle_request(late, &CONFIG, release(&b, 1));
     assert_eq!(voter.grants(late).count(), 0);
 }
 
 /// A lease client that holds the task at time zero, by two of three voters.
 fn holding() -> LeaseClient {
-    let mut asker = LeaseClient::new(Incarnation { name: "a".into(), id: 1 }, 3);
-    asker.acquire(ms(0), TASK, true);
-    let prepared = asker.poll(ms(0), &TERMS, &mut || 0.0);
+    let mut client = LeaseClient::new(Incarnation { name: "a".into(), id: 1 }, 3);
+    client.acquire(ms(0), TASK, true);
+    let prepared = client.poll(ms(0), &CONFIG, &mut || 0.0);
     let LeaseRequest::Prepare { ballot, .. } = prepared[0].request else { panic!("{prepared:?}") };
     for voter in 0..2 {
         let promise = LeaseReply::Promise { task: TASK.into(), ballot, fencing_token: 4 };
-        asker.handle_reply(ms(0), &TERMS, voter, promise, &mut || 0.0);
+        client.handle_reply(ms(0), &CONFIG, voter, promise, &mut || 0.0);
     }
     for voter in 0..2 {
-        asker.handle_reply(
+        client.handle_reply(
             ms(0),
-            &TERMS,
+            &CONFIG,
             voter,
             LeaseReply::Accepted { task: TASK.into(), ballot },
             &mut || 0.0,
         );
     }
-    assert_eq!(asker.may_act(ms(0), TASK), Some((5, TERMS.duration)));
-    asker
+    assert_eq!(client.may_act(ms(0), TASK), Some((5, CONFIG.duration)));
+    client
 }
 
 /// The ballot under which all voters are asked to renew at this time.
-fn renewal(asker: &mut LeaseClient, now: Duration) -> Ballot {
-    let posts = asker.poll(now, &TERMS, &mut || 0.0);
-    assert_eq!(posts.len(), 3);
-    let ballot = |post: &OutboundMessage| match post.request {
+fn renewal(client: &mut LeaseClient, now: Duration) -> Ballot {
+    let messages = client.poll(now, &CONFIG, &mut || 0.0);
+    assert_eq!(messages.len(), 3);
+    let ballot = |send: &OutboundMessage| match send.request {
         LeaseRequest::Accept { ballot, fencing_token: 5, .. } => ballot,
-        _ => panic!("{post:?}"),
+        _ => panic!("{send:?}"),
     };
-    ballot(&posts[2])
+    ballot(&messages[2])
 }
 
 #[test]
 fn a_lease_is_renewed_in_one_round() {
-    let mut asker = holding();
-    let now = TERMS.duration / 2;
-    let ballot = renewal(&mut asker, now);
+    let mut client = holding();
+    let now = CONFIG.duration / 2;
+    let ballot = renewal(&mut client, now);
     for voter in 1..3 {
-        asker.handle_reply(
+        client.handle_reply(
             now,
-            &TERMS,
+            &CONFIG,
             voter,
             LeaseReply::Accepted { task: TASK.into(), ballot },
             &mut || 0.0,
         );
     }
-    assert_eq!(asker.may_act(now, TASK), Some((5, now + TERMS.duration)));
+    assert_eq!(client.may_act(now, TASK), Some((5, now + CONFIG.duration)));
 }
 
 #[test]
 fn a_renewal_that_is_accepted_once_the_lease_has_run_out_renews_nothing() {
-    for turned in [false, true] {
-        let mut asker = holding();
-        let ballot = renewal(&mut asker, TERMS.duration - ms(1));
-        let late = TERMS.duration;
-        if turned {
-            asker.poll(late, &TERMS, &mut || 0.5);
+    for polled in [false, true] {
+        let mut client = holding();
+        let ballot = renewal(&mut client, CONFIG.duration - ms(1));
+        let late = CONFIG.duration;
+        if polled {
+            client.poll(late, &CONFIG, &mut || 0.5);
         }
         for voter in 0..3 {
-            asker.handle_reply(
+            client.handle_reply(
                 late,
-                &TERMS,
+                &CONFIG,
                 voter,
                 LeaseReply::Accepted { task: TASK.into(), ballot },
                 &mut || 0.0,
             );
         }
-        assert_eq!(asker.may_act(late, TASK), None);
-        asker.poll(late, &TERMS, &mut || 0.5);
-        let again = asker.poll(late + TERMS.duration, &TERMS, &mut || 0.0);
+        assert_eq!(client.may_act(late, TASK), None);
+        client.poll(late, &CONFIG, &mut || 0.5);
+        let again = client.poll(late + CONFIG.duration, &CONFIG, &mut || 0.0);
         assert!(matches!(again[0].request, LeaseRequest::Prepare { .. }), "{again:?}");
     }
 }
@@ -291,7 +291,7 @@
 #[test]
 fn seats_go_round_without_two_on_one_and_the_parts_never_exceed_the_whole() {
     let mut fleet = Fleet::new(3, 40);
-    let mut seats: Vec<QuotaSlots> = (0..40).map(|n| QuotaSlots::new(30, 1, n / 2)).collect(); // Two begin at each number.
+    let mut slots: Vec<QuotaSlots> = (0..40).map(|n| QuotaSlots::new(30, 1, n / 2)).collect(); // Two begin at each number.
     let mut worst: f64 = 0.0;
     let mut random = fastrand::Rng::with_seed(3);
     for step in 0..600 {
@@ -300,14 +300,14 @@
         }
         if step % 150 == 149 {
             let (now, voter) = (fleet.now, random.usize(..3));
-            fleet.voters[voter] = Voter::new(now, &TERMS, 0);
+            fleet.voters[voter] = Voter::new(now, &CONFIG, 0);
         }
-        for (n, seat) in seats.iter_mut().enumerate() {
-            let posts = seat.poll(fleet.now, &TERMS, &mut fleet.askers[n]);
-            fleet.post(n, posts);
+        for (n, slot) in slots.iter_mut().enumerate() {
+            let messages = slot.poll(fleet.now, &CONFIG, &mut fleet.clients[n]);
+            fleet.send(n, messages);
         }
         fleet.pass(ms(100));
-        let mut held: Vec<u32> = (0..40).flat_map(|n| seats[n].held(fleet.now, &fleet.askers[n])).collect();
+        let mut held: Vec<u32> = (0..40).flat_map(|n| slots[n].held(fleet.now, &fleet.clients[n])).collect();
         worst = worst.max(quota(held.len(), 30));
         held.sort();
         assert!(held.windows(2).all(|two| two[0] != two[1]), "{held:?}");
@@ -319,45 +319,45 @@
 fn messages_a_front_do_not_grow_with_the_fleet_and_a_mass_restart_settles() {
     for fronts in [4, 40, 300] {
         let mut fleet = Fleet::new(3, fronts);
-        let mut seats: Vec<QuotaSlots> =
+        let mut slots: Vec<QuotaSlots> =
             (0..fronts).map(|n| QuotaSlots::new(fronts as u32, 1, n as u32 / 2)).collect();
         (0..fronts).for_each(|n| fleet.want(n, true));
-        let run = |fleet: &mut Fleet, seats: &mut [QuotaSlots], span: Duration| {
+        let run = |fleet: &mut Fleet, slots: &mut [QuotaSlots], span: Duration| {
             let end = fleet.now + span;
             while fleet.now < end {
-                for (n, seat) in seats.iter_mut().enumerate() {
-                    let posts = seat.poll(fleet.now, &TERMS, &mut fleet.askers[n]);
-                    fleet.post(n, posts);
+                for (n, slot) in slots.iter_mut().enumerate() {
+                    let messages = slot.poll(fleet.now, &CONFIG, &mut fleet.clients[n]);
+                    fleet.send(n, messages);
                 }
                 fleet.pass(ms(50));
             }
         };
-        let held = |fleet: &Fleet, seats: &[QuotaSlots]| {
-            seats
+        let held = |fleet: &Fleet, slots: &[QuotaSlots]| {
+            slots
                 .iter()
                 .enumerate()
-                .map(|(n, seat)| seat.held(fleet.now, &fleet.askers[n]).len())
+                .map(|(n, slot)| slot.held(fleet.now, &fleet.clients[n]).len())
                 .sum::<usize>()
         };
-        run(&mut fleet, &mut seats, TERMS.duration * 20);
+        run(&mut fleet, &mut slots, CONFIG.duration * 20);
         let (before, from) = (fleet.messages, fleet.now);
-        run(&mut fleet, &mut seats, TERMS.duration * 10);
+        run(&mut fleet, &mut slots, CONFIG.duration * 10);
         let rate = (fleet.messages - before) as f64 / (fleet.now - from).as_secs_f64() / fronts as f64;
         println!("proof: leases_messages_a_second_a_front_of_{fronts} {rate:.1}");
         assert!(rate < 24.0, "{rate}");
         // All fronts and all voters start over at once, and know nothing.
         let now = fleet.now;
-        fleet.voters.iter_mut().for_each(|voter| *voter = Voter::new(now, &TERMS, 0));
+        fleet.voters.iter_mut().for_each(|voter| *voter = Voter::new(now, &CONFIG, 0));
         for n in 0..fronts {
-            let life = Incarnation { name: format!("n{n}"), id: (1000 + n) as u64 };
-            fleet.askers[n] = LeaseClient::new(life, 3);
+            let incarnation = Incarnation { name: format!("n{n}"), id: (1000 + n) as u64 };
+            fleet.clients[n] = LeaseClient::new(incarnation, 3);
             fleet.want(n, true);
         }
-        while held(&fleet, &seats) * 10 < fronts * 9 {
-            run(&mut fleet, &mut seats, ms(200));
-            assert!(fleet.now < now + TERMS.duration * 40, "{} of {fronts} seats", held(&fleet, &seats));
+        while held(&fleet, &slots) * 10 < fronts * 9 {
+            run(&mut fleet, &mut slots, ms(200));
+            assert!(fleet.now < now + CONFIG.duration * 40, "{} of {fronts} seats", held(&fleet, &slots));
         }
-        let leases = (fleet.now - now).as_secs_f64() / TERMS.duration.as_secs_f64();
+        let leases = (fleet.now - now).as_secs_f64() / CONFIG.duration.as_secs_f64();
         println!("proof: leases_until_nine_in_ten_of_{fronts}_seats_after_a_mass_restart {leases:.1}");
     }
 }
--- a/crates/core/registers/src/acceptor.rs
+++ b/crates/core/registers/src/acceptor.rs
@@ -2,8 +2,8 @@
 //! before it says anything.
 
 use crate::{
-    Accepted, ChangedRegister, Changes, Entry, MAX_REGISTERS, NOBODY, Name, OutboundMessage, PAGE, ROW,
-    RegisterReply, RegisterRequest, RegisterState, majority,
+    Accepted, ChangedRegister, Changes, Entry, MAX_PAGE_BYTES, MAX_REGISTER_OVERHEAD_BYTES, MAX_REGISTERS,
+    NOBODY, Name, OutboundMessage, RegisterReply, RegisterRequest, RegisterState, majority,
 };
 use lemonusher_leases::{Ballot, LeaseConfig, MAX_NAME_BYTES};
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,7 @@
 use std::fmt;
 use std::time::Duration;
 
-const AGAIN: u32 = 8; // Who copies asks again after this part of a lease.
+const COPY_RETRY_DIVISOR: u32 = 8; // Who copies asks again after this part of a lease.
 
 /// What an acceptor must never forget, as a folder keeps it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
@@ -51,22 +51,22 @@
 
 /// What one of the others has said in a round of copying.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Told {
-    born: u64,
-    blank: bool,
+struct PeerCopy {
+    incarnation: u64,
+    without_memory: bool,
     /// All its rows have been taken in, or the last name of those that have.
-    whole: bool,
+    complete: bool,
     after: Name,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Copying {
+struct Recovery {
     from: Duration,
     next: Duration,
     round: u64,
-    told: BTreeMap<usize, Told>,
+    replies: BTreeMap<usize, PeerCopy>,
     /// Who was blank in the round before, and in which incarnation.
-    blank_before: BTreeMap<usize, u64>,
+    without_memory_before: BTreeMap<usize, u64>,
 }
 
 /// A voter's registers. `born` is a number drawn at its start; `place` its own in the list.
@@ -81,7 +81,7 @@
     slots: BTreeMap<Name, Slot>,
     /// Counts what has been accepted in this incarnation.
     revision: u64,
-    recovery: Option<Copying>,
+    recovery: Option<Recovery>,
 }
 
 impl Acceptor {
@@ -89,42 +89,47 @@
     /// then it copies.
     pub fn without_memory(
         now: Duration,
-        terms: &LeaseConfig,
+        config: &LeaseConfig,
         voters: usize,
-        place: usize,
-        born: u64,
-        founding: u64,
+        index: usize,
+        incarnation: u64,
+        first_epoch: u64,
     ) -> Acceptor {
-        let from = now + terms.voter_hold_time();
-        let copying =
-            Copying { from, next: from, round: 0, told: BTreeMap::new(), blank_before: BTreeMap::new() };
+        let from = now + config.voter_hold_time();
+        let recovery = Recovery {
+            from,
+            next: from,
+            round: 0,
+            replies: BTreeMap::new(),
+            without_memory_before: BTreeMap::new(),
+        };
         let slots = BTreeMap::new();
         Acceptor {
             voters,
-            index: place,
-            incarnation: born,
+            index,
+            incarnation,
             epoch: 0,
-            first_epoch: founding,
+            first_epoch,
             slots,
             revision: 0,
-            recovery: Some(copying),
+            recovery: Some(recovery),
         }
     }
 
     /// One whose folder has kept all that it ever said.
-    pub fn restored(voters: usize, place: usize, born: u64, kept: PersistentState) -> Acceptor {
+    pub fn restored(voters: usize, index: usize, incarnation: u64, stored: PersistentState) -> Acceptor {
         let mut revision = 0;
         let mut slots = BTreeMap::new();
-        for RegisterState { name, promised, accepted } in kept.registers {
+        for RegisterState { name, promised, accepted } in stored.registers {
             revision += u64::from(accepted.is_some());
-            let at = if accepted.is_some() { revision } else { 0 };
-            slots.insert(name, Slot { promised, accepted, revision: at });
+            let revision_at = if accepted.is_some() { revision } else { 0 };
+            slots.insert(name, Slot { promised, accepted, revision: revision_at });
         }
         Acceptor {
             voters,
-            index: place,
-            incarnation: born,
-            epoch: kept.epoch,
+            index,
+            incarnation,
+            epoch: stored.epoch,
             first_epoch: 0,
             slots,
             revision,
@@ -133,19 +138,19 @@
     }
 
     pub fn persistent_state(&self) -> PersistentState {
-        let rows = self.slots.iter().map(|(name, slot)| row(name, slot));
-        PersistentState { epoch: self.epoch, registers: rows.collect() }
+        let registers = self.slots.iter().map(|(name, slot)| register(name, slot));
+        PersistentState { epoch: self.epoch, registers: registers.collect() }
     }
 
     pub fn state(&self, now: Duration) -> AcceptorState {
         match &self.recovery {
             None => AcceptorState::Voting,
-            Some(copying) if now < copying.from => AcceptorState::Silent,
+            Some(recovery) if now < recovery.from => AcceptorState::Silent,
             Some(_) => AcceptorState::Recovering,
         }
     }
 
-    pub fn era(&self) -> u64 {
+    pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
@@ -156,79 +161,73 @@
 
     /// When `turn` has something to do again.
     pub fn next_timeout(&self) -> Option<Duration> {
-        self.recovery.as_ref().map(|copying| copying.next)
+        self.recovery.as_ref().map(|recovery| recovery.next)
     }
 
     /// Asks for what is missing of the copy.
-    pub fn poll(&mut self, now: Duration, terms: &LeaseConfig) -> Vec<OutboundMessage> {
-        let (voters, place) = (self.voters, self.index);
-        let Some(copying) = self.recovery.as_mut().filter(|copying| copying.next <= now) else {
+    pub fn poll(&mut self, now: Duration, config: &LeaseConfig) -> Vec<OutboundMessage> {
+        let (voters, index) = (self.voters, self.index);
+        let Some(recovery) = self.recovery.as_mut().filter(|recovery| recovery.next <= now) else {
             return Vec::new();
         };
-        copying.next = now + terms.duration / AGAIN;
-        let others = (0..voters).filter(|voter| *voter != place);
-        let missing =
-            others.filter(|voter| copying.told.get(voter).is_none_or(|told| !told.whole && !told.blank));
-        let asks = missing.map(|voter| {
-            let after = copying.told.get(&voter).map(|told| told.after.clone()).unwrap_or_default();
-            OutboundMessage { voter, request: RegisterRequest::CopyState { round: copying.round, after } }
+        recovery.next = now + config.duration / COPY_RETRY_DIVISOR;
+        let others = (0..voters).filter(|voter| *voter != index);
+        let missing = others.filter(|voter| {
+            recovery.replies.get(voter).is_none_or(|replies| !replies.complete && !replies.without_memory)
+        });
+        let messages = missing.map(|voter| {
+            let after = recovery.replies.get(&voter).map(|replies| replies.after.clone()).unwrap_or_default();
+            OutboundMessage { voter, request: RegisterRequest::CopyState { round: recovery.round, after } }
         });
-        asks.collect()
+        messages.collect()
     }
 
     /// Takes in what another voter says when asked for a copy.
     pub fn handle_copy(&mut self, now: Duration, from: usize, reply: RegisterReply) -> Vec<OutboundMessage> {
-        let RegisterReply::StateCopy {
-            round,
-            incarnation: born,
-            without_memory: blank,
-            epoch: era,
-            registers: rows,
-            more,
-        } = reply
+        let RegisterReply::StateCopy { round, incarnation, without_memory, epoch, registers, more } = reply
         else {
             return Vec::new();
         };
-        let Some(copying) = self.recovery.as_mut().filter(|copying| copying.round == round) else {
+        let Some(recovery) = self.recovery.as_mut().filter(|recovery| recovery.round == round) else {
             return Vec::new();
         };
-        if from == self.index || from >= self.voters || now < copying.from {
+        if from == self.index || from >= self.voters || now < recovery.from {
             return Vec::new();
         }
-        let fresh = Told { born, blank, whole: false, after: Name::new() };
-        let told = copying.told.entry(from).or_insert_with(|| fresh.clone());
-        if told.born != born || told.blank != blank {
-            *told = fresh; // It has started anew, or got its memory back: what it said before is void.
+        let fresh = PeerCopy { incarnation, without_memory, complete: false, after: Name::new() };
+        let replies = recovery.replies.entry(from).or_insert_with(|| fresh.clone());
+        if replies.incarnation != incarnation || replies.without_memory != without_memory {
+            *replies = fresh; // It has started anew, or got its memory back: what it said before is void.
         }
-        if blank {
-            return self.settle(now);
+        if without_memory {
+            return self.try_finish_recovery(now);
         }
-        self.epoch = self.epoch.max(era);
-        if rows.first().is_some_and(|row| row.name <= told.after) {
+        self.epoch = self.epoch.max(epoch);
+        if registers.first().is_some_and(|register| register.name <= replies.after) {
             return Vec::new(); // A repeat of a page that is in already.
         }
-        if let Some(last) = rows.last() {
-            told.after = last.name.clone();
+        if let Some(last) = registers.last() {
+            replies.after = last.name.clone();
         }
-        told.whole = !more;
-        for row in rows {
-            let slot = self.slots.entry(row.name).or_default();
-            slot.promised = slot.promised.max(row.promised);
-            if row.accepted.as_ref().map(|(ballot, _)| ballot)
+        replies.complete = !more;
+        for register in registers {
+            let slot = self.slots.entry(register.name).or_default();
+            slot.promised = slot.promised.max(register.promised);
+            if register.accepted.as_ref().map(|(ballot, _)| ballot)
                 > slot.accepted.as_ref().map(|(ballot, _)| ballot)
             {
                 self.revision += 1;
-                (slot.accepted, slot.revision) = (row.accepted, self.revision);
+                (slot.accepted, slot.revision) = (register.accepted, self.revision);
             }
         }
         if more {
-            let after = told.after.clone();
+            let after = replies.after.clone();
             return vec![OutboundMessage {
                 voter: from,
                 request: RegisterRequest::CopyState { round, after },
             }];
         }
-        self.settle(now)
+        self.try_finish_recovery(now)
     }
 
     /// It votes again once a majority of voters, itself not counted, has given it all that they know: whatever a
@@ -237,32 +236,36 @@
     /// Where a majority has lost its memory there is no such majority any more. Only if **all** voters have been heard
     /// from, and the same incarnations of a majority were blank in two rounds on end, so that they were so all at once at the
     /// time between, is a new epoch begun with what is left. Values may have gone back then, and the epoch shows it.
-    fn settle(&mut self, now: Duration) -> Vec<OutboundMessage> {
-        let Some(copying) = &mut self.recovery else { return Vec::new() };
-        let whole = copying.told.values().filter(|told| told.whole).count();
-        if whole >= majority(self.voters) {
+    fn try_finish_recovery(&mut self, now: Duration) -> Vec<OutboundMessage> {
+        let Some(recovery) = &mut self.recovery else { return Vec::new() };
+        let complete = recovery.replies.values().filter(|replies| replies.complete).count();
+        if complete >= majority(self.voters) {
             self.recovery = None;
             return Vec::new();
         }
-        let all = copying.told.len() + 1 == self.voters;
-        if !all || copying.told.values().any(|told| !told.whole && !told.blank) {
+        let all_replied = recovery.replies.len() + 1 == self.voters;
+        if !all_replied
+            || recovery.replies.values().any(|replies| !replies.complete && !replies.without_memory)
+        {
             return Vec::new();
         }
-        let blank: BTreeMap<usize, u64> = (copying.told.iter())
-            .filter(|(_, told)| told.blank)
-            .map(|(voter, told)| (*voter, told.born))
+        let without_memory: BTreeMap<usize, u64> = (recovery.replies.iter())
+            .filter(|(_, replies)| replies.without_memory)
+            .map(|(voter, replies)| (*voter, replies.incarnation))
             .collect();
-        let both = blank.iter().filter(|(voter, born)| copying.blank_before.get(voter) == Some(born));
-        if both.count() + 1 >= majority(self.voters) {
+        let in_both_rounds = without_memory
+            .iter()
+            .filter(|(voter, incarnation)| recovery.without_memory_before.get(voter) == Some(incarnation));
+        if in_both_rounds.count() + 1 >= majority(self.voters) {
             self.recovery = None;
-            self.begin_era();
+            self.begin_epoch();
             return Vec::new();
         }
-        copying.blank_before = blank;
-        copying.round += 1;
-        copying.told.clear();
-        copying.next = now;
-        let round = copying.round;
+        recovery.without_memory_before = without_memory;
+        recovery.round += 1;
+        recovery.replies.clear();
+        recovery.next = now;
+        let round = recovery.round;
         let others = (0..self.voters).filter(|voter| *voter != self.index);
         others
             .map(|voter| OutboundMessage {
@@ -274,7 +277,7 @@
 
     /// What is left gets stamps of the new epoch, as another value may have been settled under the stamp that it had, and
     /// a ballot of nobody above the one it had, so that it is not taken for settled where it is copied on.
-    fn begin_era(&mut self) {
+    fn begin_epoch(&mut self) {
         self.epoch = (self.epoch + 1).max(self.first_epoch);
         for slot in self.slots.values_mut() {
             let Some((ballot, entry)) = &mut slot.accepted else { continue };
@@ -293,116 +296,106 @@
     }
 
     /// Answers an ask. What it says must last, where there is a folder, before the answer goes out.
-    pub fn handle_request(&mut self, now: Duration, ask: RegisterRequest) -> Option<RegisterReply> {
-        if let RegisterRequest::CopyState { round, after } = ask {
-            return Some(self.copy(round, &after));
+    pub fn handle_request(&mut self, now: Duration, request: RegisterRequest) -> Option<RegisterReply> {
+        if let RegisterRequest::CopyState { round, after } = request {
+            return Some(self.copy_state(round, &after));
         }
         let voting = self.state(now) == AcceptorState::Voting;
-        let (name, ballot) = match &ask {
+        let (name, ballot) = match &request {
             RegisterRequest::Prepare { name, ballot } | RegisterRequest::Accept { name, ballot, .. } => {
                 (name.clone(), *ballot)
             }
-            RegisterRequest::Read { name, known } => return Some(self.peek(name, *known)).filter(|_| voting),
-            RegisterRequest::ChangesSince { incarnation: born, revision: since } => {
-                return Some(self.changes(*born, *since)).filter(|_| voting);
+            RegisterRequest::Read { name, known } => return Some(self.read(name, *known)).filter(|_| voting),
+            RegisterRequest::ChangesSince { incarnation, revision: since } => {
+                return Some(self.changes(*incarnation, *since)).filter(|_| voting);
             }
             RegisterRequest::CopyState { .. } => return None,
         };
-        let room = self.slots.contains_key(&name) || self.slots.len() < MAX_REGISTERS;
-        let fits = !name.is_empty() && name.len() <= MAX_NAME_BYTES && ballot > Ballot::default();
-        let small = !matches!(&ask, RegisterRequest::Accept { entry, .. } if entry.value.len() > crate::MAX_VALUE_BYTES);
-        if !voting || !room || !fits || !small {
+        let has_room = self.slots.contains_key(&name) || self.slots.len() < MAX_REGISTERS;
+        let is_valid = !name.is_empty() && name.len() <= MAX_NAME_BYTES && ballot > Ballot::default();
+        let fits_limit = !matches!(&request, RegisterRequest::Accept { entry, .. } if entry.value.len() > crate::MAX_VALUE_BYTES);
+        if !voting || !has_room || !is_valid || !fits_limit {
             return Some(RegisterReply::Silent { name, ballot });
         }
-        let era = self.epoch;
+        let epoch = self.epoch;
         let slot = self.slots.entry(name.clone()).or_default();
         // Guards against what was asked before a majority forgot and comes only now: nobody counts it any more but who
         // follows, and another value may have stood under its stamp.
-        let older = matches!(&ask, RegisterRequest::Accept { entry, .. } if entry.version.epoch < era);
-        if ballot < slot.promised || older {
+        let is_older_epoch =
+            matches!(&request, RegisterRequest::Accept { entry, .. } if entry.version.epoch < epoch);
+        if ballot < slot.promised || is_older_epoch {
             return Some(RegisterReply::StaleBallot { name, ballot, round: slot.promised.round });
         }
         slot.promised = ballot;
-        match ask {
+        match request {
             RegisterRequest::Accept { entry, .. } => {
-                self.epoch = era.max(entry.version.epoch);
+                self.epoch = epoch.max(entry.version.epoch);
                 self.revision += 1;
                 (slot.accepted, slot.revision) = (Some((ballot, entry)), self.revision);
                 Some(RegisterReply::Accepted { name, ballot })
             }
-            _ => Some(RegisterReply::Promise { name, ballot, epoch: era, accepted: slot.accepted.clone() }),
+            _ => Some(RegisterReply::Promise { name, ballot, epoch, accepted: slot.accepted.clone() }),
         }
     }
 
-    fn peek(&self, name: &Name, known: Option<crate::EntryVersion>) -> RegisterReply {
+    fn read(&self, name: &Name, known: Option<crate::EntryVersion>) -> RegisterReply {
         let Some((ballot, entry)) = self.slots.get(name).and_then(|slot| slot.accepted.as_ref()) else {
             return RegisterReply::NotFound { name: name.clone() };
         };
-        let stamp = entry.version;
-        let entry = (known != Some(stamp)).then(|| entry.clone());
-        RegisterReply::Value { name: name.clone(), ballot: *ballot, version: stamp, entry }
+        let version = entry.version;
+        let entry = (known != Some(version)).then(|| entry.clone());
+        RegisterReply::Value { name: name.clone(), ballot: *ballot, version, entry }
     }
 
     /// What was accepted since a revision, in the order of revisions, as much as fits one page.
-    fn changes(&self, born: u64, since: u64) -> RegisterReply {
-        let since = if born == self.incarnation { since.min(self.revision) } else { 0 };
+    fn changes(&self, incarnation: u64, since: u64) -> RegisterReply {
+        let since = if incarnation == self.incarnation { since.min(self.revision) } else { 0 };
         let mut changed: Vec<(&Name, &Slot)> =
             self.slots.iter().filter(|(_, slot)| slot.revision > since).collect();
         changed.sort_by_key(|(_, slot)| slot.revision);
-        let (mut rows, mut bytes, mut revision) = (Vec::new(), 0, self.revision);
-        let mut shown_up_to = since;
+        let (mut registers, mut page_bytes, mut revision) = (Vec::new(), 0, self.revision);
+        let mut last_revision = since;
         for (name, slot) in &changed {
             let Some((ballot, entry)) = &slot.accepted else { continue };
-            bytes += name.len() + entry.value.len() + ROW;
-            if !rows.is_empty() && bytes > PAGE {
-                revision = shown_up_to;
+            page_bytes += name.len() + entry.value.len() + MAX_REGISTER_OVERHEAD_BYTES;
+            if !registers.is_empty() && page_bytes > MAX_PAGE_BYTES {
+                revision = last_revision;
                 break;
             }
-            shown_up_to = slot.revision;
-            rows.push(ChangedRegister { name: (*name).clone(), ballot: *ballot, entry: entry.clone() });
+            last_revision = slot.revision;
+            registers.push(ChangedRegister { name: (*name).clone(), ballot: *ballot, entry: entry.clone() });
         }
         let more = revision < self.revision;
-        RegisterReply::Changes(Changes {
-            incarnation: self.incarnation,
-            since,
-            revision,
-            registers: rows,
-            more,
-        })
+        RegisterReply::Changes(Changes { incarnation: self.incarnation, since, revision, registers, more })
     }
 
-    fn copy(&self, round: u64, after: &Name) -> RegisterReply {
-        let (born, era, blank) = (self.incarnation, self.epoch, self.recovery.is_some());
-        if blank {
+    fn copy_state(&self, round: u64, after: &Name) -> RegisterReply {
+        let (incarnation, epoch, without_memory) = (self.incarnation, self.epoch, self.recovery.is_some());
+        if without_memory {
             return RegisterReply::StateCopy {
                 round,
-                incarnation: born,
-                without_memory: blank,
-                epoch: era,
+                incarnation,
+                without_memory,
+                epoch,
                 registers: Vec::new(),
                 more: false,
             };
         }
-        let (mut rows, mut bytes, mut more) = (Vec::new(), 0, false);
+        let (mut registers, mut page_bytes, mut more) = (Vec::new(), 0, false);
         for (name, slot) in self.slots.iter().filter(|(name, _)| *name > after) {
-            bytes += name.len() + slot.accepted.as_ref().map_or(0, |(_, entry)| entry.value.len()) + ROW;
-            if !rows.is_empty() && bytes > PAGE {
+            page_bytes += name.len()
+                + slot.accepted.as_ref().map_or(0, |(_, entry)| entry.value.len())
+                + MAX_REGISTER_OVERHEAD_BYTES;
+            if !registers.is_empty() && page_bytes > MAX_PAGE_BYTES {
                 more = true;
                 break;
             }
-            rows.push(row(name, slot));
-        }
-        RegisterReply::StateCopy {
-            round,
-            incarnation: born,
-            without_memory: blank,
-            epoch: era,
-            registers: rows,
-            more,
+            registers.push(register(name, slot));
         }
+        RegisterReply::StateCopy { round, incarnation, without_memory, epoch, registers, more }
     }
 }
 
-fn row(name: &Name, slot: &Slot) -> RegisterState {
+fn register(name: &Name, slot: &Slot) -> RegisterState {
     RegisterState { name: name.clone(), promised: slot.promised, accepted: slot.accepted.clone() }
 }
--- a/crates/core/registers/src/learner.rs
+++ b/crates/core/registers/src/learner.rs
@@ -9,27 +9,27 @@
 use std::time::Duration;
 
 /// What a voter shows of a register counts for so many periods.
-const SHOWN_FOR: u32 = 2;
+const REPORT_LIFETIME_POLLS: u32 = 2;
 /// Who has replied to an ask of one kind is taken to read it for so many periods.
-const READS_FOR: u32 = 8;
+const CAPABILITY_LIFETIME_POLLS: u32 = 8;
 
 /// What one voter last showed of a register.
 #[derive(Debug, Clone, Copy)]
-struct Shown {
+struct Report {
     ballot: Ballot,
-    stamp: EntryVersion,
-    at: Duration,
+    version: EntryVersion,
+    reported_at: Duration,
 }
 
 #[derive(Debug, Clone, Default)]
-struct Followed {
-    settled: Option<Entry>,
+struct WatchedRegister {
+    committed: Option<Entry>,
     /// When a majority last showed that what is settled here still stands.
-    sure: Option<Duration>,
-    shown: BTreeMap<usize, Shown>,
+    confirmed_at: Option<Duration>,
+    reported: BTreeMap<usize, Report>,
     /// Entries that were shown and are newer than what is settled, by the round in which they were accepted: until one
     /// is settled, two of a stamp may differ.
-    seen: BTreeMap<Ballot, Entry>,
+    candidates: BTreeMap<Ballot, Entry>,
     /// Voters that have shown nothing there.
     empty: BTreeSet<usize>,
 }
@@ -38,57 +38,59 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct Source {
     /// The voter's incarnation; 0 before any is known.
-    born: u64,
+    incarnation: u64,
     revision: u64,
     /// When it last replied with changes.
-    told_changes: Option<Duration>,
+    last_changes_reply: Option<Duration>,
     /// When it last replied on a register asked for by name.
-    told_names: Option<Duration>,
+    last_read_reply: Option<Duration>,
 }
 
 /// Follows a few registers by asking the voters now and then.
 #[derive(Debug, Clone)]
 pub struct Learner {
     poll_interval: Duration,
-    followed: BTreeMap<Name, Followed>,
+    registers: BTreeMap<Name, WatchedRegister>,
     sources: Vec<Source>,
     /// When all are asked again.
     next_poll: Duration,
 }
 
 impl Learner {
-    pub fn new(voters: usize, every: Duration) -> Learner {
+    pub fn new(voters: usize, poll_interval: Duration) -> Learner {
         let sources = vec![Source::default(); voters];
-        Learner { poll_interval: every, followed: BTreeMap::new(), sources, next_poll: Duration::ZERO }
+        Learner { poll_interval, registers: BTreeMap::new(), sources, next_poll: Duration::ZERO }
     }
 
     /// Follows a register from now on. Voters tell changes once, so all is asked for anew.
     pub fn watch(&mut self, name: &str) {
-        self.followed.entry(name.to_owned()).or_default();
-        self.sources.iter_mut().for_each(|source| (source.born, source.revision) = (0, 0));
+        self.registers.entry(name.to_owned()).or_default();
+        self.sources.iter_mut().for_each(|source| (source.incarnation, source.revision) = (0, 0));
         self.next_poll = Duration::ZERO;
     }
 
     /// The newest value known to be settled, and when a majority last showed it.
     pub fn committed(&self, name: &str) -> Option<(&Entry, Duration)> {
-        let followed = self.followed.get(name)?;
-        followed.settled.as_ref().zip(followed.sure)
+        let registers = self.registers.get(name)?;
+        registers.committed.as_ref().zip(registers.confirmed_at)
     }
 
     /// All values that are known to be settled.
     pub fn all_committed(&self) -> impl Iterator<Item = (&Name, &Entry)> {
-        self.followed
+        self.registers
             .iter()
-            .filter_map(|(name, followed)| followed.settled.as_ref().map(|entry| (name, entry)))
+            .filter_map(|(name, registers)| registers.committed.as_ref().map(|entry| (name, entry)))
     }
 
     /// Whether a majority has shown that nothing was settled there when this follower began to ask.
     pub fn is_known_empty(&self, name: &str) -> bool {
-        self.followed.get(name).is_some_and(|followed| followed.empty.len() >= majority(self.sources.len()))
+        self.registers
+            .get(name)
+            .is_some_and(|registers| registers.empty.len() >= majority(self.sources.len()))
     }
 
     pub fn next_timeout(&self) -> Option<Duration> {
-        (!self.followed.is_empty()).then_some(self.next_poll)
+        (!self.registers.is_empty()).then_some(self.next_poll)
     }
 
     /// Asks all voters for changes once that is due, `chance` (from 0 up to 1) apart from other fronts.
@@ -96,34 +98,37 @@
     /// A voter of an earlier version reads no ask for changes. Who does not reply to it is asked for one register by
     /// name as well, and only one that replies to this, for all.
     pub fn poll(&mut self, now: Duration, chance: &mut impl FnMut() -> f64) -> Vec<OutboundMessage> {
-        let mut posts = Vec::new();
-        if now < self.next_poll || self.followed.is_empty() {
-            return posts;
+        let mut messages = Vec::new();
+        if now < self.next_poll || self.registers.is_empty() {
+            return messages;
         }
         self.next_poll = now + self.poll_interval.mul_f64(0.75 + 0.5 * chance());
-        let lately = |at: Option<Duration>| at.is_some_and(|at| at + self.poll_interval * READS_FOR > now);
+        let recently = |reported_at: Option<Duration>| {
+            reported_at
+                .is_some_and(|reported_at| reported_at + self.poll_interval * CAPABILITY_LIFETIME_POLLS > now)
+        };
         for (voter, source) in self.sources.iter().enumerate() {
-            posts.push(source.ask(voter));
-            let by_name = match (lately(source.told_changes), lately(source.told_names)) {
+            messages.push(source.changes_request(voter));
+            let reads = match (recently(source.last_changes_reply), recently(source.last_read_reply)) {
                 (true, _) => 0,
-                (false, true) => self.followed.len(),
+                (false, true) => self.registers.len(),
                 (false, false) => 1,
             };
-            for (name, followed) in self.followed.iter().take(by_name) {
-                let known = followed.settled.as_ref().map(|entry| entry.version);
-                posts.push(OutboundMessage {
+            for (name, registers) in self.registers.iter().take(reads) {
+                let known = registers.committed.as_ref().map(|entry| entry.version);
+                messages.push(OutboundMessage {
                     voter,
                     request: RegisterRequest::Read { name: name.clone(), known },
                 });
             }
         }
-        posts
+        messages
     }
 
     /// Who has settled a value itself need not ask.
     pub fn observe_committed(&mut self, now: Duration, name: &str, entry: &Entry) {
-        if let Some(followed) = self.followed.get_mut(name) {
-            followed.take(now, entry);
+        if let Some(registers) = self.registers.get_mut(name) {
+            registers.commit(now, entry);
         }
     }
 
@@ -138,124 +143,133 @@
             return Vec::new();
         }
         match reply {
-            RegisterReply::NotFound { name } => self.hear_empty(now, voter, &name),
-            RegisterReply::Value { name, ballot, version: stamp, entry } => {
-                self.sources[voter].told_names = Some(now);
-                self.show(voter, &name, Shown { ballot, stamp, at: now }, entry);
+            RegisterReply::NotFound { name } => self.handle_not_found(now, voter, &name),
+            RegisterReply::Value { name, ballot, version, entry } => {
+                self.sources[voter].last_read_reply = Some(now);
+                self.record_report(voter, &name, Report { ballot, version, reported_at: now }, entry);
                 self.confirm(now, voter);
             }
-            RegisterReply::Changes(changes) => return self.hear_changes(now, voter, changes),
+            RegisterReply::Changes(changes) => return self.handle_changes(now, voter, changes),
             _ => {}
         }
         Vec::new()
     }
 
-    fn hear_empty(&mut self, now: Duration, voter: usize, name: &str) {
-        self.sources[voter].told_names = Some(now);
-        if let Some(followed) = self.followed.get_mut(name) {
-            followed.empty.insert(voter);
+    fn handle_not_found(&mut self, now: Duration, voter: usize, name: &str) {
+        self.sources[voter].last_read_reply = Some(now);
+        if let Some(registers) = self.registers.get_mut(name) {
+            registers.empty.insert(voter);
         }
     }
 
-    fn hear_changes(&mut self, now: Duration, voter: usize, changes: Changes) -> Vec<OutboundMessage> {
-        let Changes { incarnation: born, since, revision, registers: rows, more } = changes;
+    fn handle_changes(&mut self, now: Duration, voter: usize, changes: Changes) -> Vec<OutboundMessage> {
+        let Changes { incarnation, since, revision, registers: changed, more } = changes;
         let source = &mut self.sources[voter];
-        source.told_changes = Some(now);
-        let another_life = born != source.born;
+        source.last_changes_reply = Some(now);
+        let is_new_incarnation = incarnation != source.incarnation;
         // A reply that does not go on from what is known is late, or repeated.
-        let goes_on = since == if another_life { 0 } else { source.revision };
-        if !goes_on {
+        let is_contiguous = since == if is_new_incarnation { 0 } else { source.revision };
+        if !is_contiguous {
             return Vec::new();
         }
-        (source.born, source.revision) = (born, revision);
-        let next = source.ask(voter);
-        if another_life {
-            self.forget(voter);
+        (source.incarnation, source.revision) = (incarnation, revision);
+        let next = source.changes_request(voter);
+        if is_new_incarnation {
+            self.forget_reports(voter);
         }
-        for ChangedRegister { name, ballot, entry } in rows {
-            self.show(voter, &name, Shown { ballot, stamp: entry.version, at: now }, Some(entry));
+        for ChangedRegister { name, ballot, entry } in changed {
+            self.record_report(
+                voter,
+                &name,
+                Report { ballot, version: entry.version, reported_at: now },
+                Some(entry),
+            );
         }
         if more {
             return vec![next];
         }
-        self.hear_whole(now, voter);
+        self.handle_complete(now, voter);
         Vec::new()
     }
 
     /// All of a voter's registers are known as they are now.
-    fn hear_whole(&mut self, now: Duration, voter: usize) {
-        for followed in self.followed.values_mut() {
-            match followed.shown.get_mut(&voter) {
-                Some(shown) => shown.at = now,
-                None => drop(followed.empty.insert(voter)),
+    fn handle_complete(&mut self, now: Duration, voter: usize) {
+        for registers in self.registers.values_mut() {
+            match registers.reported.get_mut(&voter) {
+                Some(reported) => reported.reported_at = now,
+                None => drop(registers.empty.insert(voter)),
             }
         }
         self.confirm(now, voter);
     }
 
     /// What a voter showed in an earlier incarnation it may have lost.
-    fn forget(&mut self, voter: usize) {
-        self.followed.values_mut().for_each(|followed| {
-            followed.shown.remove(&voter);
+    fn forget_reports(&mut self, voter: usize) {
+        self.registers.values_mut().for_each(|registers| {
+            registers.reported.remove(&voter);
         });
     }
 
-    fn show(&mut self, voter: usize, name: &str, shown: Shown, entry: Option<Entry>) {
-        let Some(followed) = self.followed.get_mut(name) else { return };
-        followed.shown.insert(voter, shown);
-        let known = followed.settled.as_ref().map(|entry| entry.version);
+    fn record_report(&mut self, voter: usize, name: &str, reported: Report, entry: Option<Entry>) {
+        let Some(registers) = self.registers.get_mut(name) else { return };
+        registers.reported.insert(voter, reported);
+        let known = registers.committed.as_ref().map(|entry| entry.version);
         if let Some(entry) = entry.filter(|entry| Some(entry.version) > known) {
-            followed.seen.insert(shown.ballot, entry);
+            registers.candidates.insert(reported.ballot, entry);
         }
-        let shown: BTreeSet<Ballot> = followed.shown.values().map(|shown| shown.ballot).collect();
-        followed.seen.retain(|ballot, _| shown.contains(ballot));
+        let reported: BTreeSet<Ballot> =
+            registers.reported.values().map(|reported| reported.ballot).collect();
+        registers.candidates.retain(|ballot, _| reported.contains(ballot));
     }
 
     /// Believes what a voter has just shown if a majority shows what was accepted in one and the same round: it is
     /// settled.
     fn confirm(&mut self, now: Duration, voter: usize) {
-        let (most, counts_for) = (majority(self.sources.len()), self.poll_interval * SHOWN_FOR);
-        for followed in self.followed.values_mut() {
-            let proposed = |shown: &Shown| shown.at == now && shown.ballot.proposer != NOBODY;
-            let Some(one) = followed.shown.get(&voter).copied().filter(proposed) else {
+        let (majority_size, report_lifetime) =
+            (majority(self.sources.len()), self.poll_interval * REPORT_LIFETIME_POLLS);
+        for registers in self.registers.values_mut() {
+            let is_current_proposal =
+                |reported: &Report| reported.reported_at == now && reported.ballot.proposer != NOBODY;
+            let Some(report) = registers.reported.get(&voter).copied().filter(is_current_proposal) else {
                 continue;
             };
-            let same = |other: &&Shown| {
-                (other.ballot, other.stamp) == (one.ballot, one.stamp) && other.at + counts_for > now
+            let agrees = |other: &&Report| {
+                (other.ballot, other.version) == (report.ballot, report.version)
+                    && other.reported_at + report_lifetime > now
             };
-            if followed.shown.values().filter(same).count() < most {
+            if registers.reported.values().filter(agrees).count() < majority_size {
                 continue;
             }
-            if followed.settled.as_ref().is_some_and(|entry| entry.version == one.stamp) {
-                followed.sure = Some(now);
-            } else if let Some(entry) = followed.seen.get(&one.ballot).cloned() {
-                followed.take(now, &entry);
+            if registers.committed.as_ref().is_some_and(|entry| entry.version == report.version) {
+                registers.confirmed_at = Some(now);
+            } else if let Some(entry) = registers.candidates.get(&report.ballot).cloned() {
+                registers.commit(now, &entry);
             }
         }
     }
 }
 
 impl Source {
-    fn ask(&self, voter: usize) -> OutboundMessage {
+    fn changes_request(&self, voter: usize) -> OutboundMessage {
         OutboundMessage {
             voter,
-            request: RegisterRequest::ChangesSince { incarnation: self.born, revision: self.revision },
+            request: RegisterRequest::ChangesSince { incarnation: self.incarnation, revision: self.revision },
         }
     }
 }
 
-impl Followed {
+impl WatchedRegister {
     /// Guards against going back: an older value that comes late changes nothing.
-    fn take(&mut self, now: Duration, entry: &Entry) {
-        let known = self.settled.as_ref().map(|entry| entry.version);
+    fn commit(&mut self, now: Duration, entry: &Entry) {
+        let known = self.committed.as_ref().map(|entry| entry.version);
         if Some(entry.version) < known {
             return;
         }
-        self.sure = Some(now);
+        self.confirmed_at = Some(now);
         if Some(entry.version) == known {
             return;
         }
-        self.settled = Some(entry.clone());
-        self.seen.retain(|_, seen| seen.version > entry.version);
+        self.committed = Some(entry.clone());
+        self.candidates.retain(|_, candidates| candidates.version > entry.version);
     }
 }
--- a/crates/core/registers/src/lib.rs
+++ b/crates/core/registers/src/lib.rs
@@ -26,9 +26,9 @@
 /// A value's bytes at most, so that it fits a datagram with what goes round it.
 pub const MAX_VALUE_BYTES: usize = 860;
 /// Bytes of values and names in one page of a copy or of changes, unless one row alone is more.
-const PAGE: usize = 700;
+const MAX_PAGE_BYTES: usize = 700;
 /// Bytes of a row beside its name and value, at most.
-const ROW: usize = 48;
+const MAX_REGISTER_OVERHEAD_BYTES: usize = 48;
 /// The incarnation in the ballot of what a new epoch begins with. Nobody has proposed that: it was copied from fewer than a majority
 /// and may never have been settled, so that a majority that shows it settles nothing until somebody proposes it.
 const NOBODY: u64 = 0;
@@ -165,8 +165,8 @@
 }
 
 /// To all voters.
-fn to_all(voters: usize, ask: &RegisterRequest) -> Vec<OutboundMessage> {
-    (0..voters).map(|voter| OutboundMessage { voter, request: ask.clone() }).collect()
+fn to_all(voters: usize, request: &RegisterRequest) -> Vec<OutboundMessage> {
+    (0..voters).map(|voter| OutboundMessage { voter, request: request.clone() }).collect()
 }
 
 /// So many are a majority.
--- a/crates/core/registers/src/proposer.rs
+++ b/crates/core/registers/src/proposer.rs
@@ -8,8 +8,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-const PATIENCE: u32 = 6; // An attempt is given up after this part of a lease,
-const TRIES: u32 = 8; // and the change after so many.
+const ATTEMPT_TIMEOUT_DIVISOR: u32 = 6; // An attempt is given up after this part of a lease,
+const MAX_TRIES: u32 = 8; // and the change after so many.
 
 /// What is to become of a register.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -44,19 +44,19 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Attempt {
-    change: Operation,
+    operation: Operation,
     ballot: Ballot,
-    begun: Duration,
+    started: Duration,
     tries: u32,
     promises: BTreeSet<usize>,
-    accepted: BTreeSet<usize>,
-    refused: BTreeSet<usize>,
-    era: u64,
-    last: Accepted,
+    acceptances: BTreeSet<usize>,
+    rejections: BTreeSet<usize>,
+    epoch: u64,
+    last_accepted: Accepted,
     /// What was sent to be accepted, and what the outcome will be once it is.
-    proposed: Option<(Option<Entry>, bool)>,
+    proposal: Option<(Option<Entry>, bool)>,
     /// Waits until then before its next try.
-    waits: Option<Duration>,
+    retry_at: Option<Duration>,
 }
 
 /// Changes registers; one change a register at a time.
@@ -80,42 +80,44 @@
     }
 
     /// Begins a change. One that is under way there is told as unknown first.
-    pub fn propose(&mut self, now: Duration, name: &str, change: Operation) -> Vec<OutboundMessage> {
-        if matches!(&change, Operation::CompareAndSet { value, .. } if value.len() > MAX_VALUE_BYTES) {
+    pub fn propose(&mut self, now: Duration, name: &str, operation: Operation) -> Vec<OutboundMessage> {
+        if matches!(&operation, Operation::CompareAndSet { value, .. } if value.len() > MAX_VALUE_BYTES) {
             self.outcomes.push(ProposalOutcome::Conflict { name: name.to_owned(), entry: None });
             return Vec::new();
         }
         if self.attempts.remove(name).is_some() {
             self.outcomes.push(ProposalOutcome::Unknown { name: name.to_owned() });
         }
-        self.begin(now, name, change, 1)
+        self.begin(now, name, operation, 1)
     }
 
     /// What has come of changes since this was last asked, in order.
-    pub fn outcomes(&mut self) -> Vec<ProposalOutcome> {
+    pub fn take_outcomes(&mut self) -> Vec<ProposalOutcome> {
         std::mem::take(&mut self.outcomes)
     }
 
-    pub fn next_timeout(&self, terms: &LeaseConfig) -> Option<Duration> {
-        let due = |attempt: &Attempt| attempt.waits.unwrap_or(attempt.begun + terms.duration / PATIENCE);
+    pub fn next_timeout(&self, config: &LeaseConfig) -> Option<Duration> {
+        let due = |attempt: &Attempt| {
+            attempt.retry_at.unwrap_or(attempt.started + config.duration / ATTEMPT_TIMEOUT_DIVISOR)
+        };
         self.attempts.values().map(due).min()
     }
 
-    fn begin(&mut self, now: Duration, name: &str, change: Operation, tries: u32) -> Vec<OutboundMessage> {
+    fn begin(&mut self, now: Duration, name: &str, operation: Operation, tries: u32) -> Vec<OutboundMessage> {
         self.round += 1;
         let ballot = ballot(self.round, &self.me);
         let attempt = Attempt {
-            change,
+            operation,
             ballot,
-            begun: now,
+            started: now,
             tries,
             promises: BTreeSet::new(),
-            accepted: BTreeSet::new(),
-            refused: BTreeSet::new(),
-            era: 0,
-            last: None,
-            proposed: None,
-            waits: None,
+            acceptances: BTreeSet::new(),
+            rejections: BTreeSet::new(),
+            epoch: 0,
+            last_accepted: None,
+            proposal: None,
+            retry_at: None,
         };
         self.attempts.insert(name.to_owned(), attempt);
         to_all(self.voters, &RegisterRequest::Prepare { name: name.to_owned(), ballot })
@@ -125,37 +127,37 @@
     pub fn poll(
         &mut self,
         now: Duration,
-        terms: &LeaseConfig,
+        config: &LeaseConfig,
         chance: &mut impl FnMut() -> f64,
     ) -> Vec<OutboundMessage> {
-        let patience = terms.duration / PATIENCE;
-        let mut posts = Vec::new();
-        let mut again = Vec::new();
+        let attempt_timeout = config.duration / ATTEMPT_TIMEOUT_DIVISOR;
+        let mut messages = Vec::new();
+        let mut retries = Vec::new();
         for (name, attempt) in &mut self.attempts {
-            match attempt.waits {
-                Some(until) if until <= now => again.push(name.clone()),
-                None if attempt.begun + patience <= now => {
-                    attempt.waits = Some(now + patience.mul_f64(chance()));
+            match attempt.retry_at {
+                Some(until) if until <= now => retries.push(name.clone()),
+                None if attempt.started + attempt_timeout <= now => {
+                    attempt.retry_at = Some(now + attempt_timeout.mul_f64(chance()));
                 }
                 _ => {}
             }
         }
-        for name in again {
+        for name in retries {
             let Some(attempt) = self.attempts.remove(&name) else { continue };
-            if attempt.tries >= TRIES {
+            if attempt.tries >= MAX_TRIES {
                 self.outcomes.push(ProposalOutcome::Unknown { name });
             } else {
-                posts.extend(self.begin(now, &name, attempt.change, attempt.tries + 1));
+                messages.extend(self.begin(now, &name, attempt.operation, attempt.tries + 1));
             }
         }
-        posts
+        messages
     }
 
     /// Hears what a voter answers. What belongs to no attempt that is still on changes nothing.
     pub fn handle_reply(
         &mut self,
         now: Duration,
-        terms: &LeaseConfig,
+        config: &LeaseConfig,
         voter: usize,
         reply: RegisterReply,
         chance: &mut impl FnMut() -> f64,
@@ -172,64 +174,66 @@
                 return Vec::new();
             }
         };
-        let (voters, most) = (self.voters, majority(self.voters));
-        let patience = terms.duration / PATIENCE;
+        let (voters, majority_size) = (self.voters, majority(self.voters));
+        let attempt_timeout = config.duration / ATTEMPT_TIMEOUT_DIVISOR;
         let Some(attempt) = self.attempts.get_mut(&name) else { return Vec::new() };
         // Guards the rule for voters without memory: what comes later than the bound on an attempt counts for nothing.
-        let over = attempt.begun + patience <= now || attempt.waits.is_some();
-        if attempt.ballot != ballot || over || voter >= voters {
+        let is_over = attempt.started + attempt_timeout <= now || attempt.retry_at.is_some();
+        if attempt.ballot != ballot || is_over || voter >= voters {
             return Vec::new();
         }
         match reply {
-            RegisterReply::Promise { epoch: era, accepted, .. } if attempt.proposed.is_none() => {
+            RegisterReply::Promise { epoch, accepted, .. } if attempt.proposal.is_none() => {
                 attempt.promises.insert(voter);
-                attempt.era = attempt.era.max(era);
-                let newer = |ours: &Accepted| ours.as_ref().map(|last| last.0);
-                if newer(&accepted) > newer(&attempt.last) {
-                    attempt.last = accepted;
+                attempt.epoch = attempt.epoch.max(epoch);
+                let newer = |ours: &Accepted| ours.as_ref().map(|last_accepted| last_accepted.0);
+                if newer(&accepted) > newer(&attempt.last_accepted) {
+                    attempt.last_accepted = accepted;
                 }
-                if attempt.promises.len() < most {
+                if attempt.promises.len() < majority_size {
                     return Vec::new();
                 }
-                let last = attempt.last.as_ref().map(|(_, entry)| entry.clone());
-                let (entry, done) = settled_as(&attempt.change, last, attempt.era);
-                attempt.proposed = Some((entry.clone(), done));
+                let last_accepted = attempt.last_accepted.as_ref().map(|(_, entry)| entry.clone());
+                let (entry, is_success) = decide(&attempt.operation, last_accepted, attempt.epoch);
+                attempt.proposal = Some((entry.clone(), is_success));
                 return match entry {
                     // What stood there is made sure of, too, before anybody is told of it.
                     Some(entry) => to_all(voters, &RegisterRequest::Accept { name, ballot, entry }),
                     None => {
-                        self.end(&name);
+                        self.finish(&name);
                         Vec::new()
                     }
                 };
             }
             RegisterReply::Accepted { .. } => {
-                attempt.accepted.insert(voter);
-                if attempt.accepted.len() >= most {
-                    self.end(&name);
+                attempt.acceptances.insert(voter);
+                if attempt.acceptances.len() >= majority_size {
+                    self.finish(&name);
                 }
             }
             RegisterReply::StaleBallot { round, .. } => {
                 self.round = self.round.max(round);
-                attempt.refused.insert(voter);
+                attempt.rejections.insert(voter);
             }
             RegisterReply::Silent { .. } => {
-                attempt.refused.insert(voter);
+                attempt.rejections.insert(voter);
             }
             _ => {}
         }
         if let Some(attempt) = self.attempts.get_mut(&name)
-            && attempt.refused.len() + most > voters
+            && attempt.rejections.len() + majority_size > voters
         {
-            attempt.waits = Some(now + patience.mul_f64(chance()));
+            attempt.retry_at = Some(now + attempt_timeout.mul_f64(chance()));
         }
         Vec::new()
     }
 
-    fn end(&mut self, name: &str) {
-        let Some(Attempt { proposed: Some((entry, done)), .. }) = self.attempts.remove(name) else { return };
+    fn finish(&mut self, name: &str) {
+        let Some(Attempt { proposal: Some((entry, is_success)), .. }) = self.attempts.remove(name) else {
+            return;
+        };
         let name = name.to_owned();
-        self.outcomes.push(if done {
+        self.outcomes.push(if is_success {
             ProposalOutcome::Committed { name, entry }
         } else {
             ProposalOutcome::Conflict { name, entry }
@@ -238,26 +242,27 @@
 }
 
 /// What is to be settled, given what a majority knows, and whether that is what was wanted.
-fn settled_as(change: &Operation, last: Option<Entry>, era: u64) -> (Option<Entry>, bool) {
+fn decide(operation: &Operation, last_accepted: Option<Entry>, epoch: u64) -> (Option<Entry>, bool) {
     // Guards against a value that went back unseen: what is left after a majority has forgotten shows the new epoch.
-    let last = last.map(|mut entry| {
-        entry.version.epoch = entry.version.epoch.max(era);
+    let last_accepted = last_accepted.map(|mut entry| {
+        entry.version.epoch = entry.version.epoch.max(epoch);
         entry
     });
-    let Operation::CompareAndSet { expected: after, fencing_token: number, value } = change else {
-        return (last, true);
+    let Operation::CompareAndSet { expected, fencing_token, value } = operation else {
+        return (last_accepted, true);
     };
-    let stands = last.as_ref().map(|entry| entry.version);
-    let fenced = last.as_ref().is_some_and(|entry| entry.fencing_token > *number);
-    if stands == *after && !fenced {
-        let version = stands.map_or(0, |stamp| stamp.counter) + 1;
-        let stamp = EntryVersion { epoch: stands.map_or(era, |stamp| stamp.epoch), counter: version };
-        return (Some(Entry { version: stamp, fencing_token: *number, value: value.clone() }), true);
+    let current = last_accepted.as_ref().map(|entry| entry.version);
+    let fenced = last_accepted.as_ref().is_some_and(|entry| entry.fencing_token > *fencing_token);
+    if current == *expected && !fenced {
+        let version = current.map_or(0, |version| version.counter) + 1;
+        let version =
+            EntryVersion { epoch: current.map_or(epoch, |version| version.epoch), counter: version };
+        return (Some(Entry { version, fencing_token: *fencing_token, value: value.clone() }), true);
     }
     // An earlier try of this change may have come through unheard.
-    let next = after.map_or(0, |stamp| stamp.counter) + 1;
-    let own = last.as_ref().is_some_and(|entry| {
-        entry.version.counter == next && entry.fencing_token == *number && entry.value == *value
+    let next = expected.map_or(0, |version| version.counter) + 1;
+    let own = last_accepted.as_ref().is_some_and(|entry| {
+        entry.version.counter == next && entry.fencing_token == *fencing_token && entry.value == *value
     });
-    (last, own)
+    (last_accepted, own)
 }
--- a/crates/core/registers/tests/exhaustive.rs
+++ b/crates/core/registers/tests/exhaustive.rs
@@ -35,14 +35,14 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    keepers: Vec<Acceptor>,
+    acceptors: Vec<Acceptor>,
     lives: Vec<u64>,
     proposers: Vec<Proposer>,
     begun: Vec<bool>,
     forgot: bool,
     past: bool,
     /// What proposers were told as settled.
-    settled: BTreeMap<EntryVersion, BTreeSet<Vec<u8>>>,
+    committed: BTreeMap<EntryVersion, BTreeSet<Vec<u8>>>,
     sent: BTreeSet<Sent>,
 }
 
@@ -58,7 +58,7 @@
 const NOW: Duration = Duration::from_millis(10);
 const LATER: Duration = Duration::from_secs(100);
 
-fn terms() -> LeaseConfig {
+fn config() -> LeaseConfig {
     LeaseConfig { duration: Duration::from_secs(6), clock_drift_permille: 0, max_action_time: Duration::ZERO }
 }
 
@@ -67,26 +67,26 @@
         if state.past { LATER } else { NOW }
     }
 
-    fn post(&self, state: &mut State, from: usize, posts: Vec<OutboundMessage>) {
-        for OutboundMessage { voter, request: ask } in posts {
-            state.sent.insert(Sent::RegisterRequest(from, voter, ask));
+    fn post(&self, state: &mut State, from: usize, messages: Vec<OutboundMessage>) {
+        for OutboundMessage { voter, request } in messages {
+            state.sent.insert(Sent::RegisterRequest(from, voter, request));
         }
     }
 
-    fn copies(&self, state: &mut State, from: usize, posts: Vec<OutboundMessage>) {
-        for OutboundMessage { voter, request: ask } in posts {
-            state.sent.insert(Sent::Copy(from, state.lives[from], voter, ask));
+    fn copies(&self, state: &mut State, from: usize, messages: Vec<OutboundMessage>) {
+        for OutboundMessage { voter, request } in messages {
+            state.sent.insert(Sent::Copy(from, state.lives[from], voter, request));
         }
     }
 
     fn note(&self, state: &mut State, who: usize) {
-        for outcome in state.proposers[who].outcomes() {
+        for outcome in state.proposers[who].take_outcomes() {
             let entry = match outcome {
                 ProposalOutcome::Committed { entry, .. } | ProposalOutcome::Conflict { entry, .. } => entry,
                 ProposalOutcome::Unknown { .. } => continue,
             };
             if let Some(entry) = entry {
-                state.settled.entry(entry.version).or_default().insert(entry.value);
+                state.committed.entry(entry.version).or_default().insert(entry.value);
             }
         }
     }
@@ -97,9 +97,9 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let keeper = |place| Acceptor::restored(VOTERS, place, 1, PersistentState::default());
+        let acceptor = |index| Acceptor::restored(VOTERS, index, 1, PersistentState::default());
         vec![State {
-            keepers: (0..VOTERS).map(keeper).collect(),
+            acceptors: (0..VOTERS).map(acceptor).collect(),
             lives: vec![1; VOTERS],
             proposers: (0..PROPOSERS)
                 .map(|n| Proposer::new(Incarnation { name: format!("{n}"), id: n as u64 + 1 }, VOTERS))
@@ -107,7 +107,7 @@
             begun: vec![false; PROPOSERS],
             forgot: false,
             past: false,
-            settled: BTreeMap::new(),
+            committed: BTreeMap::new(),
             sent: BTreeSet::new(),
         }]
     }
@@ -128,48 +128,48 @@
         match step {
             Step::Begin(who) => {
                 state.begun[who] = true;
-                let known = last.settled.last_key_value().map(|(stamp, _)| *stamp);
+                let known = last.committed.last_key_value().map(|(version, _)| *version);
                 let change =
                     Operation::CompareAndSet { expected: known, fencing_token: 1, value: vec![who as u8] };
-                let posts = state.proposers[who].propose(now, NAME, change);
-                self.post(&mut state, who, posts);
+                let messages = state.proposers[who].propose(now, NAME, change);
+                self.post(&mut state, who, messages);
             }
             Step::Forget => {
                 state.forgot = true;
                 state.lives[0] = 2;
-                state.keepers[0] = match self.spoilt {
+                state.acceptors[0] = match self.spoilt {
                     Spoilt::ForgetfulVoter => Acceptor::restored(VOTERS, 0, 2, PersistentState::default()),
-                    _ => Acceptor::without_memory(NOW, &terms(), VOTERS, 0, 2, 9),
+                    _ => Acceptor::without_memory(NOW, &config(), VOTERS, 0, 2, 9),
                 };
             }
             Step::Pass => {
                 state.past = true;
-                let posts = state.keepers[0].poll(LATER, &terms());
-                self.copies(&mut state, 0, posts);
+                let messages = state.acceptors[0].poll(LATER, &config());
+                self.copies(&mut state, 0, messages);
             }
             Step::Deliver(sent) => {
                 state.sent.remove(&sent);
                 match sent {
-                    Sent::RegisterRequest(who, voter, ask) => {
-                        let reply = state.keepers[voter].handle_request(now, ask)?;
-                        let posts =
-                            state.proposers[who].handle_reply(now, &terms(), voter, reply, &mut || 0.0);
-                        self.post(&mut state, who, posts);
+                    Sent::RegisterRequest(who, voter, request) => {
+                        let reply = state.acceptors[voter].handle_request(now, request)?;
+                        let messages =
+                            state.proposers[who].handle_reply(now, &config(), voter, reply, &mut || 0.0);
+                        self.post(&mut state, who, messages);
                         self.note(&mut state, who);
                     }
-                    Sent::Copy(from, life, to, ask) => {
-                        let reply = state.keepers[to].handle_request(now, ask)?;
-                        if state.lives[from] != life {
+                    Sent::Copy(from, incarnation, to, request) => {
+                        let reply = state.acceptors[to].handle_request(now, request)?;
+                        if state.lives[from] != incarnation {
                             return None;
                         }
                         if self.spoilt == Spoilt::CopiesFromOne
                             && let RegisterReply::StateCopy { registers: rows, .. } = &reply
                         {
-                            let kept = PersistentState { epoch: 0, registers: rows.clone() };
-                            state.keepers[from] = Acceptor::restored(VOTERS, from, life, kept);
+                            let stored = PersistentState { epoch: 0, registers: rows.clone() };
+                            state.acceptors[from] = Acceptor::restored(VOTERS, from, incarnation, stored);
                         }
-                        let posts = state.keepers[from].handle_copy(now, to, reply);
-                        self.copies(&mut state, from, posts);
+                        let messages = state.acceptors[from].handle_copy(now, to, reply);
+                        self.copies(&mut state, from, messages);
                     }
                 }
             }
@@ -180,10 +180,10 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("a stamp has one value", |_, state: &State| {
-                state.settled.values().all(|values| values.len() == 1)
+                state.committed.values().all(|values| values.len() == 1)
             }),
             Property::sometimes("both changes settle, one after the other", |_, state: &State| {
-                state.settled.len() == 2
+                state.committed.len() == 2
             }),
         ]
     }
--- a/crates/core/registers/tests/following.rs
+++ b/crates/core/registers/tests/following.rs
@@ -22,8 +22,8 @@
 
 /// Three voters that remember, and one that follows them.
 struct World {
-    keepers: Vec<Acceptor>,
-    follower: Learner,
+    acceptors: Vec<Acceptor>,
+    learner: Learner,
     now: Duration,
     /// Asks that were answered since the last look.
     asked: Vec<RegisterRequest>,
@@ -35,13 +35,13 @@
 
 impl World {
     fn new(registers: usize) -> World {
-        let keeper =
-            |place: usize| Acceptor::restored(VOTERS, place, place as u64 + 1, PersistentState::default());
-        let mut follower = Learner::new(VOTERS, EVERY);
-        (0..registers).for_each(|n| follower.watch(&name(n)));
+        let acceptor =
+            |index: usize| Acceptor::restored(VOTERS, index, index as u64 + 1, PersistentState::default());
+        let mut learner = Learner::new(VOTERS, EVERY);
+        (0..registers).for_each(|n| learner.watch(&name(n)));
         World {
-            keepers: (0..VOTERS).map(keeper).collect(),
-            follower,
+            acceptors: (0..VOTERS).map(acceptor).collect(),
+            learner,
             now: Duration::ZERO,
             asked: Vec::new(),
             earlier: Vec::new(),
@@ -55,8 +55,8 @@
         self.round += 1;
         let ballot = Ballot { round: self.round, proposer: 9 };
         for voter in voters {
-            let ask = RegisterRequest::Accept { name: name.to_owned(), ballot, entry: entry.clone() };
-            let reply = self.keepers[*voter].handle_request(self.now, ask);
+            let request = RegisterRequest::Accept { name: name.to_owned(), ballot, entry: entry.clone() };
+            let reply = self.acceptors[*voter].handle_request(self.now, request);
             assert!(matches!(reply, Some(RegisterReply::Accepted { .. })), "{reply:?}");
         }
     }
@@ -64,8 +64,8 @@
     /// Begins a new incarnation of a voter, which has kept what it accepted.
     fn restart(&mut self, voter: usize) {
         self.lives += 1;
-        let kept = self.keepers[voter].persistent_state();
-        self.keepers[voter] = Acceptor::restored(VOTERS, voter, self.lives, kept);
+        let stored = self.acceptors[voter].persistent_state();
+        self.acceptors[voter] = Acceptor::restored(VOTERS, voter, self.lives, stored);
     }
 
     fn answer(&mut self, post: OutboundMessage) -> Option<RegisterReply> {
@@ -74,24 +74,24 @@
             return None;
         }
         self.asked.push(post.request.clone());
-        self.keepers[post.voter].handle_request(self.now, post.request)
+        self.acceptors[post.voter].handle_request(self.now, post.request)
     }
 
     /// A turn of the follower, and all that follows from it; the asks in it.
-    fn turn(&mut self) -> Vec<RegisterRequest> {
+    fn poll(&mut self) -> Vec<RegisterRequest> {
         self.now += EVERY * 2;
-        let mut posts = self.follower.poll(self.now, &mut || 0.5);
-        while let Some(post) = posts.pop() {
+        let mut messages = self.learner.poll(self.now, &mut || 0.5);
+        while let Some(post) = messages.pop() {
             let voter = post.voter;
             if let Some(reply) = self.answer(post) {
-                posts.extend(self.follower.handle_reply(self.now, voter, reply));
+                messages.extend(self.learner.handle_reply(self.now, voter, reply));
             }
         }
         std::mem::take(&mut self.asked)
     }
 
-    fn settled(&self, n: usize) -> Option<Entry> {
-        self.follower.committed(&name(n)).map(|(entry, _)| entry.clone())
+    fn committed(&self, n: usize) -> Option<Entry> {
+        self.learner.committed(&name(n)).map(|(entry, _)| entry.clone())
     }
 }
 
@@ -101,14 +101,14 @@
     for n in 0..64 {
         world.accept(&[0, 1, 2], &name(n), &entry(1, 20));
     }
-    world.turn();
-    assert!((0..64).all(|n| world.settled(n) == Some(entry(1, 20))));
+    world.poll();
+    assert!((0..64).all(|n| world.committed(n) == Some(entry(1, 20))));
     for _ in 0..20 {
-        let asked = world.turn();
+        let asked = world.poll();
         assert_eq!(asked.len(), VOTERS, "{asked:?}");
-        assert!(asked.iter().all(|ask| matches!(ask, RegisterRequest::ChangesSince { .. })));
+        assert!(asked.iter().all(|request| matches!(request, RegisterRequest::ChangesSince { .. })));
     }
-    let sure = world.follower.committed(&name(0)).unwrap().1;
+    let sure = world.learner.committed(&name(0)).unwrap().1;
     assert_eq!(sure, world.now, "an unchanged value was made sure of");
 }
 
@@ -118,45 +118,45 @@
     for n in 0..64 {
         world.accept(&[0, 1, 2], &name(n), &entry(1, MAX_VALUE_BYTES));
     }
-    world.turn();
-    assert!((0..64).all(|n| world.settled(n).is_some()));
+    world.poll();
+    assert!((0..64).all(|n| world.committed(n).is_some()));
     world.accept(&[1, 2], &name(7), &entry(2, 5));
-    assert_eq!(world.turn().len(), VOTERS);
-    assert_eq!(world.settled(7), Some(entry(2, 5)));
+    assert_eq!(world.poll().len(), VOTERS);
+    assert_eq!(world.committed(7), Some(entry(2, 5)));
 }
 
 #[test]
 fn one_voter_alone_settles_nothing_and_a_value_without_a_voter_stays() {
     let mut world = World::new(2);
     world.accept(&[0, 1, 2], &name(0), &entry(1, 5));
-    world.turn();
+    world.poll();
     world.accept(&[0], &name(0), &entry(2, 5));
-    (0..10).for_each(|_| drop(world.turn()));
-    assert_eq!(world.settled(0), Some(entry(1, 5)));
-    assert!(!world.follower.is_known_empty(&name(0)) && world.follower.is_known_empty(&name(1)));
+    (0..10).for_each(|_| drop(world.poll()));
+    assert_eq!(world.committed(0), Some(entry(1, 5)));
+    assert!(!world.learner.is_known_empty(&name(0)) && world.learner.is_known_empty(&name(1)));
 }
 
 #[test]
 fn a_voter_that_starts_anew_is_asked_for_everything() {
     let mut world = World::new(3);
     world.accept(&[0, 1, 2], &name(0), &entry(1, 5));
-    world.turn();
+    world.poll();
     (0..VOTERS).for_each(|voter| world.restart(voter));
     world.accept(&[0, 1], &name(1), &entry(1, 5));
-    world.turn();
-    world.turn();
-    assert_eq!((world.settled(0), world.settled(1)), (Some(entry(1, 5)), Some(entry(1, 5))));
-    assert_eq!(world.turn().len(), VOTERS);
+    world.poll();
+    world.poll();
+    assert_eq!((world.committed(0), world.committed(1)), (Some(entry(1, 5)), Some(entry(1, 5))));
+    assert_eq!(world.poll().len(), VOTERS);
 }
 
 #[test]
 fn what_is_followed_later_is_asked_for() {
     let mut world = World::new(1);
     world.accept(&[0, 1, 2], &name(5), &entry(1, 5));
-    world.turn();
-    world.follower.watch(&name(5));
-    world.turn();
-    assert_eq!(world.settled(5), Some(entry(1, 5)));
+    world.poll();
+    world.learner.watch(&name(5));
+    world.poll();
+    assert_eq!(world.committed(5), Some(entry(1, 5)));
 }
 
 #[test]
@@ -166,13 +166,13 @@
     for n in 0..64 {
         world.accept(&[0, 1, 2], &name(n), &entry(1, 20));
     }
-    assert_eq!(world.turn().len(), VOTERS, "one register each, to see whether names are read");
-    assert_eq!(world.turn().len(), VOTERS * 64);
-    assert!((0..64).all(|n| world.settled(n) == Some(entry(1, 20))));
+    assert_eq!(world.poll().len(), VOTERS, "one register each, to see whether names are read");
+    assert_eq!(world.poll().len(), VOTERS * 64);
+    assert!((0..64).all(|n| world.committed(n) == Some(entry(1, 20))));
     world.earlier.clear();
-    world.turn();
-    world.turn();
-    assert_eq!(world.turn().len(), VOTERS, "once changes are told, no name is asked for");
+    world.poll();
+    world.poll();
+    assert_eq!(world.poll().len(), VOTERS, "once changes are told, no name is asked for");
 }
 
 /// Against all that was accepted by a majority: changes, restarts, and replies that are lost, late and repeated.
@@ -194,29 +194,29 @@
             }
             world.now += EVERY;
             let now = world.now;
-            let mut posts = world.follower.poll(now, &mut || chance.f64());
-            while let Some(post) = posts.pop() {
+            let mut messages = world.learner.poll(now, &mut || chance.f64());
+            while let Some(post) = messages.pop() {
                 let voter = post.voter;
                 let Some(reply) = world.answer(post) else { continue };
                 if chance.u8(..) < 100 {
                     late.push((voter, reply.clone()));
                 }
                 if chance.u8(..) < 180 {
-                    posts.extend(world.follower.handle_reply(now, voter, reply));
+                    messages.extend(world.learner.handle_reply(now, voter, reply));
                 }
                 if chance.bool() && !late.is_empty() {
                     let (voter, reply) = late.swap_remove(chance.usize(..late.len()));
-                    posts.extend(world.follower.handle_reply(now, voter, reply));
+                    messages.extend(world.learner.handle_reply(now, voter, reply));
                 }
             }
-            for (register, settled) in (0..20).filter_map(|n| Some((n, world.settled(n)?))) {
-                assert!(settled.version <= truth[&register].version, "seed {seed}: not settled yet");
+            for (register, committed) in (0..20).filter_map(|n| Some((n, world.committed(n)?))) {
+                assert!(committed.version <= truth[&register].version, "seed {seed}: not settled yet");
             }
         }
-        (0..4).for_each(|_| drop(world.turn()));
+        (0..4).for_each(|_| drop(world.poll()));
         for (register, value) in &truth {
-            assert_eq!(world.settled(*register).as_ref(), Some(value), "seed {seed}, register {register}");
+            assert_eq!(world.committed(*register).as_ref(), Some(value), "seed {seed}, register {register}");
         }
-        assert_eq!(world.turn().len(), VOTERS, "seed {seed}");
+        assert_eq!(world.poll().len(), VOTERS, "seed {seed}");
     }
 }
--- a/crates/core/registers/tests/stories.rs
+++ b/crates/core/registers/tests/stories.rs
@@ -8,7 +8,7 @@
 
 const NAME: &str = "sites";
 
-fn terms() -> LeaseConfig {
+fn config() -> LeaseConfig {
     LeaseConfig { duration: ms(600), clock_drift_permille: 100, max_action_time: Duration::ZERO }
 }
 
@@ -18,7 +18,7 @@
 
 #[derive(Clone)]
 enum Sent {
-    RegisterRequest { from: From, to: usize, ask: RegisterRequest },
+    RegisterRequest { from: From, to: usize, request: RegisterRequest },
     RegisterReply { to: From, from: usize, reply: RegisterReply },
 }
 
@@ -30,15 +30,15 @@
 
 struct Front {
     proposer: Proposer,
-    follower: Learner,
+    learner: Learner,
     known: Option<EntryVersion>,
-    followed: Option<EntryVersion>,
+    watched: Option<EntryVersion>,
     begun: Duration,
 }
 
 struct World {
     now: Duration,
-    keepers: Vec<Option<(Acceptor, u64)>>,
+    acceptors: Vec<Option<(Acceptor, u64)>>,
     rates: Vec<f64>,
     fronts: Vec<Front>,
     way: Vec<(Duration, Sent)>,
@@ -47,7 +47,7 @@
     forgetful: bool,
     next: u64,
     lost: f64,
-    settled: BTreeMap<EntryVersion, Vec<u8>>,
+    committed: BTreeMap<EntryVersion, Vec<u8>>,
     /// The highest settled so far with the time at which its proposer heard of it.
     highest: Vec<(Duration, EntryVersion)>,
     wrong: Vec<String>,
@@ -58,17 +58,17 @@
         let mut chance = fastrand::Rng::with_seed(seed);
         let front = |n: usize| Front {
             proposer: Proposer::new(Incarnation { name: format!("n{n}"), id: n as u64 + 1 }, voters),
-            follower: Learner::new(voters, ms(80)),
+            learner: Learner::new(voters, ms(80)),
             known: None,
-            followed: None,
+            watched: None,
             begun: Duration::ZERO,
         };
         let mut fronts: Vec<Front> = (0..3).map(front).collect();
-        fronts.iter_mut().for_each(|front| front.follower.watch(NAME));
+        fronts.iter_mut().for_each(|front| front.learner.watch(NAME));
         let rates = (0..voters).map(|_| [0.91, 1.0, 1.09][chance.usize(..3)]).collect();
         let mut world = World {
             now: Duration::ZERO,
-            keepers: vec![None; voters],
+            acceptors: vec![None; voters],
             rates,
             fronts,
             way: Vec::new(),
@@ -76,27 +76,27 @@
             forgetful,
             next: 100,
             lost: 0.1,
-            settled: BTreeMap::new(),
+            committed: BTreeMap::new(),
             highest: Vec::new(),
             wrong: Vec::new(),
         };
-        (0..voters).for_each(|place| world.start(place));
+        (0..voters).for_each(|index| world.start(index));
         world
     }
 
-    fn clock(&self, place: usize) -> Duration {
-        self.now.mul_f64(self.rates[place])
+    fn clock(&self, index: usize) -> Duration {
+        self.now.mul_f64(self.rates[index])
     }
 
-    fn start(&mut self, place: usize) {
+    fn start(&mut self, index: usize) {
         self.next += 1;
-        let (born, voters, founding) = (self.next, self.keepers.len(), 1000 + self.next);
-        let keeper = if self.forgetful {
-            Acceptor::restored(voters, place, born, PersistentState::default())
+        let (incarnation, voters, founding) = (self.next, self.acceptors.len(), 1000 + self.next);
+        let acceptor = if self.forgetful {
+            Acceptor::restored(voters, index, incarnation, PersistentState::default())
         } else {
-            Acceptor::without_memory(self.clock(place), &terms(), voters, place, born, founding)
+            Acceptor::without_memory(self.clock(index), &config(), voters, index, incarnation, founding)
         };
-        self.keepers[place] = Some((keeper, born));
+        self.acceptors[index] = Some((acceptor, incarnation));
     }
 
     fn send(&mut self, sent: Sent) {
@@ -108,36 +108,36 @@
         }
     }
 
-    fn post(&mut self, from: From, posts: Vec<OutboundMessage>) {
-        posts.into_iter().for_each(|OutboundMessage { voter, request: ask }| {
-            self.send(Sent::RegisterRequest { from, to: voter, ask })
+    fn post(&mut self, from: From, messages: Vec<OutboundMessage>) {
+        messages.into_iter().for_each(|OutboundMessage { voter, request }| {
+            self.send(Sent::RegisterRequest { from, to: voter, request })
         });
     }
 
     fn step(&mut self) {
         self.now += ms(2);
-        for place in 0..self.keepers.len() {
-            let clock = self.clock(place);
-            if let Some((keeper, born)) = &mut self.keepers[place] {
-                let (posts, born) = (keeper.poll(clock, &terms()), *born);
-                self.post(From::Acceptor(place, born), posts);
+        for index in 0..self.acceptors.len() {
+            let clock = self.clock(index);
+            if let Some((acceptor, incarnation)) = &mut self.acceptors[index] {
+                let (messages, incarnation) = (acceptor.poll(clock, &config()), *incarnation);
+                self.post(From::Acceptor(index, incarnation), messages);
             }
         }
         for n in 0..self.fronts.len() {
             let mut chance = self.chance.clone();
             let now = self.now;
             let front = &mut self.fronts[n];
-            let mut posts = front.proposer.poll(now, &terms(), &mut || chance.f64());
-            posts.extend(front.follower.poll(now, &mut || chance.f64()));
+            let mut messages = front.proposer.poll(now, &config(), &mut || chance.f64());
+            messages.extend(front.learner.poll(now, &mut || chance.f64()));
             if !front.proposer.is_busy(NAME) && chance.f64() < 0.03 {
                 self.next += 1;
                 front.begun = now;
                 let value = self.next.to_le_bytes().to_vec();
                 let change = Operation::CompareAndSet { expected: front.known, fencing_token: 1, value };
-                posts.extend(front.proposer.propose(now, NAME, change));
+                messages.extend(front.proposer.propose(now, NAME, change));
             }
             self.chance = chance;
-            self.post(From::Front(n), posts);
+            self.post(From::Front(n), messages);
             self.note(n);
         }
         let now = self.now;
@@ -149,29 +149,29 @@
 
     fn deliver(&mut self, sent: Sent) {
         match sent {
-            Sent::RegisterRequest { from, to, ask } => {
+            Sent::RegisterRequest { from, to, request } => {
                 let clock = self.clock(to);
-                let Some((keeper, _)) = &mut self.keepers[to] else { return };
-                if let Some(reply) = keeper.handle_request(clock, ask) {
+                let Some((acceptor, _)) = &mut self.acceptors[to] else { return };
+                if let Some(reply) = acceptor.handle_request(clock, request) {
                     self.send(Sent::RegisterReply { to: from, from: to, reply });
                 }
             }
-            Sent::RegisterReply { to: From::Acceptor(place, life), from, reply } => {
-                let clock = self.clock(place);
-                let Some((keeper, born)) = &mut self.keepers[place] else { return };
-                if *born == life {
-                    let posts = keeper.handle_copy(clock, from, reply);
-                    self.post(From::Acceptor(place, life), posts);
+            Sent::RegisterReply { to: From::Acceptor(index, incarnation), from, reply } => {
+                let clock = self.clock(index);
+                let Some((acceptor, current)) = &mut self.acceptors[index] else { return };
+                if *current == incarnation {
+                    let messages = acceptor.handle_copy(clock, from, reply);
+                    self.post(From::Acceptor(index, incarnation), messages);
                 }
             }
             Sent::RegisterReply { to: From::Front(n), from, reply } => {
                 let mut chance = self.chance.clone();
                 let front = &mut self.fronts[n];
-                front.follower.handle_reply(self.now, from, reply.clone());
-                let posts =
-                    front.proposer.handle_reply(self.now, &terms(), from, reply, &mut || chance.f64());
+                front.learner.handle_reply(self.now, from, reply.clone());
+                let messages =
+                    front.proposer.handle_reply(self.now, &config(), from, reply, &mut || chance.f64());
                 self.chance = chance;
-                self.post(From::Front(n), posts);
+                self.post(From::Front(n), messages);
                 self.note(n);
             }
         }
@@ -179,7 +179,7 @@
 
     fn note(&mut self, n: usize) {
         let now = self.now;
-        for outcome in self.fronts[n].proposer.outcomes() {
+        for outcome in self.fronts[n].proposer.take_outcomes() {
             let (entry, own) = match outcome {
                 ProposalOutcome::Committed { entry, .. } => (entry, true),
                 ProposalOutcome::Conflict { entry, .. } => (entry, false),
@@ -190,7 +190,7 @@
             let Some(entry) = entry else { continue };
             self.seen(&entry);
             // What was settled before this attempt began must show in it.
-            let before = self.highest.iter().filter(|(at, _)| *at < begun).map(|(_, stamp)| *stamp).max();
+            let before = self.highest.iter().filter(|(at, _)| *at < begun).map(|(_, version)| *version).max();
             if Some(entry.version) < before || (own && Some(entry.version) == before) {
                 self.wrong.push(format!("{:?} after {before:?} at {now:?}", entry.version));
             }
@@ -199,18 +199,18 @@
             }
         }
         let front = &mut self.fronts[n];
-        if let Some((entry, _)) = front.follower.committed(NAME) {
+        if let Some((entry, _)) = front.learner.committed(NAME) {
             let entry = entry.clone();
-            if Some(entry.version) < front.followed {
+            if Some(entry.version) < front.watched {
                 self.wrong.push(format!("a follower went back to {:?}", entry.version));
             }
-            front.followed = Some(entry.version);
+            front.watched = Some(entry.version);
             self.seen(&entry);
         }
     }
 
     fn seen(&mut self, entry: &Entry) {
-        let value = self.settled.entry(entry.version).or_insert_with(|| entry.value.clone());
+        let value = self.committed.entry(entry.version).or_insert_with(|| entry.value.clone());
         if *value != entry.value {
             self.wrong.push(format!("two values for {:?}", entry.version));
         }
@@ -225,21 +225,22 @@
 
     /// Restarts voters without memory, never so many at once that a majority is blank.
     fn play_minorities(&mut self) {
-        let most_blank = self.keepers.len() - majority(self.keepers.len());
+        let most_blank = self.acceptors.len() - majority(self.acceptors.len());
         for _ in 0..25 {
             let span = self.chance.u64(20..500);
             self.run(ms(span));
             let now = self.now;
-            let blank = |place: usize, world: &World| {
-                let clock = now.mul_f64(world.rates[place]);
-                world.keepers[place]
+            let without_memory = |index: usize, world: &World| {
+                let clock = now.mul_f64(world.rates[index]);
+                world.acceptors[index]
                     .as_ref()
-                    .is_none_or(|(keeper, _)| keeper.state(clock) != AcceptorState::Voting)
+                    .is_none_or(|(acceptor, _)| acceptor.state(clock) != AcceptorState::Voting)
             };
-            let place = self.chance.usize(..self.keepers.len());
-            let others = (0..self.keepers.len()).filter(|p| *p != place && blank(*p, self)).count();
+            let index = self.chance.usize(..self.acceptors.len());
+            let others =
+                (0..self.acceptors.len()).filter(|p| *p != index && without_memory(*p, self)).count();
             if others < most_blank {
-                self.start(place);
+                self.start(index);
             }
         }
     }
@@ -247,7 +248,7 @@
 
 #[test]
 fn what_is_settled_stays_while_fewer_than_a_majority_forget() {
-    let (mut settled, mut eras) = (0, BTreeSet::new());
+    let (mut committed, mut eras) = (0, BTreeSet::new());
     for seed in 0..900 {
         let mut world = World::new(seed, [3, 5][seed as usize % 2], false);
         world.run(ms(3000)); // All are blank at the first start of all, and found an epoch.
@@ -255,12 +256,12 @@
         world.run(ms(500));
         assert!(world.wrong.is_empty(), "seed {seed}: {:?}", world.wrong);
         let later = world.highest.iter().filter(|(at, _)| *at > ms(3000));
-        let all: BTreeSet<u64> = later.map(|(_, stamp)| stamp.epoch).collect();
+        let all: BTreeSet<u64> = later.map(|(_, version)| version.epoch).collect();
         eras.insert(all.len());
-        settled += world.highest.len();
+        committed += world.highest.len();
     }
-    println!("settled {settled}, eras in a run {eras:?}");
-    assert!(settled > 900 * 20, "hardly anything was settled: {settled}");
+    println!("settled {committed}, eras in a run {eras:?}");
+    assert!(committed > 900 * 20, "hardly anything was settled: {committed}");
     assert_eq!(eras, BTreeSet::from([1]), "an era began though no majority had forgotten");
 }
 
@@ -271,9 +272,9 @@
         let mut world = World::new(seed, voters, false);
         world.run(ms(3000));
         let before = world.highest.last().expect("nothing was settled").1;
-        let place = world.chance.usize(..voters);
+        let index = world.chance.usize(..voters);
         let forget = majority(voters) + usize::from(world.chance.bool());
-        (0..forget).for_each(|next| world.start((place + next) % voters));
+        (0..forget).for_each(|next| world.start((index + next) % voters));
         world.run(ms(4000));
         let after = world.highest.last().unwrap().1;
         assert!(after.epoch > before.epoch, "seed {seed}: {before:?} {after:?}");
@@ -283,13 +284,12 @@
 
 #[test]
 fn what_was_asked_in_an_earlier_era_is_not_accepted() {
-    let kept = PersistentState { epoch: 7, registers: Vec::new() };
-    let mut keeper = Acceptor::restored(3, 0, 1, kept);
+    let stored = PersistentState { epoch: 7, registers: Vec::new() };
+    let mut acceptor = Acceptor::restored(3, 0, 1, stored);
     let ballot = lemonusher_leases::Ballot { round: 1, proposer: 1 };
-    let mut accept = |era: u64| {
-        let entry =
-            Entry { version: EntryVersion { epoch: era, counter: 1 }, fencing_token: 1, value: vec![1] };
-        keeper.handle_request(ms(1), RegisterRequest::Accept { name: NAME.to_owned(), ballot, entry })
+    let mut accept = |epoch: u64| {
+        let entry = Entry { version: EntryVersion { epoch, counter: 1 }, fencing_token: 1, value: vec![1] };
+        acceptor.handle_request(ms(1), RegisterRequest::Accept { name: NAME.to_owned(), ballot, entry })
     };
     assert!(matches!(accept(6), Some(RegisterReply::StaleBallot { .. })));
     assert!(matches!(accept(7), Some(RegisterReply::Accepted { .. })));
@@ -301,53 +301,53 @@
 /// accepted it, while another one had been settled under its stamp.
 #[test]
 fn what_a_new_era_begins_with_is_settled_only_once_it_is_proposed() {
-    let mut keepers: Vec<Acceptor> =
+    let mut acceptors: Vec<Acceptor> =
         (0..3).map(|p| Acceptor::restored(3, p, 1, PersistentState::default())).collect();
     let ballot = lemonusher_leases::Ballot { round: 1, proposer: 9 };
     let entry = Entry { version: EntryVersion { epoch: 1, counter: 1 }, fencing_token: 1, value: vec![1] };
-    keepers[0].handle_request(ms(1), RegisterRequest::Accept { name: NAME.to_owned(), ballot, entry });
-    (1..3).for_each(|p| keepers[p] = Acceptor::without_memory(Duration::ZERO, &terms(), 3, p, 2, 5));
-    let copied = |keepers: &[Acceptor]| {
-        keepers[1..].iter().all(|keeper| keeper.state(ms(2000)) == AcceptorState::Voting)
+    acceptors[0].handle_request(ms(1), RegisterRequest::Accept { name: NAME.to_owned(), ballot, entry });
+    (1..3).for_each(|p| acceptors[p] = Acceptor::without_memory(Duration::ZERO, &config(), 3, p, 2, 5));
+    let copied = |acceptors: &[Acceptor]| {
+        acceptors[1..].iter().all(|acceptor| acceptor.state(ms(2000)) == AcceptorState::Voting)
     };
     for step in 0..20 {
         let now = ms(2000) + ms(100) * step;
-        for place in 1..3 {
-            let mut posts = keepers[place].poll(now, &terms());
-            while let Some(OutboundMessage { voter, request: ask }) = posts.pop() {
-                let reply = keepers[voter].handle_request(now, ask).unwrap();
-                posts.extend(keepers[place].handle_copy(now, voter, reply));
+        for index in 1..3 {
+            let mut messages = acceptors[index].poll(now, &config());
+            while let Some(OutboundMessage { voter, request }) = messages.pop() {
+                let reply = acceptors[voter].handle_request(now, request).unwrap();
+                messages.extend(acceptors[index].handle_copy(now, voter, reply));
             }
         }
     }
-    assert!(copied(&keepers), "a majority is blank: the two begin an era");
+    assert!(copied(&acceptors), "a majority is blank: the two begin an era");
     let now = ms(5000);
-    assert_eq!(keepers[1].unproposed_register(now), Some(&NAME.to_owned()));
-    let mut follower = Learner::new(3, ms(80));
-    follower.watch(NAME);
-    let look = |follower: &mut Learner, keepers: &mut [Acceptor], now: Duration| {
-        for OutboundMessage { voter, request: ask } in follower.poll(now, &mut || 0.5) {
-            let reply = keepers[voter].handle_request(now, ask).unwrap();
-            follower.handle_reply(now, voter, reply);
+    assert_eq!(acceptors[1].unproposed_register(now), Some(&NAME.to_owned()));
+    let mut learner = Learner::new(3, ms(80));
+    learner.watch(NAME);
+    let look = |learner: &mut Learner, acceptors: &mut [Acceptor], now: Duration| {
+        for OutboundMessage { voter, request } in learner.poll(now, &mut || 0.5) {
+            let reply = acceptors[voter].handle_request(now, request).unwrap();
+            learner.handle_reply(now, voter, reply);
         }
-        follower.committed(NAME).map(|(entry, _)| entry.clone())
+        learner.committed(NAME).map(|(entry, _)| entry.clone())
     };
-    assert_eq!(look(&mut follower, &mut keepers, now), None);
-    assert!(!follower.is_known_empty(NAME));
+    assert_eq!(look(&mut learner, &mut acceptors, now), None);
+    assert!(!learner.is_known_empty(NAME));
     let mut proposer = Proposer::new(Incarnation { name: "n".into(), id: 7 }, 3);
-    let mut posts = proposer.propose(now, NAME, Operation::Read);
+    let mut messages = proposer.propose(now, NAME, Operation::Read);
     for step in 0..100 {
         let now = now + ms(5) * step;
-        posts.extend(proposer.poll(now, &terms(), &mut || 0.0));
-        for OutboundMessage { voter, request: ask } in std::mem::take(&mut posts) {
-            let reply = keepers[voter].handle_request(now, ask).unwrap();
-            posts.extend(proposer.handle_reply(now, &terms(), voter, reply, &mut || 0.0));
+        messages.extend(proposer.poll(now, &config(), &mut || 0.0));
+        for OutboundMessage { voter, request } in std::mem::take(&mut messages) {
+            let reply = acceptors[voter].handle_request(now, request).unwrap();
+            messages.extend(proposer.handle_reply(now, &config(), voter, reply, &mut || 0.0));
         }
     }
-    assert!(matches!(&proposer.outcomes()[..], [ProposalOutcome::Committed { entry: Some(_), .. }]));
-    let settled = look(&mut follower, &mut keepers, ms(9000)).expect("it was proposed");
-    assert!(settled.version.epoch > 1 && settled.value == [1], "{settled:?}");
-    assert!(keepers.iter().all(|keeper| keeper.unproposed_register(ms(9000)).is_none()));
+    assert!(matches!(&proposer.take_outcomes()[..], [ProposalOutcome::Committed { entry: Some(_), .. }]));
+    let committed = look(&mut learner, &mut acceptors, ms(9000)).expect("it was proposed");
+    assert!(committed.version.epoch > 1 && committed.value == [1], "{committed:?}");
+    assert!(acceptors.iter().all(|acceptor| acceptor.unproposed_register(ms(9000)).is_none()));
 }
 
 #[test]
@@ -356,11 +356,11 @@
     world.run(ms(3000));
     world.start(0);
     world.start(1);
-    world.keepers[2] = None; // It alone may know what was settled.
+    world.acceptors[2] = None; // It alone may know what was settled.
     let before = world.highest.len();
     world.run(ms(6000));
     assert_eq!(world.highest.len(), before, "values were settled without a memory");
-    world.keepers[2] = None;
+    world.acceptors[2] = None;
     world.start(2);
     world.run(ms(4000));
     assert!(world.highest.len() > before);
@@ -381,24 +381,24 @@
 
 #[test]
 fn an_older_number_changes_nothing() {
-    let mut keepers: Vec<Acceptor> =
+    let mut acceptors: Vec<Acceptor> =
         (0..3).map(|p| Acceptor::restored(3, p, 1, PersistentState::default())).collect();
     let mut propose = |who: u64, after: Option<EntryVersion>, number: u64, value: &[u8]| {
         let mut proposer = Proposer::new(Incarnation { name: "n".into(), id: who }, 3);
         let change =
             Operation::CompareAndSet { expected: after, fencing_token: number, value: value.to_vec() };
         let mut now = ms(1);
-        let mut posts = proposer.propose(now, NAME, change);
+        let mut messages = proposer.propose(now, NAME, change);
         for _ in 0..60 {
             now += ms(20);
-            let mut next = proposer.poll(now, &terms(), &mut || 0.0);
-            for OutboundMessage { voter, request: ask } in posts {
-                let reply = keepers[voter].handle_request(now, ask).unwrap();
-                next.extend(proposer.handle_reply(now, &terms(), voter, reply, &mut || 0.0));
+            let mut next = proposer.poll(now, &config(), &mut || 0.0);
+            for OutboundMessage { voter, request } in messages {
+                let reply = acceptors[voter].handle_request(now, request).unwrap();
+                next.extend(proposer.handle_reply(now, &config(), voter, reply, &mut || 0.0));
             }
-            posts = next;
+            messages = next;
         }
-        proposer.outcomes().remove(0)
+        proposer.take_outcomes().remove(0)
     };
     let ProposalOutcome::Committed { entry: Some(first), .. } = propose(1, None, 5, b"a") else { panic!() };
     let late = propose(2, Some(first.version), 4, b"b");
@@ -414,19 +414,20 @@
 
 #[test]
 fn bounds_hold_against_names_values_and_registers_without_end() {
-    let mut keeper = Acceptor::restored(3, 0, 1, PersistentState::default());
+    let mut acceptor = Acceptor::restored(3, 0, 1, PersistentState::default());
     let ballot = lemonusher_leases::Ballot { round: 1, proposer: 1 };
     for n in 0..MAX_REGISTERS * 2 {
-        let reply =
-            keeper.handle_request(ms(1), RegisterRequest::Prepare { name: format!("r{n}"), ballot }).unwrap();
+        let reply = acceptor
+            .handle_request(ms(1), RegisterRequest::Prepare { name: format!("r{n}"), ballot })
+            .unwrap();
         assert_eq!(matches!(reply, RegisterReply::Silent { .. }), n >= MAX_REGISTERS);
     }
     let name = "r0".to_owned();
     let entry =
         Entry { version: EntryVersion::default(), fencing_token: 0, value: vec![0; MAX_VALUE_BYTES + 1] };
-    let reply = keeper.handle_request(ms(1), RegisterRequest::Accept { name: name.clone(), ballot, entry });
+    let reply = acceptor.handle_request(ms(1), RegisterRequest::Accept { name: name.clone(), ballot, entry });
     assert!(matches!(reply, Some(RegisterReply::Silent { .. })));
-    let none = keeper.handle_request(ms(1), RegisterRequest::Prepare { name: "x".repeat(100), ballot });
+    let none = acceptor.handle_request(ms(1), RegisterRequest::Prepare { name: "x".repeat(100), ballot });
     assert!(matches!(none, Some(RegisterReply::Silent { .. })));
     let mut proposer = Proposer::new(Incarnation { name: "n".into(), id: 1 }, 3);
     let value = vec![0; MAX_VALUE_BYTES + 1];
@@ -435,5 +436,5 @@
             .propose(ms(1), "r", Operation::CompareAndSet { expected: None, fencing_token: 0, value })
             .is_empty()
     );
-    assert!(matches!(proposer.outcomes()[..], [ProposalOutcome::Conflict { .. }]));
+    assert!(matches!(proposer.take_outcomes()[..], [ProposalOutcome::Conflict { .. }]));
 }
--- a/crates/edges/cli/src/fleet.rs
+++ b/crates/edges/cli/src/fleet.rs
@@ -401,7 +401,7 @@
                     proposer.handle_reply(clock.elapsed(), &terms, voter, reply, &mut rand::random::<f64>);
             }
             posts.extend(proposer.poll(clock.elapsed(), &terms, &mut rand::random::<f64>));
-            if let Some(outcome) = proposer.outcomes().pop() {
+            if let Some(outcome) = proposer.take_outcomes().pop() {
                 return Ok(outcome);
             }
         }
--- a/crates/edges/fleet/src/node/mod.rs
+++ b/crates/edges/fleet/src/node/mod.rs
@@ -240,7 +240,7 @@
 
     /// How many other fronts its failure detector sees.
     pub fn members(&self) -> usize {
-        self.detector.there().count()
+        self.detector.members().count()
     }
 
     fn turn_seats(&mut self, now: Duration) {
@@ -273,7 +273,7 @@
     }
 
     fn send_detector(&mut self) {
-        let sends: Vec<(SocketAddr, Vec<u8>)> = self.detector.sends().collect();
+        let sends: Vec<(SocketAddr, Vec<u8>)> = self.detector.take_outgoing().collect();
         for (to, bytes) in sends {
             self.send(Body::FailureDetector(bytes), to);
         }
@@ -288,7 +288,7 @@
     }
 
     fn tell_changes(&mut self) {
-        for change in self.asker.changes() {
+        for change in self.asker.take_changes() {
             match change {
                 LeaseChange::Acquired { task, fencing_token: number } => {
                     tracing::info!(task, number, "fleet: holds a task")
@@ -305,7 +305,7 @@
                 }
             }
         }
-        for change in self.detector.changes() {
+        for change in self.detector.take_changes() {
             match change {
                 detector::MembershipChange::Joined(who) => {
                     tracing::info!(name = who.name, "fleet: a front is there")
--- a/crates/edges/fleet/src/node/settle.rs
+++ b/crates/edges/fleet/src/node/settle.rs
@@ -16,7 +16,7 @@
             let posts = keeper.poll(now, &terms);
             let state = keeper.state(now);
             if self.stood.replace(state) != Some(state) {
-                tracing::info!(era = keeper.era(), "fleet: as a voter on registers it is {state}");
+                tracing::info!(era = keeper.epoch(), "fleet: as a voter on registers it is {state}");
             }
             self.post_registers(posts);
         }
@@ -25,7 +25,7 @@
         let asks = self.follower.poll(now, &mut || rng.f64());
         self.post_registers(posts);
         self.post_registers(asks);
-        for outcome in self.proposer.outcomes() {
+        for outcome in self.proposer.take_outcomes() {
             // Nobody here has asked for what is proposed anew.
             if self.reproposed.take_if(|name| name == outcome.name()).is_none() {
                 self.heed(now, &outcome);
--- a/crates/edges/fleet/src/node/show.rs
+++ b/crates/edges/fleet/src/node/show.rs
@@ -29,7 +29,7 @@
     }
 
     fn member_rows(&self) -> impl Iterator<Item = MemberRow> + '_ {
-        self.detector.there().map(|member| MemberRow {
+        self.detector.members().map(|member| MemberRow {
             name: member.name.clone(),
             address: member.address,
             location: member.zone,
@@ -99,7 +99,7 @@
         .collect();
     let more = rows.len() > ROWS;
     rows.truncate(ROWS);
-    Body::Registers { votes: keeper.state(now) == AcceptorState::Voting, era: keeper.era(), rows, more }
+    Body::Registers { votes: keeper.state(now) == AcceptorState::Voting, era: keeper.epoch(), rows, more }
 }
 
 /// How many there are, and the sum of their bytes.
