--- a/crates/core/leases/src/client.rs
+++ b/crates/core/leases/src/client.rs
@@ -1,127 +1,160 @@
-//! A lease client: it attempts, holds, renews and lets go. Whether it holds a task is told by its own clock alone.
+//! A lease client: asks for leases, holds, renews and releases them. Whether it holds a task is decided by its own clock
+//! alone. Events are [`LeaseClient::acquire`], [`LeaseClient::release`], replies and [`LeaseClient::poll`]; outputs are
+//! the returned messages and [`LeaseClient::take_changes`].
 
-use crate::{Ballot, Incarnation, LeaseConfig, LeaseReply, LeaseRequest, Task};
-use std::collections::{BTreeMap, BTreeSet};
+mod attempt;
+mod reply;
+
+use crate::{Incarnation, LeaseConfig, LeaseRequest, Task};
+use attempt::Attempt;
+use std::collections::BTreeMap;
 use std::time::Duration;
 
-const RENEWAL_DIVISOR: u32 = 3; // A lease is renewed after this part of it (one third),
-const ATTEMPT_TIMEOUT_DIVISOR: u32 = 6; // and an attempt is given up after this part.
-const RETRY_SPREAD_LEASES: u32 = 1; // Who waits for another's lease to end comes back within so many leases after;
-const RETRY_DELAY_PER_HELD_LEASE: f64 = 0.25; // who has tasks already, later by this part of a lease for each.
-const RELEASE_BACKOFF_LEASES: u32 = 2; // Who has let go for others, or could not do it, stays away for so many leases.
+/// An attempt is given up after the lease's duration divided by this.
+const ATTEMPT_TIMEOUT_DIVISOR: u32 = 6;
+/// After a release nothing is asked for during so many lease durations, so that others can acquire the task.
+const RELEASE_BACKOFF_LEASES: u32 = 2;
 
-/// To the voter of this place in the list.
+/// A request and the voter, by its index in the configured list, that it is for.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OutboundMessage {
+    /// Index of the voter.
     pub voter: usize,
+    /// What it is asked.
     pub request: LeaseRequest,
 }
 
-/// How a task stands at this front.
+/// Another front that holds a task, as a voter reported it.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ObservedHolder {
+    /// Who holds it.
+    pub holder: Incarnation,
+    /// Its token.
+    pub fencing_token: u64,
+}
+
+/// A lease under which an action may begin now.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ActiveLease {
+    /// Goes with each action, so that the resource can refuse an older one.
+    pub fencing_token: u64,
+    /// An action must have ended by then.
+    pub until: Duration,
+}
+
+/// The state of a task at this front.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseState {
+    /// It is neither asked for nor held.
     Unwanted,
-    /// It is wanted; the last that was heard of another who holds it.
+    /// It is asked for.
     Wanted {
-        other: Option<(Incarnation, u64)>,
+        /// The holder that a voter last reported.
+        other: Option<ObservedHolder>,
     },
-    /// It may act under this number until then, from `from` on.
+    /// It is held.
     Held {
+        /// The token under which this front acts.
         fencing_token: u64,
+        /// No action may begin before.
         from: Duration,
+        /// No action may go on after.
         until: Duration,
     },
 }
 
-/// What has changed at this front, and why.
+/// What has changed at this front.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LeaseChange {
+    /// The lease was granted.
     Acquired {
+        /// The task.
         task: Task,
+        /// Under this token.
         fencing_token: u64,
     },
-    /// It was not renewed in time.
+    /// The lease was not renewed in time.
     Expired {
+        /// The task.
         task: Task,
+        /// The token that it had.
         fencing_token: u64,
     },
-    /// It was let go.
+    /// The lease was given up by [`LeaseClient::release`].
     Released {
+        /// The task.
         task: Task,
+        /// The token that it had.
         fencing_token: u64,
     },
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct HeldLease {
-    number: u64,
+    fencing_token: u64,
+    /// No action begins before: the last holder's action may still be running.
     from: Duration,
-    /// On this front's clock, counted from before the attempt that was granted had begun.
+    /// On this front's clock, counted from before the granted attempt began, so it is before the end at any voter.
     until: Duration,
 }
 
-#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Attempt {
-    ballot: Ballot,
-    started: Duration,
-    promises: BTreeSet<usize>,
-    acceptances: BTreeSet<usize>,
-    rejections: BTreeSet<usize>,
-    highest_promised_token: u64,
-    /// The number asked for, once a majority has promised.
-    number: Option<u64>,
-    /// It renews what is held, and has asked for no promise.
-    is_renewal: bool,
-}
-
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 struct TaskState {
     wanted: bool,
     fenced: bool,
     lease: Option<HeldLease>,
     attempt: Option<Attempt>,
+    /// No attempt begins before.
     next_attempt: Duration,
-    other: Option<(Incarnation, u64)>,
-    /// The highest number that is known of: what is granted next is above it.
+    /// The holder that a voter last reported; none while this front holds the task.
+    other: Option<ObservedHolder>,
+    /// The highest token that is known of; a new grant is above it.
     highest_token: u64,
+    /// The round of the latest ballot used or reported; the next attempt uses a higher one.
     round: u64,
 }
 
+/// The leases that one front asks for and holds.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseClient {
-    me: Incarnation,
+    incarnation: Incarnation,
+    /// How many voters there are.
     voters: usize,
     tasks: BTreeMap<Task, TaskState>,
     changes: Vec<LeaseChange>,
 }
 
 impl LeaseClient {
-    pub fn new(me: Incarnation, voters: usize) -> LeaseClient {
-        LeaseClient { me, voters, tasks: BTreeMap::new(), changes: Vec::new() }
+    /// A client that asks for nothing yet, of a fleet with so many voters.
+    pub fn new(incarnation: Incarnation, voters: usize) -> LeaseClient {
+        LeaseClient { incarnation, voters, tasks: BTreeMap::new(), changes: Vec::new() }
     }
 
-    pub fn me(&self) -> &Incarnation {
-        &self.me
+    /// Which incarnation asks.
+    pub fn incarnation(&self) -> &Incarnation {
+        &self.incarnation
     }
 
-    /// Asks for a task from now on. `fenced`: what is acted upon refuses an older number, so that nothing need be
-    /// waited out for an act that its last holder may have half done.
+    /// Asks for a task from now on. `fenced`: the resource refuses an older token, so an action of the last holder need
+    /// not be waited for.
     pub fn acquire(&mut self, now: Duration, task: &str, fenced: bool) {
         let state = self.tasks.entry(task.to_owned()).or_default();
         if !state.wanted {
-            (state.wanted, state.fenced, state.next_attempt) = (true, fenced, state.next_attempt.max(now));
+            state.wanted = true;
+            state.fenced = fenced;
+            state.next_attempt = state.next_attempt.max(now);
         }
     }
 
-    /// Somebody has shown a number, such as what refused an older one.
-    pub fn observe_token(&mut self, task: &str, number: u64) {
+    /// A resource, or anybody else, has reported a token of this task; what is granted next is above it.
+    pub fn observe_token(&mut self, task: &str, fencing_token: u64) {
         if let Some(state) = self.tasks.get_mut(task) {
-            state.highest_token = state.highest_token.max(number);
+            state.highest_token = state.highest_token.max(fencing_token);
         }
     }
 
-    /// Lets a task go: at once for this front, and for others once the voters hear of it. Comes back to it, where it
-    /// is still wanted, only after others have had their turn.
+    /// Releases a task: at once for this front, for others when the voters receive it. With `keep_wanted` it asks for
+    /// the task again, but only after others had time to acquire it.
     pub fn release(
         &mut self,
         now: Duration,
@@ -132,63 +165,62 @@
         let Some(state) = self.tasks.get_mut(task) else { return Vec::new() };
         state.wanted = keep_wanted;
         state.next_attempt = now + config.duration * RELEASE_BACKOFF_LEASES;
-        // An attempt under way may yet be granted; it is told as over too.
-        let attempt_token = state.attempt.take().and_then(|attempt| attempt.number);
-        let Some(number) = state.lease.take().map(|lease| lease.number).max(attempt_token) else {
-            return Vec::new();
-        };
-        self.changes.push(LeaseChange::Released { task: task.to_owned(), fencing_token: number });
-        let request =
-            LeaseRequest::Release { task: task.to_owned(), client: self.me.clone(), fencing_token: number };
-        (0..self.voters).map(|voter| OutboundMessage { voter, request: request.clone() }).collect()
+        // A running attempt may still be granted, so its token is released too.
+        let attempt_token = state.attempt.take().and_then(|attempt| attempt.fencing_token);
+        let held_token = state.lease.take().map(|lease| lease.fencing_token);
+        let Some(fencing_token) = held_token.max(attempt_token) else { return Vec::new() };
+        self.changes.push(LeaseChange::Released { task: task.to_owned(), fencing_token });
+        let client = self.incarnation.clone();
+        to_all(self.voters, &LeaseRequest::Release { task: task.to_owned(), client, fencing_token })
     }
 
-    /// Whether an act may begin now, and under which number; it must end by the time given.
-    pub fn may_act(&self, now: Duration, task: &str) -> Option<(u64, Duration)> {
+    /// The lease under which an action may begin now, if the task is held.
+    pub fn active_lease(&self, now: Duration, task: &str) -> Option<ActiveLease> {
         let lease = self.tasks.get(task)?.lease.as_ref()?;
-        (lease.from <= now && now < lease.until).then_some((lease.number, lease.until))
+        let is_active = lease.from <= now && now < lease.until;
+        is_active.then_some(ActiveLease { fencing_token: lease.fencing_token, until: lease.until })
     }
 
+    /// The state of a task.
     pub fn state(&self, now: Duration, task: &str) -> LeaseState {
         let Some(state) = self.tasks.get(task).filter(|state| state.wanted || state.lease.is_some()) else {
             return LeaseState::Unwanted;
         };
         match &state.lease {
             Some(lease) if now < lease.until => {
-                LeaseState::Held { fencing_token: lease.number, from: lease.from, until: lease.until }
+                LeaseState::Held { fencing_token: lease.fencing_token, from: lease.from, until: lease.until }
             }
             _ => LeaseState::Wanted { other: state.other.clone() },
         }
     }
 
-    /// Whether it asks for this, or has lately.
+    /// Whether it asks for this task, holds it, or did so lately.
     pub fn is_tracking(&self, task: &str) -> bool {
         self.tasks.contains_key(task)
     }
 
+    /// The tasks that it asks for, holds, or did so lately.
     pub fn tasks(&self) -> impl Iterator<Item = &Task> {
         self.tasks.keys()
     }
 
-    /// What has changed since this was last asked, in order.
+    /// The changes since the last call, in order.
     pub fn take_changes(&mut self) -> Vec<LeaseChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// When `turn` has something to do again.
+    /// When [`LeaseClient::poll`] has something to do next.
     pub fn next_timeout(&self, config: &LeaseConfig) -> Option<Duration> {
         let timeouts = self.tasks.values().flat_map(|state| {
-            let attempt = state
-                .attempt
-                .as_ref()
-                .map(|attempt| attempt.started + config.duration / ATTEMPT_TIMEOUT_DIVISOR);
-            let next_attempt = (state.wanted && state.attempt.is_none()).then_some(state.next_attempt);
-            [attempt, next_attempt, state.lease.as_ref().map(|lease| lease.until)]
+            let attempt = state.attempt.as_ref().map(|attempt| attempt.started + attempt_timeout(config));
+            let next = (state.wanted && state.attempt.is_none()).then_some(state.next_attempt);
+            [attempt, next, state.lease.as_ref().map(|lease| lease.until)]
         });
         timeouts.flatten().min()
     }
 
-    /// Ends what has run out and begins what is due. `chance` yields shares from 0 up to 1.
+    /// Ends expired leases and attempts, and begins attempts that are due. `chance` yields numbers from 0 up to 1; each
+    /// ended attempt draws one, to be tried again at another time than by other fronts.
     pub fn poll(
         &mut self,
         now: Duration,
@@ -197,145 +229,27 @@
     ) -> Vec<OutboundMessage> {
         let mut messages = Vec::new();
         for (task, state) in &mut self.tasks {
-            let attempt_timeout = config.duration / ATTEMPT_TIMEOUT_DIVISOR;
-            if let Some(lease) = state.lease.take_if(|lease| lease.until <= now) {
-                self.changes.push(LeaseChange::Expired { task: task.clone(), fencing_token: lease.number });
-                if state.attempt.take_if(|attempt| attempt.is_renewal).is_some() {
-                    state.next_attempt = now + attempt_timeout.mul_f64(chance());
-                }
-            }
-            if state.attempt.take_if(|attempt| attempt.started + attempt_timeout <= now).is_some() {
-                state.next_attempt = now + attempt_timeout.mul_f64(chance());
+            if let Some(fencing_token) = state.expire_lease(now, config, chance) {
+                self.changes.push(LeaseChange::Expired { task: task.clone(), fencing_token });
             }
-            if !state.wanted || state.attempt.is_some() || state.next_attempt > now {
-                continue;
+            state.expire_attempt(now, config, chance);
+            if state.wanted && state.attempt.is_none() && state.next_attempt <= now {
+                let request = state.begin_attempt(now, task, &self.incarnation);
+                messages.extend(to_all(self.voters, &request));
             }
-            state.round += 1;
-            let ballot = Ballot { round: state.round, proposer: self.me.id };
-            // Whoever holds needs no promise: while its lease lasts, a majority refuses all others, so nobody else can have
-            // been granted the task, nor a higher number.
-            let renewed_token = state.lease.as_ref().map(|lease| lease.number);
-            state.attempt = Some(Attempt {
-                ballot,
-                started: now,
-                promises: BTreeSet::new(),
-                acceptances: BTreeSet::new(),
-                rejections: BTreeSet::new(),
-                highest_promised_token: state.highest_token,
-                number: renewed_token,
-                is_renewal: renewed_token.is_some(),
-            });
-            let (task, who) = (task.clone(), self.me.clone());
-            let request = match renewed_token {
-                Some(number) => LeaseRequest::Accept { task, ballot, client: who, fencing_token: number },
-                None => LeaseRequest::Prepare { task, ballot, client: who },
-            };
-            messages
-                .extend((0..self.voters).map(|voter| OutboundMessage { voter, request: request.clone() }));
         }
         self.tasks.retain(|_, state| {
             state.wanted || state.lease.is_some() || state.attempt.is_some() || state.next_attempt > now
         });
         messages
     }
+}
 
-    /// Hears what a voter answers. What belongs to no attempt that is still on changes nothing.
-    pub fn handle_reply(
-        &mut self,
-        now: Duration,
-        config: &LeaseConfig,
-        voter: usize,
-        reply: LeaseReply,
-        chance: &mut impl FnMut() -> f64,
-    ) -> Vec<OutboundMessage> {
-        let (task, ballot) = reply.task();
-        let task = task.clone();
-        let (majority, me) = (self.voters / 2 + 1, self.me.clone());
-        let held_leases_delay = self.tasks.values().filter(|state| state.lease.is_some()).count() as f64
-            * RETRY_DELAY_PER_HELD_LEASE;
-        let Some(state) = self.tasks.get_mut(&task) else { return Vec::new() };
-        let Some(attempt) = state.attempt.as_mut().filter(|attempt| attempt.ballot == ballot) else {
-            return Vec::new();
-        };
-        let attempt_timeout = config.duration / ATTEMPT_TIMEOUT_DIVISOR;
-        match reply {
-            LeaseReply::Promise { fencing_token: number, .. } if attempt.number.is_none() => {
-                attempt.highest_promised_token = attempt.highest_promised_token.max(number);
-                attempt.promises.insert(voter);
-                if attempt.promises.len() < majority {
-                    return Vec::new();
-                }
-                state.highest_token = state.highest_token.max(attempt.highest_promised_token);
-                // What is granted goes above all that a majority knows.
-                let number = attempt.highest_promised_token + 1;
-                attempt.number = Some(number);
-                let request = LeaseRequest::Accept { task, ballot, client: me, fencing_token: number };
-                return (0..self.voters)
-                    .map(|voter| OutboundMessage { voter, request: request.clone() })
-                    .collect();
-            }
-            LeaseReply::Accepted { .. } => {
-                attempt.acceptances.insert(voter);
-                let Some(number) = attempt.number.filter(|_| attempt.acceptances.len() >= majority) else {
-                    return Vec::new();
-                };
-                // What it was to renew has run out meanwhile, so others may hold it under a higher number.
-                let lease = state.lease.as_ref().is_some_and(|lease| now < lease.until);
-                if attempt.is_renewal && !lease {
-                    return Vec::new();
-                }
-                // Counted from before anything was sent, so that it ends here before it does at any voter.
-                let until = attempt.started + config.duration;
-                state.attempt = None;
-                state.next_attempt = now + config.duration / RENEWAL_DIVISOR;
-                state.highest_token = state.highest_token.max(number);
-                if until <= now {
-                    return Vec::new();
-                }
-                match &mut state.lease {
-                    Some(lease) if lease.number == number => lease.until = lease.until.max(until),
-                    _ => {
-                        // Guards what can't refuse: an act that the last holder began may go on for so long.
-                        let from =
-                            if state.fenced { now } else { now + config.with_drift(config.max_action_time) };
-                        state.lease = Some(HeldLease { number, from, until });
-                        self.changes.push(LeaseChange::Acquired { task, fencing_token: number });
-                    }
-                }
-                state.other = None;
-            }
-            LeaseReply::Held { holder: who, fencing_token: number, remaining, .. } => {
-                state.highest_token = state.highest_token.max(number);
-                if state.lease.is_none() {
-                    state.other = Some((who, number));
-                }
-                attempt.rejections.insert(voter);
-                if attempt.rejections.len() + majority > self.voters {
-                    state.attempt = None;
-                    // Spread, so that hundreds who want one task don't all come in the moment that it is free.
-                    state.next_attempt = now
-                        + remaining
-                        + (config.duration * RETRY_SPREAD_LEASES).mul_f64(chance() + held_leases_delay);
-                }
-            }
-            LeaseReply::StaleBallot { round, .. } => {
-                state.round = state.round.max(round);
-                attempt.rejections.insert(voter);
-                if attempt.rejections.len() + majority > self.voters {
-                    state.attempt = None;
-                    state.next_attempt = now + attempt_timeout.mul_f64(chance());
-                }
-            }
-            LeaseReply::Silent { remaining, .. } => {
-                attempt.rejections.insert(voter);
-                if attempt.rejections.len() + majority > self.voters {
-                    state.attempt = None;
-                    state.next_attempt =
-                        now + remaining.min(config.duration) + attempt_timeout.mul_f64(chance());
-                }
-            }
-            LeaseReply::Promise { .. } => {}
-        }
-        Vec::new()
-    }
+/// How long an attempt may take.
+fn attempt_timeout(config: &LeaseConfig) -> Duration {
+    config.duration / ATTEMPT_TIMEOUT_DIVISOR
+}
+
+fn to_all(voters: usize, request: &LeaseRequest) -> Vec<OutboundMessage> {
+    (0..voters).map(|voter| OutboundMessage { voter, request: request.clone() }).collect()
 }
--- a/crates/core/leases/src/voter.rs
+++ b/crates/core/leases/src/voter.rs
@@ -1,13 +1,16 @@
-//! A voter: it promises, grants and forgets. It needs no disk, as a grant means nothing once it has run out.
+//! A voter: promises ballots and grants leases, in memory only. A grant means nothing once it has expired, so after a
+//! restart the voter is silent until all that it granted before must have expired.
 
 use crate::{Ballot, Incarnation, LeaseConfig, LeaseReply, LeaseRequest, MAX_NAME_BYTES, MAX_TASKS, Task};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What is granted as this voter knows it.
+/// A lease as this voter has granted it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Grant {
+    /// Who holds it.
     pub holder: Incarnation,
+    /// The token under which the holder acts.
     pub fencing_token: u64,
     /// Until then, on the voter's clock, it counts as held.
     pub until: Duration,
@@ -15,113 +18,132 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 struct TaskState {
+    /// No ballot below this is accepted.
     promised: Ballot,
-    grant: Option<Grant>,
-    /// The highest number that was ever granted here, or that somebody has told of.
+    granted: Option<Grant>,
+    /// The highest token that was granted here, at least the floor of when this was created.
     highest_token: u64,
-    /// When it was last asked about.
     last_request: Duration,
 }
 
+/// A voter's state. Events go in by [`Voter::handle_request`], which returns the reply.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Voter {
-    /// It has forgotten what it granted and promised before; by then all of it has run out.
+    /// What it granted and promised in an earlier incarnation is unknown, and has expired by then.
     silent_until: Duration,
-    /// No number under this is granted; from a folder, where there is one.
-    floor: u64,
+    /// At least the highest token of every task that is not in `tasks`.
+    token_floor: u64,
     tasks: BTreeMap<Task, TaskState>,
 }
 
 impl Voter {
-    /// A voter that starts, and knows nothing. It is silent until whatever it granted in an earlier incarnation, and whatever
-    /// attempt it let in, must be over for whoever held it: an attempt ends with the lease that it asks for.
-    pub fn new(now: Duration, config: &LeaseConfig, floor: u64) -> Voter {
-        Voter { silent_until: now + config.voter_hold_time(), floor, tasks: BTreeMap::new() }
+    /// A voter that starts without memory, silent for [`LeaseConfig::voter_hold_time`]. `token_floor`: tokens above
+    /// this are granted, from stored state or a clock; at least the highest token granted before.
+    pub fn new(now: Duration, config: &LeaseConfig, token_floor: u64) -> Voter {
+        Voter { silent_until: now + config.voter_hold_time(), token_floor, tasks: BTreeMap::new() }
     }
 
+    /// Whether it does not vote yet.
     pub fn is_silent(&self, now: Duration) -> bool {
         now < self.silent_until
     }
 
-    /// The highest number of all, to be kept where a folder lasts.
+    /// The highest token of all tasks, to be stored where the front has a folder.
     pub fn highest_token(&self) -> u64 {
-        self.tasks.values().map(|state| state.highest_token).max().unwrap_or_default().max(self.floor)
+        let highest = self.tasks.values().map(|state| state.highest_token).max();
+        highest.unwrap_or_default().max(self.token_floor)
     }
 
-    /// What is held, as far as this voter knows.
+    /// The leases that are held now, as far as this voter knows.
     pub fn grants(&self, now: Duration) -> impl Iterator<Item = (&Task, &Grant)> {
         self.tasks.iter().filter_map(move |(task, state)| {
-            state.grant.as_ref().filter(|grant| grant.until > now).map(|grant| (task, grant))
+            state.granted.as_ref().filter(|grant| grant.until > now).map(|grant| (task, grant))
         })
     }
 
-    /// Answers an ask; a release has no answer.
+    /// Takes in a request and returns the reply; a release has none.
     pub fn handle_request(
         &mut self,
         now: Duration,
         config: &LeaseConfig,
         request: LeaseRequest,
     ) -> Option<LeaseReply> {
-        let silent_for = self.silent_until.saturating_sub(now);
-        let (task, ballot) = match &request {
-            LeaseRequest::Prepare { task, ballot, .. } | LeaseRequest::Accept { task, ballot, .. } => {
-                (task.clone(), *ballot)
+        match request {
+            LeaseRequest::Release { task, client, fencing_token } => {
+                self.handle_release(&task, &client, fencing_token);
+                None
             }
-            LeaseRequest::Release { task, client, fencing_token: highest_token } => {
-                let state = self.tasks.get_mut(task)?;
-                state.grant.take_if(|grant| grant.holder == *client && grant.fencing_token <= *highest_token);
-                return None;
+            LeaseRequest::Prepare { task, ballot, client } => {
+                let reply = match self.admit(now, config, &task, ballot, &client) {
+                    Ok(state) => LeaseReply::Promise { task, ballot, fencing_token: state.highest_token },
+                    Err(rejection) => rejection,
+                };
+                Some(reply)
             }
-        };
-        // Guards against two holders after a loss of memory: what was promised before is not known here.
+            LeaseRequest::Accept { task, ballot, client, fencing_token } => {
+                let until = now + config.voter_hold_time();
+                let reply = match self.admit(now, config, &task, ballot, &client) {
+                    Ok(state) => {
+                        state.highest_token = state.highest_token.max(fencing_token);
+                        state.granted = Some(Grant { holder: client, fencing_token, until });
+                        LeaseReply::Accepted { task, ballot }
+                    }
+                    Err(rejection) => rejection,
+                };
+                Some(reply)
+            }
+        }
+    }
+
+    fn handle_release(&mut self, task: &Task, client: &Incarnation, fencing_token: u64) {
+        if let Some(state) = self.tasks.get_mut(task) {
+            state.granted.take_if(|grant| grant.holder == *client && grant.fencing_token <= fencing_token);
+        }
+    }
+
+    /// The state of a task, with the ballot promised, if this voter may promise or accept it; or the rejection.
+    fn admit(
+        &mut self,
+        now: Duration,
+        config: &LeaseConfig,
+        task: &Task,
+        ballot: Ballot,
+        client: &Incarnation,
+    ) -> Result<&mut TaskState, LeaseReply> {
+        let task_name = || task.clone();
+        let silent_for = self.silent_until.saturating_sub(now);
         if !silent_for.is_zero() || task.is_empty() || task.len() > MAX_NAME_BYTES {
-            return Some(LeaseReply::Silent { task, ballot, remaining: silent_for });
+            return Err(LeaseReply::Silent { task: task_name(), ballot, remaining: silent_for });
         }
-        if !self.tasks.contains_key(&task) && !self.make_room(now, config) {
-            return Some(LeaseReply::Silent { task, ballot, remaining: config.voter_hold_time() });
+        if !self.tasks.contains_key(task) && !self.make_room(now, config) {
+            let remaining = config.voter_hold_time();
+            return Err(LeaseReply::Silent { task: task_name(), ballot, remaining });
         }
-        let floor = self.floor;
-        let state = self
-            .tasks
-            .entry(task.clone())
-            .or_insert_with(|| TaskState { highest_token: floor, ..TaskState::default() });
+        let highest_token = self.token_floor;
+        let new_state = || TaskState { highest_token, ..TaskState::default() };
+        let state = self.tasks.entry(task.clone()).or_insert_with(new_state);
         state.last_request = now;
-        state.grant.take_if(|grant| grant.until <= now);
-        let (LeaseRequest::Prepare { client, .. }
-        | LeaseRequest::Accept { client, .. }
-        | LeaseRequest::Release { client, .. }) = &request;
-        // A prepare that can't succeed must not raise what is promised, or many who want a task would keep its holder
-        // from renewing it.
-        if let Some(grant) = state.grant.as_ref().filter(|grant| grant.holder != *client) {
-            let (client, highest_token, remaining) =
-                (grant.holder.clone(), grant.fencing_token, grant.until.saturating_sub(now));
-            return Some(LeaseReply::Held {
-                task,
+        state.granted.take_if(|grant| grant.until <= now);
+        // A prepare that can't succeed must not raise the promised ballot, or many waiting clients would keep the holder
+        // from renewing.
+        if let Some(grant) = state.granted.as_ref().filter(|grant| grant.holder != *client) {
+            return Err(LeaseReply::Held {
+                task: task_name(),
                 ballot,
-                holder: client,
-                fencing_token: highest_token,
-                remaining,
+                holder: grant.holder.clone(),
+                fencing_token: grant.fencing_token,
+                remaining: grant.until.saturating_sub(now),
             });
         }
         if ballot < state.promised {
-            return Some(LeaseReply::StaleBallot { task, ballot, round: state.promised.round });
+            return Err(LeaseReply::StaleBallot { task: task_name(), ballot, round: state.promised.round });
         }
         state.promised = ballot;
-        match request {
-            LeaseRequest::Accept { client, fencing_token: highest_token, .. } => {
-                state.highest_token = state.highest_token.max(highest_token);
-                state.grant = Some(Grant {
-                    holder: client,
-                    fencing_token: highest_token,
-                    until: now + config.voter_hold_time(),
-                });
-                Some(LeaseReply::Accepted { task, ballot })
-            }
-            _ => Some(LeaseReply::Promise { task, ballot, fencing_token: state.highest_token }),
-        }
+        Ok(state)
     }
 
-    /// Makes room by forgetting the task that was asked about longest ago, once nothing of it can matter any more.
+    /// Whether another task fits. Drops the least recently requested one for it, once no grant or promise of it can
+    /// still be in effect.
     fn make_room(&mut self, now: Duration, config: &LeaseConfig) -> bool {
         if self.tasks.len() < MAX_TASKS {
             return true;
@@ -133,7 +155,7 @@
         else {
             return false;
         };
-        self.floor = self.floor.max(highest_token);
+        self.token_floor = self.token_floor.max(highest_token);
         self.tasks.remove(&task).is_some()
     }
 }
--- a/crates/core/leases/tests/exhaustive.rs
+++ b/crates/core/leases/tests/exhaustive.rs
@@ -90,7 +90,7 @@
     fn note(&self, state: &mut State, client: usize) {
         let now = self.asker_now(state.tick);
         state.clients[client].take_changes();
-        state.acts[client] = state.clients[client].may_act(now, TASK).map(|(number, _)| number);
+        state.acts[client] = state.clients[client].active_lease(now, TASK).map(|lease| lease.fencing_token);
     }
 }
 
@@ -159,7 +159,7 @@
                     Sent::LeaseRequest(from, _, LeaseRequest::Prepare { ballot, .. }) => {
                         *from != client || Some(*ballot) == latest
                     }
-                    Sent::LeaseReply(_, to, reply) => *to != client || Some(reply.task().1) == latest,
+                    Sent::LeaseReply(_, to, reply) => *to != client || Some(reply.ballot()) == latest,
                     _ => true,
                 });
             }
--- a/crates/core/leases/tests/limits.rs
+++ b/crates/core/leases/tests/limits.rs
@@ -17,7 +17,7 @@
         let mut voter = Voter::new(Duration::ZERO, &CONFIG, 0);
         let mut accepted = |slot: u32| {
             let who = Incarnation { name: format!("n{slot}"), id: u64::from(slot) + 1 };
-            let (task, ballot) = (QuotaSlots::task(slot), Ballot { round: 1, proposer: who.id });
+            let (task, ballot) = (QuotaSlots::task_name(slot), Ballot { round: 1, proposer: who.id });
             let reply = voter.handle_request(
                 NOW,
                 &CONFIG,
--- a/crates/core/leases/tests/stories.rs
+++ b/crates/core/leases/tests/stories.rs
@@ -68,7 +68,7 @@
     }
 
     fn holders(&self, task: &str) -> Vec<(usize, u64)> {
-        let acts = |(n, a): (usize, &LeaseClient)| Some((n, a.may_act(self.now, task)?.0));
+        let acts = |(n, a): (usize, &LeaseClient)| Some((n, a.active_lease(self.now, task)?.fencing_token));
         self.clients.iter().enumerate().filter_map(acts).collect()
     }
 
@@ -231,7 +231,10 @@
             &mut || 0.0,
         );
     }
-    assert_eq!(client.may_act(ms(0), TASK), Some((5, CONFIG.duration)));
+    assert_eq!(
+        client.active_lease(ms(0), TASK),
+        Some(ActiveLease { fencing_token: 5, until: CONFIG.duration })
+    );
     client
 }
 
@@ -260,7 +263,10 @@
             &mut || 0.0,
         );
     }
-    assert_eq!(client.may_act(now, TASK), Some((5, now + CONFIG.duration)));
+    assert_eq!(
+        client.active_lease(now, TASK),
+        Some(ActiveLease { fencing_token: 5, until: now + CONFIG.duration })
+    );
 }
 
 #[test]
@@ -281,7 +287,7 @@
                 &mut || 0.0,
             );
         }
-        assert_eq!(client.may_act(late, TASK), None);
+        assert_eq!(client.active_lease(late, TASK), None);
         client.poll(late, &CONFIG, &mut || 0.5);
         let again = client.poll(late + CONFIG.duration, &CONFIG, &mut || 0.0);
         assert!(matches!(again[0].request, LeaseRequest::Prepare { .. }), "{again:?}");
@@ -308,7 +314,7 @@
         }
         fleet.pass(ms(100));
         let mut held: Vec<u32> = (0..40).flat_map(|n| slots[n].held(fleet.now, &fleet.clients[n])).collect();
-        worst = worst.max(quota(held.len(), 30));
+        worst = worst.max(quota_share(held.len(), 30));
         held.sort();
         assert!(held.windows(2).all(|two| two[0] != two[1]), "{held:?}");
     }
--- a/crates/edges/fleet/src/acts.rs
+++ b/crates/edges/fleet/src/acts.rs
@@ -42,7 +42,7 @@
         for Act { task, next, under_way } in &mut self.acts {
             let Some(to) = task.tell else { continue };
             let mut tell = |number: u64, step: &str| {
-                let who = asker.me().to_string();
+                let who = asker.incarnation().to_string();
                 let said = serde_json::json!({"task": task.name, "number": number, "who": who, "step": step});
                 told.push(Datagram { to, bytes: said.to_string().into_bytes() });
             };
@@ -53,9 +53,10 @@
                 }
                 continue;
             }
-            let held = asker.may_act(now, &task.name);
+            let held = asker.active_lease(now, &task.name);
             // What can't be done before the lease ends is not begun.
-            if let Some((number, _)) = held.filter(|(_, until)| *next <= now && now + task.takes < *until) {
+            if let Some(lease) = held.filter(|lease| *next <= now && now + task.takes < lease.until) {
+                let number = lease.fencing_token;
                 tell(number, "begin");
                 (*next, *under_way) = (now + task.every, Some((number, now + task.takes)));
             }
--- a/crates/edges/fleet/src/node/hear.rs
+++ b/crates/edges/fleet/src/node/hear.rs
@@ -89,7 +89,7 @@
 
     /// Lets a task go that it holds; as a voter it passes the wish on to whom it has granted the task.
     fn hear_hand_over(&mut self, now: Duration, from: SocketAddr, task: String) {
-        if self.asker.may_act(now, &task).is_some() {
+        if self.asker.active_lease(now, &task).is_some() {
             tracing::info!(task, "fleet: asked to hand a task over");
             let posts = self.asker.release(now, &self.terms.leases, &task, true);
             self.post(posts);
--- a/crates/edges/fleet/src/node/mod.rs
+++ b/crates/edges/fleet/src/node/mod.rs
@@ -15,7 +15,7 @@
 use crate::works::{self, Works};
 use lemonusher_failure_detector as detector;
 use lemonusher_leases::{
-    Incarnation, LeaseChange, LeaseClient, MAX_TASKS, OutboundMessage, QuotaSlots, Voter, quota,
+    Incarnation, LeaseChange, LeaseClient, MAX_TASKS, OutboundMessage, QuotaSlots, Voter, quota_share,
 };
 use lemonusher_maintenance::MAX_REQUESTS;
 use lemonusher_registers::{self as registers, Acceptor, AcceptorState, Learner, Proposer};
@@ -209,7 +209,7 @@
     pub fn refused(&mut self, now: Duration, refusal: &Refusal) {
         let Refusal { task, seen } = refusal;
         self.asker.observe_token(task, *seen);
-        if self.asker.may_act(now, task).is_some_and(|(number, _)| number < *seen) {
+        if self.asker.active_lease(now, task).is_some_and(|lease| lease.fencing_token < *seen) {
             tracing::warn!(task, seen, "fleet: a higher number has been seen; asks anew");
             let posts = self.asker.release(now, &self.terms.leases, task, true);
             self.post(posts);
@@ -230,12 +230,12 @@
 
     /// Under which number it may act on a task now; none if it does not hold it.
     pub fn may_act(&self, now: Duration, task: &str) -> Option<u64> {
-        self.asker.may_act(now, task).map(|(number, _)| number)
+        self.asker.active_lease(now, task).map(|lease| lease.fencing_token)
     }
 
     /// How many leases it holds and may act under.
     pub fn leases_held(&self, now: Duration) -> usize {
-        self.asker.tasks().filter(|task| self.asker.may_act(now, task).is_some()).count()
+        self.asker.tasks().filter(|task| self.asker.active_lease(now, task).is_some()).count()
     }
 
     /// How many other fronts its failure detector sees.
@@ -246,7 +246,7 @@
     fn turn_seats(&mut self, now: Duration) {
         let Some(mut seats) = self.seats.take() else { return };
         let posts = seats.poll(now, &self.terms.leases, &mut self.asker);
-        let held = quota(seats.held(now, &self.asker).len(), self.terms.seats);
+        let held = quota_share(seats.held(now, &self.asker).len(), self.terms.seats);
         self.seats = Some(seats);
         self.post(posts);
         if held != self.quota {
--- a/crates/edges/fleet/src/node/show.rs
+++ b/crates/edges/fleet/src/node/show.rs
@@ -50,7 +50,7 @@
     pub fn census(&self, now: Duration) -> Census {
         let (members, member_bytes) = tally(self.member_rows().map(|row| encoded_bytes(&row)));
         let (lives, life_bytes) = tally(self.wire.lives().map(|life| life.name.len() + LIFE_FIXED));
-        let held = self.asker.tasks().filter(|task| self.asker.may_act(now, task).is_some());
+        let held = self.asker.tasks().filter(|task| self.asker.active_lease(now, task).is_some());
         let (leases_held, held_bytes) = tally(held.map(|task| task.len() + LEASE_FIXED));
         let granted = self.voter.iter().flat_map(|voter| voter.grants(now));
         let (leases_granted, granted_bytes) =
