--- a/crates/core/leases/tests/exhaustive.rs
+++ b/crates/core/leases/tests/exhaustive.rs
@@ -10,9 +10,9 @@
 const CLIENTS: usize = 2;
 const TASK: &str = "t";
 
-/// What is spoilt on purpose, to see that the check would catch it.
+/// A rule that is broken on purpose, to see that the check detects it.
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Spoilt {
+enum Mutation {
     Nothing,
     /// Voters that have lost their memory are believed at once.
     ForgetfulVoters,
@@ -20,10 +20,10 @@
     NoDriftMargin,
 }
 
-struct Small {
-    spoilt: Spoilt,
+struct SmallFleet {
+    mutation: Mutation,
     ticks: u32,
-    lost: u32,
+    memory_losses: u32,
     attempts: u32,
 }
 
@@ -37,8 +37,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     tick: u32,
-    lost: u32,
-    begun: u32,
+    memory_losses: u32,
+    attempts_begun: u32,
     voters: Vec<Voter>,
     clients: Vec<LeaseClient>,
     /// The number under which each lease client may act now.
@@ -55,10 +55,10 @@
     Forget(usize),
 }
 
-impl Small {
+impl SmallFleet {
     fn config(&self) -> LeaseConfig {
         // Drift of a third: the lease clients' clocks are slow, one unit a tick; the voters' fast, two.
-        let drift = if self.spoilt == Spoilt::NoDriftMargin { 0 } else { 333 };
+        let drift = if self.mutation == Mutation::NoDriftMargin { 0 } else { 333 };
         LeaseConfig {
             duration: Duration::from_millis(400),
             clock_drift_permille: drift,
@@ -66,7 +66,7 @@
         }
     }
 
-    fn asker_now(&self, tick: u32) -> Duration {
+    fn client_now(&self, tick: u32) -> Duration {
         Duration::from_millis(200) * tick
     }
 
@@ -75,10 +75,10 @@
     }
 
     fn poll(&self, state: &mut State, client: usize) {
-        let now = self.asker_now(state.tick);
+        let now = self.client_now(state.tick);
         let messages = state.clients[client].poll(now, &self.config(), &mut || 0.0);
         self.send(state, client, messages);
-        self.note(state, client);
+        self.record(state, client);
     }
 
     fn send(&self, state: &mut State, client: usize, messages: Vec<OutboundMessage>) {
@@ -87,14 +87,61 @@
         }
     }
 
-    fn note(&self, state: &mut State, client: usize) {
-        let now = self.asker_now(state.tick);
+    fn record(&self, state: &mut State, client: usize) {
+        let now = self.client_now(state.tick);
         state.clients[client].take_changes();
         state.acts[client] = state.clients[client].active_lease(now, TASK).map(|lease| lease.fencing_token);
     }
+
+    /// Begins what is due; none if that is nothing.
+    fn begin_attempt(&self, state: &mut State, client: usize) -> Option<()> {
+        let before = state.sent.len();
+        self.poll(state, client);
+        if state.sent.len() == before {
+            return None;
+        }
+        state.attempts_begun += 1;
+        // What belongs to an attempt that was given up changes nothing at its lease client, and a prepare of one only
+        // bars others: both count as lost. Its accepts may still come, at any time.
+        let latest = state.sent.iter().filter_map(|sent| match sent {
+            Sent::LeaseRequest(from, _, LeaseRequest::Prepare { ballot, .. }) if *from == client => {
+                Some(*ballot)
+            }
+            _ => None,
+        });
+        let latest = latest.max();
+        state.sent.retain(|sent| match sent {
+            Sent::LeaseRequest(from, _, LeaseRequest::Prepare { ballot, .. }) => {
+                *from != client || Some(*ballot) == latest
+            }
+            Sent::LeaseReply(_, to, reply) => *to != client || Some(reply.ballot()) == latest,
+            _ => true,
+        });
+        Some(())
+    }
+
+    fn deliver_request(&self, state: &mut State, client: usize, voter: usize, request: LeaseRequest) {
+        let now = self.voter_now(state.tick);
+        if let Some(reply) = state.voters[voter].handle_request(now, &self.config(), request) {
+            // A refusal only keeps a lease client from going on, which losing it does as well.
+            // A promise that is late is as good as accepts that are late, so it comes at once or never.
+            match &reply {
+                LeaseReply::Promise { .. } => {
+                    let now = self.client_now(state.tick);
+                    let messages =
+                        state.clients[client].handle_reply(now, &self.config(), voter, reply, &mut || 0.0);
+                    self.send(state, client, messages);
+                }
+                LeaseReply::Accepted { .. } => {
+                    state.sent.insert(Sent::LeaseReply(voter, client, reply));
+                }
+                _ => {}
+            }
+        }
+    }
 }
 
-impl Model for Small {
+impl Model for SmallFleet {
     type State = State;
     type Action = Step;
 
@@ -103,8 +150,8 @@
         let ready = LeaseConfig { duration: Duration::ZERO, ..config };
         let mut state = State {
             tick: 0,
-            lost: 0,
-            begun: 0,
+            memory_losses: 0,
+            attempts_begun: 0,
             // They have been up for long.
             voters: (0..VOTERS).map(|_| Voter::new(Duration::ZERO, &ready, 0)).collect(),
             clients: (0..CLIENTS)
@@ -124,10 +171,10 @@
         if state.tick < self.ticks {
             steps.push(Step::Tick);
         }
-        if state.begun < self.attempts {
+        if state.attempts_begun < self.attempts {
             steps.extend((0..CLIENTS).map(Step::Begin));
         }
-        if state.lost < self.lost {
+        if state.memory_losses < self.memory_losses {
             steps.extend((0..VOTERS).map(Step::Forget));
         }
     }
@@ -137,35 +184,12 @@
         match step {
             Step::Tick => {
                 state.tick += 1;
-                (0..CLIENTS).for_each(|client| self.note(&mut state, client));
-            }
-            Step::Begin(client) => {
-                let before = state.sent.len();
-                self.poll(&mut state, client);
-                if state.sent.len() == before {
-                    return None;
-                }
-                state.begun += 1;
-                // What belongs to an attempt that was given up changes nothing at its lease client, and a prepare of one only
-                // bars others: both count as lost. Its accepts may still come, at any time.
-                let latest = state.sent.iter().filter_map(|sent| match sent {
-                    Sent::LeaseRequest(from, _, LeaseRequest::Prepare { ballot, .. }) if *from == client => {
-                        Some(*ballot)
-                    }
-                    _ => None,
-                });
-                let latest = latest.max();
-                state.sent.retain(|sent| match sent {
-                    Sent::LeaseRequest(from, _, LeaseRequest::Prepare { ballot, .. }) => {
-                        *from != client || Some(*ballot) == latest
-                    }
-                    Sent::LeaseReply(_, to, reply) => *to != client || Some(reply.ballot()) == latest,
-                    _ => true,
-                });
+                (0..CLIENTS).for_each(|client| self.record(&mut state, client));
             }
+            Step::Begin(client) => self.begin_attempt(&mut state, client)?,
             Step::Forget(voter) => {
-                state.lost += 1;
-                let counted = if self.spoilt == Spoilt::ForgetfulVoters {
+                state.memory_losses += 1;
+                let counted = if self.mutation == Mutation::ForgetfulVoters {
                     LeaseConfig { duration: Duration::ZERO, ..config }
                 } else {
                     config
@@ -173,29 +197,13 @@
                 state.voters[voter] = Voter::new(self.voter_now(state.tick), &counted, 0);
             }
             Step::Deliver(Sent::LeaseRequest(client, voter, request)) => {
-                let now = self.voter_now(state.tick);
-                if let Some(reply) = state.voters[voter].handle_request(now, &config, request) {
-                    // A refusal only keeps a lease client from going on, which losing it does as well.
-                    // A promise that is late is as good as accepts that are late, so it comes at once or never.
-                    match &reply {
-                        LeaseReply::Promise { .. } => {
-                            let now = self.asker_now(state.tick);
-                            let messages =
-                                state.clients[client].handle_reply(now, &config, voter, reply, &mut || 0.0);
-                            self.send(&mut state, client, messages);
-                        }
-                        LeaseReply::Accepted { .. } => {
-                            state.sent.insert(Sent::LeaseReply(voter, client, reply));
-                        }
-                        _ => {}
-                    }
-                }
+                self.deliver_request(&mut state, client, voter, request);
             }
             Step::Deliver(Sent::LeaseReply(voter, client, reply)) => {
-                let now = self.asker_now(state.tick);
+                let now = self.client_now(state.tick);
                 let messages = state.clients[client].handle_reply(now, &config, voter, reply, &mut || 0.0);
                 self.send(&mut state, client, messages);
-                self.note(&mut state, client);
+                self.record(&mut state, client);
             }
         }
         (state != *last).then_some(state)
@@ -211,24 +219,27 @@
     }
 }
 
-fn check(spoilt: Spoilt, ticks: u32, lost: u32, attempts: u32) -> (usize, bool, bool) {
-    let checker = Small { spoilt, ticks, lost, attempts }.checker().threads(4).spawn_dfs().join();
-    let two = checker.discovery("no two act at once").is_some();
-    (checker.unique_state_count(), two, checker.discovery("somebody acts").is_some())
+fn check(mutation: Mutation, ticks: u32, memory_losses: u32, attempts: u32) -> (usize, bool, bool) {
+    let checker =
+        SmallFleet { mutation, ticks, memory_losses, attempts }.checker().threads(4).spawn_dfs().join();
+    let two_act = checker.discovery("no two act at once").is_some();
+    (checker.unique_state_count(), two_act, checker.discovery("somebody acts").is_some())
 }
 
 #[test]
 fn no_interleaving_lets_two_act_at_once() {
-    let (states, two, one) = check(Spoilt::Nothing, 2, 1, 2);
+    let (states, two_act, one_acts) = check(Mutation::Nothing, 2, 1, 2);
     println!("proof: leases_exhaustive_states {states}");
-    assert!(!two && one);
+    assert!(!two_act && one_acts);
 }
 
 #[test]
-fn each_spoilt_rule_is_caught() {
-    for (spoilt, ticks, lost) in [(Spoilt::ForgetfulVoters, 0, 1), (Spoilt::NoDriftMargin, 1, 0)] {
-        let (states, two, _) = check(spoilt, ticks, lost, 2);
-        println!("proof: leases_mutant_{spoilt:?}_caught_within {states}");
-        assert!(two, "{spoilt:?} is not caught");
+fn each_broken_rule_is_detected() {
+    for (mutation, ticks, memory_losses) in
+        [(Mutation::ForgetfulVoters, 0, 1), (Mutation::NoDriftMargin, 1, 0)]
+    {
+        let (states, two_act, _) = check(mutation, ticks, memory_losses, 2);
+        println!("proof: leases_mutant_{mutation:?}_caught_within {states}");
+        assert!(two_act, "{mutation:?} is not caught");
     }
 }
--- a/crates/core/leases/tests/limits.rs
+++ b/crates/core/leases/tests/limits.rs
@@ -12,16 +12,16 @@
 const NOW: Duration = Duration::from_secs(60);
 
 #[test]
-fn a_voter_grants_as_many_seats_as_it_keeps_tasks_and_no_more() {
+fn a_voter_grants_up_to_max_tasks_and_no_more() {
     for (slots, granted) in [(1024, 1024), (MAX_TASKS, MAX_TASKS), (MAX_TASKS + 1, MAX_TASKS)] {
         let mut voter = Voter::new(Duration::ZERO, &CONFIG, 0);
         let mut accepted = |slot: u32| {
-            let who = Incarnation { name: format!("n{slot}"), id: u64::from(slot) + 1 };
-            let (task, ballot) = (QuotaSlots::task_name(slot), Ballot { round: 1, proposer: who.id });
+            let incarnation = Incarnation { name: format!("n{slot}"), id: u64::from(slot) + 1 };
+            let (task, ballot) = (QuotaSlots::task_name(slot), Ballot { round: 1, proposer: incarnation.id });
             let reply = voter.handle_request(
                 NOW,
                 &CONFIG,
-                LeaseRequest::Accept { task, ballot, client: who, fencing_token: 1 },
+                LeaseRequest::Accept { task, ballot, client: incarnation, fencing_token: 1 },
             );
             matches!(reply, Some(LeaseReply::Accepted { .. }))
         };
--- a/crates/core/leases/tests/stories.rs
+++ b/crates/core/leases/tests/stories.rs
@@ -1,4 +1,4 @@
-//! Stories of voters and lease clients, each with the failure that it guards against.
+//! Voters and lease clients over a network with partitions, restarts and loss of memory.
 
 use lemonusher_leases::*;
 use std::time::Duration;
@@ -14,12 +14,12 @@
     Duration::from_millis(ms)
 }
 
-/// Voters and lease clients on one clock; links can be cut.
+/// Voters and lease clients on one clock; links can be partitioned.
 struct Fleet {
     now: Duration,
     voters: Vec<Voter>,
     clients: Vec<LeaseClient>,
-    cut: Vec<(usize, usize)>, // From lease client to voter, both ways.
+    partitioned: Vec<(usize, usize)>, // From lease client to voter, both ways.
     chance: fastrand::Rng,
     messages: usize,
 }
@@ -31,7 +31,7 @@
             now: ms(0),
             voters: (0..voters).map(|_| Voter::new(ms(0), &CONFIG, 0)).collect(),
             clients: (0..clients).map(|n| LeaseClient::new(incarnation(n), voters)).collect(),
-            cut: Vec::new(),
+            partitioned: Vec::new(),
             chance: fastrand::Rng::with_seed(7),
             messages: 0,
         }
@@ -40,7 +40,7 @@
     fn send(&mut self, client: usize, messages: Vec<OutboundMessage>) {
         for OutboundMessage { voter, request } in messages {
             self.messages += 1;
-            if self.cut.contains(&(client, voter)) {
+            if self.partitioned.contains(&(client, voter)) {
                 continue;
             }
             if let Some(reply) = self.voters[voter].handle_request(self.now, &CONFIG, request) {
@@ -54,7 +54,7 @@
     }
 
     /// Lets time pass; at every step no two may act.
-    fn pass(&mut self, span: Duration) {
+    fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
             self.now += ms(50);
@@ -72,40 +72,40 @@
         self.clients.iter().enumerate().filter_map(acts).collect()
     }
 
-    fn want(&mut self, client: usize, fenced: bool) {
+    fn acquire(&mut self, client: usize, fenced: bool) {
         let now = self.now;
         self.clients[client].acquire(now, TASK, fenced);
     }
 }
 
 #[test]
-fn one_of_many_holds_keeps_and_hands_over() {
+fn one_of_many_clients_acquires_renews_and_releases() {
     let mut fleet = Fleet::new(3, 20);
-    (0..20).for_each(|n| fleet.want(n, true));
-    fleet.pass(CONFIG.voter_hold_time() - ms(50));
+    (0..20).for_each(|n| fleet.acquire(n, true));
+    fleet.advance(CONFIG.voter_hold_time() - ms(50));
     assert!(fleet.holders(TASK).is_empty()); // All voters have just started.
-    fleet.pass(CONFIG.duration);
+    fleet.advance(CONFIG.duration);
     let first = fleet.holders(TASK)[0];
-    fleet.pass(CONFIG.duration * 20);
-    assert_eq!(fleet.holders(TASK), [first], "it is kept, under one number");
+    fleet.advance(CONFIG.duration * 20);
+    assert_eq!(fleet.holders(TASK), [first], "it is renewed, under one token");
     let now = fleet.now;
     let messages = fleet.clients[first.0].release(now, &CONFIG, TASK, true);
     fleet.send(first.0, messages);
-    fleet.pass(CONFIG.duration * 3);
+    fleet.advance(CONFIG.duration * 3);
     let second = fleet.holders(TASK)[0];
     assert!(second.0 != first.0 && second.1 > first.1, "{first:?} {second:?}");
 }
 
 #[test]
-fn who_is_cut_off_lets_go_before_anybody_else_takes_it() {
+fn a_partitioned_holder_expires_before_another_acquires() {
     let mut fleet = Fleet::new(3, 2);
-    fleet.want(0, true);
-    fleet.pass(CONFIG.duration * 3);
-    fleet.want(1, true);
-    fleet.cut = (0..3).map(|voter| (0, voter)).collect();
+    fleet.acquire(0, true);
+    fleet.advance(CONFIG.duration * 3);
+    fleet.acquire(1, true);
+    fleet.partitioned = (0..3).map(|voter| (0, voter)).collect();
     let from = fleet.now;
     while fleet.holders(TASK) != [(1, 2)] {
-        fleet.pass(ms(50));
+        fleet.advance(ms(50));
         assert!(fleet.now < from + CONFIG.voter_hold_time() + CONFIG.duration * 3, "nobody has taken it");
     }
     let (a, b) = (fleet.clients[0].take_changes(), fleet.clients[1].take_changes());
@@ -114,62 +114,62 @@
 }
 
 #[test]
-fn a_majority_without_memory_grants_nothing_until_all_it_granted_is_over() {
+fn a_majority_without_memory_grants_nothing_until_earlier_grants_have_expired() {
     let mut fleet = Fleet::new(3, 2);
-    fleet.want(0, true);
-    fleet.pass(CONFIG.duration * 3);
-    fleet.cut = (0..3).map(|voter| (0, voter)).collect(); // Its holder does not hear of it.
+    fleet.acquire(0, true);
+    fleet.advance(CONFIG.duration * 3);
+    fleet.partitioned = (0..3).map(|voter| (0, voter)).collect(); // The holder does not notice.
     let (now, restarted) = (fleet.now, fleet.now);
     (0..2).for_each(|voter| fleet.voters[voter] = Voter::new(now, &CONFIG, 0));
-    fleet.want(1, true);
+    fleet.acquire(1, true);
     while fleet.holders(TASK).iter().all(|(n, _)| *n == 0) {
-        fleet.pass(ms(50));
+        fleet.advance(ms(50));
     }
     assert!(fleet.now >= restarted + CONFIG.voter_hold_time());
-    // The third voter still knew the number; but a majority that does not hear it has forgotten, and only what is
-    // acted upon, a folder, or whoever has seen the number, tells it again.
+    // The third voter still knows the token, but a majority without it does not, and only what is
+    // acted upon, a folder, or whoever has observed the token, reports it again.
     let token = fleet.holders(TASK)[0].1;
     assert!(token == 1 || token == 2);
     fleet.clients[1].observe_token(TASK, 7);
     let now = fleet.now;
     let messages = fleet.clients[1].release(now, &CONFIG, TASK, true);
     fleet.send(1, messages);
-    fleet.pass(CONFIG.duration * 3);
+    fleet.advance(CONFIG.duration * 3);
     assert_eq!(fleet.holders(TASK), [(1, 8)]);
 }
 
 #[test]
-fn numbers_grow_over_a_loss_of_all_memory_once_what_refuses_has_told() {
+fn fencing_tokens_grow_over_a_loss_of_all_memory_once_the_resource_reports_one() {
     let mut fleet = Fleet::new(3, 1);
-    fleet.want(0, true);
+    fleet.acquire(0, true);
     let now = fleet.now;
     fleet.voters.iter_mut().for_each(|voter| *voter = Voter::new(now, &CONFIG, 0));
     fleet.clients[0].observe_token(TASK, 41);
-    fleet.pass(CONFIG.duration * 3);
+    fleet.advance(CONFIG.duration * 3);
     assert_eq!(fleet.holders(TASK), [(0, 42)]);
     let folder = fleet.voters.iter().map(Voter::highest_token).max().unwrap();
     let now = fleet.now;
     fleet.voters.iter_mut().for_each(|voter| *voter = Voter::new(now, &CONFIG, folder));
     fleet.clients[0] = LeaseClient::new(Incarnation { name: "n0".into(), id: 99 }, 3);
-    fleet.want(0, true);
-    fleet.pass(CONFIG.duration * 3);
+    fleet.acquire(0, true);
+    fleet.advance(CONFIG.duration * 3);
     assert_eq!(fleet.holders(TASK), [(0, 43)]);
 }
 
 #[test]
-fn where_nothing_refuses_an_older_number_an_act_is_waited_out() {
+fn an_unfenced_task_waits_for_the_max_action_time() {
     let mut fleet = Fleet::new(3, 1);
-    fleet.want(0, false);
+    fleet.acquire(0, false);
     let acquired_at = loop {
-        fleet.pass(ms(50));
+        fleet.advance(ms(50));
         if let Some(LeaseChange::Acquired { .. }) = fleet.clients[0].take_changes().first() {
             break fleet.now;
         }
     };
     assert!(fleet.holders(TASK).is_empty());
-    fleet.pass(CONFIG.with_drift(CONFIG.max_action_time) - ms(50));
+    fleet.advance(CONFIG.with_drift(CONFIG.max_action_time) - ms(50));
     assert!(fleet.holders(TASK).is_empty());
-    fleet.pass(ms(100));
+    fleet.advance(ms(100));
     assert!(
         fleet.holders(TASK) == [(0, 1)]
             && fleet.now <= acquired_at + CONFIG.with_drift(CONFIG.max_action_time) + ms(100)
@@ -177,14 +177,14 @@
 }
 
 #[test]
-fn a_delayed_grant_and_a_repeated_one_change_nothing() {
+fn delayed_and_repeated_requests_change_nothing() {
     let mut voter = Voter::new(ms(0), &CONFIG, 0);
     let (a, b) = (Incarnation { name: "a".into(), id: 1 }, Incarnation { name: "b".into(), id: 2 });
     let ballot = |round, born| Ballot { round, proposer: born };
-    let accept = |who: &Incarnation, round, number| LeaseRequest::Accept {
+    let accept = |incarnation: &Incarnation, round, number| LeaseRequest::Accept {
         task: TASK.into(),
-        ballot: ballot(round, who.id),
-        client: who.clone(),
+        ballot: ballot(round, incarnation.id),
+        client: incarnation.clone(),
         fencing_token: number,
     };
     let at = CONFIG.voter_hold_time();
@@ -201,13 +201,13 @@
         voter.handle_request(late, &CONFIG, accept(&b, 2, 1)),
         Some(LeaseReply::Accepted { .. })
     ));
-    let release = |who: &Incarnation, number| LeaseRequest::Release {
+    let release = |incarnation: &Incarnation, number| LeaseRequest::Release {
         task: TASK.into(),
-        client: who.clone(),
+        client: incarnation.clone(),
         fencing_token: number,
     };
     assert_eq!(voter.handle_request(late, &CONFIG, release(&a, 9)), None);
-    assert_eq!(voter.grants(late).count(), 1, "nobody lets go for another");
+    assert_eq!(voter.grants(late).count(), 1, "no client releases the lease of another");
     voter.handle_request(late, &CONFIG, release(&b, 1));
     assert_eq!(voter.grants(late).count(), 0);
 }
@@ -238,7 +238,7 @@
     client
 }
 
-/// The ballot under which all voters are asked to renew at this time.
+/// The ballot under which the client renews with all voters at this time.
 fn renewal(client: &mut LeaseClient, now: Duration) -> Ballot {
     let messages = client.poll(now, &CONFIG, &mut || 0.0);
     assert_eq!(messages.len(), 3);
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn a_renewal_that_is_accepted_once_the_lease_has_run_out_renews_nothing() {
+fn a_renewal_accepted_after_expiry_renews_nothing() {
     for polled in [false, true] {
         let mut client = holding();
         let ballot = renewal(&mut client, CONFIG.duration - ms(1));
@@ -295,14 +295,15 @@
 }
 
 #[test]
-fn seats_go_round_without_two_on_one_and_the_parts_never_exceed_the_whole() {
+fn quota_slots_have_one_holder_each_and_their_shares_sum_to_at_most_one() {
     let mut fleet = Fleet::new(3, 40);
     let mut slots: Vec<QuotaSlots> = (0..40).map(|n| QuotaSlots::new(30, 1, n / 2)).collect(); // Two begin at each number.
     let mut worst: f64 = 0.0;
     let mut random = fastrand::Rng::with_seed(3);
     for step in 0..600 {
         if step % 60 == 30 {
-            fleet.cut = (0..40).flat_map(|n| (0..3).map(move |v| (n, v))).filter(|_| random.bool()).collect();
+            fleet.partitioned =
+                (0..40).flat_map(|n| (0..3).map(move |v| (n, v))).filter(|_| random.bool()).collect();
         }
         if step % 150 == 149 {
             let (now, voter) = (fleet.now, random.usize(..3));
@@ -312,22 +313,23 @@
             let messages = slot.poll(fleet.now, &CONFIG, &mut fleet.clients[n]);
             fleet.send(n, messages);
         }
-        fleet.pass(ms(100));
-        let mut held: Vec<u32> = (0..40).flat_map(|n| slots[n].held(fleet.now, &fleet.clients[n])).collect();
-        worst = worst.max(quota_share(held.len(), 30));
-        held.sort();
-        assert!(held.windows(2).all(|two| two[0] != two[1]), "{held:?}");
+        fleet.advance(ms(100));
+        let mut held_slots: Vec<u32> =
+            (0..40).flat_map(|n| slots[n].held(fleet.now, &fleet.clients[n])).collect();
+        worst = worst.max(quota_share(held_slots.len(), 30));
+        held_slots.sort();
+        assert!(held_slots.windows(2).all(|pair| pair[0] != pair[1]), "{held_slots:?}");
     }
     assert!(worst <= 1.0 && worst > 0.9, "{worst}");
 }
 
 #[test]
-fn messages_a_front_do_not_grow_with_the_fleet_and_a_mass_restart_settles() {
+fn messages_per_front_do_not_grow_with_the_fleet_and_a_mass_restart_recovers() {
     for fronts in [4, 40, 300] {
         let mut fleet = Fleet::new(3, fronts);
         let mut slots: Vec<QuotaSlots> =
             (0..fronts).map(|n| QuotaSlots::new(fronts as u32, 1, n as u32 / 2)).collect();
-        (0..fronts).for_each(|n| fleet.want(n, true));
+        (0..fronts).for_each(|n| fleet.acquire(n, true));
         let run = |fleet: &mut Fleet, slots: &mut [QuotaSlots], span: Duration| {
             let end = fleet.now + span;
             while fleet.now < end {
@@ -335,10 +337,10 @@
                     let messages = slot.poll(fleet.now, &CONFIG, &mut fleet.clients[n]);
                     fleet.send(n, messages);
                 }
-                fleet.pass(ms(50));
+                fleet.advance(ms(50));
             }
         };
-        let held = |fleet: &Fleet, slots: &[QuotaSlots]| {
+        let held_slots = |fleet: &Fleet, slots: &[QuotaSlots]| {
             slots
                 .iter()
                 .enumerate()
@@ -357,11 +359,15 @@
         for n in 0..fronts {
             let incarnation = Incarnation { name: format!("n{n}"), id: (1000 + n) as u64 };
             fleet.clients[n] = LeaseClient::new(incarnation, 3);
-            fleet.want(n, true);
+            fleet.acquire(n, true);
         }
-        while held(&fleet, &slots) * 10 < fronts * 9 {
+        while held_slots(&fleet, &slots) * 10 < fronts * 9 {
             run(&mut fleet, &mut slots, ms(200));
-            assert!(fleet.now < now + CONFIG.duration * 40, "{} of {fronts} seats", held(&fleet, &slots));
+            assert!(
+                fleet.now < now + CONFIG.duration * 40,
+                "{} of {fronts} seats",
+                held_slots(&fleet, &slots)
+            );
         }
         let leases = (fleet.now - now).as_secs_f64() / CONFIG.duration.as_secs_f64();
         println!("proof: leases_until_nine_in_ten_of_{fronts}_seats_after_a_mass_restart {leases:.1}");
