--- /dev/null
+++ b/crates/core/registers/src/acceptor/recovery.rs
@@ -0,0 +1,202 @@
+//! How an acceptor without memory gets its state from the other voters, by the rule at the top of this package.
+
+use super::Acceptor;
+use crate::{
+    AcceptedEntry, NOBODY, Name, OutboundMessage, RegisterReply, RegisterRequest, RegisterState, majority,
+};
+use lemonusher_leases::{Ballot, LeaseConfig};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// A voter that has not replied is asked again after the lease's duration divided by this.
+const COPY_RETRY_DIVISOR: u32 = 8;
+
+/// What another voter has sent in this round.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct PeerCopy {
+    incarnation: u64,
+    without_memory: bool,
+    /// All its registers have been merged.
+    complete: bool,
+    /// The last name of those that have been merged.
+    after: Name,
+}
+
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(super) struct Recovery {
+    /// Until then attempts of before the loss of memory may be running.
+    silent_until: Duration,
+    next_request: Duration,
+    round: u64,
+    /// By the voter's index; never its own.
+    copies: BTreeMap<usize, PeerCopy>,
+    /// Voters that were without memory in the round before, and their incarnations.
+    without_memory_before: BTreeMap<usize, u64>,
+}
+
+impl Recovery {
+    pub(super) fn new(silent_until: Duration) -> Recovery {
+        Recovery {
+            silent_until,
+            next_request: silent_until,
+            round: 0,
+            copies: BTreeMap::new(),
+            without_memory_before: BTreeMap::new(),
+        }
+    }
+
+    pub(super) fn is_silent(&self, now: Duration) -> bool {
+        now < self.silent_until
+    }
+
+    pub(super) fn next_request(&self) -> Duration {
+        self.next_request
+    }
+
+    /// Asks the voters whose copies are missing or incomplete, once that is due.
+    pub(super) fn poll(
+        &mut self,
+        now: Duration,
+        config: &LeaseConfig,
+        voters: usize,
+        index: usize,
+    ) -> Vec<OutboundMessage> {
+        if self.next_request > now {
+            return Vec::new();
+        }
+        self.next_request = now + config.duration / COPY_RETRY_DIVISOR;
+        let others = (0..voters).filter(|voter| *voter != index);
+        let is_missing =
+            |voter: &usize| self.copies.get(voter).is_none_or(|copy| !copy.complete && !copy.without_memory);
+        let after = |voter: usize| self.copies.get(&voter).map(|copy| copy.after.clone()).unwrap_or_default();
+        others.filter(is_missing).map(|voter| self.request(voter, after(voter))).collect()
+    }
+
+    fn request(&self, voter: usize, after: Name) -> OutboundMessage {
+        OutboundMessage { voter, request: RegisterRequest::CopyState { round: self.round, after } }
+    }
+
+    fn is_complete(&self, voters: usize) -> bool {
+        self.copies.values().filter(|copy| copy.complete).count() >= majority(voters)
+    }
+
+    /// Whether every other voter has sent all that it has.
+    fn all_replied(&self, voters: usize) -> bool {
+        self.copies.len() + 1 == voters
+            && self.copies.values().all(|copy| copy.complete || copy.without_memory)
+    }
+
+    /// The voters without memory in this round, and their incarnations.
+    fn without_memory(&self) -> BTreeMap<usize, u64> {
+        let copies = self.copies.iter().filter(|(_, copy)| copy.without_memory);
+        copies.map(|(voter, copy)| (*voter, copy.incarnation)).collect()
+    }
+
+    /// Whether a majority, this voter counted, was without memory in this round and the one before.
+    fn majority_lost_memory(&self, without_memory: &BTreeMap<usize, u64>, voters: usize) -> bool {
+        let in_both_rounds = without_memory
+            .iter()
+            .filter(|(voter, incarnation)| self.without_memory_before.get(voter) == Some(incarnation));
+        in_both_rounds.count() + 1 >= majority(voters)
+    }
+
+    /// Asks all other voters anew, to see whether the same ones are without memory again.
+    fn begin_round(
+        &mut self,
+        now: Duration,
+        without_memory: BTreeMap<usize, u64>,
+        voters: usize,
+        index: usize,
+    ) -> Vec<OutboundMessage> {
+        self.without_memory_before = without_memory;
+        self.round += 1;
+        self.copies.clear();
+        self.next_request = now;
+        let others = (0..voters).filter(|voter| *voter != index);
+        others.map(|voter| self.request(voter, Name::new())).collect()
+    }
+}
+
+impl Acceptor {
+    /// While it recovers: takes in a page of another voter's state, and returns the requests that follow from it. `from`
+    /// is that voter's index. Any other reply changes nothing.
+    pub fn handle_copy(&mut self, now: Duration, from: usize, reply: RegisterReply) -> Vec<OutboundMessage> {
+        let RegisterReply::StateCopy { round, incarnation, without_memory, epoch, registers, more } = reply
+        else {
+            return Vec::new();
+        };
+        let Some(recovery) = self.recovery.as_mut().filter(|recovery| recovery.round == round) else {
+            return Vec::new();
+        };
+        if from == self.index || from >= self.voters || recovery.is_silent(now) {
+            return Vec::new();
+        }
+        let new_copy = PeerCopy { incarnation, without_memory, complete: false, after: Name::new() };
+        let copy = recovery.copies.entry(from).or_insert_with(|| new_copy.clone());
+        if copy.incarnation != incarnation || copy.without_memory != without_memory {
+            *copy = new_copy; // It has restarted or recovered: what it sent before does not count.
+        }
+        if without_memory {
+            return self.try_finish_recovery(now);
+        }
+        self.epoch = self.epoch.max(epoch);
+        if registers.first().is_some_and(|register| register.name <= copy.after) {
+            return Vec::new(); // A repeated page.
+        }
+        if let Some(last) = registers.last() {
+            copy.after = last.name.clone();
+        }
+        copy.complete = !more;
+        let after = copy.after.clone();
+        let next_page = more.then(|| recovery.request(from, after));
+        registers.into_iter().for_each(|register| self.merge(register));
+        match next_page {
+            Some(request) => vec![request],
+            None => self.try_finish_recovery(now),
+        }
+    }
+
+    /// Takes over a promise or accepted value that is later than its own.
+    fn merge(&mut self, register: RegisterState) {
+        let slot = self.slots.entry(register.name).or_default();
+        slot.promised = slot.promised.max(register.promised);
+        let ballot = |accepted: &Option<AcceptedEntry>| accepted.as_ref().map(|accepted| accepted.ballot);
+        if ballot(&register.accepted) > ballot(&slot.accepted) {
+            self.revision += 1;
+            slot.revision = self.revision;
+            slot.accepted = register.accepted;
+        }
+    }
+
+    /// Votes from now on if a majority of the others is copied, or if a majority has lost its memory; else asks for what
+    /// is needed to decide that.
+    fn try_finish_recovery(&mut self, now: Duration) -> Vec<OutboundMessage> {
+        let Some(recovery) = &mut self.recovery else { return Vec::new() };
+        if recovery.is_complete(self.voters) {
+            self.recovery = None;
+            return Vec::new();
+        }
+        if !recovery.all_replied(self.voters) {
+            return Vec::new();
+        }
+        let without_memory = recovery.without_memory();
+        if recovery.majority_lost_memory(&without_memory, self.voters) {
+            self.recovery = None;
+            self.begin_epoch();
+            return Vec::new();
+        }
+        recovery.begin_round(now, without_memory, self.voters, self.index)
+    }
+
+    /// Gives what is left versions of the new epoch, as another value may have been committed under the version that it
+    /// had, and a ballot of nobody above the one that it had, so that it does not count as committed where it is copied.
+    fn begin_epoch(&mut self) {
+        self.epoch = (self.epoch + 1).max(self.first_epoch);
+        for slot in self.slots.values_mut() {
+            let Some(AcceptedEntry { ballot, entry }) = &mut slot.accepted else { continue };
+            *ballot = Ballot { round: ballot.round + 1, proposer: NOBODY };
+            entry.version.epoch = self.epoch;
+            slot.promised = slot.promised.max(*ballot);
+        }
+    }
+}
--- a/crates/core/registers/src/learner.rs
+++ b/crates/core/registers/src/learner.rs
@@ -1,4 +1,6 @@
-//! Who only follows registers: it believes a value once a majority of voters shows the same, and never goes back.
+//! Learns which values are committed: it believes a value once a majority of voters reports the same ballot, and never
+//! goes back to an older one. The package's documentation says why that is safe. Events are replies and
+//! [`Learner::poll`]; outputs are the returned requests.
 
 use crate::{
     ChangedRegister, Changes, Entry, EntryVersion, NOBODY, Name, OutboundMessage, RegisterReply,
@@ -8,12 +10,26 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What a voter shows of a register counts for so many periods.
+/// What a voter reports of a register counts for so many poll intervals.
 const REPORT_LIFETIME_POLLS: u32 = 2;
-/// Who has replied to an ask of one kind is taken to read it for so many periods.
+/// A voter that has replied to one kind of request is taken to support it for so many poll intervals.
 const CAPABILITY_LIFETIME_POLLS: u32 = 8;
+/// A poll follows the last one after at least this part of the poll interval, and a random part of up to
+/// [`POLL_JITTER`] more.
+const MIN_POLL_INTERVAL_PART: f64 = 0.75;
+/// The random part of the poll interval.
+const POLL_JITTER: f64 = 0.5;
 
-/// What one voter last showed of a register.
+/// A value that is known to be committed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct CommittedEntry<'a> {
+    /// The value.
+    pub entry: &'a Entry,
+    /// When a majority last confirmed that it is the newest.
+    pub confirmed_at: Duration,
+}
+
+/// What one voter last reported of a register.
 #[derive(Debug, Clone, Copy)]
 struct Report {
     ballot: Ballot,
@@ -24,115 +40,116 @@
 #[derive(Debug, Clone, Default)]
 struct WatchedRegister {
     committed: Option<Entry>,
-    /// When a majority last showed that what is settled here still stands.
+    /// When a majority last confirmed `committed`; set whenever that is.
     confirmed_at: Option<Duration>,
-    reported: BTreeMap<usize, Report>,
-    /// Entries that were shown and are newer than what is settled, by the round in which they were accepted: until one
-    /// is settled, two of a stamp may differ.
+    /// By the voter's index.
+    reports: BTreeMap<usize, Report>,
+    /// Reported entries newer than `committed`, by ballot: until one is committed, two of a version may differ.
     candidates: BTreeMap<Ballot, Entry>,
-    /// Voters that have shown nothing there.
+    /// Voters that have reported that nothing was accepted.
     empty: BTreeSet<usize>,
 }
 
-/// How far the changes of one voter are known.
+/// How far the changes of one voter are known, and which requests it supports.
 #[derive(Debug, Clone, Copy, Default)]
 struct Source {
     /// The voter's incarnation; 0 before any is known.
     incarnation: u64,
+    /// The last revision of that incarnation that is known.
     revision: u64,
     /// When it last replied with changes.
     last_changes_reply: Option<Duration>,
-    /// When it last replied on a register asked for by name.
+    /// When it last replied to a read of one register.
     last_read_reply: Option<Duration>,
 }
 
-/// Follows a few registers by asking the voters now and then.
+/// Watches a few registers by polling the voters.
 #[derive(Debug, Clone)]
 pub struct Learner {
     poll_interval: Duration,
     registers: BTreeMap<Name, WatchedRegister>,
+    /// By the voter's index.
     sources: Vec<Source>,
-    /// When all are asked again.
     next_poll: Duration,
 }
 
 impl Learner {
+    /// A learner that watches nothing yet, of a fleet with so many voters.
     pub fn new(voters: usize, poll_interval: Duration) -> Learner {
         let sources = vec![Source::default(); voters];
         Learner { poll_interval, registers: BTreeMap::new(), sources, next_poll: Duration::ZERO }
     }
 
-    /// Follows a register from now on. Voters tell changes once, so all is asked for anew.
+    /// Watches a register from now on. Voters report a change once, so all registers are asked for anew.
     pub fn watch(&mut self, name: &str) {
         self.registers.entry(name.to_owned()).or_default();
-        self.sources.iter_mut().for_each(|source| (source.incarnation, source.revision) = (0, 0));
+        for source in &mut self.sources {
+            source.incarnation = 0;
+            source.revision = 0;
+        }
         self.next_poll = Duration::ZERO;
     }
 
-    /// The newest value known to be settled, and when a majority last showed it.
-    pub fn committed(&self, name: &str) -> Option<(&Entry, Duration)> {
-        let registers = self.registers.get(name)?;
-        registers.committed.as_ref().zip(registers.confirmed_at)
+    /// The newest value known to be committed.
+    pub fn committed(&self, name: &str) -> Option<CommittedEntry<'_>> {
+        let register = self.registers.get(name)?;
+        let (entry, confirmed_at) = register.committed.as_ref().zip(register.confirmed_at)?;
+        Some(CommittedEntry { entry, confirmed_at })
     }
 
-    /// All values that are known to be settled.
+    /// All values that are known to be committed.
     pub fn all_committed(&self) -> impl Iterator<Item = (&Name, &Entry)> {
-        self.registers
-            .iter()
-            .filter_map(|(name, registers)| registers.committed.as_ref().map(|entry| (name, entry)))
+        self.registers.iter().filter_map(|(name, register)| Some((name, register.committed.as_ref()?)))
     }
 
-    /// Whether a majority has shown that nothing was settled there when this follower began to ask.
+    /// Whether a majority has reported that nothing was accepted there when this learner began to ask.
     pub fn is_known_empty(&self, name: &str) -> bool {
-        self.registers
-            .get(name)
-            .is_some_and(|registers| registers.empty.len() >= majority(self.sources.len()))
+        let is_empty = |register: &WatchedRegister| register.empty.len() >= majority(self.sources.len());
+        self.registers.get(name).is_some_and(is_empty)
     }
 
+    /// When [`Learner::poll`] has something to do next.
     pub fn next_timeout(&self) -> Option<Duration> {
         (!self.registers.is_empty()).then_some(self.next_poll)
     }
 
-    /// Asks all voters for changes once that is due, `chance` (from 0 up to 1) apart from other fronts.
+    /// Asks all voters for changes once that is due. `chance` yields numbers from 0 up to 1; each poll draws one, so that
+    /// fronts poll at different times.
     ///
-    /// A voter of an earlier version reads no ask for changes. Who does not reply to it is asked for one register by
-    /// name as well, and only one that replies to this, for all.
+    /// A voter of an earlier version does not support requests for changes. A voter that does not reply to them is also
+    /// sent a read of one register, and once it has replied to that, a read of each.
     pub fn poll(&mut self, now: Duration, chance: &mut impl FnMut() -> f64) -> Vec<OutboundMessage> {
         let mut messages = Vec::new();
         if now < self.next_poll || self.registers.is_empty() {
             return messages;
         }
-        self.next_poll = now + self.poll_interval.mul_f64(0.75 + 0.5 * chance());
-        let recently = |reported_at: Option<Duration>| {
-            reported_at
-                .is_some_and(|reported_at| reported_at + self.poll_interval * CAPABILITY_LIFETIME_POLLS > now)
-        };
+        self.next_poll = now + self.poll_interval.mul_f64(MIN_POLL_INTERVAL_PART + POLL_JITTER * chance());
+        let lifetime = self.poll_interval * CAPABILITY_LIFETIME_POLLS;
+        let is_recent = |at: Option<Duration>| at.is_some_and(|at| at + lifetime > now);
         for (voter, source) in self.sources.iter().enumerate() {
             messages.push(source.changes_request(voter));
-            let reads = match (recently(source.last_changes_reply), recently(source.last_read_reply)) {
+            let reads = match (is_recent(source.last_changes_reply), is_recent(source.last_read_reply)) {
                 (true, _) => 0,
                 (false, true) => self.registers.len(),
                 (false, false) => 1,
             };
-            for (name, registers) in self.registers.iter().take(reads) {
-                let known = registers.committed.as_ref().map(|entry| entry.version);
-                messages.push(OutboundMessage {
-                    voter,
-                    request: RegisterRequest::Read { name: name.clone(), known },
-                });
+            for (name, register) in self.registers.iter().take(reads) {
+                let known = register.committed.as_ref().map(|entry| entry.version);
+                let request = RegisterRequest::Read { name: name.clone(), known };
+                messages.push(OutboundMessage { voter, request });
             }
         }
         messages
     }
 
-    /// Who has settled a value itself need not ask.
+    /// This front has itself committed a value, or read it, and need not ask for it.
     pub fn observe_committed(&mut self, now: Duration, name: &str, entry: &Entry) {
-        if let Some(registers) = self.registers.get_mut(name) {
-            registers.commit(now, entry);
+        if let Some(register) = self.registers.get_mut(name) {
+            register.commit(now, entry);
         }
     }
 
-    /// Takes in what a voter shows; what is to be asked at once, where there is more.
+    /// Takes in a voter's reply, and returns the request for the next page, if there is one. `voter` is its index.
     pub fn handle_reply(
         &mut self,
         now: Duration,
@@ -157,109 +174,105 @@
 
     fn handle_not_found(&mut self, now: Duration, voter: usize, name: &str) {
         self.sources[voter].last_read_reply = Some(now);
-        if let Some(registers) = self.registers.get_mut(name) {
-            registers.empty.insert(voter);
+        if let Some(register) = self.registers.get_mut(name) {
+            register.empty.insert(voter);
         }
     }
 
     fn handle_changes(&mut self, now: Duration, voter: usize, changes: Changes) -> Vec<OutboundMessage> {
-        let Changes { incarnation, since, revision, registers: changed, more } = changes;
+        let Changes { incarnation, since, revision, registers, more } = changes;
         let source = &mut self.sources[voter];
         source.last_changes_reply = Some(now);
         let is_new_incarnation = incarnation != source.incarnation;
-        // A reply that does not go on from what is known is late, or repeated.
-        let is_contiguous = since == if is_new_incarnation { 0 } else { source.revision };
-        if !is_contiguous {
-            return Vec::new();
+        let known_revision = if is_new_incarnation { 0 } else { source.revision };
+        if since != known_revision {
+            return Vec::new(); // Late or repeated.
         }
-        (source.incarnation, source.revision) = (incarnation, revision);
-        let next = source.changes_request(voter);
+        source.incarnation = incarnation;
+        source.revision = revision;
+        let next_page = source.changes_request(voter);
         if is_new_incarnation {
             self.forget_reports(voter);
         }
-        for ChangedRegister { name, ballot, entry } in changed {
-            self.record_report(
-                voter,
-                &name,
-                Report { ballot, version: entry.version, reported_at: now },
-                Some(entry),
-            );
+        for ChangedRegister { name, ballot, entry } in registers {
+            let report = Report { ballot, version: entry.version, reported_at: now };
+            self.record_report(voter, &name, report, Some(entry));
         }
         if more {
-            return vec![next];
+            return vec![next_page];
         }
-        self.handle_complete(now, voter);
+        self.handle_last_page(now, voter);
         Vec::new()
     }
 
-    /// All of a voter's registers are known as they are now.
-    fn handle_complete(&mut self, now: Duration, voter: usize) {
-        for registers in self.registers.values_mut() {
-            match registers.reported.get_mut(&voter) {
-                Some(reported) => reported.reported_at = now,
-                None => drop(registers.empty.insert(voter)),
+    /// All of a voter's registers are known as they are now: those without a change are reported anew.
+    fn handle_last_page(&mut self, now: Duration, voter: usize) {
+        for register in self.registers.values_mut() {
+            match register.reports.get_mut(&voter) {
+                Some(report) => report.reported_at = now,
+                None => drop(register.empty.insert(voter)),
             }
         }
         self.confirm(now, voter);
     }
 
-    /// What a voter showed in an earlier incarnation it may have lost.
+    /// A voter may have lost what it reported in an earlier incarnation.
     fn forget_reports(&mut self, voter: usize) {
-        self.registers.values_mut().for_each(|registers| {
-            registers.reported.remove(&voter);
-        });
+        for register in self.registers.values_mut() {
+            register.reports.remove(&voter);
+        }
     }
 
-    fn record_report(&mut self, voter: usize, name: &str, reported: Report, entry: Option<Entry>) {
-        let Some(registers) = self.registers.get_mut(name) else { return };
-        registers.reported.insert(voter, reported);
-        let known = registers.committed.as_ref().map(|entry| entry.version);
+    fn record_report(&mut self, voter: usize, name: &str, report: Report, entry: Option<Entry>) {
+        let Some(register) = self.registers.get_mut(name) else { return };
+        register.reports.insert(voter, report);
+        let known = register.committed.as_ref().map(|entry| entry.version);
         if let Some(entry) = entry.filter(|entry| Some(entry.version) > known) {
-            registers.candidates.insert(reported.ballot, entry);
+            register.candidates.insert(report.ballot, entry);
         }
-        let reported: BTreeSet<Ballot> =
-            registers.reported.values().map(|reported| reported.ballot).collect();
-        registers.candidates.retain(|ballot, _| reported.contains(ballot));
+        let reported: BTreeSet<Ballot> = register.reports.values().map(|report| report.ballot).collect();
+        register.candidates.retain(|ballot, _| reported.contains(ballot));
     }
 
-    /// Believes what a voter has just shown if a majority shows what was accepted in one and the same round: it is
-    /// settled.
+    /// Commits or confirms what a voter has just reported, where a majority reports the same ballot.
     fn confirm(&mut self, now: Duration, voter: usize) {
-        let (majority_size, report_lifetime) =
-            (majority(self.sources.len()), self.poll_interval * REPORT_LIFETIME_POLLS);
-        for registers in self.registers.values_mut() {
-            let is_current_proposal =
-                |reported: &Report| reported.reported_at == now && reported.ballot.proposer != NOBODY;
-            let Some(report) = registers.reported.get(&voter).copied().filter(is_current_proposal) else {
-                continue;
-            };
-            let agrees = |other: &&Report| {
-                (other.ballot, other.version) == (report.ballot, report.version)
-                    && other.reported_at + report_lifetime > now
-            };
-            if registers.reported.values().filter(agrees).count() < majority_size {
-                continue;
-            }
-            if registers.committed.as_ref().is_some_and(|entry| entry.version == report.version) {
-                registers.confirmed_at = Some(now);
-            } else if let Some(entry) = registers.candidates.get(&report.ballot).cloned() {
-                registers.commit(now, &entry);
-            }
+        let needed = majority(self.sources.len());
+        let lifetime = self.poll_interval * REPORT_LIFETIME_POLLS;
+        for register in self.registers.values_mut() {
+            register.confirm(now, voter, needed, lifetime);
         }
     }
 }
 
 impl Source {
     fn changes_request(&self, voter: usize) -> OutboundMessage {
-        OutboundMessage {
-            voter,
-            request: RegisterRequest::ChangesSince { incarnation: self.incarnation, revision: self.revision },
-        }
+        let request =
+            RegisterRequest::ChangesSince { incarnation: self.incarnation, revision: self.revision };
+        OutboundMessage { voter, request }
     }
 }
 
 impl WatchedRegister {
-    /// Guards against going back: an older value that comes late changes nothing.
+    /// `needed`: how many voters must report the same ballot within `lifetime`.
+    fn confirm(&mut self, now: Duration, voter: usize, needed: usize, lifetime: Duration) {
+        let is_proposed = |report: &Report| report.reported_at == now && report.ballot.proposer != NOBODY;
+        let Some(report) = self.reports.get(&voter).copied().filter(is_proposed) else { return };
+        let agrees = |other: &&Report| {
+            other.ballot == report.ballot
+                && other.version == report.version
+                && other.reported_at + lifetime > now
+        };
+        if self.reports.values().filter(agrees).count() < needed {
+            return;
+        }
+        if self.committed.as_ref().is_some_and(|entry| entry.version == report.version) {
+            self.confirmed_at = Some(now);
+        } else if let Some(entry) = self.candidates.get(&report.ballot).cloned() {
+            self.commit(now, &entry);
+        }
+    }
+
+    /// Takes a committed value. An older one that arrives late changes nothing.
     fn commit(&mut self, now: Duration, entry: &Entry) {
         let known = self.committed.as_ref().map(|entry| entry.version);
         if Some(entry.version) < known {
@@ -270,6 +283,6 @@
             return;
         }
         self.committed = Some(entry.clone());
-        self.candidates.retain(|_, candidates| candidates.version > entry.version);
+        self.candidates.retain(|_, candidate| candidate.version > entry.version);
     }
 }
--- a/crates/core/registers/tests/following.rs
+++ b/crates/core/registers/tests/following.rs
@@ -91,7 +91,7 @@
     }
 
     fn committed(&self, n: usize) -> Option<Entry> {
-        self.learner.committed(&name(n)).map(|(entry, _)| entry.clone())
+        self.learner.committed(&name(n)).map(|committed| committed.entry.clone())
     }
 }
 
@@ -108,7 +108,7 @@
         assert_eq!(asked.len(), VOTERS, "{asked:?}");
         assert!(asked.iter().all(|request| matches!(request, RegisterRequest::ChangesSince { .. })));
     }
-    let sure = world.learner.committed(&name(0)).unwrap().1;
+    let sure = world.learner.committed(&name(0)).unwrap().confirmed_at;
     assert_eq!(sure, world.now, "an unchanged value was made sure of");
 }
 
--- a/crates/core/registers/tests/stories.rs
+++ b/crates/core/registers/tests/stories.rs
@@ -199,7 +199,7 @@
             }
         }
         let front = &mut self.fronts[n];
-        if let Some((entry, _)) = front.learner.committed(NAME) {
+        if let Some(CommittedEntry { entry, .. }) = front.learner.committed(NAME) {
             let entry = entry.clone();
             if Some(entry.version) < front.watched {
                 self.wrong.push(format!("a follower went back to {:?}", entry.version));
@@ -330,7 +330,7 @@
             let reply = acceptors[voter].handle_request(now, request).unwrap();
             learner.handle_reply(now, voter, reply);
         }
-        learner.committed(NAME).map(|(entry, _)| entry.clone())
+        learner.committed(NAME).map(|committed| committed.entry.clone())
     };
     assert_eq!(look(&mut learner, &mut acceptors, now), None);
     assert!(!learner.is_known_empty(NAME));
--- a/crates/edges/fleet/src/frame.rs
+++ b/crates/edges/fleet/src/frame.rs
@@ -264,7 +264,7 @@
         let row = registers::RegisterState {
             name: "r".repeat(48),
             promised: ballot,
-            accepted: Some((ballot, entry)),
+            accepted: Some(registers::AcceptedEntry { ballot, entry }),
         };
         fits(Body::RegisterReply(registers::RegisterReply::StateCopy {
             round: u64::MAX,
--- a/crates/edges/fleet/src/sites.rs
+++ b/crates/edges/fleet/src/sites.rs
@@ -2,7 +2,7 @@
 //! wants, and tells the front what the plan means for it.
 
 use crate::frame::{Body, PlanGroup, PlanSite};
-use lemonusher_registers::{Entry, EntryVersion, Learner, Operation, ProposalOutcome};
+use lemonusher_registers::{EntryVersion, Learner, Operation, ProposalOutcome};
 use lemonusher_routing::{ControlUpdate, ZoneObservation};
 use lemonusher_zone_failover::{
     ClassLoad, Coordinator, FailoverConfig, FailoverPlan, LocalView, OperatorOverride, PlanEffect,
@@ -122,13 +122,13 @@
 
     /// What the front is to do from now on, if that has changed.
     pub fn word(&mut self, now: Duration, follower: &Learner) -> Option<ControlUpdate> {
-        if let Some((Entry { version: stamp, value, .. }, sure)) = follower.committed(NAME)
-            && let Some(plan) = FailoverPlan::from_bytes(value)
+        if let Some(committed) = follower.committed(NAME)
+            && let Some(plan) = FailoverPlan::from_bytes(&committed.entry.value)
         {
-            self.follow.handle_plan(sure, epoch(*stamp), &plan);
+            self.follow.handle_plan(committed.confirmed_at, epoch(committed.entry.version), &plan);
         }
-        if let Some((entry, _)) = follower.committed(WISHES) {
-            self.wishes = read_wishes(&entry.value);
+        if let Some(committed) = follower.committed(WISHES) {
+            self.wishes = read_wishes(&committed.entry.value);
         }
         let effect = self.follow.effect(now, &self.terms, &self.own);
         if self.effect.as_ref() == Some(&effect) {
--- a/crates/edges/fleet/src/works.rs
+++ b/crates/edges/fleet/src/works.rs
@@ -100,7 +100,7 @@
     pub fn follow(&mut self, now: Duration, follower: &Learner) -> Option<ControlUpdate> {
         for work in 0..MAX_REQUESTS as u8 {
             let name = register(work);
-            match follower.committed(&name).and_then(|(entry, _)| read(entry)) {
+            match follower.committed(&name).and_then(|committed| read(committed.entry)) {
                 Some((stamp, value)) => {
                     if let Some(foreman) = &mut self.foreman {
                         foreman.handle_request(now, work, stamp, value.clone());
--- a/crates/edges/fleet/tests/wire_compatibility.rs
+++ b/crates/edges/fleet/tests/wire_compatibility.rs
@@ -6,8 +6,8 @@
 use lemonusher_leases::{Ballot, Incarnation, LeaseReply, LeaseRequest};
 use lemonusher_maintenance::DrainConfirmation;
 use lemonusher_registers::{
-    ChangedRegister, Changes, Entry, EntryVersion, PersistentState, RegisterReply, RegisterRequest,
-    RegisterState,
+    AcceptedEntry, ChangedRegister, Changes, Entry, EntryVersion, PersistentState, RegisterReply,
+    RegisterRequest, RegisterState,
 };
 use lemonusher_zone_failover::{Demand, FrontReport, OperatorOverride, ZoneState, ZoneStats};
 use std::collections::BTreeMap;
@@ -41,7 +41,11 @@
 
 fn state(name: &str, accepted: bool) -> RegisterState {
     let promised = Ballot { round: 130, proposer: 5 };
-    RegisterState { name: name.to_owned(), promised, accepted: accepted.then(|| (ballot(), entry())) }
+    RegisterState {
+        name: name.to_owned(),
+        promised,
+        accepted: accepted.then(|| AcceptedEntry { ballot: ballot(), entry: entry() }),
+    }
 }
 
 fn lease_bodies() -> Vec<(&'static str, Body)> {
@@ -124,7 +128,7 @@
                 name: name.clone(),
                 ballot,
                 epoch: 1_000_001,
-                accepted: Some((ballot, entry())),
+                accepted: Some(AcceptedEntry { ballot, entry: entry() }),
             }),
         ),
         ("register accepted", Body::RegisterReply(RegisterReply::Accepted { name: name.clone(), ballot })),
