--- a/crates/core/registers/tests/exhaustive.rs
+++ b/crates/core/registers/tests/exhaustive.rs
@@ -1,6 +1,6 @@
 //! Every interleaving of a small fleet, on the code that runs: three voters, of which one may lose its memory, and two
-//! proposers that each want one change; what is
-//! asked is lost, delayed without bound, and overtaken; an answer comes at once or never.
+//! proposers that each want one change; requests
+//! are lost, delayed without bound, and overtaken; a reply comes at once or never.
 
 use lemonusher_leases::{Incarnation, LeaseConfig};
 use lemonusher_registers::*;
@@ -13,7 +13,7 @@
 const NAME: &str = "r";
 
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Spoilt {
+enum Mutation {
     Nothing,
     /// A voter that has lost its memory votes at once.
     ForgetfulVoter,
@@ -21,11 +21,11 @@
     CopiesFromOne,
 }
 
-struct Small {
-    spoilt: Spoilt,
+struct SmallFleet {
+    mutation: Mutation,
 }
 
-/// A message on its way, for as long as it likes; what is never delivered is lost.
+/// A message on its way, without bound; what is never delivered is lost.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Sent {
     RegisterRequest(usize, usize, RegisterRequest),
@@ -36,12 +36,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     acceptors: Vec<Acceptor>,
-    lives: Vec<u64>,
+    incarnations: Vec<u64>,
     proposers: Vec<Proposer>,
     begun: Vec<bool>,
     forgot: bool,
     past: bool,
-    /// What proposers were told as settled.
+    /// What proposers reported as committed.
     committed: BTreeMap<EntryVersion, BTreeSet<Vec<u8>>>,
     sent: BTreeSet<Sent>,
 }
@@ -51,7 +51,7 @@
     Begin(usize),
     Deliver(Sent),
     Forget,
-    /// The span passes in which a voter without memory is mute; what was attempted before it is over.
+    /// The time passes in which a voter without memory is silent; attempts of before have ended.
     Pass,
 }
 
@@ -62,25 +62,25 @@
     LeaseConfig { duration: Duration::from_secs(6), clock_drift_permille: 0, max_action_time: Duration::ZERO }
 }
 
-impl Small {
+impl SmallFleet {
     fn now(&self, state: &State) -> Duration {
         if state.past { LATER } else { NOW }
     }
 
-    fn post(&self, state: &mut State, from: usize, messages: Vec<OutboundMessage>) {
+    fn send_messages(&self, state: &mut State, from: usize, messages: Vec<OutboundMessage>) {
         for OutboundMessage { voter, request } in messages {
             state.sent.insert(Sent::RegisterRequest(from, voter, request));
         }
     }
 
-    fn copies(&self, state: &mut State, from: usize, messages: Vec<OutboundMessage>) {
+    fn send_copy_requests(&self, state: &mut State, from: usize, messages: Vec<OutboundMessage>) {
         for OutboundMessage { voter, request } in messages {
-            state.sent.insert(Sent::Copy(from, state.lives[from], voter, request));
+            state.sent.insert(Sent::Copy(from, state.incarnations[from], voter, request));
         }
     }
 
-    fn note(&self, state: &mut State, who: usize) {
-        for outcome in state.proposers[who].take_outcomes() {
+    fn check_outcomes(&self, state: &mut State, front: usize) {
+        for outcome in state.proposers[front].take_outcomes() {
             let entry = match outcome {
                 ProposalOutcome::Committed { entry, .. } | ProposalOutcome::Conflict { entry, .. } => entry,
                 ProposalOutcome::Unknown { .. } => continue,
@@ -90,9 +90,35 @@
             }
         }
     }
+
+    fn deliver(&self, state: &mut State, now: Duration, sent: Sent) -> Option<()> {
+        match sent {
+            Sent::RegisterRequest(front, voter, request) => {
+                let reply = state.acceptors[voter].handle_request(now, request)?;
+                let messages = state.proposers[front].handle_reply(now, &config(), voter, reply, &mut || 0.0);
+                self.send_messages(state, front, messages);
+                self.check_outcomes(state, front);
+            }
+            Sent::Copy(from, incarnation, to, request) => {
+                let reply = state.acceptors[to].handle_request(now, request)?;
+                if state.incarnations[from] != incarnation {
+                    return None;
+                }
+                if self.mutation == Mutation::CopiesFromOne
+                    && let RegisterReply::StateCopy { registers: rows, .. } = &reply
+                {
+                    let stored = PersistentState { epoch: 0, registers: rows.clone() };
+                    state.acceptors[from] = Acceptor::restored(VOTERS, from, incarnation, stored);
+                }
+                let messages = state.acceptors[from].handle_copy(now, to, reply);
+                self.send_copy_requests(state, from, messages);
+            }
+        }
+        Some(())
+    }
 }
 
-impl Model for Small {
+impl Model for SmallFleet {
     type State = State;
     type Action = Step;
 
@@ -100,7 +126,7 @@
         let acceptor = |index| Acceptor::restored(VOTERS, index, 1, PersistentState::default());
         vec![State {
             acceptors: (0..VOTERS).map(acceptor).collect(),
-            lives: vec![1; VOTERS],
+            incarnations: vec![1; VOTERS],
             proposers: (0..PROPOSERS)
                 .map(|n| Proposer::new(Incarnation { name: format!("{n}"), id: n as u64 + 1 }, VOTERS))
                 .collect(),
@@ -114,7 +140,7 @@
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
         steps.extend(state.sent.iter().cloned().map(Step::Deliver));
-        steps.extend((0..PROPOSERS).filter(|who| !state.begun[*who]).map(Step::Begin));
+        steps.extend((0..PROPOSERS).filter(|front| !state.begun[*front]).map(Step::Begin));
         if !state.forgot {
             steps.push(Step::Forget);
         } else if !state.past {
@@ -126,52 +152,30 @@
         let mut state = last.clone();
         let now = self.now(last);
         match step {
-            Step::Begin(who) => {
-                state.begun[who] = true;
+            Step::Begin(front) => {
+                state.begun[front] = true;
                 let known = last.committed.last_key_value().map(|(version, _)| *version);
                 let change =
-                    Operation::CompareAndSet { expected: known, fencing_token: 1, value: vec![who as u8] };
-                let messages = state.proposers[who].propose(now, NAME, change);
-                self.post(&mut state, who, messages);
+                    Operation::CompareAndSet { expected: known, fencing_token: 1, value: vec![front as u8] };
+                let messages = state.proposers[front].propose(now, NAME, change);
+                self.send_messages(&mut state, front, messages);
             }
             Step::Forget => {
                 state.forgot = true;
-                state.lives[0] = 2;
-                state.acceptors[0] = match self.spoilt {
-                    Spoilt::ForgetfulVoter => Acceptor::restored(VOTERS, 0, 2, PersistentState::default()),
+                state.incarnations[0] = 2;
+                state.acceptors[0] = match self.mutation {
+                    Mutation::ForgetfulVoter => Acceptor::restored(VOTERS, 0, 2, PersistentState::default()),
                     _ => Acceptor::without_memory(NOW, &config(), VOTERS, 0, 2, 9),
                 };
             }
             Step::Pass => {
                 state.past = true;
                 let messages = state.acceptors[0].poll(LATER, &config());
-                self.copies(&mut state, 0, messages);
+                self.send_copy_requests(&mut state, 0, messages);
             }
             Step::Deliver(sent) => {
                 state.sent.remove(&sent);
-                match sent {
-                    Sent::RegisterRequest(who, voter, request) => {
-                        let reply = state.acceptors[voter].handle_request(now, request)?;
-                        let messages =
-                            state.proposers[who].handle_reply(now, &config(), voter, reply, &mut || 0.0);
-                        self.post(&mut state, who, messages);
-                        self.note(&mut state, who);
-                    }
-                    Sent::Copy(from, incarnation, to, request) => {
-                        let reply = state.acceptors[to].handle_request(now, request)?;
-                        if state.lives[from] != incarnation {
-                            return None;
-                        }
-                        if self.spoilt == Spoilt::CopiesFromOne
-                            && let RegisterReply::StateCopy { registers: rows, .. } = &reply
-                        {
-                            let stored = PersistentState { epoch: 0, registers: rows.clone() };
-                            state.acceptors[from] = Acceptor::restored(VOTERS, from, incarnation, stored);
-                        }
-                        let messages = state.acceptors[from].handle_copy(now, to, reply);
-                        self.copies(&mut state, from, messages);
-                    }
-                }
+                self.deliver(&mut state, now, sent)?;
             }
         }
         (state != *last).then_some(state)
@@ -189,21 +193,21 @@
     }
 }
 
-fn check(spoilt: Spoilt) -> (usize, bool, bool) {
-    let checker = Small { spoilt }.checker().threads(4).spawn_dfs().join();
+fn check(mutation: Mutation) -> (usize, bool, bool) {
+    let checker = SmallFleet { mutation }.checker().threads(4).spawn_dfs().join();
     let found = checker.discovery("a stamp has one value").is_some();
     let both = checker.discovery("both changes settle, one after the other").is_some();
     (checker.unique_state_count(), found, both)
 }
 
 #[test]
-fn no_stamp_ever_has_two_values_and_each_spoilt_rule_is_caught() {
-    let (states, broken, both) = check(Spoilt::Nothing);
+fn no_version_has_two_values_and_each_broken_rule_is_detected() {
+    let (states, broken, both) = check(Mutation::Nothing);
     println!("proof: registers_states {states}");
     assert!(!broken && both);
-    for spoilt in [Spoilt::ForgetfulVoter, Spoilt::CopiesFromOne] {
-        let (states, broken, _) = check(spoilt);
-        println!("proof: registers_mutant_{spoilt:?}_caught {broken} after {states} states");
-        assert!(broken, "{spoilt:?}");
+    for mutation in [Mutation::ForgetfulVoter, Mutation::CopiesFromOne] {
+        let (states, broken, _) = check(mutation);
+        println!("proof: registers_mutant_{mutation:?}_caught {broken} after {states} states");
+        assert!(broken, "{mutation:?}");
     }
 }
--- a/crates/core/registers/tests/following.rs
+++ b/crates/core/registers/tests/learner.rs
@@ -1,4 +1,4 @@
-//! Following registers by their changes: what is told once, page by page, after restarts, and by earlier versions.
+//! Watching registers by their changes: what is reported once, page by page, after restarts, and by earlier versions.
 
 use lemonusher_leases::Ballot;
 use lemonusher_registers::*;
@@ -12,25 +12,25 @@
     format!("r{n:03}")
 }
 
-fn entry(version: u64, long: usize) -> Entry {
+fn entry(version: u64, value_bytes: usize) -> Entry {
     Entry {
         version: EntryVersion { epoch: 1, counter: version },
         fencing_token: 1,
-        value: vec![version as u8; long],
+        value: vec![version as u8; value_bytes],
     }
 }
 
-/// Three voters that remember, and one that follows them.
+/// Three voters with memory, and a learner.
 struct World {
     acceptors: Vec<Acceptor>,
     learner: Learner,
     now: Duration,
-    /// Asks that were answered since the last look.
-    asked: Vec<RegisterRequest>,
-    /// Voters of an earlier version, which read no ask for changes.
+    /// Requests that were replied to since the last poll.
+    requests: Vec<RegisterRequest>,
+    /// Voters of an earlier version, which do not support requests for changes.
     earlier: Vec<usize>,
     round: u64,
-    lives: u64,
+    incarnations: u64,
 }
 
 impl World {
@@ -43,10 +43,10 @@
             acceptors: (0..VOTERS).map(acceptor).collect(),
             learner,
             now: Duration::ZERO,
-            asked: Vec::new(),
+            requests: Vec::new(),
             earlier: Vec::new(),
             round: 0,
-            lives: 100,
+            incarnations: 100,
         }
     }
 
@@ -61,33 +61,34 @@
         }
     }
 
-    /// Begins a new incarnation of a voter, which has kept what it accepted.
+    /// Begins a new incarnation of a voter, which has kept its state.
     fn restart(&mut self, voter: usize) {
-        self.lives += 1;
+        self.incarnations += 1;
         let stored = self.acceptors[voter].persistent_state();
-        self.acceptors[voter] = Acceptor::restored(VOTERS, voter, self.lives, stored);
+        self.acceptors[voter] = Acceptor::restored(VOTERS, voter, self.incarnations, stored);
     }
 
-    fn answer(&mut self, post: OutboundMessage) -> Option<RegisterReply> {
-        if self.earlier.contains(&post.voter) && matches!(post.request, RegisterRequest::ChangesSince { .. })
+    fn handle_message(&mut self, message: OutboundMessage) -> Option<RegisterReply> {
+        if self.earlier.contains(&message.voter)
+            && matches!(message.request, RegisterRequest::ChangesSince { .. })
         {
             return None;
         }
-        self.asked.push(post.request.clone());
-        self.acceptors[post.voter].handle_request(self.now, post.request)
+        self.requests.push(message.request.clone());
+        self.acceptors[message.voter].handle_request(self.now, message.request)
     }
 
-    /// A turn of the follower, and all that follows from it; the asks in it.
+    /// One poll of the learner with all replies; the requests that were sent.
     fn poll(&mut self) -> Vec<RegisterRequest> {
         self.now += EVERY * 2;
         let mut messages = self.learner.poll(self.now, &mut || 0.5);
-        while let Some(post) = messages.pop() {
-            let voter = post.voter;
-            if let Some(reply) = self.answer(post) {
+        while let Some(message) = messages.pop() {
+            let voter = message.voter;
+            if let Some(reply) = self.handle_message(message) {
                 messages.extend(self.learner.handle_reply(self.now, voter, reply));
             }
         }
-        std::mem::take(&mut self.asked)
+        std::mem::take(&mut self.requests)
     }
 
     fn committed(&self, n: usize) -> Option<Entry> {
@@ -96,7 +97,7 @@
 }
 
 #[test]
-fn what_does_not_change_costs_one_ask_a_voter() {
+fn unchanged_registers_cost_one_request_per_voter() {
     let mut world = World::new(64);
     for n in 0..64 {
         world.accept(&[0, 1, 2], &name(n), &entry(1, 20));
@@ -104,16 +105,16 @@
     world.poll();
     assert!((0..64).all(|n| world.committed(n) == Some(entry(1, 20))));
     for _ in 0..20 {
-        let asked = world.poll();
-        assert_eq!(asked.len(), VOTERS, "{asked:?}");
-        assert!(asked.iter().all(|request| matches!(request, RegisterRequest::ChangesSince { .. })));
+        let requests = world.poll();
+        assert_eq!(requests.len(), VOTERS, "{requests:?}");
+        assert!(requests.iter().all(|request| matches!(request, RegisterRequest::ChangesSince { .. })));
     }
     let sure = world.learner.committed(&name(0)).unwrap().confirmed_at;
     assert_eq!(sure, world.now, "an unchanged value was made sure of");
 }
 
 #[test]
-fn long_values_come_page_by_page_within_a_turn() {
+fn long_values_are_paged_within_one_poll() {
     let mut world = World::new(64);
     for n in 0..64 {
         world.accept(&[0, 1, 2], &name(n), &entry(1, MAX_VALUE_BYTES));
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn one_voter_alone_settles_nothing_and_a_value_without_a_voter_stays() {
+fn one_voter_alone_commits_nothing_and_a_value_survives_the_loss_of_a_voter() {
     let mut world = World::new(2);
     world.accept(&[0, 1, 2], &name(0), &entry(1, 5));
     world.poll();
@@ -137,7 +138,7 @@
 }
 
 #[test]
-fn a_voter_that_starts_anew_is_asked_for_everything() {
+fn a_restarted_voter_is_asked_for_everything() {
     let mut world = World::new(3);
     world.accept(&[0, 1, 2], &name(0), &entry(1, 5));
     world.poll();
@@ -150,7 +151,7 @@
 }
 
 #[test]
-fn what_is_followed_later_is_asked_for() {
+fn a_register_watched_later_is_asked_for() {
     let mut world = World::new(1);
     world.accept(&[0, 1, 2], &name(5), &entry(1, 5));
     world.poll();
@@ -160,7 +161,7 @@
 }
 
 #[test]
-fn voters_of_an_earlier_version_are_asked_by_name_once_one_reply_shows_that_they_read_it() {
+fn voters_of_an_earlier_version_are_sent_reads_once_they_have_replied_to_one() {
     let mut world = World::new(64);
     world.earlier = vec![0, 1, 2];
     for n in 0..64 {
@@ -177,11 +178,11 @@
 
 /// Against all that was accepted by a majority: changes, restarts, and replies that are lost, late and repeated.
 #[test]
-fn all_that_a_majority_accepted_is_known_once_replies_come_again() {
+fn all_committed_values_are_known_once_replies_arrive_again() {
     for seed in 0..200 {
         let mut chance = fastrand::Rng::with_seed(seed);
         let (mut world, mut truth) = (World::new(20), BTreeMap::new());
-        let mut late: Vec<(usize, RegisterReply)> = Vec::new();
+        let mut delay_ms: Vec<(usize, RegisterReply)> = Vec::new();
         for version in 1..150 {
             let register = chance.usize(..20);
             let left_out = chance.usize(..VOTERS * 2);
@@ -195,17 +196,17 @@
             world.now += EVERY;
             let now = world.now;
             let mut messages = world.learner.poll(now, &mut || chance.f64());
-            while let Some(post) = messages.pop() {
-                let voter = post.voter;
-                let Some(reply) = world.answer(post) else { continue };
+            while let Some(message) = messages.pop() {
+                let voter = message.voter;
+                let Some(reply) = world.handle_message(message) else { continue };
                 if chance.u8(..) < 100 {
-                    late.push((voter, reply.clone()));
+                    delay_ms.push((voter, reply.clone()));
                 }
                 if chance.u8(..) < 180 {
                     messages.extend(world.learner.handle_reply(now, voter, reply));
                 }
-                if chance.bool() && !late.is_empty() {
-                    let (voter, reply) = late.swap_remove(chance.usize(..late.len()));
+                if chance.bool() && !delay_ms.is_empty() {
+                    let (voter, reply) = delay_ms.swap_remove(chance.usize(..delay_ms.len()));
                     messages.extend(world.learner.handle_reply(now, voter, reply));
                 }
             }
--- a/crates/core/registers/tests/stories.rs
+++ b/crates/core/registers/tests/stories.rs
@@ -41,16 +41,16 @@
     acceptors: Vec<Option<(Acceptor, u64)>>,
     rates: Vec<f64>,
     fronts: Vec<Front>,
-    way: Vec<(Duration, Sent)>,
+    in_flight: Vec<(Duration, Sent)>,
     chance: fastrand::Rng,
-    /// Believes voters that have lost their memory.
+    /// Voters that have lost their memory vote at once.
     forgetful: bool,
     next: u64,
-    lost: f64,
+    loss: f64,
     committed: BTreeMap<EntryVersion, Vec<u8>>,
-    /// The highest settled so far with the time at which its proposer heard of it.
+    /// The highest committed so far with the time at which its proposer was notified of it.
     highest: Vec<(Duration, EntryVersion)>,
-    wrong: Vec<String>,
+    violations: Vec<String>,
 }
 
 impl World {
@@ -71,14 +71,14 @@
             acceptors: vec![None; voters],
             rates,
             fronts,
-            way: Vec::new(),
+            in_flight: Vec::new(),
             chance,
             forgetful,
             next: 100,
-            lost: 0.1,
+            loss: 0.1,
             committed: BTreeMap::new(),
             highest: Vec::new(),
-            wrong: Vec::new(),
+            violations: Vec::new(),
         };
         (0..voters).for_each(|index| world.start(index));
         world
@@ -90,25 +90,25 @@
 
     fn start(&mut self, index: usize) {
         self.next += 1;
-        let (incarnation, voters, founding) = (self.next, self.acceptors.len(), 1000 + self.next);
+        let (incarnation, voters, first_epoch) = (self.next, self.acceptors.len(), 1000 + self.next);
         let acceptor = if self.forgetful {
             Acceptor::restored(voters, index, incarnation, PersistentState::default())
         } else {
-            Acceptor::without_memory(self.clock(index), &config(), voters, index, incarnation, founding)
+            Acceptor::without_memory(self.clock(index), &config(), voters, index, incarnation, first_epoch)
         };
         self.acceptors[index] = Some((acceptor, incarnation));
     }
 
     fn send(&mut self, sent: Sent) {
         for _ in 0..1 + usize::from(self.chance.f64() < 0.1) {
-            if self.chance.f64() >= self.lost {
-                let late = if self.chance.f64() < 0.05 { 2000 } else { 30 };
-                self.way.push((self.now + ms(self.chance.u64(1..late)), sent.clone()));
+            if self.chance.f64() >= self.loss {
+                let delay_ms = if self.chance.f64() < 0.05 { 2000 } else { 30 };
+                self.in_flight.push((self.now + ms(self.chance.u64(1..delay_ms)), sent.clone()));
             }
         }
     }
 
-    fn post(&mut self, from: From, messages: Vec<OutboundMessage>) {
+    fn send_messages(&mut self, from: From, messages: Vec<OutboundMessage>) {
         messages.into_iter().for_each(|OutboundMessage { voter, request }| {
             self.send(Sent::RegisterRequest { from, to: voter, request })
         });
@@ -120,7 +120,7 @@
             let clock = self.clock(index);
             if let Some((acceptor, incarnation)) = &mut self.acceptors[index] {
                 let (messages, incarnation) = (acceptor.poll(clock, &config()), *incarnation);
-                self.post(From::Acceptor(index, incarnation), messages);
+                self.send_messages(From::Acceptor(index, incarnation), messages);
             }
         }
         for n in 0..self.fronts.len() {
@@ -137,11 +137,12 @@
                 messages.extend(front.proposer.propose(now, NAME, change));
             }
             self.chance = chance;
-            self.post(From::Front(n), messages);
-            self.note(n);
+            self.send_messages(From::Front(n), messages);
+            self.check_outcomes(n);
         }
         let now = self.now;
-        let due: Vec<Sent> = self.way.extract_if(.., |(at, _)| *at <= now).map(|(_, sent)| sent).collect();
+        let due: Vec<Sent> =
+            self.in_flight.extract_if(.., |(at, _)| *at <= now).map(|(_, sent)| sent).collect();
         for sent in due {
             self.deliver(sent);
         }
@@ -161,7 +162,7 @@
                 let Some((acceptor, current)) = &mut self.acceptors[index] else { return };
                 if *current == incarnation {
                     let messages = acceptor.handle_copy(clock, from, reply);
-                    self.post(From::Acceptor(index, incarnation), messages);
+                    self.send_messages(From::Acceptor(index, incarnation), messages);
                 }
             }
             Sent::RegisterReply { to: From::Front(n), from, reply } => {
@@ -171,13 +172,13 @@
                 let messages =
                     front.proposer.handle_reply(self.now, &config(), from, reply, &mut || chance.f64());
                 self.chance = chance;
-                self.post(From::Front(n), messages);
-                self.note(n);
+                self.send_messages(From::Front(n), messages);
+                self.check_outcomes(n);
             }
         }
     }
 
-    fn note(&mut self, n: usize) {
+    fn check_outcomes(&mut self, n: usize) {
         let now = self.now;
         for outcome in self.fronts[n].proposer.take_outcomes() {
             let (entry, own) = match outcome {
@@ -188,11 +189,11 @@
             let begun = self.fronts[n].begun;
             self.fronts[n].known = entry.as_ref().map(|entry| entry.version);
             let Some(entry) = entry else { continue };
-            self.seen(&entry);
-            // What was settled before this attempt began must show in it.
+            self.record_committed(&entry);
+            // What was committed before this attempt began must show in it.
             let before = self.highest.iter().filter(|(at, _)| *at < begun).map(|(_, version)| *version).max();
             if Some(entry.version) < before || (own && Some(entry.version) == before) {
-                self.wrong.push(format!("{:?} after {before:?} at {now:?}", entry.version));
+                self.violations.push(format!("{:?} after {before:?} at {now:?}", entry.version));
             }
             if own {
                 self.highest.push((now, entry.version));
@@ -202,17 +203,17 @@
         if let Some(CommittedEntry { entry, .. }) = front.learner.committed(NAME) {
             let entry = entry.clone();
             if Some(entry.version) < front.watched {
-                self.wrong.push(format!("a follower went back to {:?}", entry.version));
+                self.violations.push(format!("a follower went back to {:?}", entry.version));
             }
             front.watched = Some(entry.version);
-            self.seen(&entry);
+            self.record_committed(&entry);
         }
     }
 
-    fn seen(&mut self, entry: &Entry) {
+    fn record_committed(&mut self, entry: &Entry) {
         let value = self.committed.entry(entry.version).or_insert_with(|| entry.value.clone());
         if *value != entry.value {
-            self.wrong.push(format!("two values for {:?}", entry.version));
+            self.violations.push(format!("two values for {:?}", entry.version));
         }
     }
 
@@ -223,8 +224,8 @@
         }
     }
 
-    /// Restarts voters without memory, never so many at once that a majority is blank.
-    fn play_minorities(&mut self) {
+    /// Restarts voters without memory, never so many at once that a majority is without memory.
+    fn restart_minorities(&mut self) {
         let most_blank = self.acceptors.len() - majority(self.acceptors.len());
         for _ in 0..25 {
             let span = self.chance.u64(20..500);
@@ -247,26 +248,26 @@
 }
 
 #[test]
-fn what_is_settled_stays_while_fewer_than_a_majority_forget() {
-    let (mut committed, mut eras) = (0, BTreeSet::new());
+fn committed_values_stay_while_fewer_than_a_majority_lose_their_memory() {
+    let (mut committed, mut epochs) = (0, BTreeSet::new());
     for seed in 0..900 {
         let mut world = World::new(seed, [3, 5][seed as usize % 2], false);
         world.run(ms(3000)); // All are blank at the first start of all, and found an epoch.
-        world.play_minorities();
+        world.restart_minorities();
         world.run(ms(500));
-        assert!(world.wrong.is_empty(), "seed {seed}: {:?}", world.wrong);
+        assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
         let later = world.highest.iter().filter(|(at, _)| *at > ms(3000));
         let all: BTreeSet<u64> = later.map(|(_, version)| version.epoch).collect();
-        eras.insert(all.len());
+        epochs.insert(all.len());
         committed += world.highest.len();
     }
-    println!("settled {committed}, eras in a run {eras:?}");
+    println!("settled {committed}, eras in a run {epochs:?}");
     assert!(committed > 900 * 20, "hardly anything was settled: {committed}");
-    assert_eq!(eras, BTreeSet::from([1]), "an era began though no majority had forgotten");
+    assert_eq!(epochs, BTreeSet::from([1]), "an era began though no majority had forgotten");
 }
 
 #[test]
-fn after_a_majority_forgot_an_era_begins_and_values_go_on() {
+fn a_new_epoch_begins_after_a_majority_has_lost_its_memory() {
     for seed in 0..900 {
         let voters = [3, 5][seed as usize % 2];
         let mut world = World::new(seed, voters, false);
@@ -278,12 +279,12 @@
         world.run(ms(4000));
         let after = world.highest.last().unwrap().1;
         assert!(after.epoch > before.epoch, "seed {seed}: {before:?} {after:?}");
-        assert!(world.wrong.is_empty(), "seed {seed}: {:?}", world.wrong);
+        assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
     }
 }
 
 #[test]
-fn what_was_asked_in_an_earlier_era_is_not_accepted() {
+fn requests_of_an_earlier_epoch_are_not_accepted() {
     let stored = PersistentState { epoch: 7, registers: Vec::new() };
     let mut acceptor = Acceptor::restored(3, 0, 1, stored);
     let ballot = lemonusher_leases::Ballot { round: 1, proposer: 1 };
@@ -298,16 +299,16 @@
 }
 
 /// A value that one voter alone had accepted is all that is left: copied to the others it looks as if a majority had
-/// accepted it, while another one had been settled under its stamp.
+/// accepted it, while another one had been committed under its version.
 #[test]
-fn what_a_new_era_begins_with_is_settled_only_once_it_is_proposed() {
+fn values_carried_into_a_new_epoch_are_committed_only_once_proposed() {
     let mut acceptors: Vec<Acceptor> =
         (0..3).map(|p| Acceptor::restored(3, p, 1, PersistentState::default())).collect();
     let ballot = lemonusher_leases::Ballot { round: 1, proposer: 9 };
     let entry = Entry { version: EntryVersion { epoch: 1, counter: 1 }, fencing_token: 1, value: vec![1] };
     acceptors[0].handle_request(ms(1), RegisterRequest::Accept { name: NAME.to_owned(), ballot, entry });
     (1..3).for_each(|p| acceptors[p] = Acceptor::without_memory(Duration::ZERO, &config(), 3, p, 2, 5));
-    let copied = |acceptors: &[Acceptor]| {
+    let recovered = |acceptors: &[Acceptor]| {
         acceptors[1..].iter().all(|acceptor| acceptor.state(ms(2000)) == AcceptorState::Voting)
     };
     for step in 0..20 {
@@ -320,19 +321,19 @@
             }
         }
     }
-    assert!(copied(&acceptors), "a majority is blank: the two begin an era");
+    assert!(recovered(&acceptors), "a majority is blank: the two begin an era");
     let now = ms(5000);
     assert_eq!(acceptors[1].unproposed_register(now), Some(&NAME.to_owned()));
     let mut learner = Learner::new(3, ms(80));
     learner.watch(NAME);
-    let look = |learner: &mut Learner, acceptors: &mut [Acceptor], now: Duration| {
+    let poll_learner = |learner: &mut Learner, acceptors: &mut [Acceptor], now: Duration| {
         for OutboundMessage { voter, request } in learner.poll(now, &mut || 0.5) {
             let reply = acceptors[voter].handle_request(now, request).unwrap();
             learner.handle_reply(now, voter, reply);
         }
         learner.committed(NAME).map(|committed| committed.entry.clone())
     };
-    assert_eq!(look(&mut learner, &mut acceptors, now), None);
+    assert_eq!(poll_learner(&mut learner, &mut acceptors, now), None);
     assert!(!learner.is_known_empty(NAME));
     let mut proposer = Proposer::new(Incarnation { name: "n".into(), id: 7 }, 3);
     let mut messages = proposer.propose(now, NAME, Operation::Read);
@@ -345,18 +346,18 @@
         }
     }
     assert!(matches!(&proposer.take_outcomes()[..], [ProposalOutcome::Committed { entry: Some(_), .. }]));
-    let committed = look(&mut learner, &mut acceptors, ms(9000)).expect("it was proposed");
+    let committed = poll_learner(&mut learner, &mut acceptors, ms(9000)).expect("it was proposed");
     assert!(committed.version.epoch > 1 && committed.value == [1], "{committed:?}");
     assert!(acceptors.iter().all(|acceptor| acceptor.unproposed_register(ms(9000)).is_none()));
 }
 
 #[test]
-fn without_the_last_of_them_a_majority_that_forgot_stays_silent() {
+fn a_majority_without_memory_stays_silent_without_the_last_voter() {
     let mut world = World::new(7, 3, false);
     world.run(ms(3000));
     world.start(0);
     world.start(1);
-    world.acceptors[2] = None; // It alone may know what was settled.
+    world.acceptors[2] = None; // It alone may know what was committed.
     let before = world.highest.len();
     world.run(ms(6000));
     assert_eq!(world.highest.len(), before, "values were settled without a memory");
@@ -367,12 +368,12 @@
 }
 
 #[test]
-fn believing_voters_that_forgot_is_caught() {
+fn trusting_voters_without_memory_is_detected() {
     let caught = (0..60).filter(|seed| {
         let mut world = World::new(*seed, 3, true);
         world.run(ms(1000));
-        world.play_minorities();
-        !world.wrong.is_empty()
+        world.restart_minorities();
+        !world.violations.is_empty()
     });
     let caught = caught.count();
     println!("caught in {caught} of 60 runs");
@@ -380,11 +381,11 @@
 }
 
 #[test]
-fn an_older_number_changes_nothing() {
+fn an_older_fencing_token_changes_nothing() {
     let mut acceptors: Vec<Acceptor> =
         (0..3).map(|p| Acceptor::restored(3, p, 1, PersistentState::default())).collect();
-    let mut propose = |who: u64, after: Option<EntryVersion>, number: u64, value: &[u8]| {
-        let mut proposer = Proposer::new(Incarnation { name: "n".into(), id: who }, 3);
+    let mut propose = |front: u64, after: Option<EntryVersion>, number: u64, value: &[u8]| {
+        let mut proposer = Proposer::new(Incarnation { name: "n".into(), id: front }, 3);
         let change =
             Operation::CompareAndSet { expected: after, fencing_token: number, value: value.to_vec() };
         let mut now = ms(1);
@@ -401,8 +402,8 @@
         proposer.take_outcomes().remove(0)
     };
     let ProposalOutcome::Committed { entry: Some(first), .. } = propose(1, None, 5, b"a") else { panic!() };
-    let late = propose(2, Some(first.version), 4, b"b");
-    assert!(matches!(late, ProposalOutcome::Conflict { entry: Some(entry), .. } if entry == first));
+    let delay_ms = propose(2, Some(first.version), 4, b"b");
+    assert!(matches!(delay_ms, ProposalOutcome::Conflict { entry: Some(entry), .. } if entry == first));
     let stale = propose(3, None, 6, b"c");
     assert!(matches!(stale, ProposalOutcome::Conflict { .. }));
     let ProposalOutcome::Committed { entry: Some(second), .. } = propose(4, Some(first.version), 6, b"d")
@@ -413,7 +414,7 @@
 }
 
 #[test]
-fn bounds_hold_against_names_values_and_registers_without_end() {
+fn limits_of_names_values_and_registers_hold() {
     let mut acceptor = Acceptor::restored(3, 0, 1, PersistentState::default());
     let ballot = lemonusher_leases::Ballot { round: 1, proposer: 1 };
     for n in 0..MAX_REGISTERS * 2 {
