--- a/src/candidate.rs
+++ b/src/candidate.rs
@@ -10,7 +10,7 @@
     /// Whether the rules and the engine's health let such a request go there.
     pub(crate) usable: bool,
     /// Whether it has started so lately that it is not warm yet.
-    pub(crate) cold: bool,
+    pub(crate) warming_up: bool,
     /// Threads per core that it is believed to run.
     pub(crate) load: f64,
 }
--- a/src/fleet_means.rs
+++ b/src/fleet_means.rs
@@ -5,9 +5,9 @@
     /// Cores of an engine.
     pub(crate) cores: f64,
     /// Work sent lately to an engine, in seconds.
-    pub(crate) sent: f64,
+    pub(crate) sent_work: f64,
     /// The mean work of what was sent lately, in seconds.
-    pub(crate) work: f64,
+    pub(crate) request_work: f64,
     /// Threads per core that engines usually report.
     pub(crate) usual_load: f64,
 }
@@ -15,8 +15,8 @@
 impl FleetMeans {
     /// How much more than the mean this front has sent lately to an engine of so many cores. All fronts hash alike, so
     /// each is a sample of all: guards against engines that are home to too much. Harm: chance counts a little too.
-    pub(crate) fn leaning(&self, sent: f64, cores: f64) -> f64 {
-        let (speed, doubt) = (cores / self.cores, self.work);
-        (sent / speed + doubt) / (self.sent + doubt).max(f64::MIN_POSITIVE)
+    pub(crate) fn traffic_bias(&self, sent: f64, cores: f64) -> f64 {
+        let (speed, doubt) = (cores / self.cores, self.request_work);
+        (sent / speed + doubt) / (self.sent_work + doubt).max(f64::MIN_POSITIVE)
     }
 }
--- a/src/request.rs
+++ b/src/request.rs
@@ -5,19 +5,19 @@
 
 /// What is to become of a request.
 #[derive(Clone, Copy, PartialEq, Default)]
-pub(crate) enum Wanted {
+pub(crate) enum DesiredState {
     #[default]
-    Held,
-    Out(EngineId),
-    PushedBack,
-    Errored,
+    Queued,
+    SentTo(EngineId),
+    Rejected,
+    Failed,
 }
 
 /// An attempt that is out.
-pub(crate) struct Out {
-    pub(crate) number: u32,
+pub(crate) struct InFlight {
+    pub(crate) attempt: u32,
     pub(crate) engine: EngineId,
-    pub(crate) at: Duration,
+    pub(crate) sent_at: Duration,
     pub(crate) cancelled: bool,
 }
 
@@ -25,27 +25,27 @@
 #[derive(Default)]
 pub(crate) struct Request {
     pub(crate) id: RequestId,
-    pub(crate) row: usize,
-    pub(crate) tables: u64,
+    pub(crate) class: usize,
+    pub(crate) table_group: u64,
     pub(crate) key: Option<u64>,
-    pub(crate) asked: Duration, // When the client first asked, as far as its patience tells, and when this try came.
-    pub(crate) taken: Duration,
-    pub(crate) ended: Duration, // When its last attempt ended.
-    pub(crate) limit: Duration,
-    pub(crate) sent: u32,
-    pub(crate) may_have_run: Option<(Duration, EngineId)>, // When and where an attempt first went that may have run.
-    pub(crate) out: Option<Out>,
-    pub(crate) wanted: Wanted,
+    pub(crate) first_arrival: Duration, // When the client first asked, as far as its patience tells, and when this try came.
+    pub(crate) arrived_at: Duration,
+    pub(crate) last_attempt_ended: Duration, // When its last attempt ended.
+    pub(crate) deadline: Duration,
+    pub(crate) attempts: u32,
+    pub(crate) first_possible_run: Option<(Duration, EngineId)>, // When and where an attempt first went that may have run.
+    pub(crate) in_flight: Option<InFlight>,
+    pub(crate) desired: DesiredState,
     pub(crate) priority: u8,
-    pub(crate) avoid: Option<EngineId>, // The engine that its last attempt failed on.
-    pub(crate) next_draw: Duration,
-    pub(crate) refused: bool, // A gate refused its last draw; it draws again in its own time.
-    pub(crate) lot: f64,      // Drawn once: the strain at which it is let in.
-    pub(crate) overdue: bool, // Its attempt has been counted as overdue.
-    pub(crate) over: bool,    // It has its final answer; only an attempt's outcome is awaited.
+    pub(crate) last_failed_engine: Option<EngineId>, // The engine that its last attempt failed on.
+    pub(crate) next_admission_draw: Duration,
+    pub(crate) admission_refused: bool, // A gate refused its last draw; it draws again in its own time.
+    pub(crate) shed_draw: f64,          // Drawn once: the strain at which it is let in.
+    pub(crate) counted_slow: bool,      // Its attempt has been counted as overdue.
+    pub(crate) finished: bool,          // It has its final answer; only an attempt's outcome is awaited.
 }
 
 /// Whether a request waits for an attempt.
-pub(crate) fn held(request: &Request) -> bool {
-    !request.over && request.out.is_none() && request.wanted == Wanted::Held
+pub(crate) fn is_queued(request: &Request) -> bool {
+    !request.finished && request.in_flight.is_none() && request.desired == DesiredState::Queued
 }
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -4,7 +4,7 @@
 
 /// A weighted mean whose past fades; brought up to date when it is read or added to.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Fading {
+pub(crate) struct DecayingMean {
     /// What was added, each value faded since.
     pub(crate) sum: f64,
     /// The weight of what was added, faded alike.
@@ -12,25 +12,25 @@
     /// When it was last brought up to date.
     pub(crate) at: Duration,
     /// In how many seconds a value fades to a share of 1/e.
-    pub(crate) memory: f64,
+    pub(crate) time_constant: f64,
 }
 
-impl Fading {
+impl DecayingMean {
     /// Begins with one value of weight one.
     pub(crate) fn new(memory: f64, first: f64) -> Self {
-        Fading { sum: first, weight: 1.0, at: Duration::ZERO, memory }
+        DecayingMean { sum: first, weight: 1.0, at: Duration::ZERO, time_constant: memory }
     }
 
     /// Adds a value that already carries its weight.
     pub(crate) fn add(&mut self, now: Duration, value: f64, weight: f64) {
-        let kept = (-now.saturating_sub(self.at).as_secs_f64() / self.memory).exp();
+        let kept = (-now.saturating_sub(self.at).as_secs_f64() / self.time_constant).exp();
         self.sum = self.sum * kept + value;
         self.weight = self.weight * kept + weight;
         self.at = now;
     }
 
     /// The same, faded up to now.
-    pub(crate) fn faded(mut self, now: Duration) -> Self {
+    pub(crate) fn decayed_to(mut self, now: Duration) -> Self {
         self.add(now, 0.0, 0.0);
         self
     }
@@ -43,12 +43,12 @@
 
 /// A generator of chance, multiply-with-carry.
 #[derive(Default)]
-pub(crate) struct Chance(u64);
+pub(crate) struct RandomSource(u64);
 
-impl Chance {
+impl RandomSource {
     /// A generator that always draws alike from one seed.
     pub(crate) fn new(seed: u64) -> Self {
-        Chance(mix(seed) | 1)
+        RandomSource(mix(seed) | 1)
     }
 
     /// A number from 0 up to, but not including, 1.
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -10,7 +10,7 @@
 #[allow(dead_code)]
 mod statistics;
 
-use orders::{MOST_TABLE_GROUPS, Orders, Walk};
+use orders::{MAX_TABLE_GROUPS, PreferenceOrder, PreferenceOrders};
 use statistics::mix;
 use std::cmp::Reverse;
 
@@ -23,14 +23,14 @@
     slots
 }
 
-fn order(orders: &mut Orders, table_group: u64) -> Vec<usize> {
+fn order(orders: &mut PreferenceOrders, table_group: u64) -> Vec<usize> {
     let order = orders.of(table_group, (0..ENGINES).map(|slot| slot * 3));
-    Walk::new(order, false).slots().collect()
+    PreferenceOrder::new(order, false).slots().collect()
 }
 
 #[test]
 fn an_order_is_hashed_from_ids_also_when_it_was_kept() {
-    let mut orders = Orders::default();
+    let mut orders = PreferenceOrders::default();
     for table_group in [0, 1, 77, u64::MAX] {
         assert_eq!(order(&mut orders, table_group), sorted(table_group));
         assert_eq!(order(&mut orders, table_group), sorted(table_group));
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_walk_is_the_reversed_order_with_its_first_part_turned() {
-    let mut orders = Orders::default();
+    let mut orders = PreferenceOrders::default();
     for (part, places) in [(0, 5), (1, 5), (19, 0), (19, 7), (19, 40), (37, 36), (50, 3)] {
         for reversed in [false, true] {
             let mut expected = sorted(9);
@@ -49,7 +49,7 @@
             let part = usize::min(part, expected.len());
             expected[..part].rotate_left(places % part.max(1));
             let order = orders.of(9, (0..ENGINES).map(|slot| slot * 3));
-            let walk = Walk::new(order, reversed).turn(part, places);
+            let walk = PreferenceOrder::new(order, reversed).rotate_prefix(part, places);
             assert_eq!(walk.slots().collect::<Vec<_>>(), expected, "{part} {places} {reversed}");
         }
     }
@@ -57,14 +57,14 @@
 
 #[test]
 fn the_least_recently_used_order_goes_first_and_the_number_is_bounded() {
-    let mut orders = Orders::default();
-    for table_group in 0..MOST_TABLE_GROUPS as u64 {
+    let mut orders = PreferenceOrders::default();
+    for table_group in 0..MAX_TABLE_GROUPS as u64 {
         order(&mut orders, table_group);
     }
     order(&mut orders, 0);
     order(&mut orders, 1 << 40);
     // What was used last needs no ids, for it is kept; what was used longest ago is worked out anew.
-    let kept = |orders: &mut Orders, table_group| orders.of(table_group, std::iter::empty()).len();
+    let kept = |orders: &mut PreferenceOrders, table_group| orders.of(table_group, std::iter::empty()).len();
     assert_eq!(kept(&mut orders, 0), ENGINES as usize);
     assert_eq!(kept(&mut orders, 1 << 40), ENGINES as usize);
     assert_eq!(kept(&mut orders, 1), 0);
