--- /dev/null
+++ b/src/attempt_end.rs
@@ -0,0 +1,131 @@
+//! What the end of an attempt teaches, and what becomes of its request.
+
+use crate::concurrency_limit::{LimitBounds, shows_pressure};
+use crate::engine::AttemptEdge;
+use crate::event::{AttemptEnd, AttemptOutcome};
+use crate::gateway::Gateway;
+use crate::request::{DesiredState, PossibleRun};
+use std::time::Duration;
+
+/// The least work that is told apart, in seconds on one thread.
+const MIN_WORK: f64 = 1e-3;
+
+impl Gateway {
+    /// Takes note of an attempt's end: of the engine's health, of the class's needs, and of what becomes of the request.
+    pub(crate) fn handle_attempt_end(&mut self, now: Duration, end: AttemptEnd) {
+        self.handle_load_report(now, end.engine, end.load, None);
+        self.record_engine_outcome(now, &end);
+        let Some(sequence) = self.requests.sequence_of(&end.request) else { return };
+        let Some(request) = self.requests.get(sequence) else { return };
+        let current = request.in_flight.as_ref().is_some_and(|in_flight| in_flight.attempt == end.attempt);
+        if current && let Some(slowness) = self.end_attempt(now, sequence, &end) {
+            self.record_slowness(now, end.engine, slowness, end.load.is_some());
+        }
+        if end.request_finished || end.outcome == AttemptOutcome::Returned {
+            self.finish(sequence);
+        } else if self.requests.get(sequence).is_some_and(|request| request.finished) {
+            self.remove(sequence);
+        } else {
+            self.give_up_if_spent(now, sequence);
+        }
+    }
+
+    /// What the outcome tells of the engine. In many-front mode a rejection also counts as a slow attempt: where all that
+    /// engines hold ends too late, nothing returns that could tell. One full engine does so as well.
+    fn record_engine_outcome(&mut self, now: Duration, end: &AttemptEnd) {
+        if end.outcome == AttemptOutcome::Rejected && self.many_fronts() {
+            self.slow_share.record(now, true);
+            self.record_rejection(now, end.engine);
+        }
+        match end.outcome {
+            AttemptOutcome::ConnectFailed | AttemptOutcome::Reset | AttemptOutcome::Rejected => {
+                self.record_failure(now, end.engine);
+            }
+            AttemptOutcome::Returned => {
+                if let Some(engine) = self.engines.get_mut(&end.engine) {
+                    engine.record_response(now);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// Ends the attempt in flight of a request. Yields after how many times the span after which an attempt is slow it
+    /// ended, where that is known.
+    fn end_attempt(&mut self, now: Duration, sequence: u64, end: &AttemptEnd) -> Option<f64> {
+        self.attempt_ended = true;
+        self.release_engine(now, sequence, end);
+        let class = &self.classes[self.requests[sequence].class];
+        let slowness = match end.outcome {
+            AttemptOutcome::Returned => self.learn_from_response(now, sequence, end),
+            AttemptOutcome::TimedOut => Some(end.elapsed.as_secs_f64() / class.slow_after(class.work.mean())),
+            _ => None,
+        };
+        self.queue_again(now, sequence, end);
+        slowness
+    }
+
+    /// Counts the attempt out at its engine, and moves the concurrency limit there if it returned.
+    fn release_engine(&mut self, now: Duration, sequence: u64, end: &AttemptEnd) {
+        let request = &self.requests[sequence];
+        let class = &self.classes[request.class];
+        let Some(engine) = self.engines.get_mut(&end.engine) else { return };
+        engine.count_attempt(request.class, class, request.table_group, AttemptEdge::Ends);
+        if end.outcome == AttemptOutcome::Returned {
+            let work = end.usage.map(|usage| usage.work.as_secs_f64());
+            let objective = class.objective(work.unwrap_or(class.work.mean()));
+            let pressure = shows_pressure(end.elapsed.as_secs_f64(), objective);
+            let bounds = LimitBounds {
+                max_threads: crate::admission::max_own_threads(self.deployment.cores(&engine.entry)),
+                min_objective: self.spans.min_objective,
+            };
+            engine.adjust_concurrency_limit(now, pressure, class.config.threads, &bounds);
+        }
+    }
+
+    /// Updates what is known of the class by a response.
+    fn learn_from_response(&mut self, now: Duration, sequence: u64, end: &AttemptEnd) -> Option<f64> {
+        let request = &self.requests[sequence];
+        let class = &mut self.classes[request.class];
+        let latency = end.elapsed.as_secs_f64();
+        let work = end.usage.map(|usage| usage.work.as_secs_f64());
+        let (memory_mb, weight) = end.usage.map_or((0.0, 0.0), |usage| (usage.memory_mb, 1.0));
+        class.memory.add(now, memory_mb, weight);
+        let slowness = work.map(|work| latency / class.slow_after(work.max(MIN_WORK)));
+        if !request.counted_slow {
+            self.slow_share.record(now, slowness.is_some_and(|times| times > 1.0));
+        }
+        self.estimates.typical_threads.add(now, latency * class.config.threads, latency);
+        class.record_latency(now, latency);
+        class.work.add(now, work.unwrap_or(latency * class.config.threads), 1.0);
+        slowness
+    }
+
+    /// Queues the request for another attempt, unless something else is to become of it.
+    fn queue_again(&mut self, now: Duration, sequence: u64, end: &AttemptEnd) {
+        let Some(request) = self.requests.get_mut(sequence) else { return };
+        if !end.outcome.never_ran() && request.first_possible_run.is_none() {
+            let sent_at = now.saturating_sub(end.elapsed);
+            request.first_possible_run = Some(PossibleRun { sent_at, engine: end.engine });
+        }
+        if let Some(key) = request.key
+            && leaves_outcome_unknown(end.outcome)
+        {
+            self.key_queues.block(key, now + self.deployment.safety_rules.unknown_outcome_delay);
+        }
+        request.in_flight = None;
+        request.last_failed_engine = Some(end.engine);
+        request.next_admission_draw = now;
+        request.last_attempt_ended = now;
+        request.counted_slow = false;
+        request.admission_refused = false;
+        if request.desired == DesiredState::SentTo(end.engine) {
+            request.desired = DesiredState::Queued;
+        }
+    }
+}
+
+/// Whether the attempt may still run after its end.
+fn leaves_outcome_unknown(outcome: AttemptOutcome) -> bool {
+    matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled)
+}
--- a/src/candidate.rs
+++ b/src/candidate.rs
@@ -1,16 +1,16 @@
-//! An engine as the requests of one request class see it within one scan.
+//! An engine as the requests of one class see it within one scan.
 
-use crate::interface::EngineId;
+use crate::endpoint::EngineId;
 
-/// What an engine is to the requests of one request class. None of it changes within a scan until an attempt.
+/// What an engine is to the requests of one class. None of it changes within a scan until an attempt begins.
 #[derive(Clone, Copy)]
 pub(crate) struct Candidate {
     /// Which engine.
     pub(crate) engine: EngineId,
-    /// Whether the rules and the engine's health let such a request go there.
+    /// Whether placement, safety rules and the engine's health let such a request go there.
     pub(crate) usable: bool,
-    /// Whether it has started so lately that it is not warm yet.
+    /// Whether it has started so lately that it still warms up.
     pub(crate) warming_up: bool,
-    /// Threads per core that it is believed to run.
+    /// Threads per core that it is estimated to run.
     pub(crate) load: f64,
 }
--- /dev/null
+++ b/src/conflicts.rs
@@ -0,0 +1,37 @@
+//! Conflict ordering, the paper's test: which requests must not run on the same engine at once.
+//!
+//! A bulk load holds its table group on its engine: other bulk loads of the group, and requests that wait for bulk loads,
+//! would stand still there. Inputs: this front's attempts on the engine, bulk loads of other fronts that progress
+//! reports have shown (for one progress interval), and the starvation header if it is tied to the engine.
+
+use crate::deployment::RequestClassConfig;
+use crate::engine::Engine;
+use crate::gateway::Gateway;
+use crate::request::Request;
+use std::time::Duration;
+
+impl Gateway {
+    /// Whether a request would stand still on an engine, hold up others there, or hold up the starvation header.
+    pub(crate) fn conflicts(&self, now: Duration, request: &Request, engine: &Engine) -> bool {
+        let config = &self.classes[request.class].config;
+        let bulk_loading = engine.bulk_loads.contains_key(&request.table_group)
+            || engine.foreign_bulk_loads.get(&request.table_group).is_some_and(|until| *until > now);
+        self.conflicts_with_header(request, engine)
+            || (config.bulk_load && (bulk_loading || engine.readers.contains_key(&request.table_group)))
+            || (config.waits_for_bulk_loads && bulk_loading)
+    }
+
+    fn conflicts_with_header(&self, request: &Request, engine: &Engine) -> bool {
+        let header = self.starvation_header.filter(|header| header.engine == engine.entry.engine);
+        let Some(header) = header.and_then(|header| self.requests.get(header.sequence)) else { return false };
+        let same_group = header.table_group == request.table_group && header.id != request.id;
+        let (config, header) = (&self.classes[request.class].config, &self.classes[header.class].config);
+        same_group && exclude_each_other(config, header)
+    }
+}
+
+/// Whether requests of two classes on one table group must not run on the same engine at once.
+fn exclude_each_other(one: &RequestClassConfig, other: &RequestClassConfig) -> bool {
+    (one.bulk_load && (other.bulk_load || other.waits_for_bulk_loads))
+        || (one.waits_for_bulk_loads && other.bulk_load)
+}
--- /dev/null
+++ b/src/decaying_mean.rs
@@ -0,0 +1,42 @@
+//! Sums and means whose past decays exponentially.
+
+use std::time::Duration;
+
+/// A weighted mean whose past decays; brought up to date when it is read or added to.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct DecayingMean {
+    /// What was added, each value decayed since.
+    pub(crate) sum: f64,
+    /// The weight of what was added, decayed alike.
+    pub(crate) weight: f64,
+    /// When it was last brought up to date.
+    pub(crate) at: Duration,
+    /// In how many seconds a value decays to a share of 1/e.
+    pub(crate) time_constant: f64,
+}
+
+impl DecayingMean {
+    /// Begins with one value of weight one. The time constant is in seconds.
+    pub(crate) fn new(time_constant: f64, first: f64) -> Self {
+        DecayingMean { sum: first, weight: 1.0, at: Duration::ZERO, time_constant }
+    }
+
+    /// Adds a value that already carries its weight.
+    pub(crate) fn add(&mut self, now: Duration, value: f64, weight: f64) {
+        let remaining = (-now.saturating_sub(self.at).as_secs_f64() / self.time_constant).exp();
+        self.sum = self.sum * remaining + value;
+        self.weight = self.weight * remaining + weight;
+        self.at = now;
+    }
+
+    /// The same, decayed up to now.
+    pub(crate) fn decayed_to(mut self, now: Duration) -> Self {
+        self.add(now, 0.0, 0.0);
+        self
+    }
+
+    /// The mean of what was added.
+    pub(crate) fn mean(&self) -> f64 {
+        self.sum / self.weight.max(f64::MIN_POSITIVE)
+    }
+}
--- /dev/null
+++ b/src/endpoint_updates.rs
@@ -0,0 +1,57 @@
+//! The endpoint list changes: engines come, go, start anew or are blocked.
+//!
+//! An engine that has started anew is another one: its health and reports are forgotten, and what this front sent there since that
+//! start counts as sent while it warms up, also what was sent before the update came. A removed or draining engine stays
+//! known as long as an attempt is in flight there.
+
+use crate::admission::initial_concurrency_limit;
+use crate::endpoint::{EndpointUpdateKind, EngineEntry, EngineId, EngineState};
+use crate::engine::Engine;
+use crate::gateway::Gateway;
+use std::time::Duration;
+
+impl Gateway {
+    /// Takes in an update of the endpoint list.
+    pub(crate) fn handle_endpoints(&mut self, kind: EndpointUpdateKind, entries: Vec<EngineEntry>) {
+        let before: Vec<EngineId> = self.engines.ids().collect();
+        if kind != EndpointUpdateKind::Delta {
+            for engine in self.engines.values_mut() {
+                engine.entry.state = EngineState::Removed;
+            }
+        }
+        for entry in entries {
+            let fresh = self.fresh_engine(&entry);
+            self.engines.get_or_insert(entry.engine, fresh).update_entry(entry);
+        }
+        self.engines.retain(|engine| engine.entry.state == EngineState::Active || engine.in_flight > 0);
+        self.subsets.invalidate();
+        if !self.engines.ids().eq(before) {
+            self.preference_orders.clear();
+        }
+        let cores = self.engines.values().map(|engine| self.deployment.cores(&engine.entry)).sum::<f64>();
+        self.estimates.mean_cores = (cores / self.engines.len().max(1) as f64).max(1.0);
+    }
+
+    fn fresh_engine(&self, entry: &EngineEntry) -> Engine {
+        Engine {
+            concurrency_limit: initial_concurrency_limit(self.deployment.cores(entry), self.fronts()),
+            attempts_by_class: vec![0; self.classes.len()],
+            fastest_probe: Duration::MAX,
+            ..Engine::default()
+        }
+    }
+}
+
+impl Engine {
+    fn update_entry(&mut self, entry: EngineEntry) {
+        if entry.started_at > self.entry.started_at {
+            self.consecutive_failures = 0;
+            self.ejected_until = Duration::ZERO;
+            self.report = None;
+            self.congestion = None;
+            self.foreign_bulk_loads.clear();
+            self.sent_while_warming_up.retain(|sent| sent.at >= entry.started_at);
+        }
+        self.entry = entry;
+    }
+}
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -1,24 +1,14 @@
-//! What the gateway keeps of each engine and each request class. Nothing here decides.
+//! What the gateway knows of each engine, and what this front has in flight there. Nothing here decides.
 
-use crate::interface::{EngineEntry, LoadReport, RequestClassConfig};
-use crate::statistics::DecayingMean;
+use crate::decaying_mean::DecayingMean;
+use crate::endpoint::EngineEntry;
+use crate::event::LoadReport;
+use crate::request_class::RequestClass;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What is stated and learned of one request class (request class).
-pub(crate) struct RequestClass {
-    pub(crate) config: RequestClassConfig,
-    /// The priority its attempts are given: 0 is the lowest.
-    pub(crate) priority: u8,
-    /// Work of a request, in seconds on one thread.
-    pub(crate) work: DecayingMean,
-    /// Time from attempt to return: the logarithm of seconds, whose mean tells the usual.
-    pub(crate) log_latency: DecayingMean,
-    /// Memory that a request needs, in MB, as answers tell.
-    pub(crate) memory: DecayingMean,
-    /// The time that clients give a first try, and the votes for it.
-    pub(crate) first_try_timeout: (Duration, f64),
-}
+/// Priorities that an attempt may have, from 0.
+pub(crate) const PRIORITIES: usize = 4;
 
 /// What is known of one engine, and what this front has there.
 #[derive(Default)]
@@ -27,41 +17,53 @@
     /// Threads of this front's attempts there.
     pub(crate) own_threads: f64,
     /// The same, by priority.
-    pub(crate) threads_by_priority: [f64; 4],
+    pub(crate) threads_by_priority: [f64; PRIORITIES],
     /// Attempts of this front there, by request class.
     pub(crate) attempts_by_class: Vec<u32>,
     /// Attempts of this front there.
     pub(crate) in_flight: u32,
-    /// Loads of this front there, by table group, and what must not run beside them.
+    /// Bulk loads of this front there, by table group.
     pub(crate) bulk_loads: BTreeMap<u64, u32>,
+    /// Requests of this front there that stand still while a bulk load holds their table group, by table group.
     pub(crate) readers: BTreeMap<u64, u32>,
-    /// Until when a load of another front is taken to hold a table group.
+    /// Until when a bulk load of another front is taken to hold a table group.
     pub(crate) foreign_bulk_loads: BTreeMap<u64, Duration>,
-    /// When how many seconds of work were sent lately while it was cold.
-    pub(crate) sent_while_warming_up: Vec<(Duration, f64)>,
-    /// Work of this front sent there, in seconds, fading with the requests that the front sends anywhere.
+    /// What this front has sent there while it warmed up.
+    pub(crate) sent_while_warming_up: Vec<SentWork>,
+    /// Work of this front sent there, in seconds, decaying with the requests that the front sends anywhere.
     pub(crate) sent_work: Option<DecayingMean>,
     /// When it last gave a sign of life.
     pub(crate) last_seen: Duration,
     pub(crate) report: Option<Report>,
     pub(crate) congestion: Option<Congestion>,
+    /// When it was last probed.
     pub(crate) last_probe: Duration,
     /// The shortest time that a probe has taken there.
     pub(crate) fastest_probe: Duration,
+    /// Failures without a response between them, counted up to a bound.
     pub(crate) consecutive_failures: u32,
+    /// Nothing is sent there before this time.
     pub(crate) ejected_until: Duration,
-    /// Threads that this front may run there: the mark, moved by pressure.
+    /// Threads that this front may run there before admission control begins to refuse.
     pub(crate) concurrency_limit: f64,
-    /// When the pool last shrank.
+    /// When the concurrency limit was last decreased.
     pub(crate) limit_decreased_at: Duration,
 }
 
-/// The last sign of how much an engine has to do.
+/// Work sent to an engine at a time.
+#[derive(Clone, Copy)]
+pub(crate) struct SentWork {
+    pub(crate) at: Duration,
+    /// Seconds on one thread.
+    pub(crate) work: f64,
+}
+
+/// The last sign of how congested an engine is.
 #[derive(Clone, Copy)]
 pub(crate) struct Congestion {
     pub(crate) at: Duration,
     pub(crate) threads_per_core: f64,
-    /// Whether an outcome or a report told it, and not only silence.
+    /// Whether an outcome or a report showed it, and not only silence.
     pub(crate) observed: bool,
 }
 
@@ -71,15 +73,22 @@
     pub(crate) load: LoadReport,
     pub(crate) own_threads: f64,
     pub(crate) own_in_flight: u32,
-    /// How many times its quickest the probe took that brought it.
+    /// How many times the fastest probe the probe took that brought it; one without a probe.
     pub(crate) probe_slowdown: f64,
 }
 
+/// Whether an attempt begins or ends.
+#[derive(Clone, Copy, PartialEq)]
+pub(crate) enum AttemptEdge {
+    Begins,
+    Ends,
+}
+
 impl Engine {
     /// Whether it started less than the stated time ago.
-    pub(crate) fn is_warming_up(&self, now: Duration, cold_for: Duration) -> bool {
+    pub(crate) fn is_warming_up(&self, now: Duration, slow_start_window: Duration) -> bool {
         let started = self.entry.started_at;
-        started > Duration::ZERO && now < started + cold_for
+        started > Duration::ZERO && now < started + slow_start_window
     }
 
     /// Whether the last sign of congestion was more than silence.
@@ -87,8 +96,15 @@
         self.congestion.is_some_and(|congestion| congestion.observed)
     }
 
-    /// Counts an attempt from when it goes out until its outcome is known.
-    pub(crate) fn count_attempt(&mut self, index: usize, class: &RequestClass, tables: u64, begins: bool) {
+    /// Counts an attempt in when it begins and out when it ends. `index` is that of its class.
+    pub(crate) fn count_attempt(
+        &mut self,
+        index: usize,
+        class: &RequestClass,
+        table_group: u64,
+        edge: AttemptEdge,
+    ) {
+        let begins = edge == AttemptEdge::Begins;
         let threads = if begins { class.config.threads } else { -class.config.threads };
         self.own_threads += threads;
         self.threads_by_priority[usize::from(class.priority)] += threads;
@@ -97,7 +113,7 @@
         step(&mut self.attempts_by_class[index]);
         if class.config.bulk_load || class.config.waits_for_bulk_loads {
             let groups = if class.config.bulk_load { &mut self.bulk_loads } else { &mut self.readers };
-            step(groups.entry(tables).or_default());
+            step(groups.entry(table_group).or_default());
             groups.retain(|_, count| *count > 0);
         }
     }
--- a/src/engine_table.rs
+++ b/src/engine_table.rs
@@ -1,6 +1,6 @@
 //! Engines by id, each at a dense slot that stays the same until the list changes. Nothing here decides.
 
-use crate::interface::EngineId;
+use crate::endpoint::EngineId;
 use std::ops::Index;
 
 /// A map from engine ids, in their order, whose entries are also found by slot.
--- /dev/null
+++ b/src/give_up.rs
@@ -0,0 +1,119 @@
+//! Give-up: when a request gets no further attempt, and which answer it gets.
+//!
+//! A request is given up
+//! - two ticks before its deadline, or before this front shuts down, whatever is in flight of it;
+//! - while queued, at [`START_BY_SHARE`] of its latency objective, as later it would be late anyway; all of the objective if it
+//!   waits for others of its key;
+//! - while queued, once repeats of it are no longer dropped for sure (`idempotency`);
+//! - when an attempt has failed and it may have no other.
+//!
+//! A request that was sent, or asked for, before is given as much of what is left of its objective, counted from the end of its last
+//! attempt, or else migration would only ever reject. That holds in many-front mode with load probes, while few attempts are slow
+//! and [`RETRY_SPARE_FACTOR`] usual latencies are left.
+//!
+//! The answer is a rejection with a time to come back where the client may safely retry, else a failure.
+
+use crate::gateway::Gateway;
+use crate::overload::SlowAttempt;
+use crate::request::{DesiredState, Request};
+use std::time::Duration;
+
+/// The share of the latency objective within which an attempt has to begin.
+const START_BY_SHARE: f64 = 0.25;
+/// A retry is queued for what is left of its objective only if so many usual latencies are left,
+const RETRY_SPARE_FACTOR: f64 = 3.0;
+/// and only while the share of slow attempts is below this.
+const MAX_SLOW_SHARE_FOR_RETRIES: f64 = 0.2;
+/// The time to come back that goes with a rejection, as a share of the latency objective.
+const RETRY_AFTER_SHARE: f64 = 0.5;
+/// Ticks before the deadline at which a request is answered.
+const ANSWER_MARGIN_TICKS: u32 = 2;
+
+impl Gateway {
+    /// Gives up what can no longer be answered, or no longer in time, and counts attempts that have become slow. Yields when the
+    /// next request will be given up.
+    pub(crate) fn give_up_late_requests(&mut self, now: Duration) -> Duration {
+        let retries_wait = self.retries_may_wait();
+        let mut due = Duration::MAX;
+        let mut late: Vec<u64> = Vec::new();
+        let mut slow: Vec<SlowAttempt> = Vec::new();
+        for (sequence, request) in self.requests.iter().filter(|(_, request)| !request.finished) {
+            slow.extend(self.newly_slow_attempt(now, sequence, request));
+            let give_up_at = self.give_up_at(request, retries_wait);
+            if give_up_at <= now {
+                late.push(sequence);
+            } else {
+                due = due.min(give_up_at);
+            }
+        }
+        for slow in slow {
+            self.record_slow_attempt(now, &slow);
+        }
+        for sequence in late {
+            self.give_up(now, sequence);
+        }
+        due
+    }
+
+    /// Whether retries may wait for what is left of their objective.
+    fn retries_may_wait(&self) -> bool {
+        self.many_fronts() && self.can_probe_load() && self.slow_share.value() < MAX_SLOW_SHARE_FOR_RETRIES
+    }
+
+    fn give_up_at(&self, request: &Request, retries_wait: bool) -> Duration {
+        let margin = self.deployment.tick * ANSWER_MARGIN_TICKS;
+        let end = request.deadline.min(self.shutdown_deadline.unwrap_or(Duration::MAX));
+        let answer_by = end.saturating_sub(margin);
+        if request.in_flight.is_some() {
+            return answer_by;
+        }
+        let deduplicated_until = self.deduplicated_until(request).unwrap_or(Duration::MAX);
+        answer_by.min(self.start_by(request, retries_wait)).min(deduplicated_until)
+    }
+
+    /// By when a queued request has to begin an attempt.
+    fn start_by(&self, request: &Request, retries_wait: bool) -> Duration {
+        let class = &self.classes[request.class];
+        let share = if request.key.is_some() { 1.0 } else { START_BY_SHARE };
+        let objective = request.first_arrival + Duration::from_secs_f64(class.objective(class.work.mean()));
+        let start_by = request.first_arrival + objective.saturating_sub(request.first_arrival).mul_f64(share);
+        let left = objective.saturating_sub(request.last_attempt_ended);
+        let spare = left.as_secs_f64() > RETRY_SPARE_FACTOR * class.usual_latency();
+        if request.is_retried() && retries_wait && spare {
+            start_by.max(request.last_attempt_ended + left.mul_f64(share))
+        } else {
+            start_by
+        }
+    }
+
+    /// An attempt has ended without a response: the request stays queued, or is given up if it may have no other.
+    pub(crate) fn give_up_if_spent(&mut self, now: Duration, sequence: u64) {
+        let Some(request) = self.requests.get(sequence) else { return };
+        let spent = self.may_not_be_sent_again(now, request)
+            || request.attempts >= self.deployment.capabilities.max_attempts.max(1);
+        if spent && request.in_flight.is_none() && request.desired == DesiredState::Queued {
+            self.give_up(now, sequence);
+        }
+    }
+
+    /// Answers a request for good: rejected where its client may safely come back, else failed.
+    pub(crate) fn give_up(&mut self, now: Duration, sequence: u64) {
+        let Some(request) = self.requests.get(sequence) else { return };
+        // The client may come back as late as it is told to.
+        let again = now + self.retry_after(request.class).unwrap_or_default();
+        let safe = self.client_may_retry(request, again);
+        let desired = if safe { DesiredState::Rejected } else { DesiredState::Failed };
+        if let Some(request) = self.requests.get_mut(sequence) {
+            request.desired = desired;
+        }
+        self.changed.insert(sequence);
+    }
+
+    /// The time to come back that goes with a rejection, where the deployment allows one.
+    pub(crate) fn retry_after(&self, class: usize) -> Option<Duration> {
+        let capabilities = &self.deployment.capabilities;
+        let objective = self.classes[class].config.latency_objective;
+        let wait = objective.mul_f64(RETRY_AFTER_SHARE).min(capabilities.max_retry_after);
+        capabilities.retry_after.then_some(wait)
+    }
+}
--- /dev/null
+++ b/src/idempotency.rs
@@ -0,0 +1,67 @@
+//! No effect twice (rule 2): whether a request may be sent again, where, and until when.
+//!
+//! Inputs: the class's idempotency, when and where the first attempt that may have run was sent. An idempotent request may be
+//! sent anywhere at any time. A non-idempotent one is never sent again once an attempt may have run. One with an idempotency key is sent
+//! again only to engines within the deduplication scope of that first attempt, and only while they are sure to drop the repeat:
+//! until the retention time has passed since that attempt was sent, less the time that the repeat may need to get there.
+
+use crate::deployment::{DeduplicationScope, Idempotency};
+use crate::endpoint::EngineEntry;
+use crate::gateway::Gateway;
+use crate::request::Request;
+use std::time::Duration;
+
+/// The time that a repeat may need to get to the engine is at most this share of the retention time.
+const MAX_TRANSIT_SHARE: f64 = 0.25;
+
+impl Gateway {
+    /// Until when repeats of a request with an idempotency key are dropped for sure; `None` where nothing limits it.
+    pub(crate) fn deduplicated_until(&self, request: &Request) -> Option<Duration> {
+        let Idempotency::IdempotencyKeyed { retention, .. } = self.classes[request.class].config.idempotency
+        else {
+            return None;
+        };
+        let possible_run = request.first_possible_run.map(|run| run.sent_at);
+        let first = possible_run.or(request.in_flight.as_ref().map(|attempt| attempt.sent_at))?;
+        let transit = self.deployment.capabilities.connect_timeout.min(retention.mul_f64(MAX_TRANSIT_SHARE));
+        Some(first + retention - transit)
+    }
+
+    /// Whether a request may be sent to an engine without having its effect twice.
+    pub(crate) fn may_run_at(&self, now: Duration, request: &Request, entry: &EngineEntry) -> bool {
+        let Some(first) = request.first_possible_run else { return true };
+        match self.classes[request.class].config.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::IdempotencyKeyed { scope, .. } => {
+                let first = self.engines.get(&first.engine).map(|engine| &engine.entry);
+                let within_scope = match scope {
+                    DeduplicationScope::Everywhere => true,
+                    DeduplicationScope::Zone => first.is_some_and(|first| first.zone == entry.zone),
+                    DeduplicationScope::Cell => first.is_some_and(|first| first.cell == entry.cell),
+                };
+                within_scope && self.deduplicated_until(request).is_none_or(|until| now < until)
+            }
+        }
+    }
+
+    /// Whether a request may never be sent again: it may have run, and a repeat could have its effect twice.
+    pub(crate) fn may_not_be_sent_again(&self, now: Duration, request: &Request) -> bool {
+        let non_idempotent = self.classes[request.class].config.idempotency == Idempotency::NonIdempotent;
+        (non_idempotent && request.first_possible_run.is_some())
+            || self.deduplicated_until(request).is_some_and(|until| now >= until)
+    }
+
+    /// Whether a client that is told to come back at `again` can do no harm by it.
+    pub(crate) fn client_may_retry(&self, request: &Request, again: Duration) -> bool {
+        let may_have_run = request.first_possible_run.is_some() || request.in_flight.is_some();
+        match self.classes[request.class].config.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => !may_have_run,
+            Idempotency::IdempotencyKeyed { scope, .. } => {
+                let dropped = self.deduplicated_until(request).is_none_or(|until| again < until);
+                !may_have_run || (scope == DeduplicationScope::Everywhere && dropped)
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/placement.rs
@@ -0,0 +1,208 @@
+//! Placement: which engines a request is offered to, and in which order.
+//!
+//! Every table group prefers the engines in an order of its own, by rendezvous hashing, the same at every front, so that requests of a
+//! group meet where its tables are warm. The first engine of the order ("home") is offered the request unless its load, in threads per
+//! core, exceeds that of the least loaded by more than a margin; then the next, and so on.
+//!
+//! - A group that draws more than one engine's part of the traffic has several homes in many-front mode: the first places of its order are
+//!   rotated by the front's index.
+//! - Bulk loads go by the order from its far end, off the homes of the group's readers, and each front begins at another place of
+//!   its tail ([`BULK_LOAD_TAIL`]), or bulk loads of one group would all line up.
+//! - An engine that warms up is passed over at random, less often the warmer it is. In many-front mode a turn at one that is not loaded comes
+//!   first, wherever the order has it, as it is used or lost.
+//! - The engine at which the last attempt failed is avoided if there is another.
+//! - Where engines report no load and capacity is missing, requests are shed by the share that load shedding admits
+//!   (`lemonusher-load-shedding`); engines that warm up are spared, as slow start bounds what they get.
+
+use crate::admission::ADMIT_ALL_UP_TO;
+use crate::candidate::Candidate;
+use crate::decaying_mean::DecayingMean;
+use crate::deployment::LoadReporting;
+use crate::endpoint::EngineId;
+use crate::engine::Engine;
+use crate::gateway::Gateway;
+use crate::preference_order::PreferenceOrder;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Threads per core by which an engine may exceed the least loaded one,
+const PLACEMENT_MARGIN: f64 = 0.8;
+/// and in many-front mode.
+const PLACEMENT_MARGIN_MANY_FRONTS: f64 = 2.0;
+/// The share of the order, from its far end, over which the fronts' bulk loads begin.
+const BULK_LOAD_TAIL: f64 = 0.5;
+/// Arrivals before which a table group's share of the traffic is not trusted.
+const ARRIVALS_PRIOR: f64 = 10.0;
+
+/// Arrivals at this front, by table group and in all, decaying.
+#[derive(Default)]
+pub(crate) struct TableGroupTraffic {
+    by_group: BTreeMap<u64, DecayingMean>,
+    total: DecayingMean,
+}
+
+impl TableGroupTraffic {
+    /// The time constant is in seconds.
+    pub(crate) fn new(time_constant: f64) -> TableGroupTraffic {
+        TableGroupTraffic { by_group: BTreeMap::new(), total: DecayingMean::new(time_constant, 0.0) }
+    }
+
+    /// Counts an arrival, and forgets groups of which none came for `max_age`.
+    pub(crate) fn record(&mut self, now: Duration, table_group: u64, max_age: Duration) {
+        self.total.add(now, 1.0, 1.0);
+        let none = DecayingMean::new(self.total.time_constant, 0.0);
+        self.by_group.entry(table_group).or_insert(none).add(now, 1.0, 1.0);
+        self.by_group.retain(|_, arrivals| arrivals.at + max_age > now);
+    }
+
+    /// How many of so many engines a table group's traffic calls for.
+    fn homes(&self, table_group: u64, engines: f64) -> usize {
+        let arrivals = self.by_group.get(&table_group).map_or(0.0, |arrivals| arrivals.sum);
+        let share = arrivals / (self.total.sum + ARRIVALS_PRIOR);
+        (share * engines).ceil().min(engines) as usize
+    }
+}
+
+/// An engine that a request may be offered to.
+#[derive(Clone, Copy)]
+pub(crate) struct Choice {
+    /// Its slot in the engine table.
+    pub(crate) slot: usize,
+    pub(crate) engine: EngineId,
+    /// Threads per core that it is estimated to run.
+    pub(crate) load: f64,
+    pub(crate) warming_up: bool,
+}
+
+impl Choice {
+    fn new(slot: usize, candidate: &Candidate) -> Choice {
+        let Candidate { engine, load, warming_up, .. } = *candidate;
+        Choice { slot, engine, load, warming_up }
+    }
+}
+
+impl Gateway {
+    /// The engine that a queued request is to be sent to now, if any.
+    pub(crate) fn choose_engine(&mut self, now: Duration, sequence: u64) -> Option<EngineId> {
+        let order = self.preference_order(sequence);
+        let candidates = self.candidates(now, sequence);
+        let reserved = self.reserved_engine(sequence);
+        if reserved.is_some_and(|engine| !self.is_engine_usable(now, sequence, engine)) {
+            self.starvation_header = None;
+            return None;
+        }
+        let mut choices = self.choices(now, sequence, &order, &candidates, reserved);
+        self.avoid_last_failed(sequence, &mut choices);
+        self.shed_for_missing_capacity(sequence, &mut choices);
+        let least = choices.iter().copied().min_by(|a, b| a.load.total_cmp(&b.load))?;
+        if self.is_shed_for_overload(now, sequence) {
+            return None;
+        }
+        if self.is_admission_forced(now, sequence) {
+            return Some(least.engine);
+        }
+        let margin = if self.many_fronts() { PLACEMENT_MARGIN_MANY_FRONTS } else { PLACEMENT_MARGIN };
+        choices.retain(|choice| choice.load <= least.load + margin);
+        if self.many_fronts() {
+            choices.sort_by_key(|choice| !(choice.warming_up && choice.load < ADMIT_ALL_UP_TO));
+        }
+        self.admit(now, sequence, &choices)
+    }
+
+    /// The order in which a request's table group prefers the engines, as this front goes by it.
+    pub(crate) fn preference_order(&mut self, sequence: u64) -> PreferenceOrder {
+        let request = &self.requests[sequence];
+        let order = self.preference_orders.of(request.table_group, self.engines.ids());
+        let (engines, index) = (order.len() as f64, self.deployment.front_index as usize);
+        if self.classes[request.class].config.bulk_load {
+            let tail = (engines * BULK_LOAD_TAIL).ceil() as usize;
+            return PreferenceOrder::new(order, true).rotate_prefix(tail, index);
+        }
+        if !self.many_fronts() {
+            return PreferenceOrder::new(order, false);
+        }
+        let homes = self.traffic.homes(request.table_group, engines);
+        PreferenceOrder::new(order, false).rotate_prefix(homes, index)
+    }
+
+    /// All engines by slot, as they are to a request; worked out once for all requests of a class that may go anywhere.
+    fn candidates(&mut self, now: Duration, sequence: u64) -> Arc<[Candidate]> {
+        let request = &self.requests[sequence];
+        let free = request.first_possible_run.is_none();
+        if let Some(cached) = self.candidate_cache.get(&request.class).filter(|_| free) {
+            return Arc::clone(cached);
+        }
+        let fleet = self.fleet_means(now);
+        let candidate = |engine: &Engine| Candidate {
+            engine: engine.entry.engine,
+            usable: self.is_usable(now, request, engine),
+            warming_up: self.is_warming_up(now, engine),
+            load: self.threads_per_core(now, engine, &fleet),
+        };
+        let candidates: Arc<[Candidate]> = self.engines.values().map(candidate).collect();
+        if free {
+            self.candidate_cache.insert(request.class, Arc::clone(&candidates));
+        }
+        candidates
+    }
+
+    fn is_engine_usable(&self, now: Duration, sequence: u64, engine: EngineId) -> bool {
+        let request = &self.requests[sequence];
+        self.engines.get(&engine).is_some_and(|engine| self.is_usable(now, request, engine))
+    }
+
+    /// The engines that are usable and where the request conflicts with nothing, in the order of preference.
+    fn choices(
+        &mut self,
+        now: Duration,
+        sequence: u64,
+        order: &PreferenceOrder,
+        candidates: &[Candidate],
+        reserved: Option<EngineId>,
+    ) -> Vec<Choice> {
+        let config = &self.classes[self.requests[sequence].class].config;
+        let may_conflict = config.bulk_load || config.waits_for_bulk_loads;
+        let mut choices = Vec::with_capacity(candidates.len());
+        for slot in order.slots() {
+            let candidate = &candidates[slot];
+            if !candidate.usable || reserved.is_some_and(|engine| engine != candidate.engine) {
+                continue;
+            }
+            if may_conflict && self.conflicts_at(now, sequence, slot) {
+                continue;
+            }
+            if candidate.warming_up && !self.draws_warm_enough(now, candidate.engine) {
+                continue;
+            }
+            choices.push(Choice::new(slot, candidate));
+        }
+        choices
+    }
+
+    fn conflicts_at(&self, now: Duration, sequence: u64, slot: usize) -> bool {
+        let request = &self.requests[sequence];
+        self.engines.at(slot).is_some_and(|engine| self.conflicts(now, request, engine))
+    }
+
+    fn draws_warm_enough(&mut self, now: Duration, engine: EngineId) -> bool {
+        let warmth = self.warmth(now, &self.engines[&engine]);
+        self.random.draw() <= warmth
+    }
+
+    fn avoid_last_failed(&self, sequence: u64, choices: &mut Vec<Choice>) {
+        if choices.len() > 1 {
+            let avoided = self.requests[sequence].last_failed_engine;
+            choices.retain(|choice| Some(choice.engine) != avoided);
+        }
+    }
+
+    fn shed_for_missing_capacity(&self, sequence: u64, choices: &mut Vec<Choice>) {
+        let shed_draw = self.requests[sequence].shed_draw;
+        if self.deployment.load_reporting == LoadReporting::None
+            && shed_draw > self.subsets.shedding.admitted()
+        {
+            choices.retain(|choice| choice.warming_up);
+        }
+    }
+}
--- a/src/orders.rs
+++ b/src/preference_order.rs
@@ -1,19 +1,19 @@
-//! The order in which each table group walks the engines: hashed, the same at every front, and kept for the
-//! groups that were asked of last. Nothing here decides.
+//! The order in which a table group prefers the engines: by rendezvous hashing, the same at every front, cached for the
+//! groups used last.
 
-use crate::interface::EngineId;
-use crate::statistics::mix;
+use crate::endpoint::EngineId;
+use crate::random::mix;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Orders of more table groups than this are not kept; each takes four bytes an engine.
+/// Orders that are cached at most; each takes four bytes an engine.
 pub(crate) const MAX_TABLE_GROUPS: usize = 4_096;
 
 /// Slots of engines, in some order.
 type Slots = Arc<[u32]>;
 
-/// A cache of orders; the least recently used goes first.
+/// A cache of orders; the least recently used is evicted first.
 #[derive(Default)]
 pub(crate) struct PreferenceOrders {
     cached: BTreeMap<u64, CachedOrder>,
@@ -28,7 +28,7 @@
 }
 
 impl PreferenceOrders {
-    /// Forgets all, as must be done whenever the list of engines changes.
+    /// Empties the cache, as must be done whenever the slots of engines change.
     pub(crate) fn clear(&mut self) {
         (self.cached, self.last_uses) = (BTreeMap::new(), BTreeMap::new());
     }
@@ -37,14 +37,14 @@
     pub(crate) fn of(&mut self, table_group: u64, ids: impl Iterator<Item = EngineId>) -> Slots {
         self.uses += 1;
         let last_use = self.uses;
-        let kept = self
+        let cached = self
             .cached
             .entry(table_group)
             .or_insert_with(|| CachedOrder { order: rendezvous_order(table_group, ids), last_use });
-        self.last_uses.remove(&kept.last_use);
-        kept.last_use = last_use;
+        self.last_uses.remove(&cached.last_use);
+        cached.last_use = last_use;
         self.last_uses.insert(last_use, table_group);
-        let order = Arc::clone(&kept.order);
+        let order = Arc::clone(&cached.order);
         if self.cached.len() > MAX_TABLE_GROUPS
             && let Some((_, oldest)) = self.last_uses.pop_first()
         {
@@ -54,16 +54,16 @@
     }
 }
 
+/// Slots by falling hash of table group and engine.
 fn rendezvous_order(table_group: u64, ids: impl Iterator<Item = EngineId>) -> Slots {
     let mut order: Vec<(u64, u32)> =
         ids.zip(0..).map(|(id, slot)| (mix(table_group ^ mix(u64::from(id) + 1)), slot)).collect();
-    // What hashes alike stays in the order of ids.
+    // Engines that hash alike stay in the order of their ids.
     order.sort_unstable_by_key(|(hash, slot)| (Reverse(*hash), *slot));
     order.into_iter().map(|(_, slot)| slot).collect()
 }
 
-/// A walk through all of an order: from its end if it is reversed, and with the first part of what results turned,
-/// so that it begins further on.
+/// An order as one request sees it: from its end if it is reversed, and then with a prefix rotated.
 pub(crate) struct PreferenceOrder {
     order: Slots,
     reversed: bool,
@@ -72,21 +72,22 @@
 }
 
 impl PreferenceOrder {
+    /// The whole order, or its reverse.
     pub(crate) fn new(order: Slots, reversed: bool) -> Self {
         PreferenceOrder { order, reversed, prefix: 0, rotated_by: 0 }
     }
 
-    /// Turns the first `part` places to the left by `places`, or as much of that as is less than all of them.
-    pub(crate) fn rotate_prefix(mut self, part: usize, places: usize) -> Self {
-        self.prefix = part.min(self.order.len());
+    /// Rotates the first `length` places to the left by `places`, modulo the length.
+    pub(crate) fn rotate_prefix(mut self, length: usize, places: usize) -> Self {
+        self.prefix = length.min(self.order.len());
         self.rotated_by = places % self.prefix.max(1);
         self
     }
 
     /// The slots, in this order.
     pub(crate) fn slots(&self) -> impl Iterator<Item = usize> + '_ {
-        let turned = (self.rotated_by..self.prefix).chain(0..self.rotated_by);
-        let places = turned.chain(self.prefix..self.order.len());
+        let rotated = (self.rotated_by..self.prefix).chain(0..self.rotated_by);
+        let places = rotated.chain(self.prefix..self.order.len());
         places
             .map(|place| if self.reversed { self.order.len() - 1 - place } else { place })
             .map(|place| self.order[place] as usize)
--- /dev/null
+++ b/src/retry.rs
@@ -0,0 +1,129 @@
+//! Retries: how many are allowed (rule 7), and when a running attempt is migrated to another engine.
+//!
+//! **Retry budget.** Within any window of the stated length at most `free_retries + retry_ratio * arrivals` attempts are
+//! retries. Inputs: times of arrivals and retries. Arrivals count one tick less, retries one tick more than the window,
+//! so that the budget holds whichever moment within a tick a window begins.
+//!
+//! **Migration.** An attempt is given up and the request sent elsewhere, if the rules allow another attempt, when its engine reports
+//! that it waits for another front's bulk load, or that at its pace the rest would take [`MIGRATE_FACTOR`] times the usual latency
+//! of its class. This guards against bad plans, slow engines and work that stands still; the work done so far is lost. After
+//! [`MAX_MIGRATIONS`] attempts the request is taken to be truly large and stays. An idempotent request that was migrated
+//! and will not end before its client's deadline is given up.
+
+use crate::deployment::{Idempotency, RetryBudget};
+use crate::endpoint::EngineId;
+use crate::event::{AttemptProgress, RequestId};
+use crate::gateway::Gateway;
+use crate::request::{DesiredState, InFlight};
+use std::time::Duration;
+
+/// An attempt that needs so many usual latencies from now on is migrated.
+const MIGRATE_FACTOR: f64 = 6.0;
+/// An attempt of this number, from 1, is not migrated any more.
+const MAX_MIGRATIONS: u32 = 3;
+/// The least share done that is told apart.
+const MIN_SHARE_DONE: f64 = 1e-3;
+/// The longest time to the end that is told apart, in seconds.
+const MAX_REMAINING: f64 = 1e6;
+
+/// Arrivals and retries within the retry budget's window.
+#[derive(Default)]
+pub(crate) struct RetryWindow {
+    arrivals: Vec<Duration>,
+    retries: Vec<Duration>,
+}
+
+impl RetryWindow {
+    pub(crate) fn record_arrival(&mut self, now: Duration) {
+        self.arrivals.push(now);
+    }
+
+    pub(crate) fn record_retry(&mut self, now: Duration) {
+        self.retries.push(now);
+    }
+
+    /// Whether the budget has room for one more retry now.
+    fn has_room(&mut self, now: Duration, budget: &RetryBudget, tick: Duration) -> bool {
+        self.arrivals.retain(|at| *at + budget.window > now + tick);
+        self.retries.retain(|at| *at + budget.window + tick >= now);
+        let allowed = budget.free_retries + budget.retry_ratio * self.arrivals.len() as f64;
+        (self.retries.len() + 1) as f64 <= allowed
+    }
+}
+
+impl Gateway {
+    /// Whether a retry may begin now.
+    pub(crate) fn has_retry_budget(&mut self, now: Duration) -> bool {
+        let Some(budget) = self.deployment.safety_rules.retry_budget else { return true };
+        self.retries.has_room(now, &budget, self.deployment.tick)
+    }
+
+    /// Takes note of what an engine reports of an attempt.
+    pub(crate) fn handle_progress(
+        &mut self,
+        now: Duration,
+        id: &RequestId,
+        attempt: u32,
+        progress: AttemptProgress,
+    ) {
+        let Some(sequence) = self.requests.sequence_of(id) else { return };
+        let Some(request) = self.requests.get(sequence) else { return };
+        let current = |in_flight: &&InFlight| in_flight.attempt == attempt && !in_flight.cancelled;
+        let Some(in_flight) = request.in_flight.as_ref().filter(current) else { return };
+        let (sent_at, engine) = (in_flight.sent_at, in_flight.engine);
+        if let Some(engine) = self.engines.get_mut(&engine) {
+            engine.last_seen = now;
+        }
+        match progress {
+            AttemptProgress::WaitingForBulkLoad => self.handle_blocked_attempt(now, sequence, engine),
+            AttemptProgress::Done(share) => self.handle_share_done(now, sequence, sent_at, share),
+            AttemptProgress::Spilling(_) | AttemptProgress::WaitingForMemory => {}
+        }
+    }
+
+    /// A bulk load holds the table group there; unless it is this front's own, it is another front's.
+    fn handle_blocked_attempt(&mut self, now: Duration, sequence: u64, engine: EngineId) {
+        let (table_group, class) = (self.requests[sequence].table_group, self.requests[sequence].class);
+        let until = now + self.deployment.progress_interval;
+        if let Some(engine) = self.engines.get_mut(&engine)
+            && !engine.bulk_loads.contains_key(&table_group)
+        {
+            engine.foreign_bulk_loads.insert(table_group, until);
+        }
+        if !self.classes[class].config.bulk_load {
+            self.migrate(sequence);
+        }
+    }
+
+    fn handle_share_done(&mut self, now: Duration, sequence: u64, sent_at: Duration, share: f64) {
+        let request = &self.requests[sequence];
+        let class = &self.classes[request.class];
+        let age = now.saturating_sub(sent_at).as_secs_f64();
+        let total = age / share.clamp(MIN_SHARE_DONE, 1.0);
+        let far_behind = total - age > MIGRATE_FACTOR * class.usual_latency();
+        if !far_behind {
+            return;
+        }
+        let end = now + Duration::from_secs_f64((total - age).min(MAX_REMAINING));
+        let too_late = end > request.deadline && request.deadline != Duration::MAX;
+        if request.attempts > 1 && too_late && class.config.idempotency == Idempotency::Idempotent {
+            self.give_up(now, sequence);
+        } else if request.attempts < MAX_MIGRATIONS {
+            self.migrate(sequence);
+        }
+    }
+
+    /// Queues a request whose attempt is in flight for another attempt, if it may have one: what is in flight is cancelled.
+    fn migrate(&mut self, sequence: u64) {
+        let capabilities = &self.deployment.capabilities;
+        let Some(request) = self.requests.get_mut(sequence) else { return };
+        if request.deadline == Duration::MAX || request.finished {
+            return;
+        }
+        let non_idempotent = self.classes[request.class].config.idempotency == Idempotency::NonIdempotent;
+        if capabilities.cancel && !non_idempotent && request.attempts < capabilities.max_attempts.max(1) {
+            request.desired = DesiredState::Queued;
+            self.changed.insert(sequence);
+        }
+    }
+}
--- /dev/null
+++ b/src/subsets.rs
@@ -0,0 +1,108 @@
+//! Subsets: in many-front mode a front keeps to a few of the engines of each class (`lemonusher-subset`).
+//!
+//! A front that met each of all engines once in seconds would go by stale estimates, and engines that stand still would get requests
+//! from all fronts. Inputs: the engines that a class may go to and that are warm, and which of these have neither failed nor are
+//! congested. A table group is home in each subset. Engines that warm up are shared out by slow start instead, and a repeat of a
+//! request that may have run has no choice, so both may leave the subset.
+//!
+//! The subset of the first class is also a sample of all engines for load shedding: the part of it that is healthy is taken for the
+//! part of all warm engines that is.
+
+use crate::admission::ADMIT_ALL_UP_TO;
+use crate::endpoint::EngineState;
+use crate::engine::Engine;
+use crate::gateway::Gateway;
+use crate::request::Request;
+use crate::request_class::RequestClass;
+use lemonusher_load_shedding::LoadShedding;
+use lemonusher_subset::{Member, Place, Subset, size, subset};
+use std::num::NonZeroU32;
+use std::time::Duration;
+
+/// Subsets are worked out anew after this share of the shortest latency objective.
+const SUBSET_REFRESH: f64 = 0.2;
+
+/// The engines that this front keeps to, and what they show of the capacity of all.
+#[derive(Default)]
+pub(crate) struct EngineSubsets {
+    /// By request class; empty before many-front mode has worked them out.
+    by_class: Vec<Subset>,
+    refresh_at: Duration,
+    pub(crate) shedding: LoadShedding,
+}
+
+impl EngineSubsets {
+    /// `span` is that over which load shedding averages arrivals.
+    pub(crate) fn new(span: Duration) -> EngineSubsets {
+        EngineSubsets { shedding: LoadShedding::new(span), ..EngineSubsets::default() }
+    }
+
+    /// The endpoint list has changed.
+    pub(crate) fn invalidate(&mut self) {
+        self.refresh_at = Duration::ZERO;
+    }
+}
+
+impl Gateway {
+    /// Works the subsets out anew if it is time, and tells load shedding the capacity.
+    pub(crate) fn refresh_subsets(&mut self, now: Duration) {
+        let due = self.many_fronts() && now >= self.subsets.refresh_at;
+        let Some(fronts) = NonZeroU32::new(self.deployment.fronts).filter(|_| due) else { return };
+        self.subsets.refresh_at = now + self.spans.min_objective.mul_f64(SUBSET_REFRESH);
+        let classes = self.classes.iter().enumerate();
+        self.subsets.by_class =
+            classes.map(|(index, class)| self.subset_of(now, index, class, fronts)).collect();
+        let capacity = self.capacity(now);
+        self.subsets.shedding.observe(now, capacity);
+    }
+
+    fn subset_of(&self, now: Duration, index: usize, class: &RequestClass, fronts: NonZeroU32) -> Subset {
+        let allowed = |engine: &&Engine| {
+            let entry = &engine.entry;
+            let open = entry.state == EngineState::Active && !entry.blocks(index);
+            open && class.config.allows(entry) && !self.is_warming_up(now, engine)
+        };
+        let member = |engine: &Engine| Member {
+            engine: engine.entry.engine,
+            healthy: engine.has_no_failure(now) && self.congestion(now, engine) < ADMIT_ALL_UP_TO,
+        };
+        let members: Vec<Member> = self.engines.values().filter(allowed).map(member).collect();
+        let place = Place { number: self.deployment.front_index, fronts };
+        subset(place, members.iter().copied(), size(members.len(), fronts))
+    }
+
+    /// Cores of all active engines; of warm ones the part that the subset shows to be healthy, of those that warm up the
+    /// part that they are stated to do.
+    fn capacity(&self, now: Duration) -> f64 {
+        let bears_load = |engine: &Engine| {
+            let congested =
+                engine.congestion_was_observed() && self.congestion(now, engine) >= ADMIT_ALL_UP_TO;
+            engine.consecutive_failures == 0 && !congested
+        };
+        let sample = self.subsets.by_class.first().cloned().unwrap_or_default();
+        let healthy = sample.share(|id| self.engines.get(&id).is_none_or(bears_load));
+        let part = |engine: &Engine| {
+            if self.is_warming_up(now, engine) {
+                self.deployment.safety_rules.slow_start_share
+            } else {
+                healthy
+            }
+        };
+        let active = self.engines.values().filter(|engine| engine.entry.state == EngineState::Active);
+        active.map(|engine| part(engine) * self.deployment.cores(&engine.entry)).sum()
+    }
+
+    /// Whether this front may send a request to an engine as far as its subset goes.
+    pub(crate) fn is_in_subset(&self, now: Duration, request: &Request, engine: &Engine) -> bool {
+        let subset = self.subsets.by_class.get(request.class);
+        subset.is_none_or(|subset| subset.contains(engine.entry.engine))
+            || self.is_warming_up(now, engine)
+            || (self.deduplicated_until(request).is_some() && request.first_possible_run.is_some())
+    }
+
+    /// How many engines this front spreads its requests over.
+    pub(crate) fn spread(&self) -> f64 {
+        let largest = self.subsets.by_class.iter().map(Subset::len).max().filter(|largest| *largest > 0);
+        largest.unwrap_or(self.engines.len()).max(1) as f64
+    }
+}
--- a/tests/engine_table.rs
+++ b/tests/engine_table.rs
@@ -1,11 +1,11 @@
 //! Engines by id and by slot: sorted, whatever the order they came in.
 
+#[path = "../src/endpoint.rs"]
+#[allow(dead_code)]
+mod endpoint;
 #[path = "../src/engine_table.rs"]
 #[allow(dead_code)]
 mod engine_table;
-#[path = "../src/interface.rs"]
-#[allow(dead_code)]
-mod interface;
 
 use engine_table::EngineTable;
 
--- a/tests/orders.rs
+++ b/tests/preference_order.rs
@@ -1,17 +1,17 @@
 //! The orders that table groups walk the engines in: hashed, bounded in number, and turned without a copy.
 
-#[path = "../src/interface.rs"]
+#[path = "../src/endpoint.rs"]
 #[allow(dead_code)]
-mod interface;
-#[path = "../src/orders.rs"]
+mod endpoint;
+#[path = "../src/preference_order.rs"]
 #[allow(dead_code)]
-mod orders;
-#[path = "../src/statistics.rs"]
+mod preference_order;
+#[path = "../src/random.rs"]
 #[allow(dead_code)]
-mod statistics;
+mod random;
 
-use orders::{MAX_TABLE_GROUPS, PreferenceOrder, PreferenceOrders};
-use statistics::mix;
+use preference_order::{MAX_TABLE_GROUPS, PreferenceOrder, PreferenceOrders};
+use random::mix;
 use std::cmp::Reverse;
 
 const ENGINES: u32 = 37;
