--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -32,9 +32,12 @@
 
 fn play(fronts: u32, seed: u64, knows: bool, again: &[u64]) -> Story {
     let mut chance = Chance(seed.wrapping_mul(7919) + u64::from(fronts));
-    let terms = |number| Deployment { fronts, front_index: number, ..stated() };
-    let duties = stated().safety_rules;
-    let bears = duties.overload_factor * duties.slow_start_share * 8.0 * duties.overload_window.as_secs_f64();
+    let terms = |number| Deployment { fronts, front_index: number, ..deployment() };
+    let safety_rules = deployment().safety_rules;
+    let bears = safety_rules.overload_factor
+        * safety_rules.slow_start_share
+        * 8.0
+        * safety_rules.overload_window.as_secs_f64();
     // The clocks of the fronts have nothing in common but that they go on alike; the engine starts at zero of ours.
     let origins: Vec<u64> = (0..fronts).map(|_| 60_000 + chance.draw() % 50_000).collect();
     let engine = |number: usize| EngineEntry { started_at: ms(origins[number]), ..entry(9) };
@@ -90,8 +93,8 @@
 }
 
 #[test]
-fn all_fronts_together_stay_within_what_a_cold_engine_bears_through_their_restarts() {
-    let window = (stated().safety_rules.overload_window.as_millis() as u64 / STEP) as usize;
+fn all_fronts_together_stay_within_what_an_engine_in_slow_start_bears_through_their_restarts() {
+    let window = (deployment().safety_rules.overload_window.as_millis() as u64 / STEP) as usize;
     for (fronts, seeds) in [(2, 8), (5, 8), (20, 12), (30, 12), (300, 2)] {
         let (mut windows, mut beyond, mut used, mut largest) = (0, 0, 0.0, 0.0f64);
         for seed in 1..=seeds {
@@ -119,7 +122,7 @@
 /// The crossing that makes all fronts forget: each is killed once it may have spent its share, and again and again before
 /// the window is over in which that counts.
 #[test]
-fn fronts_that_are_all_restarted_again_and_again_do_not_spend_their_shares_twice() {
+fn fronts_that_restart_again_and_again_do_not_spend_their_quota_twice() {
     for (fronts, seed) in [(2, 1), (5, 2), (20, 3), (30, 4), (300, 5)] {
         let story = play(fronts, seed, true, &[34, 39, 44, 49, 54, 90, 94, 98]);
         let worst = story.sent.windows(30).map(|part| part.iter().sum::<f64>()).fold(0.0, f64::max);
@@ -131,7 +134,7 @@
 
 /// What went to an engine between its start and the word of it is not forgotten with that word.
 #[test]
-fn what_was_sent_before_a_start_was_heard_of_counts() {
+fn work_sent_before_a_start_was_listed_counts() {
     let mut host = Host::of(1);
     let started = host.now + ms(10);
     host.now = started;
--- a/tests/decision_equality.rs
+++ b/tests/decision_equality.rs
@@ -36,8 +36,8 @@
     let seeds_with = |count: fn(&Outline) -> u32| outlines.iter().filter(|o| count(o) > 0).count() as u64;
     println!("seed 0: {:?}", outlines[0]);
     assert!(seeds_with(|o| o.attempts) > SEEDS * 9 / 10);
-    assert!(seeds_with(|o| o.push_backs) > SEEDS / 2);
-    assert!(seeds_with(|o| o.errors) > SEEDS / 4);
+    assert!(seeds_with(|o| o.rejections) > SEEDS / 2);
+    assert!(seeds_with(|o| o.failures) > SEEDS / 4);
     assert!(seeds_with(|o| o.cancels) > SEEDS / 4);
     assert!(seeds_with(|o| o.probes) > SEEDS / 6);
 }
--- a/tests/engine_table.rs
+++ b/tests/engine_table.rs
@@ -30,14 +30,14 @@
 }
 
 #[test]
-fn what_is_known_is_kept_when_it_comes_again() {
+fn a_known_engine_keeps_its_value_when_inserted_again() {
     let mut table = table();
     assert_eq!(table.get_or_insert(7, "another".to_string()), "engine 7");
     assert_eq!(table.len(), 4);
 }
 
 #[test]
-fn slots_close_up_when_engines_go() {
+fn slots_close_up_when_engines_are_removed() {
     let mut table = table();
     table.retain(|engine| engine != "engine 4");
     assert_eq!(table.ids().collect::<Vec<_>>(), [2, 7, 9]);
--- a/tests/histories/deployment.rs
+++ b/tests/histories/deployment.rs
@@ -14,16 +14,16 @@
         fronts,
         front_index: random.below(u64::from(fronts)) as u32,
         zone: 0,
-        request_classes: service_groups(random),
+        request_classes: request_classes(random),
         machine_kinds: vec![
             MachineKind { cores: 8.0, memory_mb: 16_000.0 },
             MachineKind { cores: 3.3, memory_mb: 0.0 },
             MachineKind { cores: 48.0, memory_mb: 64_000.0 },
         ],
         tick: TICK,
-        capabilities: permits(random),
+        capabilities: capabilities(random),
         probe_cost: random.pick(&[0.0, 0.002, 0.05]),
-        safety_rules: duties(random),
+        safety_rules: safety_rules(random),
         discovery: random.pick(&[Discovery::Pushed, Discovery::Polled]),
         load_reporting: [LoadReporting::None, LoadReporting::WithResponses, LoadReporting::WithProbes]
             [(seed % 3) as usize],
@@ -34,7 +34,7 @@
     }
 }
 
-fn service_groups(random: &mut Random) -> Vec<RequestClassConfig> {
+fn request_classes(random: &mut Random) -> Vec<RequestClassConfig> {
     let mut short = terms(random, 600, 3_000, 1.0);
     short.ordered = random.one_in(2);
     let mut long = terms(random, 4_000, 12_000, 4.0);
@@ -49,8 +49,8 @@
 fn terms(random: &mut Random, goal: u64, limit: u64, threads: f64) -> RequestClassConfig {
     let reach =
         random.pick(&[DeduplicationScope::Everywhere, DeduplicationScope::Zone, DeduplicationScope::Cell]);
-    let remembered = random.millis(300, 5_000);
-    let referenced = Idempotency::IdempotencyKeyed { scope: reach, retention: remembered };
+    let retention = random.millis(300, 5_000);
+    let referenced = Idempotency::IdempotencyKeyed { scope: reach, retention };
     RequestClassConfig {
         latency_objective: Duration::from_millis(goal),
         objective_work_factor: random.pick(&[0.0, 2.0]),
@@ -67,7 +67,7 @@
     }
 }
 
-fn permits(random: &mut Random) -> Capabilities {
+fn capabilities(random: &mut Random) -> Capabilities {
     Capabilities {
         probes: !random.one_in(4),
         cancel: !random.one_in(3),
@@ -79,7 +79,7 @@
     }
 }
 
-fn duties(random: &mut Random) -> SafetyRules {
+fn safety_rules(random: &mut Random) -> SafetyRules {
     let budget = RetryBudget { free_retries: 5.0, retry_ratio: 0.2, window: Duration::from_secs(2) };
     SafetyRules {
         drain_grace: Duration::from_secs(2),
--- a/tests/histories/mod.rs
+++ b/tests/histories/mod.rs
@@ -30,8 +30,8 @@
     pub attempts: u32,
     pub cancels: u32,
     pub probes: u32,
-    pub push_backs: u32,
-    pub errors: u32,
+    pub rejections: u32,
+    pub failures: u32,
 }
 
 impl Outline {
@@ -43,15 +43,15 @@
             Action::Send { .. } => self.attempts += 1,
             Action::Cancel { .. } => self.cancels += 1,
             Action::Probe { .. } => self.probes += 1,
-            Action::Reject { .. } => self.push_backs += 1,
-            Action::Fail { .. } => self.errors += 1,
+            Action::Reject { .. } => self.rejections += 1,
+            Action::Fail { .. } => self.failures += 1,
             Action::SetPriority { .. } | Action::SetTimer { .. } | Action::WatchEndpoints => {}
         }
     }
 }
 
 /// An attempt that is out.
-struct Dispatched {
+struct Sent {
     engine: EngineId,
     at: Duration,
     cost: Duration,
@@ -63,7 +63,7 @@
     deployment: Deployment,
     gateway: Gateway,
     engines: BTreeMap<EngineId, EngineEntry>,
-    out: BTreeMap<(RequestId, u32), Dispatched>,
+    out: BTreeMap<(RequestId, u32), Sent>,
     sent: BTreeMap<RequestId, u32>,
     /// What comes later, in order of time and then of planning.
     planned: BTreeMap<(Duration, u64), Planned>,
@@ -240,7 +240,7 @@
         let number = *count;
         *count += 1;
         let cost = self.random.millis(5, 1_500);
-        self.out.insert((request.clone(), number), Dispatched { engine, at: now, cost });
+        self.out.insert((request.clone(), number), Sent { engine, at: now, cost });
         let outcome = match self.random.below(24) {
             0 => AttemptOutcome::Rejected,
             1 => AttemptOutcome::ConnectFailed,
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -11,7 +11,7 @@
     Duration::from_millis(ms)
 }
 
-pub fn stated() -> Deployment {
+pub fn deployment() -> Deployment {
     let short = RequestClassConfig {
         latency_objective: ms(1000),
         objective_work_factor: 1.5,
@@ -79,19 +79,19 @@
 }
 
 impl Host {
-    pub fn with(stated: Deployment, entries: Vec<EngineEntry>) -> Host {
-        Host::starting(stated, 7, ms(60_000), entries)
+    pub fn with(deployment: Deployment, entries: Vec<EngineEntry>) -> Host {
+        Host::starting(deployment, 7, ms(60_000), entries)
     }
 
     /// A front that starts at this time of its own clock.
-    pub fn starting(stated: Deployment, seed: u64, now: Duration, entries: Vec<EngineEntry>) -> Host {
-        let mut host = Host { gateway: Gateway::new(stated, seed), now, count: 0 };
+    pub fn starting(deployment: Deployment, seed: u64, now: Duration, entries: Vec<EngineEntry>) -> Host {
+        let mut host = Host { gateway: Gateway::new(deployment, seed), now, count: 0 };
         host.tell(Event::Endpoints(EndpointUpdateKind::Restored, entries));
         host
     }
 
     pub fn of(engines: u32) -> Host {
-        Host::with(stated(), (1..=engines).map(entry).collect())
+        Host::with(deployment(), (1..=engines).map(entry).collect())
     }
 
     pub fn tell(&mut self, event: Event) -> Vec<Action> {
@@ -188,10 +188,10 @@
     sent(actions).find(|(request, _)| request == id).map(|(_, engine)| engine)
 }
 
-pub fn pushed_back(actions: &[Action], id: &str) -> bool {
+pub fn rejected(actions: &[Action], id: &str) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if &**request == id))
 }
 
-pub fn errored(actions: &[Action], id: &str) -> bool {
+pub fn failed(actions: &[Action], id: &str) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { request } if &**request == id))
 }
--- a/tests/preference_order.rs
+++ b/tests/preference_order.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn an_order_is_hashed_from_ids_also_when_it_was_kept() {
+fn an_order_is_hashed_from_ids_also_when_cached() {
     let mut orders = PreferenceOrders::default();
     for table_group in [0, 1, 77, u64::MAX] {
         assert_eq!(order(&mut orders, table_group), sorted(table_group));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_walk_is_the_reversed_order_with_its_first_part_turned() {
+fn a_preference_order_is_the_reversed_order_with_its_prefix_rotated() {
     let mut orders = PreferenceOrders::default();
     for (part, places) in [(0, 5), (1, 5), (19, 0), (19, 7), (19, 40), (37, 36), (50, 3)] {
         for reversed in [false, true] {
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -9,7 +9,7 @@
 fn a_table_group_has_the_same_home_at_every_front() {
     let homes = |number| {
         let mut host =
-            Host::with(Deployment { front_index: number, ..stated() }, (1..=6).map(entry).collect());
+            Host::with(Deployment { front_index: number, ..deployment() }, (1..=6).map(entry).collect());
         (0..20)
             .map(|t| engine_of(&host.ask(&format!("b{t}"), SHORT, t), &format!("b{t}")))
             .collect::<Vec<_>>()
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_reader_keeps_off_an_engine_that_loads_its_group() {
+fn a_reader_keeps_off_an_engine_with_a_bulk_load_of_its_group() {
     let mut host = Host::of(2);
     let loading = engine_of(&host.ask("load", LOAD, 9), "load").unwrap();
     let reading = engine_of(&host.ask("read", SHORT, 9), "read").unwrap();
@@ -33,10 +33,10 @@
 }
 
 #[test]
-fn loads_of_one_group_from_two_fronts_keep_apart_and_off_the_readers_home() {
+fn bulk_loads_of_one_group_from_two_fronts_keep_apart_and_off_the_readers_home() {
     let at = |number, group| {
         let mut host =
-            Host::with(Deployment { front_index: number, ..stated() }, (1..=6).map(entry).collect());
+            Host::with(Deployment { front_index: number, ..deployment() }, (1..=6).map(entry).collect());
         engine_of(&host.ask("a", group, 9), "a").unwrap()
     };
     assert_ne!(at(0, LOAD), at(1, LOAD));
@@ -44,8 +44,8 @@
 }
 
 #[test]
-fn the_header_keeps_later_readers_from_its_engine() {
-    let mut terms = stated();
+fn the_starvation_header_keeps_later_readers_from_its_engine() {
+    let mut terms = deployment();
     terms.request_classes[LOAD].latency_objective = ms(40_000);
     let mut host = Host::with(terms, vec![entry(1)]);
     host.ask("reader", SHORT, 9);
@@ -58,53 +58,53 @@
 }
 
 #[test]
-fn once_only_work_goes_again_only_if_it_never_ran() {
+fn a_non_idempotent_request_is_retried_only_if_it_never_ran() {
     let mut host = Host::of(3);
     let first = engine_of(&host.ask("load", LOAD, 1), "load").unwrap();
     let second = engine_of(&host.end("load", 0, first, AttemptOutcome::ConnectFailed), "load").unwrap();
     assert_ne!(first, second);
     let after = host.end("load", 1, second, AttemptOutcome::Reset);
-    assert!(errored(&after, "load") && !pushed_back(&after, "load"));
+    assert!(failed(&after, "load") && !rejected(&after, "load"));
     assert_eq!(engine_of(&after, "load"), None);
 }
 
 #[test]
-fn a_request_out_at_its_limit_is_answered_before_it() {
+fn a_request_in_flight_at_its_deadline_is_answered_before_it() {
     let mut host = Host::of(1);
     host.ask("load", LOAD, 1);
-    assert!(!errored(&host.wait(ms(19_900)), "load"));
+    assert!(!failed(&host.wait(ms(19_900)), "load"));
     let last = host.wait(ms(95));
-    assert!(errored(&last, "load"));
+    assert!(failed(&last, "load"));
     assert!(last.contains(&Action::Cancel { request: "load".into(), attempt: 0 }));
-    assert!(!errored(&host.end("load", 0, 1, AttemptOutcome::Cancelled), "load"));
+    assert!(!failed(&host.end("load", 0, 1, AttemptOutcome::Cancelled), "load"));
 }
 
 #[test]
-fn what_finds_no_place_is_pushed_back_early_with_a_time_to_come_back() {
-    let mut host = Host::with(stated(), vec![]);
-    assert!(!pushed_back(&host.ask("a", SHORT, 1), "a"));
+fn a_request_without_an_engine_is_rejected_early_with_retry_after() {
+    let mut host = Host::with(deployment(), vec![]);
+    assert!(!rejected(&host.ask("a", SHORT, 1), "a"));
     let answer = host.wait(ms(600));
     let told = |a: &Action| matches!(a, Action::Reject { retry_after: Some(wait), .. } if *wait <= ms(2000));
-    assert!(pushed_back(&answer, "a") && answer.iter().any(told));
+    assert!(rejected(&answer, "a") && answer.iter().any(told));
 }
 
 #[test]
-fn a_repeat_that_comes_too_late_is_not_served() {
-    let mut host = Host::with(Deployment { retries_marked: true, ..stated() }, vec![entry(1)]);
+fn a_client_retry_that_comes_too_late_is_not_served() {
+    let mut host = Host::with(Deployment { retries_marked: true, ..deployment() }, vec![entry(1)]);
     let late = host.ask_with("late", SHORT, 1, |a| (a.client_retry, a.client_timeout) = (true, ms(2000)));
-    assert!(pushed_back(&late, "late") && engine_of(&late, "late").is_none());
+    assert!(rejected(&late, "late") && engine_of(&late, "late").is_none());
 }
 
 #[test]
-fn one_quick_repeat_does_not_make_all_first_tries_look_late() {
+fn one_quick_client_retry_does_not_make_all_first_tries_look_late() {
     let mut host = Host::of(2);
     let usual = |a: &mut Arrival| a.client_timeout = ms(4300);
     for n in 0..9 {
         host.ask_with(&format!("{n}"), SHORT, n, usual);
     }
     host.ask_with("quick", SHORT, 20, |a| a.client_timeout = ms(4900));
-    assert!(!pushed_back(&host.ask_with("first", SHORT, 21, usual), "first"));
-    assert!(pushed_back(&host.ask_with("slow", SHORT, 22, |a| a.client_timeout = ms(2000)), "slow"));
+    assert!(!rejected(&host.ask_with("first", SHORT, 21, usual), "first"));
+    assert!(rejected(&host.ask_with("slow", SHORT, 22, |a| a.client_timeout = ms(2000)), "slow"));
 }
 
 #[test]
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn an_engine_barred_to_a_service_group_gets_none_of_it_and_stays_as_cold_as_it_is() {
+fn an_engine_blocked_for_a_class_gets_none_of_it_and_goes_on_warming_up() {
     let mut host = Host::of(2);
     let barred = |bits, started| EngineEntry { blocked_classes: bits, started_at: started, ..entry(1) };
     host.tell(Event::Endpoints(EndpointUpdateKind::Delta, vec![barred(1 << SHORT, ms(0))]));
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_cold_engine_gets_no_more_work_than_its_share_in_any_window() {
+fn an_engine_in_slow_start_gets_no_more_work_than_the_quota_in_any_window() {
     let mut host = Host::of(0);
     let fresh = EngineEntry { started_at: host.now, ..entry(1) };
     host.tell(Event::Endpoints(EndpointUpdateKind::Delta, vec![fresh]));
@@ -156,8 +156,8 @@
 }
 
 #[test]
-fn requests_of_one_key_go_one_at_a_time_and_wait_out_a_doubt() {
-    let mut terms = stated();
+fn requests_of_one_key_go_one_at_a_time_and_wait_out_an_unknown_outcome() {
+    let mut terms = deployment();
     terms.request_classes[SHORT].ordered = true;
     let mut host = Host::with(terms, vec![entry(1), entry(2)]);
     let keyed = |a: &mut Arrival| (a.key, a.client_timeout) = (Some(5), ms(5000));
@@ -171,8 +171,8 @@
 }
 
 #[test]
-fn a_bound_service_group_stays_where_it_may_go() {
-    let mut terms = stated();
+fn a_class_bound_to_zones_stays_within_them() {
+    let mut terms = deployment();
     terms.request_classes[SHORT].allowed_zones = Some(vec![1]);
     let far = EngineEntry { zone: 1, ..entry(3) };
     let mut host = Host::with(terms, vec![entry(1), entry(2), far]);
@@ -182,8 +182,8 @@
 }
 
 #[test]
-fn further_attempts_stay_within_their_budget() {
-    let mut terms = stated();
+fn retries_stay_within_their_budget() {
+    let mut terms = deployment();
     terms.safety_rules.retry_budget =
         Some(RetryBudget { free_retries: 1.0, retry_ratio: 0.0, window: ms(10_000) });
     let mut host = Host::with(terms, (1..=4).map(entry).collect());
@@ -194,8 +194,8 @@
 }
 
 #[test]
-fn referenced_work_in_doubt_goes_only_where_repeats_are_dropped() {
-    let mut terms = stated();
+fn a_keyed_request_that_may_have_run_goes_only_where_repeats_are_dropped() {
+    let mut terms = deployment();
     terms.request_classes[SHORT].idempotency =
         Idempotency::IdempotencyKeyed { scope: DeduplicationScope::Zone, retention: ms(5000) };
     let far = |engine| EngineEntry { zone: 1, ..entry(engine) };
@@ -207,11 +207,11 @@
     host.tell(Event::Endpoints(EndpointUpdateKind::Delta, gone));
     host.end("a", 1, second, AttemptOutcome::Reset);
     let answer = host.wait(ms(2000));
-    assert!(errored(&answer, "a") && !pushed_back(&answer, "a"));
+    assert!(failed(&answer, "a") && !rejected(&answer, "a"));
 }
 
 #[test]
-fn an_engine_without_connections_rests_and_is_tried_with_care() {
+fn an_engine_without_connections_is_ejected_and_tried_with_one_attempt() {
     let mut host = Host::of(2);
     let dead = engine_of(&host.ask("a", SHORT, 1), "a").unwrap();
     assert_ne!(engine_of(&host.end("a", 0, dead, AttemptOutcome::ConnectFailed), "a"), Some(dead));
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn a_note_of_waiting_for_a_load_moves_the_reader_and_warns_the_next() {
+fn a_progress_report_of_waiting_for_a_bulk_load_migrates_the_reader_and_warns_the_next() {
     let mut host = Host::of(2);
     let home = engine_of(&host.ask("a", SHORT, 1), "a").unwrap();
     let cancel = host.note("a", 0, home, AttemptProgress::WaitingForBulkLoad);
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_attempt_far_behind_is_moved_but_a_truly_large_request_stays() {
+fn an_attempt_far_behind_is_migrated_but_a_truly_large_request_stays() {
     let mut host = Host::of(2);
     let first = engine_of(&host.ask("a", REPORT, 1), "a").unwrap();
     host.now += ms(500);
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn memory_that_answers_tell_holds_back_what_would_page() {
+fn memory_reported_with_responses_keeps_requests_that_would_page_queued() {
     let open = Host::of(1).flood(6, REPORT, 1).len();
     let mut host = Host::of(1);
     for n in 0..8 {
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn less_memory_may_be_in_use_where_returns_come_late() {
+fn the_memory_threshold_is_lower_under_pressure() {
     let after = |late: u64| {
         let mut host = Host::of(1);
         let cost = ResourceUsage { work: ms(400), memory_mb: 3800.0 };
@@ -286,9 +286,11 @@
 }
 
 #[test]
-fn memory_reported_as_granted_holds_requests_back() {
-    let mut host =
-        Host::with(Deployment { load_reporting: LoadReporting::WithResponses, ..stated() }, vec![entry(1)]);
+fn memory_reported_as_granted_keeps_requests_queued() {
+    let mut host = Host::with(
+        Deployment { load_reporting: LoadReporting::WithResponses, ..deployment() },
+        vec![entry(1)],
+    );
     let report = |granted| LoadReport { memory_granted: Some(granted), ..LoadReport::default() };
     host.ask("a", SHORT, 1);
     host.end_with("a", 0, 1, AttemptOutcome::Returned, |e| e.load = Some(report(1.6)));
@@ -298,7 +300,7 @@
 }
 
 #[test]
-fn returns_that_come_late_let_fewer_in() {
+fn late_responses_lower_the_concurrency_limit() {
     let after = |late: u64| {
         let mut host = Host::of(1);
         for n in 0..12 {
@@ -313,8 +315,8 @@
 }
 
 #[test]
-fn discovery_is_asked_again_after_a_failure() {
-    let terms = Deployment { discovery: Discovery::Polled, ..stated() };
+fn discovery_is_polled_again_after_a_failure() {
+    let terms = Deployment { discovery: Discovery::Polled, ..deployment() };
     let mut gateway = Gateway::new(terms, 1);
     assert!(gateway.decide(ms(1000)).contains(&Action::WatchEndpoints));
     gateway.handle_event(ms(1100), Event::DiscoveryUnavailable);
@@ -337,9 +339,9 @@
 }
 
 /// A deployment of so many fronts that each sees a sliver of the traffic.
-fn crowd() -> Deployment {
-    let permits = Capabilities { probes: true, ..stated().capabilities };
-    Deployment { fronts: 50, capabilities: permits, load_reporting: LoadReporting::WithProbes, ..stated() }
+fn many_probing_fronts() -> Deployment {
+    let capabilities = Capabilities { probes: true, ..deployment().capabilities };
+    Deployment { fronts: 50, capabilities, load_reporting: LoadReporting::WithProbes, ..deployment() }
 }
 
 fn probed(actions: &[Action]) -> Option<EngineId> {
@@ -352,8 +354,8 @@
 }
 
 #[test]
-fn one_of_many_fronts_asks_an_engine_before_it_sends_and_passes_over_a_busy_one() {
-    let mut host = Host::with(crowd(), vec![entry(1), entry(2), entry(3)]);
+fn one_of_many_fronts_probes_an_engine_before_it_sends_and_passes_over_a_busy_one() {
+    let mut host = Host::with(many_probing_fronts(), vec![entry(1), entry(2), entry(3)]);
     let actions = host.ask("a", SHORT, 9);
     let home = probed(&actions).expect("asked first");
     assert_eq!(sent(&actions).count() + sent(&host.ask("b", SHORT, 9)).count(), 0);
@@ -365,8 +367,8 @@
 }
 
 #[test]
-fn a_probe_that_drags_shows_a_full_engine_though_its_cores_idle() {
-    let mut host = Host::with(crowd(), vec![entry(1)]);
+fn a_slow_probe_shows_a_full_engine_though_its_cores_idle() {
+    let mut host = Host::with(many_probing_fronts(), vec![entry(1)]);
     host.flood(3, SHORT, 9);
     answer(&mut host, 1, 0.1, 2);
     host.wait(ms(700));
@@ -376,8 +378,8 @@
 }
 
 #[test]
-fn one_of_many_fronts_holds_back_while_its_requests_stand_still() {
-    let mut host = Host::with(crowd(), vec![entry(1)]);
+fn one_of_many_fronts_sheds_while_its_attempts_are_slow() {
+    let mut host = Host::with(many_probing_fronts(), vec![entry(1)]);
     host.flood(30, SHORT, 9);
     assert!(sent(&answer(&mut host, 1, 0.1, 2)).count() > 9);
     host.wait(ms(2500));
@@ -386,10 +388,10 @@
 }
 
 #[test]
-fn a_hot_group_has_several_homes_shared_out_among_many_fronts() {
+fn a_hot_table_group_has_several_homes_shared_out_among_many_fronts() {
     let home = |number| {
-        let stated = Deployment { front_index: number, ..crowd() };
-        let mut host = Host::with(stated, (1..=20).map(entry).collect());
+        let deployment = Deployment { front_index: number, ..many_probing_fronts() };
+        let mut host = Host::with(deployment, (1..=20).map(entry).collect());
         host.flood(60, SHORT, 9);
         host.wait(ms(900));
         probed(&host.ask("x", SHORT, 9))
@@ -399,7 +401,7 @@
 }
 
 #[test]
-fn a_first_try_in_a_hurry_is_not_taken_for_a_late_repeat() {
+fn a_first_try_in_a_hurry_is_not_taken_for_a_late_retry() {
     let mut host = Host::of(2);
     for n in 0..9 {
         host.ask_with(&format!("{n}"), SHORT, n, |a| a.client_timeout = ms(4300));
@@ -409,13 +411,16 @@
 }
 
 #[test]
-fn many_fronts_together_keep_a_cold_engine_standing_and_yet_use_it() {
-    let duties = stated().safety_rules;
-    let bears = duties.overload_factor * duties.slow_start_share * 8.0 * duties.overload_window.as_secs_f64();
+fn many_fronts_together_do_not_overload_an_engine_in_slow_start_and_yet_use_it() {
+    let safety_rules = deployment().safety_rules;
+    let bears = safety_rules.overload_factor
+        * safety_rules.slow_start_share
+        * 8.0
+        * safety_rules.overload_window.as_secs_f64();
     let started = EngineEntry { started_at: ms(60_000), ..entry(1) };
     let mut hosts: Vec<Host> = (0..200)
         .map(|number| {
-            Host::with(Deployment { fronts: 200, front_index: number, ..stated() }, vec![started.clone()])
+            Host::with(Deployment { fronts: 200, front_index: number, ..deployment() }, vec![started.clone()])
         })
         .collect();
     let mut sends = Vec::new();
@@ -432,8 +437,8 @@
 }
 
 #[test]
-fn loads_keep_off_an_engine_that_idles_oddly_among_many_fronts() {
-    let mut host = Host::with(crowd(), vec![entry(1), entry(2)]);
+fn bulk_loads_keep_off_a_suspiciously_idle_engine_with_many_fronts() {
+    let mut host = Host::with(many_probing_fronts(), vec![entry(1), entry(2)]);
     let mut to_idle = 0;
     for step in 0..40u64 {
         let id = format!("load-{step}");
@@ -452,8 +457,8 @@
 }
 
 #[test]
-fn one_of_many_fronts_rests_an_engine_that_turned_it_away_for_seconds() {
-    let mut host = Host::with(crowd(), vec![entry(1)]);
+fn one_of_many_fronts_ejects_an_engine_that_rejected_for_seconds() {
+    let mut host = Host::with(many_probing_fronts(), vec![entry(1)]);
     host.ask("a", SHORT, 9);
     assert_eq!(engine_of(&answer(&mut host, 1, 0.1, 2), "a"), Some(1));
     host.end("a", 0, 1, AttemptOutcome::Rejected);
@@ -464,7 +469,7 @@
 }
 
 #[test]
-fn what_is_out_for_a_client_that_has_left_is_cancelled_once() {
+fn an_attempt_for_a_client_that_has_left_is_cancelled_once() {
     let mut host = Host::of(1);
     let engine = engine_of(&host.ask("a", REPORT, 9), "a").unwrap();
     let cancel = Action::Cancel { request: "a".into(), attempt: 0 };
@@ -474,53 +479,53 @@
     host.ask("b", REPORT, 9);
     host.wait(ms(19_995));
     host.tell(Event::ClientGone("b".into())); // It has its answer, and gets no second one.
-    assert!(!pushed_back(&host.wait(ms(50)), "b"));
+    assert!(!rejected(&host.wait(ms(50)), "b"));
 }
 
 #[test]
-fn a_front_told_to_end_answers_all_by_then_however_far_the_limits_lie() {
+fn a_front_that_shuts_down_answers_all_by_then_however_far_the_deadlines_lie() {
     let mut host = Host::of(1);
     host.ask("report", REPORT, 9);
     host.ask("load", LOAD, 8);
     let by = host.now + ms(3000);
     host.tell(Event::ShuttingDown { deadline: by });
     let before = host.wait(ms(2900));
-    assert!(!errored(&before, "load") && !pushed_back(&before, "report"));
+    assert!(!failed(&before, "load") && !rejected(&before, "report"));
     let late = host.ask("late", SHORT, 7);
     assert!(engine_of(&late, "late").is_some());
     let last = host.wait(ms(95));
     // A load may have run: it is errored. What may run again is pushed back.
-    assert!(errored(&last, "load") && pushed_back(&last, "report") && pushed_back(&last, "late"));
+    assert!(failed(&last, "load") && rejected(&last, "report") && rejected(&last, "late"));
 }
 
 /// A deployment of hundreds of fronts, one of which this is.
-fn blind() -> Deployment {
-    Deployment { fronts: 300, ..stated() }
+fn many_fronts() -> Deployment {
+    Deployment { fronts: 300, ..deployment() }
 }
 
 #[test]
-fn a_blind_front_asks_no_more_than_the_stated_price_allows() {
+fn one_of_many_fronts_probes_no_more_than_the_stated_cost_allows() {
     let probes = |probe_price| {
         // So few fronts keep to all of the engines; where a front keeps to fewer, it has fewer to ask.
         let mut terms = Deployment {
             fronts: 20,
             probe_cost: probe_price,
             load_reporting: LoadReporting::WithProbes,
-            ..blind()
+            ..many_fronts()
         };
         terms.capabilities.probes = true;
         let mut host = Host::with(terms, (1..=30).map(entry).collect());
         let asked = (0..60).flat_map(|n| host.ask(&format!("b{n}"), [SHORT, REPORT][n as usize % 2], n));
         asked.filter(|action| matches!(action, Action::Probe { .. })).count()
     };
-    let (free, dear) = (probes(0.0), probes(0.1));
-    assert!(free >= 20 && (1..=9).contains(&dear), "{free} {dear}");
+    let (free, costly_probes) = (probes(0.0), probes(0.1));
+    assert!(free >= 20 && (1..=9).contains(&costly_probes), "{free} {costly_probes}");
 }
 
 #[test]
-fn what_is_out_at_engines_that_say_nothing_turns_no_other_request_away() {
-    let let_in = |alive: bool| {
-        let mut host = Host::with(blind(), (1..=20).map(entry).collect());
+fn attempts_at_silent_engines_shed_no_other_request() {
+    let admitted = |alive: bool| {
+        let mut host = Host::with(many_fronts(), (1..=20).map(entry).collect());
         let mut out: Vec<(String, EngineId)> = Vec::new();
         for n in 0..20 {
             let id = format!("b{n}");
@@ -535,14 +540,14 @@
             .filter(|n| engine_of(&host.ask(&format!("b{n}"), SHORT, *n), &format!("b{n}")).is_some())
             .count()
     };
-    let (silent, slow) = (let_in(false), let_in(true));
+    let (silent, slow) = (admitted(false), admitted(true));
     assert!(silent == 20 && slow < 5, "{silent} {slow}");
 }
 
 #[test]
-fn a_front_sends_to_a_cold_engine_by_its_part_of_what_all_may_send() {
+fn a_front_sends_to_an_engine_in_slow_start_by_its_quota() {
     let sent = |share: Option<f64>| {
-        let mut host = Host::with(stated(), vec![]);
+        let mut host = Host::with(deployment(), vec![]);
         let cold = EngineEntry { started_at: host.now, ..entry(1) };
         host.tell(Event::Endpoints(EndpointUpdateKind::Full, vec![cold]));
         if let Some(share) = share {
@@ -557,13 +562,13 @@
 }
 
 /// One of many, who may ask engines but never does, as a probe costs too much.
-fn dear() -> Deployment {
-    Deployment { probe_cost: 1e9, retries_marked: true, ..crowd() }
+fn costly_probes() -> Deployment {
+    Deployment { probe_cost: 1e9, retries_marked: true, ..many_probing_fronts() }
 }
 
 /// Lets a front learn that short requests take a tenth of a second.
-fn taught(stated: Deployment, engines: u32) -> Host {
-    let mut host = Host::with(stated, (1..=engines).map(entry).collect());
+fn with_known_work(deployment: Deployment, engines: u32) -> Host {
+    let mut host = Host::with(deployment, (1..=engines).map(entry).collect());
     for n in 0..9 {
         let id = format!("t{n}");
         let engine = engine_of(&host.ask(&id, SHORT, n), &id).unwrap();
@@ -573,31 +578,31 @@
 }
 
 #[test]
-fn what_comes_again_is_held_by_the_time_left_where_a_front_may_ask() {
-    let ask_again = |stated| {
-        let mut host = taught(stated, 2);
+fn a_client_retry_is_queued_by_the_time_left_where_loads_can_be_probed() {
+    let ask_again = |deployment| {
+        let mut host = with_known_work(deployment, 2);
         host.tell(Event::Endpoints(EndpointUpdateKind::Full, vec![]));
         let at_once =
             host.ask_with("again", SHORT, 1, |a| (a.client_retry, a.client_timeout) = (true, ms(4500)));
-        (pushed_back(&at_once, "again"), pushed_back(&host.wait(ms(250)), "again"))
+        (rejected(&at_once, "again"), rejected(&host.wait(ms(250)), "again"))
     };
-    assert_eq!(ask_again(dear()), (false, true));
-    assert_eq!(ask_again(Deployment { retries_marked: true, ..blind() }), (true, false));
+    assert_eq!(ask_again(costly_probes()), (false, true));
+    assert_eq!(ask_again(Deployment { retries_marked: true, ..many_fronts() }), (true, false));
 }
 
 #[test]
-fn what_one_of_many_fronts_moves_goes_elsewhere_and_not_back() {
-    let mut host = taught(dear(), 4);
+fn a_migrated_request_of_one_of_many_fronts_goes_elsewhere_and_not_back() {
+    let mut host = with_known_work(costly_probes(), 4);
     let first = engine_of(&host.ask("a", SHORT, 3), "a").unwrap();
     host.now += ms(500);
     let cancel = host.note("a", 0, first, AttemptProgress::WaitingForBulkLoad);
     assert!(cancel.contains(&Action::Cancel { request: "a".into(), attempt: 0 }));
     let after = host.end("a", 0, first, AttemptOutcome::Cancelled);
-    assert!(engine_of(&after, "a").is_some_and(|engine| engine != first) && !pushed_back(&after, "a"));
+    assert!(engine_of(&after, "a").is_some_and(|engine| engine != first) && !rejected(&after, "a"));
 }
 
 #[test]
-fn what_was_moved_and_can_not_end_while_its_client_waits_is_given_up() {
+fn a_migrated_request_that_can_not_end_while_its_client_waits_is_given_up() {
     let mut host = Host::of(2);
     let first = engine_of(&host.ask("a", REPORT, 1), "a").unwrap();
     host.now += ms(500);
@@ -605,19 +610,19 @@
     let second = engine_of(&host.end("a", 0, first, AttemptOutcome::Cancelled), "a").unwrap();
     host.now += ms(500);
     let given_up = host.note("a", 1, second, AttemptProgress::Done(0.01)); // 50 s in all; the client waits 20.
-    assert!(pushed_back(&given_up, "a"));
+    assert!(rejected(&given_up, "a"));
     assert!(given_up.contains(&Action::Cancel { request: "a".into(), attempt: 1 }));
 }
 
 #[test]
 fn one_of_many_fronts_passes_over_an_engine_that_is_home_to_too_much() {
     let home = |tables| {
-        let mut host = Host::with(dear(), (1..=10).map(entry).collect());
+        let mut host = Host::with(costly_probes(), (1..=10).map(entry).collect());
         engine_of(&host.ask("a", SHORT, tables), "a")
     };
     let same: Vec<u64> = (0..600).filter(|tables| home(*tables) == home(0)).take(30).collect();
     assert_eq!(same.len(), 30);
-    let mut host = taught(dear(), 10);
+    let mut host = with_known_work(costly_probes(), 10);
     (1..=10).for_each(|engine| _ = answer(&mut host, engine, 0.45, 2));
     host.wait(ms(4000)); // The reports are too old to be used; what is usual is known.
     let sent: Vec<Option<EngineId>> = (0..240)
@@ -633,9 +638,9 @@
 }
 
 #[test]
-fn small_work_is_let_in_where_large_work_has_to_stay_out() {
-    let let_in = |group| {
-        let mut host = Host::with(dear(), (1..=40).map(entry).collect());
+fn small_requests_are_admitted_where_large_ones_are_shed() {
+    let admitted = |group| {
+        let mut host = Host::with(costly_probes(), (1..=40).map(entry).collect());
         let out: Vec<EngineId> = (0..10)
             .map(|n| engine_of(&host.ask(&format!("t{n}"), SHORT, n), &format!("t{n}")).unwrap())
             .collect();
@@ -649,61 +654,53 @@
             .filter(|n| engine_of(&host.ask(&format!("b{n}"), group, *n), &format!("b{n}")).is_some())
             .count()
     };
-    let (short, report) = (let_in(SHORT), let_in(REPORT));
+    let (short, report) = (admitted(SHORT), admitted(REPORT));
     assert!(short == 40 && report < 30, "{short} {report}");
 }
 
 #[test]
-fn referenced_work_in_doubt_is_neither_sent_nor_pushed_back_near_the_end_of_its_window() {
-    let play = |remembered, waits, reach| {
-        let mut terms = stated();
-        terms.request_classes[SHORT].idempotency =
-            Idempotency::IdempotencyKeyed { scope: reach, retention: remembered };
+fn a_keyed_request_that_may_have_run_is_neither_sent_nor_rejected_near_the_end_of_its_retention() {
+    let play = |retention, elapsed, reach| {
+        let mut terms = deployment();
+        terms.request_classes[SHORT].idempotency = Idempotency::IdempotencyKeyed { scope: reach, retention };
         terms.request_classes[SHORT].latency_objective = ms(20_000); // It is worth another attempt for long.
         let mut host = Host::with(terms, vec![entry(1), entry(2)]);
         let first = engine_of(&host.ask("a", SHORT, 1), "a").unwrap();
-        host.now += waits;
-        host.end_with("a", 0, first, AttemptOutcome::Errored, |ending| ending.elapsed = waits)
+        host.now += elapsed;
+        host.end_with("a", 0, first, AttemptOutcome::Errored, |ending| ending.elapsed = elapsed)
     };
-    let begin_by = |actions: &[Action]| {
-        actions
-            .iter()
-            .find_map(|a| if let Action::Send { start_by: begin_by, .. } = a { *begin_by } else { None })
+    let start_by = |actions: &[Action]| {
+        actions.iter().find_map(|a| if let Action::Send { start_by, .. } = a { *start_by } else { None })
     };
     // Well within it is sent again, and told by when that has to begin.
     let again = play(ms(1000), ms(300), DeduplicationScope::Everywhere);
-    let by = begin_by(&again).expect("not sent again");
+    let by = start_by(&again).expect("not sent again");
     assert!(by > ms(60_300) && by < ms(61_000), "{by:?}");
     // Near its end the way there may take all that is left; who came back would come too late, too.
     for reach in [DeduplicationScope::Everywhere, DeduplicationScope::Zone] {
         let over = play(ms(1000), ms(900), reach);
-        assert!(errored(&over, "a") && sent(&over).count() == 0, "{reach:?}");
+        assert!(failed(&over, "a") && sent(&over).count() == 0, "{reach:?}");
     }
-    let mut terms = stated();
+    let mut terms = deployment();
     terms.request_classes[SHORT].idempotency =
         Idempotency::IdempotencyKeyed { scope: DeduplicationScope::Everywhere, retention: ms(60_000) };
     terms.capabilities.max_attempts = 1;
     let mut host = Host::with(terms, vec![entry(1)]);
     host.ask("a", SHORT, 1);
-    assert!(pushed_back(&host.end("a", 0, 1, AttemptOutcome::Errored), "a"));
+    assert!(rejected(&host.end("a", 0, 1, AttemptOutcome::Errored), "a"));
 }
 
 /// One of many, told with each answer how many requests its engine holds, and nothing else.
-fn told_what_is_held() -> Deployment {
-    let permits = Capabilities { probes: false, cancel: false, ..stated().capabilities };
-    Deployment {
-        fronts: 300,
-        capabilities: permits,
-        load_reporting: LoadReporting::WithResponses,
-        ..stated()
-    }
+fn reports_requests_with_responses() -> Deployment {
+    let capabilities = Capabilities { probes: false, cancel: false, ..deployment().capabilities };
+    Deployment { fronts: 300, capabilities, load_reporting: LoadReporting::WithResponses, ..deployment() }
 }
 
 fn returned(host: &mut Host, group: usize, held: f64) {
     let id = format!("told-{group}-{:?}", host.now);
-    let went = engine_of(&host.ask(&id, group, host.now.as_millis() as u64), &id);
+    let engine = engine_of(&host.ask(&id, group, host.now.as_millis() as u64), &id);
     host.now += ms(200);
-    let Some(engine) = went else { return };
+    let Some(engine) = engine else { return };
     host.end_with(&id, 0, engine, AttemptOutcome::Returned, |ending| {
         ending.elapsed = ms(200);
         ending.load = Some(LoadReport { in_flight: Some(held), ..LoadReport::default() });
@@ -711,9 +708,9 @@
 }
 
 #[test]
-fn engines_of_which_nothing_is_told_count_as_loaded_as_usual_not_as_empty() {
+fn engines_without_reports_count_as_loaded_as_usual_not_as_empty() {
     let sent = |held: f64| {
-        let mut host = Host::with(told_what_is_held(), (1..=3).map(entry).collect());
+        let mut host = Host::with(reports_requests_with_responses(), (1..=3).map(entry).collect());
         (0..40).for_each(|_| returned(&mut host, SHORT, held));
         // Of a fourth nothing was ever told.
         host.tell(Event::Endpoints(EndpointUpdateKind::Delta, vec![entry(4)]));
@@ -724,9 +721,9 @@
 }
 
 #[test]
-fn what_is_held_counts_by_the_threads_of_what_is_out_for_long() {
+fn reported_requests_count_by_the_threads_of_requests_long_in_flight() {
     let sent = |group: usize| {
-        let mut host = Host::with(told_what_is_held(), vec![entry(1)]);
+        let mut host = Host::with(reports_requests_with_responses(), vec![entry(1)]);
         for _ in 0..30 {
             returned(&mut host, group, 8.0);
         }
@@ -737,15 +734,15 @@
 }
 
 /// One of many, told nothing of any engine's load.
-fn told_nothing() -> Deployment {
-    let permits = Capabilities { probes: false, cancel: false, ..stated().capabilities };
-    Deployment { fronts: 300, capabilities: permits, load_reporting: LoadReporting::None, ..stated() }
+fn without_load_reports() -> Deployment {
+    let capabilities = Capabilities { probes: false, cancel: false, ..deployment().capabilities };
+    Deployment { fronts: 300, capabilities, load_reporting: LoadReporting::None, ..deployment() }
 }
 
 #[test]
-fn a_front_whose_requests_are_turned_away_unseen_sends_fewer_though_nothing_returns() {
+fn a_front_whose_requests_are_rejected_sends_fewer_though_nothing_returns() {
     let sent_after = |outcome| {
-        let mut host = Host::with(told_nothing(), (1..=40).map(entry).collect());
+        let mut host = Host::with(without_load_reports(), (1..=40).map(entry).collect());
         for n in 0..40 {
             let id = format!("a{n}");
             if let Some(engine) = engine_of(&host.ask(&id, SHORT, n), &id) {
@@ -757,18 +754,18 @@
         host.tell(Event::Endpoints(EndpointUpdateKind::Delta, (100..140).map(entry).collect()));
         (0..60).filter(|n| !host.flood(1, SHORT, 1000 + n).is_empty()).count()
     };
-    let (errored, full) = (sent_after(AttemptOutcome::Errored), sent_after(AttemptOutcome::Rejected));
-    assert!(errored > 40 && full < 20, "{errored} and {full}");
+    let (failed, full) = (sent_after(AttemptOutcome::Errored), sent_after(AttemptOutcome::Rejected));
+    assert!(failed > 40 && full < 20, "{failed} and {full}");
 }
 
 #[test]
-fn where_nothing_tells_of_load_an_engine_that_is_home_to_too_much_is_passed_over() {
+fn without_load_reports_an_engine_that_is_home_to_too_much_is_passed_over() {
     let home = |tables| {
-        let mut host = Host::with(told_nothing(), (1..=10).map(entry).collect());
+        let mut host = Host::with(without_load_reports(), (1..=10).map(entry).collect());
         engine_of(&host.ask("a", SHORT, tables), "a")
     };
     let same: Vec<u64> = (0..600).filter(|tables| home(*tables) == home(0)).take(30).collect();
-    let mut host = taught(told_nothing(), 10);
+    let mut host = with_known_work(without_load_reports(), 10);
     let at_home = (0..240)
         .filter(|n| {
             let id = format!("b{n}");
