--- a/crates/core/maintenance/src/coordinator.rs
+++ b/crates/core/maintenance/src/coordinator.rs
@@ -100,7 +100,7 @@
     }
 
     /// A whole round has shown what stands there.
-    pub fn on_committed(
+    pub fn handle_committed(
         &mut self,
         now: Duration,
         number: u8,
@@ -115,7 +115,7 @@
     }
 
     /// A round came to no known end.
-    pub fn on_failure(&mut self, number: u8) {
+    pub fn handle_failure(&mut self, number: u8) {
         self.busy = false;
         self.unread.insert(number);
     }
--- a/crates/core/maintenance/tests/fleet.rs
+++ b/crates/core/maintenance/tests/fleet.rs
@@ -206,10 +206,10 @@
             }
         };
         if self.chance.f64() < 0.1 {
-            return self.foreman.on_failure(work);
+            return self.foreman.handle_failure(work);
         }
         let stands = self.registers.get(&work).cloned();
-        self.foreman.on_committed(self.now, work, stands);
+        self.foreman.handle_committed(self.now, work, stands);
     }
 
     /// Those who work on machines: at their own pace, and now and then they say so twice.
--- a/crates/core/maintenance/tests/limits.rs
+++ b/crates/core/maintenance/tests/limits.rs
@@ -83,7 +83,7 @@
         let parts = request(machines, at_once);
         for number in 0..MAX_REQUESTS {
             let stands = parts.get(number).map(|part| (STAMP, part.clone()));
-            foreman.on_committed(now, number as u8, stands);
+            foreman.handle_committed(now, number as u8, stands);
         }
         // What drains is few where each further one is looked for among many; two registers' worth shows it.
         let turns = usize::from(at_once).min(2 * MAX_MACHINES + 1);
@@ -91,7 +91,7 @@
             now += terms.poll_interval;
             let Some(RegisterAction::Write(change)) = foreman.poll(now, &terms, &seen) else { break };
             let (era, version) = change.expected;
-            foreman.on_committed(now, change.request, Some(((era, version + 1), change.value)));
+            foreman.handle_committed(now, change.request, Some(((era, version + 1), change.value)));
         }
         let out = foreman.machines_out().len();
         assert!(out <= usize::from(at_once), "{out} are out of {at_once}");
--- a/crates/core/zone-failover/src/allocation.rs
+++ b/crates/core/zone-failover/src/allocation.rs
@@ -9,9 +9,9 @@
 use std::cmp::Ordering;
 
 /// Less than this much work a second counts as nothing.
-const NOTHING: f64 = 1e-9;
+const EPSILON: f64 = 1e-9;
 /// In so many portions zones are filled, so that all fill alike.
-const PORTIONS: usize = 8;
+const FILL_STEPS: usize = 8;
 
 /// A request class as the planner sees it.
 #[derive(Debug, Clone, PartialEq)]
@@ -37,8 +37,8 @@
         self.rate * self.work
     }
 
-    fn allows(&self, site: Zone) -> bool {
-        self.allowed_zones.as_ref().is_none_or(|only| only.contains(&site))
+    fn allows(&self, zone: Zone) -> bool {
+        self.allowed_zones.as_ref().is_none_or(|only| only.contains(&zone))
     }
 }
 
@@ -65,46 +65,46 @@
 
 impl Allocation {
     /// Worth served a second.
-    pub fn value(&self, groups: &[ClassLoad]) -> f64 {
-        groups
+    pub fn value(&self, classes: &[ClassLoad]) -> f64 {
+        classes
             .iter()
             .zip(&self.served_shares)
-            .map(|(group, part)| part * group.rate * group.priority_weight)
+            .map(|(class, part)| part * class.rate * class.priority_weight)
             .sum()
     }
 }
 
 /// Works out who is served where.
-pub fn allocate(groups: &[ClassLoad], capacities: &[ZoneCapacity]) -> Allocation {
-    let mut order: Vec<usize> = (0..groups.len()).collect();
-    order.sort_by(|a, b| dearer(&groups[*a], &groups[*b]).then(a.cmp(b)));
-    let mut net = Net::new(groups, capacities);
-    for group in &order {
-        net.serve(*group, groups[*group].demand() * groups[*group].floor.clamp(0.0, 1.0));
+pub fn allocate(classes: &[ClassLoad], capacities: &[ZoneCapacity]) -> Allocation {
+    let mut order: Vec<usize> = (0..classes.len()).collect();
+    order.sort_by(|a, b| by_value_density(&classes[*a], &classes[*b]).then(a.cmp(b)));
+    let mut net = FlowNetwork::new(classes, capacities);
+    for class in &order {
+        net.serve(*class, classes[*class].demand() * classes[*class].floor.clamp(0.0, 1.0));
     }
-    for group in &order {
-        net.serve(*group, groups[*group].demand());
+    for class in &order {
+        net.serve(*class, classes[*class].demand());
     }
     // How much of each is settled; now the same again in portions, so that all zones fill alike.
-    let settled: Vec<f64> = (0..groups.len()).map(|group| net.served(group)).collect();
-    let mut even = Net::new(groups, capacities);
-    for portion in 1..=PORTIONS {
-        let part = portion as f64 / PORTIONS as f64;
+    let settled: Vec<f64> = (0..classes.len()).map(|class| net.served(class)).collect();
+    let mut even = FlowNetwork::new(classes, capacities);
+    for portion in 1..=FILL_STEPS {
+        let part = portion as f64 / FILL_STEPS as f64;
         even.room.iter_mut().zip(capacities).for_each(|(room, capacity)| *room = capacity.work * part);
-        for group in &order {
-            even.serve(*group, settled[*group]);
+        for class in &order {
+            even.serve(*class, settled[*class]);
         }
     }
-    let part = |some: f64, of: f64| if of > NOTHING { (some / of).clamp(0.0, 1.0) } else { 1.0 };
-    let served = (0..groups.len()).map(|group| part(even.served(group), groups[group].demand())).collect();
-    let nowhere = groups.iter().map(|group| {
+    let part = |some: f64, of: f64| if of > EPSILON { (some / of).clamp(0.0, 1.0) } else { 1.0 };
+    let served = (0..classes.len()).map(|class| part(even.served(class), classes[class].demand())).collect();
+    let nowhere = classes.iter().map(|class| {
         let anywhere =
-            capacities.iter().any(|capacity| capacity.work > NOTHING && group.allows(capacity.zone));
+            capacities.iter().any(|capacity| capacity.work > EPSILON && class.allows(capacity.zone));
         if anywhere { 0.0 } else { 1.0 }
     });
-    let filled = (0..capacities.len()).map(|site| {
-        let used: f64 = even.flows.iter().map(|flow| flow[site]).sum();
-        if capacities[site].work > NOTHING { used / capacities[site].work } else { 0.0 }
+    let filled = (0..capacities.len()).map(|zone| {
+        let used: f64 = even.flows.iter().map(|flow| flow[zone]).sum();
+        if capacities[zone].work > EPSILON { used / capacities[zone].work } else { 0.0 }
     });
     let (nowhere, filled) = (nowhere.collect(), filled.collect());
     order.reverse();
@@ -119,64 +119,64 @@
 
 /// Worth for each second of engine work first, then the shorter latency objective, then the shorter deadline: what has
 /// longer may come again.
-fn dearer(a: &ClassLoad, b: &ClassLoad) -> Ordering {
-    let worth = |group: &ClassLoad| group.priority_weight / group.work.max(1e-6);
+fn by_value_density(a: &ClassLoad, b: &ClassLoad) -> Ordering {
+    let worth = |class: &ClassLoad| class.priority_weight / class.work.max(1e-6);
     let by_worth = worth(b).total_cmp(&worth(a));
     by_worth.then(a.latency_objective.total_cmp(&b.latency_objective)).then(a.deadline.total_cmp(&b.deadline))
 }
 
-struct Net<'a> {
-    groups: &'a [ClassLoad],
+struct FlowNetwork<'a> {
+    classes: &'a [ClassLoad],
     capacities: &'a [ZoneCapacity],
     room: Vec<f64>,
     flows: Vec<Vec<f64>>,
 }
 
-impl<'a> Net<'a> {
-    fn new(groups: &'a [ClassLoad], capacities: &'a [ZoneCapacity]) -> Net<'a> {
+impl<'a> FlowNetwork<'a> {
+    fn new(classes: &'a [ClassLoad], capacities: &'a [ZoneCapacity]) -> FlowNetwork<'a> {
         let room = capacities.iter().map(|capacity| capacity.work.max(0.0)).collect();
-        Net { groups, capacities, room, flows: vec![vec![0.0; capacities.len()]; groups.len()] }
+        FlowNetwork { classes, capacities, room, flows: vec![vec![0.0; capacities.len()]; classes.len()] }
     }
 
-    fn served(&self, group: usize) -> f64 {
-        self.flows[group].iter().sum()
+    fn served(&self, class: usize) -> f64 {
+        self.flows[class].iter().sum()
     }
 
-    fn left(&self, site: usize) -> f64 {
-        self.room[site] - self.flows.iter().map(|flow| flow[site]).sum::<f64>()
+    fn left(&self, zone: usize) -> f64 {
+        self.room[zone] - self.flows.iter().map(|flow| flow[zone]).sum::<f64>()
     }
 
     /// Raises what a group is served to this much, as far as others can be moved to make room.
-    fn serve(&mut self, group: usize, wanted: f64) {
+    fn serve(&mut self, class: usize, wanted: f64) {
         // Each turn fills a zone or empties a flow, so there are few; the bound is against rounding alone.
-        for _ in 0..self.groups.len() * self.capacities.len() * 4 + 16 {
-            let missing = wanted - self.served(group);
-            if missing <= NOTHING {
+        for _ in 0..self.classes.len() * self.capacities.len() * 4 + 16 {
+            let missing = wanted - self.served(class);
+            if missing <= EPSILON {
                 return;
             }
-            let Some(path) = self.path(group) else { return };
-            self.push(group, &path, missing);
+            let Some(path) = self.path(class) else { return };
+            self.push(class, &path, missing);
         }
     }
 
     /// The shortest way to room: zones, and between each two the group that moves from the first to the second.
-    fn path(&self, group: usize) -> Option<Vec<(usize, usize)>> {
-        let sites = self.capacities.len();
-        let mut from: Vec<Option<(usize, Option<usize>)>> = vec![None; sites];
+    fn path(&self, class: usize) -> Option<Vec<(usize, usize)>> {
+        let zones = self.capacities.len();
+        let mut from: Vec<Option<(usize, Option<usize>)>> = vec![None; zones];
         let mut reached = Vec::new();
         let mut emptiest: Vec<usize> =
-            (0..sites).filter(|site| self.groups[group].allows(self.capacities[*site].zone)).collect();
+            (0..zones).filter(|zone| self.classes[class].allows(self.capacities[*zone].zone)).collect();
         emptiest.sort_by(|a, b| self.left(*b).total_cmp(&self.left(*a)));
-        for site in emptiest {
-            from[site] = Some((group, None));
-            reached.push(site);
+        for zone in emptiest {
+            from[zone] = Some((class, None));
+            reached.push(zone);
         }
         let mut at = 0;
         while at < reached.len() {
-            let site = reached[at];
+            let zone = reached[at];
             at += 1;
-            if self.left(site) > NOTHING {
-                let (mut path, mut back) = (Vec::new(), Some(site));
+            if self.left(zone) > EPSILON {
+                let (mut path, mut back) = (Vec::new(), Some(zone));
                 while let Some(here) = back {
                     let (mover, before) = from[here]?;
                     path.push((mover, here));
@@ -185,10 +185,10 @@
                 path.reverse();
                 return Some(path);
             }
-            for (mover, flow) in self.flows.iter().enumerate().filter(|(_, flow)| flow[site] > NOTHING) {
+            for (mover, flow) in self.flows.iter().enumerate().filter(|(_, flow)| flow[zone] > EPSILON) {
                 for (next, capacity) in self.capacities.iter().enumerate() {
-                    if from[next].is_none() && self.groups[mover].allows(capacity.zone) && flow[site] > 0.0 {
-                        from[next] = Some((mover, Some(site)));
+                    if from[next].is_none() && self.classes[mover].allows(capacity.zone) && flow[zone] > 0.0 {
+                        from[next] = Some((mover, Some(zone)));
                         reached.push(next);
                     }
                 }
@@ -197,8 +197,8 @@
         None
     }
 
-    fn push(&mut self, group: usize, path: &[(usize, usize)], missing: f64) {
-        let last = path.last().map_or(0, |(_, site)| *site);
+    fn push(&mut self, class: usize, path: &[(usize, usize)], missing: f64) {
+        let last = path.last().map_or(0, |(_, zone)| *zone);
         let moved = path.windows(2).map(|pair| self.flows[pair[1].0][pair[0].1]);
         let much = moved.fold(missing.min(self.left(last)), f64::min);
         for pair in path.windows(2) {
@@ -207,7 +207,7 @@
             self.flows[mover][after] += much;
         }
         if let Some((_, first)) = path.first() {
-            self.flows[group][*first] += much;
+            self.flows[class][*first] += much;
         }
     }
 }
--- a/crates/core/zone-failover/src/coordinator.rs
+++ b/crates/core/zone-failover/src/coordinator.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 /// Plans that differ by less in what they let in (in thousandths) are not worth an epoch.
-const ALIKE: u16 = 20;
+const MIN_ADMISSION_CHANGE_PERMILLE: u16 = 20;
 /// Periods between two plans that differ in nothing but what they let in.
-const APART: u32 = 4;
+const MIN_REPORTS_BETWEEN_ADMISSION_CHANGES: u32 = 4;
 /// Attempts that must have ended elsewhere before outcomes there are judged.
-const ENOUGH: u32 = 10;
+const MIN_ATTEMPTS: u32 = 10;
 
 /// Where a holder stands with the register.
 #[derive(Debug, Clone, PartialEq)]
@@ -54,19 +54,19 @@
     held: Option<(u64, Base, Vec<ZoneStateMachine>)>,
     next: Duration,
     settled_at: Duration,
-    take_transitions: Vec<(usize, Transition)>,
+    transitions: Vec<(usize, Transition)>,
 }
 
 impl Coordinator {
-    pub fn new(life: u64, stated: Vec<ClassLoad>) -> Coordinator {
+    pub fn new(incarnation: u64, stated: Vec<ClassLoad>) -> Coordinator {
         Coordinator {
-            incarnation: life,
+            incarnation,
             stated,
             evaluator: HealthEvaluator::default(),
             held: None,
             next: Duration::ZERO,
             settled_at: Duration::ZERO,
-            take_transitions: Vec::new(),
+            transitions: Vec::new(),
         }
     }
 
@@ -83,43 +83,43 @@
     }
 
     /// What is settled, as a whole round of the register has shown; this holder builds on it.
-    pub fn on_committed(&mut self, now: Duration, epoch: Option<(u64, u64)>, plan: Option<FailoverPlan>) {
-        let Some((_, base, courses)) = &mut self.held else { return };
-        let own = matches!(&base, Base::Writing(wanted) if Some(wanted) == plan.as_ref());
-        if !own {
+    pub fn handle_committed(&mut self, now: Duration, epoch: Option<(u64, u64)>, plan: Option<FailoverPlan>) {
+        let Some((_, base, state_machines)) = &mut self.held else { return };
+        let local = matches!(&base, Base::Writing(wanted) if Some(wanted) == plan.as_ref());
+        if !local {
             let known = plan.iter().flat_map(|plan| plan.zones.iter());
-            *courses = known.map(|site| ZoneStateMachine::new(now, *site)).collect();
+            *state_machines = known.map(|zone| ZoneStateMachine::new(now, *zone)).collect();
         }
         self.settled_at = now;
         *base = Base::On(epoch, plan);
     }
 
     /// It could not be settled, or not be found out whether it was.
-    pub fn on_failure(&mut self) {
+    pub fn handle_failure(&mut self) {
         if let Some((_, base, _)) = &mut self.held {
             *base = Base::Unknown;
         }
     }
 
     /// What has been done to which zone since this was last asked.
-    pub fn steps(&mut self) -> Vec<(usize, Transition)> {
-        std::mem::take(&mut self.take_transitions)
+    pub fn take_transitions(&mut self) -> Vec<(usize, Transition)> {
+        std::mem::take(&mut self.transitions)
     }
 
     /// Once a period: moves the zones on, and says what is wanted of the register.
     pub fn poll(
         &mut self,
         now: Duration,
-        terms: &FailoverConfig,
-        wishes: &[OperatorOverride],
+        config: &FailoverConfig,
+        overrides: &[OperatorOverride],
     ) -> Option<RegisterAction> {
         if now < self.next {
             return None;
         }
-        self.next = now + terms.report_interval;
-        self.evaluator.expire(now, terms.report_interval);
+        self.next = now + config.report_interval;
+        self.evaluator.expire(now, config.report_interval);
         let all = self.evaluator.zone_count();
-        let (number, base, courses) = self.held.as_mut()?;
+        let (number, base, state_machines) = self.held.as_mut()?;
         let (epoch, settled) = match base {
             Base::Unknown => {
                 *base = Base::Reading;
@@ -128,26 +128,33 @@
             Base::Reading | Base::Writing(_) => return None,
             Base::On(epoch, settled) => (*epoch, settled.clone()),
         };
-        while courses.len() < all.max(settled.as_ref().map_or(0, |plan| plan.zones.len())).min(MAX_ZONES) {
-            courses.push(ZoneStateMachine::up(now));
+        while state_machines.len()
+            < all.max(settled.as_ref().map_or(0, |plan| plan.zones.len())).min(MAX_ZONES)
+        {
+            state_machines.push(ZoneStateMachine::up(now));
         }
-        let seen: Vec<(ZoneHealth, Evidence)> = (0..courses.len() as u32)
-            .map(|site| (self.evaluator.health(site), self.evaluator.evidence(site)))
+        let seen: Vec<(ZoneHealth, Evidence)> = (0..state_machines.len() as u32)
+            .map(|zone| (self.evaluator.health(zone), self.evaluator.evidence(zone)))
             .collect();
-        for (site, course) in courses.iter_mut().enumerate() {
-            let others =
-                seen.iter().enumerate().filter(|(other, (_, one))| *other != site && one.attempts >= ENOUGH);
+        for (zone, state_machine) in state_machines.iter_mut().enumerate() {
+            let others = seen
+                .iter()
+                .enumerate()
+                .filter(|(other, (_, one))| *other != zone && one.attempts >= MIN_ATTEMPTS);
             let worse = others.map(|(_, (_, one))| one.degraded_share).fold(0.0, f64::max);
-            let wish = wishes.get(site).copied().unwrap_or_default();
-            let step = course.step(now, terms, seen[site].0, &seen[site].1, wish, worse);
-            self.take_transitions.extend(step.map(|step| (site, step)));
+            let operator_override = overrides.get(zone).copied().unwrap_or_default();
+            let step = state_machine.step(now, config, seen[zone].0, &seen[zone].1, operator_override, worse);
+            self.transitions.extend(step.map(|step| (zone, step)));
         }
-        let groups = with_demand(&self.stated, &self.evaluator.demand(self.stated.len()));
+        let classes = with_demand(&self.stated, &self.evaluator.demand(self.stated.len()));
         let cores: Vec<(u32, f64)> = seen.iter().map(|(_, one)| (one.cores, one.answering_share)).collect();
-        let (plan, _) = build_plan(courses, &groups, &cores, terms, self.incarnation);
+        let (plan, _) = build_plan(state_machines, &classes, &cores, config, self.incarnation);
         let changed = settled.as_ref().is_none_or(|old| {
             let moved = old.zones != plan.zones || old.prober != plan.prober;
-            moved || (differs(old, &plan) && now >= self.settled_at + terms.report_interval * APART)
+            moved
+                || (differs(old, &plan)
+                    && now
+                        >= self.settled_at + config.report_interval * MIN_REPORTS_BETWEEN_ADMISSION_CHANGES)
         });
         if !changed {
             return None;
@@ -157,28 +164,29 @@
     }
 
     /// The plan as it stands, or as it would be with these zones lost.
-    pub fn preview(&self, terms: &FailoverConfig, plan: &FailoverPlan, without: &[u32]) -> PlanPreview {
+    pub fn preview(&self, config: &FailoverConfig, plan: &FailoverPlan, without: &[u32]) -> PlanPreview {
         let all = self.evaluator.zone_count().max(plan.zones.len());
-        let site = |number: usize| {
+        let zone = |number: usize| {
             plan.zones.get(number).copied().unwrap_or(ZoneStateMachine::up(Duration::ZERO).plan)
         };
         let lost = ZonePlan { state: ZoneState::Lost, open_permille: 0, ..ZonePlan::default() };
-        let courses: Vec<ZoneStateMachine> = (0..all)
+        let state_machines: Vec<ZoneStateMachine> = (0..all)
             .map(|number| {
-                let one = if without.contains(&(number as u32)) { lost } else { site(number) };
+                let one = if without.contains(&(number as u32)) { lost } else { zone(number) };
                 ZoneStateMachine::new(Duration::ZERO, one)
             })
             .collect();
-        let groups = with_demand(&self.stated, &self.evaluator.demand(self.stated.len()));
+        let classes = with_demand(&self.stated, &self.evaluator.demand(self.stated.len()));
         let seen: Vec<(ZoneHealth, Evidence)> = (0..all as u32)
             .map(|number| (self.evaluator.health(number), self.evaluator.evidence(number)))
             .collect();
         let cores: Vec<(u32, f64)> = seen.iter().map(|(_, one)| (one.cores, one.answering_share)).collect();
-        let (_, allocation) = build_plan(&courses, &groups, &cores, terms, self.incarnation);
-        let sites = courses.iter().zip(seen).enumerate().map(|(number, (course, (found, seen)))| {
-            (course.plan, found, seen, allocation.utilization.get(number).copied().unwrap_or(0.0))
-        });
-        PlanPreview { zones: sites.collect(), classes: groups, allocation }
+        let (_, allocation) = build_plan(&state_machines, &classes, &cores, config, self.incarnation);
+        let zones =
+            state_machines.iter().zip(seen).enumerate().map(|(number, (state_machine, (found, seen)))| {
+                (state_machine.plan, found, seen, allocation.utilization.get(number).copied().unwrap_or(0.0))
+            });
+        PlanPreview { zones: zones.collect(), classes, allocation }
     }
 }
 
@@ -189,7 +197,7 @@
             .admitted_permille
             .iter()
             .zip(&new.admitted_permille)
-            .any(|(old, new)| old.abs_diff(*new) > ALIKE)
+            .any(|(old, new)| old.abs_diff(*new) > MIN_ADMISSION_CHANGE_PERMILLE)
 }
 
 #[cfg(test)]
@@ -201,7 +209,7 @@
         Duration::from_millis(ms)
     }
 
-    fn terms() -> FailoverConfig {
+    fn config() -> FailoverConfig {
         let (period, confirm, steady, pace) = (ms(500), ms(1500), ms(2000), ms(2000));
         let (wait, stale) = (ms(4000), ms(6000));
         FailoverConfig {
@@ -217,20 +225,20 @@
     }
 
     fn report(stands: u32, good: [bool; 2]) -> FrontReport {
-        let sight = |site: usize| ZoneStats {
-            zone: site as u32,
+        let stats = |zone: usize| ZoneStats {
+            zone: zone as u32,
             listed: 2,
             cores: 16,
-            answering: if good[site] { 2 } else { 0 },
-            silent: if good[site] { 0 } else { 2 },
+            answering: if good[zone] { 2 } else { 0 },
+            silent: if good[zone] { 0 } else { 2 },
             ..ZoneStats::default()
         };
-        let sights = (0..2).map(sight).collect();
-        FrontReport { zone: stands, zones: sights, demand: vec![Demand { rate: 10.0, work: 0.5 }] }
+        let zone_stats = (0..2).map(stats).collect();
+        FrontReport { zone: stands, zones: zone_stats, demand: vec![Demand { rate: 10.0, work: 0.5 }] }
     }
 
-    fn holder(life: u64) -> Coordinator {
-        let group = ClassLoad {
+    fn coordinator(incarnation: u64) -> Coordinator {
+        let class = ClassLoad {
             priority_weight: 1.0,
             work: 0.5,
             rate: 0.0,
@@ -239,47 +247,47 @@
             floor: 0.1,
             allowed_zones: None,
         };
-        Coordinator::new(life, vec![group])
+        Coordinator::new(incarnation, vec![class])
     }
 
-    fn round(holder: &mut Coordinator, now: &mut Duration, good: [bool; 2]) -> Option<RegisterAction> {
+    fn round(coordinator: &mut Coordinator, now: &mut Duration, good: [bool; 2]) -> Option<RegisterAction> {
         *now += ms(500);
-        (0..4).for_each(|front| holder.handle_report(*now, front, report(0, good)));
-        holder.poll(*now, &terms(), &[])
+        (0..4).for_each(|front| coordinator.handle_report(*now, front, report(0, good)));
+        coordinator.poll(*now, &config(), &[])
     }
 
     #[test]
     fn a_holder_reads_first_builds_on_what_stands_and_settles_only_what_changes() {
-        let (mut holder, mut now) = (holder(7), ms(0));
-        assert_eq!(round(&mut holder, &mut now, [true; 2]), None, "it holds nothing");
-        holder.set_lease(Some(5));
-        assert_eq!(round(&mut holder, &mut now, [true; 2]), Some(RegisterAction::Read));
-        assert_eq!(round(&mut holder, &mut now, [true; 2]), None, "it waits for what stands");
-        holder.on_committed(now, None, None);
+        let (mut coordinator, mut now) = (coordinator(7), ms(0));
+        assert_eq!(round(&mut coordinator, &mut now, [true; 2]), None, "it holds nothing");
+        coordinator.set_lease(Some(5));
+        assert_eq!(round(&mut coordinator, &mut now, [true; 2]), Some(RegisterAction::Read));
+        assert_eq!(round(&mut coordinator, &mut now, [true; 2]), None, "it waits for what stands");
+        coordinator.handle_committed(now, None, None);
         let Some(RegisterAction::Write { expected: None, fencing_token: 5, plan }) =
-            round(&mut holder, &mut now, [true; 2])
+            round(&mut coordinator, &mut now, [true; 2])
         else {
             panic!("nothing is settled at first");
         };
         assert_eq!((plan.zones.len(), plan.prober, plan.zones[1].open_permille), (2, 7, FULLY_OPEN));
-        holder.on_committed(now, Some((1, 1)), Some(plan));
+        coordinator.handle_committed(now, Some((1, 1)), Some(plan));
         for _ in 0..20 {
-            assert_eq!(round(&mut holder, &mut now, [true; 2]), None);
+            assert_eq!(round(&mut coordinator, &mut now, [true; 2]), None);
         }
         // The zone is lost, and the next holder goes on from there.
         let mut wanted = None;
         while !matches!(&wanted, Some(RegisterAction::Write { plan, .. }) if plan.zones[1].state == ZoneState::Lost)
         {
-            wanted = round(&mut holder, &mut now, [true, false]);
+            wanted = round(&mut coordinator, &mut now, [true, false]);
             if let Some(RegisterAction::Write { plan, .. }) = &wanted {
-                holder.on_committed(now, Some((1, 2)), Some(plan.clone()));
+                coordinator.handle_committed(now, Some((1, 2)), Some(plan.clone()));
             }
         }
         let Some(RegisterAction::Write { plan, .. }) = wanted else { unreachable!() };
-        let (mut next, mut later) = (self::holder(8), now);
+        let (mut next, mut later) = (self::coordinator(8), now);
         next.set_lease(Some(6));
         assert_eq!(round(&mut next, &mut later, [true, false]), Some(RegisterAction::Read));
-        next.on_committed(later, Some((1, 3)), Some(plan));
+        next.handle_committed(later, Some((1, 3)), Some(plan));
         let Some(RegisterAction::Write { expected: Some((1, 3)), fencing_token: 6, plan }) =
             round(&mut next, &mut later, [true, false])
         else {
@@ -290,35 +298,35 @@
 
     #[test]
     fn one_who_was_overtaken_or_lost_the_lease_starts_from_what_stands() {
-        let (mut holder, mut now) = (holder(7), ms(0));
-        holder.set_lease(Some(5));
-        round(&mut holder, &mut now, [true; 2]);
-        holder.on_committed(now, None, None);
-        assert!(matches!(round(&mut holder, &mut now, [true; 2]), Some(RegisterAction::Write { .. })));
-        holder.on_failure();
-        assert_eq!(round(&mut holder, &mut now, [true; 2]), Some(RegisterAction::Read));
-        holder.set_lease(None);
-        assert_eq!(round(&mut holder, &mut now, [true; 2]), None);
-        holder.on_committed(now, Some((1, 9)), None);
-        holder.set_lease(Some(8));
-        assert_eq!(round(&mut holder, &mut now, [true; 2]), Some(RegisterAction::Read));
+        let (mut coordinator, mut now) = (coordinator(7), ms(0));
+        coordinator.set_lease(Some(5));
+        round(&mut coordinator, &mut now, [true; 2]);
+        coordinator.handle_committed(now, None, None);
+        assert!(matches!(round(&mut coordinator, &mut now, [true; 2]), Some(RegisterAction::Write { .. })));
+        coordinator.handle_failure();
+        assert_eq!(round(&mut coordinator, &mut now, [true; 2]), Some(RegisterAction::Read));
+        coordinator.set_lease(None);
+        assert_eq!(round(&mut coordinator, &mut now, [true; 2]), None);
+        coordinator.handle_committed(now, Some((1, 9)), None);
+        coordinator.set_lease(Some(8));
+        assert_eq!(round(&mut coordinator, &mut now, [true; 2]), Some(RegisterAction::Read));
     }
 
     #[test]
     fn a_loss_that_the_rest_could_not_carry_is_shown_before_it_happens() {
-        let (mut holder, mut now) = (holder(7), ms(0));
+        let (mut coordinator, mut now) = (coordinator(7), ms(0));
         for _ in 0..10 {
-            round(&mut holder, &mut now, [true; 2]);
+            round(&mut coordinator, &mut now, [true; 2]);
         }
         let plan = FailoverPlan::default();
-        let now_served = holder.preview(&terms(), &plan, &[]).allocation.served_shares[0];
-        let then = holder.preview(&terms(), &plan, &[1]);
+        let now_served = coordinator.preview(&config(), &plan, &[]).allocation.served_shares[0];
+        let then = coordinator.preview(&config(), &plan, &[1]);
         assert!(
             now_served > 0.99 && then.allocation.served_shares[0] < 0.7,
             "{now_served} {:?}",
             then.allocation
         );
         assert_eq!((then.zones[1].0.state, then.zones[1].3), (ZoneState::Lost, 0.0));
-        assert_eq!(holder.preview(&terms(), &plan, &[0, 1]).allocation.unplaceable_shares, [1.0]);
+        assert_eq!(coordinator.preview(&config(), &plan, &[0, 1]).allocation.unplaceable_shares, [1.0]);
     }
 }
--- a/crates/core/zone-failover/src/follower.rs
+++ b/crates/core/zone-failover/src/follower.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// A zone of which less than this part bears its load is no longer whole.
-const WELL: f64 = 0.6;
+const MIN_ANSWERING_SHARE: f64 = 0.6;
 
 /// Which of a zone's engines may be used by this front.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -63,10 +63,10 @@
 }
 
 impl PlanFollower {
-    pub fn new(now: Duration, stands: Zone, life: u64) -> PlanFollower {
+    pub fn new(now: Duration, stands: Zone, incarnation: u64) -> PlanFollower {
         PlanFollower {
             zone: stands,
-            incarnation: life,
+            incarnation,
             epoch: None,
             plan: FailoverPlan::default(),
             confirmed_at: now,
@@ -101,59 +101,53 @@
         }
     }
 
-    pub fn is_isolated(&self, now: Duration, terms: &FailoverConfig) -> bool {
-        now > self.confirmed_at + terms.plan_timeout
+    pub fn is_isolated(&self, now: Duration, config: &FailoverConfig) -> bool {
+        now > self.confirmed_at + config.plan_timeout
     }
 
     /// What holds now.
-    pub fn effect(&mut self, now: Duration, terms: &FailoverConfig, own: &LocalView) -> PlanEffect {
-        let solitary = self.is_isolated(now, terms);
-        let mut closures = Vec::new();
-        for site in 0..own.zones.len().max(self.plan.zones.len()).min(MAX_ZONES) {
-            let build_plan = self.plan.zones.get(site).copied();
+    pub fn effect(&mut self, now: Duration, config: &FailoverConfig, local: &LocalView) -> PlanEffect {
+        let isolated = self.is_isolated(now, config);
+        let mut restrictions = Vec::new();
+        for zone in 0..local.zones.len().max(self.plan.zones.len()).min(MAX_ZONES) {
+            let build_plan = self.plan.zones.get(zone).copied();
             let build_plan =
                 build_plan.unwrap_or(ZonePlan { open_permille: FULLY_OPEN, ..ZonePlan::default() });
-            let mut closure = self.restriction(site as Zone, &build_plan);
-            let found = own.zones.get(site).map_or(ZoneHealth::Unknown, |(found, _)| *found);
-            let dead = &mut self.unreachable_since[site];
+            let mut restriction = self.restriction(zone as Zone, &build_plan);
+            let found = local.zones.get(zone).map_or(ZoneHealth::Unknown, |(found, _)| *found);
+            let dead = &mut self.unreachable_since[zone];
             match found {
                 ZoneHealth::Unreachable | ZoneHealth::Partitioned => *dead = dead.or(Some(now)),
                 // Once closed nothing is sent there, and nothing is seen: it stays closed until the plan is heard.
                 ZoneHealth::Unknown => {}
                 _ => *dead = None,
             }
-            if !solitary {
+            if !isolated {
                 *dead = dead.filter(|_| found != ZoneHealth::Unknown);
-            } else if dead.is_some_and(|from| now >= from + terms.confirmation_time)
-                && site as Zone != self.zone
+            } else if dead.is_some_and(|from| now >= from + config.confirmation_time)
+                && zone as Zone != self.zone
             {
-                closure.open_permille = 0;
+                restriction.open_permille = 0;
             }
-            if closure.open_permille < FULLY_OPEN || closure.blocked_classes != 0 {
-                closures.push(closure);
+            if restriction.open_permille < FULLY_OPEN || restriction.blocked_classes != 0 {
+                restrictions.push(restriction);
             }
         }
         let mut admitted: Vec<f64> =
             self.plan.admitted_permille.iter().map(|part| f64::from(*part) / f64::from(FULLY_OPEN)).collect();
         // With nothing closed there is nothing to ration, and an uneven load is no reason to refuse any.
-        let narrow = !closures.is_empty() || self.unreachable_since.iter().any(Option::is_some);
-        if solitary && narrow {
-            admitted = self.isolated_shares(now, terms, own, &closures);
+        let narrow = !restrictions.is_empty() || self.unreachable_since.iter().any(Option::is_some);
+        if isolated && narrow {
+            admitted = self.isolated_shares(now, config, local, &restrictions);
         } else {
             self.isolated_admission = None;
         }
         let back = Duration::from_millis(u64::from(self.plan.retry_after_ms));
-        PlanEffect {
-            epoch: self.epoch,
-            restrictions: closures,
-            admitted_shares: admitted,
-            retry_after: back,
-            isolated: solitary,
-        }
+        PlanEffect { epoch: self.epoch, restrictions, admitted_shares: admitted, retry_after: back, isolated }
     }
 
-    fn restriction(&self, site: Zone, build_plan: &ZonePlan) -> ZoneRestriction {
-        let here = site == self.zone;
+    fn restriction(&self, zone: Zone, build_plan: &ZonePlan) -> ZoneRestriction {
+        let here = zone == self.zone;
         let open = match build_plan.state {
             ZoneState::Up | ZoneState::Suspected => FULLY_OPEN,
             ZoneState::Partitioned if here => FULLY_OPEN,
@@ -162,40 +156,41 @@
             ZoneState::Lost | ZoneState::Partitioned | ZoneState::Probing => 0,
             ZoneState::Recovering | ZoneState::Disabled => build_plan.open_permille,
         };
-        let barred = if build_plan.state == ZoneState::Recovering { build_plan.blocked_classes } else { 0 };
-        ZoneRestriction { zone: site, open_permille: open, blocked_classes: barred }
+        let blocked_classes =
+            if build_plan.state == ZoneState::Recovering { build_plan.blocked_classes } else { 0 };
+        ZoneRestriction { zone, open_permille: open, blocked_classes }
     }
 
     /// This front's part of what is left, by the same planner; never more than the last plan let in.
     fn isolated_shares(
         &mut self,
         now: Duration,
-        terms: &FailoverConfig,
-        own: &LocalView,
-        closures: &[ZoneRestriction],
+        config: &FailoverConfig,
+        local: &LocalView,
+        restrictions: &[ZoneRestriction],
     ) -> Vec<f64> {
         if let Some((at, admitted)) = &self.isolated_admission
-            && now < *at + terms.report_interval
+            && now < *at + config.report_interval
         {
             return admitted.clone();
         }
-        let open = |site: usize| {
+        let open = |zone: usize| {
             // Also its own zone, which it goes on trying, bears nothing if it finds it dead.
-            if self.unreachable_since[site.min(MAX_ZONES - 1)]
-                .is_some_and(|from| now >= from + terms.confirmation_time)
+            if self.unreachable_since[zone.min(MAX_ZONES - 1)]
+                .is_some_and(|from| now >= from + config.confirmation_time)
             {
                 return 0.0;
             }
-            let closed = closures.iter().find(|closure| closure.zone as usize == site);
-            closed.map_or(1.0, |closure| f64::from(closure.open_permille) / f64::from(FULLY_OPEN))
+            let closed = restrictions.iter().find(|restriction| restriction.zone as usize == zone);
+            closed.map_or(1.0, |restriction| f64::from(restriction.open_permille) / f64::from(FULLY_OPEN))
         };
         let capacities =
-            own.zones.iter().take(MAX_ZONES).enumerate().map(|(site, (_, cores))| ZoneCapacity {
-                zone: site as Zone,
-                work: f64::from(*cores) * terms.max_utilization * open(site) * own.quota.clamp(0.0, 1.0),
+            local.zones.iter().take(MAX_ZONES).enumerate().map(|(zone, (_, cores))| ZoneCapacity {
+                zone: zone as Zone,
+                work: f64::from(*cores) * config.max_utilization * open(zone) * local.quota.clamp(0.0, 1.0),
             });
         let capacities: Vec<ZoneCapacity> = capacities.collect();
-        let mut admitted = allocate(&own.classes, &capacities).served_shares;
+        let mut admitted = allocate(&local.classes, &capacities).served_shares;
         for (part, build_plan) in admitted.iter_mut().zip(&self.plan.admitted_permille) {
             *part = part.min(f64::from(*build_plan) / f64::from(FULLY_OPEN));
         }
@@ -206,43 +201,43 @@
 
 /// The plan for these courses, given what is asked for and what each zone can take.
 pub fn build_plan(
-    courses: &[ZoneStateMachine],
-    groups: &[ClassLoad],
+    state_machines: &[ZoneStateMachine],
+    classes: &[ClassLoad],
     cores: &[(u32, f64)],
-    terms: &FailoverConfig,
+    config: &FailoverConfig,
     tries: u64,
 ) -> (FailoverPlan, crate::Allocation) {
-    let works: Vec<f64> = groups.iter().map(|group| group.work).collect();
-    let mut sites: Vec<ZonePlan> = courses.iter().map(|course| course.plan).collect();
-    for site in sites.iter_mut().filter(|site| site.state == ZoneState::Recovering) {
-        site.blocked_classes = state_machine::barred(site.open_permille, &works);
+    let works: Vec<f64> = classes.iter().map(|class| class.work).collect();
+    let mut zones: Vec<ZonePlan> = state_machines.iter().map(|state_machine| state_machine.plan).collect();
+    for zone in zones.iter_mut().filter(|zone| zone.state == ZoneState::Recovering) {
+        zone.blocked_classes = state_machine::blocked_classes(zone.open_permille, &works);
     }
-    let capacities: Vec<ZoneCapacity> = (sites.iter().zip(cores).enumerate())
-        .map(|(number, (site, (cores, part)))| {
-            let open = match site.state {
+    let capacities: Vec<ZoneCapacity> = (zones.iter().zip(cores).enumerate())
+        .map(|(number, (zone, (cores, part)))| {
+            let open = match zone.state {
                 ZoneState::Up | ZoneState::Suspected | ZoneState::Partitioned => 1.0,
                 ZoneState::Lost | ZoneState::Probing => 0.0,
                 ZoneState::Recovering | ZoneState::Disabled => {
-                    f64::from(site.open_permille) / f64::from(FULLY_OPEN)
+                    f64::from(zone.open_permille) / f64::from(FULLY_OPEN)
                 }
             };
-            let work = f64::from(*cores) * part.clamp(0.0, 1.0) * terms.max_utilization * open;
+            let work = f64::from(*cores) * part.clamp(0.0, 1.0) * config.max_utilization * open;
             ZoneCapacity { zone: number as Zone, work }
         })
         .collect();
-    let allocation = allocate(groups, &capacities);
+    let allocation = allocate(classes, &capacities);
     // With all zones up and well there is nothing to ration: what engines bear is then better known to each front's
     // gateway than to any plan.
-    let up = sites.iter().all(|site| matches!(site.state, ZoneState::Up | ZoneState::Suspected));
-    let whole = up && cores.iter().all(|(_, part)| *part >= WELL);
+    let up = zones.iter().all(|zone| matches!(zone.state, ZoneState::Up | ZoneState::Suspected));
+    let whole = up && cores.iter().all(|(_, part)| *part >= MIN_ANSWERING_SHARE);
     let admitted = allocation
         .served_shares
         .iter()
         .map(|part| if whole { FULLY_OPEN } else { (part * f64::from(FULLY_OPEN)).round() as u16 });
     let admitted = admitted.collect();
-    let back = if whole { terms.ramp_interval / 4 } else { terms.ramp_interval };
+    let back = if whole { config.ramp_interval / 4 } else { config.ramp_interval };
     let plan = FailoverPlan {
-        zones: sites,
+        zones,
         admitted_permille: admitted,
         retry_after_ms: back.as_millis() as u32,
         prober: tries,
--- a/crates/core/zone-failover/src/health.rs
+++ b/crates/core/zone-failover/src/health.rs
@@ -18,7 +18,7 @@
 /// Periods for which a report counts.
 const FRESH: u32 = 3;
 /// Fronts whose reports are kept at most.
-const MOST_FRONTS: usize = 4096;
+const MAX_FRONTS: usize = 4096;
 /// What slow engines are taken to bear of what they bear at full speed.
 const SLOW: f64 = 0.25;
 
@@ -105,7 +105,7 @@
     pub fn handle_report(&mut self, now: Duration, front: u64, report: FrontReport) {
         let fits = report.zones.len() <= MAX_ZONES && report.demand.len() <= MAX_CLASSES;
         let finite = report.demand.iter().all(|d| d.rate.is_finite() && d.work.is_finite());
-        let room = self.reports.contains_key(&front) || self.reports.len() < MOST_FRONTS;
+        let room = self.reports.contains_key(&front) || self.reports.len() < MAX_FRONTS;
         if !fits || !finite || !room {
             return;
         }
@@ -126,31 +126,31 @@
 
     /// How many zones any front has told of.
     pub fn zone_count(&self) -> usize {
-        let sights = self.reports.values().flat_map(|(_, report)| &report.zones);
+        let zone_stats = self.reports.values().flat_map(|(_, report)| &report.zones);
         let stands = self.reports.values().map(|(_, report)| report.zone);
-        let most = sights.map(|sight| sight.zone).chain(stands).max().map_or(0, |site| site as usize + 1);
+        let most = zone_stats.map(|stats| stats.zone).chain(stands).max().map_or(0, |zone| zone as usize + 1);
         most.min(MAX_ZONES)
     }
 
-    pub fn evidence(&self, site: Zone) -> Evidence {
+    pub fn evidence(&self, zone: Zone) -> Evidence {
         let mut all = Evidence::default();
         let (mut answering, mut tried) = (0u32, 0u32);
         let (mut returned, mut slow, mut failed) = (0u32, 0u32, 0u32);
         for (_, report) in self.reports.values() {
-            let there = report.zone == site;
+            let there = report.zone == zone;
             all.local_fronts += u32::from(there);
-            let Some(sight) = report.zones.iter().find(|sight| sight.zone == site) else { continue };
-            all.cores = all.cores.max(sight.cores);
-            let seen = u32::from(sight.answering) + u32::from(sight.silent);
-            answering += u32::from(sight.answering);
+            let Some(stats) = report.zones.iter().find(|stats| stats.zone == zone) else { continue };
+            all.cores = all.cores.max(stats.cores);
+            let seen = u32::from(stats.answering) + u32::from(stats.silent);
+            answering += u32::from(stats.answering);
             tried += seen;
-            returned = returned.saturating_add(sight.returned);
-            slow = slow.saturating_add(sight.slow.min(sight.returned));
-            failed = failed.saturating_add(sight.failed);
+            returned = returned.saturating_add(stats.returned);
+            slow = slow.saturating_add(stats.slow.min(stats.returned));
+            failed = failed.saturating_add(stats.failed);
             if seen == 0 {
                 continue;
             }
-            let good = u32::from(sight.answering) * 2 >= seen;
+            let good = u32::from(stats.answering) * 2 >= seen;
             match (there, good) {
                 (false, true) => all.healthy_remote += 1,
                 (false, false) => all.unhealthy_remote += 1,
@@ -166,23 +166,23 @@
         all
     }
 
-    pub fn health(&self, site: Zone) -> ZoneHealth {
-        let had = self.had_fronts.get(site as usize).copied().unwrap_or_default();
-        self.evidence(site).health(self.front_count(), had)
+    pub fn health(&self, zone: Zone) -> ZoneHealth {
+        let had = self.had_fronts.get(zone as usize).copied().unwrap_or_default();
+        self.evidence(zone).health(self.front_count(), had)
     }
 
     /// What all fronts are asked for, by request class.
-    pub fn demand(&self, groups: usize) -> Vec<Demand> {
-        let mut all = vec![Demand::default(); groups.min(MAX_CLASSES)];
+    pub fn demand(&self, classes: usize) -> Vec<Demand> {
+        let mut all = vec![Demand::default(); classes.min(MAX_CLASSES)];
         let (mut work, mut known) = (vec![0.0f32; all.len()], vec![0.0f32; all.len()]);
         for (_, report) in self.reports.values() {
-            for (group, demand) in report.demand.iter().enumerate().take(all.len()) {
+            for (class, demand) in report.demand.iter().enumerate().take(all.len()) {
                 let rate = demand.rate.max(0.0);
-                all[group].rate += rate;
+                all[class].rate += rate;
                 // Who has not learned what a request needs tells no work, and counts for none.
                 if demand.work > 0.0 {
-                    known[group] += rate;
-                    work[group] += rate * demand.work;
+                    known[class] += rate;
+                    work[class] += rate * demand.work;
                 }
             }
         }
--- a/crates/core/zone-failover/src/lib.rs
+++ b/crates/core/zone-failover/src/lib.rs
@@ -209,6 +209,6 @@
     pub fn from_bytes(bytes: &[u8]) -> Option<FailoverPlan> {
         let plan: FailoverPlan = postcard::from_bytes(bytes).ok()?;
         let fits = plan.zones.len() <= MAX_ZONES && plan.admitted_permille.len() <= MAX_CLASSES;
-        (fits && plan.zones.iter().all(|site| site.open_permille <= FULLY_OPEN)).then_some(plan)
+        (fits && plan.zones.iter().all(|zone| zone.open_permille <= FULLY_OPEN)).then_some(plan)
     }
 }
--- a/crates/core/zone-failover/src/state_machine.rs
+++ b/crates/core/zone-failover/src/state_machine.rs
@@ -5,15 +5,15 @@
 use std::time::Duration;
 
 /// The parts of a zone's engines that are open at each step of a return.
-const STEPS: [u16; 5] = [125, 250, 500, 750, FULLY_OPEN];
+const RAMP_STEPS: [u16; 5] = [125, 250, 500, 750, FULLY_OPEN];
 /// Losses in a row that still make the wait longer.
-const MOST_LOSSES: u8 = 4;
+const MAX_BACKOFF_DOUBLINGS: u8 = 4;
 /// Attempts that failed or were slow beyond this part stop a return, or end a drill.
-const WORSE: f64 = 0.2;
+const MAX_DEGRADED_SHARE: f64 = 0.2;
 /// So many ends at least before outcomes are judged.
-const ENOUGH: u32 = 10;
+const MIN_ATTEMPTS: u32 = 10;
 /// A zone that has stayed up for so many of its last waits is as if it had never been lost.
-const FORGIVEN: u32 = 8;
+const FORGIVE_AFTER_BACKOFFS: u32 = 8;
 
 /// What has been done to a zone, and why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -55,8 +55,9 @@
         )
     }
 
-    fn recovery_backoff(&self, terms: &FailoverConfig) -> Duration {
-        terms.recovery_backoff * (1 << self.plan.consecutive_losses.saturating_sub(1).min(MOST_LOSSES))
+    fn recovery_backoff(&self, config: &FailoverConfig) -> Duration {
+        config.recovery_backoff
+            * (1 << self.plan.consecutive_losses.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS))
     }
 
     fn transition(
@@ -80,7 +81,8 @@
     }
 
     fn mark_lost(&mut self, now: Duration, to: ZoneState, why: &'static str) -> Option<Transition> {
-        self.plan.consecutive_losses = self.plan.consecutive_losses.saturating_add(1).min(MOST_LOSSES + 1);
+        self.plan.consecutive_losses =
+            self.plan.consecutive_losses.saturating_add(1).min(MAX_BACKOFF_DOUBLINGS + 1);
         self.transition(now, to, 0, why)
     }
 
@@ -88,10 +90,10 @@
     pub fn step(
         &mut self,
         now: Duration,
-        terms: &FailoverConfig,
+        config: &FailoverConfig,
         finding: ZoneHealth,
         seen: &Evidence,
-        wish: OperatorOverride,
+        operator_override: OperatorOverride,
         others_worse: f64,
     ) -> Option<Transition> {
         let lasted = match self.found {
@@ -101,20 +103,21 @@
                 Duration::ZERO
             }
         };
-        let pace = if wish == OperatorOverride::FastRecovery {
-            terms.ramp_interval / 2
+        let pace = if operator_override == OperatorOverride::FastRecovery {
+            config.ramp_interval / 2
         } else {
-            terms.ramp_interval
+            config.ramp_interval
         };
-        if !matches!(wish, OperatorOverride::Disable | OperatorOverride::Drill) {
+        if !matches!(operator_override, OperatorOverride::Disable | OperatorOverride::Drill) {
             self.given_up = false;
         }
-        let wants_out = matches!(wish, OperatorOverride::Disable | OperatorOverride::Drill) && !self.given_up;
+        let wants_out = matches!(operator_override, OperatorOverride::Disable | OperatorOverride::Drill)
+            && !self.given_up;
         let gone = finding == ZoneHealth::Unreachable;
         let bad = gone || finding == ZoneHealth::Partitioned;
         let lost_as = if gone { ZoneState::Lost } else { ZoneState::Partitioned };
         match self.plan.state {
-            ZoneState::Up | ZoneState::Suspected if bad && lasted >= terms.confirmation_time => {
+            ZoneState::Up | ZoneState::Suspected if bad && lasted >= config.confirmation_time => {
                 let why = if gone { "it answers nobody" } else { "only its own fronts reach it" };
                 self.mark_lost(now, lost_as, why)
             }
@@ -124,11 +127,14 @@
             ZoneState::Suspected if !bad => {
                 self.transition(now, ZoneState::Up, FULLY_OPEN, "the evidence has passed")
             }
-            ZoneState::Up if wants_out => {
-                self.transition(now, ZoneState::Disabled, down(FULLY_OPEN), "an operator takes it out")
-            }
+            ZoneState::Up if wants_out => self.transition(
+                now,
+                ZoneState::Disabled,
+                next_step_down(FULLY_OPEN),
+                "an operator takes it out",
+            ),
             ZoneState::Up => {
-                let calm = self.recovery_backoff(terms) * FORGIVEN;
+                let calm = self.recovery_backoff(config) * FORGIVE_AFTER_BACKOFFS;
                 if self.plan.consecutive_losses > 0 && now >= self.since + calm {
                     self.plan.consecutive_losses = 0;
                 }
@@ -136,65 +142,82 @@
             }
             ZoneState::Suspected => None,
             ZoneState::Disabled
-                if bad && lasted >= terms.confirmation_time && self.plan.open_permille > 0 =>
+                if bad && lasted >= config.confirmation_time && self.plan.open_permille > 0 =>
             {
                 self.mark_lost(now, lost_as, "it answers nobody")
             }
             ZoneState::Disabled
-                if wish == OperatorOverride::Drill && others_worse > WORSE && !self.given_up =>
+                if operator_override == OperatorOverride::Drill
+                    && others_worse > MAX_DEGRADED_SHARE
+                    && !self.given_up =>
             {
                 self.given_up = true;
-                self.transition(now, ZoneState::Recovering, STEPS[0], "the drill made others worse")
+                self.transition(now, ZoneState::Recovering, RAMP_STEPS[0], "the drill made others worse")
             }
             ZoneState::Disabled if !wants_out => {
-                let open = self.plan.open_permille.max(STEPS[0]);
+                let open = self.plan.open_permille.max(RAMP_STEPS[0]);
                 self.transition(now, ZoneState::Recovering, open, "an operator gives it back")
             }
-            ZoneState::Disabled if self.plan.open_permille > 0 && now >= self.stepped + pace => {
-                self.transition(now, ZoneState::Disabled, down(self.plan.open_permille), "a further step out")
-            }
+            ZoneState::Disabled if self.plan.open_permille > 0 && now >= self.stepped + pace => self
+                .transition(
+                    now,
+                    ZoneState::Disabled,
+                    next_step_down(self.plan.open_permille),
+                    "a further step out",
+                ),
             ZoneState::Disabled => None,
-            ZoneState::Lost | ZoneState::Partitioned if wish == OperatorOverride::HoldRecovery => None,
+            ZoneState::Lost | ZoneState::Partitioned
+                if operator_override == OperatorOverride::HoldRecovery =>
+            {
+                None
+            }
             // Its own fronts are the ones that can tell first that the others reach it again.
             ZoneState::Partitioned
-                if finding == ZoneHealth::Unreachable && lasted >= terms.confirmation_time =>
+                if finding == ZoneHealth::Unreachable && lasted >= config.confirmation_time =>
             {
                 self.transition(now, ZoneState::Lost, 0, "its own fronts lost it too")
             }
-            ZoneState::Lost | ZoneState::Partitioned if now >= self.since + self.recovery_backoff(terms) => {
+            ZoneState::Lost | ZoneState::Partitioned if now >= self.since + self.recovery_backoff(config) => {
                 self.transition(now, ZoneState::Probing, 0, "it has been left alone for its wait")
             }
             ZoneState::Lost | ZoneState::Partitioned => None,
             ZoneState::Probing if finding == ZoneHealth::Healthy || finding == ZoneHealth::FrontsLost => {
-                (lasted >= terms.probation)
+                (lasted >= config.probation)
                     .then(|| {
-                        self.transition(now, ZoneState::Recovering, STEPS[0], "it answered for long enough")
+                        self.transition(
+                            now,
+                            ZoneState::Recovering,
+                            RAMP_STEPS[0],
+                            "it answered for long enough",
+                        )
                     })
                     .flatten()
             }
-            ZoneState::Probing if now >= self.since + terms.probation * 4 => {
+            ZoneState::Probing if now >= self.since + config.probation * 4 => {
                 self.mark_lost(now, ZoneState::Lost, "it did not answer when tried out")
             }
             ZoneState::Probing => None,
-            ZoneState::Recovering if bad => (lasted >= terms.confirmation_time)
+            ZoneState::Recovering if bad => (lasted >= config.confirmation_time)
                 .then(|| self.mark_lost(now, lost_as, "lost again on its return"))
                 .flatten(),
-            ZoneState::Recovering if seen.attempts >= ENOUGH && seen.degraded_share > WORSE => {
-                let worse =
-                    now >= self.stepped + terms.report_interval * 2 && self.plan.open_permille > STEPS[0];
+            ZoneState::Recovering
+                if seen.attempts >= MIN_ATTEMPTS && seen.degraded_share > MAX_DEGRADED_SHARE =>
+            {
+                let worse = now >= self.stepped + config.report_interval * 2
+                    && self.plan.open_permille > RAMP_STEPS[0];
                 worse
                     .then(|| {
                         self.transition(
                             now,
                             ZoneState::Recovering,
-                            down(self.plan.open_permille),
+                            next_step_down(self.plan.open_permille),
                             "outcomes there worsen",
                         )
                     })
                     .flatten()
             }
             ZoneState::Recovering if now < self.stepped + pace || finding == ZoneHealth::Unknown => None,
-            ZoneState::Recovering => match STEPS.iter().find(|step| **step > self.plan.open_permille) {
+            ZoneState::Recovering => match RAMP_STEPS.iter().find(|step| **step > self.plan.open_permille) {
                 Some(step) => {
                     self.transition(now, ZoneState::Recovering, *step, "what is open there does well")
                 }
@@ -204,13 +227,13 @@
     }
 }
 
-fn down(open: u16) -> u16 {
-    STEPS.iter().rev().find(|step| **step < open).copied().unwrap_or(0)
+fn next_step_down(open: u16) -> u16 {
+    RAMP_STEPS.iter().rev().find(|step| **step < open).copied().unwrap_or(0)
 }
 
 /// Which request classes may not go yet to a zone that returns: short work warms it first. `works` is the work of a
 /// request of each.
-pub(crate) fn barred(open: u16, works: &[f64]) -> u64 {
+pub(crate) fn blocked_classes(open: u16, works: &[f64]) -> u64 {
     let mut order: Vec<usize> = (0..works.len()).collect();
     order.sort_by(|a, b| works[*a].total_cmp(&works[*b]).then(a.cmp(b)));
     // On the first step the shorter half of the groups, on the second three quarters, then all.
@@ -220,5 +243,5 @@
         _ => works.len(),
     };
     let late = order.iter().skip(let_in);
-    late.fold(0, |bits, group| bits | 1u64.checked_shl(*group as u32).unwrap_or(0))
+    late.fold(0, |bits, class| bits | 1u64.checked_shl(*class as u32).unwrap_or(0))
 }
--- a/crates/core/zone-failover/tests/limits.rs
+++ b/crates/core/zone-failover/tests/limits.rs
@@ -3,35 +3,37 @@
 use lemonusher_zone_failover::*;
 use std::time::Duration;
 
-const KEPT: u32 = 4096;
+const CAPACITY: u32 = 4096;
 
 #[test]
 fn a_whole_list_that_comes_again_keeps_all_that_were_known() {
-    for (engines, listed) in [(1024, 1024), (KEPT, KEPT), (KEPT + 1, KEPT)] {
-        let mut eyes = Observer::new(Duration::ZERO, 0, Vec::new());
+    for (engines, listed) in [(1024, 1024), (CAPACITY, CAPACITY), (CAPACITY + 1, CAPACITY)] {
+        let mut observer = Observer::new(Duration::ZERO, 0, Vec::new());
         for _ in 0..2 {
-            eyes.begin_full_list();
-            (0..engines).for_each(|engine| eyes.update_engine(engine, 1, 8, true));
-            eyes.end_full_list();
+            observer.begin_full_list();
+            (0..engines).for_each(|engine| observer.update_engine(engine, 1, 8, true));
+            observer.end_full_list();
         }
-        let report = eyes.report(Duration::from_secs(1), &terms(), 1.0).0;
-        let sight = report.zones.iter().find(|sight| sight.zone == 1).map(|sight| u32::from(sight.listed));
-        assert_eq!(sight, (listed > 0).then_some(listed), "{engines} engines");
+        let report = observer.report(Duration::from_secs(1), &config(), 1.0).0;
+        let stats = report.zones.iter().find(|stats| stats.zone == 1).map(|stats| u32::from(stats.listed));
+        assert_eq!(stats, (listed > 0).then_some(listed), "{engines} engines");
     }
 }
 
 #[test]
 fn reports_of_many_fronts_count() {
-    for (fronts, kept) in [(1024, 1024), (u64::from(KEPT), KEPT), (u64::from(KEPT) + 1, KEPT)] {
-        let mut judge = HealthEvaluator::default();
+    for (fronts, kept) in [(1024, 1024), (u64::from(CAPACITY), CAPACITY), (u64::from(CAPACITY) + 1, CAPACITY)]
+    {
+        let mut evaluator = HealthEvaluator::default();
         for _ in 0..2 {
-            (0..fronts).for_each(|front| judge.handle_report(Duration::ZERO, front, FrontReport::default()));
+            (0..fronts)
+                .for_each(|front| evaluator.handle_report(Duration::ZERO, front, FrontReport::default()));
         }
-        assert_eq!(judge.front_count(), kept as usize);
+        assert_eq!(evaluator.front_count(), kept as usize);
     }
 }
 
-fn terms() -> FailoverConfig {
+fn config() -> FailoverConfig {
     let ms = Duration::from_millis;
     FailoverConfig {
         report_interval: ms(500),
--- a/crates/core/zone-failover/tests/mutants.rs
+++ b/crates/core/zone-failover/tests/mutants.rs
@@ -7,7 +7,7 @@
     Duration::from_millis(ms)
 }
 
-fn terms() -> FailoverConfig {
+fn config() -> FailoverConfig {
     let (period, confirm, steady, pace) = (ms(500), ms(1500), ms(2000), ms(2000));
     let (wait, stale) = (ms(4000), ms(6000));
     FailoverConfig {
@@ -22,8 +22,8 @@
     }
 }
 
-fn groups(rate: f64, floor: f64) -> Vec<ClassLoad> {
-    let group = |utility, work| ClassLoad {
+fn classes(rate: f64, floor: f64) -> Vec<ClassLoad> {
+    let class = |utility, work| ClassLoad {
         priority_weight: utility,
         work,
         rate,
@@ -32,26 +32,26 @@
         floor,
         allowed_zones: None,
     };
-    vec![group(1.0, 0.2), group(1.0, 2.0)]
+    vec![class(1.0, 0.2), class(1.0, 2.0)]
 }
 
 /// Whether all are served to their floor at least.
 fn floors_hold(floor: f64) -> bool {
-    let plan = allocate(&groups(10.0, floor), &[ZoneCapacity { zone: 0, work: 2.5 }]);
+    let plan = allocate(&classes(10.0, floor), &[ZoneCapacity { zone: 0, work: 2.5 }]);
     plan.served_shares.iter().all(|part| *part >= 0.1 - 1e-9)
 }
 
 /// Whether no two steps of a return lie closer than the stated pace.
-fn paced(terms: &FailoverConfig) -> bool {
-    let mut course = ZoneStateMachine::new(
+fn paced(config: &FailoverConfig) -> bool {
+    let mut state_machine = ZoneStateMachine::new(
         ms(0),
         ZonePlan { state: ZoneState::Probing, open_permille: 0, blocked_classes: 0, consecutive_losses: 1 },
     );
     let seen = Evidence { healthy_remote: 3, answering_share: 1.0, ..Evidence::default() };
     let (mut now, mut dates) = (ms(0), Vec::new());
-    while course.plan.state != ZoneState::Up && now < ms(60_000) {
+    while state_machine.plan.state != ZoneState::Up && now < ms(60_000) {
         now += ms(500);
-        let step = course.step(now, terms, ZoneHealth::Healthy, &seen, OperatorOverride::Auto, 0.0);
+        let step = state_machine.step(now, config, ZoneHealth::Healthy, &seen, OperatorOverride::Auto, 0.0);
         dates.extend(step.filter(|step| step.to == ZoneState::Recovering).map(|_| now));
     }
     dates.len() >= 3 && dates.windows(2).all(|two| two[1] - two[0] >= ms(2000))
@@ -59,19 +59,19 @@
 
 /// Work a second that so many fronts let in that all go by themselves, over what is left and safe.
 fn alone(fronts: usize, share: f64) -> f64 {
-    let own = LocalView {
+    let local = LocalView {
         zones: vec![(ZoneHealth::Unreachable, 16), (ZoneHealth::Healthy, 16)],
-        classes: groups(8.0, 0.1),
+        classes: classes(8.0, 0.1),
         quota: share,
     };
-    let mut follow = PlanFollower::new(ms(0), 1, 1);
+    let mut follower = PlanFollower::new(ms(0), 1, 1);
     let mut effect = PlanEffect::default();
     for turn in 0..40 {
-        effect = follow.effect(ms(500) * turn, &terms(), &own);
+        effect = follower.effect(ms(500) * turn, &config(), &local);
     }
     assert!(effect.isolated);
     let works: f64 =
-        own.classes.iter().zip(&effect.admitted_shares).map(|(group, part)| group.demand() * part).sum();
+        local.classes.iter().zip(&effect.admitted_shares).map(|(class, part)| class.demand() * part).sum();
     works * fronts as f64 / (16.0 * 0.8)
 }
 
@@ -81,19 +81,19 @@
         zones: vec![ZonePlan { state, open_permille: open, ..ZonePlan::default() }],
         ..FailoverPlan::default()
     };
-    let mut follow = PlanFollower::new(ms(0), 1, 1);
-    follow.handle_plan(ms(1), (3, 7), &plan(ZoneState::Lost, 0));
+    let mut follower = PlanFollower::new(ms(0), 1, 1);
+    follower.handle_plan(ms(1), (3, 7), &plan(ZoneState::Lost, 0));
     let older = if ordered { (3, 6) } else { (3, 8) }; // A front that does not compare takes any for newer.
-    follow.handle_plan(ms(2), older, &plan(ZoneState::Up, FULLY_OPEN));
-    let own = LocalView { zones: vec![(ZoneHealth::Unknown, 8)], ..LocalView::default() };
-    !follow.effect(ms(3), &terms(), &own).restrictions.is_empty()
+    follower.handle_plan(ms(2), older, &plan(ZoneState::Up, FULLY_OPEN));
+    let local = LocalView { zones: vec![(ZoneHealth::Unknown, 8)], ..LocalView::default() };
+    !follower.effect(ms(3), &config(), &local).restrictions.is_empty()
 }
 
 #[test]
 fn each_spoilt_rule_is_caught() {
     assert!(floors_hold(0.1) && !floors_hold(0.0), "no floor");
-    let hasty = FailoverConfig { ramp_interval: Duration::ZERO, ..terms() };
-    assert!(paced(&terms()) && !paced(&hasty), "no pace");
+    let hasty = FailoverConfig { ramp_interval: Duration::ZERO, ..config() };
+    assert!(paced(&config()) && !paced(&hasty), "no pace");
     assert!(alone(20, 1.0 / 20.0) <= 1.0 + 1e-6, "{}", alone(20, 1.0 / 20.0));
     assert!(alone(20, 1.0) > 1.5, "an unbounded solitary rule");
     assert!(keeps_epoch(true) && !keeps_epoch(false), "an old epoch believed");
--- a/crates/core/zone-failover/tests/planner.rs
+++ b/crates/core/zone-failover/tests/planner.rs
@@ -4,14 +4,14 @@
 
 /// Demands and capacities in whole units, so that all plans can be tried.
 struct Case {
-    groups: Vec<ClassLoad>,
+    classes: Vec<ClassLoad>,
     capacities: Vec<ZoneCapacity>,
 }
 
 fn case(chance: &mut fastrand::Rng) -> Case {
-    let sites = chance.u32(1..4);
-    let group = |chance: &mut fastrand::Rng| {
-        let only = chance.bool().then(|| (0..sites).filter(|_| chance.bool()).collect::<Vec<u32>>());
+    let zones = chance.u32(1..4);
+    let class = |chance: &mut fastrand::Rng| {
+        let only = chance.bool().then(|| (0..zones).filter(|_| chance.bool()).collect::<Vec<u32>>());
         ClassLoad {
             priority_weight: f64::from(chance.u32(1..10)),
             work: f64::from(chance.u32(1..4)),
@@ -22,52 +22,52 @@
             allowed_zones: only,
         }
     };
-    let groups = (0..chance.u32(1..4)).map(|_| group(chance)).collect();
+    let classes = (0..chance.u32(1..4)).map(|_| class(chance)).collect();
     let capacities =
-        (0..sites).map(|site| ZoneCapacity { zone: site, work: f64::from(chance.u32(0..8)) }).collect();
-    Case { groups, capacities }
+        (0..zones).map(|zone| ZoneCapacity { zone, work: f64::from(chance.u32(0..8)) }).collect();
+    Case { classes, capacities }
 }
 
 /// Whether so much of each group (in units of work) fits the zones.
-fn fits(case: &Case, wanted: &[u32], group: usize, left: &mut Vec<u32>) -> bool {
-    if group == wanted.len() {
+fn fits(case: &Case, wanted: &[u32], class: usize, left: &mut Vec<u32>) -> bool {
+    if class == wanted.len() {
         return true;
     }
     fn spread(
         case: &Case,
         wanted: &[u32],
-        group: usize,
-        site: usize,
+        class: usize,
+        zone: usize,
         much: u32,
         left: &mut Vec<u32>,
     ) -> bool {
-        if site == left.len() {
-            return much == 0 && fits(case, wanted, group + 1, left);
+        if zone == left.len() {
+            return much == 0 && fits(case, wanted, class + 1, left);
         }
-        let may = case.groups[group].allowed_zones.as_ref().is_none_or(|only| only.contains(&(site as u32)));
-        let most = if may { much.min(left[site]) } else { 0 };
+        let may = case.classes[class].allowed_zones.as_ref().is_none_or(|only| only.contains(&(zone as u32)));
+        let most = if may { much.min(left[zone]) } else { 0 };
         for some in 0..=most {
-            left[site] -= some;
-            let found = spread(case, wanted, group, site + 1, much - some, left);
-            left[site] += some;
+            left[zone] -= some;
+            let found = spread(case, wanted, class, zone + 1, much - some, left);
+            left[zone] += some;
             if found {
                 return true;
             }
         }
         false
     }
-    spread(case, wanted, group, 0, wanted[group], left)
+    spread(case, wanted, class, 0, wanted[class], left)
 }
 
 /// The most worth of any plan in whole units of work.
 fn best(case: &Case) -> f64 {
-    let most: Vec<u32> = case.groups.iter().map(|group| group.demand() as u32).collect();
+    let most: Vec<u32> = case.classes.iter().map(|class| class.demand() as u32).collect();
     let (mut wanted, mut best) = (vec![0; most.len()], 0.0f64);
     loop {
         let worth: f64 = wanted
             .iter()
-            .zip(&case.groups)
-            .map(|(units, group)| f64::from(*units) / group.work * group.priority_weight)
+            .zip(&case.classes)
+            .map(|(units, class)| f64::from(*units) / class.work * class.priority_weight)
             .sum();
         let mut left: Vec<u32> = case.capacities.iter().map(|capacity| capacity.work as u32).collect();
         if worth > best && fits(case, &wanted, 0, &mut left) {
@@ -85,10 +85,15 @@
     let (mut cases, mut tight) = (0, 0);
     while cases < 1500 {
         let case = case(&mut chance);
-        let plan = allocate(&case.groups, &case.capacities);
-        let (found, best) = (plan.value(&case.groups), best(&case));
-        assert!(found >= best * 0.999 - 1e-6, "{found} of {best}: {:?} {:?}", case.groups, case.capacities);
-        assert!(found <= best * 1.0001 + 1e-6, "more than there is: {:?} {:?}", case.groups, case.capacities);
+        let plan = allocate(&case.classes, &case.capacities);
+        let (found, best) = (plan.value(&case.classes), best(&case));
+        assert!(found >= best * 0.999 - 1e-6, "{found} of {best}: {:?} {:?}", case.classes, case.capacities);
+        assert!(
+            found <= best * 1.0001 + 1e-6,
+            "more than there is: {:?} {:?}",
+            case.classes,
+            case.capacities
+        );
         cases += 1;
         tight += usize::from(plan.served_shares.iter().any(|part| *part < 0.999));
     }
@@ -101,21 +106,21 @@
     let mut chance = fastrand::Rng::with_seed(12);
     for _ in 0..2000 {
         let case = case(&mut chance);
-        let plan = allocate(&case.groups, &case.capacities);
-        for (site, capacity) in case.capacities.iter().enumerate() {
-            let used: f64 = plan.flows.iter().map(|flow| flow[site]).sum();
+        let plan = allocate(&case.classes, &case.capacities);
+        for (zone, capacity) in case.capacities.iter().enumerate() {
+            let used: f64 = plan.flows.iter().map(|flow| flow[zone]).sum();
             assert!(used <= capacity.work + 1e-6);
         }
-        for (group, flow) in case.groups.iter().zip(&plan.flows) {
-            for (site, much) in flow.iter().enumerate() {
-                let may = group.allowed_zones.as_ref().is_none_or(|only| only.contains(&(site as u32)));
+        for (class, flow) in case.classes.iter().zip(&plan.flows) {
+            for (zone, much) in flow.iter().enumerate() {
+                let may = class.allowed_zones.as_ref().is_none_or(|only| only.contains(&(zone as u32)));
                 assert!(*much >= -1e-9 && (may || *much < 1e-9));
             }
         }
     }
 }
 
-fn group(utility: f64, work: f64, rate: f64, floor: f64) -> ClassLoad {
+fn class(utility: f64, work: f64, rate: f64, floor: f64) -> ClassLoad {
     ClassLoad {
         priority_weight: utility,
         work,
@@ -130,13 +135,13 @@
 #[test]
 fn the_least_worth_is_refused_first_and_none_below_its_floor() {
     // Worth for a second of work: 10, 2, 5.
-    let groups = [group(10.0, 1.0, 4.0, 0.1), group(8.0, 4.0, 2.0, 0.1), group(5.0, 1.0, 4.0, 0.1)];
+    let classes = [class(10.0, 1.0, 4.0, 0.1), class(8.0, 4.0, 2.0, 0.1), class(5.0, 1.0, 4.0, 0.1)];
     let mut before = vec![1.0; 3];
     for room in (1..=17).rev() {
-        let halves = [0, 1].map(|site| ZoneCapacity { zone: site, work: f64::from(room) / 2.0 });
-        let plan = allocate(&groups, &halves);
+        let halves = [0, 1].map(|zone| ZoneCapacity { zone, work: f64::from(room) / 2.0 });
+        let plan = allocate(&classes, &halves);
         assert_eq!(plan.shed_order, [1, 2, 0]);
-        let at_floor = |group: usize| plan.served_shares[group] <= 0.1 + 1e-6;
+        let at_floor = |class: usize| plan.served_shares[class] <= 0.1 + 1e-6;
         // Nobody loses more while one who is to lose first has anything above its floor.
         assert!(plan.served_shares[2] > 0.999 || at_floor(1), "{:?}", plan.served_shares);
         assert!(plan.served_shares[0] > 0.999 || (at_floor(1) && at_floor(2)), "{:?}", plan.served_shares);
@@ -157,10 +162,10 @@
 
 #[test]
 fn what_may_run_nowhere_is_told_and_takes_nothing_from_others() {
-    let mut bound = group(100.0, 1.0, 5.0, 0.1);
+    let mut bound = class(100.0, 1.0, 5.0, 0.1);
     bound.allowed_zones = Some(vec![0]);
     let lost = [ZoneCapacity { zone: 0, work: 0.0 }, ZoneCapacity { zone: 1, work: 3.0 }];
-    let plan = allocate(&[bound, group(1.0, 1.0, 3.0, 0.1)], &lost);
+    let plan = allocate(&[bound, class(1.0, 1.0, 3.0, 0.1)], &lost);
     assert_eq!((plan.unplaceable_shares[0], plan.served_shares[0]), (1.0, 0.0));
     assert!(plan.served_shares[1] > 0.999 && plan.unplaceable_shares[1] == 0.0);
 }
@@ -168,17 +173,17 @@
 #[test]
 fn ten_sites_and_fifty_groups_are_planned_quickly() {
     let mut chance = fastrand::Rng::with_seed(13);
-    let groups: Vec<ClassLoad> = (0..50)
+    let classes: Vec<ClassLoad> = (0..50)
         .map(|_| {
-            let mut one = group(chance.f64() * 10.0, 0.05 + chance.f64() * 5.0, chance.f64() * 400.0, 0.05);
+            let mut one = class(chance.f64() * 10.0, 0.05 + chance.f64() * 5.0, chance.f64() * 400.0, 0.05);
             one.allowed_zones = (chance.f64() < 0.3).then(|| (0..10).filter(|_| chance.bool()).collect());
             one
         })
         .collect();
-    let sites: Vec<ZoneCapacity> =
-        (0..10).map(|site| ZoneCapacity { zone: site, work: 8.0 * 40.0 * (0.5 + chance.f64()) }).collect();
+    let zones: Vec<ZoneCapacity> =
+        (0..10).map(|zone| ZoneCapacity { zone, work: 8.0 * 40.0 * (0.5 + chance.f64()) }).collect();
     let from = std::time::Instant::now();
-    let plan = allocate(&groups, &sites);
+    let plan = allocate(&classes, &zones);
     println!("proof: sites_plan_of_10_sites_50_groups {:?}", from.elapsed());
     assert!(plan.utilization.iter().all(|part| *part <= 1.0 + 1e-6));
 }
--- a/crates/edges/fleet/src/sites.rs
+++ b/crates/edges/fleet/src/sites.rs
@@ -89,7 +89,7 @@
         let holder = self.holder.as_mut()?;
         holder.set_lease(number);
         let want = holder.poll(now, &self.terms, &self.wishes);
-        for (site, step) in holder.steps() {
+        for (site, step) in holder.take_transitions() {
             tracing::info!(
                 site,
                 "sites: site {site} from {} to {}, {} in 1000 open: {}",
@@ -114,9 +114,9 @@
         match outcome {
             ProposalOutcome::Committed { entry, .. } => {
                 let plan = entry.as_ref().and_then(|entry| FailoverPlan::from_bytes(&entry.value));
-                holder.on_committed(now, entry.as_ref().map(|entry| epoch(entry.version)), plan);
+                holder.handle_committed(now, entry.as_ref().map(|entry| epoch(entry.version)), plan);
             }
-            ProposalOutcome::Conflict { .. } | ProposalOutcome::Unknown { .. } => holder.on_failure(),
+            ProposalOutcome::Conflict { .. } | ProposalOutcome::Unknown { .. } => holder.handle_failure(),
         }
     }
 
--- a/crates/edges/fleet/src/works.rs
+++ b/crates/edges/fleet/src/works.rs
@@ -178,9 +178,9 @@
         let (Some(foreman), Some(work)) = (&mut self.foreman, number(name)) else { return };
         match outcome {
             ProposalOutcome::Committed { entry, .. } | ProposalOutcome::Conflict { entry, .. } => {
-                foreman.on_committed(now, work, entry.as_ref().and_then(read));
+                foreman.handle_committed(now, work, entry.as_ref().and_then(read));
             }
-            ProposalOutcome::Unknown { .. } => foreman.on_failure(work),
+            ProposalOutcome::Unknown { .. } => foreman.handle_failure(work),
         }
     }
 
--- a/crates/edges/routing/src/router.rs
+++ b/crates/edges/routing/src/router.rs
@@ -494,7 +494,7 @@
     /// The fleet's plan means this here from now on.
     fn follow(&mut self, now: Duration, effect: &PlanEffect) {
         let Some(watched) = &mut self.watched else { return };
-        watched.door.set(effect);
+        watched.door.apply(effect);
         log::info!(
             "sites: epoch {:?}{}, closed in part: {:?}, let in: {:?}",
             effect.epoch,
--- a/crates/tools/scale/src/roles/maintenance/machines.rs
+++ b/crates/tools/scale/src/roles/maintenance/machines.rs
@@ -101,12 +101,12 @@
     while let Some(want) = foreman.poll(now, terms, seen) {
         match want {
             RegisterAction::Read(NUMBER) => {
-                foreman.on_committed(now, NUMBER, Some((register.stamp, register.work.clone())));
+                foreman.handle_committed(now, NUMBER, Some((register.stamp, register.work.clone())));
             }
-            RegisterAction::Read(other) => foreman.on_committed(now, other, None),
+            RegisterAction::Read(other) => foreman.handle_committed(now, other, None),
             RegisterAction::Write(change) => {
                 register.settle(change.value);
-                foreman.on_committed(now, NUMBER, Some((register.stamp, register.work.clone())));
+                foreman.handle_committed(now, NUMBER, Some((register.stamp, register.work.clone())));
                 return;
             }
         }
--- a/crates/tools/scale/src/roles/maintenance/sites.rs
+++ b/crates/tools/scale/src/roles/maintenance/sites.rs
@@ -127,7 +127,7 @@
             holder.poll(now, &terms(), &[])
         });
         match want {
-            Some(RegisterAction::Read) => holder.on_committed(now, None, None),
+            Some(RegisterAction::Read) => holder.handle_committed(now, None, None),
             Some(RegisterAction::Write { plan, .. }) => {
                 version += 1;
                 if closes(&plan) {
@@ -135,7 +135,7 @@
                     let more = vec![(PLANNED_AFTER, after.as_secs_f64())];
                     return Ok(Shown { turns, bytes: bytes_of(holder), more });
                 }
-                holder.on_committed(now, Some((1, version)), Some(plan));
+                holder.handle_committed(now, Some((1, version)), Some(plan));
             }
             None => {}
         }
