--- a/crates/core/zone-failover/src/health.rs
+++ b/crates/core/zone-failover/src/health.rs
@@ -1,33 +1,42 @@
-//! Weighs what many fronts see of a zone.
+//! Weighs what many fronts observe of a zone.
 //!
-//! The rule where evidence disagrees: a front's view of a zone is good if at least half of the engines there that it
-//! has tried answer, and bad otherwise; one that has tried none has no view. Fronts **at** the zone and fronts
-//! **elsewhere** are counted apart.
+//! The rule where evidence disagrees. A front's view of a zone is good if at least half of the engines there that it has
+//! tried answer, and bad otherwise; a front that has tried none has no view. *Local* fronts, in the zone itself, and
+//! *remote* ones are counted apart.
 //!
-//! - Gone: most of those elsewhere who have a view find it bad, two of them at least (one where there is but one), and
-//!   of those at the zone none is heard, or most find it bad too. One front with a bad link is never enough.
-//! - Cut off: most of those elsewhere find it bad, most of those at the zone find it good.
-//! - Bare: its engines answer those elsewhere, but no front that stood there is heard any more.
-//! - Well: anything else. The list alone never makes a zone well or gone: it lags, and names what no longer answers.
+//! - `Unknown`: nobody has a view.
+//! - `Partitioned`: most remote views are bad, most local ones good.
+//! - `Unreachable`: most remote views are bad, and most local ones too, as far as there are any.
+//! - `FrontsLost`: the remote views are good, but no front of the zone reports any more.
+//! - `Healthy`: anything else.
+//!
+//! Where more than one front reports, two bad views are needed at least, so one front with a bad link is never enough.
+//! The endpoint list alone makes no zone healthy or unreachable: it lags, and names what no longer answers.
 
-use crate::{Demand, FrontReport, MAX_CLASSES, MAX_ZONES, Zone};
+use crate::{Demand, FrontReport, MAX_CLASSES, MAX_ZONES, Zone, ZoneStats, ZoneSupply};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
 
-/// Periods for which a report counts.
-const FRESH: u32 = 3;
-/// Fronts whose reports are kept at most.
+/// Report intervals for which a report counts.
+const REPORT_LIFETIME_INTERVALS: u32 = 3;
+/// Fronts whose reports count at most.
 const MAX_FRONTS: usize = 4096;
-/// What slow engines are taken to bear of what they bear at full speed.
-const SLOW: f64 = 0.25;
+/// What slow engines bear, as a share of what they bear at full speed.
+const SLOW_CAPACITY_SHARE: f64 = 0.25;
+/// Bad views that are needed where several fronts report.
+const MIN_UNHEALTHY_VIEWS: u32 = 2;
 
+/// How a zone is, by the evidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ZoneHealth {
+    /// Most fronts reach it.
     Healthy,
-    /// Its engines serve, its fronts are gone.
+    /// Its engines serve, its fronts no longer report.
     FrontsLost,
+    /// Its own fronts reach it, the others don't.
     Partitioned,
+    /// No front reaches it.
     Unreachable,
     /// Nobody has a view.
     Unknown,
@@ -46,149 +55,225 @@
     }
 }
 
-/// What all fronts together see of a zone.
+impl ZoneStats {
+    /// One front's view of the zone: whether at least half of the engines tried answer; none where none was tried.
+    pub(crate) fn is_healthy(&self) -> Option<bool> {
+        let tried = u32::from(self.answering) + u32::from(self.silent);
+        (tried > 0).then_some(u32::from(self.answering) * 2 >= tried)
+    }
+}
+
+/// What all fronts together observe of a zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Evidence {
-    /// Fronts elsewhere, and at the zone, that find it good or bad.
+    /// Remote fronts with a good view.
     pub healthy_remote: u32,
+    /// Remote fronts with a bad view.
     pub unhealthy_remote: u32,
+    /// Local fronts with a good view.
     pub healthy_local: u32,
+    /// Local fronts with a bad view.
     pub unhealthy_local: u32,
-    /// Fronts at the zone that are heard at all.
+    /// Local fronts that report at all.
     pub local_fronts: u32,
-    /// Cores listed there, as most that any front is told.
+    /// Cores listed there; the most that any front reports.
     pub cores: u32,
-    /// The part of the engines tried that answer, with slow ones counted for less.
+    /// The share of the engines tried that answer, with slow ones counted for less; from 0 to 1.
     pub answering_share: f64,
-    /// The part of attempts there that failed or were slow.
+    /// The share of attempts there that failed or were slow; from 0 to 1.
     pub degraded_share: f64,
-    /// Attempts that ended there.
+    /// Attempts that ended there over the last report intervals.
     pub attempts: u32,
 }
 
 impl Evidence {
+    /// Applies the rule of the module. `fronts`: how many report at all; `had_fronts`: whether any front of this zone
+    /// ever did.
     pub fn health(&self, fronts: usize, had_fronts: bool) -> ZoneHealth {
-        let enough = if fronts > 1 { 2 } else { 1 };
-        let away = self.healthy_remote + self.unhealthy_remote;
-        let there = self.healthy_local + self.unhealthy_local;
-        let bad_away = self.unhealthy_remote * 2 > away;
-        let bad_there = self.unhealthy_local * 2 > there;
-        if away + there == 0 {
+        let needed = if fronts > 1 { MIN_UNHEALTHY_VIEWS } else { 1 };
+        let remote = self.healthy_remote + self.unhealthy_remote;
+        let local = self.healthy_local + self.unhealthy_local;
+        if remote + local == 0 {
             return ZoneHealth::Unknown;
         }
-        if bad_away && self.healthy_local * 2 > there && there > 0 {
-            return if self.unhealthy_remote >= enough {
-                ZoneHealth::Partitioned
-            } else {
-                ZoneHealth::Healthy
-            };
+        let remote_bad = self.unhealthy_remote * 2 > remote;
+        let local_bad = self.unhealthy_local * 2 > local;
+        let local_good = local > 0 && self.healthy_local * 2 > local;
+        if remote_bad && local_good {
+            let enough = self.unhealthy_remote >= needed;
+            return if enough { ZoneHealth::Partitioned } else { ZoneHealth::Healthy };
         }
-        let all_bad = (bad_away || away == 0) && (bad_there || there == 0);
-        if all_bad && self.unhealthy_remote + self.unhealthy_local >= enough {
+        let all_bad = (remote_bad || remote == 0) && (local_bad || local == 0);
+        if all_bad && self.unhealthy_remote + self.unhealthy_local >= needed {
             return ZoneHealth::Unreachable;
         }
-        let bare = had_fronts && self.local_fronts == 0 && self.healthy_remote * 2 >= away;
-        if bare { ZoneHealth::FrontsLost } else { ZoneHealth::Healthy }
+        let fronts_lost = had_fronts && self.local_fronts == 0 && self.healthy_remote * 2 >= remote;
+        if fronts_lost { ZoneHealth::FrontsLost } else { ZoneHealth::Healthy }
+    }
+
+    pub(crate) fn supply(&self) -> ZoneSupply {
+        ZoneSupply { cores: self.cores, answering_share: self.answering_share }
+    }
+
+    fn add_view(&mut self, is_local: bool, is_healthy: bool) {
+        match (is_local, is_healthy) {
+            (false, true) => self.healthy_remote += 1,
+            (false, false) => self.unhealthy_remote += 1,
+            (true, true) => self.healthy_local += 1,
+            (true, false) => self.unhealthy_local += 1,
+        }
     }
 }
 
-/// Keeps the latest report of each front.
+/// Sums over all fronts for one zone.
+#[derive(Debug, Default)]
+struct Totals {
+    answering: u32,
+    tried: u32,
+    returned: u32,
+    slow: u32,
+    failed: u32,
+}
+
+impl Totals {
+    fn add(&mut self, stats: &ZoneStats) {
+        self.answering += u32::from(stats.answering);
+        self.tried += u32::from(stats.answering) + u32::from(stats.silent);
+        self.returned = self.returned.saturating_add(stats.returned);
+        self.slow = self.slow.saturating_add(stats.slow.min(stats.returned));
+        self.failed = self.failed.saturating_add(stats.failed);
+    }
+
+    fn attempts(&self) -> u32 {
+        self.returned.saturating_add(self.failed)
+    }
+
+    fn answering_share(&self) -> f64 {
+        let full_speed = 1.0 - share(self.slow, self.returned) * (1.0 - SLOW_CAPACITY_SHARE);
+        let answering = if self.tried == 0 { 1.0 } else { share(self.answering, self.tried) };
+        answering * full_speed
+    }
+
+    fn degraded_share(&self) -> f64 {
+        share(self.slow.saturating_add(self.failed), self.attempts())
+    }
+}
+
+fn share(part: u32, of: u32) -> f64 {
+    if of == 0 { 0.0 } else { f64::from(part) / f64::from(of) }
+}
+
+/// A zone's health, with the evidence behind it.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct ObservedZone {
+    pub(crate) health: ZoneHealth,
+    pub(crate) evidence: Evidence,
+}
+
+/// A report, and when it arrived.
+#[derive(Debug, Clone)]
+struct ReceivedReport {
+    at: Duration,
+    report: FrontReport,
+}
+
+/// Holds the latest report of each front, and evaluates the zones by them.
 #[derive(Debug, Clone, Default)]
 pub struct HealthEvaluator {
-    reports: BTreeMap<u64, (Duration, FrontReport)>,
-    /// Zones at which fronts have been heard.
+    /// By the front's incarnation; [`MAX_FRONTS`] at most.
+    reports: BTreeMap<u64, ReceivedReport>,
+    /// Zones whose own fronts have ever reported.
     had_fronts: [bool; MAX_ZONES],
 }
 
 impl HealthEvaluator {
-    /// A front, by its incarnation, has told this.
+    /// Takes in a front's report; `front` is its incarnation. Reports beyond the limits, or with numbers that are not
+    /// finite, are ignored.
     pub fn handle_report(&mut self, now: Duration, front: u64, report: FrontReport) {
         let fits = report.zones.len() <= MAX_ZONES && report.demand.len() <= MAX_CLASSES;
-        let finite = report.demand.iter().all(|d| d.rate.is_finite() && d.work.is_finite());
-        let room = self.reports.contains_key(&front) || self.reports.len() < MAX_FRONTS;
-        if !fits || !finite || !room {
+        let finite = report.demand.iter().all(|demand| demand.rate.is_finite() && demand.work.is_finite());
+        let has_room = self.reports.contains_key(&front) || self.reports.len() < MAX_FRONTS;
+        if !fits || !finite || !has_room {
             return;
         }
-        if let Some(had) = self.had_fronts.get_mut(report.zone as usize) {
-            *had = true;
+        if let Some(had_fronts) = self.had_fronts.get_mut(report.zone as usize) {
+            *had_fronts = true;
         }
-        self.reports.insert(front, (now, report));
+        self.reports.insert(front, ReceivedReport { at: now, report });
     }
 
-    /// Drops what is too old to count.
-    pub fn expire(&mut self, now: Duration, period: Duration) {
-        self.reports.retain(|_, (at, _)| *at + period * FRESH > now);
+    /// Drops reports that are too old to count.
+    pub fn expire(&mut self, now: Duration, report_interval: Duration) {
+        self.reports.retain(|_, report| report.at + report_interval * REPORT_LIFETIME_INTERVALS > now);
     }
 
+    /// Fronts whose reports count.
     pub fn front_count(&self) -> usize {
         self.reports.len()
     }
 
-    /// How many zones any front has told of.
+    /// Zones that any front has reported on or stands in: one over the highest number, [`MAX_ZONES`] at most.
     pub fn zone_count(&self) -> usize {
-        let zone_stats = self.reports.values().flat_map(|(_, report)| &report.zones);
-        let stands = self.reports.values().map(|(_, report)| report.zone);
-        let most = zone_stats.map(|stats| stats.zone).chain(stands).max().map_or(0, |zone| zone as usize + 1);
-        most.min(MAX_ZONES)
+        let of_fronts = self.fronts().map(|report| report.zone);
+        let observed = self.fronts().flat_map(|report| &report.zones).map(|stats| stats.zone);
+        let count = observed.chain(of_fronts).max().map_or(0, |zone| zone as usize + 1);
+        count.min(MAX_ZONES)
     }
 
+    /// What all fronts together observe of a zone.
     pub fn evidence(&self, zone: Zone) -> Evidence {
-        let mut all = Evidence::default();
-        let (mut answering, mut tried) = (0u32, 0u32);
-        let (mut returned, mut slow, mut failed) = (0u32, 0u32, 0u32);
-        for (_, report) in self.reports.values() {
-            let there = report.zone == zone;
-            all.local_fronts += u32::from(there);
+        let mut evidence = Evidence::default();
+        let mut totals = Totals::default();
+        for report in self.fronts() {
+            let is_local = report.zone == zone;
+            evidence.local_fronts += u32::from(is_local);
             let Some(stats) = report.zones.iter().find(|stats| stats.zone == zone) else { continue };
-            all.cores = all.cores.max(stats.cores);
-            let seen = u32::from(stats.answering) + u32::from(stats.silent);
-            answering += u32::from(stats.answering);
-            tried += seen;
-            returned = returned.saturating_add(stats.returned);
-            slow = slow.saturating_add(stats.slow.min(stats.returned));
-            failed = failed.saturating_add(stats.failed);
-            if seen == 0 {
-                continue;
-            }
-            let good = u32::from(stats.answering) * 2 >= seen;
-            match (there, good) {
-                (false, true) => all.healthy_remote += 1,
-                (false, false) => all.unhealthy_remote += 1,
-                (true, true) => all.healthy_local += 1,
-                (true, false) => all.unhealthy_local += 1,
+            evidence.cores = evidence.cores.max(stats.cores);
+            totals.add(stats);
+            if let Some(is_healthy) = stats.is_healthy() {
+                evidence.add_view(is_local, is_healthy);
             }
         }
-        let part = |some: u32, of: u32| if of == 0 { 0.0 } else { f64::from(some) / f64::from(of) };
-        let quick = 1.0 - part(slow, returned) * (1.0 - SLOW);
-        all.answering_share = if tried == 0 { 1.0 } else { part(answering, tried) } * quick;
-        all.attempts = returned.saturating_add(failed);
-        all.degraded_share = part(slow.saturating_add(failed), all.attempts);
-        all
+        evidence.answering_share = totals.answering_share();
+        evidence.attempts = totals.attempts();
+        evidence.degraded_share = totals.degraded_share();
+        evidence
     }
 
+    /// A zone's health by the rule of the module.
     pub fn health(&self, zone: Zone) -> ZoneHealth {
-        let had = self.had_fronts.get(zone as usize).copied().unwrap_or_default();
-        self.evidence(zone).health(self.front_count(), had)
+        self.observe(zone).health
     }
 
-    /// What all fronts are asked for, by request class.
+    pub(crate) fn observe(&self, zone: Zone) -> ObservedZone {
+        let evidence = self.evidence(zone);
+        let had_fronts = self.had_fronts.get(zone as usize).copied().unwrap_or_default();
+        ObservedZone { health: evidence.health(self.front_count(), had_fronts), evidence }
+    }
+
+    /// The demand at all fronts, by request class: rates are summed, work is their mean weighted by rate. A front that
+    /// has not learned what a request needs counts for no work.
     pub fn demand(&self, classes: usize) -> Vec<Demand> {
-        let mut all = vec![Demand::default(); classes.min(MAX_CLASSES)];
-        let (mut work, mut known) = (vec![0.0f32; all.len()], vec![0.0f32; all.len()]);
-        for (_, report) in self.reports.values() {
-            for (class, demand) in report.demand.iter().enumerate().take(all.len()) {
+        let mut total = vec![Demand::default(); classes.min(MAX_CLASSES)];
+        let mut work = vec![0.0f32; total.len()];
+        let mut rate_with_work = vec![0.0f32; total.len()];
+        for report in self.fronts() {
+            for (class, demand) in report.demand.iter().enumerate().take(total.len()) {
                 let rate = demand.rate.max(0.0);
-                all[class].rate += rate;
-                // Who has not learned what a request needs tells no work, and counts for none.
+                total[class].rate += rate;
                 if demand.work > 0.0 {
-                    known[class] += rate;
+                    rate_with_work[class] += rate;
                     work[class] += rate * demand.work;
                 }
             }
         }
-        for (demand, (work, known)) in all.iter_mut().zip(work.into_iter().zip(known)) {
-            demand.work = if known > 0.0 { work / known } else { 0.0 };
+        for (demand, (work, rate)) in total.iter_mut().zip(work.into_iter().zip(rate_with_work)) {
+            demand.work = if rate > 0.0 { work / rate } else { 0.0 };
         }
-        all
+        total
+    }
+
+    fn fronts(&self) -> impl Iterator<Item = &FrontReport> {
+        self.reports.values().map(|received| &received.report)
     }
 }
--- a/crates/core/zone-failover/src/state_machine.rs
+++ b/crates/core/zone-failover/src/state_machine.rs
@@ -1,247 +1,335 @@
-//! The course of one zone through its states, as the holder of the lease moves it. Where a holder takes over, the state
-//! is the register's; its spans begin anew, which costs one wait at most and never shortens one.
+//! The state machine of one zone, as the coordinator moves it.
+//!
+//! One transition at most a poll; within a state the first condition that holds decides. *Lost* stands for
+//! [`ZoneState::Lost`] where no front reaches the zone, and for [`ZoneState::Partitioned`] where only its own do;
+//! *confirmed* means that the health has been the same for the confirmation time. A new coordinator takes the states
+//! from the register and counts all times anew, which can lengthen a wait by itself once, and never shortens one.
+//!
+//! | state | condition | next state | reason |
+//! | --- | --- | --- | --- |
+//! | Up | unreachable, confirmed | Lost | `Unreachable` |
+//! | Up | partitioned, confirmed | Partitioned | `Partitioned` |
+//! | Up | unreachable or partitioned | Suspected | `Suspected` |
+//! | Up | disabled by an operator | Disabled, one step less open | `OperatorDisabled` |
+//! | Suspected | neither unreachable nor partitioned | Up | `EvidenceCleared` |
+//! | Suspected | unreachable, confirmed | Lost | `Unreachable` |
+//! | Suspected | partitioned, confirmed | Partitioned | `Partitioned` |
+//! | Disabled | not yet closed; unreachable or partitioned, confirmed | *lost* | `Unreachable` |
+//! | Disabled | a drill, and outcomes elsewhere degrade | Recovering, first step | `DrillDegradedOthers` |
+//! | Disabled | no longer disabled by an operator | Recovering, as open as it is, the first step at least | `OperatorEnabled` |
+//! | Disabled | not yet closed; the ramp interval is over | Disabled, one step less open | `DrainStep` |
+//! | Lost, Partitioned | recovery held by an operator | no change | |
+//! | Partitioned | unreachable, confirmed | Lost | `LocalFrontsLostIt` |
+//! | Lost, Partitioned | the recovery backoff is over | Probing | `BackoffElapsed` |
+//! | Probing | healthy or without fronts, for the probation | Recovering, first step | `ProbationPassed` |
+//! | Probing | neither, four probations after it began | Lost | `ProbationFailed` |
+//! | Recovering | unreachable or partitioned, confirmed | *lost* | `LostDuringRecovery` |
+//! | Recovering | outcomes there degrade; two report intervals after the last step, beyond the first step | Recovering, one step less open | `OutcomesDegraded` |
+//! | Recovering | outcomes are good, health is known, the ramp interval is over | Recovering, next step | `RampStep` |
+//! | Recovering | the same, and fully open | Up | `RampComplete` |
 
-use crate::{Evidence, FULLY_OPEN, FailoverConfig, OperatorOverride, ZoneHealth, ZonePlan, ZoneState};
+use crate::{
+    Evidence, FULLY_OPEN, FailoverConfig, OperatorOverride, Transition, TransitionReason, ZoneHealth,
+    ZonePlan, ZoneState,
+};
 use std::time::Duration;
 
-/// The parts of a zone's engines that are open at each step of a return.
-const RAMP_STEPS: [u16; 5] = [125, 250, 500, 750, FULLY_OPEN];
-/// Losses in a row that still make the wait longer.
+/// The shares of a zone's engines that are open at each step of a recovery or a drain, in thousandths.
+const RAMP_STEPS_PERMILLE: [u16; 5] = [125, 250, 500, 750, FULLY_OPEN];
+/// The share at the first step of a recovery, in thousandths.
+const FIRST_STEP_PERMILLE: u16 = RAMP_STEPS_PERMILLE[0];
+/// Doublings of the recovery backoff at most.
 const MAX_BACKOFF_DOUBLINGS: u8 = 4;
-/// Attempts that failed or were slow beyond this part stop a return, or end a drill.
+/// Attempts that failed or were slow beyond this share stop a recovery, or end a drill.
 const MAX_DEGRADED_SHARE: f64 = 0.2;
-/// So many ends at least before outcomes are judged.
+/// Ended attempts below which the degraded share of a recovering zone is not judged.
 const MIN_ATTEMPTS: u32 = 10;
-/// A zone that has stayed up for so many of its last waits is as if it had never been lost.
-const FORGIVE_AFTER_BACKOFFS: u32 = 8;
-
-/// What has been done to a zone, and why.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Transition {
-    pub from: ZoneState,
-    pub to: ZoneState,
-    pub open_permille: u16,
-    pub reason: &'static str,
+/// Losses are forgotten once a zone has been up for so many of its last backoffs.
+const FORGET_AFTER_BACKOFFS: u32 = 8;
+/// Probations after which a probed zone that does not answer is lost again.
+const MAX_PROBATIONS: u32 = 4;
+/// Report intervals between two steps back of a recovery.
+const MIN_REPORTS_BETWEEN_STEPS_BACK: u32 = 2;
+
+/// What the state machine goes by at one poll.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct ZoneInput {
+    /// The zone's health by all reports.
+    pub health: ZoneHealth,
+    /// The evidence behind the health.
+    pub evidence: Evidence,
+    /// What an operator wants of the zone.
+    pub operator_override: OperatorOverride,
+    /// The largest share of attempts that failed or were slow in any other zone, from 0 to 1.
+    pub others_degraded_share: f64,
+}
+
+impl ZoneInput {
+    /// Whether the fleet can't use the zone.
+    fn is_bad(&self) -> bool {
+        matches!(self.health, ZoneHealth::Unreachable | ZoneHealth::Partitioned)
+    }
+
+    /// The state of a zone that is lost with this health.
+    fn lost_state(&self) -> ZoneState {
+        if self.health == ZoneHealth::Unreachable { ZoneState::Lost } else { ZoneState::Partitioned }
+    }
+
+    fn wants_disabled(&self) -> bool {
+        matches!(self.operator_override, OperatorOverride::Disable | OperatorOverride::Drill)
+    }
 }
 
-/// Where a zone is on its course, with what the spans are counted from.
+/// The health that a zone has had since a time.
+#[derive(Debug, Clone, Copy, PartialEq)]
+struct SteadyHealth {
+    health: ZoneHealth,
+    since: Duration,
+}
+
+/// One poll, with what the states' functions share.
+#[derive(Debug, Clone, Copy)]
+struct Poll<'a> {
+    now: Duration,
+    config: &'a FailoverConfig,
+    input: &'a ZoneInput,
+    /// How long the health has been the same.
+    health_lasted: Duration,
+}
+
+impl Poll<'_> {
+    fn is_confirmed(&self) -> bool {
+        self.health_lasted >= self.config.confirmation_time
+    }
+
+    fn ramp_interval(&self) -> Duration {
+        match self.input.operator_override {
+            OperatorOverride::FastRecovery => self.config.ramp_interval / 2,
+            _ => self.config.ramp_interval,
+        }
+    }
+}
+
+/// A zone's place in the plan, and the times that its transitions are counted from.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ZoneStateMachine {
+    /// The zone as the plan shows it; the blocked classes are filled in by [`crate::build_plan`].
     pub plan: ZonePlan,
-    /// Since when it is in this state, and on this step.
-    since: Duration,
-    stepped: Duration,
-    /// Since when the evidence has been what it is.
-    found: Option<(ZoneHealth, Duration)>,
-    /// A drill that was given up: the wish is not heeded until it changes.
-    given_up: bool,
+    /// When it entered its state.
+    entered_at: Duration,
+    /// When its state or its open share last changed.
+    stepped_at: Duration,
+    /// None until the first poll in a state.
+    steady_health: Option<SteadyHealth>,
+    /// A drill that ended by itself: the override is ignored until an operator changes it.
+    drill_ended: bool,
 }
 
 impl ZoneStateMachine {
+    /// A zone as the register shows it.
     pub fn new(now: Duration, plan: ZonePlan) -> ZoneStateMachine {
-        ZoneStateMachine { plan, since: now, stepped: now, found: None, given_up: false }
+        ZoneStateMachine { plan, entered_at: now, stepped_at: now, steady_health: None, drill_ended: false }
     }
 
     /// A zone that is up, as all are at first.
     pub fn up(now: Duration) -> ZoneStateMachine {
-        ZoneStateMachine::new(
-            now,
-            ZonePlan {
-                state: ZoneState::Up,
-                open_permille: FULLY_OPEN,
-                blocked_classes: 0,
-                consecutive_losses: 0,
-            },
-        )
+        let plan = ZonePlan { state: ZoneState::Up, open_permille: FULLY_OPEN, ..ZonePlan::default() };
+        ZoneStateMachine::new(now, plan)
     }
 
-    fn recovery_backoff(&self, config: &FailoverConfig) -> Duration {
-        config.recovery_backoff
-            * (1 << self.plan.consecutive_losses.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS))
+    /// Makes one transition at most, by the table above.
+    pub fn step(&mut self, now: Duration, config: &FailoverConfig, input: &ZoneInput) -> Option<Transition> {
+        let health_lasted = self.observe_health(now, input.health);
+        if !input.wants_disabled() {
+            self.drill_ended = false;
+        }
+        let poll = Poll { now, config, input, health_lasted };
+        match self.plan.state {
+            ZoneState::Up => self.step_up(&poll),
+            ZoneState::Suspected => self.step_suspected(&poll),
+            ZoneState::Disabled => self.step_disabled(&poll),
+            ZoneState::Lost => self.step_lost(&poll),
+            ZoneState::Partitioned => self.step_partitioned(&poll),
+            ZoneState::Probing => self.step_probing(&poll),
+            ZoneState::Recovering => self.step_recovering(&poll),
+        }
     }
 
-    fn transition(
-        &mut self,
-        now: Duration,
-        to: ZoneState,
-        open: u16,
-        why: &'static str,
-    ) -> Option<Transition> {
-        let from = self.plan.state;
-        if from == to && self.plan.open_permille == open {
+    fn step_up(&mut self, poll: &Poll) -> Option<Transition> {
+        if poll.input.is_bad() {
+            if poll.is_confirmed() {
+                return self.lose_in_use(poll);
+            }
+            return self.transition(poll.now, ZoneState::Suspected, FULLY_OPEN, TransitionReason::Suspected);
+        }
+        if self.is_disabled(poll) {
+            let open = next_step_down(FULLY_OPEN);
+            return self.transition(poll.now, ZoneState::Disabled, open, TransitionReason::OperatorDisabled);
+        }
+        let forget_after = self.recovery_backoff(poll.config) * FORGET_AFTER_BACKOFFS;
+        if self.plan.consecutive_losses > 0 && poll.now >= self.entered_at + forget_after {
+            self.plan.consecutive_losses = 0;
+        }
+        None
+    }
+
+    fn step_suspected(&mut self, poll: &Poll) -> Option<Transition> {
+        if !poll.input.is_bad() {
+            return self.transition(poll.now, ZoneState::Up, FULLY_OPEN, TransitionReason::EvidenceCleared);
+        }
+        if poll.is_confirmed() {
+            return self.lose_in_use(poll);
+        }
+        None
+    }
+
+    fn step_disabled(&mut self, poll: &Poll) -> Option<Transition> {
+        let open = self.plan.open_permille;
+        let is_drill = poll.input.operator_override == OperatorOverride::Drill && !self.drill_ended;
+        if poll.input.is_bad() && poll.is_confirmed() && open > 0 {
+            return self.mark_lost(poll.now, poll.input.lost_state(), TransitionReason::Unreachable);
+        }
+        if is_drill && poll.input.others_degraded_share > MAX_DEGRADED_SHARE {
+            self.drill_ended = true;
+            let reason = TransitionReason::DrillDegradedOthers;
+            return self.transition(poll.now, ZoneState::Recovering, FIRST_STEP_PERMILLE, reason);
+        }
+        if !self.is_disabled(poll) {
+            let open = open.max(FIRST_STEP_PERMILLE);
+            return self.transition(poll.now, ZoneState::Recovering, open, TransitionReason::OperatorEnabled);
+        }
+        if open > 0 && poll.now >= self.stepped_at + poll.ramp_interval() {
+            let open = next_step_down(open);
+            return self.transition(poll.now, ZoneState::Disabled, open, TransitionReason::DrainStep);
+        }
+        None
+    }
+
+    fn step_lost(&mut self, poll: &Poll) -> Option<Transition> {
+        if poll.input.operator_override == OperatorOverride::HoldRecovery {
             return None;
         }
-        if from != to {
-            self.since = now;
-            self.found = None;
+        self.probe_after_backoff(poll)
+    }
+
+    fn step_partitioned(&mut self, poll: &Poll) -> Option<Transition> {
+        if poll.input.operator_override == OperatorOverride::HoldRecovery {
+            return None;
+        }
+        if poll.input.health == ZoneHealth::Unreachable && poll.is_confirmed() {
+            return self.transition(poll.now, ZoneState::Lost, 0, TransitionReason::LocalFrontsLostIt);
+        }
+        self.probe_after_backoff(poll)
+    }
+
+    fn step_probing(&mut self, poll: &Poll) -> Option<Transition> {
+        if matches!(poll.input.health, ZoneHealth::Healthy | ZoneHealth::FrontsLost) {
+            if poll.health_lasted < poll.config.probation {
+                return None;
+            }
+            let reason = TransitionReason::ProbationPassed;
+            return self.transition(poll.now, ZoneState::Recovering, FIRST_STEP_PERMILLE, reason);
+        }
+        if poll.now >= self.entered_at + poll.config.probation * MAX_PROBATIONS {
+            return self.mark_lost(poll.now, ZoneState::Lost, TransitionReason::ProbationFailed);
         }
-        self.stepped = now;
-        (self.plan.state, self.plan.open_permille) = (to, open);
-        Some(Transition { from, to, open_permille: open, reason: why })
+        None
     }
 
-    fn mark_lost(&mut self, now: Duration, to: ZoneState, why: &'static str) -> Option<Transition> {
-        self.plan.consecutive_losses =
-            self.plan.consecutive_losses.saturating_add(1).min(MAX_BACKOFF_DOUBLINGS + 1);
-        self.transition(now, to, 0, why)
+    fn step_recovering(&mut self, poll: &Poll) -> Option<Transition> {
+        let open = self.plan.open_permille;
+        let evidence = &poll.input.evidence;
+        if poll.input.is_bad() {
+            if !poll.is_confirmed() {
+                return None;
+            }
+            return self.mark_lost(poll.now, poll.input.lost_state(), TransitionReason::LostDuringRecovery);
+        }
+        if evidence.attempts >= MIN_ATTEMPTS && evidence.degraded_share > MAX_DEGRADED_SHARE {
+            let wait = poll.config.report_interval * MIN_REPORTS_BETWEEN_STEPS_BACK;
+            if poll.now < self.stepped_at + wait || open <= FIRST_STEP_PERMILLE {
+                return None;
+            }
+            let open = next_step_down(open);
+            let reason = TransitionReason::OutcomesDegraded;
+            return self.transition(poll.now, ZoneState::Recovering, open, reason);
+        }
+        if poll.now < self.stepped_at + poll.ramp_interval() || poll.input.health == ZoneHealth::Unknown {
+            return None;
+        }
+        match RAMP_STEPS_PERMILLE.iter().find(|step| **step > open) {
+            Some(step) => self.transition(poll.now, ZoneState::Recovering, *step, TransitionReason::RampStep),
+            None => self.transition(poll.now, ZoneState::Up, FULLY_OPEN, TransitionReason::RampComplete),
+        }
     }
 
-    /// Moves the zone on, one step at most. `others_worse`: the part of attempts elsewhere that fail or are slow.
-    pub fn step(
-        &mut self,
-        now: Duration,
-        config: &FailoverConfig,
-        finding: ZoneHealth,
-        seen: &Evidence,
-        operator_override: OperatorOverride,
-        others_worse: f64,
-    ) -> Option<Transition> {
-        let lasted = match self.found {
-            Some((found, from)) if found == finding => now.saturating_sub(from),
+    /// How long the health has been the same.
+    fn observe_health(&mut self, now: Duration, health: ZoneHealth) -> Duration {
+        match self.steady_health {
+            Some(steady) if steady.health == health => now.saturating_sub(steady.since),
             _ => {
-                self.found = Some((finding, now));
+                self.steady_health = Some(SteadyHealth { health, since: now });
                 Duration::ZERO
             }
+        }
+    }
+
+    fn is_disabled(&self, poll: &Poll) -> bool {
+        poll.input.wants_disabled() && !self.drill_ended
+    }
+
+    fn recovery_backoff(&self, config: &FailoverConfig) -> Duration {
+        let doublings = self.plan.consecutive_losses.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
+        config.recovery_backoff * (1 << doublings)
+    }
+
+    /// A zone in use is lost.
+    fn lose_in_use(&mut self, poll: &Poll) -> Option<Transition> {
+        let reason = match poll.input.health {
+            ZoneHealth::Unreachable => TransitionReason::Unreachable,
+            _ => TransitionReason::Partitioned,
         };
-        let pace = if operator_override == OperatorOverride::FastRecovery {
-            config.ramp_interval / 2
-        } else {
-            config.ramp_interval
-        };
-        if !matches!(operator_override, OperatorOverride::Disable | OperatorOverride::Drill) {
-            self.given_up = false;
-        }
-        let wants_out = matches!(operator_override, OperatorOverride::Disable | OperatorOverride::Drill)
-            && !self.given_up;
-        let gone = finding == ZoneHealth::Unreachable;
-        let bad = gone || finding == ZoneHealth::Partitioned;
-        let lost_as = if gone { ZoneState::Lost } else { ZoneState::Partitioned };
-        match self.plan.state {
-            ZoneState::Up | ZoneState::Suspected if bad && lasted >= config.confirmation_time => {
-                let why = if gone { "it answers nobody" } else { "only its own fronts reach it" };
-                self.mark_lost(now, lost_as, why)
-            }
-            ZoneState::Up if bad => {
-                self.transition(now, ZoneState::Suspected, FULLY_OPEN, "evidence speaks against it")
-            }
-            ZoneState::Suspected if !bad => {
-                self.transition(now, ZoneState::Up, FULLY_OPEN, "the evidence has passed")
-            }
-            ZoneState::Up if wants_out => self.transition(
-                now,
-                ZoneState::Disabled,
-                next_step_down(FULLY_OPEN),
-                "an operator takes it out",
-            ),
-            ZoneState::Up => {
-                let calm = self.recovery_backoff(config) * FORGIVE_AFTER_BACKOFFS;
-                if self.plan.consecutive_losses > 0 && now >= self.since + calm {
-                    self.plan.consecutive_losses = 0;
-                }
-                None
-            }
-            ZoneState::Suspected => None,
-            ZoneState::Disabled
-                if bad && lasted >= config.confirmation_time && self.plan.open_permille > 0 =>
-            {
-                self.mark_lost(now, lost_as, "it answers nobody")
-            }
-            ZoneState::Disabled
-                if operator_override == OperatorOverride::Drill
-                    && others_worse > MAX_DEGRADED_SHARE
-                    && !self.given_up =>
-            {
-                self.given_up = true;
-                self.transition(now, ZoneState::Recovering, RAMP_STEPS[0], "the drill made others worse")
-            }
-            ZoneState::Disabled if !wants_out => {
-                let open = self.plan.open_permille.max(RAMP_STEPS[0]);
-                self.transition(now, ZoneState::Recovering, open, "an operator gives it back")
-            }
-            ZoneState::Disabled if self.plan.open_permille > 0 && now >= self.stepped + pace => self
-                .transition(
-                    now,
-                    ZoneState::Disabled,
-                    next_step_down(self.plan.open_permille),
-                    "a further step out",
-                ),
-            ZoneState::Disabled => None,
-            ZoneState::Lost | ZoneState::Partitioned
-                if operator_override == OperatorOverride::HoldRecovery =>
-            {
-                None
-            }
-            // Its own fronts are the ones that can tell first that the others reach it again.
-            ZoneState::Partitioned
-                if finding == ZoneHealth::Unreachable && lasted >= config.confirmation_time =>
-            {
-                self.transition(now, ZoneState::Lost, 0, "its own fronts lost it too")
-            }
-            ZoneState::Lost | ZoneState::Partitioned if now >= self.since + self.recovery_backoff(config) => {
-                self.transition(now, ZoneState::Probing, 0, "it has been left alone for its wait")
-            }
-            ZoneState::Lost | ZoneState::Partitioned => None,
-            ZoneState::Probing if finding == ZoneHealth::Healthy || finding == ZoneHealth::FrontsLost => {
-                (lasted >= config.probation)
-                    .then(|| {
-                        self.transition(
-                            now,
-                            ZoneState::Recovering,
-                            RAMP_STEPS[0],
-                            "it answered for long enough",
-                        )
-                    })
-                    .flatten()
-            }
-            ZoneState::Probing if now >= self.since + config.probation * 4 => {
-                self.mark_lost(now, ZoneState::Lost, "it did not answer when tried out")
-            }
-            ZoneState::Probing => None,
-            ZoneState::Recovering if bad => (lasted >= config.confirmation_time)
-                .then(|| self.mark_lost(now, lost_as, "lost again on its return"))
-                .flatten(),
-            ZoneState::Recovering
-                if seen.attempts >= MIN_ATTEMPTS && seen.degraded_share > MAX_DEGRADED_SHARE =>
-            {
-                let worse = now >= self.stepped + config.report_interval * 2
-                    && self.plan.open_permille > RAMP_STEPS[0];
-                worse
-                    .then(|| {
-                        self.transition(
-                            now,
-                            ZoneState::Recovering,
-                            next_step_down(self.plan.open_permille),
-                            "outcomes there worsen",
-                        )
-                    })
-                    .flatten()
-            }
-            ZoneState::Recovering if now < self.stepped + pace || finding == ZoneHealth::Unknown => None,
-            ZoneState::Recovering => match RAMP_STEPS.iter().find(|step| **step > self.plan.open_permille) {
-                Some(step) => {
-                    self.transition(now, ZoneState::Recovering, *step, "what is open there does well")
-                }
-                None => self.transition(now, ZoneState::Up, FULLY_OPEN, "all of it is open"),
-            },
+        self.mark_lost(poll.now, poll.input.lost_state(), reason)
+    }
+
+    fn probe_after_backoff(&mut self, poll: &Poll) -> Option<Transition> {
+        if poll.now < self.entered_at + self.recovery_backoff(poll.config) {
+            return None;
         }
+        self.transition(poll.now, ZoneState::Probing, 0, TransitionReason::BackoffElapsed)
     }
-}
 
-fn next_step_down(open: u16) -> u16 {
-    RAMP_STEPS.iter().rev().find(|step| **step < open).copied().unwrap_or(0)
+    fn mark_lost(&mut self, now: Duration, to: ZoneState, reason: TransitionReason) -> Option<Transition> {
+        let losses = self.plan.consecutive_losses.saturating_add(1);
+        self.plan.consecutive_losses = losses.min(MAX_BACKOFF_DOUBLINGS + 1);
+        self.transition(now, to, 0, reason)
+    }
+
+    /// None where neither the state nor the open share changes.
+    fn transition(
+        &mut self,
+        now: Duration,
+        to: ZoneState,
+        open_permille: u16,
+        reason: TransitionReason,
+    ) -> Option<Transition> {
+        let from = self.plan.state;
+        if from == to && self.plan.open_permille == open_permille {
+            return None;
+        }
+        if from != to {
+            self.entered_at = now;
+            self.steady_health = None;
+        }
+        self.stepped_at = now;
+        self.plan.state = to;
+        self.plan.open_permille = open_permille;
+        Some(Transition { from, to, open_permille, reason })
+    }
 }
 
-/// Which request classes may not go yet to a zone that returns: short work warms it first. `works` is the work of a
-/// request of each.
-pub(crate) fn blocked_classes(open: u16, works: &[f64]) -> u64 {
-    let mut order: Vec<usize> = (0..works.len()).collect();
-    order.sort_by(|a, b| works[*a].total_cmp(&works[*b]).then(a.cmp(b)));
-    // On the first step the shorter half of the groups, on the second three quarters, then all.
-    let let_in = match open {
-        0..=125 => works.len().div_ceil(2),
-        126..=250 => (works.len() * 3).div_ceil(4),
-        _ => works.len(),
-    };
-    let late = order.iter().skip(let_in);
-    late.fold(0, |bits, class| bits | 1u64.checked_shl(*class as u32).unwrap_or(0))
+/// The next smaller open share, in thousandths.
+fn next_step_down(open_permille: u16) -> u16 {
+    let smaller = RAMP_STEPS_PERMILLE.iter().rev().find(|step| **step < open_permille);
+    smaller.copied().unwrap_or(0)
 }
--- a/crates/core/zone-failover/tests/fleet.rs
+++ b/crates/core/zone-failover/tests/fleet.rs
@@ -1,69 +1,68 @@
-//! A fleet in virtual time: fronts that see zones, a holder that moves courses, plans that reach some fronts late or
-//! never. What is acted upon are zones that note how much opens how fast.
+//! A fleet in virtual time: fronts that observe zones, a coordinator that moves their state machines, plans that don't
+//! reach some fronts.
 
+mod common;
+
+use common::{config, ms, version};
 use lemonusher_zone_failover::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-fn ms(ms: u64) -> Duration {
-    Duration::from_millis(ms)
-}
+const ZONES: usize = 3;
 
-fn config() -> FailoverConfig {
-    FailoverConfig {
-        report_interval: ms(500),
-        confirmation_time: ms(1500),
-        probation: ms(2000),
-        ramp_interval: ms(2000),
-        recovery_backoff: ms(4000),
-        max_utilization: 0.8,
-        admission_floor: 0.1,
-        plan_timeout: ms(6000),
-    }
+/// A transition, and when it was.
+#[derive(Debug)]
+struct Step {
+    at: Duration,
+    #[expect(dead_code, reason = "printed where an assertion fails")]
+    zone: usize,
+    transition: Transition,
 }
 
-const ZONES: usize = 3;
-
-/// What links and zones are like, as seen from a front: by front and zone, the part of engines that answer it.
+/// The fleet, and what links and zones are like.
 struct World {
     now: Duration,
+    /// By front and zone: the share of engines that answer it.
     answers: Box<dyn Fn(usize, u32) -> f64>,
+    /// By zone: whether nine in ten attempts are slow.
     slow: Box<dyn Fn(u32) -> bool>,
-    /// Fronts that are dead, and those that hear no plan.
+    /// By front: whether it is down.
     dead: Vec<bool>,
+    /// By front: whether no plan reaches it.
     disconnected: Vec<bool>,
-    stands: Vec<u32>,
+    /// By front: its zone.
+    front_zones: Vec<u32>,
     followers: Vec<PlanFollower>,
     effects: Vec<PlanEffect>,
     evaluator: HealthEvaluator,
     state_machines: Vec<ZoneStateMachine>,
-    epoch: u64,
+    counter: u64,
     plan: FailoverPlan,
     overrides: [OperatorOverride; ZONES],
-    steps: Vec<(Duration, usize, Transition)>,
+    steps: Vec<Step>,
     rates: [f32; 3],
 }
 
 impl World {
     fn new(fronts: usize) -> World {
         let now = ms(1000);
-        let stands: Vec<u32> = (0..fronts).map(|front| front as u32 % ZONES as u32).collect();
+        let front_zones: Vec<u32> = (0..fronts).map(|front| front as u32 % ZONES as u32).collect();
         World {
             now,
             answers: Box::new(|_, _| 1.0),
             slow: Box::new(|_| false),
             dead: vec![false; fronts],
             disconnected: vec![false; fronts],
-            followers: stands
+            followers: front_zones
                 .iter()
                 .enumerate()
                 .map(|(n, zone)| PlanFollower::new(now, *zone, n as u64))
                 .collect(),
-            stands,
+            front_zones,
             effects: vec![PlanEffect::default(); fronts],
             evaluator: HealthEvaluator::default(),
             state_machines: vec![ZoneStateMachine::up(now); ZONES],
-            epoch: 0,
+            counter: 0,
             plan: FailoverPlan::default(),
             overrides: [OperatorOverride::Auto; ZONES],
             steps: Vec::new(),
@@ -72,9 +71,9 @@
     }
 
     fn classes(&self, share: f64) -> Vec<ClassLoad> {
-        let all = self.stands.len() as f64;
-        let class = |at: usize, utility, work| ClassLoad {
-            priority_weight: utility,
+        let all = self.front_zones.len() as f64;
+        let class = |at: usize, priority_weight, work| ClassLoad {
+            priority_weight,
             work,
             rate: f64::from(self.rates[at]) * all * share,
             latency_objective: 1.0,
@@ -85,7 +84,7 @@
         vec![class(0, 1.0, 0.2), class(1, 10.0, 4.0), class(2, 10.0, 6.0)]
     }
 
-    /// A front tells what it sees; of a zone that is closed to it, it sees nothing.
+    /// What a front reports; of a zone that is closed to it, it observes nothing.
     fn report(&self, front: usize) -> FrontReport {
         let stats = |zone: u32| {
             let closed = self.effects[front].restrictions.iter().find(|restriction| restriction.zone == zone);
@@ -108,7 +107,7 @@
         };
         let demand = |at: usize, work| Demand { rate: self.rates[at], work };
         FrontReport {
-            zone: self.stands[front],
+            zone: self.front_zones[front],
             zones: (0..ZONES as u32).map(stats).collect(),
             demand: vec![demand(0, 0.2), demand(1, 4.0), demand(2, 6.0)],
         }
@@ -117,60 +116,77 @@
     fn round(&mut self) {
         let config = config();
         self.now += config.report_interval;
-        for front in (0..self.stands.len()).filter(|front| !self.dead[*front]) {
+        self.step_zones(&config);
+        self.plan(&config);
+        self.follow(&config);
+    }
+
+    /// All reports arrive, and each zone makes one step.
+    fn step_zones(&mut self, config: &FailoverConfig) {
+        for front in (0..self.front_zones.len()).filter(|front| !self.dead[*front]) {
             self.evaluator.handle_report(self.now, front as u64, self.report(front));
         }
         self.evaluator.expire(self.now, config.report_interval);
-        let worse: Vec<f64> =
+        let degraded: Vec<f64> =
             (0..ZONES).map(|zone| self.evaluator.evidence(zone as u32).degraded_share).collect();
         for zone in 0..ZONES {
-            let (finding, seen) = (self.evaluator.health(zone as u32), self.evaluator.evidence(zone as u32));
-            let others =
-                (0..ZONES).filter(|other| *other != zone).map(|other| worse[other]).fold(0.0, f64::max);
-            let operator_override = self.overrides[zone];
-            if let Some(step) =
-                self.state_machines[zone].step(self.now, &config, finding, &seen, operator_override, others)
-            {
-                self.steps.push((self.now, zone, step));
+            let others = (0..ZONES).filter(|other| *other != zone);
+            let input = ZoneInput {
+                health: self.evaluator.health(zone as u32),
+                evidence: self.evaluator.evidence(zone as u32),
+                operator_override: self.overrides[zone],
+                others_degraded_share: others.map(|other| degraded[other]).fold(0.0, f64::max),
+            };
+            if let Some(transition) = self.state_machines[zone].step(self.now, config, &input) {
+                self.steps.push(Step { at: self.now, zone, transition });
             }
         }
-        let cores: Vec<(u32, f64)> = (0..ZONES)
+    }
+
+    /// The plan is built anew, and committed if it changed.
+    fn plan(&mut self, config: &FailoverConfig) {
+        let supply: Vec<ZoneSupply> = (0..ZONES)
             .map(|zone| {
-                let seen = self.evaluator.evidence(zone as u32);
-                (seen.cores, seen.answering_share)
+                let evidence = self.evaluator.evidence(zone as u32);
+                ZoneSupply { cores: evidence.cores, answering_share: evidence.answering_share }
             })
             .collect();
-        let coordinator = (0..self.stands.len()).find(|front| !self.dead[*front]).unwrap() as u64;
-        let (plan, _) = build_plan(&self.state_machines, &self.classes(1.0), &cores, &config, coordinator);
+        let prober = (0..self.front_zones.len()).find(|front| !self.dead[*front]).unwrap() as u64;
+        let PlannedAllocation { plan, .. } =
+            build_plan(&self.state_machines, &self.classes(1.0), &supply, config, prober);
         if plan != self.plan {
-            (self.epoch, self.plan) = (self.epoch + 1, plan);
+            (self.counter, self.plan) = (self.counter + 1, plan);
         }
-        let share = 1.0 / self.stands.len() as f64;
-        for front in 0..self.stands.len() {
+    }
+
+    /// The plan reaches all fronts that are connected, and each applies it.
+    fn follow(&mut self, config: &FailoverConfig) {
+        let share = 1.0 / self.front_zones.len() as f64;
+        for front in 0..self.front_zones.len() {
             if !self.disconnected[front] {
-                self.followers[front].handle_plan(self.now, (1, self.epoch), &self.plan);
+                self.followers[front].handle_plan(self.now, version(1, self.counter), &self.plan);
             }
-            let found = |zone: u32| {
-                let one = self.report(front).zones[zone as usize];
-                let gone = one.answering * 2 < one.answering + one.silent;
-                let found = match one.answering + one.silent {
+            let observe = |zone: u32| {
+                let stats = self.report(front).zones[zone as usize];
+                let tried = stats.answering + stats.silent;
+                let health = match tried {
                     0 => ZoneHealth::Unknown,
-                    _ if gone => ZoneHealth::Unreachable,
+                    _ if stats.answering * 2 < tried => ZoneHealth::Unreachable,
                     _ => ZoneHealth::Healthy,
                 };
-                (found, one.cores)
+                LocalZone { health, cores: stats.cores }
             };
             let local = LocalView {
-                zones: (0..ZONES as u32).map(found).collect(),
+                zones: (0..ZONES as u32).map(observe).collect(),
                 classes: self.classes(share),
                 quota: share,
             };
-            self.effects[front] = self.followers[front].effect(self.now, &config, &local);
+            self.effects[front] = self.followers[front].effect(self.now, config, &local);
         }
     }
 
-    fn run(&mut self, span: Duration) {
-        let until = self.now + span;
+    fn run(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while self.now < until {
             self.round();
         }
@@ -188,18 +204,18 @@
             .map_or(FULLY_OPEN, |one| one.open_permille)
     }
 
-    /// Work a second that all fronts let in, over what all zones that answer bear.
-    fn filled(&self) -> f64 {
+    /// Work a second that all fronts admit, over what all zones that answer bear.
+    fn utilization(&self) -> f64 {
         let work = [0.2, 4.0, 6.0];
-        let let_in: f64 = (self.effects.iter().enumerate())
+        let admitted: f64 = (self.effects.iter().enumerate())
             .filter(|(front, _)| !self.dead[*front])
             .map(|(_, effect)| {
                 let part = |at: usize| effect.admitted_shares.get(at).copied().unwrap_or(1.0);
                 (0..3).map(|at| f64::from(self.rates[at]) * work[at] * part(at)).sum::<f64>()
             })
             .sum();
-        let bears = (0..ZONES as u32).filter(|zone| (self.answers)(0, *zone) > 0.5).count() as f64 * 32.0;
-        let_in / bears
+        let capacity = (0..ZONES as u32).filter(|zone| (self.answers)(0, *zone) > 0.5).count() as f64 * 32.0;
+        admitted / capacity
     }
 }
 
@@ -210,15 +226,15 @@
     assert!((0..ZONES).all(|zone| world.state(zone) == ZoneState::Up) && world.steps.is_empty());
     world.answers = Box::new(|_, zone| if zone == 1 { 0.0 } else { 1.0 });
     world
-        .stands
+        .front_zones
         .iter()
         .zip(&mut world.dead)
         .filter(|(zone, _)| **zone == 1)
         .for_each(|(_, dead)| *dead = true);
     world.run(ms(3500));
     assert_eq!(world.state(1), ZoneState::Lost);
-    assert!((0..12).filter(|front| world.stands[*front] != 1).all(|front| world.open(front, 1) == 0));
-    assert!(world.filled() <= 0.801, "{}", world.filled());
+    assert!((0..12).filter(|front| world.front_zones[*front] != 1).all(|front| world.open(front, 1) == 0));
+    assert!(world.utilization() <= 0.801, "{}", world.utilization());
     world.answers = Box::new(|_, _| 1.0);
     world.dead.fill(false);
     let mut opened = Vec::new();
@@ -232,10 +248,14 @@
         }
     }
     assert_eq!(world.state(1), ZoneState::Up);
-    // The longest work is let in last.
+    // The longest work is admitted last.
     assert_eq!(opened, [(125, 0b100), (250, 0), (500, 0), (750, 0), (1000, 0)]);
-    let dates: Vec<Duration> =
-        world.steps.iter().filter(|step| step.2.to == ZoneState::Recovering).map(|s| s.0).collect();
+    let dates: Vec<Duration> = world
+        .steps
+        .iter()
+        .filter(|step| step.transition.to == ZoneState::Recovering)
+        .map(|step| step.at)
+        .collect();
     assert!(dates.windows(2).all(|two| two[1] - two[0] >= config().ramp_interval));
 }
 
@@ -248,7 +268,7 @@
     world.answers = Box::new(|_, zone| if zone == 2 { 0.75 } else { 1.0 });
     world.run(ms(30_000));
     assert!(world.steps.is_empty(), "{:?}", world.steps);
-    // Nine in ten are slow: the zone stays, but is counted for less, so that more is refused.
+    // Nine in ten attempts are slow: the zone stays up, but is counted for less, so that more is rejected.
     let before = world.plan.admitted_permille.clone();
     world.answers = Box::new(|_, _| 1.0);
     world.slow = Box::new(|zone| zone == 2);
@@ -261,15 +281,15 @@
 #[test]
 fn a_cut_between_sites_is_told_from_a_loss() {
     let mut world = World::new(9);
-    let stands = world.stands.clone();
+    let front_zones = world.front_zones.clone();
     world.answers = Box::new(move |front, zone| {
-        let inside = stands[front] == 2;
+        let inside = front_zones[front] == 2;
         if (zone == 2) == inside { 1.0 } else { 0.0 }
     });
     world.run(ms(4000));
     assert_eq!(world.state(2), ZoneState::Partitioned);
     for front in 0..9 {
-        let here = world.stands[front] == 2;
+        let here = world.front_zones[front] == 2;
         assert_eq!(world.open(front, 2), if here { FULLY_OPEN } else { 0 });
     }
     assert!((0..2).all(|zone| world.state(zone) == ZoneState::Up));
@@ -283,7 +303,7 @@
     let mut world = World::new(9);
     world.run(ms(3000));
     for front in 0..9 {
-        world.dead[front] = world.stands[front] == 1;
+        world.dead[front] = world.front_zones[front] == 1;
     }
     world.run(ms(5000));
     assert_eq!(world.evaluator.health(1), ZoneHealth::FrontsLost);
@@ -301,21 +321,21 @@
         let lost = world
             .steps
             .iter()
-            .filter(|step| step.2.to == ZoneState::Lost && step.2.from != ZoneState::Lost)
+            .filter(|step| step.transition.to == ZoneState::Lost && step.transition.from != ZoneState::Lost)
             .count();
         losses.push(lost);
     }
-    // 1,200 seconds of flapping: the waits alone bound what can happen.
-    let changes = world.steps.iter().filter(|(_, _, step)| step.from != step.to).count();
+    // 1,200 seconds of flapping: the backoffs alone bound what can happen.
+    let changes = world.steps.iter().filter(|step| step.transition.from != step.transition.to).count();
     println!("proof: sites_changes_in_20_minutes_of_flapping {changes}, losses {}", losses.last().unwrap());
     assert!(changes <= 150, "{changes}");
-    let waits: Vec<Duration> = world
+    let backoffs: Vec<Duration> = world
         .steps
         .windows(2)
-        .filter(|two| two[0].2.to == ZoneState::Lost && two[1].2.to == ZoneState::Probing)
-        .map(|two| two[1].0 - two[0].0)
+        .filter(|two| two[0].transition.to == ZoneState::Lost && two[1].transition.to == ZoneState::Probing)
+        .map(|two| two[1].at - two[0].at)
         .collect();
-    assert!(waits.iter().max().unwrap() >= &(config().recovery_backoff * 16), "{waits:?}");
+    assert!(backoffs.iter().max().unwrap() >= &(config().recovery_backoff * 16), "{backoffs:?}");
 }
 
 #[test]
@@ -329,20 +349,20 @@
     world.answers = Box::new(|_, zone| if zone == 1 { 0.0 } else { 1.0 });
     world.run(ms(15_000));
     assert_eq!(world.state(1), ZoneState::Lost);
-    let alone = world.effects.iter().filter(|effect| effect.isolated).count();
-    assert_eq!(alone, 20);
-    assert!(world.filled() <= 0.81, "{}", world.filled());
-    println!("proof: sites_filled_with_two_thirds_deaf {:.3}", world.filled());
-    for front in (0..30).filter(|front| world.effects[*front].isolated && world.stands[*front] != 1) {
+    let isolated = world.effects.iter().filter(|effect| effect.isolated).count();
+    assert_eq!(isolated, 20);
+    assert!(world.utilization() <= 0.81, "{}", world.utilization());
+    println!("proof: sites_filled_with_two_thirds_deaf {:.3}", world.utilization());
+    for front in (0..30).filter(|front| world.effects[*front].isolated && world.front_zones[*front] != 1) {
         assert_eq!(world.open(front, 1), 0);
     }
-    // The zone returns; who is deaf opens nothing by itself.
+    // The zone recovers; an isolated front opens nothing by itself.
     world.answers = Box::new(|_, _| 1.0);
     world.run(ms(40_000));
     assert_eq!(world.state(1), ZoneState::Up);
     for front in 0..30 {
-        let disconnected = world.effects[front].isolated && world.stands[front] != 1;
-        assert_eq!(world.open(front, 1), if disconnected { 0 } else { FULLY_OPEN });
+        let isolated = world.effects[front].isolated && world.front_zones[front] != 1;
+        assert_eq!(world.open(front, 1), if isolated { 0 } else { FULLY_OPEN });
     }
     world.disconnected.fill(false);
     world.run(ms(2000));
@@ -356,13 +376,16 @@
         zones: vec![ZonePlan { state, open_permille: open, ..ZonePlan::default() }; 2],
         ..FailoverPlan::default()
     };
-    follower.handle_plan(ms(10), (1, 5), &plan(ZoneState::Lost, 0));
-    follower.handle_plan(ms(20), (1, 4), &plan(ZoneState::Up, FULLY_OPEN));
-    assert_eq!(follower.epoch(), Some((1, 5)));
-    let local = LocalView { zones: vec![(ZoneHealth::Healthy, 8); 2], ..LocalView::default() };
+    follower.handle_plan(ms(10), version(1, 5), &plan(ZoneState::Lost, 0));
+    follower.handle_plan(ms(20), version(1, 4), &plan(ZoneState::Up, FULLY_OPEN));
+    assert_eq!(follower.version(), Some(version(1, 5)));
+    let local = LocalView {
+        zones: vec![LocalZone { health: ZoneHealth::Healthy, cores: 8 }; 2],
+        ..LocalView::default()
+    };
     let effect = follower.effect(ms(30), &config(), &local);
     assert_eq!(effect.restrictions.iter().find(|one| one.zone == 1).map(|one| one.open_permille), Some(0));
-    follower.handle_plan(ms(40), (2, 1), &plan(ZoneState::Up, FULLY_OPEN));
+    follower.handle_plan(ms(40), version(2, 1), &plan(ZoneState::Up, FULLY_OPEN));
     assert!(follower.effect(ms(50), &config(), &local).restrictions.is_empty());
 }
 
@@ -373,9 +396,9 @@
     world.overrides[1] = OperatorOverride::Drill;
     world.run(ms(12_000));
     assert_eq!((world.state(1), world.plan.zones[1].open_permille), (ZoneState::Disabled, 0));
-    let opened: Vec<u16> = world.steps.iter().map(|step| step.2.open_permille).collect();
+    let opened: Vec<u16> = world.steps.iter().map(|step| step.transition.open_permille).collect();
     assert_eq!(opened, [750, 500, 250, 125, 0]);
-    world.slow = Box::new(|zone| zone != 1); // Outcomes elsewhere worsen: it goes back by itself, and stays back.
+    world.slow = Box::new(|zone| zone != 1); // Outcomes elsewhere degrade: the drill ends by itself, for good.
     world.run(ms(20_000));
     assert_eq!(world.state(1), ZoneState::Up);
     world.slow = Box::new(|_| false);
@@ -398,24 +421,24 @@
 }
 
 #[test]
-fn the_door_lets_in_its_part_and_spreads_the_rest() {
-    let mut door = PlanAdmission::new(2);
-    door.apply(&PlanEffect {
+fn the_admission_lets_in_its_part_and_spreads_the_rest() {
+    let mut admission = PlanAdmission::new(2);
+    admission.apply(&PlanEffect {
         admitted_shares: vec![0.3, 1.0],
         retry_after: ms(1000),
         ..PlanEffect::default()
     });
-    let told: Vec<Result<(), Duration>> = (0..1000).map(|_| door.admit(0)).collect();
-    let let_in = told.iter().filter(|told| told.is_ok()).count();
-    assert!((295..=305).contains(&let_in), "{let_in}");
+    let decisions: Vec<Result<(), Duration>> = (0..1000).map(|_| admission.admit(0)).collect();
+    let admitted = decisions.iter().filter(|decision| decision.is_ok()).count();
+    assert!((295..=305).contains(&admitted), "{admitted}");
     let mut tenths: BTreeMap<u128, usize> = BTreeMap::new();
-    for span in told.iter().filter_map(|told| told.err()) {
-        assert!(span >= ms(1000) && span <= ms(2000));
-        *tenths.entry(span.as_millis() / 100).or_default() += 1;
+    for retry_after in decisions.iter().filter_map(|decision| decision.err()) {
+        assert!(retry_after >= ms(1000) && retry_after <= ms(2000));
+        *tenths.entry(retry_after.as_millis() / 100).or_default() += 1;
     }
     assert!(tenths.values().all(|count| *count < 120), "{tenths:?}");
-    assert!((0..100).all(|_| door.admit(1).is_ok()));
-    assert_eq!(door.rejected(0), 1000 - let_in as u64);
+    assert!((0..100).all(|_| admission.admit(1).is_ok()));
+    assert_eq!(admission.rejected(0), 1000 - admitted as u64);
 }
 
 #[test]
--- a/crates/core/zone-failover/tests/limits.rs
+++ b/crates/core/zone-failover/tests/limits.rs
@@ -1,4 +1,4 @@
-//! 1,024 engines and fronts, as many as are kept, and one more.
+//! 1,024 engines and fronts, as many as the tables hold, and one more.
 
 use lemonusher_zone_failover::*;
 use std::time::Duration;
@@ -14,7 +14,7 @@
             (0..engines).for_each(|engine| observer.update_engine(engine, 1, 8, true));
             observer.end_full_list();
         }
-        let report = observer.report(Duration::from_secs(1), &config(), 1.0).0;
+        let report = observer.report(Duration::from_secs(1), &config(), 1.0).report;
         let stats = report.zones.iter().find(|stats| stats.zone == 1).map(|stats| u32::from(stats.listed));
         assert_eq!(stats, (listed > 0).then_some(listed), "{engines} engines");
     }
@@ -22,14 +22,15 @@
 
 #[test]
 fn reports_of_many_fronts_count() {
-    for (fronts, kept) in [(1024, 1024), (u64::from(CAPACITY), CAPACITY), (u64::from(CAPACITY) + 1, CAPACITY)]
+    for (fronts, counted) in
+        [(1024, 1024), (u64::from(CAPACITY), CAPACITY), (u64::from(CAPACITY) + 1, CAPACITY)]
     {
         let mut evaluator = HealthEvaluator::default();
         for _ in 0..2 {
             (0..fronts)
                 .for_each(|front| evaluator.handle_report(Duration::ZERO, front, FrontReport::default()));
         }
-        assert_eq!(evaluator.front_count(), kept as usize);
+        assert_eq!(evaluator.front_count(), counted as usize);
     }
 }
 
--- a/crates/core/zone-failover/tests/planner.rs
+++ b/crates/core/zone-failover/tests/planner.rs
@@ -1,8 +1,11 @@
-//! The planner against every plan there is, on small cases drawn from a seed.
+//! The allocation against every allocation there is, on small cases drawn from a seed.
 
+mod common;
+
+use common::class;
 use lemonusher_zone_failover::{ClassLoad, ZoneCapacity, allocate};
 
-/// Demands and capacities in whole units, so that all plans can be tried.
+/// Demands and capacities in whole units, so that all allocations can be tried.
 struct Case {
     classes: Vec<ClassLoad>,
     capacities: Vec<ZoneCapacity>,
@@ -28,7 +31,7 @@
     Case { classes, capacities }
 }
 
-/// Whether so much of each group (in units of work) fits the zones.
+/// Whether so much of each class (in units of work) fits the zones.
 fn fits(case: &Case, wanted: &[u32], class: usize, left: &mut Vec<u32>) -> bool {
     if class == wanted.len() {
         return true;
@@ -59,19 +62,19 @@
     spread(case, wanted, class, 0, wanted[class], left)
 }
 
-/// The most worth of any plan in whole units of work.
+/// The most value of any allocation in whole units of work.
 fn best(case: &Case) -> f64 {
     let most: Vec<u32> = case.classes.iter().map(|class| class.demand() as u32).collect();
     let (mut wanted, mut best) = (vec![0; most.len()], 0.0f64);
     loop {
-        let worth: f64 = wanted
+        let value: f64 = wanted
             .iter()
             .zip(&case.classes)
             .map(|(units, class)| f64::from(*units) / class.work * class.priority_weight)
             .sum();
         let mut left: Vec<u32> = case.capacities.iter().map(|capacity| capacity.work as u32).collect();
-        if worth > best && fits(case, &wanted, 0, &mut left) {
-            best = worth;
+        if value > best && fits(case, &wanted, 0, &mut left) {
+            best = value;
         }
         let Some(place) = (0..most.len()).find(|place| wanted[*place] < most[*place]) else { return best };
         wanted[..place].fill(0);
@@ -120,21 +123,9 @@
     }
 }
 
-fn class(utility: f64, work: f64, rate: f64, floor: f64) -> ClassLoad {
-    ClassLoad {
-        priority_weight: utility,
-        work,
-        rate,
-        latency_objective: 1.0,
-        deadline: 20.0,
-        floor,
-        allowed_zones: None,
-    }
-}
-
 #[test]
 fn the_least_worth_is_refused_first_and_none_below_its_floor() {
-    // Worth for a second of work: 10, 2, 5.
+    // Value for a second of work: 10, 2, 5.
     let classes = [class(10.0, 1.0, 4.0, 0.1), class(8.0, 4.0, 2.0, 0.1), class(5.0, 1.0, 4.0, 0.1)];
     let mut before = vec![1.0; 3];
     for room in (1..=17).rev() {
@@ -142,7 +133,7 @@
         let plan = allocate(&classes, &halves);
         assert_eq!(plan.shed_order, [1, 2, 0]);
         let at_floor = |class: usize| plan.served_shares[class] <= 0.1 + 1e-6;
-        // Nobody loses more while one who is to lose first has anything above its floor.
+        // No class loses more while one that is to lose first has anything above its floor.
         assert!(plan.served_shares[2] > 0.999 || at_floor(1), "{:?}", plan.served_shares);
         assert!(plan.served_shares[0] > 0.999 || (at_floor(1) && at_floor(2)), "{:?}", plan.served_shares);
         for (now, before) in plan.served_shares.iter().zip(&before) {
--- a/crates/edges/cli/src/file.rs
+++ b/crates/edges/cli/src/file.rs
@@ -511,8 +511,8 @@
     if different.len() < voters.len() {
         say(fleet.voters.span(), "a voter stands twice; give each one place".to_owned());
     }
-    if let Some(what) = fleet.sites.as_ref().and_then(|sites| sites.get_ref().terms().wrong()) {
-        say(fleet.sites.as_ref().map_or(0..0, Spanned::span), what.to_owned());
+    if let Some(what) = fleet.sites.as_ref().and_then(|sites| sites.get_ref().terms().validate().err()) {
+        say(fleet.sites.as_ref().map_or(0..0, Spanned::span), what.to_string());
     }
     if let Some(works) = &fleet.works {
         if fleet.sites.is_none() {
--- a/crates/edges/fleet/src/node/settle.rs
+++ b/crates/edges/fleet/src/node/settle.rs
@@ -140,7 +140,7 @@
     let machines = seen
         .engines
         .iter()
-        .map(|(id, site, cores, answers)| (*id, (*site, bears(*cores), answers.unwrap_or(true))));
+        .map(|seen| (seen.engine, (seen.zone, bears(seen.cores), seen.answers.unwrap_or(true))));
     let fleet = FleetCapacity { machines: machines.collect(), classes: Vec::new() };
     works.counted(seen.closed_by, seen.in_flight, fleet, &seen.local);
     if let Some((groups, worse, down)) = sites.load() {
--- a/crates/edges/fleet/src/sites.rs
+++ b/crates/edges/fleet/src/sites.rs
@@ -2,11 +2,11 @@
 //! wants, and tells the front what the plan means for it.
 
 use crate::frame::{Body, PlanGroup, PlanSite};
-use lemonusher_registers::{Entry, EntryVersion, Learner, Operation, ProposalOutcome};
+use lemonusher_registers::{Entry, Learner, Operation, ProposalOutcome};
 use lemonusher_routing::{ControlUpdate, ZoneObservation};
 use lemonusher_zone_failover::{
     ClassLoad, Coordinator, FailoverConfig, FailoverPlan, LocalView, OperatorOverride, PlanEffect,
-    PlanFollower, RegisterAction, ZoneState,
+    PlanFollower, RegisterAction, ZoneState, ZoneTransition,
 };
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,10 +34,6 @@
     wishes: Vec<OperatorOverride>,
 }
 
-fn epoch(stamp: EntryVersion) -> (u64, u64) {
-    (stamp.epoch, stamp.counter)
-}
-
 impl Sites {
     /// `votes`: it keeps what others tell, and may hold the lease.
     pub fn new(told: &SitesTerms, location: u32, life: u64, votes: bool) -> Sites {
@@ -68,9 +64,9 @@
         let worse = shown
             .zones
             .iter()
-            .filter(|(_, _, seen, _)| seen.attempts >= 10)
-            .map(|(_, _, seen, _)| seen.degraded_share);
-        let down = shown.zones.iter().any(|(plan, ..)| plan.state != ZoneState::Up);
+            .filter(|zone| zone.evidence.attempts >= 10)
+            .map(|zone| zone.evidence.degraded_share);
+        let down = shown.zones.iter().any(|zone| zone.plan.state != ZoneState::Up);
         Some((shown.classes, worse.fold(0.0, f64::max), down))
     }
 
@@ -89,7 +85,7 @@
         let holder = self.holder.as_mut()?;
         holder.set_lease(number);
         let want = holder.poll(now, &self.terms, &self.wishes);
-        for (site, step) in holder.take_transitions() {
+        for ZoneTransition { zone: site, transition: step } in holder.take_transitions() {
             tracing::info!(
                 site,
                 "sites: site {site} from {} to {}, {} in 1000 open: {}",
@@ -102,7 +98,6 @@
         want.map(|want| match want {
             RegisterAction::Read => Operation::Read,
             RegisterAction::Write { expected: after, fencing_token: number, plan } => {
-                let after = after.map(|(era, version)| EntryVersion { epoch: era, counter: version });
                 Operation::CompareAndSet { expected: after, fencing_token: number, value: plan.to_bytes() }
             }
         })
@@ -114,7 +109,7 @@
         match outcome {
             ProposalOutcome::Committed { entry, .. } => {
                 let plan = entry.as_ref().and_then(|entry| FailoverPlan::from_bytes(&entry.value));
-                holder.handle_committed(now, entry.as_ref().map(|entry| epoch(entry.version)), plan);
+                holder.handle_committed(now, entry.as_ref().map(|entry| entry.version), plan);
             }
             ProposalOutcome::Conflict { .. } | ProposalOutcome::Unknown { .. } => holder.handle_failure(),
         }
@@ -125,7 +120,7 @@
         if let Some((Entry { version: stamp, value, .. }, sure)) = follower.committed(NAME)
             && let Some(plan) = FailoverPlan::from_bytes(value)
         {
-            self.follow.handle_plan(sure, epoch(*stamp), &plan);
+            self.follow.handle_plan(sure, *stamp, &plan);
         }
         if let Some((entry, _)) = follower.committed(WISHES) {
             self.wishes = read_wishes(&entry.value);
@@ -142,13 +137,13 @@
     pub fn show(&self, without: &[u32]) -> Option<Body> {
         let shown = self.holder.as_ref()?.preview(&self.terms, self.follow.plan(), without);
         let thousandths = |part: f64| (part * 1000.0).round().clamp(0.0, 65535.0) as u16;
-        let sites = shown.zones.iter().map(|(plan, finding, seen, filled)| PlanSite {
-            state: plan.state,
-            open: plan.open_permille,
-            finding: finding.to_string(),
-            cores: seen.cores,
-            part: thousandths(seen.answering_share),
-            filled: thousandths(*filled),
+        let sites = shown.zones.iter().map(|zone| PlanSite {
+            state: zone.plan.state,
+            open: zone.plan.open_permille,
+            finding: zone.health.to_string(),
+            cores: zone.evidence.cores,
+            part: thousandths(zone.evidence.answering_share),
+            filled: thousandths(zone.utilization),
         });
         let groups = shown.classes.iter().enumerate().map(|(at, group)| PlanGroup {
             rate: group.rate as f32,
@@ -158,7 +153,7 @@
         });
         let refused_first = shown.allocation.shed_order.iter().map(|group| *group as u8);
         Some(Body::PlanShown {
-            epoch: self.follow.epoch(),
+            epoch: self.follow.version().map(|version| (version.epoch, version.counter)),
             sites: sites.collect(),
             groups: groups.collect(),
             refused_first: refused_first.collect(),
--- a/crates/edges/routing/src/router.rs
+++ b/crates/edges/routing/src/router.rs
@@ -497,7 +497,7 @@
         watched.door.apply(effect);
         log::info!(
             "sites: epoch {:?}{}, closed in part: {:?}, let in: {:?}",
-            effect.epoch,
+            effect.version.map(|version| (version.epoch, version.counter)),
             if effect.isolated { ", goes by itself" } else { "" },
             effect.restrictions,
             effect.admitted_shares
--- a/crates/edges/routing/src/zone_monitor.rs
+++ b/crates/edges/routing/src/zone_monitor.rs
@@ -6,7 +6,8 @@
     AttemptOutcome, Deployment, EndpointUpdateKind, EngineEntry, EngineState, RequestClassConfig,
 };
 use lemonusher_zone_failover::{
-    AttemptResult, ClassLoad, FailoverConfig, FrontReport, LocalView, Observer, PlanAdmission,
+    AttemptResult, ClassLoad, EngineObservation, FailoverConfig, FrontReport, LocalView, Observation,
+    Observer, PlanAdmission,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -24,7 +25,7 @@
     pub closed_by: u64,
     pub in_flight: BTreeMap<u32, u32>,
     /// Of each engine: its site, its cores, and whether it answers, as far as it was tried.
-    pub engines: Vec<(u32, u32, u32, Option<bool>)>,
+    pub engines: Vec<EngineObservation>,
 }
 
 /// The request classes as the planner wants them.
@@ -88,11 +89,11 @@
         let mut out = out();
         self.doubts.keys().for_each(|engine| *out.entry(*engine).or_default() += 1);
         out.retain(|engine, _| self.closed.contains(engine));
-        let (report, own) = self.eyes.report(now, &self.terms, self.share);
+        let Observation { report, local } = self.eyes.report(now, &self.terms, self.share);
         let engines = self.eyes.engines(now, &self.terms);
         let _ = self.told.force_send(ZoneObservation {
             report,
-            local: own,
+            local,
             closed_by: self.closed_by,
             in_flight: out,
             engines,
@@ -134,7 +135,7 @@
     match outcome {
         AttemptOutcome::Returned => {
             let work = work.map(|work| work.as_secs_f64());
-            AttemptResult::Returned { span: span.as_secs_f64(), work, threads }
+            AttemptResult::Returned { elapsed: span.as_secs_f64(), work, threads }
         }
         AttemptOutcome::ConnectFailed | AttemptOutcome::Reset | AttemptOutcome::TimedOut => {
             AttemptResult::Failed
--- a/crates/tools/scale/src/fleet/setup.rs
+++ b/crates/tools/scale/src/fleet/setup.rs
@@ -162,7 +162,12 @@
     let rate = budget::REQUESTS_A_SECOND as f32 / SERVICE_GROUPS as f32;
     let demand = vec![zones::Demand { rate, work: 0.01 }; SERVICE_GROUPS];
     let report = zones::FrontReport { zone: location, zones: sights.collect(), demand };
-    let engine = |id: u32| (id, id % budget::ZONES, CORES, Some(true));
+    let engine = |id: u32| zones::EngineObservation {
+        engine: id,
+        zone: id % budget::ZONES,
+        cores: CORES,
+        answers: Some(true),
+    };
     ZoneObservation {
         report,
         local: zones::LocalView::default(),
--- a/crates/tools/scale/src/roles/maintenance/sites.rs
+++ b/crates/tools/scale/src/roles/maintenance/sites.rs
@@ -3,9 +3,10 @@
 use super::{CORES, PERIOD, PLANNED_AFTER, REPORT, Shown, Turns, UTILIZATION, bytes_of, zone};
 use crate::budget;
 use crate::role::MeasureError;
+use lemonusher_registers::EntryVersion;
 use lemonusher_zone_failover::{
-    AttemptResult, ClassLoad, Coordinator, Demand, FailoverConfig, FailoverPlan, FrontReport, Observer,
-    RegisterAction, ZoneState, ZoneStats,
+    AttemptResult, ClassLoad, Coordinator, Demand, FailoverConfig, FailoverPlan, FrontReport, Observation,
+    Observer, RegisterAction, ZoneState, ZoneStats,
 };
 use std::time::Duration;
 
@@ -60,7 +61,7 @@
     let (mut turns, mut now, mut bytes) = (Turns::default(), Duration::ZERO, 0);
     for _ in 0..if quick { QUICK_PERIODS } else { WATCHED_PERIODS } {
         now += PERIOD;
-        let (report, _) = turns.time(|| {
+        let Observation { report, .. } = turns.time(|| {
             for machine in 0..machines {
                 let group = machine as usize % WORKS.len();
                 eyes.request_arrived(group);
@@ -70,7 +71,7 @@
                     now,
                     machine,
                     group,
-                    AttemptResult::Returned { span: SPAN, work, threads: 1.0 },
+                    AttemptResult::Returned { elapsed: SPAN, work, threads: 1.0 },
                 );
             }
             eyes.report(now, &terms(), share)
@@ -135,7 +136,7 @@
                     let more = vec![(PLANNED_AFTER, after.as_secs_f64())];
                     return Ok(Shown { turns, bytes: bytes_of(holder), more });
                 }
-                holder.handle_committed(now, Some((1, version)), Some(plan));
+                holder.handle_committed(now, Some(EntryVersion { epoch: 1, counter: version }), Some(plan));
             }
             None => {}
         }
