--- a/crates/core/zone-failover/tests/coordinator.rs
+++ b/crates/core/zone-failover/tests/coordinator.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_holder_reads_first_builds_on_what_stands_and_settles_only_what_changes() {
+fn coordinator_reads_first_and_writes_only_changed_plans() {
     let (mut coordinator, mut now) = (coordinator(7), ms(0));
     assert_eq!(round(&mut coordinator, &mut now, [true; 2]), None, "it holds no lease");
     coordinator.set_lease(Some(5));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn one_who_was_overtaken_or_lost_the_lease_starts_from_what_stands() {
+fn coordinator_rereads_after_a_failure_or_a_lost_lease() {
     let (mut coordinator, mut now) = (coordinator(7), ms(0));
     coordinator.set_lease(Some(5));
     round(&mut coordinator, &mut now, [true; 2]);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_loss_that_the_rest_could_not_carry_is_shown_before_it_happens() {
+fn preview_shows_demand_that_the_remaining_zones_cannot_serve() {
     let (mut coordinator, mut now) = (coordinator(7), ms(0));
     for _ in 0..10 {
         round(&mut coordinator, &mut now, [true; 2]);
--- a/crates/core/zone-failover/tests/fleet.rs
+++ b/crates/core/zone-failover/tests/fleet.rs
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_lost_site_is_closed_to_all_and_returns_in_steps_that_start_with_short_work() {
+fn lost_zone_is_closed_and_recovers_in_steps_with_short_work_first() {
     let mut world = World::new(12);
     world.run(ms(5000));
     assert!((0..ZONES).all(|zone| world.state(zone) == ZoneState::Up) && world.steps.is_empty());
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn one_bad_link_one_slow_engine_and_a_lagging_list_lose_no_site() {
+fn one_bad_link_slow_engines_and_a_stale_list_lose_no_zone() {
     let mut world = World::new(9);
     world.answers = Box::new(|front, _| if front == 3 { 0.0 } else { 1.0 });
     world.run(ms(30_000));
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn a_cut_between_sites_is_told_from_a_loss() {
+fn partition_is_distinguished_from_a_loss() {
     let mut world = World::new(9);
     let front_zones = world.front_zones.clone();
     world.answers = Box::new(move |front, zone| {
@@ -299,7 +299,7 @@
 }
 
 #[test]
-fn a_site_without_fronts_goes_on_serving() {
+fn zone_without_fronts_keeps_serving() {
     let mut world = World::new(9);
     world.run(ms(3000));
     for front in 0..9 {
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn a_site_that_flaps_waits_longer_each_time_and_changes_seldom() {
+fn flapping_zone_backs_off_and_changes_rarely() {
     let mut world = World::new(6);
     let mut losses = Vec::new();
     for turn in 0..240 {
@@ -339,7 +339,7 @@
 }
 
 #[test]
-fn fronts_that_hear_nothing_stay_within_their_parts() {
+fn isolated_fronts_stay_within_their_quotas() {
     let mut world = World::new(30);
     world.rates = [12.0, 1.0, 0.5];
     world.run(ms(5000));
@@ -370,7 +370,7 @@
 }
 
 #[test]
-fn an_old_epoch_changes_nothing() {
+fn stale_plan_version_is_ignored() {
     let mut follower = PlanFollower::new(ms(0), 0, 1);
     let plan = |state, open| FailoverPlan {
         zones: vec![ZonePlan { state, open_permille: open, ..ZonePlan::default() }; 2],
@@ -390,7 +390,7 @@
 }
 
 #[test]
-fn operators_hold_hurry_and_drill() {
+fn operator_overrides_hold_or_speed_up_recovery_and_drill() {
     let mut world = World::new(9);
     world.run(ms(2000));
     world.overrides[1] = OperatorOverride::Drill;
@@ -421,7 +421,7 @@
 }
 
 #[test]
-fn the_admission_lets_in_its_part_and_spreads_the_rest() {
+fn plan_admission_admits_its_share_and_spreads_retry_after() {
     let mut admission = PlanAdmission::new(2);
     admission.apply(&PlanEffect {
         admitted_shares: vec![0.3, 1.0],
@@ -442,7 +442,7 @@
 }
 
 #[test]
-fn a_plan_fits_a_register_and_what_is_none_is_refused() {
+fn plan_fits_a_register_and_invalid_bytes_are_rejected() {
     let zone = ZonePlan {
         state: ZoneState::Recovering,
         open_permille: FULLY_OPEN,
--- a/crates/core/zone-failover/tests/limits.rs
+++ b/crates/core/zone-failover/tests/limits.rs
@@ -6,7 +6,7 @@
 const CAPACITY: u32 = 4096;
 
 #[test]
-fn a_whole_list_that_comes_again_keeps_all_that_were_known() {
+fn repeated_full_list_keeps_all_known_engines() {
     for (engines, listed) in [(1024, 1024), (CAPACITY, CAPACITY), (CAPACITY + 1, CAPACITY)] {
         let mut observer = Observer::new(Duration::ZERO, 0, Vec::new());
         for _ in 0..2 {
--- a/crates/core/zone-failover/tests/mutants.rs
+++ b/crates/core/zone-failover/tests/mutants.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn each_spoilt_rule_is_caught() {
+fn each_broken_rule_is_detected() {
     assert!(floors_hold(0.1) && !floors_hold(0.0), "no floor");
     let hasty = FailoverConfig { ramp_interval: Duration::ZERO, ..config() };
     assert!(is_paced(&config()) && !is_paced(&hasty), "no ramp interval");
--- a/crates/core/zone-failover/tests/observer.rs
+++ b/crates/core/zone-failover/tests/observer.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn engines_that_answer_fail_or_fall_silent_are_told_apart() {
+fn answering_failing_and_silent_engines_are_distinguished() {
     let mut observer = observer();
     observer.attempt_sent(ms(100), 0);
     observer.attempt_ended(
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn demand_counts_what_was_asked_and_work_is_learned() {
+fn demand_counts_arrivals_and_work_is_learned_from_responses() {
     let mut observer = observer();
     (0..50).for_each(|_| observer.request_arrived(0));
     (0..40).for_each(|_| {
--- a/crates/core/zone-failover/tests/planner.rs
+++ b/crates/core/zone-failover/tests/planner.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn the_plan_serves_the_most_worth_that_any_plan_can() {
+fn allocation_serves_the_most_value_possible() {
     let mut chance = fastrand::Rng::with_seed(11);
     let (mut cases, mut tight) = (0, 0);
     while cases < 1500 {
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn no_site_is_overfilled_none_stands_empty_and_placement_holds() {
+fn no_zone_is_overfilled_and_placement_holds() {
     let mut chance = fastrand::Rng::with_seed(12);
     for _ in 0..2000 {
         let case = case(&mut chance);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn the_least_worth_is_refused_first_and_none_below_its_floor() {
+fn least_value_is_shed_first_and_none_below_its_floor() {
     // Value for a second of work: 10, 2, 5.
     let classes = [class(10.0, 1.0, 4.0, 0.1), class(8.0, 4.0, 2.0, 0.1), class(5.0, 1.0, 4.0, 0.1)];
     let mut before = vec![1.0; 3];
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn what_may_run_nowhere_is_told_and_takes_nothing_from_others() {
+fn unplaceable_class_is_reported_and_takes_no_capacity() {
     let mut bound = class(100.0, 1.0, 5.0, 0.1);
     bound.allowed_zones = Some(vec![0]);
     let lost = [ZoneCapacity { zone: 0, work: 0.0 }, ZoneCapacity { zone: 1, work: 3.0 }];
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn ten_sites_and_fifty_groups_are_planned_quickly() {
+fn ten_zones_and_fifty_classes_are_allocated_quickly() {
     let mut chance = fastrand::Rng::with_seed(13);
     let classes: Vec<ClassLoad> = (0..50)
         .map(|_| {
