--- a/crates/core/maintenance/src/coordinator.rs
+++ b/crates/core/maintenance/src/coordinator.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 /// Attempts elsewhere that fail or are slow beyond this part stop the queue.
-const WORSE: f64 = 0.2;
+const MAX_DEGRADED_SHARE: f64 = 0.2;
 /// Moves settled at once, so that one change stays small.
-const STEPS: usize = 4;
+const MAX_DRAINS_PER_CHANGE: usize = 4;
 
 /// What is to be settled: this request's register, if what stands there is still of this stamp.
 #[derive(Debug, Clone, PartialEq)]
@@ -66,9 +66,15 @@
 
 impl MaintenanceCoordinator {
     /// A majority shows this request.
-    pub fn handle_request(&mut self, now: Duration, number: u8, stamp: (u64, u64), work: MaintenanceRequest) {
+    pub fn handle_request(
+        &mut self,
+        now: Duration,
+        number: u8,
+        version: (u64, u64),
+        work: MaintenanceRequest,
+    ) {
         if usize::from(number) >= MAX_REQUESTS
-            || self.requests.get(&number).is_some_and(|(known, _)| *known >= stamp)
+            || self.requests.get(&number).is_some_and(|(known, _)| *known >= version)
         {
             return;
         }
@@ -83,7 +89,7 @@
         }
         self.since.retain(|(other, machine), _| *other != number || work.phase(*machine).is_some());
         self.requested_at.entry(number).or_insert(now);
-        self.requests.insert(number, (stamp, work));
+        self.requests.insert(number, (version, work));
     }
 
     /// The lease is held under this number, or not held.
@@ -109,7 +115,7 @@
         self.busy = false;
         self.unread.remove(&number);
         match stands {
-            Some((stamp, work)) => self.handle_request(now, number, stamp, work),
+            Some((version, work)) => self.handle_request(now, number, version, work),
             None => _ = self.requests.remove(&number),
         }
     }
@@ -121,11 +127,11 @@
     }
 
     /// A front that counts says that it has let go.
-    pub fn handle_confirmations(&mut self, front: &str, told: &[DrainConfirmation]) {
-        for DrainConfirmation { request: work, version: stamp, machine } in told {
+    pub fn handle_confirmations(&mut self, front: &str, confirmations: &[DrainConfirmation]) {
+        for DrainConfirmation { request: work, version, machine } in confirmations {
             let known = self.requests.get(work).and_then(|(_, work)| work.phase(*machine));
             if known == Some(Phase::Draining) {
-                self.confirmed.entry((*work, *machine)).or_default().insert(front.to_owned(), *stamp);
+                self.confirmed.entry((*work, *machine)).or_default().insert(front.to_owned(), *version);
             }
         }
     }
@@ -137,7 +143,7 @@
     }
 
     /// Why requests wait, as of the last turn.
-    pub fn waits(&self) -> &[Notice] {
+    pub fn blocked(&self) -> &[Notice] {
         &self.blocked
     }
 
@@ -158,7 +164,7 @@
     pub fn poll(
         &mut self,
         now: Duration,
-        terms: &MaintenanceConfig,
+        config: &MaintenanceConfig,
         seen: &FleetView,
     ) -> Option<RegisterAction> {
         let number = self.fencing_token.filter(|_| !self.busy)?;
@@ -169,10 +175,11 @@
         if now < self.next {
             return None;
         }
-        self.next = now + terms.poll_interval;
+        self.next = now + config.poll_interval;
         self.blocked.clear();
-        let change = self.returns(now, terms, seen).or_else(|| self.releases(terms, number));
-        let change = change.or_else(|| self.drains(now, terms, seen))?;
+        let change =
+            self.complete_returned(now, config, seen).or_else(|| self.release_drained(config, number));
+        let change = change.or_else(|| self.start_drains(now, config, seen))?;
         self.busy = true;
         Some(RegisterAction::Write(change))
     }
@@ -185,10 +192,10 @@
     }
 
     /// What is back and has answered for long enough is done.
-    fn returns(
+    fn complete_returned(
         &mut self,
         now: Duration,
-        terms: &MaintenanceConfig,
+        config: &MaintenanceConfig,
         seen: &FleetView,
     ) -> Option<RegisterWrite> {
         for (number, (_, work)) in &self.requests {
@@ -199,7 +206,7 @@
                     at.1 = now;
                     let why = "it was told as back, but does not answer".to_owned();
                     self.blocked.push(Notice::Blocked { request: *number, machine: *machine, reason: why });
-                } else if now >= at.1 + terms.probation {
+                } else if now >= at.1 + config.probation {
                     let (work, machine) = (*number, *machine);
                     return self.change(work, &[(machine, Phase::Done)]);
                 }
@@ -209,12 +216,12 @@
     }
 
     /// What all who count have let go is released.
-    fn releases(&mut self, terms: &MaintenanceConfig, number: u64) -> Option<RegisterWrite> {
+    fn release_drained(&mut self, config: &MaintenanceConfig, number: u64) -> Option<RegisterWrite> {
         for (work, (_, value)) in &self.requests {
             for (machine, _) in value.machines.iter().filter(|(_, phase)| *phase == Phase::Draining) {
                 let gone = self.confirmed.get(&(*work, *machine));
-                let missing: Vec<&str> = (terms.required_fronts.iter())
-                    .filter(|front| !value.excludes(&terms.required_fronts, front))
+                let missing: Vec<&str> = (config.required_fronts.iter())
+                    .filter(|front| !value.excludes(&config.required_fronts, front))
                     .filter(|front| gone.is_none_or(|gone| !gone.contains_key(*front)))
                     .map(String::as_str)
                     .collect();
@@ -230,13 +237,13 @@
 
     /// What goes next: the most urgent request, then who has waited longest; of its machines those whose loss leaves
     /// most to spare.
-    fn drains(
+    fn start_drains(
         &mut self,
         now: Duration,
-        terms: &MaintenanceConfig,
+        config: &MaintenanceConfig,
         seen: &FleetView,
     ) -> Option<RegisterWrite> {
-        let stop = self.stopped(now, seen);
+        let stop = self.stop_reason(now, seen);
         let mut order: Vec<u8> = self.requests.keys().copied().collect();
         order.sort_by_key(|number| {
             let urgency = self.requests[number].1.urgency;
@@ -250,8 +257,8 @@
                 .map(|(machine, _)| *machine)
                 .collect();
             let Some(first) = asked.first().copied() else { continue };
-            let here = self.out_of(work);
-            let room = usize::from(work.max_concurrent).saturating_sub(here).min(STEPS);
+            let here = self.out_of_request(work);
+            let room = usize::from(work.max_concurrent).saturating_sub(here).min(MAX_DRAINS_PER_CHANGE);
             let wait =
                 |why: &str| Notice::Blocked { request: number, machine: first, reason: why.to_owned() };
             let why = match &stop {
@@ -265,7 +272,7 @@
                 continue;
             }
             let reserve = reserve.get_or_insert_with(|| {
-                CapacityReserve::new(seen.capacity.clone(), terms.min_reserve, terms.demand_margin)
+                CapacityReserve::new(seen.capacity.clone(), config.min_reserve, config.demand_margin)
             });
             let mut out = self.machines_out();
             let mut moves = Vec::new();
@@ -300,7 +307,7 @@
     }
 
     /// How many machines of the whole request are out, of which this may be a part.
-    fn out_of(&self, work: &MaintenanceRequest) -> usize {
+    fn out_of_request(&self, work: &MaintenanceRequest) -> usize {
         let out =
             |work: &MaintenanceRequest| work.machines.iter().filter(|(_, phase)| phase.is_out()).count();
         if work.extension.request_group == 0 {
@@ -312,11 +319,11 @@
     }
 
     /// Why nothing further may be begun at all.
-    fn stopped(&self, now: Duration, seen: &FleetView) -> Option<String> {
+    fn stop_reason(&self, now: Duration, seen: &FleetView) -> Option<String> {
         if seen.zones_down {
             return Some("a site is not up".to_owned());
         }
-        if seen.degraded_share > WORSE {
+        if seen.degraded_share > MAX_DEGRADED_SHARE {
             return Some("outcomes have worsened".to_owned());
         }
         for ((number, machine), (phase, since)) in &self.since {
--- a/crates/core/maintenance/src/lib.rs
+++ b/crates/core/maintenance/src/lib.rs
@@ -32,7 +32,7 @@
 /// Machines in one register, so that it fits a datagram even with all of them released.
 pub const MAX_MACHINES: usize = 32;
 /// Machines in one register that an earlier version may have written.
-const MOST_READ: usize = 60;
+const MAX_MACHINES_READ: usize = 60;
 /// Machines of one request that are out at once, at most: all that the registers hold.
 pub const MAX_CONCURRENT: u16 = (MAX_REQUESTS * MAX_MACHINES) as u16;
 /// Bytes of who asked at most.
@@ -219,7 +219,7 @@
         if !rest.is_empty() {
             work.extension = postcard::from_bytes(rest).ok()?;
         }
-        let fits = work.machines.len() <= MOST_READ
+        let fits = work.machines.len() <= MAX_MACHINES_READ
             && work.requester.len() <= MAX_NAME_BYTES
             && work.excluded_fronts.iter().all(|name| name.len() <= MAX_NAME_BYTES);
         fits.then_some(work)
--- a/crates/core/maintenance/src/participant.rs
+++ b/crates/core/maintenance/src/participant.rs
@@ -17,47 +17,47 @@
 pub struct Participant {
     requests: BTreeMap<u8, ((u64, u64), MaintenanceRequest)>,
     /// Requests of which it is sure what stands there, also that nothing does.
-    is_complete: BTreeSet<u8>,
+    known: BTreeSet<u8>,
     /// Counts up whenever what is closed changes.
-    version: u64,
+    revision: u64,
     /// The last of what was said in pages.
     last_confirmed: Option<(u8, Machine)>,
 }
 
 impl Participant {
     /// A majority shows this request; an older one changes nothing.
-    pub fn handle_request(&mut self, number: u8, stamp: (u64, u64), work: MaintenanceRequest) {
+    pub fn handle_request(&mut self, number: u8, version: (u64, u64), work: MaintenanceRequest) {
         if usize::from(number) >= MAX_REQUESTS {
             return;
         }
-        let first = self.is_complete.insert(number);
+        let first = self.known.insert(number);
         let known = self.requests.get(&number).map(|(known, _)| *known);
-        if known >= Some(stamp) {
-            self.version += u64::from(first);
+        if known >= Some(version) {
+            self.revision += u64::from(first);
             return;
         }
-        self.requests.insert(number, (stamp, work));
-        self.version += 1;
+        self.requests.insert(number, (version, work));
+        self.revision += 1;
     }
 
     /// A whole round has shown that nothing stands there.
     pub fn handle_no_request(&mut self, number: u8) {
-        if self.is_complete.insert(number) {
-            self.version += 1;
+        if self.known.insert(number) {
+            self.revision += 1;
         }
     }
 
     /// Whether it knows of all requests; until then it may use nothing.
-    pub fn sure(&self) -> bool {
-        self.is_complete.len() >= MAX_REQUESTS
+    pub fn is_complete(&self) -> bool {
+        self.known.len() >= MAX_REQUESTS
     }
 
-    pub fn version(&self) -> u64 {
-        self.version
+    pub fn revision(&self) -> u64 {
+        self.revision
     }
 
     pub fn works(&self) -> impl Iterator<Item = (u8, &(u64, u64), &MaintenanceRequest)> {
-        self.requests.iter().map(|(number, (stamp, work))| (*number, stamp, work))
+        self.requests.iter().map(|(number, (version, work))| (*number, version, work))
     }
 
     /// Machines that it may not send to.
@@ -70,14 +70,14 @@
     /// which version the front had closed them when it counted.
     pub fn confirmations(&self, closed_by: u64, out: &BTreeMap<Machine, u32>) -> Vec<DrainConfirmation> {
         // Guards against a count from before the front had stopped sending.
-        if !self.sure() || closed_by < self.version {
+        if !self.is_complete() || closed_by < self.revision {
             return Vec::new();
         }
         let mut all = Vec::new();
-        for (number, (stamp, work)) in &self.requests {
+        for (number, (version, work)) in &self.requests {
             for (machine, phase) in &work.machines {
                 if *phase == Phase::Draining && out.get(machine).copied().unwrap_or_default() == 0 {
-                    all.push(DrainConfirmation { request: *number, version: *stamp, machine: *machine });
+                    all.push(DrainConfirmation { request: *number, version: *version, machine: *machine });
                 }
             }
         }
--- a/crates/core/maintenance/tests/fleet.rs
+++ b/crates/core/maintenance/tests/fleet.rs
@@ -6,15 +6,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-const SITES: u32 = 3;
-const EACH: u32 = 8;
+const ZONES: u32 = 3;
+const MACHINES_PER_ZONE: u32 = 8;
 const FRONTS: usize = 7;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-fn terms() -> MaintenanceConfig {
+fn config() -> MaintenanceConfig {
     MaintenanceConfig {
         poll_interval: ms(100),
         required_fronts: (0..FRONTS).map(|front| format!("n{front}")).collect(),
@@ -24,14 +24,15 @@
     }
 }
 
-fn site(machine: Machine) -> u32 {
-    machine / EACH
+fn zone(machine: Machine) -> u32 {
+    machine / MACHINES_PER_ZONE
 }
 
 /// 24 machines of 8; what is asked for fills a loss of any zone to nine tenths.
 fn fleet(dead: &BTreeSet<Machine>) -> FleetCapacity {
-    let machines = (0..SITES * EACH).map(|machine| (machine, (site(machine), 8.0, !dead.contains(&machine))));
-    let group = ClassLoad {
+    let machines = (0..ZONES * MACHINES_PER_ZONE)
+        .map(|machine| (machine, (zone(machine), 8.0, !dead.contains(&machine))));
+    let class = ClassLoad {
         priority_weight: 1.0,
         work: 1.0,
         rate: 104.0,
@@ -40,21 +41,21 @@
         floor: 0.0,
         allowed_zones: None,
     };
-    FleetCapacity { machines: machines.collect(), classes: vec![group] }
+    FleetCapacity { machines: machines.collect(), classes: vec![class] }
 }
 
 #[derive(Default)]
 struct Front {
-    crew: Participant,
+    participant: Participant,
     /// What the owner has closed, by which version; it follows a round later.
     applied: (u64, BTreeSet<Machine>, bool),
     out: BTreeMap<Machine, u32>,
     alive: bool,
-    deaf: bool,
+    disconnected: bool,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Spoilt {
+enum Fault {
     Nothing,
     /// One front is not waited for.
     FrontLeftOut,
@@ -68,13 +69,13 @@
 
 struct World {
     now: Duration,
-    spoilt: Spoilt,
+    fault: Fault,
     registers: BTreeMap<u8, ((u64, u64), MaintenanceRequest)>,
     fronts: Vec<Front>,
-    foreman: MaintenanceCoordinator,
+    coordinator: MaintenanceCoordinator,
     number: u64,
-    told: Vec<(Duration, String, Vec<DrainConfirmation>)>,
-    chance: fastrand::Rng,
+    confirmations: Vec<(Duration, String, Vec<DrainConfirmation>)>,
+    rng: fastrand::Rng,
     dead: BTreeSet<Machine>,
     sites_down: bool,
     wrong: Vec<String>,
@@ -84,17 +85,17 @@
 }
 
 impl World {
-    fn new(seed: u64, spoilt: Spoilt) -> World {
+    fn new(seed: u64, fault: Fault) -> World {
         let front = || Front { alive: true, ..Front::default() };
         World {
             now: ms(0),
-            spoilt,
+            fault,
             registers: BTreeMap::new(),
             fronts: (0..FRONTS).map(|_| front()).collect(),
-            foreman: MaintenanceCoordinator::default(),
+            coordinator: MaintenanceCoordinator::default(),
             number: 1,
-            told: Vec::new(),
-            chance: fastrand::Rng::with_seed(seed),
+            confirmations: Vec::new(),
+            rng: fastrand::Rng::with_seed(seed),
             dead: BTreeSet::new(),
             sites_down: false,
             wrong: Vec::new(),
@@ -118,27 +119,29 @@
         self.now += ms(20);
         let released = self.phases(|phase| matches!(phase, Phase::Released { .. }));
         for number in 0..FRONTS {
-            let hears = !self.fronts[number].deaf && self.chance.f64() < 0.3;
-            let starts_open = self.spoilt == Spoilt::StartsOpen;
+            let hears = !self.fronts[number].disconnected && self.rng.f64() < 0.3;
+            let starts_open = self.fault == Fault::StartsOpen;
             let front = &mut self.fronts[number];
             if !front.alive {
                 continue;
             }
             // The owner follows what the participant knows some time later.
-            if self.chance.f64() < 0.1 || !front.applied.2 {
-                let open = front.crew.sure() || starts_open;
-                front.applied = (front.crew.version(), front.crew.closed_machines(), open);
+            if self.rng.f64() < 0.1 || !front.applied.2 {
+                let open = front.participant.is_complete() || starts_open;
+                front.applied = (front.participant.revision(), front.participant.closed_machines(), open);
             }
             if hears {
                 for work in 0..MAX_REQUESTS as u8 {
                     match self.registers.get(&work) {
-                        Some((stamp, value)) => front.crew.handle_request(work, *stamp, value.clone()),
-                        None => front.crew.handle_no_request(work),
+                        Some((version, value)) => {
+                            front.participant.handle_request(work, *version, value.clone())
+                        }
+                        None => front.participant.handle_no_request(work),
                     }
                 }
             }
             for _ in 0..3 {
-                let machine = self.chance.u32(..SITES * EACH);
+                let machine = self.rng.u32(..ZONES * MACHINES_PER_ZONE);
                 if front.applied.2 && !front.applied.1.contains(&machine) && !self.dead.contains(&machine) {
                     *front.out.entry(machine).or_default() += 1;
                     if released.contains(&machine) {
@@ -146,13 +149,13 @@
                     }
                 }
             }
-            let chance = &mut self.chance;
-            front.out.values_mut().for_each(|out| *out -= u32::from(*out > 0 && chance.f64() < 0.5));
-            if self.chance.f64() < 0.5 {
-                let by = if self.spoilt == Spoilt::CountedBefore { u64::MAX } else { front.applied.0 };
-                let let_go = front.crew.confirmations(by, &front.out);
-                let late = ms(self.chance.u64(0..400));
-                self.told.push((self.now + late, format!("n{number}"), let_go));
+            let rng = &mut self.rng;
+            front.out.values_mut().for_each(|out| *out -= u32::from(*out > 0 && rng.f64() < 0.5));
+            if self.rng.f64() < 0.5 {
+                let by = if self.fault == Fault::CountedBefore { u64::MAX } else { front.applied.0 };
+                let confirmations = front.participant.confirmations(by, &front.out);
+                let late = ms(self.rng.u64(0..400));
+                self.confirmations.push((self.now + late, format!("n{number}"), confirmations));
             }
             for (machine, out) in &front.out {
                 if *out > 0 && released.contains(machine) {
@@ -161,26 +164,28 @@
             }
         }
         let now = self.now;
-        let due: Vec<_> = self.told.extract_if(.., |(at, ..)| *at <= now).collect();
-        due.into_iter().for_each(|(_, front, told)| self.foreman.handle_confirmations(&front, &told));
-        for (number, (stamp, work)) in &self.registers {
-            if self.chance.f64() < 0.5 {
-                self.foreman.handle_request(now, *number, *stamp, work.clone());
+        let due: Vec<_> = self.confirmations.extract_if(.., |(at, ..)| *at <= now).collect();
+        due.into_iter().for_each(|(_, front, confirmations)| {
+            self.coordinator.handle_confirmations(&front, &confirmations)
+        });
+        for (number, (version, work)) in &self.registers {
+            if self.rng.f64() < 0.5 {
+                self.coordinator.handle_request(now, *number, *version, work.clone());
             }
         }
-        let mut terms = terms();
-        match self.spoilt {
-            Spoilt::FrontLeftOut => drop(terms.required_fronts.pop()),
-            Spoilt::NoReserve => (terms.min_reserve, terms.demand_margin) = (0.0, -1.0),
+        let mut config = config();
+        match self.fault {
+            Fault::FrontLeftOut => drop(config.required_fronts.pop()),
+            Fault::NoReserve => (config.min_reserve, config.demand_margin) = (0.0, -1.0),
             _ => {}
         }
         let seen =
             FleetView { capacity: fleet(&self.dead), degraded_share: 0.0, zones_down: self.sites_down };
-        self.foreman.set_lease(Some(self.number));
-        let want = self.foreman.poll(now, &terms, &seen);
+        self.coordinator.set_lease(Some(self.number));
+        let want = self.coordinator.poll(now, &config, &seen);
         // Rounds take a while, and now and then nobody learns how one ended.
         if let Some(want) = want.or_else(|| self.wanted.take()) {
-            if self.chance.f64() < 0.5 {
+            if self.rng.f64() < 0.5 {
                 self.wanted = Some(want);
             } else {
                 self.round(want);
@@ -199,21 +204,21 @@
             RegisterAction::Read(work) => work,
             RegisterAction::Write(RegisterWrite { request: work, expected: after, value }) => {
                 // The register settles it only if what stands there is still what it was worked out from.
-                if self.registers.get(&work).is_some_and(|(stamp, _)| *stamp == after) {
+                if self.registers.get(&work).is_some_and(|(version, _)| *version == after) {
                     self.settle(work, value);
                 }
                 work
             }
         };
-        if self.chance.f64() < 0.1 {
-            return self.foreman.handle_failure(work);
+        if self.rng.f64() < 0.1 {
+            return self.coordinator.handle_failure(work);
         }
         let stands = self.registers.get(&work).cloned();
-        self.foreman.handle_committed(self.now, work, stands);
+        self.coordinator.handle_committed(self.now, work, stands);
     }
 
     /// Those who work on machines: at their own pace, and now and then they say so twice.
-    fn yard(&mut self) {
+    fn return_released_machines(&mut self) {
         let released: Vec<(u8, Machine)> = (self.registers.iter())
             .flat_map(|(number, (_, work))| {
                 work.machines.iter().map(move |(machine, phase)| (*number, *machine, *phase))
@@ -222,7 +227,7 @@
             .map(|(number, machine, _)| (number, machine))
             .collect();
         for (number, machine) in released {
-            if self.chance.f64() < 0.02 {
+            if self.rng.f64() < 0.02 {
                 let mut work = self.registers[&number].1.clone();
                 assert!(work.mark_returned(machine) && !work.mark_returned(machine));
                 self.settle(number, work);
@@ -233,7 +238,8 @@
 
     fn restart(&mut self, front: usize) {
         // What it had out ends with it.
-        self.fronts[front] = Front { alive: true, deaf: self.fronts[front].deaf, ..Front::default() };
+        self.fronts[front] =
+            Front { alive: true, disconnected: self.fronts[front].disconnected, ..Front::default() };
     }
 
     fn over(&self) -> bool {
@@ -241,23 +247,23 @@
     }
 }
 
-fn play(seed: u64, spoilt: Spoilt) -> World {
-    let mut world = World::new(seed, spoilt);
-    let all: Vec<Machine> = (0..SITES * EACH).collect();
+fn play(seed: u64, fault: Fault) -> World {
+    let mut world = World::new(seed, fault);
+    let all: Vec<Machine> = (0..ZONES * MACHINES_PER_ZONE).collect();
     world.settle(0, MaintenanceRequest::new("ann", 1, 3, 600, &all[..12]));
     world.settle(1, MaintenanceRequest::new("bob", 5, 2, 600, &all[6..]));
     for turn in 0..6000 {
         world.step();
-        world.yard();
+        world.return_released_machines();
         if turn < 1500 {
-            let front = world.chance.usize(..FRONTS);
-            match world.chance.u32(..200) {
+            let front = world.rng.usize(..FRONTS);
+            match world.rng.u32(..200) {
                 0 => world.restart(front),
-                1 => world.fronts[front].deaf = true,
-                2..=4 => world.fronts[front].deaf = false,
+                1 => world.fronts[front].disconnected = true,
+                2..=4 => world.fronts[front].disconnected = false,
                 // What the last coordinator had under way is ended by the next one's reading.
                 5 => {
-                    (world.foreman, world.number, world.wanted) =
+                    (world.coordinator, world.number, world.wanted) =
                         (MaintenanceCoordinator::default(), world.number + 1, None)
                 }
                 6 => world.sites_down = !world.sites_down,
@@ -265,7 +271,7 @@
             }
         } else {
             world.sites_down = false;
-            world.fronts.iter_mut().for_each(|front| front.deaf = false);
+            world.fronts.iter_mut().for_each(|front| front.disconnected = false);
         }
         if world.over() && turn > 1500 {
             break;
@@ -278,9 +284,9 @@
 fn nobody_uses_a_released_machine_and_the_rest_always_carries_the_load() {
     let (mut released, mut most) = (0, 0);
     for seed in 0..60 {
-        let world = play(seed, Spoilt::Nothing);
+        let world = play(seed, Fault::Nothing);
         assert!(world.wrong.is_empty(), "seed {seed}: {:?}", &world.wrong[..world.wrong.len().min(3)]);
-        assert!(world.over(), "seed {seed}: {:?} {:?}", world.registers, world.foreman.waits());
+        assert!(world.over(), "seed {seed}: {:?} {:?}", world.registers, world.coordinator.blocked());
         assert_eq!(world.released, 30, "12 and 18 machines, six of them twice");
         (released, most) = (released + world.released, most.max(world.most_out));
     }
@@ -290,13 +296,13 @@
 
 #[test]
 fn each_spoilt_rule_is_caught() {
-    for (spoilt, name) in [
-        (Spoilt::FrontLeftOut, "front_left_out"),
-        (Spoilt::CountedBefore, "counted_before_closing"),
-        (Spoilt::StartsOpen, "starts_open"),
-        (Spoilt::NoReserve, "no_reserve"),
+    for (fault, name) in [
+        (Fault::FrontLeftOut, "front_left_out"),
+        (Fault::CountedBefore, "counted_before_closing"),
+        (Fault::StartsOpen, "starts_open"),
+        (Fault::NoReserve, "no_reserve"),
     ] {
-        let caught = (0..30).filter(|seed| !play(*seed, spoilt).wrong.is_empty()).count();
+        let caught = (0..30).filter(|seed| !play(*seed, fault).wrong.is_empty()).count();
         println!("proof: works_mutant_{name}_caught in {caught} of 30");
         assert!(caught > 0, "{name}");
     }
@@ -304,18 +310,18 @@
 
 #[test]
 fn a_front_that_is_not_heard_holds_the_release_until_an_operator_leaves_it_out() {
-    let mut world = World::new(3, Spoilt::Nothing);
+    let mut world = World::new(3, Fault::Nothing);
     for _ in 0..50 {
         world.step();
     }
-    world.fronts[2].deaf = true;
+    world.fronts[2].disconnected = true;
     world.settle(0, MaintenanceRequest::new("ann", 1, 1, 600, &[4]));
     (0..500).for_each(|_| world.step());
     assert_eq!(world.registers[&0].1.phase(4), Some(Phase::Draining));
-    let says = |told: &Notice| matches!(told, Notice::Blocked { reason: why, .. } if why.contains("n2"));
+    let says = |confirmations: &Notice| matches!(confirmations, Notice::Blocked { reason: why, .. } if why.contains("n2"));
     assert!((0..20).any(|_| {
         world.step();
-        world.foreman.waits().iter().any(says)
+        world.coordinator.blocked().iter().any(says)
     }));
     world.fronts[2].alive = false;
     let mut work = world.registers[&0].1.clone();
@@ -323,12 +329,12 @@
     world.settle(0, work);
     (0..100).for_each(|_| world.step());
     assert!(matches!(world.registers[&0].1.phase(4), Some(Phase::Released { .. })));
-    assert_eq!(world.foreman.released().len(), 1);
+    assert_eq!(world.coordinator.released().len(), 1);
 }
 
 #[test]
 fn a_failed_machine_counts_as_out_and_a_late_one_stops_the_queue() {
-    let mut world = World::new(4, Spoilt::Nothing);
+    let mut world = World::new(4, Fault::Nothing);
     world.dead = (0..8).collect(); // A whole zone has failed by itself.
     world.settle(0, MaintenanceRequest::new("ann", 1, 5, 1, &[9, 10, 11]));
     (0..300).for_each(|_| world.step());
@@ -340,10 +346,10 @@
     // Nobody brings it back: after the second that was asked for, nothing further goes.
     world.settle(1, MaintenanceRequest::new("bob", 9, 5, 600, &[20]));
     (0..100).for_each(|_| world.step());
-    let late = |told: &Notice| matches!(told, Notice::Blocked { reason: why, .. } if why.contains("longer than was asked"));
+    let late = |confirmations: &Notice| matches!(confirmations, Notice::Blocked { reason: why, .. } if why.contains("longer than was asked"));
     assert!((0..20).any(|_| {
         world.step();
-        world.foreman.waits().iter().any(late)
+        world.coordinator.blocked().iter().any(late)
     }));
 }
 
--- a/crates/core/maintenance/tests/limits.rs
+++ b/crates/core/maintenance/tests/limits.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-const HELD: usize = MAX_REQUESTS * MAX_MACHINES;
-const STAMP: (u64, u64) = (1, 1);
+const CAPACITY: usize = MAX_REQUESTS * MAX_MACHINES;
+const VERSION: (u64, u64) = (1, 1);
 
 fn request(machines: usize, at_once: u16) -> Vec<MaintenanceRequest> {
     let machines: Vec<Machine> = (0..machines as u32).collect();
@@ -15,9 +15,15 @@
 
 #[test]
 fn a_request_is_cut_into_as_many_registers_as_it_needs() {
-    for (machines, registers) in [(0, 0), (1, 1), (32, 1), (33, 2), (1024, 32), (HELD, 64), (HELD + 1, 65)] {
+    for (machines, registers) in
+        [(0, 0), (1, 1), (32, 1), (33, 2), (1024, 32), (CAPACITY, 64), (CAPACITY + 1, 65)]
+    {
         let parts = request(machines, MAX_CONCURRENT);
-        assert_eq!((parts.len(), parts.len() <= MAX_REQUESTS), (registers, machines <= HELD), "{machines}");
+        assert_eq!(
+            (parts.len(), parts.len() <= MAX_REQUESTS),
+            (registers, machines <= CAPACITY),
+            "{machines}"
+        );
         let read: Vec<MaintenanceRequest> =
             parts.iter().filter_map(|part| MaintenanceRequest::from_bytes(&part.to_bytes())).collect();
         assert_eq!(read, parts);
@@ -32,21 +38,21 @@
 
 #[test]
 fn each_machine_that_is_let_go_is_said_in_its_turn() {
-    for machines in [32, 33, 1024, HELD] {
-        let mut crew = Participant::default();
+    for machines in [32, 33, 1024, CAPACITY] {
+        let mut participant = Participant::default();
         let parts = request(machines, MAX_CONCURRENT);
         for number in 0..MAX_REQUESTS {
             match parts.get(number).cloned() {
                 Some(mut part) => {
                     part.machines.iter_mut().for_each(|one| one.1 = Phase::Draining);
-                    crew.handle_request(number as u8, STAMP, part);
+                    participant.handle_request(number as u8, VERSION, part);
                 }
-                None => crew.handle_no_request(number as u8),
+                None => participant.handle_no_request(number as u8),
             }
         }
         let mut said = BTreeSet::new();
         for _ in 0..machines.div_ceil(32) {
-            let page = crew.next_confirmations(u64::MAX, &BTreeMap::new(), 32);
+            let page = participant.next_confirmations(u64::MAX, &BTreeMap::new(), 32);
             assert!(page.len() <= 32);
             said.extend(page.into_iter().map(|one| one.machine));
         }
@@ -56,16 +62,16 @@
 
 #[test]
 fn what_is_out_at_once_is_counted_over_all_parts() {
-    for (machines, at_once) in [(40, 3), (1024, 1024), (HELD, MAX_CONCURRENT)] {
-        let mut foreman = MaintenanceCoordinator::default();
-        let terms = MaintenanceConfig {
+    for (machines, at_once) in [(40, 3), (1024, 1024), (CAPACITY, MAX_CONCURRENT)] {
+        let mut coordinator = MaintenanceCoordinator::default();
+        let config = MaintenanceConfig {
             poll_interval: Duration::from_millis(1),
             required_fronts: vec!["n0".to_owned()],
             min_reserve: 0.1,
             demand_margin: 0.0,
             probation: Duration::ZERO,
         };
-        let group = ClassLoad {
+        let class = ClassLoad {
             priority_weight: 1.0,
             work: 1.0,
             rate: 1.0,
@@ -76,24 +82,24 @@
         };
         // As many again bear the load meanwhile.
         let bears = (0..2 * machines as u32).map(|machine| (machine, (machine % 2, 8.0, true)));
-        let fleet = FleetCapacity { machines: bears.collect(), classes: vec![group] };
+        let fleet = FleetCapacity { machines: bears.collect(), classes: vec![class] };
         let seen = FleetView { capacity: fleet, degraded_share: 0.0, zones_down: false };
         let mut now = Duration::ZERO;
-        foreman.set_lease(Some(1));
+        coordinator.set_lease(Some(1));
         let parts = request(machines, at_once);
         for number in 0..MAX_REQUESTS {
-            let stands = parts.get(number).map(|part| (STAMP, part.clone()));
-            foreman.handle_committed(now, number as u8, stands);
+            let stands = parts.get(number).map(|part| (VERSION, part.clone()));
+            coordinator.handle_committed(now, number as u8, stands);
         }
         // What drains is few where each further one is looked for among many; two registers' worth shows it.
         let turns = usize::from(at_once).min(2 * MAX_MACHINES + 1);
         for _ in 0..turns {
-            now += terms.poll_interval;
-            let Some(RegisterAction::Write(change)) = foreman.poll(now, &terms, &seen) else { break };
+            now += config.poll_interval;
+            let Some(RegisterAction::Write(change)) = coordinator.poll(now, &config, &seen) else { break };
             let (era, version) = change.expected;
-            foreman.handle_committed(now, change.request, Some(((era, version + 1), change.value)));
+            coordinator.handle_committed(now, change.request, Some(((era, version + 1), change.value)));
         }
-        let out = foreman.machines_out().len();
+        let out = coordinator.machines_out().len();
         assert!(out <= usize::from(at_once), "{out} are out of {at_once}");
         assert!(out >= usize::from(at_once).min(turns), "only {out} are out of {at_once}");
     }
--- a/crates/edges/fleet/src/works.rs
+++ b/crates/edges/fleet/src/works.rs
@@ -111,7 +111,7 @@
                 None => {}
             }
         }
-        let state = (self.crew.version(), self.crew.sure());
+        let state = (self.crew.revision(), self.crew.is_complete());
         if self.said == Some(state) {
             return None;
         }
@@ -191,7 +191,7 @@
             .foreman
             .as_ref()
             .filter(|foreman| foreman.is_active())
-            .map(MaintenanceCoordinator::waits)
+            .map(MaintenanceCoordinator::blocked)
             .unwrap_or_default();
         let why = waits.iter().find_map(|told| match told {
             Notice::Blocked { request: work, machine, reason: why } if *work == number => {
