--- a/crates/core/maintenance/tests/fleet.rs
+++ b/crates/core/maintenance/tests/fleet.rs
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn nobody_uses_a_released_machine_and_the_rest_always_carries_the_load() {
+fn no_front_uses_a_released_machine_and_the_rest_serves_the_load() {
     let (mut released, mut most) = (0, 0);
     for seed in 0..60 {
         let world = play(seed, Fault::None);
@@ -347,7 +347,7 @@
 }
 
 #[test]
-fn each_spoilt_rule_is_caught() {
+fn each_fault_is_detected() {
     for (fault, name) in [
         (Fault::FrontNotRequired, "front_left_out"),
         (Fault::CountedBeforeClosing, "counted_before_closing"),
@@ -361,7 +361,7 @@
 }
 
 #[test]
-fn a_front_that_is_not_heard_holds_the_release_until_an_operator_leaves_it_out() {
+fn silent_front_blocks_the_release_until_an_operator_excludes_it() {
     let mut world = World::new(3, Fault::None);
     for _ in 0..50 {
         world.step();
@@ -381,7 +381,7 @@
 }
 
 #[test]
-fn a_failed_machine_counts_as_out_and_a_late_one_stops_the_queue() {
+fn failed_machine_counts_as_out_and_an_overdue_one_stops_drains() {
     let mut world = World::new(4, Fault::None);
     world.dead = (0..8).collect(); // A whole zone has failed.
     world.commit(0, MaintenanceRequest::new("ann", 1, 5, 1, &[9, 10, 11]));
@@ -398,7 +398,7 @@
 }
 
 #[test]
-fn what_is_withdrawn_is_opened_unless_it_is_released() {
+fn withdrawal_opens_machines_that_are_not_released() {
     let mut request = MaintenanceRequest::new("ann", 1, 9, 60, &[1, 2, 3]);
     assert!(!request.mark_returned(1), "it was never released");
     let mut bytes = request.to_bytes();
--- a/crates/core/maintenance/tests/limits.rs
+++ b/crates/core/maintenance/tests/limits.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_request_is_cut_into_as_many_registers_as_it_needs() {
+fn request_is_split_into_as_many_registers_as_it_needs() {
     for (machines, registers) in
         [(0, 0), (1, 1), (32, 1), (33, 2), (1024, 32), (CAPACITY, 64), (CAPACITY + 1, 65)]
     {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn each_machine_that_is_let_go_is_said_in_its_turn() {
+fn each_drained_machine_is_confirmed_round_robin() {
     for machines in [32, 33, 1024, CAPACITY] {
         let mut participant = Participant::default();
         let parts = request(machines, MAX_CONCURRENT);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn what_is_out_at_once_is_counted_over_all_parts() {
+fn concurrent_outages_are_counted_over_all_parts() {
     for (count, at_once) in [(40, 3), (1024, 1024), (CAPACITY, MAX_CONCURRENT)] {
         let mut coordinator = MaintenanceCoordinator::default();
         let config = MaintenanceConfig {
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn fronts_declared_dead_are_kept_by_their_place_in_the_list_that_counts() {
+fn dead_fronts_are_stored_by_position_in_the_required_list() {
     for (fronts, held) in [(1024, 1024), (MAX_FRONTS, MAX_FRONTS), (MAX_FRONTS + 1, MAX_FRONTS)] {
         let names: Vec<String> = (0..fronts).map(|front| format!("front-{front:06}")).collect();
         let mut request = MaintenanceRequest::new("ann", 1, 1, 600, &[1]);
