--- a/crates/edges/routing/src/router.rs
+++ b/crates/edges/routing/src/router.rs
@@ -494,10 +494,10 @@
     /// The fleet's plan means this here from now on.
     fn follow(&mut self, now: Duration, effect: &PlanEffect) {
         let Some(watched) = &mut self.watched else { return };
-        watched.door.set(effect);
+        watched.door.apply(effect);
         log::info!(
             "sites: epoch {:?}{}, closed in part: {:?}, let in: {:?}",
-            effect.epoch,
+            effect.version.map(|version| (version.epoch, version.counter)),
             if effect.isolated { ", goes by itself" } else { "" },
             effect.restrictions,
             effect.admitted_shares
