--- /dev/null
+++ b/crates/core/store/tests/earlier_log.rs
@@ -0,0 +1,155 @@
+//! A log that an earlier version wrote (commit ad164c9) is read whole, and the same steps write the same bytes.
+//! `fixtures/state.log` and `fixtures/state.txt`, what that version read from it, are its output.
+
+use lemonusher_model::{Node, Op, Schema, Tree, parse_path};
+use lemonusher_store::*;
+use std::fmt::Write;
+use std::sync::Arc;
+use std::time::Duration;
+
+const LOG: &[u8] = include_bytes!("fixtures/state.log");
+const CONTENT: &str = include_str!("fixtures/state.txt");
+const SHORT: Bounds = Bounds { history: 3, sessions: 8 };
+const LONG: Bounds = Bounds { history: 64, sessions: 8 };
+const LEVEL: &str = "/front/log-level";
+const DRAINING: &str = "/front/pool[name=nightly.b]/admin-state";
+
+fn edit(store: &Store, op: Op, path: &str, value: Option<&str>) -> Edit {
+    let place = store.schema().place(&parse_path(path).unwrap()).unwrap();
+    Edit { op, place, value: value.map(|value| Node::Leaf(value.into())) }
+}
+
+fn merge(store: &Store, path: &str, value: &str) -> Edit {
+    edit(store, Op::Merge, path, Some(value))
+}
+
+fn logged(bytes: &mut Vec<u8>, store: &mut Store, plan: Plan) {
+    bytes.extend(frame(&Record::commit(store.schema(), &plan)));
+    store.finish(plan);
+}
+
+fn set(bytes: &mut Vec<u8>, store: &mut Store, session: SessionId, edits: &[Edit], terms: &Commit, at: u64) {
+    let plan = store.set(session, edits, terms, Duration::ZERO, at).unwrap().unwrap();
+    logged(bytes, store, plan);
+}
+
+fn startup(bytes: &mut Vec<u8>, store: &mut Store, session: SessionId, from: Option<Datastore>) {
+    let plan = store.keep_startup(session, from).unwrap();
+    bytes.extend(frame(&Record::startup(store.schema(), plan.tree.as_ref())));
+    store.finish_startup(plan);
+}
+
+fn confirmed(persist: Option<&str>) -> Commit {
+    let confirmed = Some(Duration::from_secs(600));
+    Commit { confirmed, persist: persist.map(str::to_owned), ..Commit::default() }
+}
+
+/// A log that begins with a whole version, not the first one, and some commits after it.
+fn shortened() -> Vec<u8> {
+    let mut store = Store::new(Arc::new(Schema::front().unwrap()), SHORT);
+    let session = store.open("before", Protocol::Gnmi).unwrap();
+    let mut unused = Vec::new();
+    for number in 0..6u64 {
+        let path = format!("/front/pool[name=x{}]/cell[.={number}]", number % 2);
+        let change = [merge(&store, &path, &number.to_string())];
+        set(&mut unused, &mut store, session, &change, &Commit::default(), 1000 + number);
+    }
+    compact(&store)
+}
+
+/// Every kind of record, every cause of a version, every protocol.
+fn written() -> Vec<u8> {
+    let mut bytes = shortened();
+    let mut store = recover(Arc::new(Schema::front().unwrap()), LONG, &bytes).unwrap().store;
+    let log = &mut bytes;
+    let netconf = store.open("anna", Protocol::Netconf).unwrap();
+    let gnmi = store.open("b\u{f6}rge", Protocol::Gnmi).unwrap();
+    // From a candidate, several changes at once; then a leaf changed and an entry taken away.
+    let edits = [merge(&store, LEVEL, "warn"), merge(&store, DRAINING, "draining")];
+    store.edit(netconf, &edits, OnError::Rollback).unwrap();
+    let plan = store.commit(netconf, &Commit::default(), Duration::ZERO, 2000).unwrap().unwrap();
+    logged(log, &mut store, plan);
+    let edits = [merge(&store, LEVEL, "debug"), edit(&store, Op::Delete, "/front/pool[name=x1]", None)];
+    set(log, &mut store, gnmi, &edits, &Commit::default(), 2001);
+    // Startup: put there, dropped, put there again, and begun with.
+    startup(log, &mut store, netconf, Some(Datastore::Running));
+    startup(log, &mut store, netconf, None);
+    startup(log, &mut store, netconf, Some(Datastore::Running));
+    let change = [merge(&store, LEVEL, "error")];
+    set(log, &mut store, gnmi, &change, &Commit::default(), 2002);
+    let plan = store.begin_with_startup(2003).unwrap();
+    logged(log, &mut store, plan);
+    // A confirmed commit that is extended and confirmed; one cancelled; one not confirmed in time.
+    let change = [merge(&store, LEVEL, "warn")];
+    set(log, &mut store, netconf, &change, &confirmed(None), 2004);
+    let plan = store.extend(netconf, None, Duration::from_secs(9), Duration::ZERO, 2005).unwrap();
+    logged(log, &mut store, plan);
+    set(log, &mut store, netconf, &[], &Commit::default(), 2006);
+    let change = [merge(&store, LEVEL, "info")];
+    set(log, &mut store, gnmi, &change, &confirmed(Some("night")), 2007);
+    let plan = store.cancel(netconf, Some("night"), 2008).unwrap();
+    logged(log, &mut store, plan);
+    set(log, &mut store, gnmi, &change, &confirmed(None), 2009);
+    let plan = store.due(Duration::from_secs(601), 2010).unwrap();
+    logged(log, &mut store, plan);
+    let plan = store.roll_back(gnmi, 6, &Commit::default(), Duration::ZERO, 2011).unwrap().unwrap();
+    logged(log, &mut store, plan);
+    // One that still waits at the end.
+    set(log, &mut store, netconf, &change, &confirmed(Some("to be \"seen\"")), 2012);
+    bytes
+}
+
+fn describe_tree(text: &mut String, schema: &Schema, tree: &Tree) {
+    tree.each(|place, value| writeln!(text, "    {} = {value}", schema.text(place)).unwrap());
+}
+
+fn describe_version(text: &mut String, schema: &Schema, version: &Version) {
+    let Version { number, at, author, cause, tree, changes } = version;
+    let (user, protocol, session) = (&author.user, author.protocol.name(), author.session);
+    writeln!(text, "version {number} at {at} by {user}, {protocol}, session {session}: {cause}").unwrap();
+    for change in changes {
+        let place = schema.text(&change.place);
+        writeln!(text, "  change {place}: {:?} -> {:?}", change.old.as_deref(), change.new.as_deref())
+            .unwrap();
+    }
+    writeln!(text, "  tree").unwrap();
+    describe_tree(text, schema, tree);
+}
+
+/// All that a log brings back, as text.
+fn describe(bytes: &[u8]) -> String {
+    let back = recover(Arc::new(Schema::front().unwrap()), LONG, bytes).unwrap();
+    let (store, schema) = (&back.store, back.store.schema());
+    let mut text = format!("{} records, {} bytes\n", back.records, back.whole);
+    for version in store.history() {
+        describe_version(&mut text, schema, version);
+    }
+    writeln!(text, "running {}", store.running().number).unwrap();
+    if let Some(tree) = store.startup() {
+        writeln!(text, "startup").unwrap();
+        describe_tree(&mut text, schema, tree);
+    }
+    if let Some(Pending { session, persist, revert, until, lost }) = store.pending() {
+        let revert = revert.number;
+        writeln!(text, "pending: session {session}, persist {persist:?}, revert {revert}").unwrap();
+        writeln!(text, "  until {until:?}, lost {lost}").unwrap();
+    }
+    text
+}
+
+#[test]
+fn a_log_of_an_earlier_version_is_read_whole() {
+    assert_eq!(describe(LOG), CONTENT);
+}
+
+#[test]
+fn the_same_steps_write_the_same_bytes_as_an_earlier_version() {
+    assert!(written() == LOG, "{}", describe(&written()));
+}
+
+#[test]
+fn a_log_of_an_earlier_version_is_shortened_to_the_same_content() {
+    let store = recover(Arc::new(Schema::front().unwrap()), LONG, LOG).unwrap().store;
+    let short = describe(&compact(&store));
+    assert_eq!(short.lines().skip(1).collect::<Vec<_>>(), CONTENT.lines().skip(1).collect::<Vec<_>>());
+}
--- a/crates/edges/managed/src/disk.rs
+++ b/crates/edges/managed/src/disk.rs
@@ -222,6 +222,32 @@
         std::fs::remove_dir_all(folder).unwrap();
     }
 
+    /// The log is a fixture of the store's tests, written at commit ad164c9.
+    #[test]
+    fn a_folder_of_an_earlier_version_is_opened_and_written_further() {
+        let log = include_bytes!("../../../core/store/tests/fixtures/state.log");
+        let folder = folder("earlier");
+        std::fs::create_dir_all(&folder).unwrap();
+        std::fs::write(folder.join(LOG), log).unwrap();
+        std::fs::write(folder.join(LOCK), b"").unwrap();
+        let (mut disk, mut store) = open(&folder).unwrap();
+        assert_eq!((store.running().number, disk.length()), (19, log.len() as u64));
+        assert!(store.startup().is_some() && store.pending().is_some_and(|pending| pending.lost));
+        let plan = store.due(Duration::ZERO, 3000).unwrap();
+        let record = Record::commit(store.schema(), &plan);
+        disk.append(&record).unwrap();
+        store.finish(plan);
+        let mut wanted = log.to_vec();
+        wanted.extend(frame(&record));
+        assert_eq!(std::fs::read(folder.join(LOG)).unwrap(), wanted);
+        let tree = store.running().tree.clone();
+        drop(disk);
+        let (disk, store) = open(&folder).unwrap();
+        assert_eq!((&store.running().tree, store.running().number), (&tree, 20));
+        drop(disk);
+        std::fs::remove_dir_all(folder).unwrap();
+    }
+
     #[test]
     fn a_spoilt_log_is_left_as_it_is() {
         let folder = folder("spoilt");
