--- a/crates/core/membership/src/admission.rs
+++ b/crates/core/membership/src/admission.rs
@@ -1,102 +1,120 @@
+//! Admission limits: how many requests of one class may be open at once, and the Retry-After of one that is rejected.
+//!
+//! A request is open from [`AdmissionLimiter::admit`] to [`AdmissionLimiter::release`]. One over the limit is told to
+//! come back no earlier than places come free at the rate seen lately; each further one is put behind the one before,
+//! so that they do not all come back at once. All times count from the caller's origin.
+
 use std::time::Duration;
 
 /// What may be open of one request class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limit {
+    /// Requests of the class that may be open at once.
     pub max_open: u32,
-    /// The least time after which one that was pushed back is to come again.
+    /// The shortest Retry-After of a rejected request.
     pub retry_after: Duration,
-    /// The longest that is named.
+    /// The longest Retry-After of a rejected request.
     pub max_retry_after: Duration,
 }
 
-/// How long a past closing counts, as a multiple of the least time to come back.
-const MEMORY: f64 = 8.0;
+/// The time constant over which releases are averaged, as a multiple of [`Limit::retry_after`].
+const RELEASE_RATE_WINDOW: f64 = 8.0;
 
+/// The state of one request class.
 #[derive(Debug, Clone, Default)]
-struct Lane {
+struct ClassState {
     limit: Option<Limit>,
     open: u32,
-    /// Closings lately, decaying, and when that was reckoned.
-    closed: f64,
-    at: Duration,
-    /// The latest time that has been promised to one that was pushed back.
-    promised: Duration,
+    /// Requests released lately, decaying exponentially; as of `updated_at`.
+    recent_releases: f64,
+    updated_at: Duration,
+    /// The latest time at which a rejected request has been told to come back.
+    last_promised: Duration,
 }
 
-/// Counts what is open by request class, and says when one that finds no place is to come again: no earlier than
-/// places come free at the pace seen lately, one promise after another, so that not all come at once.
+/// Counts open requests by class and rejects what is over the limit.
 #[derive(Debug, Clone, Default)]
 pub struct AdmissionLimiter {
-    classes: Vec<Lane>,
+    classes: Vec<ClassState>,
     max_retry_after: Duration,
 }
 
 impl AdmissionLimiter {
-    /// `longest` is the longest time to come back that may be named.
-    pub fn new(service_groups: usize, longest: Duration) -> AdmissionLimiter {
-        AdmissionLimiter { classes: vec![Lane::default(); service_groups], max_retry_after: longest }
+    /// A limiter without limits for so many request classes. No Retry-After is longer than `max_retry_after`.
+    pub fn new(request_classes: usize, max_retry_after: Duration) -> AdmissionLimiter {
+        AdmissionLimiter { classes: vec![ClassState::default(); request_classes], max_retry_after }
     }
 
-    /// Puts other limits in force. What is open stays open, also above a lower limit.
+    /// Puts other limits in force, by request class. Open requests stay open, also above a lower limit.
     pub fn set(&mut self, limits: &[Option<Limit>]) {
-        for (number, lane) in self.classes.iter_mut().enumerate() {
-            let limit = limits.get(number).copied().flatten();
-            if lane.limit != limit {
-                (lane.limit, lane.promised) = (limit, Duration::ZERO);
+        for (index, class) in self.classes.iter_mut().enumerate() {
+            let limit = limits.get(index).copied().flatten();
+            if class.limit != limit {
+                class.limit = limit;
+                class.last_promised = Duration::ZERO;
             }
         }
     }
 
-    /// A request wants in: it is open from now on, or is to come again after this span.
-    pub fn admit(&mut self, now: Duration, service_group: usize) -> Result<(), Duration> {
-        let longest = self.max_retry_after;
-        let Some(lane) = self.classes.get_mut(service_group) else { return Ok(()) };
-        match lane.limit.filter(|limit| lane.open >= limit.max_open) {
+    /// Admits a request, which is open from now on, or rejects it with its Retry-After. A class that the limiter does
+    /// not know is admitted and not counted.
+    pub fn admit(&mut self, now: Duration, request_class: usize) -> Result<(), Duration> {
+        let max_retry_after = self.max_retry_after;
+        let Some(class) = self.classes.get_mut(request_class) else { return Ok(()) };
+        match class.limit.filter(|limit| class.open >= limit.max_open) {
             None => {
-                lane.open += 1;
+                class.open += 1;
                 Ok(())
             }
-            Some(limit) => Err(lane.promise(now, limit, longest)),
+            Some(limit) => Err(class.next_retry_after(now, limit, max_retry_after)),
         }
     }
 
-    /// A request that had entered is over.
-    pub fn release(&mut self, now: Duration, service_group: usize) {
-        let Some(lane) = self.classes.get_mut(service_group) else { return };
-        lane.open = lane.open.saturating_sub(1);
-        if let Some(limit) = lane.limit {
-            lane.fade(now, limit);
-            lane.closed += 1.0;
+    /// An admitted request has had its answer.
+    pub fn release(&mut self, now: Duration, request_class: usize) {
+        let Some(class) = self.classes.get_mut(request_class) else { return };
+        class.open = class.open.saturating_sub(1);
+        if let Some(limit) = class.limit {
+            class.decay_to(now, limit);
+            class.recent_releases += 1.0;
         }
     }
 
-    pub fn open(&self, service_group: usize) -> u32 {
-        self.classes.get(service_group).map_or(0, |lane| lane.open)
+    /// Requests of a class that are open; zero for a class that the limiter does not know.
+    pub fn open(&self, request_class: usize) -> u32 {
+        self.classes.get(request_class).map_or(0, |class| class.open)
     }
 
-    /// Nothing is open any more.
+    /// Forgets all open requests.
     pub fn clear(&mut self) {
-        self.classes.iter_mut().for_each(|lane| lane.open = 0);
+        self.classes.iter_mut().for_each(|class| class.open = 0);
     }
 }
 
-impl Lane {
-    fn fade(&mut self, now: Duration, limit: Limit) {
-        let span = now.saturating_sub(self.at).as_secs_f64();
-        let memory = (limit.retry_after.as_secs_f64() * MEMORY).max(f64::MIN_POSITIVE);
-        self.closed *= (-span / memory).exp();
-        self.at = now;
+impl ClassState {
+    fn decay_to(&mut self, now: Duration, limit: Limit) {
+        let elapsed_seconds = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.recent_releases *= (-elapsed_seconds / window_seconds(limit)).exp();
+        self.updated_at = now;
     }
 
-    fn promise(&mut self, now: Duration, limit: Limit, longest: Duration) -> Duration {
-        self.fade(now, limit);
-        let pace = self.closed / (limit.retry_after.as_secs_f64() * MEMORY).max(f64::MIN_POSITIVE);
-        let gap = if pace > 0.0 { (1.0 / pace).min(longest.as_secs_f64()) } else { 0.0 };
+    /// The Retry-After of the next rejected request, which is the last one promised from now on.
+    fn next_retry_after(&mut self, now: Duration, limit: Limit, max_retry_after: Duration) -> Duration {
+        self.decay_to(now, limit);
+        let releases_per_second = self.recent_releases / window_seconds(limit);
+        let gap_seconds = if releases_per_second > 0.0 {
+            (1.0 / releases_per_second).min(max_retry_after.as_secs_f64())
+        } else {
+            0.0
+        };
         let earliest = now + limit.retry_after;
-        let next = self.promised + Duration::from_secs_f64(gap);
-        let at = earliest.max(next).min(now + longest.min(limit.max_retry_after).max(limit.retry_after));
-        self.promised = at;
-        at - now
+        let latest = now + max_retry_after.min(limit.max_retry_after).max(limit.retry_after);
+        let next = self.last_promised + Duration::from_secs_f64(gap_seconds);
+        self.last_promised = earliest.max(next).min(latest);
+        self.last_promised - now
     }
 }
+
+fn window_seconds(limit: Limit) -> f64 {
+    (limit.retry_after.as_secs_f64() * RELEASE_RATE_WINDOW).max(f64::MIN_POSITIVE)
+}
--- a/crates/core/membership/src/endpoint_table.rs
+++ b/crates/core/membership/src/endpoint_table.rs
@@ -1,3 +1,6 @@
+//! The endpoint table: the list of engines merged with the desired state, the zone restrictions and the engines out of
+//! service, by the rule at the top of this package.
+
 use crate::{AdminState, DesiredState, EngineAdmission};
 use lemonusher::{EndpointUpdateKind, EngineEntry, EngineId, EngineState};
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,64 +9,70 @@
 /// An engine as listed, and as it may be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointStatus {
-    /// The list's word, with what is barred.
+    /// The list's entry, with the request classes that are blocked here.
     pub entry: EngineEntry,
+    /// The strictest administrative state of the engine's pools.
     pub admin: AdminState,
 }
 
 impl EndpointStatus {
-    /// Whether anything may be sent there, as far as the list and the managers go.
+    /// Whether any request may be sent there, as far as the list and the managers go.
     pub fn is_open(&self) -> bool {
         self.entry.state == EngineState::Active && self.entry.blocked_classes != u64::MAX
     }
 }
 
-/// A zone that the fleet has closed in part: which of its engines are open, and what may not go to these.
+/// The part of a zone's engines that may be used, and the request classes that may not be sent to these.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ZoneRestriction {
+    /// The zone's number.
     pub zone: u32,
-    /// In thousandths of its engines, the same ones at every front.
+    /// In thousandths of the zone's engines, the same engines at every front.
     pub open_permille: u16,
+    /// A bit for each request class that may not be sent to the open engines.
     pub blocked_classes: u64,
 }
 
 impl ZoneRestriction {
-    /// What it bars from an engine there.
+    /// The request classes that may not be sent to an engine of the zone, a bit each.
     fn blocked_for(&self, engine: EngineId) -> u64 {
         // Fibonacci hashing spreads ids, however they were given out.
-        let place = ((u64::from(engine).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32) * 1000) >> 32;
-        if place < u64::from(self.open_permille) { self.blocked_classes } else { u64::MAX }
+        let hash = u64::from(engine).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
+        let permille = (hash * 1000) >> 32;
+        if permille < u64::from(self.open_permille) { self.blocked_classes } else { u64::MAX }
     }
 }
 
-/// What has changed.
+/// What an event has changed.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EndpointChange {
-    /// To be told to the gateway.
+    /// Entries that the gateway must be notified of.
     pub entries: Vec<EngineEntry>,
-    /// Engines that have just been disabled.
+    /// Engines that have just been disabled: their idempotent attempts are to be recalled.
     pub recalled: Vec<EngineId>,
 }
 
-/// The list and the managers' wishes, merged.
+/// The list of engines and all that restricts their use, merged.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     desired_state: Arc<DesiredState>,
     restrictions: Vec<ZoneRestriction>,
-    /// Engines that are out for work; or all, while it is not known which.
+    /// Engines out of service for maintenance.
     out_of_service: Arc<BTreeSet<EngineId>>,
+    /// Set while it is not known which engines are out of service: all of them are blocked.
     all_out_of_service: bool,
     endpoints: BTreeMap<EngineId, EndpointStatus>,
 }
 
 impl EndpointTable {
-    pub fn new(wanted: Arc<DesiredState>) -> EndpointTable {
-        EndpointTable { desired_state: wanted, ..EndpointTable::default() }
+    /// An empty list under this desired state.
+    pub fn new(desired_state: Arc<DesiredState>) -> EndpointTable {
+        EndpointTable { desired_state, ..EndpointTable::default() }
     }
 
-    /// The list has told this. What is to be told on is of the same kind, and holds the same engines.
+    /// Applies an update of the list. The change is of the same kind and holds the same engines, in the same order.
     pub fn apply_list(&mut self, kind: EndpointUpdateKind, mut entries: Vec<EngineEntry>) -> EndpointChange {
-        let before = match kind {
+        let replaced = match kind {
             EndpointUpdateKind::Delta => None,
             EndpointUpdateKind::Full | EndpointUpdateKind::Restored => {
                 Some(std::mem::take(&mut self.endpoints))
@@ -71,82 +80,93 @@
         };
         let mut recalled = Vec::new();
         for entry in &mut entries {
-            let wish = self.admission_of(entry);
-            entry.blocked_classes = wish.blocked_classes;
+            let admission = self.admission_of(entry);
+            entry.blocked_classes = admission.blocked_classes;
             if entry.state == EngineState::Removed {
                 self.endpoints.remove(&entry.engine);
                 continue;
             }
-            let old = before.as_ref().unwrap_or(&self.endpoints).get(&entry.engine).map(|seen| seen.admin);
-            if wish.admin == AdminState::Disabled && old.is_some_and(|old| old != AdminState::Disabled) {
+            let endpoints_before = replaced.as_ref().unwrap_or(&self.endpoints);
+            let admin_before = endpoints_before.get(&entry.engine).map(|endpoint| endpoint.admin);
+            if admission.admin == AdminState::Disabled
+                && admin_before.is_some_and(|before| before != AdminState::Disabled)
+            {
                 recalled.push(entry.engine);
             }
-            self.endpoints.insert(entry.engine, EndpointStatus { entry: entry.clone(), admin: wish.admin });
+            let endpoint = EndpointStatus { entry: entry.clone(), admin: admission.admin };
+            self.endpoints.insert(entry.engine, endpoint);
         }
         EndpointChange { entries, recalled }
     }
 
-    /// Managers want this from now on. Yields the difference alone.
-    pub fn apply_desired_state(&mut self, wanted: Arc<DesiredState>) -> EndpointChange {
-        self.desired_state = wanted;
+    /// Puts another desired state in force. Returns only what differs.
+    pub fn apply_desired_state(&mut self, desired_state: Arc<DesiredState>) -> EndpointChange {
+        self.desired_state = desired_state;
         self.recompute()
     }
 
-    /// The fleet closes these zones from now on, and no others. Yields the difference alone.
-    pub fn apply_restrictions(&mut self, closures: Vec<ZoneRestriction>) -> EndpointChange {
-        self.restrictions = closures;
+    /// Restricts these zones from now on, and no others. Returns only what differs.
+    pub fn apply_restrictions(&mut self, restrictions: Vec<ZoneRestriction>) -> EndpointChange {
+        self.restrictions = restrictions;
         self.recompute()
     }
 
-    /// These engines are out for work from now on, and no others; or all are. Yields the difference alone.
-    pub fn set_out_of_service(&mut self, out: Arc<BTreeSet<EngineId>>, all: bool) -> EndpointChange {
-        (self.out_of_service, self.all_out_of_service) = (out, all);
+    /// Takes these engines out of service from now on, and no others; or all of them. Returns only what differs.
+    pub fn set_out_of_service(&mut self, engines: Arc<BTreeSet<EngineId>>, all: bool) -> EndpointChange {
+        self.out_of_service = engines;
+        self.all_out_of_service = all;
         self.recompute()
     }
 
     fn admission_of(&self, entry: &EngineEntry) -> EngineAdmission {
-        let mut wish = self.desired_state.admission_of(entry);
+        let mut admission = self.desired_state.admission_of(entry);
         if self.all_out_of_service || self.out_of_service.contains(&entry.engine) {
-            wish.blocked_classes = u64::MAX;
+            admission.blocked_classes = u64::MAX;
+        }
+        for restriction in self.restrictions.iter().filter(|restriction| restriction.zone == entry.zone) {
+            admission.blocked_classes |= restriction.blocked_for(entry.engine);
         }
-        let closed = self.restrictions.iter().filter(|closure| closure.zone == entry.zone);
-        wish.blocked_classes |= closed.fold(0, |bits, closure| bits | closure.blocked_for(entry.engine));
-        wish
+        admission
     }
 
     fn recompute(&mut self) -> EndpointChange {
         let mut change = EndpointChange::default();
-        let wishes: Vec<EngineAdmission> =
-            self.endpoints.values().map(|seen| self.admission_of(&seen.entry)).collect();
-        for (seen, wish) in self.endpoints.values_mut().zip(wishes) {
-            if wish.admin == AdminState::Disabled && seen.admin != AdminState::Disabled {
-                change.recalled.push(seen.entry.engine);
+        let admissions: Vec<EngineAdmission> =
+            self.endpoints.values().map(|endpoint| self.admission_of(&endpoint.entry)).collect();
+        for (endpoint, admission) in self.endpoints.values_mut().zip(admissions) {
+            if admission.admin == AdminState::Disabled && endpoint.admin != AdminState::Disabled {
+                change.recalled.push(endpoint.entry.engine);
             }
-            seen.admin = wish.admin;
-            if seen.entry.blocked_classes != wish.blocked_classes {
-                seen.entry.blocked_classes = wish.blocked_classes;
-                change.entries.push(seen.entry.clone());
+            endpoint.admin = admission.admin;
+            if endpoint.entry.blocked_classes != admission.blocked_classes {
+                endpoint.entry.blocked_classes = admission.blocked_classes;
+                change.entries.push(endpoint.entry.clone());
             }
         }
         change
     }
 
-    pub fn wanted(&self) -> &Arc<DesiredState> {
+    /// The desired state in force.
+    pub fn desired_state(&self) -> &Arc<DesiredState> {
         &self.desired_state
     }
 
+    /// Engines in the table.
     pub fn len(&self) -> usize {
         self.endpoints.len()
     }
 
+    /// Whether the table holds no engine.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
 
+    /// All engines, by id.
     pub fn engines(&self) -> impl Iterator<Item = &EndpointStatus> {
         self.endpoints.values()
     }
 
+    /// One engine; none if it is not in the table.
     pub fn get(&self, engine: EngineId) -> Option<&EndpointStatus> {
         self.endpoints.get(&engine)
     }
--- a/crates/core/membership/src/pools.rs
+++ b/crates/core/membership/src/pools.rs
@@ -1,36 +1,46 @@
+//! Pools of engines and the desired state that managers give them: rules 2 and 3 at the top of this package.
+
 use crate::Limit;
 use lemonusher::{EngineEntry, EngineId, Idempotency};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A manager's word on engines; the greater is the stricter.
+/// What managers want of engines; the greater is the stricter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Hash)]
 pub enum AdminState {
+    /// Used as the list allows.
     #[default]
     Enabled,
-    /// Takes nothing new; what is out goes to its end.
+    /// Takes no new attempt; attempts in flight run to their end.
     Draining,
-    /// Takes nothing new; what may run elsewhere is recalled.
+    /// Takes no new attempt; idempotent attempts in flight are recalled.
     Disabled,
 }
 
 impl AdminState {
-    /// Whether an attempt that is out there is called back when this begins to hold. Work that may have had
-    /// its effect and must not have it twice is left to its end.
-    pub fn recalls(self, effect: Idempotency) -> bool {
-        self == AdminState::Disabled && effect == Idempotency::Idempotent
+    /// Whether an attempt in flight is recalled when this state begins to hold. A request that may have had its effect
+    /// and must not have it twice runs to its end.
+    pub fn recalls(self, idempotency: Idempotency) -> bool {
+        self == AdminState::Disabled && idempotency == Idempotency::Idempotent
     }
 }
 
-/// Engines that a manager speaks of together, by where they stand, what they are, or their ids.
+/// Engines that managers address together. An engine belongs to the pool if it meets all criteria; an empty criterion
+/// is met by every engine.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Pool {
+    /// The manager's name for it.
     pub name: String,
+    /// What is desired of its engines.
     pub admin: AdminState,
+    /// Criterion: the engine's zone.
     pub zones: BTreeSet<u32>,
+    /// Criterion: the engine's kind of machine.
     pub machine_kinds: BTreeSet<u32>,
+    /// Criterion: the engine's cell.
     pub cells: BTreeSet<u32>,
+    /// Criterion: the engine's id.
     pub engines: BTreeSet<EngineId>,
-    /// The request classes that it serves; empty for all.
+    /// The request classes that its engines serve, by number; empty for all.
     pub request_classes: BTreeSet<usize>,
 }
 
@@ -45,79 +55,93 @@
     }
 }
 
-/// What holds for one engine.
+/// What the desired state means for one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct EngineAdmission {
+    /// The strictest state of its pools.
     pub admin: AdminState,
     /// A bit for each request class that may not be sent there.
     pub blocked_classes: u64,
 }
 
-type Index = BTreeMap<u32, Vec<usize>>;
+/// The positions of pools by a criterion's value.
+type PoolIndex = BTreeMap<u32, Vec<usize>>;
 
-/// All that managers want, made ready for look-up: an engine's wish is found without a pass over all pools.
+/// All that managers want. An engine's pools are found without a pass over all pools.
 #[derive(Debug, Clone, Default)]
 pub struct DesiredState {
     pools: Vec<Pool>,
-    by_engine: Index,
-    by_cell: Index,
-    by_zone: Index,
-    by_kind: Index,
-    everywhere: Vec<usize>,
+    /// Each pool stands in one index only: under its narrowest criterion.
+    by_engine: PoolIndex,
+    by_cell: PoolIndex,
+    by_zone: PoolIndex,
+    by_machine_kind: PoolIndex,
+    /// Pools without a criterion.
+    unrestricted: Vec<usize>,
     limits: Vec<Option<Limit>>,
 }
 
 impl DesiredState {
-    /// `limits` stand in the order of the request classes.
+    /// The desired state of these pools and of the limits, which stand in the order of the request classes.
     pub fn new(pools: Vec<Pool>, limits: Vec<Option<Limit>>) -> DesiredState {
-        let mut wanted = DesiredState { limits, ..DesiredState::default() };
-        for (number, pool) in pools.iter().enumerate() {
-            // Each pool stands under its narrowest criterion alone.
-            let places = [
-                (&pool.engines, &mut wanted.by_engine),
-                (&pool.cells, &mut wanted.by_cell),
-                (&pool.zones, &mut wanted.by_zone),
-                (&pool.machine_kinds, &mut wanted.by_kind),
+        let mut desired = DesiredState { limits, ..DesiredState::default() };
+        for (position, pool) in pools.iter().enumerate() {
+            let criteria = [
+                (&pool.engines, &mut desired.by_engine),
+                (&pool.cells, &mut desired.by_cell),
+                (&pool.zones, &mut desired.by_zone),
+                (&pool.machine_kinds, &mut desired.by_machine_kind),
             ];
-            match places.into_iter().find(|(criterion, _)| !criterion.is_empty()) {
+            match criteria.into_iter().find(|(criterion, _)| !criterion.is_empty()) {
                 Some((criterion, index)) => {
-                    criterion.iter().for_each(|value| index.entry(*value).or_default().push(number));
+                    criterion.iter().for_each(|value| index.entry(*value).or_default().push(position));
                 }
-                None => wanted.everywhere.push(number),
+                None => desired.unrestricted.push(position),
             }
         }
-        wanted.pools = pools;
-        wanted
+        desired.pools = pools;
+        desired
     }
 
+    /// The admission limits, in the order of the request classes; none for a class without one.
     pub fn limits(&self) -> &[Option<Limit>] {
         &self.limits
     }
 
-    /// The pools that hold an engine.
+    /// The pools that an engine belongs to.
     pub fn pools_of<'a>(&'a self, entry: &'a EngineEntry) -> impl Iterator<Item = &'a Pool> + 'a {
-        let under = |index: &'a Index, value| index.get(&value).into_iter().flatten();
-        under(&self.by_engine, entry.engine)
-            .chain(under(&self.by_cell, entry.cell))
-            .chain(under(&self.by_zone, entry.zone))
-            .chain(under(&self.by_kind, entry.machine_kind))
-            .chain(&self.everywhere)
-            .map(|number| &self.pools[*number])
+        let indexed = |index: &'a PoolIndex, value| index.get(&value).into_iter().flatten();
+        indexed(&self.by_engine, entry.engine)
+            .chain(indexed(&self.by_cell, entry.cell))
+            .chain(indexed(&self.by_zone, entry.zone))
+            .chain(indexed(&self.by_machine_kind, entry.machine_kind))
+            .chain(&self.unrestricted)
+            .map(|position| &self.pools[*position])
             .filter(|pool| pool.matches(entry))
     }
 
-    /// Rules 2 and 3.
+    /// What holds for an engine: the strictest state of its pools, and the request classes that may not be sent there.
     pub fn admission_of(&self, entry: &EngineEntry) -> EngineAdmission {
-        let (mut admin, mut served) = (AdminState::Enabled, None);
+        let mut admin = AdminState::Enabled;
+        let mut served_classes: Option<u64> = None;
         for pool in self.pools_of(entry) {
             admin = admin.max(pool.admin);
             if !pool.request_classes.is_empty() {
-                let bits =
-                    pool.request_classes.iter().map(|group| 1u64.checked_shl(*group as u32).unwrap_or(0));
-                served = Some(bits.fold(served.unwrap_or(0), |all, bit| all | bit));
+                served_classes = Some(served_classes.unwrap_or(0) | class_bits(&pool.request_classes));
             }
         }
-        let barred = if admin == AdminState::Enabled { served.map_or(0, |served| !served) } else { u64::MAX };
-        EngineAdmission { admin, blocked_classes: barred }
+        let blocked_classes = match admin {
+            AdminState::Enabled => served_classes.map_or(0, |served| !served),
+            AdminState::Draining | AdminState::Disabled => u64::MAX,
+        };
+        EngineAdmission { admin, blocked_classes }
     }
 }
+
+/// A bit for each request class; classes beyond the width of the mask have none.
+fn class_bits(request_classes: &BTreeSet<usize>) -> u64 {
+    request_classes
+        .iter()
+        .map(|class| 1u64.checked_shl(*class as u32).unwrap_or(0))
+        .fold(0, |all, bit| all | bit)
+}
