--- a/crates/core/membership/src/lib.rs
+++ b/crates/core/membership/src/lib.rs
@@ -19,9 +19,11 @@
 #![warn(missing_docs)]
 
 mod admission;
+mod desired_state;
 mod endpoint_table;
 mod pools;
 
 pub use admission::{AdmissionLimiter, Limit};
+pub use desired_state::{DesiredState, EngineAdmission};
 pub use endpoint_table::{EndpointChange, EndpointStatus, EndpointTable, ZoneRestriction};
-pub use pools::{AdminState, DesiredState, EngineAdmission, Pool};
+pub use pools::{AdminState, Pool};
