--- a/crates/core/desired-state/src/lib.rs
+++ b/crates/core/desired-state/src/lib.rs
@@ -12,12 +12,12 @@
 pub struct Names {
     pub zones: Vec<String>,
     pub machine_kinds: Vec<String>,
-    pub service_groups: Vec<String>,
+    pub request_classes: Vec<String>,
 }
 
 /// The nodes of the model that wishes stand in.
 #[derive(Debug, Clone)]
-pub struct Reader {
+pub struct DesiredStateReader {
     front: NodeId,
     pool: NodeId,
     service_group: NodeId,
@@ -34,9 +34,9 @@
     pub log_level: String,
 }
 
-impl Reader {
+impl DesiredStateReader {
     /// None if the model lacks one of the nodes.
-    pub fn new(schema: &Schema, names: Names) -> Option<Reader> {
+    pub fn new(schema: &Schema, names: Names) -> Option<DesiredStateReader> {
         let front = schema.child(None, "front")?;
         let within = |parent, name| schema.child(Some(parent), name);
         let (pool, service_group) = (within(front, "pool")?, within(front, "service-group")?);
@@ -56,7 +56,7 @@
             within(service_group, "longest-come-back")?,
         ];
         let log_level = within(front, "log-level")?;
-        Some(Reader { front, pool, service_group, log_level, of_pool, of_group, names })
+        Some(DesiredStateReader { front, pool, service_group, log_level, of_pool, of_group, names })
     }
 
     pub fn read(&self, schema: &Schema, tree: &Tree) -> Result<DesiredConfig, Vec<Fault>> {
@@ -74,7 +74,7 @@
 
 struct Look<'a> {
     schema: &'a Schema,
-    reader: &'a Reader,
+    reader: &'a DesiredStateReader,
     faults: Vec<Fault>,
 }
 
@@ -92,9 +92,9 @@
 
     fn limits(&mut self, tree: &Tree) -> Vec<Option<Limit>> {
         let [name, most_open, come_back, longest] = self.reader.of_group;
-        let mut limits = vec![None; self.reader.names.service_groups.len()];
+        let mut limits = vec![None; self.reader.names.request_classes.len()];
         for (place, entry) in self.entries(tree, self.reader.service_group) {
-            let Some(number) = self.number(&place, leaf(entry, name), &self.reader.names.service_groups)
+            let Some(number) = self.number(&place, leaf(entry, name), &self.reader.names.request_classes)
             else {
                 continue;
             };
@@ -129,7 +129,7 @@
                 cells: members(entry, cell).filter_map(|text| text.parse().ok()).collect(),
                 engines: members(entry, engine).filter_map(|id| u32::from_str_radix(id, 16).ok()).collect(),
                 request_classes: self
-                    .numbers(&place, entry, serves, &names.service_groups)
+                    .numbers(&place, entry, serves, &names.request_classes)
                     .into_iter()
                     .map(|number| number as usize)
                     .collect(),
--- a/crates/core/desired-state/tests/wishes.rs
+++ b/crates/core/desired-state/tests/desired_state.rs
@@ -1,5 +1,7 @@
+//! Trees of the front's model read as pools, limits and log level.
+
 use lemonusher::EngineEntry;
-use lemonusher_desired_state::{Names, Reader};
+use lemonusher_desired_state::{DesiredStateReader, Names};
 use lemonusher_membership::AdminState;
 use lemonusher_model::{FaultKind, Node, Op, Schema, Tree, parse_path};
 
@@ -12,18 +14,18 @@
     tree
 }
 
-fn reader(schema: &Schema) -> Reader {
+fn reader(schema: &Schema) -> DesiredStateReader {
     let list = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
     let names = Names {
         zones: list(&["east", "west"]),
         machine_kinds: list(&["std"]),
-        service_groups: list(&["look-up", "report"]),
+        request_classes: list(&["look-up", "report"]),
     };
-    Reader::new(schema, names).unwrap()
+    DesiredStateReader::new(schema, names).unwrap()
 }
 
 #[test]
-fn a_tree_is_read_in_the_deployments_numbers() {
+fn tree_is_read_in_the_deployments_numbers() {
     let schema = Schema::front().unwrap();
     let tree = tree(
         &schema,
@@ -36,20 +38,20 @@
             ("/front/pool[name=b]/serves[.=report]", "report"),
         ],
     );
-    let wishes = reader(&schema).read(&schema, &tree).unwrap();
-    assert_eq!(wishes.log_level, "debug");
-    let limit = wishes.desired_state.limits()[1].unwrap();
+    let config = reader(&schema).read(&schema, &tree).unwrap();
+    assert_eq!(config.log_level, "debug");
+    let limit = config.desired_state.limits()[1].unwrap();
     assert_eq!((limit.max_open, limit.retry_after.as_millis()), (7, 500));
-    assert!(wishes.desired_state.limits()[0].is_none());
-    let entry = |engine, location| EngineEntry { engine, zone: location, ..EngineEntry::default() };
-    assert_eq!(wishes.desired_state.admission_of(&entry(1, 1)).admin, AdminState::Draining);
-    assert_eq!(wishes.desired_state.admission_of(&entry(1, 0)).blocked_classes, 0);
-    assert_eq!(wishes.desired_state.admission_of(&entry(10, 0)).blocked_classes, !2);
-    assert_eq!(wishes.desired_state.admission_of(&entry(10, 1)).blocked_classes, u64::MAX);
+    assert!(config.desired_state.limits()[0].is_none());
+    let entry = |engine, zone| EngineEntry { engine, zone, ..EngineEntry::default() };
+    assert_eq!(config.desired_state.admission_of(&entry(1, 1)).admin, AdminState::Draining);
+    assert_eq!(config.desired_state.admission_of(&entry(1, 0)).blocked_classes, 0);
+    assert_eq!(config.desired_state.admission_of(&entry(10, 0)).blocked_classes, !2);
+    assert_eq!(config.desired_state.admission_of(&entry(10, 1)).blocked_classes, u64::MAX);
 }
 
 #[test]
-fn what_the_deployment_does_not_state_is_declined_with_its_place() {
+fn names_unknown_to_the_deployment_are_declined_with_their_place() {
     let schema = Schema::front().unwrap();
     let tree = tree(
         &schema,
--- a/crates/edges/cli/src/main.rs
+++ b/crates/edges/cli/src/main.rs
@@ -214,7 +214,7 @@
             let known = Names {
                 zones: names.locations.clone(),
                 machine_kinds: names.kinds.clone(),
-                service_groups: names.service_groups.clone(),
+                request_classes: names.service_groups.clone(),
             };
             let level = Arc::new(move |level: &str| dial.set(level));
             let started = lemonusher_managed::start(terms, known, front, level, Vec::new())
--- a/crates/edges/managed/src/parts.rs
+++ b/crates/edges/managed/src/parts.rs
@@ -1,7 +1,7 @@
 //! What a commit moves: each part prepares or declines, then all switch.
 
 use async_channel::{Sender, bounded};
-use lemonusher_desired_state::Reader;
+use lemonusher_desired_state::DesiredStateReader;
 use lemonusher_model::Schema;
 use lemonusher_routing::ManagementCall;
 use lemonusher_store::Version;
@@ -25,7 +25,7 @@
 /// The owner: membership and the door.
 pub(crate) struct OwnerPart {
     pub schema: Arc<Schema>,
-    pub reader: Reader,
+    pub reader: DesiredStateReader,
     pub requests: Sender<ManagementCall>,
 }
 
@@ -72,7 +72,7 @@
 /// The log's level.
 pub(crate) struct LevelPart {
     pub schema: Arc<Schema>,
-    pub reader: Reader,
+    pub reader: DesiredStateReader,
     pub set: Arc<dyn Fn(&str) + Send + Sync>,
     pub ready: Mutex<Option<(u64, String)>>,
 }
--- a/crates/edges/managed/src/start.rs
+++ b/crates/edges/managed/src/start.rs
@@ -5,7 +5,7 @@
 use crate::parts::{LevelPart, OwnerPart, Part};
 use crate::users::Users;
 use crate::{gnmi, netconf};
-use lemonusher_desired_state::{Names, Reader};
+use lemonusher_desired_state::{DesiredStateReader, Names};
 use lemonusher_membership::DesiredState;
 use lemonusher_model::Schema;
 use lemonusher_routing::{EngineNotification, ManagementCall};
@@ -105,7 +105,7 @@
     more: Vec<Arc<dyn Part>>,
 ) -> Result<Started, Unfit> {
     let schema = Arc::new(Schema::front().map_err(|wrong| Unfit::Model(wrong.to_string()))?);
-    let reader = Reader::new(&schema, names.clone())
+    let reader = DesiredStateReader::new(&schema, names.clone())
         .ok_or_else(|| Unfit::Model("it lacks pools or service groups".to_owned()))?;
     let bounds = Bounds { history: terms.history, sessions: terms.sessions };
     let (mut disk, mut store) = match &terms.folder {
--- a/crates/edges/managed/tests/parts.rs
+++ b/crates/edges/managed/tests/parts.rs
@@ -92,7 +92,7 @@
         netconf: None,
         users: Users::default(),
     };
-    let names = Names { zones: vec!["east".into()], machine_kinds: Vec::new(), service_groups: Vec::new() };
+    let names = Names { zones: vec!["east".into()], machine_kinds: Vec::new(), request_classes: Vec::new() };
     start(terms, names, "n0".into(), Arc::new(|_| {}), vec![part]).map_err(|unfit| unfit.to_string()).unwrap()
 }
 
--- a/crates/tools/scale/src/managed/doors.rs
+++ b/crates/tools/scale/src/managed/doors.rs
@@ -42,7 +42,7 @@
     Names {
         zones: vec!["east".into(), "west".into()],
         machine_kinds: vec!["std".into()],
-        service_groups: vec!["look-up".into()],
+        request_classes: vec!["look-up".into()],
     }
 }
 
