--- a/crates/core/desired-state/src/lib.rs
+++ b/crates/core/desired-state/src/lib.rs
@@ -1,157 +1,199 @@
-//! Reads a valid tree of the front's model as pools and limits, in the numbers that the deployment gives its
-//! places, machines and request classes. What names something that the deployment does not state is declined, so
-//! that a wish never means less than it says. No input or output, no clock.
+//! Reads a valid tree of the front's YANG model as pools, admission limits and log level, in the numbers that the
+//! deployment gives its zones, kinds of machines and request classes.
+//!
+//! The rule: a name that the deployment does not state is a fault, and a tree with a fault is declined as a whole, so that
+//! it never means less than it says. No input or output, no clock.
+
+#![warn(missing_docs)]
 
 use lemonusher_membership::{AdminState, DesiredState, Limit, Pool};
 use lemonusher_model::{Fault, FaultKind, Fields, Found, Node, NodeId, Place, Schema, Seg, Text, Tree};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What the deployment's numbers are called, in order.
+/// Faults reported at once.
+const MAX_FAULTS: usize = 16;
+/// The log level of a tree that sets none.
+const DEFAULT_LOG_LEVEL: &str = "info";
+
+/// The deployment's names, each list in the order of its numbers.
 #[derive(Debug, Clone, Default)]
 pub struct Names {
+    /// The zones; `location` in the model.
     pub zones: Vec<String>,
+    /// The kinds of machines; `kind` in the model.
     pub machine_kinds: Vec<String>,
+    /// The request classes; `service-group` and `serves` in the model.
     pub request_classes: Vec<String>,
 }
 
-/// The nodes of the model that wishes stand in.
+/// Reads trees of one schema in the numbers of one deployment.
 #[derive(Debug, Clone)]
 pub struct DesiredStateReader {
     front: NodeId,
-    pool: NodeId,
-    service_group: NodeId,
     log_level: NodeId,
-    of_pool: [NodeId; 7],
-    of_group: [NodeId; 4],
+    pool_list: NodeId,
+    pool: PoolNodes,
+    class_list: NodeId,
+    class: ClassNodes,
     names: Names,
 }
 
+/// The nodes of an entry of `/front/pool`.
+#[derive(Debug, Clone, Copy)]
+struct PoolNodes {
+    name: NodeId,
+    admin_state: NodeId,
+    zone: NodeId,
+    machine_kind: NodeId,
+    cell: NodeId,
+    engine: NodeId,
+    serves: NodeId,
+}
+
+/// The nodes of an entry of `/front/service-group`.
+#[derive(Debug, Clone, Copy)]
+struct ClassNodes {
+    name: NodeId,
+    max_open: NodeId,
+    retry_after: NodeId,
+    max_retry_after: NodeId,
+}
+
 /// What a tree asks for.
 #[derive(Debug, Clone)]
 pub struct DesiredConfig {
+    /// The pools and admission limits.
     pub desired_state: DesiredState,
+    /// The name of the level, as the model has it.
     pub log_level: String,
 }
 
 impl DesiredStateReader {
-    /// None if the model lacks one of the nodes.
+    /// None if the schema lacks one of the nodes.
     pub fn new(schema: &Schema, names: Names) -> Option<DesiredStateReader> {
         let front = schema.child(None, "front")?;
-        let within = |parent, name| schema.child(Some(parent), name);
-        let (pool, service_group) = (within(front, "pool")?, within(front, "service-group")?);
-        let of_pool = [
-            within(pool, "name")?,
-            within(pool, "admin-state")?,
-            within(pool, "location")?,
-            within(pool, "kind")?,
-            within(pool, "cell")?,
-            within(pool, "engine")?,
-            within(pool, "serves")?,
-        ];
-        let of_group = [
-            within(service_group, "name")?,
-            within(service_group, "most-open")?,
-            within(service_group, "come-back")?,
-            within(service_group, "longest-come-back")?,
-        ];
-        let log_level = within(front, "log-level")?;
-        Some(DesiredStateReader { front, pool, service_group, log_level, of_pool, of_group, names })
+        let child = |parent, name| schema.child(Some(parent), name);
+        let pool_list = child(front, "pool")?;
+        let pool = PoolNodes {
+            name: child(pool_list, "name")?,
+            admin_state: child(pool_list, "admin-state")?,
+            zone: child(pool_list, "location")?,
+            machine_kind: child(pool_list, "kind")?,
+            cell: child(pool_list, "cell")?,
+            engine: child(pool_list, "engine")?,
+            serves: child(pool_list, "serves")?,
+        };
+        let class_list = child(front, "service-group")?;
+        let class = ClassNodes {
+            name: child(class_list, "name")?,
+            max_open: child(class_list, "most-open")?,
+            retry_after: child(class_list, "come-back")?,
+            max_retry_after: child(class_list, "longest-come-back")?,
+        };
+        let log_level = child(front, "log-level")?;
+        Some(DesiredStateReader { front, log_level, pool_list, pool, class_list, class, names })
     }
 
+    /// Reads a valid tree. Fails with the faults of all names that the deployment does not state, up to a bound.
     pub fn read(&self, schema: &Schema, tree: &Tree) -> Result<DesiredConfig, Vec<Fault>> {
-        let mut look = Look { schema, reader: self, faults: Vec::new() };
-        let limits = look.limits(tree);
-        let pools = look.pools(tree);
-        let level = [Seg { node: self.front, keys: None }, Seg { node: self.log_level, keys: None }];
-        let log_level = tree.leaf(schema, &level).unwrap_or("info").to_owned();
-        match look.faults.is_empty() {
-            true => Ok(DesiredConfig { desired_state: DesiredState::new(pools, limits), log_level }),
-            false => Err(look.faults),
+        let mut pass = ReadPass { schema, reader: self, faults: Vec::new() };
+        let limits = pass.limits(tree);
+        let pools = pass.pools(tree);
+        if !pass.faults.is_empty() {
+            return Err(pass.faults);
         }
+        let level = [Seg { node: self.front, keys: None }, Seg { node: self.log_level, keys: None }];
+        let log_level = tree.leaf(schema, &level).unwrap_or(DEFAULT_LOG_LEVEL).to_owned();
+        Ok(DesiredConfig { desired_state: DesiredState::new(pools, limits), log_level })
     }
 }
 
-struct Look<'a> {
+/// One reading of one tree, with the faults found so far.
+struct ReadPass<'a> {
     schema: &'a Schema,
     reader: &'a DesiredStateReader,
     faults: Vec<Fault>,
 }
 
-impl Look<'_> {
+impl ReadPass<'_> {
+    /// The entries of a list below `/front`, with their places.
     fn entries<'t>(&self, tree: &'t Tree, list: NodeId) -> Vec<(Place, &'t Fields)> {
-        let at = vec![Seg { node: self.reader.front, keys: None }, Seg { node: list, keys: None }];
-        let Some(Found::List(entries)) = tree.get(&at) else { return Vec::new() };
-        let place = |keys: &Vec<Text>| {
-            let mut place = at.clone();
+        let list_place = vec![Seg { node: self.reader.front, keys: None }, Seg { node: list, keys: None }];
+        let Some(Found::List(entries)) = tree.get(&list_place) else { return Vec::new() };
+        let entry_place = |keys: &Vec<Text>| {
+            let mut place = list_place.clone();
             place.last_mut().into_iter().for_each(|last| last.keys = Some(keys.clone()));
             place
         };
-        entries.iter().map(|(keys, entry)| (place(keys), &**entry)).collect()
+        entries.iter().map(|(keys, entry)| (entry_place(keys), &**entry)).collect()
     }
 
+    /// The admission limits, in the order of the deployment's request classes.
     fn limits(&mut self, tree: &Tree) -> Vec<Option<Limit>> {
-        let [name, most_open, come_back, longest] = self.reader.of_group;
-        let mut limits = vec![None; self.reader.names.request_classes.len()];
-        for (place, entry) in self.entries(tree, self.reader.service_group) {
-            let Some(number) = self.number(&place, leaf(entry, name), &self.reader.names.request_classes)
-            else {
-                continue;
-            };
-            let value = |id| {
-                let text = leaf(entry, id).map(|text| &**text).or_else(|| self.schema.default_of(id));
-                text.and_then(|text| text.parse::<u32>().ok())
-            };
-            limits[number] = value(most_open).map(|most_open| Limit {
-                max_open: most_open,
-                retry_after: span(value(come_back)),
-                max_retry_after: span(value(longest)),
+        let nodes = self.reader.class;
+        let class_names = &self.reader.names.request_classes;
+        let mut limits = vec![None; class_names.len()];
+        for (place, entry) in self.entries(tree, self.reader.class_list) {
+            let Some(class) = self.number_of(&place, leaf(entry, nodes.name), class_names) else { continue };
+            limits[class] = self.value_of(entry, nodes.max_open).map(|max_open| Limit {
+                max_open,
+                retry_after: self.milliseconds_of(entry, nodes.retry_after),
+                max_retry_after: self.milliseconds_of(entry, nodes.max_retry_after),
             });
         }
         limits
     }
 
+    /// A leaf's value, or its default.
+    fn value_of(&self, entry: &Fields, id: NodeId) -> Option<u32> {
+        let text = leaf(entry, id).map(|text| &**text).or_else(|| self.schema.default_of(id));
+        text.and_then(|text| text.parse().ok())
+    }
+
+    fn milliseconds_of(&self, entry: &Fields, id: NodeId) -> Duration {
+        Duration::from_millis(u64::from(self.value_of(entry, id).unwrap_or_default()))
+    }
+
     fn pools(&mut self, tree: &Tree) -> Vec<Pool> {
-        let [name, admin, location, kind, cell, engine, serves] = self.reader.of_pool;
-        let mut pools = Vec::new();
-        for (place, entry) in self.entries(tree, self.reader.pool) {
-            let admin = match leaf(entry, admin).map(|text| &**text) {
-                Some("draining") => AdminState::Draining,
-                Some("disabled") => AdminState::Disabled,
-                _ => AdminState::Enabled,
-            };
-            let names = &self.reader.names;
-            pools.push(Pool {
-                name: leaf(entry, name).map(|name| name.to_string()).unwrap_or_default(),
-                admin,
-                zones: self.numbers(&place, entry, location, &names.zones),
-                machine_kinds: self.numbers(&place, entry, kind, &names.machine_kinds),
-                cells: members(entry, cell).filter_map(|text| text.parse().ok()).collect(),
-                engines: members(entry, engine).filter_map(|id| u32::from_str_radix(id, 16).ok()).collect(),
-                request_classes: self
-                    .numbers(&place, entry, serves, &names.request_classes)
-                    .into_iter()
-                    .map(|number| number as usize)
-                    .collect(),
-            });
+        let entries = self.entries(tree, self.reader.pool_list);
+        entries.into_iter().map(|(place, entry)| self.pool(&place, entry)).collect()
+    }
+
+    fn pool(&mut self, place: &Place, entry: &Fields) -> Pool {
+        let nodes = self.reader.pool;
+        let names = &self.reader.names;
+        Pool {
+            name: leaf(entry, nodes.name).map(|name| name.to_string()).unwrap_or_default(),
+            admin: admin_state(leaf(entry, nodes.admin_state)),
+            zones: self.numbers_of(place, entry, nodes.zone, &names.zones),
+            machine_kinds: self.numbers_of(place, entry, nodes.machine_kind, &names.machine_kinds),
+            cells: members(entry, nodes.cell).filter_map(|text| text.parse().ok()).collect(),
+            engines: members(entry, nodes.engine).filter_map(|id| u32::from_str_radix(id, 16).ok()).collect(),
+            request_classes: self
+                .numbers_of(place, entry, nodes.serves, &names.request_classes)
+                .into_iter()
+                .map(|number| number as usize)
+                .collect(),
         }
-        pools
     }
 
-    fn numbers(&mut self, place: &Place, entry: &Fields, id: NodeId, known: &[String]) -> BTreeSet<u32> {
-        let mut found = BTreeSet::new();
+    /// The numbers of the names in a leaf-list.
+    fn numbers_of(&mut self, place: &Place, entry: &Fields, id: NodeId, known: &[String]) -> BTreeSet<u32> {
+        let mut numbers = BTreeSet::new();
         for member in members(entry, id) {
-            let mut at = place.clone();
-            at.push(Seg { node: id, keys: Some(vec![member.clone()]) });
-            found.extend(self.number(&at, Some(member), known).map(|number| number as u32));
+            let mut member_place = place.clone();
+            member_place.push(Seg { node: id, keys: Some(vec![member.clone()]) });
+            numbers.extend(self.number_of(&member_place, Some(member), known).map(|number| number as u32));
         }
-        found
+        numbers
     }
 
-    fn number(&mut self, place: &Place, name: Option<&Text>, known: &[String]) -> Option<usize> {
+    /// The number of a name; a fault at this place if the deployment does not state it.
+    fn number_of(&mut self, place: &Place, name: Option<&Text>, known: &[String]) -> Option<usize> {
         let name = name?;
         let number = known.iter().position(|known| **known == **name);
-        if number.is_none() && self.faults.len() < 16 {
+        if number.is_none() && self.faults.len() < MAX_FAULTS {
             let what = format!("the deployment states no '{name}'; it states {}", known.join(", "));
             self.faults.push(Fault::new(FaultKind::InvalidValue, self.schema.text(place), what));
         }
@@ -159,6 +201,14 @@
     }
 }
 
+fn admin_state(text: Option<&Text>) -> AdminState {
+    match text.map(|text| &**text) {
+        Some("draining") => AdminState::Draining,
+        Some("disabled") => AdminState::Disabled,
+        _ => AdminState::Enabled,
+    }
+}
+
 fn leaf(entry: &Fields, id: NodeId) -> Option<&Text> {
     match entry.get(&id) {
         Some(Node::Leaf(value)) => Some(value),
@@ -173,7 +223,3 @@
     };
     values.into_iter().flat_map(|values| values.iter())
 }
-
-fn span(ms: Option<u32>) -> Duration {
-    Duration::from_millis(u64::from(ms.unwrap_or_default()))
-}
