--- a/crates/core/store/src/lib.rs
+++ b/crates/core/store/src/lib.rs
@@ -12,11 +12,11 @@
 mod round;
 mod store;
 
-pub use log::{Damaged, HEADER, Read, Record, frame, read};
+pub use log::{HEADER, LogContents, LogCorruption, Record, encode_record, read_log};
 pub use merge::merge;
-pub use recover::{Recovered, Unfit, compact, recover};
-pub use round::{Ask, Round, Told};
+pub use recover::{Recovered, RecoveryError, compact, recover};
+pub use round::{CommitAction, CommitEvent, TwoPhaseCommit};
 pub use store::{
-    Author, Bounds, Cause, Commit, Datastore, Edit, OnError, Pending, Plan, Protocol, Refused, Session,
-    SessionId, StartupPlan, Store, Version,
+    Author, Bounds, Cause, CommitOptions, CommitPlan, Datastore, Edit, ErrorOption, PendingConfirmation,
+    Protocol, Session, SessionId, StartupPlan, Store, StoreError, Version,
 };
--- a/crates/core/store/src/log.rs
+++ b/crates/core/store/src/log.rs
@@ -1,6 +1,6 @@
 //! The log's form: a header line, then frames of length, checksum and one record as JSON.
 
-use crate::store::{Author, Cause, Plan, Protocol, Version};
+use crate::store::{Author, Cause, CommitPlan, Protocol, Version};
 use lemonusher_model::{Change, Node, Schema, Tree, from_json, parse_path, to_json};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -19,7 +19,7 @@
     /// A whole version, with which a log begins.
     Base { meta: Meta, tree: Value },
     /// A commit, by what it changed.
-    Commit { meta: Meta, changes: Vec<Changed>, pending: Option<Waits> },
+    Commit { meta: Meta, changes: Vec<Changed>, pending: Option<PendingMeta> },
     /// The startup datastore, or that there is none.
     Startup { tree: Option<Value> },
 }
@@ -47,7 +47,7 @@
 
 /// A commit that waits to be confirmed: where it goes back to, and for what id.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Waits {
+pub struct PendingMeta {
     pub revert: u64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub persist: Option<String>,
@@ -65,7 +65,7 @@
         };
         Meta {
             number: version.number,
-            at: version.at,
+            at: version.committed_at_ms,
             user: version.author.user.clone(),
             protocol: version.author.protocol.name().to_owned(),
             session: version.author.session,
@@ -89,7 +89,7 @@
             _ => return None,
         };
         let author = Author { user: self.user.clone(), protocol, session: self.session };
-        Some(Version { number: self.number, at: self.at, author, cause, tree, changes })
+        Some(Version { number: self.number, committed_at_ms: self.at, author, cause, tree, changes })
     }
 }
 
@@ -98,13 +98,14 @@
         Record::Base { meta: Meta::of(version), tree: tree_to_json(schema, &version.tree) }
     }
 
-    pub fn commit(schema: &Schema, plan: &Plan) -> Record {
+    pub fn commit(schema: &Schema, plan: &CommitPlan) -> Record {
         let pending = plan.pending.as_ref();
-        let waits = pending.map(|held| Waits { revert: held.revert.number, persist: held.persist.clone() });
+        let waits =
+            pending.map(|held| PendingMeta { revert: held.revert.number, persist: held.persist.clone() });
         Record::of_version(schema, &plan.version, waits)
     }
 
-    pub(crate) fn of_version(schema: &Schema, version: &Version, pending: Option<Waits>) -> Record {
+    pub(crate) fn of_version(schema: &Schema, version: &Version, pending: Option<PendingMeta>) -> Record {
         let changed = |change: &Change| Changed {
             path: schema.text(&change.place),
             old: change.old.as_deref().map(str::to_owned),
@@ -139,7 +140,7 @@
 }
 
 /// A record as it stands in the log.
-pub fn frame(record: &Record) -> Vec<u8> {
+pub fn encode_record(record: &Record) -> Vec<u8> {
     let payload = serde_json::to_vec(record).unwrap_or_default();
     let mut bytes = Vec::with_capacity(PREFIX + payload.len());
     bytes.extend((payload.len() as u32).to_le_bytes());
@@ -150,64 +151,66 @@
 
 /// What a log holds.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Read {
+pub struct LogContents {
     pub records: Vec<Record>,
     /// Bytes up to the end of the last whole record; what follows was cut short by a crash.
-    pub whole: usize,
+    pub valid_length: usize,
 }
 
 /// A log that can't be trusted: something that was whole once is spoilt. It is not used, as what follows the
 /// spoilt place may have been acknowledged.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Damaged {
-    pub at: usize,
+pub struct LogCorruption {
+    pub offset: usize,
     pub what: String,
 }
 
-impl fmt::Display for Damaged {
+impl fmt::Display for LogCorruption {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "spoilt at byte {}: {}", self.at, self.what)
+        write!(f, "spoilt at byte {}: {}", self.offset, self.what)
     }
 }
 
 /// Reads a log. A tail that was cut short is left out; spoilt bytes with whole records behind them are an error.
-pub fn read(bytes: &[u8]) -> Result<Read, Damaged> {
+pub fn read_log(bytes: &[u8]) -> Result<LogContents, LogCorruption> {
     if bytes.len() < HEADER.len() {
         return match HEADER.starts_with(bytes) {
-            true => Ok(Read { records: Vec::new(), whole: 0 }),
-            false => Err(Damaged { at: 0, what: "this is no log of the front's state".to_owned() }),
+            true => Ok(LogContents { records: Vec::new(), valid_length: 0 }),
+            false => Err(LogCorruption { offset: 0, what: "this is no log of the front's state".to_owned() }),
         };
     }
     if !bytes.starts_with(HEADER) {
-        return Err(Damaged { at: 0, what: "this is no log of the front's state".to_owned() });
+        return Err(LogCorruption { offset: 0, what: "this is no log of the front's state".to_owned() });
     }
     let mut at = HEADER.len();
     let mut records = Vec::new();
     while at < bytes.len() {
-        let Some(payload) = framed(&bytes[at..]) else {
+        let Some(payload) = decode_frame(&bytes[at..]) else {
             // A crash cuts the end off. If a whole record stands behind, this is something else.
-            let behind = (at + 1..bytes.len()).find(|next| framed(&bytes[*next..]).is_some_and(is_record));
+            let behind =
+                (at + 1..bytes.len()).find(|next| decode_frame(&bytes[*next..]).is_some_and(is_record));
             return match behind {
-                None => Ok(Read { records, whole: at }),
-                Some(next) => {
-                    Err(Damaged { at, what: format!("a whole record stands behind, at byte {next}") })
-                }
+                None => Ok(LogContents { records, valid_length: at }),
+                Some(next) => Err(LogCorruption {
+                    offset: at,
+                    what: format!("a whole record stands behind, at byte {next}"),
+                }),
             };
         };
         match serde_json::from_slice(payload) {
             Ok(record) => records.push(record),
-            Err(error) => return Err(Damaged { at, what: error.to_string() }),
+            Err(error) => return Err(LogCorruption { offset: at, what: error.to_string() }),
         }
         at += PREFIX + payload.len();
     }
-    Ok(Read { records, whole: at })
+    Ok(LogContents { records, valid_length: at })
 }
 
 fn is_record(payload: &[u8]) -> bool {
     serde_json::from_slice::<Record>(payload).is_ok()
 }
 
-fn framed(bytes: &[u8]) -> Option<&[u8]> {
+fn decode_frame(bytes: &[u8]) -> Option<&[u8]> {
     let number = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?));
     let (length, sum) = (number(0)? as usize, number(4)?);
     let payload = bytes.get(PREFIX..PREFIX + length).filter(|_| length > 0 && length <= LONGEST)?;
--- a/crates/core/store/src/recover.rs
+++ b/crates/core/store/src/recover.rs
@@ -1,7 +1,9 @@
 //! From a log back to the store, and from a store to the shortest log that says the same.
 
-use crate::log::{Damaged, HEADER, Record, Waits, change_of, frame, read, tree_of_json};
-use crate::store::{Bounds, Pending, Store, Version};
+use crate::log::{
+    HEADER, LogCorruption, PendingMeta, Record, change_of, encode_record, read_log, tree_of_json,
+};
+use crate::store::{Bounds, PendingConfirmation, Store, Version};
 use lemonusher_model::Schema;
 use std::collections::VecDeque;
 use std::fmt;
@@ -13,15 +15,15 @@
 pub struct Recovered {
     pub store: Store,
     /// The log is good up to here; the rest is to be cut off.
-    pub whole: usize,
+    pub valid_length: usize,
     /// Records read.
     pub records: usize,
 }
 
 /// Why a log can't be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Unfit {
-    Damaged(Damaged),
+pub enum RecoveryError {
+    Log(LogCorruption),
     /// A record does not follow from those before it, or does not fit the model.
     Record {
         number: usize,
@@ -29,24 +31,24 @@
     },
 }
 
-impl fmt::Display for Unfit {
+impl fmt::Display for RecoveryError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Unfit::Damaged(damaged) => write!(f, "{damaged}"),
-            Unfit::Record { number, what } => write!(f, "record {number}: {what}"),
+            RecoveryError::Log(corruption) => write!(f, "{corruption}"),
+            RecoveryError::Record { number, what } => write!(f, "record {number}: {what}"),
         }
     }
 }
 
 /// Brings a store back. What waited to be confirmed is taken as lost: nobody may count on its session, and it
 /// falls due at once, whether or not its time had run out.
-pub fn recover(schema: Arc<Schema>, bounds: Bounds, bytes: &[u8]) -> Result<Recovered, Unfit> {
-    let log = read(bytes).map_err(Unfit::Damaged)?;
+pub fn recover(schema: Arc<Schema>, bounds: Bounds, bytes: &[u8]) -> Result<Recovered, RecoveryError> {
+    let log = read_log(bytes).map_err(RecoveryError::Log)?;
     let empty = Store::new(schema.clone(), bounds);
     let mut history: VecDeque<Arc<Version>> = empty.history().cloned().collect();
     let (mut startup, mut pending) = (None, None);
     for (number, record) in log.records.iter().enumerate() {
-        let unfit = |what: String| Unfit::Record { number, what };
+        let unfit = |what: String| RecoveryError::Record { number, what };
         let last = history[history.len() - 1].clone();
         match record {
             Record::Base { meta, tree } => {
@@ -77,16 +79,17 @@
                         let revert = revert.ok_or_else(|| {
                             unfit(format!("version {}, to go back to, is not there", waits.revert))
                         })?;
-                        Some(Pending {
+                        Some(PendingConfirmation {
                             session: meta.session,
                             persist: waits.persist.clone(),
                             revert: revert.clone(),
-                            until: Duration::ZERO,
-                            lost: true,
+                            deadline: Duration::ZERO,
+                            orphaned: true,
                         })
                     }
                 };
-                let kept = pending.as_ref().map_or(u64::MAX, |pending: &Pending| pending.revert.number);
+                let kept =
+                    pending.as_ref().map_or(u64::MAX, |pending: &PendingConfirmation| pending.revert.number);
                 while history.len() > bounds.history + 1 && history[0].number < kept {
                     history.pop_front();
                 }
@@ -98,7 +101,7 @@
         }
     }
     let store = Store::with(schema, bounds, history, startup, pending);
-    Ok(Recovered { store, whole: log.whole, records: log.records.len() })
+    Ok(Recovered { store, valid_length: log.valid_length, records: log.records.len() })
 }
 
 /// A log that brings the same store back: the oldest version whole, then what followed.
@@ -108,14 +111,15 @@
     let last = store.running().number;
     for (number, version) in store.history().enumerate() {
         let waits = store.pending().filter(|_| version.number == last);
-        let waits = waits.map(|held| Waits { revert: held.revert.number, persist: held.persist.clone() });
+        let waits =
+            waits.map(|held| PendingMeta { revert: held.revert.number, persist: held.persist.clone() });
         bytes.extend(match number {
-            0 => frame(&Record::base(schema, version)),
-            _ => frame(&Record::of_version(schema, version, waits)),
+            0 => encode_record(&Record::base(schema, version)),
+            _ => encode_record(&Record::of_version(schema, version, waits)),
         });
     }
     if let Some(startup) = store.startup() {
-        bytes.extend(frame(&Record::startup(schema, Some(startup))));
+        bytes.extend(encode_record(&Record::startup(schema, Some(startup))));
     }
     bytes
 }
--- a/crates/core/store/src/round.rs
+++ b/crates/core/store/src/round.rs
@@ -2,7 +2,7 @@
 
 /// What has happened.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Told {
+pub enum CommitEvent {
     /// A part holds the new state ready.
     Prepared(usize),
     Declined(usize, String),
@@ -12,17 +12,17 @@
     Logged,
     NotLogged(String),
     /// A part has taken up the new state.
-    Switched(usize),
+    Activated(usize),
 }
 
 /// What is to be done.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Ask {
+pub enum CommitAction {
     Prepare(usize),
     Log,
-    Switch(usize),
+    Activate(usize),
     /// The part forgets what it prepared.
-    Abandon(usize),
+    Discard(usize),
     /// The commit is in force. Parts named here did not say that they switched: they hold or will take up the
     /// new state when they come back, and never the old one.
     Done(Vec<usize>),
@@ -49,17 +49,17 @@
 
 /// The state of one round.
 #[derive(Debug)]
-pub struct Round {
+pub struct TwoPhaseCommit {
     names: Vec<String>,
     parts: Vec<Part>,
     stage: Stage,
 }
 
-impl Round {
-    pub fn start(names: Vec<String>) -> (Round, Vec<Ask>) {
+impl TwoPhaseCommit {
+    pub fn start(names: Vec<String>) -> (TwoPhaseCommit, Vec<CommitAction>) {
         let parts = vec![Part::Asked; names.len()];
-        let mut round = Round { names, parts, stage: Stage::Preparing };
-        let mut asks: Vec<Ask> = (0..round.parts.len()).map(Ask::Prepare).collect();
+        let mut round = TwoPhaseCommit { names, parts, stage: Stage::Preparing };
+        let mut asks: Vec<CommitAction> = (0..round.parts.len()).map(CommitAction::Prepare).collect();
         if round.parts.is_empty() {
             asks.extend(round.log());
         }
@@ -67,51 +67,51 @@
     }
 
     /// Whether no more is to be done.
-    pub fn over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.stage == Stage::Over
     }
 
-    pub fn hear(&mut self, told: Told) -> Vec<Ask> {
+    pub fn handle_event(&mut self, told: CommitEvent) -> Vec<CommitAction> {
         match (self.stage, told) {
-            (Stage::Preparing, Told::Prepared(part)) if self.parts[part] == Part::Asked => {
+            (Stage::Preparing, CommitEvent::Prepared(part)) if self.parts[part] == Part::Asked => {
                 self.parts[part] = Part::Ready;
                 if self.parts.iter().all(|part| *part == Part::Ready) { self.log() } else { Vec::new() }
             }
-            (Stage::Preparing, Told::Declined(part, why)) => {
+            (Stage::Preparing, CommitEvent::Declined(part, why)) => {
                 self.parts[part] = Part::Over;
                 let what = format!("{} declined: {why}", self.names[part]);
                 self.fail(what)
             }
-            (Stage::Preparing, Told::Lost(part)) => {
+            (Stage::Preparing, CommitEvent::Lost(part)) => {
                 self.parts[part] = Part::Lost;
                 let what = format!("{} gave no answer", self.names[part]);
                 self.fail(what)
             }
             // A part that is lost once it is ready is met again at the switch: logging may have gone through.
-            (Stage::Logging, Told::Lost(part)) => {
+            (Stage::Logging, CommitEvent::Lost(part)) => {
                 self.parts[part] = Part::Lost;
                 Vec::new()
             }
-            (Stage::Logging, Told::NotLogged(why)) => {
+            (Stage::Logging, CommitEvent::NotLogged(why)) => {
                 self.fail(format!("the commit could not be kept: {why}"))
             }
-            (Stage::Logging, Told::Logged) => {
+            (Stage::Logging, CommitEvent::Logged) => {
                 self.stage = Stage::Switching;
                 let mut asks = Vec::new();
                 for (number, part) in self.parts.iter_mut().enumerate() {
                     if *part == Part::Ready {
                         *part = Part::Switching;
-                        asks.push(Ask::Switch(number));
+                        asks.push(CommitAction::Activate(number));
                     }
                 }
                 asks.extend(self.end());
                 asks
             }
-            (Stage::Switching, Told::Switched(part)) => {
+            (Stage::Switching, CommitEvent::Activated(part)) => {
                 self.parts[part] = Part::Over;
                 self.end().into_iter().collect()
             }
-            (Stage::Switching, Told::Lost(part) | Told::Declined(part, _)) => {
+            (Stage::Switching, CommitEvent::Lost(part) | CommitEvent::Declined(part, _)) => {
                 self.parts[part] = Part::Lost;
                 self.end().into_iter().collect()
             }
@@ -120,26 +120,26 @@
         }
     }
 
-    fn log(&mut self) -> Vec<Ask> {
+    fn log(&mut self) -> Vec<CommitAction> {
         self.stage = Stage::Logging;
-        vec![Ask::Log]
+        vec![CommitAction::Log]
     }
 
-    fn end(&mut self) -> Option<Ask> {
+    fn end(&mut self) -> Option<CommitAction> {
         if self.parts.iter().any(|part| matches!(part, Part::Switching | Part::Ready)) {
             return None;
         }
         self.stage = Stage::Over;
         let lost = self.parts.iter().enumerate().filter(|(_, part)| **part == Part::Lost);
-        Some(Ask::Done(lost.map(|(number, _)| number).collect()))
+        Some(CommitAction::Done(lost.map(|(number, _)| number).collect()))
     }
 
-    fn fail(&mut self, what: String) -> Vec<Ask> {
+    fn fail(&mut self, what: String) -> Vec<CommitAction> {
         self.stage = Stage::Over;
         let held =
             self.parts.iter().enumerate().filter(|(_, part)| matches!(part, Part::Asked | Part::Ready));
-        let mut asks: Vec<Ask> = held.map(|(number, _)| Ask::Abandon(number)).collect();
-        asks.push(Ask::Failed(what));
+        let mut asks: Vec<CommitAction> = held.map(|(number, _)| CommitAction::Discard(number)).collect();
+        asks.push(CommitAction::Failed(what));
         asks
     }
 }
--- a/crates/core/store/src/store.rs
+++ b/crates/core/store/src/store.rs
@@ -85,7 +85,7 @@
 pub struct Version {
     pub number: u64,
     /// Unix time in milliseconds.
-    pub at: u64,
+    pub committed_at_ms: u64,
     pub author: Author,
     pub cause: Cause,
     pub tree: Tree,
@@ -103,7 +103,7 @@
 
 /// What becomes of the edits before one that fails. A failed edit of running changes nothing in any case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum OnError {
+pub enum ErrorOption {
     Stop,
     Continue,
     #[default]
@@ -112,36 +112,36 @@
 
 /// How a commit is meant.
 #[derive(Debug, Clone, Default)]
-pub struct Commit {
+pub struct CommitOptions {
     /// It is rolled back after this span unless it is confirmed.
-    pub confirmed: Option<Duration>,
+    pub confirm_timeout: Option<Duration>,
     /// It outlives its session under this id.
     pub persist: Option<String>,
     /// The id of the commit that this confirms or follows.
     pub persist_id: Option<String>,
     /// The version that the writer has seen; another in force refuses the commit.
-    pub expect: Option<u64>,
+    pub expected_version: Option<u64>,
 }
 
 /// A commit that waits to be confirmed.
 #[derive(Debug, Clone)]
-pub struct Pending {
+pub struct PendingConfirmation {
     pub session: SessionId,
     pub persist: Option<String>,
     pub revert: Arc<Version>,
-    pub until: Duration,
+    pub deadline: Duration,
     /// Nobody is left who could confirm it.
-    pub lost: bool,
+    pub orphaned: bool,
 }
 
 /// A commit on its way. It holds its place in the order until it is finished or abandoned.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct CommitPlan {
     pub version: Arc<Version>,
     /// What waits to be confirmed once it is in force.
-    pub pending: Option<Pending>,
+    pub pending: Option<PendingConfirmation>,
     /// Whose candidate it takes up.
-    takes: Option<SessionId>,
+    candidate_of: Option<SessionId>,
 }
 
 /// A startup datastore on its way.
@@ -152,8 +152,8 @@
 
 /// Why something is not done. Nothing has changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Refused {
-    NoSession,
+pub enum StoreError {
+    UnknownSession,
     TooManySessions,
     /// A lock of this session's stands against it.
     Locked(SessionId),
@@ -166,8 +166,8 @@
     /// More follow-ups to a confirmed commit than there is history.
     TooManyFollowUps,
     Stale {
-        seen: u64,
-        now: u64,
+        expected: u64,
+        running: u64,
     },
     /// Both sides changed these.
     Conflict(Vec<String>),
@@ -180,34 +180,36 @@
     Failed(String),
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Refused::NoSession => f.write_str("there is no such session"),
-            Refused::TooManySessions => f.write_str("there are as many sessions as there may be"),
-            Refused::Locked(by) => write!(f, "locked by session {by}"),
-            Refused::NotLocked => f.write_str("the session holds no such lock"),
-            Refused::Modified => f.write_str("the candidate holds changes that are not committed"),
-            Refused::Pending(by) => write!(f, "a confirmed commit of session {by} waits to be confirmed"),
-            Refused::NothingPending => f.write_str("no such commit waits to be confirmed"),
-            Refused::TooManyFollowUps => f.write_str("confirm or cancel first: no more may follow"),
-            Refused::Stale { seen, now } => write!(f, "version {now} is in force, not {seen}"),
-            Refused::Conflict(places) => write!(f, "changed meanwhile: {}", places.join(", ")),
-            Refused::Busy => f.write_str("another commit is on its way"),
-            Refused::Faults(faults) => {
+            StoreError::UnknownSession => f.write_str("there is no such session"),
+            StoreError::TooManySessions => f.write_str("there are as many sessions as there may be"),
+            StoreError::Locked(by) => write!(f, "locked by session {by}"),
+            StoreError::NotLocked => f.write_str("the session holds no such lock"),
+            StoreError::Modified => f.write_str("the candidate holds changes that are not committed"),
+            StoreError::Pending(by) => write!(f, "a confirmed commit of session {by} waits to be confirmed"),
+            StoreError::NothingPending => f.write_str("no such commit waits to be confirmed"),
+            StoreError::TooManyFollowUps => f.write_str("confirm or cancel first: no more may follow"),
+            StoreError::Stale { expected: seen, running: now } => {
+                write!(f, "version {now} is in force, not {seen}")
+            }
+            StoreError::Conflict(places) => write!(f, "changed meanwhile: {}", places.join(", ")),
+            StoreError::Busy => f.write_str("another commit is on its way"),
+            StoreError::Faults(faults) => {
                 let all: Vec<String> = faults.iter().map(|fault| fault.to_string()).collect();
                 f.write_str(&all.join("; "))
             }
-            Refused::NoVersion(number) => write!(f, "there is no version {number} to go back to"),
-            Refused::NoStartup => f.write_str("there is no startup datastore"),
-            Refused::Failed(why) => f.write_str(why),
+            StoreError::NoVersion(number) => write!(f, "there is no version {number} to go back to"),
+            StoreError::NoStartup => f.write_str("there is no startup datastore"),
+            StoreError::Failed(why) => f.write_str(why),
         }
     }
 }
 
-impl From<Fault> for Refused {
+impl From<Fault> for StoreError {
     fn from(fault: Fault) -> Self {
-        Refused::Faults(vec![fault])
+        StoreError::Faults(vec![fault])
     }
 }
 
@@ -242,19 +244,19 @@
     /// From the oldest that can be gone back to up to the one in force; never empty.
     history: VecDeque<Arc<Version>>,
     startup: Option<Tree>,
-    shared: Option<Candidate>,
+    shared_candidate: Option<Candidate>,
     sessions: BTreeMap<SessionId, Session>,
     next_session: SessionId,
     locks: BTreeMap<Datastore, SessionId>,
-    pending: Option<Pending>,
-    on_its_way: Option<u64>,
+    pending: Option<PendingConfirmation>,
+    committing: Option<u64>,
 }
 
 impl Store {
     pub fn new(schema: Arc<Schema>, bounds: Bounds) -> Store {
         let first = Version {
             number: 0,
-            at: 0,
+            committed_at_ms: 0,
             author: Author::front(),
             cause: Cause::Start,
             tree: Tree::default(),
@@ -269,19 +271,19 @@
         bounds: Bounds,
         history: VecDeque<Arc<Version>>,
         startup: Option<Tree>,
-        pending: Option<Pending>,
+        pending: Option<PendingConfirmation>,
     ) -> Store {
         let mut store = Store {
             schema,
             bounds,
             history,
             startup,
-            shared: None,
+            shared_candidate: None,
             sessions: BTreeMap::new(),
             next_session: 1,
             locks: BTreeMap::new(),
             pending,
-            on_its_way: None,
+            committing: None,
         };
         store.trim();
         store
@@ -305,7 +307,7 @@
         self.startup.as_ref()
     }
 
-    pub fn pending(&self) -> Option<&Pending> {
+    pub fn pending(&self) -> Option<&PendingConfirmation> {
         self.pending.as_ref()
     }
 
@@ -313,7 +315,7 @@
         &self.sessions
     }
 
-    pub fn lock_of(&self, datastore: Datastore) -> Option<SessionId> {
+    pub fn lock_holder(&self, datastore: Datastore) -> Option<SessionId> {
         self.locks.get(&datastore).copied()
     }
 
@@ -332,62 +334,62 @@
     fn candidate(&self, session: SessionId) -> Option<&Candidate> {
         match self.sessions.get(&session) {
             Some(held) if held.private => held.candidate.as_ref(),
-            _ => self.shared.as_ref(),
+            _ => self.shared_candidate.as_ref(),
         }
     }
 
-    fn candidate_slot(&mut self, session: SessionId) -> &mut Option<Candidate> {
+    fn candidate_mut(&mut self, session: SessionId) -> &mut Option<Candidate> {
         match self.sessions.get_mut(&session) {
             Some(held) if held.private => &mut held.candidate,
-            _ => &mut self.shared,
+            _ => &mut self.shared_candidate,
         }
     }
 
     // Sessions and locks.
 
-    pub fn open(&mut self, user: &str, protocol: Protocol) -> Result<SessionId, Refused> {
+    pub fn open_session(&mut self, user: &str, protocol: Protocol) -> Result<SessionId, StoreError> {
         if self.sessions.len() >= self.bounds.sessions {
-            return Err(Refused::TooManySessions);
+            return Err(StoreError::TooManySessions);
         }
         let id = self.next_session;
-        self.next_session = self.next_session.checked_add(1).ok_or(Refused::TooManySessions)?;
+        self.next_session = self.next_session.checked_add(1).ok_or(StoreError::TooManySessions)?;
         let session = Session { user: user.to_owned(), protocol, private: false, candidate: None };
         self.sessions.insert(id, session);
         Ok(id)
     }
 
     /// The session edits a candidate of its own from now on.
-    pub fn go_private(&mut self, session: SessionId) -> Result<(), Refused> {
-        let held = self.sessions.get_mut(&session).ok_or(Refused::NoSession)?;
+    pub fn use_private_candidate(&mut self, session: SessionId) -> Result<(), StoreError> {
+        let held = self.sessions.get_mut(&session).ok_or(StoreError::UnknownSession)?;
         held.private = true;
         Ok(())
     }
 
     /// A session has ended, however it did: its locks go, and with the lock of the candidate what was changed
     /// there; what it alone could have confirmed falls due.
-    pub fn close(&mut self, session: SessionId) {
+    pub fn close_session(&mut self, session: SessionId) {
         self.sessions.remove(&session);
         if self.locks.get(&Datastore::Candidate) == Some(&session) {
-            self.shared = None;
+            self.shared_candidate = None;
         }
         self.locks.retain(|_, holder| *holder != session);
         if let Some(pending) = &mut self.pending
             && pending.session == session
             && pending.persist.is_none()
         {
-            pending.lost = true;
+            pending.orphaned = true;
         }
     }
 
-    pub fn lock(&mut self, session: SessionId, datastore: Datastore) -> Result<(), Refused> {
-        self.known(session)?;
+    pub fn lock(&mut self, session: SessionId, datastore: Datastore) -> Result<(), StoreError> {
+        self.author_of(session)?;
         if let Some(holder) = self.locks.get(&datastore) {
-            return Err(Refused::Locked(*holder));
+            return Err(StoreError::Locked(*holder));
         }
         match (datastore, &self.pending) {
-            (Datastore::Candidate, _) if self.shared.is_some() => return Err(Refused::Modified),
+            (Datastore::Candidate, _) if self.shared_candidate.is_some() => return Err(StoreError::Modified),
             (Datastore::Running, Some(pending)) if pending.session != session => {
-                return Err(Refused::Pending(pending.session));
+                return Err(StoreError::Pending(pending.session));
             }
             _ => {}
         }
@@ -395,28 +397,28 @@
         Ok(())
     }
 
-    pub fn unlock(&mut self, session: SessionId, datastore: Datastore) -> Result<(), Refused> {
+    pub fn unlock(&mut self, session: SessionId, datastore: Datastore) -> Result<(), StoreError> {
         match self.locks.get(&datastore) {
             Some(holder) if *holder == session => {
                 self.locks.remove(&datastore);
                 if datastore == Datastore::Candidate {
-                    self.shared = None;
+                    self.shared_candidate = None;
                 }
                 Ok(())
             }
-            Some(holder) => Err(Refused::Locked(*holder)),
-            None => Err(Refused::NotLocked),
+            Some(holder) => Err(StoreError::Locked(*holder)),
+            None => Err(StoreError::NotLocked),
         }
     }
 
-    fn known(&self, session: SessionId) -> Result<Author, Refused> {
-        let held = self.sessions.get(&session).ok_or(Refused::NoSession)?;
+    fn author_of(&self, session: SessionId) -> Result<Author, StoreError> {
+        let held = self.sessions.get(&session).ok_or(StoreError::UnknownSession)?;
         Ok(Author { user: held.user.clone(), protocol: held.protocol, session })
     }
 
-    fn unlocked(&self, session: SessionId, datastore: Datastore) -> Result<(), Refused> {
+    fn check_lock(&self, session: SessionId, datastore: Datastore) -> Result<(), StoreError> {
         match self.locks.get(&datastore) {
-            Some(holder) if *holder != session => Err(Refused::Locked(*holder)),
+            Some(holder) if *holder != session => Err(StoreError::Locked(*holder)),
             _ => Ok(()),
         }
     }
@@ -424,42 +426,47 @@
     // Edits.
 
     /// Edits the session's candidate.
-    pub fn edit(&mut self, session: SessionId, edits: &[Edit], on_error: OnError) -> Result<(), Refused> {
-        self.known(session)?;
+    pub fn edit_candidate(
+        &mut self,
+        session: SessionId,
+        edits: &[Edit],
+        on_error: ErrorOption,
+    ) -> Result<(), StoreError> {
+        self.author_of(session)?;
         let private = self.sessions.get(&session).is_some_and(|held| held.private);
         if !private {
-            self.unlocked(session, Datastore::Candidate)?;
+            self.check_lock(session, Datastore::Candidate)?;
         }
         let running = self.running().clone();
         let schema = self.schema.clone();
-        let slot = self.candidate_slot(session);
+        let slot = self.candidate_mut(session);
         let held = slot.clone();
         let mut candidate = held.unwrap_or_else(|| Candidate { tree: running.tree.clone(), base: running });
         let faults = apply(&schema, &mut candidate.tree, edits, on_error);
-        if faults.is_empty() || on_error != OnError::Rollback {
+        if faults.is_empty() || on_error != ErrorOption::Rollback {
             *slot = Some(candidate).filter(|candidate| candidate.tree != candidate.base.tree);
         }
-        if faults.is_empty() { Ok(()) } else { Err(Refused::Faults(faults)) }
+        if faults.is_empty() { Ok(()) } else { Err(StoreError::Faults(faults)) }
     }
 
     /// Puts a whole tree in the session's candidate.
-    pub fn replace(&mut self, session: SessionId, tree: Tree) -> Result<(), Refused> {
+    pub fn replace_candidate(&mut self, session: SessionId, tree: Tree) -> Result<(), StoreError> {
         let value = Node::Container(tree.fields().clone());
         let edit = Edit { op: Op::Replace, place: Place::new(), value: Some(value) };
-        self.edit(session, &[edit], OnError::Rollback)
+        self.edit_candidate(session, &[edit], ErrorOption::Rollback)
     }
 
-    pub fn discard(&mut self, session: SessionId) -> Result<(), Refused> {
-        self.known(session)?;
+    pub fn discard_candidate(&mut self, session: SessionId) -> Result<(), StoreError> {
+        self.author_of(session)?;
         if !self.sessions.get(&session).is_some_and(|held| held.private) {
-            self.unlocked(session, Datastore::Candidate)?;
+            self.check_lock(session, Datastore::Candidate)?;
         }
-        *self.candidate_slot(session) = None;
+        *self.candidate_mut(session) = None;
         Ok(())
     }
 
-    pub fn validate(&self, tree: &Tree) -> Result<(), Refused> {
-        self.schema.validate(tree).map_err(Refused::Faults)
+    pub fn validate(&self, tree: &Tree) -> Result<(), StoreError> {
+        self.schema.validate(tree).map_err(StoreError::Faults)
     }
 
     // Commits.
@@ -469,40 +476,39 @@
     pub fn commit(
         &mut self,
         session: SessionId,
-        terms: &Commit,
+        terms: &CommitOptions,
         now: Duration,
         at: u64,
-    ) -> Result<Option<Plan>, Refused> {
-        let author = self.known(session)?;
+    ) -> Result<Option<CommitPlan>, StoreError> {
+        let author = self.author_of(session)?;
         let private = self.sessions.get(&session).is_some_and(|held| held.private);
         if !private {
-            self.unlocked(session, Datastore::Candidate)?;
+            self.check_lock(session, Datastore::Candidate)?;
         }
         let running = self.running().clone();
         let tree = match self.candidate(session) {
             None => running.tree.clone(),
-            Some(held) => {
-                merge(&self.schema, &held.base.tree, &held.tree, &running.tree).map_err(Refused::Conflict)?
-            }
+            Some(held) => merge(&self.schema, &held.base.tree, &held.tree, &running.tree)
+                .map_err(StoreError::Conflict)?,
         };
         let plan = self.plan(author, tree, terms, now, at)?;
-        Ok(plan.map(|plan| Plan { takes: Some(session), ..plan }))
+        Ok(plan.map(|plan| CommitPlan { candidate_of: Some(session), ..plan }))
     }
 
     /// Plans to edit what is in force, as one transaction.
-    pub fn set(
+    pub fn edit_running(
         &mut self,
         session: SessionId,
         edits: &[Edit],
-        terms: &Commit,
+        terms: &CommitOptions,
         now: Duration,
         at: u64,
-    ) -> Result<Option<Plan>, Refused> {
-        let author = self.known(session)?;
+    ) -> Result<Option<CommitPlan>, StoreError> {
+        let author = self.author_of(session)?;
         let mut tree = self.running().tree.clone();
-        let faults = apply(&self.schema, &mut tree, edits, OnError::Rollback);
+        let faults = apply(&self.schema, &mut tree, edits, ErrorOption::Rollback);
         if !faults.is_empty() {
-            return Err(Refused::Faults(faults));
+            return Err(StoreError::Faults(faults));
         }
         self.plan(author, tree, terms, now, at)
     }
@@ -512,13 +518,13 @@
         &mut self,
         session: SessionId,
         to: u64,
-        terms: &Commit,
+        terms: &CommitOptions,
         now: Duration,
         at: u64,
-    ) -> Result<Option<Plan>, Refused> {
-        let author = self.known(session)?;
+    ) -> Result<Option<CommitPlan>, StoreError> {
+        let author = self.author_of(session)?;
         let old = self.history.iter().find(|version| version.number == to);
-        let tree = old.ok_or(Refused::NoVersion(to))?.tree.clone();
+        let tree = old.ok_or(StoreError::NoVersion(to))?.tree.clone();
         let plan = self.plan(author, tree, terms, now, at)?;
         Ok(plan.map(|plan| recaused(plan, Cause::RolledBack { to })))
     }
@@ -527,17 +533,17 @@
         &mut self,
         author: Author,
         tree: Tree,
-        terms: &Commit,
+        terms: &CommitOptions,
         now: Duration,
         at: u64,
-    ) -> Result<Option<Plan>, Refused> {
-        if self.on_its_way.is_some() {
-            return Err(Refused::Busy);
+    ) -> Result<Option<CommitPlan>, StoreError> {
+        if self.committing.is_some() {
+            return Err(StoreError::Busy);
         }
-        self.unlocked(author.session, Datastore::Running)?;
+        self.check_lock(author.session, Datastore::Running)?;
         let running = self.running().clone();
-        if let Some(seen) = terms.expect.filter(|seen| *seen != running.number) {
-            return Err(Refused::Stale { seen, now: running.number });
+        if let Some(seen) = terms.expected_version.filter(|seen| *seen != running.number) {
+            return Err(StoreError::Stale { expected: seen, running: running.number });
         }
         match &self.pending {
             // A commit that is meant for one that waits must name it rightly; another may not pass it.
@@ -546,61 +552,61 @@
                     Some(id) => terms.persist_id.as_ref() == Some(id),
                     None => pending.session == author.session && terms.persist_id.is_none(),
                 };
-                if !named || pending.lost {
-                    return Err(Refused::Pending(pending.session));
+                if !named || pending.orphaned {
+                    return Err(StoreError::Pending(pending.session));
                 }
             }
-            None if terms.persist_id.is_some() => return Err(Refused::NothingPending),
+            None if terms.persist_id.is_some() => return Err(StoreError::NothingPending),
             None => {}
         }
-        self.schema.validate(&tree).map_err(Refused::Faults)?;
+        self.schema.validate(&tree).map_err(StoreError::Faults)?;
         let changes = diff(&running.tree, &tree);
-        if changes.is_empty() && self.pending.is_none() && terms.confirmed.is_none() {
+        if changes.is_empty() && self.pending.is_none() && terms.confirm_timeout.is_none() {
             return Ok(None);
         }
-        let pending = match terms.confirmed {
+        let pending = match terms.confirm_timeout {
             None => None,
             Some(span) => {
-                self.room_to_follow()?;
+                self.check_follow_up_room()?;
                 let first = self.pending.as_ref().map(|pending| pending.revert.clone());
                 let named = self.pending.as_ref().and_then(|pending| pending.persist.clone());
-                Some(Pending {
+                Some(PendingConfirmation {
                     session: author.session,
                     persist: terms.persist.clone().or(named),
                     revert: first.unwrap_or_else(|| running.clone()),
-                    until: now + span,
-                    lost: false,
+                    deadline: now + span,
+                    orphaned: false,
                 })
             }
         };
         let confirms = self.pending.is_some() && pending.is_none();
         let cause = if confirms { Cause::Confirmed } else { Cause::Commit };
-        Ok(Some(self.hold(author, cause, tree, changes, pending, at)))
+        Ok(Some(self.reserve(author, cause, tree, changes, pending, at)))
     }
 
     /// What may be gone back to must stay in the history.
-    fn room_to_follow(&self) -> Result<(), Refused> {
+    fn check_follow_up_room(&self) -> Result<(), StoreError> {
         let first = self.pending.as_ref().map(|pending| pending.revert.number);
         let full = self.history.len() > self.bounds.history;
         if full && first.is_some_and(|first| first <= self.history[0].number) {
-            return Err(Refused::TooManyFollowUps);
+            return Err(StoreError::TooManyFollowUps);
         }
         Ok(())
     }
 
-    fn hold(
+    fn reserve(
         &mut self,
         author: Author,
         cause: Cause,
         tree: Tree,
         changes: Vec<Change>,
-        pending: Option<Pending>,
+        pending: Option<PendingConfirmation>,
         at: u64,
-    ) -> Plan {
+    ) -> CommitPlan {
         let number = self.running().number + 1;
-        self.on_its_way = Some(number);
-        let version = Version { number, at, author, cause, tree, changes };
-        Plan { version: Arc::new(version), pending, takes: None }
+        self.committing = Some(number);
+        let version = Version { number, committed_at_ms: at, author, cause, tree, changes };
+        CommitPlan { version: Arc::new(version), pending, candidate_of: None }
     }
 
     /// Gives a commit that waits more time, from now on.
@@ -611,65 +617,76 @@
         span: Duration,
         now: Duration,
         at: u64,
-    ) -> Result<Plan, Refused> {
-        let author = self.known(session)?;
-        let pending = self.named(session, id)?;
-        self.room_to_follow()?;
-        let pending = Pending { until: now + span, ..pending };
+    ) -> Result<CommitPlan, StoreError> {
+        let author = self.author_of(session)?;
+        let pending = self.pending_named(session, id)?;
+        self.check_follow_up_room()?;
+        let pending = PendingConfirmation { deadline: now + span, ..pending };
         let tree = self.running().tree.clone();
-        Ok(self.hold(author, Cause::Commit, tree, Vec::new(), Some(pending), at))
+        Ok(self.reserve(author, Cause::Commit, tree, Vec::new(), Some(pending), at))
     }
 
     /// Plans to take back a commit that waits to be confirmed.
-    pub fn cancel(&mut self, session: SessionId, id: Option<&str>, at: u64) -> Result<Plan, Refused> {
-        let author = self.known(session)?;
-        let pending = self.named(session, id)?;
+    pub fn cancel(
+        &mut self,
+        session: SessionId,
+        id: Option<&str>,
+        at: u64,
+    ) -> Result<CommitPlan, StoreError> {
+        let author = self.author_of(session)?;
+        let pending = self.pending_named(session, id)?;
         let to = pending.revert.number;
-        Ok(self.take_back(author, Cause::Cancelled { to }, &pending, at))
+        Ok(self.plan_revert(author, Cause::Cancelled { to }, &pending, at))
     }
 
-    fn named(&self, session: SessionId, id: Option<&str>) -> Result<Pending, Refused> {
-        if self.on_its_way.is_some() {
-            return Err(Refused::Busy);
+    fn pending_named(&self, session: SessionId, id: Option<&str>) -> Result<PendingConfirmation, StoreError> {
+        if self.committing.is_some() {
+            return Err(StoreError::Busy);
         }
-        let pending = self.pending.as_ref().ok_or(Refused::NothingPending)?;
+        let pending = self.pending.as_ref().ok_or(StoreError::NothingPending)?;
         let named = match &pending.persist {
             Some(held) => id == Some(held.as_str()),
             None => id.is_none() && pending.session == session,
         };
-        if named && !pending.lost { Ok(pending.clone()) } else { Err(Refused::NothingPending) }
+        if named && !pending.orphaned { Ok(pending.clone()) } else { Err(StoreError::NothingPending) }
     }
 
-    fn take_back(&mut self, author: Author, cause: Cause, pending: &Pending, at: u64) -> Plan {
+    fn plan_revert(
+        &mut self,
+        author: Author,
+        cause: Cause,
+        pending: &PendingConfirmation,
+        at: u64,
+    ) -> CommitPlan {
         let tree = pending.revert.tree.clone();
         let changes = diff(&self.running().tree, &tree);
-        self.hold(author, cause, tree, changes, None, at)
+        self.reserve(author, cause, tree, changes, None, at)
     }
 
     /// What has fallen due: a commit that nobody confirmed in time, or that nobody is left to confirm.
-    pub fn due(&mut self, now: Duration, at: u64) -> Option<Plan> {
-        let pending = self.pending.clone().filter(|pending| pending.lost || pending.until <= now)?;
-        if self.on_its_way.is_some() {
+    pub fn poll_timeout(&mut self, now: Duration, at: u64) -> Option<CommitPlan> {
+        let pending = self.pending.clone().filter(|pending| pending.orphaned || pending.deadline <= now)?;
+        if self.committing.is_some() {
             return None;
         }
         let to = pending.revert.number;
-        Some(self.take_back(Author::front(), Cause::Expired { to }, &pending, at))
+        Some(self.plan_revert(Author::front(), Cause::Expired { to }, &pending, at))
     }
 
     /// When something falls due.
-    pub fn due_at(&self) -> Option<Duration> {
-        let pending = self.pending.as_ref().filter(|_| self.on_its_way.is_none())?;
-        Some(if pending.lost { Duration::ZERO } else { pending.until })
+    pub fn next_timeout(&self) -> Option<Duration> {
+        let pending = self.pending.as_ref().filter(|_| self.committing.is_none())?;
+        Some(if pending.orphaned { Duration::ZERO } else { pending.deadline })
     }
 
     /// The commit is in force.
-    pub fn finish(&mut self, plan: Plan) {
-        if self.on_its_way != Some(plan.version.number) {
+    pub fn finish_commit(&mut self, plan: CommitPlan) {
+        if self.committing != Some(plan.version.number) {
             return; // It was abandoned.
         }
-        self.on_its_way = None;
-        if let Some(session) = plan.takes {
-            *self.candidate_slot(session) = None;
+        self.committing = None;
+        if let Some(session) = plan.candidate_of {
+            *self.candidate_mut(session) = None;
         }
         self.pending = plan.pending;
         if let Some(pending) = &mut self.pending
@@ -677,16 +694,16 @@
             && pending.session != 0
             && !self.sessions.contains_key(&pending.session)
         {
-            pending.lost = true; // Its session ended while it was on its way.
+            pending.orphaned = true; // Its session ended while it was on its way.
         }
         self.history.push_back(plan.version);
         self.trim();
     }
 
     /// The commit came to nothing; the old state stands.
-    pub fn abandon(&mut self, plan: &Plan) {
-        if self.on_its_way == Some(plan.version.number) {
-            self.on_its_way = None;
+    pub fn abandon_commit(&mut self, plan: &CommitPlan) {
+        if self.committing == Some(plan.version.number) {
+            self.committing = None;
         }
     }
 
@@ -703,21 +720,21 @@
     // The startup datastore.
 
     /// Plans to keep what a session sees of a datastore as what a start begins with, or with none to drop it.
-    pub fn keep_startup(
+    pub fn plan_startup(
         &mut self,
         session: SessionId,
         from: Option<Datastore>,
-    ) -> Result<StartupPlan, Refused> {
-        self.known(session)?;
-        self.unlocked(session, Datastore::Startup)?;
+    ) -> Result<StartupPlan, StoreError> {
+        self.author_of(session)?;
+        self.check_lock(session, Datastore::Startup)?;
         let Some(from) = from else {
             return if self.startup.is_some() {
                 Ok(StartupPlan { tree: None })
             } else {
-                Err(Refused::NoStartup)
+                Err(StoreError::NoStartup)
             };
         };
-        let tree = self.tree(session, from).ok_or(Refused::NoStartup)?.clone();
+        let tree = self.tree(session, from).ok_or(StoreError::NoStartup)?.clone();
         self.validate(&tree)?;
         Ok(StartupPlan { tree: Some(tree) })
     }
@@ -727,8 +744,8 @@
     }
 
     /// Plans to begin with the startup datastore, where there is one and it is not in force.
-    pub fn begin_with_startup(&mut self, at: u64) -> Option<Plan> {
-        if self.on_its_way.is_some() || self.pending.is_some() {
+    pub fn plan_start_from_startup(&mut self, at: u64) -> Option<CommitPlan> {
+        if self.committing.is_some() || self.pending.is_some() {
             return None;
         }
         let tree = self.startup.clone()?;
@@ -736,25 +753,25 @@
         if changes.is_empty() {
             return None;
         }
-        Some(self.hold(Author::front(), Cause::Start, tree, changes, None, at))
+        Some(self.reserve(Author::front(), Cause::Start, tree, changes, None, at))
     }
 }
 
-fn recaused(mut plan: Plan, cause: Cause) -> Plan {
+fn recaused(mut plan: CommitPlan, cause: Cause) -> CommitPlan {
     Arc::make_mut(&mut plan.version).cause = cause;
     plan
 }
 
-fn apply(schema: &Schema, tree: &mut Tree, edits: &[Edit], on_error: OnError) -> Vec<Fault> {
+fn apply(schema: &Schema, tree: &mut Tree, edits: &[Edit], on_error: ErrorOption) -> Vec<Fault> {
     let before = tree.clone();
     let mut faults = Vec::new();
     for edit in edits {
         if let Err(fault) = tree.apply(schema, edit.op, &edit.place, edit.value.as_ref()) {
             faults.push(fault);
             match on_error {
-                OnError::Continue => {}
-                OnError::Stop => return faults,
-                OnError::Rollback => {
+                ErrorOption::Continue => {}
+                ErrorOption::Stop => return faults,
+                ErrorOption::Rollback => {
                     *tree = before;
                     return faults;
                 }
--- a/crates/core/store/tests/earlier_log.rs
+++ b/crates/core/store/tests/earlier_log.rs
@@ -23,36 +23,47 @@
     edit(store, Op::Merge, path, Some(value))
 }
 
-fn logged(bytes: &mut Vec<u8>, store: &mut Store, plan: Plan) {
-    bytes.extend(frame(&Record::commit(store.schema(), &plan)));
-    store.finish(plan);
+fn logged(bytes: &mut Vec<u8>, store: &mut Store, plan: CommitPlan) {
+    bytes.extend(encode_record(&Record::commit(store.schema(), &plan)));
+    store.finish_commit(plan);
 }
 
-fn set(bytes: &mut Vec<u8>, store: &mut Store, session: SessionId, edits: &[Edit], terms: &Commit, at: u64) {
-    let plan = store.set(session, edits, terms, Duration::ZERO, at).unwrap().unwrap();
+fn set(
+    bytes: &mut Vec<u8>,
+    store: &mut Store,
+    session: SessionId,
+    edits: &[Edit],
+    terms: &CommitOptions,
+    at: u64,
+) {
+    let plan = store.edit_running(session, edits, terms, Duration::ZERO, at).unwrap().unwrap();
     logged(bytes, store, plan);
 }
 
 fn startup(bytes: &mut Vec<u8>, store: &mut Store, session: SessionId, from: Option<Datastore>) {
-    let plan = store.keep_startup(session, from).unwrap();
-    bytes.extend(frame(&Record::startup(store.schema(), plan.tree.as_ref())));
+    let plan = store.plan_startup(session, from).unwrap();
+    bytes.extend(encode_record(&Record::startup(store.schema(), plan.tree.as_ref())));
     store.finish_startup(plan);
 }
 
-fn confirmed(persist: Option<&str>) -> Commit {
+fn confirmed(persist: Option<&str>) -> CommitOptions {
     let confirmed = Some(Duration::from_secs(600));
-    Commit { confirmed, persist: persist.map(str::to_owned), ..Commit::default() }
+    CommitOptions {
+        confirm_timeout: confirmed,
+        persist: persist.map(str::to_owned),
+        ..CommitOptions::default()
+    }
 }
 
 /// A log that begins with a whole version, not the first one, and some commits after it.
 fn shortened() -> Vec<u8> {
     let mut store = Store::new(Arc::new(Schema::front().unwrap()), SHORT);
-    let session = store.open("before", Protocol::Gnmi).unwrap();
+    let session = store.open_session("before", Protocol::Gnmi).unwrap();
     let mut unused = Vec::new();
     for number in 0..6u64 {
         let path = format!("/front/pool[name=x{}]/cell[.={number}]", number % 2);
         let change = [merge(&store, &path, &number.to_string())];
-        set(&mut unused, &mut store, session, &change, &Commit::default(), 1000 + number);
+        set(&mut unused, &mut store, session, &change, &CommitOptions::default(), 1000 + number);
     }
     compact(&store)
 }
@@ -62,37 +73,37 @@
     let mut bytes = shortened();
     let mut store = recover(Arc::new(Schema::front().unwrap()), LONG, &bytes).unwrap().store;
     let log = &mut bytes;
-    let netconf = store.open("anna", Protocol::Netconf).unwrap();
-    let gnmi = store.open("b\u{f6}rge", Protocol::Gnmi).unwrap();
+    let netconf = store.open_session("anna", Protocol::Netconf).unwrap();
+    let gnmi = store.open_session("b\u{f6}rge", Protocol::Gnmi).unwrap();
     // From a candidate, several changes at once; then a leaf changed and an entry taken away.
     let edits = [merge(&store, LEVEL, "warn"), merge(&store, DRAINING, "draining")];
-    store.edit(netconf, &edits, OnError::Rollback).unwrap();
-    let plan = store.commit(netconf, &Commit::default(), Duration::ZERO, 2000).unwrap().unwrap();
+    store.edit_candidate(netconf, &edits, ErrorOption::Rollback).unwrap();
+    let plan = store.commit(netconf, &CommitOptions::default(), Duration::ZERO, 2000).unwrap().unwrap();
     logged(log, &mut store, plan);
     let edits = [merge(&store, LEVEL, "debug"), edit(&store, Op::Delete, "/front/pool[name=x1]", None)];
-    set(log, &mut store, gnmi, &edits, &Commit::default(), 2001);
+    set(log, &mut store, gnmi, &edits, &CommitOptions::default(), 2001);
     // Startup: put there, dropped, put there again, and begun with.
     startup(log, &mut store, netconf, Some(Datastore::Running));
     startup(log, &mut store, netconf, None);
     startup(log, &mut store, netconf, Some(Datastore::Running));
     let change = [merge(&store, LEVEL, "error")];
-    set(log, &mut store, gnmi, &change, &Commit::default(), 2002);
-    let plan = store.begin_with_startup(2003).unwrap();
+    set(log, &mut store, gnmi, &change, &CommitOptions::default(), 2002);
+    let plan = store.plan_start_from_startup(2003).unwrap();
     logged(log, &mut store, plan);
     // A confirmed commit that is extended and confirmed; one cancelled; one not confirmed in time.
     let change = [merge(&store, LEVEL, "warn")];
     set(log, &mut store, netconf, &change, &confirmed(None), 2004);
     let plan = store.extend(netconf, None, Duration::from_secs(9), Duration::ZERO, 2005).unwrap();
     logged(log, &mut store, plan);
-    set(log, &mut store, netconf, &[], &Commit::default(), 2006);
+    set(log, &mut store, netconf, &[], &CommitOptions::default(), 2006);
     let change = [merge(&store, LEVEL, "info")];
     set(log, &mut store, gnmi, &change, &confirmed(Some("night")), 2007);
     let plan = store.cancel(netconf, Some("night"), 2008).unwrap();
     logged(log, &mut store, plan);
     set(log, &mut store, gnmi, &change, &confirmed(None), 2009);
-    let plan = store.due(Duration::from_secs(601), 2010).unwrap();
+    let plan = store.poll_timeout(Duration::from_secs(601), 2010).unwrap();
     logged(log, &mut store, plan);
-    let plan = store.roll_back(gnmi, 6, &Commit::default(), Duration::ZERO, 2011).unwrap().unwrap();
+    let plan = store.roll_back(gnmi, 6, &CommitOptions::default(), Duration::ZERO, 2011).unwrap().unwrap();
     logged(log, &mut store, plan);
     // One that still waits at the end.
     set(log, &mut store, netconf, &change, &confirmed(Some("to be \"seen\"")), 2012);
@@ -104,7 +115,7 @@
 }
 
 fn describe_version(text: &mut String, schema: &Schema, version: &Version) {
-    let Version { number, at, author, cause, tree, changes } = version;
+    let Version { number, committed_at_ms: at, author, cause, tree, changes } = version;
     let (user, protocol, session) = (&author.user, author.protocol.name(), author.session);
     writeln!(text, "version {number} at {at} by {user}, {protocol}, session {session}: {cause}").unwrap();
     for change in changes {
@@ -120,7 +131,7 @@
 fn describe(bytes: &[u8]) -> String {
     let back = recover(Arc::new(Schema::front().unwrap()), LONG, bytes).unwrap();
     let (store, schema) = (&back.store, back.store.schema());
-    let mut text = format!("{} records, {} bytes\n", back.records, back.whole);
+    let mut text = format!("{} records, {} bytes\n", back.records, back.valid_length);
     for version in store.history() {
         describe_version(&mut text, schema, version);
     }
@@ -129,7 +140,9 @@
         writeln!(text, "startup").unwrap();
         describe_tree(&mut text, schema, tree);
     }
-    if let Some(Pending { session, persist, revert, until, lost }) = store.pending() {
+    if let Some(PendingConfirmation { session, persist, revert, deadline: until, orphaned: lost }) =
+        store.pending()
+    {
         let revert = revert.number;
         writeln!(text, "pending: session {session}, persist {persist:?}, revert {revert}").unwrap();
         writeln!(text, "  until {until:?}, lost {lost}").unwrap();
--- a/crates/core/store/tests/store.rs
+++ b/crates/core/store/tests/store.rs
@@ -42,9 +42,14 @@
 }
 
 /// Commits what the session has in its candidate.
-fn commit(store: &mut Store, session: SessionId, terms: Commit, now: Duration) -> Result<(), Refused> {
+fn commit(
+    store: &mut Store,
+    session: SessionId,
+    terms: CommitOptions,
+    now: Duration,
+) -> Result<(), StoreError> {
     if let Some(plan) = store.commit(session, &terms, now, 0)? {
-        store.finish(plan);
+        store.finish_commit(plan);
     }
     Ok(())
 }
@@ -54,51 +59,51 @@
 #[test]
 fn what_one_manager_locked_another_may_not_change() {
     let mut store = a_store();
-    let a = store.open("a", Protocol::Netconf).unwrap();
-    let b = store.open("b", Protocol::Gnmi).unwrap();
+    let a = store.open_session("a", Protocol::Netconf).unwrap();
+    let b = store.open_session("b", Protocol::Gnmi).unwrap();
     store.lock(a, Datastore::Running).unwrap();
-    assert_eq!(store.lock(b, Datastore::Running), Err(Refused::Locked(a)));
+    assert_eq!(store.lock(b, Datastore::Running), Err(StoreError::Locked(a)));
     let change = [set(&store, LEVEL, "warn")];
-    let refused = store.set(b, &change, &Commit::default(), secs(0), 0).unwrap_err();
-    assert_eq!(refused, Refused::Locked(a));
+    let refused = store.edit_running(b, &change, &CommitOptions::default(), secs(0), 0).unwrap_err();
+    assert_eq!(refused, StoreError::Locked(a));
     // A holder that dies lets go.
-    store.close(a);
-    let plan = store.set(b, &change, &Commit::default(), secs(0), 0).unwrap().unwrap();
-    store.finish(plan);
+    store.close_session(a);
+    let plan = store.edit_running(b, &change, &CommitOptions::default(), secs(0), 0).unwrap().unwrap();
+    store.finish_commit(plan);
     assert_eq!(leaf(&store, &store.running().tree, LEVEL).as_deref(), Some("warn"));
-    assert_eq!(store.unlock(b, Datastore::Running), Err(Refused::NotLocked));
-    assert_eq!(store.lock(a, Datastore::Running), Err(Refused::NoSession));
+    assert_eq!(store.unlock(b, Datastore::Running), Err(StoreError::NotLocked));
+    assert_eq!(store.lock(a, Datastore::Running), Err(StoreError::UnknownSession));
 }
 
 #[test]
 fn a_candidate_dies_with_the_session_that_locked_it() {
     let mut store = a_store();
-    let a = store.open("a", Protocol::Netconf).unwrap();
-    let b = store.open("b", Protocol::Netconf).unwrap();
+    let a = store.open_session("a", Protocol::Netconf).unwrap();
+    let b = store.open_session("b", Protocol::Netconf).unwrap();
     store.lock(a, Datastore::Candidate).unwrap();
     let change = [set(&store, LEVEL, "warn")];
-    store.edit(a, &change, OnError::Rollback).unwrap();
-    assert_eq!(store.edit(b, &change, OnError::Rollback), Err(Refused::Locked(a)));
-    assert_eq!(commit(&mut store, b, Commit::default(), secs(0)), Err(Refused::Locked(a)));
-    store.close(a);
-    commit(&mut store, b, Commit::default(), secs(0)).unwrap();
+    store.edit_candidate(a, &change, ErrorOption::Rollback).unwrap();
+    assert_eq!(store.edit_candidate(b, &change, ErrorOption::Rollback), Err(StoreError::Locked(a)));
+    assert_eq!(commit(&mut store, b, CommitOptions::default(), secs(0)), Err(StoreError::Locked(a)));
+    store.close_session(a);
+    commit(&mut store, b, CommitOptions::default(), secs(0)).unwrap();
     assert_eq!(store.running().number, 0);
     // A candidate that holds changes can't be locked by anybody.
-    store.edit(b, &change, OnError::Rollback).unwrap();
-    assert_eq!(store.lock(b, Datastore::Candidate), Err(Refused::Modified));
+    store.edit_candidate(b, &change, ErrorOption::Rollback).unwrap();
+    assert_eq!(store.lock(b, Datastore::Candidate), Err(StoreError::Modified));
 }
 
 #[test]
 fn a_candidate_and_a_set_meet_where_they_do_not_touch_and_else_the_later_is_refused() {
     let mut store = a_store();
-    let a = store.open("a", Protocol::Netconf).unwrap();
-    let b = store.open("b", Protocol::Gnmi).unwrap();
+    let a = store.open_session("a", Protocol::Netconf).unwrap();
+    let b = store.open_session("b", Protocol::Gnmi).unwrap();
     let first = [set(&store, "/front/pool[name=x]/admin-state", "draining")];
-    store.edit(a, &first, OnError::Rollback).unwrap();
+    store.edit_candidate(a, &first, ErrorOption::Rollback).unwrap();
     let other = [set(&store, LEVEL, "warn")];
-    let plan = store.set(b, &other, &Commit::default(), secs(0), 0).unwrap().unwrap();
-    store.finish(plan);
-    commit(&mut store, a, Commit::default(), secs(0)).unwrap();
+    let plan = store.edit_running(b, &other, &CommitOptions::default(), secs(0), 0).unwrap().unwrap();
+    store.finish_commit(plan);
+    commit(&mut store, a, CommitOptions::default(), secs(0)).unwrap();
     let running = store.running().tree.clone();
     assert_eq!(leaf(&store, &running, LEVEL).as_deref(), Some("warn"));
     assert_eq!(leaf(&store, &running, "/front/pool[name=x]/admin-state").as_deref(), Some("draining"));
@@ -115,111 +120,119 @@
             edit(store.schema(), Op::Delete, "/front/pool[name=x]", None),
         ),
     ] {
-        store.edit(a, &[ours], OnError::Rollback).unwrap();
-        let plan = store.set(b, &[theirs], &Commit::default(), secs(0), 0).unwrap().unwrap();
-        store.finish(plan);
+        store.edit_candidate(a, &[ours], ErrorOption::Rollback).unwrap();
+        let plan = store.edit_running(b, &[theirs], &CommitOptions::default(), secs(0), 0).unwrap().unwrap();
+        store.finish_commit(plan);
         let before = store.running().number;
-        assert!(matches!(commit(&mut store, a, Commit::default(), secs(0)), Err(Refused::Conflict(_))));
+        assert!(matches!(
+            commit(&mut store, a, CommitOptions::default(), secs(0)),
+            Err(StoreError::Conflict(_))
+        ));
         assert_eq!(store.running().number, before);
-        store.discard(a).unwrap();
+        store.discard_candidate(a).unwrap();
     }
 }
 
 #[test]
 fn a_writer_that_has_seen_an_older_version_is_refused() {
     let mut store = a_store();
-    let a = store.open("a", Protocol::Gnmi).unwrap();
+    let a = store.open_session("a", Protocol::Gnmi).unwrap();
     let change = [set(&store, LEVEL, "warn")];
-    let seen = |expect| Commit { expect: Some(expect), ..Commit::default() };
-    let plan = store.set(a, &change, &seen(0), secs(0), 0).unwrap().unwrap();
+    let seen = |expect| CommitOptions { expected_version: Some(expect), ..CommitOptions::default() };
+    let plan = store.edit_running(a, &change, &seen(0), secs(0), 0).unwrap().unwrap();
     // While it is on its way no other is planned.
-    let again = store.set(a, &change, &Commit::default(), secs(0), 0).unwrap_err();
-    assert_eq!(again, Refused::Busy);
-    store.finish(plan);
-    let stale = store.set(a, &change, &seen(0), secs(0), 0).unwrap_err();
-    assert_eq!(stale, Refused::Stale { seen: 0, now: 1 });
+    let again = store.edit_running(a, &change, &CommitOptions::default(), secs(0), 0).unwrap_err();
+    assert_eq!(again, StoreError::Busy);
+    store.finish_commit(plan);
+    let stale = store.edit_running(a, &change, &seen(0), secs(0), 0).unwrap_err();
+    assert_eq!(stale, StoreError::Stale { expected: 0, running: 1 });
 }
 
 #[test]
 fn what_is_not_confirmed_in_time_is_taken_back() {
     let mut store = a_store();
-    let a = store.open("a", Protocol::Netconf).unwrap();
-    let b = store.open("b", Protocol::Gnmi).unwrap();
-    let confirmed = |seconds| Commit { confirmed: Some(secs(seconds)), ..Commit::default() };
+    let a = store.open_session("a", Protocol::Netconf).unwrap();
+    let b = store.open_session("b", Protocol::Gnmi).unwrap();
+    let confirmed =
+        |seconds| CommitOptions { confirm_timeout: Some(secs(seconds)), ..CommitOptions::default() };
     let change = [set(&store, LEVEL, "debug")];
-    store.edit(a, &change, OnError::Rollback).unwrap();
+    store.edit_candidate(a, &change, ErrorOption::Rollback).unwrap();
     commit(&mut store, a, confirmed(10), secs(0)).unwrap();
     assert_eq!(leaf(&store, &store.running().tree, LEVEL).as_deref(), Some("debug"));
-    assert_eq!(store.due_at(), Some(secs(10)));
+    assert_eq!(store.next_timeout(), Some(secs(10)));
     // Nobody else writes meanwhile, nor locks.
-    let refused = store.set(b, &change, &Commit::default(), secs(1), 0).unwrap_err();
-    assert_eq!(refused, Refused::Pending(a));
-    assert_eq!(store.lock(b, Datastore::Running), Err(Refused::Pending(a)));
+    let refused = store.edit_running(b, &change, &CommitOptions::default(), secs(1), 0).unwrap_err();
+    assert_eq!(refused, StoreError::Pending(a));
+    assert_eq!(store.lock(b, Datastore::Running), Err(StoreError::Pending(a)));
     // A follow-up gives more time, from when it is told; it all goes back to the first state.
     let more = [set(&store, "/front/pool[name=x]/admin-state", "draining")];
-    store.edit(a, &more, OnError::Rollback).unwrap();
+    store.edit_candidate(a, &more, ErrorOption::Rollback).unwrap();
     commit(&mut store, a, confirmed(10), secs(8)).unwrap();
-    assert!(store.due(secs(17), 0).is_none());
-    let plan = store.due(secs(18), 0).unwrap();
-    store.finish(plan);
+    assert!(store.poll_timeout(secs(17), 0).is_none());
+    let plan = store.poll_timeout(secs(18), 0).unwrap();
+    store.finish_commit(plan);
     assert_eq!(store.running().tree, Tree::default());
     assert_eq!(store.running().cause, Cause::Expired { to: 0 });
-    assert!(store.due_at().is_none());
+    assert!(store.next_timeout().is_none());
 
     // Confirmed, it stays.
-    store.edit(a, &change, OnError::Rollback).unwrap();
+    store.edit_candidate(a, &change, ErrorOption::Rollback).unwrap();
     commit(&mut store, a, confirmed(10), secs(20)).unwrap();
-    commit(&mut store, a, Commit::default(), secs(25)).unwrap();
-    assert!(store.due(secs(99), 0).is_none());
+    commit(&mut store, a, CommitOptions::default(), secs(25)).unwrap();
+    assert!(store.poll_timeout(secs(99), 0).is_none());
     assert_eq!(store.running().cause, Cause::Confirmed);
 
     // Its session lost, it goes back at once; but not if it was to outlive the session.
     let level = |level| [set(&a_store(), LEVEL, level)];
-    store.edit(a, &level("error"), OnError::Rollback).unwrap();
+    store.edit_candidate(a, &level("error"), ErrorOption::Rollback).unwrap();
     commit(&mut store, a, confirmed(10), secs(30)).unwrap();
-    store.close(a);
-    let plan = store.due(secs(30), 0).unwrap();
-    store.finish(plan);
+    store.close_session(a);
+    let plan = store.poll_timeout(secs(30), 0).unwrap();
+    store.finish_commit(plan);
     assert_eq!(leaf(&store, &store.running().tree, LEVEL).as_deref(), Some("debug"));
-    let a = store.open("a", Protocol::Netconf).unwrap();
-    store.edit(a, &level("error"), OnError::Rollback).unwrap();
-    let kept = Commit { persist: Some("night".into()), ..confirmed(10) };
+    let a = store.open_session("a", Protocol::Netconf).unwrap();
+    store.edit_candidate(a, &level("error"), ErrorOption::Rollback).unwrap();
+    let kept = CommitOptions { persist: Some("night".into()), ..confirmed(10) };
     commit(&mut store, a, kept, secs(40)).unwrap();
-    store.close(a);
-    assert!(store.due(secs(45), 0).is_none());
-    let named = |id: &str| Commit { persist_id: Some(id.into()), ..Commit::default() };
+    store.close_session(a);
+    assert!(store.poll_timeout(secs(45), 0).is_none());
+    let named = |id: &str| CommitOptions { persist_id: Some(id.into()), ..CommitOptions::default() };
     assert!(commit(&mut store, b, named("day"), secs(45)).is_err());
     commit(&mut store, b, named("night"), secs(45)).unwrap();
     assert_eq!(leaf(&store, &store.running().tree, LEVEL).as_deref(), Some("error"));
-    assert_eq!(commit(&mut store, b, named("night"), secs(46)), Err(Refused::NothingPending));
+    assert_eq!(commit(&mut store, b, named("night"), secs(46)), Err(StoreError::NothingPending));
 }
 
 #[test]
 fn a_confirmed_commit_may_be_extended_and_cancelled_by_its_name_alone() {
     let mut store = a_store();
-    let a = store.open("a", Protocol::Gnmi).unwrap();
-    let terms = Commit { confirmed: Some(secs(10)), persist: Some("x".into()), ..Commit::default() };
+    let a = store.open_session("a", Protocol::Gnmi).unwrap();
+    let terms = CommitOptions {
+        confirm_timeout: Some(secs(10)),
+        persist: Some("x".into()),
+        ..CommitOptions::default()
+    };
     let change = [set(&store, LEVEL, "debug")];
-    let plan = store.set(a, &change, &terms, secs(0), 0).unwrap().unwrap();
-    store.finish(plan);
-    assert_eq!(store.extend(a, Some("y"), secs(10), secs(5), 0).unwrap_err(), Refused::NothingPending);
+    let plan = store.edit_running(a, &change, &terms, secs(0), 0).unwrap().unwrap();
+    store.finish_commit(plan);
+    assert_eq!(store.extend(a, Some("y"), secs(10), secs(5), 0).unwrap_err(), StoreError::NothingPending);
     let plan = store.extend(a, Some("x"), secs(10), secs(5), 0).unwrap();
-    store.finish(plan);
-    assert_eq!(store.due_at(), Some(secs(15)));
-    assert_eq!(store.cancel(a, None, 0).unwrap_err(), Refused::NothingPending);
+    store.finish_commit(plan);
+    assert_eq!(store.next_timeout(), Some(secs(15)));
+    assert_eq!(store.cancel(a, None, 0).unwrap_err(), StoreError::NothingPending);
     let plan = store.cancel(a, Some("x"), 0).unwrap();
     assert_eq!(plan.version.cause, Cause::Cancelled { to: 0 });
-    store.finish(plan);
+    store.finish_commit(plan);
     assert_eq!(store.running().tree, Tree::default());
     // There is an end to extending.
-    let plan = store.set(a, &change, &terms, secs(0), 0).unwrap().unwrap();
-    store.finish(plan);
+    let plan = store.edit_running(a, &change, &terms, secs(0), 0).unwrap().unwrap();
+    store.finish_commit(plan);
     let ends = (0..BOUNDS.history + 1).any(|_| match store.extend(a, Some("x"), secs(10), secs(5), 0) {
         Ok(plan) => {
-            store.finish(plan);
+            store.finish_commit(plan);
             false
         }
-        Err(refused) => refused == Refused::TooManyFollowUps,
+        Err(refused) => refused == StoreError::TooManyFollowUps,
     });
     assert!(ends && store.cancel(a, Some("x"), 0).is_ok());
 }
@@ -227,31 +240,31 @@
 #[test]
 fn a_session_that_ends_while_its_commit_is_on_its_way_can_not_confirm_it() {
     let mut store = a_store();
-    let a = store.open("a", Protocol::Netconf).unwrap();
+    let a = store.open_session("a", Protocol::Netconf).unwrap();
     let change = [set(&store, LEVEL, "debug")];
-    store.edit(a, &change, OnError::Rollback).unwrap();
-    let terms = Commit { confirmed: Some(secs(10)), ..Commit::default() };
+    store.edit_candidate(a, &change, ErrorOption::Rollback).unwrap();
+    let terms = CommitOptions { confirm_timeout: Some(secs(10)), ..CommitOptions::default() };
     let plan = store.commit(a, &terms, secs(0), 0).unwrap().unwrap();
-    store.close(a);
-    store.finish(plan);
-    assert!(store.due(secs(0), 0).is_some());
+    store.close_session(a);
+    store.finish_commit(plan);
+    assert!(store.poll_timeout(secs(0), 0).is_some());
 }
 
 #[test]
 fn any_version_of_the_history_can_be_gone_back_to_and_older_ones_cannot() {
     let mut store = a_store();
-    let a = store.open("a", Protocol::Gnmi).unwrap();
+    let a = store.open_session("a", Protocol::Gnmi).unwrap();
     for number in 0..10 {
         let change = [set(&store, &format!("/front/pool[name=x]/cell[.={number}]"), &number.to_string())];
-        let plan = store.set(a, &change, &Commit::default(), secs(0), 0).unwrap().unwrap();
-        store.finish(plan);
+        let plan = store.edit_running(a, &change, &CommitOptions::default(), secs(0), 0).unwrap().unwrap();
+        store.finish_commit(plan);
     }
     assert_eq!(store.history().count(), BOUNDS.history + 1);
-    let terms = Commit::default();
-    assert_eq!(store.roll_back(a, 4, &terms, secs(0), 0).unwrap_err(), Refused::NoVersion(4));
+    let terms = CommitOptions::default();
+    assert_eq!(store.roll_back(a, 4, &terms, secs(0), 0).unwrap_err(), StoreError::NoVersion(4));
     let plan = store.roll_back(a, 5, &terms, secs(0), 0).unwrap().unwrap();
     let old = store.history().find(|version| version.number == 5).unwrap().tree.clone();
-    store.finish(plan);
+    store.finish_commit(plan);
     assert_eq!(store.running().tree, old);
     assert_eq!(store.running().number, 11);
 }
@@ -259,14 +272,14 @@
 #[test]
 fn each_session_may_have_a_candidate_of_its_own() {
     let mut store = a_store();
-    let a = store.open("a", Protocol::Netconf).unwrap();
-    let b = store.open("b", Protocol::Netconf).unwrap();
-    store.go_private(a).unwrap();
+    let a = store.open_session("a", Protocol::Netconf).unwrap();
+    let b = store.open_session("b", Protocol::Netconf).unwrap();
+    store.use_private_candidate(a).unwrap();
     store.lock(b, Datastore::Candidate).unwrap();
     let change = [set(&store, LEVEL, "debug")];
-    store.edit(a, &change, OnError::Rollback).unwrap();
+    store.edit_candidate(a, &change, ErrorOption::Rollback).unwrap();
     assert_eq!(store.tree(b, Datastore::Candidate), Some(&Tree::default()));
-    commit(&mut store, a, Commit::default(), secs(0)).unwrap();
+    commit(&mut store, a, CommitOptions::default(), secs(0)).unwrap();
     assert_eq!(leaf(&store, &store.running().tree, LEVEL).as_deref(), Some("debug"));
 }
 
@@ -278,12 +291,16 @@
         edit(store.schema(), Op::Delete, "/front/pool[name=x]", None),
         set(&store, "/front/pool[name=y]/admin-state", "draining"),
     ];
-    for (on_error, level, pool) in
-        [(OnError::Rollback, false, false), (OnError::Stop, true, false), (OnError::Continue, true, true)]
-    {
+    for (on_error, level, pool) in [
+        (ErrorOption::Rollback, false, false),
+        (ErrorOption::Stop, true, false),
+        (ErrorOption::Continue, true, true),
+    ] {
         let mut store = a_store();
-        let a = store.open("a", Protocol::Netconf).unwrap();
-        let Err(Refused::Faults(faults)) = store.edit(a, &edits, on_error) else { panic!("{on_error:?}") };
+        let a = store.open_session("a", Protocol::Netconf).unwrap();
+        let Err(StoreError::Faults(faults)) = store.edit_candidate(a, &edits, on_error) else {
+            panic!("{on_error:?}")
+        };
         assert!(matches!(faults.as_slice(), [Fault { kind: FaultKind::DataMissing, .. }]));
         let tree = store.tree(a, Datastore::Candidate).unwrap().clone();
         assert_eq!(leaf(&store, &tree, LEVEL).is_some(), level, "{on_error:?}");
@@ -296,15 +313,15 @@
 /// A log of some commits, and what was in force after each record.
 fn a_log() -> (Vec<u8>, Vec<(usize, Tree)>, Store) {
     let mut store = a_store();
-    let a = store.open("a", Protocol::Gnmi).unwrap();
+    let a = store.open_session("a", Protocol::Gnmi).unwrap();
     let mut bytes = HEADER.to_vec();
     let mut states = vec![(bytes.len(), Tree::default())];
     for number in 0..4 {
         let change =
             [set(&store, &format!("/front/pool[name=x{number}]/cell[.={number}]"), &number.to_string())];
-        let plan = store.set(a, &change, &Commit::default(), secs(0), 7).unwrap().unwrap();
-        bytes.extend(frame(&Record::commit(store.schema(), &plan)));
-        store.finish(plan);
+        let plan = store.edit_running(a, &change, &CommitOptions::default(), secs(0), 7).unwrap().unwrap();
+        bytes.extend(encode_record(&Record::commit(store.schema(), &plan)));
+        store.finish_commit(plan);
         states.push((bytes.len(), store.running().tree.clone()));
     }
     (bytes, states, store)
@@ -317,7 +334,7 @@
         let back = recover(store.schema().clone(), BOUNDS, &bytes[..cut]).unwrap();
         let (whole, tree) = states.iter().rev().find(|(end, _)| *end <= cut).unwrap_or(&states[0]);
         assert_eq!(&back.store.running().tree, tree, "cut at {cut}");
-        assert_eq!(back.whole, if cut < HEADER.len() { 0 } else { *whole });
+        assert_eq!(back.valid_length, if cut < HEADER.len() { 0 } else { *whole });
     }
 }
 
@@ -340,7 +357,7 @@
     // Space that was kept free by the file system reads as zeros.
     let mut padded = bytes.clone();
     padded.extend([0; 512]);
-    assert_eq!(recover(store.schema().clone(), BOUNDS, &padded).unwrap().whole, bytes.len());
+    assert_eq!(recover(store.schema().clone(), BOUNDS, &padded).unwrap().valid_length, bytes.len());
     assert!(recover(store.schema().clone(), BOUNDS, b"something else entirely").is_err());
 }
 
@@ -349,24 +366,31 @@
     let (bytes, states, store) = a_log();
     let mut twice = bytes.clone();
     twice.extend(&bytes[states[0].0..states[1].0]);
-    assert!(matches!(recover(store.schema().clone(), BOUNDS, &twice), Err(Unfit::Record { number: 4, .. })));
+    assert!(matches!(
+        recover(store.schema().clone(), BOUNDS, &twice),
+        Err(RecoveryError::Record { number: 4, .. })
+    ));
 }
 
 #[test]
 fn what_waited_to_be_confirmed_falls_due_at_the_next_start() {
     let mut store = a_store();
-    let a = store.open("a", Protocol::Netconf).unwrap();
+    let a = store.open_session("a", Protocol::Netconf).unwrap();
     let change = [set(&store, LEVEL, "debug")];
-    let terms = Commit { confirmed: Some(secs(600)), persist: Some("x".into()), ..Commit::default() };
-    let plan = store.set(a, &change, &terms, secs(0), 0).unwrap().unwrap();
+    let terms = CommitOptions {
+        confirm_timeout: Some(secs(600)),
+        persist: Some("x".into()),
+        ..CommitOptions::default()
+    };
+    let plan = store.edit_running(a, &change, &terms, secs(0), 0).unwrap().unwrap();
     let mut bytes = HEADER.to_vec();
-    bytes.extend(frame(&Record::commit(store.schema(), &plan)));
-    store.finish(plan);
+    bytes.extend(encode_record(&Record::commit(store.schema(), &plan)));
+    store.finish_commit(plan);
     for log in [bytes, compact(&store)] {
         let mut back = recover(store.schema().clone(), BOUNDS, &log).unwrap().store;
         assert_eq!(leaf(&back, &back.running().tree, LEVEL).as_deref(), Some("debug"));
-        let plan = back.due(secs(0), 0).unwrap();
-        back.finish(plan);
+        let plan = back.poll_timeout(secs(0), 0).unwrap();
+        back.finish_commit(plan);
         assert_eq!(back.running().tree, Tree::default());
     }
 }
@@ -374,18 +398,18 @@
 #[test]
 fn the_startup_datastore_is_kept_and_begun_with() {
     let mut store = a_store();
-    let a = store.open("a", Protocol::Netconf).unwrap();
-    assert_eq!(store.keep_startup(a, None).unwrap_err(), Refused::NoStartup);
+    let a = store.open_session("a", Protocol::Netconf).unwrap();
+    assert_eq!(store.plan_startup(a, None).unwrap_err(), StoreError::NoStartup);
     let change = [set(&store, LEVEL, "debug")];
-    store.edit(a, &change, OnError::Rollback).unwrap();
-    let plan = store.keep_startup(a, Some(Datastore::Candidate)).unwrap();
+    store.edit_candidate(a, &change, ErrorOption::Rollback).unwrap();
+    let plan = store.plan_startup(a, Some(Datastore::Candidate)).unwrap();
     store.finish_startup(plan);
     let mut back = recover(store.schema().clone(), BOUNDS, &compact(&store)).unwrap().store;
     assert_eq!(leaf(&back, &back.running().tree, LEVEL), None);
-    let plan = back.begin_with_startup(0).unwrap();
-    back.finish(plan);
+    let plan = back.plan_start_from_startup(0).unwrap();
+    back.finish_commit(plan);
     assert_eq!(leaf(&back, &back.running().tree, LEVEL).as_deref(), Some("debug"));
-    assert!(back.begin_with_startup(0).is_none());
+    assert!(back.plan_start_from_startup(0).is_none());
 }
 
 // Any order of things, against maps of leaves.
@@ -502,7 +526,7 @@
         let bounds = Bounds { history: 1000, sessions: 8 };
         let mut store = Store::new(schema.clone(), bounds);
         let open = |store: &mut Store| -> Vec<SessionId> {
-            (0..3).map(|_| store.open("x", Protocol::Netconf).unwrap()).collect()
+            (0..3).map(|_| store.open_session("x", Protocol::Netconf).unwrap()).collect()
         };
         let mut ids = open(&mut store);
         let mut log = HEADER.to_vec();
@@ -511,12 +535,12 @@
         for step in steps {
             let at = secs(now);
             // Logs a plan and finishes it, or fails it.
-            let mut carry = |store: &mut Store, plan: Plan, fails: bool| {
+            let mut carry = |store: &mut Store, plan: CommitPlan, fails: bool| {
                 if fails {
-                    store.abandon(&plan);
+                    store.abandon_commit(&plan);
                 } else {
-                    log.extend(frame(&Record::commit(store.schema(), &plan)));
-                    store.finish(plan);
+                    log.extend(encode_record(&Record::commit(store.schema(), &plan)));
+                    store.finish_commit(plan);
                 }
                 !fails
             };
@@ -524,7 +548,7 @@
                 Step::Edit { session, what, value } => {
                     let (op, path, text) = change(what, value);
                     let edits = [edit(&schema, op, &path, text.as_deref())];
-                    let done = store.edit(ids[session as usize], &edits, OnError::Rollback).is_ok();
+                    let done = store.edit_candidate(ids[session as usize], &edits, ErrorOption::Rollback).is_ok();
                     let may = plain.locked.is_none_or(|by| by == session);
                     prop_assert_eq!(done, may);
                     if may {
@@ -537,7 +561,7 @@
                 Step::Set { session, what, value, fails } => {
                     let (op, path, text) = change(what, value);
                     let edits = [edit(&schema, op, &path, text.as_deref())];
-                    let planned = store.set(ids[session as usize], &edits, &Commit::default(), at, 0);
+                    let planned = store.edit_running(ids[session as usize], &edits, &CommitOptions::default(), at, 0);
                     let may = plain.pending.is_none_or(|(by, ..)| by == session);
                     prop_assert_eq!(planned.is_ok(), may, "{:?}", step);
                     if let Ok(Some(plan)) = planned
@@ -550,7 +574,7 @@
                     }
                 }
                 Step::Commit { session, confirmed, fails } => {
-                    let terms = Commit { confirmed: confirmed.then_some(secs(5)), ..Commit::default() };
+                    let terms = CommitOptions { confirm_timeout: confirmed.then_some(secs(5)), ..CommitOptions::default() };
                     let planned = store.commit(ids[session as usize], &terms, at, 0);
                     let merged = match &plain.candidate {
                         None => Some(plain.running().clone()),
@@ -570,7 +594,7 @@
                     }
                 }
                 Step::Discard(session) => {
-                    let done = store.discard(ids[session as usize]).is_ok();
+                    let done = store.discard_candidate(ids[session as usize]).is_ok();
                     prop_assert_eq!(done, plain.locked.is_none_or(|by| by == session));
                     if done {
                         plain.candidate = None;
@@ -591,13 +615,13 @@
                     }
                 }
                 Step::Drop(session) => {
-                    store.close(ids[session as usize]);
-                    ids[session as usize] = store.open("x", Protocol::Netconf).unwrap();
+                    store.close_session(ids[session as usize]);
+                    ids[session as usize] = store.open_session("x", Protocol::Netconf).unwrap();
                     if plain.locked == Some(session) {
                         (plain.locked, plain.candidate) = (None, None);
                     }
                     if let Some((by, to, _)) = plain.pending && by == session {
-                        let plan = store.due(at, 0).unwrap();
+                        let plan = store.poll_timeout(at, 0).unwrap();
                         carry(&mut store, plan, false);
                         plain.takes(plain.versions[to].clone());
                         plain.pending = None;
@@ -605,7 +629,7 @@
                 }
                 Step::Wait(seconds) => {
                     now += u64::from(seconds);
-                    let due = store.due(secs(now), 0);
+                    let due = store.poll_timeout(secs(now), 0);
                     let falls = plain.pending.filter(|(.., until)| *until <= now);
                     prop_assert_eq!(due.is_some(), falls.is_some());
                     if let (Some(plan), Some((_, to, _))) = (due, falls) {
@@ -618,7 +642,7 @@
                     let last = plain.versions.len() - 1;
                     let to = last.saturating_sub(back as usize);
                     let oldest = store.history().next().unwrap().number;
-                    let planned = store.roll_back(ids[0], to as u64, &Commit::default(), at, 0);
+                    let planned = store.roll_back(ids[0], to as u64, &CommitOptions::default(), at, 0);
                     let may = plain.pending.is_none_or(|(by, ..)| by == 0) && to as u64 >= oldest;
                     prop_assert_eq!(planned.is_ok(), may);
                     if let Ok(Some(plan)) = planned {
@@ -631,11 +655,11 @@
                     // A commit was being written; some bytes of it are there. Or it was whole and not yet known.
                     let edits = [edit(&schema, Op::Merge, LEVEL, Some("trace"))];
                     let planned = match plain.pending {
-                        None => store.set(ids[0], &edits, &Commit::default(), at, 0),
+                        None => store.edit_running(ids[0], &edits, &CommitOptions::default(), at, 0),
                         Some(_) => Ok(None),
                     };
                     if let Ok(Some(plan)) = planned {
-                        let bytes = frame(&Record::commit(&schema, &plan));
+                        let bytes = encode_record(&Record::commit(&schema, &plan));
                         let there = (cut as usize).min(bytes.len());
                         log.extend(&bytes[..there]);
                         if there == bytes.len() {
@@ -645,15 +669,15 @@
                         }
                     }
                     let back = recover(schema.clone(), bounds, &log).unwrap();
-                    log.truncate(back.whole.max(HEADER.len()));
+                    log.truncate(back.valid_length.max(HEADER.len()));
                     store = back.store;
                     ids = open(&mut store);
                     (plain.candidate, plain.locked) = (None, None);
-                    let due = store.due(at, 0);
+                    let due = store.poll_timeout(at, 0);
                     prop_assert_eq!(due.is_some(), plain.pending.is_some());
                     if let (Some(plan), Some((_, to, _))) = (due, plain.pending.take()) {
-                        log.extend(frame(&Record::commit(&schema, &plan)));
-                        store.finish(plan);
+                        log.extend(encode_record(&Record::commit(&schema, &plan)));
+                        store.finish_commit(plan);
                         plain.takes(plain.versions[to].clone());
                     }
                 }
@@ -679,67 +703,71 @@
 #[test]
 fn no_order_of_what_happens_leaves_a_round_half_applied() {
     let names = || vec!["a".to_owned(), "b".to_owned(), "c".to_owned()];
-    let mut open: Vec<Vec<Told>> = vec![Vec::new()];
+    let mut open: Vec<Vec<CommitEvent>> = vec![Vec::new()];
     let (mut rounds, mut done, mut failed) = (0, 0, 0);
     while let Some(told) = open.pop() {
-        let (mut round, mut asks) = Round::start(names());
+        let (mut round, mut asks) = TwoPhaseCommit::start(names());
         for told in &told {
-            asks.extend(round.hear(told.clone()));
+            asks.extend(round.handle_event(told.clone()));
         }
         rounds += 1;
-        let has = |ask: &Ask| asks.contains(ask);
-        let switched = (0..3).filter(|part| has(&Ask::Switch(*part))).count();
-        let logs = asks.iter().filter(|ask| **ask == Ask::Log).count();
-        let ends = asks.iter().filter(|ask| matches!(ask, Ask::Done(_) | Ask::Failed(_))).count();
+        let has = |ask: &CommitAction| asks.contains(ask);
+        let switched = (0..3).filter(|part| has(&CommitAction::Activate(*part))).count();
+        let logs = asks.iter().filter(|ask| **ask == CommitAction::Log).count();
+        let ends =
+            asks.iter().filter(|ask| matches!(ask, CommitAction::Done(_) | CommitAction::Failed(_))).count();
         assert!(ends <= 1 && logs <= 1, "{told:?}");
-        assert_eq!(round.over(), ends == 1);
+        assert_eq!(round.is_finished(), ends == 1);
         // Nothing is logged before all are ready, nothing switches before it is logged.
         if logs == 1 {
-            assert!((0..3).all(|part| told.contains(&Told::Prepared(part))), "{told:?}");
+            assert!((0..3).all(|part| told.contains(&CommitEvent::Prepared(part))), "{told:?}");
         }
         if switched > 0 {
-            assert!(told.contains(&Told::Logged), "{told:?}");
+            assert!(told.contains(&CommitEvent::Logged), "{told:?}");
         }
-        if asks.iter().any(|ask| matches!(ask, Ask::Failed(_))) {
+        if asks.iter().any(|ask| matches!(ask, CommitAction::Failed(_))) {
             failed += 1;
-            assert!(switched == 0 && !told.contains(&Told::Logged), "{told:?}");
+            assert!(switched == 0 && !told.contains(&CommitEvent::Logged), "{told:?}");
             // All that may hold something prepared are told to forget it.
             for part in 0..3 {
-                let spoke =
-                    told.iter().any(|t| matches!(t, Told::Declined(p, _) | Told::Lost(p) if *p == part));
-                assert!(has(&Ask::Abandon(part)) || spoke, "{told:?}");
+                let spoke = told
+                    .iter()
+                    .any(|t| matches!(t, CommitEvent::Declined(p, _) | CommitEvent::Lost(p) if *p == part));
+                assert!(has(&CommitAction::Discard(part)) || spoke, "{told:?}");
             }
         }
-        if asks.iter().any(|ask| matches!(ask, Ask::Done(_))) {
+        if asks.iter().any(|ask| matches!(ask, CommitAction::Done(_))) {
             done += 1;
-            assert!(told.contains(&Told::Logged));
+            assert!(told.contains(&CommitEvent::Logged));
         }
-        if round.over() {
+        if round.is_finished() {
             continue;
         }
         // Whatever may come next: parts answer once each stage, the log once.
-        let count = |told: &[Told], part: usize| {
+        let count = |told: &[CommitEvent], part: usize| {
             told.iter()
                 .filter(|t| {
                     matches!(t,
-                Told::Prepared(p) | Told::Declined(p, _) | Told::Lost(p) | Told::Switched(p) if *p == part)
+                CommitEvent::Prepared(p) | CommitEvent::Declined(p, _) | CommitEvent::Lost(p) | CommitEvent::Activated(p) if *p == part)
                 })
                 .count()
         };
-        let answered = told.iter().any(|t| matches!(t, Told::Logged | Told::NotLogged(_)));
-        let mut next: Vec<Told> = Vec::new();
+        let answered = told.iter().any(|t| matches!(t, CommitEvent::Logged | CommitEvent::NotLogged(_)));
+        let mut next: Vec<CommitEvent> = Vec::new();
         for part in 0..3 {
-            match (count(&told, part), has(&Ask::Switch(part))) {
-                (0, _) => {
-                    next.extend([Told::Prepared(part), Told::Declined(part, "no".into()), Told::Lost(part)])
-                }
-                (1, true) => next.extend([Told::Switched(part), Told::Lost(part)]),
-                (1, false) if logs == 1 && !answered => next.push(Told::Lost(part)),
+            match (count(&told, part), has(&CommitAction::Activate(part))) {
+                (0, _) => next.extend([
+                    CommitEvent::Prepared(part),
+                    CommitEvent::Declined(part, "no".into()),
+                    CommitEvent::Lost(part),
+                ]),
+                (1, true) => next.extend([CommitEvent::Activated(part), CommitEvent::Lost(part)]),
+                (1, false) if logs == 1 && !answered => next.push(CommitEvent::Lost(part)),
                 _ => {}
             }
         }
         if logs == 1 && !answered {
-            next.extend([Told::Logged, Told::NotLogged("full".into())]);
+            next.extend([CommitEvent::Logged, CommitEvent::NotLogged("full".into())]);
         }
         assert!(!next.is_empty(), "stuck after {told:?}");
         open.extend(next.into_iter().map(|one| told.iter().cloned().chain([one]).collect()));
--- a/crates/edges/cli/benches/managed.rs
+++ b/crates/edges/cli/benches/managed.rs
@@ -10,7 +10,7 @@
 use lemonusher_managed::gnmi::proto::gnmi::SubscriptionMode;
 use lemonusher_managed::gnmi::proto::gnmi::get_request::DataType;
 use lemonusher_model::{Node, Op, Schema, from_json, parse_path};
-use lemonusher_store::{Bounds, Commit, Edit, Protocol, Record};
+use lemonusher_store::{Bounds, CommitOptions, Edit, Protocol, Record};
 use managers::*;
 use serde_json::json;
 use std::sync::Arc;
@@ -124,15 +124,18 @@
     let bounds = Bounds { history: 10_000, sessions: 4 };
     let (mut disk, mut store) =
         Disk::open(&folder.0, schema.clone(), bounds).map_err(|e| e.to_string()).unwrap();
-    let session = store.open("x", Protocol::Local).unwrap();
+    let session = store.open_session("x", Protocol::Local).unwrap();
     let place = schema.place(&parse_path("/front").unwrap()).unwrap();
     for turn in 0..10_000u32 {
         let value = json!({"pool": [{"name": format!("p{}", turn % 100), "cell": [turn]}]});
         let value: Node = from_json(&schema, place.last().map(|seg| seg.node), false, &value).unwrap();
         let edit = Edit { op: Op::Merge, place: place.clone(), value: Some(value) };
-        let plan = store.set(session, &[edit], &Commit::default(), Duration::ZERO, 0).unwrap().unwrap();
+        let plan = store
+            .edit_running(session, &[edit], &CommitOptions::default(), Duration::ZERO, 0)
+            .unwrap()
+            .unwrap();
         disk.append(&Record::commit(&schema, &plan)).unwrap();
-        store.finish(plan);
+        store.finish_commit(plan);
     }
     let length = disk.length();
     drop((disk, store));
--- a/crates/edges/managed/src/disk.rs
+++ b/crates/edges/managed/src/disk.rs
@@ -2,7 +2,9 @@
 //! back, and where that fails too nothing further is written.
 
 use lemonusher_model::Schema;
-use lemonusher_store::{Bounds, HEADER, Record, Recovered, Store, Unfit, compact, frame, recover};
+use lemonusher_store::{
+    Bounds, HEADER, Record, Recovered, RecoveryError, Store, compact, encode_record, recover,
+};
 use std::fmt;
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -35,7 +37,7 @@
     Io(PathBuf, io::Error),
     /// Another process uses the folder.
     Taken(PathBuf),
-    Unfit(PathBuf, Unfit),
+    Recovery(PathBuf, RecoveryError),
 }
 
 impl fmt::Display for DiskError {
@@ -43,7 +45,7 @@
         match self {
             DiskError::Io(path, error) => write!(f, "{}: {error}", path.display()),
             DiskError::Taken(path) => write!(f, "{}: another process uses it", path.display()),
-            DiskError::Unfit(path, unfit) => write!(f, "{}: {unfit}; it is left as it is", path.display()),
+            DiskError::Recovery(path, unfit) => write!(f, "{}: {unfit}; it is left as it is", path.display()),
         }
     }
 }
@@ -75,8 +77,8 @@
         let mut bytes = Vec::new();
         log.read_to_end(&mut bytes).map_err(io(&path))?;
         let recovered = recover(schema, bounds, &bytes);
-        let Recovered { store, whole, records } =
-            recovered.map_err(|unfit| DiskError::Unfit(path.clone(), unfit))?;
+        let Recovered { store, valid_length: whole, records } =
+            recovered.map_err(|unfit| DiskError::Recovery(path.clone(), unfit))?;
         if whole < bytes.len() {
             tracing::warn!(bytes = bytes.len() - whole, "the log's tail was cut short and is cut off");
         }
@@ -103,7 +105,7 @@
         if self.stuck {
             return Err(io::Error::other("an earlier record is half written and can't be taken back"));
         }
-        let bytes = frame(record);
+        let bytes = encode_record(record);
         let written = self.log.write_all(&bytes).and_then(|()| self.log.sync_data());
         match written {
             Ok(()) => {
@@ -153,7 +155,7 @@
 mod tests {
     use super::*;
     use lemonusher_model::{Node, Op, parse_path};
-    use lemonusher_store::{Commit, Edit, Protocol};
+    use lemonusher_store::{CommitOptions, Edit, Protocol};
     use std::time::Duration;
 
     const BOUNDS: Bounds = Bounds { history: 3, sessions: 4 };
@@ -169,14 +171,17 @@
     }
 
     fn put(disk: &mut Disk, store: &mut Store, cell: u32) {
-        let session = store.open("x", Protocol::Local).unwrap();
+        let session = store.open_session("x", Protocol::Local).unwrap();
         let path = format!("/front/pool[name=a]/cell[.={cell}]");
         let place = store.schema().place(&parse_path(&path).unwrap()).unwrap();
         let edit = Edit { op: Op::Merge, place, value: Some(Node::Leaf(cell.to_string().into())) };
-        let plan = store.set(session, &[edit], &Commit::default(), Duration::ZERO, 0).unwrap().unwrap();
+        let plan = store
+            .edit_running(session, &[edit], &CommitOptions::default(), Duration::ZERO, 0)
+            .unwrap()
+            .unwrap();
         disk.append(&Record::commit(store.schema(), &plan)).unwrap();
-        store.finish(plan);
-        store.close(session);
+        store.finish_commit(plan);
+        store.close_session(session);
     }
 
     #[test]
@@ -232,13 +237,13 @@
         std::fs::write(folder.join(LOCK), b"").unwrap();
         let (mut disk, mut store) = open(&folder).unwrap();
         assert_eq!((store.running().number, disk.length()), (19, log.len() as u64));
-        assert!(store.startup().is_some() && store.pending().is_some_and(|pending| pending.lost));
-        let plan = store.due(Duration::ZERO, 3000).unwrap();
+        assert!(store.startup().is_some() && store.pending().is_some_and(|pending| pending.orphaned));
+        let plan = store.poll_timeout(Duration::ZERO, 3000).unwrap();
         let record = Record::commit(store.schema(), &plan);
         disk.append(&record).unwrap();
-        store.finish(plan);
+        store.finish_commit(plan);
         let mut wanted = log.to_vec();
-        wanted.extend(frame(&record));
+        wanted.extend(encode_record(&record));
         assert_eq!(std::fs::read(folder.join(LOG)).unwrap(), wanted);
         let tree = store.running().tree.clone();
         drop(disk);
@@ -257,7 +262,7 @@
         let mut bytes = std::fs::read(folder.join(LOG)).unwrap();
         bytes[HEADER.len() + 20] ^= 1;
         std::fs::write(folder.join(LOG), &bytes).unwrap();
-        assert!(matches!(open(&folder), Err(DiskError::Unfit(..))));
+        assert!(matches!(open(&folder), Err(DiskError::Recovery(..))));
         assert_eq!(std::fs::read(folder.join(LOG)).unwrap(), bytes);
         std::fs::remove_dir_all(folder).unwrap();
     }
--- a/crates/edges/managed/src/gnmi/service.rs
+++ b/crates/edges/managed/src/gnmi/service.rs
@@ -12,7 +12,7 @@
 use crate::state::Needs;
 use crate::users::{Grant, Users};
 use lemonusher_model::{Fault, FaultKind, Found, Kind, Op, Pattern, Place, Schema, Seg, node_of};
-use lemonusher_store::{Commit, Edit, Plan, Protocol, Refused, Store, Version};
+use lemonusher_store::{CommitOptions, CommitPlan, Edit, Protocol, Store, StoreError, Version};
 use lemonusher_watch::leaves;
 use std::net::TcpListener;
 use std::pin::Pin;
@@ -70,20 +70,21 @@
 }
 
 /// gNMI's code for what the store refuses.
-pub(super) fn status(refused: &Refused) -> Status {
+pub(super) fn status(refused: &StoreError) -> Status {
     let text = refused.to_string();
     match refused {
-        Refused::NoSession => Status::internal(text),
-        Refused::TooManySessions | Refused::TooManyFollowUps => Status::resource_exhausted(text),
-        Refused::Locked(_) | Refused::Busy | Refused::Conflict(_) | Refused::Stale { .. } => {
+        StoreError::UnknownSession => Status::internal(text),
+        StoreError::TooManySessions | StoreError::TooManyFollowUps => Status::resource_exhausted(text),
+        StoreError::Locked(_) | StoreError::Busy | StoreError::Conflict(_) | StoreError::Stale { .. } => {
             Status::aborted(text)
         }
-        Refused::Pending(_) | Refused::NothingPending | Refused::NotLocked | Refused::Modified => {
-            Status::failed_precondition(text)
-        }
-        Refused::NoVersion(_) | Refused::NoStartup => Status::not_found(text),
-        Refused::Faults(faults) => faults.first().map_or_else(|| Status::internal(text), fault_status),
-        Refused::Failed(_) => Status::aborted(text),
+        StoreError::Pending(_)
+        | StoreError::NothingPending
+        | StoreError::NotLocked
+        | StoreError::Modified => Status::failed_precondition(text),
+        StoreError::NoVersion(_) | StoreError::NoStartup => Status::not_found(text),
+        StoreError::Faults(faults) => faults.first().map_or_else(|| Status::internal(text), fault_status),
+        StoreError::Failed(_) => Status::aborted(text),
     }
 }
 
@@ -197,15 +198,15 @@
     }
 }
 
-type Planned = Result<Option<Plan>, Refused>;
+type Planned = Result<Option<CommitPlan>, StoreError>;
 
 fn plan(store: &mut Store, session: u32, edits: &[Edit], asked: &Asked, now: Duration, at: u64) -> Planned {
     let commit = asked.commit.as_ref();
     let id = commit.map(|commit| commit.id.clone());
-    let mut terms = Commit { expect: asked.expect, ..Commit::default() };
+    let mut terms = CommitOptions { expected_version: asked.expect, ..CommitOptions::default() };
     match commit.and_then(|commit| commit.action.as_ref()) {
         Some(Action::Commit(request)) => {
-            terms.confirmed = Some(span(request.rollback_duration.as_ref()));
+            terms.confirm_timeout = Some(span(request.rollback_duration.as_ref()));
             terms.persist = id;
         }
         Some(Action::Confirm(_)) => terms.persist_id = id,
@@ -218,7 +219,7 @@
     }
     match asked.rollback {
         Some(to) => store.roll_back(session, to, &terms, now, at),
-        None => store.set(session, edits, &terms, now, at),
+        None => store.edit_running(session, edits, &terms, now, at),
     }
 }
 
@@ -311,7 +312,7 @@
             return Err(Status::invalid_argument("too many changes at once"));
         }
         let asked = asked(&request.extension)?;
-        let session = self.hub.with_store(|store| store.open(&grant.user, Protocol::Gnmi));
+        let session = self.hub.with_store(|store| store.open_session(&grant.user, Protocol::Gnmi));
         let session = session.map_err(|refused| status(&refused))?;
         let results = results(&request);
         let prefix = request.prefix.clone();
@@ -331,7 +332,7 @@
             hub.close(session);
             committed
         });
-        let committed = carried.await.unwrap_or_else(|_| Err(Refused::Failed("it came to no end".into())));
+        let committed = carried.await.unwrap_or_else(|_| Err(StoreError::Failed("it came to no end".into())));
         if let Some(status) = wrong.lock().unwrap_or_else(std::sync::PoisonError::into_inner).take() {
             return Err(status);
         }
--- a/crates/edges/managed/src/gnmi/subscribe.rs
+++ b/crates/edges/managed/src/gnmi/subscribe.rs
@@ -93,10 +93,11 @@
         service.subscribed.fetch_sub(count, Ordering::SeqCst);
         return Err(Status::resource_exhausted("there are as many subscriptions as there may be"));
     }
-    let session = hub.with_store(|store| store.open(&grant.user, Protocol::Gnmi)).map_err(|refused| {
-        service.subscribed.fetch_sub(count, Ordering::SeqCst);
-        status(&refused)
-    })?;
+    let session =
+        hub.with_store(|store| store.open_session(&grant.user, Protocol::Gnmi)).map_err(|refused| {
+            service.subscribed.fetch_sub(count, Ordering::SeqCst);
+            status(&refused)
+        })?;
     let seat = Seat { hub: hub.clone(), session, all: service.subscribed.clone(), count };
     tracing::info!(session, user = grant.user, subscriptions = count, "subscribed");
     let (line, answers) = mpsc::channel(LINE);
--- a/crates/edges/managed/src/hub.rs
+++ b/crates/edges/managed/src/hub.rs
@@ -9,7 +9,8 @@
 use lemonusher_model::{Schema, Tree};
 use lemonusher_routing::{EngineNotification, ManagementCall, Snapshot};
 use lemonusher_store::{
-    Ask, Cause, Datastore, Plan, Record, Refused, Round, SessionId, Store, Told, Version,
+    Cause, CommitAction, CommitEvent, CommitPlan, Datastore, Record, SessionId, Store, StoreError,
+    TwoPhaseCommit, Version,
 };
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -107,7 +108,7 @@
     /// A session has ended; what it alone could have confirmed falls due.
     pub fn close(&self, session: SessionId) {
         let mut core = self.core();
-        core.store.close(session);
+        core.store.close_session(session);
         core.lost.remove(&session);
         drop(core);
         self.due_changed.notify_one();
@@ -120,8 +121,8 @@
     /// Plans something and carries it out. The future may be dropped: what is planned goes on to its end.
     pub async fn commit(
         self: &Arc<Self>,
-        plan: impl FnOnce(&mut Store, Duration, u64) -> Result<Option<Plan>, Refused> + Send + 'static,
-    ) -> Result<Option<Arc<Version>>, Refused> {
+        plan: impl FnOnce(&mut Store, Duration, u64) -> Result<Option<CommitPlan>, StoreError> + Send + 'static,
+    ) -> Result<Option<Arc<Version>>, StoreError> {
         let hub = self.clone();
         let carried = tokio::spawn(async move {
             let _lane = hub.lane.lock().await;
@@ -132,37 +133,41 @@
                 None => Ok(None),
             }
         });
-        carried.await.unwrap_or_else(|_| Err(Refused::Failed("the commit came to an end too early".into())))
+        carried
+            .await
+            .unwrap_or_else(|_| Err(StoreError::Failed("the commit came to an end too early".into())))
     }
 
     /// Takes a plan through all parts and the log.
-    async fn carry(self: &Arc<Self>, plan: Plan) -> Result<Arc<Version>, Refused> {
+    async fn carry(self: &Arc<Self>, plan: CommitPlan) -> Result<Arc<Version>, StoreError> {
         let version = plan.version.clone();
-        let (mut round, asks) = Round::start(self.parts.iter().map(|part| part.name()).collect());
+        let (mut round, asks) = TwoPhaseCommit::start(self.parts.iter().map(|part| part.name()).collect());
         let mut asks = VecDeque::from(asks);
         let mut outcome = Err("it came to no end".to_owned());
         while let Some(ask) = asks.pop_front() {
             let told = match ask {
-                Ask::Prepare(part) => {
+                CommitAction::Prepare(part) => {
                     Some(match self.ask(part, |part| part.prepare(version.clone())).await {
-                        Some(Ok(())) => Told::Prepared(part),
-                        Some(Err(why)) => Told::Declined(part, why),
-                        None => Told::Lost(part),
+                        Some(Ok(())) => CommitEvent::Prepared(part),
+                        Some(Err(why)) => CommitEvent::Declined(part, why),
+                        None => CommitEvent::Lost(part),
                     })
                 }
-                Ask::Log => Some(match self.log(&plan) {
-                    Ok(()) => Told::Logged,
-                    Err(error) => Told::NotLogged(error.to_string()),
+                CommitAction::Log => Some(match self.log(&plan) {
+                    Ok(()) => CommitEvent::Logged,
+                    Err(error) => CommitEvent::NotLogged(error.to_string()),
                 }),
-                Ask::Switch(part) => Some(match self.ask(part, |part| part.switch(version.number)).await {
-                    Some(Ok(())) => Told::Switched(part),
-                    _ => Told::Lost(part),
-                }),
-                Ask::Abandon(part) => {
+                CommitAction::Activate(part) => {
+                    Some(match self.ask(part, |part| part.switch(version.number)).await {
+                        Some(Ok(())) => CommitEvent::Activated(part),
+                        _ => CommitEvent::Lost(part),
+                    })
+                }
+                CommitAction::Discard(part) => {
                     self.ask(part, |part| part.abandon(version.number)).await;
                     None
                 }
-                Ask::Done(lost) => {
+                CommitAction::Done(lost) => {
                     for part in lost {
                         let part = self.parts[part].name();
                         tracing::error!(commit = version.number, part, "a part did not say that it switched");
@@ -170,23 +175,23 @@
                     outcome = Ok(());
                     None
                 }
-                Ask::Failed(why) => {
+                CommitAction::Failed(why) => {
                     outcome = Err(why);
                     None
                 }
             };
-            asks.extend(told.map(|told| round.hear(told)).unwrap_or_default());
+            asks.extend(told.map(|told| round.handle_event(told)).unwrap_or_default());
         }
         let mut core = self.core();
         match outcome {
             Ok(()) => {
-                core.store.finish(plan);
+                core.store.finish_commit(plan);
                 shorten(&mut core);
             }
             Err(why) => {
-                core.store.abandon(&plan);
+                core.store.abandon_commit(&plan);
                 tracing::warn!(commit = version.number, "commit failed: {why}");
-                return Err(Refused::Failed(why));
+                return Err(StoreError::Failed(why));
             }
         }
         drop(core);
@@ -219,7 +224,7 @@
         }
     }
 
-    fn log(&self, plan: &Plan) -> std::io::Result<()> {
+    fn log(&self, plan: &CommitPlan) -> std::io::Result<()> {
         let mut core = self.core();
         let record = core.disk.is_some().then(|| Record::commit(&self.schema, plan));
         match (&mut core.disk, record) {
@@ -229,13 +234,13 @@
     }
 
     /// Keeps or drops the startup datastore.
-    pub async fn keep_startup(&self, session: SessionId, from: Option<Datastore>) -> Result<(), Refused> {
+    pub async fn keep_startup(&self, session: SessionId, from: Option<Datastore>) -> Result<(), StoreError> {
         let _lane = self.lane.lock().await;
         let mut core = self.core();
-        let plan = core.store.keep_startup(session, from)?;
+        let plan = core.store.plan_startup(session, from)?;
         let record = Record::startup(&self.schema, plan.tree.as_ref());
         if let Some(disk) = &mut core.disk {
-            disk.append(&record).map_err(|error| Refused::Failed(error.to_string()))?;
+            disk.append(&record).map_err(|error| StoreError::Failed(error.to_string()))?;
         }
         core.store.finish_startup(plan);
         Ok(())
@@ -244,11 +249,11 @@
     /// Takes back what nobody confirmed in time, for as long as the front runs.
     pub async fn tend(self: Arc<Self>) {
         loop {
-            let due = self.core().store.due_at();
+            let due = self.core().store.next_timeout();
             let wait = due.map(|due| due.saturating_sub(self.now()));
             match wait {
                 Some(Duration::ZERO) => {
-                    let taken = self.commit(|store, now, at| Ok(store.due(now, at))).await;
+                    let taken = self.commit(|store, now, at| Ok(store.poll_timeout(now, at))).await;
                     if taken.is_err() {
                         tokio::time::sleep(Duration::from_millis(200)).await;
                     }
--- a/crates/edges/managed/src/netconf/session.rs
+++ b/crates/edges/managed/src/netconf/session.rs
@@ -10,7 +10,7 @@
     CommitTerms, Element, Framer, Framing, Notified, Operation, RpcError, TestOption, edits, escape, filter,
     frame, hello, notification, parse, push_fields, read, reply, tree_of,
 };
-use lemonusher_store::{Commit, Datastore, Edit, Protocol, Refused, SessionId};
+use lemonusher_store::{CommitOptions, Datastore, Edit, Protocol, SessionId, StoreError};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, SystemTime};
@@ -83,7 +83,7 @@
 
 pub(super) async fn run(stream: impl AsyncRead + AsyncWrite + Unpin, door: Arc<Door>, grant: Grant) {
     let hub = door.hub.clone();
-    let id = match hub.with_store(|store| store.open(&grant.user, Protocol::Netconf)) {
+    let id = match hub.with_store(|store| store.open_session(&grant.user, Protocol::Netconf)) {
         Ok(id) => id,
         Err(refused) => return tracing::warn!("no NETCONF session for {}: {refused}", grant.user),
     };
@@ -208,7 +208,7 @@
             return Err("the manager knows neither version 1.0 nor 1.1".to_owned());
         }
         if has(PRIVATE) {
-            let _ = self.hub.with_store(|store| store.go_private(self.id));
+            let _ = self.hub.with_store(|store| store.use_private_candidate(self.id));
         }
         Ok(())
     }
@@ -239,7 +239,7 @@
         }
         let locking = matches!(operation, Operation::Lock(_));
         let schema = self.schema.clone();
-        let refused = |refused: Refused| RpcError::of_refused(&schema, &refused, locking);
+        let refused = |refused: StoreError| RpcError::of_refused(&schema, &refused, locking);
         let id = self.id;
         match operation {
             Operation::Get { filter } => {
@@ -249,11 +249,11 @@
             }
             Operation::GetConfig { source, filter } => {
                 let tree = self.hub.with_store(|store| store.tree(id, source).cloned());
-                let tree = tree.ok_or_else(|| refused(Refused::NoStartup))?;
+                let tree = tree.ok_or_else(|| refused(StoreError::NoStartup))?;
                 Ok(self.data(&tree, filter.as_ref()))
             }
             Operation::EditConfig { target, default, test, on_error, config } => {
-                let wanted = move |tree: &Tree, schema: &Schema| -> Result<Vec<Edit>, Refused> {
+                let wanted = move |tree: &Tree, schema: &Schema| -> Result<Vec<Edit>, StoreError> {
                     Ok(edits(schema, tree, &config, default)?)
                 };
                 match target {
@@ -269,17 +269,17 @@
                         }
                         match test {
                             TestOption::TestOnly => Ok(()),
-                            _ => store.edit(id, &edits, on_error),
+                            _ => store.edit_candidate(id, &edits, on_error),
                         }
                     }),
                     Datastore::Running => {
                         let done = self.hub.commit(move |store, now, at| {
                             let schema = store.schema().clone();
                             let edits = wanted(&store.running().tree, &schema)?;
-                            let plan = store.set(id, &edits, &Commit::default(), now, at)?;
+                            let plan = store.edit_running(id, &edits, &CommitOptions::default(), now, at)?;
                             match (test, plan) {
                                 (TestOption::TestOnly, Some(plan)) => {
-                                    store.abandon(&plan);
+                                    store.abandon_commit(&plan);
                                     Ok(None)
                                 }
                                 (_, plan) => Ok(plan),
@@ -316,7 +316,12 @@
                 Ok(String::new())
             }
             Operation::Commit(CommitTerms { confirmed, persist, persist_id, expect }) => {
-                let terms = Commit { confirmed, persist, persist_id, expect };
+                let terms = CommitOptions {
+                    confirm_timeout: confirmed,
+                    persist,
+                    persist_id,
+                    expected_version: expect,
+                };
                 let done = self.hub.commit(move |store, now, at| store.commit(id, &terms, now, at));
                 done.await.map_err(refused)?;
                 Ok(String::new())
@@ -329,7 +334,7 @@
                 Ok(String::new())
             }
             Operation::DiscardChanges => {
-                self.hub.with_store(|store| store.discard(id)).map_err(refused)?;
+                self.hub.with_store(|store| store.discard_candidate(id)).map_err(refused)?;
                 Ok(String::new())
             }
             Operation::CloseSession => Ok(String::new()),
@@ -383,7 +388,7 @@
         source: Result<Datastore, Box<Element>>,
     ) -> Result<(), Vec<RpcError>> {
         let (id, schema) = (self.id, self.schema.clone());
-        let refused = |refused: Refused| RpcError::of_refused(&schema, &refused, false);
+        let refused = |refused: StoreError| RpcError::of_refused(&schema, &refused, false);
         if source == Ok(target) {
             return Err(vec![RpcError::protocol("invalid-value", "source and target are the same")]);
         }
@@ -392,14 +397,14 @@
             (Datastore::Startup, Err(_)) => Err(vec![not_supported("startup is copied from a datastore")]),
             (Datastore::Candidate, _) => {
                 let tree = self.source(source)?;
-                self.hub.with_store(|store| store.replace(id, tree)).map_err(refused)
+                self.hub.with_store(|store| store.replace_candidate(id, tree)).map_err(refused)
             }
             (Datastore::Running, _) => {
                 let tree = self.source(source)?;
                 let done = self.hub.commit(move |store, now, at| {
                     let value = Some(Node::Container(tree.fields().clone()));
                     let edit = Edit { op: Op::Replace, place: Place::new(), value };
-                    store.set(id, &[edit], &Commit::default(), now, at)
+                    store.edit_running(id, &[edit], &CommitOptions::default(), now, at)
                 });
                 done.await.map(drop).map_err(refused)
             }
@@ -410,7 +415,7 @@
         match source {
             Ok(datastore) => {
                 let tree = self.hub.with_store(|store| store.tree(self.id, datastore).cloned());
-                tree.ok_or_else(|| RpcError::of_refused(&self.schema, &Refused::NoStartup, false))
+                tree.ok_or_else(|| RpcError::of_refused(&self.schema, &StoreError::NoStartup, false))
             }
             Err(config) => {
                 tree_of(&self.schema, &config).map_err(|fault| vec![RpcError::of_fault(&self.schema, &fault)])
--- a/crates/edges/managed/src/start.rs
+++ b/crates/edges/managed/src/start.rs
@@ -116,16 +116,16 @@
         }
     };
     // What nobody can confirm any more is taken back before anything is served.
-    let mut first = vec![store.due(Duration::ZERO, unix_ms())];
+    let mut first = vec![store.poll_timeout(Duration::ZERO, unix_ms())];
     if terms.from_startup && first[0].is_none() {
-        first.push(store.begin_with_startup(unix_ms()));
+        first.push(store.plan_start_from_startup(unix_ms()));
     }
     for plan in first.into_iter().flatten() {
         if let Some(disk) = &mut disk {
             disk.append(&Record::commit(&schema, &plan)).map_err(Unfit::Log)?;
         }
         tracing::info!(commit = plan.version.number, "at the start: {}", plan.version.cause);
-        store.finish(plan);
+        store.finish_commit(plan);
     }
     let wishes = reader.read(&schema, &store.running().tree).map_err(|faults| {
         Unfit::Wishes(faults.iter().map(|fault| fault.to_string()).collect::<Vec<_>>().join("; "))
--- a/crates/edges/managed/src/state.rs
+++ b/crates/edges/managed/src/state.rs
@@ -162,7 +162,7 @@
         let entries = store.history().map(|version| {
             let mut entry = Maker::new(list.schema, list.holder);
             entry.leaf("version", version.number);
-            entry.leaf("at", version.at);
+            entry.leaf("at", version.committed_at_ms);
             entry.leaf("user", &version.author.user);
             entry.leaf("protocol", version.author.protocol.name());
             entry.leaf("cause", version.cause);
@@ -173,7 +173,7 @@
     }
     if let (Some(pending), Some(mut confirm)) = (store.pending(), state.within("confirm")) {
         confirm.leaf("version", store.running().number);
-        confirm.leaf("left", pending.until.saturating_sub(sources.now).as_millis());
+        confirm.leaf("left", pending.deadline.saturating_sub(sources.now).as_millis());
         state.fields.insert(confirm.holder, Node::Container(Arc::new(confirm.fields)));
     }
     state.fields
--- a/crates/edges/managed/tests/parts.rs
+++ b/crates/edges/managed/tests/parts.rs
@@ -3,7 +3,7 @@
 use lemonusher_managed::{Names, Part, PartFuture, Started, Terms, Users, start};
 use lemonusher_model::{Node, Op, parse_path};
 use lemonusher_routing::ManagementCall;
-use lemonusher_store::{Commit, Edit, Protocol, Refused, Version};
+use lemonusher_store::{CommitOptions, Edit, Protocol, StoreError, Version};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -108,7 +108,7 @@
     let in_force = Arc::new(AtomicU64::new(0));
     owner(started.requests.clone(), in_force.clone());
     let hub = started.hub;
-    let session = hub.with_store(|store| store.open("x", Protocol::Local)).unwrap();
+    let session = hub.with_store(|store| store.open_session("x", Protocol::Local)).unwrap();
     let path = parse_path("/front/pool[name=a]/cell").unwrap();
     let mut cell = 0;
     for fault in [
@@ -127,12 +127,15 @@
         let mut place = hub.schema().place(&path).unwrap();
         place.last_mut().unwrap().keys = Some(vec![cell.to_string().into()]);
         let edit = Edit { op: Op::Merge, place, value: Some(Node::Leaf(cell.to_string().into())) };
-        let done =
-            hub.commit(move |store, now, at| store.set(session, &[edit], &Commit::default(), now, at)).await;
+        let done = hub
+            .commit(move |store, now, at| {
+                store.edit_running(session, &[edit], &CommitOptions::default(), now, at)
+            })
+            .await;
         let after = hub.with_store(|store| store.running().clone());
         let fails = matches!(fault, Fault::DeclineAtPrepare | Fault::PanicAtPrepare | Fault::PanicInPrepare);
         if fails {
-            assert!(matches!(done, Err(Refused::Failed(_))), "{fault:?} {done:?}");
+            assert!(matches!(done, Err(StoreError::Failed(_))), "{fault:?} {done:?}");
             assert!(after.number == before.number && after.tree == before.tree, "{fault:?}");
             // The owner, which was ready, has not moved; and the next commit is not in its way.
             assert_eq!(in_force.load(Ordering::SeqCst), before.number);
@@ -159,18 +162,22 @@
     let started = managed(part);
     owner(started.requests.clone(), Arc::default());
     let hub = started.hub;
-    let session = hub.with_store(|store| store.open("x", Protocol::Local)).unwrap();
+    let session = hub.with_store(|store| store.open_session("x", Protocol::Local)).unwrap();
     let path = parse_path("/front/log-level").unwrap();
     let place = hub.schema().place(&path).unwrap();
     for level in ["warn", "debug", "error", "trace"] {
         let edit = Edit { op: Op::Merge, place: place.clone(), value: Some(Node::Leaf(level.into())) };
-        let commit =
-            hub.commit(move |store, now, at| store.set(session, &[edit], &Commit::default(), now, at));
+        let commit = hub.commit(move |store, now, at| {
+            store.edit_running(session, &[edit], &CommitOptions::default(), now, at)
+        });
         // Polled once, then dropped.
         let _ = tokio::time::timeout(Duration::ZERO, commit).await;
     }
     let level = Edit { op: Op::Merge, place, value: Some(Node::Leaf("info".into())) };
-    let last =
-        hub.commit(move |store, now, at| store.set(session, &[level], &Commit::default(), now, at)).await;
+    let last = hub
+        .commit(move |store, now, at| {
+            store.edit_running(session, &[level], &CommitOptions::default(), now, at)
+        })
+        .await;
     assert_eq!(last.unwrap().unwrap().number, 5);
 }
--- a/crates/edges/netconf/src/error.rs
+++ b/crates/edges/netconf/src/error.rs
@@ -1,7 +1,7 @@
 use crate::BASE;
 use crate::xml::escape;
 use lemonusher_model::{Fault, FaultKind, Schema};
-use lemonusher_store::Refused;
+use lemonusher_store::StoreError;
 use std::fmt::Write;
 
 /// One `rpc-error` (RFC 6241, section 4.3 and appendix A).
@@ -63,7 +63,7 @@
     }
 
     /// What the store refuses. Where a lock was asked for, another's stands against it.
-    pub fn of_refused(schema: &Schema, refused: &Refused, locking: bool) -> Vec<RpcError> {
+    pub fn of_refused(schema: &Schema, refused: &StoreError, locking: bool) -> Vec<RpcError> {
         let text = refused.to_string();
         let one = |tag: &'static str| RpcError::protocol(tag, text.clone());
         let failed = |app_tag: &str| RpcError {
@@ -72,21 +72,21 @@
         };
         let held = if locking { "lock-denied" } else { "in-use" };
         vec![match refused {
-            Refused::Faults(faults) => {
+            StoreError::Faults(faults) => {
                 return faults.iter().map(|fault| RpcError::of_fault(schema, fault)).collect();
             }
-            Refused::Locked(by) | Refused::Pending(by) => RpcError { session: Some(*by), ..one(held) },
-            Refused::Modified => RpcError { session: Some(0), ..one("lock-denied") },
-            Refused::Busy => one("in-use"),
-            Refused::TooManySessions | Refused::TooManyFollowUps => one("resource-denied"),
-            Refused::NothingPending => one("invalid-value"),
-            Refused::NoVersion(_) => one("invalid-value"),
-            Refused::NoStartup => RpcError::application("data-missing", text.clone()),
-            Refused::NotLocked => RpcError::application("operation-failed", text.clone()),
-            Refused::NoSession => RpcError::application("operation-failed", text.clone()),
-            Refused::Stale { .. } => failed("stale"),
-            Refused::Conflict(_) => failed("conflict"),
-            Refused::Failed(_) => failed("declined"),
+            StoreError::Locked(by) | StoreError::Pending(by) => RpcError { session: Some(*by), ..one(held) },
+            StoreError::Modified => RpcError { session: Some(0), ..one("lock-denied") },
+            StoreError::Busy => one("in-use"),
+            StoreError::TooManySessions | StoreError::TooManyFollowUps => one("resource-denied"),
+            StoreError::NothingPending => one("invalid-value"),
+            StoreError::NoVersion(_) => one("invalid-value"),
+            StoreError::NoStartup => RpcError::application("data-missing", text.clone()),
+            StoreError::NotLocked => RpcError::application("operation-failed", text.clone()),
+            StoreError::UnknownSession => RpcError::application("operation-failed", text.clone()),
+            StoreError::Stale { .. } => failed("stale"),
+            StoreError::Conflict(_) => failed("conflict"),
+            StoreError::Failed(_) => failed("declined"),
         }]
     }
 
--- a/crates/edges/netconf/src/rpc.rs
+++ b/crates/edges/netconf/src/rpc.rs
@@ -3,7 +3,7 @@
 use crate::error::RpcError;
 use crate::xml::{Element, escape, parse};
 use crate::{BASE, MONITORING, NOTIFICATION};
-use lemonusher_store::{Datastore, OnError};
+use lemonusher_store::{Datastore, ErrorOption};
 use std::fmt::Write;
 use std::time::Duration;
 
@@ -45,21 +45,46 @@
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Operation {
-    Get { filter: Option<Element> },
-    GetConfig { source: Datastore, filter: Option<Element> },
-    EditConfig { target: Datastore, default: DefaultOp, test: TestOption, on_error: OnError, config: Element },
-    CopyConfig { target: Datastore, source: Result<Datastore, Box<Element>> },
-    DeleteConfig { target: Datastore },
+    Get {
+        filter: Option<Element>,
+    },
+    GetConfig {
+        source: Datastore,
+        filter: Option<Element>,
+    },
+    EditConfig {
+        target: Datastore,
+        default: DefaultOp,
+        test: TestOption,
+        on_error: ErrorOption,
+        config: Element,
+    },
+    CopyConfig {
+        target: Datastore,
+        source: Result<Datastore, Box<Element>>,
+    },
+    DeleteConfig {
+        target: Datastore,
+    },
     Lock(Datastore),
     Unlock(Datastore),
     Validate(Result<Datastore, Box<Element>>),
     Commit(CommitTerms),
-    CancelCommit { persist_id: Option<String> },
+    CancelCommit {
+        persist_id: Option<String>,
+    },
     DiscardChanges,
     CloseSession,
     KillSession(u32),
-    GetSchema { identifier: String, version: Option<String>, format: Option<String> },
-    CreateSubscription { stream: Option<String>, filter: Option<Element> },
+    GetSchema {
+        identifier: String,
+        version: Option<String>,
+        format: Option<String>,
+    },
+    CreateSubscription {
+        stream: Option<String>,
+        filter: Option<Element>,
+    },
 }
 
 /// Reads a message: an `rpc`, or why it is none, with the attributes that the reply must repeat.
@@ -131,9 +156,9 @@
                 Some(_) => return Err(bad("test-option")),
             },
             on_error: match text("error-option").as_deref() {
-                None | Some("stop-on-error") => OnError::Stop,
-                Some("continue-on-error") => OnError::Continue,
-                Some("rollback-on-error") => OnError::Rollback,
+                None | Some("stop-on-error") => ErrorOption::Stop,
+                Some("continue-on-error") => ErrorOption::Continue,
+                Some("rollback-on-error") => ErrorOption::Rollback,
                 Some(_) => return Err(bad("error-option")),
             },
             config: need("config")?.clone(),
--- a/crates/edges/netconf/tests/messages.rs
+++ b/crates/edges/netconf/tests/messages.rs
@@ -2,7 +2,7 @@
 
 use lemonusher_model::{Fields, Node, Op, Schema, Tree, parse_path, to_json};
 use lemonusher_netconf::*;
-use lemonusher_store::{Datastore, OnError};
+use lemonusher_store::{Datastore, ErrorOption};
 use proptest::prelude::*;
 use serde_json::json;
 use std::sync::Arc;
@@ -108,7 +108,7 @@
     let edit = "<edit-config><target><candidate/></target><default-operation>none</default-operation>
         <error-option>rollback-on-error</error-option><config/></edit-config>";
     let Ok(Operation::EditConfig { target, default, test, on_error, .. }) = rpc(edit) else { panic!() };
-    assert_eq!((target, default, on_error), (Datastore::Candidate, DefaultOp::None, OnError::Rollback));
+    assert_eq!((target, default, on_error), (Datastore::Candidate, DefaultOp::None, ErrorOption::Rollback));
     assert_eq!(test, TestOption::TestThenSet);
     let commit = "<commit><confirmed/><confirm-timeout>5</confirm-timeout><persist>x</persist></commit>";
     let Ok(Operation::Commit(terms)) = rpc(commit) else { panic!() };
