--- a/crates/core/store/src/lib.rs
+++ b/crates/core/store/src/lib.rs
@@ -6,17 +6,20 @@
 //! every part that it touches to prepare, has it logged, and has all parts switch; the store then takes it as
 //! done. Until it is logged, whatever fails leaves the old state whole. Once it is logged it stands.
 
+mod error;
 mod log;
 mod merge;
 mod recover;
-mod round;
 mod store;
+mod two_phase;
+mod version;
 
+pub use error::StoreError;
 pub use log::{HEADER, LogContents, LogCorruption, Record, encode_record, read_log};
 pub use merge::merge;
 pub use recover::{Recovered, RecoveryError, compact, recover};
-pub use round::{CommitAction, CommitEvent, TwoPhaseCommit};
 pub use store::{
-    Author, Bounds, Cause, CommitOptions, CommitPlan, Datastore, Edit, ErrorOption, PendingConfirmation,
-    Protocol, Session, SessionId, StartupPlan, Store, StoreError, Version,
+    Bounds, CommitOptions, CommitPlan, Edit, ErrorOption, PendingConfirmation, Session, StartupPlan, Store,
 };
+pub use two_phase::{CommitAction, CommitEvent, TwoPhaseCommit};
+pub use version::{Author, Cause, Datastore, Protocol, SessionId, Version};
--- a/crates/core/store/src/log.rs
+++ b/crates/core/store/src/log.rs
@@ -1,6 +1,6 @@
 //! The log's form: a header line, then frames of length, checksum and one record as JSON.
 
-use crate::store::{Author, Cause, CommitPlan, Protocol, Version};
+use crate::{Author, Cause, CommitPlan, Protocol, Version};
 use lemonusher_model::{Change, Node, Schema, Tree, from_json, parse_path, to_json};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
--- a/crates/core/store/src/recover.rs
+++ b/crates/core/store/src/recover.rs
@@ -3,7 +3,7 @@
 use crate::log::{
     HEADER, LogCorruption, PendingMeta, Record, change_of, encode_record, read_log, tree_of_json,
 };
-use crate::store::{Bounds, PendingConfirmation, Store, Version};
+use crate::{Bounds, PendingConfirmation, Store, Version};
 use lemonusher_model::Schema;
 use std::collections::VecDeque;
 use std::fmt;
