--- a/crates/core/store/src/recover.rs
+++ b/crates/core/store/src/recover.rs
@@ -1,10 +1,14 @@
-//! From a log back to the store, and from a store to the shortest log that says the same.
+//! From a log back to the store, and from a store to the shortest log with the same content.
+//!
+//! The rule: every record must follow from those before it and fit the model; else nothing of the log is used. A commit
+//! that waited to be confirmed has lost its session and is reverted at once, whether or not its time had run out.
 
 use crate::log::{
-    HEADER, LogCorruption, PendingMeta, Record, change_of, encode_record, read_log, tree_of_json,
+    HEADER, LeafChange, LogCorruption, PendingMeta, Record, RecordError, VersionMeta, encode_record, read_log,
 };
 use crate::{Bounds, PendingConfirmation, Store, Version};
-use lemonusher_model::Schema;
+use lemonusher_model::{Schema, Tree};
+use serde_json::Value;
 use std::collections::VecDeque;
 use std::fmt;
 use std::sync::Arc;
@@ -13,8 +17,9 @@
 /// A store as its log has it.
 #[derive(Debug)]
 pub struct Recovered {
+    /// The store after the last record.
     pub store: Store,
-    /// The log is good up to here; the rest is to be cut off.
+    /// Bytes up to the end of the last complete record; the rest is to be truncated.
     pub valid_length: usize,
     /// Records read.
     pub records: usize,
@@ -23,11 +28,14 @@
 /// Why a log can't be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecoveryError {
+    /// The log's bytes are corrupt.
     Log(LogCorruption),
     /// A record does not follow from those before it, or does not fit the model.
     Record {
+        /// The record's position, from zero.
         number: usize,
-        what: String,
+        /// What is wrong with it.
+        error: RecordError,
     },
 }
 
@@ -35,87 +43,109 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             RecoveryError::Log(corruption) => write!(f, "{corruption}"),
-            RecoveryError::Record { number, what } => write!(f, "record {number}: {what}"),
+            RecoveryError::Record { number, error } => write!(f, "record {number}: {error}"),
         }
     }
 }
 
-/// Brings a store back. What waited to be confirmed is taken as lost: nobody may count on its session, and it
-/// falls due at once, whether or not its time had run out.
+/// Brings a store back from the bytes of its log. An empty log is a new store.
 pub fn recover(schema: Arc<Schema>, bounds: Bounds, bytes: &[u8]) -> Result<Recovered, RecoveryError> {
     let log = read_log(bytes).map_err(RecoveryError::Log)?;
-    let empty = Store::new(schema.clone(), bounds);
-    let mut history: VecDeque<Arc<Version>> = empty.history().cloned().collect();
-    let (mut startup, mut pending) = (None, None);
+    let history = Store::new(schema.clone(), bounds).history().cloned().collect();
+    let mut replay = Replay { schema: &schema, bounds, history, startup: None, pending: None };
     for (number, record) in log.records.iter().enumerate() {
-        let unfit = |what: String| RecoveryError::Record { number, what };
-        let last = history[history.len() - 1].clone();
+        replay.apply(number, record).map_err(|error| RecoveryError::Record { number, error })?;
+    }
+    let Replay { history, startup, pending, .. } = replay;
+    let store = Store::with(schema, bounds, history, startup, pending);
+    Ok(Recovered { store, valid_length: log.valid_length, records: log.records.len() })
+}
+
+/// The state after the records applied so far.
+struct Replay<'a> {
+    schema: &'a Schema,
+    bounds: Bounds,
+    /// Never empty.
+    history: VecDeque<Arc<Version>>,
+    startup: Option<Tree>,
+    pending: Option<PendingConfirmation>,
+}
+
+impl Replay<'_> {
+    fn apply(&mut self, number: usize, record: &Record) -> Result<(), RecordError> {
         match record {
-            Record::Base { meta, tree } => {
-                if number > 0 {
-                    return Err(unfit("a whole version stands only at the beginning".to_owned()));
-                }
-                let tree = tree_of_json(&schema, tree).map_err(unfit)?;
-                let version = meta.version(tree, Vec::new());
-                let version = version.ok_or_else(|| unfit("its author or cause is not known".to_owned()))?;
-                history = VecDeque::from([Arc::new(version)]);
-            }
-            Record::Commit { meta, changes, pending: waits } => {
-                if meta.number != last.number + 1 {
-                    return Err(unfit(format!("version {} follows {}", meta.number, last.number)));
-                }
-                let changes: Result<Vec<_>, String> =
-                    changes.iter().map(|changed| change_of(&schema, changed)).collect();
-                let changes = changes.map_err(unfit)?;
-                let mut tree = last.tree.clone();
-                tree.follow(&schema, &changes).map_err(unfit)?;
-                let version = meta.version(tree, changes);
-                let version = version.ok_or_else(|| unfit("its author or cause is not known".to_owned()))?;
-                history.push_back(Arc::new(version));
-                pending = match waits {
-                    None => None,
-                    Some(waits) => {
-                        let revert = history.iter().find(|version| version.number == waits.revert);
-                        let revert = revert.ok_or_else(|| {
-                            unfit(format!("version {}, to go back to, is not there", waits.revert))
-                        })?;
-                        Some(PendingConfirmation {
-                            session: meta.session,
-                            persist: waits.persist.clone(),
-                            revert: revert.clone(),
-                            deadline: Duration::ZERO,
-                            orphaned: true,
-                        })
-                    }
-                };
-                let kept =
-                    pending.as_ref().map_or(u64::MAX, |pending: &PendingConfirmation| pending.revert.number);
-                while history.len() > bounds.history + 1 && history[0].number < kept {
-                    history.pop_front();
-                }
+            Record::Base { meta, tree } if number == 0 => self.apply_base(meta, tree),
+            Record::Base { .. } => Err(RecordError::BaseNotFirst),
+            Record::Commit { meta, changes, pending } => {
+                self.apply_commit(meta, changes)?;
+                self.pending = pending.as_ref().map(|pending| self.pending_of(meta, pending)).transpose()?;
+                self.trim();
+                Ok(())
             }
             Record::Startup { tree } => {
-                let tree = tree.as_ref().map(|tree| tree_of_json(&schema, tree)).transpose();
-                startup = tree.map_err(unfit)?;
+                let tree = tree.as_ref().map(|tree| crate::log::tree_of_json(self.schema, tree));
+                self.startup = tree.transpose()?;
+                Ok(())
             }
         }
     }
-    let store = Store::with(schema, bounds, history, startup, pending);
-    Ok(Recovered { store, valid_length: log.valid_length, records: log.records.len() })
+
+    fn apply_base(&mut self, meta: &VersionMeta, tree: &Value) -> Result<(), RecordError> {
+        let tree = crate::log::tree_of_json(self.schema, tree)?;
+        let version = meta.version(tree, Vec::new()).ok_or(RecordError::UnknownMeta)?;
+        self.history = VecDeque::from([Arc::new(version)]);
+        Ok(())
+    }
+
+    fn apply_commit(&mut self, meta: &VersionMeta, changes: &[LeafChange]) -> Result<(), RecordError> {
+        let last = &self.history[self.history.len() - 1];
+        if meta.number != last.number + 1 {
+            return Err(RecordError::OutOfOrder { number: meta.number, last: last.number });
+        }
+        let changes: Result<Vec<_>, RecordError> =
+            changes.iter().map(|change| change.decode(self.schema)).collect();
+        let changes = changes?;
+        let mut tree = last.tree.clone();
+        tree.follow(self.schema, &changes).map_err(RecordError::Changes)?;
+        let version = meta.version(tree, changes).ok_or(RecordError::UnknownMeta)?;
+        self.history.push_back(Arc::new(version));
+        Ok(())
+    }
+
+    fn pending_of(
+        &self,
+        meta: &VersionMeta,
+        pending: &PendingMeta,
+    ) -> Result<PendingConfirmation, RecordError> {
+        let revert_to = self.history.iter().find(|version| version.number == pending.revert_to);
+        Ok(PendingConfirmation {
+            session: meta.session,
+            persist: pending.persist.clone(),
+            revert_to: revert_to.ok_or(RecordError::NoRevertVersion(pending.revert_to))?.clone(),
+            deadline: Duration::ZERO,
+            orphaned: true,
+        })
+    }
+
+    /// Drops versions beyond the bound, but none that a pending commit may revert to.
+    fn trim(&mut self) {
+        let oldest_needed = self.pending.as_ref().map_or(u64::MAX, |pending| pending.revert_to.number);
+        while self.history.len() > self.bounds.history + 1 && self.history[0].number < oldest_needed {
+            self.history.pop_front();
+        }
+    }
 }
 
-/// A log that brings the same store back: the oldest version whole, then what followed.
+/// A log that brings the same store back: the oldest version as a tree, then the commits that followed.
 pub fn compact(store: &Store) -> Vec<u8> {
     let schema = store.schema();
     let mut bytes = HEADER.to_vec();
     let last = store.running().number;
-    for (number, version) in store.history().enumerate() {
-        let waits = store.pending().filter(|_| version.number == last);
-        let waits =
-            waits.map(|held| PendingMeta { revert: held.revert.number, persist: held.persist.clone() });
-        bytes.extend(match number {
+    for (index, version) in store.history().enumerate() {
+        let pending = store.pending().filter(|_| version.number == last).map(PendingMeta::of);
+        bytes.extend(match index {
             0 => encode_record(&Record::base(schema, version)),
-            _ => encode_record(&Record::of_version(schema, version, waits)),
+            _ => encode_record(&Record::of_version(schema, version, pending)),
         });
     }
     if let Some(startup) = store.startup() {
--- a/crates/core/store/src/store/confirmed.rs
+++ b/crates/core/store/src/store/confirmed.rs
@@ -1,7 +1,11 @@
 //! Confirmed commits (RFC 6241, 8.4): reverted unless they are confirmed in time.
+//!
+//! The rule: a pending commit is confirmed, followed, extended or cancelled by its session, or, if it has an id, by whoever
+//! names the id. It is reverted at its deadline, or at once when nobody is left who could confirm it. A commit that follows
+//! it moves the deadline; all of them together revert to the version before the first.
 
 use super::Store;
-use super::commit::CommitPlan;
+use super::commit::{CommitOptions, CommitPlan};
 use crate::{Author, Cause, SessionId, StoreError, Version};
 use lemonusher_model::diff;
 use std::sync::Arc;
@@ -10,18 +14,47 @@
 /// A commit that waits to be confirmed.
 #[derive(Debug, Clone)]
 pub struct PendingConfirmation {
+    /// The session that committed it.
     pub session: SessionId,
+    /// The id under which it outlives its session.
     pub persist: Option<String>,
-    pub revert: Arc<Version>,
+    /// The version that it is reverted to.
+    pub revert_to: Arc<Version>,
+    /// When it is reverted; counts from the caller's origin.
     pub deadline: Duration,
     /// Nobody is left who could confirm it.
     pub orphaned: bool,
 }
 
+impl PendingConfirmation {
+    /// Whether a call of this session with this id is meant for the pending commit, which can still be confirmed.
+    pub(super) fn is_named_by(&self, session: SessionId, id: Option<&str>) -> bool {
+        let named = match &self.persist {
+            Some(persist) => id == Some(persist.as_str()),
+            None => id.is_none() && self.session == session,
+        };
+        named && !self.orphaned
+    }
+}
+
 impl Store {
-    /// What may be gone back to must stay in the history.
-    pub(super) fn check_follow_up_room(&self) -> Result<(), StoreError> {
-        let first = self.pending.as_ref().map(|pending| pending.revert.number);
+    /// What a confirmed commit, or one that follows it, leaves pending.
+    pub(super) fn confirmation(
+        &self,
+        author: &Author,
+        options: &CommitOptions,
+        deadline: Duration,
+    ) -> Result<PendingConfirmation, StoreError> {
+        self.check_follow_up_room()?;
+        let first = self.pending.as_ref();
+        let persist = options.persist.clone().or_else(|| first.and_then(|first| first.persist.clone()));
+        let revert_to = first.map_or_else(|| self.running().clone(), |first| first.revert_to.clone());
+        Ok(PendingConfirmation { session: author.session, persist, revert_to, deadline, orphaned: false })
+    }
+
+    /// Fails if one more version would push the one to revert to out of the history.
+    fn check_follow_up_room(&self) -> Result<(), StoreError> {
+        let first = self.pending.as_ref().map(|pending| pending.revert_to.number);
         let full = self.history.len() > self.bounds.history;
         if full && first.is_some_and(|first| first <= self.history[0].number) {
             return Err(StoreError::TooManyFollowUps);
@@ -29,46 +62,43 @@
         Ok(())
     }
 
-    /// Gives a commit that waits more time, from now on.
+    /// Plans to give a pending commit another deadline, `timeout` from now.
     pub fn extend(
         &mut self,
         session: SessionId,
         id: Option<&str>,
-        span: Duration,
+        timeout: Duration,
         now: Duration,
-        at: u64,
+        unix_ms: u64,
     ) -> Result<CommitPlan, StoreError> {
         let author = self.author_of(session)?;
         let pending = self.pending_named(session, id)?;
         self.check_follow_up_room()?;
-        let pending = PendingConfirmation { deadline: now + span, ..pending };
+        let pending = PendingConfirmation { deadline: now + timeout, ..pending };
         let tree = self.running().tree.clone();
-        Ok(self.reserve(author, Cause::Commit, tree, Vec::new(), Some(pending), at))
+        Ok(self.reserve(author, Cause::Commit, tree, Vec::new(), Some(pending), unix_ms))
     }
 
-    /// Plans to take back a commit that waits to be confirmed.
+    /// Plans to revert a pending commit.
     pub fn cancel(
         &mut self,
         session: SessionId,
         id: Option<&str>,
-        at: u64,
+        unix_ms: u64,
     ) -> Result<CommitPlan, StoreError> {
         let author = self.author_of(session)?;
         let pending = self.pending_named(session, id)?;
-        let to = pending.revert.number;
-        Ok(self.plan_revert(author, Cause::Cancelled { to }, &pending, at))
+        let cause = Cause::Cancelled { to: pending.revert_to.number };
+        Ok(self.plan_revert(author, cause, &pending, unix_ms))
     }
 
+    /// The pending commit, if this session with this id may act upon it now.
     fn pending_named(&self, session: SessionId, id: Option<&str>) -> Result<PendingConfirmation, StoreError> {
         if self.committing.is_some() {
             return Err(StoreError::Busy);
         }
-        let pending = self.pending.as_ref().ok_or(StoreError::NothingPending)?;
-        let named = match &pending.persist {
-            Some(held) => id == Some(held.as_str()),
-            None => id.is_none() && pending.session == session,
-        };
-        if named && !pending.orphaned { Ok(pending.clone()) } else { Err(StoreError::NothingPending) }
+        let pending = self.pending.as_ref().filter(|pending| pending.is_named_by(session, id));
+        pending.cloned().ok_or(StoreError::NothingPending)
     }
 
     fn plan_revert(
@@ -76,24 +106,35 @@
         author: Author,
         cause: Cause,
         pending: &PendingConfirmation,
-        at: u64,
+        unix_ms: u64,
     ) -> CommitPlan {
-        let tree = pending.revert.tree.clone();
+        let tree = pending.revert_to.tree.clone();
         let changes = diff(&self.running().tree, &tree);
-        self.reserve(author, cause, tree, changes, None, at)
+        self.reserve(author, cause, tree, changes, None, unix_ms)
+    }
+
+    /// A session that ended while its commit was in progress can't confirm it.
+    pub(super) fn mark_orphaned(&mut self) {
+        if let Some(pending) = &mut self.pending
+            && pending.persist.is_none()
+            && pending.session != Author::front().session
+            && !self.sessions.contains_key(&pending.session)
+        {
+            pending.orphaned = true;
+        }
     }
 
-    /// What has fallen due: a commit that nobody confirmed in time, or that nobody is left to confirm.
-    pub fn poll_timeout(&mut self, now: Duration, at: u64) -> Option<CommitPlan> {
+    /// Plans to revert a pending commit that has passed its deadline, or that nobody is left to confirm.
+    pub fn poll_timeout(&mut self, now: Duration, unix_ms: u64) -> Option<CommitPlan> {
         let pending = self.pending.clone().filter(|pending| pending.orphaned || pending.deadline <= now)?;
         if self.committing.is_some() {
             return None;
         }
-        let to = pending.revert.number;
-        Some(self.plan_revert(Author::front(), Cause::Expired { to }, &pending, at))
+        let cause = Cause::Expired { to: pending.revert_to.number };
+        Some(self.plan_revert(Author::front(), cause, &pending, unix_ms))
     }
 
-    /// When something falls due.
+    /// When [`Store::poll_timeout`] next has something to do; none while a commit is in progress.
     pub fn next_timeout(&self) -> Option<Duration> {
         let pending = self.pending.as_ref().filter(|_| self.committing.is_none())?;
         Some(if pending.orphaned { Duration::ZERO } else { pending.deadline })
--- a/crates/core/store/src/store/sessions.rs
+++ b/crates/core/store/src/store/sessions.rs
@@ -4,36 +4,42 @@
 use super::candidate::Candidate;
 use crate::{Author, Datastore, Protocol, SessionId, StoreError};
 
+/// A manager's session.
 #[derive(Debug, Clone)]
 pub struct Session {
+    /// The name under which the manager was authenticated.
     pub user: String,
+    /// The protocol that it came by.
     pub protocol: Protocol,
-    /// It edits a candidate of its own.
-    pub private: bool,
+    /// It edits a candidate of its own instead of the shared one.
+    pub has_private_candidate: bool,
+    /// The private candidate; none while it holds no change.
     pub(super) candidate: Option<Candidate>,
 }
 
 impl Store {
+    /// Opens a session. Fails if there are as many as there may be.
     pub fn open_session(&mut self, user: &str, protocol: Protocol) -> Result<SessionId, StoreError> {
         if self.sessions.len() >= self.bounds.sessions {
             return Err(StoreError::TooManySessions);
         }
         let id = self.next_session;
         self.next_session = self.next_session.checked_add(1).ok_or(StoreError::TooManySessions)?;
-        let session = Session { user: user.to_owned(), protocol, private: false, candidate: None };
+        let session =
+            Session { user: user.to_owned(), protocol, has_private_candidate: false, candidate: None };
         self.sessions.insert(id, session);
         Ok(id)
     }
 
     /// The session edits a candidate of its own from now on.
     pub fn use_private_candidate(&mut self, session: SessionId) -> Result<(), StoreError> {
-        let held = self.sessions.get_mut(&session).ok_or(StoreError::UnknownSession)?;
-        held.private = true;
+        let session = self.sessions.get_mut(&session).ok_or(StoreError::UnknownSession)?;
+        session.has_private_candidate = true;
         Ok(())
     }
 
-    /// A session has ended, however it did: its locks go, and with the lock of the candidate what was changed
-    /// there; what it alone could have confirmed falls due.
+    /// A session has ended, however it did. Its locks are released, and with the lock of the candidate the changes there
+    /// are discarded; a commit that it alone could have confirmed is to be reverted.
     pub fn close_session(&mut self, session: SessionId) {
         self.sessions.remove(&session);
         if self.locks.get(&Datastore::Candidate) == Some(&session) {
@@ -48,6 +54,8 @@
         }
     }
 
+    /// Locks a datastore for a session. Fails if it is locked, also by this session; the shared candidate if it holds
+    /// changes; running if a confirmed commit of another session is pending.
     pub fn lock(&mut self, session: SessionId, datastore: Datastore) -> Result<(), StoreError> {
         self.author_of(session)?;
         if let Some(holder) = self.locks.get(&datastore) {
@@ -64,6 +72,7 @@
         Ok(())
     }
 
+    /// Releases a lock of this session; with the lock of the candidate the changes there are discarded.
     pub fn unlock(&mut self, session: SessionId, datastore: Datastore) -> Result<(), StoreError> {
         match self.locks.get(&datastore) {
             Some(holder) if *holder == session => {
@@ -78,11 +87,13 @@
         }
     }
 
+    /// The author of what this session commits; fails if there is no such session.
     pub(super) fn author_of(&self, session: SessionId) -> Result<Author, StoreError> {
-        let held = self.sessions.get(&session).ok_or(StoreError::UnknownSession)?;
-        Ok(Author { user: held.user.clone(), protocol: held.protocol, session })
+        let Session { user, protocol, .. } = self.sessions.get(&session).ok_or(StoreError::UnknownSession)?;
+        Ok(Author { user: user.clone(), protocol: *protocol, session })
     }
 
+    /// Fails if another session has locked the datastore.
     pub(super) fn check_lock(&self, session: SessionId, datastore: Datastore) -> Result<(), StoreError> {
         match self.locks.get(&datastore) {
             Some(holder) if *holder != session => Err(StoreError::Locked(*holder)),
--- a/crates/core/store/src/store/startup.rs
+++ b/crates/core/store/src/store/startup.rs
@@ -5,14 +5,15 @@
 use crate::{Author, Cause, Datastore, SessionId, StoreError};
 use lemonusher_model::{Tree, diff};
 
-/// A startup datastore on its way.
+/// A startup datastore that is to be logged. It takes effect with [`Store::finish_startup`].
 #[derive(Debug, Clone)]
 pub struct StartupPlan {
+    /// None if the startup datastore is to be deleted.
     pub tree: Option<Tree>,
 }
 
 impl Store {
-    /// Plans to keep what a session sees of a datastore as what a start begins with, or with none to drop it.
+    /// Plans to copy what a session sees of a datastore to startup, or with none to delete startup.
     pub fn plan_startup(
         &mut self,
         session: SessionId,
@@ -32,12 +33,14 @@
         Ok(StartupPlan { tree: Some(tree) })
     }
 
+    /// The startup datastore has been logged.
     pub fn finish_startup(&mut self, plan: StartupPlan) {
         self.startup = plan.tree;
     }
 
-    /// Plans to begin with the startup datastore, where there is one and it is not in force.
-    pub fn plan_start_from_startup(&mut self, at: u64) -> Option<CommitPlan> {
+    /// Plans to put the startup datastore in force; none if there is none or nothing differs, or if a commit is in progress
+    /// or pending. `unix_ms` is the date.
+    pub fn plan_start_from_startup(&mut self, unix_ms: u64) -> Option<CommitPlan> {
         if self.committing.is_some() || self.pending.is_some() {
             return None;
         }
@@ -46,6 +49,6 @@
         if changes.is_empty() {
             return None;
         }
-        Some(self.reserve(Author::front(), Cause::Start, tree, changes, None, at))
+        Some(self.reserve(Author::front(), Cause::Start, tree, changes, None, unix_ms))
     }
 }
--- a/crates/core/store/src/two_phase.rs
+++ b/crates/core/store/src/two_phase.rs
@@ -1,145 +1,208 @@
-//! One commit's way through all parts: prepare, log, switch. It is told what happened and says what to do next.
+//! One commit's way through all parts of the front: prepare, log, activate.
+//!
+//! The rule: nothing is logged before every part has prepared, and no part activates before the commit is logged. Until it
+//! is logged any failure discards it and the old state stands as a whole; once it is logged it stands. Events that come too
+//! late are ignored.
 
-/// What has happened.
+use std::fmt;
+
+/// What has happened. Parts are numbered in the order of the names given to [`TwoPhaseCommit::start`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitEvent {
     /// A part holds the new state ready.
     Prepared(usize),
-    Declined(usize, String),
-    /// A part panicked, has gone, or did not answer in time.
+    /// A part can't follow the new state.
+    Declined {
+        /// The part's number.
+        part: usize,
+        /// Its message.
+        reason: String,
+    },
+    /// A part panicked, has ended, or did not answer in time.
     Lost(usize),
-    /// The commit lasts.
+    /// The commit is in the log.
     Logged,
+    /// The commit could not be logged; the message.
     NotLogged(String),
-    /// A part has taken up the new state.
+    /// A part follows the new state.
     Activated(usize),
 }
 
 /// What is to be done.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitAction {
+    /// Have the part prepare the new state.
     Prepare(usize),
+    /// Write the commit to the log.
     Log,
+    /// Have the part follow what it prepared.
     Activate(usize),
-    /// The part forgets what it prepared.
+    /// Have the part forget what it prepared.
     Discard(usize),
-    /// The commit is in force. Parts named here did not say that they switched: they hold or will take up the
-    /// new state when they come back, and never the old one.
+    /// The commit is in force. Parts named here did not confirm that they follow it: they do, or will when they come back,
+    /// and never the old state.
     Done(Vec<usize>),
-    /// The old state stands whole.
-    Failed(String),
+    /// The old state stands as a whole.
+    Failed(CommitFailure),
+}
+
+/// Why a commit failed.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum CommitFailure {
+    /// A part declined it.
+    Declined {
+        /// The part's name.
+        part: String,
+        /// Its message.
+        reason: String,
+    },
+    /// The part of this name did not answer.
+    Lost(String),
+    /// The log could not be written; the message.
+    NotLogged(String),
+}
+
+impl fmt::Display for CommitFailure {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            CommitFailure::Declined { part, reason } => write!(f, "{part} declined: {reason}"),
+            CommitFailure::Lost(part) => write!(f, "{part} gave no answer"),
+            CommitFailure::NotLogged(reason) => write!(f, "the commit could not be kept: {reason}"),
+        }
+    }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Part {
-    Asked,
-    Ready,
-    Switching,
-    Over,
+enum PartState {
+    Preparing,
+    Prepared,
+    Activating,
+    Finished,
     Lost,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Stage {
+enum Phase {
     Preparing,
     Logging,
-    Switching,
-    Over,
+    Activating,
+    Finished,
 }
 
-/// The state of one round.
+/// The state of one commit.
 #[derive(Debug)]
 pub struct TwoPhaseCommit {
     names: Vec<String>,
-    parts: Vec<Part>,
-    stage: Stage,
+    parts: Vec<PartState>,
+    phase: Phase,
 }
 
 impl TwoPhaseCommit {
+    /// Begins with the names of all parts. Without any part the commit is logged at once.
     pub fn start(names: Vec<String>) -> (TwoPhaseCommit, Vec<CommitAction>) {
-        let parts = vec![Part::Asked; names.len()];
-        let mut round = TwoPhaseCommit { names, parts, stage: Stage::Preparing };
-        let mut asks: Vec<CommitAction> = (0..round.parts.len()).map(CommitAction::Prepare).collect();
-        if round.parts.is_empty() {
-            asks.extend(round.log());
+        let parts = vec![PartState::Preparing; names.len()];
+        let mut commit = TwoPhaseCommit { names, parts, phase: Phase::Preparing };
+        let mut actions: Vec<CommitAction> = (0..commit.parts.len()).map(CommitAction::Prepare).collect();
+        if commit.parts.is_empty() {
+            actions.extend(commit.begin_logging());
         }
-        (round, asks)
+        (commit, actions)
     }
 
-    /// Whether no more is to be done.
+    /// Whether nothing more is to be done.
     pub fn is_finished(&self) -> bool {
-        self.stage == Stage::Over
+        self.phase == Phase::Finished
     }
 
-    pub fn handle_event(&mut self, told: CommitEvent) -> Vec<CommitAction> {
-        match (self.stage, told) {
-            (Stage::Preparing, CommitEvent::Prepared(part)) if self.parts[part] == Part::Asked => {
-                self.parts[part] = Part::Ready;
-                if self.parts.iter().all(|part| *part == Part::Ready) { self.log() } else { Vec::new() }
+    /// Takes an event, and returns what is to be done next.
+    pub fn handle_event(&mut self, event: CommitEvent) -> Vec<CommitAction> {
+        match self.phase {
+            Phase::Preparing => self.handle_while_preparing(event),
+            Phase::Logging => self.handle_while_logging(event),
+            Phase::Activating => self.handle_while_activating(event),
+            Phase::Finished => Vec::new(),
+        }
+    }
+
+    fn handle_while_preparing(&mut self, event: CommitEvent) -> Vec<CommitAction> {
+        match event {
+            CommitEvent::Prepared(part) if self.parts[part] == PartState::Preparing => {
+                self.parts[part] = PartState::Prepared;
+                let all_prepared = self.parts.iter().all(|part| *part == PartState::Prepared);
+                if all_prepared { self.begin_logging() } else { Vec::new() }
             }
-            (Stage::Preparing, CommitEvent::Declined(part, why)) => {
-                self.parts[part] = Part::Over;
-                let what = format!("{} declined: {why}", self.names[part]);
-                self.fail(what)
+            CommitEvent::Declined { part, reason } => {
+                self.parts[part] = PartState::Finished;
+                let part = self.names[part].clone();
+                self.fail(CommitFailure::Declined { part, reason })
             }
-            (Stage::Preparing, CommitEvent::Lost(part)) => {
-                self.parts[part] = Part::Lost;
-                let what = format!("{} gave no answer", self.names[part]);
-                self.fail(what)
+            CommitEvent::Lost(part) => {
+                self.parts[part] = PartState::Lost;
+                let name = self.names[part].clone();
+                self.fail(CommitFailure::Lost(name))
             }
-            // A part that is lost once it is ready is met again at the switch: logging may have gone through.
-            (Stage::Logging, CommitEvent::Lost(part)) => {
-                self.parts[part] = Part::Lost;
+            _ => Vec::new(),
+        }
+    }
+
+    fn handle_while_logging(&mut self, event: CommitEvent) -> Vec<CommitAction> {
+        match event {
+            // The commit may be in the log already, so it goes on without this part.
+            CommitEvent::Lost(part) => {
+                self.parts[part] = PartState::Lost;
                 Vec::new()
             }
-            (Stage::Logging, CommitEvent::NotLogged(why)) => {
-                self.fail(format!("the commit could not be kept: {why}"))
-            }
-            (Stage::Logging, CommitEvent::Logged) => {
-                self.stage = Stage::Switching;
-                let mut asks = Vec::new();
-                for (number, part) in self.parts.iter_mut().enumerate() {
-                    if *part == Part::Ready {
-                        *part = Part::Switching;
-                        asks.push(CommitAction::Activate(number));
-                    }
-                }
-                asks.extend(self.end());
-                asks
-            }
-            (Stage::Switching, CommitEvent::Activated(part)) => {
-                self.parts[part] = Part::Over;
-                self.end().into_iter().collect()
-            }
-            (Stage::Switching, CommitEvent::Lost(part) | CommitEvent::Declined(part, _)) => {
-                self.parts[part] = Part::Lost;
-                self.end().into_iter().collect()
-            }
-            // What comes late changes nothing any more.
+            CommitEvent::NotLogged(reason) => self.fail(CommitFailure::NotLogged(reason)),
+            CommitEvent::Logged => self.begin_activating(),
             _ => Vec::new(),
         }
     }
 
-    fn log(&mut self) -> Vec<CommitAction> {
-        self.stage = Stage::Logging;
+    fn handle_while_activating(&mut self, event: CommitEvent) -> Vec<CommitAction> {
+        match event {
+            CommitEvent::Activated(part) => self.parts[part] = PartState::Finished,
+            CommitEvent::Lost(part) | CommitEvent::Declined { part, .. } => {
+                self.parts[part] = PartState::Lost;
+            }
+            _ => return Vec::new(),
+        }
+        self.finish_if_activated().into_iter().collect()
+    }
+
+    fn begin_logging(&mut self) -> Vec<CommitAction> {
+        self.phase = Phase::Logging;
         vec![CommitAction::Log]
     }
 
-    fn end(&mut self) -> Option<CommitAction> {
-        if self.parts.iter().any(|part| matches!(part, Part::Switching | Part::Ready)) {
+    fn begin_activating(&mut self) -> Vec<CommitAction> {
+        self.phase = Phase::Activating;
+        let mut actions = Vec::new();
+        for (number, part) in self.parts.iter_mut().enumerate() {
+            if *part == PartState::Prepared {
+                *part = PartState::Activating;
+                actions.push(CommitAction::Activate(number));
+            }
+        }
+        actions.extend(self.finish_if_activated());
+        actions
+    }
+
+    /// Ends the commit once no part is left that has yet to activate.
+    fn finish_if_activated(&mut self) -> Option<CommitAction> {
+        if self.parts.iter().any(|part| matches!(part, PartState::Activating | PartState::Prepared)) {
             return None;
         }
-        self.stage = Stage::Over;
-        let lost = self.parts.iter().enumerate().filter(|(_, part)| **part == Part::Lost);
+        self.phase = Phase::Finished;
+        let lost = self.parts.iter().enumerate().filter(|(_, part)| **part == PartState::Lost);
         Some(CommitAction::Done(lost.map(|(number, _)| number).collect()))
     }
 
-    fn fail(&mut self, what: String) -> Vec<CommitAction> {
-        self.stage = Stage::Over;
-        let held =
-            self.parts.iter().enumerate().filter(|(_, part)| matches!(part, Part::Asked | Part::Ready));
-        let mut asks: Vec<CommitAction> = held.map(|(number, _)| CommitAction::Discard(number)).collect();
-        asks.push(CommitAction::Failed(what));
-        asks
+    fn fail(&mut self, failure: CommitFailure) -> Vec<CommitAction> {
+        self.phase = Phase::Finished;
+        let may_hold_state = |part: &PartState| matches!(part, PartState::Preparing | PartState::Prepared);
+        let parts = self.parts.iter().enumerate().filter(|(_, part)| may_hold_state(part));
+        let mut actions: Vec<CommitAction> = parts.map(|(number, _)| CommitAction::Discard(number)).collect();
+        actions.push(CommitAction::Failed(failure));
+        actions
     }
 }
--- a/crates/core/store/tests/earlier_log.rs
+++ b/crates/core/store/tests/earlier_log.rs
@@ -1,4 +1,4 @@
-//! A log that an earlier version wrote (commit ad164c9) is read whole, and the same steps write the same bytes.
+//! A log that an earlier version wrote (commit ad164c9) is read completely, and the same steps write the same bytes.
 //! `fixtures/state.log` and `fixtures/state.txt`, what that version read from it, are its output.
 
 use lemonusher_model::{Node, Op, Schema, Tree, parse_path};
@@ -23,7 +23,7 @@
     edit(store, Op::Merge, path, Some(value))
 }
 
-fn logged(bytes: &mut Vec<u8>, store: &mut Store, plan: CommitPlan) {
+fn log_commit(bytes: &mut Vec<u8>, store: &mut Store, plan: CommitPlan) {
     bytes.extend(encode_record(&Record::commit(store.schema(), &plan)));
     store.finish_commit(plan);
 }
@@ -33,14 +33,14 @@
     store: &mut Store,
     session: SessionId,
     edits: &[Edit],
-    terms: &CommitOptions,
+    options: &CommitOptions,
     at: u64,
 ) {
-    let plan = store.edit_running(session, edits, terms, Duration::ZERO, at).unwrap().unwrap();
-    logged(bytes, store, plan);
+    let plan = store.edit_running(session, edits, options, Duration::ZERO, at).unwrap().unwrap();
+    log_commit(bytes, store, plan);
 }
 
-fn startup(bytes: &mut Vec<u8>, store: &mut Store, session: SessionId, from: Option<Datastore>) {
+fn log_startup(bytes: &mut Vec<u8>, store: &mut Store, session: SessionId, from: Option<Datastore>) {
     let plan = store.plan_startup(session, from).unwrap();
     bytes.extend(encode_record(&Record::startup(store.schema(), plan.tree.as_ref())));
     store.finish_startup(plan);
@@ -55,7 +55,7 @@
     }
 }
 
-/// A log that begins with a whole version, not the first one, and some commits after it.
+/// A log that begins with the tree of a version, and some commits after it.
 fn shortened() -> Vec<u8> {
     let mut store = Store::new(Arc::new(Schema::front().unwrap()), SHORT);
     let session = store.open_session("before", Protocol::Gnmi).unwrap();
@@ -75,36 +75,36 @@
     let log = &mut bytes;
     let netconf = store.open_session("anna", Protocol::Netconf).unwrap();
     let gnmi = store.open_session("b\u{f6}rge", Protocol::Gnmi).unwrap();
-    // From a candidate, several changes at once; then a leaf changed and an entry taken away.
+    // From a candidate, several changes at once; then a leaf changed and an entry deleted.
     let edits = [merge(&store, LEVEL, "warn"), merge(&store, DRAINING, "draining")];
     store.edit_candidate(netconf, &edits, ErrorOption::Rollback).unwrap();
     let plan = store.commit(netconf, &CommitOptions::default(), Duration::ZERO, 2000).unwrap().unwrap();
-    logged(log, &mut store, plan);
+    log_commit(log, &mut store, plan);
     let edits = [merge(&store, LEVEL, "debug"), edit(&store, Op::Delete, "/front/pool[name=x1]", None)];
     set(log, &mut store, gnmi, &edits, &CommitOptions::default(), 2001);
-    // Startup: put there, dropped, put there again, and begun with.
-    startup(log, &mut store, netconf, Some(Datastore::Running));
-    startup(log, &mut store, netconf, None);
-    startup(log, &mut store, netconf, Some(Datastore::Running));
+    // Startup: set, deleted, set again, and put in force.
+    log_startup(log, &mut store, netconf, Some(Datastore::Running));
+    log_startup(log, &mut store, netconf, None);
+    log_startup(log, &mut store, netconf, Some(Datastore::Running));
     let change = [merge(&store, LEVEL, "error")];
     set(log, &mut store, gnmi, &change, &CommitOptions::default(), 2002);
     let plan = store.plan_start_from_startup(2003).unwrap();
-    logged(log, &mut store, plan);
+    log_commit(log, &mut store, plan);
     // A confirmed commit that is extended and confirmed; one cancelled; one not confirmed in time.
     let change = [merge(&store, LEVEL, "warn")];
     set(log, &mut store, netconf, &change, &confirmed(None), 2004);
     let plan = store.extend(netconf, None, Duration::from_secs(9), Duration::ZERO, 2005).unwrap();
-    logged(log, &mut store, plan);
+    log_commit(log, &mut store, plan);
     set(log, &mut store, netconf, &[], &CommitOptions::default(), 2006);
     let change = [merge(&store, LEVEL, "info")];
     set(log, &mut store, gnmi, &change, &confirmed(Some("night")), 2007);
     let plan = store.cancel(netconf, Some("night"), 2008).unwrap();
-    logged(log, &mut store, plan);
+    log_commit(log, &mut store, plan);
     set(log, &mut store, gnmi, &change, &confirmed(None), 2009);
     let plan = store.poll_timeout(Duration::from_secs(601), 2010).unwrap();
-    logged(log, &mut store, plan);
+    log_commit(log, &mut store, plan);
     let plan = store.roll_back(gnmi, 6, &CommitOptions::default(), Duration::ZERO, 2011).unwrap().unwrap();
-    logged(log, &mut store, plan);
+    log_commit(log, &mut store, plan);
     // One that still waits at the end.
     set(log, &mut store, netconf, &change, &confirmed(Some("to be \"seen\"")), 2012);
     bytes
@@ -140,28 +140,26 @@
         writeln!(text, "startup").unwrap();
         describe_tree(&mut text, schema, tree);
     }
-    if let Some(PendingConfirmation { session, persist, revert, deadline: until, orphaned: lost }) =
-        store.pending()
-    {
-        let revert = revert.number;
-        writeln!(text, "pending: session {session}, persist {persist:?}, revert {revert}").unwrap();
-        writeln!(text, "  until {until:?}, lost {lost}").unwrap();
+    if let Some(PendingConfirmation { session, persist, revert_to, deadline, orphaned }) = store.pending() {
+        let revert_to = revert_to.number;
+        writeln!(text, "pending: session {session}, persist {persist:?}, revert {revert_to}").unwrap();
+        writeln!(text, "  until {deadline:?}, lost {orphaned}").unwrap();
     }
     text
 }
 
 #[test]
-fn a_log_of_an_earlier_version_is_read_whole() {
+fn log_of_an_earlier_version_is_read_completely() {
     assert_eq!(describe(LOG), CONTENT);
 }
 
 #[test]
-fn the_same_steps_write_the_same_bytes_as_an_earlier_version() {
+fn same_steps_write_the_same_bytes_as_an_earlier_version() {
     assert!(written() == LOG, "{}", describe(&written()));
 }
 
 #[test]
-fn a_log_of_an_earlier_version_is_shortened_to_the_same_content() {
+fn compacted_log_of_an_earlier_version_has_the_same_content() {
     let store = recover(Arc::new(Schema::front().unwrap()), LONG, LOG).unwrap().store;
     let short = describe(&compact(&store));
     assert_eq!(short.lines().skip(1).collect::<Vec<_>>(), CONTENT.lines().skip(1).collect::<Vec<_>>());
--- a/crates/core/store/tests/store.rs
+++ b/crates/core/store/tests/store.rs
@@ -732,7 +732,7 @@
             for part in 0..3 {
                 let spoke = told
                     .iter()
-                    .any(|t| matches!(t, CommitEvent::Declined(p, _) | CommitEvent::Lost(p) if *p == part));
+                    .any(|t| matches!(t, CommitEvent::Declined { part: p, .. } | CommitEvent::Lost(p) if *p == part));
                 assert!(has(&CommitAction::Discard(part)) || spoke, "{told:?}");
             }
         }
@@ -748,7 +748,7 @@
             told.iter()
                 .filter(|t| {
                     matches!(t,
-                CommitEvent::Prepared(p) | CommitEvent::Declined(p, _) | CommitEvent::Lost(p) | CommitEvent::Activated(p) if *p == part)
+                CommitEvent::Prepared(p) | CommitEvent::Declined { part: p, .. } | CommitEvent::Lost(p) | CommitEvent::Activated(p) if *p == part)
                 })
                 .count()
         };
@@ -758,7 +758,7 @@
             match (count(&told, part), has(&CommitAction::Activate(part))) {
                 (0, _) => next.extend([
                     CommitEvent::Prepared(part),
-                    CommitEvent::Declined(part, "no".into()),
+                    CommitEvent::Declined { part, reason: "no".into() },
                     CommitEvent::Lost(part),
                 ]),
                 (1, true) => next.extend([CommitEvent::Activated(part), CommitEvent::Lost(part)]),
--- a/crates/edges/managed/src/hub.rs
+++ b/crates/edges/managed/src/hub.rs
@@ -149,7 +149,7 @@
                 CommitAction::Prepare(part) => {
                     Some(match self.ask(part, |part| part.prepare(version.clone())).await {
                         Some(Ok(())) => CommitEvent::Prepared(part),
-                        Some(Err(why)) => CommitEvent::Declined(part, why),
+                        Some(Err(why)) => CommitEvent::Declined { part, reason: why },
                         None => CommitEvent::Lost(part),
                     })
                 }
@@ -176,7 +176,7 @@
                     None
                 }
                 CommitAction::Failed(why) => {
-                    outcome = Err(why);
+                    outcome = Err(why.to_string());
                     None
                 }
             };
