--- a/crates/core/watch/src/lib.rs
+++ b/crates/core/watch/src/lib.rs
@@ -1,4 +1,4 @@
-//! What a subscriber is to be told, and when. A watch is shown trees and the time; it keeps what it has told and
+//! What a subscriber is to be sent, and when. A watch is shown trees and the time; it keeps what it has told and
 //! yields what is due: samples at their period, changes as they come, heartbeats, and nothing that is redundant
 //! where that was asked for. A subscriber with no room loses samples, which are counted; of changes it loses the
 //! ones in between, and is told the last state once it has room. No input or output, no clock, no protocol.
@@ -12,39 +12,39 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Value {
     Leaf(Text),
-    Members(Arc<BTreeSet<Text>>),
+    LeafList(Arc<BTreeSet<Text>>),
 }
 
 /// The leaves that a set of patterns means.
 pub type Leaves = BTreeMap<Place, Value>;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mode {
+pub enum SubscriptionMode {
     OnChange,
     Sample {
-        every: Duration,
+        sample_interval: Duration,
         /// What has not changed since the last sample is left out.
-        suppress: bool,
+        suppress_redundant: bool,
     },
 }
 
 /// One subscription.
 #[derive(Debug, Clone)]
-pub struct Terms {
+pub struct Subscription {
     pub patterns: Vec<Pattern>,
-    pub mode: Mode,
+    pub mode: SubscriptionMode,
     /// Everything is told again after this span, changed or not.
-    pub heartbeat: Option<Duration>,
+    pub heartbeat_interval: Option<Duration>,
 }
 
 /// What is to be told together.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Batch {
+pub struct Notification {
     pub updates: Vec<(Place, Value)>,
     pub deletes: Vec<Place>,
 }
 
-impl Batch {
+impl Notification {
     pub fn is_empty(&self) -> bool {
         self.updates.is_empty() && self.deletes.is_empty()
     }
@@ -55,20 +55,20 @@
 }
 
 #[derive(Debug)]
-struct Sub {
-    terms: Terms,
-    /// What the subscriber has been told.
-    told: Leaves,
+struct SubscriptionState {
+    subscription: Subscription,
+    /// What the subscriber has been sent.
+    sent: Leaves,
     /// What stood when it last had no room; changes from there are lost to it.
     missed: Option<Leaves>,
-    next: Duration,
-    beat: Duration,
+    next_sample: Duration,
+    next_heartbeat: Duration,
 }
 
 /// All that one subscriber asked for.
 #[derive(Debug)]
 pub struct Watch {
-    subs: Vec<Sub>,
+    subscriptions: Vec<SubscriptionState>,
     lost: u64,
 }
 
@@ -81,47 +81,47 @@
                 found.insert(place.to_vec(), Value::Leaf(value.clone()));
             }
             Found::LeafList(values) => {
-                found.insert(place.to_vec(), Value::Members(values.clone()));
+                found.insert(place.to_vec(), Value::LeafList(values.clone()));
             }
-            Found::Fields(fields) => gather(fields, &mut place.to_vec(), &mut found),
+            Found::Fields(fields) => collect_fields(fields, &mut place.to_vec(), &mut found),
             Found::List(entries) => {
                 let mut place = place.to_vec();
-                entries.iter().for_each(|(keys, entry)| entry_of(keys, entry, &mut place, &mut found));
+                entries.iter().for_each(|(keys, entry)| collect_entry(keys, entry, &mut place, &mut found));
             }
         });
     }
     found
 }
 
-fn gather(fields: &BTreeMap<NodeId, Node>, place: &mut Place, found: &mut Leaves) {
+fn collect_fields(fields: &BTreeMap<NodeId, Node>, place: &mut Place, found: &mut Leaves) {
     for (id, node) in fields {
         place.push(Seg { node: *id, keys: None });
         match node {
             Node::Leaf(value) => drop(found.insert(place.clone(), Value::Leaf(value.clone()))),
-            Node::LeafList(values) => drop(found.insert(place.clone(), Value::Members(values.clone()))),
-            Node::Container(inner) => gather(inner, place, found),
+            Node::LeafList(values) => drop(found.insert(place.clone(), Value::LeafList(values.clone()))),
+            Node::Container(inner) => collect_fields(inner, place, found),
             Node::List(entries) => {
-                entries.iter().for_each(|(keys, entry)| entry_of(keys, entry, place, found));
+                entries.iter().for_each(|(keys, entry)| collect_entry(keys, entry, place, found));
             }
         }
         place.pop();
     }
 }
 
-fn entry_of(keys: &[Text], entry: &BTreeMap<NodeId, Node>, place: &mut Place, found: &mut Leaves) {
+fn collect_entry(keys: &[Text], entry: &BTreeMap<NodeId, Node>, place: &mut Place, found: &mut Leaves) {
     let Some(last) = place.last_mut() else { return };
     last.keys = Some(keys.to_vec());
-    gather(entry, place, found);
+    collect_fields(entry, place, found);
     if let Some(last) = place.last_mut() {
         last.keys = None;
     }
 }
 
 /// What leads from the one to the other.
-fn between(old: &Leaves, new: &Leaves) -> Batch {
+fn difference(old: &Leaves, new: &Leaves) -> Notification {
     let updates = new.iter().filter(|(place, value)| old.get(*place) != Some(value));
     let deletes = old.keys().filter(|place| !new.contains_key(*place));
-    Batch {
+    Notification {
         updates: updates.map(|(place, value)| (place.clone(), value.clone())).collect(),
         deletes: deletes.cloned().collect(),
     }
@@ -129,114 +129,122 @@
 
 impl Watch {
     /// Nothing has been told yet.
-    pub fn new(terms: Vec<Terms>, now: Duration) -> Watch {
-        let sub = |terms: Terms| {
-            let every = match terms.mode {
-                Mode::Sample { every, .. } => every,
-                Mode::OnChange => Duration::ZERO,
+    pub fn new(subscription: Vec<Subscription>, now: Duration) -> Watch {
+        let state = |subscription: Subscription| {
+            let sample_interval = match subscription.mode {
+                SubscriptionMode::Sample { sample_interval, .. } => sample_interval,
+                SubscriptionMode::OnChange => Duration::ZERO,
             };
-            let beat = terms.heartbeat.map_or(Duration::MAX, |span| now + span);
-            Sub { told: Leaves::new(), missed: None, next: now + every, beat, terms }
+            let next_heartbeat = subscription.heartbeat_interval.map_or(Duration::MAX, |span| now + span);
+            SubscriptionState {
+                sent: Leaves::new(),
+                missed: None,
+                next_sample: now + sample_interval,
+                next_heartbeat,
+                subscription,
+            }
         };
-        Watch { subs: terms.into_iter().map(sub).collect(), lost: 0 }
+        Watch { subscriptions: subscription.into_iter().map(state).collect(), lost: 0 }
     }
 
-    /// Everything as it stands, told or, for who wants updates alone, taken as told.
-    pub fn first(&mut self, tree: &Tree, updates_only: bool) -> Batch {
-        let mut batch = Batch::default();
+    /// Everything as it stands, told or, for who wants updates alone, taken as sent.
+    pub fn initial(&mut self, tree: &Tree, updates_only: bool) -> Notification {
+        let mut notification = Notification::default();
         let mut already = BTreeSet::new();
-        for sub in &mut self.subs {
-            sub.told = leaves(tree, &sub.terms.patterns);
-            for (place, value) in &sub.told {
+        for state in &mut self.subscriptions {
+            state.sent = leaves(tree, &state.subscription.patterns);
+            for (place, value) in &state.sent {
                 // Where subscriptions overlap, the first state is told once.
                 if !updates_only && already.insert(place.clone()) {
-                    batch.updates.push((place.clone(), value.clone()));
+                    notification.updates.push((place.clone(), value.clone()));
                 }
             }
         }
-        batch
+        notification
     }
 
     /// When something falls due by time alone.
-    pub fn due_at(&self) -> Option<Duration> {
-        let due = |sub: &Sub| match sub.terms.mode {
-            Mode::Sample { .. } => sub.next.min(sub.beat),
-            Mode::OnChange => sub.beat,
+    pub fn next_timeout(&self) -> Option<Duration> {
+        let due = |state: &SubscriptionState| match state.subscription.mode {
+            SubscriptionMode::Sample { .. } => state.next_sample.min(state.next_heartbeat),
+            SubscriptionMode::OnChange => state.next_heartbeat,
         };
-        self.subs.iter().map(due).min().filter(|due| *due < Duration::MAX)
+        self.subscriptions.iter().map(due).min().filter(|due| *due < Duration::MAX)
     }
 
     /// Whether changes are to be told as they come.
-    pub fn on_change(&self) -> bool {
-        self.subs.iter().any(|sub| sub.terms.mode == Mode::OnChange)
+    pub fn has_on_change(&self) -> bool {
+        self.subscriptions.iter().any(|state| state.subscription.mode == SubscriptionMode::OnChange)
     }
 
     /// Whether anything is waiting to be told to a subscriber that had no room.
-    pub fn behind(&self) -> bool {
-        self.subs.iter().any(|sub| sub.missed.is_some())
+    pub fn has_backlog(&self) -> bool {
+        self.subscriptions.iter().any(|state| state.missed.is_some())
     }
 
     /// Updates that the subscriber has lost so far.
-    pub fn lost(&self) -> u64 {
+    pub fn lost_updates(&self) -> u64 {
         self.lost
     }
 
     /// What is due now, by the tree as it stands, for a subscriber that has room for so many updates. What finds
-    /// no room is not told, and counted.
-    pub fn round(&mut self, now: Duration, tree: &Tree, mut room: usize) -> Vec<Batch> {
-        let mut batches = Vec::new();
-        for sub in &mut self.subs {
-            let beats = sub.beat <= now;
-            let due = match sub.terms.mode {
-                Mode::OnChange => true,
-                Mode::Sample { .. } => sub.next <= now,
+    /// no room is not sent, and counted.
+    pub fn poll(&mut self, now: Duration, tree: &Tree, mut room: usize) -> Vec<Notification> {
+        let mut notifications = Vec::new();
+        for state in &mut self.subscriptions {
+            let heartbeat_due = state.next_heartbeat <= now;
+            let due = match state.subscription.mode {
+                SubscriptionMode::OnChange => true,
+                SubscriptionMode::Sample { .. } => state.next_sample <= now,
             };
-            if !due && !beats {
+            if !due && !heartbeat_due {
                 continue;
             }
-            let standing = leaves(tree, &sub.terms.patterns);
-            let changes = between(&sub.told, &standing);
-            let whole = match sub.terms.mode {
-                Mode::Sample { suppress, .. } => beats || !suppress,
-                Mode::OnChange => beats,
+            let current = leaves(tree, &state.subscription.patterns);
+            let changes = difference(&state.sent, &current);
+            let complete = match state.subscription.mode {
+                SubscriptionMode::Sample { suppress_redundant, .. } => heartbeat_due || !suppress_redundant,
+                SubscriptionMode::OnChange => heartbeat_due,
             };
-            if let Mode::Sample { every, .. } = sub.terms.mode {
-                sub.next = later(sub.next, every, now);
+            if let SubscriptionMode::Sample { sample_interval, .. } = state.subscription.mode {
+                state.next_sample = next_after(state.next_sample, sample_interval, now);
             }
-            if let Some(span) = sub.terms.heartbeat.filter(|_| beats) {
-                sub.beat = later(sub.beat, span, now);
+            if let Some(span) = state.subscription.heartbeat_interval.filter(|_| heartbeat_due) {
+                state.next_heartbeat = next_after(state.next_heartbeat, span, now);
             }
-            let batch = Batch {
-                updates: match whole {
-                    true => standing.iter().map(|(place, value)| (place.clone(), value.clone())).collect(),
+            let notification = Notification {
+                updates: match complete {
+                    true => current.iter().map(|(place, value)| (place.clone(), value.clone())).collect(),
                     false => changes.updates,
                 },
                 deletes: changes.deletes,
             };
-            if room > 0 && batch.len() <= room {
-                room -= batch.len();
-                sub.missed = None;
-                sub.told = standing;
-                if !batch.is_empty() {
-                    batches.push(batch);
+            if room > 0 && notification.len() <= room {
+                room -= notification.len();
+                state.missed = None;
+                state.sent = current;
+                if !notification.is_empty() {
+                    notifications.push(notification);
                 }
                 continue;
             }
-            self.lost += match sub.terms.mode {
-                Mode::Sample { .. } => batch.len() as u64,
+            self.lost += match state.subscription.mode {
+                SubscriptionMode::Sample { .. } => notification.len() as u64,
                 // Only what has changed since it was last looked at.
-                Mode::OnChange => between(sub.missed.as_ref().unwrap_or(&sub.told), &standing).len() as u64,
+                SubscriptionMode::OnChange => {
+                    difference(state.missed.as_ref().unwrap_or(&state.sent), &current).len() as u64
+                }
             };
-            if sub.terms.mode == Mode::OnChange {
-                sub.missed = Some(standing).filter(|standing| *standing != sub.told);
+            if state.subscription.mode == SubscriptionMode::OnChange {
+                state.missed = Some(current).filter(|current| *current != state.sent);
             }
         }
-        batches
+        notifications
     }
 }
 
 /// The next date of a period that lies ahead: what was missed is not made up for.
-fn later(date: Duration, period: Duration, now: Duration) -> Duration {
+fn next_after(date: Duration, period: Duration, now: Duration) -> Duration {
     let period = period.max(Duration::from_millis(1));
     let next = date + period;
     if next > now { next } else { now + period }
--- a/crates/core/watch/tests/watch.rs
+++ b/crates/core/watch/tests/watch.rs
@@ -1,7 +1,7 @@
-//! A subscriber that follows what it is told ends with what stands, whatever it lost on the way.
+//! A subscriber that applies all notifications ends with the tree as it is, whatever it lost in between.
 
 use lemonusher_model::{Node, Op, Pattern, Schema, Tree, parse_path};
-use lemonusher_watch::{Batch, Leaves, Mode, Terms, Watch, leaves};
+use lemonusher_watch::{Leaves, Notification, Subscription, SubscriptionMode, Watch, leaves};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -26,49 +26,49 @@
     tree.apply(schema, op, &place, value.as_ref()).unwrap();
 }
 
-fn follow(mirror: &mut Leaves, batch: Batch) {
-    for place in batch.deletes {
+fn apply(mirror: &mut Leaves, notification: Notification) {
+    for place in notification.deletes {
         assert!(mirror.remove(&place).is_some());
     }
-    mirror.extend(batch.updates);
+    mirror.extend(notification.updates);
 }
 
 proptest! {
     #[test]
-    fn who_follows_ends_with_what_stands(
+    fn mirror_of_all_notifications_equals_the_tree(
         steps in prop::collection::vec((0..3u8, 0..3u8, prop::bool::weighted(0.3), any::<bool>(), 0..300u64), 1..40),
-        suppress in any::<bool>(),
+        suppress_redundant in any::<bool>(),
     ) {
         let schema = Schema::front().unwrap();
         let all = patterns(&schema, "/front/pool");
-        for mode in [Mode::OnChange, Mode::Sample { every: ms(100), suppress }] {
+        for mode in [SubscriptionMode::OnChange, SubscriptionMode::Sample { sample_interval: ms(100), suppress_redundant }] {
             let mut now = ms(0);
-            let terms = Terms { patterns: all.clone(), mode, heartbeat: None };
-            let mut watch = Watch::new(vec![terms], now);
+            let subscription = Subscription { patterns: all.clone(), mode, heartbeat_interval: None };
+            let mut watch = Watch::new(vec![subscription], now);
             let (mut tree, mut mirror) = (Tree::default(), Leaves::new());
-            follow(&mut mirror, watch.first(&tree, false));
+            apply(&mut mirror, watch.initial(&tree, false));
             let mut starved = false;
             for (pool, cell, remove, room, wait) in &steps {
                 let before = tree.clone();
                 change(&schema, &mut tree, *pool, *cell, *remove);
                 now += ms(*wait);
-                let lost = watch.lost();
-                for batch in watch.round(now, &tree, if *room { usize::MAX } else { 0 }) {
-                    follow(&mut mirror, batch);
+                let lost = watch.lost_updates();
+                for notification in watch.poll(now, &tree, if *room { usize::MAX } else { 0 }) {
+                    apply(&mut mirror, notification);
                 }
-                if mode == Mode::OnChange {
+                if mode == SubscriptionMode::OnChange {
                     if *room {
                         prop_assert_eq!(&mirror, &leaves(&tree, &all));
-                        prop_assert!(!watch.behind());
+                        prop_assert!(!watch.has_backlog());
                     } else if before != tree && !starved {
-                        prop_assert!(watch.lost() > lost);
+                        prop_assert!(watch.lost_updates() > lost);
                     }
                     starved = !room;
                 }
-                prop_assert!(!room || watch.lost() == lost);
+                prop_assert!(!room || watch.lost_updates() == lost);
             }
-            for batch in watch.round(now + ms(500), &tree, usize::MAX) {
-                follow(&mut mirror, batch);
+            for notification in watch.poll(now + ms(500), &tree, usize::MAX) {
+                apply(&mut mirror, notification);
             }
             prop_assert_eq!(&mirror, &leaves(&tree, &all));
         }
@@ -76,72 +76,86 @@
 }
 
 #[test]
-fn samples_keep_their_period_and_heartbeats_theirs() {
+fn samples_and_heartbeats_keep_their_intervals() {
     let schema = Schema::front().unwrap();
     let mut tree = Tree::default();
     change(&schema, &mut tree, 0, 1, false);
-    let terms = |mode, heartbeat| Terms { patterns: patterns(&schema, "/front/pool"), mode, heartbeat };
-    let sample = |suppress| Mode::Sample { every: ms(100), suppress };
+    let subscription = |mode, heartbeat_interval| Subscription {
+        patterns: patterns(&schema, "/front/pool"),
+        mode,
+        heartbeat_interval,
+    };
+    let sample =
+        |suppress_redundant| SubscriptionMode::Sample { sample_interval: ms(100), suppress_redundant };
     // (mode, heartbeat, updates in ten seconds of rounds at each 10 ms; name and cell make two)
-    for (mode, beat, wanted) in [
+    for (mode, heartbeat, expected) in [
         (sample(false), None, 200),
         (sample(true), None, 0),
         (sample(true), Some(ms(1000)), 20),
-        (Mode::OnChange, None, 0),
-        (Mode::OnChange, Some(ms(2500)), 8),
+        (SubscriptionMode::OnChange, None, 0),
+        (SubscriptionMode::OnChange, Some(ms(2500)), 8),
     ] {
-        let mut watch = Watch::new(vec![terms(mode, beat)], ms(0));
-        assert_eq!(watch.first(&tree, false).updates.len(), 2);
-        let mut told = 0;
-        for turn in 1..=1000 {
-            for batch in watch.round(ms(turn * 10), &tree, usize::MAX) {
-                told += batch.updates.len();
+        let mut watch = Watch::new(vec![subscription(mode, heartbeat)], ms(0));
+        assert_eq!(watch.initial(&tree, false).updates.len(), 2);
+        let mut updates = 0;
+        for step in 1..=1000 {
+            for notification in watch.poll(ms(step * 10), &tree, usize::MAX) {
+                updates += notification.updates.len();
             }
         }
-        assert_eq!(told, wanted, "{mode:?} {beat:?}");
-        assert_eq!(watch.due_at().is_some(), mode != Mode::OnChange || beat.is_some());
+        assert_eq!(updates, expected, "{mode:?} {heartbeat:?}");
+        assert_eq!(watch.next_timeout().is_some(), mode != SubscriptionMode::OnChange || heartbeat.is_some());
     }
 }
 
 #[test]
-fn periods_that_were_missed_are_not_made_up_for() {
+fn missed_sample_intervals_are_skipped() {
     let schema = Schema::front().unwrap();
     let mut tree = Tree::default();
     change(&schema, &mut tree, 0, 1, false);
-    let mode = Mode::Sample { every: ms(100), suppress: false };
-    let mut watch =
-        Watch::new(vec![Terms { patterns: patterns(&schema, "/front/pool"), mode, heartbeat: None }], ms(0));
-    assert_eq!(watch.round(ms(5000), &tree, usize::MAX).len(), 1);
-    assert!(watch.round(ms(5050), &tree, usize::MAX).is_empty());
-    assert_eq!(watch.due_at(), Some(ms(5100)));
+    let mode = SubscriptionMode::Sample { sample_interval: ms(100), suppress_redundant: false };
+    let mut watch = Watch::new(
+        vec![Subscription { patterns: patterns(&schema, "/front/pool"), mode, heartbeat_interval: None }],
+        ms(0),
+    );
+    assert_eq!(watch.poll(ms(5000), &tree, usize::MAX).len(), 1);
+    assert!(watch.poll(ms(5050), &tree, usize::MAX).is_empty());
+    assert_eq!(watch.next_timeout(), Some(ms(5100)));
 }
 
 #[test]
-fn overlapping_subscriptions_tell_the_first_state_once() {
+fn overlapping_subscriptions_send_the_initial_state_once() {
     let schema = Schema::front().unwrap();
     let mut tree = Tree::default();
     change(&schema, &mut tree, 0, 1, false);
-    let terms =
-        |path: &str| Terms { patterns: patterns(&schema, path), mode: Mode::OnChange, heartbeat: None };
-    let mut watch = Watch::new(vec![terms("/front"), terms("/front/pool/cell")], ms(0));
-    assert_eq!(watch.first(&tree, false).updates.len(), 2);
-    let mut watch = Watch::new(vec![terms("/front")], ms(0));
-    assert!(watch.first(&tree, true).is_empty());
-    assert!(watch.round(ms(1), &tree, usize::MAX).is_empty());
+    let subscription = |path: &str| Subscription {
+        patterns: patterns(&schema, path),
+        mode: SubscriptionMode::OnChange,
+        heartbeat_interval: None,
+    };
+    let mut watch = Watch::new(vec![subscription("/front"), subscription("/front/pool/cell")], ms(0));
+    assert_eq!(watch.initial(&tree, false).updates.len(), 2);
+    let mut watch = Watch::new(vec![subscription("/front")], ms(0));
+    assert!(watch.initial(&tree, true).is_empty());
+    assert!(watch.poll(ms(1), &tree, usize::MAX).is_empty());
 }
 
 #[test]
-fn what_finds_no_room_as_a_whole_is_not_told_in_part() {
+fn notification_that_exceeds_the_room_is_not_sent_in_part() {
     let schema = Schema::front().unwrap();
     let mut tree = Tree::default();
-    let terms = Terms { patterns: patterns(&schema, "/front/pool"), mode: Mode::OnChange, heartbeat: None };
-    let mut watch = Watch::new(vec![terms], ms(0));
-    watch.first(&tree, false);
+    let subscription = Subscription {
+        patterns: patterns(&schema, "/front/pool"),
+        mode: SubscriptionMode::OnChange,
+        heartbeat_interval: None,
+    };
+    let mut watch = Watch::new(vec![subscription], ms(0));
+    watch.initial(&tree, false);
     (0..3).for_each(|cell| change(&schema, &mut tree, 0, cell, false));
     (0..3).for_each(|pool| change(&schema, &mut tree, pool, 1, false));
-    assert!(watch.round(ms(1), &tree, 3).is_empty() && watch.behind());
-    assert_eq!(watch.lost(), 6);
-    let batches = watch.round(ms(2), &tree, 6);
-    assert!(batches.len() == 1 && batches[0].updates.len() == 6 && !watch.behind());
-    assert_eq!(watch.lost(), 6);
+    assert!(watch.poll(ms(1), &tree, 3).is_empty() && watch.has_backlog());
+    assert_eq!(watch.lost_updates(), 6);
+    let notifications = watch.poll(ms(2), &tree, 6);
+    assert!(notifications.len() == 1 && notifications[0].updates.len() == 6 && !watch.has_backlog());
+    assert_eq!(watch.lost_updates(), 6);
 }
--- a/crates/edges/managed/src/gnmi/subscribe.rs
+++ b/crates/edges/managed/src/gnmi/subscribe.rs
@@ -13,7 +13,7 @@
 use crate::users::Grant;
 use lemonusher_model::{Pattern, Schema};
 use lemonusher_store::{Protocol, SessionId};
-use lemonusher_watch::{Batch, Mode, Terms, Watch};
+use lemonusher_watch::{self as watch, Watch};
 use std::pin::Pin;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -123,7 +123,11 @@
     Ok(Box::pin(ReceiverStream::new(answers)))
 }
 
-fn terms_of(schema: &Schema, asked: &Subscription, patterns: Vec<Pattern>) -> Result<Terms, Status> {
+fn terms_of(
+    schema: &Schema,
+    asked: &Subscription,
+    patterns: Vec<Pattern>,
+) -> Result<watch::Subscription, Status> {
     let span = |ns: u64| Duration::from_nanos(ns);
     let every = match span(asked.sample_interval) {
         Duration::ZERO => USUAL,
@@ -132,14 +136,17 @@
         }
         every => every,
     };
-    let sample = Mode::Sample { every, suppress: asked.suppress_redundant };
+    let sample = watch::SubscriptionMode::Sample {
+        sample_interval: every,
+        suppress_redundant: asked.suppress_redundant,
+    };
     let mode = match SubscriptionMode::try_from(asked.mode) {
-        Ok(SubscriptionMode::OnChange) => Mode::OnChange,
+        Ok(SubscriptionMode::OnChange) => watch::SubscriptionMode::OnChange,
         Ok(SubscriptionMode::Sample) => sample,
         // What changes by commits or notices is told as it changes, what drifts by samples.
         Ok(SubscriptionMode::TargetDefined) => match Needs::of(schema, &patterns).drifts() {
             true => sample,
-            false => Mode::OnChange,
+            false => watch::SubscriptionMode::OnChange,
         },
         Err(_) => return Err(Status::invalid_argument("the subscription's mode is not known")),
     };
@@ -150,7 +157,7 @@
         }
         span => Some(span),
     };
-    Ok(Terms { patterns, mode, heartbeat })
+    Ok(watch::Subscription { patterns, mode, heartbeat_interval: heartbeat })
 }
 
 impl Subscriber {
@@ -158,9 +165,9 @@
         self.hub.view(self.config, self.needs).await
     }
 
-    fn messages(&self, batch: Batch) -> Vec<SubscribeResponse> {
+    fn messages(&self, notification: watch::Notification) -> Vec<SubscribeResponse> {
         let timestamp = unix_ns();
-        let update = |(place, value): &(lemonusher_model::Place, lemonusher_watch::Value)| Update {
+        let update = |(place, value): &(lemonusher_model::Place, watch::Value)| Update {
             val: place.last().map(|last| typed(&self.schema, last.node, value, self.encoding)),
             path: Some(from_place(&self.schema, place)),
             duplicates: 0,
@@ -174,17 +181,19 @@
             })),
             extension: Vec::new(),
         };
-        let deletes = batch.deletes.chunks(CHUNK).map(|part| {
+        let deletes = notification.deletes.chunks(CHUNK).map(|part| {
             notify(Vec::new(), part.iter().map(|place| from_place(&self.schema, place)).collect())
         });
-        let updates =
-            batch.updates.chunks(CHUNK).map(|part| notify(part.iter().map(update).collect(), Vec::new()));
+        let updates = notification
+            .updates
+            .chunks(CHUNK)
+            .map(|part| notify(part.iter().map(update).collect(), Vec::new()));
         deletes.chain(updates).collect()
     }
 
     /// Hands messages over, waiting for room: only for what the subscriber itself waits for.
-    async fn give(&self, batch: Batch) -> bool {
-        for message in self.messages(batch) {
+    async fn give(&self, notification: watch::Notification) -> bool {
+        for message in self.messages(notification) {
             if self.line.send(Ok(message)).await.is_err() {
                 return false;
             }
@@ -199,8 +208,8 @@
 
     async fn once(mut self) {
         let tree = self.tree().await;
-        let batch = self.watch.first(&tree, false);
-        if self.give(batch).await {
+        let notification = self.watch.initial(&tree, false);
+        if self.give(notification).await {
             self.synced().await;
         }
     }
@@ -209,9 +218,9 @@
         let mut only = updates_only;
         loop {
             let tree = self.tree().await;
-            let batch = self.watch.first(&tree, only);
+            let notification = self.watch.initial(&tree, only);
             only = false;
-            if !self.give(batch).await || !self.synced().await {
+            if !self.give(notification).await || !self.synced().await {
                 return;
             }
             match requests.message().await {
@@ -228,24 +237,24 @@
     async fn stream(mut self, mut requests: Streaming<SubscribeRequest>, updates_only: bool) {
         let mut happened = self.hub.happenings();
         let tree = self.tree().await;
-        let batch = self.watch.first(&tree, updates_only);
-        if !self.give(batch).await || !self.synced().await {
+        let notification = self.watch.initial(&tree, updates_only);
+        if !self.give(notification).await || !self.synced().await {
             return;
         }
-        let drifts = self.watch.on_change() && self.needs.drifts();
+        let drifts = self.watch.has_on_change() && self.needs.drifts();
         loop {
             let now = self.hub.now();
-            let mut due = self.watch.due_at();
+            let mut due = self.watch.next_timeout();
             if drifts {
                 due = Some(due.unwrap_or(Duration::MAX).min(now + COMPARE));
             }
-            if self.watch.behind() || self.watch.lost() > self.told_lost {
+            if self.watch.has_backlog() || self.watch.lost_updates() > self.told_lost {
                 due = Some(due.unwrap_or(Duration::MAX).min(now + AGAIN));
             }
             let wait = due.map_or(Duration::from_secs(3600), |due| due.saturating_sub(now));
             tokio::select! {
                 () = tokio::time::sleep(wait) => {}
-                heard = happened.recv(), if self.watch.on_change() => match heard {
+                heard = happened.recv(), if self.watch.has_on_change() => match heard {
                     Ok(_) | Err(RecvError::Lagged(_)) => {}
                     Err(RecvError::Closed) => return,
                 },
@@ -284,12 +293,12 @@
             LINE => usize::MAX,
             free => free.saturating_sub(4) * CHUNK,
         };
-        for batch in self.watch.round(self.hub.now(), tree, room) {
-            if !self.give(batch).await {
+        for notification in self.watch.poll(self.hub.now(), tree, room) {
+            if !self.give(notification).await {
                 return false;
             }
         }
-        let lost = self.watch.lost();
+        let lost = self.watch.lost_updates();
         if lost > self.told_lost {
             self.hub.lost(self.seat.session, lost);
             if room > 0 && self.tell_lost(lost) {
@@ -305,8 +314,8 @@
         let path = format!("/front/state/session[id={}]/lost-updates", self.seat.session);
         let place = lemonusher_model::parse_path(&path).and_then(|steps| self.schema.place(&steps));
         let Ok(place) = place else { return true };
-        let value = lemonusher_watch::Value::Leaf(lost.to_string().into());
-        let batch = Batch { updates: vec![(place, value)], deletes: Vec::new() };
-        self.messages(batch).into_iter().all(|message| self.line.try_send(Ok(message)).is_ok())
+        let value = watch::Value::Leaf(lost.to_string().into());
+        let notification = watch::Notification { updates: vec![(place, value)], deletes: Vec::new() };
+        self.messages(notification).into_iter().all(|message| self.line.try_send(Ok(message)).is_ok())
     }
 }
--- a/crates/edges/managed/src/gnmi/values.rs
+++ b/crates/edges/managed/src/gnmi/values.rs
@@ -7,12 +7,12 @@
 pub fn typed(schema: &Schema, id: NodeId, value: &Value, encoding: Encoding) -> TypedValue {
     let value = match (encoding, value) {
         (Encoding::Proto, Value::Leaf(text)) => scalar(schema, id, text),
-        (Encoding::Proto, Value::Members(members)) => {
+        (Encoding::Proto, Value::LeafList(members)) => {
             let element = |text| TypedValue { value: Some(scalar(schema, id, text)) };
             Typed::LeaflistVal(ScalarArray { element: members.iter().map(|text| element(text)).collect() })
         }
         (_, Value::Leaf(text)) => json(encoding, &leaf_to_json(schema, Some(id), text)),
-        (_, Value::Members(members)) => {
+        (_, Value::LeafList(members)) => {
             json(encoding, &members.iter().map(|text| leaf_to_json(schema, Some(id), text)).collect())
         }
     };
