--- /dev/null
+++ b/crates/core/watch/src/leaves.rs
@@ -0,0 +1,62 @@
+//! The leaves of a tree that a set of patterns selects.
+
+use lemonusher_model::{Found, Node, NodeId, Pattern, Place, Seg, Text, Tree};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+/// A leaf's value, or all members of a leaf-list.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum Value {
+    /// The value of a leaf.
+    Leaf(Text),
+    /// All members of a leaf-list.
+    LeafList(Arc<BTreeSet<Text>>),
+}
+
+/// Leaves by their places.
+pub type Leaves = BTreeMap<Place, Value>;
+
+/// All leaves at or below the places that the patterns select.
+pub fn leaves(tree: &Tree, patterns: &[Pattern]) -> Leaves {
+    let mut found = Leaves::new();
+    for pattern in patterns {
+        tree.select(pattern, &mut |place, at| collect(place.to_vec(), at, &mut found));
+    }
+    found
+}
+
+fn collect(mut place: Place, at: Found<'_>, found: &mut Leaves) {
+    match at {
+        Found::Leaf(value) => drop(found.insert(place, Value::Leaf(value.clone()))),
+        Found::LeafList(values) => drop(found.insert(place, Value::LeafList(values.clone()))),
+        Found::Fields(fields) => collect_fields(fields, &mut place, found),
+        Found::List(entries) => {
+            entries.iter().for_each(|(keys, entry)| collect_entry(keys, entry, &mut place, found));
+        }
+    }
+}
+
+fn collect_fields(fields: &BTreeMap<NodeId, Node>, place: &mut Place, found: &mut Leaves) {
+    for (id, node) in fields {
+        place.push(Seg { node: *id, keys: None });
+        match node {
+            Node::Leaf(value) => drop(found.insert(place.clone(), Value::Leaf(value.clone()))),
+            Node::LeafList(values) => drop(found.insert(place.clone(), Value::LeafList(values.clone()))),
+            Node::Container(inner) => collect_fields(inner, place, found),
+            Node::List(entries) => {
+                entries.iter().for_each(|(keys, entry)| collect_entry(keys, entry, place, found));
+            }
+        }
+        place.pop();
+    }
+}
+
+/// Collects an entry of the list at whose place `place` ends.
+fn collect_entry(keys: &[Text], entry: &BTreeMap<NodeId, Node>, place: &mut Place, found: &mut Leaves) {
+    let Some(last) = place.last_mut() else { return };
+    last.keys = Some(keys.to_vec());
+    collect_fields(entry, place, found);
+    if let Some(last) = place.last_mut() {
+        last.keys = None;
+    }
+}
--- /dev/null
+++ b/crates/core/watch/src/watch.rs
@@ -0,0 +1,160 @@
+//! All subscriptions of one subscriber, by the rule at the top of this package.
+
+use crate::{Leaves, Notification, Subscription, SubscriptionMode, Update, leaves};
+use lemonusher_model::Tree;
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+/// The shortest interval that the next date is computed with.
+const MIN_INTERVAL: Duration = Duration::from_millis(1);
+
+/// All subscriptions of one subscriber.
+#[derive(Debug)]
+pub struct Watch {
+    subscriptions: Vec<SubscriptionState>,
+    lost_updates: u64,
+}
+
+#[derive(Debug)]
+struct SubscriptionState {
+    subscription: Subscription,
+    /// The state that the subscriber has been sent.
+    sent: Leaves,
+    /// The state when there was last no room; what leads there from `sent` has been counted as lost.
+    missed: Option<Leaves>,
+    next_sample: Duration,
+    next_heartbeat: Duration,
+}
+
+impl Watch {
+    /// Subscriptions that have been sent nothing yet.
+    pub fn new(subscriptions: Vec<Subscription>, now: Duration) -> Watch {
+        let states = subscriptions.into_iter().map(|subscription| SubscriptionState::new(subscription, now));
+        Watch { subscriptions: states.collect(), lost_updates: 0 }
+    }
+
+    /// The whole state. With `updates_only` it is not sent but taken as known.
+    pub fn initial(&mut self, tree: &Tree, updates_only: bool) -> Notification {
+        let mut notification = Notification::default();
+        let mut included = BTreeSet::new();
+        for state in &mut self.subscriptions {
+            state.sent = leaves(tree, &state.subscription.patterns);
+            for (place, value) in &state.sent {
+                // Where subscriptions overlap, the initial state is sent once.
+                if !updates_only && included.insert(place.clone()) {
+                    notification.updates.push(Update::of((place, value)));
+                }
+            }
+        }
+        notification
+    }
+
+    /// When something is due by time alone.
+    pub fn next_timeout(&self) -> Option<Duration> {
+        let earliest = self.subscriptions.iter().map(SubscriptionState::next_timeout).min();
+        earliest.filter(|due| *due < Duration::MAX)
+    }
+
+    /// Whether any subscription is to be sent changes as they are seen.
+    pub fn has_on_change(&self) -> bool {
+        self.subscriptions.iter().any(|state| state.subscription.mode == SubscriptionMode::OnChange)
+    }
+
+    /// Whether any change is waiting for room.
+    pub fn has_backlog(&self) -> bool {
+        self.subscriptions.iter().any(|state| state.missed.is_some())
+    }
+
+    /// Updates and deletes that the subscriber has lost so far.
+    pub fn lost_updates(&self) -> u64 {
+        self.lost_updates
+    }
+
+    /// What is due now, by the tree as it is, for a subscriber with room for so many updates and deletes.
+    pub fn poll(&mut self, now: Duration, tree: &Tree, mut room: usize) -> Vec<Notification> {
+        let mut notifications = Vec::new();
+        for state in &mut self.subscriptions {
+            let Some((current, notification)) = state.poll(now, tree) else { continue };
+            if room == 0 || notification.len() > room {
+                self.lost_updates += state.lose(current, &notification);
+                continue;
+            }
+            room -= notification.len();
+            state.missed = None;
+            state.sent = current;
+            if !notification.is_empty() {
+                notifications.push(notification);
+            }
+        }
+        notifications
+    }
+}
+
+impl SubscriptionState {
+    fn new(subscription: Subscription, now: Duration) -> SubscriptionState {
+        let sample_interval = match subscription.mode {
+            SubscriptionMode::Sample { sample_interval, .. } => sample_interval,
+            SubscriptionMode::OnChange => Duration::ZERO,
+        };
+        let next_heartbeat = subscription.heartbeat_interval.map_or(Duration::MAX, |interval| now + interval);
+        let next_sample = now + sample_interval;
+        SubscriptionState { sent: Leaves::new(), missed: None, next_sample, next_heartbeat, subscription }
+    }
+
+    fn next_timeout(&self) -> Duration {
+        match self.subscription.mode {
+            SubscriptionMode::Sample { .. } => self.next_sample.min(self.next_heartbeat),
+            SubscriptionMode::OnChange => self.next_heartbeat,
+        }
+    }
+
+    /// The current state and what is due of it; none if nothing is due. Sets the next dates.
+    fn poll(&mut self, now: Duration, tree: &Tree) -> Option<(Leaves, Notification)> {
+        let heartbeat_due = self.next_heartbeat <= now;
+        let due = match self.subscription.mode {
+            SubscriptionMode::OnChange => true,
+            SubscriptionMode::Sample { .. } => self.next_sample <= now,
+        };
+        if !due && !heartbeat_due {
+            return None;
+        }
+        self.set_next_dates(now, heartbeat_due);
+        let current = leaves(tree, &self.subscription.patterns);
+        let mut notification = Notification::between(&self.sent, &current);
+        let everything = match self.subscription.mode {
+            SubscriptionMode::Sample { suppress_redundant, .. } => heartbeat_due || !suppress_redundant,
+            SubscriptionMode::OnChange => heartbeat_due,
+        };
+        if everything {
+            notification.updates = current.iter().map(Update::of).collect();
+        }
+        Some((current, notification))
+    }
+
+    fn set_next_dates(&mut self, now: Duration, heartbeat_due: bool) {
+        if let SubscriptionMode::Sample { sample_interval, .. } = self.subscription.mode {
+            self.next_sample = next_after(self.next_sample, sample_interval, now);
+        }
+        if let Some(interval) = self.subscription.heartbeat_interval.filter(|_| heartbeat_due) {
+            self.next_heartbeat = next_after(self.next_heartbeat, interval, now);
+        }
+    }
+
+    /// There is no room for a notification. Returns the updates and deletes that are newly lost.
+    fn lose(&mut self, current: Leaves, notification: &Notification) -> u64 {
+        if let SubscriptionMode::Sample { .. } = self.subscription.mode {
+            return notification.len() as u64;
+        }
+        let counted = self.missed.as_ref().unwrap_or(&self.sent);
+        let lost = Notification::between(counted, &current).len() as u64;
+        self.missed = Some(current).filter(|current| *current != self.sent);
+        lost
+    }
+}
+
+/// The next date of an interval that lies ahead of now.
+fn next_after(date: Duration, interval: Duration, now: Duration) -> Duration {
+    let interval = interval.max(MIN_INTERVAL);
+    let next = date + interval;
+    if next > now { next } else { now + interval }
+}
--- a/crates/core/watch/tests/watch.rs
+++ b/crates/core/watch/tests/watch.rs
@@ -30,7 +30,7 @@
     for place in notification.deletes {
         assert!(mirror.remove(&place).is_some());
     }
-    mirror.extend(notification.updates);
+    mirror.extend(notification.updates.into_iter().map(|update| (update.place, update.value)));
 }
 
 proptest! {
--- a/crates/edges/managed/src/gnmi/subscribe.rs
+++ b/crates/edges/managed/src/gnmi/subscribe.rs
@@ -167,7 +167,7 @@
 
     fn messages(&self, notification: watch::Notification) -> Vec<SubscribeResponse> {
         let timestamp = unix_ns();
-        let update = |(place, value): &(lemonusher_model::Place, watch::Value)| Update {
+        let update = |watch::Update { place, value }: &watch::Update| Update {
             val: place.last().map(|last| typed(&self.schema, last.node, value, self.encoding)),
             path: Some(from_place(&self.schema, place)),
             duplicates: 0,
@@ -315,7 +315,8 @@
         let place = lemonusher_model::parse_path(&path).and_then(|steps| self.schema.place(&steps));
         let Ok(place) = place else { return true };
         let value = watch::Value::Leaf(lost.to_string().into());
-        let notification = watch::Notification { updates: vec![(place, value)], deletes: Vec::new() };
+        let notification =
+            watch::Notification { updates: vec![watch::Update { place, value }], deletes: Vec::new() };
         self.messages(notification).into_iter().all(|message| self.line.try_send(Ok(message)).is_ok())
     }
 }
