--- a/crates/core/load-shedding/tests/load_shedding.rs
+++ b/crates/core/load-shedding/tests/load_shedding.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn all_are_admitted_while_no_capacity_is_missing_however_many_arrive() {
+fn everything_is_admitted_while_no_capacity_is_missing() {
     let mut front = Front::new();
     assert_eq!(front.shedding.admitted(), 1.0);
     front.pass(20, 640.0, 2);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn what_is_left_is_loaded_as_usual() {
+fn remaining_capacity_is_loaded_as_usual() {
     let mut front = Front::new();
     front.pass(20, 640.0, 2);
     front.pass(1, 320.0, 2);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn clients_that_come_again_are_not_admitted_in_addition() {
+fn retries_are_not_admitted_in_addition() {
     let mut front = Front::new();
     front.pass(20, 640.0, 2);
     front.pass(10, 320.0, 4);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn fewer_arrivals_than_usual_do_not_let_the_rest_be_loaded_more() {
+fn fewer_arrivals_do_not_raise_the_admitted_share() {
     let mut front = Front::new();
     front.pass(20, 640.0, 4);
     front.pass(5, 320.0, 1);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn capacity_that_is_back_lets_all_in_at_once() {
+fn everything_is_admitted_once_capacity_returns() {
     let mut front = Front::new();
     front.pass(20, 640.0, 2);
     front.pass(15, 256.0, 3);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn capacity_that_stays_away_becomes_the_usual() {
+fn lasting_loss_of_capacity_becomes_the_usual() {
     let mut front = Front::new();
     front.pass(20, 640.0, 2);
     front.pass(3_000, 320.0, 2);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn fronts_of_much_and_little_traffic_shed_alike() {
+fn shedding_does_not_depend_on_the_amount_of_traffic() {
     let admitted = |requests| {
         let mut front = Front::new();
         front.pass(20, 640.0, requests);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_clock_that_stands_or_goes_back_is_no_fault() {
+fn clock_that_stands_or_goes_back_is_accepted() {
     let mut front = Front::new();
     front.pass(10, 640.0, 2);
     let before = front.shedding.admitted();
--- a/crates/core/subset/src/lib.rs
+++ b/crates/core/subset/src/lib.rs
@@ -1,9 +1,9 @@
 //! Deterministic subsetting: which of many engines one front of many keeps to.
 //!
-//! Where hundreds of fronts spread their requests over all engines, each front meets one engine only once in many
-//! seconds. What it learns of that engine is stale before it comes by again, and while an engine stands still every
+//! Where hundreds of fronts spread their requests over all engines, each front sends to one engine only once in many
+//! seconds. What it learns of that engine is stale before it sends there again, and while an engine stands still every
 //! front loses requests to it one by one, and all of them together keep it full. A front that keeps to a small subset
-//! meets each of its engines about once a second: it learns at once, and few fronts have to.
+//! sends to each of its engines about once a second: it learns at once, and few fronts have to.
 //!
 //! The fronts do not talk about it. Each works its subset out from its own number, the number of fronts and the ids of
 //! the engines, so that every engine is in about as many subsets as every other one. Engines stand on several rings, on
@@ -13,23 +13,25 @@
 //!
 //! Nothing here does input or output, reads a clock or draws by chance.
 
+#![warn(missing_docs)]
+
 use std::num::NonZeroU32;
 
-/// Fronts that should share an engine at least: how much traffic fronts see differs several times over, and the sum of
-/// so many differs little from one engine to the next.
-const FRONTS_AN_ENGINE: usize = 32;
-/// Engines that a front keeps to at least, so that it has a choice, and another one to retry on.
-const LEAST_SIZE: usize = 8;
-/// A subset grows by its unhealthy members to at most so many times its size: where nearly all engines are unhealthy, the
-/// others can't bear the load of all fronts.
-const MOST_GROWTH: usize = 3;
+/// The fewest fronts that should share an engine: the traffic of fronts differs several times over, and the sum of so many
+/// differs little from one engine to the next.
+const MIN_FRONTS_PER_ENGINE: usize = 32;
+/// The fewest engines in a subset, so that there is a choice, and another one to retry on.
+const MIN_SIZE: usize = 8;
+/// How many times its size a subset may have with its unhealthy members: where nearly all engines are unhealthy, the others
+/// can't bear the load of all fronts.
+const MAX_GROWTH: usize = 3;
 /// Rings on which the engines stand in another order each.
 const RINGS: u32 = 16;
 
-/// A front's place among all fronts.
+/// A front's position among all fronts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Place {
-    /// The front's number, from 0 on; one past the last counts on from 0 again.
+    /// The front's number, from 0; taken modulo the number of fronts.
     pub number: u32,
     /// How many fronts there are.
     pub fronts: NonZeroU32,
@@ -76,8 +78,8 @@
 
 /// Healthy engines that a front of so many should keep to, out of so many engines. All of them where that is not fewer.
 pub fn size(engines: usize, fronts: NonZeroU32) -> usize {
-    let shared = (engines * FRONTS_AN_ENGINE).div_ceil(fronts.get() as usize);
-    shared.max(LEAST_SIZE).min(engines)
+    let shared = (engines * MIN_FRONTS_PER_ENGINE).div_ceil(fronts.get() as usize);
+    shared.max(MIN_SIZE).min(engines)
 }
 
 /// The subset of one front: `size` healthy engines, and the unhealthy ones that stand between them.
@@ -92,7 +94,7 @@
     let first = first_position(number, place.fronts.get(), order.len());
     let (mut engines, mut healthy) = (Vec::new(), 0);
     for (_, member) in order[first..].iter().chain(&order[..first]) {
-        if healthy >= size || engines.len() >= size * MOST_GROWTH {
+        if healthy >= size || engines.len() >= size * MAX_GROWTH {
             break;
         }
         healthy += usize::from(member.healthy);
--- a/crates/core/subset/tests/subset.rs
+++ b/crates/core/subset/tests/subset.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn every_engine_is_in_about_as_many_subsets_as_every_other() {
+fn engines_are_in_equally_many_subsets() {
     for (fleet, count) in FLEETS {
         let engines = engines(count);
         let subsets = subsets(fleet, &engines, &[]);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn an_engine_is_shared_by_fronts_enough_that_uneven_fronts_do_not_show() {
+fn engine_is_shared_by_at_least_the_minimum_of_fronts() {
     for (fleet, count) in FLEETS {
         let size = size(count, fronts(fleet));
         assert!(
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn the_load_of_engines_that_fail_is_spread_over_many_others() {
+fn load_of_failed_engines_is_spread_over_many_others() {
     let engines = engines(80);
     let before = shares(&engines, &subsets(300, &engines, &[]));
     let failed = &engines[..20];
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_failed_engine_stays_in_the_subset_and_one_more_is_taken() {
+fn failed_engine_stays_in_the_subset_and_one_more_is_added() {
     let engines = engines(80);
     let before = subsets(300, &engines, &[]);
     let failed = *engines.iter().find(|engine| before[7].contains(**engine)).unwrap();
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn what_a_front_finds_healthy_of_its_subset_tells_how_many_of_all_are() {
+fn healthy_share_of_a_subset_estimates_that_of_all_engines() {
     let engines = engines(80);
     let shares = |failed: &[u32]| -> Vec<f64> {
         let healthy = |engine: u32| !failed.contains(&engine);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_subset_stays_small_when_nearly_all_engines_fail() {
+fn subset_stays_small_when_nearly_all_engines_fail() {
     let engines = engines(80);
     for subset in subsets(300, &engines, &engines) {
         assert_eq!(subset.len(), 3 * size(80, fronts(300)));
@@ -114,27 +114,27 @@
 }
 
 #[test]
-fn the_order_in_which_engines_are_told_of_does_not_matter() {
+fn subset_does_not_depend_on_the_order_of_the_engines() {
     let (forward, mut backward) = (engines(80), engines(80));
     backward.reverse();
     assert_eq!(subsets(300, &forward, &[]), subsets(300, &backward, &[]));
 }
 
 #[test]
-fn a_replaced_engine_changes_the_subsets_of_few_fronts() {
+fn replaced_engine_changes_few_subsets() {
     let engines = engines(80);
     let mut replaced = engines.clone();
     replaced[3] = 77;
     let (before, after) = (subsets(300, &engines, &[]), subsets(300, &replaced, &[]));
-    let kept =
+    let unchanged =
         |n: usize| engines.iter().filter(|e| before[n].contains(**e) && after[n].contains(**e)).count();
-    let mean = (0..300).map(|n| kept(n) as f64 / before[n].len() as f64).sum::<f64>() / 300.0;
+    let mean = (0..300).map(|n| unchanged(n) as f64 / before[n].len() as f64).sum::<f64>() / 300.0;
     println!("one engine of 80 replaced: {:.3} of a subset stays", mean);
     assert!(mean > 0.85, "{mean}");
 }
 
 #[test]
-fn no_engine_or_a_number_past_the_last_front_is_no_fault() {
+fn no_engines_and_a_number_past_the_last_front_are_accepted() {
     let place = |number| Place { number, fronts: fronts(300) };
     assert!(subset(place(5), std::iter::empty(), 8).is_empty());
     let member = || engines(20).into_iter().map(|engine| Member { engine, healthy: true });
