--- a/crates/core/consult/tests/consult.rs
+++ b/crates/core/external-call/tests/consult.rs
@@ -2,7 +2,7 @@
 //! one answer, every dispatch one outcome.
 
 use lemonusher::{AttemptOutcome, Idempotency, RequestId};
-use lemonusher_consult::{Asked, Consult, Do, Terms, Verdict};
+use lemonusher_external_call::{Asked, Consult, Do, Terms, Verdict};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/core/consult/tests/same_verdicts.rs
+++ b/crates/core/external-call/tests/same_verdicts.rs
@@ -2,7 +2,7 @@
 //! verdicts one for one: in virtual time, over seeds, with failures of all kinds.
 
 use lemonusher::*;
-use lemonusher_consult::{Asked, Consult, Do, Terms, Verdict};
+use lemonusher_external_call::{Asked, Consult, Do, Terms, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/crates/edges/cli/src/main.rs
+++ b/crates/edges/cli/src/main.rs
@@ -282,7 +282,7 @@
 fn processor_of(
     held: &file::Processor,
     names: &lemonusher_front::Names,
-) -> Result<(lemonusher_processor::Terms, lemonusher_consult::Terms, bool, Duration), Failure> {
+) -> Result<(lemonusher_processor::Terms, lemonusher_external_call::Terms, bool, Duration), Failure> {
     let ms = |ms: u64| Duration::from_millis(ms);
     let longest = names.terms.iter().map(|terms| terms.deadline).max().unwrap_or_default();
     let key = match &held.key_file {
@@ -290,9 +290,9 @@
             let path = path.get_ref();
             let bytes = std::fs::read(path)
                 .map_err(|error| Failure::File(vec![format!("{}: {error}", path.display())]))?;
-            lemonusher_consult::Key::new(bytes.trim_ascii())
+            lemonusher_external_call::Key::new(bytes.trim_ascii())
         }
-        None => lemonusher_consult::Key::new(&rand::random::<[u8; 32]>()),
+        None => lemonusher_external_call::Key::new(&rand::random::<[u8; 32]>()),
     };
     let groups = names.service_groups.iter().zip(&names.terms).map(|(name, terms)| {
         let most_patience = terms.deadline * 2;
@@ -307,7 +307,7 @@
         streams: *held.streams.get_ref(),
         statement: held.statement.then_some(lemonusher_front::table_group),
     };
-    let consult = lemonusher_consult::Terms {
+    let consult = lemonusher_external_call::Terms {
         message_timeout: ms(*held.message_timeout_ms.get_ref()),
         fails_open: held.fails == file::Fails::Open,
         more_time: ms(held.more_time_ms),
--- a/crates/edges/cli/tests/proof_processor.rs
+++ b/crates/edges/cli/tests/proof_processor.rs
@@ -8,7 +8,7 @@
 mod proxies;
 
 // One for one, in virtual time: the claim that verdicts are those of the gateway alone.
-#[path = "../../../core/consult/tests/same_verdicts.rs"]
+#[path = "../../../core/external-call/tests/same_verdicts.rs"]
 mod same_verdicts;
 
 use envoy_types::pb::envoy::config::core::v3::HeaderValue;
--- a/crates/edges/front/src/program/consulted.rs
+++ b/crates/edges/front/src/program/consulted.rs
@@ -1,12 +1,12 @@
 //! Proxies that attempt by themselves, in the place of clients and of connections to engines: what they tell goes
-//! into the owner's queue, what the owner wants goes to them. The life of a call is `lemonusher-consult`'s.
+//! into the owner's queue, what the owner wants goes to them. The life of a call is `lemonusher-external-call`'s.
 
 use super::shared::Shared;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::FutureExt;
 use lemonusher::{EndpointUpdateKind, EngineId, EngineState, RequestId};
-use lemonusher_consult::{Asked, Consult, Do, StreamId, Terms, Verdict};
+use lemonusher_external_call::{Asked, Consult, Do, StreamId, Terms, Verdict};
 use lemonusher_processor::{FromProxy, Told};
 use lemonusher_routing::{Endpoint, EngineCommand, IncomingRequest, Response, ResponseSink, RouterEvent};
 use std::cell::RefCell;
--- a/crates/edges/processor/src/door.rs
+++ b/crates/edges/processor/src/door.rs
@@ -13,7 +13,7 @@
 };
 use envoy_types::pb::envoy::r#type::v3::HttpStatus;
 use lemonusher::RequestId;
-use lemonusher_consult::{Key, StreamId, Ticket, Verdict};
+use lemonusher_external_call::{Key, StreamId, Ticket, Verdict};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::pin::Pin;
--- a/crates/edges/processor/src/lib.rs
+++ b/crates/edges/processor/src/lib.rs
@@ -1,5 +1,5 @@
 //! The external processor's door: Envoy's `ext_proc` v3 over gRPC. Streams and headers are translated here; what a
-//! call may do is `lemonusher-consult`'s to say, and which engine it goes to the decision module's. The door runs on a
+//! call may do is `lemonusher-external-call`'s to say, and which engine it goes to the decision module's. The door runs on a
 //! thread of its own and reaches the front by one bounded queue; each stream hears back by a bounded line of its own.
 
 mod door;
@@ -9,7 +9,7 @@
 pub use names::{Fault, Group, Names, outcome_of};
 
 use lemonusher::AttemptOutcome;
-use lemonusher_consult::{Asked, StreamId, Verdict};
+use lemonusher_external_call::{Asked, StreamId, Verdict};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
--- a/crates/edges/processor/src/names.rs
+++ b/crates/edges/processor/src/names.rs
@@ -2,7 +2,7 @@
 
 use envoy_types::pb::envoy::config::core::v3::HeaderMap;
 use lemonusher::AttemptOutcome;
-use lemonusher_consult::{Asked, Key, StreamId, Ticket};
+use lemonusher_external_call::{Asked, Key, StreamId, Ticket};
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
