--- a/crates/core/external-call/src/lib.rs
+++ b/crates/core/external-call/src/lib.rs
@@ -14,5 +14,5 @@
 mod call;
 mod ticket;
 
-pub use call::{Asked, Consult, Do, Span, StreamId, Terms, Token, Verdict};
-pub use ticket::{Key, Ticket, Unsound};
+pub use call::{AttemptToken, CallAction, CallConfig, CallRequest, CallResponse, ExternalCalls, StreamId};
+pub use ticket::{ContinuationToken, SigningKey, TokenError};
--- a/crates/core/external-call/tests/consult.rs
+++ b/crates/core/external-call/tests/consult.rs
@@ -2,7 +2,7 @@
 //! one answer, every dispatch one outcome.
 
 use lemonusher::{AttemptOutcome, Idempotency, RequestId};
-use lemonusher_external_call::{Asked, Consult, Do, Terms, Verdict};
+use lemonusher_external_call::{CallAction, CallConfig, CallRequest, CallResponse, ExternalCalls};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,165 +14,175 @@
     Duration::from_millis(ms)
 }
 
-fn terms(fails_open: bool, more: u64) -> Terms {
-    Terms {
+fn terms(fails_open: bool, more: u64) -> CallConfig {
+    CallConfig {
         message_timeout: ms(200),
-        fails_open,
-        more_time: ms(more),
-        retry_within: ms(300),
-        doubt: ms(60_000),
-        effects: vec![Idempotency::NonIdempotent, Idempotency::Idempotent],
-        most_calls: 100,
-        most_remembered: 1000,
+        failure_mode_allow: fails_open,
+        max_timeout_extension: ms(more),
+        retry_window: ms(300),
+        unknown_outcome_retention: ms(60_000),
+        idempotency: vec![Idempotency::NonIdempotent, Idempotency::Idempotent],
+        max_calls: 100,
+        max_remembered: 1000,
     }
 }
 
-fn ask(stream: u64, batch: &str, group: usize) -> Asked {
-    Asked {
+fn ask(stream: u64, batch: &str, group: usize) -> CallRequest {
+    CallRequest {
         stream,
-        batch: batch.into(),
-        service_group: group,
+        request: batch.into(),
+        request_class: group,
         table_group: 0,
-        patience: ms(5000),
-        repeat: false,
+        client_timeout: ms(5000),
+        client_retry: false,
         attempt: 1,
-        ticket: false,
+        has_valid_token: false,
     }
 }
 
-fn told(done: &[Do]) -> Vec<(u64, Verdict)> {
-    let tell = |act: &Do| match act {
-        Do::Tell { stream, verdict } => Some((*stream, verdict.clone())),
+fn told(done: &[CallAction]) -> Vec<(u64, CallResponse)> {
+    let tell = |act: &CallAction| match act {
+        CallAction::Respond { stream, response: verdict } => Some((*stream, verdict.clone())),
         _ => None,
     };
     done.iter().filter_map(tell).collect()
 }
 
-fn ended(done: &[Do]) -> Vec<(u64, AttemptOutcome)> {
-    let end = |act: &Do| match act {
-        Do::End { token, outcome } => Some((*token, *outcome)),
+fn ended(done: &[CallAction]) -> Vec<(u64, AttemptOutcome)> {
+    let end = |act: &CallAction| match act {
+        CallAction::EndAttempt { token, outcome } => Some((*token, *outcome)),
         _ => None,
     };
     done.iter().filter_map(end).collect()
 }
 
-fn go(stream: u64, engine: u32, attempt: u32) -> Vec<(u64, Verdict)> {
-    vec![(stream, Verdict::Go { engine, time_limit: ms(900), attempt })]
+fn go(stream: u64, engine: u32, attempt: u32) -> Vec<(u64, CallResponse)> {
+    vec![(stream, CallResponse::Forward { engine, upstream_timeout: ms(900), attempt })]
 }
 
 #[test]
 fn a_call_goes_from_its_headers_to_its_end() {
-    let mut consult = Consult::new(terms(false, 0));
+    let mut consult = ExternalCalls::new(terms(false, 0));
     let batch: RequestId = "b".into();
-    assert!(matches!(consult.asked(ms(0), ask(1, "b", ONCE)).as_slice(), [Do::Take(_)]));
-    assert_eq!(told(&consult.attempt(&batch, 10, 7, ms(900))), go(1, 7, 0));
-    consult.answered(1, AttemptOutcome::Returned);
-    assert_eq!(ended(&consult.ended(ms(50), 1, true)), [(10, AttemptOutcome::Returned)]);
-    assert_eq!((consult.calls(), consult.due_at()), (0, None));
+    assert!(matches!(consult.handle_request(ms(0), ask(1, "b", ONCE)).as_slice(), [CallAction::Submit(_)]));
+    assert_eq!(told(&consult.handle_attempt(&batch, 10, 7, ms(900))), go(1, 7, 0));
+    consult.handle_response_headers(1, AttemptOutcome::Returned);
+    assert_eq!(ended(&consult.handle_stream_end(ms(50), 1, true)), [(10, AttemptOutcome::Returned)]);
+    assert_eq!((consult.open_calls(), consult.next_timeout()), (0, None));
     // What ran is not let out again, whatever the proxy thinks of it.
-    assert_eq!(told(&consult.asked(ms(60), ask(2, "b", ONCE))), [(2, Verdict::Error)]);
-    assert!(matches!(consult.asked(ms(60), ask(3, "c", OFTEN)).as_slice(), [Do::Take(_)]));
+    assert_eq!(told(&consult.handle_request(ms(60), ask(2, "b", ONCE))), [(2, CallResponse::Fail)]);
+    assert!(matches!(consult.handle_request(ms(60), ask(3, "c", OFTEN)).as_slice(), [CallAction::Submit(_)]));
 }
 
 #[test]
 fn a_verdict_that_would_come_too_late_is_not_given() {
-    let mut consult = Consult::new(terms(false, 0));
-    consult.asked(ms(0), ask(1, "b", ONCE));
-    let due = consult.due_at().unwrap();
+    let mut consult = ExternalCalls::new(terms(false, 0));
+    consult.handle_request(ms(0), ask(1, "b", ONCE));
+    let due = consult.next_timeout().unwrap();
     assert!(due < ms(200) && due >= ms(100), "{due:?}");
-    let done = consult.turn(due);
-    assert!(matches!(done[0], Do::Leave(_)));
-    assert_eq!(told(&done), [(1, Verdict::PushBack(None))]);
+    let done = consult.poll(due);
+    assert!(matches!(done[0], CallAction::Cancel(_)));
+    assert_eq!(told(&done), [(1, CallResponse::Reject(None))]);
     // The owner's dispatch comes behind it: it was not sent, and the batch may be asked for again.
-    assert_eq!(ended(&consult.attempt(&"b".into(), 10, 7, ms(900))), [(10, AttemptOutcome::NotSent)]);
-    let again = Asked { attempt: 2, ..ask(2, "b", ONCE) };
-    assert!(matches!(consult.asked(ms(300), again).as_slice(), [Do::Take(_)]));
+    assert_eq!(ended(&consult.handle_attempt(&"b".into(), 10, 7, ms(900))), [(10, AttemptOutcome::NotSent)]);
+    let again = CallRequest { attempt: 2, ..ask(2, "b", ONCE) };
+    assert!(matches!(consult.handle_request(ms(300), again).as_slice(), [CallAction::Submit(_)]));
     // A proxy that allows it is asked for more time first.
-    let mut consult = Consult::new(terms(false, 300));
-    consult.asked(ms(0), ask(1, "b", ONCE));
+    let mut consult = ExternalCalls::new(terms(false, 300));
+    consult.handle_request(ms(0), ask(1, "b", ONCE));
     let mut verdicts = Vec::new();
-    while let Some(due) = consult.due_at() {
-        verdicts.extend(told(&consult.turn(due)).into_iter().map(|(_, verdict)| verdict));
+    while let Some(due) = consult.next_timeout() {
+        verdicts.extend(told(&consult.poll(due)).into_iter().map(|(_, verdict)| verdict));
     }
-    assert_eq!(verdicts, [Verdict::Wait(ms(200)), Verdict::Wait(ms(100)), Verdict::PushBack(None)]);
+    assert_eq!(
+        verdicts,
+        [
+            CallResponse::ExtendTimeout(ms(200)),
+            CallResponse::ExtendTimeout(ms(100)),
+            CallResponse::Reject(None)
+        ]
+    );
 }
 
 #[test]
 fn a_retry_gets_what_the_gateway_grants_and_nothing_else() {
-    let mut consult = Consult::new(terms(false, 0));
+    let mut consult = ExternalCalls::new(terms(false, 0));
     let batch: RequestId = "b".into();
-    consult.asked(ms(0), ask(1, "b", OFTEN));
-    consult.attempt(&batch, 10, 7, ms(900));
+    consult.handle_request(ms(0), ask(1, "b", OFTEN));
+    consult.handle_attempt(&batch, 10, 7, ms(900));
     // While the first is out, a second is never let out beside it.
-    assert_eq!(told(&consult.asked(ms(5), ask(9, "b", OFTEN))), [(9, Verdict::Error)]);
-    consult.answered(1, AttemptOutcome::Rejected);
-    assert_eq!(ended(&consult.ended(ms(10), 1, true)), [(10, AttemptOutcome::Rejected)]);
+    assert_eq!(told(&consult.handle_request(ms(5), ask(9, "b", OFTEN))), [(9, CallResponse::Fail)]);
+    consult.handle_response_headers(1, AttemptOutcome::Rejected);
+    assert_eq!(ended(&consult.handle_stream_end(ms(10), 1, true)), [(10, AttemptOutcome::Rejected)]);
     // Granted before the retry comes, it lies ready.
-    assert!(consult.attempt(&batch, 11, 8, ms(900)).is_empty());
-    let retry = |stream| Asked { attempt: 2, ticket: true, ..ask(stream, "b", OFTEN) };
-    assert_eq!(told(&consult.asked(ms(20), retry(2))), go(2, 8, 1));
-    consult.answered(2, AttemptOutcome::Errored);
-    consult.ended(ms(30), 2, true);
+    assert!(consult.handle_attempt(&batch, 11, 8, ms(900)).is_empty());
+    let retry = |stream| CallRequest { attempt: 2, has_valid_token: true, ..ask(stream, "b", OFTEN) };
+    assert_eq!(told(&consult.handle_request(ms(20), retry(2))), go(2, 8, 1));
+    consult.handle_response_headers(2, AttemptOutcome::Errored);
+    consult.handle_stream_end(ms(30), 2, true);
     // Not granted, the retry is answered at once by what the gateway says.
-    assert!(consult.asked(ms(40), retry(3)).is_empty());
+    assert!(consult.handle_request(ms(40), retry(3)).is_empty());
     assert_eq!(
-        told(&consult.answer(ms(41), &batch, true, Some(ms(500)))),
-        [(3, Verdict::PushBack(Some(ms(500))))]
+        told(&consult.handle_final_response(ms(41), &batch, true, Some(ms(500)))),
+        [(3, CallResponse::Reject(Some(ms(500))))]
     );
     // Ready, but nobody comes: it was not sent.
-    consult.asked(ms(50), ask(4, "d", OFTEN));
-    consult.attempt(&"d".into(), 12, 7, ms(900));
-    consult.answered(4, AttemptOutcome::ConnectFailed);
-    consult.ended(ms(60), 4, true);
-    consult.attempt(&"d".into(), 13, 8, ms(900));
-    let done = consult.turn(ms(60 + 300));
+    consult.handle_request(ms(50), ask(4, "d", OFTEN));
+    consult.handle_attempt(&"d".into(), 12, 7, ms(900));
+    consult.handle_response_headers(4, AttemptOutcome::ConnectFailed);
+    consult.handle_stream_end(ms(60), 4, true);
+    consult.handle_attempt(&"d".into(), 13, 8, ms(900));
+    let done = consult.poll(ms(60 + 300));
     assert_eq!(ended(&done), [(13, AttemptOutcome::NotSent)]);
-    assert!(matches!(done[0], Do::Leave(_)) && consult.calls() == 0);
+    assert!(matches!(done[0], CallAction::Cancel(_)) && consult.open_calls() == 0);
 }
 
 #[test]
 fn what_a_fresh_processor_is_told_by_ticket_or_count_is_in_doubt() {
     for (attempt, ticket) in [(2, false), (1, true)] {
-        let mut consult = Consult::new(terms(false, 0));
-        let retry = |group| Asked { attempt, ticket, ..ask(1, "b", group) };
-        assert_eq!(told(&consult.asked(ms(0), retry(ONCE))), [(1, Verdict::Error)]);
+        let mut consult = ExternalCalls::new(terms(false, 0));
+        let retry = |group| CallRequest { attempt, has_valid_token: ticket, ..ask(1, "b", group) };
+        assert_eq!(told(&consult.handle_request(ms(0), retry(ONCE))), [(1, CallResponse::Fail)]);
         assert!(matches!(
-            consult.asked(ms(0), retry(OFTEN)).as_slice(),
-            [Do::Take(Asked { repeat: true, .. })]
+            consult.handle_request(ms(0), retry(OFTEN)).as_slice(),
+            [CallAction::Submit(CallRequest { client_retry: true, .. })]
         ));
     }
 }
 
 #[test]
 fn a_response_that_breaks_off_is_no_answer() {
-    let mut consult = Consult::new(terms(false, 0));
-    consult.asked(ms(0), ask(1, "b", ONCE));
-    consult.attempt(&"b".into(), 10, 7, ms(900));
-    consult.answered(1, AttemptOutcome::Returned);
-    assert_eq!(ended(&consult.ended(ms(10), 1, false)), [(10, AttemptOutcome::Reset)]);
+    let mut consult = ExternalCalls::new(terms(false, 0));
+    consult.handle_request(ms(0), ask(1, "b", ONCE));
+    consult.handle_attempt(&"b".into(), 10, 7, ms(900));
+    consult.handle_response_headers(1, AttemptOutcome::Returned);
+    assert_eq!(ended(&consult.handle_stream_end(ms(10), 1, false)), [(10, AttemptOutcome::Reset)]);
 }
 
 #[test]
 fn all_that_is_held_has_a_bound() {
-    let mut consult = Consult::new(Terms { most_calls: 10, most_remembered: 50, ..terms(false, 0) });
+    let mut consult = ExternalCalls::new(CallConfig { max_calls: 10, max_remembered: 50, ..terms(false, 0) });
     for n in 0..1000 {
-        consult.asked(ms(0), ask(n, &format!("b{n}"), ONCE));
+        consult.handle_request(ms(0), ask(n, &format!("b{n}"), ONCE));
     }
-    assert_eq!(consult.calls(), 10);
+    assert_eq!(consult.open_calls(), 10);
     // Pushed back for want of room, it may come again.
-    consult.turn(ms(1000));
-    assert!(matches!(consult.asked(ms(1001), ask(5000, "b999", ONCE)).as_slice(), [Do::Take(_)]));
+    consult.poll(ms(1000));
+    assert!(matches!(
+        consult.handle_request(ms(1001), ask(5000, "b999", ONCE)).as_slice(),
+        [CallAction::Submit(_)]
+    ));
 }
 
 #[test]
 fn the_margin_follows_the_trips() {
-    let mut consult = Consult::new(terms(false, 0));
-    (0..200).for_each(|_| consult.measured(ms(1)));
-    assert_eq!(consult.margin(), ms(10)); // The least.
-    (0..200).for_each(|_| consult.measured(ms(30)));
-    assert!(consult.margin() >= ms(30) && consult.margin() < ms(60));
-    (0..200).for_each(|_| consult.measured(ms(5000)));
-    assert_eq!(consult.margin(), ms(100)); // The most.
+    let mut consult = ExternalCalls::new(terms(false, 0));
+    (0..200).for_each(|_| consult.record_round_trip(ms(1)));
+    assert_eq!(consult.response_margin(), ms(10)); // The least.
+    (0..200).for_each(|_| consult.record_round_trip(ms(30)));
+    assert!(consult.response_margin() >= ms(30) && consult.response_margin() < ms(60));
+    (0..200).for_each(|_| consult.record_round_trip(ms(5000)));
+    assert_eq!(consult.response_margin(), ms(100)); // The most.
 }
 
 // Any order of failures.
@@ -226,11 +236,11 @@
 }
 
 struct Run {
-    consult: Consult,
+    consult: ExternalCalls,
     requests: Vec<Request>,
     owned: BTreeMap<RequestId, Owned>,
     tokens: BTreeMap<u64, (RequestId, bool)>,
-    inbox: Vec<(u64, Verdict)>,
+    inbox: Vec<(u64, CallResponse)>,
     answered: BTreeSet<u64>,
     next: u64,
     now: Duration,
@@ -242,14 +252,14 @@
         if batch < 2 { ONCE } else { OFTEN }
     }
 
-    fn carry(&mut self, done: Vec<Do>) {
+    fn carry(&mut self, done: Vec<CallAction>) {
         for act in done {
             match act {
-                Do::Take(asked) => {
-                    assert!(self.owned.insert(asked.batch, Owned::default()).is_none(), "taken twice");
+                CallAction::Submit(asked) => {
+                    assert!(self.owned.insert(asked.request, Owned::default()).is_none(), "taken twice");
                 }
-                Do::Leave(batch) => drop(self.owned.remove(&batch)),
-                Do::End { token, outcome } => {
+                CallAction::Cancel(batch) => drop(self.owned.remove(&batch)),
+                CallAction::EndAttempt { token, outcome } => {
                     let (batch, over) = self.tokens.get_mut(&token).expect("a token that was given");
                     assert!(!std::mem::replace(over, true), "one outcome a dispatch");
                     let batch = batch.clone();
@@ -261,8 +271,8 @@
                         }
                     }
                 }
-                Do::Tell { stream, verdict } => {
-                    if !matches!(verdict, Verdict::Wait(_)) {
+                CallAction::Respond { stream, response: verdict } => {
+                    if !matches!(verdict, CallResponse::ExtendTimeout(_)) {
                         assert!(self.answered.insert(stream), "one verdict a stream");
                     }
                     self.inbox.push((stream, verdict));
@@ -281,7 +291,7 @@
                     self.requests[number].runs += 1;
                     self.requests[number].attempts = 99; // It is done with.
                 }
-                let done = self.consult.ended(self.now, stream, false);
+                let done = self.consult.handle_stream_end(self.now, stream, false);
                 self.carry(done);
             }
         }
@@ -299,12 +309,12 @@
                 self.next += 1;
                 let stream = self.next;
                 request.at = AtProxy::Waits { stream, until: self.now + ms(200) };
-                let asked = Asked {
+                let asked = CallRequest {
                     attempt: request.attempts,
-                    ticket: request.ticket,
+                    has_valid_token: request.ticket,
                     ..ask(stream, &request.id, Run::group(n))
                 };
-                let done = self.consult.asked(self.now, asked);
+                let done = self.consult.handle_request(self.now, asked);
                 self.carry(done);
             }
             Step::Grant(n) => {
@@ -318,7 +328,7 @@
                 let token = self.next;
                 owned.out = Some(token);
                 self.tokens.insert(token, (id.clone(), false));
-                let done = self.consult.attempt(&id, token, 7, ms(900));
+                let done = self.consult.handle_attempt(&id, token, 7, ms(900));
                 self.carry(done);
             }
             Step::Deliver => {
@@ -332,7 +342,7 @@
                 };
                 let request = &mut self.requests[number];
                 match verdict {
-                    Verdict::Go { .. } => {
+                    CallResponse::Forward { .. } => {
                         request.at = AtProxy::Upstream { stream, over: false };
                         request.ticket = true;
                         // A proxy that fails open may send a retry on by itself, whatever it would have been told;
@@ -344,10 +354,12 @@
                         );
                         request.runs += 1;
                     }
-                    Verdict::Wait(more) => request.at = AtProxy::Waits { stream, until: self.now + more },
-                    Verdict::PushBack(_) | Verdict::Error => {
+                    CallResponse::ExtendTimeout(more) => {
+                        request.at = AtProxy::Waits { stream, until: self.now + more }
+                    }
+                    CallResponse::Reject(_) | CallResponse::Fail => {
                         request.at = AtProxy::Idle;
-                        let done = self.consult.ended(self.now, stream, true);
+                        let done = self.consult.handle_stream_end(self.now, stream, true);
                         self.carry(done);
                     }
                 }
@@ -363,10 +375,10 @@
                         AttemptOutcome::Rejected
                     }
                 };
-                let done = self.consult.answered(stream, outcome);
+                let done = self.consult.handle_response_headers(stream, outcome);
                 self.carry(done);
                 self.requests[n as usize].at = AtProxy::Idle;
-                let done = self.consult.ended(self.now, stream, true);
+                let done = self.consult.handle_stream_end(self.now, stream, true);
                 self.carry(done);
                 if outcome == AttemptOutcome::Returned {
                     self.requests[n as usize].attempts = 99;
@@ -378,7 +390,7 @@
                     _ => return,
                 };
                 self.requests[n as usize].at = AtProxy::Idle;
-                let done = self.consult.ended(self.now, stream, false);
+                let done = self.consult.handle_stream_end(self.now, stream, false);
                 self.carry(done);
             }
             Step::GiveUp(n, push_back) => {
@@ -388,7 +400,7 @@
                 };
                 let push_back = push_back && (!owned.may_have_run || Run::group(n as usize) == OFTEN);
                 self.owned.remove(&id);
-                let done = self.consult.answer(self.now, &id, push_back, None);
+                let done = self.consult.handle_final_response(self.now, &id, push_back, None);
                 self.carry(done);
             }
             Step::Wait(span) => {
@@ -398,9 +410,9 @@
                         AtProxy::Waits { until, .. } => Some(until),
                         _ => None,
                     });
-                    let next = timeouts.chain(self.consult.due_at()).min().filter(|at| *at <= until);
+                    let next = timeouts.chain(self.consult.next_timeout()).min().filter(|at| *at <= until);
                     self.now = next.unwrap_or(until).max(self.now);
-                    let done = self.consult.turn(self.now);
+                    let done = self.consult.poll(self.now);
                     self.carry(done);
                     self.time_out();
                     if next.is_none() {
@@ -410,7 +422,7 @@
             }
             Step::Restart => {
                 // All streams break; the fresh processor knows nothing of what is out.
-                self.consult = Consult::new(terms(self.fails_open, 0));
+                self.consult = ExternalCalls::new(terms(self.fails_open, 0));
                 self.owned.clear();
                 self.tokens.clear();
                 self.inbox.clear();
@@ -448,7 +460,7 @@
             runs: 0,
         };
         let mut run = Run {
-            consult: Consult::new(terms(fails_open, more * 300)),
+            consult: ExternalCalls::new(terms(fails_open, more * 300)),
             requests: (0..4).map(request).collect(),
             owned: BTreeMap::new(),
             tokens: BTreeMap::new(),
@@ -472,8 +484,8 @@
             run.step(Step::Break(n));
         }
         run.step(Step::Wait(2000));
-        prop_assert_eq!(run.consult.calls(), 0);
-        prop_assert_eq!(run.consult.due_at(), None);
+        prop_assert_eq!(run.consult.open_calls(), 0);
+        prop_assert_eq!(run.consult.next_timeout(), None);
         prop_assert!(run.tokens.values().all(|(_, over)| *over));
     }
 }
--- a/crates/core/external-call/tests/same_verdicts.rs
+++ b/crates/core/external-call/tests/same_verdicts.rs
@@ -2,7 +2,7 @@
 //! verdicts one for one: in virtual time, over seeds, with failures of all kinds.
 
 use lemonusher::*;
-use lemonusher_external_call::{Asked, Consult, Do, Terms, Verdict};
+use lemonusher_external_call::{CallAction, CallConfig, CallRequest, CallResponse, ExternalCalls};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -92,15 +92,15 @@
 
 fn play(seed: u64, consulted: bool) -> Vec<Seen> {
     let mut gateway = Gateway::new(stated(), seed);
-    let mut consult = Consult::new(Terms {
+    let mut consult = ExternalCalls::new(CallConfig {
         message_timeout: ms(60_000),
-        fails_open: false,
-        more_time: ms(0),
-        retry_within: ms(60_000),
-        doubt: ms(60_000),
-        effects: vec![Idempotency::Idempotent, Idempotency::NonIdempotent],
-        most_calls: 10_000,
-        most_remembered: 10_000,
+        failure_mode_allow: false,
+        max_timeout_extension: ms(0),
+        retry_window: ms(60_000),
+        unknown_outcome_retention: ms(60_000),
+        idempotency: vec![Idempotency::Idempotent, Idempotency::NonIdempotent],
+        max_calls: 10_000,
+        max_remembered: 10_000,
     });
     let mut dice = Dice(seed);
     let mut agenda: BTreeMap<(Duration, u64), Due> = BTreeMap::new();
@@ -130,7 +130,7 @@
     let (mut streams, mut out) = (BTreeMap::new(), BTreeMap::new());
     let (mut stream, mut token) = (0u64, 0u64);
     while let Some(((now, _), due)) = agenda.pop_first() {
-        let mut done: Vec<Do> = Vec::new();
+        let mut done: Vec<CallAction> = Vec::new();
         match due {
             Due::Woke => gateway.handle_event(now, Event::TimerFired),
             Due::Roster(engine, active) => {
@@ -142,59 +142,59 @@
             }
             Due::Arrives(batch) => {
                 let group = usize::from(batch % 7 == 0);
-                let patience = stated().request_classes[group].deadline;
-                let asked = Asked {
+                let client_timeout = stated().request_classes[group].deadline;
+                let asked = CallRequest {
                     stream: {
                         stream += 1;
                         stream
                     },
-                    batch: id(batch),
-                    service_group: group,
+                    request: id(batch),
+                    request_class: group,
                     table_group: batch as u64 % 5,
-                    patience,
-                    repeat: false,
+                    client_timeout,
+                    client_retry: false,
                     attempt: 1,
-                    ticket: false,
+                    has_valid_token: false,
                 };
                 streams.insert(batch, stream);
                 match consulted {
-                    true => done.extend(consult.asked(now, asked)),
-                    false => done.push(Do::Take(asked)),
+                    true => done.extend(consult.handle_request(now, asked)),
+                    false => done.push(CallAction::Submit(asked)),
                 }
             }
             Due::Ends(batch, attempt, engine, token) => {
                 let (outcome, after) = fate(seed, batch, attempt);
                 if consulted {
                     let held: u64 = streams[&batch];
-                    consult.answered(held, outcome);
-                    done.extend(consult.ended(now, held, outcome != AttemptOutcome::Reset));
+                    consult.handle_response_headers(held, outcome);
+                    done.extend(consult.handle_stream_end(now, held, outcome != AttemptOutcome::Reset));
                     out.insert(token, (batch, attempt, engine, after));
                 } else {
                     out.insert(token, (batch, attempt, engine, after));
-                    done.push(Do::End { token, outcome });
+                    done.push(CallAction::EndAttempt { token, outcome });
                 }
             }
         }
         let mut retries = Vec::new();
         for act in done {
             match act {
-                Do::Take(asked) => {
-                    open.insert(number(&asked.batch));
+                CallAction::Submit(asked) => {
+                    open.insert(number(&asked.request));
                     gateway.handle_event(
                         now,
                         Event::Arrived(Arrival {
-                            request: asked.batch,
-                            request_class: asked.service_group,
+                            request: asked.request,
+                            request_class: asked.request_class,
                             table_group: asked.table_group,
                             key: None,
-                            client_timeout: asked.patience,
+                            client_timeout: asked.client_timeout,
                             work: None,
                             memory_mb: 0.0,
-                            client_retry: asked.repeat,
+                            client_retry: asked.client_retry,
                         }),
                     );
                 }
-                Do::End { token, outcome } => {
+                CallAction::EndAttempt { token, outcome } => {
                     let (batch, attempt, engine, after) = out.remove(&token).expect("a dispatch that is out");
                     let returned = outcome == AttemptOutcome::Returned;
                     if returned {
@@ -218,7 +218,7 @@
                         }),
                     );
                 }
-                Do::Leave(_) | Do::Tell { .. } => panic!("nothing is late here"),
+                CallAction::Cancel(_) | CallAction::Respond { .. } => panic!("nothing is late here"),
             }
         }
         // The proxy tries again at once, under a new stream.
@@ -227,17 +227,17 @@
             for batch in retries {
                 stream += 1;
                 streams.insert(batch, stream);
-                let asked = Asked {
+                let asked = CallRequest {
                     stream,
-                    batch: id(batch),
-                    service_group: usize::from(batch % 7 == 0),
+                    request: id(batch),
+                    request_class: usize::from(batch % 7 == 0),
                     table_group: 0,
-                    patience: ms(1),
-                    repeat: false,
+                    client_timeout: ms(1),
+                    client_retry: false,
                     attempt: 2,
-                    ticket: true,
+                    has_valid_token: true,
                 };
-                done.extend(consult.asked(now, asked));
+                done.extend(consult.handle_request(now, asked));
             }
         }
         let actions = gateway.decide(now);
@@ -248,15 +248,20 @@
                     token += 1;
                     if consulted {
                         // The outcome of what could not be given would be told under this token.
-                        done.extend(consult.attempt(&batch, token, engine, ms(1000)));
+                        done.extend(consult.handle_attempt(&batch, token, engine, ms(1000)));
                     } else {
-                        done.push(Do::Tell {
+                        done.push(CallAction::Respond {
                             stream: 0,
-                            verdict: Verdict::Go { engine, time_limit: ms(1000), attempt: 0 },
+                            response: CallResponse::Forward {
+                                engine,
+                                upstream_timeout: ms(1000),
+                                attempt: 0,
+                            },
                         });
                     }
-                    let told =
-                        done.iter().any(|act| matches!(act, Do::Tell { verdict: Verdict::Go { .. }, .. }));
+                    let told = done.iter().any(|act| {
+                        matches!(act, CallAction::Respond { response: CallResponse::Forward { .. }, .. })
+                    });
                     assert!(told, "a verdict lies ready although the proxy waits");
                     done.clear();
                     let attempt = sent.entry(batch_number).or_default();
@@ -268,15 +273,15 @@
                 Action::Reject { request: batch, retry_after: come_back } => {
                     open.remove(&number(&batch));
                     if consulted {
-                        let told = consult.answer(now, &batch, true, come_back);
-                        assert!(told.iter().any(|act| matches!(act, Do::Tell { .. })), "{told:?}");
+                        let told = consult.handle_final_response(now, &batch, true, come_back);
+                        assert!(told.iter().any(|act| matches!(act, CallAction::Respond { .. })), "{told:?}");
                     }
                     seen.push(Seen::PushedBack(now, number(&batch), come_back));
                 }
                 Action::Fail { request: batch } => {
                     open.remove(&number(&batch));
                     if consulted {
-                        consult.answer(now, &batch, false, None);
+                        consult.handle_final_response(now, &batch, false, None);
                     }
                     seen.push(Seen::Errored(now, number(&batch)));
                 }
@@ -285,7 +290,7 @@
             }
         }
     }
-    assert!(!consulted || consult.calls() == 0);
+    assert!(!consulted || consult.open_calls() == 0);
     seen
 }
 
--- a/crates/edges/cli/src/file.rs
+++ b/crates/edges/cli/src/file.rs
@@ -410,19 +410,19 @@
     }
 
     /// The headers' names, the usual ones where none is given.
-    pub fn names(&self) -> lemonusher_processor::Names {
-        let mut names = lemonusher_processor::Names::default();
+    pub fn names(&self) -> lemonusher_processor::HeaderNames {
+        let mut names = lemonusher_processor::HeaderNames::default();
         let held = &self.headers;
         for (given, name) in [
-            (&held.batch, &mut names.batch),
-            (&held.service_group, &mut names.service_group),
+            (&held.batch, &mut names.request_id),
+            (&held.service_group, &mut names.request_class),
             (&held.table_group, &mut names.table_group),
-            (&held.patience, &mut names.patience),
-            (&held.repeat, &mut names.repeat),
-            (&held.attempt, &mut names.attempt),
-            (&held.ticket, &mut names.ticket),
-            (&held.engine, &mut names.engine),
-            (&held.time_limit, &mut names.time_limit),
+            (&held.patience, &mut names.client_timeout),
+            (&held.repeat, &mut names.client_retry),
+            (&held.attempt, &mut names.attempt_count),
+            (&held.ticket, &mut names.continuation_token),
+            (&held.engine, &mut names.engine_address),
+            (&held.time_limit, &mut names.upstream_timeout),
             (&held.outcome, &mut names.outcome),
         ] {
             if let Some(given) = given {
@@ -432,7 +432,7 @@
         // The longest prefix speaks first.
         names.paths = self.paths.iter().map(|(prefix, group)| (prefix.clone(), group.clone())).collect();
         names.paths.sort_by_key(|(prefix, _)| std::cmp::Reverse(prefix.len()));
-        names.usual_patience = Duration::from_millis(self.patience_ms.max(1));
+        names.default_client_timeout = Duration::from_millis(self.patience_ms.max(1));
         names
     }
 }
--- a/crates/edges/cli/src/main.rs
+++ b/crates/edges/cli/src/main.rs
@@ -232,12 +232,12 @@
     };
     let consulting = match processor {
         None => None,
-        Some((terms, consult, recovers, tick)) => {
-            let listen = terms.listen;
-            let started = lemonusher_processor::start(terms)
+        Some(ProcessorConfig { server, calls, recovers, tick }) => {
+            let listen = server.listen;
+            let started = lemonusher_processor::start(server)
                 .map_err(|error| failed(format!("can't listen on {listen}: {error}")))?;
             tracing::info!("external processor at {}", started.address);
-            Some(lemonusher_front::Consulting { terms: consult, heard: started.heard, recovers, tick })
+            Some(lemonusher_front::Consulting { terms: calls, heard: started.events, recovers, tick })
         }
     };
     let mut fleet =
@@ -278,46 +278,52 @@
     ended.map_err(|unfit| failed(unfit.to_string()))
 }
 
-/// What the file says of proxies that consult.
-fn processor_of(
-    held: &file::Processor,
-    names: &lemonusher_front::Names,
-) -> Result<(lemonusher_processor::Terms, lemonusher_external_call::Terms, bool, Duration), Failure> {
+/// The server, the calls' configuration, whether a start counts as a recovery, and the time between decisions.
+struct ProcessorConfig {
+    server: lemonusher_processor::ServerConfig,
+    calls: lemonusher_external_call::CallConfig,
+    recovers: bool,
+    tick: Duration,
+}
+
+/// What the file says of proxies that ask the external processor.
+fn processor_of(held: &file::Processor, names: &lemonusher_front::Names) -> Result<ProcessorConfig, Failure> {
     let ms = |ms: u64| Duration::from_millis(ms);
     let longest = names.terms.iter().map(|terms| terms.deadline).max().unwrap_or_default();
-    let key = match &held.key_file {
+    let signing_key = match &held.key_file {
         Some(path) => {
             let path = path.get_ref();
             let bytes = std::fs::read(path)
                 .map_err(|error| Failure::File(vec![format!("{}: {error}", path.display())]))?;
-            lemonusher_external_call::Key::new(bytes.trim_ascii())
+            lemonusher_external_call::SigningKey::new(bytes.trim_ascii())
         }
-        None => lemonusher_external_call::Key::new(&rand::random::<[u8; 32]>()),
+        None => lemonusher_external_call::SigningKey::new(&rand::random::<[u8; 32]>()),
     };
-    let groups = names.service_groups.iter().zip(&names.terms).map(|(name, terms)| {
-        let most_patience = terms.deadline * 2;
-        lemonusher_processor::Group { name: name.clone(), most_patience }
+    let classes = names.service_groups.iter().zip(&names.terms).map(|(name, terms)| {
+        let max_client_timeout = terms.deadline * 2;
+        lemonusher_processor::RequestClass { name: name.clone(), max_client_timeout }
     });
-    let door = lemonusher_processor::Terms {
+    let server = lemonusher_processor::ServerConfig {
         listen: *held.listen.get_ref(),
         names: held.names(),
-        groups: groups.collect(),
-        key,
-        ticket: longest * 2,
-        streams: *held.streams.get_ref(),
-        statement: held.statement.then_some(lemonusher_front::table_group),
+        request_classes: classes.collect(),
+        signing_key,
+        token_validity: longest * 2,
+        max_streams: *held.streams.get_ref(),
+        read_table_group: held.statement.then_some(lemonusher_front::table_group),
     };
-    let consult = lemonusher_external_call::Terms {
+    let calls = lemonusher_external_call::CallConfig {
         message_timeout: ms(*held.message_timeout_ms.get_ref()),
-        fails_open: held.fails == file::Fails::Open,
-        more_time: ms(held.more_time_ms),
-        retry_within: ms(held.retry_within_ms),
-        doubt: longest * 2,
-        effects: names.terms.iter().map(|terms| terms.idempotency).collect(),
-        most_calls: *held.streams.get_ref(),
-        most_remembered: held.remembered,
+        failure_mode_allow: held.fails == file::Fails::Open,
+        max_timeout_extension: ms(held.more_time_ms),
+        retry_window: ms(held.retry_within_ms),
+        unknown_outcome_retention: longest * 2,
+        idempotency: names.terms.iter().map(|terms| terms.idempotency).collect(),
+        max_calls: *held.streams.get_ref(),
+        max_remembered: held.remembered,
     };
-    Ok((door, consult, held.recovers, Duration::from_micros(*held.tick_us.get_ref())))
+    let tick = Duration::from_micros(*held.tick_us.get_ref());
+    Ok(ProcessorConfig { server, calls, recovers: held.recovers, tick })
 }
 
 /// What the file says of managers, with the files read that it names.
--- a/crates/edges/front/src/program/consulted.rs
+++ b/crates/edges/front/src/program/consulted.rs
@@ -6,8 +6,8 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 use lemonusher::{EndpointUpdateKind, EngineId, EngineState, RequestId};
-use lemonusher_external_call::{Asked, Consult, Do, StreamId, Terms, Verdict};
-use lemonusher_processor::{FromProxy, Told};
+use lemonusher_external_call::{CallAction, CallConfig, CallRequest, CallResponse, ExternalCalls, StreamId};
+use lemonusher_processor::{ProxyEvent, ProxyResponse};
 use lemonusher_routing::{Endpoint, EngineCommand, IncomingRequest, Response, ResponseSink, RouterEvent};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -17,8 +17,8 @@
 
 /// What `run` needs to serve proxies.
 pub struct Consulting {
-    pub terms: Terms,
-    pub heard: Receiver<FromProxy>,
+    pub terms: CallConfig,
+    pub heard: Receiver<ProxyEvent>,
     /// A start after a crash: what proxies still have out is not known.
     pub recovers: bool,
     /// The owner decides this often at most, in the place of what the deployment states: a verdict waits for it.
@@ -43,7 +43,7 @@
 
 enum Next {
     EngineCommand(EngineCommand),
-    RouterEvent(FromProxy),
+    RouterEvent(ProxyEvent),
     Answered,
     Due,
     Over,
@@ -51,11 +51,11 @@
 
 struct Bridge {
     shared: Rc<Shared>,
-    consult: Consult,
+    consult: ExternalCalls,
     answers: Rc<Answers>,
     tickets: BTreeMap<RequestId, u64>,
     next: u64,
-    lines: BTreeMap<StreamId, (Sender<Told>, Duration)>,
+    lines: BTreeMap<StreamId, (Sender<ProxyResponse>, Duration)>,
     addresses: BTreeMap<EngineId, SocketAddr>,
     began: Instant,
 }
@@ -66,7 +66,7 @@
     let answers = Rc::new(Answers { requests: RefCell::default(), given: RefCell::default(), wake });
     let mut bridge = Bridge {
         shared,
-        consult: Consult::new(consulting.terms),
+        consult: ExternalCalls::new(consulting.terms),
         answers,
         tickets: BTreeMap::new(),
         next: 0,
@@ -76,7 +76,7 @@
     };
     loop {
         let due = async {
-            match bridge.consult.due_at() {
+            match bridge.consult.next_timeout() {
                 Some(at) => Timer::at(bridge.began + at).await,
                 None => std::future::pending().await,
             };
@@ -90,7 +90,7 @@
         let now = bridge.began.elapsed();
         let done = match next {
             Next::Over => return,
-            Next::Due => bridge.consult.turn(now),
+            Next::Due => bridge.consult.poll(now),
             Next::Answered => bridge.answered(now),
             Next::EngineCommand(order) => bridge.ordered(order),
             Next::RouterEvent(heard) => bridge.heard(now, heard),
@@ -100,25 +100,25 @@
 }
 
 impl Bridge {
-    fn answered(&mut self, now: Duration) -> Vec<Do> {
+    fn answered(&mut self, now: Duration) -> Vec<CallAction> {
         let given: Vec<(RequestId, Response)> = self.answers.given.borrow_mut().drain(..).collect();
         let mut done = Vec::new();
         for (request, answer) in given {
             self.tickets.remove(&request);
             done.extend(match answer {
                 Response::Returned(_) => Vec::new(), // The proxy has passed it on already.
-                Response::Rejected(wait) => self.consult.answer(now, &request, true, wait),
-                Response::Failed => self.consult.answer(now, &request, false, None),
+                Response::Rejected(wait) => self.consult.handle_final_response(now, &request, true, wait),
+                Response::Failed => self.consult.handle_final_response(now, &request, false, None),
             });
         }
         done
     }
 
-    fn ordered(&mut self, order: EngineCommand) -> Vec<Do> {
+    fn ordered(&mut self, order: EngineCommand) -> Vec<CallAction> {
         match order {
             EngineCommand::Send { token, engine, request, conditions: terms, .. } => {
                 let patience = terms.until.saturating_duration_since(Instant::now());
-                self.consult.attempt(&request, token, engine, patience)
+                self.consult.handle_attempt(&request, token, engine, patience)
             }
             EngineCommand::Endpoints(kind, listed) => {
                 self.list(kind, listed);
@@ -144,69 +144,76 @@
         }
     }
 
-    fn heard(&mut self, now: Duration, heard: FromProxy) -> Vec<Do> {
+    fn heard(&mut self, now: Duration, heard: ProxyEvent) -> Vec<CallAction> {
         match heard {
-            FromProxy::Asked { asked, line, received } => {
+            ProxyEvent::Request { call_request: asked, responses: line, received } => {
                 self.lines.insert(asked.stream, (line, received.elapsed()));
-                self.consult.asked(now, asked)
+                self.consult.handle_request(now, asked)
             }
-            FromProxy::Answered { stream, outcome } => self.consult.answered(stream, outcome),
-            FromProxy::Ended { stream, whole } => {
+            ProxyEvent::ResponseHeaders { stream, outcome } => {
+                self.consult.handle_response_headers(stream, outcome)
+            }
+            ProxyEvent::StreamEnded { stream, complete: whole } => {
                 self.lines.remove(&stream);
-                self.consult.ended(now, stream, whole)
+                self.consult.handle_stream_end(now, stream, whole)
             }
-            FromProxy::Measured(trip) => {
-                self.consult.measured(trip);
+            ProxyEvent::RoundTrip(trip) => {
+                self.consult.record_round_trip(trip);
                 Vec::new()
             }
         }
     }
 
-    async fn carry_out(&mut self, done: Vec<Do>) {
+    async fn carry_out(&mut self, done: Vec<CallAction>) {
         for act in done {
             match act {
-                Do::Take(asked) => self.take(asked).await,
-                Do::Leave(request) => {
+                CallAction::Submit(asked) => self.take(asked).await,
+                CallAction::Cancel(request) => {
                     if let Some(ticket) = self.tickets.remove(&request) {
                         self.answers.requests.borrow_mut().remove(&ticket);
                         let left = RouterEvent::ClientGone { sink: self.answers.clone(), ticket, request };
                         let _ = self.shared.queue.send(left).await;
                     }
                 }
-                Do::End { token, outcome } => {
+                CallAction::EndAttempt { token, outcome } => {
                     let _ = self.shared.queue.send(RouterEvent::attempt_ended(token, outcome)).await;
                 }
-                Do::Tell { stream, verdict } => self.tell(stream, verdict),
+                CallAction::Respond { stream, response } => self.tell(stream, response),
             }
         }
     }
 
-    async fn take(&mut self, asked: Asked) {
+    async fn take(&mut self, asked: CallRequest) {
         self.next += 1;
         let ticket = self.next;
         // Seldom, a request of this id is still on its way out of the owner's tables: the new one has its ticket.
-        self.tickets.insert(asked.batch.clone(), ticket);
-        self.answers.requests.borrow_mut().insert(ticket, asked.batch.clone());
+        self.tickets.insert(asked.request.clone(), ticket);
+        self.answers.requests.borrow_mut().insert(ticket, asked.request.clone());
         let taken = IncomingRequest {
             sink: self.answers.clone(),
             ticket,
-            request: asked.batch,
-            service_group: asked.service_group,
+            request: asked.request,
+            service_group: asked.request_class,
             table_group: asked.table_group,
-            client_timeout: asked.patience,
-            client_retry: asked.repeat,
+            client_timeout: asked.client_timeout,
+            client_retry: asked.client_retry,
             statement: Rc::from([]),
         };
         let _ = self.shared.queue.send(RouterEvent::Request(taken)).await;
     }
 
-    fn tell(&mut self, stream: StreamId, verdict: Verdict) {
+    fn tell(&mut self, stream: StreamId, verdict: CallResponse) {
         let Some((line, waited)) = self.lines.get(&stream) else { return };
         let address = match &verdict {
-            Verdict::Go { engine, .. } => self.addresses.get(engine).copied(),
+            CallResponse::Forward { engine, .. } => self.addresses.get(engine).copied(),
             _ => None,
         };
         // A line holds more than one call is ever told; one whose proxy has gone is closed.
-        let _ = line.try_send(Told { verdict, address, waited: *waited, at: Instant::now() });
+        let _ = line.try_send(ProxyResponse {
+            response: verdict,
+            engine_address: address,
+            queued: *waited,
+            sent_at: Instant::now(),
+        });
     }
 }
--- a/crates/edges/processor/src/door.rs
+++ b/crates/edges/processor/src/door.rs
@@ -1,5 +1,5 @@
-use crate::names::{Fault, Group, Headers, Names, outcome_of};
-use crate::{FromProxy, Told};
+use crate::names::{HeaderNames, Headers, RequestClass, RequestError, attempt_outcome};
+use crate::{ProxyEvent, ProxyResponse};
 use envoy_types::pb::envoy::config::core::v3::{HeaderValue, HeaderValueOption};
 use envoy_types::pb::envoy::extensions::filters::http::ext_proc::v3::ProcessingMode;
 use envoy_types::pb::envoy::service::ext_proc::v3::external_processor_server::{
@@ -13,7 +13,7 @@
 };
 use envoy_types::pb::envoy::r#type::v3::HttpStatus;
 use lemonusher::RequestId;
-use lemonusher_external_call::{Key, StreamId, Ticket, Verdict};
+use lemonusher_external_call::{CallResponse, ContinuationToken, SigningKey, StreamId};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::pin::Pin;
@@ -40,41 +40,41 @@
 
 /// What the operator's file says of the door.
 #[derive(Debug, Clone)]
-pub struct Terms {
+pub struct ServerConfig {
     pub listen: SocketAddr,
-    pub names: Names,
-    pub groups: Vec<Group>,
-    pub key: Key,
+    pub names: HeaderNames,
+    pub request_classes: Vec<RequestClass>,
+    pub signing_key: SigningKey,
     /// A ticket is sound for so long.
-    pub ticket: Duration,
+    pub token_validity: Duration,
     /// Streams at once, over all proxies.
-    pub streams: usize,
+    pub max_streams: usize,
     /// Reads the table group off a statement. With it the statement is asked for, as the request's body.
-    pub statement: Option<fn(&str) -> Option<u64>>,
+    pub read_table_group: Option<fn(&str) -> Option<u64>>,
 }
 
-pub struct Started {
+pub struct StartedServer {
     pub address: SocketAddr,
-    pub heard: async_channel::Receiver<FromProxy>,
+    pub events: async_channel::Receiver<ProxyEvent>,
 }
 
 struct Door {
-    terms: Terms,
-    heard: async_channel::Sender<FromProxy>,
+    terms: ServerConfig,
+    events: async_channel::Sender<ProxyEvent>,
     next: AtomicU64,
     places: Arc<Semaphore>,
 }
 
 /// Opens the door, on a thread of its own.
-pub fn start(terms: Terms) -> io::Result<Started> {
+pub fn start(terms: ServerConfig) -> io::Result<StartedServer> {
     let listener = TcpListener::bind(terms.listen)?;
     listener.set_nonblocking(true)?;
     let address = listener.local_addr()?;
-    let (sender, heard) = async_channel::bounded(QUEUE);
+    let (sender, events) = async_channel::bounded(QUEUE);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let places = Arc::new(Semaphore::new(terms.streams));
+    let places = Arc::new(Semaphore::new(terms.max_streams));
     // Numbers of streams go on from the clock, so that unnamed batches of two processes never meet.
-    let door = Door { terms, heard: sender, next: AtomicU64::new(unix_ms() << 20), places };
+    let door = Door { terms, events: sender, next: AtomicU64::new(unix_ms() << 20), places };
     let serve = async move {
         let (reporter, health) = tonic_health::server::health_reporter();
         reporter.set_serving::<ExternalProcessorServer<Door>>().await;
@@ -101,7 +101,7 @@
         }
     };
     std::thread::Builder::new().name("processor".to_owned()).spawn(run)?;
-    Ok(Started { address, heard })
+    Ok(StartedServer { address, events })
 }
 
 fn unix_ms() -> u64 {
@@ -111,7 +111,7 @@
 /// One stream. However it ends, the front hears of it once.
 struct Consulted {
     stream: StreamId,
-    heard: async_channel::Sender<FromProxy>,
+    events: async_channel::Sender<ProxyEvent>,
     /// A question was asked that the front knows of.
     asked: bool,
     whole: bool,
@@ -122,11 +122,11 @@
         if !self.asked {
             return;
         }
-        let ended = FromProxy::Ended { stream: self.stream, whole: self.whole };
-        if let Err(async_channel::TrySendError::Full(ended)) = self.heard.try_send(ended) {
+        let ended = ProxyEvent::StreamEnded { stream: self.stream, complete: self.whole };
+        if let Err(async_channel::TrySendError::Full(ended)) = self.events.try_send(ended) {
             // The queue is full for now: the end must be told all the same.
-            let heard = self.heard.clone();
-            tokio::spawn(async move { heard.send(ended).await });
+            let events = self.events.clone();
+            tokio::spawn(async move { events.send(ended).await });
         }
     }
 }
@@ -145,7 +145,7 @@
         let place =
             place.map_err(|_| Status::resource_exhausted("there are as many streams as there may be"))?;
         let stream = self.next.fetch_add(1, Ordering::Relaxed);
-        let consulted = Consulted { stream, heard: self.heard.clone(), asked: false, whole: false };
+        let consulted = Consulted { stream, events: self.events.clone(), asked: false, whole: false };
         let (line, answers) = mpsc::channel(LINE);
         let terms = self.terms.clone();
         let said = request.into_inner();
@@ -160,12 +160,12 @@
 /// One stream, from its headers to its end.
 async fn converse(
     mut consulted: Consulted,
-    terms: Terms,
+    terms: ServerConfig,
     mut said: Streaming<ProcessingRequest>,
     line: mpsc::Sender<Result<ProcessingResponse, Status>>,
 ) {
-    let mut batch: Option<RequestId> = None;
-    let mut verdicts: Option<async_channel::Receiver<Told>> = None;
+    let mut request_id: Option<RequestId> = None;
+    let mut verdicts: Option<async_channel::Receiver<ProxyResponse>> = None;
     let mut decided = false;
     // What waits for its statement, and whether the verdict answers the body.
     let mut headers_alone = None;
@@ -184,10 +184,10 @@
                     verdicts = None;
                     continue;
                 };
-                let trip = told.waited + told.at.elapsed();
-                let (answer, last) = answer_of(&terms, batch.as_deref().unwrap_or_default(), told, by_body);
+                let trip = told.queued + told.sent_at.elapsed();
+                let (answer, last) = answer_of(&terms, request_id.as_deref().unwrap_or_default(), told, by_body);
                 decided |= answer.response.is_some();
-                let _ = consulted.heard.try_send(FromProxy::Measured(trip));
+                let _ = consulted.events.try_send(ProxyEvent::RoundTrip(trip));
                 if line.send(Ok(answer)).await.is_err() {
                     return;
                 }
@@ -213,17 +213,17 @@
                 };
                 let details = details_of(&request);
                 let reply = match request.request {
-                    Some(Said::RequestHeaders(headers)) if batch.is_none() => {
+                    Some(Said::RequestHeaders(headers)) if request_id.is_none() => {
                         let received = Instant::now();
                         let ends = headers.end_of_stream;
-                        let asked = Headers::read(headers.headers).and_then(|headers| {
-                            terms.names.asked(consulted.stream, &headers, &terms.groups, &terms.key, unix_ms())
+                        let received_request = Headers::read(headers.headers).and_then(|headers| {
+                            terms.names.read_request(consulted.stream, &headers, &terms.request_classes, &terms.signing_key, unix_ms())
                         });
-                        match asked {
-                            Ok(asked) => {
-                                batch = Some(asked.batch.clone());
-                                if terms.statement.is_some() && !ends {
-                                    headers_alone = Some(asked);
+                        match received_request {
+                            Ok(call_request) => {
+                                request_id = Some(call_request.request.clone());
+                                if terms.read_table_group.is_some() && !ends {
+                                    headers_alone = Some(call_request);
                                     if line.send(Ok(wants_body())).await.is_err() {
                                         return;
                                     }
@@ -232,8 +232,8 @@
                                 let (sender, receiver) = async_channel::bounded(LINE);
                                 verdicts = Some(receiver);
                                 consulted.asked = true;
-                                let asked = FromProxy::Asked { asked, line: sender, received };
-                                if consulted.heard.send(asked).await.is_err() {
+                                let event = ProxyEvent::Request { call_request, responses: sender, received };
+                                if consulted.events.send(event).await.is_err() {
                                     return;
                                 }
                                 continue;
@@ -249,28 +249,28 @@
                             return;
                         };
                         let status = headers.get(":status").and_then(|text| text.parse().ok()).unwrap_or(0);
-                        let outcome = outcome_of(status, headers.get(&terms.names.outcome), details.as_deref());
+                        let outcome = attempt_outcome(status, headers.get(&terms.names.outcome), details.as_deref());
                         // However the stream ends now, the engine has answered; but see below.
                         consulted.whole = true;
-                        let told = FromProxy::Answered { stream: consulted.stream, outcome };
-                        if consulted.heard.send(told).await.is_err() {
+                        let event = ProxyEvent::ResponseHeaders { stream: consulted.stream, outcome };
+                        if consulted.events.send(event).await.is_err() {
                             return;
                         }
                         Answer::ResponseHeaders(HeadersResponse::default())
                     }
                     Some(Said::RequestBody(body)) if headers_alone.is_some() => {
                         let received = Instant::now();
-                        let Some(mut asked) = headers_alone.take() else { return };
+                        let Some(mut call_request) = headers_alone.take() else { return };
                         let statement = String::from_utf8_lossy(&body.body);
-                        if let Some(group) = terms.statement.and_then(|read| read(&statement)) {
-                            asked.table_group = group;
+                        if let Some(group) = terms.read_table_group.and_then(|read| read(&statement)) {
+                            call_request.table_group = group;
                         }
                         by_body = true;
                         let (sender, receiver) = async_channel::bounded(LINE);
                         verdicts = Some(receiver);
                         consulted.asked = true;
-                        let asked = FromProxy::Asked { asked, line: sender, received };
-                        if consulted.heard.send(asked).await.is_err() {
+                        let event = ProxyEvent::Request { call_request, responses: sender, received };
+                        if consulted.events.send(event).await.is_err() {
                             return;
                         }
                         continue;
@@ -324,17 +324,24 @@
 }
 
 /// The message for a verdict, and whether it is the stream's last.
-fn answer_of(terms: &Terms, batch: &str, told: Told, by_body: bool) -> (ProcessingResponse, bool) {
+fn answer_of(
+    terms: &ServerConfig,
+    request_id: &str,
+    response: ProxyResponse,
+    by_body: bool,
+) -> (ProcessingResponse, bool) {
     let names = &terms.names;
-    match told.verdict {
-        Verdict::Go { engine, time_limit, attempt } => {
-            let until = Ticket::until(unix_ms(), terms.ticket);
-            let ticket = Ticket { batch: batch.to_owned(), engine, attempt, until };
+    match response.response {
+        CallResponse::Forward { engine, upstream_timeout, attempt } => {
+            let valid_until_ms = ContinuationToken::valid_until_ms(unix_ms(), terms.token_validity);
+            let token = ContinuationToken { request: request_id.to_owned(), engine, attempt, valid_until_ms };
             let mut set_headers = vec![
-                header(&names.ticket, ticket.seal(&terms.key)),
-                header(&names.time_limit, (time_limit.as_millis() as u64).max(1).to_string()),
+                header(&names.continuation_token, token.encode(&terms.signing_key)),
+                header(&names.upstream_timeout, (upstream_timeout.as_millis() as u64).max(1).to_string()),
             ];
-            set_headers.extend(told.address.map(|address| header(&names.engine, address.to_string())));
+            set_headers.extend(
+                response.engine_address.map(|address| header(&names.engine_address, address.to_string())),
+            );
             let mutation = HeaderMutation { set_headers, ..HeaderMutation::default() };
             let common = CommonResponse {
                 header_mutation: Some(mutation),
@@ -347,7 +354,7 @@
             };
             (ProcessingResponse { response: Some(answer), ..ProcessingResponse::default() }, false)
         }
-        Verdict::Wait(more) => {
+        CallResponse::ExtendTimeout(more) => {
             let more = envoy_types::pb::google::protobuf::Duration {
                 seconds: more.as_secs() as i64,
                 nanos: more.subsec_nanos() as i32,
@@ -356,7 +363,7 @@
                 ProcessingResponse { override_message_timeout: Some(more), ..ProcessingResponse::default() };
             (answer, false)
         }
-        Verdict::PushBack(wait) => {
+        CallResponse::Reject(wait) => {
             let mut set_headers = vec![header(&names.outcome, "pushed-back".to_owned())];
             if let Some(wait) = wait {
                 let seconds = wait.as_millis().div_ceil(1000);
@@ -365,7 +372,7 @@
             }
             (immediate(503, set_headers, "pushed back"), true)
         }
-        Verdict::Error => {
+        CallResponse::Fail => {
             let set_headers = vec![header(&names.outcome, "errored".to_owned())];
             (immediate(502, set_headers, "errored"), true)
         }
@@ -396,11 +403,11 @@
     ProcessingResponse { response: Some(Answer::ImmediateResponse(answer)), ..ProcessingResponse::default() }
 }
 
-fn refused(fault: Fault) -> ProcessingResponse {
+fn refused(fault: RequestError) -> ProcessingResponse {
     let (code, details) = match fault {
-        Fault::TooMany => (431, "too many headers"),
-        Fault::NoServiceGroup => (400, "no service group is named"),
-        Fault::BadBatch => (400, "the batch's id is too long"),
+        RequestError::TooManyHeaders => (431, "too many headers"),
+        RequestError::NoRequestClass => (400, "no service group is named"),
+        RequestError::InvalidRequestId => (400, "the batch's id is too long"),
     };
     immediate(code, Vec::new(), details)
 }
--- a/crates/edges/processor/src/lib.rs
+++ b/crates/edges/processor/src/lib.rs
@@ -5,42 +5,42 @@
 mod door;
 mod names;
 
-pub use door::{Started, Terms, start};
-pub use names::{Fault, Group, Names, outcome_of};
+pub use door::{ServerConfig, StartedServer, start};
+pub use names::{HeaderNames, RequestClass, RequestError, attempt_outcome};
 
 use lemonusher::AttemptOutcome;
-use lemonusher_external_call::{Asked, StreamId, Verdict};
+use lemonusher_external_call::{CallRequest, CallResponse, StreamId};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
 /// What proxies tell, as the front hears it.
-pub enum FromProxy {
-    Asked {
-        asked: Asked,
-        line: async_channel::Sender<Told>,
+pub enum ProxyEvent {
+    Request {
+        call_request: CallRequest,
+        responses: async_channel::Sender<ProxyResponse>,
         received: Instant,
     },
     /// The engine has answered.
-    Answered {
+    ResponseHeaders {
         stream: StreamId,
         outcome: AttemptOutcome,
     },
     /// A stream is over, whole or broken.
-    Ended {
+    StreamEnded {
         stream: StreamId,
-        whole: bool,
+        complete: bool,
     },
     /// What a message took on its way here and back, without the time that the decision took.
-    Measured(Duration),
+    RoundTrip(Duration),
 }
 
 /// What a proxy is told.
 #[derive(Debug, Clone)]
-pub struct Told {
-    pub verdict: Verdict,
+pub struct ProxyResponse {
+    pub response: CallResponse,
     /// Where the engine of a verdict is.
-    pub address: Option<SocketAddr>,
+    pub engine_address: Option<SocketAddr>,
     /// From the message's receipt until the front took it up, and when it answered.
-    pub waited: Duration,
-    pub at: Instant,
+    pub queued: Duration,
+    pub sent_at: Instant,
 }
--- a/crates/edges/processor/src/names.rs
+++ b/crates/edges/processor/src/names.rs
@@ -2,81 +2,81 @@
 
 use envoy_types::pb::envoy::config::core::v3::HeaderMap;
 use lemonusher::AttemptOutcome;
-use lemonusher_external_call::{Asked, Key, StreamId, Ticket};
+use lemonusher_external_call::{CallRequest, ContinuationToken, SigningKey, StreamId};
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-const MOST_HEADERS: usize = 256;
-const MOST_BYTES: usize = 64 * 1024;
-const LONGEST_ID: usize = 128;
+const MAX_HEADERS: usize = 256;
+const MAX_HEADER_BYTES: usize = 64 * 1024;
+const MAX_REQUEST_ID_BYTES: usize = 128;
 
 /// A service group that the deployment states.
 #[derive(Debug, Clone)]
-pub struct Group {
+pub struct RequestClass {
     pub name: String,
-    /// The longest patience that is taken.
-    pub most_patience: Duration,
+    /// The longest client_timeout that is taken.
+    pub max_client_timeout: Duration,
 }
 
 /// The headers by which a request says what it is, and by which it is told where to go.
 #[derive(Debug, Clone)]
-pub struct Names {
-    pub batch: String,
-    pub service_group: String,
+pub struct HeaderNames {
+    pub request_id: String,
+    pub request_class: String,
     pub table_group: String,
-    pub patience: String,
-    pub repeat: String,
-    pub attempt: String,
-    pub ticket: String,
+    pub client_timeout: String,
+    pub client_retry: String,
+    pub attempt_count: String,
+    pub continuation_token: String,
     /// Where the engine's address goes.
-    pub engine: String,
-    pub time_limit: String,
+    pub engine_address: String,
+    pub upstream_timeout: String,
     /// By which engines say how a request ended.
     pub outcome: String,
     /// Path prefixes that stand for a service group, where no header names one.
     pub paths: Vec<(String, String)>,
-    pub usual_patience: Duration,
+    pub default_client_timeout: Duration,
 }
 
-impl Default for Names {
-    fn default() -> Names {
+impl Default for HeaderNames {
+    fn default() -> HeaderNames {
         let name = |text: &str| text.to_owned();
-        Names {
-            batch: name("x-request-id"),
-            service_group: name("x-service-group"),
+        HeaderNames {
+            request_id: name("x-request-id"),
+            request_class: name("x-service-group"),
             table_group: name("x-table-group"),
-            patience: name("x-envoy-expected-rq-timeout-ms"),
-            repeat: name("x-repeat"),
-            attempt: name("x-envoy-attempt-count"),
-            ticket: name("x-lemonusher-ticket"),
-            engine: name("x-envoy-original-dst-host"),
-            time_limit: name("x-envoy-upstream-rq-timeout-ms"),
+            client_timeout: name("x-envoy-expected-rq-timeout-ms"),
+            client_retry: name("x-repeat"),
+            attempt_count: name("x-envoy-attempt-count"),
+            continuation_token: name("x-lemonusher-ticket"),
+            engine_address: name("x-envoy-original-dst-host"),
+            upstream_timeout: name("x-envoy-upstream-rq-timeout-ms"),
             outcome: name("x-lemonusher-outcome"),
             paths: Vec::new(),
-            usual_patience: Duration::from_secs(5),
+            default_client_timeout: Duration::from_secs(5),
         }
     }
 }
 
-/// Why a request can't be asked about.
+/// Why a request can't be request about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fault {
-    TooMany,
+pub enum RequestError {
+    TooManyHeaders,
     /// No header or path names a service group that the deployment states.
-    NoServiceGroup,
-    BadBatch,
+    NoRequestClass,
+    InvalidRequestId,
 }
 
 /// Headers by their lower-case names; of several, the first.
 pub struct Headers(BTreeMap<String, String>);
 
 impl Headers {
-    pub fn read(map: Option<HeaderMap>) -> Result<Headers, Fault> {
+    pub fn read(map: Option<HeaderMap>) -> Result<Headers, RequestError> {
         let headers = map.map(|map| map.headers).unwrap_or_default();
         let bytes: usize = headers.iter().map(|h| h.key.len() + h.value.len() + h.raw_value.len()).sum();
-        if headers.len() > MOST_HEADERS || bytes > MOST_BYTES {
-            return Err(Fault::TooMany);
+        if headers.len() > MAX_HEADERS || bytes > MAX_HEADER_BYTES {
+            return Err(RequestError::TooManyHeaders);
         }
         let mut held = BTreeMap::new();
         for header in headers {
@@ -98,45 +98,51 @@
     }
 }
 
-impl Names {
-    /// The request as it is asked about.
-    pub fn asked(
+impl HeaderNames {
+    /// The request as it is request about.
+    pub fn read_request(
         &self,
         stream: StreamId,
         headers: &Headers,
-        groups: &[Group],
-        key: &Key,
+        groups: &[RequestClass],
+        key: &SigningKey,
         unix_ms: u64,
-    ) -> Result<Asked, Fault> {
+    ) -> Result<CallRequest, RequestError> {
         let by_path = || {
             let path = headers.get(":path")?;
             let found = self.paths.iter().find(|(prefix, _)| path.starts_with(prefix.as_str()))?;
             Some(found.1.as_str())
         };
-        let group = headers.get(&self.service_group).or_else(by_path).ok_or(Fault::NoServiceGroup)?;
-        let service_group = groups.iter().position(|known| known.name == group);
-        let service_group = service_group.ok_or(Fault::NoServiceGroup)?;
-        let batch = match headers.get(&self.batch) {
-            Some(id) if id.is_empty() || id.len() > LONGEST_ID => return Err(Fault::BadBatch),
+        let group = headers.get(&self.request_class).or_else(by_path).ok_or(RequestError::NoRequestClass)?;
+        let request_class = groups.iter().position(|known| known.name == group);
+        let request_class = request_class.ok_or(RequestError::NoRequestClass)?;
+        let request = match headers.get(&self.request_id) {
+            Some(id) if id.is_empty() || id.len() > MAX_REQUEST_ID_BYTES => {
+                return Err(RequestError::InvalidRequestId);
+            }
             Some(id) => id.to_owned(),
             None => format!("unnamed-{stream}"),
         };
-        let patience = headers.number(&self.patience).map(Duration::from_millis);
-        let patience = patience.filter(|patience| !patience.is_zero()).unwrap_or(self.usual_patience);
-        let ticket = headers.get(&self.ticket);
+        let client_timeout = headers.number(&self.client_timeout).map(Duration::from_millis);
+        let client_timeout = client_timeout
+            .filter(|client_timeout| !client_timeout.is_zero())
+            .unwrap_or(self.default_client_timeout);
+        let token = headers.get(&self.continuation_token);
         // A ticket that is not sound says nothing; that there is one says that something was tried.
-        let sound = ticket.is_some_and(|text| Ticket::open(text, key, &batch, unix_ms).is_ok());
-        let attempt = headers.number(&self.attempt).unwrap_or(1).clamp(1, u32::MAX.into()) as u32;
-        let attempt = if ticket.is_some() && !sound { attempt.max(2) } else { attempt };
-        Ok(Asked {
+        let sound = token.is_some_and(|text| ContinuationToken::decode(text, key, &request, unix_ms).is_ok());
+        let attempt = headers.number(&self.attempt_count).unwrap_or(1).clamp(1, u32::MAX.into()) as u32;
+        let attempt = if token.is_some() && !sound { attempt.max(2) } else { attempt };
+        Ok(CallRequest {
             stream,
-            batch: batch.into(),
-            service_group,
+            request: request.into(),
+            request_class,
             table_group: headers.get(&self.table_group).map(hash).unwrap_or_default(),
-            patience: patience.min(groups[service_group].most_patience),
-            repeat: headers.get(&self.repeat).is_some_and(|text| !matches!(text, "" | "0" | "false")),
+            client_timeout: client_timeout.min(groups[request_class].max_client_timeout),
+            client_retry: headers
+                .get(&self.client_retry)
+                .is_some_and(|text| !matches!(text, "" | "0" | "false")),
             attempt,
-            ticket: sound,
+            has_valid_token: sound,
         })
     }
 }
@@ -149,7 +155,7 @@
 }
 
 /// How a dispatch ended, as far as the response tells. `details` is the proxy's own word where it answered itself.
-pub fn outcome_of(status: u32, told: Option<&str>, details: Option<&str>) -> AttemptOutcome {
+pub fn attempt_outcome(status: u32, told: Option<&str>, details: Option<&str>) -> AttemptOutcome {
     match told {
         Some("full") => return AttemptOutcome::Rejected,
         Some("late") => return AttemptOutcome::NotSent,
@@ -189,29 +195,34 @@
 
     #[test]
     fn a_request_is_read_by_its_headers_or_path() {
-        let names = Names { paths: vec![("/report".into(), "report".into())], ..Names::default() };
-        let group = |name: &str| Group { name: name.into(), most_patience: Duration::from_secs(10) };
+        let names =
+            HeaderNames { paths: vec![("/report".into(), "report".into())], ..HeaderNames::default() };
+        let group =
+            |name: &str| RequestClass { name: name.into(), max_client_timeout: Duration::from_secs(10) };
         let groups = [group("look-up"), group("report")];
-        let key = Key::new(b"key");
-        let ask = |list: &[(&str, &str)]| names.asked(3, &headers(list), &groups, &key, 0);
-        let asked = ask(&[
+        let key = SigningKey::new(b"key");
+        let ask = |list: &[(&str, &str)]| names.read_request(3, &headers(list), &groups, &key, 0);
+        let request = ask(&[
             ("X-Request-Id", "r1"),
             ("x-service-group", "report"),
             ("x-envoy-expected-rq-timeout-ms", "99999"),
         ])
         .unwrap();
-        assert_eq!((&*asked.batch, asked.service_group, asked.patience.as_secs()), ("r1", 1, 10));
-        assert_eq!(ask(&[(":path", "/report/7")]).unwrap().service_group, 1);
-        assert_eq!(ask(&[(":path", "/other")]).unwrap_err(), Fault::NoServiceGroup);
-        assert_eq!(ask(&[("x-service-group", "none")]).unwrap_err(), Fault::NoServiceGroup);
+        assert_eq!(
+            (&*request.request, request.request_class, request.client_timeout.as_secs()),
+            ("r1", 1, 10)
+        );
+        assert_eq!(ask(&[(":path", "/report/7")]).unwrap().request_class, 1);
+        assert_eq!(ask(&[(":path", "/other")]).unwrap_err(), RequestError::NoRequestClass);
+        assert_eq!(ask(&[("x-service-group", "none")]).unwrap_err(), RequestError::NoRequestClass);
         let long = "x".repeat(200);
         assert_eq!(
             ask(&[("x-service-group", "report"), ("x-request-id", &long)]).unwrap_err(),
-            Fault::BadBatch
+            RequestError::InvalidRequestId
         );
         // A forged ticket makes nothing sound, and counts as a try before.
         let forged = ask(&[("x-service-group", "report"), ("x-lemonusher-ticket", "1.x.1.1.1")]).unwrap();
-        assert!(!forged.ticket && forged.attempt == 2);
+        assert!(!forged.has_valid_token && forged.attempt == 2);
         let many: Vec<(&str, &str)> = vec![("a", "b"); 1000];
         let map = HeaderMap {
             headers: many
@@ -219,7 +230,7 @@
                 .map(|(k, _)| HeaderValue { key: k.to_string(), ..Default::default() })
                 .collect(),
         };
-        assert!(matches!(Headers::read(Some(map)), Err(Fault::TooMany)));
+        assert!(matches!(Headers::read(Some(map)), Err(RequestError::TooManyHeaders)));
     }
 
     #[test]
@@ -243,7 +254,7 @@
             ),
             (504, None, Some("upstream_response_timeout"), AttemptOutcome::TimedOut),
         ] {
-            assert_eq!(outcome_of(status, told, details), outcome);
+            assert_eq!(attempt_outcome(status, told, details), outcome);
         }
     }
 }
