--- /dev/null
+++ b/crates/core/external-call/src/calls.rs
@@ -0,0 +1,336 @@
+//! The state machine of all calls of one processor.
+
+use crate::config::CallConfig;
+use crate::finished::{FinishedCalls, FinishedOutcome};
+use crate::messages::{AttemptToken, CallAction, CallRequest, CallResponse, FinalResponse, StreamId};
+use crate::round_trip::RoundTripEstimate;
+use crate::state::{Call, CallState, GrantedAttempt, Timeout};
+use lemonusher::{AttemptOutcome, EngineId, Idempotency, RequestId};
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+/// All calls of one processor. Each handler takes an event and returns what has to be done; times are `Duration`s
+/// since one origin and never go back.
+#[derive(Debug)]
+pub struct ExternalCalls {
+    config: CallConfig,
+    calls: BTreeMap<RequestId, Call>,
+    /// The call of each open stream.
+    streams: BTreeMap<StreamId, RequestId>,
+    timeouts: BTreeSet<Timeout>,
+    finished: FinishedCalls,
+    round_trip: RoundTripEstimate,
+}
+
+impl ExternalCalls {
+    /// Begins without any call.
+    pub fn new(config: CallConfig) -> ExternalCalls {
+        ExternalCalls {
+            calls: BTreeMap::new(),
+            streams: BTreeMap::new(),
+            timeouts: BTreeSet::new(),
+            finished: FinishedCalls::new(config.unknown_outcome_retention, config.max_remembered),
+            round_trip: RoundTripEstimate::new(config.message_timeout),
+            config,
+        }
+    }
+
+    /// Number of calls that are not finished.
+    pub fn open_calls(&self) -> usize {
+        self.calls.len()
+    }
+
+    /// When `poll` has to be called next.
+    pub fn next_timeout(&self) -> Option<Duration> {
+        self.timeouts.first().map(|timeout| timeout.at)
+    }
+
+    /// How long before the end of the message timeout a response is sent at the latest, so that it is read in time.
+    pub fn response_margin(&self) -> Duration {
+        self.round_trip.margin(self.config.message_timeout)
+    }
+
+    /// Takes the measured time of a message to a proxy and back.
+    pub fn record_round_trip(&mut self, round_trip: Duration) {
+        self.round_trip.record(round_trip);
+    }
+
+    /// A proxy asks about a request: its first attempt, or a retry.
+    pub fn handle_request(&mut self, now: Duration, call_request: CallRequest) -> Vec<CallAction> {
+        self.finished.remove_expired(now);
+        let respond_by = (now + self.config.message_timeout).saturating_sub(self.response_margin());
+        if self.calls.contains_key(&call_request.request) {
+            return self.handle_known_request(call_request, respond_by);
+        }
+        self.handle_new_request(now, call_request, respond_by)
+    }
+
+    /// A retry of an open call takes the attempt that the router has granted or will grant.
+    fn handle_known_request(&mut self, call_request: CallRequest, respond_by: Duration) -> Vec<CallAction> {
+        let CallRequest { stream, request, .. } = call_request;
+        let Some(call) = self.calls.get_mut(&request) else { return Vec::new() };
+        let CallState::AwaitingRetry { granted, until } = call.state else {
+            // The earlier attempt is still with the proxy; two are never forwarded at once.
+            return vec![respond(stream, CallResponse::Fail)];
+        };
+        call.state = CallState::AwaitingResponse { stream, respond_by, extended: Duration::ZERO };
+        self.streams.insert(stream, request.clone());
+        self.remove_timeout(until, &request);
+        self.add_timeout(respond_by, &request);
+        match granted {
+            Some(granted) => self.forward(&request, granted),
+            None => Vec::new(),
+        }
+    }
+
+    fn handle_new_request(
+        &mut self,
+        now: Duration,
+        call_request: CallRequest,
+        respond_by: Duration,
+    ) -> Vec<CallAction> {
+        let (stream, request) = (call_request.stream, call_request.request.clone());
+        let idempotency = self.idempotency(call_request.request_class);
+        let was_tried = call_request.attempt > 1 || call_request.has_valid_token;
+        let may_have_run = match self.finished.outcome(&request) {
+            Some(FinishedOutcome::MayHaveRun) => true,
+            Some(FinishedOutcome::NeverRan) => false,
+            None => was_tried,
+        };
+        if may_have_run && idempotency != Idempotency::Idempotent {
+            return vec![respond(stream, CallResponse::Fail)];
+        }
+        if self.calls.len() >= self.config.max_calls {
+            self.finished.insert(now, request, FinishedOutcome::of(may_have_run));
+            return vec![respond(stream, CallResponse::Reject { retry_after: None })];
+        }
+        let state = CallState::AwaitingResponse { stream, respond_by, extended: Duration::ZERO };
+        self.calls.insert(request.clone(), Call { state, idempotency, forwarded: 0, may_have_run });
+        self.add_timeout(respond_by, &request);
+        self.streams.insert(stream, request);
+        let client_retry = call_request.client_retry || was_tried;
+        vec![CallAction::Submit(CallRequest { client_retry, ..call_request })]
+    }
+
+    /// What is not stated is taken as what must never run twice.
+    fn idempotency(&self, request_class: usize) -> Idempotency {
+        self.config.idempotency.get(request_class).copied().unwrap_or(Idempotency::NonIdempotent)
+    }
+
+    /// The request router grants a request an attempt. It is forwarded at once, is there for the proxy's retry, or
+    /// ends as not sent.
+    pub fn handle_attempt(
+        &mut self,
+        request: &RequestId,
+        token: AttemptToken,
+        engine: EngineId,
+        upstream_timeout: Duration,
+    ) -> Vec<CallAction> {
+        let attempt = GrantedAttempt { token, engine, upstream_timeout };
+        let not_sent = CallAction::EndAttempt { token, outcome: AttemptOutcome::NotSent };
+        let Some(call) = self.calls.get_mut(request) else { return vec![not_sent] };
+        match &mut call.state {
+            CallState::AwaitingResponse { .. } => self.forward(request, attempt),
+            CallState::AwaitingRetry { granted, .. } if granted.is_none() => {
+                *granted = Some(attempt);
+                Vec::new()
+            }
+            _ => vec![not_sent],
+        }
+    }
+
+    /// Tells the proxy that waits to forward the request.
+    fn forward(&mut self, request: &RequestId, granted: GrantedAttempt) -> Vec<CallAction> {
+        let Some(call) = self.calls.get_mut(request) else { return Vec::new() };
+        let CallState::AwaitingResponse { stream, respond_by, .. } = call.state else { return Vec::new() };
+        call.state = CallState::InFlight { stream, granted };
+        let attempt = call.forwarded;
+        call.forwarded += 1;
+        self.remove_timeout(respond_by, request);
+        let GrantedAttempt { engine, upstream_timeout, .. } = granted;
+        vec![respond(stream, CallResponse::Forward { engine, upstream_timeout, attempt })]
+    }
+
+    /// The request router gives a request its final response.
+    pub fn handle_final_response(
+        &mut self,
+        now: Duration,
+        request: &RequestId,
+        response: FinalResponse,
+    ) -> Vec<CallAction> {
+        let Some(call) = self.calls.get(request) else { return Vec::new() };
+        let outcome = FinishedOutcome::of(call.may_have_run || response == FinalResponse::Failed);
+        match call.state {
+            CallState::AwaitingResponse { stream, .. } => {
+                let mut actions = self.finish(now, request, outcome);
+                let response = match response {
+                    FinalResponse::Rejected { retry_after } => CallResponse::Reject { retry_after },
+                    FinalResponse::Failed => CallResponse::Fail,
+                };
+                actions.push(respond(stream, response));
+                actions
+            }
+            CallState::AwaitingRetry { .. } => self.finish(now, request, outcome),
+            // The proxy can't be called back. Its stream's end closes the call.
+            CallState::InFlight { .. } | CallState::Responding { .. } => Vec::new(),
+        }
+    }
+
+    /// The engine's response has begun, with the outcome that the server read from its headers.
+    pub fn handle_response_headers(&mut self, stream: StreamId, outcome: AttemptOutcome) -> Vec<CallAction> {
+        let Some(call) = self.streams.get(&stream).and_then(|request| self.calls.get_mut(request)) else {
+            return Vec::new();
+        };
+        if let CallState::InFlight { stream, granted } = call.state {
+            call.state = CallState::Responding { stream, granted, outcome };
+        }
+        Vec::new()
+    }
+
+    /// A stream has ended: complete, or reset.
+    pub fn handle_stream_end(&mut self, now: Duration, stream: StreamId, complete: bool) -> Vec<CallAction> {
+        let Some(request) = self.streams.remove(&stream) else { return Vec::new() };
+        let Some(call) = self.calls.get_mut(&request) else { return Vec::new() };
+        match call.state {
+            // No response was given. With `failure_mode_allow` the proxy may have forwarded the request by itself.
+            CallState::AwaitingResponse { stream: current, .. } if current == stream => {
+                let may_have_run = call.may_have_run || self.config.failure_mode_allow;
+                let mut actions = self.finish(now, &request, FinishedOutcome::of(may_have_run));
+                actions.insert(0, CallAction::Cancel(request));
+                actions
+            }
+            CallState::Responding { stream: current, granted, outcome } if current == stream => {
+                // A response that broke off is no response.
+                let broke_off = !complete && outcome == AttemptOutcome::Returned;
+                let outcome = if broke_off { AttemptOutcome::Reset } else { outcome };
+                self.end_attempt(now, request, granted, outcome)
+            }
+            // The response came after the timeout, the client left, or the proxy lost the engine. Nothing tells these
+            // apart: the proxy may have read the response at the last moment, so the attempt may have run.
+            CallState::InFlight { stream: current, granted } if current == stream => {
+                self.end_attempt(now, request, granted, AttemptOutcome::Reset)
+            }
+            _ => Vec::new(),
+        }
+    }
+
+    /// An attempt has ended: the call is finished, or waits for the proxy's retry.
+    fn end_attempt(
+        &mut self,
+        now: Duration,
+        request: RequestId,
+        granted: GrantedAttempt,
+        outcome: AttemptOutcome,
+    ) -> Vec<CallAction> {
+        let mut actions = vec![CallAction::EndAttempt { token: granted.token, outcome }];
+        if outcome == AttemptOutcome::Returned {
+            actions.extend(self.finish(now, &request, FinishedOutcome::MayHaveRun));
+            return actions;
+        }
+        let until = now + self.config.retry_window;
+        if let Some(call) = self.calls.get_mut(&request) {
+            call.may_have_run |= !outcome.never_ran();
+            call.state = CallState::AwaitingRetry { granted: None, until };
+            self.add_timeout(until, &request);
+        }
+        actions
+    }
+
+    /// Handles all timeouts up to now: responses that can't be waited for any longer, retries that did not come.
+    pub fn poll(&mut self, now: Duration) -> Vec<CallAction> {
+        self.finished.remove_expired(now);
+        let mut actions = Vec::new();
+        while let Some(Timeout { request, .. }) = self.pop_timeout(now) {
+            let Some(call) = self.calls.get(&request) else { continue };
+            match call.state {
+                CallState::AwaitingResponse { stream, extended, .. } => {
+                    actions.extend(self.handle_response_timeout(now, request, stream, extended));
+                }
+                CallState::AwaitingRetry { .. } => {
+                    let outcome = FinishedOutcome::of(call.may_have_run);
+                    actions.push(CallAction::Cancel(request.clone()));
+                    actions.extend(self.finish(now, &request, outcome));
+                }
+                CallState::InFlight { .. } | CallState::Responding { .. } => {}
+            }
+        }
+        actions
+    }
+
+    /// The router has granted nothing in time: the proxy is asked for more time, or the call ends.
+    fn handle_response_timeout(
+        &mut self,
+        now: Duration,
+        request: RequestId,
+        stream: StreamId,
+        extended: Duration,
+    ) -> Vec<CallAction> {
+        let remaining = self.config.max_timeout_extension.saturating_sub(extended);
+        let extension = self.config.message_timeout.min(remaining);
+        let margin = self.response_margin();
+        let Some(call) = self.calls.get_mut(&request) else { return Vec::new() };
+        if !extension.is_zero() {
+            // The proxy's timer starts anew with the message that extends it.
+            let respond_by = (now + extension).saturating_sub(margin).max(now + extension / 2);
+            let extended = extended + extension;
+            call.state = CallState::AwaitingResponse { stream, respond_by, extended };
+            self.add_timeout(respond_by, &request);
+            return vec![respond(stream, CallResponse::ExtendTimeout(extension))];
+        }
+        // Nothing of this attempt ran, as no response was given.
+        let outcome = FinishedOutcome::of(call.may_have_run);
+        let retry_is_safe = !call.may_have_run || call.idempotency == Idempotency::Idempotent;
+        let response = match retry_is_safe {
+            true => CallResponse::Reject { retry_after: None },
+            false => CallResponse::Fail,
+        };
+        let mut actions = vec![CallAction::Cancel(request.clone())];
+        actions.extend(self.finish(now, &request, outcome));
+        actions.push(respond(stream, response));
+        actions
+    }
+
+    /// Removes a call and remembers its outcome. An attempt that was granted but not forwarded ends as not sent.
+    fn finish(&mut self, now: Duration, request: &RequestId, outcome: FinishedOutcome) -> Vec<CallAction> {
+        let Some(call) = self.calls.remove(request) else { return Vec::new() };
+        let mut actions = Vec::new();
+        match call.state {
+            CallState::AwaitingResponse { stream, respond_by, .. } => {
+                self.streams.remove(&stream);
+                self.remove_timeout(respond_by, request);
+            }
+            CallState::AwaitingRetry { granted, until } => {
+                self.remove_timeout(until, request);
+                let not_sent = |GrantedAttempt { token, .. }| CallAction::EndAttempt {
+                    token,
+                    outcome: AttemptOutcome::NotSent,
+                };
+                actions.extend(granted.map(not_sent));
+            }
+            CallState::InFlight { stream, .. } | CallState::Responding { stream, .. } => {
+                self.streams.remove(&stream);
+            }
+        }
+        self.finished.insert(now, request.clone(), outcome);
+        actions
+    }
+
+    fn add_timeout(&mut self, at: Duration, request: &RequestId) {
+        self.timeouts.insert(Timeout { at, request: request.clone() });
+    }
+
+    fn remove_timeout(&mut self, at: Duration, request: &RequestId) {
+        self.timeouts.remove(&Timeout { at, request: request.clone() });
+    }
+
+    fn pop_timeout(&mut self, now: Duration) -> Option<Timeout> {
+        if self.next_timeout()? > now {
+            return None;
+        }
+        self.timeouts.pop_first()
+    }
+}
+
+fn respond(stream: StreamId, response: CallResponse) -> CallAction {
+    CallAction::Respond { stream, response }
+}
--- /dev/null
+++ b/crates/core/external-call/tests/calls.rs
@@ -0,0 +1,172 @@
+//! One call after another: what a proxy is told in each state, and how attempts end.
+
+mod common;
+
+use common::{IDEMPOTENT, NON_IDEMPOTENT, call_request, config, ms};
+use lemonusher::{AttemptOutcome, RequestId};
+use lemonusher_external_call::{
+    CallAction, CallConfig, CallRequest, CallResponse, ExternalCalls, FinalResponse,
+};
+
+fn responses(actions: &[CallAction]) -> Vec<(u64, CallResponse)> {
+    let response = |action: &CallAction| match action {
+        CallAction::Respond { stream, response } => Some((*stream, response.clone())),
+        _ => None,
+    };
+    actions.iter().filter_map(response).collect()
+}
+
+fn outcomes(actions: &[CallAction]) -> Vec<(u64, AttemptOutcome)> {
+    let outcome = |action: &CallAction| match action {
+        CallAction::EndAttempt { token, outcome } => Some((*token, *outcome)),
+        _ => None,
+    };
+    actions.iter().filter_map(outcome).collect()
+}
+
+fn forward(stream: u64, engine: u32, attempt: u32) -> Vec<(u64, CallResponse)> {
+    vec![(stream, CallResponse::Forward { engine, upstream_timeout: ms(900), attempt })]
+}
+
+#[test]
+fn call_is_forwarded_and_ends_with_the_engines_response() {
+    let mut calls = ExternalCalls::new(config(false, 0));
+    let request: RequestId = "b".into();
+    assert!(matches!(
+        calls.handle_request(ms(0), call_request(1, "b", NON_IDEMPOTENT)).as_slice(),
+        [CallAction::Submit(_)]
+    ));
+    assert_eq!(responses(&calls.handle_attempt(&request, 10, 7, ms(900))), forward(1, 7, 0));
+    calls.handle_response_headers(1, AttemptOutcome::Returned);
+    assert_eq!(outcomes(&calls.handle_stream_end(ms(50), 1, true)), [(10, AttemptOutcome::Returned)]);
+    assert_eq!((calls.open_calls(), calls.next_timeout()), (0, None));
+    // What ran is not forwarded again, whatever the proxy states.
+    assert_eq!(
+        responses(&calls.handle_request(ms(60), call_request(2, "b", NON_IDEMPOTENT))),
+        [(2, CallResponse::Fail)]
+    );
+    assert!(matches!(
+        calls.handle_request(ms(60), call_request(3, "c", IDEMPOTENT)).as_slice(),
+        [CallAction::Submit(_)]
+    ));
+}
+
+#[test]
+fn response_that_would_come_too_late_is_not_given() {
+    let mut calls = ExternalCalls::new(config(false, 0));
+    calls.handle_request(ms(0), call_request(1, "b", NON_IDEMPOTENT));
+    let timeout = calls.next_timeout().unwrap();
+    assert!(timeout < ms(200) && timeout >= ms(100), "{timeout:?}");
+    let actions = calls.poll(timeout);
+    assert!(matches!(actions[0], CallAction::Cancel(_)));
+    assert_eq!(responses(&actions), [(1, CallResponse::Reject { retry_after: None })]);
+    // The owner's dispatch comes behind it: it was not sent, and the request may be asked for again.
+    assert_eq!(outcomes(&calls.handle_attempt(&"b".into(), 10, 7, ms(900))), [(10, AttemptOutcome::NotSent)]);
+    let again = CallRequest { attempt: 2, ..call_request(2, "b", NON_IDEMPOTENT) };
+    assert!(matches!(calls.handle_request(ms(300), again).as_slice(), [CallAction::Submit(_)]));
+    // A proxy that allows it is asked for more time first.
+    let mut calls = ExternalCalls::new(config(false, 300));
+    calls.handle_request(ms(0), call_request(1, "b", NON_IDEMPOTENT));
+    let mut sent = Vec::new();
+    while let Some(timeout) = calls.next_timeout() {
+        sent.extend(responses(&calls.poll(timeout)).into_iter().map(|(_, response)| response));
+    }
+    assert_eq!(
+        sent,
+        [
+            CallResponse::ExtendTimeout(ms(200)),
+            CallResponse::ExtendTimeout(ms(100)),
+            CallResponse::Reject { retry_after: None }
+        ]
+    );
+}
+
+#[test]
+fn retry_is_given_only_what_the_router_grants() {
+    let mut calls = ExternalCalls::new(config(false, 0));
+    let request: RequestId = "b".into();
+    calls.handle_request(ms(0), call_request(1, "b", IDEMPOTENT));
+    calls.handle_attempt(&request, 10, 7, ms(900));
+    // While the first is in flight, a second is never forwarded.
+    assert_eq!(
+        responses(&calls.handle_request(ms(5), call_request(9, "b", IDEMPOTENT))),
+        [(9, CallResponse::Fail)]
+    );
+    calls.handle_response_headers(1, AttemptOutcome::Rejected);
+    assert_eq!(outcomes(&calls.handle_stream_end(ms(10), 1, true)), [(10, AttemptOutcome::Rejected)]);
+    // Granted before the retry comes, the attempt waits for it.
+    assert!(calls.handle_attempt(&request, 11, 8, ms(900)).is_empty());
+    let retry =
+        |stream| CallRequest { attempt: 2, has_valid_token: true, ..call_request(stream, "b", IDEMPOTENT) };
+    assert_eq!(responses(&calls.handle_request(ms(20), retry(2))), forward(2, 8, 1));
+    calls.handle_response_headers(2, AttemptOutcome::Errored);
+    calls.handle_stream_end(ms(30), 2, true);
+    // Without an attempt, the retry is answered by the router's final response.
+    assert!(calls.handle_request(ms(40), retry(3)).is_empty());
+    assert_eq!(
+        responses(&calls.handle_final_response(
+            ms(41),
+            &request,
+            FinalResponse::Rejected { retry_after: Some(ms(500)) }
+        )),
+        [(3, CallResponse::Reject { retry_after: Some(ms(500)) })]
+    );
+    // Granted, but no retry comes: it was not sent.
+    calls.handle_request(ms(50), call_request(4, "d", IDEMPOTENT));
+    calls.handle_attempt(&"d".into(), 12, 7, ms(900));
+    calls.handle_response_headers(4, AttemptOutcome::ConnectFailed);
+    calls.handle_stream_end(ms(60), 4, true);
+    calls.handle_attempt(&"d".into(), 13, 8, ms(900));
+    let actions = calls.poll(ms(60 + 300));
+    assert_eq!(outcomes(&actions), [(13, AttemptOutcome::NotSent)]);
+    assert!(matches!(actions[0], CallAction::Cancel(_)) && calls.open_calls() == 0);
+}
+
+#[test]
+fn outcome_is_unknown_to_a_restarted_processor_by_token_or_attempt_count() {
+    for (attempt, has_valid_token) in [(2, false), (1, true)] {
+        let mut calls = ExternalCalls::new(config(false, 0));
+        let retry =
+            |request_class| CallRequest { attempt, has_valid_token, ..call_request(1, "b", request_class) };
+        assert_eq!(responses(&calls.handle_request(ms(0), retry(NON_IDEMPOTENT))), [(1, CallResponse::Fail)]);
+        assert!(matches!(
+            calls.handle_request(ms(0), retry(IDEMPOTENT)).as_slice(),
+            [CallAction::Submit(CallRequest { client_retry: true, .. })]
+        ));
+    }
+}
+
+#[test]
+fn response_that_breaks_off_counts_as_reset() {
+    let mut calls = ExternalCalls::new(config(false, 0));
+    calls.handle_request(ms(0), call_request(1, "b", NON_IDEMPOTENT));
+    calls.handle_attempt(&"b".into(), 10, 7, ms(900));
+    calls.handle_response_headers(1, AttemptOutcome::Returned);
+    assert_eq!(outcomes(&calls.handle_stream_end(ms(10), 1, false)), [(10, AttemptOutcome::Reset)]);
+}
+
+#[test]
+fn open_and_remembered_calls_are_bounded() {
+    let mut calls = ExternalCalls::new(CallConfig { max_calls: 10, max_remembered: 50, ..config(false, 0) });
+    for n in 0..1000 {
+        calls.handle_request(ms(0), call_request(n, &format!("b{n}"), NON_IDEMPOTENT));
+    }
+    assert_eq!(calls.open_calls(), 10);
+    // Rejected for want of capacity, it may come again.
+    calls.poll(ms(1000));
+    assert!(matches!(
+        calls.handle_request(ms(1001), call_request(5000, "b999", NON_IDEMPOTENT)).as_slice(),
+        [CallAction::Submit(_)]
+    ));
+}
+
+#[test]
+fn response_margin_follows_round_trips() {
+    let mut calls = ExternalCalls::new(config(false, 0));
+    (0..200).for_each(|_| calls.record_round_trip(ms(1)));
+    assert_eq!(calls.response_margin(), ms(10)); // The least.
+    (0..200).for_each(|_| calls.record_round_trip(ms(30)));
+    assert!(calls.response_margin() >= ms(30) && calls.response_margin() < ms(60));
+    (0..200).for_each(|_| calls.record_round_trip(ms(5000)));
+    assert_eq!(calls.response_margin(), ms(100)); // The most.
+}
--- a/crates/edges/cli/tests/proof_processor.rs
+++ b/crates/edges/cli/tests/proof_processor.rs
@@ -8,8 +8,8 @@
 mod proxies;
 
 // One for one, in virtual time: the claim that verdicts are those of the gateway alone.
-#[path = "../../../core/external-call/tests/same_verdicts.rs"]
-mod same_verdicts;
+#[path = "../../../core/external-call/tests/same_decisions.rs"]
+mod same_decisions;
 
 use envoy_types::pb::envoy::config::core::v3::HeaderValue;
 use envoy_types::pb::envoy::service::ext_proc::v3::processing_request::Request as Say;
--- a/crates/edges/front/src/program/consulted.rs
+++ b/crates/edges/front/src/program/consulted.rs
@@ -6,7 +6,9 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 use lemonusher::{EndpointUpdateKind, EngineId, EngineState, RequestId};
-use lemonusher_external_call::{CallAction, CallConfig, CallRequest, CallResponse, ExternalCalls, StreamId};
+use lemonusher_external_call::{
+    CallAction, CallConfig, CallRequest, CallResponse, ExternalCalls, FinalResponse, StreamId,
+};
 use lemonusher_processor::{ProxyEvent, ProxyResponse};
 use lemonusher_routing::{Endpoint, EngineCommand, IncomingRequest, Response, ResponseSink, RouterEvent};
 use std::cell::RefCell;
@@ -107,8 +109,12 @@
             self.tickets.remove(&request);
             done.extend(match answer {
                 Response::Returned(_) => Vec::new(), // The proxy has passed it on already.
-                Response::Rejected(wait) => self.consult.handle_final_response(now, &request, true, wait),
-                Response::Failed => self.consult.handle_final_response(now, &request, false, None),
+                Response::Rejected(wait) => self.consult.handle_final_response(
+                    now,
+                    &request,
+                    FinalResponse::Rejected { retry_after: wait },
+                ),
+                Response::Failed => self.consult.handle_final_response(now, &request, FinalResponse::Failed),
             });
         }
         done
--- a/crates/edges/processor/src/door.rs
+++ b/crates/edges/processor/src/door.rs
@@ -363,7 +363,7 @@
                 ProcessingResponse { override_message_timeout: Some(more), ..ProcessingResponse::default() };
             (answer, false)
         }
-        CallResponse::Reject(wait) => {
+        CallResponse::Reject { retry_after: wait } => {
             let mut set_headers = vec![header(&names.outcome, "pushed-back".to_owned())];
             if let Some(wait) = wait {
                 let seconds = wait.as_millis().div_ceil(1000);
