--- a/crates/edges/cli/src/file.rs
+++ b/crates/edges/cli/src/file.rs
@@ -430,8 +430,12 @@
             }
         }
         // The longest prefix speaks first.
-        names.paths = self.paths.iter().map(|(prefix, group)| (prefix.clone(), group.clone())).collect();
-        names.paths.sort_by_key(|(prefix, _)| std::cmp::Reverse(prefix.len()));
+        let class = |(prefix, class): (&String, &String)| lemonusher_processor::PathClass {
+            prefix: prefix.clone(),
+            request_class: class.clone(),
+        };
+        names.paths = self.paths.iter().map(class).collect();
+        names.paths.sort_by_key(|class| std::cmp::Reverse(class.prefix.len()));
         names.default_client_timeout = Duration::from_millis(self.patience_ms.max(1));
         names
     }
--- a/crates/edges/cli/src/main.rs
+++ b/crates/edges/cli/src/main.rs
@@ -305,7 +305,7 @@
     });
     let server = lemonusher_processor::ServerConfig {
         listen: *held.listen.get_ref(),
-        names: held.names(),
+        header_names: held.names(),
         request_classes: classes.collect(),
         signing_key,
         token_validity: longest * 2,
--- /dev/null
+++ b/crates/edges/processor/src/messages.rs
@@ -0,0 +1,160 @@
+//! The messages that proxies are sent.
+
+use crate::events::ProxyResponse;
+use crate::headers::RequestError;
+use crate::server::ServerConfig;
+use crate::wire;
+use envoy_types::pb::envoy::config::core::v3::{HeaderValue, HeaderValueOption};
+use envoy_types::pb::envoy::extensions::filters::http::ext_proc::v3::ProcessingMode;
+use envoy_types::pb::envoy::service::ext_proc::v3::processing_response::Response;
+use envoy_types::pb::envoy::service::ext_proc::v3::{
+    BodyResponse, CommonResponse, HeaderMutation, HeadersResponse, ImmediateResponse, ProcessingRequest,
+    ProcessingResponse,
+};
+use envoy_types::pb::envoy::r#type::v3::HttpStatus;
+use envoy_types::pb::google::protobuf;
+use lemonusher::EngineId;
+use lemonusher_external_call::{CallResponse, ContinuationToken};
+use std::net::SocketAddr;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+/// Longest response code details that are read, in characters.
+const MAX_DETAILS_CHARS: usize = 256;
+
+/// Which of the proxy's messages a response answers.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum AnsweredMessage {
+    RequestHeaders,
+    RequestBody,
+}
+
+pub(crate) fn unix_ms() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+}
+
+pub(crate) fn with_response(response: Response) -> ProcessingResponse {
+    ProcessingResponse { response: Some(response), ..ProcessingResponse::default() }
+}
+
+/// The message for the front's response to a request.
+pub(crate) fn response_message(
+    config: &ServerConfig,
+    request_id: &str,
+    response: ProxyResponse,
+    answered: AnsweredMessage,
+) -> ProcessingResponse {
+    let names = &config.header_names;
+    match response.response {
+        CallResponse::Forward { engine, upstream_timeout, attempt } => {
+            let token = token(config, request_id, engine, attempt);
+            forward(config, token, upstream_timeout, response.engine_address, answered)
+        }
+        CallResponse::ExtendTimeout(extension) => extend_timeout(extension),
+        CallResponse::Reject { retry_after } => {
+            let mut headers = vec![header(&names.outcome, wire::REJECTED_OUTCOME.to_owned())];
+            if let Some(wait) = retry_after {
+                let seconds = wait.as_millis().div_ceil(1000);
+                headers.push(header(wire::RETRY_AFTER_HEADER, seconds.to_string()));
+                headers.push(header(wire::RETRY_AFTER_MS_HEADER, wait.as_millis().to_string()));
+            }
+            immediate(wire::REJECTED_STATUS, headers, wire::REJECTED_DETAILS)
+        }
+        CallResponse::Fail => {
+            let headers = vec![header(&names.outcome, wire::FAILED_OUTCOME.to_owned())];
+            immediate(wire::FAILED_STATUS, headers, wire::FAILED_DETAILS)
+        }
+    }
+}
+
+fn token(config: &ServerConfig, request_id: &str, engine: EngineId, attempt: u32) -> ContinuationToken {
+    ContinuationToken {
+        request: request_id.to_owned(),
+        engine,
+        attempt,
+        valid_until_ms: ContinuationToken::valid_until_ms(unix_ms(), config.token_validity),
+    }
+}
+
+fn forward(
+    config: &ServerConfig,
+    token: ContinuationToken,
+    upstream_timeout: Duration,
+    engine_address: Option<SocketAddr>,
+    answered: AnsweredMessage,
+) -> ProcessingResponse {
+    let names = &config.header_names;
+    let timeout_ms = (upstream_timeout.as_millis() as u64).max(1);
+    let mut set_headers = vec![
+        header(&names.continuation_token, token.encode(&config.signing_key)),
+        header(&names.upstream_timeout, timeout_ms.to_string()),
+    ];
+    set_headers.extend(engine_address.map(|address| header(&names.engine_address, address.to_string())));
+    let common = CommonResponse {
+        header_mutation: Some(HeaderMutation { set_headers, ..HeaderMutation::default() }),
+        clear_route_cache: true,
+        ..CommonResponse::default()
+    };
+    with_response(match answered {
+        AnsweredMessage::RequestBody => Response::RequestBody(BodyResponse { response: Some(common) }),
+        AnsweredMessage::RequestHeaders => {
+            Response::RequestHeaders(HeadersResponse { response: Some(common) })
+        }
+    })
+}
+
+fn extend_timeout(extension: Duration) -> ProcessingResponse {
+    let timeout =
+        protobuf::Duration { seconds: extension.as_secs() as i64, nanos: extension.subsec_nanos() as i32 };
+    ProcessingResponse { override_message_timeout: Some(timeout), ..ProcessingResponse::default() }
+}
+
+/// Leaves the headers as they are, and asks for the whole body.
+pub(crate) fn body_request() -> ProcessingResponse {
+    let mode = ProcessingMode {
+        request_body_mode: wire::BODY_BUFFERED,
+        response_header_mode: wire::HEADERS_SENT,
+        ..ProcessingMode::default()
+    };
+    ProcessingResponse {
+        response: Some(Response::RequestHeaders(HeadersResponse::default())),
+        mode_override: Some(mode),
+        ..ProcessingResponse::default()
+    }
+}
+
+/// Answers a request that can't be read.
+pub(crate) fn refusal(error: RequestError) -> ProcessingResponse {
+    immediate(error.status(), Vec::new(), error.details())
+}
+
+/// A response that the proxy sends to the client at once.
+fn immediate(code: i32, set_headers: Vec<HeaderValueOption>, details: &str) -> ProcessingResponse {
+    with_response(Response::ImmediateResponse(ImmediateResponse {
+        status: Some(HttpStatus { code }),
+        headers: Some(HeaderMutation { set_headers, ..HeaderMutation::default() }),
+        details: details.to_owned(),
+        ..ImmediateResponse::default()
+    }))
+}
+
+fn header(name: &str, value: String) -> HeaderValueOption {
+    HeaderValueOption {
+        header: Some(HeaderValue {
+            key: name.to_owned(),
+            raw_value: value.into_bytes(),
+            ..HeaderValue::default()
+        }),
+        append_action: wire::OVERWRITE_OR_ADD,
+        ..HeaderValueOption::default()
+    }
+}
+
+/// The proxy's reason for a response that it made itself.
+pub(crate) fn response_code_details(request: &ProcessingRequest) -> Option<String> {
+    let attributes = request.attributes.get(wire::ATTRIBUTES_NAMESPACE)?;
+    let value = attributes.fields.get(wire::RESPONSE_CODE_DETAILS)?;
+    match value.kind.as_ref()? {
+        protobuf::value::Kind::StringValue(text) => Some(text.chars().take(MAX_DETAILS_CHARS).collect()),
+        _ => None,
+    }
+}
