--- a/crates/edges/cli/src/main.rs
+++ b/crates/edges/cli/src/main.rs
@@ -246,7 +246,7 @@
     let mut sites = None;
     if let Some((fleet, terms)) = fleet.as_mut().zip(planned) {
         let (told, seen) = async_channel::bounded(1);
-        let groups = lemonusher_routing::groups(&names.terms, terms.admission_floor);
+        let groups = lemonusher_routing::class_loads(&names.terms, terms.admission_floor);
         fleet.sites = Some(lemonusher_fleet::SitesTerms { terms, groups, seen });
         sites = Some((terms, told));
         let works = file.fleet.as_ref().and_then(|held| held.works.as_ref()).map(|held| held.get_ref());
--- a/crates/edges/fleet/src/node/settle.rs
+++ b/crates/edges/fleet/src/node/settle.rs
@@ -142,7 +142,7 @@
         .iter()
         .map(|(id, site, cores, answers)| (*id, (*site, bears(*cores), answers.unwrap_or(true))));
     let fleet = FleetCapacity { machines: machines.collect(), classes: Vec::new() };
-    works.counted(seen.closed_by, seen.in_flight, fleet, &seen.local);
+    works.counted(seen.maintenance_version, seen.in_flight, fleet, &seen.local);
     if let Some((groups, worse, down)) = sites.load() {
         works.load(groups, worse, down);
     }
--- a/crates/edges/front/src/program/clients.rs
+++ b/crates/edges/front/src/program/clients.rs
@@ -432,11 +432,11 @@
             None
         };
         let named = |class: &lemonusher_deployment::Class| class.name == request.method;
-        let Some(service_group) = self.shared.settled.classes.iter().position(named) else {
+        let Some(request_class) = self.shared.settled.classes.iter().position(named) else {
             return faulty(Some(request.id), FaultKind::UnknownMethod);
         };
         self.highest.set(self.highest.get().max(request.id));
-        let most = self.shared.settled.classes[service_group].hard_limit_us.saturating_mul(MOST_TTL);
+        let most = self.shared.settled.classes[request_class].hard_limit_us.saturating_mul(MOST_TTL);
         if request.ttl_ms == 0 || request.ttl_ms.saturating_mul(1000) > most {
             return faulty(Some(request.id), FaultKind::InvalidParams);
         }
@@ -455,7 +455,7 @@
             sink: self.clone(),
             ticket: request.id,
             request: call,
-            service_group,
+            request_class,
             table_group: table_group(&String::from_utf8_lossy(&request.statement)).unwrap_or_default(),
             // The client's time runs from its sending, also while this process does not.
             client_timeout: Duration::from_millis(request.ttl_ms)
--- a/crates/edges/front/src/program/consulted.rs
+++ b/crates/edges/front/src/program/consulted.rs
@@ -191,7 +191,7 @@
             sink: self.answers.clone(),
             ticket,
             request: asked.batch,
-            service_group: asked.service_group,
+            request_class: asked.service_group,
             table_group: asked.table_group,
             client_timeout: asked.patience,
             client_retry: asked.repeat,
--- a/crates/edges/front/src/program/engines/mod.rs
+++ b/crates/edges/front/src/program/engines/mod.rs
@@ -262,14 +262,14 @@
             EngineCommand::Send {
                 token,
                 request,
-                service_group,
+                request_class,
                 statement,
                 conditions: terms,
                 priority,
                 memory_mb,
                 ..
             } => {
-                let class = self.shared.settled.classes.get(*service_group);
+                let class = self.shared.settled.classes.get(*request_class);
                 let left = terms.until.saturating_duration_since(now);
                 let terms = Terms {
                     queue: class.map_or("", |class| &class.name),
--- a/crates/edges/front/src/program/start.rs
+++ b/crates/edges/front/src/program/start.rs
@@ -189,7 +189,8 @@
     let recovers = consulting.as_ref().is_some_and(|consulting| consulting.recovers);
 
     let longest = stated.request_classes.iter().map(|t| t.deadline).max().unwrap_or_default();
-    let clock = Clock::starting(oldest_cold(&known.1, stated.safety_rules.slow_start_window) + stated.tick);
+    let clock =
+        Clock::with_history(oldest_cold(&known.1, stated.safety_rules.slow_start_window) + stated.tick);
     let names = settled.classes.iter().map(|class| class.name.clone()).collect();
     let counters = Rc::new(Counters::new(names));
     let (queue, heard) = async_channel::bounded(QUEUE);
@@ -199,9 +200,9 @@
     let executor = Rc::new(LocalExecutor::new());
     let memory = told.limits.memory_mb * 1024 * 1024;
     let limits = Limits {
-        open: settled.ceilings.open_cap.max(1),
-        bytes: memory / STATEMENT_SHARE,
-        probe: stated.capabilities.connect_timeout,
+        max_requests: settled.ceilings.open_cap.max(1),
+        max_statement_bytes: memory / STATEMENT_SHARE,
+        probe_timeout: stated.capabilities.connect_timeout,
     };
     let shared = Rc::new(Shared {
         fields: LoadFields::of(&settled),
@@ -228,7 +229,7 @@
     }
     let mut owner = RequestRouter::new(stated, seed, clock, limits, orders, counters.clone());
     if let Some(door) = door {
-        owner = owner.managed(door.wanted, door.notices);
+        owner = owner.with_desired_state(door.wanted, door.notices);
         executor.spawn(hand_on(door.requests, queue.clone())).detach();
     }
     if let Some(fleet) = fleet {
@@ -245,11 +246,11 @@
             }));
         }
         if let Some((terms, told)) = fleet.sites {
-            owner = owner.watched(terms, told);
+            owner = owner.with_zone_monitor(terms, told);
         }
         executor.spawn(hand_words_on(fleet.words, queue.clone())).detach();
     }
-    let open = owner.open();
+    let open = owner.open_requests();
     let start = async {
         executor.spawn(owner.run(heard)).detach();
         match consulting {
--- a/crates/edges/managed/src/netconf/session.rs
+++ b/crates/edges/managed/src/netconf/session.rs
@@ -489,7 +489,11 @@
                     ("engine", format!("{:08x}", noticed.engine)),
                     ("listed", listed(noticed.state).to_owned()),
                     ("admin-state", admin(noticed.admin).to_owned()),
-                    ("used", (noticed.barred != u64::MAX && listed(noticed.state) == "active").to_string()),
+                    (
+                        "used",
+                        (noticed.blocked_classes != u64::MAX && listed(noticed.state) == "active")
+                            .to_string(),
+                    ),
                 ],
             },
         };
--- a/crates/edges/managed/src/state.rs
+++ b/crates/edges/managed/src/state.rs
@@ -134,7 +134,7 @@
         state.leaf("open-batches", snapshot.requests);
         state.leaf("open-dispatches", snapshot.attempts);
         state.leaf("statement-bytes", snapshot.statement_bytes);
-        state.leaf("deciding", snapshot.gateway.as_micros());
+        state.leaf("deciding", snapshot.decision_time.as_micros());
         state.leaf("notices-lost", snapshot.dropped_notifications);
         if needs.counters {
             counters(&mut state, snapshot);
@@ -181,12 +181,12 @@
 
 fn counters(state: &mut Maker, snapshot: &Snapshot) {
     let Some(list) = state.within("counter") else { return };
-    let entries = snapshot.counts.iter().map(|(kind, group, count)| {
+    let entries = snapshot.counters.iter().map(|counted| {
         let mut entry = Maker::new(list.schema, list.holder);
-        let group = group.and_then(|group| snapshot.names.get(group));
-        entry.leaf("name", kind);
+        let group = counted.request_class.and_then(|class| snapshot.request_classes.get(class));
+        entry.leaf("name", counted.counter);
         entry.leaf("service-group", group.map_or("-", |name| name));
-        entry.leaf("count", count);
+        entry.leaf("count", counted.value);
         entry.fields
     });
     state.list("counter", entries);
--- a/crates/edges/routing/src/clock.rs
+++ b/crates/edges/routing/src/clock.rs
@@ -11,13 +11,13 @@
 
 impl Clock {
     /// The origin lies `before` ahead of now.
-    pub fn starting(before: Duration) -> Self {
+    pub fn with_history(before: Duration) -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { start: Instant::now(), before, unix_origin: unix.saturating_sub(before) }
     }
 
     /// When this process started.
-    pub fn at_start(&self) -> Duration {
+    pub fn process_start(&self) -> Duration {
         self.before
     }
 
@@ -31,7 +31,7 @@
 
     /// When an engine started that did so at this Unix time: zero for long ago, else no earlier than the
     /// origin allows, so that one that is still cold is never taken for warm.
-    pub fn of_start(&self, unix: Duration, now: Duration, cold_for: Duration) -> Duration {
+    pub fn engine_start(&self, unix: Duration, now: Duration, cold_for: Duration) -> Duration {
         let span = unix.saturating_sub(self.unix_origin);
         let unix_now = self.unix_origin + now;
         if !span.is_zero() || unix + cold_for <= unix_now { span } else { Duration::from_nanos(1) }
--- a/crates/edges/routing/src/counters.rs
+++ b/crates/edges/routing/src/counters.rs
@@ -31,44 +31,74 @@
 /// Counts since the start, by request class where that applies.
 #[derive(Default)]
 pub struct Counters {
-    names: Vec<String>,
+    request_classes: Vec<String>,
     counts: RefCell<BTreeMap<(Counter, Option<usize>), u64>>,
-    /// Time that the gateway has taken to decide.
-    gateway: Cell<Duration>,
-    /// Requests, attempts and engines in the tables now.
-    held: Cell<[usize; 3]>,
+    decision_time: Cell<Duration>,
+    table_sizes: Cell<TableSizes>,
+}
+
+/// How much the router's tables hold.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct TableSizes {
+    /// Requests that are owed a response.
+    pub requests: usize,
+    /// Attempts in flight.
+    pub attempts: usize,
+    /// Engines in the endpoint table.
+    pub engines: usize,
+}
+
+/// One counter's value.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct CounterValue {
+    /// What is counted.
+    pub counter: Counter,
+    /// The number of the request class, where the counter has one.
+    pub request_class: Option<usize>,
+    /// The count since the start.
+    pub value: u64,
 }
 
 impl Counters {
-    pub fn new(service_groups: Vec<String>) -> Self {
-        Counters { names: service_groups, ..Counters::default() }
+    pub fn new(request_classes: Vec<String>) -> Self {
+        Counters { request_classes, ..Counters::default() }
     }
 
-    pub fn add(&self, kind: Counter, service_group: Option<usize>) {
-        *self.counts.borrow_mut().entry((kind, service_group)).or_default() += 1;
+    pub fn add(&self, kind: Counter, request_class: Option<usize>) {
+        *self.counts.borrow_mut().entry((kind, request_class)).or_default() += 1;
     }
 
-    pub fn holds(&self, sizes: [usize; 3]) {
-        self.held.set(sizes);
+    /// States how much the router's tables hold now.
+    pub fn set_table_sizes(&self, sizes: TableSizes) {
+        self.table_sizes.set(sizes);
     }
 
-    /// Every count, in the order of the line.
-    pub fn all(&self) -> Vec<(Counter, Option<usize>, u64)> {
-        self.counts.borrow().iter().map(|((kind, group), count)| (*kind, *group, *count)).collect()
+    /// Every count, in the order of the log line.
+    pub fn values(&self) -> Vec<CounterValue> {
+        let counts = self.counts.borrow();
+        counts
+            .iter()
+            .map(|((counter, request_class), value)| CounterValue {
+                counter: *counter,
+                request_class: *request_class,
+                value: *value,
+            })
+            .collect()
     }
 
-    /// The request classes' names.
-    pub fn names(&self) -> &[String] {
-        &self.names
+    /// The request classes' names, by number.
+    pub fn request_classes(&self) -> &[String] {
+        &self.request_classes
     }
 
-    /// Time that the gateway has taken to decide.
-    pub fn gateway(&self) -> Duration {
-        self.gateway.get()
+    /// Time that the gateway has taken to decide since the start.
+    pub fn decision_time(&self) -> Duration {
+        self.decision_time.get()
     }
 
-    pub fn gateway_took(&self, span: Duration) {
-        self.gateway.set(self.gateway.get() + span);
+    /// Adds the time of one decision.
+    pub fn add_decision_time(&self, elapsed: Duration) {
+        self.decision_time.set(self.decision_time.get() + elapsed);
     }
 }
 
@@ -82,14 +112,14 @@
                 write!(f, "{gap}{kind}")?;
                 last = Some(*kind);
             }
-            match group.and_then(|g| self.names.get(g)) {
+            match group.and_then(|g| self.request_classes.get(g)) {
                 Some(name) => write!(f, " {name}={count}")?,
                 None => write!(f, " {count}")?,
             }
         }
-        let [requests, attempts, engines] = self.held.get();
+        let TableSizes { requests, attempts, engines } = self.table_sizes.get();
         write!(f, "; holds {requests} batches, {attempts} dispatches, {engines} engines")?;
-        write!(f, "; gateway decided for {} ms", self.gateway.get().as_millis())
+        write!(f, "; gateway decided for {} ms", self.decision_time.get().as_millis())
     }
 }
 
--- a/crates/edges/routing/src/lib.rs
+++ b/crates/edges/routing/src/lib.rs
@@ -8,10 +8,10 @@
 mod zone_monitor;
 
 pub use clock::Clock;
-pub use counters::{Counter, Counters};
+pub use counters::{Counter, CounterValue, Counters, TableSizes};
 pub use management::{EngineNotification, EngineStatus, ManagementCall, Snapshot};
 pub use router::{Limits, RequestRouter};
-pub use zone_monitor::{ZoneObservation, groups};
+pub use zone_monitor::{ZoneObservation, class_loads};
 
 use lemonusher::{
     AttemptOutcome, AttemptProgress, EndpointUpdateKind, EngineId, EngineState, LoadReport, RequestId,
@@ -45,7 +45,7 @@
     pub sink: Rc<dyn ResponseSink>,
     pub ticket: u64,
     pub request: RequestId,
-    pub service_group: usize,
+    pub request_class: usize,
     pub table_group: u64,
     pub client_timeout: Duration,
     pub client_retry: bool,
@@ -120,7 +120,7 @@
         token: Token,
         engine: EngineId,
         request: RequestId,
-        service_group: usize,
+        request_class: usize,
         statement: Rc<[u8]>,
         conditions: WriteConditions,
         priority: u8,
--- a/crates/edges/routing/src/management.rs
+++ b/crates/edges/routing/src/management.rs
@@ -1,6 +1,6 @@
 //! What the managers' side asks of the owner, and what it is told. All of it may cross threads.
 
-use crate::Counter;
+use crate::CounterValue;
 use async_channel::Sender;
 use lemonusher::{EngineId, EngineState};
 use lemonusher_membership::{AdminState, DesiredState, EndpointStatus};
@@ -35,7 +35,7 @@
     pub engine: EngineId,
     pub state: EngineState,
     pub admin: AdminState,
-    pub barred: u64,
+    pub blocked_classes: u64,
 }
 
 #[derive(Debug, Clone)]
@@ -53,12 +53,15 @@
 pub struct Snapshot {
     /// Since the clock's origin.
     pub now: Duration,
-    pub counts: Vec<(Counter, Option<usize>, u64)>,
-    pub names: Vec<String>,
+    /// Every counter, in the order of the counters' log line.
+    pub counters: Vec<CounterValue>,
+    /// Names of the request classes, by number.
+    pub request_classes: Vec<String>,
     pub requests: usize,
     pub attempts: usize,
     pub statement_bytes: usize,
-    pub gateway: Duration,
+    /// Time that the gateway has taken to decide since the start.
+    pub decision_time: Duration,
     /// Notices lost because nobody took them in time.
     pub dropped_notifications: u64,
     pub engines: Vec<EngineStatus>,
--- a/crates/edges/routing/src/router.rs
+++ b/crates/edges/routing/src/router.rs
@@ -1,7 +1,7 @@
 use super::counters::name;
 use super::{
     Clock, ControlUpdate, Counter, Counters, Endpoint, EngineCommand, IncomingRequest, Response,
-    ResponseSink, RouterEvent, Token, WriteConditions,
+    ResponseSink, RouterEvent, TableSizes, Token, WriteConditions,
 };
 use crate::management::{EngineNotification, EngineStatus, ManagementCall, Snapshot};
 use crate::zone_monitor::{Watched, ZoneObservation, ended};
@@ -31,17 +31,17 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     /// Requests open at once; further ones are pushed back unseen.
-    pub open: usize,
+    pub max_requests: usize,
     /// Bytes of statements held at once.
-    pub bytes: usize,
+    pub max_statement_bytes: usize,
     /// A probe without an answer in this time has failed.
-    pub probe: Duration,
+    pub probe_timeout: Duration,
 }
 
 struct Held {
     asker: Rc<dyn ResponseSink>,
     ticket: u64,
-    service_group: usize,
+    request_class: usize,
     statement: Rc<[u8]>,
     limit: Duration,
     priority: u8,
@@ -53,7 +53,7 @@
 
 struct Flight {
     request: RequestId,
-    service_group: usize,
+    request_class: usize,
     number: u32,
     engine: EngineId,
     at: Duration,
@@ -117,7 +117,7 @@
         let door = AdmissionLimiter::new(stated.request_classes.len(), longest);
         let mut gateway = Gateway::new(stated.clone(), seed);
         // What an engine was sent by a process before this one is not known here.
-        gateway.handle_event(clock.at_start(), Event::TimerFired);
+        gateway.handle_event(clock.process_start(), Event::TimerFired);
         RequestRouter {
             gateway,
             stated,
@@ -151,7 +151,11 @@
     }
 
     /// What managers wanted when this front last ran: in force before anything is heard.
-    pub fn managed(mut self, wanted: Arc<DesiredState>, notices: Sender<EngineNotification>) -> Self {
+    pub fn with_desired_state(
+        mut self,
+        wanted: Arc<DesiredState>,
+        notices: Sender<EngineNotification>,
+    ) -> Self {
         self.door.set(wanted.limits());
         self.table = EndpointTable::new(wanted);
         self.notices = Some(notices);
@@ -159,7 +163,7 @@
     }
 
     /// Tells the fleet what is seen of the sites, and follows its plan.
-    pub fn watched(mut self, terms: FailoverConfig, told: Sender<ZoneObservation>) -> Self {
+    pub fn with_zone_monitor(mut self, terms: FailoverConfig, told: Sender<ZoneObservation>) -> Self {
         let now = self.clock.now();
         self.watched = Some(Watched::new(now, &self.stated, terms, told));
         self.wakes.insert(now);
@@ -167,7 +171,7 @@
     }
 
     /// How many requests are owed an answer.
-    pub fn open(&self) -> Rc<Cell<usize>> {
+    pub fn open_requests(&self) -> Rc<Cell<usize>> {
         self.open.clone()
     }
 
@@ -193,7 +197,11 @@
                 self.start_over(now);
             }
             self.open.set(self.requests.len());
-            self.counters.holds([self.requests.len(), self.flights.len(), self.table.len()]);
+            self.counters.set_table_sizes(TableSizes {
+                requests: self.requests.len(),
+                attempts: self.flights.len(),
+                engines: self.table.len(),
+            });
         }
     }
 
@@ -264,7 +272,7 @@
         (self.decided, self.undecided) = (now, false);
         let from = Instant::now();
         let actions = self.gateway.decide(now);
-        self.counters.gateway_took(from.elapsed());
+        self.counters.add_decision_time(from.elapsed());
         for action in actions {
             self.carry_out(now, action);
         }
@@ -276,7 +284,7 @@
             RouterEvent::ClientGone { sink: asker, ticket, request } => {
                 let theirs = |held: &&Held| held.ticket == ticket && Rc::ptr_eq(&held.asker, &asker);
                 if let Some(held) = self.requests.get(&request).filter(theirs) {
-                    self.counters.add(Counter::ClientGone, Some(held.service_group));
+                    self.counters.add(Counter::ClientGone, Some(held.request_class));
                     self.close(&request);
                     self.gateway.handle_event(now, Event::ClientGone(request));
                 }
@@ -288,15 +296,15 @@
                     let threads = self
                         .stated
                         .request_classes
-                        .get(flight.service_group)
+                        .get(flight.request_class)
                         .map_or(1.0, |terms| terms.threads);
                     let span = now.saturating_sub(flight.at);
                     let ended = ended(outcome, span, cost.map(|cost| cost.work), threads);
-                    watched.eyes.attempt_ended(now, flight.engine, flight.service_group, ended);
+                    watched.eyes.attempt_ended(now, flight.engine, flight.request_class, ended);
                     watched.ended(now, flight.engine, outcome);
                 }
                 self.due.remove(&(flight.until, token));
-                self.counters.add(Counter::AttemptOutcome(name(outcome)), Some(flight.service_group));
+                self.counters.add(Counter::AttemptOutcome(name(outcome)), Some(flight.request_class));
                 log::debug!(
                     "batch" = &*flight.request, engine = flight.engine;
                     "batch {} dispatch {} on engine {:08x} ended {} after {:?}",
@@ -331,7 +339,7 @@
             }
             RouterEvent::ProbeEnded { token, answered, load } => {
                 let Some((engine, at)) = self.probes.remove(&token) else { return };
-                self.due.remove(&(at + self.limits.probe, token));
+                self.due.remove(&(at + self.limits.probe_timeout, token));
                 self.counters.add(if answered { Counter::Probes } else { Counter::ProbeFailures }, None);
                 let after = now.saturating_sub(at);
                 if let Some(watched) = &mut self.watched {
@@ -350,7 +358,7 @@
                     "works: version {version}, {}out: {closed:x?}",
                     if sure { "" } else { "not sure yet, " }
                 );
-                (watched.closed, watched.closed_by) = (closed.clone(), version);
+                (watched.closed, watched.maintenance_version) = (closed.clone(), version);
                 let change = self.table.set_out_of_service(closed, !sure);
                 self.change(now, EndpointUpdateKind::Delta, change);
             }
@@ -362,24 +370,24 @@
     }
 
     fn take(&mut self, now: Duration, taken: IncomingRequest) {
-        let group = Some(taken.service_group);
+        let group = Some(taken.request_class);
         self.counters.add(Counter::Received, group);
-        let full =
-            self.requests.len() >= self.limits.open || self.bytes + taken.statement.len() > self.limits.bytes;
+        let full = self.requests.len() >= self.limits.max_requests
+            || self.bytes + taken.statement.len() > self.limits.max_statement_bytes;
         if full {
             self.counters.add(Counter::Rejected, group);
             return taken.sink.respond(taken.ticket, Response::Rejected(None));
         }
         if let Some(watched) = &mut self.watched {
-            watched.eyes.request_arrived(taken.service_group);
-            if let Err(wait) = watched.door.admit(taken.service_group) {
+            watched.eyes.request_arrived(taken.request_class);
+            if let Err(wait) = watched.door.admit(taken.request_class) {
                 self.counters.add(Counter::Rejected, group);
                 let wait = wait.min(self.stated.capabilities.max_retry_after);
                 let wait = Some(wait).filter(|_| self.stated.capabilities.retry_after);
                 return taken.sink.respond(taken.ticket, Response::Rejected(wait));
             }
         }
-        if let Err(wait) = self.door.admit(now, taken.service_group) {
+        if let Err(wait) = self.door.admit(now, taken.request_class) {
             self.counters.add(Counter::Rejected, group);
             let wait = Some(wait).filter(|_| self.stated.capabilities.retry_after);
             return taken.sink.respond(taken.ticket, Response::Rejected(wait));
@@ -388,14 +396,14 @@
             || self.flights.values().any(|f| f.request == taken.request)
         {
             self.counters.add(Counter::Failed, group);
-            self.door.release(now, taken.service_group);
+            self.door.release(now, taken.request_class);
             return taken.sink.respond(taken.ticket, Response::Failed);
         }
         self.bytes += taken.statement.len();
         let held = Held {
             asker: taken.sink,
             ticket: taken.ticket,
-            service_group: taken.service_group,
+            request_class: taken.request_class,
             statement: taken.statement,
             limit: now + taken.client_timeout,
             priority: 1,
@@ -408,7 +416,7 @@
             now,
             Event::Arrived(Arrival {
                 request: taken.request,
-                request_class: taken.service_group,
+                request_class: taken.request_class,
                 table_group: taken.table_group,
                 key: None,
                 client_timeout: taken.client_timeout,
@@ -433,7 +441,7 @@
                 machine_kind: one.machine_kind,
                 state: one.state,
                 started_at: one.started_at.map_or(Duration::ZERO, |unix| {
-                    self.clock.of_start(unix, now, self.stated.safety_rules.slow_start_window)
+                    self.clock.engine_start(unix, now, self.stated.safety_rules.slow_start_window)
                 }),
                 blocked_classes: 0,
             })
@@ -469,7 +477,7 @@
                     engine: entry.engine,
                     state: entry.state,
                     admin,
-                    barred: entry.blocked_classes,
+                    blocked_classes: entry.blocked_classes,
                 });
             }
         }
@@ -478,7 +486,7 @@
             let effect = |group: usize| self.stated.request_classes.get(group).map(|terms| terms.idempotency);
             let out: Vec<Token> = (self.flights.iter())
                 .filter(|(_, f)| {
-                    f.engine == *engine && effect(f.service_group).is_some_and(|e| admin.recalls(e))
+                    f.engine == *engine && effect(f.request_class).is_some_and(|e| admin.recalls(e))
                 })
                 .map(|(token, _)| *token)
                 .collect();
@@ -523,10 +531,10 @@
     fn manage(&mut self, now: Duration, managed: ManagementCall) {
         match managed {
             ManagementCall::Prepare { number, desired_state: wanted, reply } => {
-                let groups = self.stated.request_classes.len();
-                let known = wanted.limits().len() <= groups;
+                let class_loads = self.stated.request_classes.len();
+                let known = wanted.limits().len() <= class_loads;
                 let verdict =
-                    if known { Ok(()) } else { Err(format!("only {groups} service groups are stated")) };
+                    if known { Ok(()) } else { Err(format!("only {class_loads} service groups are stated")) };
                 if known {
                     self.prepared = Some((number, wanted));
                 }
@@ -567,12 +575,12 @@
             .collect();
         Snapshot {
             now,
-            counts: self.counters.all(),
-            names: self.counters.names().to_vec(),
+            counters: self.counters.values(),
+            request_classes: self.counters.request_classes().to_vec(),
             requests: self.requests.len(),
             attempts: self.flights.len(),
             statement_bytes: self.bytes,
-            gateway: self.counters.gateway(),
+            decision_time: self.counters.decision_time(),
             dropped_notifications: self.unnoticed,
             engines,
         }
@@ -600,7 +608,7 @@
             Action::Cancel { request, attempt } => {
                 let flight = self.flights.iter().find(|(_, f)| f.request == request && f.number == attempt);
                 if let Some((token, flight)) = flight.map(|(t, f)| (*t, f)) {
-                    self.counters.add(Counter::Cancels, Some(flight.service_group));
+                    self.counters.add(Counter::Cancels, Some(flight.request_class));
                     self.order(EngineCommand::Cancel(token));
                 }
             }
@@ -617,7 +625,7 @@
                 if let Some(watched) = &mut self.watched {
                     watched.eyes.attempt_sent(now, engine);
                 }
-                self.due.insert((now + self.limits.probe, token));
+                self.due.insert((now + self.limits.probe_timeout, token));
                 self.order(EngineCommand::Probe { token, engine });
             }
             Action::WatchEndpoints => {} // The channel brings all changes anyway.
@@ -635,15 +643,15 @@
         let token = self.token();
         let Some(held) = self.requests.get_mut(&request) else { return };
         let until = if time_out.is_zero() { held.limit } else { held.limit.min(now + time_out) };
-        self.counters.add(Counter::Attempts, Some(held.service_group));
+        self.counters.add(Counter::Attempts, Some(held.request_class));
         if held.attempts > 0 {
-            self.counters.add(Counter::Retries, Some(held.service_group));
+            self.counters.add(Counter::Retries, Some(held.request_class));
         }
         let order = EngineCommand::Send {
             token,
             engine,
             request: request.clone(),
-            service_group: held.service_group,
+            request_class: held.request_class,
             statement: held.statement.clone(),
             conditions: WriteConditions {
                 until: self.clock.instant(until),
@@ -655,7 +663,7 @@
         };
         let flight = Flight {
             request,
-            service_group: held.service_group,
+            request_class: held.request_class,
             number: held.attempts,
             engine,
             at: now,
@@ -710,7 +718,7 @@
             Response::Rejected(_) => Counter::Rejected,
             Response::Failed => Counter::Failed,
         };
-        self.counters.add(kind, Some(held.service_group));
+        self.counters.add(kind, Some(held.request_class));
         log::debug!("batch" = &**request; "batch {request} {kind}");
         held.asker.respond(held.ticket, answer);
     }
@@ -724,7 +732,7 @@
             out.into_iter().for_each(|token| self.order(EngineCommand::Withdraw(token)));
         }
         self.bytes -= held.statement.len();
-        self.door.release(self.clock.now(), held.service_group);
+        self.door.release(self.clock.now(), held.request_class);
         Some(held)
     }
 
--- a/crates/edges/routing/src/zone_monitor.rs
+++ b/crates/edges/routing/src/zone_monitor.rs
@@ -21,14 +21,14 @@
     pub report: FrontReport,
     pub local: LocalView,
     /// Up to which version of the works engines are closed, and what is out on those.
-    pub closed_by: u64,
+    pub maintenance_version: u64,
     pub in_flight: BTreeMap<u32, u32>,
     /// Of each engine: its site, its cores, and whether it answers, as far as it was tried.
     pub engines: Vec<(u32, u32, u32, Option<bool>)>,
 }
 
 /// The request classes as the planner wants them.
-pub fn groups(stated: &[RequestClassConfig], floor: f64) -> Vec<ClassLoad> {
+pub fn class_loads(stated: &[RequestClassConfig], floor: f64) -> Vec<ClassLoad> {
     let group = |terms: &RequestClassConfig| ClassLoad {
         priority_weight: terms.priority_weight,
         work: terms.latency_objective.as_secs_f64() * terms.threads * WORK_GUESS,
@@ -51,7 +51,7 @@
     pub next: Duration,
     /// What the works have closed, and by which version.
     pub closed: Arc<BTreeSet<u32>>,
-    pub closed_by: u64,
+    pub maintenance_version: u64,
     /// Until when what ended in doubt on an engine may still run there.
     doubts: BTreeMap<u32, Duration>,
     settle: Duration,
@@ -65,14 +65,18 @@
         told: Sender<ZoneObservation>,
     ) -> Watched {
         Watched {
-            eyes: Observer::new(now, stated.zone, groups(&stated.request_classes, terms.admission_floor)),
+            eyes: Observer::new(
+                now,
+                stated.zone,
+                class_loads(&stated.request_classes, terms.admission_floor),
+            ),
             door: PlanAdmission::new(stated.request_classes.len()),
             told,
             share: 1.0 / f64::from(stated.fronts.max(1)),
             next: now + terms.report_interval,
             terms,
             closed: Arc::default(),
-            closed_by: 0,
+            maintenance_version: 0,
             doubts: BTreeMap::new(),
             settle: stated.safety_rules.unknown_outcome_delay.max(stated.capabilities.connect_timeout),
         }
@@ -93,7 +97,7 @@
         let _ = self.told.force_send(ZoneObservation {
             report,
             local: own,
-            closed_by: self.closed_by,
+            maintenance_version: self.maintenance_version,
             in_flight: out,
             engines,
         });
--- a/crates/tools/scale/src/fleet/setup.rs
+++ b/crates/tools/scale/src/fleet/setup.rs
@@ -166,7 +166,7 @@
     ZoneObservation {
         report,
         local: zones::LocalView::default(),
-        closed_by: 0,
+        maintenance_version: 0,
         in_flight: Default::default(),
         engines: (0..budget::ENGINES).map(engine).collect(),
     }
