--- a/crates/edges/cli/src/fleet.rs
+++ b/crates/edges/cli/src/fleet.rs
@@ -260,15 +260,15 @@
 }
 
 /// The names by which the deployment speaks; where the file names none, sites are numbers.
-fn names_of(path: &Path) -> Result<lemonusher_front::Names, Failure> {
+fn names_of(path: &Path) -> Result<lemonusher_front::DeploymentNames, Failure> {
     let (_, told) = crate::read(path)?;
-    lemonusher_front::names(&told).map_err(|unfit| Failure::File(vec![unfit.to_string()]))
+    lemonusher_front::read_names(&told).map_err(|unfit| Failure::File(vec![unfit.to_string()]))
 }
 
-fn site_of(names: &lemonusher_front::Names, name: &str) -> Result<u32, Failure> {
-    let known = names.locations.iter().position(|known| known == name);
+fn site_of(names: &lemonusher_front::DeploymentNames, name: &str) -> Result<u32, Failure> {
+    let known = names.zones.iter().position(|known| known == name);
     known.map(|at| at as u32).ok_or_else(|| {
-        Failure::Failed(format!("there is no site '{name}'; there are {}", names.locations.join(", ")))
+        Failure::Failed(format!("there is no site '{name}'; there are {}", names.zones.join(", ")))
     })
 }
 
@@ -283,8 +283,8 @@
         else {
             continue;
         };
-        let site = |at: usize| names.locations.get(at).cloned().unwrap_or_else(|| at.to_string());
-        let group = |at: usize| names.service_groups.get(at).cloned().unwrap_or_else(|| at.to_string());
+        let site = |at: usize| names.zones.get(at).cloned().unwrap_or_else(|| at.to_string());
+        let group = |at: usize| names.request_classes.get(at).cloned().unwrap_or_else(|| at.to_string());
         let part = |thousandths: u16| f64::from(thousandths) / 1000.0;
         if json {
             let sites = sites.iter().enumerate().map(|(at, one)| {
--- a/crates/edges/cli/src/main.rs
+++ b/crates/edges/cli/src/main.rs
@@ -178,9 +178,10 @@
 
 fn check(path: &Path, json: bool) -> Result<(), Failure> {
     let (file, told) = read(path)?;
-    let names = lemonusher_front::names(&told).map_err(|unfit| Failure::File(vec![unfit.to_string()]))?;
+    let names =
+        lemonusher_front::read_names(&told).map_err(|unfit| Failure::File(vec![unfit.to_string()]))?;
     let fleet =
-        file.fleet.as_ref().map(|held| fleet::terms_of(held, &names.front, names.location)).transpose()?;
+        file.fleet.as_ref().map(|held| fleet::terms_of(held, &names.front, names.zone)).transpose()?;
     if json {
         println!("{}", serde_json::json!({"file": path, "front": names.front, "ok": true}));
     } else {
@@ -201,7 +202,8 @@
 
 fn run(path: &Path) -> Result<(), Failure> {
     let (file, told) = read(path)?;
-    let names = lemonusher_front::names(&told).map_err(|unfit| Failure::File(vec![unfit.to_string()]))?;
+    let names =
+        lemonusher_front::read_names(&told).map_err(|unfit| Failure::File(vec![unfit.to_string()]))?;
     let managed = file.managed.as_ref().map(terms_of).transpose()?;
     let processor = file.processor.as_ref().map(|held| processor_of(held, &names)).transpose()?;
     let dial = journal::start(file.log.level, file.log.form);
@@ -212,9 +214,9 @@
         Some(terms) => {
             let front = names.front.clone();
             let known = Names {
-                zones: names.locations.clone(),
-                machine_kinds: names.kinds.clone(),
-                service_groups: names.service_groups.clone(),
+                zones: names.zones.clone(),
+                machine_kinds: names.machine_kinds.clone(),
+                service_groups: names.request_classes.clone(),
             };
             let level = Arc::new(move |level: &str| dial.set(level));
             let started = lemonusher_managed::start(terms, known, front, level, Vec::new())
@@ -227,7 +229,11 @@
             if let Some(address) = netconf {
                 tracing::info!("NETCONF at {address}");
             }
-            Some(lemonusher_front::Door { requests, wanted, notices })
+            Some(lemonusher_front::ManagementChannels {
+                calls: requests,
+                desired_state: wanted,
+                notifications: notices,
+            })
         }
     };
     let consulting = match processor {
@@ -237,18 +243,23 @@
             let started = lemonusher_processor::start(terms)
                 .map_err(|error| failed(format!("can't listen on {listen}: {error}")))?;
             tracing::info!("external processor at {}", started.address);
-            Some(lemonusher_front::Consulting { terms: consult, heard: started.heard, recovers, tick })
+            Some(lemonusher_front::ExternalProcessing {
+                config: consult,
+                messages: started.heard,
+                recovers,
+                tick,
+            })
         }
     };
     let mut fleet =
-        file.fleet.as_ref().map(|held| fleet::terms_of(held, &names.front, names.location)).transpose()?;
+        file.fleet.as_ref().map(|held| fleet::terms_of(held, &names.front, names.zone)).transpose()?;
     let planned = file.fleet.as_ref().and_then(|held| held.sites.as_ref()).map(|held| held.get_ref().terms());
     let mut sites = None;
     if let Some((fleet, terms)) = fleet.as_mut().zip(planned) {
         let (told, seen) = async_channel::bounded(1);
-        let groups = lemonusher_routing::class_loads(&names.terms, terms.admission_floor);
+        let groups = lemonusher_routing::class_loads(&names.class_configs, terms.admission_floor);
         fleet.sites = Some(lemonusher_fleet::SitesTerms { terms, groups, seen });
-        sites = Some((terms, told));
+        sites = Some(lemonusher_front::ZoneFailover { config: terms, observations: told });
         let works = file.fleet.as_ref().and_then(|held| held.works.as_ref()).map(|held| held.get_ref());
         fleet.works = works.map(|works| lemonusher_fleet::WorksTerms {
             terms: works.terms(terms.report_interval),
@@ -267,11 +278,11 @@
     };
     let seats = file.fleet.as_ref().is_some_and(|held| held.seats > 0);
     let works = file.fleet.as_ref().is_some_and(|held| held.works.is_some());
-    let told_by = fleet.as_ref().map(|started| lemonusher_front::Fleet {
-        words: started.words.clone(),
-        seats,
-        sites,
-        works,
+    let told_by = fleet.as_ref().map(|started| lemonusher_front::FleetChannels {
+        control_updates: started.words.clone(),
+        shares_quota: seats,
+        zone_failover: sites,
+        maintenance: works,
     });
     let ended = lemonusher_front::serve(told, door, consulting, told_by);
     drop(fleet); // Lets go of all that it holds.
@@ -281,10 +292,10 @@
 /// What the file says of proxies that consult.
 fn processor_of(
     held: &file::Processor,
-    names: &lemonusher_front::Names,
+    names: &lemonusher_front::DeploymentNames,
 ) -> Result<(lemonusher_processor::Terms, lemonusher_consult::Terms, bool, Duration), Failure> {
     let ms = |ms: u64| Duration::from_millis(ms);
-    let longest = names.terms.iter().map(|terms| terms.deadline).max().unwrap_or_default();
+    let longest = names.class_configs.iter().map(|terms| terms.deadline).max().unwrap_or_default();
     let key = match &held.key_file {
         Some(path) => {
             let path = path.get_ref();
@@ -294,7 +305,7 @@
         }
         None => lemonusher_consult::Key::new(&rand::random::<[u8; 32]>()),
     };
-    let groups = names.service_groups.iter().zip(&names.terms).map(|(name, terms)| {
+    let groups = names.request_classes.iter().zip(&names.class_configs).map(|(name, terms)| {
         let most_patience = terms.deadline * 2;
         lemonusher_processor::Group { name: name.clone(), most_patience }
     });
@@ -313,7 +324,7 @@
         more_time: ms(held.more_time_ms),
         retry_within: ms(held.retry_within_ms),
         doubt: longest * 2,
-        effects: names.terms.iter().map(|terms| terms.idempotency).collect(),
+        effects: names.class_configs.iter().map(|terms| terms.idempotency).collect(),
         most_calls: *held.streams.get_ref(),
         most_remembered: held.remembered,
     };
--- a/crates/edges/front/src/lib.rs
+++ b/crates/edges/front/src/lib.rs
@@ -5,6 +5,8 @@
 mod protocol;
 mod transport;
 
-pub use program::consulted::Consulting;
-pub use program::start::{Door, Fleet, Names, Unfit, names, run, serve};
+pub use program::consulted::ExternalProcessing;
+pub use program::start::{
+    DeploymentNames, FleetChannels, ManagementChannels, StartError, ZoneFailover, read_names, run, serve,
+};
 pub use protocol::statement::table_group;
--- a/crates/edges/front/src/program/consulted.rs
+++ b/crates/edges/front/src/program/consulted.rs
@@ -15,10 +15,12 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What `run` needs to serve proxies.
-pub struct Consulting {
-    pub terms: Terms,
-    pub heard: Receiver<FromProxy>,
+/// What `run` needs to serve proxies that use external processing.
+pub struct ExternalProcessing {
+    /// Configuration of the calls.
+    pub config: Terms,
+    /// Messages of the proxies.
+    pub messages: Receiver<FromProxy>,
     /// A start after a crash: what proxies still have out is not known.
     pub recovers: bool,
     /// The owner decides this often at most, in the place of what the deployment states: a verdict waits for it.
@@ -61,12 +63,12 @@
 }
 
 /// Serves for as long as the front runs.
-pub async fn run(shared: Rc<Shared>, orders: Receiver<EngineCommand>, consulting: Consulting) {
+pub async fn run(shared: Rc<Shared>, orders: Receiver<EngineCommand>, external: ExternalProcessing) {
     let (wake, woken) = async_channel::bounded(1);
     let answers = Rc::new(Answers { requests: RefCell::default(), given: RefCell::default(), wake });
     let mut bridge = Bridge {
         shared,
-        consult: Consult::new(consulting.terms),
+        consult: Consult::new(external.config),
         answers,
         tickets: BTreeMap::new(),
         next: 0,
@@ -85,7 +87,7 @@
         // What the owner says goes first: a verdict must not wait behind questions.
         let order = async { orders.recv().await.map_or(Next::Over, Next::EngineCommand) };
         let answered = async { woken.recv().await.map_or(Next::Over, |()| Next::Answered) };
-        let heard = async { consulting.heard.recv().await.map_or(Next::Over, Next::RouterEvent) };
+        let heard = async { external.messages.recv().await.map_or(Next::Over, Next::RouterEvent) };
         let next = order.or(answered).or(due).or(heard).await;
         let now = bridge.began.elapsed();
         let done = match next {
--- a/crates/edges/front/src/program/start.rs
+++ b/crates/edges/front/src/program/start.rs
@@ -1,7 +1,7 @@
 //! Reads what the front is told, starts the parts, and waits for the end.
 
 use super::clients::Clients;
-use super::consulted::Consulting;
+use super::consulted::ExternalProcessing;
 use super::descriptors::Descriptors;
 use super::shared::Shared;
 use super::{channel, consulted, engines};
@@ -19,6 +19,7 @@
     Clock, ControlUpdate, Counters, EngineNotification, Limits, ManagementCall, RequestRouter, RouterEvent,
     ZoneObservation,
 };
+use lemonusher_zone_failover::FailoverConfig;
 use serde::Deserialize;
 use serde_json::Value;
 use serde_json::value::RawValue;
@@ -64,7 +65,7 @@
 
 /// Why the front can't start.
 #[derive(Debug)]
-pub enum Unfit {
+pub enum StartError {
     Missing(&'static str),
     Unreadable(String, io::Error),
     Malformed(String, String),
@@ -72,22 +73,22 @@
     Signals(io::Error),
 }
 
-impl fmt::Display for Unfit {
+impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Unfit::Missing(name) => write!(f, "the variable {name} is not set"),
-            Unfit::Unreadable(path, error) => write!(f, "can't read {path}: {error}"),
-            Unfit::Malformed(path, what) => write!(f, "can't use {path}: {what}"),
-            Unfit::Listen(address, error) => write!(f, "can't listen on {address}: {error}"),
-            Unfit::Signals(error) => write!(f, "can't watch for signals: {error}"),
+            StartError::Missing(name) => write!(f, "the variable {name} is not set"),
+            StartError::Unreadable(path, error) => write!(f, "can't read {path}: {error}"),
+            StartError::Malformed(path, what) => write!(f, "can't use {path}: {what}"),
+            StartError::Listen(address, error) => write!(f, "can't listen on {address}: {error}"),
+            StartError::Signals(error) => write!(f, "can't watch for signals: {error}"),
         }
     }
 }
 
 impl Told {
-    fn read(path: &str) -> Result<Told, Unfit> {
-        let text = std::fs::read_to_string(path).map_err(|e| Unfit::Unreadable(path.to_owned(), e))?;
-        serde_json::from_str(&text).map_err(|e| Unfit::Malformed(path.to_owned(), e.to_string()))
+    fn read(path: &str) -> Result<Told, StartError> {
+        let text = std::fs::read_to_string(path).map_err(|e| StartError::Unreadable(path.to_owned(), e))?;
+        serde_json::from_str(&text).map_err(|e| StartError::Malformed(path.to_owned(), e.to_string()))
     }
 
     /// What stands otherwise in a newer file and waits for the next start. The list of engines is no part of
@@ -103,90 +104,105 @@
     }
 }
 
-/// What stands beside the front when it is managed. On the platform there is none.
-pub struct Door {
-    /// Requests of the managers' side; they join the owner's one queue.
-    pub requests: async_channel::Receiver<ManagementCall>,
-    /// What managers wanted when this front last ran.
-    pub wanted: Arc<DesiredState>,
-    pub notices: async_channel::Sender<EngineNotification>,
+/// How managers reach the front. On the platform there are none.
+pub struct ManagementChannels {
+    /// Calls of the managers' side; they join the router's one queue.
+    pub calls: async_channel::Receiver<ManagementCall>,
+    /// The desired state when this front last ran.
+    pub desired_state: Arc<DesiredState>,
+    /// Where changes of engines are notified.
+    pub notifications: async_channel::Sender<EngineNotification>,
 }
 
-/// Names by which the deployment speaks of its places, machines and request classes, in the order of their
-/// numbers.
+/// The names that the deployment gives its zones, machine kinds and request classes, each in the order of the numbers.
 #[derive(Debug, Clone, Default)]
-pub struct Names {
+pub struct DeploymentNames {
+    /// This front's name.
     pub front: String,
-    pub locations: Vec<String>,
-    pub kinds: Vec<String>,
-    pub service_groups: Vec<String>,
-    /// Where this front stands.
-    pub location: u32,
-    /// What is stated of each.
-    pub terms: Vec<RequestClassConfig>,
+    /// Names of the zones.
+    pub zones: Vec<String>,
+    /// Names of the machine kinds.
+    pub machine_kinds: Vec<String>,
+    /// Names of the request classes.
+    pub request_classes: Vec<String>,
+    /// The number of this front's zone.
+    pub zone: u32,
+    /// The configuration of each request class.
+    pub class_configs: Vec<RequestClassConfig>,
 }
 
-/// Reads the names from the file that a front is told.
-pub fn names(path: &str) -> Result<Names, Unfit> {
+/// Reads the names from a front's configuration file.
+pub fn read_names(path: &str) -> Result<DeploymentNames, StartError> {
     let told = Told::read(path)?;
-    let settled =
-        Settled::deserialize(&told.settings).map_err(|e| Unfit::Malformed(path.to_owned(), e.to_string()))?;
-    Ok(Names {
-        terms: deployment(&settled).request_classes,
+    let settled = Settled::deserialize(&told.settings)
+        .map_err(|e| StartError::Malformed(path.to_owned(), e.to_string()))?;
+    Ok(DeploymentNames {
+        class_configs: deployment(&settled).request_classes,
         front: told.name,
-        location: settled.zone,
-        locations: settled.areas,
-        kinds: settled.kinds,
-        service_groups: settled.classes.into_iter().map(|class| class.name).collect(),
+        zone: settled.zone,
+        zones: settled.areas,
+        machine_kinds: settled.kinds,
+        request_classes: settled.classes.into_iter().map(|class| class.name).collect(),
     })
 }
 
 /// Serves by what `PROXY_CONFIG` names until told to end.
-pub fn run() -> Result<(), Unfit> {
-    let path = std::env::var("PROXY_CONFIG").map_err(|_| Unfit::Missing("PROXY_CONFIG"))?;
+pub fn run() -> Result<(), StartError> {
+    let path = std::env::var("PROXY_CONFIG").map_err(|_| StartError::Missing("PROXY_CONFIG"))?;
     serve(path, None, None, None)
 }
 
-/// What the fleet tells this front.
-pub struct Fleet {
-    pub words: async_channel::Receiver<ControlUpdate>,
-    /// Whether fronts agree on their parts of what they share.
-    pub seats: bool,
-    /// Where there is a plan for lost sites: its terms, and who is told what is seen.
-    pub sites: Option<(lemonusher_zone_failover::FailoverConfig, async_channel::Sender<ZoneObservation>)>,
-    /// Whether engines are taken out for work: then none is used before it is known which are.
-    pub works: bool,
+/// How the fleet of fronts reaches this one.
+pub struct FleetChannels {
+    /// Control updates; they join the router's one queue.
+    pub control_updates: async_channel::Receiver<ControlUpdate>,
+    /// Whether the fronts share quotas by leases: then this front has none before it holds one.
+    pub shares_quota: bool,
+    /// Zone failover, where it is configured.
+    pub zone_failover: Option<ZoneFailover>,
+    /// Whether engines are taken out of service for maintenance: then none is used before it is known which.
+    pub maintenance: bool,
+}
+
+/// What the router needs for zone failover.
+pub struct ZoneFailover {
+    /// Its configuration.
+    pub config: FailoverConfig,
+    /// Where this front's observations go, one a report interval.
+    pub observations: async_channel::Sender<ZoneObservation>,
 }
 
 /// Serves by this file until told to end: clients and engines, or proxies that attempt by themselves.
 pub fn serve(
     path: String,
-    door: Option<Door>,
-    consulting: Option<Consulting>,
-    fleet: Option<Fleet>,
-) -> Result<(), Unfit> {
+    management: Option<ManagementChannels>,
+    external_processing: Option<ExternalProcessing>,
+    fleet: Option<FleetChannels>,
+) -> Result<(), StartError> {
     // Watched from the first on: a signal that comes during the start is heard after it.
     let watched = [Signal::Term, Signal::Int, Signal::Usr1, Signal::Hup];
-    let mut signals = Signals::new(watched).map_err(Unfit::Signals)?;
+    let mut signals = Signals::new(watched).map_err(StartError::Signals)?;
     let mut told = Told::read(&path)?;
-    let malformed = |what: String| Unfit::Malformed(path.clone(), what);
+    let malformed = |what: String| StartError::Malformed(path.clone(), what);
     let settled = Settled::deserialize(&told.settings).map_err(|e| malformed(e.to_string()))?;
     let seed =
         u64::from_str_radix(&told.seed, 16).map_err(|_| malformed("'seed' is no hex number".into()))?;
     let known = protocol::channel::known(told.known.get(), &settled.areas, &settled.kinds)
         .map_err(|e| malformed(e.to_string()))?;
     let mut stated = deployment(&settled);
-    let listener = match &consulting {
-        None => Some(transport::listen(told.listen, BACKLOG).map_err(|e| Unfit::Listen(told.listen, e))?),
-        Some(consulting) => {
-            stated.tick = consulting.tick;
+    let listener = match &external_processing {
+        None => {
+            Some(transport::listen(told.listen, BACKLOG).map_err(|e| StartError::Listen(told.listen, e))?)
+        }
+        Some(external) => {
+            stated.tick = external.tick;
             // Engines are reached by proxies alone, so nothing is probed and no load is reported.
             (stated.capabilities.probes, stated.capabilities.cancel) = (false, false);
             stated.load_reporting = LoadReporting::None;
             None
         }
     };
-    let recovers = consulting.as_ref().is_some_and(|consulting| consulting.recovers);
+    let recovers = external_processing.as_ref().is_some_and(|external| external.recovers);
 
     let longest = stated.request_classes.iter().map(|t| t.deadline).max().unwrap_or_default();
     let clock =
@@ -222,22 +238,22 @@
     });
     match &listener {
         Some(listener) => {
-            let address = listener.get_ref().local_addr().map_err(|e| Unfit::Listen(told.listen, e))?;
+            let address = listener.get_ref().local_addr().map_err(|e| StartError::Listen(told.listen, e))?;
             log::info!("front {} listens on {address}, {} engine events known", told.name, known.1.len());
         }
         None => log::info!("front {} serves proxies, {} engine events known", told.name, known.1.len()),
     }
     let mut owner = RequestRouter::new(stated, seed, clock, limits, orders, counters.clone());
-    if let Some(door) = door {
-        owner = owner.with_desired_state(door.wanted, door.notices);
-        executor.spawn(hand_on(door.requests, queue.clone())).detach();
+    if let Some(management) = management {
+        owner = owner.with_desired_state(management.desired_state, management.notifications);
+        executor.spawn(hand_on(management.calls, queue.clone())).detach();
     }
     if let Some(fleet) = fleet {
         // Before anything is heard, so that this front never counts on a part that it has no seat for.
-        if fleet.seats {
+        if fleet.shares_quota {
             let _ = queue.try_send(RouterEvent::Control(ControlUpdate::Quota(0.0)));
         }
-        if fleet.works {
+        if fleet.maintenance {
             let closed = Arc::default();
             let _ = queue.try_send(RouterEvent::Control(ControlUpdate::Maintenance {
                 version: 0,
@@ -245,16 +261,16 @@
                 closed,
             }));
         }
-        if let Some((terms, told)) = fleet.sites {
-            owner = owner.with_zone_monitor(terms, told);
+        if let Some(zones) = fleet.zone_failover {
+            owner = owner.with_zone_monitor(zones.config, zones.observations);
         }
-        executor.spawn(hand_words_on(fleet.words, queue.clone())).detach();
+        executor.spawn(hand_words_on(fleet.control_updates, queue.clone())).detach();
     }
     let open = owner.open_requests();
     let start = async {
         executor.spawn(owner.run(heard)).detach();
-        match consulting {
-            Some(consulting) => executor.spawn(consulted::run(shared.clone(), ordered, consulting)).detach(),
+        match external_processing {
+            Some(external) => executor.spawn(consulted::run(shared.clone(), ordered, external)).detach(),
             None => executor.spawn(engines::run(shared.clone(), ordered)).detach(),
         }
         executor.spawn(channel::run(shared.clone(), addresses, known)).detach();
