--- a/crates/edges/routing/src/counters.rs
+++ b/crates/edges/routing/src/counters.rs
@@ -150,7 +150,7 @@
 }
 
 /// An outcome's name in counts and log lines.
-pub fn name(outcome: AttemptOutcome) -> &'static str {
+pub fn outcome_label(outcome: AttemptOutcome) -> &'static str {
     match outcome {
         AttemptOutcome::Returned => "returned",
         AttemptOutcome::Errored => "errored",
--- a/crates/edges/routing/src/lib.rs
+++ b/crates/edges/routing/src/lib.rs
@@ -148,13 +148,13 @@
     /// It may not begin later than this.
     pub start_by: Option<Instant>,
     /// Alive for as long as somebody waits for its request.
-    wanted: Weak<()>,
+    request_open: Weak<()>,
 }
 
 impl WriteConditions {
     /// Whether it may still be written.
     pub fn hold(&self, now: Instant) -> bool {
-        self.wanted.strong_count() > 0 && now < self.until && self.start_by.is_none_or(|by| now < by)
+        self.request_open.strong_count() > 0 && now < self.until && self.start_by.is_none_or(|by| now < by)
     }
 }
 
--- a/crates/edges/routing/src/router.rs
+++ b/crates/edges/routing/src/router.rs
@@ -1,10 +1,10 @@
-use super::counters::name;
+use super::counters::outcome_label;
 use super::{
     Clock, ControlUpdate, Counter, Counters, Endpoint, EngineCommand, IncomingRequest, Response,
     ResponseSink, RouterEvent, TableSizes, Token, WriteConditions,
 };
 use crate::management::{EngineNotification, EngineStatus, ManagementCall, Snapshot};
-use crate::zone_monitor::{Watched, ZoneObservation, ended};
+use crate::zone_monitor::{ZoneMonitor, ZoneObservation, attempt_result};
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::FutureExt;
@@ -23,9 +23,9 @@
 use std::time::{Duration, Instant};
 
 /// Events heard in one turn before the gateway decides.
-const MOST_IN_A_TURN: usize = 1024;
+const MAX_EVENTS_PER_TURN: usize = 1024;
 /// Orders that wait for the engines' side before attempts and probes fail.
-const MOST_LATE: usize = 4096;
+const MAX_COMMAND_BACKLOG: usize = 4096;
 
 /// What the owner may hold.
 #[derive(Debug, Clone, Copy)]
@@ -38,188 +38,192 @@
     pub probe_timeout: Duration,
 }
 
-struct Held {
-    asker: Rc<dyn ResponseSink>,
+struct OpenRequest {
+    sink: Rc<dyn ResponseSink>,
     ticket: u64,
     request_class: usize,
     statement: Rc<[u8]>,
-    limit: Duration,
+    deadline: Duration,
     priority: u8,
     memory_mb: f64,
-    attempts: u32,
+    attempts_sent: u32,
     /// Its end is the request's: what has not been written by then is not written any more.
-    wanted: Rc<()>,
+    open_guard: Rc<()>,
 }
 
-struct Flight {
+struct InFlightAttempt {
     request: RequestId,
     request_class: usize,
     number: u32,
     engine: EngineId,
-    at: Duration,
-    until: Duration,
+    sent_at: Duration,
+    deadline: Duration,
     priority: u8,
 }
 
 /// Owns the gateway, the clock and the tables of requests and attempts.
 pub struct RequestRouter {
-    stated: Deployment,
+    deployment: Deployment,
     gateway: Gateway,
     clock: Clock,
     limits: Limits,
-    orders: Sender<EngineCommand>,
+    commands: Sender<EngineCommand>,
     counters: Rc<Counters>,
     /// Requests that are owed an answer, shared with what waits for the end.
-    open: Rc<Cell<usize>>,
-    requests: BTreeMap<RequestId, Held>,
-    bytes: usize,
-    flights: BTreeMap<Token, Flight>,
+    open_count: Rc<Cell<usize>>,
+    requests: BTreeMap<RequestId, OpenRequest>,
+    statement_bytes: usize,
+    attempts: BTreeMap<Token, InFlightAttempt>,
     probes: BTreeMap<Token, (EngineId, Duration)>,
-    due: BTreeSet<(Duration, Token)>,
-    wakes: BTreeSet<Duration>,
+    timeouts: BTreeSet<(Duration, Token)>,
+    wakeups: BTreeSet<Duration>,
     /// By when attempts have to begin, where that is bound.
-    begins: BTreeSet<(Duration, Token)>,
-    next: Token,
-    table: EndpointTable,
-    door: AdmissionLimiter,
+    start_deadlines: BTreeSet<(Duration, Token)>,
+    next_token: Token,
+    endpoints: EndpointTable,
+    admission_limiter: AdmissionLimiter,
     addresses: BTreeMap<EngineId, SocketAddr>,
     /// Wishes that were prepared and wait for the word to switch.
     prepared: Option<(u64, Arc<DesiredState>)>,
-    notices: Option<Sender<EngineNotification>>,
-    watched: Option<Watched>,
+    notifications: Option<Sender<EngineNotification>>,
+    zone_monitor: Option<ZoneMonitor>,
     /// Notices for which there was no room.
-    unnoticed: u64,
+    dropped_notifications: u64,
     /// What the carrying out of actions has brought; heard in the next turn.
-    at_once: VecDeque<RouterEvent>,
+    pending_events: VecDeque<RouterEvent>,
     /// Orders that the engines' side has no room for yet, in turn.
-    late: VecDeque<EngineCommand>,
+    command_backlog: VecDeque<EngineCommand>,
     /// When the gateway decided last, and whether it has heard anything since.
-    decided: Duration,
-    undecided: bool,
+    last_decision: Duration,
+    decision_pending: bool,
     timer: Timer,
-    armed: Option<Duration>,
+    armed_at: Option<Duration>,
 }
 
 impl RequestRouter {
     pub fn new(
-        stated: Deployment,
+        deployment: Deployment,
         seed: u64,
         clock: Clock,
         limits: Limits,
-        orders: Sender<EngineCommand>,
+        commands: Sender<EngineCommand>,
         counters: Rc<Counters>,
     ) -> Self {
-        let longest = if stated.capabilities.retry_after {
-            stated.capabilities.max_retry_after
+        let longest = if deployment.capabilities.retry_after {
+            deployment.capabilities.max_retry_after
         } else {
             Duration::ZERO
         };
-        let door = AdmissionLimiter::new(stated.request_classes.len(), longest);
-        let mut gateway = Gateway::new(stated.clone(), seed);
+        let admission_limiter = AdmissionLimiter::new(deployment.request_classes.len(), longest);
+        let mut gateway = Gateway::new(deployment.clone(), seed);
         // What an engine was sent by a process before this one is not known here.
         gateway.handle_event(clock.process_start(), Event::TimerFired);
         RequestRouter {
             gateway,
-            stated,
+            deployment,
             clock,
             limits,
-            orders,
+            commands,
             counters,
-            open: Rc::default(),
+            open_count: Rc::default(),
             requests: BTreeMap::new(),
-            bytes: 0,
-            flights: BTreeMap::new(),
+            statement_bytes: 0,
+            attempts: BTreeMap::new(),
             probes: BTreeMap::new(),
-            due: BTreeSet::new(),
-            wakes: BTreeSet::new(),
-            begins: BTreeSet::new(),
-            next: 0,
-            table: EndpointTable::default(),
-            door,
+            timeouts: BTreeSet::new(),
+            wakeups: BTreeSet::new(),
+            start_deadlines: BTreeSet::new(),
+            next_token: 0,
+            endpoints: EndpointTable::default(),
+            admission_limiter,
             addresses: BTreeMap::new(),
             prepared: None,
-            notices: None,
-            watched: None,
-            unnoticed: 0,
-            at_once: VecDeque::new(),
-            late: VecDeque::new(),
-            decided: Duration::ZERO,
-            undecided: false,
+            notifications: None,
+            zone_monitor: None,
+            dropped_notifications: 0,
+            pending_events: VecDeque::new(),
+            command_backlog: VecDeque::new(),
+            last_decision: Duration::ZERO,
+            decision_pending: false,
             timer: Timer::never(),
-            armed: None,
+            armed_at: None,
         }
     }
 
     /// What managers wanted when this front last ran: in force before anything is heard.
     pub fn with_desired_state(
         mut self,
-        wanted: Arc<DesiredState>,
-        notices: Sender<EngineNotification>,
+        desired_state: Arc<DesiredState>,
+        notifications: Sender<EngineNotification>,
     ) -> Self {
-        self.door.set(wanted.limits());
-        self.table = EndpointTable::new(wanted);
-        self.notices = Some(notices);
+        self.admission_limiter.set(desired_state.limits());
+        self.endpoints = EndpointTable::new(desired_state);
+        self.notifications = Some(notifications);
         self
     }
 
     /// Tells the fleet what is seen of the sites, and follows its plan.
-    pub fn with_zone_monitor(mut self, terms: FailoverConfig, told: Sender<ZoneObservation>) -> Self {
+    pub fn with_zone_monitor(
+        mut self,
+        config: FailoverConfig,
+        observations: Sender<ZoneObservation>,
+    ) -> Self {
         let now = self.clock.now();
-        self.watched = Some(Watched::new(now, &self.stated, terms, told));
-        self.wakes.insert(now);
+        self.zone_monitor = Some(ZoneMonitor::new(now, &self.deployment, config, observations));
+        self.wakeups.insert(now);
         self
     }
 
     /// How many requests are owed an answer.
     pub fn open_requests(&self) -> Rc<Cell<usize>> {
-        self.open.clone()
+        self.open_count.clone()
     }
 
     /// Runs until the queue is closed.
     pub async fn run(mut self, queue: Receiver<RouterEvent>) {
         loop {
             let mut first = None;
-            if self.at_once.is_empty() {
-                match self.wait(&queue).await {
-                    Some(Ok(heard)) => first = Some(heard),
+            if self.pending_events.is_empty() {
+                match self.wait_for_event(&queue).await {
+                    Some(Ok(event)) => first = Some(event),
                     Some(Err(_)) => return,
                     None => {}
                 }
             }
-            let mut turn: Vec<RouterEvent> = self.at_once.drain(..).chain(first).collect();
-            while turn.len() < MOST_IN_A_TURN
-                && let Ok(heard) = queue.try_recv()
+            let mut events: Vec<RouterEvent> = self.pending_events.drain(..).chain(first).collect();
+            while events.len() < MAX_EVENTS_PER_TURN
+                && let Ok(event) = queue.try_recv()
             {
-                turn.push(heard);
+                events.push(event);
             }
             let now = self.clock.now();
-            if catch_unwind(AssertUnwindSafe(|| self.turn(now, turn))).is_err() {
-                self.start_over(now);
+            if catch_unwind(AssertUnwindSafe(|| self.process(now, events))).is_err() {
+                self.restart_after_panic(now);
             }
-            self.open.set(self.requests.len());
+            self.open_count.set(self.requests.len());
             self.counters.set_table_sizes(TableSizes {
                 requests: self.requests.len(),
-                attempts: self.flights.len(),
-                engines: self.table.len(),
+                attempts: self.attempts.len(),
+                engines: self.endpoints.len(),
             });
         }
     }
 
     /// The next that is heard, or nothing if something is due before.
-    async fn wait(
+    async fn wait_for_event(
         &mut self,
         queue: &Receiver<RouterEvent>,
     ) -> Option<Result<RouterEvent, async_channel::RecvError>> {
-        let decision = self.undecided.then_some(self.decided + self.stated.tick);
-        let wake = self.wakes.first().copied();
-        let dates = self.due.first().into_iter().chain(self.begins.first()).map(|date| date.0);
-        let due = wake.into_iter().chain(dates).chain(decision).min();
-        let heard = async { Some(queue.recv().await) };
+        let decision = self.decision_pending.then_some(self.last_decision + self.deployment.tick);
+        let wake = self.wakeups.first().copied();
+        let dates = self.timeouts.first().into_iter().chain(self.start_deadlines.first()).map(|date| date.0);
+        let timeouts = wake.into_iter().chain(dates).chain(decision).min();
+        let event = async { Some(queue.recv().await) };
         // One timer, set anew only when the date changes: each setting may cost a turn of the reactor.
-        if due != self.armed {
-            self.armed = due;
-            match due {
-                Some(due) => self.timer.set_at(self.clock.instant(due)),
+        if timeouts != self.armed_at {
+            self.armed_at = timeouts;
+            match timeouts {
+                Some(timeouts) => self.timer.set_at(self.clock.instant(timeouts)),
                 None => self.timer = Timer::never(),
             }
         }
@@ -227,140 +231,146 @@
             (&mut self.timer).await;
             None
         };
-        let heard = heard.or(fired).await;
-        if heard.is_none() {
-            self.armed = None;
+        let event = event.or(fired).await;
+        if event.is_none() {
+            self.armed_at = None;
         }
-        heard
+        event
     }
 
     /// Tells the gateway all that was heard and is due. It decides once a tick at most, as what comes together
     /// is better decided together; what a decision wants is carried out at once.
-    fn turn(&mut self, now: Duration, turn: Vec<RouterEvent>) {
-        self.hand_over();
-        self.undecided |= !turn.is_empty();
-        for heard in turn {
-            self.hear(now, heard);
-        }
-        while let Some((at, token)) = self.due.first().copied().filter(|(at, _)| *at <= now) {
-            self.due.remove(&(at, token));
-            self.undecided = true;
-            self.order(EngineCommand::Cancel(token));
-            self.hear(now, RouterEvent::attempt_ended(token, AttemptOutcome::TimedOut));
-            self.hear(now, RouterEvent::ProbeEnded { token, answered: false, load: None });
-        }
-        while let Some((at, token)) = self.begins.first().copied().filter(|(at, _)| *at <= now) {
-            self.begins.remove(&(at, token));
-            self.order(EngineCommand::Withdraw(token));
-        }
-        if self.wakes.first().is_some_and(|at| *at <= now) {
-            self.wakes = self.wakes.split_off(&(now + Duration::from_nanos(1)));
+    fn process(&mut self, now: Duration, events: Vec<RouterEvent>) {
+        self.flush_commands();
+        self.decision_pending |= !events.is_empty();
+        for event in events {
+            self.handle_event(now, event);
+        }
+        while let Some((at, token)) = self.timeouts.first().copied().filter(|(at, _)| *at <= now) {
+            self.timeouts.remove(&(at, token));
+            self.decision_pending = true;
+            self.queue_command(EngineCommand::Cancel(token));
+            self.handle_event(now, RouterEvent::attempt_ended(token, AttemptOutcome::TimedOut));
+            self.handle_event(now, RouterEvent::ProbeEnded { token, answered: false, load: None });
+        }
+        while let Some((at, token)) = self.start_deadlines.first().copied().filter(|(at, _)| *at <= now) {
+            self.start_deadlines.remove(&(at, token));
+            self.queue_command(EngineCommand::Withdraw(token));
+        }
+        if self.wakeups.first().is_some_and(|at| *at <= now) {
+            self.wakeups = self.wakeups.split_off(&(now + Duration::from_nanos(1)));
             self.gateway.handle_event(now, Event::TimerFired);
-            self.undecided = true;
+            self.decision_pending = true;
         }
-        if let Some(watched) = &mut self.watched {
-            watched.turn(now, || {
-                let mut out = BTreeMap::new();
-                self.flights.values().for_each(|flight| *out.entry(flight.engine).or_default() += 1);
-                out
+        if let Some(zone_monitor) = &mut self.zone_monitor {
+            zone_monitor.poll(now, || {
+                let mut counts = BTreeMap::new();
+                self.attempts.values().for_each(|attempt| *counts.entry(attempt.engine).or_default() += 1);
+                counts
             });
-            self.wakes.insert(watched.next);
+            self.wakeups.insert(zone_monitor.next_report);
         }
-        if !self.undecided || now < self.decided + self.stated.tick {
+        if !self.decision_pending || now < self.last_decision + self.deployment.tick {
             return;
         }
-        (self.decided, self.undecided) = (now, false);
+        (self.last_decision, self.decision_pending) = (now, false);
         let from = Instant::now();
         let actions = self.gateway.decide(now);
         self.counters.add_decision_time(from.elapsed());
         for action in actions {
-            self.carry_out(now, action);
+            self.execute(now, action);
         }
     }
 
-    fn hear(&mut self, now: Duration, heard: RouterEvent) {
-        match heard {
-            RouterEvent::Request(taken) => self.take(now, taken),
-            RouterEvent::ClientGone { sink: asker, ticket, request } => {
-                let theirs = |held: &&Held| held.ticket == ticket && Rc::ptr_eq(&held.asker, &asker);
-                if let Some(held) = self.requests.get(&request).filter(theirs) {
-                    self.counters.add(Counter::ClientGone, Some(held.request_class));
-                    self.close(&request);
+    fn handle_event(&mut self, now: Duration, event: RouterEvent) {
+        match event {
+            RouterEvent::Request(incoming) => self.handle_request(now, incoming),
+            RouterEvent::ClientGone { sink, ticket, request } => {
+                let is_same_client = |open_request: &&OpenRequest| {
+                    open_request.ticket == ticket && Rc::ptr_eq(&open_request.sink, &sink)
+                };
+                if let Some(open_request) = self.requests.get(&request).filter(is_same_client) {
+                    self.counters.add(Counter::ClientGone, Some(open_request.request_class));
+                    self.finish_request(&request);
                     self.gateway.handle_event(now, Event::ClientGone(request));
                 }
             }
-            RouterEvent::Endpoints(kind, listed) => self.hear_roster(now, kind, listed),
-            RouterEvent::AttemptEnded { token, outcome, usage: cost, load, body: rows } => {
-                let Some(flight) = self.flights.remove(&token) else { return };
-                if let Some(watched) = &mut self.watched {
+            RouterEvent::Endpoints(kind, endpoints_listed) => {
+                self.handle_endpoints(now, kind, endpoints_listed)
+            }
+            RouterEvent::AttemptEnded { token, outcome, usage, load, body } => {
+                let Some(attempt) = self.attempts.remove(&token) else { return };
+                if let Some(zone_monitor) = &mut self.zone_monitor {
                     let threads = self
-                        .stated
+                        .deployment
                         .request_classes
-                        .get(flight.request_class)
+                        .get(attempt.request_class)
                         .map_or(1.0, |terms| terms.threads);
-                    let span = now.saturating_sub(flight.at);
-                    let ended = ended(outcome, span, cost.map(|cost| cost.work), threads);
-                    watched.eyes.attempt_ended(now, flight.engine, flight.request_class, ended);
-                    watched.ended(now, flight.engine, outcome);
+                    let span = now.saturating_sub(attempt.sent_at);
+                    let result = attempt_result(outcome, span, usage.map(|usage| usage.work), threads);
+                    zone_monitor.observer.attempt_ended(now, attempt.engine, attempt.request_class, result);
+                    zone_monitor.handle_attempt_ended(now, attempt.engine, outcome);
                 }
-                self.due.remove(&(flight.until, token));
-                self.counters.add(Counter::AttemptOutcome(name(outcome)), Some(flight.request_class));
+                self.timeouts.remove(&(attempt.deadline, token));
+                self.counters
+                    .add(Counter::AttemptOutcome(outcome_label(outcome)), Some(attempt.request_class));
                 log::debug!(
-                    "batch" = &*flight.request, engine = flight.engine;
+                    "batch" = &*attempt.request, engine = attempt.engine;
                     "batch {} dispatch {} on engine {:08x} ended {} after {:?}",
-                    flight.request,
-                    flight.number,
-                    flight.engine,
-                    name(outcome),
-                    now.saturating_sub(flight.at)
+                    attempt.request,
+                    attempt.number,
+                    attempt.engine,
+                    outcome_label(outcome),
+                    now.saturating_sub(attempt.sent_at)
                 );
                 if outcome == AttemptOutcome::Returned {
-                    self.answer(&flight.request, Response::Returned(rows));
+                    self.respond(&attempt.request, Response::Returned(body));
                 }
-                let ending = AttemptEnd {
-                    request_finished: !self.requests.contains_key(&flight.request),
-                    request: flight.request,
-                    attempt: flight.number,
-                    engine: flight.engine,
-                    elapsed: now.saturating_sub(flight.at),
+                let end = AttemptEnd {
+                    request_finished: !self.requests.contains_key(&attempt.request),
+                    request: attempt.request,
+                    attempt: attempt.number,
+                    engine: attempt.engine,
+                    elapsed: now.saturating_sub(attempt.sent_at),
                     outcome,
-                    usage: cost,
+                    usage,
                     load,
                 };
-                self.gateway.handle_event(now, Event::AttemptEnded(ending));
+                self.gateway.handle_event(now, Event::AttemptEnded(end));
             }
-            RouterEvent::Progress { token, progress: note } => {
-                let Some(flight) = self.flights.get(&token) else { return };
-                let (request, attempt, engine) = (flight.request.clone(), flight.number, flight.engine);
-                if let Some(watched) = &mut self.watched {
-                    watched.eyes.engine_answered(now, engine);
+            RouterEvent::Progress { token, progress } => {
+                let Some(attempt) = self.attempts.get(&token) else { return };
+                let (request, number, engine) = (attempt.request.clone(), attempt.number, attempt.engine);
+                if let Some(zone_monitor) = &mut self.zone_monitor {
+                    zone_monitor.observer.engine_answered(now, engine);
                 }
-                self.gateway.handle_event(now, Event::Progress { request, attempt, engine, progress: note });
+                self.gateway
+                    .handle_event(now, Event::Progress { request, attempt: number, engine, progress });
             }
             RouterEvent::ProbeEnded { token, answered, load } => {
                 let Some((engine, at)) = self.probes.remove(&token) else { return };
-                self.due.remove(&(at + self.limits.probe_timeout, token));
+                self.timeouts.remove(&(at + self.limits.probe_timeout, token));
                 self.counters.add(if answered { Counter::Probes } else { Counter::ProbeFailures }, None);
-                let after = now.saturating_sub(at);
-                if let Some(watched) = &mut self.watched {
-                    watched.probed(now, engine, answered);
+                let elapsed = now.saturating_sub(at);
+                if let Some(zone_monitor) = &mut self.zone_monitor {
+                    zone_monitor.handle_probe_ended(now, engine, answered);
                 }
-                self.gateway.handle_event(now, Event::ProbeEnded { engine, answered, elapsed: after, load });
+                self.gateway.handle_event(now, Event::ProbeEnded { engine, answered, elapsed, load });
             }
-            RouterEvent::Management(managed) => self.manage(now, managed),
+            RouterEvent::Management(call) => self.handle_management(now, call),
             RouterEvent::Control(ControlUpdate::Quota(part)) => {
                 self.gateway.handle_event(now, Event::Quota(part))
             }
-            RouterEvent::Control(ControlUpdate::ZonePlan(effect)) => self.follow(now, &effect),
-            RouterEvent::Control(ControlUpdate::Maintenance { version, complete: sure, closed }) => {
-                let Some(watched) = &mut self.watched else { return };
+            RouterEvent::Control(ControlUpdate::ZonePlan(effect)) => self.handle_zone_plan(now, &effect),
+            RouterEvent::Control(ControlUpdate::Maintenance { version, complete, closed }) => {
+                let Some(zone_monitor) = &mut self.zone_monitor else { return };
                 log::info!(
                     "works: version {version}, {}out: {closed:x?}",
-                    if sure { "" } else { "not sure yet, " }
+                    if complete { "" } else { "not sure yet, " }
                 );
-                (watched.closed, watched.maintenance_version) = (closed.clone(), version);
-                let change = self.table.set_out_of_service(closed, !sure);
-                self.change(now, EndpointUpdateKind::Delta, change);
+                (zone_monitor.out_of_service, zone_monitor.maintenance_version) = (closed.clone(), version);
+                let change = self.endpoints.set_out_of_service(closed, !complete);
+                self.apply_endpoint_change(now, EndpointUpdateKind::Delta, change);
             }
             RouterEvent::ShutDown(within) => {
                 log::info!("closing: {} batches are to be answered within {within:?}", self.requests.len());
@@ -369,111 +379,111 @@
         }
     }
 
-    fn take(&mut self, now: Duration, taken: IncomingRequest) {
-        let group = Some(taken.request_class);
+    fn handle_request(&mut self, now: Duration, incoming: IncomingRequest) {
+        let group = Some(incoming.request_class);
         self.counters.add(Counter::Received, group);
-        let full = self.requests.len() >= self.limits.max_requests
-            || self.bytes + taken.statement.len() > self.limits.max_statement_bytes;
-        if full {
+        let is_full = self.requests.len() >= self.limits.max_requests
+            || self.statement_bytes + incoming.statement.len() > self.limits.max_statement_bytes;
+        if is_full {
             self.counters.add(Counter::Rejected, group);
-            return taken.sink.respond(taken.ticket, Response::Rejected(None));
+            return incoming.sink.respond(incoming.ticket, Response::Rejected(None));
         }
-        if let Some(watched) = &mut self.watched {
-            watched.eyes.request_arrived(taken.request_class);
-            if let Err(wait) = watched.door.admit(taken.request_class) {
+        if let Some(zone_monitor) = &mut self.zone_monitor {
+            zone_monitor.observer.request_arrived(incoming.request_class);
+            if let Err(wait) = zone_monitor.plan_admission.admit(incoming.request_class) {
                 self.counters.add(Counter::Rejected, group);
-                let wait = wait.min(self.stated.capabilities.max_retry_after);
-                let wait = Some(wait).filter(|_| self.stated.capabilities.retry_after);
-                return taken.sink.respond(taken.ticket, Response::Rejected(wait));
+                let wait = wait.min(self.deployment.capabilities.max_retry_after);
+                let wait = Some(wait).filter(|_| self.deployment.capabilities.retry_after);
+                return incoming.sink.respond(incoming.ticket, Response::Rejected(wait));
             }
         }
-        if let Err(wait) = self.door.admit(now, taken.request_class) {
+        if let Err(wait) = self.admission_limiter.admit(now, incoming.request_class) {
             self.counters.add(Counter::Rejected, group);
-            let wait = Some(wait).filter(|_| self.stated.capabilities.retry_after);
-            return taken.sink.respond(taken.ticket, Response::Rejected(wait));
+            let wait = Some(wait).filter(|_| self.deployment.capabilities.retry_after);
+            return incoming.sink.respond(incoming.ticket, Response::Rejected(wait));
         }
-        if self.requests.contains_key(&taken.request)
-            || self.flights.values().any(|f| f.request == taken.request)
+        if self.requests.contains_key(&incoming.request)
+            || self.attempts.values().any(|f| f.request == incoming.request)
         {
             self.counters.add(Counter::Failed, group);
-            self.door.release(now, taken.request_class);
-            return taken.sink.respond(taken.ticket, Response::Failed);
-        }
-        self.bytes += taken.statement.len();
-        let held = Held {
-            asker: taken.sink,
-            ticket: taken.ticket,
-            request_class: taken.request_class,
-            statement: taken.statement,
-            limit: now + taken.client_timeout,
+            self.admission_limiter.release(now, incoming.request_class);
+            return incoming.sink.respond(incoming.ticket, Response::Failed);
+        }
+        self.statement_bytes += incoming.statement.len();
+        let open_request = OpenRequest {
+            sink: incoming.sink,
+            ticket: incoming.ticket,
+            request_class: incoming.request_class,
+            statement: incoming.statement,
+            deadline: now + incoming.client_timeout,
             priority: 1,
             memory_mb: 0.0,
-            attempts: 0,
-            wanted: Rc::new(()),
+            attempts_sent: 0,
+            open_guard: Rc::new(()),
         };
-        self.requests.insert(taken.request.clone(), held);
+        self.requests.insert(incoming.request.clone(), open_request);
         self.gateway.handle_event(
             now,
             Event::Arrived(Arrival {
-                request: taken.request,
-                request_class: taken.request_class,
-                table_group: taken.table_group,
+                request: incoming.request,
+                request_class: incoming.request_class,
+                table_group: incoming.table_group,
                 key: None,
-                client_timeout: taken.client_timeout,
+                client_timeout: incoming.client_timeout,
                 work: None,
                 memory_mb: 0.0,
-                client_retry: taken.client_retry,
+                client_retry: incoming.client_retry,
             }),
         );
     }
 
-    fn hear_roster(&mut self, now: Duration, kind: EndpointUpdateKind, listed: Vec<Endpoint>) {
+    fn handle_endpoints(&mut self, now: Duration, kind: EndpointUpdateKind, endpoints_listed: Vec<Endpoint>) {
         self.counters.add(Counter::ChannelEvents, None);
         if kind != EndpointUpdateKind::Delta {
             self.addresses.clear();
         }
-        let entries: Vec<EngineEntry> = listed
+        let entries: Vec<EngineEntry> = endpoints_listed
             .iter()
-            .map(|one| EngineEntry {
-                engine: one.engine,
-                zone: one.zone,
-                cell: one.cell,
-                machine_kind: one.machine_kind,
-                state: one.state,
-                started_at: one.started_at.map_or(Duration::ZERO, |unix| {
-                    self.clock.engine_start(unix, now, self.stated.safety_rules.slow_start_window)
+            .map(|listed_engine| EngineEntry {
+                engine: listed_engine.engine,
+                zone: listed_engine.zone,
+                cell: listed_engine.cell,
+                machine_kind: listed_engine.machine_kind,
+                state: listed_engine.state,
+                started_at: listed_engine.started_at.map_or(Duration::ZERO, |unix| {
+                    self.clock.engine_start(unix, now, self.deployment.safety_rules.slow_start_window)
                 }),
                 blocked_classes: 0,
             })
             .collect();
-        for (entry, one) in entries.iter().zip(&listed) {
+        for (entry, listed_engine) in entries.iter().zip(&endpoints_listed) {
             log::info!(
                 engine = entry.engine;
                 "engine {:08x} is {} in location {}, started {:?} ago",
                 entry.engine,
-                log_name(entry.state),
+                state_label(entry.state),
                 entry.zone,
                 (!entry.started_at.is_zero()).then(|| now.saturating_sub(entry.started_at))
             );
             match entry.state {
                 EngineState::Removed => self.addresses.remove(&entry.engine),
-                _ => self.addresses.insert(entry.engine, one.address),
+                _ => self.addresses.insert(entry.engine, listed_engine.address),
             };
         }
-        if let Some(watched) = &mut self.watched {
-            watched.list(&self.stated, kind, &entries);
+        if let Some(zone_monitor) = &mut self.zone_monitor {
+            zone_monitor.handle_endpoints(&self.deployment, kind, &entries);
         }
-        self.order(EngineCommand::Endpoints(kind, listed));
-        let change = self.table.apply_list(kind, entries);
-        self.change(now, kind, change);
+        self.queue_command(EngineCommand::Endpoints(kind, endpoints_listed));
+        let change = self.endpoints.apply_list(kind, entries);
+        self.apply_endpoint_change(now, kind, change);
     }
 
     /// Tells the gateway what has changed among the engines, and calls back what is to be called back.
-    fn change(&mut self, now: Duration, kind: EndpointUpdateKind, change: EndpointChange) {
-        if self.notices.is_some() {
+    fn apply_endpoint_change(&mut self, now: Duration, kind: EndpointUpdateKind, change: EndpointChange) {
+        if self.notifications.is_some() {
             for entry in &change.entries {
-                let admin = self.table.get(entry.engine).map(|seen| seen.admin).unwrap_or_default();
-                self.notice(EngineNotification {
+                let admin = self.endpoints.get(entry.engine).map(|status| status.admin).unwrap_or_default();
+                self.notify(EngineNotification {
                     engine: entry.engine,
                     state: entry.state,
                     admin,
@@ -482,16 +492,17 @@
             }
         }
         for engine in &change.recalled {
-            let admin = self.table.get(*engine).map(|seen| seen.admin).unwrap_or_default();
-            let effect = |group: usize| self.stated.request_classes.get(group).map(|terms| terms.idempotency);
-            let out: Vec<Token> = (self.flights.iter())
+            let admin = self.endpoints.get(*engine).map(|status| status.admin).unwrap_or_default();
+            let idempotency =
+                |class: usize| self.deployment.request_classes.get(class).map(|config| config.idempotency);
+            let tokens: Vec<Token> = (self.attempts.iter())
                 .filter(|(_, f)| {
-                    f.engine == *engine && effect(f.request_class).is_some_and(|e| admin.recalls(e))
+                    f.engine == *engine && idempotency(f.request_class).is_some_and(|e| admin.recalls(e))
                 })
                 .map(|(token, _)| *token)
                 .collect();
-            for token in out {
-                self.order(EngineCommand::Cancel(token));
+            for token in tokens {
+                self.queue_command(EngineCommand::Cancel(token));
             }
         }
         if kind != EndpointUpdateKind::Delta || !change.entries.is_empty() {
@@ -500,9 +511,9 @@
     }
 
     /// The fleet's plan means this here from now on.
-    fn follow(&mut self, now: Duration, effect: &PlanEffect) {
-        let Some(watched) = &mut self.watched else { return };
-        watched.door.set(effect);
+    fn handle_zone_plan(&mut self, now: Duration, effect: &PlanEffect) {
+        let Some(zone_monitor) = &mut self.zone_monitor else { return };
+        zone_monitor.plan_admission.set(effect);
         log::info!(
             "sites: epoch {:?}{}, closed in part: {:?}, let in: {:?}",
             effect.epoch,
@@ -510,45 +521,46 @@
             effect.restrictions,
             effect.admitted_shares
         );
-        let closures = effect.restrictions.iter().map(|closure| ZoneRestriction {
-            zone: closure.zone,
-            open_permille: closure.open_permille,
-            blocked_classes: closure.blocked_classes,
+        let restrictions = effect.restrictions.iter().map(|restriction| ZoneRestriction {
+            zone: restriction.zone,
+            open_permille: restriction.open_permille,
+            blocked_classes: restriction.blocked_classes,
         });
-        let change = self.table.apply_restrictions(closures.collect());
-        self.change(now, EndpointUpdateKind::Delta, change);
+        let change = self.endpoints.apply_restrictions(restrictions.collect());
+        self.apply_endpoint_change(now, EndpointUpdateKind::Delta, change);
     }
 
-    fn notice(&mut self, noticed: EngineNotification) {
-        if let Some(notices) = &self.notices
-            && notices.try_send(noticed).is_err()
+    fn notify(&mut self, notification: EngineNotification) {
+        if let Some(notifications) = &self.notifications
+            && notifications.try_send(notification).is_err()
         {
-            self.unnoticed += 1;
+            self.dropped_notifications += 1;
         }
     }
 
     /// What managers ask. Wishes are looked at first and take effect with the word to switch, all in one event.
-    fn manage(&mut self, now: Duration, managed: ManagementCall) {
-        match managed {
-            ManagementCall::Prepare { number, desired_state: wanted, reply } => {
-                let class_loads = self.stated.request_classes.len();
-                let known = wanted.limits().len() <= class_loads;
+    fn handle_management(&mut self, now: Duration, call: ManagementCall) {
+        match call {
+            ManagementCall::Prepare { number, desired_state, reply } => {
+                let class_loads = self.deployment.request_classes.len();
+                let known = desired_state.limits().len() <= class_loads;
                 let verdict =
                     if known { Ok(()) } else { Err(format!("only {class_loads} service groups are stated")) };
                 if known {
-                    self.prepared = Some((number, wanted));
+                    self.prepared = Some((number, desired_state));
                 }
                 let _ = reply.try_send(verdict);
             }
             ManagementCall::Activate { number, reply } => {
-                let Some((_, wanted)) = self.prepared.take_if(|(prepared, _)| *prepared == number) else {
+                let Some((_, desired_state)) = self.prepared.take_if(|(prepared, _)| *prepared == number)
+                else {
                     let _ = reply.try_send(Err(format!("commit {number} was not prepared")));
                     return;
                 };
                 log::info!(commit = number; "commit {number} takes effect");
-                self.door.set(wanted.limits());
-                let change = self.table.apply_desired_state(wanted);
-                self.change(now, EndpointUpdateKind::Delta, change);
+                self.admission_limiter.set(desired_state.limits());
+                let change = self.endpoints.apply_desired_state(desired_state);
+                self.apply_endpoint_change(now, EndpointUpdateKind::Delta, change);
                 let _ = reply.try_send(Ok(()));
             }
             ManagementCall::Discard { number } => {
@@ -561,16 +573,16 @@
     }
 
     fn snapshot(&self, now: Duration) -> Snapshot {
-        let mut out: BTreeMap<EngineId, u32> = BTreeMap::new();
-        for flight in self.flights.values() {
-            *out.entry(flight.engine).or_default() += 1;
-        }
-        let engines = (self.table.engines())
-            .map(|seen| EngineStatus {
-                address: self.addresses.get(&seen.entry.engine).copied(),
-                in_flight: out.get(&seen.entry.engine).copied().unwrap_or_default(),
-                ejected: self.gateway.is_ejected(now, seen.entry.engine),
-                endpoint: seen.clone(),
+        let mut in_flight: BTreeMap<EngineId, u32> = BTreeMap::new();
+        for attempt in self.attempts.values() {
+            *in_flight.entry(attempt.engine).or_default() += 1;
+        }
+        let engines = (self.endpoints.engines())
+            .map(|status| EngineStatus {
+                address: self.addresses.get(&status.entry.engine).copied(),
+                in_flight: in_flight.get(&status.entry.engine).copied().unwrap_or_default(),
+                ejected: self.gateway.is_ejected(now, status.entry.engine),
+                endpoint: status.clone(),
             })
             .collect();
         Snapshot {
@@ -578,191 +590,193 @@
             counters: self.counters.values(),
             request_classes: self.counters.request_classes().to_vec(),
             requests: self.requests.len(),
-            attempts: self.flights.len(),
-            statement_bytes: self.bytes,
+            attempts: self.attempts.len(),
+            statement_bytes: self.statement_bytes,
             decision_time: self.counters.decision_time(),
-            dropped_notifications: self.unnoticed,
+            dropped_notifications: self.dropped_notifications,
             engines,
         }
     }
 
-    fn carry_out(&mut self, now: Duration, action: Action) {
+    fn execute(&mut self, now: Duration, action: Action) {
         match action {
             Action::SetPriority { request, priority, memory_mb } => {
-                let Some(held) = self.requests.get_mut(&request) else { return };
-                (held.priority, held.memory_mb) = (priority, memory_mb);
-                let out: Vec<Token> = (self.flights.iter_mut())
+                let Some(open_request) = self.requests.get_mut(&request) else { return };
+                (open_request.priority, open_request.memory_mb) = (priority, memory_mb);
+                let tokens: Vec<Token> = (self.attempts.iter_mut())
                     .filter(|(_, f)| f.request == request && f.priority != priority)
-                    .map(|(token, flight)| {
-                        flight.priority = priority;
+                    .map(|(token, attempt)| {
+                        attempt.priority = priority;
                         *token
                     })
                     .collect();
-                for token in out {
-                    self.order(EngineCommand::SetPriority { token, priority });
+                for token in tokens {
+                    self.queue_command(EngineCommand::SetPriority { token, priority });
                 }
             }
-            Action::Send { request, engine, timeout: time_out, start_by: begin_by } => {
-                self.attempt(now, request, engine, time_out, begin_by);
+            Action::Send { request, engine, timeout, start_by } => {
+                self.send_attempt(now, request, engine, timeout, start_by);
             }
             Action::Cancel { request, attempt } => {
-                let flight = self.flights.iter().find(|(_, f)| f.request == request && f.number == attempt);
-                if let Some((token, flight)) = flight.map(|(t, f)| (*t, f)) {
-                    self.counters.add(Counter::Cancels, Some(flight.request_class));
-                    self.order(EngineCommand::Cancel(token));
+                let found = self.attempts.iter().find(|(_, f)| f.request == request && f.number == attempt);
+                if let Some((token, attempt)) = found.map(|(t, f)| (*t, f)) {
+                    self.counters.add(Counter::Cancels, Some(attempt.request_class));
+                    self.queue_command(EngineCommand::Cancel(token));
                 }
             }
-            Action::Reject { request, retry_after: come_back } => {
-                self.answer(&request, Response::Rejected(come_back))
+            Action::Reject { request, retry_after } => {
+                self.respond(&request, Response::Rejected(retry_after))
             }
-            Action::Fail { request } => self.answer(&request, Response::Failed),
+            Action::Fail { request } => self.respond(&request, Response::Failed),
             Action::SetTimer { at } => {
-                self.wakes.insert(at);
+                self.wakeups.insert(at);
             }
             Action::Probe { engine } => {
-                let token = self.token();
+                let token = self.new_token();
                 self.probes.insert(token, (engine, now));
-                if let Some(watched) = &mut self.watched {
-                    watched.eyes.attempt_sent(now, engine);
+                if let Some(zone_monitor) = &mut self.zone_monitor {
+                    zone_monitor.observer.attempt_sent(now, engine);
                 }
-                self.due.insert((now + self.limits.probe_timeout, token));
-                self.order(EngineCommand::Probe { token, engine });
+                self.timeouts.insert((now + self.limits.probe_timeout, token));
+                self.queue_command(EngineCommand::Probe { token, engine });
             }
             Action::WatchEndpoints => {} // The channel brings all changes anyway.
         }
     }
 
-    fn attempt(
+    fn send_attempt(
         &mut self,
         now: Duration,
         request: RequestId,
         engine: EngineId,
-        time_out: Duration,
-        begin_by: Option<Duration>,
+        timeout: Duration,
+        start_by: Option<Duration>,
     ) {
-        let token = self.token();
-        let Some(held) = self.requests.get_mut(&request) else { return };
-        let until = if time_out.is_zero() { held.limit } else { held.limit.min(now + time_out) };
-        self.counters.add(Counter::Attempts, Some(held.request_class));
-        if held.attempts > 0 {
-            self.counters.add(Counter::Retries, Some(held.request_class));
-        }
-        let order = EngineCommand::Send {
+        let token = self.new_token();
+        let Some(open_request) = self.requests.get_mut(&request) else { return };
+        let deadline =
+            if timeout.is_zero() { open_request.deadline } else { open_request.deadline.min(now + timeout) };
+        self.counters.add(Counter::Attempts, Some(open_request.request_class));
+        if open_request.attempts_sent > 0 {
+            self.counters.add(Counter::Retries, Some(open_request.request_class));
+        }
+        let command = EngineCommand::Send {
             token,
             engine,
             request: request.clone(),
-            request_class: held.request_class,
-            statement: held.statement.clone(),
+            request_class: open_request.request_class,
+            statement: open_request.statement.clone(),
             conditions: WriteConditions {
-                until: self.clock.instant(until),
-                start_by: begin_by.map(|by| self.clock.instant(by)),
-                wanted: Rc::downgrade(&held.wanted),
+                until: self.clock.instant(deadline),
+                start_by: start_by.map(|by| self.clock.instant(by)),
+                request_open: Rc::downgrade(&open_request.open_guard),
             },
-            priority: held.priority,
-            memory_mb: held.memory_mb,
+            priority: open_request.priority,
+            memory_mb: open_request.memory_mb,
         };
-        let flight = Flight {
+        let attempt = InFlightAttempt {
             request,
-            request_class: held.request_class,
-            number: held.attempts,
+            request_class: open_request.request_class,
+            number: open_request.attempts_sent,
             engine,
-            at: now,
-            until,
-            priority: held.priority,
+            sent_at: now,
+            deadline,
+            priority: open_request.priority,
         };
-        held.attempts += 1;
-        if let Some(watched) = &mut self.watched {
-            watched.eyes.attempt_sent(now, engine);
-        }
-        self.flights.insert(token, flight);
-        self.due.insert((until, token));
-        self.begins.extend(begin_by.map(|by| (by, token)));
-        self.order(order);
+        open_request.attempts_sent += 1;
+        if let Some(zone_monitor) = &mut self.zone_monitor {
+            zone_monitor.observer.attempt_sent(now, engine);
+        }
+        self.attempts.insert(token, attempt);
+        self.timeouts.insert((deadline, token));
+        self.start_deadlines.extend(start_by.map(|by| (by, token)));
+        self.queue_command(command);
     }
 
-    fn token(&mut self) -> Token {
-        self.next += 1;
-        self.next
+    fn new_token(&mut self) -> Token {
+        self.next_token += 1;
+        self.next_token
     }
 
     /// Hands an order to the engines' side, in turn. An attempt or probe for which there is no room at all is
     /// over at once: nothing was sent.
-    fn order(&mut self, order: EngineCommand) {
-        let full = self.late.len() >= MOST_LATE;
-        match order {
-            EngineCommand::Send { token, .. } if full => {
-                self.at_once.push_back(RouterEvent::attempt_ended(token, AttemptOutcome::ConnectFailed));
+    fn queue_command(&mut self, command: EngineCommand) {
+        let is_full = self.command_backlog.len() >= MAX_COMMAND_BACKLOG;
+        match command {
+            EngineCommand::Send { token, .. } if is_full => {
+                self.pending_events
+                    .push_back(RouterEvent::attempt_ended(token, AttemptOutcome::ConnectFailed));
             }
-            EngineCommand::Probe { token, .. } if full => {
-                self.at_once.push_back(RouterEvent::ProbeEnded { token, answered: false, load: None });
+            EngineCommand::Probe { token, .. } if is_full => {
+                self.pending_events.push_back(RouterEvent::ProbeEnded { token, answered: false, load: None });
             }
-            order => self.late.push_back(order),
+            command => self.command_backlog.push_back(command),
         }
-        self.hand_over();
+        self.flush_commands();
     }
 
-    fn hand_over(&mut self) {
-        while let Some(order) = self.late.pop_front() {
-            if let Err(full) = self.orders.try_send(order) {
-                self.late.push_front(full.into_inner());
-                self.wakes.insert(self.clock.now() + self.stated.tick);
+    fn flush_commands(&mut self) {
+        while let Some(command) = self.command_backlog.pop_front() {
+            if let Err(is_full) = self.commands.try_send(command) {
+                self.command_backlog.push_front(is_full.into_inner());
+                self.wakeups.insert(self.clock.now() + self.deployment.tick);
                 return;
             }
         }
     }
 
-    fn answer(&mut self, request: &RequestId, answer: Response) {
-        let Some(held) = self.close(request) else { return };
+    fn respond(&mut self, request: &RequestId, answer: Response) {
+        let Some(open_request) = self.finish_request(request) else { return };
         let kind = match &answer {
             Response::Returned(_) => Counter::Returned,
             Response::Rejected(_) => Counter::Rejected,
             Response::Failed => Counter::Failed,
         };
-        self.counters.add(kind, Some(held.request_class));
+        self.counters.add(kind, Some(open_request.request_class));
         log::debug!("batch" = &**request; "batch {request} {kind}");
-        held.asker.respond(held.ticket, answer);
+        open_request.sink.respond(open_request.ticket, answer);
     }
 
     /// The request is owed nothing more; what is out of it still has its outcomes, and what waits to be written is not.
-    fn close(&mut self, request: &RequestId) -> Option<Held> {
-        let held = self.requests.remove(request)?;
-        if held.attempts > 0 {
-            let out = self.flights.iter().filter(|(_, f)| f.request == *request);
-            let out: Vec<Token> = out.map(|(token, _)| *token).collect();
-            out.into_iter().for_each(|token| self.order(EngineCommand::Withdraw(token)));
-        }
-        self.bytes -= held.statement.len();
-        self.door.release(self.clock.now(), held.request_class);
-        Some(held)
+    fn finish_request(&mut self, request: &RequestId) -> Option<OpenRequest> {
+        let open_request = self.requests.remove(request)?;
+        if open_request.attempts_sent > 0 {
+            let running = self.attempts.iter().filter(|(_, f)| f.request == *request);
+            let tokens: Vec<Token> = running.map(|(token, _)| *token).collect();
+            tokens.into_iter().for_each(|token| self.queue_command(EngineCommand::Withdraw(token)));
+        }
+        self.statement_bytes -= open_request.statement.len();
+        self.admission_limiter.release(self.clock.now(), open_request.request_class);
+        Some(open_request)
     }
 
     /// After a panic in the gateway: what it held is errored, which promises nothing, and a new one is told
     /// the list.
-    fn start_over(&mut self, now: Duration) {
+    fn restart_after_panic(&mut self, now: Duration) {
         self.counters.add(Counter::Panics, None);
         log::error!("the gateway panicked: {} batches are errored, and it starts over", self.requests.len());
         let open: Vec<RequestId> = self.requests.keys().cloned().collect();
         for request in open {
-            self.answer(&request, Response::Failed);
+            self.respond(&request, Response::Failed);
         }
-        let out: Vec<Token> = self.flights.keys().chain(self.probes.keys()).copied().collect();
-        for token in out {
-            self.order(EngineCommand::Cancel(token));
+        let tokens: Vec<Token> = self.attempts.keys().chain(self.probes.keys()).copied().collect();
+        for token in tokens {
+            self.queue_command(EngineCommand::Cancel(token));
         }
-        self.flights.clear();
+        self.attempts.clear();
         self.probes.clear();
-        self.due.clear();
-        self.begins.clear();
-        self.wakes.clear();
-        self.gateway = Gateway::new(self.stated.clone(), now.as_nanos() as u64);
-        let entries = self.table.engines().map(|seen| seen.entry.clone()).collect();
+        self.timeouts.clear();
+        self.start_deadlines.clear();
+        self.wakeups.clear();
+        self.gateway = Gateway::new(self.deployment.clone(), now.as_nanos() as u64);
+        let entries = self.endpoints.engines().map(|status| status.entry.clone()).collect();
         self.gateway.handle_event(now, Event::Endpoints(EndpointUpdateKind::Full, entries));
-        self.wakes.insert(now);
+        self.wakeups.insert(now);
     }
 }
 
 /// An engine's state as log lines name it.
-fn log_name(state: EngineState) -> &'static str {
+fn state_label(state: EngineState) -> &'static str {
     match state {
         EngineState::Active => "Active",
         EngineState::Draining => "Leaving",
--- a/crates/edges/routing/src/zone_monitor.rs
+++ b/crates/edges/routing/src/zone_monitor.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// The part of its goal over its threads that a request's work is taken for, until answers tell.
-const WORK_GUESS: f64 = 0.5;
+const ASSUMED_WORK_SHARE: f64 = 0.5;
 
 /// Told each period.
 #[derive(Debug, Clone)]
@@ -28,113 +28,128 @@
 }
 
 /// The request classes as the planner wants them.
-pub fn class_loads(stated: &[RequestClassConfig], floor: f64) -> Vec<ClassLoad> {
-    let group = |terms: &RequestClassConfig| ClassLoad {
-        priority_weight: terms.priority_weight,
-        work: terms.latency_objective.as_secs_f64() * terms.threads * WORK_GUESS,
+pub fn class_loads(deployment: &[RequestClassConfig], floor: f64) -> Vec<ClassLoad> {
+    let class_load = |config: &RequestClassConfig| ClassLoad {
+        priority_weight: config.priority_weight,
+        work: config.latency_objective.as_secs_f64() * config.threads * ASSUMED_WORK_SHARE,
         rate: 0.0,
-        latency_objective: terms.latency_objective.as_secs_f64(),
-        deadline: terms.deadline.as_secs_f64(),
+        latency_objective: config.latency_objective.as_secs_f64(),
+        deadline: config.deadline.as_secs_f64(),
         floor,
-        allowed_zones: terms.allowed_zones.clone(),
+        allowed_zones: config.allowed_zones.clone(),
     };
-    stated.iter().map(group).collect()
+    deployment.iter().map(class_load).collect()
 }
 
-pub struct Watched {
-    terms: FailoverConfig,
-    pub eyes: Observer,
-    pub door: PlanAdmission,
-    told: Sender<ZoneObservation>,
+pub struct ZoneMonitor {
+    config: FailoverConfig,
+    pub observer: Observer,
+    pub plan_admission: PlanAdmission,
+    observations: Sender<ZoneObservation>,
     /// This front's part where it goes by itself: one over the number that the deployment states.
     share: f64,
-    pub next: Duration,
+    pub next_report: Duration,
     /// What the works have closed, and by which version.
-    pub closed: Arc<BTreeSet<u32>>,
+    pub out_of_service: Arc<BTreeSet<u32>>,
     pub maintenance_version: u64,
     /// Until when what ended in doubt on an engine may still run there.
-    doubts: BTreeMap<u32, Duration>,
-    settle: Duration,
+    uncertain_until: BTreeMap<u32, Duration>,
+    uncertainty_span: Duration,
 }
 
-impl Watched {
+impl ZoneMonitor {
     pub fn new(
         now: Duration,
-        stated: &Deployment,
-        terms: FailoverConfig,
-        told: Sender<ZoneObservation>,
-    ) -> Watched {
-        Watched {
-            eyes: Observer::new(
+        deployment: &Deployment,
+        config: FailoverConfig,
+        observations: Sender<ZoneObservation>,
+    ) -> ZoneMonitor {
+        ZoneMonitor {
+            observer: Observer::new(
                 now,
-                stated.zone,
-                class_loads(&stated.request_classes, terms.admission_floor),
+                deployment.zone,
+                class_loads(&deployment.request_classes, config.admission_floor),
             ),
-            door: PlanAdmission::new(stated.request_classes.len()),
-            told,
-            share: 1.0 / f64::from(stated.fronts.max(1)),
-            next: now + terms.report_interval,
-            terms,
-            closed: Arc::default(),
+            plan_admission: PlanAdmission::new(deployment.request_classes.len()),
+            observations,
+            share: 1.0 / f64::from(deployment.fronts.max(1)),
+            next_report: now + config.report_interval,
+            config,
+            out_of_service: Arc::default(),
             maintenance_version: 0,
-            doubts: BTreeMap::new(),
-            settle: stated.safety_rules.unknown_outcome_delay.max(stated.capabilities.connect_timeout),
+            uncertain_until: BTreeMap::new(),
+            uncertainty_span: deployment
+                .safety_rules
+                .unknown_outcome_delay
+                .max(deployment.capabilities.connect_timeout),
         }
     }
 
     /// Tells what was seen once a period; the latest takes the place of one that nobody has taken.
-    pub fn turn(&mut self, now: Duration, out: impl Fn() -> BTreeMap<u32, u32>) {
-        if now < self.next {
+    pub fn poll(&mut self, now: Duration, in_flight: impl Fn() -> BTreeMap<u32, u32>) {
+        if now < self.next_report {
             return;
         }
-        self.next = now + self.terms.report_interval;
-        self.doubts.retain(|_, until| *until > now);
-        let mut out = out();
-        self.doubts.keys().for_each(|engine| *out.entry(*engine).or_default() += 1);
-        out.retain(|engine, _| self.closed.contains(engine));
-        let (report, own) = self.eyes.report(now, &self.terms, self.share);
-        let engines = self.eyes.engines(now, &self.terms);
-        let _ = self.told.force_send(ZoneObservation {
+        self.next_report = now + self.config.report_interval;
+        self.uncertain_until.retain(|_, until| *until > now);
+        let mut in_flight = in_flight();
+        self.uncertain_until.keys().for_each(|engine| *in_flight.entry(*engine).or_default() += 1);
+        in_flight.retain(|engine, _| self.out_of_service.contains(engine));
+        let (report, local) = self.observer.report(now, &self.config, self.share);
+        let engines = self.observer.engines(now, &self.config);
+        let _ = self.observations.force_send(ZoneObservation {
             report,
-            local: own,
+            local,
             maintenance_version: self.maintenance_version,
-            in_flight: out,
+            in_flight,
             engines,
         });
     }
 
     /// An attempt ended; where that proves nothing, the engine may still run it for a while.
-    pub fn ended(&mut self, now: Duration, engine: u32, outcome: AttemptOutcome) {
+    pub fn handle_attempt_ended(&mut self, now: Duration, engine: u32, outcome: AttemptOutcome) {
         if matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled) {
-            self.doubts.insert(engine, now + self.settle);
+            self.uncertain_until.insert(engine, now + self.uncertainty_span);
         }
     }
 
-    pub fn list(&mut self, stated: &Deployment, kind: EndpointUpdateKind, entries: &[EngineEntry]) {
+    pub fn handle_endpoints(
+        &mut self,
+        deployment: &Deployment,
+        kind: EndpointUpdateKind,
+        entries: &[EngineEntry],
+    ) {
         if kind != EndpointUpdateKind::Delta {
-            self.eyes.begin_full_list();
+            self.observer.begin_full_list();
         }
         for entry in entries {
-            let cores =
-                stated.machine_kinds.get(entry.machine_kind as usize).map_or(1.0, |machine| machine.cores);
+            let cores = deployment
+                .machine_kinds
+                .get(entry.machine_kind as usize)
+                .map_or(1.0, |machine| machine.cores);
             let ready = entry.state == EngineState::Active;
-            self.eyes.update_engine(entry.engine, entry.zone, cores.round() as u32, ready);
+            self.observer.update_engine(entry.engine, entry.zone, cores.round() as u32, ready);
         }
         if kind != EndpointUpdateKind::Delta {
-            self.eyes.end_full_list();
+            self.observer.end_full_list();
         }
     }
 
-    pub fn probed(&mut self, now: Duration, engine: u32, answered: bool) {
+    pub fn handle_probe_ended(&mut self, now: Duration, engine: u32, answered: bool) {
         match answered {
-            true => self.eyes.engine_answered(now, engine),
-            false => self.eyes.engine_missed(now, engine),
+            true => self.observer.engine_answered(now, engine),
+            false => self.observer.engine_missed(now, engine),
         }
     }
 }
 
 /// What an outcome tells of the engine. `work` in seconds on one thread.
-pub fn ended(outcome: AttemptOutcome, span: Duration, work: Option<Duration>, threads: f64) -> AttemptResult {
+pub fn attempt_result(
+    outcome: AttemptOutcome,
+    span: Duration,
+    work: Option<Duration>,
+    threads: f64,
+) -> AttemptResult {
     match outcome {
         AttemptOutcome::Returned => {
             let work = work.map(|work| work.as_secs_f64());
