--- a/crates/edges/managed/src/parts.rs
+++ b/crates/edges/managed/src/parts.rs
@@ -46,7 +46,7 @@
             let wanted = Arc::new(wishes.desired_state);
             let request = ManagementCall::Prepare { number: version.number, desired_state: wanted, reply };
             requests.send(request).await.map_err(|_| "it has ended".to_owned())?;
-            answer.recv().await.map_err(|_| "it has ended".to_owned())?
+            answer.recv().await.map_err(|_| "it has ended".to_owned())?.map_err(|error| error.to_string())
         })
     }
 
@@ -56,7 +56,7 @@
             let (reply, answer) = bounded(1);
             let request = ManagementCall::Activate { number, reply };
             requests.send(request).await.map_err(|_| "it has ended".to_owned())?;
-            answer.recv().await.map_err(|_| "it has ended".to_owned())?
+            answer.recv().await.map_err(|_| "it has ended".to_owned())?.map_err(|error| error.to_string())
         })
     }
 
--- a/crates/edges/routing/src/counters.rs
+++ b/crates/edges/routing/src/counters.rs
@@ -1,42 +1,91 @@
+//! Counters since the start, and the log line that prints them. The wording of the line is read by operators: it stays.
+
 use lemonusher::AttemptOutcome;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
 
-/// What is counted.
+/// What is counted, in the order of the log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Counter {
+    /// Requests received.
     Received,
+    /// Attempts sent.
     Attempts,
+    /// Requests answered with a result.
     Returned,
+    /// Requests rejected without effect.
     Rejected,
+    /// Requests answered as failed.
     Failed,
+    /// Requests whose client stopped waiting.
     ClientGone,
+    /// Attempts cancelled.
     Cancels,
+    /// Attempts after the first of their request.
     Retries,
-    AttemptOutcome(&'static str),
+    /// Attempts that ended in this way.
+    AttemptEnded(OutcomeLabel),
+    /// Probes answered.
     Probes,
+    /// Probes that failed.
     ProbeFailures,
+    /// Client connections accepted.
     ClientConnections,
+    /// Client lines that are no message.
     FaultyLines,
+    /// Client lines for which there was no memory.
     LinesWithoutRoom,
+    /// Connections to engines opened.
     EngineConnections,
+    /// Answers of engines that belong to nothing in flight.
     StrayAnswers,
+    /// Connections to engines that broke the protocol.
     SpoiltConnections,
+    /// Updates of the endpoint list.
     ChannelEvents,
+    /// Panics caught.
     Panics,
 }
 
-/// Counts since the start, by request class where that applies.
+/// An attempt's outcome as counters and log lines name it. The variants are in the alphabetical order of their labels,
+/// which is their order in the log line.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum OutcomeLabel {
+    /// `cancelled`
+    Cancelled,
+    /// `errored`
+    Errored,
+    /// `full`
+    Rejected,
+    /// `no connection`
+    ConnectFailed,
+    /// `not sent`
+    NotSent,
+    /// `reset`
+    Reset,
+    /// `returned`
+    Returned,
+    /// `timed out`
+    TimedOut,
+}
+
+/// All counters, by request class where that applies.
 #[derive(Default)]
 pub struct Counters {
     request_classes: Vec<String>,
-    counts: RefCell<BTreeMap<(Counter, Option<usize>), u64>>,
+    values: RefCell<BTreeMap<CounterKey, u64>>,
     decision_time: Cell<Duration>,
     table_sizes: Cell<TableSizes>,
 }
 
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct CounterKey {
+    counter: Counter,
+    request_class: Option<usize>,
+}
+
 /// How much the router's tables hold.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TableSizes {
@@ -60,12 +109,14 @@
 }
 
 impl Counters {
+    /// Counters of a deployment with request classes of these names.
     pub fn new(request_classes: Vec<String>) -> Self {
         Counters { request_classes, ..Counters::default() }
     }
 
-    pub fn add(&self, kind: Counter, request_class: Option<usize>) {
-        *self.counts.borrow_mut().entry((kind, request_class)).or_default() += 1;
+    /// Adds one to a counter, of a request class where that applies.
+    pub fn add(&self, counter: Counter, request_class: Option<usize>) {
+        *self.values.borrow_mut().entry(CounterKey { counter, request_class }).or_default() += 1;
     }
 
     /// States how much the router's tables hold now.
@@ -75,15 +126,13 @@
 
     /// Every count, in the order of the log line.
     pub fn values(&self) -> Vec<CounterValue> {
-        let counts = self.counts.borrow();
-        counts
-            .iter()
-            .map(|((counter, request_class), value)| CounterValue {
-                counter: *counter,
-                request_class: *request_class,
-                value: *value,
-            })
-            .collect()
+        let values = self.values.borrow();
+        let entry = |(key, value): (&CounterKey, &u64)| CounterValue {
+            counter: key.counter,
+            request_class: key.request_class,
+            value: *value,
+        };
+        values.iter().map(entry).collect()
     }
 
     /// The request classes' names, by number.
@@ -106,13 +155,13 @@
     /// One line: `taken look-up=12 report=3; ...`.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let mut last = None;
-        for ((kind, group), count) in &*self.counts.borrow() {
-            if last != Some(*kind) {
-                let gap = if last.is_some() { "; " } else { "" };
-                write!(f, "{gap}{kind}")?;
-                last = Some(*kind);
+        for (CounterKey { counter, request_class }, count) in &*self.values.borrow() {
+            if last != Some(*counter) {
+                let separator = if last.is_some() { "; " } else { "" };
+                write!(f, "{separator}{counter}")?;
+                last = Some(*counter);
             }
-            match group.and_then(|g| self.request_classes.get(g)) {
+            match request_class.and_then(|class| self.request_classes.get(class)) {
                 Some(name) => write!(f, " {name}={count}")?,
                 None => write!(f, " {count}")?,
             }
@@ -134,7 +183,7 @@
             Counter::ClientGone => "left",
             Counter::Cancels => "cancels",
             Counter::Retries => "further dispatches",
-            Counter::AttemptOutcome(name) => return write!(f, "dispatch ended {name}"),
+            Counter::AttemptEnded(outcome) => return write!(f, "dispatch ended {outcome}"),
             Counter::Probes => "probes",
             Counter::ProbeFailures => "probes failed",
             Counter::ClientConnections => "client connections",
@@ -149,16 +198,32 @@
     }
 }
 
-/// An outcome's name in counts and log lines.
-pub fn outcome_label(outcome: AttemptOutcome) -> &'static str {
-    match outcome {
-        AttemptOutcome::Returned => "returned",
-        AttemptOutcome::Errored => "errored",
-        AttemptOutcome::Rejected => "full",
-        AttemptOutcome::TimedOut => "timed out",
-        AttemptOutcome::ConnectFailed => "no connection",
-        AttemptOutcome::Reset => "reset",
-        AttemptOutcome::Cancelled => "cancelled",
-        AttemptOutcome::NotSent => "not sent",
+impl fmt::Display for OutcomeLabel {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            OutcomeLabel::Cancelled => "cancelled",
+            OutcomeLabel::Errored => "errored",
+            OutcomeLabel::Rejected => "full",
+            OutcomeLabel::ConnectFailed => "no connection",
+            OutcomeLabel::NotSent => "not sent",
+            OutcomeLabel::Reset => "reset",
+            OutcomeLabel::Returned => "returned",
+            OutcomeLabel::TimedOut => "timed out",
+        })
+    }
+}
+
+impl From<AttemptOutcome> for OutcomeLabel {
+    fn from(outcome: AttemptOutcome) -> Self {
+        match outcome {
+            AttemptOutcome::Returned => OutcomeLabel::Returned,
+            AttemptOutcome::Errored => OutcomeLabel::Errored,
+            AttemptOutcome::Rejected => OutcomeLabel::Rejected,
+            AttemptOutcome::TimedOut => OutcomeLabel::TimedOut,
+            AttemptOutcome::ConnectFailed => OutcomeLabel::ConnectFailed,
+            AttemptOutcome::Reset => OutcomeLabel::Reset,
+            AttemptOutcome::Cancelled => OutcomeLabel::Cancelled,
+            AttemptOutcome::NotSent => OutcomeLabel::NotSent,
+        }
     }
 }
--- /dev/null
+++ b/crates/edges/routing/src/router/admission.rs
@@ -0,0 +1,119 @@
+//! Admission of requests, and their responses.
+//!
+//! A request passes, in this order: the router's own limits, the zone failover plan, the managers' limits, and the check
+//! that nothing under its id is open or in flight. The gateway gets only requests that pass.
+
+use super::{OpenRequest, RequestRouter};
+use crate::counters::Counter;
+use crate::messages::{EngineCommand, IncomingRequest, Response, ResponseSink, Token};
+use lemonusher::{Arrival, Event, RequestId};
+use std::rc::Rc;
+use std::time::Duration;
+
+impl RequestRouter {
+    pub(super) fn handle_request(&mut self, now: Duration, incoming: IncomingRequest) {
+        self.counters.add(Counter::Received, Some(incoming.request_class));
+        if let Err(response) = self.admit(now, &incoming) {
+            let counter = match response {
+                Response::Failed => Counter::Failed,
+                Response::Rejected(_) | Response::Returned(_) => Counter::Rejected,
+            };
+            self.counters.add(counter, Some(incoming.request_class));
+            return incoming.sink.respond(incoming.ticket, response);
+        }
+        self.statement_bytes += incoming.statement.len();
+        let open_request = OpenRequest {
+            sink: incoming.sink,
+            ticket: incoming.ticket,
+            request_class: incoming.request_class,
+            statement: incoming.statement,
+            deadline: now + incoming.client_timeout,
+            priority: 1,
+            memory_mb: 0.0,
+            attempts_sent: 0,
+            open_guard: Rc::new(()),
+        };
+        self.requests.insert(incoming.request.clone(), open_request);
+        self.gateway.handle_event(
+            now,
+            Event::Arrived(Arrival {
+                request: incoming.request,
+                request_class: incoming.request_class,
+                table_group: incoming.table_group,
+                key: None,
+                client_timeout: incoming.client_timeout,
+                work: None,
+                memory_mb: 0.0,
+                client_retry: incoming.client_retry,
+            }),
+        );
+    }
+
+    /// Admits a request, or gives the response that it gets in place of a decision.
+    fn admit(&mut self, now: Duration, incoming: &IncomingRequest) -> Result<(), Response> {
+        let capabilities = &self.deployment.capabilities;
+        let retry_after = |wait: Duration| Some(wait).filter(|_| capabilities.retry_after);
+        let is_full = self.requests.len() >= self.limits.max_requests
+            || self.statement_bytes + incoming.statement.len() > self.limits.max_statement_bytes;
+        if is_full {
+            return Err(Response::Rejected(None));
+        }
+        if let Some(zone_monitor) = &mut self.zone_monitor {
+            zone_monitor
+                .admit(incoming.request_class)
+                .map_err(|wait| Response::Rejected(retry_after(wait.min(capabilities.max_retry_after))))?;
+        }
+        self.admission_limiter
+            .admit(now, incoming.request_class)
+            .map_err(|wait| Response::Rejected(retry_after(wait)))?;
+        let is_known = self.requests.contains_key(&incoming.request)
+            || self.attempts.values().any(|attempt| attempt.request == incoming.request);
+        if is_known {
+            self.admission_limiter.release(now, incoming.request_class);
+            return Err(Response::Failed);
+        }
+        Ok(())
+    }
+
+    pub(super) fn handle_client_gone(
+        &mut self,
+        now: Duration,
+        sink: &Rc<dyn ResponseSink>,
+        ticket: u64,
+        request: RequestId,
+    ) {
+        let is_same_client = |open: &&OpenRequest| open.ticket == ticket && Rc::ptr_eq(&open.sink, sink);
+        if let Some(open_request) = self.requests.get(&request).filter(is_same_client) {
+            self.counters.add(Counter::ClientGone, Some(open_request.request_class));
+            self.finish_request(&request);
+            self.gateway.handle_event(now, Event::ClientGone(request));
+        }
+    }
+
+    /// Gives the response, if the request is still open.
+    pub(super) fn respond(&mut self, request: &RequestId, response: Response) {
+        let Some(open_request) = self.finish_request(request) else { return };
+        let counter = match &response {
+            Response::Returned(_) => Counter::Returned,
+            Response::Rejected(_) => Counter::Rejected,
+            Response::Failed => Counter::Failed,
+        };
+        self.counters.add(counter, Some(open_request.request_class));
+        log::debug!("batch" = &**request; "batch {request} {counter}");
+        open_request.sink.respond(open_request.ticket, response);
+    }
+
+    /// The request is owed nothing more. Its attempts in flight still have their outcomes; those that wait to be written
+    /// are withdrawn.
+    fn finish_request(&mut self, request: &RequestId) -> Option<OpenRequest> {
+        let open_request = self.requests.remove(request)?;
+        if open_request.attempts_sent > 0 {
+            let in_flight = self.attempts.iter().filter(|(_, attempt)| attempt.request == *request);
+            let tokens: Vec<Token> = in_flight.map(|(token, _)| *token).collect();
+            tokens.into_iter().for_each(|token| self.queue_command(EngineCommand::Withdraw(token)));
+        }
+        self.statement_bytes -= open_request.statement.len();
+        self.admission_limiter.release(self.clock.now(), open_request.request_class);
+        Some(open_request)
+    }
+}
--- /dev/null
+++ b/crates/edges/routing/src/router/endpoints.rs
@@ -0,0 +1,159 @@
+//! Updates of the endpoints: the discovery channel's list, the zone failover plan and maintenance. The endpoint table
+//! merges them; the gateway gets what changes by that.
+
+use super::RequestRouter;
+use crate::counters::Counter;
+use crate::management::EngineNotification;
+use crate::messages::{Endpoint, EngineCommand, Token};
+use lemonusher::{EndpointUpdateKind, EngineEntry, EngineId, EngineState, Event};
+use lemonusher_membership::{EndpointChange, ZoneRestriction};
+use lemonusher_zone_failover::PlanEffect;
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use std::time::Duration;
+
+impl RequestRouter {
+    pub(super) fn handle_endpoints(
+        &mut self,
+        now: Duration,
+        kind: EndpointUpdateKind,
+        listed: Vec<Endpoint>,
+    ) {
+        self.counters.add(Counter::ChannelEvents, None);
+        if kind != EndpointUpdateKind::Delta {
+            self.addresses.clear();
+        }
+        let entries: Vec<EngineEntry> =
+            listed.iter().map(|endpoint| self.engine_entry(now, endpoint)).collect();
+        for (entry, endpoint) in entries.iter().zip(&listed) {
+            log::info!(
+                engine = entry.engine;
+                "engine {:08x} is {} in location {}, started {:?} ago",
+                entry.engine,
+                state_label(entry.state),
+                entry.zone,
+                (!entry.started_at.is_zero()).then(|| now.saturating_sub(entry.started_at))
+            );
+            match entry.state {
+                EngineState::Removed => self.addresses.remove(&entry.engine),
+                _ => self.addresses.insert(entry.engine, endpoint.address),
+            };
+        }
+        if let Some(zone_monitor) = &mut self.zone_monitor {
+            zone_monitor.handle_endpoints(&self.deployment, kind, &entries);
+        }
+        self.queue_command(EngineCommand::Endpoints(kind, listed));
+        let change = self.endpoints.apply_list(kind, entries);
+        self.apply_endpoint_change(now, kind, change);
+    }
+
+    fn engine_entry(&self, now: Duration, endpoint: &Endpoint) -> EngineEntry {
+        let slow_start_window = self.deployment.safety_rules.slow_start_window;
+        let started_at = endpoint
+            .started_at
+            .map_or(Duration::ZERO, |unix| self.clock.engine_start(unix, now, slow_start_window));
+        EngineEntry {
+            engine: endpoint.engine,
+            zone: endpoint.zone,
+            cell: endpoint.cell,
+            machine_kind: endpoint.machine_kind,
+            state: endpoint.state,
+            started_at,
+            blocked_classes: 0,
+        }
+    }
+
+    pub(super) fn handle_zone_plan(&mut self, now: Duration, effect: &PlanEffect) {
+        let Some(zone_monitor) = &mut self.zone_monitor else { return };
+        zone_monitor.handle_plan(effect);
+        log::info!(
+            "sites: epoch {:?}{}, closed in part: {:?}, let in: {:?}",
+            effect.epoch,
+            if effect.isolated { ", goes by itself" } else { "" },
+            effect.restrictions,
+            effect.admitted_shares
+        );
+        let restrictions = effect.restrictions.iter().map(|restriction| ZoneRestriction {
+            zone: restriction.zone,
+            open_permille: restriction.open_permille,
+            blocked_classes: restriction.blocked_classes,
+        });
+        let change = self.endpoints.apply_restrictions(restrictions.collect());
+        self.apply_endpoint_change(now, EndpointUpdateKind::Delta, change);
+    }
+
+    pub(super) fn handle_maintenance(
+        &mut self,
+        now: Duration,
+        version: u64,
+        complete: bool,
+        closed: Arc<BTreeSet<EngineId>>,
+    ) {
+        let Some(zone_monitor) = &mut self.zone_monitor else { return };
+        log::info!(
+            "works: version {version}, {}out: {closed:x?}",
+            if complete { "" } else { "not sure yet, " }
+        );
+        zone_monitor.set_out_of_service(version, closed.clone());
+        let change = self.endpoints.set_out_of_service(closed, !complete);
+        self.apply_endpoint_change(now, EndpointUpdateKind::Delta, change);
+    }
+
+    /// Hands what has changed to managers and to the gateway, and cancels what has to be recalled.
+    pub(super) fn apply_endpoint_change(
+        &mut self,
+        now: Duration,
+        kind: EndpointUpdateKind,
+        change: EndpointChange,
+    ) {
+        if self.notifications.is_some() {
+            change.entries.iter().for_each(|entry| self.notify(entry));
+        }
+        for engine in &change.recalled {
+            self.recall_attempts(*engine);
+        }
+        if kind != EndpointUpdateKind::Delta || !change.entries.is_empty() {
+            self.gateway.handle_event(now, Event::Endpoints(kind, change.entries));
+        }
+    }
+
+    /// Cancels the attempts on an engine that its administrative state recalls.
+    fn recall_attempts(&mut self, engine: EngineId) {
+        let admin = self.endpoints.get(engine).map(|status| status.admin).unwrap_or_default();
+        let recalled = |class: usize| {
+            let config = self.deployment.request_classes.get(class);
+            config.is_some_and(|config| admin.recalls(config.idempotency))
+        };
+        let tokens: Vec<Token> = (self.attempts.iter())
+            .filter(|(_, attempt)| attempt.engine == engine && recalled(attempt.request_class))
+            .map(|(token, _)| *token)
+            .collect();
+        for token in tokens {
+            self.queue_command(EngineCommand::Cancel(token));
+        }
+    }
+
+    fn notify(&mut self, entry: &EngineEntry) {
+        let admin = self.endpoints.get(entry.engine).map(|status| status.admin).unwrap_or_default();
+        let notification = EngineNotification {
+            engine: entry.engine,
+            state: entry.state,
+            admin,
+            blocked_classes: entry.blocked_classes,
+        };
+        if let Some(notifications) = &self.notifications
+            && notifications.try_send(notification).is_err()
+        {
+            self.dropped_notifications += 1;
+        }
+    }
+}
+
+/// An engine's state as log lines name it.
+fn state_label(state: EngineState) -> &'static str {
+    match state {
+        EngineState::Active => "Active",
+        EngineState::Draining => "Leaving",
+        EngineState::Removed => "Left",
+    }
+}
--- /dev/null
+++ b/crates/edges/routing/src/router/recovery.rs
@@ -0,0 +1,33 @@
+//! Restart after a panic in the gateway.
+
+use super::RequestRouter;
+use crate::counters::Counter;
+use crate::messages::{EngineCommand, Response, Token};
+use lemonusher::{EndpointUpdateKind, Event, Gateway, RequestId};
+use std::time::Duration;
+
+impl RequestRouter {
+    /// Answers every open request as failed, which promises nothing, cancels what is in flight, and starts a new gateway
+    /// with the endpoints that are known.
+    pub(super) fn restart_after_panic(&mut self, now: Duration) {
+        self.counters.add(Counter::Panics, None);
+        log::error!("the gateway panicked: {} batches are errored, and it starts over", self.requests.len());
+        let open: Vec<RequestId> = self.requests.keys().cloned().collect();
+        for request in open {
+            self.respond(&request, Response::Failed);
+        }
+        let tokens: Vec<Token> = self.attempts.keys().chain(self.probes.keys()).copied().collect();
+        for token in tokens {
+            self.queue_command(EngineCommand::Cancel(token));
+        }
+        self.attempts.clear();
+        self.probes.clear();
+        self.timeouts.clear();
+        self.start_deadlines.clear();
+        self.wakeups.clear();
+        self.gateway = Gateway::new(self.deployment.clone(), now.as_nanos() as u64);
+        let entries = self.endpoints.engines().map(|status| status.entry.clone()).collect();
+        self.gateway.handle_event(now, Event::Endpoints(EndpointUpdateKind::Full, entries));
+        self.wakeups.insert(now);
+    }
+}
--- a/crates/edges/routing/src/zone_monitor.rs
+++ b/crates/edges/routing/src/zone_monitor.rs
@@ -1,34 +1,37 @@
-//! What the fleet's plan for lost sites needs of the owner: it counts what is seen, and lets in what the plan allows.
-//! What that means is settled in `lemonusher-zone-failover`.
+//! What zone failover needs of the router: it reports what this front observes of the zones, and admits what the plan
+//! allows. How that is evaluated is decided in `lemonusher-zone-failover`.
 
 use async_channel::Sender;
 use lemonusher::{
-    AttemptOutcome, Deployment, EndpointUpdateKind, EngineEntry, EngineState, RequestClassConfig,
+    AttemptOutcome, Deployment, EndpointUpdateKind, EngineEntry, EngineId, EngineState, RequestClassConfig,
 };
 use lemonusher_zone_failover::{
-    AttemptResult, ClassLoad, FailoverConfig, FrontReport, LocalView, Observer, PlanAdmission,
+    AttemptResult, ClassLoad, FailoverConfig, FrontReport, LocalView, Observer, PlanAdmission, PlanEffect,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The part of its goal over its threads that a request's work is taken for, until answers tell.
+/// The work of a request, as a share of its latency objective on its threads, until answers report it.
 const ASSUMED_WORK_SHARE: f64 = 0.5;
 
-/// Told each period.
+/// What a front observed, sent once a report interval.
 #[derive(Debug, Clone)]
 pub struct ZoneObservation {
+    /// What goes to the other fronts.
     pub report: FrontReport,
+    /// What this front knows by itself.
     pub local: LocalView,
-    /// Up to which version of the works engines are closed, and what is out on those.
+    /// The version of the maintenance requests up to which engines are out of service.
     pub maintenance_version: u64,
-    pub in_flight: BTreeMap<u32, u32>,
-    /// Of each engine: its site, its cores, and whether it answers, as far as it was tried.
-    pub engines: Vec<(u32, u32, u32, Option<bool>)>,
+    /// Attempts that run, or may still run, on engines that are out of service.
+    pub in_flight: BTreeMap<EngineId, u32>,
+    /// Each engine with its zone, its cores, and whether it answers, as far as it was tried lately.
+    pub engines: Vec<(EngineId, u32, u32, Option<bool>)>,
 }
 
-/// The request classes as the planner wants them.
-pub fn class_loads(deployment: &[RequestClassConfig], floor: f64) -> Vec<ClassLoad> {
+/// The request classes as the planner wants them, with no demand yet. `floor` is the least admitted share.
+pub fn class_loads(classes: &[RequestClassConfig], floor: f64) -> Vec<ClassLoad> {
     let class_load = |config: &RequestClassConfig| ClassLoad {
         priority_weight: config.priority_weight,
         work: config.latency_objective.as_secs_f64() * config.threads * ASSUMED_WORK_SHARE,
@@ -38,23 +41,24 @@
         floor,
         allowed_zones: config.allowed_zones.clone(),
     };
-    deployment.iter().map(class_load).collect()
+    classes.iter().map(class_load).collect()
 }
 
+/// Observes the zones by the front's ordinary work, and admits requests by the failover plan.
 pub struct ZoneMonitor {
     config: FailoverConfig,
-    pub observer: Observer,
-    pub plan_admission: PlanAdmission,
+    observer: Observer,
+    plan_admission: PlanAdmission,
     observations: Sender<ZoneObservation>,
-    /// This front's part where it goes by itself: one over the number that the deployment states.
+    /// This front's share of all requests where it is isolated: one over the number of fronts that is configured.
     share: f64,
-    pub next_report: Duration,
-    /// What the works have closed, and by which version.
-    pub out_of_service: Arc<BTreeSet<u32>>,
-    pub maintenance_version: u64,
-    /// Until when what ended in doubt on an engine may still run there.
-    uncertain_until: BTreeMap<u32, Duration>,
-    uncertainty_span: Duration,
+    next_report: Duration,
+    /// The engines that are out of service for maintenance, as of `maintenance_version`.
+    out_of_service: Arc<BTreeSet<EngineId>>,
+    maintenance_version: u64,
+    /// Until when an attempt of unknown outcome may still run on an engine.
+    unknown_until: BTreeMap<EngineId, Duration>,
+    unknown_outcome_delay: Duration,
 }
 
 impl ZoneMonitor {
@@ -64,12 +68,10 @@
         config: FailoverConfig,
         observations: Sender<ZoneObservation>,
     ) -> ZoneMonitor {
+        let classes = class_loads(&deployment.request_classes, config.admission_floor);
+        let rules = &deployment.safety_rules;
         ZoneMonitor {
-            observer: Observer::new(
-                now,
-                deployment.zone,
-                class_loads(&deployment.request_classes, config.admission_floor),
-            ),
+            observer: Observer::new(now, deployment.zone, classes),
             plan_admission: PlanAdmission::new(deployment.request_classes.len()),
             observations,
             share: 1.0 / f64::from(deployment.fronts.max(1)),
@@ -77,23 +79,25 @@
             config,
             out_of_service: Arc::default(),
             maintenance_version: 0,
-            uncertain_until: BTreeMap::new(),
-            uncertainty_span: deployment
-                .safety_rules
-                .unknown_outcome_delay
-                .max(deployment.capabilities.connect_timeout),
+            unknown_until: BTreeMap::new(),
+            unknown_outcome_delay: rules.unknown_outcome_delay.max(deployment.capabilities.connect_timeout),
         }
     }
 
-    /// Tells what was seen once a period; the latest takes the place of one that nobody has taken.
-    pub fn poll(&mut self, now: Duration, in_flight: impl Fn() -> BTreeMap<u32, u32>) {
+    /// When `poll` is due next.
+    pub fn next_timeout(&self) -> Duration {
+        self.next_report
+    }
+
+    /// Reports once an interval; a report takes the place of one that has not been read yet.
+    pub fn poll(&mut self, now: Duration, in_flight: impl Fn() -> BTreeMap<EngineId, u32>) {
         if now < self.next_report {
             return;
         }
         self.next_report = now + self.config.report_interval;
-        self.uncertain_until.retain(|_, until| *until > now);
+        self.unknown_until.retain(|_, until| *until > now);
         let mut in_flight = in_flight();
-        self.uncertain_until.keys().for_each(|engine| *in_flight.entry(*engine).or_default() += 1);
+        self.unknown_until.keys().for_each(|engine| *in_flight.entry(*engine).or_default() += 1);
         in_flight.retain(|engine, _| self.out_of_service.contains(engine));
         let (report, local) = self.observer.report(now, &self.config, self.share);
         let engines = self.observer.engines(now, &self.config);
@@ -106,10 +110,49 @@
         });
     }
 
-    /// An attempt ended; where that proves nothing, the engine may still run it for a while.
-    pub fn handle_attempt_ended(&mut self, now: Duration, engine: u32, outcome: AttemptOutcome) {
+    /// Counts a request and admits it, or states how long its client should wait.
+    pub fn admit(&mut self, request_class: usize) -> Result<(), Duration> {
+        self.observer.request_arrived(request_class);
+        self.plan_admission.admit(request_class)
+    }
+
+    pub fn handle_plan(&mut self, effect: &PlanEffect) {
+        self.plan_admission.set(effect);
+    }
+
+    pub fn set_out_of_service(&mut self, version: u64, engines: Arc<BTreeSet<EngineId>>) {
+        (self.out_of_service, self.maintenance_version) = (engines, version);
+    }
+
+    /// An attempt or probe was sent.
+    pub fn handle_sent(&mut self, now: Duration, engine: EngineId) {
+        self.observer.attempt_sent(now, engine);
+    }
+
+    /// An attempt ended; where its outcome is unknown, the engine may still run it for a while.
+    pub fn handle_attempt_ended(
+        &mut self,
+        now: Duration,
+        engine: EngineId,
+        request_class: usize,
+        outcome: AttemptOutcome,
+        result: AttemptResult,
+    ) {
+        self.observer.attempt_ended(now, engine, request_class, result);
         if matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled) {
-            self.uncertain_until.insert(engine, now + self.uncertainty_span);
+            self.unknown_until.insert(engine, now + self.unknown_outcome_delay);
+        }
+    }
+
+    /// An engine reported progress, so it answers.
+    pub fn handle_progress(&mut self, now: Duration, engine: EngineId) {
+        self.observer.engine_answered(now, engine);
+    }
+
+    pub fn handle_probe_ended(&mut self, now: Duration, engine: EngineId, answered: bool) {
+        match answered {
+            true => self.observer.engine_answered(now, engine),
+            false => self.observer.engine_missed(now, engine),
         }
     }
 
@@ -123,10 +166,8 @@
             self.observer.begin_full_list();
         }
         for entry in entries {
-            let cores = deployment
-                .machine_kinds
-                .get(entry.machine_kind as usize)
-                .map_or(1.0, |machine| machine.cores);
+            let machine_kind = deployment.machine_kinds.get(entry.machine_kind as usize);
+            let cores = machine_kind.map_or(1.0, |machine| machine.cores);
             let ready = entry.state == EngineState::Active;
             self.observer.update_engine(entry.engine, entry.zone, cores.round() as u32, ready);
         }
@@ -134,26 +175,19 @@
             self.observer.end_full_list();
         }
     }
-
-    pub fn handle_probe_ended(&mut self, now: Duration, engine: u32, answered: bool) {
-        match answered {
-            true => self.observer.engine_answered(now, engine),
-            false => self.observer.engine_missed(now, engine),
-        }
-    }
 }
 
-/// What an outcome tells of the engine. `work` in seconds on one thread.
+/// What an outcome shows of the engine, given its work on one thread and the threads of its class.
 pub fn attempt_result(
     outcome: AttemptOutcome,
-    span: Duration,
+    elapsed: Duration,
     work: Option<Duration>,
     threads: f64,
 ) -> AttemptResult {
     match outcome {
         AttemptOutcome::Returned => {
             let work = work.map(|work| work.as_secs_f64());
-            AttemptResult::Returned { span: span.as_secs_f64(), work, threads }
+            AttemptResult::Returned { span: elapsed.as_secs_f64(), work, threads }
         }
         AttemptOutcome::ConnectFailed | AttemptOutcome::Reset | AttemptOutcome::TimedOut => {
             AttemptResult::Failed
