--- a/crates/edges/front/src/program/descriptors.rs
+++ b/crates/edges/front/src/program/descriptors.rs
@@ -35,4 +35,5 @@
 }
 
 #[cfg(test)]
+#[path = "../../tests/unit/descriptors.rs"]
 mod tests;
