--- a/crates/edges/front/src/program/engines/connection.rs
+++ b/crates/edges/front/src/program/engines/connection.rs
@@ -267,7 +267,7 @@
             (InFlightKind::Cancelled(_), ReplyKind::Completed { usage, .. }) => {
                 let (outcome, rows, usage) =
                     (AttemptOutcome::Returned, reply.body, usage.map(resource_usage));
-                Some((token, RouterEvent::AttemptEnded { token, outcome, usage: usage, load, body: rows }))
+                Some((token, RouterEvent::AttemptEnded { token, outcome, usage, load, body: rows }))
             }
             (InFlightKind::Request(None) | InFlightKind::Cancelled(_), ReplyKind::Rejected) => {
                 over(AttemptOutcome::Rejected)
@@ -281,10 +281,7 @@
                 let mut reservation = Reservation::new(self.shared.reply_memory.clone());
                 if count == 1 {
                     let (outcome, rows) = (AttemptOutcome::Returned, reply.body);
-                    Some((
-                        token,
-                        RouterEvent::AttemptEnded { token, outcome, usage: usage, load, body: rows },
-                    ))
+                    Some((token, RouterEvent::AttemptEnded { token, outcome, usage, load, body: rows }))
                 } else if count > MAX_PAGES || !reservation.resize(reply.body.len()) {
                     let _ = self.write_queue.push(engine::encode_release(&id).as_bytes());
                     over(AttemptOutcome::Errored)
@@ -319,10 +316,7 @@
                     let _ = self.write_queue.push(engine::encode_release(&id).as_bytes());
                     let rows = pages.pages.iter_mut().filter_map(Option::take).flatten().collect();
                     let (outcome, usage, load) = (AttemptOutcome::Returned, pages.usage, pages.load);
-                    Some((
-                        token,
-                        RouterEvent::AttemptEnded { token, outcome, usage: usage, load, body: rows },
-                    ))
+                    Some((token, RouterEvent::AttemptEnded { token, outcome, usage, load, body: rows }))
                 }
             }
             _ => {
