--- a/crates/edges/fleet/tests/wire_compatibility.rs
+++ b/crates/edges/fleet/tests/wire_compatibility.rs
@@ -164,7 +164,11 @@
         failed: 202,
     };
     let report = FrontReport { zone: 1, zones: vec![stats], demand: vec![Demand { rate: 12.5, work: 0.25 }] };
-    let confirmation = DrainConfirmation { request: 3, version: (1_000_001, 200), machine: 0x0a00_0007 };
+    let confirmation = DrainConfirmation {
+        request: 3,
+        version: EntryVersion { epoch: 1_000_001, counter: 200 },
+        machine: 0x0a00_0007,
+    };
     vec![
         ("failure detector", Body::FailureDetector(vec![9, 8, 7, 255])),
         ("front report", Body::FrontReport(report)),
--- a/crates/edges/front/src/protocol/statement.rs
+++ b/crates/edges/front/src/protocol/statement.rs
@@ -15,56 +15,58 @@
 /// `staging` and names of columns, whatever stands before their dot.
 pub fn table_group(statement: &str) -> Option<u64> {
     let tokens = tokens(statement);
-    let mut levels = vec![Level::default()];
+    let mut scopes = vec![Scope::default()];
     let mut at = 0;
     while at < tokens.len() {
-        let level = levels.len() - 1;
+        let scope = scopes.len() - 1;
         let before = at.checked_sub(1).map(|b| &tokens[b]);
         match &tokens[at] {
             Token::Mark('(') => {
                 // `FROM (a JOIN b)` names tables inside; a function's `FROM` does not.
-                let here = levels[level].expects;
-                levels[level].expects = false;
-                levels.push(Level { expects: here, reads: here, lists: false });
+                let here = scopes[scope].expects_table;
+                scopes[scope].expects_table = false;
+                scopes.push(Scope { expects_table: here, reads_tables: here, lists_tables: false });
             }
-            Token::Mark(')') if level > 0 => drop(levels.pop()),
-            Token::Mark(',') => levels[level].expects = levels[level].lists,
-            Token::Mark(';') => levels = vec![Level::default()],
-            Token::Mark(_) => levels[level].expects = false,
+            Token::Mark(')') if scope > 0 => drop(scopes.pop()),
+            Token::Mark(',') => scopes[scope].expects_table = scopes[scope].lists_tables,
+            Token::Mark(';') => scopes = vec![Scope::default()],
+            Token::Mark(_) => scopes[scope].expects_table = false,
             Token::Word(word) => {
                 let words = |token: Option<&Token>, wanted: &str| token == Some(&Token::Word(wanted.into()));
-                let state = &mut levels[level];
+                let state = &mut scopes[scope];
                 match word.as_str() {
-                    "select" | "delete" | "with" => (state.reads, state.lists) = (true, false),
+                    "select" | "delete" | "with" => (state.reads_tables, state.lists_tables) = (true, false),
                     "update" if words(before, "for") || words(before, "do") || words(before, "on") => {}
                     "update" | "into" | "table" | "copy" | "truncate" | "merge" => {
-                        (state.reads, state.expects) = (true, true);
+                        (state.reads_tables, state.expects_table) = (true, true);
                     }
-                    "from" if !state.reads || words(before, "distinct") => {}
-                    "from" | "using" => (state.expects, state.lists) = (state.reads, state.reads),
-                    "join" => state.expects = true,
+                    "from" if !state.reads_tables || words(before, "distinct") => {}
+                    "from" | "using" => {
+                        (state.expects_table, state.lists_tables) = (state.reads_tables, state.reads_tables)
+                    }
+                    "join" => state.expects_table = true,
                     "only" | "lateral" | "if" | "not" | "exists" | "low_priority" | "ignore" => {}
                     "where" | "group" | "order" | "having" | "set" | "values" | "limit" | "on" | "union"
                     | "returning" | "window" | "intersect" | "except" => {
-                        (state.expects, state.lists) = (false, false);
+                        (state.expects_table, state.lists_tables) = (false, false);
                     }
                     _ => {
-                        if state.expects
-                            && let Some(group) = named(&tokens[at..])
+                        if state.expects_table
+                            && let Some(group) = group_of_table(&tokens[at..])
                         {
                             return Some(group);
                         }
-                        state.expects = false;
+                        state.expects_table = false;
                     }
                 }
             }
             Token::Quoted(_) => {
-                if levels[level].expects
-                    && let Some(group) = named(&tokens[at..])
+                if scopes[scope].expects_table
+                    && let Some(group) = group_of_table(&tokens[at..])
                 {
                     return Some(group);
                 }
-                levels[level].expects = false;
+                scopes[scope].expects_table = false;
             }
         }
         at += 1;
@@ -74,17 +76,17 @@
 
 /// One pair of brackets.
 #[derive(Default, Clone, Copy)]
-struct Level {
+struct Scope {
     /// The next name is a table's.
-    expects: bool,
+    expects_table: bool,
     /// It holds a SELECT or the like, so that its FROM names tables.
-    reads: bool,
+    reads_tables: bool,
     /// A comma is followed by a further table.
-    lists: bool,
+    lists_tables: bool,
 }
 
 /// The group of a table's full name, `schema.table` or `catalog.schema.table`.
-fn named(tokens: &[Token]) -> Option<u64> {
+fn group_of_table(tokens: &[Token]) -> Option<u64> {
     let mut parts = Vec::new();
     for (place, token) in tokens.iter().enumerate() {
         match token {
@@ -175,33 +177,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::table_group;
-
-    #[test]
-    fn finds_the_group() {
-        for (statement, group) in [
-            ("select * from sales_17.orders", Some(17)),
-            ("SELECT a_5.x FROM\n\tSales_17.orders AS a_5 where a_5.y = 'from x_3.t'", Some(17)),
-            ("select 'it''s from b_2.t', \"q_9.z\".c from \"my_sales_4\".\"t\"\"x\"", Some(4)),
-            ("-- from b_2.t\nselect /* from c_3.t /* d */ from e_1.f */ 1 from g_6.h", Some(6)),
-            ("insert into sales_8.orders select * from staging.new_3", Some(8)),
-            ("insert into staging.x select * from sales_8.orders", Some(8)),
-            ("select * from staging_7.x, b_2.y", Some(2)),
-            ("select extract(year from a_5.d), b_6.x from sales_17.orders a_5, c_17.d b_6", Some(17)),
-            ("select * from (select * from a_3.t) x join b_3.u on x.a is distinct from c_9.d", Some(3)),
-            ("with a_1 as (select y_2.z from s_12.t y_2) select a_1.z from a_1", Some(12)),
-            ("update s_5.t set x = 1 from staging.y", Some(5)),
-            ("delete from only s_5.t", Some(5)),
-            ("merge into db_1.s_5.t using staging.y on a_2.b = y.c", Some(5)),
-            ("copy s_5.t from stdin", Some(5)),
-            ("select 1 from t for update of a_5.x", None),
-            ("select a_5.x", None),
-            ("select $q$ from a_1.b $q$ from c_2.d", Some(2)),
-            ("'", None),
-            ("", None),
-        ] {
-            assert_eq!(table_group(statement), group, "{statement}");
-        }
-    }
-}
+#[path = "../../tests/unit/statement.rs"]
+mod tests;
