--- a/crates/core/failure-detector/src/gossip.rs
+++ b/crates/core/failure-detector/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Small facts that ride on the detector's messages: one a member, the latest.
+//! Gossip records: small facts, one a member, that are sent along with the detector's messages. The latest one counts.
 
 use crate::MAX_MEMBERS;
 use foca::{BroadcastHandler, Invalidates};
@@ -7,21 +7,23 @@
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Engines in doubt that a fact names at most.
+/// Ejected engines that a record names at most.
 pub const MAX_EJECTED_ENGINES: usize = 8;
-const MAX_MESSAGE_BYTES: usize = 128;
+/// Bytes of an encoded record at most.
+const MAX_RECORD_BYTES: usize = 128;
 
-/// What a front tells of itself, now and then.
+/// What a front tells all others of itself. Encoded with postcard: the order of fields is part of the protocol.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipRecord {
-    /// Requests that it takes a second.
+    /// Requests that it takes per second.
     pub requests_per_second: u32,
     /// Engines that it sends nothing to after faults, the lowest ids first.
     pub ejected_engines: Vec<u32>,
-    /// Which version of the pools it follows.
+    /// The version of the desired state that it follows.
     pub desired_state_version: u64,
 }
 
+/// A record with its member's incarnation and its place in that member's records.
 #[derive(Serialize, Deserialize)]
 struct EncodedRecord {
     incarnation: u64,
@@ -29,22 +31,28 @@
     record: GossipRecord,
 }
 
+/// The bytes of a record; it names no more than [`MAX_EJECTED_ENGINES`].
 pub(crate) fn encode(incarnation: u64, sequence: u32, mut record: GossipRecord) -> Option<Vec<u8>> {
     record.ejected_engines.truncate(MAX_EJECTED_ENGINES);
     postcard::to_allocvec(&EncodedRecord { incarnation, sequence, record }).ok()
 }
 
-/// The facts of all, shared with the detector that hands them on.
+struct StoredRecord {
+    sequence: u32,
+    record: GossipRecord,
+}
+
+/// The latest record of each member, by its incarnation; shared with `foca`, which sends them on.
 #[derive(Clone, Default)]
-pub(crate) struct GossipRecords(Arc<Mutex<BTreeMap<u64, (u32, GossipRecord)>>>);
+pub(crate) struct GossipRecords(Arc<Mutex<BTreeMap<u64, StoredRecord>>>);
 
 impl GossipRecords {
-    fn table(&self) -> MutexGuard<'_, BTreeMap<u64, (u32, GossipRecord)>> {
+    fn table(&self) -> MutexGuard<'_, BTreeMap<u64, StoredRecord>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(crate) fn of(&self, incarnation: u64) -> Option<GossipRecord> {
-        self.table().get(&incarnation).map(|(_, record)| record.clone())
+        self.table().get(&incarnation).map(|stored| stored.record.clone())
     }
 
     pub(crate) fn forget(&self, incarnation: u64) {
@@ -52,12 +60,15 @@
     }
 }
 
-/// Of which member, and which in order.
-pub(crate) struct RecordKey(u64, u32);
+/// A later record of the same member replaces an earlier one that is still to be sent on.
+pub(crate) struct RecordKey {
+    incarnation: u64,
+    sequence: u32,
+}
 
 impl Invalidates for RecordKey {
     fn invalidates(&self, other: &Self) -> bool {
-        self.0 == other.0 && self.1 >= other.1
+        self.incarnation == other.incarnation && self.sequence >= other.sequence
     }
 }
 
@@ -76,21 +87,21 @@
     type Key = RecordKey;
     type Error = UnreadableRecord;
 
-    /// Only what is newer than what is known is kept and handed on.
+    /// Stores a record and has it sent on, if it is newer than what is known of its member.
     fn receive_item(&mut self, data: &[u8], _: Option<&T>) -> Result<Option<RecordKey>, UnreadableRecord> {
-        if data.len() > MAX_MESSAGE_BYTES {
+        if data.len() > MAX_RECORD_BYTES {
             return Err(UnreadableRecord);
         }
         let EncodedRecord { incarnation, sequence, record } =
             postcard::from_bytes(data).map_err(|_| UnreadableRecord)?;
         let mut table = self.table();
-        let known = table.get(&incarnation).map(|(known, _)| *known);
+        let known = table.get(&incarnation).map(|stored| stored.sequence);
         let is_admissible = record.ejected_engines.len() <= MAX_EJECTED_ENGINES
             && (known.is_some() || table.len() < MAX_MEMBERS);
         if known >= Some(sequence) || !is_admissible {
             return Ok(None);
         }
-        table.insert(incarnation, (sequence, record));
-        Ok(Some(RecordKey(incarnation, sequence)))
+        table.insert(incarnation, StoredRecord { sequence, record });
+        Ok(Some(RecordKey { incarnation, sequence }))
     }
 }
--- a/crates/core/failure-detector/tests/limits.rs
+++ b/crates/core/failure-detector/tests/limits.rs
@@ -26,8 +26,11 @@
             came += 1;
             let mut other = detector(came);
             other.add_seed(Duration::ZERO, at(0));
-            other.take_outgoing().for_each(|(_, bytes)| one.handle_datagram(Duration::ZERO, &bytes));
-            let _ = one.take_outgoing().count();
+            other
+                .take_outgoing()
+                .iter()
+                .for_each(|datagram| one.handle_datagram(Duration::ZERO, &datagram.bytes));
+            let _ = one.take_outgoing();
         }
         assert_eq!(one.members().count(), kept, "of {count}");
     }
@@ -38,11 +41,11 @@
     for (addresses, greeted) in [(1024, 1024), (MAX_MEMBERS, MAX_MEMBERS), (MAX_MEMBERS + 1, MAX_MEMBERS)] {
         let mut one = detector(0);
         (1..=addresses).for_each(|n| one.add_seed(Duration::ZERO, at(n)));
-        let _ = one.take_outgoing().count();
+        let _ = one.take_outgoing();
         let mut again = BTreeSet::new();
         for turn in 1..=addresses as u32 {
             one.poll(PERIOD * 4 * turn);
-            again.extend(one.take_outgoing().map(|(to, _)| to));
+            again.extend(one.take_outgoing().into_iter().map(|datagram| datagram.to));
         }
         assert_eq!(again.len(), greeted, "of {addresses}");
     }
--- a/crates/core/failure-detector/tests/stories.rs
+++ b/crates/core/failure-detector/tests/stories.rs
@@ -1,7 +1,7 @@
 //! The failure detector in virtual time: losses, crashes, restarts, leaving, and how many are told as gone that are not.
 
 use lemonusher_failure_detector::{
-    DetectorConfig, FailureDetector, GossipRecord, MAX_MESSAGE_BYTES, Member, MembershipChange,
+    Datagram, DetectorConfig, FailureDetector, GossipRecord, MAX_MESSAGE_BYTES, Member, MembershipChange,
 };
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -67,7 +67,7 @@
             }
             for (me, detector) in &mut self.detectors {
                 detector.poll(now);
-                for (to, bytes) in detector.take_outgoing() {
+                for Datagram { to, bytes } in detector.take_outgoing() {
                     assert!(bytes.len() <= MAX_MESSAGE_BYTES);
                     self.sent += 1;
                     self.bytes += bytes.len();
--- a/crates/edges/fleet/src/node/mod.rs
+++ b/crates/edges/fleet/src/node/mod.rs
@@ -273,8 +273,7 @@
     }
 
     fn send_detector(&mut self) {
-        let sends: Vec<(SocketAddr, Vec<u8>)> = self.detector.take_outgoing().collect();
-        for (to, bytes) in sends {
+        for detector::Datagram { to, bytes } in self.detector.take_outgoing() {
             self.send(Body::FailureDetector(bytes), to);
         }
     }
--- a/crates/edges/fleet/tests/limits.rs
+++ b/crates/edges/fleet/tests/limits.rs
@@ -132,7 +132,8 @@
         let me = Member { name: format!("n{n}"), address, incarnation: n as u64, zone: 0, refutations: 0 };
         let mut detector = FailureDetector::new(me, DetectorTerms { probe_interval: LEASE }, n as u64);
         detector.add_seed(Duration::ZERO, voter);
-        let said: Vec<Vec<u8>> = detector.take_outgoing().map(|(_, bytes)| bytes).collect();
+        let said: Vec<Vec<u8>> =
+            detector.take_outgoing().into_iter().map(|datagram| datagram.bytes).collect();
         said.into_iter().for_each(|bytes| speaker.say(Body::FailureDetector(bytes), voter));
         if n % FRONTS_BEFORE_ANSWER == 0 {
             // What was sent before has been read once this is answered, so the system's buffer drops nothing.
--- a/crates/edges/fleet/tests/wire_compatibility.rs
+++ b/crates/edges/fleet/tests/wire_compatibility.rs
@@ -272,7 +272,8 @@
         let now = Duration::from_millis(50) * step;
         for from in 0..2 {
             pair[from].poll(now);
-            let sent: Vec<Vec<u8>> = pair[from].take_outgoing().map(|(_, bytes)| bytes).collect();
+            let sent: Vec<Vec<u8>> =
+                pair[from].take_outgoing().into_iter().map(|datagram| datagram.bytes).collect();
             sent.iter().for_each(|bytes| pair[1 - from].handle_datagram(now, bytes));
             messages.extend(sent);
         }
