--- a/crates/core/failure-detector/tests/limits.rs
+++ b/crates/core/failure-detector/tests/limits.rs
@@ -1,4 +1,4 @@
-//! 1,024 members, as many as are kept, and one more.
+//! 1,024 members, as many as are stored, and one more.
 
 use lemonusher_failure_detector::{DetectorConfig, FailureDetector, MAX_MEMBERS, Member};
 use std::collections::BTreeSet;
@@ -18,13 +18,13 @@
 }
 
 #[test]
-fn as_many_members_are_kept_as_come_up_to_the_bound() {
+fn members_are_known_up_to_max_members() {
     let mut one = detector(0);
-    let mut came = 0;
-    for (count, kept) in [(1024, 1024), (MAX_MEMBERS, MAX_MEMBERS), (MAX_MEMBERS + 1, MAX_MEMBERS)] {
-        while came < count {
-            came += 1;
-            let mut other = detector(came);
+    let mut members_created = 0;
+    for (count, expected) in [(1024, 1024), (MAX_MEMBERS, MAX_MEMBERS), (MAX_MEMBERS + 1, MAX_MEMBERS)] {
+        while members_created < count {
+            members_created += 1;
+            let mut other = detector(members_created);
             other.add_seed(Duration::ZERO, at(0));
             other
                 .take_outgoing()
@@ -32,12 +32,12 @@
                 .for_each(|datagram| one.handle_datagram(Duration::ZERO, &datagram.bytes));
             let _ = one.take_outgoing();
         }
-        assert_eq!(one.members().count(), kept, "of {count}");
+        assert_eq!(one.members().count(), expected, "of {count}");
     }
 }
 
 #[test]
-fn each_address_that_should_answer_is_greeted_again() {
+fn each_seed_without_a_member_is_announced_to_again() {
     for (addresses, greeted) in [(1024, 1024), (MAX_MEMBERS, MAX_MEMBERS), (MAX_MEMBERS + 1, MAX_MEMBERS)] {
         let mut one = detector(0);
         (1..=addresses).for_each(|n| one.add_seed(Duration::ZERO, at(n)));
--- a/crates/core/failure-detector/tests/stories.rs
+++ b/crates/core/failure-detector/tests/stories.rs
@@ -1,4 +1,4 @@
-//! The failure detector in virtual time: losses, crashes, restarts, leaving, and how many are told as gone that are not.
+//! The failure detector in virtual time: losses, crashes, restarts, leaving, and false positives.
 
 use lemonusher_failure_detector::{
     Datagram, DetectorConfig, FailureDetector, GossipRecord, MAX_MESSAGE_BYTES, Member, MembershipChange,
@@ -12,12 +12,12 @@
 struct World {
     now: Duration,
     detectors: BTreeMap<SocketAddr, FailureDetector>,
-    way: Vec<(Duration, SocketAddr, Vec<u8>)>,
+    in_flight: Vec<(Duration, SocketAddr, Vec<u8>)>,
     chance: fastrand::Rng,
-    lost: f64,
+    loss: f64,
     sent: usize,
     bytes: usize,
-    went: Vec<(SocketAddr, Member)>,
+    left: Vec<(SocketAddr, Member)>,
 }
 
 fn at(n: usize) -> SocketAddr {
@@ -25,31 +25,27 @@
 }
 
 impl World {
-    fn new(seed: u64, fronts: usize, lost: f64) -> World {
+    fn new(seed: u64, fronts: usize, loss: f64) -> World {
         let mut world = World {
             now: Duration::ZERO,
             detectors: BTreeMap::new(),
-            way: Vec::new(),
+            in_flight: Vec::new(),
             chance: fastrand::Rng::with_seed(seed),
-            lost,
+            loss,
             sent: 0,
             bytes: 0,
-            went: Vec::new(),
+            left: Vec::new(),
         };
         (0..fronts).for_each(|n| world.start(n));
         world
     }
 
     fn start(&mut self, n: usize) {
-        let born = self.chance.u64(1..);
-        let me = Member {
-            name: format!("n{n}"),
-            address: at(n),
-            incarnation: born,
-            zone: n as u32 % 3,
-            refutations: 0,
-        };
-        let mut detector = FailureDetector::new(me, DetectorConfig { probe_interval: PERIOD }, born);
+        let incarnation = self.chance.u64(1..);
+        let local =
+            Member { name: format!("n{n}"), address: at(n), incarnation, zone: n as u32 % 3, refutations: 0 };
+        let mut detector =
+            FailureDetector::new(local, DetectorConfig { probe_interval: PERIOD }, incarnation);
         (0..3).for_each(|known| detector.add_seed(self.now, at(known)));
         self.detectors.insert(at(n), detector);
     }
@@ -59,26 +55,26 @@
         while self.now < until {
             self.now += Duration::from_millis(10);
             let now = self.now;
-            let due: Vec<_> = self.way.extract_if(.., |(at, ..)| *at <= now).collect();
+            let due: Vec<_> = self.in_flight.extract_if(.., |(at, ..)| *at <= now).collect();
             for (_, to, bytes) in due {
                 if let Some(detector) = self.detectors.get_mut(&to) {
                     detector.handle_datagram(now, &bytes);
                 }
             }
-            for (me, detector) in &mut self.detectors {
+            for (local, detector) in &mut self.detectors {
                 detector.poll(now);
                 for Datagram { to, bytes } in detector.take_outgoing() {
                     assert!(bytes.len() <= MAX_MESSAGE_BYTES);
                     self.sent += 1;
                     self.bytes += bytes.len();
-                    if self.chance.f64() >= self.lost {
+                    if self.chance.f64() >= self.loss {
                         let late = Duration::from_millis(self.chance.u64(1..30));
-                        self.way.push((now + late, to, bytes));
+                        self.in_flight.push((now + late, to, bytes));
                     }
                 }
                 for change in detector.take_changes() {
                     if let MembershipChange::Left(member) = change {
-                        self.went.push((*me, member));
+                        self.left.push((*local, member));
                     }
                 }
             }
@@ -92,7 +88,7 @@
 }
 
 #[test]
-fn all_meet_one_that_dies_is_missed_and_its_next_life_is_another() {
+fn members_are_discovered_a_crash_is_detected_and_a_restart_is_a_new_incarnation() {
     let mut world = World::new(1, 12, 0.05);
     world.run(PERIOD * 20);
     assert_eq!(world.known(), [11; 12]);
@@ -103,11 +99,13 @@
     world.run(PERIOD * 30);
     assert_eq!(world.known(), [11; 12]);
     let one = |detector: &FailureDetector| detector.members().filter(|member| member.name == "n7").count();
-    assert!(world.detectors.iter().filter(|(me, _)| **me != at(7)).all(|(_, detector)| one(detector) == 1));
+    assert!(
+        world.detectors.iter().filter(|(local, _)| **local != at(7)).all(|(_, detector)| one(detector) == 1)
+    );
 }
 
 #[test]
-fn who_leaves_is_missed_at_once_and_a_restart_in_between_is_noticed() {
+fn a_leave_is_known_at_once_and_a_quick_restart_is_noticed() {
     let mut world = World::new(2, 9, 0.0);
     world.run(PERIOD * 20);
     let now = world.now;
@@ -115,79 +113,83 @@
     world.run(PERIOD * 4);
     world.detectors.remove(&at(4));
     assert_eq!(world.known(), [7; 8]);
-    let before = world.went.len();
+    let before = world.left.len();
     world.start(5); // A new incarnation before anybody has missed the old one.
     world.run(PERIOD * 40);
     assert_eq!(world.known(), [7; 8]);
     assert!(
-        world.went[before..].iter().any(|(_, member)| member.name == "n5"),
-        "the old life was not missed"
+        world.left[before..].iter().any(|(_, member)| member.name == "n5"),
+        "the old incarnation was not missed"
     );
 }
 
 #[test]
-fn facts_reach_all_and_the_latest_stands() {
+fn gossip_records_reach_all_members_and_the_latest_counts() {
     let mut world = World::new(3, 20, 0.2);
     world.run(PERIOD * 20);
-    for taken in [5, 9] {
-        let fact = GossipRecord {
-            requests_per_second: taken,
+    for requests_per_second in [5, 9] {
+        let record = GossipRecord {
+            requests_per_second,
             ejected_engines: (0..20).collect(),
             desired_state_version: 3,
         };
-        world.detectors.get_mut(&at(2)).unwrap().publish(fact);
+        world.detectors.get_mut(&at(2)).unwrap().publish(record);
         world.run(PERIOD * 12);
     }
-    let born = world.detectors[&at(3)].members().find(|member| member.name == "n2").unwrap().incarnation;
-    let told =
-        world.detectors.iter().filter(|(me, _)| **me != at(2)).map(|(_, detector)| detector.gossip_of(born));
-    let told: Vec<Option<GossipRecord>> = told.collect();
-    let fresh = told
+    let incarnation =
+        world.detectors[&at(3)].members().find(|member| member.name == "n2").unwrap().incarnation;
+    let records = world
+        .detectors
+        .iter()
+        .filter(|(local, _)| **local != at(2))
+        .map(|(_, detector)| detector.gossip_of(incarnation));
+    let records: Vec<Option<GossipRecord>> = records.collect();
+    let fresh = records
         .iter()
         .flatten()
-        .filter(|fact| fact.requests_per_second == 9 && fact.ejected_engines.len() == 8)
+        .filter(|record| record.requests_per_second == 9 && record.ejected_engines.len() == 8)
         .count();
-    assert!(fresh >= 18, "{fresh} of 19: {told:?}");
+    assert!(fresh >= 18, "{fresh} of 19: {records:?}");
 }
 
 #[test]
-fn a_cut_of_some_periods_heals_by_itself() {
+fn a_partition_of_some_periods_heals_by_itself() {
     let mut world = World::new(4, 10, 0.0);
     world.run(PERIOD * 20);
-    world.lost = 1.0;
+    world.loss = 1.0;
     world.run(PERIOD * 30);
     assert!(world.known().iter().all(|known| *known < 9));
-    world.lost = 0.0;
+    world.loss = 0.0;
     world.run(PERIOD * 200);
     assert_eq!(world.known(), [9; 10]);
 }
 
-/// How often one is told as gone that is not, under losses; and what it costs. Prints, and bounds it widely.
+/// False positives under losses, and what the protocol costs. Prints, and bounds it widely.
 #[test]
-fn false_alarms_and_cost_are_bounded() {
-    for (fronts, lost) in [(40, 0.0), (40, 0.2), (120, 0.2)] {
-        let mut world = World::new(5, fronts, lost);
+fn false_positives_and_cost_are_bounded() {
+    for (fronts, loss) in [(40, 0.0), (40, 0.2), (120, 0.2)] {
+        let mut world = World::new(5, fronts, loss);
         world.run(PERIOD * 40);
-        let (sent, bytes, went) = (world.sent, world.bytes, world.went.len());
+        let (sent, bytes, left) = (world.sent, world.bytes, world.left.len());
         let span = PERIOD * 120;
         world.run(span);
         let each = fronts as f64 * span.as_secs_f64();
-        let alarms =
-            (world.went.len() - went) as f64 / (fronts * fronts) as f64 / span.as_secs_f64() * 3600.0;
+        let false_positives =
+            (world.left.len() - left) as f64 / (fronts * fronts) as f64 / span.as_secs_f64() * 3600.0;
         let messages = (world.sent - sent) as f64 / each;
-        let kept = world.known().iter().sum::<usize>() as f64 / (fronts * (fronts - 1)) as f64;
+        let known_share = world.known().iter().sum::<usize>() as f64 / (fronts * (fronts - 1)) as f64;
         println!(
-            "proof: failure_detector_{fronts}_lost_{lost} {messages:.1} messages and {:.0} bytes a second a front, \
-             {alarms:.2} false alarms an hour a pair, {kept:.3} known at the end",
+            "proof: failure_detector_{fronts}_lost_{loss} {messages:.1} messages and {:.0} bytes a second a front, \
+             {false_positives:.2} false alarms an hour a pair, {known_share:.3} known at the end",
             (world.bytes - bytes) as f64 / each
         );
-        assert!(messages < 40.0 && kept > 0.9);
-        assert!(lost > 0.0 || world.went.len() == went);
+        assert!(messages < 40.0 && known_share > 0.9);
+        assert!(loss > 0.0 || world.left.len() == left);
     }
 }
 
 #[test]
-fn spoilt_bytes_change_nothing() {
+fn corrupt_datagrams_change_nothing() {
     let mut world = World::new(6, 3, 0.0);
     world.run(PERIOD * 10);
     let mut chance = fastrand::Rng::with_seed(6);
