--- a/crates/edges/cli/src/fleet.rs
+++ b/crates/edges/cli/src/fleet.rs
@@ -1,8 +1,8 @@
 //! The fleet's part of an operator's file, and what an operator asks of a fleet.
 
 use crate::{Failure, file, read_file};
-use lemonusher_fleet::{Body, Frame, Key, MemberRow, RegisterRow, Row, Task, Terms};
-use lemonusher_leases::{Incarnation, LeaseConfig as LeaseTerms};
+use lemonusher_fleet::{Body, FleetConfig, FleetKey, Frame, LeaseRow, MemberRow, RegisterRow, TaskConfig};
+use lemonusher_leases::{Incarnation, LeaseConfig};
 use lemonusher_registers::{Operation, ProposalOutcome, Proposer};
 use lemonusher_zone_failover::OperatorOverride;
 use std::net::{SocketAddr, UdpSocket};
@@ -13,7 +13,7 @@
 const TRIES: usize = 3;
 
 /// What the file says, with the key read.
-pub fn terms_of(held: &file::Fleet, front: &str, location: u32) -> Result<Terms, Failure> {
+pub fn terms_of(held: &file::Fleet, front: &str, location: u32) -> Result<FleetConfig, Failure> {
     let ms = Duration::from_millis;
     let path = held.key_file.get_ref();
     let key =
@@ -21,11 +21,11 @@
     if key.trim_ascii().len() < 16 {
         return Err(Failure::File(vec![format!("{}: a key has 16 bytes at least", path.display())]));
     }
-    Ok(Terms {
+    Ok(FleetConfig {
         name: front.to_owned(),
         listen: *held.listen.get_ref(),
-        key: Key::new(key.trim_ascii()),
-        leases: LeaseTerms {
+        key: FleetKey::new(key.trim_ascii()),
+        leases: LeaseConfig {
             duration: ms(*held.lease_ms.get_ref()),
             clock_drift_permille: *held.drift_thousandths.get_ref(),
             max_action_time: ms(held.act_ms),
@@ -37,7 +37,7 @@
         location,
         folder: held.folder.as_ref().map(|folder| folder.get_ref().clone()),
         tasks: (held.tasks.iter())
-            .map(|task| Task {
+            .map(|task| TaskConfig {
                 name: task.name.get_ref().clone(),
                 tell: task.tell.as_ref().map(|to| *to.get_ref()),
                 every: ms(*task.every_ms.get_ref()),
@@ -55,7 +55,7 @@
 
 /// An operator beside the fleet: it speaks under a name of its own and holds nothing.
 pub struct Operator {
-    pub terms: Terms,
+    pub terms: FleetConfig,
     me: Incarnation,
     seq: u64,
     socket: UdpSocket,
@@ -76,7 +76,7 @@
 
     fn say(&mut self, body: Body, to: SocketAddr) -> Result<(), Failure> {
         self.seq += 1;
-        let terms = lemonusher_fleet::mark(&self.terms);
+        let terms = lemonusher_fleet::config_fingerprint(&self.terms);
         let frame = Frame { from: self.me.clone(), seq: self.seq, terms, body };
         let sealed =
             frame.seal(&self.terms.key).ok_or_else(|| Failure::Failed("it is too long".to_owned()))?;
@@ -97,8 +97,8 @@
     }
 
     /// What a voter shows, whole; none if it does not answer.
-    fn table(&mut self, voter: SocketAddr) -> Result<Option<(bool, Vec<Row>)>, Failure> {
-        let mut all: Vec<Row> = Vec::new();
+    fn table(&mut self, voter: SocketAddr) -> Result<Option<(bool, Vec<LeaseRow>)>, Failure> {
+        let mut all: Vec<LeaseRow> = Vec::new();
         loop {
             let after = all.last().map(|row| row.task.clone()).unwrap_or_default();
             match self.ask(voter, &Body::ShowLeases { after })? {
@@ -177,7 +177,7 @@
             Some((true, _)) => println!("voter {voter}: has started lately and does not vote yet"),
             Some((false, rows)) => {
                 println!("voter {voter}: {} leases", rows.len());
-                for Row { task, who, number, left } in rows {
+                for LeaseRow { task, who, number, left } in rows {
                     println!("  {task:<24} {who}  number {number}, {:.1} s left", left.as_secs_f64());
                 }
             }
@@ -202,7 +202,7 @@
 /// Asks the holder of a task to let it go to another.
 pub fn hand_over(path: &Path, task: &str, json: bool) -> Result<(), Failure> {
     let mut operator = Operator::of(path)?;
-    let holder = |operator: &mut Operator| -> Result<Option<Row>, Failure> {
+    let holder = |operator: &mut Operator| -> Result<Option<LeaseRow>, Failure> {
         for voter in operator.terms.voters.clone() {
             let held =
                 operator.table(voter)?.and_then(|(_, rows)| rows.into_iter().find(|row| row.task == task));
@@ -347,9 +347,9 @@
     let mut wishes = Vec::new();
     let mut change = Operation::Read;
     for _ in 0..TRIES * 2 {
-        match operator.propose(lemonusher_fleet::WISHES, change)? {
+        match operator.propose(lemonusher_fleet::OVERRIDES_REGISTER, change)? {
             ProposalOutcome::Committed { entry: Some(entry), .. }
-                if lemonusher_fleet::read_wishes(&entry.value) == wishes && !wishes.is_empty() =>
+                if lemonusher_fleet::decode_overrides(&entry.value) == wishes && !wishes.is_empty() =>
             {
                 if json {
                     println!("{}", serde_json::json!({"site": site, "version": entry.version.counter}));
@@ -361,11 +361,11 @@
             ProposalOutcome::Committed { entry, .. } | ProposalOutcome::Conflict { entry, .. } => {
                 wishes = entry
                     .as_ref()
-                    .map(|entry| lemonusher_fleet::read_wishes(&entry.value))
+                    .map(|entry| lemonusher_fleet::decode_overrides(&entry.value))
                     .unwrap_or_default();
                 wishes.resize(wishes.len().max(number + 1), OperatorOverride::Auto);
                 wishes[number] = wish_of(wish);
-                let value = lemonusher_fleet::write_wishes(&wishes);
+                let value = lemonusher_fleet::encode_overrides(&wishes);
                 let (after, number) =
                     entry.map_or((None, 0), |entry| (Some(entry.version), entry.fencing_token));
                 change = Operation::CompareAndSet { expected: after, fencing_token: number, value };
--- a/crates/edges/cli/src/main.rs
+++ b/crates/edges/cli/src/main.rs
@@ -258,10 +258,10 @@
     if let Some((fleet, terms)) = fleet.as_mut().zip(planned) {
         let (told, seen) = async_channel::bounded(1);
         let groups = lemonusher_routing::class_loads(&names.class_configs, terms.admission_floor);
-        fleet.sites = Some(lemonusher_fleet::SitesTerms { terms, groups, seen });
+        fleet.sites = Some(lemonusher_fleet::ZoneFailoverSettings { terms, groups, seen });
         sites = Some(lemonusher_front::ZoneFailover { config: terms, observations: told });
         let works = file.fleet.as_ref().and_then(|held| held.works.as_ref()).map(|held| held.get_ref());
-        fleet.works = works.map(|works| lemonusher_fleet::WorksTerms {
+        fleet.works = works.map(|works| lemonusher_fleet::MaintenanceSettings {
             terms: works.terms(terms.report_interval),
             tell: works.tell.as_ref().map(|to| *to.get_ref()),
         });
--- a/crates/edges/cli/src/works.rs
+++ b/crates/edges/cli/src/works.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::Operator;
 use crate::{Failure, read_file};
-use lemonusher_fleet::{Body, works_register};
+use lemonusher_fleet::{Body, maintenance_register};
 use lemonusher_maintenance::{
     MAX_CONCURRENT, MAX_MACHINES, MAX_REQUESTS, Machine, MachineStatus, MaintenanceRequest, Phase,
 };
@@ -184,7 +184,7 @@
 
 /// What stands in a register, by a whole round.
 fn read(operator: &mut Operator, number: u8) -> Result<Option<MaintenanceRequest>, Failure> {
-    match operator.propose(&works_register(number), Operation::Read)? {
+    match operator.propose(&maintenance_register(number), Operation::Read)? {
         ProposalOutcome::Committed { entry, .. } | ProposalOutcome::Conflict { entry, .. } => {
             Ok(entry.and_then(|entry| MaintenanceRequest::from_bytes(&entry.value)))
         }
@@ -200,7 +200,7 @@
     number: u8,
     next: impl Fn(Option<MaintenanceRequest>) -> Option<MaintenanceRequest>,
 ) -> Result<Option<u64>, Failure> {
-    let name = works_register(number);
+    let name = maintenance_register(number);
     let mut wanted = Operation::Read;
     for _ in 0..TRIES {
         let reads = wanted == Operation::Read;
--- a/crates/edges/fleet/src/acts.rs
+++ b/crates/edges/fleet/src/acts.rs
@@ -1,39 +1,39 @@
 //! Acts: what a holder does with its task, told by datagrams to whoever is acted upon.
 
-use crate::{Datagram, Task};
+use crate::{Datagram, TaskConfig};
 use lemonusher_leases::LeaseClient;
 use std::time::Duration;
 
 struct Act {
-    task: Task,
+    task: TaskConfig,
     next: Duration,
     /// The number under which one is under way, and when it is done.
     under_way: Option<(u64, Duration)>,
 }
 
-pub(crate) struct Acts {
+pub(crate) struct FencedActions {
     acts: Vec<Act>,
 }
 
 /// What was acted upon has seen a higher number of this task, and refuses an older one.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Refusal {
+pub struct TokenRejection {
     pub task: String,
     pub seen: u64,
 }
 
-impl Refusal {
+impl TokenRejection {
     /// None for what is no refusal.
-    pub fn read(bytes: &[u8]) -> Option<Refusal> {
+    pub fn read(bytes: &[u8]) -> Option<TokenRejection> {
         let said = serde_json::from_slice::<serde_json::Value>(bytes).ok()?;
-        Some(Refusal { task: said["task"].as_str()?.to_owned(), seen: said["seen"].as_u64()? })
+        Some(TokenRejection { task: said["task"].as_str()?.to_owned(), seen: said["seen"].as_u64()? })
     }
 }
 
-impl Acts {
-    pub(crate) fn new(tasks: &[Task]) -> Acts {
-        let act = |task: &Task| Act { task: task.clone(), next: Duration::ZERO, under_way: None };
-        Acts { acts: tasks.iter().map(act).collect() }
+impl FencedActions {
+    pub(crate) fn new(tasks: &[TaskConfig]) -> FencedActions {
+        let act = |task: &TaskConfig| Act { task: task.clone(), next: Duration::ZERO, under_way: None };
+        FencedActions { acts: tasks.iter().map(act).collect() }
     }
 
     /// Begins acts that are due and may begin, and ends those that are done; what is to be told of them.
--- a/crates/edges/fleet/src/disk.rs
+++ b/crates/edges/fleet/src/disk.rs
@@ -7,14 +7,14 @@
 const KEPT_AHEAD: u64 = 1000; // Numbers that the folder is ahead of what is granted.
 const SUM: usize = 32;
 
-pub struct Disk {
+pub struct StateFolder {
     folder: PathBuf,
     number: u64,
     registers: Option<PersistentState>,
 }
 
-impl Disk {
-    pub fn open(folder: &Path) -> io::Result<Disk> {
+impl StateFolder {
+    pub fn open(folder: &Path) -> io::Result<StateFolder> {
         std::fs::create_dir_all(folder)?;
         let number = match std::fs::read_to_string(folder.join("fleet-number")) {
             Ok(text) => {
@@ -28,7 +28,7 @@
             Err(error) if error.kind() == io::ErrorKind::NotFound => None,
             Err(error) => return Err(error),
         };
-        Ok(Disk { folder: folder.to_owned(), number, registers })
+        Ok(StateFolder { folder: folder.to_owned(), number, registers })
     }
 
     pub fn number(&self) -> u64 {
@@ -83,15 +83,15 @@
     #[test]
     fn what_was_kept_is_read_again_and_what_is_spoilt_is_refused() {
         let folder = std::env::temp_dir().join(format!("lemonusher-disk-{}", std::process::id()));
-        let mut disk = Disk::open(&folder).unwrap();
+        let mut disk = StateFolder::open(&folder).unwrap();
         assert_eq!((disk.number(), disk.registers()), (0, None));
         disk.keep_number(5).unwrap();
         let kept = PersistentState { epoch: 7, registers: Vec::new() };
         disk.keep_registers(kept.clone()).unwrap();
-        let again = Disk::open(&folder).unwrap();
+        let again = StateFolder::open(&folder).unwrap();
         assert_eq!((again.number(), again.registers()), (5 + KEPT_AHEAD, Some(kept)));
         std::fs::write(folder.join("fleet-registers"), b"spoilt").unwrap();
-        assert!(Disk::open(&folder).is_err());
+        assert!(StateFolder::open(&folder).is_err());
         std::fs::remove_dir_all(&folder).unwrap();
     }
 }
--- a/crates/edges/fleet/src/frame.rs
+++ b/crates/edges/fleet/src/frame.rs
@@ -9,24 +9,24 @@
 use std::time::Duration;
 
 /// A datagram's bytes at most.
-pub const LONGEST: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 const TAG: usize = 16;
 /// Rows that fit a datagram.
-pub const ROWS: usize = 8;
+pub const MAX_ROWS: usize = 8;
 
 #[derive(Clone)]
-pub struct Key([u8; 32]);
+pub struct FleetKey([u8; 32]);
 
-impl fmt::Debug for Key {
+impl fmt::Debug for FleetKey {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str("Key")
     }
 }
 
-impl Key {
+impl FleetKey {
     /// Of whatever a key file holds, which must be hard to guess.
-    pub fn new(secret: &[u8]) -> Key {
-        Key(blake3::derive_key("lemonusher 2026-12 talk between fronts", secret))
+    pub fn new(secret: &[u8]) -> FleetKey {
+        FleetKey(blake3::derive_key("lemonusher 2026-12 talk between fronts", secret))
     }
 
     fn tag(&self, bytes: &[u8]) -> [u8; TAG] {
@@ -38,7 +38,7 @@
 
 /// A line of the table that a voter shows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Row {
+pub struct LeaseRow {
     pub task: String,
     pub who: Incarnation,
     pub number: u64,
@@ -67,7 +67,7 @@
 
 /// A zone in the plan that is shown; parts in thousandths.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlanSite {
+pub struct ZoneRow {
     pub state: sites::ZoneState,
     pub open: u16,
     pub finding: String,
@@ -79,7 +79,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PlanGroup {
+pub struct ClassRow {
     pub rate: f32,
     pub work: f32,
     pub served: u16,
@@ -102,8 +102,8 @@
     },
     PlanShown {
         epoch: Option<(u64, u64)>,
-        sites: Vec<PlanSite>,
-        groups: Vec<PlanGroup>,
+        sites: Vec<ZoneRow>,
+        groups: Vec<ClassRow>,
         /// Groups by number, in the order in which they are refused.
         refused_first: Vec<u8>,
     },
@@ -141,7 +141,7 @@
     },
     Leases {
         mute: bool,
-        rows: Vec<Row>,
+        rows: Vec<LeaseRow>,
         more: bool,
     },
     /// Asks that a task be handed over: by an operator of a voter, and by that of the holder.
@@ -152,7 +152,7 @@
 
 /// Which part of a front a message belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
+pub enum MessageKind {
     FailureDetector,
     Leases,
     Registers,
@@ -163,13 +163,13 @@
 }
 
 impl Body {
-    pub fn kind(&self) -> Kind {
+    pub fn kind(&self) -> MessageKind {
         match self {
-            Body::FailureDetector(_) => Kind::FailureDetector,
-            Body::LeaseRequest(_) | Body::LeaseReply(_) => Kind::Leases,
-            Body::RegisterRequest(_) | Body::RegisterReply(_) => Kind::Registers,
-            Body::FrontReport(_) | Body::DrainConfirmations(_) => Kind::Reports,
-            _ => Kind::Operators,
+            Body::FailureDetector(_) => MessageKind::FailureDetector,
+            Body::LeaseRequest(_) | Body::LeaseReply(_) => MessageKind::Leases,
+            Body::RegisterRequest(_) | Body::RegisterReply(_) => MessageKind::Registers,
+            Body::FrontReport(_) | Body::DrainConfirmations(_) => MessageKind::Reports,
+            _ => MessageKind::Operators,
         }
     }
 }
@@ -186,7 +186,7 @@
 
 /// Why a datagram was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unfit {
+pub enum OpenError {
     /// Not of this fleet: too short or long, or its tag is wrong.
     Foreign,
     /// Of this fleet's key, but it can't be read.
@@ -195,21 +195,25 @@
 
 impl Frame {
     /// None if it is too long, which nothing that is sent here ever is.
-    pub fn seal(&self, key: &Key) -> Option<Vec<u8>> {
+    pub fn seal(&self, key: &FleetKey) -> Option<Vec<u8>> {
         let mut bytes = postcard::to_allocvec(self).ok()?;
         let tag = key.tag(&bytes);
         bytes.extend_from_slice(&tag);
-        (bytes.len() <= LONGEST).then_some(bytes)
+        (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
-    pub fn open(bytes: &[u8], key: &Key) -> Result<Frame, Unfit> {
-        let at = bytes.len().checked_sub(TAG).filter(|_| bytes.len() <= LONGEST).ok_or(Unfit::Foreign)?;
+    pub fn open(bytes: &[u8], key: &FleetKey) -> Result<Frame, OpenError> {
+        let at = bytes
+            .len()
+            .checked_sub(TAG)
+            .filter(|_| bytes.len() <= MAX_DATAGRAM_BYTES)
+            .ok_or(OpenError::Foreign)?;
         let (said, tag) = bytes.split_at(at);
         // The comparison of two hashes takes as long wherever they differ.
         if blake3::Hash::from_bytes(wide(&key.tag(said))) != blake3::Hash::from_bytes(wide(tag)) {
-            return Err(Unfit::Foreign);
+            return Err(OpenError::Foreign);
         }
-        postcard::from_bytes(said).map_err(|_| Unfit::Malformed)
+        postcard::from_bytes(said).map_err(|_| OpenError::Malformed)
     }
 }
 
@@ -225,36 +229,36 @@
 
     #[test]
     fn only_what_the_key_has_sealed_whole_is_opened() {
-        let (key, other) = (Key::new(b"a secret"), Key::new(b"another"));
+        let (key, other) = (FleetKey::new(b"a secret"), FleetKey::new(b"another"));
         let from = Incarnation { name: "n1".into(), id: 5 };
         let frame = Frame { from, seq: 1, terms: 9, body: Body::HandOver { task: "account".into() } };
         let sealed = frame.seal(&key).unwrap();
         assert_eq!(Frame::open(&sealed, &key), Ok(frame));
-        assert_eq!(Frame::open(&sealed, &other), Err(Unfit::Foreign));
+        assert_eq!(Frame::open(&sealed, &other), Err(OpenError::Foreign));
         for place in 0..sealed.len() {
             let mut spoilt = sealed.clone();
             spoilt[place] ^= 1;
-            assert_eq!(Frame::open(&spoilt, &key), Err(Unfit::Foreign));
+            assert_eq!(Frame::open(&spoilt, &key), Err(OpenError::Foreign));
         }
-        assert_eq!(Frame::open(&sealed[..3], &key), Err(Unfit::Foreign));
-        assert_eq!(Frame::open(&[0; 4000], &key), Err(Unfit::Foreign));
+        assert_eq!(Frame::open(&sealed[..3], &key), Err(OpenError::Foreign));
+        assert_eq!(Frame::open(&[0; 4000], &key), Err(OpenError::Foreign));
     }
 
     #[test]
     fn a_full_table_fits_a_datagram() {
         let life = Incarnation { name: "n".repeat(40), id: u64::MAX };
-        let row = Row { task: "t".repeat(48), who: life.clone(), number: u64::MAX, left: Duration::MAX };
+        let row = LeaseRow { task: "t".repeat(48), who: life.clone(), number: u64::MAX, left: Duration::MAX };
         let fits = |body| {
             let frame = Frame { from: life.clone(), seq: u64::MAX, terms: u64::MAX, body };
-            assert!(frame.seal(&Key::new(b"k")).is_some());
+            assert!(frame.seal(&FleetKey::new(b"k")).is_some());
         };
-        fits(Body::Leases { mute: false, rows: vec![row; ROWS], more: true });
+        fits(Body::Leases { mute: false, rows: vec![row; MAX_ROWS], more: true });
         let stamp = registers::EntryVersion { epoch: u64::MAX, counter: u64::MAX };
         let row = RegisterRow { name: "r".repeat(48), stamp, number: u64::MAX, long: u32::MAX };
-        fits(Body::Registers { votes: true, era: u64::MAX, rows: vec![row; ROWS], more: true });
+        fits(Body::Registers { votes: true, era: u64::MAX, rows: vec![row; MAX_ROWS], more: true });
         let address = "[ffff:ffff::ffff]:65535".parse().unwrap();
         let row = MemberRow { name: "n".repeat(64), address, location: u32::MAX, born: u64::MAX };
-        fits(Body::Members { rows: vec![row; ROWS], more: true });
+        fits(Body::Members { rows: vec![row; MAX_ROWS], more: true });
         let ballot = lemonusher_leases::Ballot { round: u64::MAX, proposer: u64::MAX };
         let entry = registers::Entry {
             version: stamp,
@@ -310,8 +314,8 @@
         let work = Some(((u64::MAX, u64::MAX), vec![1; registers::MAX_VALUE_BYTES]));
         fits(Body::MaintenanceShown { number: 15, work, foreman: true, why: Some("w".repeat(160)) });
         let (state, finding) = (sites::ZoneState::Recovering, "CutOff".to_owned());
-        let site = PlanSite { state, open: 1000, finding, cores: u32::MAX, part: 1000, filled: 1000 };
-        let group = PlanGroup { rate: 1e9, work: 1e9, served: 1000, nowhere: true };
+        let site = ZoneRow { state, open: 1000, finding, cores: u32::MAX, part: 1000, filled: 1000 };
+        let group = ClassRow { rate: 1e9, work: 1e9, served: 1000, nowhere: true };
         fits(Body::PlanShown {
             epoch: Some((u64::MAX, u64::MAX)),
             sites: vec![site; sites::MAX_ZONES],
--- a/crates/edges/fleet/src/lib.rs
+++ b/crates/edges/fleet/src/lib.rs
@@ -12,24 +12,28 @@
 mod wire;
 mod works;
 
-pub use acts::Refusal;
-pub use disk::Disk;
-pub use frame::{Body, Frame, Key, Kind, MemberRow, PlanGroup, PlanSite, RegisterRow, Row, Unfit};
-pub use node::{Birth, Census, Datagram, Message, Node};
+pub use acts::TokenRejection;
+pub use disk::StateFolder;
+pub use frame::{
+    Body, ClassRow, FleetKey, Frame, LeaseRow, MemberRow, MessageKind, OpenError, RegisterRow, ZoneRow,
+};
+pub use node::{ClusterStats, Datagram, Message, Node, StartParameters};
 pub use replay_window::ReplayWindow;
-pub use run::{Started, start};
-pub use sites::{NAME as SITES, SitesTerms, WISHES, read_wishes, write_wishes};
-pub use wire::Counts;
-pub use works::{NAME as WORKS, WorksTerms, register as works_register};
+pub use run::{FleetHandle, start};
+pub use sites::{
+    NAME as ZONE_PLAN_REGISTER, OVERRIDES_REGISTER, ZoneFailoverSettings, decode_overrides, encode_overrides,
+};
+pub use wire::TrafficCounters;
+pub use works::{MaintenanceSettings, NAME as MAINTENANCE_LEASE, register as maintenance_register};
 
-use lemonusher_leases::LeaseConfig as LeaseTerms;
+use lemonusher_leases::LeaseConfig;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
 /// A task that this front may hold, and what it does with it.
 #[derive(Debug, Clone)]
-pub struct Task {
+pub struct TaskConfig {
     pub name: String,
     /// Who is told of each act, and refuses older numbers.
     pub tell: Option<SocketAddr>,
@@ -42,11 +46,11 @@
 
 /// What the operator's file says of the fleet.
 #[derive(Debug, Clone)]
-pub struct Terms {
+pub struct FleetConfig {
     pub name: String,
     pub listen: SocketAddr,
-    pub key: Key,
-    pub leases: LeaseTerms,
+    pub key: FleetKey,
+    pub leases: LeaseConfig,
     pub voters: Vec<SocketAddr>,
     /// Whether this front votes, and its place among the voters.
     pub votes: bool,
@@ -57,20 +61,20 @@
     pub location: u32,
     /// Where the highest number lasts.
     pub folder: Option<PathBuf>,
-    pub tasks: Vec<Task>,
+    pub tasks: Vec<TaskConfig>,
     /// Into how many quota slots what fronts share is cut; none for no quota slots.
     pub seats: u32,
     /// How many of them this front wants, and where it begins to look.
     pub wants: usize,
     pub number: u32,
     /// The plan for lost zones, where there is one.
-    pub sites: Option<SitesTerms>,
+    pub sites: Option<ZoneFailoverSettings>,
     /// Works on machines, where there are any; they need the plan's sight.
-    pub works: Option<WorksTerms>,
+    pub works: Option<MaintenanceSettings>,
 }
 
 /// What a fleet must state alike, as one number.
-pub fn mark(terms: &Terms) -> u64 {
+pub fn config_fingerprint(terms: &FleetConfig) -> u64 {
     let lease = &terms.leases;
     let text = format!(
         "{} {} {} {}",
--- a/crates/edges/fleet/src/node/mod.rs
+++ b/crates/edges/fleet/src/node/mod.rs
@@ -6,13 +6,13 @@
 mod settle;
 mod show;
 
-use crate::Terms;
-use crate::acts::{Acts, Refusal};
-use crate::disk::Disk;
-use crate::frame::{Body, Kind};
-use crate::sites::{self, Sites};
-use crate::wire::{Counts, Wire};
-use crate::works::{self, Works};
+use crate::FleetConfig;
+use crate::acts::{FencedActions, TokenRejection};
+use crate::disk::StateFolder;
+use crate::frame::{Body, MessageKind};
+use crate::sites::{self, ZoneFailover};
+use crate::wire::{AuthenticatedChannel, TrafficCounters};
+use crate::works::{self, Maintenance};
 use lemonusher_failure_detector as detector;
 use lemonusher_leases::{
     Incarnation, LeaseChange, LeaseClient, MAX_TASKS, OutboundMessage, QuotaSlots, Voter, quota_share,
@@ -37,13 +37,13 @@
 /// A sealed message for another front.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
-    pub kind: Kind,
+    pub kind: MessageKind,
     pub datagram: Datagram,
 }
 
 /// What is drawn anew, or read from the machine, at each start.
 #[derive(Debug, Clone, Copy)]
-pub struct Birth {
+pub struct StartParameters {
     /// Where it listens.
     pub address: SocketAddr,
     /// The number of this incarnation; never 0.
@@ -55,7 +55,7 @@
 
 /// How much a front holds of the fleet.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Census {
+pub struct ClusterStats {
     /// Other fronts that the failure detector sees.
     pub members: usize,
     /// Fronts that it has told as gone so far, rightly or not.
@@ -73,10 +73,10 @@
 }
 
 pub struct Node {
-    terms: Terms,
-    wire: Wire,
+    terms: FleetConfig,
+    wire: AuthenticatedChannel,
     chance: fastrand::Rng,
-    disk: Option<Disk>,
+    disk: Option<StateFolder>,
     voter: Option<Voter>,
     asker: LeaseClient,
     seats: Option<QuotaSlots>,
@@ -88,9 +88,9 @@
     reproposed: Option<registers::Name>,
     follower: Learner,
     detector: detector::FailureDetector,
-    acts: Acts,
-    sites: Option<Sites>,
-    works: Option<Works>,
+    acts: FencedActions,
+    sites: Option<ZoneFailover>,
+    works: Option<Maintenance>,
     members_lost: u64,
     outgoing: Vec<Message>,
     acts_told: Vec<Datagram>,
@@ -98,16 +98,26 @@
 }
 
 impl Node {
-    pub fn new(terms: Terms, birth: Birth, disk: Option<Disk>, counts: Arc<Counts>) -> Node {
+    pub fn new(
+        terms: FleetConfig,
+        birth: StartParameters,
+        disk: Option<StateFolder>,
+        counts: Arc<TrafficCounters>,
+    ) -> Node {
         // Guards against numbers that fall where no voter remembers them: they begin above what an earlier incarnation can
         // have reached, by the folder, or else by the date. Should the date go back, what is acted upon tells what it
         // has seen.
-        let floor = disk.as_ref().map_or(birth.date_ms, Disk::number);
+        let floor = disk.as_ref().map_or(birth.date_ms, StateFolder::number);
         let me = Incarnation { name: terms.name.clone(), id: birth.life };
         let voters = terms.voters.len();
         let period = detector::DetectorConfig { probe_interval: terms.leases.duration / DETECTOR_PART };
         let mut node = Node {
-            wire: Wire::new(terms.key.clone(), me.clone(), crate::mark(&terms), counts),
+            wire: AuthenticatedChannel::new(
+                terms.key.clone(),
+                me.clone(),
+                crate::config_fingerprint(&terms),
+                counts,
+            ),
             chance: fastrand::Rng::with_seed(birth.seed),
             voter: terms.votes.then(|| Voter::new(Duration::ZERO, &terms.leases, floor)),
             asker: LeaseClient::new(me.clone(), voters),
@@ -119,9 +129,12 @@
             reproposed: None,
             follower: Learner::new(voters, terms.leases.duration / FOLLOW_PART),
             detector: detector::FailureDetector::new(member_of(&terms, &birth), period, birth.life),
-            acts: Acts::new(&terms.tasks),
-            sites: terms.sites.as_ref().map(|told| Sites::new(told, terms.location, me.id, terms.votes)),
-            works: terms.works.as_ref().map(|told| Works::new(told, terms.votes)),
+            acts: FencedActions::new(&terms.tasks),
+            sites: terms
+                .sites
+                .as_ref()
+                .map(|told| ZoneFailover::new(told, terms.location, me.id, terms.votes)),
+            works: terms.works.as_ref().map(|told| Maintenance::new(told, terms.votes)),
             disk,
             members_lost: 0,
             outgoing: Vec::new(),
@@ -143,7 +156,7 @@
         }
         if self.sites.is_some() {
             self.follower.watch(sites::NAME);
-            self.follower.watch(sites::WISHES);
+            self.follower.watch(sites::OVERRIDES_REGISTER);
             // A register refuses what was written under an older number, so nothing need be waited out.
             if self.terms.votes {
                 self.asker.acquire(Duration::ZERO, sites::NAME, true);
@@ -206,8 +219,8 @@
     }
 
     /// What was acted upon has seen a higher number, and refuses this front's: it asks for one above that.
-    pub fn refused(&mut self, now: Duration, refusal: &Refusal) {
-        let Refusal { task, seen } = refusal;
+    pub fn refused(&mut self, now: Duration, refusal: &TokenRejection) {
+        let TokenRejection { task, seen } = refusal;
         self.asker.observe_token(task, *seen);
         if self.asker.active_lease(now, task).is_some_and(|lease| lease.fencing_token < *seen) {
             tracing::warn!(task, seen, "fleet: a higher number has been seen; asks anew");
@@ -323,11 +336,11 @@
 }
 
 /// A voter's part in registers; none for who does not vote.
-fn keeper_of(terms: &Terms, birth: &Birth, disk: Option<&Disk>) -> Option<Acceptor> {
+fn keeper_of(terms: &FleetConfig, birth: &StartParameters, disk: Option<&StateFolder>) -> Option<Acceptor> {
     let place = terms.place.filter(|_| terms.votes)?;
     let voters = terms.voters.len();
     // A folder that has never held a vote belongs to a voter that has never voted, or has lost it.
-    let kept = disk.and_then(Disk::registers);
+    let kept = disk.and_then(StateFolder::registers);
     Some(match kept {
         Some(kept) => Acceptor::restored(voters, place, birth.life, kept),
         None => {
@@ -337,7 +350,7 @@
 }
 
 /// How this front is known to the failure detector.
-fn member_of(terms: &Terms, birth: &Birth) -> detector::Member {
+fn member_of(terms: &FleetConfig, birth: &StartParameters) -> detector::Member {
     detector::Member {
         name: terms.name.clone(),
         address: terms.known_as.unwrap_or(birth.address),
--- a/crates/edges/fleet/src/node/settle.rs
+++ b/crates/edges/fleet/src/node/settle.rs
@@ -2,8 +2,8 @@
 
 use super::Node;
 use crate::frame::Body;
-use crate::sites::{NAME as SITES, Sites};
-use crate::works::{self, Works};
+use crate::sites::{NAME as ZONE_PLAN_REGISTER, ZoneFailover};
+use crate::works::{self, Maintenance};
 use lemonusher_maintenance::{FleetCapacity, MAX_REQUESTS, MachineCapacity};
 use lemonusher_registers::{self as registers, Operation, ProposalOutcome};
 use lemonusher_routing::ZoneObservation;
@@ -71,7 +71,7 @@
     /// What came of a change goes to whoever wanted it.
     fn heed(&mut self, now: Duration, outcome: &ProposalOutcome) {
         let name = outcome.name();
-        if name == SITES
+        if name == ZONE_PLAN_REGISTER
             && let Some(sites) = &mut self.sites
         {
             sites.outcome(now, outcome);
@@ -89,11 +89,11 @@
                 count_machines(&sites, works, seen);
             }
         }
-        let number = self.may_act(now, SITES);
-        if !self.proposer.is_busy(SITES)
+        let number = self.may_act(now, ZONE_PLAN_REGISTER);
+        if !self.proposer.is_busy(ZONE_PLAN_REGISTER)
             && let Some(change) = sites.wants(now, number)
         {
-            let posts = self.proposer.propose(now, SITES, change);
+            let posts = self.proposer.propose(now, ZONE_PLAN_REGISTER, change);
             self.post_registers(posts);
         }
         if let Some(word) = sites.word(now, &self.follower) {
@@ -134,7 +134,7 @@
 }
 
 /// Hands what the front sees of machines on to the works.
-fn count_machines(sites: &Sites, works: &mut Works, seen: ZoneObservation) {
+fn count_machines(sites: &ZoneFailover, works: &mut Maintenance, seen: ZoneObservation) {
     // What is not tried counts as answering: only a machine that fails is out by itself.
     let bears = |cores: u32| f64::from(cores) * sites.safe();
     let machines = seen.engines.iter().map(|seen| {
--- a/crates/edges/fleet/src/node/show.rs
+++ b/crates/edges/fleet/src/node/show.rs
@@ -1,7 +1,7 @@
 //! What a front shows of itself: pages of tables for operators, and how much it holds.
 
-use super::{Census, Node};
-use crate::frame::{Body, MemberRow, ROWS, RegisterRow, Row};
+use super::{ClusterStats, Node};
+use crate::frame::{Body, LeaseRow, MAX_ROWS, MemberRow, RegisterRow};
 use lemonusher_leases::Voter;
 use lemonusher_registers::{Acceptor, AcceptorState, Entry};
 use std::time::Duration;
@@ -41,13 +41,13 @@
         let mut rows: Vec<MemberRow> =
             self.member_rows().filter(|row| (&row.name, row.born) > (&after.0, after.1)).collect();
         rows.sort_by(|a, b| (&a.name, a.born).cmp(&(&b.name, b.born)));
-        let more = rows.len() > ROWS;
-        rows.truncate(ROWS);
+        let more = rows.len() > MAX_ROWS;
+        rows.truncate(MAX_ROWS);
         Body::Members { rows, more }
     }
 
     /// How much it holds of the fleet.
-    pub fn census(&self, now: Duration) -> Census {
+    pub fn census(&self, now: Duration) -> ClusterStats {
         let (members, member_bytes) = tally(self.member_rows().map(|row| encoded_bytes(&row)));
         let (lives, life_bytes) = tally(self.wire.lives().map(|life| life.name.len() + LIFE_FIXED));
         let held = self.asker.tasks().filter(|task| self.asker.active_lease(now, task).is_some());
@@ -60,7 +60,7 @@
         let (accepted, accepted_bytes) = tally(accepted.map(|(name, entry)| register(name, entry)));
         let (followed, followed_bytes) =
             tally(self.follower.all_committed().map(|(name, entry)| register(name, entry)));
-        Census {
+        ClusterStats {
             members,
             members_lost: self.members_lost,
             lives,
@@ -73,22 +73,22 @@
 }
 
 fn show_leases(voter: &Voter, now: Duration, after: &str) -> Body {
-    let later = voter.grants(now).filter(|(task, _)| task.as_str() > after).take(ROWS + 1);
-    let mut rows: Vec<Row> = later
-        .map(|(task, held)| Row {
+    let later = voter.grants(now).filter(|(task, _)| task.as_str() > after).take(MAX_ROWS + 1);
+    let mut rows: Vec<LeaseRow> = later
+        .map(|(task, held)| LeaseRow {
             task: task.clone(),
             who: held.holder.clone(),
             number: held.fencing_token,
             left: held.until.saturating_sub(now),
         })
         .collect();
-    let more = rows.len() > ROWS;
-    rows.truncate(ROWS);
+    let more = rows.len() > MAX_ROWS;
+    rows.truncate(MAX_ROWS);
     Body::Leases { mute: voter.is_silent(now), rows, more }
 }
 
 fn show_registers(keeper: &Acceptor, now: Duration, after: &str) -> Body {
-    let later = keeper.accepted().filter(|(name, _)| name.as_str() > after).take(ROWS + 1);
+    let later = keeper.accepted().filter(|(name, _)| name.as_str() > after).take(MAX_ROWS + 1);
     let mut rows: Vec<RegisterRow> = later
         .map(|(name, entry)| RegisterRow {
             name: name.clone(),
@@ -97,8 +97,8 @@
             long: entry.value.len() as u32,
         })
         .collect();
-    let more = rows.len() > ROWS;
-    rows.truncate(ROWS);
+    let more = rows.len() > MAX_ROWS;
+    rows.truncate(MAX_ROWS);
     Body::Registers { votes: keeper.state(now) == AcceptorState::Voting, era: keeper.epoch(), rows, more }
 }
 
--- a/crates/edges/fleet/src/run.rs
+++ b/crates/edges/fleet/src/run.rs
@@ -1,11 +1,11 @@
 //! The thread: drives a [`Node`] with a socket, a clock and chance. It decides nothing.
 
-use crate::Terms;
-use crate::acts::Refusal;
-use crate::disk::Disk;
-use crate::frame::LONGEST;
-use crate::node::{Birth, Census, Datagram, Message, Node};
-use crate::wire::{Counts, add};
+use crate::FleetConfig;
+use crate::acts::TokenRejection;
+use crate::disk::StateFolder;
+use crate::frame::MAX_DATAGRAM_BYTES;
+use crate::node::{ClusterStats, Datagram, Message, Node, StartParameters};
+use crate::wire::{TrafficCounters, add};
 use async_channel::{Receiver, Sender};
 use lemonusher_routing::ControlUpdate;
 use std::io;
@@ -22,24 +22,24 @@
 const MOST_AT_ONCE: usize = 256; // Datagrams that are taken in before what is due is looked at again.
 const MOST_REFUSALS: usize = 64;
 
-pub struct Started {
+pub struct FleetHandle {
     /// What this front is to know, in order; where it is slow to listen, only the latest of each kind counts.
     pub words: Receiver<ControlUpdate>,
     pub address: SocketAddr,
-    pub counts: Arc<Counts>,
-    census: Arc<Mutex<Census>>,
+    pub counts: Arc<TrafficCounters>,
+    census: Arc<Mutex<ClusterStats>>,
     ending: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Started {
+impl FleetHandle {
     /// What this front held a second ago at most.
-    pub fn census(&self) -> Census {
+    pub fn census(&self) -> ClusterStats {
         *self.census.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Drop for Started {
+impl Drop for FleetHandle {
     /// Lets go of all that is held, so that others need not wait for it to run out.
     fn drop(&mut self) {
         self.ending.store(true, Ordering::Relaxed);
@@ -56,25 +56,25 @@
     acts: UdpSocket,
     clock: Instant,
     rate: f64,
-    counts: Arc<Counts>,
-    census: Arc<Mutex<Census>>,
+    counts: Arc<TrafficCounters>,
+    census: Arc<Mutex<ClusterStats>>,
     next_census: Duration,
     words: Sender<ControlUpdate>,
 }
 
 /// Binds and starts the thread.
-pub fn start(terms: Terms) -> io::Result<Started> {
+pub fn start(terms: FleetConfig) -> io::Result<FleetHandle> {
     let socket = UdpSocket::bind(terms.listen)?;
     let address = socket.local_addr()?;
     let acts = UdpSocket::bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
     acts.set_nonblocking(true)?;
-    let counts = Arc::new(Counts::default());
-    let census = Arc::new(Mutex::new(Census::default()));
+    let counts = Arc::new(TrafficCounters::default());
+    let census = Arc::new(Mutex::new(ClusterStats::default()));
     let ending = Arc::new(AtomicBool::new(false));
     let (words, told) = async_channel::bounded(WORDS);
-    let disk = terms.folder.as_deref().map(Disk::open).transpose()?;
+    let disk = terms.folder.as_deref().map(StateFolder::open).transpose()?;
     let date_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-    let birth = Birth { address, life: fastrand::u64(1..), date_ms, seed: fastrand::u64(..) };
+    let birth = StartParameters { address, life: fastrand::u64(1..), date_ms, seed: fastrand::u64(..) };
     let mut thread = Thread {
         node: Node::new(terms, birth, disk, counts.clone()),
         socket,
@@ -93,7 +93,7 @@
         }
         thread.end();
     })?;
-    Ok(Started { words: told, address, counts, census, ending, thread: Some(thread) })
+    Ok(FleetHandle { words: told, address, counts, census, ending, thread: Some(thread) })
 }
 
 /// How fast the clock runs; builds for tests may be told otherwise, to prove what drift does.
@@ -124,7 +124,7 @@
     /// Waits for a datagram for so long, and takes in all that have come.
     fn hear(&mut self, span: Duration) {
         let _ = self.socket.set_read_timeout(Some(span.max(SHORTEST_WAIT)));
-        let mut bytes = [0; LONGEST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         let Ok((long, from)) = self.socket.recv_from(&mut bytes) else { return };
         self.node.hear(self.now(), from, &bytes[..long]);
         let _ = self.socket.set_nonblocking(true);
@@ -136,10 +136,10 @@
     }
 
     fn hear_refusals(&mut self) {
-        let mut bytes = [0; LONGEST];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES];
         for _ in 0..MOST_REFUSALS {
             let Ok((long, _)) = self.acts.recv_from(&mut bytes) else { break };
-            if let Some(refusal) = Refusal::read(&bytes[..long]) {
+            if let Some(refusal) = TokenRejection::read(&bytes[..long]) {
                 self.node.refused(self.now(), &refusal);
             }
         }
--- a/crates/edges/fleet/src/sites.rs
+++ b/crates/edges/fleet/src/sites.rs
@@ -1,7 +1,7 @@
 //! The plan for lost zones, on the wire: hands on what fronts see, has the register settled that the lease's holder
 //! wants, and tells the front what the plan means for it.
 
-use crate::frame::{Body, PlanGroup, PlanSite};
+use crate::frame::{Body, ClassRow, ZoneRow};
 use lemonusher_registers::{Learner, Operation, ProposalOutcome};
 use lemonusher_routing::{ControlUpdate, ZoneObservation};
 use lemonusher_zone_failover::{
@@ -13,18 +13,18 @@
 
 /// The lease's and the register's name; and the register of what operators wish.
 pub const NAME: &str = "sites";
-pub const WISHES: &str = "sites.wishes";
+pub const OVERRIDES_REGISTER: &str = "sites.wishes";
 
 /// What the operator's file says of zones.
 #[derive(Debug, Clone)]
-pub struct SitesTerms {
+pub struct ZoneFailoverSettings {
     pub terms: FailoverConfig,
     pub groups: Vec<ClassLoad>,
     /// What the front sees, told each period.
     pub seen: async_channel::Receiver<ZoneObservation>,
 }
 
-pub struct Sites {
+pub struct ZoneFailover {
     terms: FailoverConfig,
     seen: async_channel::Receiver<ZoneObservation>,
     holder: Option<Coordinator>,
@@ -34,10 +34,10 @@
     wishes: Vec<OperatorOverride>,
 }
 
-impl Sites {
+impl ZoneFailover {
     /// `votes`: it keeps what others tell, and may hold the lease.
-    pub fn new(told: &SitesTerms, location: u32, life: u64, votes: bool) -> Sites {
-        Sites {
+    pub fn new(told: &ZoneFailoverSettings, location: u32, life: u64, votes: bool) -> ZoneFailover {
+        ZoneFailover {
             terms: told.terms,
             seen: told.seen.clone(),
             holder: votes.then(|| Coordinator::new(life, told.groups.clone())),
@@ -122,8 +122,8 @@
         {
             self.follow.handle_plan(committed.confirmed_at, committed.entry.version, &plan);
         }
-        if let Some(committed) = follower.committed(WISHES) {
-            self.wishes = read_wishes(&committed.entry.value);
+        if let Some(committed) = follower.committed(OVERRIDES_REGISTER) {
+            self.wishes = decode_overrides(&committed.entry.value);
         }
         let effect = self.follow.effect(now, &self.terms, &self.own);
         if self.effect.as_ref() == Some(&effect) {
@@ -137,7 +137,7 @@
     pub fn show(&self, without: &[u32]) -> Option<Body> {
         let shown = self.holder.as_ref()?.preview(&self.terms, self.follow.plan(), without);
         let thousandths = |part: f64| (part * 1000.0).round().clamp(0.0, 65535.0) as u16;
-        let sites = shown.zones.iter().map(|zone| PlanSite {
+        let sites = shown.zones.iter().map(|zone| ZoneRow {
             state: zone.plan.state,
             open: zone.plan.open_permille,
             finding: zone.health.to_string(),
@@ -145,7 +145,7 @@
             part: thousandths(zone.evidence.answering_share),
             filled: thousandths(zone.utilization),
         });
-        let groups = shown.classes.iter().enumerate().map(|(at, group)| PlanGroup {
+        let groups = shown.classes.iter().enumerate().map(|(at, group)| ClassRow {
             rate: group.rate as f32,
             work: group.work as f32,
             served: thousandths(shown.allocation.served_shares[at]),
@@ -161,11 +161,11 @@
     }
 }
 
-pub fn read_wishes(bytes: &[u8]) -> Vec<OperatorOverride> {
+pub fn decode_overrides(bytes: &[u8]) -> Vec<OperatorOverride> {
     let wishes: Vec<OperatorOverride> = postcard::from_bytes(bytes).unwrap_or_default();
     if wishes.len() <= lemonusher_zone_failover::MAX_ZONES { wishes } else { Vec::new() }
 }
 
-pub fn write_wishes(wishes: &[OperatorOverride]) -> Vec<u8> {
+pub fn encode_overrides(wishes: &[OperatorOverride]) -> Vec<u8> {
     postcard::to_allocvec(wishes).unwrap_or_default()
 }
--- a/crates/edges/fleet/src/wire.rs
+++ b/crates/edges/fleet/src/wire.rs
@@ -1,7 +1,7 @@
 //! What goes round each datagram: what goes out is sealed and numbered, and what comes in is looked at only if it is of
 //! this fleet, of its terms, new, and not too much. No socket is opened here.
 
-use crate::frame::{Body, Frame, Key, Unfit};
+use crate::frame::{Body, FleetKey, Frame, OpenError};
 use crate::replay_window::ReplayWindow;
 use lemonusher_leases::{Incarnation, LeaseRequest};
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
 
 /// What was dropped, and what went well; for the log and for managers.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct TrafficCounters {
     pub heard: AtomicU64,
     pub heard_bytes: AtomicU64,
     pub sent: AtomicU64,
@@ -34,7 +34,7 @@
 }
 
 /// What is known of the incarnation that a datagram came from.
-struct Heard {
+struct Sender {
     numbers: ReplayWindow,
     /// The number of the last message of each stream that others of it must not follow.
     last_release: u64,
@@ -43,9 +43,9 @@
     at: Duration,
 }
 
-impl Heard {
-    fn new(address: SocketAddr, at: Duration) -> Heard {
-        Heard { numbers: ReplayWindow::default(), last_release: 0, last_report: 0, address, at }
+impl Sender {
+    fn new(address: SocketAddr, at: Duration) -> Sender {
+        Sender { numbers: ReplayWindow::default(), last_release: 0, last_report: 0, address, at }
     }
 
     /// Whether a message is new and not made void by one that overtook it. What is asked or replied carries ballots and
@@ -68,26 +68,39 @@
     }
 }
 
-pub(crate) struct Wire {
-    key: Key,
+pub(crate) struct AuthenticatedChannel {
+    key: FleetKey,
     me: Incarnation,
-    mark: u64,
+    config_fingerprint: u64,
     seq: u64,
-    counts: Arc<Counts>,
-    lives: BTreeMap<Incarnation, Heard>,
+    counts: Arc<TrafficCounters>,
+    lives: BTreeMap<Incarnation, Sender>,
     /// The second that is under way, and the datagrams that were looked at in it.
     second: (u64, u32),
 }
 
-impl Wire {
-    pub(crate) fn new(key: Key, me: Incarnation, mark: u64, counts: Arc<Counts>) -> Wire {
-        Wire { key, me, mark, seq: 0, counts, lives: BTreeMap::new(), second: (0, 0) }
+impl AuthenticatedChannel {
+    pub(crate) fn new(
+        key: FleetKey,
+        me: Incarnation,
+        config_fingerprint: u64,
+        counts: Arc<TrafficCounters>,
+    ) -> AuthenticatedChannel {
+        AuthenticatedChannel {
+            key,
+            me,
+            config_fingerprint,
+            seq: 0,
+            counts,
+            lives: BTreeMap::new(),
+            second: (0, 0),
+        }
     }
 
     /// The datagram that says this; none if it is too long.
     pub(crate) fn seal(&mut self, body: Body) -> Option<Vec<u8>> {
         self.seq += 1;
-        let frame = Frame { from: self.me.clone(), seq: self.seq, terms: self.mark, body };
+        let frame = Frame { from: self.me.clone(), seq: self.seq, terms: self.config_fingerprint, body };
         frame.seal(&self.key)
     }
 
@@ -115,11 +128,11 @@
         let frame = match Frame::open(bytes, &self.key) {
             Ok(frame) => frame,
             Err(unfit) => {
-                add(if unfit == Unfit::Foreign { &counts.foreign } else { &counts.malformed });
+                add(if unfit == OpenError::Foreign { &counts.foreign } else { &counts.malformed });
                 return None;
             }
         };
-        if frame.terms != self.mark {
+        if frame.terms != self.config_fingerprint {
             add(&counts.other_terms);
             return None;
         }
@@ -138,7 +151,7 @@
             let oldest = self.lives.iter().min_by_key(|(_, heard)| heard.at).map(|(life, _)| life.clone());
             oldest.and_then(|life| self.lives.remove(&life));
         }
-        let heard = self.lives.entry(frame.from.clone()).or_insert_with(|| Heard::new(from, now));
+        let heard = self.lives.entry(frame.from.clone()).or_insert_with(|| Sender::new(from, now));
         if !heard.accept(frame) {
             return false;
         }
--- a/crates/edges/fleet/src/works.rs
+++ b/crates/edges/fleet/src/works.rs
@@ -19,17 +19,17 @@
 /// The lease's name; registers add a number.
 pub const NAME: &str = "works";
 /// Rows in one message; what does not fit is said in the next periods.
-const ROWS: usize = 32;
+const MAX_ROWS: usize = 32;
 
 /// What the operator's file says of works.
 #[derive(Debug, Clone)]
-pub struct WorksTerms {
+pub struct MaintenanceSettings {
     pub terms: MaintenanceConfig,
     /// Who is told of each machine that is released.
     pub tell: Option<SocketAddr>,
 }
 
-pub struct Works {
+pub struct Maintenance {
     terms: MaintenanceConfig,
     tell: Option<SocketAddr>,
     crew: Participant,
@@ -64,9 +64,9 @@
     Some(VersionedRequest { version: entry.version, request: MaintenanceRequest::from_bytes(&entry.value)? })
 }
 
-impl Works {
-    pub fn new(told: &WorksTerms, votes: bool) -> Works {
-        Works {
+impl Maintenance {
+    pub fn new(told: &MaintenanceSettings, votes: bool) -> Maintenance {
+        Maintenance {
             terms: told.terms.clone(),
             tell: told.tell,
             crew: Participant::default(),
@@ -130,7 +130,7 @@
             return None;
         }
         self.next = now + self.terms.poll_interval;
-        let let_go = self.crew.next_confirmations(self.closed_by, &self.out, ROWS);
+        let let_go = self.crew.next_confirmations(self.closed_by, &self.out, MAX_ROWS);
         Some(Report { let_go, released: self.released() })
     }
 
--- a/crates/edges/fleet/tests/limits.rs
+++ b/crates/edges/fleet/tests/limits.rs
@@ -1,8 +1,8 @@
 //! What a datagram and a table of the fleet hold: 1,024 fronts, and one more than a page, a group or a register.
 
-use lemonusher_failure_detector::{DetectorConfig as DetectorTerms, FailureDetector, Member};
+use lemonusher_failure_detector::{DetectorConfig, FailureDetector, Member};
 use lemonusher_fleet::*;
-use lemonusher_leases::{Ballot, Incarnation, LeaseConfig as LeaseTerms};
+use lemonusher_leases::{Ballot, Incarnation, LeaseConfig};
 use lemonusher_maintenance::{
     MAX_CONCURRENT, MAX_FRONTS, MAX_MACHINES, MAX_NAME_BYTES, MAX_REQUESTS, MaintenanceRequest, Phase,
 };
@@ -21,20 +21,20 @@
 const LOCAL: &str = "127.0.0.1:0";
 
 /// Three voters on this machine.
-fn voters() -> Vec<Started> {
+fn voters() -> Vec<FleetHandle> {
     let held: Vec<UdpSocket> = (0..3).map(|_| UdpSocket::bind(LOCAL).unwrap()).collect();
     let addresses: Vec<SocketAddr> = held.iter().map(|socket| socket.local_addr().unwrap()).collect();
     drop(held);
     (0..3).map(|place| start(terms(place, &addresses)).unwrap()).collect()
 }
 
-fn terms(place: usize, voters: &[SocketAddr]) -> Terms {
+fn terms(place: usize, voters: &[SocketAddr]) -> FleetConfig {
     let leases =
-        LeaseTerms { duration: LEASE, clock_drift_permille: 20, max_action_time: Duration::from_millis(10) };
-    Terms {
+        LeaseConfig { duration: LEASE, clock_drift_permille: 20, max_action_time: Duration::from_millis(10) };
+    FleetConfig {
         name: format!("voter {place}"),
         listen: voters[place],
-        key: Key::new(b"a key of a test"),
+        key: FleetKey::new(b"a key of a test"),
         leases,
         voters: voters.to_vec(),
         votes: true,
@@ -55,7 +55,7 @@
 struct Speaker {
     socket: UdpSocket,
     seq: u64,
-    mark: u64,
+    config_fingerprint: u64,
 }
 
 impl Speaker {
@@ -63,14 +63,14 @@
         let socket = UdpSocket::bind(LOCAL).unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
         let nobody = socket.local_addr().unwrap();
-        Speaker { socket, seq: 0, mark: mark(&terms(0, &[nobody; 3])) }
+        Speaker { socket, seq: 0, config_fingerprint: config_fingerprint(&terms(0, &[nobody; 3])) }
     }
 
     fn say(&mut self, body: Body, to: SocketAddr) {
         self.seq += 1;
         let from = Incarnation { name: "speaker".to_owned(), id: 5 };
-        let frame = Frame { from, seq: self.seq, terms: self.mark, body };
-        let sealed = frame.seal(&Key::new(b"a key of a test")).expect("too long for a datagram");
+        let frame = Frame { from, seq: self.seq, terms: self.config_fingerprint, body };
+        let sealed = frame.seal(&FleetKey::new(b"a key of a test")).expect("too long for a datagram");
         self.socket.send_to(&sealed, to).unwrap();
     }
 
@@ -102,7 +102,7 @@
     fn hear(&self) -> Option<Body> {
         let mut bytes = [0; 2048];
         let (long, _) = self.socket.recv_from(&mut bytes).ok()?;
-        Frame::open(&bytes[..long], &Key::new(b"a key of a test")).ok().map(|frame| frame.body)
+        Frame::open(&bytes[..long], &FleetKey::new(b"a key of a test")).ok().map(|frame| frame.body)
     }
 }
 
@@ -130,7 +130,7 @@
     for n in 1..=1025 {
         let address = SocketAddr::from(([127, 0, (n >> 8) as u8, n as u8], 9));
         let me = Member { name: format!("n{n}"), address, incarnation: n as u64, zone: 0, refutations: 0 };
-        let mut detector = FailureDetector::new(me, DetectorTerms { probe_interval: LEASE }, n as u64);
+        let mut detector = FailureDetector::new(me, DetectorConfig { probe_interval: LEASE }, n as u64);
         detector.add_seed(Duration::ZERO, voter);
         let said: Vec<Vec<u8>> =
             detector.take_outgoing().into_iter().map(|datagram| datagram.bytes).collect();
@@ -163,7 +163,7 @@
         }
     };
     assert!((0..200).any(|_| votes(&mut speaker)), "it never votes");
-    let names: BTreeSet<String> = (0..MAX_REQUESTS as u8).map(works_register).collect();
+    let names: BTreeSet<String> = (0..MAX_REQUESTS as u8).map(maintenance_register).collect();
     let ballot = Ballot { round: 1, proposer: 5 };
     for name in &names {
         let entry = Entry {
--- a/crates/edges/fleet/tests/nodes.rs
+++ b/crates/edges/fleet/tests/nodes.rs
@@ -2,7 +2,7 @@
 //! what may not is dropped; what is followed costs little, and is known again after voters have lost their memory.
 
 use lemonusher_fleet::*;
-use lemonusher_leases::{Ballot, Incarnation, LeaseConfig as LeaseTerms, LeaseReply, LeaseRequest};
+use lemonusher_leases::{Ballot, Incarnation, LeaseConfig, LeaseReply, LeaseRequest};
 use lemonusher_registers::{self as registers, Entry, EntryVersion};
 use lemonusher_zone_failover as zones;
 use std::collections::BTreeMap;
@@ -22,9 +22,9 @@
     SocketAddr::from(([127, 0, 0, 1], 9_000 + place as u16))
 }
 
-fn terms(place: usize) -> Terms {
+fn terms(place: usize) -> FleetConfig {
     let leases =
-        LeaseTerms { duration: LEASE, clock_drift_permille: 20, max_action_time: Duration::from_millis(10) };
+        LeaseConfig { duration: LEASE, clock_drift_permille: 20, max_action_time: Duration::from_millis(10) };
     let ms = Duration::from_millis;
     let zone_terms = zones::FailoverConfig {
         report_interval: ms(100),
@@ -45,7 +45,7 @@
         demand_margin: 0.1,
         probation: ms(1_000),
     };
-    Terms {
+    FleetConfig {
         name: format!("front {place}"),
         listen: address(place),
         key: key(),
@@ -60,13 +60,13 @@
         seats: 0,
         wants: 0,
         number: place as u32,
-        sites: Some(SitesTerms { terms: zone_terms, groups: Vec::new(), seen }),
-        works: Some(WorksTerms { terms: maintenance, tell: None }),
+        sites: Some(ZoneFailoverSettings { terms: zone_terms, groups: Vec::new(), seen }),
+        works: Some(MaintenanceSettings { terms: maintenance, tell: None }),
     }
 }
 
-fn key() -> Key {
-    Key::new(b"a key of a test")
+fn key() -> FleetKey {
+    FleetKey::new(b"a key of a test")
 }
 
 fn node(place: usize) -> Node {
@@ -74,8 +74,8 @@
 }
 
 fn node_of(place: usize, life: u64) -> Node {
-    let birth = Birth { address: address(place), life, date_ms: 1, seed: life };
-    Node::new(terms(place), birth, None, Arc::new(Counts::default()))
+    let birth = StartParameters { address: address(place), life, date_ms: 1, seed: life };
+    Node::new(terms(place), birth, None, Arc::new(TrafficCounters::default()))
 }
 
 /// Nodes whose bursts arrive turned round, one step of time after they were sent.
@@ -86,7 +86,7 @@
     /// When each node's incarnation began.
     born: Vec<Duration>,
     /// Messages of each kind that each node has sent.
-    sent: BTreeMap<(usize, Kind), usize>,
+    sent: BTreeMap<(usize, MessageKind), usize>,
 }
 
 impl Reversed {
@@ -133,7 +133,7 @@
     fleet.run_for(SETTLED);
     fleet.sent.clear();
     fleet.run_for(LEASE * 10);
-    let asked = fleet.sent.get(&(VOTERS, Kind::Registers)).copied().unwrap_or(0);
+    let asked = fleet.sent.get(&(VOTERS, MessageKind::Registers)).copied().unwrap_or(0);
     // Each voter is asked once in a quarter of a lease, or up to a quarter sooner.
     let turns = 10 * 4 * 4 / 3;
     assert!(asked <= VOTERS * (turns + 1), "{asked} messages in {turns} turns at most");
@@ -154,7 +154,11 @@
     let ballot = Ballot { round: 9, proposer: 5 };
     let bytes = said(
         1,
-        Body::RegisterRequest(registers::RegisterRequest::Accept { name: WISHES.to_owned(), ballot, entry }),
+        Body::RegisterRequest(registers::RegisterRequest::Accept {
+            name: OVERRIDES_REGISTER.to_owned(),
+            ballot,
+            entry,
+        }),
     );
     (0..VOTERS).for_each(|place| fleet.nodes[place].hear(fleet.now, address(9), &bytes));
     fleet.restart(0, 100);
@@ -171,7 +175,9 @@
 /// One that speaks to a voter under the fleet's key, with numbers of its choice.
 fn said(seq: u64, body: Body) -> Vec<u8> {
     let from = Incarnation { name: "speaker".to_owned(), id: 5 };
-    Frame { from, seq, terms: mark(&terms(0)), body }.seal(&key()).expect("too long for a datagram")
+    Frame { from, seq, terms: config_fingerprint(&terms(0)), body }
+        .seal(&key())
+        .expect("too long for a datagram")
 }
 
 fn accept(round: u64) -> Body {
--- a/crates/edges/fleet/tests/wire_compatibility.rs
+++ b/crates/edges/fleet/tests/wire_compatibility.rs
@@ -18,8 +18,8 @@
 /// The sender's terms in all datagrams.
 const TERMS: u64 = 0x0123_4567_89ab_cdef;
 
-fn key() -> Key {
-    Key::new(b"a key of a fixture")
+fn key() -> FleetKey {
+    FleetKey::new(b"a key of a fixture")
 }
 
 fn front() -> Incarnation {
@@ -186,7 +186,7 @@
         ZoneState::Recovering,
         ZoneState::Disabled,
     ];
-    let zone = |state| PlanSite {
+    let zone = |state| ZoneRow {
         state,
         open: 501,
         finding: "CutOff".to_owned(),
@@ -197,7 +197,7 @@
     Body::PlanShown {
         epoch: Some((1_000_001, 200)),
         sites: states.into_iter().map(zone).collect(),
-        groups: vec![PlanGroup { rate: 1.5, work: 2.5, served: 504, nowhere: true }],
+        groups: vec![ClassRow { rate: 1.5, work: 2.5, served: 504, nowhere: true }],
         refused_first: vec![2, 0, 1],
     }
 }
@@ -207,7 +207,8 @@
     let member = MemberRow { name: "front 8".to_owned(), address, location: 301, born: 0xabcd_ef01 };
     let register =
         RegisterRow { name: "sites".to_owned(), stamp: entry().version, number: 70_000, long: 859 };
-    let lease = Row { task: "account".to_owned(), who: other(), number: 1005, left: Duration::new(1, 999) };
+    let lease =
+        LeaseRow { task: "account".to_owned(), who: other(), number: 1005, left: Duration::new(1, 999) };
     let shown = Body::MaintenanceShown {
         number: 4,
         work: Some(((1_000_001, 200), vec![1, 2, 3])),
@@ -325,10 +326,10 @@
     for file in ["fleet-number", "fleet-registers"] {
         std::fs::copy(fixture(file), folder.join(file)).unwrap();
     }
-    let disk = Disk::open(&folder).unwrap();
+    let disk = StateFolder::open(&folder).unwrap();
     assert_eq!((disk.number(), disk.registers()), (70_000 + 1000, Some(registers())));
     std::fs::remove_dir_all(&folder).unwrap();
-    let mut disk = Disk::open(&folder).unwrap();
+    let mut disk = StateFolder::open(&folder).unwrap();
     disk.keep_number(70_000).unwrap();
     disk.keep_registers(registers()).unwrap();
     for file in ["fleet-number", "fleet-registers"] {
@@ -344,8 +345,8 @@
 #[test]
 fn operator_overrides_of_the_earlier_version_are_read_and_written_alike() {
     let stored = &lines("values.txt")["operator overrides"];
-    assert_eq!(read_wishes(stored), overrides());
-    assert_eq!(&write_wishes(&overrides()), stored);
+    assert_eq!(decode_overrides(stored), overrides());
+    assert_eq!(&encode_overrides(&overrides()), stored);
 }
 
 #[test]
--- a/crates/tools/scale/src/fleet/events.rs
+++ b/crates/tools/scale/src/fleet/events.rs
@@ -4,7 +4,7 @@
 use super::network::Place;
 use super::setup::TASK;
 use super::simulation::Simulation;
-use lemonusher_fleet::Kind;
+use lemonusher_fleet::MessageKind;
 use std::time::Duration;
 
 /// Spans are told to this step.
@@ -84,7 +84,8 @@
 }
 
 fn heard(simulation: &Simulation, front: usize) -> u64 {
-    let kinds = [Kind::FailureDetector, Kind::Leases, Kind::Registers, Kind::Reports];
+    let kinds =
+        [MessageKind::FailureDetector, MessageKind::Leases, MessageKind::Registers, MessageKind::Reports];
     simulation.traffic(front).heard(&kinds).messages
 }
 
--- a/crates/tools/scale/src/fleet/hollow.rs
+++ b/crates/tools/scale/src/fleet/hollow.rs
@@ -4,7 +4,7 @@
 use super::traffic::Traffic;
 use crate::process::thread_time;
 use async_channel::Sender;
-use lemonusher_fleet::{Birth, Census, Counts, Message, Node};
+use lemonusher_fleet::{ClusterStats, Message, Node, StartParameters, TrafficCounters};
 use lemonusher_routing::ZoneObservation;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,7 +29,7 @@
     pub traffic: Traffic,
     /// What all calls into the state machine took.
     pub processor: Duration,
-    counts: Arc<Counts>,
+    counts: Arc<TrafficCounters>,
 }
 
 /// Where and when a life begins.
@@ -50,9 +50,9 @@
         let Start { setup, front, address, voters, location, now, life, seed } = start;
         let terms = setup.terms(front, address, voters, location, seen);
         let date_ms = DATE_MS + now.as_millis() as u64;
-        let counts = Arc::new(Counts::default());
+        let counts = Arc::new(TrafficCounters::default());
         let from = thread_time();
-        let node = Node::new(terms, Birth { address, life, date_ms, seed }, None, counts.clone());
+        let node = Node::new(terms, StartParameters { address, life, date_ms, seed }, None, counts.clone());
         Hollow {
             node,
             address,
@@ -70,7 +70,7 @@
         self.address
     }
 
-    pub fn counts(&self) -> &Counts {
+    pub fn counts(&self) -> &TrafficCounters {
         &self.counts
     }
 
@@ -123,7 +123,7 @@
         now + due.clamp(SHORTEST_WAIT, NAP)
     }
 
-    pub fn census(&self, now: Duration) -> Census {
+    pub fn census(&self, now: Duration) -> ClusterStats {
         self.node.census(self.local(now))
     }
 
--- a/crates/tools/scale/src/fleet/loopback.rs
+++ b/crates/tools/scale/src/fleet/loopback.rs
@@ -4,7 +4,7 @@
 use super::network::Place;
 use super::setup::{Setup, key};
 use super::traffic::Traffic;
-use lemonusher_fleet::{Census, Frame, Key, Message};
+use lemonusher_fleet::{ClusterStats, FleetKey, Frame, Message};
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 use std::thread;
@@ -23,7 +23,7 @@
 pub struct Loopback {
     members: Vec<Member>,
     clock: Instant,
-    key: Key,
+    key: FleetKey,
 }
 
 impl Loopback {
@@ -95,13 +95,13 @@
         self.members[front].hollow.processor
     }
 
-    pub fn census(&self, front: usize) -> Census {
+    pub fn census(&self, front: usize) -> ClusterStats {
         self.members[front].hollow.census(self.clock.elapsed())
     }
 }
 
 impl Member {
-    fn turn(&mut self, clock: Instant, key: &Key) {
+    fn turn(&mut self, clock: Instant, key: &FleetKey) {
         let mut bytes = [0; LARGEST];
         while let Ok((long, from)) = self.socket.recv_from(&mut bytes) {
             let heard = &bytes[..long];
--- a/crates/tools/scale/src/fleet/meter.rs
+++ b/crates/tools/scale/src/fleet/meter.rs
@@ -5,7 +5,7 @@
 use crate::process;
 use crate::role::{MeasureError, Role};
 use crate::sample::{Metric, Sample, metric};
-use lemonusher_fleet::Kind;
+use lemonusher_fleet::MessageKind;
 use std::ops::Range;
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 /// Watches some fronts from one moment to another.
 pub struct Meter {
     fronts: Range<usize>,
-    kinds: Vec<Kind>,
+    kinds: Vec<MessageKind>,
     began: Duration,
     before: Vec<Reading>,
 }
@@ -53,7 +53,7 @@
 
 impl Meter {
     /// Watches these kinds of messages from now on.
-    pub fn start(simulation: &Simulation, fronts: Range<usize>, kinds: &[Kind]) -> Meter {
+    pub fn start(simulation: &Simulation, fronts: Range<usize>, kinds: &[MessageKind]) -> Meter {
         let before = readings(simulation, fronts.clone());
         Meter { fronts, kinds: kinds.to_vec(), began: simulation.now(), before }
     }
--- a/crates/tools/scale/src/fleet/setup.rs
+++ b/crates/tools/scale/src/fleet/setup.rs
@@ -3,8 +3,8 @@
 use super::network::Delays;
 use crate::budget;
 use async_channel::Receiver;
-use lemonusher_fleet::{Key, SitesTerms, Task, Terms, WorksTerms};
-use lemonusher_leases::LeaseConfig as LeaseTerms;
+use lemonusher_fleet::{FleetConfig, FleetKey, MaintenanceSettings, TaskConfig, ZoneFailoverSettings};
+use lemonusher_leases::LeaseConfig;
 use lemonusher_routing::ZoneObservation;
 use lemonusher_zone_failover as zones;
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
     pub fronts: usize,
     /// The first so many fronts vote.
     pub voters: usize,
-    pub leases: LeaseTerms,
+    pub leases: LeaseConfig,
     /// Each front wants a seat of its own.
     pub seats: bool,
     /// Each front is willing to hold [`TASK`].
@@ -48,7 +48,7 @@
         Setup {
             fronts,
             voters: 3,
-            leases: LeaseTerms {
+            leases: LeaseConfig {
                 duration: Duration::from_secs(3),
                 clock_drift_permille: 20,
                 max_action_time: Duration::from_secs(1),
@@ -70,9 +70,9 @@
         voters: Vec<SocketAddr>,
         location: u32,
         seen: Receiver<ZoneObservation>,
-    ) -> Terms {
+    ) -> FleetConfig {
         let votes = front < self.voters;
-        Terms {
+        FleetConfig {
             name: front_name(front),
             listen,
             key: key(),
@@ -92,7 +92,7 @@
         }
     }
 
-    fn works(&self) -> WorksTerms {
+    fn works(&self) -> MaintenanceSettings {
         let terms = lemonusher_maintenance::MaintenanceConfig {
             poll_interval: zone_terms().report_interval,
             required_fronts: (0..self.fronts).map(front_name).collect(),
@@ -100,25 +100,25 @@
             demand_margin: 0.1,
             probation: Duration::from_secs(10),
         };
-        WorksTerms { terms, tell: None }
+        MaintenanceSettings { terms, tell: None }
     }
 }
 
 /// The key of every hollow fleet.
-pub fn key() -> Key {
-    Key::new(b"a key of the scale rig")
+pub fn key() -> FleetKey {
+    FleetKey::new(b"a key of the scale rig")
 }
 
 pub fn front_name(front: usize) -> String {
     format!("front-{front:04}")
 }
 
-fn task() -> Task {
+fn task() -> TaskConfig {
     let every = Duration::from_secs(1);
-    Task { name: TASK.to_owned(), tell: None, every, takes: Duration::from_millis(100), fenced: true }
+    TaskConfig { name: TASK.to_owned(), tell: None, every, takes: Duration::from_millis(100), fenced: true }
 }
 
-fn sites(seen: Receiver<ZoneObservation>) -> SitesTerms {
+fn sites(seen: Receiver<ZoneObservation>) -> ZoneFailoverSettings {
     let group = zones::ClassLoad {
         priority_weight: 1.0,
         work: 0.01,
@@ -128,7 +128,7 @@
         floor: zone_terms().admission_floor,
         allowed_zones: None,
     };
-    SitesTerms { terms: zone_terms(), groups: vec![group; SERVICE_GROUPS], seen }
+    ZoneFailoverSettings { terms: zone_terms(), groups: vec![group; SERVICE_GROUPS], seen }
 }
 
 /// The defaults of an operator's file.
--- a/crates/tools/scale/src/fleet/side_by_side.rs
+++ b/crates/tools/scale/src/fleet/side_by_side.rs
@@ -7,7 +7,7 @@
 use crate::process::thread_time_of;
 use crate::watch::Watch;
 use async_channel::Sender;
-use lemonusher_fleet::{Counts, Kind};
+use lemonusher_fleet::{MessageKind, TrafficCounters};
 use lemonusher_routing::ZoneObservation;
 use std::io;
 use std::net::SocketAddr;
@@ -18,7 +18,8 @@
 const TASK_HELD: Duration = Duration::from_secs(60);
 /// The name of a real front's thread.
 const THREAD: &str = "fleet";
-const KINDS: [Kind; 4] = [Kind::FailureDetector, Kind::Leases, Kind::Registers, Kind::Reports];
+const KINDS: [MessageKind; 4] =
+    [MessageKind::FailureDetector, MessageKind::Leases, MessageKind::Registers, MessageKind::Reports];
 
 /// What one front sent and heard over a span, and the state that it held at its end.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -105,8 +106,8 @@
     lateness
 }
 
-fn real_account(real: &lemonusher_fleet::Started) -> Account {
-    let counts: &Counts = &real.counts;
+fn real_account(real: &lemonusher_fleet::FleetHandle) -> Account {
+    let counts: &TrafficCounters = &real.counts;
     let flow = |messages: &std::sync::atomic::AtomicU64, bytes: &std::sync::atomic::AtomicU64| Flow {
         messages: messages.load(Ordering::Relaxed),
         bytes: bytes.load(Ordering::Relaxed),
--- a/crates/tools/scale/src/fleet/simulation.rs
+++ b/crates/tools/scale/src/fleet/simulation.rs
@@ -5,7 +5,7 @@
 use super::setup::{Registers, Setup, zone_terms};
 use super::traffic::Traffic;
 use fastrand::Rng;
-use lemonusher_fleet::{Census, Kind, Message};
+use lemonusher_fleet::{ClusterStats, Message, MessageKind};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
     },
     Deliver {
         from: SocketAddr,
-        kind: Kind,
+        kind: MessageKind,
         bytes: Vec<u8>,
     },
     Start,
@@ -138,7 +138,7 @@
         self.front(front).map(|hollow| hollow.traffic.clone()).unwrap_or_default()
     }
 
-    pub fn census(&self, front: usize) -> Census {
+    pub fn census(&self, front: usize) -> ClusterStats {
         self.front(front).map(|hollow| hollow.census(self.now)).unwrap_or_default()
     }
 
@@ -252,7 +252,7 @@
         self.push(self.now + zone_terms().report_interval, front, What::See { life });
     }
 
-    fn deliver(&mut self, front: usize, from: SocketAddr, kind: Kind, bytes: &[u8]) {
+    fn deliver(&mut self, front: usize, from: SocketAddr, kind: MessageKind, bytes: &[u8]) {
         let Some(hollow) = &mut self.slots[front].front else { return };
         hollow.traffic.count_heard(kind, bytes.len());
         let sent = hollow.hear(self.now, from, bytes);
--- a/crates/tools/scale/src/fleet/traffic.rs
+++ b/crates/tools/scale/src/fleet/traffic.rs
@@ -1,6 +1,6 @@
 //! Messages and bytes of one front, by the part that they belong to.
 
-use lemonusher_fleet::Kind;
+use lemonusher_fleet::MessageKind;
 use std::collections::BTreeMap;
 use std::ops::{Add, Sub};
 
@@ -37,29 +37,29 @@
 /// What one front has sent and heard so far.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Traffic {
-    heard: BTreeMap<Kind, Flow>,
-    sent: BTreeMap<Kind, Flow>,
+    heard: BTreeMap<MessageKind, Flow>,
+    sent: BTreeMap<MessageKind, Flow>,
 }
 
 impl Traffic {
-    pub fn count_heard(&mut self, kind: Kind, bytes: usize) {
+    pub fn count_heard(&mut self, kind: MessageKind, bytes: usize) {
         self.heard.entry(kind).or_default().count(bytes);
     }
 
-    pub fn count_sent(&mut self, kind: Kind, bytes: usize) {
+    pub fn count_sent(&mut self, kind: MessageKind, bytes: usize) {
         self.sent.entry(kind).or_default().count(bytes);
     }
 
     /// What was heard of these kinds.
-    pub fn heard(&self, kinds: &[Kind]) -> Flow {
+    pub fn heard(&self, kinds: &[MessageKind]) -> Flow {
         sum(&self.heard, kinds)
     }
 
-    pub fn sent(&self, kinds: &[Kind]) -> Flow {
+    pub fn sent(&self, kinds: &[MessageKind]) -> Flow {
         sum(&self.sent, kinds)
     }
 }
 
-fn sum(flows: &BTreeMap<Kind, Flow>, kinds: &[Kind]) -> Flow {
+fn sum(flows: &BTreeMap<MessageKind, Flow>, kinds: &[MessageKind]) -> Flow {
     kinds.iter().filter_map(|kind| flows.get(kind)).fold(Flow::default(), |sum, flow| sum + *flow)
 }
--- a/crates/tools/scale/src/roles/control_machines.rs
+++ b/crates/tools/scale/src/roles/control_machines.rs
@@ -8,7 +8,7 @@
 use crate::role::{MeasureError, Measurement, Options, Role};
 use crate::sample::{Metric, Sample, metric};
 use crate::watch::Preemption;
-use lemonusher_fleet::Kind;
+use lemonusher_fleet::MessageKind;
 use std::time::Duration;
 
 const VOTERS: [usize; 3] = [3, 5, 7];
@@ -22,7 +22,8 @@
 /// The rig's thread may be off its core for this share of the time.
 const PREEMPTED: f64 = 0.6;
 
-const ALL: [Kind; 4] = [Kind::FailureDetector, Kind::Leases, Kind::Registers, Kind::Reports];
+const ALL: [MessageKind; 4] =
+    [MessageKind::FailureDetector, MessageKind::Leases, MessageKind::Registers, MessageKind::Reports];
 /// With two voters gone.
 const HELD: Metric = Metric::new("seats_held", "%");
 const HOLDERS: Metric = Metric::new("task_holders", "1");
--- a/crates/tools/scale/src/roles/failure_detector.rs
+++ b/crates/tools/scale/src/roles/failure_detector.rs
@@ -6,7 +6,7 @@
 use crate::role::{MeasureError, Measurement, Options, Role};
 use crate::sample::{Metric, Sample, metric};
 use crate::watch::Preemption;
-use lemonusher_fleet::Kind;
+use lemonusher_fleet::MessageKind;
 use std::time::Duration;
 
 /// Percent of datagrams that are lost.
@@ -45,7 +45,7 @@
         let mut simulation = Simulation::new(Setup::detector(fronts, f64::from(loss) / 100.0, seed));
         let (settled, span) = if self.options.quick { (QUICK, QUICK) } else { (SETTLED, SPAN) };
         simulation.run_for(settled);
-        let meter = Meter::start(&simulation, 0..fronts, &[Kind::FailureDetector]);
+        let meter = Meter::start(&simulation, 0..fronts, &[MessageKind::FailureDetector]);
         simulation.run_for(span);
         let cost = meter.finish(&simulation);
         let memory = (resident_bytes()? - self.resident).max(0.0) / f64::from(size) / 1e6;
--- a/crates/tools/scale/src/roles/leases.rs
+++ b/crates/tools/scale/src/roles/leases.rs
@@ -9,7 +9,7 @@
 use crate::role::{MeasureError, Measurement, Options, Role};
 use crate::sample::{Metric, Sample, metric};
 use crate::watch::Preemption;
-use lemonusher_fleet::Kind;
+use lemonusher_fleet::MessageKind;
 use std::time::Duration;
 
 const VOTERS: usize = 3;
@@ -28,11 +28,14 @@
 const PREEMPTED: f64 = 0.6;
 
 /// The parts of the whole, by the kinds of messages.
-const PARTS: [(&str, &[Kind]); 4] = [
-    ("leases", &[Kind::Leases]),
-    ("registers", &[Kind::Registers]),
-    ("reports", &[Kind::Reports]),
-    ("all", &[Kind::FailureDetector, Kind::Leases, Kind::Registers, Kind::Reports]),
+const PARTS: [(&str, &[MessageKind]); 4] = [
+    ("leases", &[MessageKind::Leases]),
+    ("registers", &[MessageKind::Registers]),
+    ("reports", &[MessageKind::Reports]),
+    (
+        "all",
+        &[MessageKind::FailureDetector, MessageKind::Leases, MessageKind::Registers, MessageKind::Reports],
+    ),
 ];
 
 const REPLACEMENT_MEDIAN: Metric = Metric::new("replacement_p50", "s");
--- a/crates/tools/scale/tests/proof_scale_fleet/hollow.rs
+++ b/crates/tools/scale/tests/proof_scale_fleet/hollow.rs
@@ -1,6 +1,6 @@
 //! A hollow front sends and holds what a real one does.
 
-use lemonusher_fleet::Kind;
+use lemonusher_fleet::MessageKind;
 use lemonusher_scale::fleet::{Account, Delays, Registers, Setup, SideBySide, Simulation, side_by_side};
 use std::time::Duration;
 
@@ -79,7 +79,8 @@
     let real = undisturbed(&setup, SPAN).real;
     let mut simulation = Simulation::new(setup.clone());
     simulation.run_for(SETTLED);
-    let kinds = [Kind::FailureDetector, Kind::Leases, Kind::Registers, Kind::Reports];
+    let kinds =
+        [MessageKind::FailureDetector, MessageKind::Leases, MessageKind::Registers, MessageKind::Reports];
     let fronts = setup.voters..setup.fronts;
     let before: Vec<_> = fronts.clone().map(|front| simulation.traffic(front)).collect();
     simulation.run_for(SPAN);
