--- a/crates/edges/cli/src/fleet.rs
+++ b/crates/edges/cli/src/fleet.rs
@@ -31,25 +31,25 @@
             max_action_time: ms(held.act_ms),
         },
         voters: held.voters.get_ref().clone(),
-        votes: held.votes,
-        place: held.place(),
-        known_as: held.known_as.as_ref().map(|address| *address.get_ref()),
-        location,
-        folder: held.folder.as_ref().map(|folder| folder.get_ref().clone()),
+        is_voter: held.votes,
+        voter_index: held.place(),
+        advertised_address: held.known_as.as_ref().map(|address| *address.get_ref()),
+        zone: location,
+        state_folder: held.folder.as_ref().map(|folder| folder.get_ref().clone()),
         tasks: (held.tasks.iter())
             .map(|task| TaskConfig {
                 name: task.name.get_ref().clone(),
-                tell: task.tell.as_ref().map(|to| *to.get_ref()),
-                every: ms(*task.every_ms.get_ref()),
-                takes: ms(task.takes_ms),
+                notify: task.tell.as_ref().map(|to| *to.get_ref()),
+                interval: ms(*task.every_ms.get_ref()),
+                action_time: ms(task.takes_ms),
                 fenced: task.refuses_older,
             })
             .collect(),
-        seats: held.seats,
-        wants: held.wants_seats,
-        number: held.number,
-        sites: None,
-        works: None,
+        quota_slots: held.seats,
+        wanted_slots: held.wants_seats,
+        first_slot: held.number,
+        zone_failover: None,
+        maintenance: None,
     })
 }
 
@@ -77,7 +77,7 @@
     fn say(&mut self, body: Body, to: SocketAddr) -> Result<(), Failure> {
         self.seq += 1;
         let terms = lemonusher_fleet::config_fingerprint(&self.terms);
-        let frame = Frame { from: self.me.clone(), seq: self.seq, terms, body };
+        let frame = Frame { from: self.me.clone(), sequence: self.seq, config_fingerprint: terms, body };
         let sealed =
             frame.seal(&self.terms.key).ok_or_else(|| Failure::Failed("it is too long".to_owned()))?;
         self.socket.send_to(&sealed, to).map(drop).map_err(|error| Failure::Failed(error.to_string()))
@@ -102,7 +102,7 @@
         loop {
             let after = all.last().map(|row| row.task.clone()).unwrap_or_default();
             match self.ask(voter, &Body::ShowLeases { after })? {
-                Some(Body::Leases { mute, rows, more }) => {
+                Some(Body::Leases { is_silent: mute, rows, more }) => {
                     all.extend(rows);
                     if !more {
                         return Ok(Some((mute, all)));
@@ -119,7 +119,7 @@
         loop {
             let after = all.last().map(|row| row.name.clone()).unwrap_or_default();
             match self.ask(voter, &Body::ShowRegisters { after })? {
-                Some(Body::Registers { votes, era, rows, more }) => {
+                Some(Body::Registers { is_voting: votes, epoch: era, rows, more }) => {
                     all.extend(rows);
                     if !more {
                         return Ok(Some((votes, era, all)));
@@ -134,7 +134,7 @@
     fn members(&mut self, front: SocketAddr) -> Result<Option<Vec<MemberRow>>, Failure> {
         let mut all: Vec<MemberRow> = Vec::new();
         loop {
-            let after = all.last().map(|row| (row.name.clone(), row.born)).unwrap_or_default();
+            let after = all.last().map(|row| (row.name.clone(), row.incarnation)).unwrap_or_default();
             match self.ask(front, &Body::ShowMembers { after })? {
                 Some(Body::Members { rows, more }) => {
                     all.extend(rows);
@@ -177,14 +177,14 @@
             Some((true, _)) => println!("voter {voter}: has started lately and does not vote yet"),
             Some((false, rows)) => {
                 println!("voter {voter}: {} leases", rows.len());
-                for LeaseRow { task, who, number, left } in rows {
+                for LeaseRow { task, holder: who, fencing_token: number, remaining: left } in rows {
                     println!("  {task:<24} {who}  number {number}, {:.1} s left", left.as_secs_f64());
                 }
             }
         }
         if let Some((votes, era, rows)) = registers {
             println!("  registers: {}, era {era}", if votes { "it votes" } else { "it has no memory yet" });
-            for RegisterRow { name, stamp, number, long } in rows {
+            for RegisterRow { name, version: stamp, fencing_token: number, value_bytes: long } in rows {
                 println!("  {name:<24} version {}, written under {number}, {long} bytes", stamp.counter);
             }
         }
@@ -219,19 +219,19 @@
     let until = std::time::Instant::now() + operator.terms.leases.voter_hold_time() * 4;
     while std::time::Instant::now() < until {
         std::thread::sleep(PATIENCE / 5);
-        if let Some(now) = holder(&mut operator)?.filter(|row| row.number > before.number) {
+        if let Some(now) = holder(&mut operator)?.filter(|row| row.fencing_token > before.fencing_token) {
             if json {
                 println!(
                     "{}",
-                    serde_json::json!({"task": task, "from": before.who, "to": now.who, "number": now.number})
+                    serde_json::json!({"task": task, "from": before.holder, "to": now.holder, "number": now.fencing_token})
                 );
             } else {
-                println!("{task}: from {} to {}, number {}", before.who, now.who, now.number);
+                println!("{task}: from {} to {}, number {}", before.holder, now.holder, now.fencing_token);
             }
             return Ok(());
         }
     }
-    Err(Failure::Failed(format!("{task} was not taken by another; {} held it", before.who)))
+    Err(Failure::Failed(format!("{task} was not taken by another; {} held it", before.holder)))
 }
 
 /// What may be wanted of a site.
@@ -278,8 +278,12 @@
     let without = without.iter().map(|name| site_of(&names, name)).collect::<Result<Vec<u32>, Failure>>()?;
     let mut operator = Operator::of(path)?;
     for voter in operator.terms.voters.clone() {
-        let Some(Body::PlanShown { epoch, sites, groups, refused_first }) =
-            operator.ask(voter, &Body::ShowPlan { without: without.clone() })?
+        let Some(Body::PlanShown {
+            version: epoch,
+            zones: sites,
+            classes: groups,
+            shed_order: refused_first,
+        }) = operator.ask(voter, &Body::ShowPlan { without: without.clone() })?
         else {
             continue;
         };
@@ -288,12 +292,12 @@
         let part = |thousandths: u16| f64::from(thousandths) / 1000.0;
         if json {
             let sites = sites.iter().enumerate().map(|(at, one)| {
-                serde_json::json!({"site": site(at), "state": one.state, "open": part(one.open),
-                    "found": one.finding, "cores": one.cores, "answers": part(one.part), "filled": part(one.filled)})
+                serde_json::json!({"site": site(at), "state": one.state, "open": part(one.open_permille),
+                    "found": one.health, "cores": one.cores, "answers": part(one.answering_permille), "filled": part(one.filled_permille)})
             });
             let rows = groups.iter().enumerate().map(|(at, one)| {
-                serde_json::json!({"group": group(at), "rate": one.rate, "work": one.work,
-                    "served": part(one.served), "may_run_nowhere": one.nowhere})
+                serde_json::json!({"group": group(at), "rate": one.requests_per_second, "work": one.work_seconds,
+                    "served": part(one.served_permille), "may_run_nowhere": one.is_unplaceable})
             });
             let order: Vec<String> = refused_first.iter().map(|at| group(usize::from(*at))).collect();
             let (sites, rows): (Vec<_>, Vec<_>) = (sites.collect(), rows.collect());
@@ -311,27 +315,27 @@
                     "site {:<16} {}, {:.1} % open; looks {}, {} cores, {:.0} % answer; filled to {:.0} %",
                     site(at),
                     one.state,
-                    part(one.open) * 100.0,
-                    one.finding.to_lowercase(),
+                    part(one.open_permille) * 100.0,
+                    one.health.to_lowercase(),
                     one.cores,
-                    part(one.part) * 100.0,
-                    part(one.filled) * 100.0
+                    part(one.answering_permille) * 100.0,
+                    part(one.filled_permille) * 100.0
                 );
             }
             for at in refused_first.iter().map(|at| usize::from(*at)) {
                 let Some(one) = groups.get(at) else { continue };
-                let nowhere = if one.nowhere { "; it may run nowhere that is left" } else { "" };
+                let nowhere = if one.is_unplaceable { "; it may run nowhere that is left" } else { "" };
                 println!(
                     "group {:<15} {:.1} a second of {:.2} s work, {:.1} % served{nowhere}",
                     group(at),
-                    one.rate,
-                    one.work,
-                    part(one.served) * 100.0
+                    one.requests_per_second,
+                    one.work_seconds,
+                    part(one.served_permille) * 100.0
                 );
             }
             println!("(groups in the order in which they are refused)");
         }
-        let short = groups.iter().any(|one| one.served < 995 && one.rate > 0.0);
+        let short = groups.iter().any(|one| one.served_permille < 995 && one.requests_per_second > 0.0);
         if short && !json {
             println!("warning: what is left can't carry all");
         }
--- a/crates/edges/cli/src/main.rs
+++ b/crates/edges/cli/src/main.rs
@@ -258,12 +258,16 @@
     if let Some((fleet, terms)) = fleet.as_mut().zip(planned) {
         let (told, seen) = async_channel::bounded(1);
         let groups = lemonusher_routing::class_loads(&names.class_configs, terms.admission_floor);
-        fleet.sites = Some(lemonusher_fleet::ZoneFailoverSettings { terms, groups, seen });
+        fleet.zone_failover = Some(lemonusher_fleet::ZoneFailoverSettings {
+            config: terms,
+            classes: groups,
+            observations: seen,
+        });
         sites = Some(lemonusher_front::ZoneFailover { config: terms, observations: told });
         let works = file.fleet.as_ref().and_then(|held| held.works.as_ref()).map(|held| held.get_ref());
-        fleet.works = works.map(|works| lemonusher_fleet::MaintenanceSettings {
-            terms: works.terms(terms.report_interval),
-            tell: works.tell.as_ref().map(|to| *to.get_ref()),
+        fleet.maintenance = works.map(|works| lemonusher_fleet::MaintenanceSettings {
+            config: works.terms(terms.report_interval),
+            notify: works.tell.as_ref().map(|to| *to.get_ref()),
         });
     }
     let fleet = match fleet {
@@ -279,7 +283,7 @@
     let seats = file.fleet.as_ref().is_some_and(|held| held.seats > 0);
     let works = file.fleet.as_ref().is_some_and(|held| held.works.is_some());
     let told_by = fleet.as_ref().map(|started| lemonusher_front::FleetChannels {
-        control_updates: started.words.clone(),
+        control_updates: started.control_updates.clone(),
         shares_quota: seats,
         zone_failover: sites,
         maintenance: works,
--- a/crates/edges/cli/src/works.rs
+++ b/crates/edges/cli/src/works.rs
@@ -230,8 +230,12 @@
         let mut best: Option<((u64, u64), MaintenanceRequest)> = None;
         let mut waits = None;
         for voter in voters.clone() {
-            let Some(Body::MaintenanceShown { work, why, foreman, .. }) =
-                operator.ask(voter, &Body::ShowMaintenance { number })?
+            let Some(Body::MaintenanceShown {
+                stored: work,
+                blocked_reason: why,
+                is_coordinator: foreman,
+                ..
+            }) = operator.ask(voter, &Body::ShowMaintenance { request: number })?
             else {
                 voters.retain(|other| *other != voter); // It would cost its patience for each register.
                 continue;
--- a/crates/edges/fleet/src/acts.rs
+++ b/crates/edges/fleet/src/acts.rs
@@ -19,14 +19,17 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TokenRejection {
     pub task: String,
-    pub seen: u64,
+    pub highest_token: u64,
 }
 
 impl TokenRejection {
     /// None for what is no refusal.
     pub fn read(bytes: &[u8]) -> Option<TokenRejection> {
         let said = serde_json::from_slice::<serde_json::Value>(bytes).ok()?;
-        Some(TokenRejection { task: said["task"].as_str()?.to_owned(), seen: said["seen"].as_u64()? })
+        Some(TokenRejection {
+            task: said["task"].as_str()?.to_owned(),
+            highest_token: said["seen"].as_u64()?,
+        })
     }
 }
 
@@ -40,7 +43,7 @@
     pub(crate) fn turn(&mut self, now: Duration, asker: &LeaseClient) -> Vec<Datagram> {
         let mut told = Vec::new();
         for Act { task, next, under_way } in &mut self.acts {
-            let Some(to) = task.tell else { continue };
+            let Some(to) = task.notify else { continue };
             let mut tell = |number: u64, step: &str| {
                 let who = asker.incarnation().to_string();
                 let said = serde_json::json!({"task": task.name, "number": number, "who": who, "step": step});
@@ -55,10 +58,10 @@
             }
             let held = asker.active_lease(now, &task.name);
             // What can't be done before the lease ends is not begun.
-            if let Some(lease) = held.filter(|lease| *next <= now && now + task.takes < lease.until) {
+            if let Some(lease) = held.filter(|lease| *next <= now && now + task.action_time < lease.until) {
                 let number = lease.fencing_token;
                 tell(number, "begin");
-                (*next, *under_way) = (now + task.every, Some((number, now + task.takes)));
+                (*next, *under_way) = (now + task.interval, Some((number, now + task.action_time)));
             }
         }
         told
--- a/crates/edges/fleet/src/disk.rs
+++ b/crates/edges/fleet/src/disk.rs
@@ -9,7 +9,7 @@
 
 pub struct StateFolder {
     folder: PathBuf,
-    number: u64,
+    token_floor: u64,
     registers: Option<PersistentState>,
 }
 
@@ -28,11 +28,11 @@
             Err(error) if error.kind() == io::ErrorKind::NotFound => None,
             Err(error) => return Err(error),
         };
-        Ok(StateFolder { folder: folder.to_owned(), number, registers })
+        Ok(StateFolder { folder: folder.to_owned(), token_floor: number, registers })
     }
 
-    pub fn number(&self) -> u64 {
-        self.number
+    pub fn token_floor(&self) -> u64 {
+        self.token_floor
     }
 
     /// What this voter had promised and accepted; none if it never voted here.
@@ -41,15 +41,15 @@
     }
 
     /// Numbers up to this may have been granted.
-    pub fn keep_number(&mut self, number: u64) -> io::Result<()> {
-        if number > self.number {
+    pub fn store_token(&mut self, number: u64) -> io::Result<()> {
+        if number > self.token_floor {
             put(&self.folder, "fleet-number", (number + KEPT_AHEAD).to_string().as_bytes())?;
-            self.number = number + KEPT_AHEAD;
+            self.token_floor = number + KEPT_AHEAD;
         }
         Ok(())
     }
 
-    pub fn keep_registers(&mut self, kept: PersistentState) -> io::Result<()> {
+    pub fn store_registers(&mut self, kept: PersistentState) -> io::Result<()> {
         if self.registers.as_ref() != Some(&kept) {
             let told = postcard::to_allocvec(&kept).map_err(io::Error::other)?;
             let mut bytes = blake3::hash(&told).as_bytes().to_vec();
@@ -84,12 +84,12 @@
     fn what_was_kept_is_read_again_and_what_is_spoilt_is_refused() {
         let folder = std::env::temp_dir().join(format!("lemonusher-disk-{}", std::process::id()));
         let mut disk = StateFolder::open(&folder).unwrap();
-        assert_eq!((disk.number(), disk.registers()), (0, None));
-        disk.keep_number(5).unwrap();
+        assert_eq!((disk.token_floor(), disk.registers()), (0, None));
+        disk.store_token(5).unwrap();
         let kept = PersistentState { epoch: 7, registers: Vec::new() };
-        disk.keep_registers(kept.clone()).unwrap();
+        disk.store_registers(kept.clone()).unwrap();
         let again = StateFolder::open(&folder).unwrap();
-        assert_eq!((again.number(), again.registers()), (5 + KEPT_AHEAD, Some(kept)));
+        assert_eq!((again.token_floor(), again.registers()), (5 + KEPT_AHEAD, Some(kept)));
         std::fs::write(folder.join("fleet-registers"), b"spoilt").unwrap();
         assert!(StateFolder::open(&folder).is_err());
         std::fs::remove_dir_all(&folder).unwrap();
--- a/crates/edges/fleet/src/frame.rs
+++ b/crates/edges/fleet/src/frame.rs
@@ -40,10 +40,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRow {
     pub task: String,
-    pub who: Incarnation,
-    pub number: u64,
+    pub holder: Incarnation,
+    pub fencing_token: u64,
     /// How much longer the voter counts it as held.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
 /// A front that one sees.
@@ -51,39 +51,39 @@
 pub struct MemberRow {
     pub name: String,
     pub address: SocketAddr,
-    pub location: u32,
-    pub born: u64,
+    pub zone: u32,
+    pub incarnation: u64,
 }
 
 /// A register as a voter has accepted it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegisterRow {
     pub name: String,
-    pub stamp: registers::EntryVersion,
-    pub number: u64,
+    pub version: registers::EntryVersion,
+    pub fencing_token: u64,
     /// The value's bytes.
-    pub long: u32,
+    pub value_bytes: u32,
 }
 
 /// A zone in the plan that is shown; parts in thousandths.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneRow {
     pub state: sites::ZoneState,
-    pub open: u16,
-    pub finding: String,
+    pub open_permille: u16,
+    pub health: String,
     pub cores: u32,
     /// The part of its engines that answer, slow ones counted for less.
-    pub part: u16,
+    pub answering_permille: u16,
     /// The part of what it may take that the plan fills.
-    pub filled: u16,
+    pub filled_permille: u16,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassRow {
-    pub rate: f32,
-    pub work: f32,
-    pub served: u16,
-    pub nowhere: bool,
+    pub requests_per_second: f32,
+    pub work_seconds: f32,
+    pub served_permille: u16,
+    pub is_unplaceable: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -101,23 +101,23 @@
         without: Vec<u32>,
     },
     PlanShown {
-        epoch: Option<(u64, u64)>,
-        sites: Vec<ZoneRow>,
-        groups: Vec<ClassRow>,
+        version: Option<(u64, u64)>,
+        zones: Vec<ZoneRow>,
+        classes: Vec<ClassRow>,
         /// Groups by number, in the order in which they are refused.
-        refused_first: Vec<u8>,
+        shed_order: Vec<u8>,
     },
     /// What a front has let go of machines that are to be worked on.
     DrainConfirmations(Vec<lemonusher_maintenance::DrainConfirmation>),
     ShowMaintenance {
-        number: u8,
+        request: u8,
     },
     /// A request as a front follows it (stamp, value), and why it waits, as far as the coordinator tells.
     MaintenanceShown {
-        number: u8,
-        work: Option<((u64, u64), Vec<u8>)>,
-        foreman: bool,
-        why: Option<String>,
+        request: u8,
+        stored: Option<((u64, u64), Vec<u8>)>,
+        is_coordinator: bool,
+        blocked_reason: Option<String>,
     },
     ShowMembers {
         after: (String, u64),
@@ -130,8 +130,8 @@
         after: String,
     },
     Registers {
-        votes: bool,
-        era: u64,
+        is_voting: bool,
+        epoch: u64,
         rows: Vec<RegisterRow>,
         more: bool,
     },
@@ -140,7 +140,7 @@
         after: String,
     },
     Leases {
-        mute: bool,
+        is_silent: bool,
         rows: Vec<LeaseRow>,
         more: bool,
     },
@@ -178,9 +178,9 @@
 pub struct Frame {
     pub from: Incarnation,
     /// Counts up within an incarnation.
-    pub seq: u64,
+    pub sequence: u64,
     /// What the sender states of leases, as one number: who states other terms is not listened to.
-    pub terms: u64,
+    pub config_fingerprint: u64,
     pub body: Body,
 }
 
@@ -188,7 +188,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OpenError {
     /// Not of this fleet: too short or long, or its tag is wrong.
-    Foreign,
+    Unauthenticated,
     /// Of this fleet's key, but it can't be read.
     Malformed,
 }
@@ -207,11 +207,11 @@
             .len()
             .checked_sub(TAG)
             .filter(|_| bytes.len() <= MAX_DATAGRAM_BYTES)
-            .ok_or(OpenError::Foreign)?;
+            .ok_or(OpenError::Unauthenticated)?;
         let (said, tag) = bytes.split_at(at);
         // The comparison of two hashes takes as long wherever they differ.
         if blake3::Hash::from_bytes(wide(&key.tag(said))) != blake3::Hash::from_bytes(wide(tag)) {
-            return Err(OpenError::Foreign);
+            return Err(OpenError::Unauthenticated);
         }
         postcard::from_bytes(said).map_err(|_| OpenError::Malformed)
     }
@@ -231,33 +231,48 @@
     fn only_what_the_key_has_sealed_whole_is_opened() {
         let (key, other) = (FleetKey::new(b"a secret"), FleetKey::new(b"another"));
         let from = Incarnation { name: "n1".into(), id: 5 };
-        let frame = Frame { from, seq: 1, terms: 9, body: Body::HandOver { task: "account".into() } };
+        let frame = Frame {
+            from,
+            sequence: 1,
+            config_fingerprint: 9,
+            body: Body::HandOver { task: "account".into() },
+        };
         let sealed = frame.seal(&key).unwrap();
         assert_eq!(Frame::open(&sealed, &key), Ok(frame));
-        assert_eq!(Frame::open(&sealed, &other), Err(OpenError::Foreign));
+        assert_eq!(Frame::open(&sealed, &other), Err(OpenError::Unauthenticated));
         for place in 0..sealed.len() {
             let mut spoilt = sealed.clone();
             spoilt[place] ^= 1;
-            assert_eq!(Frame::open(&spoilt, &key), Err(OpenError::Foreign));
+            assert_eq!(Frame::open(&spoilt, &key), Err(OpenError::Unauthenticated));
         }
-        assert_eq!(Frame::open(&sealed[..3], &key), Err(OpenError::Foreign));
-        assert_eq!(Frame::open(&[0; 4000], &key), Err(OpenError::Foreign));
+        assert_eq!(Frame::open(&sealed[..3], &key), Err(OpenError::Unauthenticated));
+        assert_eq!(Frame::open(&[0; 4000], &key), Err(OpenError::Unauthenticated));
     }
 
     #[test]
     fn a_full_table_fits_a_datagram() {
         let life = Incarnation { name: "n".repeat(40), id: u64::MAX };
-        let row = LeaseRow { task: "t".repeat(48), who: life.clone(), number: u64::MAX, left: Duration::MAX };
+        let row = LeaseRow {
+            task: "t".repeat(48),
+            holder: life.clone(),
+            fencing_token: u64::MAX,
+            remaining: Duration::MAX,
+        };
         let fits = |body| {
-            let frame = Frame { from: life.clone(), seq: u64::MAX, terms: u64::MAX, body };
+            let frame = Frame { from: life.clone(), sequence: u64::MAX, config_fingerprint: u64::MAX, body };
             assert!(frame.seal(&FleetKey::new(b"k")).is_some());
         };
-        fits(Body::Leases { mute: false, rows: vec![row; MAX_ROWS], more: true });
+        fits(Body::Leases { is_silent: false, rows: vec![row; MAX_ROWS], more: true });
         let stamp = registers::EntryVersion { epoch: u64::MAX, counter: u64::MAX };
-        let row = RegisterRow { name: "r".repeat(48), stamp, number: u64::MAX, long: u32::MAX };
-        fits(Body::Registers { votes: true, era: u64::MAX, rows: vec![row; MAX_ROWS], more: true });
+        let row = RegisterRow {
+            name: "r".repeat(48),
+            version: stamp,
+            fencing_token: u64::MAX,
+            value_bytes: u32::MAX,
+        };
+        fits(Body::Registers { is_voting: true, epoch: u64::MAX, rows: vec![row; MAX_ROWS], more: true });
         let address = "[ffff:ffff::ffff]:65535".parse().unwrap();
-        let row = MemberRow { name: "n".repeat(64), address, location: u32::MAX, born: u64::MAX };
+        let row = MemberRow { name: "n".repeat(64), address, zone: u32::MAX, incarnation: u64::MAX };
         fits(Body::Members { rows: vec![row; MAX_ROWS], more: true });
         let ballot = lemonusher_leases::Ballot { round: u64::MAX, proposer: u64::MAX };
         let entry = registers::Entry {
@@ -312,15 +327,32 @@
             lemonusher_maintenance::DrainConfirmation { request: 15, version: stamp, machine: u32::MAX };
         fits(Body::DrainConfirmations(vec![let_go; 32]));
         let work = Some(((u64::MAX, u64::MAX), vec![1; registers::MAX_VALUE_BYTES]));
-        fits(Body::MaintenanceShown { number: 15, work, foreman: true, why: Some("w".repeat(160)) });
+        fits(Body::MaintenanceShown {
+            request: 15,
+            stored: work,
+            is_coordinator: true,
+            blocked_reason: Some("w".repeat(160)),
+        });
         let (state, finding) = (sites::ZoneState::Recovering, "CutOff".to_owned());
-        let site = ZoneRow { state, open: 1000, finding, cores: u32::MAX, part: 1000, filled: 1000 };
-        let group = ClassRow { rate: 1e9, work: 1e9, served: 1000, nowhere: true };
+        let site = ZoneRow {
+            state,
+            open_permille: 1000,
+            health: finding,
+            cores: u32::MAX,
+            answering_permille: 1000,
+            filled_permille: 1000,
+        };
+        let group = ClassRow {
+            requests_per_second: 1e9,
+            work_seconds: 1e9,
+            served_permille: 1000,
+            is_unplaceable: true,
+        };
         fits(Body::PlanShown {
-            epoch: Some((u64::MAX, u64::MAX)),
-            sites: vec![site; sites::MAX_ZONES],
-            groups: vec![group; sites::MAX_CLASSES],
-            refused_first: vec![63; sites::MAX_CLASSES],
+            version: Some((u64::MAX, u64::MAX)),
+            zones: vec![site; sites::MAX_ZONES],
+            classes: vec![group; sites::MAX_CLASSES],
+            shed_order: vec![63; sites::MAX_CLASSES],
         });
     }
 }
--- a/crates/edges/fleet/src/lib.rs
+++ b/crates/edges/fleet/src/lib.rs
@@ -36,10 +36,10 @@
 pub struct TaskConfig {
     pub name: String,
     /// Who is told of each act, and refuses older numbers.
-    pub tell: Option<SocketAddr>,
-    pub every: Duration,
+    pub notify: Option<SocketAddr>,
+    pub interval: Duration,
     /// How long an act takes.
-    pub takes: Duration,
+    pub action_time: Duration,
     /// Whether what is acted upon refuses an older number.
     pub fenced: bool,
 }
@@ -53,24 +53,24 @@
     pub leases: LeaseConfig,
     pub voters: Vec<SocketAddr>,
     /// Whether this front votes, and its place among the voters.
-    pub votes: bool,
-    pub place: Option<usize>,
+    pub is_voter: bool,
+    pub voter_index: Option<usize>,
     /// The address by which other fronts reach it, where that is not the one it listens at.
-    pub known_as: Option<SocketAddr>,
+    pub advertised_address: Option<SocketAddr>,
     /// Where this front stands.
-    pub location: u32,
+    pub zone: u32,
     /// Where the highest number lasts.
-    pub folder: Option<PathBuf>,
+    pub state_folder: Option<PathBuf>,
     pub tasks: Vec<TaskConfig>,
     /// Into how many quota slots what fronts share is cut; none for no quota slots.
-    pub seats: u32,
+    pub quota_slots: u32,
     /// How many of them this front wants, and where it begins to look.
-    pub wants: usize,
-    pub number: u32,
+    pub wanted_slots: usize,
+    pub first_slot: u32,
     /// The plan for lost zones, where there is one.
-    pub sites: Option<ZoneFailoverSettings>,
+    pub zone_failover: Option<ZoneFailoverSettings>,
     /// Works on machines, where there are any; they need the plan's sight.
-    pub works: Option<MaintenanceSettings>,
+    pub maintenance: Option<MaintenanceSettings>,
 }
 
 /// What a fleet must state alike, as one number.
--- a/crates/edges/fleet/src/node/hear.rs
+++ b/crates/edges/fleet/src/node/hear.rs
@@ -9,7 +9,7 @@
 
 impl Node {
     /// Takes in a datagram. What is not of this fleet, or not to be listened to, changes nothing and is counted.
-    pub fn hear(&mut self, now: Duration, from: SocketAddr, bytes: &[u8]) {
+    pub fn handle_datagram(&mut self, now: Duration, from: SocketAddr, bytes: &[u8]) {
         let Some(frame) = self.wire.open(now, bytes, from) else { return };
         self.hear_body(now, from, &frame.from, frame.body);
         self.send_detector();
@@ -52,7 +52,7 @@
         let Some(reply) = voter.handle_request(now, &self.terms.leases, ask) else { return };
         // A number must last before anybody acts under it.
         if let Some(disk) = &mut self.disk
-            && let Err(error) = disk.keep_number(voter.highest_token())
+            && let Err(error) = disk.store_token(voter.highest_token())
         {
             return tracing::error!("fleet: a number can't be kept, so nothing is granted: {error}");
         }
@@ -106,7 +106,7 @@
     /// What a voter says of registers must last first; false if it can't be kept, and then nothing is said.
     fn keep_registers(&mut self) -> bool {
         let (Some(disk), Some(keeper)) = (&mut self.disk, &self.keeper) else { return true };
-        match disk.keep_registers(keeper.persistent_state()) {
+        match disk.store_registers(keeper.persistent_state()) {
             Ok(()) => true,
             Err(error) => {
                 tracing::error!("fleet: registers can't be kept, so it does not vote: {error}");
--- a/crates/edges/fleet/src/node/mod.rs
+++ b/crates/edges/fleet/src/node/mod.rs
@@ -47,9 +47,9 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// The number of this incarnation; never 0.
-    pub life: u64,
+    pub incarnation: u64,
     /// Milliseconds since 1970.
-    pub date_ms: u64,
+    pub unix_time_ms: u64,
     pub seed: u64,
 }
 
@@ -61,7 +61,7 @@
     /// Fronts that it has told as gone so far, rightly or not.
     pub members_lost: u64,
     /// Lives whose datagrams it has heard.
-    pub lives: usize,
+    pub incarnations: usize,
     /// Leases that it holds and may act under.
     pub leases_held: usize,
     /// Leases that it has granted as a voter.
@@ -107,8 +107,8 @@
         // Guards against numbers that fall where no voter remembers them: they begin above what an earlier incarnation can
         // have reached, by the folder, or else by the date. Should the date go back, what is acted upon tells what it
         // has seen.
-        let floor = disk.as_ref().map_or(birth.date_ms, StateFolder::number);
-        let me = Incarnation { name: terms.name.clone(), id: birth.life };
+        let floor = disk.as_ref().map_or(birth.unix_time_ms, StateFolder::token_floor);
+        let me = Incarnation { name: terms.name.clone(), id: birth.incarnation };
         let voters = terms.voters.len();
         let period = detector::DetectorConfig { probe_interval: terms.leases.duration / DETECTOR_PART };
         let mut node = Node {
@@ -119,22 +119,23 @@
                 counts,
             ),
             chance: fastrand::Rng::with_seed(birth.seed),
-            voter: terms.votes.then(|| Voter::new(Duration::ZERO, &terms.leases, floor)),
+            voter: terms.is_voter.then(|| Voter::new(Duration::ZERO, &terms.leases, floor)),
             asker: LeaseClient::new(me.clone(), voters),
-            seats: (terms.seats > 0).then(|| QuotaSlots::new(terms.seats, terms.wants, terms.number)),
+            seats: (terms.quota_slots > 0)
+                .then(|| QuotaSlots::new(terms.quota_slots, terms.wanted_slots, terms.first_slot)),
             quota: 0.0,
             keeper: keeper_of(&terms, &birth, disk.as_ref()),
             stood: None,
             proposer: Proposer::new(me.clone(), voters),
             reproposed: None,
             follower: Learner::new(voters, terms.leases.duration / FOLLOW_PART),
-            detector: detector::FailureDetector::new(member_of(&terms, &birth), period, birth.life),
+            detector: detector::FailureDetector::new(member_of(&terms, &birth), period, birth.incarnation),
             acts: FencedActions::new(&terms.tasks),
             sites: terms
-                .sites
+                .zone_failover
                 .as_ref()
-                .map(|told| ZoneFailover::new(told, terms.location, me.id, terms.votes)),
-            works: terms.works.as_ref().map(|told| Maintenance::new(told, terms.votes)),
+                .map(|told| ZoneFailover::new(told, terms.zone, me.id, terms.is_voter)),
+            works: terms.maintenance.as_ref().map(|told| Maintenance::new(told, terms.is_voter)),
             disk,
             members_lost: 0,
             outgoing: Vec::new(),
@@ -158,13 +159,13 @@
             self.follower.watch(sites::NAME);
             self.follower.watch(sites::OVERRIDES_REGISTER);
             // A register refuses what was written under an older number, so nothing need be waited out.
-            if self.terms.votes {
+            if self.terms.is_voter {
                 self.asker.acquire(Duration::ZERO, sites::NAME, true);
             }
         }
         if self.works.is_some() {
             (0..MAX_REQUESTS as u8).for_each(|work| self.follower.watch(&works::register(work)));
-            if self.terms.votes {
+            if self.terms.is_voter {
                 self.asker.acquire(Duration::ZERO, works::NAME, true);
             }
         }
@@ -175,7 +176,7 @@
     }
 
     /// Does what is due.
-    pub fn wake(&mut self, now: Duration) {
+    pub fn poll(&mut self, now: Duration) {
         let rng = &mut self.chance;
         let posts = self.asker.poll(now, &self.terms.leases, &mut || rng.f64());
         self.post(posts);
@@ -192,7 +193,7 @@
 
     /// When it wants to be woken next, at the latest. Acts, quota slots and what the front tells are looked at at each wake
     /// and are not counted here, so whoever drives it wakes it now and then besides.
-    pub fn due(&self) -> Option<Duration> {
+    pub fn next_timeout(&self) -> Option<Duration> {
         let due = [
             self.asker.next_timeout(&self.terms.leases),
             self.proposer.next_timeout(&self.terms.leases),
@@ -209,18 +210,18 @@
     }
 
     /// What is to be told to whoever is acted upon.
-    pub fn take_acts(&mut self) -> Vec<Datagram> {
+    pub fn take_actions(&mut self) -> Vec<Datagram> {
         std::mem::take(&mut self.acts_told)
     }
 
     /// What this front is to know, in order.
-    pub fn take_words(&mut self) -> Vec<ControlUpdate> {
+    pub fn take_control_updates(&mut self) -> Vec<ControlUpdate> {
         std::mem::take(&mut self.words)
     }
 
     /// What was acted upon has seen a higher number, and refuses this front's: it asks for one above that.
-    pub fn refused(&mut self, now: Duration, refusal: &TokenRejection) {
-        let TokenRejection { task, seen } = refusal;
+    pub fn handle_token_rejection(&mut self, now: Duration, refusal: &TokenRejection) {
+        let TokenRejection { task, highest_token: seen } = refusal;
         self.asker.observe_token(task, *seen);
         if self.asker.active_lease(now, task).is_some_and(|lease| lease.fencing_token < *seen) {
             tracing::warn!(task, seen, "fleet: a higher number has been seen; asks anew");
@@ -242,7 +243,7 @@
     }
 
     /// Under which number it may act on a task now; none if it does not hold it.
-    pub fn may_act(&self, now: Duration, task: &str) -> Option<u64> {
+    pub fn fencing_token(&self, now: Duration, task: &str) -> Option<u64> {
         self.asker.active_lease(now, task).map(|lease| lease.fencing_token)
     }
 
@@ -252,14 +253,14 @@
     }
 
     /// How many other fronts its failure detector sees.
-    pub fn members(&self) -> usize {
+    pub fn member_count(&self) -> usize {
         self.detector.members().count()
     }
 
     fn turn_seats(&mut self, now: Duration) {
         let Some(mut seats) = self.seats.take() else { return };
         let posts = seats.poll(now, &self.terms.leases, &mut self.asker);
-        let held = quota_share(seats.held(now, &self.asker).len(), self.terms.seats);
+        let held = quota_share(seats.held(now, &self.asker).len(), self.terms.quota_slots);
         self.seats = Some(seats);
         self.post(posts);
         if held != self.quota {
@@ -337,15 +338,20 @@
 
 /// A voter's part in registers; none for who does not vote.
 fn keeper_of(terms: &FleetConfig, birth: &StartParameters, disk: Option<&StateFolder>) -> Option<Acceptor> {
-    let place = terms.place.filter(|_| terms.votes)?;
+    let place = terms.voter_index.filter(|_| terms.is_voter)?;
     let voters = terms.voters.len();
     // A folder that has never held a vote belongs to a voter that has never voted, or has lost it.
     let kept = disk.and_then(StateFolder::registers);
     Some(match kept {
-        Some(kept) => Acceptor::restored(voters, place, birth.life, kept),
-        None => {
-            Acceptor::without_memory(Duration::ZERO, &terms.leases, voters, place, birth.life, birth.date_ms)
-        }
+        Some(kept) => Acceptor::restored(voters, place, birth.incarnation, kept),
+        None => Acceptor::without_memory(
+            Duration::ZERO,
+            &terms.leases,
+            voters,
+            place,
+            birth.incarnation,
+            birth.unix_time_ms,
+        ),
     })
 }
 
@@ -353,9 +359,9 @@
 fn member_of(terms: &FleetConfig, birth: &StartParameters) -> detector::Member {
     detector::Member {
         name: terms.name.clone(),
-        address: terms.known_as.unwrap_or(birth.address),
-        incarnation: birth.life,
-        zone: terms.location,
+        address: terms.advertised_address.unwrap_or(birth.address),
+        incarnation: birth.incarnation,
+        zone: terms.zone,
         refutations: 0,
     }
 }
--- a/crates/edges/fleet/src/node/settle.rs
+++ b/crates/edges/fleet/src/node/settle.rs
@@ -89,7 +89,7 @@
                 count_machines(&sites, works, seen);
             }
         }
-        let number = self.may_act(now, ZONE_PLAN_REGISTER);
+        let number = self.fencing_token(now, ZONE_PLAN_REGISTER);
         if !self.proposer.is_busy(ZONE_PLAN_REGISTER)
             && let Some(change) = sites.wants(now, number)
         {
@@ -113,7 +113,7 @@
                 self.send_to_voters(&Body::DrainConfirmations(told.let_go));
             }
         }
-        let number = self.may_act(now, works::NAME);
+        let number = self.fencing_token(now, works::NAME);
         // Guards against a round that takes the place of one under way, whose unknown end would be taken for its own: a
         // coordinator that lost its lease and got it back would begin over and over.
         let busy = (0..MAX_REQUESTS as u8).any(|work| self.proposer.is_busy(&works::register(work)));
--- a/crates/edges/fleet/src/node/show.rs
+++ b/crates/edges/fleet/src/node/show.rs
@@ -17,7 +17,7 @@
     /// The page that is asked for, if this front has it.
     pub(super) fn show(&self, now: Duration, asked: Body) -> Option<Body> {
         match asked {
-            Body::ShowMaintenance { number } => self.works.as_ref().map(|works| works.show(number)),
+            Body::ShowMaintenance { request: number } => self.works.as_ref().map(|works| works.show(number)),
             Body::ShowPlan { without } => self.sites.as_ref().and_then(|sites| sites.show(&without)),
             Body::ShowLeases { after } => self.voter.as_ref().map(|voter| show_leases(voter, now, &after)),
             Body::ShowMembers { after } => Some(self.show_members(&after)),
@@ -32,22 +32,22 @@
         self.detector.members().map(|member| MemberRow {
             name: member.name.clone(),
             address: member.address,
-            location: member.zone,
-            born: member.incarnation,
+            zone: member.zone,
+            incarnation: member.incarnation,
         })
     }
 
     fn show_members(&self, after: &(String, u64)) -> Body {
         let mut rows: Vec<MemberRow> =
-            self.member_rows().filter(|row| (&row.name, row.born) > (&after.0, after.1)).collect();
-        rows.sort_by(|a, b| (&a.name, a.born).cmp(&(&b.name, b.born)));
+            self.member_rows().filter(|row| (&row.name, row.incarnation) > (&after.0, after.1)).collect();
+        rows.sort_by(|a, b| (&a.name, a.incarnation).cmp(&(&b.name, b.incarnation)));
         let more = rows.len() > MAX_ROWS;
         rows.truncate(MAX_ROWS);
         Body::Members { rows, more }
     }
 
     /// How much it holds of the fleet.
-    pub fn census(&self, now: Duration) -> ClusterStats {
+    pub fn stats(&self, now: Duration) -> ClusterStats {
         let (members, member_bytes) = tally(self.member_rows().map(|row| encoded_bytes(&row)));
         let (lives, life_bytes) = tally(self.wire.lives().map(|life| life.name.len() + LIFE_FIXED));
         let held = self.asker.tasks().filter(|task| self.asker.active_lease(now, task).is_some());
@@ -63,7 +63,7 @@
         ClusterStats {
             members,
             members_lost: self.members_lost,
-            lives,
+            incarnations: lives,
             leases_held,
             leases_granted,
             registers: accepted + followed,
@@ -77,14 +77,14 @@
     let mut rows: Vec<LeaseRow> = later
         .map(|(task, held)| LeaseRow {
             task: task.clone(),
-            who: held.holder.clone(),
-            number: held.fencing_token,
-            left: held.until.saturating_sub(now),
+            holder: held.holder.clone(),
+            fencing_token: held.fencing_token,
+            remaining: held.until.saturating_sub(now),
         })
         .collect();
     let more = rows.len() > MAX_ROWS;
     rows.truncate(MAX_ROWS);
-    Body::Leases { mute: voter.is_silent(now), rows, more }
+    Body::Leases { is_silent: voter.is_silent(now), rows, more }
 }
 
 fn show_registers(keeper: &Acceptor, now: Duration, after: &str) -> Body {
@@ -92,14 +92,19 @@
     let mut rows: Vec<RegisterRow> = later
         .map(|(name, entry)| RegisterRow {
             name: name.clone(),
-            stamp: entry.version,
-            number: entry.fencing_token,
-            long: entry.value.len() as u32,
+            version: entry.version,
+            fencing_token: entry.fencing_token,
+            value_bytes: entry.value.len() as u32,
         })
         .collect();
     let more = rows.len() > MAX_ROWS;
     rows.truncate(MAX_ROWS);
-    Body::Registers { votes: keeper.state(now) == AcceptorState::Voting, era: keeper.epoch(), rows, more }
+    Body::Registers {
+        is_voting: keeper.state(now) == AcceptorState::Voting,
+        epoch: keeper.epoch(),
+        rows,
+        more,
+    }
 }
 
 /// How many there are, and the sum of their bytes.
--- a/crates/edges/fleet/src/run.rs
+++ b/crates/edges/fleet/src/run.rs
@@ -24,18 +24,18 @@
 
 pub struct FleetHandle {
     /// What this front is to know, in order; where it is slow to listen, only the latest of each kind counts.
-    pub words: Receiver<ControlUpdate>,
+    pub control_updates: Receiver<ControlUpdate>,
     pub address: SocketAddr,
-    pub counts: Arc<TrafficCounters>,
-    census: Arc<Mutex<ClusterStats>>,
+    pub counters: Arc<TrafficCounters>,
+    stats: Arc<Mutex<ClusterStats>>,
     ending: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl FleetHandle {
     /// What this front held a second ago at most.
-    pub fn census(&self) -> ClusterStats {
-        *self.census.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn stats(&self) -> ClusterStats {
+        *self.stats.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -72,9 +72,14 @@
     let census = Arc::new(Mutex::new(ClusterStats::default()));
     let ending = Arc::new(AtomicBool::new(false));
     let (words, told) = async_channel::bounded(WORDS);
-    let disk = terms.folder.as_deref().map(StateFolder::open).transpose()?;
+    let disk = terms.state_folder.as_deref().map(StateFolder::open).transpose()?;
     let date_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-    let birth = StartParameters { address, life: fastrand::u64(1..), date_ms, seed: fastrand::u64(..) };
+    let birth = StartParameters {
+        address,
+        incarnation: fastrand::u64(1..),
+        unix_time_ms: date_ms,
+        seed: fastrand::u64(..),
+    };
     let mut thread = Thread {
         node: Node::new(terms, birth, disk, counts.clone()),
         socket,
@@ -93,7 +98,14 @@
         }
         thread.end();
     })?;
-    Ok(FleetHandle { words: told, address, counts, census, ending, thread: Some(thread) })
+    Ok(FleetHandle {
+        control_updates: told,
+        address,
+        counters: counts,
+        stats: census,
+        ending,
+        thread: Some(thread),
+    })
 }
 
 /// How fast the clock runs; builds for tests may be told otherwise, to prove what drift does.
@@ -109,14 +121,14 @@
 
     fn round(&mut self) {
         let now = self.now();
-        self.node.wake(now);
+        self.node.poll(now);
         self.hear_refusals();
         self.carry_out();
         if self.next_census <= now {
             self.next_census = now + CENSUS_EVERY;
-            *self.census.lock().unwrap_or_else(PoisonError::into_inner) = self.node.census(now);
+            *self.census.lock().unwrap_or_else(PoisonError::into_inner) = self.node.stats(now);
         }
-        let due = self.node.due().unwrap_or(Duration::MAX).saturating_sub(self.now());
+        let due = self.node.next_timeout().unwrap_or(Duration::MAX).saturating_sub(self.now());
         self.hear(due.min(NAP));
         self.carry_out();
     }
@@ -126,11 +138,11 @@
         let _ = self.socket.set_read_timeout(Some(span.max(SHORTEST_WAIT)));
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         let Ok((long, from)) = self.socket.recv_from(&mut bytes) else { return };
-        self.node.hear(self.now(), from, &bytes[..long]);
+        self.node.handle_datagram(self.now(), from, &bytes[..long]);
         let _ = self.socket.set_nonblocking(true);
         for _ in 0..MOST_AT_ONCE {
             let Ok((long, from)) = self.socket.recv_from(&mut bytes) else { break };
-            self.node.hear(self.now(), from, &bytes[..long]);
+            self.node.handle_datagram(self.now(), from, &bytes[..long]);
         }
         let _ = self.socket.set_nonblocking(false);
     }
@@ -140,7 +152,7 @@
         for _ in 0..MOST_REFUSALS {
             let Ok((long, _)) = self.acts.recv_from(&mut bytes) else { break };
             if let Some(refusal) = TokenRejection::read(&bytes[..long]) {
-                self.node.refused(self.now(), &refusal);
+                self.node.handle_token_rejection(self.now(), &refusal);
             }
         }
     }
@@ -150,13 +162,13 @@
         for Message { datagram: Datagram { to, bytes }, .. } in self.node.take_outgoing() {
             if self.socket.send_to(&bytes, to).is_ok() {
                 add(&self.counts.sent);
-                self.counts.bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+                self.counts.sent_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
             }
         }
-        for Datagram { to, bytes } in self.node.take_acts() {
+        for Datagram { to, bytes } in self.node.take_actions() {
             let _ = self.acts.send_to(&bytes, to);
         }
-        for word in self.node.take_words() {
+        for word in self.node.take_control_updates() {
             // Guards against a front that does not listen: the oldest word gives way.
             let _ = self.words.force_send(word);
         }
--- a/crates/edges/fleet/src/sites.rs
+++ b/crates/edges/fleet/src/sites.rs
@@ -18,10 +18,10 @@
 /// What the operator's file says of zones.
 #[derive(Debug, Clone)]
 pub struct ZoneFailoverSettings {
-    pub terms: FailoverConfig,
-    pub groups: Vec<ClassLoad>,
+    pub config: FailoverConfig,
+    pub classes: Vec<ClassLoad>,
     /// What the front sees, told each period.
-    pub seen: async_channel::Receiver<ZoneObservation>,
+    pub observations: async_channel::Receiver<ZoneObservation>,
 }
 
 pub struct ZoneFailover {
@@ -38,9 +38,9 @@
     /// `votes`: it keeps what others tell, and may hold the lease.
     pub fn new(told: &ZoneFailoverSettings, location: u32, life: u64, votes: bool) -> ZoneFailover {
         ZoneFailover {
-            terms: told.terms,
-            seen: told.seen.clone(),
-            holder: votes.then(|| Coordinator::new(life, told.groups.clone())),
+            terms: told.config,
+            seen: told.observations.clone(),
+            holder: votes.then(|| Coordinator::new(life, told.classes.clone())),
             follow: PlanFollower::new(Duration::ZERO, location, life),
             own: LocalView::default(),
             effect: None,
@@ -139,24 +139,24 @@
         let thousandths = |part: f64| (part * 1000.0).round().clamp(0.0, 65535.0) as u16;
         let sites = shown.zones.iter().map(|zone| ZoneRow {
             state: zone.plan.state,
-            open: zone.plan.open_permille,
-            finding: zone.health.to_string(),
+            open_permille: zone.plan.open_permille,
+            health: zone.health.to_string(),
             cores: zone.evidence.cores,
-            part: thousandths(zone.evidence.answering_share),
-            filled: thousandths(zone.utilization),
+            answering_permille: thousandths(zone.evidence.answering_share),
+            filled_permille: thousandths(zone.utilization),
         });
         let groups = shown.classes.iter().enumerate().map(|(at, group)| ClassRow {
-            rate: group.rate as f32,
-            work: group.work as f32,
-            served: thousandths(shown.allocation.served_shares[at]),
-            nowhere: shown.allocation.unplaceable_shares[at] > 0.0,
+            requests_per_second: group.rate as f32,
+            work_seconds: group.work as f32,
+            served_permille: thousandths(shown.allocation.served_shares[at]),
+            is_unplaceable: shown.allocation.unplaceable_shares[at] > 0.0,
         });
         let refused_first = shown.allocation.shed_order.iter().map(|group| *group as u8);
         Some(Body::PlanShown {
-            epoch: self.follow.version().map(|version| (version.epoch, version.counter)),
-            sites: sites.collect(),
-            groups: groups.collect(),
-            refused_first: refused_first.collect(),
+            version: self.follow.version().map(|version| (version.epoch, version.counter)),
+            zones: sites.collect(),
+            classes: groups.collect(),
+            shed_order: refused_first.collect(),
         })
     }
 }
--- a/crates/edges/fleet/src/wire.rs
+++ b/crates/edges/fleet/src/wire.rs
@@ -16,17 +16,17 @@
 /// What was dropped, and what went well; for the log and for managers.
 #[derive(Debug, Default)]
 pub struct TrafficCounters {
-    pub heard: AtomicU64,
-    pub heard_bytes: AtomicU64,
+    pub received: AtomicU64,
+    pub received_bytes: AtomicU64,
     pub sent: AtomicU64,
     /// Bytes that were sent.
-    pub bytes: AtomicU64,
-    pub foreign: AtomicU64,
+    pub sent_bytes: AtomicU64,
+    pub unauthenticated: AtomicU64,
     pub malformed: AtomicU64,
     /// Heard before, too old to tell, or made void by what overtook it.
-    pub repeated: AtomicU64,
-    pub other_terms: AtomicU64,
-    pub too_many: AtomicU64,
+    pub replayed: AtomicU64,
+    pub other_config: AtomicU64,
+    pub rate_limited: AtomicU64,
 }
 
 pub(crate) fn add(count: &AtomicU64) {
@@ -52,16 +52,16 @@
     /// stamps of its own and may come in any order. But a lease asked for before it was released would be granted to
     /// nobody, and an older report would take the place of a newer one.
     fn accept(&mut self, frame: &Frame) -> bool {
-        if !self.numbers.accept(frame.seq) {
+        if !self.numbers.accept(frame.sequence) {
             return false;
         }
         match &frame.body {
             Body::LeaseRequest(LeaseRequest::Release { .. }) => {
-                self.last_release = self.last_release.max(frame.seq)
+                self.last_release = self.last_release.max(frame.sequence)
             }
-            Body::LeaseRequest(_) => return frame.seq > self.last_release,
-            Body::FrontReport(_) if frame.seq < self.last_report => return false,
-            Body::FrontReport(_) => self.last_report = frame.seq,
+            Body::LeaseRequest(_) => return frame.sequence > self.last_release,
+            Body::FrontReport(_) if frame.sequence < self.last_report => return false,
+            Body::FrontReport(_) => self.last_report = frame.sequence,
             _ => {}
         }
         true
@@ -100,7 +100,12 @@
     /// The datagram that says this; none if it is too long.
     pub(crate) fn seal(&mut self, body: Body) -> Option<Vec<u8>> {
         self.seq += 1;
-        let frame = Frame { from: self.me.clone(), seq: self.seq, terms: self.config_fingerprint, body };
+        let frame = Frame {
+            from: self.me.clone(),
+            sequence: self.seq,
+            config_fingerprint: self.config_fingerprint,
+            body,
+        };
         frame.seal(&self.key)
     }
 
@@ -122,26 +127,30 @@
         }
         self.second.1 += 1;
         if self.second.1 > MOST_A_SECOND {
-            add(&counts.too_many);
+            add(&counts.rate_limited);
             return None;
         }
         let frame = match Frame::open(bytes, &self.key) {
             Ok(frame) => frame,
             Err(unfit) => {
-                add(if unfit == OpenError::Foreign { &counts.foreign } else { &counts.malformed });
+                add(if unfit == OpenError::Unauthenticated {
+                    &counts.unauthenticated
+                } else {
+                    &counts.malformed
+                });
                 return None;
             }
         };
-        if frame.terms != self.config_fingerprint {
-            add(&counts.other_terms);
+        if frame.config_fingerprint != self.config_fingerprint {
+            add(&counts.other_config);
             return None;
         }
         if !self.remember(&frame, from, now) {
-            add(&counts.repeated);
+            add(&counts.replayed);
             return None;
         }
-        add(&counts.heard);
-        counts.heard_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+        add(&counts.received);
+        counts.received_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         Some(frame)
     }
 
--- a/crates/edges/fleet/src/works.rs
+++ b/crates/edges/fleet/src/works.rs
@@ -24,9 +24,9 @@
 /// What the operator's file says of works.
 #[derive(Debug, Clone)]
 pub struct MaintenanceSettings {
-    pub terms: MaintenanceConfig,
+    pub config: MaintenanceConfig,
     /// Who is told of each machine that is released.
-    pub tell: Option<SocketAddr>,
+    pub notify: Option<SocketAddr>,
 }
 
 pub struct Maintenance {
@@ -67,8 +67,8 @@
 impl Maintenance {
     pub fn new(told: &MaintenanceSettings, votes: bool) -> Maintenance {
         Maintenance {
-            terms: told.terms.clone(),
-            tell: told.tell,
+            terms: told.config.clone(),
+            tell: told.notify,
             crew: Participant::default(),
             foreman: votes.then(MaintenanceCoordinator::default),
             said: None,
@@ -200,10 +200,11 @@
             _ => None,
         });
         Body::MaintenanceShown {
-            number,
-            work: known.map(|known| ((known.version.epoch, known.version.counter), known.request.to_bytes())),
-            foreman: self.foreman.as_ref().is_some_and(MaintenanceCoordinator::is_active),
-            why: why.map(|why| why.chars().take(160).collect()),
+            request: number,
+            stored: known
+                .map(|known| ((known.version.epoch, known.version.counter), known.request.to_bytes())),
+            is_coordinator: self.foreman.as_ref().is_some_and(MaintenanceCoordinator::is_active),
+            blocked_reason: why.map(|why| why.chars().take(160).collect()),
         }
     }
 }
--- a/crates/edges/fleet/tests/limits.rs
+++ b/crates/edges/fleet/tests/limits.rs
@@ -37,17 +37,17 @@
         key: FleetKey::new(b"a key of a test"),
         leases,
         voters: voters.to_vec(),
-        votes: true,
-        place: Some(place),
-        known_as: None,
-        location: 0,
-        folder: None,
+        is_voter: true,
+        voter_index: Some(place),
+        advertised_address: None,
+        zone: 0,
+        state_folder: None,
         tasks: Vec::new(),
-        seats: 0,
-        wants: 0,
-        number: 0,
-        sites: None,
-        works: None,
+        quota_slots: 0,
+        wanted_slots: 0,
+        first_slot: 0,
+        zone_failover: None,
+        maintenance: None,
     }
 }
 
@@ -69,7 +69,7 @@
     fn say(&mut self, body: Body, to: SocketAddr) {
         self.seq += 1;
         let from = Incarnation { name: "speaker".to_owned(), id: 5 };
-        let frame = Frame { from, seq: self.seq, terms: self.config_fingerprint, body };
+        let frame = Frame { from, sequence: self.seq, config_fingerprint: self.config_fingerprint, body };
         let sealed = frame.seal(&FleetKey::new(b"a key of a test")).expect("too long for a datagram");
         self.socket.send_to(&sealed, to).unwrap();
     }
@@ -145,7 +145,7 @@
         let (rows, more) = speaker.members(after.clone(), voter);
         seen.extend(rows.iter().map(|row| row.name.clone()));
         let Some(last) = rows.last().filter(|_| more) else { break };
-        after = (last.name.clone(), last.born);
+        after = (last.name.clone(), last.incarnation);
     }
     // Those that never answer are missed one after the other, some of them while the pages are read.
     assert!(seen.len() > 1000, "{} of 1025", seen.len());
@@ -157,7 +157,7 @@
     let voter = voters[0].address;
     let votes = |speaker: &mut Speaker| {
         speaker.say(Body::ShowRegisters { after: String::new() }, voter);
-        matches!(speaker.hear(), Some(Body::Registers { votes: true, .. })) || {
+        matches!(speaker.hear(), Some(Body::Registers { is_voting: true, .. })) || {
             std::thread::sleep(LEASE / 10);
             false
         }
--- a/crates/edges/fleet/tests/nodes.rs
+++ b/crates/edges/fleet/tests/nodes.rs
@@ -51,17 +51,21 @@
         key: key(),
         leases,
         voters: (0..VOTERS).map(address).collect(),
-        votes,
-        place: votes.then_some(place),
-        known_as: None,
-        location: 0,
-        folder: None,
+        is_voter: votes,
+        voter_index: votes.then_some(place),
+        advertised_address: None,
+        zone: 0,
+        state_folder: None,
         tasks: Vec::new(),
-        seats: 0,
-        wants: 0,
-        number: place as u32,
-        sites: Some(ZoneFailoverSettings { terms: zone_terms, groups: Vec::new(), seen }),
-        works: Some(MaintenanceSettings { terms: maintenance, tell: None }),
+        quota_slots: 0,
+        wanted_slots: 0,
+        first_slot: place as u32,
+        zone_failover: Some(ZoneFailoverSettings {
+            config: zone_terms,
+            classes: Vec::new(),
+            observations: seen,
+        }),
+        maintenance: Some(MaintenanceSettings { config: maintenance, notify: None }),
     }
 }
 
@@ -74,7 +78,7 @@
 }
 
 fn node_of(place: usize, life: u64) -> Node {
-    let birth = StartParameters { address: address(place), life, date_ms: 1, seed: life };
+    let birth = StartParameters { address: address(place), incarnation: life, unix_time_ms: 1, seed: life };
     Node::new(terms(place), birth, None, Arc::new(TrafficCounters::default()))
 }
 
@@ -114,11 +118,11 @@
         for (from, datagram) in std::mem::take(&mut self.under_way).into_iter().rev() {
             let to = (0..self.nodes.len()).find(|place| address(*place) == datagram.to);
             if let Some(place) = to {
-                self.nodes[place].hear(self.now - self.born[place], from, &datagram.bytes);
+                self.nodes[place].handle_datagram(self.now - self.born[place], from, &datagram.bytes);
             }
         }
         for (place, node) in self.nodes.iter_mut().enumerate() {
-            node.wake(self.now - self.born[place]);
+            node.poll(self.now - self.born[place]);
             for Message { kind, datagram } in node.take_outgoing() {
                 *self.sent.entry((place, kind)).or_default() += 1;
                 self.under_way.push((address(place), datagram));
@@ -160,7 +164,7 @@
             entry,
         }),
     );
-    (0..VOTERS).for_each(|place| fleet.nodes[place].hear(fleet.now, address(9), &bytes));
+    (0..VOTERS).for_each(|place| fleet.nodes[place].handle_datagram(fleet.now, address(9), &bytes));
     fleet.restart(0, 100);
     fleet.restart(2, 102);
     fleet.run_for(SETTLED * 2);
@@ -168,14 +172,14 @@
     fleet.born.push(fleet.now);
     fleet.run_for(SETTLED);
     // All else that it holds is less.
-    let known = fleet.nodes[VOTERS].census(SETTLED).bytes;
+    let known = fleet.nodes[VOTERS].stats(SETTLED).bytes;
     assert!(known > LONG, "{known} bytes known");
 }
 
 /// One that speaks to a voter under the fleet's key, with numbers of its choice.
 fn said(seq: u64, body: Body) -> Vec<u8> {
     let from = Incarnation { name: "speaker".to_owned(), id: 5 };
-    Frame { from, seq, terms: config_fingerprint(&terms(0)), body }
+    Frame { from, sequence: seq, config_fingerprint: config_fingerprint(&terms(0)), body }
         .seal(&key())
         .expect("too long for a datagram")
 }
@@ -204,10 +208,10 @@
 fn replies(messages: &[Vec<u8>]) -> Vec<LeaseReply> {
     let mut voter = node(0);
     let now = SETTLED;
-    voter.wake(now);
+    voter.poll(now);
     voter.take_outgoing();
     let speaker = address(9);
-    messages.iter().for_each(|bytes| voter.hear(now, speaker, bytes));
+    messages.iter().for_each(|bytes| voter.handle_datagram(now, speaker, bytes));
     let sent = voter.take_outgoing().into_iter().filter(|message| message.datagram.to == speaker);
     let bodies = sent.filter_map(|message| Frame::open(&message.datagram.bytes, &key()).ok());
     let replies = bodies.filter_map(|frame| match frame.body {
--- a/crates/edges/fleet/tests/wire_compatibility.rs
+++ b/crates/edges/fleet/tests/wire_compatibility.rs
@@ -188,44 +188,60 @@
     ];
     let zone = |state| ZoneRow {
         state,
-        open: 501,
-        finding: "CutOff".to_owned(),
+        open_permille: 501,
+        health: "CutOff".to_owned(),
         cores: 70_001,
-        part: 502,
-        filled: 503,
+        answering_permille: 502,
+        filled_permille: 503,
     };
     Body::PlanShown {
-        epoch: Some((1_000_001, 200)),
-        sites: states.into_iter().map(zone).collect(),
-        groups: vec![ClassRow { rate: 1.5, work: 2.5, served: 504, nowhere: true }],
-        refused_first: vec![2, 0, 1],
+        version: Some((1_000_001, 200)),
+        zones: states.into_iter().map(zone).collect(),
+        classes: vec![ClassRow {
+            requests_per_second: 1.5,
+            work_seconds: 2.5,
+            served_permille: 504,
+            is_unplaceable: true,
+        }],
+        shed_order: vec![2, 0, 1],
     }
 }
 
 fn operator_bodies() -> Vec<(&'static str, Body)> {
     let address: SocketAddr = "[2001:db8::1]:65535".parse().expect("an address");
-    let member = MemberRow { name: "front 8".to_owned(), address, location: 301, born: 0xabcd_ef01 };
-    let register =
-        RegisterRow { name: "sites".to_owned(), stamp: entry().version, number: 70_000, long: 859 };
-    let lease =
-        LeaseRow { task: "account".to_owned(), who: other(), number: 1005, left: Duration::new(1, 999) };
+    let member = MemberRow { name: "front 8".to_owned(), address, zone: 301, incarnation: 0xabcd_ef01 };
+    let register = RegisterRow {
+        name: "sites".to_owned(),
+        version: entry().version,
+        fencing_token: 70_000,
+        value_bytes: 859,
+    };
+    let lease = LeaseRow {
+        task: "account".to_owned(),
+        holder: other(),
+        fencing_token: 1005,
+        remaining: Duration::new(1, 999),
+    };
     let shown = Body::MaintenanceShown {
-        number: 4,
-        work: Some(((1_000_001, 200), vec![1, 2, 3])),
-        foreman: true,
-        why: Some("0a000007: a reason".to_owned()),
+        request: 4,
+        stored: Some(((1_000_001, 200), vec![1, 2, 3])),
+        is_coordinator: true,
+        blocked_reason: Some("0a000007: a reason".to_owned()),
     };
     vec![
         ("show plan", Body::ShowPlan { without: vec![1, 300] }),
         ("plan shown", plan_shown()),
-        ("show maintenance", Body::ShowMaintenance { number: 4 }),
+        ("show maintenance", Body::ShowMaintenance { request: 4 }),
         ("maintenance shown", shown),
         ("show members", Body::ShowMembers { after: ("front 6".to_owned(), 299) }),
         ("members", Body::Members { rows: vec![member], more: true }),
         ("show registers", Body::ShowRegisters { after: "a".to_owned() }),
-        ("registers", Body::Registers { votes: true, era: 1_000_001, rows: vec![register], more: false }),
+        (
+            "registers",
+            Body::Registers { is_voting: true, epoch: 1_000_001, rows: vec![register], more: false },
+        ),
         ("show leases", Body::ShowLeases { after: "b".to_owned() }),
-        ("leases", Body::Leases { mute: false, rows: vec![lease], more: true }),
+        ("leases", Body::Leases { is_silent: false, rows: vec![lease], more: true }),
         ("hand over", Body::HandOver { task: "account".to_owned() }),
     ]
 }
@@ -235,7 +251,11 @@
     let bodies =
         [lease_bodies(), register_requests(), register_replies(), report_bodies(), operator_bodies()];
     let numbered = bodies.into_iter().flatten().zip(1000..);
-    numbered.map(|((name, body), seq)| (name, Frame { from: front(), seq, terms: TERMS, body })).collect()
+    numbered
+        .map(|((name, body), seq)| {
+            (name, Frame { from: front(), sequence: seq, config_fingerprint: TERMS, body })
+        })
+        .collect()
 }
 
 fn registers() -> PersistentState {
@@ -327,11 +347,11 @@
         std::fs::copy(fixture(file), folder.join(file)).unwrap();
     }
     let disk = StateFolder::open(&folder).unwrap();
-    assert_eq!((disk.number(), disk.registers()), (70_000 + 1000, Some(registers())));
+    assert_eq!((disk.token_floor(), disk.registers()), (70_000 + 1000, Some(registers())));
     std::fs::remove_dir_all(&folder).unwrap();
     let mut disk = StateFolder::open(&folder).unwrap();
-    disk.keep_number(70_000).unwrap();
-    disk.keep_registers(registers()).unwrap();
+    disk.store_token(70_000).unwrap();
+    disk.store_registers(registers()).unwrap();
     for file in ["fleet-number", "fleet-registers"] {
         assert_eq!(
             std::fs::read(folder.join(file)).unwrap(),
--- a/crates/tools/scale/src/fleet/hollow.rs
+++ b/crates/tools/scale/src/fleet/hollow.rs
@@ -52,7 +52,12 @@
         let date_ms = DATE_MS + now.as_millis() as u64;
         let counts = Arc::new(TrafficCounters::default());
         let from = thread_time();
-        let node = Node::new(terms, StartParameters { address, life, date_ms, seed }, None, counts.clone());
+        let node = Node::new(
+            terms,
+            StartParameters { address, incarnation: life, unix_time_ms: date_ms, seed },
+            None,
+            counts.clone(),
+        );
         Hollow {
             node,
             address,
@@ -82,14 +87,14 @@
     /// Hears a datagram, and does what is due then, as a front's thread does.
     pub fn hear(&mut self, now: Duration, from: SocketAddr, bytes: &[u8]) -> Vec<Message> {
         let (local, began) = (self.local(now), thread_time());
-        self.node.hear(local, from, bytes);
-        self.node.wake(local);
+        self.node.handle_datagram(local, from, bytes);
+        self.node.poll(local);
         self.sent(began)
     }
 
     pub fn wake(&mut self, now: Duration) -> Vec<Message> {
         let (local, began) = (self.local(now), thread_time());
-        self.node.wake(local);
+        self.node.poll(local);
         self.sent(began)
     }
 
@@ -102,7 +107,7 @@
 
     fn sent(&mut self, began: Duration) -> Vec<Message> {
         let sent = self.node.take_outgoing();
-        drop((self.node.take_words(), self.node.take_acts()));
+        drop((self.node.take_control_updates(), self.node.take_actions()));
         self.processor += thread_time().saturating_sub(began);
         for message in &sent {
             self.traffic.count_sent(message.kind, message.datagram.bytes.len());
@@ -119,12 +124,12 @@
 
     /// When it wants to be woken, on the rig's clock.
     pub fn due(&self, now: Duration) -> Duration {
-        let due = self.node.due().unwrap_or(Duration::MAX).saturating_sub(self.local(now));
+        let due = self.node.next_timeout().unwrap_or(Duration::MAX).saturating_sub(self.local(now));
         now + due.clamp(SHORTEST_WAIT, NAP)
     }
 
     pub fn census(&self, now: Duration) -> ClusterStats {
-        self.node.census(self.local(now))
+        self.node.stats(self.local(now))
     }
 
     pub fn leases_held(&self, now: Duration) -> usize {
@@ -132,10 +137,10 @@
     }
 
     pub fn members(&self) -> usize {
-        self.node.members()
+        self.node.member_count()
     }
 
     pub fn may_act(&self, now: Duration, task: &str) -> bool {
-        self.node.may_act(self.local(now), task).is_some()
+        self.node.fencing_token(self.local(now), task).is_some()
     }
 }
--- a/crates/tools/scale/src/fleet/setup.rs
+++ b/crates/tools/scale/src/fleet/setup.rs
@@ -78,17 +78,17 @@
             key: key(),
             leases: self.leases,
             voters,
-            votes,
-            place: votes.then_some(front),
-            known_as: None,
-            location,
-            folder: None,
+            is_voter: votes,
+            voter_index: votes.then_some(front),
+            advertised_address: None,
+            zone: location,
+            state_folder: None,
             tasks: if self.task { vec![task()] } else { Vec::new() },
-            seats: if self.seats { self.fronts as u32 } else { 0 },
-            wants: 1,
-            number: front as u32,
-            sites: (self.registers != Registers::None).then(|| sites(seen)),
-            works: (self.registers == Registers::ZonesAndWorks).then(|| self.works()),
+            quota_slots: if self.seats { self.fronts as u32 } else { 0 },
+            wanted_slots: 1,
+            first_slot: front as u32,
+            zone_failover: (self.registers != Registers::None).then(|| sites(seen)),
+            maintenance: (self.registers == Registers::ZonesAndWorks).then(|| self.works()),
         }
     }
 
@@ -100,7 +100,7 @@
             demand_margin: 0.1,
             probation: Duration::from_secs(10),
         };
-        MaintenanceSettings { terms, tell: None }
+        MaintenanceSettings { config: terms, notify: None }
     }
 }
 
@@ -115,7 +115,13 @@
 
 fn task() -> TaskConfig {
     let every = Duration::from_secs(1);
-    TaskConfig { name: TASK.to_owned(), tell: None, every, takes: Duration::from_millis(100), fenced: true }
+    TaskConfig {
+        name: TASK.to_owned(),
+        notify: None,
+        interval: every,
+        action_time: Duration::from_millis(100),
+        fenced: true,
+    }
 }
 
 fn sites(seen: Receiver<ZoneObservation>) -> ZoneFailoverSettings {
@@ -128,7 +134,7 @@
         floor: zone_terms().admission_floor,
         allowed_zones: None,
     };
-    ZoneFailoverSettings { terms: zone_terms(), groups: vec![group; SERVICE_GROUPS], seen }
+    ZoneFailoverSettings { config: zone_terms(), classes: vec![group; SERVICE_GROUPS], observations: seen }
 }
 
 /// The defaults of an operator's file.
--- a/crates/tools/scale/src/fleet/side_by_side.rs
+++ b/crates/tools/scale/src/fleet/side_by_side.rs
@@ -107,15 +107,15 @@
 }
 
 fn real_account(real: &lemonusher_fleet::FleetHandle) -> Account {
-    let counts: &TrafficCounters = &real.counts;
+    let counts: &TrafficCounters = &real.counters;
     let flow = |messages: &std::sync::atomic::AtomicU64, bytes: &std::sync::atomic::AtomicU64| Flow {
         messages: messages.load(Ordering::Relaxed),
         bytes: bytes.load(Ordering::Relaxed),
     };
     Account {
-        sent: flow(&counts.sent, &counts.bytes),
-        heard: flow(&counts.heard, &counts.heard_bytes),
-        state_bytes: real.census().bytes,
+        sent: flow(&counts.sent, &counts.sent_bytes),
+        heard: flow(&counts.received, &counts.received_bytes),
+        state_bytes: real.stats().bytes,
         processor: thread_time_of(THREAD),
     }
 }
