--- a/crates/core/leases/src/message.rs
+++ b/crates/core/leases/src/message.rs
@@ -14,7 +14,8 @@
 pub struct Incarnation {
     /// The front's name.
     pub name: String,
-    /// Drawn at random at each start.
+    /// Drawn at random at each start; `born` in what commands print.
+    #[serde(rename = "born")]
     pub id: u64,
 }
 
--- a/crates/core/registers/src/message.rs
+++ b/crates/core/registers/src/message.rs
@@ -7,12 +7,14 @@
 /// A register's name, such as `sites`; at most [`MAX_NAME_BYTES`](lemonusher_leases::MAX_NAME_BYTES) bytes.
 pub type Name = String;
 
-/// Which of a register's values is the newer.
+/// Which of a register's values is the newer. Commands print it under the earlier names, which stand beside the fields.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct EntryVersion {
     /// Grows whenever a majority of the voters has lost its memory, and values may have gone back.
+    #[serde(rename = "era")]
     pub epoch: u64,
     /// Counts up by one with each value of an epoch.
+    #[serde(rename = "version")]
     pub counter: u64,
 }
 
--- a/crates/edges/fleet/src/frame.rs
+++ b/crates/edges/fleet/src/frame.rs
@@ -40,9 +40,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRow {
     pub task: String,
+    #[serde(rename = "who")]
     pub holder: Incarnation,
+    #[serde(rename = "number")]
     pub fencing_token: u64,
     /// How much longer the voter counts it as held.
+    #[serde(rename = "left")]
     pub remaining: Duration,
 }
 
@@ -51,7 +54,9 @@
 pub struct MemberRow {
     pub name: String,
     pub address: SocketAddr,
+    #[serde(rename = "location")]
     pub zone: u32,
+    #[serde(rename = "born")]
     pub incarnation: u64,
 }
 
@@ -59,9 +64,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegisterRow {
     pub name: String,
+    #[serde(rename = "stamp")]
     pub version: registers::EntryVersion,
+    #[serde(rename = "number")]
     pub fencing_token: u64,
     /// The value's bytes.
+    #[serde(rename = "long")]
     pub value_bytes: u32,
 }
 
--- a/crates/edges/fleet/tests/wire_compatibility.rs
+++ b/crates/edges/fleet/tests/wire_compatibility.rs
@@ -369,6 +369,27 @@
     assert_eq!(&encode_overrides(&overrides()), stored);
 }
 
+/// The lines of what commands print of a body as JSON.
+fn shown(body: &Body) -> Option<String> {
+    let json = match body {
+        Body::Members { rows, .. } => serde_json::to_string(rows),
+        Body::Registers { rows, .. } => serde_json::to_string(rows),
+        Body::Leases { rows, .. } => serde_json::to_string(rows),
+        Body::PlanShown { zones, .. } => {
+            serde_json::to_string(&zones.iter().map(|zone| zone.state).collect::<Vec<_>>())
+        }
+        _ => return None,
+    };
+    json.ok()
+}
+
+#[test]
+fn rows_are_printed_as_json_as_the_earlier_version_printed_them() {
+    let shown =
+        frames().into_iter().filter_map(|(name, frame)| Some(format!("{name}: {}\n", shown(&frame.body)?)));
+    assert_eq!(shown.collect::<String>(), std::fs::read_to_string(fixture("shown.txt")).unwrap());
+}
+
 #[test]
 fn the_failure_detector_sends_what_the_earlier_version_sent() {
     let stored: Vec<Vec<u8>> = lines("detector.txt").into_values().collect();
