--- a/crates/edges/fleet/src/wire.rs
+++ b/crates/edges/fleet/src/channel.rs
@@ -10,8 +10,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-const MOST_LIVES: usize = 4096; // Fronts' incarnations that are remembered.
-const MOST_A_SECOND: u32 = 20_000; // Datagrams that are looked at; the rest are dropped unread.
+const MAX_SENDERS: usize = 4096; // Fronts' incarnations that are remembered.
+const MAX_DATAGRAMS_PER_SECOND: u32 = 20_000; // Datagrams that are looked at; the rest are dropped unread.
 
 /// What was dropped, and what went well; for the log and for managers.
 #[derive(Debug, Default)]
@@ -35,24 +35,24 @@
 
 /// What is known of the incarnation that a datagram came from.
 struct Sender {
-    numbers: ReplayWindow,
+    window: ReplayWindow,
     /// The number of the last message of each stream that others of it must not follow.
     last_release: u64,
     last_report: u64,
     address: SocketAddr,
-    at: Duration,
+    last_received: Duration,
 }
 
 impl Sender {
-    fn new(address: SocketAddr, at: Duration) -> Sender {
-        Sender { numbers: ReplayWindow::default(), last_release: 0, last_report: 0, address, at }
+    fn new(address: SocketAddr, last_received: Duration) -> Sender {
+        Sender { window: ReplayWindow::default(), last_release: 0, last_report: 0, address, last_received }
     }
 
     /// Whether a message is new and not made void by one that overtook it. What is asked or replied carries ballots and
     /// stamps of its own and may come in any order. But a lease asked for before it was released would be granted to
     /// nobody, and an older report would take the place of a newer one.
     fn accept(&mut self, frame: &Frame) -> bool {
-        if !self.numbers.accept(frame.sequence) {
+        if !self.window.accept(frame.sequence) {
             return false;
         }
         match &frame.body {
@@ -70,39 +70,39 @@
 
 pub(crate) struct AuthenticatedChannel {
     key: FleetKey,
-    me: Incarnation,
+    incarnation: Incarnation,
     config_fingerprint: u64,
-    seq: u64,
-    counts: Arc<TrafficCounters>,
-    lives: BTreeMap<Incarnation, Sender>,
+    sequence: u64,
+    counters: Arc<TrafficCounters>,
+    senders: BTreeMap<Incarnation, Sender>,
     /// The second that is under way, and the datagrams that were looked at in it.
-    second: (u64, u32),
+    current_second: (u64, u32),
 }
 
 impl AuthenticatedChannel {
     pub(crate) fn new(
         key: FleetKey,
-        me: Incarnation,
+        incarnation: Incarnation,
         config_fingerprint: u64,
-        counts: Arc<TrafficCounters>,
+        counters: Arc<TrafficCounters>,
     ) -> AuthenticatedChannel {
         AuthenticatedChannel {
             key,
-            me,
+            incarnation,
             config_fingerprint,
-            seq: 0,
-            counts,
-            lives: BTreeMap::new(),
-            second: (0, 0),
+            sequence: 0,
+            counters,
+            senders: BTreeMap::new(),
+            current_second: (0, 0),
         }
     }
 
     /// The datagram that says this; none if it is too long.
     pub(crate) fn seal(&mut self, body: Body) -> Option<Vec<u8>> {
-        self.seq += 1;
+        self.sequence += 1;
         let frame = Frame {
-            from: self.me.clone(),
-            sequence: self.seq,
+            from: self.incarnation.clone(),
+            sequence: self.sequence,
             config_fingerprint: self.config_fingerprint,
             body,
         };
@@ -110,61 +110,65 @@
     }
 
     /// Where an incarnation was last heard from.
-    pub(crate) fn address_of(&self, life: &Incarnation) -> Option<SocketAddr> {
-        self.lives.get(life).map(|heard| heard.address)
+    pub(crate) fn address_of(&self, incarnation: &Incarnation) -> Option<SocketAddr> {
+        self.senders.get(incarnation).map(|sender| sender.address)
     }
 
     /// Lives that are remembered.
-    pub(crate) fn lives(&self) -> impl Iterator<Item = &Incarnation> {
-        self.lives.keys()
+    pub(crate) fn senders(&self) -> impl Iterator<Item = &Incarnation> {
+        self.senders.keys()
     }
 
     /// What a datagram says, if it is one to listen to.
     pub(crate) fn open(&mut self, now: Duration, bytes: &[u8], from: SocketAddr) -> Option<Frame> {
-        let counts = self.counts.clone();
-        if self.second.0 != now.as_secs() {
-            self.second = (now.as_secs(), 0);
+        let counters = self.counters.clone();
+        if self.current_second.0 != now.as_secs() {
+            self.current_second = (now.as_secs(), 0);
         }
-        self.second.1 += 1;
-        if self.second.1 > MOST_A_SECOND {
-            add(&counts.rate_limited);
+        self.current_second.1 += 1;
+        if self.current_second.1 > MAX_DATAGRAMS_PER_SECOND {
+            add(&counters.rate_limited);
             return None;
         }
         let frame = match Frame::open(bytes, &self.key) {
             Ok(frame) => frame,
-            Err(unfit) => {
-                add(if unfit == OpenError::Unauthenticated {
-                    &counts.unauthenticated
+            Err(error) => {
+                add(if error == OpenError::Unauthenticated {
+                    &counters.unauthenticated
                 } else {
-                    &counts.malformed
+                    &counters.malformed
                 });
                 return None;
             }
         };
         if frame.config_fingerprint != self.config_fingerprint {
-            add(&counts.other_config);
+            add(&counters.other_config);
             return None;
         }
         if !self.remember(&frame, from, now) {
-            add(&counts.replayed);
+            add(&counters.replayed);
             return None;
         }
-        add(&counts.received);
-        counts.received_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+        add(&counters.received);
+        counters.received_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         Some(frame)
     }
 
     /// Notes that an incarnation was heard from; false if the message is to be dropped, as if it had been lost.
     fn remember(&mut self, frame: &Frame, from: SocketAddr, now: Duration) -> bool {
-        if self.lives.len() >= MOST_LIVES && !self.lives.contains_key(&frame.from) {
-            let oldest = self.lives.iter().min_by_key(|(_, heard)| heard.at).map(|(life, _)| life.clone());
-            oldest.and_then(|life| self.lives.remove(&life));
+        if self.senders.len() >= MAX_SENDERS && !self.senders.contains_key(&frame.from) {
+            let oldest = self
+                .senders
+                .iter()
+                .min_by_key(|(_, sender)| sender.last_received)
+                .map(|(incarnation, _)| incarnation.clone());
+            oldest.and_then(|incarnation| self.senders.remove(&incarnation));
         }
-        let heard = self.lives.entry(frame.from.clone()).or_insert_with(|| Sender::new(from, now));
-        if !heard.accept(frame) {
+        let sender = self.senders.entry(frame.from.clone()).or_insert_with(|| Sender::new(from, now));
+        if !sender.accept(frame) {
             return false;
         }
-        (heard.address, heard.at) = (from, now);
+        (sender.address, sender.last_received) = (from, now);
         true
     }
 }
--- a/crates/edges/fleet/src/frame.rs
+++ b/crates/edges/fleet/src/frame.rs
@@ -10,7 +10,7 @@
 
 /// A datagram's bytes at most.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-const TAG: usize = 16;
+const TAG_BYTES: usize = 16;
 /// Rows that fit a datagram.
 pub const MAX_ROWS: usize = 8;
 
@@ -29,9 +29,9 @@
         FleetKey(blake3::derive_key("lemonusher 2026-12 talk between fronts", secret))
     }
 
-    fn tag(&self, bytes: &[u8]) -> [u8; TAG] {
-        let mut tag = [0; TAG];
-        tag.copy_from_slice(&blake3::keyed_hash(&self.0, bytes).as_bytes()[..TAG]);
+    fn tag(&self, bytes: &[u8]) -> [u8; TAG_BYTES] {
+        let mut tag = [0; TAG_BYTES];
+        tag.copy_from_slice(&blake3::keyed_hash(&self.0, bytes).as_bytes()[..TAG_BYTES]);
         tag
     }
 }
@@ -213,22 +213,22 @@
     pub fn open(bytes: &[u8], key: &FleetKey) -> Result<Frame, OpenError> {
         let at = bytes
             .len()
-            .checked_sub(TAG)
+            .checked_sub(TAG_BYTES)
             .filter(|_| bytes.len() <= MAX_DATAGRAM_BYTES)
             .ok_or(OpenError::Unauthenticated)?;
-        let (said, tag) = bytes.split_at(at);
+        let (payload, tag) = bytes.split_at(at);
         // The comparison of two hashes takes as long wherever they differ.
-        if blake3::Hash::from_bytes(wide(&key.tag(said))) != blake3::Hash::from_bytes(wide(tag)) {
+        if blake3::Hash::from_bytes(padded(&key.tag(payload))) != blake3::Hash::from_bytes(padded(tag)) {
             return Err(OpenError::Unauthenticated);
         }
-        postcard::from_bytes(said).map_err(|_| OpenError::Malformed)
+        postcard::from_bytes(payload).map_err(|_| OpenError::Malformed)
     }
 }
 
-fn wide(tag: &[u8]) -> [u8; 32] {
-    let mut wide = [0; 32];
-    wide[..TAG].copy_from_slice(&tag[..TAG]);
-    wide
+fn padded(tag: &[u8]) -> [u8; 32] {
+    let mut padded = [0; 32];
+    padded[..TAG_BYTES].copy_from_slice(&tag[..TAG_BYTES]);
+    padded
 }
 
 #[cfg(test)]
--- a/crates/edges/fleet/src/lib.rs
+++ b/crates/edges/fleet/src/lib.rs
@@ -2,29 +2,31 @@
 //! thread that drives it. It decides nothing: who may hold and act what is settled in `lemonusher-leases`, what is agreed on in
 //! `lemonusher-registers`, who is there in `lemonusher-failure-detector`.
 
-mod acts;
-mod disk;
+mod actions;
+mod channel;
 mod frame;
+mod maintenance;
 mod node;
 mod replay_window;
-mod run;
-mod sites;
-mod wire;
-mod works;
+mod state_folder;
+mod thread;
+mod zone_failover;
 
-pub use acts::TokenRejection;
-pub use disk::StateFolder;
+pub use actions::TokenRejection;
+pub use channel::TrafficCounters;
 pub use frame::{
     Body, ClassRow, FleetKey, Frame, LeaseRow, MemberRow, MessageKind, OpenError, RegisterRow, ZoneRow,
 };
+pub use maintenance::{
+    LEASE as MAINTENANCE_LEASE, MaintenanceSettings, register_name as maintenance_register,
+};
 pub use node::{ClusterStats, Datagram, Message, Node, StartParameters};
 pub use replay_window::ReplayWindow;
-pub use run::{FleetHandle, start};
-pub use sites::{
+pub use state_folder::StateFolder;
+pub use thread::{FleetHandle, start};
+pub use zone_failover::{
     NAME as ZONE_PLAN_REGISTER, OVERRIDES_REGISTER, ZoneFailoverSettings, decode_overrides, encode_overrides,
 };
-pub use wire::TrafficCounters;
-pub use works::{MaintenanceSettings, NAME as MAINTENANCE_LEASE, register as maintenance_register};
 
 use lemonusher_leases::LeaseConfig;
 use std::net::SocketAddr;
--- a/crates/edges/fleet/src/node/mod.rs
+++ b/crates/edges/fleet/src/node/mod.rs
@@ -2,17 +2,17 @@
 //! it. It opens no socket and reads no clock: time is a span since this incarnation began, chance comes from a seed. A thread
 //! drives one with a socket ([`crate::start`]); hundreds can be driven in virtual time.
 
-mod hear;
-mod settle;
+mod handle;
+mod proposals;
 mod show;
 
 use crate::FleetConfig;
-use crate::acts::{FencedActions, TokenRejection};
-use crate::disk::StateFolder;
+use crate::actions::{FencedActions, TokenRejection};
+use crate::channel::{AuthenticatedChannel, TrafficCounters};
 use crate::frame::{Body, MessageKind};
-use crate::sites::{self, ZoneFailover};
-use crate::wire::{AuthenticatedChannel, TrafficCounters};
-use crate::works::{self, Maintenance};
+use crate::maintenance::{self, Maintenance};
+use crate::state_folder::StateFolder;
+use crate::zone_failover::{self, ZoneFailover};
 use lemonusher_failure_detector as detector;
 use lemonusher_leases::{
     Incarnation, LeaseChange, LeaseClient, MAX_TASKS, OutboundMessage, QuotaSlots, Voter, quota_share,
@@ -24,8 +24,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const DETECTOR_PART: u32 = 6; // The failure detector's period is this part of a lease.
-const FOLLOW_PART: u32 = 4; // Registers are asked about once in this part of a lease.
+const PROBE_INTERVAL_DIVISOR: u32 = 6; // The failure detector's period is this part of a lease.
+const REGISTER_POLL_DIVISOR: u32 = 4; // Registers are asked about once in this part of a lease.
 
 /// Bytes for an address.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -73,75 +73,80 @@
 }
 
 pub struct Node {
-    terms: FleetConfig,
-    wire: AuthenticatedChannel,
+    config: FleetConfig,
+    channel: AuthenticatedChannel,
     chance: fastrand::Rng,
-    disk: Option<StateFolder>,
+    state_folder: Option<StateFolder>,
     voter: Option<Voter>,
-    asker: LeaseClient,
-    seats: Option<QuotaSlots>,
+    lease_client: LeaseClient,
+    quota_slots: Option<QuotaSlots>,
     quota: f64,
-    keeper: Option<Acceptor>,
-    stood: Option<AcceptorState>,
+    acceptor: Option<Acceptor>,
+    acceptor_state: Option<AcceptorState>,
     proposer: Proposer,
     /// The register that it proposes anew since nobody has in a new epoch.
     reproposed: Option<registers::Name>,
-    follower: Learner,
+    learner: Learner,
     detector: detector::FailureDetector,
-    acts: FencedActions,
-    sites: Option<ZoneFailover>,
-    works: Option<Maintenance>,
+    actions: FencedActions,
+    zone_failover: Option<ZoneFailover>,
+    maintenance: Option<Maintenance>,
     members_lost: u64,
     outgoing: Vec<Message>,
-    acts_told: Vec<Datagram>,
-    words: Vec<ControlUpdate>,
+    outgoing_actions: Vec<Datagram>,
+    control_updates: Vec<ControlUpdate>,
 }
 
 impl Node {
     pub fn new(
-        terms: FleetConfig,
-        birth: StartParameters,
-        disk: Option<StateFolder>,
-        counts: Arc<TrafficCounters>,
+        config: FleetConfig,
+        start: StartParameters,
+        state_folder: Option<StateFolder>,
+        counters: Arc<TrafficCounters>,
     ) -> Node {
         // Guards against numbers that fall where no voter remembers them: they begin above what an earlier incarnation can
         // have reached, by the folder, or else by the date. Should the date go back, what is acted upon tells what it
         // has seen.
-        let floor = disk.as_ref().map_or(birth.unix_time_ms, StateFolder::token_floor);
-        let me = Incarnation { name: terms.name.clone(), id: birth.incarnation };
-        let voters = terms.voters.len();
-        let period = detector::DetectorConfig { probe_interval: terms.leases.duration / DETECTOR_PART };
+        let floor = state_folder.as_ref().map_or(start.unix_time_ms, StateFolder::token_floor);
+        let incarnation = Incarnation { name: config.name.clone(), id: start.incarnation };
+        let voters = config.voters.len();
+        let detector_config =
+            detector::DetectorConfig { probe_interval: config.leases.duration / PROBE_INTERVAL_DIVISOR };
         let mut node = Node {
-            wire: AuthenticatedChannel::new(
-                terms.key.clone(),
-                me.clone(),
-                crate::config_fingerprint(&terms),
-                counts,
+            channel: AuthenticatedChannel::new(
+                config.key.clone(),
+                incarnation.clone(),
+                crate::config_fingerprint(&config),
+                counters,
             ),
-            chance: fastrand::Rng::with_seed(birth.seed),
-            voter: terms.is_voter.then(|| Voter::new(Duration::ZERO, &terms.leases, floor)),
-            asker: LeaseClient::new(me.clone(), voters),
-            seats: (terms.quota_slots > 0)
-                .then(|| QuotaSlots::new(terms.quota_slots, terms.wanted_slots, terms.first_slot)),
+            chance: fastrand::Rng::with_seed(start.seed),
+            voter: config.is_voter.then(|| Voter::new(Duration::ZERO, &config.leases, floor)),
+            lease_client: LeaseClient::new(incarnation.clone(), voters),
+            quota_slots: (config.quota_slots > 0)
+                .then(|| QuotaSlots::new(config.quota_slots, config.wanted_slots, config.first_slot)),
             quota: 0.0,
-            keeper: keeper_of(&terms, &birth, disk.as_ref()),
-            stood: None,
-            proposer: Proposer::new(me.clone(), voters),
+            acceptor: new_acceptor(&config, &start, state_folder.as_ref()),
+            acceptor_state: None,
+            proposer: Proposer::new(incarnation.clone(), voters),
             reproposed: None,
-            follower: Learner::new(voters, terms.leases.duration / FOLLOW_PART),
-            detector: detector::FailureDetector::new(member_of(&terms, &birth), period, birth.incarnation),
-            acts: FencedActions::new(&terms.tasks),
-            sites: terms
+            learner: Learner::new(voters, config.leases.duration / REGISTER_POLL_DIVISOR),
+            detector: detector::FailureDetector::new(
+                local_member(&config, &start),
+                detector_config,
+                start.incarnation,
+            ),
+            actions: FencedActions::new(&config.tasks),
+            zone_failover: config
                 .zone_failover
                 .as_ref()
-                .map(|told| ZoneFailover::new(told, terms.zone, me.id, terms.is_voter)),
-            works: terms.maintenance.as_ref().map(|told| Maintenance::new(told, terms.is_voter)),
-            disk,
+                .map(|report| ZoneFailover::new(report, config.zone, incarnation.id, config.is_voter)),
+            maintenance: config.maintenance.as_ref().map(|report| Maintenance::new(report, config.is_voter)),
+            state_folder,
             members_lost: 0,
             outgoing: Vec::new(),
-            acts_told: Vec::new(),
-            words: Vec::new(),
-            terms,
+            outgoing_actions: Vec::new(),
+            control_updates: Vec::new(),
+            config,
         };
         node.begin();
         node
@@ -149,27 +154,27 @@
 
     /// Asks for what the terms say that it is to hold and follow.
     fn begin(&mut self) {
-        if self.seats.is_some() {
-            self.say(ControlUpdate::Quota(0.0));
+        if self.quota_slots.is_some() {
+            self.update_front(ControlUpdate::Quota(0.0));
         }
-        for task in &self.terms.tasks {
-            self.asker.acquire(Duration::ZERO, &task.name, task.fenced);
+        for task in &self.config.tasks {
+            self.lease_client.acquire(Duration::ZERO, &task.name, task.fenced);
         }
-        if self.sites.is_some() {
-            self.follower.watch(sites::NAME);
-            self.follower.watch(sites::OVERRIDES_REGISTER);
+        if self.zone_failover.is_some() {
+            self.learner.watch(zone_failover::NAME);
+            self.learner.watch(zone_failover::OVERRIDES_REGISTER);
             // A register refuses what was written under an older number, so nothing need be waited out.
-            if self.terms.is_voter {
-                self.asker.acquire(Duration::ZERO, sites::NAME, true);
+            if self.config.is_voter {
+                self.lease_client.acquire(Duration::ZERO, zone_failover::NAME, true);
             }
         }
-        if self.works.is_some() {
-            (0..MAX_REQUESTS as u8).for_each(|work| self.follower.watch(&works::register(work)));
-            if self.terms.is_voter {
-                self.asker.acquire(Duration::ZERO, works::NAME, true);
+        if self.maintenance.is_some() {
+            (0..MAX_REQUESTS as u8).for_each(|work| self.learner.watch(&maintenance::register_name(work)));
+            if self.config.is_voter {
+                self.lease_client.acquire(Duration::ZERO, maintenance::LEASE, true);
             }
         }
-        for voter in &self.terms.voters {
+        for voter in &self.config.voters {
             self.detector.add_seed(Duration::ZERO, *voter);
         }
         self.send_detector();
@@ -177,17 +182,17 @@
 
     /// Does what is due.
     pub fn poll(&mut self, now: Duration) {
-        let rng = &mut self.chance;
-        let posts = self.asker.poll(now, &self.terms.leases, &mut || rng.f64());
-        self.post(posts);
-        self.turn_seats(now);
-        self.turn_registers(now);
-        self.turn_sites(now);
-        self.turn_works(now);
+        let random = &mut self.chance;
+        let messages = self.lease_client.poll(now, &self.config.leases, &mut || random.f64());
+        self.send_lease_requests(messages);
+        self.poll_quota_slots(now);
+        self.poll_registers(now);
+        self.poll_zone_failover(now);
+        self.poll_maintenance(now);
         self.detector.poll(now);
-        let told = self.acts.turn(now, &self.asker);
-        self.acts_told.extend(told);
-        self.tell_changes();
+        let report = self.actions.poll(now, &self.lease_client);
+        self.outgoing_actions.extend(report);
+        self.report_changes();
         self.send_detector();
     }
 
@@ -195,11 +200,11 @@
     /// and are not counted here, so whoever drives it wakes it now and then besides.
     pub fn next_timeout(&self) -> Option<Duration> {
         let due = [
-            self.asker.next_timeout(&self.terms.leases),
-            self.proposer.next_timeout(&self.terms.leases),
-            self.follower.next_timeout(),
+            self.lease_client.next_timeout(&self.config.leases),
+            self.proposer.next_timeout(&self.config.leases),
+            self.learner.next_timeout(),
             self.detector.next_timeout(),
-            self.keeper.as_ref().and_then(Acceptor::next_timeout),
+            self.acceptor.as_ref().and_then(Acceptor::next_timeout),
         ];
         due.into_iter().flatten().min()
     }
@@ -211,45 +216,45 @@
 
     /// What is to be told to whoever is acted upon.
     pub fn take_actions(&mut self) -> Vec<Datagram> {
-        std::mem::take(&mut self.acts_told)
+        std::mem::take(&mut self.outgoing_actions)
     }
 
     /// What this front is to know, in order.
     pub fn take_control_updates(&mut self) -> Vec<ControlUpdate> {
-        std::mem::take(&mut self.words)
+        std::mem::take(&mut self.control_updates)
     }
 
     /// What was acted upon has seen a higher number, and refuses this front's: it asks for one above that.
-    pub fn handle_token_rejection(&mut self, now: Duration, refusal: &TokenRejection) {
-        let TokenRejection { task, highest_token: seen } = refusal;
-        self.asker.observe_token(task, *seen);
-        if self.asker.active_lease(now, task).is_some_and(|lease| lease.fencing_token < *seen) {
+    pub fn handle_token_rejection(&mut self, now: Duration, rejection: &TokenRejection) {
+        let TokenRejection { task, highest_token: seen } = rejection;
+        self.lease_client.observe_token(task, *seen);
+        if self.lease_client.active_lease(now, task).is_some_and(|lease| lease.fencing_token < *seen) {
             tracing::warn!(task, seen, "fleet: a higher number has been seen; asks anew");
-            let posts = self.asker.release(now, &self.terms.leases, task, true);
-            self.post(posts);
+            let messages = self.lease_client.release(now, &self.config.leases, task, true);
+            self.send_lease_requests(messages);
         }
     }
 
     /// Lets go of all that it holds, and says that it leaves.
     pub fn leave(&mut self, now: Duration) {
-        let tasks: Vec<String> = self.asker.tasks().cloned().collect();
+        let tasks: Vec<String> = self.lease_client.tasks().cloned().collect();
         for task in tasks {
-            let posts = self.asker.release(now, &self.terms.leases, &task, false);
-            self.post(posts);
+            let messages = self.lease_client.release(now, &self.config.leases, &task, false);
+            self.send_lease_requests(messages);
         }
         self.detector.leave(now);
         self.send_detector();
-        self.tell_changes();
+        self.report_changes();
     }
 
     /// Under which number it may act on a task now; none if it does not hold it.
     pub fn fencing_token(&self, now: Duration, task: &str) -> Option<u64> {
-        self.asker.active_lease(now, task).map(|lease| lease.fencing_token)
+        self.lease_client.active_lease(now, task).map(|lease| lease.fencing_token)
     }
 
     /// How many leases it holds and may act under.
     pub fn leases_held(&self, now: Duration) -> usize {
-        self.asker.tasks().filter(|task| self.asker.active_lease(now, task).is_some()).count()
+        self.lease_client.tasks().filter(|task| self.lease_client.active_lease(now, task).is_some()).count()
     }
 
     /// How many other fronts its failure detector sees.
@@ -257,31 +262,31 @@
         self.detector.members().count()
     }
 
-    fn turn_seats(&mut self, now: Duration) {
-        let Some(mut seats) = self.seats.take() else { return };
-        let posts = seats.poll(now, &self.terms.leases, &mut self.asker);
-        let held = quota_share(seats.held(now, &self.asker).len(), self.terms.quota_slots);
-        self.seats = Some(seats);
-        self.post(posts);
+    fn poll_quota_slots(&mut self, now: Duration) {
+        let Some(mut quota_slots) = self.quota_slots.take() else { return };
+        let messages = quota_slots.poll(now, &self.config.leases, &mut self.lease_client);
+        let held = quota_share(quota_slots.held(now, &self.lease_client).len(), self.config.quota_slots);
+        self.quota_slots = Some(quota_slots);
+        self.send_lease_requests(messages);
         if held != self.quota {
             self.quota = held;
-            self.say(ControlUpdate::Quota(held));
+            self.update_front(ControlUpdate::Quota(held));
         }
     }
 
-    fn say(&mut self, word: ControlUpdate) {
-        self.words.push(word);
+    fn update_front(&mut self, update: ControlUpdate) {
+        self.control_updates.push(update);
     }
 
     fn send(&mut self, body: Body, to: SocketAddr) {
         let kind = body.kind();
-        if let Some(bytes) = self.wire.seal(body) {
+        if let Some(bytes) = self.channel.seal(body) {
             self.outgoing.push(Message { kind, datagram: Datagram { to, bytes } });
         }
     }
 
     fn send_to_voters(&mut self, body: &Body) {
-        for voter in self.terms.voters.clone() {
+        for voter in self.config.voters.clone() {
             self.send(body.clone(), voter);
         }
     }
@@ -292,16 +297,16 @@
         }
     }
 
-    fn post(&mut self, posts: Vec<OutboundMessage>) {
-        for OutboundMessage { voter, request: ask } in posts {
-            if let Some(address) = self.terms.voters.get(voter).copied() {
-                self.send(Body::LeaseRequest(ask), address);
+    fn send_lease_requests(&mut self, messages: Vec<OutboundMessage>) {
+        for OutboundMessage { voter, request } in messages {
+            if let Some(address) = self.config.voters.get(voter).copied() {
+                self.send(Body::LeaseRequest(request), address);
             }
         }
     }
 
-    fn tell_changes(&mut self) {
-        for change in self.asker.take_changes() {
+    fn report_changes(&mut self) {
+        for change in self.lease_client.take_changes() {
             match change {
                 LeaseChange::Acquired { task, fencing_token: number } => {
                     tracing::info!(task, number, "fleet: holds a task")
@@ -332,36 +337,40 @@
                 }
             }
         }
-        debug_assert!(self.asker.tasks().count() <= MAX_TASKS);
+        debug_assert!(self.lease_client.tasks().count() <= MAX_TASKS);
     }
 }
 
 /// A voter's part in registers; none for who does not vote.
-fn keeper_of(terms: &FleetConfig, birth: &StartParameters, disk: Option<&StateFolder>) -> Option<Acceptor> {
-    let place = terms.voter_index.filter(|_| terms.is_voter)?;
-    let voters = terms.voters.len();
+fn new_acceptor(
+    config: &FleetConfig,
+    start: &StartParameters,
+    state_folder: Option<&StateFolder>,
+) -> Option<Acceptor> {
+    let index = config.voter_index.filter(|_| config.is_voter)?;
+    let voters = config.voters.len();
     // A folder that has never held a vote belongs to a voter that has never voted, or has lost it.
-    let kept = disk.and_then(StateFolder::registers);
-    Some(match kept {
-        Some(kept) => Acceptor::restored(voters, place, birth.incarnation, kept),
+    let stored = state_folder.and_then(StateFolder::registers);
+    Some(match stored {
+        Some(stored) => Acceptor::restored(voters, index, start.incarnation, stored),
         None => Acceptor::without_memory(
             Duration::ZERO,
-            &terms.leases,
+            &config.leases,
             voters,
-            place,
-            birth.incarnation,
-            birth.unix_time_ms,
+            index,
+            start.incarnation,
+            start.unix_time_ms,
         ),
     })
 }
 
 /// How this front is known to the failure detector.
-fn member_of(terms: &FleetConfig, birth: &StartParameters) -> detector::Member {
+fn local_member(config: &FleetConfig, start: &StartParameters) -> detector::Member {
     detector::Member {
-        name: terms.name.clone(),
-        address: terms.advertised_address.unwrap_or(birth.address),
-        incarnation: birth.incarnation,
-        zone: terms.zone,
+        name: config.name.clone(),
+        address: config.advertised_address.unwrap_or(start.address),
+        incarnation: start.incarnation,
+        zone: config.zone,
         refutations: 0,
     }
 }
--- a/crates/edges/fleet/src/node/show.rs
+++ b/crates/edges/fleet/src/node/show.rs
@@ -7,22 +7,26 @@
 use std::time::Duration;
 
 /// Bytes of a lease's times and numbers beside its names.
-const LEASE_FIXED: usize = 40;
+const LEASE_OVERHEAD_BYTES: usize = 40;
 /// Bytes of a register's stamp and number beside its name and value.
-const REGISTER_FIXED: usize = 24;
+const REGISTER_OVERHEAD_BYTES: usize = 24;
 /// Bytes that are remembered of an incarnation beside its name: its number, its last datagram's, its address and time.
-const LIFE_FIXED: usize = 46;
+const INCARNATION_OVERHEAD_BYTES: usize = 46;
 
 impl Node {
     /// The page that is asked for, if this front has it.
     pub(super) fn show(&self, now: Duration, asked: Body) -> Option<Body> {
         match asked {
-            Body::ShowMaintenance { request: number } => self.works.as_ref().map(|works| works.show(number)),
-            Body::ShowPlan { without } => self.sites.as_ref().and_then(|sites| sites.show(&without)),
+            Body::ShowMaintenance { request: number } => {
+                self.maintenance.as_ref().map(|maintenance| maintenance.show(number))
+            }
+            Body::ShowPlan { without } => {
+                self.zone_failover.as_ref().and_then(|zone_failover| zone_failover.show(&without))
+            }
             Body::ShowLeases { after } => self.voter.as_ref().map(|voter| show_leases(voter, now, &after)),
             Body::ShowMembers { after } => Some(self.show_members(&after)),
             Body::ShowRegisters { after } => {
-                self.keeper.as_ref().map(|keeper| show_registers(keeper, now, &after))
+                self.acceptor.as_ref().map(|acceptor| show_registers(acceptor, now, &after))
             }
             _ => None,
         }
@@ -49,25 +53,33 @@
     /// How much it holds of the fleet.
     pub fn stats(&self, now: Duration) -> ClusterStats {
         let (members, member_bytes) = tally(self.member_rows().map(|row| encoded_bytes(&row)));
-        let (lives, life_bytes) = tally(self.wire.lives().map(|life| life.name.len() + LIFE_FIXED));
-        let held = self.asker.tasks().filter(|task| self.asker.active_lease(now, task).is_some());
-        let (leases_held, held_bytes) = tally(held.map(|task| task.len() + LEASE_FIXED));
+        let (incarnations, incarnation_bytes) = tally(
+            self.channel.senders().map(|incarnation| incarnation.name.len() + INCARNATION_OVERHEAD_BYTES),
+        );
+        let grant =
+            self.lease_client.tasks().filter(|task| self.lease_client.active_lease(now, task).is_some());
+        let (leases_held, held_bytes) = tally(grant.map(|task| task.len() + LEASE_OVERHEAD_BYTES));
         let granted = self.voter.iter().flat_map(|voter| voter.grants(now));
         let (leases_granted, granted_bytes) =
-            tally(granted.map(|(task, held)| task.len() + held.holder.name.len() + LEASE_FIXED));
-        let register = |name: &str, entry: &Entry| name.len() + entry.value.len() + REGISTER_FIXED;
-        let accepted = self.keeper.iter().flat_map(Acceptor::accepted);
+            tally(granted.map(|(task, grant)| task.len() + grant.holder.name.len() + LEASE_OVERHEAD_BYTES));
+        let register = |name: &str, entry: &Entry| name.len() + entry.value.len() + REGISTER_OVERHEAD_BYTES;
+        let accepted = self.acceptor.iter().flat_map(Acceptor::accepted);
         let (accepted, accepted_bytes) = tally(accepted.map(|(name, entry)| register(name, entry)));
-        let (followed, followed_bytes) =
-            tally(self.follower.all_committed().map(|(name, entry)| register(name, entry)));
+        let (watched, watched_bytes) =
+            tally(self.learner.all_committed().map(|(name, entry)| register(name, entry)));
         ClusterStats {
             members,
             members_lost: self.members_lost,
-            incarnations: lives,
+            incarnations,
             leases_held,
             leases_granted,
-            registers: accepted + followed,
-            bytes: member_bytes + life_bytes + held_bytes + granted_bytes + accepted_bytes + followed_bytes,
+            registers: accepted + watched,
+            bytes: member_bytes
+                + incarnation_bytes
+                + held_bytes
+                + granted_bytes
+                + accepted_bytes
+                + watched_bytes,
         }
     }
 }
@@ -75,11 +87,11 @@
 fn show_leases(voter: &Voter, now: Duration, after: &str) -> Body {
     let later = voter.grants(now).filter(|(task, _)| task.as_str() > after).take(MAX_ROWS + 1);
     let mut rows: Vec<LeaseRow> = later
-        .map(|(task, held)| LeaseRow {
+        .map(|(task, grant)| LeaseRow {
             task: task.clone(),
-            holder: held.holder.clone(),
-            fencing_token: held.fencing_token,
-            remaining: held.until.saturating_sub(now),
+            holder: grant.holder.clone(),
+            fencing_token: grant.fencing_token,
+            remaining: grant.until.saturating_sub(now),
         })
         .collect();
     let more = rows.len() > MAX_ROWS;
@@ -87,8 +99,8 @@
     Body::Leases { is_silent: voter.is_silent(now), rows, more }
 }
 
-fn show_registers(keeper: &Acceptor, now: Duration, after: &str) -> Body {
-    let later = keeper.accepted().filter(|(name, _)| name.as_str() > after).take(MAX_ROWS + 1);
+fn show_registers(acceptor: &Acceptor, now: Duration, after: &str) -> Body {
+    let later = acceptor.accepted().filter(|(name, _)| name.as_str() > after).take(MAX_ROWS + 1);
     let mut rows: Vec<RegisterRow> = later
         .map(|(name, entry)| RegisterRow {
             name: name.clone(),
@@ -100,8 +112,8 @@
     let more = rows.len() > MAX_ROWS;
     rows.truncate(MAX_ROWS);
     Body::Registers {
-        is_voting: keeper.state(now) == AcceptorState::Voting,
-        epoch: keeper.epoch(),
+        is_voting: acceptor.state(now) == AcceptorState::Voting,
+        epoch: acceptor.epoch(),
         rows,
         more,
     }
--- a/crates/edges/fleet/src/replay_window.rs
+++ b/crates/edges/fleet/src/replay_window.rs
@@ -9,7 +9,7 @@
 pub struct ReplayWindow {
     highest: u64,
     /// A ring: number `n` is bit `n % 64` of block `n / 64 % 16`.
-    heard: [u64; BLOCKS as usize],
+    seen: [u64; BLOCKS as usize],
 }
 
 impl ReplayWindow {
@@ -26,9 +26,9 @@
             self.advance(number);
         }
         let (block, bit) = (Self::block(number), 1 << (number % BITS));
-        let fresh = self.heard[block] & bit == 0;
-        self.heard[block] |= bit;
-        fresh
+        let is_new = self.seen[block] & bit == 0;
+        self.seen[block] |= bit;
+        is_new
     }
 
     /// Empties the blocks that the window moves over.
@@ -36,7 +36,7 @@
         let blocks = (number / BITS - self.highest / BITS).min(BLOCKS);
         for ahead in 0..blocks {
             let block = Self::block(number - ahead * BITS);
-            self.heard[block] = 0;
+            self.seen[block] = 0;
         }
         self.highest = number;
     }
--- a/crates/edges/fleet/src/disk.rs
+++ b/crates/edges/fleet/src/state_folder.rs
@@ -4,8 +4,8 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-const KEPT_AHEAD: u64 = 1000; // Numbers that the folder is ahead of what is granted.
-const SUM: usize = 32;
+const TOKEN_RESERVE: u64 = 1000; // Numbers that the folder is ahead of what is granted.
+const HASH_BYTES: usize = 32;
 
 pub struct StateFolder {
     folder: PathBuf,
@@ -24,7 +24,7 @@
             Err(error) => return Err(error),
         };
         let registers = match std::fs::read(folder.join("fleet-registers")) {
-            Ok(bytes) => Some(read(&bytes).ok_or_else(|| io::Error::other("'fleet-registers' is spoilt"))?),
+            Ok(bytes) => Some(decode(&bytes).ok_or_else(|| io::Error::other("'fleet-registers' is spoilt"))?),
             Err(error) if error.kind() == io::ErrorKind::NotFound => None,
             Err(error) => return Err(error),
         };
@@ -43,30 +43,30 @@
     /// Numbers up to this may have been granted.
     pub fn store_token(&mut self, number: u64) -> io::Result<()> {
         if number > self.token_floor {
-            put(&self.folder, "fleet-number", (number + KEPT_AHEAD).to_string().as_bytes())?;
-            self.token_floor = number + KEPT_AHEAD;
+            write_atomically(&self.folder, "fleet-number", (number + TOKEN_RESERVE).to_string().as_bytes())?;
+            self.token_floor = number + TOKEN_RESERVE;
         }
         Ok(())
     }
 
-    pub fn store_registers(&mut self, kept: PersistentState) -> io::Result<()> {
-        if self.registers.as_ref() != Some(&kept) {
-            let told = postcard::to_allocvec(&kept).map_err(io::Error::other)?;
-            let mut bytes = blake3::hash(&told).as_bytes().to_vec();
-            bytes.extend(told);
-            put(&self.folder, "fleet-registers", &bytes)?;
-            self.registers = Some(kept);
+    pub fn store_registers(&mut self, state: PersistentState) -> io::Result<()> {
+        if self.registers.as_ref() != Some(&state) {
+            let payload = postcard::to_allocvec(&state).map_err(io::Error::other)?;
+            let mut bytes = blake3::hash(&payload).as_bytes().to_vec();
+            bytes.extend(payload);
+            write_atomically(&self.folder, "fleet-registers", &bytes)?;
+            self.registers = Some(state);
         }
         Ok(())
     }
 }
 
-fn read(bytes: &[u8]) -> Option<PersistentState> {
-    let (sum, told) = bytes.split_at_checked(SUM)?;
-    (blake3::hash(told).as_bytes() == sum).then(|| postcard::from_bytes(told).ok()).flatten()
+fn decode(bytes: &[u8]) -> Option<PersistentState> {
+    let (sum, payload) = bytes.split_at_checked(HASH_BYTES)?;
+    (blake3::hash(payload).as_bytes() == sum).then(|| postcard::from_bytes(payload).ok()).flatten()
 }
 
-fn put(folder: &Path, name: &str, bytes: &[u8]) -> io::Result<()> {
+fn write_atomically(folder: &Path, name: &str, bytes: &[u8]) -> io::Result<()> {
     let file = folder.join(name);
     let new = file.with_extension("new");
     std::fs::write(&new, bytes)?;
@@ -86,10 +86,10 @@
         let mut disk = StateFolder::open(&folder).unwrap();
         assert_eq!((disk.token_floor(), disk.registers()), (0, None));
         disk.store_token(5).unwrap();
-        let kept = PersistentState { epoch: 7, registers: Vec::new() };
-        disk.store_registers(kept.clone()).unwrap();
+        let state = PersistentState { epoch: 7, registers: Vec::new() };
+        disk.store_registers(state.clone()).unwrap();
         let again = StateFolder::open(&folder).unwrap();
-        assert_eq!((again.token_floor(), again.registers()), (5 + KEPT_AHEAD, Some(kept)));
+        assert_eq!((again.token_floor(), again.registers()), (5 + TOKEN_RESERVE, Some(state)));
         std::fs::write(folder.join("fleet-registers"), b"spoilt").unwrap();
         assert!(StateFolder::open(&folder).is_err());
         std::fs::remove_dir_all(&folder).unwrap();
