--- a/crates/edges/cli/src/fleet.rs
+++ b/crates/edges/cli/src/fleet.rs
@@ -134,7 +134,7 @@
     fn members(&mut self, front: SocketAddr) -> Result<Option<Vec<MemberRow>>, Failure> {
         let mut all: Vec<MemberRow> = Vec::new();
         loop {
-            let after = all.last().map(|row| (row.name.clone(), row.incarnation)).unwrap_or_default();
+            let after = all.last().map(MemberRow::cursor).unwrap_or_default();
             match self.ask(front, &Body::ShowMembers { after })? {
                 Some(Body::Members { rows, more }) => {
                     all.extend(rows);
@@ -278,18 +278,16 @@
     let without = without.iter().map(|name| site_of(&names, name)).collect::<Result<Vec<u32>, Failure>>()?;
     let mut operator = Operator::of(path)?;
     for voter in operator.terms.voters.clone() {
-        let Some(Body::PlanShown {
-            version: epoch,
-            zones: sites,
-            classes: groups,
-            shed_order: refused_first,
-        }) = operator.ask(voter, &Body::ShowPlan { without: without.clone() })?
+        let Some(Body::PlanShown { version, zones: sites, classes: groups, shed_order: refused_first }) =
+            operator.ask(voter, &Body::ShowPlan { without: without.clone() })?
         else {
             continue;
         };
         let site = |at: usize| names.zones.get(at).cloned().unwrap_or_else(|| at.to_string());
         let group = |at: usize| names.request_classes.get(at).cloned().unwrap_or_else(|| at.to_string());
         let part = |thousandths: u16| f64::from(thousandths) / 1000.0;
+        // The command prints it as two numbers.
+        let epoch = version.map(|version| (version.epoch, version.counter));
         if json {
             let sites = sites.iter().enumerate().map(|(at, one)| {
                 serde_json::json!({"site": site(at), "state": one.state, "open": part(one.open_permille),
--- a/crates/edges/cli/src/works.rs
+++ b/crates/edges/cli/src/works.rs
@@ -244,8 +244,10 @@
             if foreman {
                 waits = why;
             }
-            let shown =
-                work.and_then(|(stamp, bytes)| Some((stamp, MaintenanceRequest::from_bytes(&bytes)?)));
+            let shown = work.and_then(|stored| {
+                let version = (stored.version.epoch, stored.version.counter);
+                Some((version, MaintenanceRequest::from_bytes(&stored.value)?))
+            });
             if shown.as_ref().map(|(stamp, _)| *stamp) > best.as_ref().map(|(stamp, _)| *stamp) {
                 best = shown;
             }
--- a/crates/edges/fleet/src/actions.rs
+++ b/crates/edges/fleet/src/actions.rs
@@ -1,35 +1,45 @@
-//! Acts: what a holder does with its task, told by datagrams to whoever is acted upon.
+//! Fenced actions: while this front holds a task it begins the task's action at each interval, and notifies the resource of
+//! the begin and end of each by a datagram with the fencing token. An action that would outlast the lease is not begun.
 
 use crate::{Datagram, TaskConfig};
 use lemonusher_leases::LeaseClient;
+use std::net::SocketAddr;
 use std::time::Duration;
 
+/// An action that has begun.
+#[derive(Clone, Copy)]
+struct RunningAction {
+    fencing_token: u64,
+    ends: Duration,
+}
+
 struct Action {
     task: TaskConfig,
+    /// No action begins before.
     next_start: Duration,
-    /// The number under which one is under way, and when it is done.
-    running: Option<(u64, Duration)>,
+    running: Option<RunningAction>,
 }
 
 pub(crate) struct FencedActions {
     actions: Vec<Action>,
 }
 
-/// What was acted upon has seen a higher number of this task, and refuses an older one.
+/// A resource has seen a higher fencing token of this task, and rejects an older one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TokenRejection {
+    /// The task.
     pub task: String,
+    /// The highest token that the resource has seen.
     pub highest_token: u64,
 }
 
 impl TokenRejection {
-    /// None for what is no refusal.
+    /// Reads a resource's datagram, JSON with the keys `task` and `seen`; none for anything else.
     pub fn parse(bytes: &[u8]) -> Option<TokenRejection> {
         let message = serde_json::from_slice::<serde_json::Value>(bytes).ok()?;
-        Some(TokenRejection {
-            task: message["task"].as_str()?.to_owned(),
-            highest_token: message["seen"].as_u64()?,
-        })
+        let task = message["task"].as_str()?.to_owned();
+        let highest_token = message["seen"].as_u64()?;
+        Some(TokenRejection { task, highest_token })
     }
 }
 
@@ -40,34 +50,43 @@
         FencedActions { actions: tasks.iter().map(action).collect() }
     }
 
-    /// Begins acts that are due and may begin, and ends those that are done; what is to be told of them.
+    /// Begins the actions that are due and may begin, and ends those that are done; the notifications of both.
     pub(crate) fn poll(&mut self, now: Duration, lease_client: &LeaseClient) -> Vec<Datagram> {
-        let mut datagrams = Vec::new();
-        for Action { task, next_start, running } in &mut self.actions {
-            let Some(to) = task.notify else { continue };
-            let mut notify = |number: u64, step: &str| {
-                let who = lease_client.incarnation().to_string();
-                let message =
-                    serde_json::json!({"task": task.name, "number": number, "who": who, "step": step});
-                datagrams.push(Datagram { to, bytes: message.to_string().into_bytes() });
-            };
-            if let Some((number, done)) = *running {
-                if done <= now {
-                    notify(number, "end");
-                    *running = None;
-                }
-                continue;
-            }
-            let lease = lease_client.active_lease(now, &task.name);
-            // What can't be done before the lease ends is not begun.
-            if let Some(lease) =
-                lease.filter(|lease| *next_start <= now && now + task.action_time < lease.until)
-            {
-                let number = lease.fencing_token;
-                notify(number, "begin");
-                (*next_start, *running) = (now + task.interval, Some((number, now + task.action_time)));
+        self.actions.iter_mut().filter_map(|action| action.poll(now, lease_client)).collect()
+    }
+}
+
+impl Action {
+    fn poll(&mut self, now: Duration, lease_client: &LeaseClient) -> Option<Datagram> {
+        let to = self.task.notify?;
+        if let Some(running) = self.running {
+            if running.ends > now {
+                return None;
             }
+            self.running = None;
+            return Some(self.notification(to, lease_client, running.fencing_token, "end"));
+        }
+        let lease = lease_client.active_lease(now, &self.task.name)?;
+        let ends = now + self.task.action_time;
+        if self.next_start > now || ends >= lease.until {
+            return None;
         }
-        datagrams
+        let fencing_token = lease.fencing_token;
+        self.next_start = now + self.task.interval;
+        self.running = Some(RunningAction { fencing_token, ends });
+        Some(self.notification(to, lease_client, fencing_token, "begin"))
+    }
+
+    fn notification(
+        &self,
+        to: SocketAddr,
+        lease_client: &LeaseClient,
+        fencing_token: u64,
+        step: &str,
+    ) -> Datagram {
+        let who = lease_client.incarnation().to_string();
+        let message =
+            serde_json::json!({"task": self.task.name, "number": fencing_token, "who": who, "step": step});
+        Datagram { to, bytes: message.to_string().into_bytes() }
     }
 }
--- a/crates/edges/fleet/src/lib.rs
+++ b/crates/edges/fleet/src/lib.rs
@@ -1,9 +1,17 @@
-//! Talk between fronts: datagrams under a shared key, a [`Node`] that runs the voter, the lease client and the acts, and the
-//! thread that drives it. It decides nothing: who may hold and act what is settled in `lemonusher-leases`, what is agreed on in
-//! `lemonusher-registers`, who is there in `lemonusher-failure-detector`.
+//! Communication between fronts: authenticated datagrams under a shared key, a [`Node`] that runs one front's part in the
+//! fleet as a state machine, and the thread that drives it.
+//!
+//! It decides nothing: who may hold a lease is decided in `lemonusher-leases`, which values are agreed on in
+//! `lemonusher-registers`, who is a member in `lemonusher-failure-detector`, what a zone's or machine's state is in
+//! `lemonusher-zone-failover` and `lemonusher-maintenance`.
+
+#![warn(missing_docs)]
 
 mod actions;
+mod body;
 mod channel;
+mod config;
+mod counters;
 mod frame;
 mod maintenance;
 mod node;
@@ -13,10 +21,12 @@
 mod zone_failover;
 
 pub use actions::TokenRejection;
-pub use channel::TrafficCounters;
-pub use frame::{
-    Body, ClassRow, FleetKey, Frame, LeaseRow, MemberRow, MessageKind, OpenError, RegisterRow, ZoneRow,
+pub use body::{
+    Body, ClassRow, LeaseRow, MemberCursor, MemberRow, MessageKind, RegisterRow, StoredRequest, ZoneRow,
 };
+pub use config::{FleetConfig, TaskConfig, config_fingerprint};
+pub use counters::TrafficCounters;
+pub use frame::{FleetKey, Frame, OpenError};
 pub use maintenance::{
     LEASE as MAINTENANCE_LEASE, MaintenanceSettings, register_name as maintenance_register,
 };
@@ -27,63 +37,3 @@
 pub use zone_failover::{
     NAME as ZONE_PLAN_REGISTER, OVERRIDES_REGISTER, ZoneFailoverSettings, decode_overrides, encode_overrides,
 };
-
-use lemonusher_leases::LeaseConfig;
-use std::net::SocketAddr;
-use std::path::PathBuf;
-use std::time::Duration;
-
-/// A task that this front may hold, and what it does with it.
-#[derive(Debug, Clone)]
-pub struct TaskConfig {
-    pub name: String,
-    /// Who is told of each act, and refuses older numbers.
-    pub notify: Option<SocketAddr>,
-    pub interval: Duration,
-    /// How long an act takes.
-    pub action_time: Duration,
-    /// Whether what is acted upon refuses an older number.
-    pub fenced: bool,
-}
-
-/// What the operator's file says of the fleet.
-#[derive(Debug, Clone)]
-pub struct FleetConfig {
-    pub name: String,
-    pub listen: SocketAddr,
-    pub key: FleetKey,
-    pub leases: LeaseConfig,
-    pub voters: Vec<SocketAddr>,
-    /// Whether this front votes, and its place among the voters.
-    pub is_voter: bool,
-    pub voter_index: Option<usize>,
-    /// The address by which other fronts reach it, where that is not the one it listens at.
-    pub advertised_address: Option<SocketAddr>,
-    /// Where this front stands.
-    pub zone: u32,
-    /// Where the highest number lasts.
-    pub state_folder: Option<PathBuf>,
-    pub tasks: Vec<TaskConfig>,
-    /// Into how many quota slots what fronts share is cut; none for no quota slots.
-    pub quota_slots: u32,
-    /// How many of them this front wants, and where it begins to look.
-    pub wanted_slots: usize,
-    pub first_slot: u32,
-    /// The plan for lost zones, where there is one.
-    pub zone_failover: Option<ZoneFailoverSettings>,
-    /// Works on machines, where there are any; they need the plan's sight.
-    pub maintenance: Option<MaintenanceSettings>,
-}
-
-/// What a fleet must state alike, as one number.
-pub fn config_fingerprint(terms: &FleetConfig) -> u64 {
-    let lease = &terms.leases;
-    let text = format!(
-        "{} {} {} {}",
-        lease.duration.as_nanos(),
-        lease.clock_drift_permille,
-        lease.max_action_time.as_nanos(),
-        terms.voters.len()
-    );
-    u64::from_le_bytes(blake3::hash(text.as_bytes()).as_bytes()[..8].try_into().unwrap_or_default())
-}
--- a/crates/edges/fleet/src/maintenance.rs
+++ b/crates/edges/fleet/src/maintenance.rs
@@ -1,11 +1,12 @@
-//! Works on the wire: follows requests, hands on what fronts have let go, has registers settled that the coordinator wants,
-//! and tells whoever works on machines which are released. What goes when is settled in `lemonusher-maintenance`.
+//! Maintenance at a front: connects the coordinator and the participant of `lemonusher-maintenance` to the lease, the
+//! registers, the other fronts' drain confirmations and this front's router, and notifies whoever works on machines.
 
 use crate::Datagram;
-use crate::frame::Body;
+use crate::body::{Body, StoredRequest};
+use crate::zone_failover::FleetLoad;
 use lemonusher_maintenance::{
     DrainConfirmation, FleetCapacity, FleetView, MAX_REQUESTS, Machine, MachineStatus, MaintenanceConfig,
-    MaintenanceCoordinator, MaintenanceRequest, Notice, Participant, RegisterAction, RegisterWrite as Settle,
+    MaintenanceCoordinator, MaintenanceRequest, Notice, Participant, RegisterAction, RegisterWrite,
     VersionedRequest,
 };
 use lemonusher_registers::{Entry, Learner, Operation, ProposalOutcome};
@@ -16,48 +17,67 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The lease's name; registers add a number.
+/// The name of the coordinator's lease; a request's register adds its number.
 pub const LEASE: &str = "works";
-/// Rows in one message; what does not fit is said in the next periods.
-const MAX_ROWS: usize = 32;
+/// Drain confirmations in one datagram at most; what does not fit is sent in the next poll intervals.
+const MAX_CONFIRMATIONS: usize = 32;
+/// Characters of a reason that an operator is shown at most, so that it fits a datagram.
+const MAX_REASON_CHARS: usize = 160;
 
-/// What the operator's file says of works.
+/// How maintenance is configured.
 #[derive(Debug, Clone)]
 pub struct MaintenanceSettings {
+    /// Durations and bounds.
     pub config: MaintenanceConfig,
-    /// Who is told of each machine that is released.
+    /// Who is notified of each machine that is released.
     pub notify: Option<SocketAddr>,
 }
 
-pub struct Maintenance {
+/// What the router was last told.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct SentUpdate {
+    version: u64,
+    is_complete: bool,
+}
+
+pub(crate) struct Maintenance {
     config: MaintenanceConfig,
     notify: Option<SocketAddr>,
     participant: Participant,
+    /// Only at voters.
     coordinator: Option<MaintenanceCoordinator>,
-    last_update: Option<(u64, bool)>,
-    /// What the owner has closed, by which version, and what is out there.
-    restriction_version: u64,
+    last_update: Option<SentUpdate>,
+    /// The version of the requests by which the router has closed engines.
+    applied_version: u64,
+    /// Attempts in flight by machine, as the router counted them with that version applied.
     in_flight: BTreeMap<Machine, u32>,
     next_report: Duration,
-    pub view: FleetView,
+    view: FleetView,
 }
 
-/// What is to be told once a period.
-pub struct Report {
-    /// Machines that this front has let go.
-    pub confirmations: Vec<DrainConfirmation>,
-    /// For whoever works on machines: those that are released.
-    pub released: Vec<Datagram>,
+/// What is sent once a poll interval.
+pub(crate) struct Report {
+    /// To the voters: machines that this front has drained.
+    pub(crate) confirmations: Vec<DrainConfirmation>,
+    /// To whoever works on machines: those that are released.
+    pub(crate) released: Vec<Datagram>,
 }
 
-pub fn register_name(request_number: u8) -> String {
-    format!("{LEASE}.{request_number}")
+/// What to do with a register.
+pub(crate) struct Proposal {
+    pub(crate) register: String,
+    pub(crate) operation: Operation,
 }
 
-/// Of which request a register is.
-pub fn request_number(register_name: &str) -> Option<u8> {
-    let request_number = register_name.strip_prefix(LEASE)?.strip_prefix('.')?.parse::<u8>().ok()?;
-    (usize::from(request_number) < MAX_REQUESTS).then_some(request_number)
+/// The name of the register of a maintenance request.
+pub fn register_name(request: u8) -> String {
+    format!("{LEASE}.{request}")
+}
+
+/// The request whose register this is.
+fn request_of(register: &str) -> Option<u8> {
+    let request = register.strip_prefix(LEASE)?.strip_prefix('.')?.parse::<u8>().ok()?;
+    (usize::from(request) < MAX_REQUESTS).then_some(request)
 }
 
 fn decode(entry: &Entry) -> Option<VersionedRequest> {
@@ -65,130 +85,135 @@
 }
 
 impl Maintenance {
-    pub fn new(poll_report: &MaintenanceSettings, is_voter: bool) -> Maintenance {
+    /// A voter collects confirmations and may hold the coordinator's lease.
+    pub(crate) fn new(settings: &MaintenanceSettings, is_voter: bool) -> Maintenance {
         Maintenance {
-            config: poll_report.config.clone(),
-            notify: poll_report.notify,
+            config: settings.config.clone(),
+            notify: settings.notify,
             participant: Participant::default(),
             coordinator: is_voter.then(MaintenanceCoordinator::default),
             last_update: None,
-            restriction_version: 0,
+            applied_version: 0,
             in_flight: BTreeMap::new(),
             next_report: Duration::ZERO,
             view: FleetView::default(),
         }
     }
 
-    /// The owner has told what it has closed and has out; and what it sees of machines.
-    pub fn observe_machines(
+    /// The router has counted what it has in flight, with the requests of this version applied, and what it sees of
+    /// machines.
+    pub(crate) fn observe_machines(
         &mut self,
-        restriction_version: u64,
+        applied_version: u64,
         in_flight: BTreeMap<Machine, u32>,
-        fleet: FleetCapacity,
-        local_view: &LocalView,
+        capacity: FleetCapacity,
+        local: &LocalView,
     ) {
-        (self.restriction_version, self.in_flight) = (restriction_version, in_flight);
-        self.view.capacity = FleetCapacity { classes: local_view.classes.clone(), ..fleet };
+        self.applied_version = applied_version;
+        self.in_flight = in_flight;
+        self.view.capacity = FleetCapacity { classes: local.classes.clone(), ..capacity };
     }
 
-    /// What is asked for over all fronts, and how outcomes are, as a voter knows it.
-    pub fn observe_load(
-        &mut self,
-        classes: Vec<lemonusher_zone_failover::ClassLoad>,
-        degraded_share: f64,
-        zones_down: bool,
-    ) {
-        (self.view.capacity.classes, self.view.degraded_share, self.view.zones_down) =
-            (classes, degraded_share, zones_down);
+    /// The load of all fronts, as a voter knows it.
+    pub(crate) fn observe_load(&mut self, load: FleetLoad) {
+        self.view.capacity.classes = load.classes;
+        self.view.degraded_share = load.degraded_share;
+        self.view.zones_down = load.zones_down;
     }
 
-    /// Takes in what is settled; what the front is to know, if that has changed.
-    pub fn poll_update(&mut self, now: Duration, learner: &Learner) -> Option<ControlUpdate> {
-        for request in 0..MAX_REQUESTS as u8 {
-            let name = register_name(request);
-            match learner.committed(&name).and_then(|committed| decode(committed.entry)) {
-                Some(VersionedRequest { version, request: value }) => {
-                    if let Some(coordinator) = &mut self.coordinator {
-                        coordinator.handle_request(now, request, version, value.clone());
-                    }
-                    self.participant.handle_request(request, version, value);
-                }
-                None if learner.is_known_empty(&name) => self.participant.handle_no_request(request),
-                None => {}
-            }
-        }
-        let state = (self.participant.revision(), self.participant.is_complete());
-        if self.last_update == Some(state) {
+    /// Takes in the committed requests; the update for this front's router, if there is a new one.
+    pub(crate) fn poll_update(&mut self, now: Duration, learner: &Learner) -> Option<ControlUpdate> {
+        (0..MAX_REQUESTS as u8).for_each(|request| self.follow(now, learner, request));
+        let update =
+            SentUpdate { version: self.participant.revision(), is_complete: self.participant.is_complete() };
+        if self.last_update == Some(update) {
             return None;
         }
-        self.last_update = Some(state);
+        self.last_update = Some(update);
         Some(ControlUpdate::Maintenance {
-            version: state.0,
-            complete: state.1,
+            version: update.version,
+            complete: update.is_complete,
             closed: Arc::new(self.participant.closed_machines()),
         })
     }
 
-    /// Once a period: what this front has let go, and what is released.
-    pub fn poll_report(&mut self, now: Duration) -> Option<Report> {
+    fn follow(&mut self, now: Duration, learner: &Learner, request: u8) {
+        let name = register_name(request);
+        match learner.committed(&name).and_then(|committed| decode(committed.entry)) {
+            Some(VersionedRequest { version, request: value }) => {
+                if let Some(coordinator) = &mut self.coordinator {
+                    coordinator.handle_request(now, request, version, value.clone());
+                }
+                self.participant.handle_request(request, version, value);
+            }
+            None if learner.is_known_empty(&name) => self.participant.handle_no_request(request),
+            None => {}
+        }
+    }
+
+    /// Once a poll interval: what is to be sent.
+    pub(crate) fn poll_report(&mut self, now: Duration) -> Option<Report> {
         if now < self.next_report {
             return None;
         }
         self.next_report = now + self.config.poll_interval;
         let confirmations =
-            self.participant.next_confirmations(self.restriction_version, &self.in_flight, MAX_ROWS);
+            self.participant.next_confirmations(self.applied_version, &self.in_flight, MAX_CONFIRMATIONS);
         Some(Report { confirmations, released: self.released() })
     }
 
+    /// The notifications of all machines that are released; only the active coordinator sends them.
     fn released(&self) -> Vec<Datagram> {
-        let coordinator = self.coordinator.as_ref().filter(|coordinator| coordinator.is_active());
-        let Some((to, coordinator)) = self.notify.zip(coordinator) else { return Vec::new() };
-        let released = coordinator.released().into_iter().filter_map(|poll_report| match poll_report {
-            Notice::Released { request, machine, fencing_token: request_number } => {
-                let last_update =
-                    serde_json::json!({"work": request, "machine": format!("{machine:08x}"), "number": request_number});
-                Some(Datagram { to, bytes: last_update.to_string().into_bytes() })
+        let Some((to, coordinator)) = self.notify.zip(self.active_coordinator()) else { return Vec::new() };
+        let datagrams = coordinator.released().into_iter().filter_map(|notice| match notice {
+            Notice::Released { request, machine, fencing_token } => {
+                let machine = format!("{machine:08x}");
+                let message =
+                    serde_json::json!({"work": request, "machine": machine, "number": fencing_token});
+                Some(Datagram { to, bytes: message.to_string().into_bytes() })
             }
             _ => None,
         });
-        released.collect()
+        datagrams.collect()
     }
 
-    pub fn handle_confirmations(
-        &mut self,
-        front: &str,
-        poll_report: &[lemonusher_maintenance::DrainConfirmation],
-    ) {
+    fn active_coordinator(&self) -> Option<&MaintenanceCoordinator> {
+        self.coordinator.as_ref().filter(|coordinator| coordinator.is_active())
+    }
+
+    pub(crate) fn handle_confirmations(&mut self, front: &str, confirmations: &[DrainConfirmation]) {
         if let Some(coordinator) = &mut self.coordinator {
-            coordinator.handle_confirmations(front, poll_report);
+            coordinator.handle_confirmations(front, confirmations);
         }
     }
 
-    /// What is wanted of a register, while the lease is held under this number.
-    pub fn poll(&mut self, now: Duration, request_number: Option<u64>) -> Option<(String, Operation)> {
+    /// What to do with a register. `fencing_token`: of the coordinator's lease, while this front holds it.
+    pub(crate) fn poll(&mut self, now: Duration, fencing_token: Option<u64>) -> Option<Proposal> {
         let coordinator = self.coordinator.as_mut()?;
-        coordinator.set_lease(request_number);
+        coordinator.set_lease(fencing_token);
         match coordinator.poll(now, &self.config, &self.view)? {
-            RegisterAction::Read(request) => Some((register_name(request), Operation::Read)),
-            RegisterAction::Write(Settle { request, expected, value }) => {
+            RegisterAction::Read(request) => {
+                Some(Proposal { register: register_name(request), operation: Operation::Read })
+            }
+            RegisterAction::Write(RegisterWrite { request, expected, value }) => {
                 for MachineStatus { machine, phase } in &value.machines {
                     tracing::debug!(work = request, "works: machine {machine:08x} {phase}");
                 }
-                let change = Operation::CompareAndSet {
+                let operation = Operation::CompareAndSet {
                     expected: Some(expected),
-                    fencing_token: request_number?,
+                    fencing_token: fencing_token?,
                     value: value.to_bytes(),
                 };
-                Some((register_name(request), change))
+                Some(Proposal { register: register_name(request), operation })
             }
         }
     }
 
-    pub fn handle_outcome(&mut self, now: Duration, name: &str, handle_outcome: &ProposalOutcome) {
-        let (Some(coordinator), Some(request)) = (&mut self.coordinator, request_number(name)) else {
-            return;
-        };
-        match handle_outcome {
+    /// The outcome of what [`Maintenance::poll`] returned; of any other register, nothing.
+    pub(crate) fn handle_outcome(&mut self, now: Duration, register: &str, outcome: &ProposalOutcome) {
+        let Some(coordinator) = &mut self.coordinator else { return };
+        let Some(request) = request_of(register) else { return };
+        match outcome {
             ProposalOutcome::Committed { entry, .. } | ProposalOutcome::Conflict { entry, .. } => {
                 coordinator.handle_committed(now, request, entry.as_ref().and_then(decode));
             }
@@ -196,27 +221,22 @@
         }
     }
 
-    /// A request as this front knows it, and why it waits.
-    pub fn show(&self, request_number: u8) -> Body {
-        let stored = self.participant.request(request_number);
-        let blocked = self
-            .coordinator
-            .as_ref()
-            .filter(|coordinator| coordinator.is_active())
-            .map(MaintenanceCoordinator::blocked)
-            .unwrap_or_default();
-        let reason = blocked.iter().find_map(|poll_report| match poll_report {
-            Notice::Blocked { request, machine, reason } if *request == request_number => {
-                Some(format!("{machine:08x}: {reason}"))
+    /// A request as this front follows it, and why it does not go on.
+    pub(crate) fn show(&self, request: u8) -> Body {
+        let blocked = self.active_coordinator().map(MaintenanceCoordinator::blocked).unwrap_or_default();
+        let blocked_reason = blocked.iter().find_map(|notice| match notice {
+            Notice::Blocked { request: blocked, machine, reason } if *blocked == request => {
+                Some(format!("{machine:08x}: {reason}").chars().take(MAX_REASON_CHARS).collect())
             }
             _ => None,
         });
+        let stored = self.participant.request(request);
         Body::MaintenanceShown {
-            request: request_number,
+            request,
             stored: stored
-                .map(|stored| ((stored.version.epoch, stored.version.counter), stored.request.to_bytes())),
-            is_coordinator: self.coordinator.as_ref().is_some_and(MaintenanceCoordinator::is_active),
-            blocked_reason: reason.map(|reason| reason.chars().take(160).collect()),
+                .map(|stored| StoredRequest { version: stored.version, value: stored.request.to_bytes() }),
+            is_coordinator: self.active_coordinator().is_some(),
+            blocked_reason,
         }
     }
 }
--- /dev/null
+++ b/crates/edges/fleet/src/node/changes.rs
@@ -0,0 +1,44 @@
+//! Logs what has changed among the leases and the members.
+
+use super::Node;
+use lemonusher_failure_detector::MembershipChange;
+use lemonusher_leases::{LeaseChange, MAX_TASKS};
+
+impl Node {
+    pub(super) fn handle_changes(&mut self) {
+        for change in self.lease_client.take_changes() {
+            log_lease_change(change);
+        }
+        for change in self.detector.take_changes() {
+            self.handle_membership_change(change);
+        }
+        debug_assert!(self.lease_client.tasks().count() <= MAX_TASKS);
+    }
+
+    fn handle_membership_change(&mut self, change: MembershipChange) {
+        match change {
+            MembershipChange::Joined(member) => {
+                tracing::info!(name = member.name, "fleet: a front is there");
+            }
+            MembershipChange::Left(member) => {
+                self.members_lost += 1;
+                tracing::info!(name = member.name, "fleet: a front seems gone");
+            }
+            MembershipChange::Refuted => tracing::info!("fleet: others held this front for gone"),
+        }
+    }
+}
+
+fn log_lease_change(change: LeaseChange) {
+    match change {
+        LeaseChange::Acquired { task, fencing_token: number } => {
+            tracing::info!(task, number, "fleet: holds a task");
+        }
+        LeaseChange::Expired { task, fencing_token: number } => {
+            tracing::warn!(task, number, "fleet: a lease ran out, as too few voters answered in time");
+        }
+        LeaseChange::Released { task, fencing_token: number } => {
+            tracing::info!(task, number, "fleet: let a task go");
+        }
+    }
+}
--- a/crates/edges/fleet/src/node/handle.rs
+++ b/crates/edges/fleet/src/node/handle.rs
@@ -1,18 +1,18 @@
 //! What a front does with each message.
 
 use super::Node;
-use crate::frame::Body;
+use crate::body::Body;
 use lemonusher_leases::{Incarnation, LeaseReply, LeaseRequest};
-use lemonusher_registers as registers;
+use lemonusher_registers::{RegisterReply, RegisterRequest};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 impl Node {
-    /// Takes in a datagram. What is not of this fleet, or not to be listened to, changes nothing and is counted.
+    /// Takes in a datagram. One that the channel drops changes nothing and is counted.
     pub fn handle_datagram(&mut self, now: Duration, from: SocketAddr, bytes: &[u8]) {
         let Some(frame) = self.channel.open(now, bytes, from) else { return };
         self.handle_body(now, from, &frame.from, frame.body);
-        self.send_detector();
+        self.send_detector_messages();
     }
 
     fn handle_body(&mut self, now: Duration, from: SocketAddr, sender: &Incarnation, body: Body) {
@@ -27,9 +27,9 @@
                     zone_failover.handle_report(now, sender.id, report);
                 }
             }
-            Body::DrainConfirmations(report) => {
+            Body::DrainConfirmations(confirmations) => {
                 if let Some(maintenance) = &mut self.maintenance {
-                    maintenance.handle_confirmations(&sender.name, &report);
+                    maintenance.handle_confirmations(&sender.name, &confirmations);
                 }
             }
             Body::HandOver { task } => self.handle_hand_over(now, from, task),
@@ -42,6 +42,7 @@
                     self.send(shown, from);
                 }
             }
+            // Replies to operators.
             Body::Leases { .. } | Body::Members { .. } | Body::Registers { .. } => {}
             Body::PlanShown { .. } | Body::MaintenanceShown { .. } => {}
         }
@@ -50,7 +51,7 @@
     fn handle_lease_request(&mut self, now: Duration, from: SocketAddr, request: LeaseRequest) {
         let Some(voter) = &mut self.voter else { return };
         let Some(reply) = voter.handle_request(now, &self.config.leases, request) else { return };
-        // A number must last before anybody acts under it.
+        // A token must be stored before anybody acts under it.
         if let Some(state_folder) = &mut self.state_folder
             && let Err(error) = state_folder.store_token(voter.highest_token())
         {
@@ -62,17 +63,12 @@
     fn handle_lease_reply(&mut self, now: Duration, from: SocketAddr, reply: LeaseReply) {
         let Some(voter) = self.voter_index(from) else { return };
         let random = &mut self.chance;
-        let messages =
-            self.lease_client.handle_reply(now, &self.config.leases, voter, reply, &mut || random.f64());
+        let leases = &self.config.leases;
+        let messages = self.lease_client.handle_reply(now, leases, voter, reply, &mut || random.f64());
         self.send_lease_requests(messages);
     }
 
-    fn handle_register_request(
-        &mut self,
-        now: Duration,
-        from: SocketAddr,
-        request: registers::RegisterRequest,
-    ) {
+    fn handle_register_request(&mut self, now: Duration, from: SocketAddr, request: RegisterRequest) {
         let Some(acceptor) = &mut self.acceptor else { return };
         let Some(reply) = acceptor.handle_request(now, request) else { return };
         if self.store_registers() {
@@ -80,7 +76,8 @@
         }
     }
 
-    fn handle_register_reply(&mut self, now: Duration, from: SocketAddr, reply: registers::RegisterReply) {
+    /// A reply may be for the acceptor's recovery, the learner or the proposer; each ignores those of the others.
+    fn handle_register_reply(&mut self, now: Duration, from: SocketAddr, reply: RegisterReply) {
         let Some(voter) = self.voter_index(from) else { return };
         if let Some(acceptor) = &mut self.acceptor {
             let messages = acceptor.handle_copy(now, voter, reply.clone());
@@ -89,28 +86,28 @@
         let messages = self.learner.handle_reply(now, voter, reply.clone());
         self.send_register_requests(messages);
         let random = &mut self.chance;
-        let messages =
-            self.proposer.handle_reply(now, &self.config.leases, voter, reply, &mut || random.f64());
+        let leases = &self.config.leases;
+        let messages = self.proposer.handle_reply(now, leases, voter, reply, &mut || random.f64());
         self.send_register_requests(messages);
     }
 
-    /// Lets a task go that it holds; as a voter it passes the wish on to whom it has granted the task.
+    /// Releases a task that this front holds. A voter forwards the request to the front that it has granted the task to.
     fn handle_hand_over(&mut self, now: Duration, from: SocketAddr, task: String) {
-        if self.lease_client.active_lease(now, &task).is_some() {
+        if self.fencing_token(now, &task).is_some() {
             tracing::info!(task, "fleet: asked to hand a task over");
             let messages = self.lease_client.release(now, &self.config.leases, &task, true);
             self.send_lease_requests(messages);
         } else if let Some(voter) = &self.voter {
-            let holder = voter.grants(now).find(|(grant, _)| **grant == task);
-            let address = holder.and_then(|(_, grant)| self.channel.address_of(&grant.holder));
-            // Only a voter passes it on, and only to whom it has granted the task, so it goes no further.
-            if let Some(address) = address.filter(|address| *address != from) {
+            let grant = voter.grants(now).find(|(granted, _)| **granted == task);
+            let holder = grant.and_then(|(_, grant)| self.channel.address_of(&grant.holder));
+            // A request that came from the holder itself is not sent back, so it is never forwarded twice.
+            if let Some(address) = holder.filter(|address| *address != from) {
                 self.send(Body::HandOver { task }, address);
             }
         }
     }
 
-    /// What a voter says of registers must last first; false if it can't be kept, and then nothing is said.
+    /// Stores what the acceptor replies by; false if that fails, and then no reply may be sent.
     fn store_registers(&mut self) -> bool {
         let (Some(state_folder), Some(acceptor)) = (&mut self.state_folder, &self.acceptor) else {
             return true;
@@ -123,9 +120,4 @@
             }
         }
     }
-
-    /// The place of a voter in the list, by its address.
-    fn voter_index(&self, from: SocketAddr) -> Option<usize> {
-        self.config.voters.iter().position(|address| *address == from)
-    }
 }
--- a/crates/edges/fleet/src/node/proposals.rs
+++ b/crates/edges/fleet/src/node/proposals.rs
@@ -1,32 +1,20 @@
-//! Registers at a front: what is followed, what is proposed, and who is told of the outcome.
+//! Registers at a front: polls the acceptor, the learner and the proposer, and passes outcomes on.
 
 use super::Node;
-use crate::frame::Body;
-use crate::maintenance::{self, Maintenance};
-use crate::zone_failover::{NAME as ZONE_PLAN_REGISTER, ZoneFailover};
-use lemonusher_maintenance::{FleetCapacity, MAX_REQUESTS, MachineCapacity};
-use lemonusher_registers::{self as registers, Operation, ProposalOutcome};
-use lemonusher_routing::ZoneObservation;
+use crate::zone_failover;
+use lemonusher_registers::{Operation, ProposalOutcome};
 use std::time::Duration;
 
 impl Node {
     pub(super) fn poll_registers(&mut self, now: Duration) {
-        let config = self.config.leases;
-        if let Some(acceptor) = &mut self.acceptor {
-            let messages = acceptor.poll(now, &config);
-            let state = acceptor.state(now);
-            if self.acceptor_state.replace(state) != Some(state) {
-                tracing::info!(era = acceptor.epoch(), "fleet: as a voter on registers it is {state}");
-            }
-            self.send_register_requests(messages);
-        }
+        self.poll_acceptor(now);
         let random = &mut self.chance;
-        let messages = self.proposer.poll(now, &config, &mut || random.f64());
-        let asks = self.learner.poll(now, &mut || random.f64());
-        self.send_register_requests(messages);
-        self.send_register_requests(asks);
+        let proposals = self.proposer.poll(now, &self.config.leases, &mut || random.f64());
+        let polls = self.learner.poll(now, &mut || random.f64());
+        self.send_register_requests(proposals);
+        self.send_register_requests(polls);
         for outcome in self.proposer.take_outcomes() {
-            // Nobody here has asked for what is proposed anew.
+            // No coordinator has asked for what is proposed again.
             if self.reproposed.take_if(|name| name == outcome.name()).is_none() {
                 self.route_outcome(now, &outcome);
             }
@@ -35,10 +23,20 @@
         self.repropose(now);
     }
 
-    /// Proposes what a new epoch has begun with, one register after the other, so that those who follow it know it settled.
+    fn poll_acceptor(&mut self, now: Duration) {
+        let Some(acceptor) = &mut self.acceptor else { return };
+        let messages = acceptor.poll(now, &self.config.leases);
+        let state = acceptor.state(now);
+        if self.acceptor_state.replace(state) != Some(state) {
+            tracing::info!(era = acceptor.epoch(), "fleet: as a voter on registers it is {state}");
+        }
+        self.send_register_requests(messages);
+    }
+
+    /// Proposes again what a new epoch began with, one register after the other, so that learners see it committed.
     fn repropose(&mut self, now: Duration) {
-        let left_over = self.acceptor.as_ref().and_then(|acceptor| acceptor.unproposed_register(now));
-        let Some(name) = left_over.filter(|name| self.reproposed.is_none() && !self.proposer.is_busy(name))
+        let unproposed = self.acceptor.as_ref().and_then(|acceptor| acceptor.unproposed_register(now));
+        let Some(name) = unproposed.filter(|name| self.reproposed.is_none() && !self.proposer.is_busy(name))
         else {
             return;
         };
@@ -48,7 +46,7 @@
         self.send_register_requests(messages);
     }
 
-    /// What a change has shown of a register need not be asked for.
+    /// The learner need not ask for what an outcome shows.
     fn observe_outcome(&mut self, now: Duration, outcome: ProposalOutcome) {
         match outcome {
             ProposalOutcome::Committed { name, entry: Some(entry) } => {
@@ -68,10 +66,10 @@
         }
     }
 
-    /// What came of a change goes to whoever wanted it.
+    /// Passes an outcome to the coordinator that proposed the change.
     fn route_outcome(&mut self, now: Duration, outcome: &ProposalOutcome) {
         let name = outcome.name();
-        if name == ZONE_PLAN_REGISTER
+        if name == zone_failover::NAME
             && let Some(zone_failover) = &mut self.zone_failover
         {
             zone_failover.handle_outcome(now, outcome);
@@ -80,77 +78,4 @@
             maintenance.handle_outcome(now, name, outcome);
         }
     }
-
-    pub(super) fn poll_zone_failover(&mut self, now: Duration) {
-        let Some(mut zone_failover) = self.zone_failover.take() else { return };
-        if let Some((report, seen)) = zone_failover.take_report() {
-            self.send_to_voters(&report);
-            if let Some(maintenance) = &mut self.maintenance {
-                observe_machines(&zone_failover, maintenance, seen);
-            }
-        }
-        let number = self.fencing_token(now, ZONE_PLAN_REGISTER);
-        if !self.proposer.is_busy(ZONE_PLAN_REGISTER)
-            && let Some(change) = zone_failover.poll(now, number)
-        {
-            let messages = self.proposer.propose(now, ZONE_PLAN_REGISTER, change);
-            self.send_register_requests(messages);
-        }
-        if let Some(update) = zone_failover.poll_effect(now, &self.learner) {
-            self.update_front(update);
-        }
-        self.zone_failover = Some(zone_failover);
-    }
-
-    pub(super) fn poll_maintenance(&mut self, now: Duration) {
-        let Some(mut maintenance) = self.maintenance.take() else { return };
-        if let Some(update) = maintenance.poll_update(now, &self.learner) {
-            self.update_front(update);
-        }
-        if let Some(report) = maintenance.poll_report(now) {
-            self.outgoing_actions.extend(report.released);
-            if !report.confirmations.is_empty() {
-                self.send_to_voters(&Body::DrainConfirmations(report.confirmations));
-            }
-        }
-        let number = self.fencing_token(now, maintenance::LEASE);
-        // Guards against a round that takes the place of one under way, whose unknown end would be taken for its own: a
-        // coordinator that lost its lease and got it back would begin over and over.
-        let busy =
-            (0..MAX_REQUESTS as u8).any(|work| self.proposer.is_busy(&maintenance::register_name(work)));
-        if !busy && let Some((name, change)) = maintenance.poll(now, number) {
-            let messages = self.proposer.propose(now, &name, change);
-            self.send_register_requests(messages);
-        }
-        self.maintenance = Some(maintenance);
-    }
-
-    pub(super) fn send_register_requests(&mut self, messages: Vec<registers::OutboundMessage>) {
-        for registers::OutboundMessage { voter, request } in messages {
-            if let Some(address) = self.config.voters.get(voter).copied() {
-                self.send(Body::RegisterRequest(request), address);
-            }
-        }
-    }
-}
-
-/// Hands what the front sees of machines on to the works.
-fn observe_machines(zone_failover: &ZoneFailover, maintenance: &mut Maintenance, seen: ZoneObservation) {
-    // What is not tried counts as answering: only a machine that fails is out by itself.
-    let capacity_of = |cores: u32| f64::from(cores) * zone_failover.max_utilization();
-    let machines = seen.engines.iter().map(|seen| {
-        (
-            seen.engine,
-            MachineCapacity {
-                zone: seen.zone,
-                work: capacity_of(seen.cores),
-                answers: seen.answers.unwrap_or(true),
-            },
-        )
-    });
-    let fleet = FleetCapacity { machines: machines.collect(), classes: Vec::new() };
-    maintenance.observe_machines(seen.maintenance_version, seen.in_flight, fleet, &seen.local);
-    if let Some((classes, degraded_share, zones_down)) = zone_failover.fleet_load() {
-        maintenance.observe_load(classes, degraded_share, zones_down);
-    }
 }
--- a/crates/edges/fleet/src/replay_window.rs
+++ b/crates/edges/fleet/src/replay_window.rs
@@ -1,23 +1,25 @@
-//! Which numbers of one sender have been heard, as a sliding window (as in RFC 6479): datagrams that overtake each other
-//! on their way are listened to, and none is listened to twice.
+//! Which sequence numbers of one sender have been received, as a sliding window (RFC 6479). Datagrams may arrive in any
+//! order within the window; each is accepted once.
 
-const BITS: u64 = u64::BITS as u64;
+/// Sequence numbers in one block.
+const BLOCK_BITS: u64 = u64::BITS as u64;
+/// Blocks in the ring; one of them is always partly ahead of the window.
 const BLOCKS: u64 = 16;
 
-/// The numbers up to the highest heard one, as far back as the window reaches; what lies further back counts as heard.
+/// The received numbers up to the highest one, as far back as [`ReplayWindow::REACH`]; any older number counts as received.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ReplayWindow {
     highest: u64,
     /// A ring: number `n` is bit `n % 64` of block `n / 64 % 16`.
-    seen: [u64; BLOCKS as usize],
+    received: [u64; BLOCKS as usize],
 }
 
 impl ReplayWindow {
-    /// How far behind the highest number one may be that is still listened to. A front that follows all registers sends
-    /// some 200 datagrams in one burst; this takes in several.
-    pub const REACH: u64 = (BLOCKS - 1) * BITS;
+    /// How far behind the highest number one may be and still be accepted. A front that watches all registers sends some
+    /// 200 datagrams in one burst; this covers several bursts.
+    pub const REACH: u64 = (BLOCKS - 1) * BLOCK_BITS;
 
-    /// Notes a number; false if it was heard before, or lies too far back to tell.
+    /// Records a number; false if it was received before or is too old to tell. Numbers begin at 1.
     pub fn accept(&mut self, number: u64) -> bool {
         if number == 0 || number < self.highest.saturating_sub(Self::REACH) {
             return false;
@@ -25,23 +27,24 @@
         if number > self.highest {
             self.advance(number);
         }
-        let (block, bit) = (Self::block(number), 1 << (number % BITS));
-        let is_new = self.seen[block] & bit == 0;
-        self.seen[block] |= bit;
+        let block = Self::block(number);
+        let bit = 1 << (number % BLOCK_BITS);
+        let is_new = self.received[block] & bit == 0;
+        self.received[block] |= bit;
         is_new
     }
 
-    /// Empties the blocks that the window moves over.
+    /// Clears the blocks that the window moves over.
     fn advance(&mut self, number: u64) {
-        let blocks = (number / BITS - self.highest / BITS).min(BLOCKS);
+        let blocks = (number / BLOCK_BITS - self.highest / BLOCK_BITS).min(BLOCKS);
         for ahead in 0..blocks {
-            let block = Self::block(number - ahead * BITS);
-            self.seen[block] = 0;
+            let block = Self::block(number - ahead * BLOCK_BITS);
+            self.received[block] = 0;
         }
         self.highest = number;
     }
 
     fn block(number: u64) -> usize {
-        (number / BITS % BLOCKS) as usize
+        (number / BLOCK_BITS % BLOCKS) as usize
     }
 }
--- a/crates/edges/fleet/src/state_folder.rs
+++ b/crates/edges/fleet/src/state_folder.rs
@@ -1,69 +1,93 @@
-//! What lasts in a folder: the highest number, and a voter's registers. Each is written beside and put in place whole.
+//! What a front stores in a folder: a bound on the fencing tokens that it granted, and a voter's registers. Each file is
+//! written under another name and then renamed, so it is always complete.
+//!
+//! `fleet-number` holds the bound as decimal text. `fleet-registers` holds the BLAKE3 hash (32 bytes) of what follows, the
+//! postcard encoding of [`PersistentState`].
 
 use lemonusher_registers::PersistentState;
 use std::io;
 use std::path::{Path, PathBuf};
 
-const TOKEN_RESERVE: u64 = 1000; // Numbers that the folder is ahead of what is granted.
+/// Tokens that the stored bound is ahead of the highest granted one, so that it is seldom written.
+const TOKEN_RESERVE: u64 = 1000;
+/// Bytes of the hash before the registers.
 const HASH_BYTES: usize = 32;
+const TOKEN_FILE: &str = "fleet-number";
+const REGISTERS_FILE: &str = "fleet-registers";
 
+/// An open folder, and what it holds.
 pub struct StateFolder {
     folder: PathBuf,
+    /// No token above this was granted before the folder is written again.
     token_floor: u64,
     registers: Option<PersistentState>,
 }
 
 impl StateFolder {
+    /// Creates the folder if it is missing and reads it. An error if a file can't be read or is corrupt.
     pub fn open(folder: &Path) -> io::Result<StateFolder> {
         std::fs::create_dir_all(folder)?;
-        let number = match std::fs::read_to_string(folder.join("fleet-number")) {
-            Ok(text) => {
-                text.trim().parse().map_err(|_| io::Error::other("'fleet-number' holds no number"))?
-            }
-            Err(error) if error.kind() == io::ErrorKind::NotFound => 0, // The first start of all.
-            Err(error) => return Err(error),
-        };
-        let registers = match std::fs::read(folder.join("fleet-registers")) {
-            Ok(bytes) => Some(decode(&bytes).ok_or_else(|| io::Error::other("'fleet-registers' is spoilt"))?),
-            Err(error) if error.kind() == io::ErrorKind::NotFound => None,
-            Err(error) => return Err(error),
-        };
-        Ok(StateFolder { folder: folder.to_owned(), token_floor: number, registers })
+        let token_floor = read_token(folder)?;
+        let registers = read_registers(folder)?;
+        Ok(StateFolder { folder: folder.to_owned(), token_floor, registers })
     }
 
+    /// At least the highest fencing token that an earlier incarnation granted.
     pub fn token_floor(&self) -> u64 {
         self.token_floor
     }
 
-    /// What this voter had promised and accepted; none if it never voted here.
+    /// What this voter has promised and accepted; none if it never voted with this folder.
     pub fn registers(&self) -> Option<PersistentState> {
         self.registers.clone()
     }
 
-    /// Numbers up to this may have been granted.
-    pub fn store_token(&mut self, number: u64) -> io::Result<()> {
-        if number > self.token_floor {
-            write_atomically(&self.folder, "fleet-number", (number + TOKEN_RESERVE).to_string().as_bytes())?;
-            self.token_floor = number + TOKEN_RESERVE;
+    /// To be called before a token is granted. Writes only where the stored bound is below it.
+    pub fn store_token(&mut self, fencing_token: u64) -> io::Result<()> {
+        if fencing_token > self.token_floor {
+            let token_floor = fencing_token + TOKEN_RESERVE;
+            write_atomically(&self.folder, TOKEN_FILE, token_floor.to_string().as_bytes())?;
+            self.token_floor = token_floor;
         }
         Ok(())
     }
 
+    /// To be called before a reply on registers is sent. Writes only what has changed.
     pub fn store_registers(&mut self, state: PersistentState) -> io::Result<()> {
         if self.registers.as_ref() != Some(&state) {
             let payload = postcard::to_allocvec(&state).map_err(io::Error::other)?;
             let mut bytes = blake3::hash(&payload).as_bytes().to_vec();
             bytes.extend(payload);
-            write_atomically(&self.folder, "fleet-registers", &bytes)?;
+            write_atomically(&self.folder, REGISTERS_FILE, &bytes)?;
             self.registers = Some(state);
         }
         Ok(())
     }
 }
 
+/// 0 where there is no file yet.
+fn read_token(folder: &Path) -> io::Result<u64> {
+    match std::fs::read_to_string(folder.join(TOKEN_FILE)) {
+        Ok(text) => text.trim().parse().map_err(|_| io::Error::other("'fleet-number' holds no number")),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(0),
+        Err(error) => Err(error),
+    }
+}
+
+fn read_registers(folder: &Path) -> io::Result<Option<PersistentState>> {
+    match std::fs::read(folder.join(REGISTERS_FILE)) {
+        Ok(bytes) => match decode(&bytes) {
+            Some(state) => Ok(Some(state)),
+            None => Err(io::Error::other("'fleet-registers' is spoilt")),
+        },
+        Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
+        Err(error) => Err(error),
+    }
+}
+
 fn decode(bytes: &[u8]) -> Option<PersistentState> {
-    let (sum, payload) = bytes.split_at_checked(HASH_BYTES)?;
-    (blake3::hash(payload).as_bytes() == sum).then(|| postcard::from_bytes(payload).ok()).flatten()
+    let (hash, payload) = bytes.split_at_checked(HASH_BYTES)?;
+    (blake3::hash(payload).as_bytes() == hash).then(|| postcard::from_bytes(payload).ok()).flatten()
 }
 
 fn write_atomically(folder: &Path, name: &str, bytes: &[u8]) -> io::Result<()> {
@@ -72,26 +96,10 @@
     std::fs::write(&new, bytes)?;
     std::fs::File::open(&new)?.sync_all()?;
     std::fs::rename(&new, &file)?;
-    // The name must last too, or an older file may stand there after a loss of power.
+    // The rename must be on disk too, or the older file may be there after a loss of power.
     std::fs::File::open(folder)?.sync_all()
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_was_kept_is_read_again_and_what_is_spoilt_is_refused() {
-        let folder = std::env::temp_dir().join(format!("lemonusher-disk-{}", std::process::id()));
-        let mut disk = StateFolder::open(&folder).unwrap();
-        assert_eq!((disk.token_floor(), disk.registers()), (0, None));
-        disk.store_token(5).unwrap();
-        let state = PersistentState { epoch: 7, registers: Vec::new() };
-        disk.store_registers(state.clone()).unwrap();
-        let again = StateFolder::open(&folder).unwrap();
-        assert_eq!((again.token_floor(), again.registers()), (5 + TOKEN_RESERVE, Some(state)));
-        std::fs::write(folder.join("fleet-registers"), b"spoilt").unwrap();
-        assert!(StateFolder::open(&folder).is_err());
-        std::fs::remove_dir_all(&folder).unwrap();
-    }
-}
+#[path = "../tests/unit/state_folder.rs"]
+mod tests;
--- a/crates/edges/fleet/src/thread.rs
+++ b/crates/edges/fleet/src/thread.rs
@@ -1,8 +1,8 @@
-//! The thread: drives a [`Node`] with a socket, a clock and chance. It decides nothing.
+//! The thread that drives a [`Node`] with sockets, a clock and random numbers. It decides nothing.
 
 use crate::FleetConfig;
 use crate::actions::TokenRejection;
-use crate::channel::{TrafficCounters, add};
+use crate::counters::{TrafficCounters, add, increment};
 use crate::frame::MAX_DATAGRAM_BYTES;
 use crate::node::{ClusterStats, Datagram, Message, Node, StartParameters};
 use crate::state_folder::StateFolder;
@@ -15,17 +15,27 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-const MAX_POLL_INTERVAL: Duration = Duration::from_millis(20); // It looks round this often at least.
+/// The node is polled this often at least.
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The shortest wait for a datagram; a socket takes no timeout of zero.
 const MIN_WAIT: Duration = Duration::from_millis(1);
+/// How often the statistics are updated.
 const STATS_INTERVAL: Duration = Duration::from_secs(1);
+/// Updates for the router that are queued at most; the oldest gives way.
 const MAX_QUEUED_UPDATES: usize = 64;
-const MAX_DATAGRAMS_PER_ROUND: usize = 256; // Datagrams that are taken in before what is due is looked at again.
+/// Datagrams that are received between two polls at most.
+const MAX_DATAGRAMS_PER_ROUND: usize = 256;
+/// Token rejections that are received between two polls at most.
 const MAX_REJECTIONS_PER_ROUND: usize = 64;
 
+/// A front's running part in the fleet; dropping it releases its leases and stops the thread.
 pub struct FleetHandle {
-    /// What this front is to know, in order; where it is slow to listen, only the latest of each kind counts.
+    /// Updates for this front's router, in order. Where they are read too slowly, the oldest are dropped; each kind
+    /// replaces the one before.
     pub control_updates: Receiver<ControlUpdate>,
+    /// The UDP address that is bound.
     pub address: SocketAddr,
+    /// Counters of datagrams.
     pub counters: Arc<TrafficCounters>,
     stats: Arc<Mutex<ClusterStats>>,
     stopping: Arc<AtomicBool>,
@@ -33,14 +43,14 @@
 }
 
 impl FleetHandle {
-    /// What this front held a second ago at most.
+    /// The statistics of at most a second ago.
     pub fn stats(&self) -> ClusterStats {
         *self.stats.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Drop for FleetHandle {
-    /// Lets go of all that is held, so that others need not wait for it to run out.
+    /// Releases all leases, so that other fronts need not wait until they expire.
     fn drop(&mut self) {
         self.stopping.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
@@ -52,7 +62,7 @@
 struct Thread {
     node: Node,
     socket: UdpSocket,
-    /// Acts are told from here, and what is acted upon answers here.
+    /// Notifications of actions are sent from here, and resources reject tokens to here.
     actions: UdpSocket,
     clock: Instant,
     clock_rate: f64,
@@ -62,7 +72,7 @@
     updates: Sender<ControlUpdate>,
 }
 
-/// Binds and starts the thread.
+/// Binds the sockets, opens the state folder and starts the thread. An error if any of these fails.
 pub fn start(config: FleetConfig) -> io::Result<FleetHandle> {
     let socket = UdpSocket::bind(config.listen)?;
     let address = socket.local_addr()?;
@@ -97,11 +107,10 @@
     Ok(FleetHandle { control_updates, address, counters, stats, stopping, thread: Some(thread) })
 }
 
-/// How fast the clock runs; builds for tests may be told otherwise, to prove what drift does.
+/// How fast the clock runs. Debug builds read it from the environment, to test clock drift.
 fn clock_rate() -> f64 {
-    let control_updates =
-        if cfg!(debug_assertions) { std::env::var("LEMONUSHER_TEST_CLOCK").ok() } else { None };
-    control_updates.and_then(|text| text.parse().ok()).unwrap_or(1.0)
+    let rate = if cfg!(debug_assertions) { std::env::var("LEMONUSHER_TEST_CLOCK").ok() } else { None };
+    rate.and_then(|text| text.parse().ok()).unwrap_or(1.0)
 }
 
 impl Thread {
@@ -123,9 +132,9 @@
         self.send_outputs();
     }
 
-    /// Waits for a datagram for so long, and takes in all that have come.
-    fn receive(&mut self, span: Duration) {
-        let _ = self.socket.set_read_timeout(Some(span.max(MIN_WAIT)));
+    /// Waits for a datagram for at most `timeout`, and takes in all that have arrived.
+    fn receive(&mut self, timeout: Duration) {
+        let _ = self.socket.set_read_timeout(Some(timeout.max(MIN_WAIT)));
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         let Ok((length, from)) = self.socket.recv_from(&mut bytes) else { return };
         self.node.handle_datagram(self.now(), from, &bytes[..length]);
@@ -147,19 +156,19 @@
         }
     }
 
-    /// Sends what the node has for others, and passes on what it has for this front.
+    /// Sends the node's datagrams, and passes its updates on to the router.
     fn send_outputs(&mut self) {
         for Message { datagram: Datagram { to, bytes }, .. } in self.node.take_outgoing() {
             if self.socket.send_to(&bytes, to).is_ok() {
-                add(&self.counters.sent);
-                self.counters.sent_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+                increment(&self.counters.sent);
+                add(&self.counters.sent_bytes, bytes.len());
             }
         }
         for Datagram { to, bytes } in self.node.take_actions() {
             let _ = self.actions.send_to(&bytes, to);
         }
         for update in self.node.take_control_updates() {
-            // Guards against a front that does not listen: the oldest word gives way.
+            // A router that does not read them must not block this thread.
             let _ = self.updates.force_send(update);
         }
     }
--- a/crates/edges/fleet/tests/limits.rs
+++ b/crates/edges/fleet/tests/limits.rs
@@ -75,7 +75,7 @@
     }
 
     /// The members after one of them, and whether there are more; asked again while a busy machine does not answer.
-    fn members(&mut self, after: (String, u64), voter: SocketAddr) -> (Vec<MemberRow>, bool) {
+    fn members(&mut self, after: MemberCursor, voter: SocketAddr) -> (Vec<MemberRow>, bool) {
         for _ in 0..ASKED_AT_MOST {
             self.say(Body::ShowMembers { after: after.clone() }, voter);
             if let Some(Body::Members { rows, more }) = self.hear() {
@@ -137,15 +137,15 @@
         said.into_iter().for_each(|bytes| speaker.say(Body::FailureDetector(bytes), voter));
         if n % FRONTS_BEFORE_ANSWER == 0 {
             // What was sent before has been read once this is answered, so the system's buffer drops nothing.
-            speaker.members((String::new(), 0), voter);
+            speaker.members(MemberCursor::default(), voter);
         }
     }
-    let (mut after, mut seen) = ((String::new(), 0), BTreeSet::new());
+    let (mut after, mut seen) = (MemberCursor::default(), BTreeSet::new());
     loop {
         let (rows, more) = speaker.members(after.clone(), voter);
         seen.extend(rows.iter().map(|row| row.name.clone()));
         let Some(last) = rows.last().filter(|_| more) else { break };
-        after = (last.name.clone(), last.incarnation);
+        after = last.cursor();
     }
     // Those that never answer are missed one after the other, some of them while the pages are read.
     assert!(seen.len() > 1000, "{} of 1025", seen.len());
--- a/crates/edges/fleet/tests/wire_compatibility.rs
+++ b/crates/edges/fleet/tests/wire_compatibility.rs
@@ -195,7 +195,7 @@
         filled_permille: 503,
     };
     Body::PlanShown {
-        version: Some((1_000_001, 200)),
+        version: Some(entry().version),
         zones: states.into_iter().map(zone).collect(),
         classes: vec![ClassRow {
             requests_per_second: 1.5,
@@ -224,7 +224,7 @@
     };
     let shown = Body::MaintenanceShown {
         request: 4,
-        stored: Some(((1_000_001, 200), vec![1, 2, 3])),
+        stored: Some(StoredRequest { version: entry().version, value: vec![1, 2, 3] }),
         is_coordinator: true,
         blocked_reason: Some("0a000007: a reason".to_owned()),
     };
@@ -233,7 +233,10 @@
         ("plan shown", plan_shown()),
         ("show maintenance", Body::ShowMaintenance { request: 4 }),
         ("maintenance shown", shown),
-        ("show members", Body::ShowMembers { after: ("front 6".to_owned(), 299) }),
+        (
+            "show members",
+            Body::ShowMembers { after: MemberCursor { name: "front 6".to_owned(), incarnation: 299 } },
+        ),
         ("members", Body::Members { rows: vec![member], more: true }),
         ("show registers", Body::ShowRegisters { after: "a".to_owned() }),
         (
