--- a/crates/edges/fleet/tests/limits.rs
+++ b/crates/edges/fleet/tests/limits.rs
@@ -1,4 +1,4 @@
-//! What a datagram and a table of the fleet hold: 1,024 fronts, and one more than a page, a group or a register.
+//! Limits of datagrams and tables: 1,025 members, a full maintenance request, and as many registers as there are requests.
 
 use lemonusher_failure_detector::{DetectorConfig, FailureDetector, Member};
 use lemonusher_fleet::*;
@@ -14,10 +14,10 @@
 use std::time::Duration;
 
 const LEASE: Duration = Duration::from_millis(300);
-/// Fronts that are told of before an answer is awaited.
-const FRONTS_BEFORE_ANSWER: usize = 64;
-/// A datagram may be lost, so a question is asked so often.
-const ASKED_AT_MOST: usize = 20;
+/// Members that are announced before a reply is awaited.
+const FRONTS_PER_ANSWER: usize = 64;
+/// A datagram may be lost, so a request is sent up to this many times.
+const MAX_QUESTIONS: usize = 20;
 const LOCAL: &str = "127.0.0.1:0";
 
 /// Three voters on this machine.
@@ -25,10 +25,10 @@
     let held: Vec<UdpSocket> = (0..3).map(|_| UdpSocket::bind(LOCAL).unwrap()).collect();
     let addresses: Vec<SocketAddr> = held.iter().map(|socket| socket.local_addr().unwrap()).collect();
     drop(held);
-    (0..3).map(|place| start(terms(place, &addresses)).unwrap()).collect()
+    (0..3).map(|place| start(config(place, &addresses)).unwrap()).collect()
 }
 
-fn terms(place: usize, voters: &[SocketAddr]) -> FleetConfig {
+fn config(place: usize, voters: &[SocketAddr]) -> FleetConfig {
     let leases =
         LeaseConfig { duration: LEASE, clock_drift_permille: 20, max_action_time: Duration::from_millis(10) };
     FleetConfig {
@@ -51,22 +51,22 @@
     }
 }
 
-/// One that speaks to a voter under the fleet's key.
-struct Speaker {
+/// A client with the fleet's key.
+struct Client {
     socket: UdpSocket,
     seq: u64,
     config_fingerprint: u64,
 }
 
-impl Speaker {
-    fn new() -> Speaker {
+impl Client {
+    fn new() -> Client {
         let socket = UdpSocket::bind(LOCAL).unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
         let nobody = socket.local_addr().unwrap();
-        Speaker { socket, seq: 0, config_fingerprint: config_fingerprint(&terms(0, &[nobody; 3])) }
+        Client { socket, seq: 0, config_fingerprint: config_fingerprint(&config(0, &[nobody; 3])) }
     }
 
-    fn say(&mut self, body: Body, to: SocketAddr) {
+    fn send(&mut self, body: Body, to: SocketAddr) {
         self.seq += 1;
         let from = Incarnation { name: "speaker".to_owned(), id: 5 };
         let frame = Frame { from, sequence: self.seq, config_fingerprint: self.config_fingerprint, body };
@@ -74,40 +74,40 @@
         self.socket.send_to(&sealed, to).unwrap();
     }
 
-    /// The members after one of them, and whether there are more; asked again while a busy machine does not answer.
+    /// The members after one of them, and whether there are more; repeated while a busy machine does not reply.
     fn members(&mut self, after: MemberCursor, voter: SocketAddr) -> (Vec<MemberRow>, bool) {
-        for _ in 0..ASKED_AT_MOST {
-            self.say(Body::ShowMembers { after: after.clone() }, voter);
-            if let Some(Body::Members { rows, more }) = self.hear() {
+        for _ in 0..MAX_QUESTIONS {
+            self.send(Body::ShowMembers { after: after.clone() }, voter);
+            if let Some(Body::Members { rows, more }) = self.receive() {
                 return (rows, more);
             }
         }
         panic!("no answer after {after:?}")
     }
 
-    /// What a voter has accepted since a revision of an incarnation; asked again while a busy machine does not answer.
+    /// What a voter has accepted since a revision of an incarnation; repeated while a busy machine does not reply.
     fn changes(&mut self, (born, since): (u64, u64), voter: SocketAddr) -> Changes {
-        for _ in 0..ASKED_AT_MOST {
-            self.say(
+        for _ in 0..MAX_QUESTIONS {
+            self.send(
                 Body::RegisterRequest(RegisterRequest::ChangesSince { incarnation: born, revision: since }),
                 voter,
             );
-            if let Some(Body::RegisterReply(RegisterReply::Changes(changes))) = self.hear() {
+            if let Some(Body::RegisterReply(RegisterReply::Changes(changes))) = self.receive() {
                 return changes;
             }
         }
         panic!("no answer since {since}")
     }
 
-    fn hear(&self) -> Option<Body> {
+    fn receive(&self) -> Option<Body> {
         let mut bytes = [0; 2048];
-        let (long, _) = self.socket.recv_from(&mut bytes).ok()?;
-        Frame::open(&bytes[..long], &FleetKey::new(b"a key of a test")).ok().map(|frame| frame.body)
+        let (value_bytes, _) = self.socket.recv_from(&mut bytes).ok()?;
+        Frame::open(&bytes[..value_bytes], &FleetKey::new(b"a key of a test")).ok().map(|frame| frame.body)
     }
 }
 
 #[test]
-fn a_full_part_of_a_request_fits_a_register_and_one_machine_more_does_not_stand_in_it() {
+fn a_full_request_fits_a_register_and_one_machine_more_is_split_off() {
     let fronts: Vec<String> = (0..MAX_FRONTS).map(|front| format!("front-{front:06}")).collect();
     let machines: Vec<u32> = (0..=MAX_MACHINES as u32).map(|n| u32::MAX - n).collect();
     let full = |machines: &[u32]| {
@@ -117,52 +117,52 @@
         work.machines.iter_mut().for_each(|one| one.phase = Phase::Released { fencing_token: u64::MAX });
         work.split(u64::MAX)
     };
-    let long: Vec<usize> = full(&machines).iter().map(|part| part.to_bytes().len()).collect();
-    assert_eq!(long.len(), 2, "{long:?}");
-    assert!(long.iter().all(|long| *long <= MAX_VALUE_BYTES), "{long:?}");
+    let value_bytes: Vec<usize> = full(&machines).iter().map(|part| part.to_bytes().len()).collect();
+    assert_eq!(value_bytes.len(), 2, "{value_bytes:?}");
+    assert!(value_bytes.iter().all(|value_bytes| *value_bytes <= MAX_VALUE_BYTES), "{value_bytes:?}");
     assert!(full(&machines[1..]).len() == 1 && MAX_REQUESTS < MAX_REGISTERS);
 }
 
 #[test]
-fn a_front_tells_1025_others_page_by_page() {
-    let (voters, mut speaker) = (voters(), Speaker::new());
+fn a_front_shows_1025_members_page_by_page() {
+    let (voters, mut client) = (voters(), Client::new());
     let voter = voters[0].address;
     for n in 1..=1025 {
         let address = SocketAddr::from(([127, 0, (n >> 8) as u8, n as u8], 9));
-        let me = Member { name: format!("n{n}"), address, incarnation: n as u64, zone: 0, refutations: 0 };
-        let mut detector = FailureDetector::new(me, DetectorConfig { probe_interval: LEASE }, n as u64);
+        let local = Member { name: format!("n{n}"), address, incarnation: n as u64, zone: 0, refutations: 0 };
+        let mut detector = FailureDetector::new(local, DetectorConfig { probe_interval: LEASE }, n as u64);
         detector.add_seed(Duration::ZERO, voter);
-        let said: Vec<Vec<u8>> =
+        let messages: Vec<Vec<u8>> =
             detector.take_outgoing().into_iter().map(|datagram| datagram.bytes).collect();
-        said.into_iter().for_each(|bytes| speaker.say(Body::FailureDetector(bytes), voter));
-        if n % FRONTS_BEFORE_ANSWER == 0 {
-            // What was sent before has been read once this is answered, so the system's buffer drops nothing.
-            speaker.members(MemberCursor::default(), voter);
+        messages.into_iter().for_each(|bytes| client.send(Body::FailureDetector(bytes), voter));
+        if n % FRONTS_PER_ANSWER == 0 {
+            // What was sent before has been read once this has a reply, so the system's buffer drops nothing.
+            client.members(MemberCursor::default(), voter);
         }
     }
     let (mut after, mut seen) = (MemberCursor::default(), BTreeSet::new());
     loop {
-        let (rows, more) = speaker.members(after.clone(), voter);
+        let (rows, more) = client.members(after.clone(), voter);
         seen.extend(rows.iter().map(|row| row.name.clone()));
         let Some(last) = rows.last().filter(|_| more) else { break };
         after = last.cursor();
     }
-    // Those that never answer are missed one after the other, some of them while the pages are read.
+    // Those that never reply are declared as left one after the other, some of them while the pages are read.
     assert!(seen.len() > 1000, "{} of 1025", seen.len());
 }
 
 #[test]
-fn many_registers_are_told_in_few_datagrams_and_then_in_one_each_way() {
-    let (voters, mut speaker) = (voters(), Speaker::new());
+fn many_registers_change_in_few_datagrams_and_then_in_one_each_way() {
+    let (voters, mut client) = (voters(), Client::new());
     let voter = voters[0].address;
-    let votes = |speaker: &mut Speaker| {
-        speaker.say(Body::ShowRegisters { after: String::new() }, voter);
-        matches!(speaker.hear(), Some(Body::Registers { is_voting: true, .. })) || {
+    let votes = |client: &mut Client| {
+        client.send(Body::ShowRegisters { after: String::new() }, voter);
+        matches!(client.receive(), Some(Body::Registers { is_voting: true, .. })) || {
             std::thread::sleep(LEASE / 10);
             false
         }
     };
-    assert!((0..200).any(|_| votes(&mut speaker)), "it never votes");
+    assert!((0..200).any(|_| votes(&mut client)), "it never votes");
     let names: BTreeSet<String> = (0..MAX_REQUESTS as u8).map(maintenance_register).collect();
     let ballot = Ballot { round: 1, proposer: 5 };
     for name in &names {
@@ -171,13 +171,15 @@
             fencing_token: 1,
             value: vec![7; 20],
         };
-        speaker
-            .say(Body::RegisterRequest(RegisterRequest::Accept { name: name.clone(), ballot, entry }), voter);
-        assert!(matches!(speaker.hear(), Some(Body::RegisterReply(RegisterReply::Accepted { .. }))));
+        client.send(
+            Body::RegisterRequest(RegisterRequest::Accept { name: name.clone(), ballot, entry }),
+            voter,
+        );
+        assert!(matches!(client.receive(), Some(Body::RegisterReply(RegisterReply::Accepted { .. }))));
     }
     let (mut known, mut shown, mut datagrams) = ((0, 0), BTreeSet::new(), 0);
     loop {
-        let changes = speaker.changes(known, voter);
+        let changes = client.changes(known, voter);
         datagrams += 1;
         shown.extend(changes.registers.into_iter().map(|row| row.name));
         known = (changes.incarnation, changes.revision);
@@ -187,6 +189,6 @@
     }
     assert_eq!(shown, names);
     assert!(datagrams <= 8, "{datagrams} datagrams");
-    let changes = speaker.changes(known, voter);
+    let changes = client.changes(known, voter);
     assert!(changes.registers.is_empty() && !changes.more, "{changes:?}");
 }
--- a/crates/edges/fleet/tests/nodes.rs
+++ b/crates/edges/fleet/tests/nodes.rs
@@ -1,5 +1,5 @@
-//! Nodes over a network that turns the order of each burst round: what may come in any order is heard all the same, and
-//! what may not is dropped; what is followed costs little, and is known again after voters have lost their memory.
+//! Nodes over a network that reverses each burst: messages that may arrive in any order are accepted, others are dropped;
+//! watching registers costs little, and values are known again after voters have lost their memory.
 
 use lemonusher_fleet::*;
 use lemonusher_leases::{Ballot, Incarnation, LeaseConfig, LeaseReply, LeaseRequest};
@@ -12,17 +12,17 @@
 
 const LEASE: Duration = Duration::from_millis(600);
 const STEP: Duration = Duration::from_millis(5);
-/// So long voters without a folder keep silent, and then some.
-const SETTLED: Duration = Duration::from_secs(3);
+/// Longer than voters without a folder are silent.
+const SILENT_TIME: Duration = Duration::from_secs(3);
 const VOTERS: usize = 3;
 /// Bytes of a long value.
-const LONG: usize = 800;
+const VALUE_BYTES: usize = 800;
 
-fn address(place: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], 9_000 + place as u16))
+fn address(index: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], 9_000 + index as u16))
 }
 
-fn terms(place: usize) -> FleetConfig {
+fn config(index: usize) -> FleetConfig {
     let leases =
         LeaseConfig { duration: LEASE, clock_drift_permille: 20, max_action_time: Duration::from_millis(10) };
     let ms = Duration::from_millis;
@@ -37,7 +37,7 @@
         plan_timeout: ms(2_000),
     };
     let (_, seen) = async_channel::bounded(1);
-    let votes = place < VOTERS;
+    let votes = index < VOTERS;
     let maintenance = lemonusher_maintenance::MaintenanceConfig {
         poll_interval: ms(100),
         required_fronts: (0..=VOTERS).map(|front| format!("front {front}")).collect(),
@@ -46,20 +46,20 @@
         probation: ms(1_000),
     };
     FleetConfig {
-        name: format!("front {place}"),
-        listen: address(place),
+        name: format!("front {index}"),
+        listen: address(index),
         key: key(),
         leases,
         voters: (0..VOTERS).map(address).collect(),
         is_voter: votes,
-        voter_index: votes.then_some(place),
+        voter_index: votes.then_some(index),
         advertised_address: None,
         zone: 0,
         state_folder: None,
         tasks: Vec::new(),
         quota_slots: 0,
         wanted_slots: 0,
-        first_slot: place as u32,
+        first_slot: index as u32,
         zone_failover: Some(ZoneFailoverSettings {
             config: zone_terms,
             classes: Vec::new(),
@@ -73,37 +73,43 @@
     FleetKey::new(b"a key of a test")
 }
 
-fn node(place: usize) -> Node {
-    node_of(place, place as u64 + 1)
+fn node(index: usize) -> Node {
+    node_of(index, index as u64 + 1)
 }
 
-fn node_of(place: usize, life: u64) -> Node {
-    let birth = StartParameters { address: address(place), incarnation: life, unix_time_ms: 1, seed: life };
-    Node::new(terms(place), birth, None, Arc::new(TrafficCounters::default()))
+fn node_of(index: usize, incarnation: u64) -> Node {
+    let birth = StartParameters { address: address(index), incarnation, unix_time_ms: 1, seed: incarnation };
+    Node::new(config(index), birth, None, Arc::new(TrafficCounters::default()))
 }
 
-/// Nodes whose bursts arrive turned round, one step of time after they were sent.
-struct Reversed {
+/// Nodes whose bursts arrive in reverse order, one step of time after they were sent.
+struct ReversedNetwork {
     nodes: Vec<Node>,
-    under_way: Vec<(SocketAddr, Datagram)>,
+    in_flight: Vec<(SocketAddr, Datagram)>,
     now: Duration,
     /// When each node's incarnation began.
-    born: Vec<Duration>,
+    started_at: Vec<Duration>,
     /// Messages of each kind that each node has sent.
     sent: BTreeMap<(usize, MessageKind), usize>,
 }
 
-impl Reversed {
-    fn new(nodes: usize) -> Reversed {
+impl ReversedNetwork {
+    fn new(nodes: usize) -> ReversedNetwork {
         let nodes: Vec<Node> = (0..nodes).map(node).collect();
-        let born = vec![Duration::ZERO; nodes.len()];
-        Reversed { nodes, under_way: Vec::new(), now: Duration::ZERO, born, sent: BTreeMap::new() }
+        let started_at = vec![Duration::ZERO; nodes.len()];
+        ReversedNetwork {
+            nodes,
+            in_flight: Vec::new(),
+            now: Duration::ZERO,
+            started_at,
+            sent: BTreeMap::new(),
+        }
     }
 
     /// Starts a voter anew, without memory.
-    fn restart(&mut self, place: usize, life: u64) {
-        self.nodes[place] = node_of(place, life);
-        self.born[place] = self.now;
+    fn restart(&mut self, index: usize, incarnation: u64) {
+        self.nodes[index] = node_of(index, incarnation);
+        self.started_at[index] = self.now;
     }
 
     fn run_for(&mut self, span: Duration) {
@@ -115,48 +121,48 @@
 
     fn step(&mut self) {
         self.now += STEP;
-        for (from, datagram) in std::mem::take(&mut self.under_way).into_iter().rev() {
-            let to = (0..self.nodes.len()).find(|place| address(*place) == datagram.to);
-            if let Some(place) = to {
-                self.nodes[place].handle_datagram(self.now - self.born[place], from, &datagram.bytes);
+        for (from, datagram) in std::mem::take(&mut self.in_flight).into_iter().rev() {
+            let to = (0..self.nodes.len()).find(|index| address(*index) == datagram.to);
+            if let Some(index) = to {
+                self.nodes[index].handle_datagram(self.now - self.started_at[index], from, &datagram.bytes);
             }
         }
-        for (place, node) in self.nodes.iter_mut().enumerate() {
-            node.poll(self.now - self.born[place]);
+        for (index, node) in self.nodes.iter_mut().enumerate() {
+            node.poll(self.now - self.started_at[index]);
             for Message { kind, datagram } in node.take_outgoing() {
-                *self.sent.entry((place, kind)).or_default() += 1;
-                self.under_way.push((address(place), datagram));
+                *self.sent.entry((index, kind)).or_default() += 1;
+                self.in_flight.push((address(index), datagram));
             }
         }
     }
 }
 
 #[test]
-fn who_follows_many_registers_sends_one_datagram_a_voter_and_turn() {
-    let mut fleet = Reversed::new(VOTERS + 1);
-    fleet.run_for(SETTLED);
+fn watching_many_registers_costs_one_datagram_per_voter_and_poll() {
+    let mut fleet = ReversedNetwork::new(VOTERS + 1);
+    fleet.run_for(SILENT_TIME);
     fleet.sent.clear();
     fleet.run_for(LEASE * 10);
-    let asked = fleet.sent.get(&(VOTERS, MessageKind::Registers)).copied().unwrap_or(0);
-    // Each voter is asked once in a quarter of a lease, or up to a quarter sooner.
-    let turns = 10 * 4 * 4 / 3;
-    assert!(asked <= VOTERS * (turns + 1), "{asked} messages in {turns} turns at most");
-    assert!(asked >= VOTERS * 30, "{asked} messages");
+    let messages = fleet.sent.get(&(VOTERS, MessageKind::Registers)).copied().unwrap_or(0);
+    // Each voter is polled once in a quarter of a lease, or up to a quarter sooner.
+    let polls = 10 * 4 * 4 / 3;
+    assert!(messages <= VOTERS * (polls + 1), "{messages} messages in {polls} polls at most");
+    assert!(messages >= VOTERS * 30, "{messages} messages");
 }
 
-/// Two voters of three lose their memory; the third alone still has the value. Who joins then learns it.
+/// Two voters of three lose their memory; the third alone still has the value. A member that joins then learns it.
 #[test]
-fn what_is_left_after_a_majority_has_forgotten_is_known_to_who_joins_then() {
-    let mut fleet = Reversed::new(VOTERS);
-    fleet.run_for(SETTLED);
-    // Nobody but operators proposes wishes, so nobody reads them anew for purposes of its own.
+fn values_left_after_a_majority_lost_its_memory_are_known_to_a_new_member() {
+    let mut fleet = ReversedNetwork::new(VOTERS);
+    fleet.run_for(SILENT_TIME);
+    // Only operators propose overrides, so no coordinator reads them again for its own purposes.
     let entry = Entry {
         version: EntryVersion { epoch: u64::MAX - 1, counter: 1 },
         fencing_token: 1,
-        value: vec![1; LONG],
+        value: vec![1; VALUE_BYTES],
     };
     let ballot = Ballot { round: 9, proposer: 5 };
-    let bytes = said(
+    let bytes = sealed(
         1,
         Body::RegisterRequest(registers::RegisterRequest::Accept {
             name: OVERRIDES_REGISTER.to_owned(),
@@ -164,50 +170,46 @@
             entry,
         }),
     );
-    (0..VOTERS).for_each(|place| fleet.nodes[place].handle_datagram(fleet.now, address(9), &bytes));
+    (0..VOTERS).for_each(|index| fleet.nodes[index].handle_datagram(fleet.now, address(9), &bytes));
     fleet.restart(0, 100);
     fleet.restart(2, 102);
-    fleet.run_for(SETTLED * 2);
+    fleet.run_for(SILENT_TIME * 2);
     fleet.nodes.push(node(VOTERS));
-    fleet.born.push(fleet.now);
-    fleet.run_for(SETTLED);
+    fleet.started_at.push(fleet.now);
+    fleet.run_for(SILENT_TIME);
     // All else that it holds is less.
-    let known = fleet.nodes[VOTERS].stats(SETTLED).bytes;
-    assert!(known > LONG, "{known} bytes known");
+    let known = fleet.nodes[VOTERS].stats(SILENT_TIME).bytes;
+    assert!(known > VALUE_BYTES, "{known} bytes known");
 }
 
-/// One that speaks to a voter under the fleet's key, with numbers of its choice.
-fn said(seq: u64, body: Body) -> Vec<u8> {
+/// A datagram of a client with the fleet's key, with a sequence number of its choice.
+fn sealed(seq: u64, body: Body) -> Vec<u8> {
     let from = Incarnation { name: "speaker".to_owned(), id: 5 };
-    Frame { from, sequence: seq, config_fingerprint: config_fingerprint(&terms(0)), body }
+    Frame { from, sequence: seq, config_fingerprint: config_fingerprint(&config(0)), body }
         .seal(&key())
         .expect("too long for a datagram")
 }
 
 fn accept(round: u64) -> Body {
-    let who = Incarnation { name: "speaker".to_owned(), id: 5 };
+    let client = Incarnation { name: "speaker".to_owned(), id: 5 };
     let ballot = Ballot { round, proposer: 5 };
     Body::LeaseRequest(LeaseRequest::Accept {
         task: "account".to_owned(),
         ballot,
-        client: who,
+        client,
         fencing_token: round,
     })
 }
 
 fn release(round: u64) -> Body {
-    let who = Incarnation { name: "speaker".to_owned(), id: 5 };
-    Body::LeaseRequest(LeaseRequest::Release {
-        task: "account".to_owned(),
-        client: who,
-        fencing_token: round,
-    })
+    let client = Incarnation { name: "speaker".to_owned(), id: 5 };
+    Body::LeaseRequest(LeaseRequest::Release { task: "account".to_owned(), client, fencing_token: round })
 }
 
-/// The replies of a voter that has got its say, to these messages in this order.
+/// The replies of a voter that is no longer silent, to these messages in this order.
 fn replies(messages: &[Vec<u8>]) -> Vec<LeaseReply> {
     let mut voter = node(0);
-    let now = SETTLED;
+    let now = SILENT_TIME;
     voter.poll(now);
     voter.take_outgoing();
     let speaker = address(9);
@@ -222,14 +224,14 @@
 }
 
 #[test]
-fn a_lease_asked_for_before_its_release_is_not_granted_after_it() {
-    assert_eq!(replies(&[said(1, accept(1))]).len(), 1);
-    assert_eq!(replies(&[said(2, release(1)), said(1, accept(1))]).len(), 0);
-    assert_eq!(replies(&[said(2, release(1)), said(1, accept(1)), said(3, accept(2))]).len(), 1);
+fn a_lease_requested_before_its_release_is_not_granted_after_it() {
+    assert_eq!(replies(&[sealed(1, accept(1))]).len(), 1);
+    assert_eq!(replies(&[sealed(2, release(1)), sealed(1, accept(1))]).len(), 0);
+    assert_eq!(replies(&[sealed(2, release(1)), sealed(1, accept(1)), sealed(3, accept(2))]).len(), 1);
 }
 
 #[test]
-fn an_ask_that_was_overtaken_is_answered_and_a_repeat_is_not() {
-    let (first, second) = (said(1, accept(1)), said(2, accept(1)));
+fn a_reordered_request_is_answered_and_a_repeated_one_is_not() {
+    let (first, second) = (sealed(1, accept(1)), sealed(2, accept(1)));
     assert_eq!(replies(&[second.clone(), first.clone(), first, second]).len(), 2);
 }
--- a/crates/edges/fleet/tests/replay_window.rs
+++ b/crates/edges/fleet/tests/replay_window.rs
@@ -1,4 +1,4 @@
-//! Numbers of a sender: each is listened to once, in whatever order they come.
+//! Sequence numbers of a sender: each is accepted once, in any order.
 
 use lemonusher_fleet::ReplayWindow;
 use std::collections::BTreeSet;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_number_beyond_the_reach_counts_as_heard() {
+fn a_number_beyond_the_reach_counts_as_received() {
     let mut window = ReplayWindow::default();
     assert!(window.accept(10 + ReplayWindow::REACH));
     assert!(!window.accept(9));
@@ -22,15 +22,15 @@
 
 /// Against a plain set of all numbers, over jumps from one to several times the window.
 #[test]
-fn it_is_what_a_set_of_all_numbers_says_within_its_reach() {
+fn it_agrees_with_a_set_of_all_numbers_within_its_reach() {
     let mut chance = fastrand::Rng::with_seed(7);
-    let (mut window, mut heard, mut highest) = (ReplayWindow::default(), BTreeSet::new(), 0);
+    let (mut window, mut received, mut highest) = (ReplayWindow::default(), BTreeSet::new(), 0);
     for _ in 0..100_000 {
         let ahead = if chance.u8(..) < 8 { chance.u64(1..3_000) } else { chance.u64(1..4) };
         let number = if chance.bool() { highest + ahead } else { chance.u64(1..=highest.max(1)) };
         let near = number + ReplayWindow::REACH >= highest;
-        let fresh = near && heard.insert(number);
-        assert_eq!(window.accept(number), fresh, "{number} after {highest}");
+        let is_new = near && received.insert(number);
+        assert_eq!(window.accept(number), is_new, "{number} after {highest}");
         highest = highest.max(number);
     }
 }
--- a/crates/edges/fleet/tests/unit/frame.rs
+++ b/crates/edges/fleet/tests/unit/frame.rs
@@ -24,27 +24,47 @@
     assert_eq!(Frame::open(&[0; 4000], &key), Err(OpenError::Unauthenticated));
 }
 
+fn max_incarnation() -> Incarnation {
+    Incarnation { name: "n".repeat(40), id: u64::MAX }
+}
+
+fn max_version() -> registers::EntryVersion {
+    registers::EntryVersion { epoch: u64::MAX, counter: u64::MAX }
+}
+
+/// Asserts that a datagram of this body is not too long.
+fn fits(body: Body) {
+    let from = max_incarnation();
+    let frame = Frame { from, sequence: u64::MAX, config_fingerprint: u64::MAX, body };
+    assert!(frame.seal(&FleetKey::new(b"k")).is_some());
+}
+
 #[test]
 fn a_full_page_of_each_table_fits_a_datagram() {
-    let incarnation = Incarnation { name: "n".repeat(40), id: u64::MAX };
+    full_tables_fit();
+    full_register_replies_fit();
+    full_reports_fit();
+    full_plans_and_requests_fit();
+}
+
+fn full_tables_fit() {
     let row = LeaseRow {
         task: "t".repeat(48),
-        holder: incarnation.clone(),
+        holder: max_incarnation(),
         fencing_token: u64::MAX,
         remaining: Duration::MAX,
     };
-    let fits = |body| {
-        let frame =
-            Frame { from: incarnation.clone(), sequence: u64::MAX, config_fingerprint: u64::MAX, body };
-        assert!(frame.seal(&FleetKey::new(b"k")).is_some());
-    };
     fits(Body::Leases { is_silent: false, rows: vec![row; MAX_ROWS], more: true });
-    let version = registers::EntryVersion { epoch: u64::MAX, counter: u64::MAX };
+    let version = max_version();
     let row = RegisterRow { name: "r".repeat(48), version, fencing_token: u64::MAX, value_bytes: u32::MAX };
     fits(Body::Registers { is_voting: true, epoch: u64::MAX, rows: vec![row; MAX_ROWS], more: true });
     let address = "[ffff:ffff::ffff]:65535".parse().unwrap();
     let row = MemberRow { name: "n".repeat(64), address, zone: u32::MAX, incarnation: u64::MAX };
     fits(Body::Members { rows: vec![row; MAX_ROWS], more: true });
+}
+
+fn full_register_replies_fit() {
+    let version = max_version();
     let ballot = lemonusher_leases::Ballot { round: u64::MAX, proposer: u64::MAX };
     let entry =
         registers::Entry { version, fencing_token: u64::MAX, value: vec![1; registers::MAX_VALUE_BYTES] };
@@ -71,7 +91,11 @@
         registers: vec![row],
         more: true,
     })));
+}
+
+fn full_reports_fit() {
     fits(Body::FailureDetector(vec![1; lemonusher_failure_detector::MAX_MESSAGE_BYTES]));
+    let version = max_version();
     let stats = zones::ZoneStats {
         zone: 15,
         listed: u16::MAX,
@@ -90,6 +114,10 @@
     }));
     let confirmation = lemonusher_maintenance::DrainConfirmation { request: 15, version, machine: u32::MAX };
     fits(Body::DrainConfirmations(vec![confirmation; 32]));
+}
+
+fn full_plans_and_requests_fit() {
+    let version = max_version();
     let work = Some(StoredRequest { version, value: vec![1; registers::MAX_VALUE_BYTES] });
     fits(Body::MaintenanceShown {
         request: 15,
