--- a/crates/core/leases/tests/exhaustive.rs
+++ b/crates/core/leases/tests/exhaustive.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 
 const VOTERS: usize = 3;
-const ASKERS: usize = 2;
+const CLIENTS: usize = 2;
 const TASK: &str = "t";
 
-/// What is spoilt on purpose, to see that the check would catch it.
+/// A rule that is broken on purpose, to see that the check detects it.
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Spoilt {
+enum Mutation {
     Nothing,
     /// Voters that have lost their memory are believed at once.
     ForgetfulVoters,
@@ -20,10 +20,10 @@
     NoDriftMargin,
 }
 
-struct Small {
-    spoilt: Spoilt,
+struct SmallFleet {
+    mutation: Mutation,
     ticks: u32,
-    lost: u32,
+    memory_losses: u32,
     attempts: u32,
 }
 
@@ -37,10 +37,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     tick: u32,
-    lost: u32,
-    begun: u32,
+    memory_losses: u32,
+    attempts_begun: u32,
     voters: Vec<Voter>,
-    askers: Vec<LeaseClient>,
+    clients: Vec<LeaseClient>,
     /// The number under which each lease client may act now.
     acts: Vec<Option<u64>>,
     sent: BTreeSet<Sent>,
@@ -55,10 +55,10 @@
     Forget(usize),
 }
 
-impl Small {
-    fn terms(&self) -> LeaseConfig {
+impl SmallFleet {
+    fn config(&self) -> LeaseConfig {
         // Drift of a third: the lease clients' clocks are slow, one unit a tick; the voters' fast, two.
-        let drift = if self.spoilt == Spoilt::NoDriftMargin { 0 } else { 333 };
+        let drift = if self.mutation == Mutation::NoDriftMargin { 0 } else { 333 };
         LeaseConfig {
             duration: Duration::from_millis(400),
             clock_drift_permille: drift,
@@ -66,7 +66,7 @@
         }
     }
 
-    fn asker_now(&self, tick: u32) -> Duration {
+    fn client_now(&self, tick: u32) -> Duration {
         Duration::from_millis(200) * tick
     }
 
@@ -74,47 +74,94 @@
         Duration::from_millis(400) * tick
     }
 
-    fn turn(&self, state: &mut State, asker: usize) {
-        let now = self.asker_now(state.tick);
-        let posts = state.askers[asker].poll(now, &self.terms(), &mut || 0.0);
-        self.post(state, asker, posts);
-        self.note(state, asker);
+    fn poll(&self, state: &mut State, client: usize) {
+        let now = self.client_now(state.tick);
+        let messages = state.clients[client].poll(now, &self.config(), &mut || 0.0);
+        self.send(state, client, messages);
+        self.record(state, client);
     }
 
-    fn post(&self, state: &mut State, asker: usize, posts: Vec<OutboundMessage>) {
-        for OutboundMessage { voter, request: ask } in posts {
-            state.sent.insert(Sent::LeaseRequest(asker, voter, ask));
+    fn send(&self, state: &mut State, client: usize, messages: Vec<OutboundMessage>) {
+        for OutboundMessage { voter, request } in messages {
+            state.sent.insert(Sent::LeaseRequest(client, voter, request));
         }
     }
 
-    fn note(&self, state: &mut State, asker: usize) {
-        let now = self.asker_now(state.tick);
-        state.askers[asker].changes();
-        state.acts[asker] = state.askers[asker].may_act(now, TASK).map(|(number, _)| number);
+    fn record(&self, state: &mut State, client: usize) {
+        let now = self.client_now(state.tick);
+        state.clients[client].take_changes();
+        state.acts[client] = state.clients[client].active_lease(now, TASK).map(|lease| lease.fencing_token);
+    }
+
+    /// Begins what is due; none if that is nothing.
+    fn begin_attempt(&self, state: &mut State, client: usize) -> Option<()> {
+        let before = state.sent.len();
+        self.poll(state, client);
+        if state.sent.len() == before {
+            return None;
+        }
+        state.attempts_begun += 1;
+        // What belongs to an attempt that was given up changes nothing at its lease client, and a prepare of one only
+        // bars others: both count as lost. Its accepts may still come, at any time.
+        let latest = state.sent.iter().filter_map(|sent| match sent {
+            Sent::LeaseRequest(from, _, LeaseRequest::Prepare { ballot, .. }) if *from == client => {
+                Some(*ballot)
+            }
+            _ => None,
+        });
+        let latest = latest.max();
+        state.sent.retain(|sent| match sent {
+            Sent::LeaseRequest(from, _, LeaseRequest::Prepare { ballot, .. }) => {
+                *from != client || Some(*ballot) == latest
+            }
+            Sent::LeaseReply(_, to, reply) => *to != client || Some(reply.ballot()) == latest,
+            _ => true,
+        });
+        Some(())
+    }
+
+    fn deliver_request(&self, state: &mut State, client: usize, voter: usize, request: LeaseRequest) {
+        let now = self.voter_now(state.tick);
+        if let Some(reply) = state.voters[voter].handle_request(now, &self.config(), request) {
+            // A refusal only keeps a lease client from going on, which losing it does as well.
+            // A promise that is late is as good as accepts that are late, so it comes at once or never.
+            match &reply {
+                LeaseReply::Promise { .. } => {
+                    let now = self.client_now(state.tick);
+                    let messages =
+                        state.clients[client].handle_reply(now, &self.config(), voter, reply, &mut || 0.0);
+                    self.send(state, client, messages);
+                }
+                LeaseReply::Accepted { .. } => {
+                    state.sent.insert(Sent::LeaseReply(voter, client, reply));
+                }
+                _ => {}
+            }
+        }
     }
 }
 
-impl Model for Small {
+impl Model for SmallFleet {
     type State = State;
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let terms = self.terms();
-        let ready = LeaseConfig { duration: Duration::ZERO, ..terms };
+        let config = self.config();
+        let ready = LeaseConfig { duration: Duration::ZERO, ..config };
         let mut state = State {
             tick: 0,
-            lost: 0,
-            begun: 0,
+            memory_losses: 0,
+            attempts_begun: 0,
             // They have been up for long.
             voters: (0..VOTERS).map(|_| Voter::new(Duration::ZERO, &ready, 0)).collect(),
-            askers: (0..ASKERS)
+            clients: (0..CLIENTS)
                 .map(|n| LeaseClient::new(Incarnation { name: format!("{n}"), id: n as u64 + 1 }, VOTERS))
                 .collect(),
-            acts: vec![None; ASKERS],
+            acts: vec![None; CLIENTS],
             sent: BTreeSet::new(),
         };
-        for asker in 0..ASKERS {
-            state.askers[asker].acquire(Duration::ZERO, TASK, true);
+        for client in 0..CLIENTS {
+            state.clients[client].acquire(Duration::ZERO, TASK, true);
         }
         vec![state]
     }
@@ -124,78 +171,39 @@
         if state.tick < self.ticks {
             steps.push(Step::Tick);
         }
-        if state.begun < self.attempts {
-            steps.extend((0..ASKERS).map(Step::Begin));
+        if state.attempts_begun < self.attempts {
+            steps.extend((0..CLIENTS).map(Step::Begin));
         }
-        if state.lost < self.lost {
+        if state.memory_losses < self.memory_losses {
             steps.extend((0..VOTERS).map(Step::Forget));
         }
     }
 
     fn next_state(&self, last: &State, step: Step) -> Option<State> {
-        let (terms, mut state) = (self.terms(), last.clone());
+        let (config, mut state) = (self.config(), last.clone());
         match step {
             Step::Tick => {
                 state.tick += 1;
-                (0..ASKERS).for_each(|asker| self.note(&mut state, asker));
-            }
-            Step::Begin(asker) => {
-                let before = state.sent.len();
-                self.turn(&mut state, asker);
-                if state.sent.len() == before {
-                    return None;
-                }
-                state.begun += 1;
-                // What belongs to an attempt that was given up changes nothing at its lease client, and a prepare of one only
-                // bars others: both count as lost. Its accepts may still come, at any time.
-                let latest = state.sent.iter().filter_map(|sent| match sent {
-                    Sent::LeaseRequest(from, _, LeaseRequest::Prepare { ballot, .. }) if *from == asker => {
-                        Some(*ballot)
-                    }
-                    _ => None,
-                });
-                let latest = latest.max();
-                state.sent.retain(|sent| match sent {
-                    Sent::LeaseRequest(from, _, LeaseRequest::Prepare { ballot, .. }) => {
-                        *from != asker || Some(*ballot) == latest
-                    }
-                    Sent::LeaseReply(_, to, reply) => *to != asker || Some(reply.task().1) == latest,
-                    _ => true,
-                });
+                (0..CLIENTS).for_each(|client| self.record(&mut state, client));
             }
+            Step::Begin(client) => self.begin_attempt(&mut state, client)?,
             Step::Forget(voter) => {
-                state.lost += 1;
-                let counted = if self.spoilt == Spoilt::ForgetfulVoters {
-                    LeaseConfig { duration: Duration::ZERO, ..terms }
+                state.memory_losses += 1;
+                let counted = if self.mutation == Mutation::ForgetfulVoters {
+                    LeaseConfig { duration: Duration::ZERO, ..config }
                 } else {
-                    terms
+                    config
                 };
                 state.voters[voter] = Voter::new(self.voter_now(state.tick), &counted, 0);
             }
-            Step::Deliver(Sent::LeaseRequest(asker, voter, ask)) => {
-                let now = self.voter_now(state.tick);
-                if let Some(reply) = state.voters[voter].handle_request(now, &terms, ask) {
-                    // A refusal only keeps a lease client from going on, which losing it does as well.
-                    // A promise that is late is as good as accepts that are late, so it comes at once or never.
-                    match &reply {
-                        LeaseReply::Promise { .. } => {
-                            let now = self.asker_now(state.tick);
-                            let posts =
-                                state.askers[asker].handle_reply(now, &terms, voter, reply, &mut || 0.0);
-                            self.post(&mut state, asker, posts);
-                        }
-                        LeaseReply::Accepted { .. } => {
-                            state.sent.insert(Sent::LeaseReply(voter, asker, reply));
-                        }
-                        _ => {}
-                    }
-                }
+            Step::Deliver(Sent::LeaseRequest(client, voter, request)) => {
+                self.deliver_request(&mut state, client, voter, request);
             }
-            Step::Deliver(Sent::LeaseReply(voter, asker, reply)) => {
-                let now = self.asker_now(state.tick);
-                let posts = state.askers[asker].handle_reply(now, &terms, voter, reply, &mut || 0.0);
-                self.post(&mut state, asker, posts);
-                self.note(&mut state, asker);
+            Step::Deliver(Sent::LeaseReply(voter, client, reply)) => {
+                let now = self.client_now(state.tick);
+                let messages = state.clients[client].handle_reply(now, &config, voter, reply, &mut || 0.0);
+                self.send(&mut state, client, messages);
+                self.record(&mut state, client);
             }
         }
         (state != *last).then_some(state)
@@ -211,24 +219,27 @@
     }
 }
 
-fn check(spoilt: Spoilt, ticks: u32, lost: u32, attempts: u32) -> (usize, bool, bool) {
-    let checker = Small { spoilt, ticks, lost, attempts }.checker().threads(4).spawn_dfs().join();
-    let two = checker.discovery("no two act at once").is_some();
-    (checker.unique_state_count(), two, checker.discovery("somebody acts").is_some())
+fn check(mutation: Mutation, ticks: u32, memory_losses: u32, attempts: u32) -> (usize, bool, bool) {
+    let checker =
+        SmallFleet { mutation, ticks, memory_losses, attempts }.checker().threads(4).spawn_dfs().join();
+    let two_act = checker.discovery("no two act at once").is_some();
+    (checker.unique_state_count(), two_act, checker.discovery("somebody acts").is_some())
 }
 
 #[test]
 fn no_interleaving_lets_two_act_at_once() {
-    let (states, two, one) = check(Spoilt::Nothing, 2, 1, 2);
+    let (states, two_act, one_acts) = check(Mutation::Nothing, 2, 1, 2);
     println!("proof: leases_exhaustive_states {states}");
-    assert!(!two && one);
+    assert!(!two_act && one_acts);
 }
 
 #[test]
-fn each_spoilt_rule_is_caught() {
-    for (spoilt, ticks, lost) in [(Spoilt::ForgetfulVoters, 0, 1), (Spoilt::NoDriftMargin, 1, 0)] {
-        let (states, two, _) = check(spoilt, ticks, lost, 2);
-        println!("proof: leases_mutant_{spoilt:?}_caught_within {states}");
-        assert!(two, "{spoilt:?} is not caught");
+fn each_broken_rule_is_detected() {
+    for (mutation, ticks, memory_losses) in
+        [(Mutation::ForgetfulVoters, 0, 1), (Mutation::NoDriftMargin, 1, 0)]
+    {
+        let (states, two_act, _) = check(mutation, ticks, memory_losses, 2);
+        println!("proof: leases_mutant_{mutation:?}_caught_within {states}");
+        assert!(two_act, "{mutation:?} is not caught");
     }
 }
--- a/crates/edges/fleet/src/node/settle.rs
+++ b/crates/edges/fleet/src/node/settle.rs
@@ -4,7 +4,7 @@
 use crate::frame::Body;
 use crate::sites::{NAME as SITES, Sites};
 use crate::works::{self, Works};
-use lemonusher_maintenance::{FleetCapacity, MAX_REQUESTS};
+use lemonusher_maintenance::{FleetCapacity, MAX_REQUESTS, MachineCapacity};
 use lemonusher_registers::{self as registers, Operation, ProposalOutcome};
 use lemonusher_routing::ZoneObservation;
 use std::time::Duration;
@@ -16,7 +16,7 @@
             let posts = keeper.poll(now, &terms);
             let state = keeper.state(now);
             if self.stood.replace(state) != Some(state) {
-                tracing::info!(era = keeper.era(), "fleet: as a voter on registers it is {state}");
+                tracing::info!(era = keeper.epoch(), "fleet: as a voter on registers it is {state}");
             }
             self.post_registers(posts);
         }
@@ -25,7 +25,7 @@
         let asks = self.follower.poll(now, &mut || rng.f64());
         self.post_registers(posts);
         self.post_registers(asks);
-        for outcome in self.proposer.outcomes() {
+        for outcome in self.proposer.take_outcomes() {
             // Nobody here has asked for what is proposed anew.
             if self.reproposed.take_if(|name| name == outcome.name()).is_none() {
                 self.heed(now, &outcome);
@@ -137,10 +137,16 @@
 fn count_machines(sites: &Sites, works: &mut Works, seen: ZoneObservation) {
     // What is not tried counts as answering: only a machine that fails is out by itself.
     let bears = |cores: u32| f64::from(cores) * sites.safe();
-    let machines = seen
-        .engines
-        .iter()
-        .map(|(id, site, cores, answers)| (*id, (*site, bears(*cores), answers.unwrap_or(true))));
+    let machines = seen.engines.iter().map(|seen| {
+        (
+            seen.engine,
+            MachineCapacity {
+                zone: seen.zone,
+                work: bears(seen.cores),
+                answers: seen.answers.unwrap_or(true),
+            },
+        )
+    });
     let fleet = FleetCapacity { machines: machines.collect(), classes: Vec::new() };
     works.counted(seen.maintenance_version, seen.in_flight, fleet, &seen.local);
     if let Some((groups, worse, down)) = sites.load() {
--- a/crates/edges/front/src/program/external_processing.rs
+++ b/crates/edges/front/src/program/external_processing.rs
@@ -1,6 +1,6 @@
 //! External processing: proxies that send attempts by themselves, in the place of clients and of connections to engines.
-//! Their messages go into the router's queue, the router's commands and responses go to them. What a call goes through is
-//! decided in `lemonusher-consult`.
+//! Their events go into the router's queue, the router's commands and responses go to them. The state of a call is decided
+//! in `lemonusher-external-call`.
 
 use super::shared::Shared;
 use crate::transport::Signal;
@@ -8,8 +8,10 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 use lemonusher::{Deployment, EndpointUpdateKind, EngineId, EngineState, LoadReporting, RequestId};
-use lemonusher_consult::{Asked, Consult, Do, StreamId, Terms, Verdict};
-use lemonusher_processor::{FromProxy, Told};
+use lemonusher_external_call::{
+    CallAction, CallConfig, CallRequest, CallResponse, ExternalCalls, FinalResponse, StreamId,
+};
+use lemonusher_processor::{ProxyEvent, ProxyResponse};
 use lemonusher_routing::{Endpoint, EngineCommand, IncomingRequest, Response, ResponseSink, RouterEvent};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -20,12 +22,12 @@
 /// What the front needs to serve proxies by external processing.
 pub struct ExternalProcessing {
     /// Configuration of the calls.
-    pub config: Terms,
-    /// Messages of the proxies.
-    pub messages: Receiver<FromProxy>,
+    pub config: CallConfig,
+    /// Events of the proxies' streams.
+    pub events: Receiver<ProxyEvent>,
     /// A start after a crash: what proxies still have in flight is not known.
     pub recovers: bool,
-    /// The gateway decides this often at most, in the place of what the deployment states: a verdict waits for it.
+    /// Time between two decisions, in place of the deployment's: a response to a proxy waits for it.
     pub tick: Duration,
 }
 
@@ -64,22 +66,22 @@
 /// What the bridge waits for.
 enum BridgeEvent {
     Command(EngineCommand),
-    Proxy(FromProxy),
+    Proxy(ProxyEvent),
     ResponsesReady,
     Timer,
     Closed,
 }
 
-/// An open call of a proxy.
+/// The sending side of a proxy's stream.
 struct ProxyStream {
-    verdicts: Sender<Told>,
-    /// How long the call's first message waited before it was read here.
-    queued_for: Duration,
+    responses: Sender<ProxyResponse>,
+    /// How long its request was queued before it was read here.
+    queued: Duration,
 }
 
 struct ProcessorBridge {
     shared: Rc<Shared>,
-    consult: Consult,
+    calls: ExternalCalls,
     inbox: Rc<ResponseInbox>,
     tickets: BTreeMap<RequestId, u64>,
     last_ticket: u64,
@@ -97,7 +99,7 @@
     });
     let mut bridge = ProcessorBridge {
         shared,
-        consult: Consult::new(external.config),
+        calls: ExternalCalls::new(external.config),
         inbox,
         tickets: BTreeMap::new(),
         last_ticket: 0,
@@ -106,28 +108,28 @@
         started_at: Instant::now(),
     };
     loop {
-        let event = bridge.next_event(&commands, &external.messages).await;
+        let event = bridge.next_event(&commands, &external.events).await;
         let now = bridge.started_at.elapsed();
         let actions = match event {
             BridgeEvent::Closed => return,
-            BridgeEvent::Timer => bridge.consult.turn(now),
+            BridgeEvent::Timer => bridge.calls.poll(now),
             BridgeEvent::ResponsesReady => bridge.handle_responses(now),
             BridgeEvent::Command(command) => bridge.handle_command(command),
-            BridgeEvent::Proxy(message) => bridge.handle_proxy_message(now, message),
+            BridgeEvent::Proxy(event) => bridge.handle_proxy_event(now, event),
         };
         bridge.execute(actions).await;
     }
 }
 
 impl ProcessorBridge {
-    /// Waits for what comes first. The router's side goes before new calls: a verdict must not wait behind them.
+    /// Waits for what comes first. The router's commands go first: a response to a proxy must not wait behind requests.
     async fn next_event(
         &self,
         commands: &Receiver<EngineCommand>,
-        messages: &Receiver<FromProxy>,
+        proxy_events: &Receiver<ProxyEvent>,
     ) -> BridgeEvent {
         let timer = async {
-            match self.consult.due_at() {
+            match self.calls.next_timeout() {
                 Some(at) => Timer::at(self.started_at + at).await,
                 None => std::future::pending().await,
             };
@@ -137,29 +139,31 @@
         let responses = async {
             self.inbox.ready.wait().await.map_or(BridgeEvent::Closed, |()| BridgeEvent::ResponsesReady)
         };
-        let message = async { messages.recv().await.map_or(BridgeEvent::Closed, BridgeEvent::Proxy) };
-        command.or(responses).or(timer).or(message).await
+        let proxy_event = async { proxy_events.recv().await.map_or(BridgeEvent::Closed, BridgeEvent::Proxy) };
+        command.or(responses).or(timer).or(proxy_event).await
     }
 
-    fn handle_responses(&mut self, now: Duration) -> Vec<Do> {
+    fn handle_responses(&mut self, now: Duration) -> Vec<CallAction> {
         let responses: Vec<ReceivedResponse> = self.inbox.responses.borrow_mut().drain(..).collect();
         let mut actions = Vec::new();
         for ReceivedResponse { request, response } in responses {
             self.tickets.remove(&request);
             actions.extend(match response {
                 Response::Returned(_) => Vec::new(), // The proxy has passed it on already.
-                Response::Rejected(retry_after) => self.consult.answer(now, &request, true, retry_after),
-                Response::Failed => self.consult.answer(now, &request, false, None),
+                Response::Rejected(retry_after) => {
+                    self.calls.handle_final_response(now, &request, FinalResponse::Rejected { retry_after })
+                }
+                Response::Failed => self.calls.handle_final_response(now, &request, FinalResponse::Failed),
             });
         }
         actions
     }
 
-    fn handle_command(&mut self, command: EngineCommand) -> Vec<Do> {
+    fn handle_command(&mut self, command: EngineCommand) -> Vec<CallAction> {
         match command {
             EngineCommand::Send { token, engine, request, conditions, .. } => {
                 let timeout = conditions.until.saturating_duration_since(Instant::now());
-                self.consult.attempt(&request, token, engine, timeout)
+                self.calls.handle_attempt(&request, token, engine, timeout)
             }
             EngineCommand::Endpoints(kind, endpoints) => {
                 self.handle_endpoints(kind, endpoints);
@@ -185,70 +189,77 @@
         }
     }
 
-    fn handle_proxy_message(&mut self, now: Duration, message: FromProxy) -> Vec<Do> {
-        match message {
-            FromProxy::Asked { asked, line, received } => {
-                let stream = ProxyStream { verdicts: line, queued_for: received.elapsed() };
-                self.streams.insert(asked.stream, stream);
-                self.consult.asked(now, asked)
+    fn handle_proxy_event(&mut self, now: Duration, event: ProxyEvent) -> Vec<CallAction> {
+        match event {
+            ProxyEvent::Request { call_request, responses, received } => {
+                let stream = ProxyStream { responses, queued: received.elapsed() };
+                self.streams.insert(call_request.stream, stream);
+                self.calls.handle_request(now, call_request)
+            }
+            ProxyEvent::ResponseHeaders { stream, outcome } => {
+                self.calls.handle_response_headers(stream, outcome)
             }
-            FromProxy::Answered { stream, outcome } => self.consult.answered(stream, outcome),
-            FromProxy::Ended { stream, whole } => {
+            ProxyEvent::StreamEnded { stream, complete } => {
                 self.streams.remove(&stream);
-                self.consult.ended(now, stream, whole)
+                self.calls.handle_stream_end(now, stream, complete)
             }
-            FromProxy::Measured(round_trip) => {
-                self.consult.measured(round_trip);
+            ProxyEvent::RoundTrip(round_trip) => {
+                self.calls.record_round_trip(round_trip);
                 Vec::new()
             }
         }
     }
 
-    async fn execute(&mut self, actions: Vec<Do>) {
+    async fn execute(&mut self, actions: Vec<CallAction>) {
         for action in actions {
             match action {
-                Do::Take(call) => self.send_request(call).await,
-                Do::Leave(request) => {
+                CallAction::Submit(call_request) => self.submit(call_request).await,
+                CallAction::Cancel(request) => {
                     if let Some(ticket) = self.tickets.remove(&request) {
                         self.inbox.requests.borrow_mut().remove(&ticket);
                         let gone = RouterEvent::ClientGone { sink: self.inbox.clone(), ticket, request };
                         let _ = self.shared.events.send(gone).await;
                     }
                 }
-                Do::End { token, outcome } => {
+                CallAction::EndAttempt { token, outcome } => {
                     let _ = self.shared.events.send(RouterEvent::attempt_ended(token, outcome)).await;
                 }
-                Do::Tell { stream, verdict } => self.send_verdict(stream, verdict),
+                CallAction::Respond { stream, response } => self.respond(stream, response),
             }
         }
     }
 
-    async fn send_request(&mut self, call: Asked) {
+    async fn submit(&mut self, call: CallRequest) {
         self.last_ticket += 1;
         let ticket = self.last_ticket;
         // Seldom, a request of this id is still on its way out of the router's tables: the new one has its ticket.
-        self.tickets.insert(call.batch.clone(), ticket);
-        self.inbox.requests.borrow_mut().insert(ticket, call.batch.clone());
+        self.tickets.insert(call.request.clone(), ticket);
+        self.inbox.requests.borrow_mut().insert(ticket, call.request.clone());
         let incoming = IncomingRequest {
             sink: self.inbox.clone(),
             ticket,
-            request: call.batch,
-            request_class: call.service_group,
+            request: call.request,
+            request_class: call.request_class,
             table_group: call.table_group,
-            client_timeout: call.patience,
-            client_retry: call.repeat,
+            client_timeout: call.client_timeout,
+            client_retry: call.client_retry,
             statement: Rc::from([]),
         };
         let _ = self.shared.events.send(RouterEvent::Request(incoming)).await;
     }
 
-    fn send_verdict(&mut self, stream: StreamId, verdict: Verdict) {
-        let Some(ProxyStream { verdicts, queued_for }) = self.streams.get(&stream) else { return };
-        let address = match &verdict {
-            Verdict::Go { engine, .. } => self.addresses.get(engine).copied(),
+    fn respond(&mut self, stream: StreamId, response: CallResponse) {
+        let Some(ProxyStream { responses, queued }) = self.streams.get(&stream) else { return };
+        let engine_address = match &response {
+            CallResponse::Forward { engine, .. } => self.addresses.get(engine).copied(),
             _ => None,
         };
-        // The channel holds more than one call ever gets; that of a proxy which has disconnected is closed.
-        let _ = verdicts.try_send(Told { verdict, address, waited: *queued_for, at: Instant::now() });
+        // The queue has room for all responses of one call; that of a stream that has ended is closed.
+        let _ = responses.try_send(ProxyResponse {
+            response,
+            engine_address,
+            queued: *queued,
+            sent_at: Instant::now(),
+        });
     }
 }
--- a/crates/edges/routing/src/zone_monitor.rs
+++ b/crates/edges/routing/src/zone_monitor.rs
@@ -6,7 +6,8 @@
     AttemptOutcome, Deployment, EndpointUpdateKind, EngineEntry, EngineId, EngineState, RequestClassConfig,
 };
 use lemonusher_zone_failover::{
-    AttemptResult, ClassLoad, FailoverConfig, FrontReport, LocalView, Observer, PlanAdmission, PlanEffect,
+    AttemptResult, ClassLoad, EngineObservation, FailoverConfig, FrontReport, LocalView, Observation,
+    Observer, PlanAdmission, PlanEffect,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -27,7 +28,7 @@
     /// Attempts that run, or may still run, on engines that are out of service.
     pub in_flight: BTreeMap<EngineId, u32>,
     /// Each engine with its zone, its cores, and whether it answers, as far as it was tried lately.
-    pub engines: Vec<(EngineId, u32, u32, Option<bool>)>,
+    pub engines: Vec<EngineObservation>,
 }
 
 /// The request classes as the planner wants them, with no demand yet. `floor` is the least admitted share.
@@ -99,7 +100,7 @@
         let mut in_flight = in_flight();
         self.unknown_until.keys().for_each(|engine| *in_flight.entry(*engine).or_default() += 1);
         in_flight.retain(|engine, _| self.out_of_service.contains(engine));
-        let (report, local) = self.observer.report(now, &self.config, self.share);
+        let Observation { report, local } = self.observer.report(now, &self.config, self.share);
         let engines = self.observer.engines(now, &self.config);
         let _ = self.observations.force_send(ZoneObservation {
             report,
@@ -117,7 +118,7 @@
     }
 
     pub fn handle_plan(&mut self, effect: &PlanEffect) {
-        self.plan_admission.set(effect);
+        self.plan_admission.apply(effect);
     }
 
     pub fn set_out_of_service(&mut self, version: u64, engines: Arc<BTreeSet<EngineId>>) {
@@ -187,7 +188,7 @@
     match outcome {
         AttemptOutcome::Returned => {
             let work = work.map(|work| work.as_secs_f64());
-            AttemptResult::Returned { span: elapsed.as_secs_f64(), work, threads }
+            AttemptResult::Returned { elapsed: elapsed.as_secs_f64(), work, threads }
         }
         AttemptOutcome::ConnectFailed | AttemptOutcome::Reset | AttemptOutcome::TimedOut => {
             AttemptResult::Failed
