--- a/crates/edges/front/src/program/clients/reading.rs
+++ b/crates/edges/front/src/program/clients/reading.rs
@@ -107,8 +107,8 @@
                 ReadStatus::Message(line) => {
                     self.last_used.set(Instant::now());
                     self.has_sent_line.set(true);
-                    if let Some(gone) = self.handle_line(line, &mut pass.accepted) {
-                        let _ = self.shared.events.send(gone).await;
+                    if let Some(event) = self.handle_line(line, &mut pass.accepted) {
+                        let _ = self.shared.events.send(event).await;
                     }
                     if !self.accepting.get() {
                         pass.end = Some(ReadEnd::Faulty);
--- a/crates/edges/front/src/program/clients/session.rs
+++ b/crates/edges/front/src/program/clients/session.rs
@@ -26,7 +26,9 @@
 
 /// One client connection.
 pub(super) struct ClientSession {
+    /// What the front's tasks share.
     pub(super) shared: Rc<Shared>,
+    /// What waits to be written.
     pub(super) write_queue: WriteQueue,
     /// Requests that were accepted here and are owed a response, by ticket.
     pub(super) open_requests: RefCell<BTreeMap<u64, RequestId>>,
@@ -40,6 +42,7 @@
     pub(super) close_requested: Signal,
     /// Its part of the shared sum of unwritten bytes.
     counted_bytes: Cell<usize>,
+    /// When a line came or a response was given last.
     pub(super) last_used: Cell<Instant>,
     /// Whether a complete line has come.
     pub(super) has_sent_line: Cell<bool>,
@@ -50,6 +53,7 @@
 }
 
 impl ClientSession {
+    /// A connection that was accepted.
     pub fn new(shared: Rc<Shared>, socket: Socket) -> Self {
         let write_queue = WriteQueue::new(socket, WRITE_QUEUE_BYTES);
         ClientSession {
@@ -68,6 +72,7 @@
         }
     }
 
+    /// The connection's socket.
     pub fn socket(&self) -> Socket {
         self.write_queue.socket()
     }
@@ -151,8 +156,8 @@
     async fn abandon_requests(self: &Rc<Self>, answer_failed: bool) {
         let open_requests = std::mem::take(&mut *self.open_requests.borrow_mut());
         for (ticket, request) in open_requests {
-            let gone = RouterEvent::ClientGone { sink: self.clone(), ticket, request };
-            let _ = self.shared.events.send(gone).await;
+            let disconnected = RouterEvent::ClientGone { sink: self.clone(), ticket, request };
+            let _ = self.shared.events.send(disconnected).await;
             if answer_failed {
                 self.write(&client::encode_failed(ticket));
             }
--- a/crates/edges/front/src/program/config.rs
+++ b/crates/edges/front/src/program/config.rs
@@ -13,10 +13,13 @@
 /// The configuration file, as JSON.
 #[derive(Deserialize)]
 pub(super) struct FrontConfig {
+    /// The front's name.
     pub name: String,
+    /// Where it listens for clients.
     pub listen: SocketAddr,
     /// Seed of the gateway's random draws, in hexadecimal.
     seed: String,
+    /// What the process may use.
     pub limits: ProcessLimits,
     /// Where the discovery channel is.
     pub channel: SocketAddr,
@@ -28,6 +31,7 @@
 /// What the process may use.
 #[derive(Deserialize, PartialEq)]
 pub(super) struct ProcessLimits {
+    /// Memory in MB.
     pub memory_mb: usize,
     /// Descriptors.
     pub sockets: usize,
@@ -61,6 +65,7 @@
 }
 
 impl FrontConfig {
+    /// Reads a configuration file.
     pub fn read(path: &str) -> Result<FrontConfig, StartError> {
         let text = std::fs::read_to_string(path).map_err(|e| StartError::Unreadable(path.to_owned(), e))?;
         serde_json::from_str(&text).map_err(|e| malformed(path, e))
@@ -71,10 +76,12 @@
         Settled::deserialize(&self.settings).map_err(|e| malformed(path, e))
     }
 
+    /// The seed of the gateway's random draws.
     pub fn seed(&self, path: &str) -> Result<u64, StartError> {
         u64::from_str_radix(&self.seed, 16).map_err(|_| malformed(path, "'seed' is no hex number"))
     }
 
+    /// The events of the discovery channel that are known at the start.
     pub fn initial_events(&self, path: &str, settings: &Settled) -> Result<InitialEvents, StartError> {
         let initial = parse_initial_list(self.known.get(), &settings.areas, &settings.kinds);
         initial.map_err(|e| malformed(path, e))
--- a/crates/edges/front/src/program/engines/connection.rs
+++ b/crates/edges/front/src/program/engines/connection.rs
@@ -41,9 +41,11 @@
 
 /// An attempt or probe that is in flight on a connection.
 pub(super) struct InFlight {
+    /// The router's number of it.
     pub token: Token,
     /// Where its message ends among all bytes that were written.
     message_end: u64,
+    /// What it is, and how far it has come.
     pub kind: InFlightKind,
 }
 
@@ -59,12 +61,17 @@
 
 /// A result of several pages of which a part has come.
 pub struct PagedResult {
+    /// The pages, by number; none for those that have not come.
     pub(super) pages: Vec<Option<Vec<u8>>>,
+    /// Pages that have not come.
     pub(super) missing: usize,
     /// Bytes of the pages that have come.
     pub(super) bytes: usize,
+    /// Memory for the pages.
     pub(super) reservation: Reservation,
+    /// What the attempt used, as the first page says.
     pub(super) usage: Option<ResourceUsage>,
+    /// The engine's load report that came with the first page.
     pub(super) load: Option<LoadReport>,
 }
 
@@ -78,16 +85,19 @@
 
 /// One connection to an engine.
 pub struct EngineConnection {
+    /// What the front's tasks share.
     pub(super) shared: Rc<Shared>,
     /// The engine.
     pub engine: EngineId,
     /// What waits to be written.
     pub write_queue: WriteQueue,
+    /// What is in flight, by id.
     pub(super) in_flight: RefCell<BTreeMap<Arc<str>, InFlight>>,
     /// Ids that were ever sent here: none is sent twice, so that no reply is taken for another's.
     used_ids: RefCell<BTreeSet<Arc<str>>>,
     /// It takes nothing new, and ends once nothing is in flight.
     pub retired: Cell<bool>,
+    /// When a message was sent or came last.
     pub(super) last_used: Cell<Instant>,
     /// When the first message was sent since the engine replied last.
     pub(super) awaiting_since: Cell<Option<Instant>>,
--- a/crates/edges/front/src/program/engines/pool.rs
+++ b/crates/edges/front/src/program/engines/pool.rs
@@ -17,10 +17,13 @@
 
 /// The connections to one engine.
 pub struct EnginePool {
+    /// Where the engine listens.
     pub address: SocketAddr,
+    /// The engine's state.
     pub state: EngineState,
     /// Unix time of a late start.
     pub started_at: Option<Duration>,
+    /// Connections that are up.
     pub connections: Vec<Rc<EngineConnection>>,
     /// Connections that come up.
     pub connecting: usize,
--- a/crates/edges/front/src/program/engines/sending.rs
+++ b/crates/edges/front/src/program/engines/sending.rs
@@ -42,6 +42,7 @@
 }
 
 impl EnginePools {
+    /// Carries out a command, as far as that can be done at once.
     pub(super) async fn handle_command(self: &Rc<Self>, command: EngineCommand) {
         match command {
             EngineCommand::Endpoints(kind, endpoints) => self.handle_endpoints(kind, endpoints).await,
--- a/crates/edges/front/src/program/external_processing.rs
+++ b/crates/edges/front/src/program/external_processing.rs
@@ -217,8 +217,9 @@
                 CallAction::Cancel(request) => {
                     if let Some(ticket) = self.tickets.remove(&request) {
                         self.inbox.requests.borrow_mut().remove(&ticket);
-                        let gone = RouterEvent::ClientGone { sink: self.inbox.clone(), ticket, request };
-                        let _ = self.shared.events.send(gone).await;
+                        let disconnected =
+                            RouterEvent::ClientGone { sink: self.inbox.clone(), ticket, request };
+                        let _ = self.shared.events.send(disconnected).await;
                     }
                 }
                 CallAction::EndAttempt { token, outcome } => {
--- a/crates/edges/front/src/program/shutdown.rs
+++ b/crates/edges/front/src/program/shutdown.rs
@@ -53,7 +53,9 @@
 
 /// The listener for clients, and the task that accepts their connections.
 pub(super) struct AcceptingListener {
+    /// The listener, with the connections that it has accepted.
     pub listener: Rc<ClientListener>,
+    /// The task that accepts.
     pub task: Task<()>,
 }
 
--- a/crates/edges/front/src/program/start.rs
+++ b/crates/edges/front/src/program/start.rs
@@ -70,11 +70,7 @@
     let (commands, received_commands) = async_channel::bounded(QUEUE_LENGTH);
     let is_recovery = external_processing.as_ref().is_some_and(|external| external.recovers);
     let memory = config.limits.memory_mb * 1024 * 1024;
-    let limits = Limits {
-        max_requests: settings.ceilings.open_cap.max(1),
-        max_statement_bytes: memory / STATEMENT_MEMORY_DIVISOR,
-        probe_timeout: deployment.capabilities.connect_timeout,
-    };
+    let limits = router_limits(&settings, &deployment, memory);
     let descriptor_limits = DescriptorLimits::of(config.limits.sockets);
     let shared = Rc::new(shared(settings, events, memory, descriptor_limits, is_recovery));
     log_start(&config, listener.as_ref(), initial.updates.len())?;
@@ -116,6 +112,15 @@
     ages.filter(|age| *age < window).max().unwrap_or_default()
 }
 
+/// What the router may hold. `memory` in bytes.
+fn router_limits(settings: &Settled, deployment: &Deployment, memory: usize) -> Limits {
+    Limits {
+        max_requests: settings.ceilings.open_cap.max(1),
+        max_statement_bytes: memory / STATEMENT_MEMORY_DIVISOR,
+        probe_timeout: deployment.capabilities.connect_timeout,
+    }
+}
+
 /// What the tasks share. `memory` in bytes; a recovery is a start after a crash.
 fn shared(
     settings: Settled,
--- a/crates/edges/front/src/protocol/client.rs
+++ b/crates/edges/front/src/protocol/client.rs
@@ -1,4 +1,4 @@
-//! The clients' protocol: JSON-RPC 2.0, one message a line, no batches of messages. Clients send `revoke` as a
+//! The clients' protocol: JSON-RPC 2.0, one message a line, no arrays of messages. Clients send `revoke` as a
 //! notification that names the request's id in its params.
 
 use super::json::{self, Value};
@@ -8,25 +8,32 @@
 
 /// The wire's names, and the code's terms for them. A request's method is the name of its request class.
 mod wire {
-    /// Methods that are no request classes.
+    /// The client no longer waits for a request.
     pub const REVOKE: &str = "revoke";
+    /// Asks whether the front serves.
     pub const HEARTBEAT: &str = "heartbeat";
 
-    /// Params of a request.
+    /// Params of a request: the request's id.
     pub const REQUEST: &str = "call";
+    /// How long the client waits, in milliseconds.
     pub const CLIENT_TIMEOUT_MS: &str = "ttl";
+    /// Whether the client has sent the request before.
     pub const CLIENT_RETRY: &str = "rep";
+    /// The statement, in base64.
     pub const STATEMENT: &str = "data";
-    /// Param of a revoke.
+    /// The param of a revoke: the message id of the request.
     pub const REVOKED_ID: &str = "id";
 
-    /// Results.
+    /// A result's rows, in base64.
     pub const ROWS: &str = "data";
+    /// Whether the front serves.
     pub const IS_SERVING: &str = "fit";
 
-    /// Errors of requests: rejected with Retry-After in milliseconds, and failed.
+    /// The request was rejected without effect.
     pub const REJECTED: super::RpcError = super::RpcError { code: -32002, message: "pushed back" };
+    /// The wait before a retry, in milliseconds.
     pub const RETRY_AFTER_MS: &str = "pushback";
+    /// The request failed.
     pub const FAILED: super::RpcError = super::RpcError { code: -32000, message: "errored" };
 }
 
--- a/crates/edges/front/src/protocol/discovery.rs
+++ b/crates/edges/front/src/protocol/discovery.rs
@@ -12,9 +12,11 @@
 mod wire {
     use super::EndpointState;
 
-    /// Kinds of events in frames.
+    /// Kinds of events in frames. Nothing has changed.
     pub const KIND_EMPTY: u8 = 0;
+    /// The whole list.
     pub const KIND_FULL: u8 = 1;
+    /// The engines that changed.
     pub const KIND_DELTA: u8 = 2;
 
     /// An engine's state in a record.
@@ -37,19 +39,31 @@
         }
     }
 
-    /// Keys of the JSON of the start.
+    /// Keys of the JSON of the start: the number of the last event.
     pub const LAST_EVENT: &str = "cursor";
+    /// The events.
     pub const EVENTS: &str = "cmds";
+    /// The update of an event.
     pub const UPDATE: &str = "nodes";
+    /// Whether the update is the whole list.
     pub const IS_FULL: &str = "complete";
+    /// The records of an update.
     pub const RECORDS: &str = "members";
+    /// An engine's id, in hexadecimal behind the prefix.
     pub const ENGINE: &str = "id";
+    /// The prefix of an engine's id.
     pub const ENGINE_PREFIX: &str = "s-";
+    /// Where the engine listens.
     pub const ADDRESS: &str = "host_port";
+    /// The engine's state.
     pub const STATE: &str = "phase";
+    /// The name of its zone.
     pub const ZONE: &str = "locality";
+    /// The name of its machine kind.
     pub const MACHINE_KIND: &str = "flavor";
+    /// The number of its cell.
     pub const CELL: &str = "cell";
+    /// Unix milliseconds of a late start.
     pub const STARTED_MS: &str = "up_since_ms";
 }
 
--- a/crates/edges/front/src/protocol/engine.rs
+++ b/crates/edges/front/src/protocol/engine.rs
@@ -22,10 +22,13 @@
     /// Asks only whether the engine is healthy.
     pub const HEALTH: &str = "health";
 
-    /// The attempt's parameters.
+    /// Parameters of an attempt: the request class's name.
     pub const REQUEST_CLASS: &str = "queue";
+    /// The time that is left, in milliseconds.
     pub const BUDGET_MS: &str = "budget";
+    /// Memory in MB.
     pub const MEMORY_MB: &str = "workmem";
+    /// The priority.
     pub const PRIORITY_PARAMETER: &str = "weight";
 }
 
@@ -48,18 +51,26 @@
     /// The engine is unhealthy.
     pub const UNHEALTHY: &str = "SICK";
 
-    /// Fields.
+    /// Fields of replies: the load report.
     pub const LOAD: &str = "use";
+    /// The number of a result's pages.
     pub const PAGES: &str = "fetches";
+    /// The number of the page.
     pub const PAGE_NUMBER: &str = "fetch_no";
+    /// The attempt's work on one thread in milliseconds.
     pub const WORK_MS: &str = "effort";
+    /// The attempt's peak memory in MB.
     pub const PEAK_MEMORY_MB: &str = "high";
+    /// The kind of a progress report.
     pub const PROGRESS_KIND: &str = "detail";
+    /// The value of a progress report.
     pub const PROGRESS_VALUE: &str = "figure";
 
-    /// Kinds of progress reports.
+    /// Kinds of progress reports: the share that is done.
     pub const DONE: &str = "advance";
+    /// It spills to disk.
     pub const SPILLING: &str = "disk";
+    /// It waits.
     pub const WAITING: &str = "stall";
     /// From this value on, a waiting attempt waits for a bulk load, below for memory.
     pub const WAITING_FOR_BULK_LOAD: f64 = 2.0;
--- a/crates/edges/routing/src/router/actions.rs
+++ b/crates/edges/routing/src/router/actions.rs
@@ -7,6 +7,7 @@
 use std::time::Duration;
 
 impl RequestRouter {
+    /// Executes one action.
     pub(super) fn execute(&mut self, now: Duration, action: Action) {
         match action {
             Action::SetPriority { request, priority, memory_mb } => {
--- a/crates/edges/routing/src/router/admission.rs
+++ b/crates/edges/routing/src/router/admission.rs
@@ -11,6 +11,7 @@
 use std::time::Duration;
 
 impl RequestRouter {
+    /// Admits a request and hands it to the gateway, or responds at once.
     pub(super) fn handle_request(&mut self, now: Duration, incoming: IncomingRequest) {
         self.counters.add(Counter::Received, Some(incoming.request_class));
         if let Err(response) = self.admit(now, &incoming) {
@@ -75,6 +76,7 @@
         Ok(())
     }
 
+    /// The client of a request no longer waits, if it is still the same client that sent it.
     pub(super) fn handle_client_gone(
         &mut self,
         now: Duration,
--- a/crates/edges/routing/src/router/attempts.rs
+++ b/crates/edges/routing/src/router/attempts.rs
@@ -120,6 +120,7 @@
         zone_monitor.handle_attempt_ended(now, attempt.engine, attempt.request_class, outcome, result);
     }
 
+    /// A running attempt reported progress.
     pub(super) fn handle_progress(&mut self, now: Duration, token: Token, progress: AttemptProgress) {
         let Some(attempt) = self.attempts.get(&token) else { return };
         if let Some(zone_monitor) = &mut self.zone_monitor {
--- a/crates/edges/routing/src/router/endpoints.rs
+++ b/crates/edges/routing/src/router/endpoints.rs
@@ -13,6 +13,7 @@
 use std::time::Duration;
 
 impl RequestRouter {
+    /// The discovery channel sent a list, or its changes.
     pub(super) fn handle_endpoints(
         &mut self,
         now: Duration,
@@ -63,6 +64,7 @@
         }
     }
 
+    /// The zone failover plan applies here as stated from now on.
     pub(super) fn handle_zone_plan(&mut self, now: Duration, effect: &PlanEffect) {
         let Some(zone_monitor) = &mut self.zone_monitor else { return };
         zone_monitor.handle_plan(effect);
@@ -82,6 +84,7 @@
         self.apply_endpoint_change(now, EndpointUpdateKind::Delta, change);
     }
 
+    /// These engines are out of service for maintenance from now on.
     pub(super) fn handle_maintenance(
         &mut self,
         now: Duration,
--- a/crates/edges/routing/src/router/management.rs
+++ b/crates/edges/routing/src/router/management.rs
@@ -9,6 +9,7 @@
 use std::time::Duration;
 
 impl RequestRouter {
+    /// Answers a manager's call.
     pub(super) fn handle_management(&mut self, now: Duration, call: ManagementCall) {
         match call {
             ManagementCall::Prepare { number, desired_state, reply } => {
--- a/crates/edges/routing/src/zone_monitor.rs
+++ b/crates/edges/routing/src/zone_monitor.rs
@@ -63,6 +63,7 @@
 }
 
 impl ZoneMonitor {
+    /// A monitor that reports for the first time an interval from now.
     pub fn new(
         now: Duration,
         deployment: &Deployment,
@@ -117,10 +118,12 @@
         self.plan_admission.admit(request_class)
     }
 
+    /// Admits by this plan from now on.
     pub fn handle_plan(&mut self, effect: &PlanEffect) {
         self.plan_admission.apply(effect);
     }
 
+    /// These engines are out of service for maintenance from now on.
     pub fn set_out_of_service(&mut self, version: u64, engines: Arc<BTreeSet<EngineId>>) {
         (self.out_of_service, self.maintenance_version) = (engines, version);
     }
@@ -150,6 +153,7 @@
         self.observer.engine_answered(now, engine);
     }
 
+    /// A probe ended.
     pub fn handle_probe_ended(&mut self, now: Duration, engine: EngineId, answered: bool) {
         match answered {
             true => self.observer.engine_answered(now, engine),
@@ -157,6 +161,7 @@
         }
     }
 
+    /// The endpoint list, or its changes.
     pub fn handle_endpoints(
         &mut self,
         deployment: &Deployment,
