--- a/crates/edges/routing/src/lib.rs
+++ b/crates/edges/routing/src/lib.rs
@@ -8,6 +8,7 @@
 
 mod clock;
 mod counters;
+mod log_text;
 mod management;
 mod messages;
 mod router;
--- /dev/null
+++ b/crates/edges/routing/src/log_text.rs
@@ -0,0 +1,26 @@
+//! Values as log lines name them. Operators' tools read these lines, so the wording stays when names in the code change.
+
+use lemonusher_zone_failover::ZoneRestriction;
+use std::fmt;
+
+/// Restrictions of zones, as a log line lists them.
+pub(crate) struct LoggedRestrictions<'a>(pub(crate) &'a [ZoneRestriction]);
+
+impl fmt::Debug for LoggedRestrictions<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.debug_list().entries(self.0.iter().map(LoggedRestriction)).finish()
+    }
+}
+
+struct LoggedRestriction<'a>(&'a ZoneRestriction);
+
+impl fmt::Debug for LoggedRestriction<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        let ZoneRestriction { zone, open_permille, blocked_classes } = self.0;
+        f.debug_struct("Closure")
+            .field("site", zone)
+            .field("open", open_permille)
+            .field("barred", blocked_classes)
+            .finish()
+    }
+}
--- a/crates/edges/routing/src/router/endpoints.rs
+++ b/crates/edges/routing/src/router/endpoints.rs
@@ -3,6 +3,7 @@
 
 use super::RequestRouter;
 use crate::counters::Counter;
+use crate::log_text::LoggedRestrictions;
 use crate::management::EngineNotification;
 use crate::messages::{Endpoint, EngineCommand, Token};
 use lemonusher::{EndpointUpdateKind, EngineEntry, EngineId, EngineState, Event};
@@ -72,7 +73,7 @@
             "sites: epoch {:?}{}, closed in part: {:?}, let in: {:?}",
             effect.version.map(|version| (version.epoch, version.counter)),
             if effect.isolated { ", goes by itself" } else { "" },
-            effect.restrictions,
+            LoggedRestrictions(&effect.restrictions),
             effect.admitted_shares
         );
         let restrictions = effect.restrictions.iter().map(|restriction| ZoneRestriction {
