--- a/crates/edges/cli/src/works.rs
+++ b/crates/edges/cli/src/works.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::Operator;
 use crate::{Failure, read_file};
-use lemonusher_fleet::{Body, works_register};
+use lemonusher_fleet::{Body, maintenance_register};
 use lemonusher_maintenance::{
     MAX_CONCURRENT, MAX_MACHINES, MAX_REQUESTS, Machine, MachineStatus, MaintenanceRequest, Phase,
 };
@@ -184,7 +184,7 @@
 
 /// What stands in a register, by a whole round.
 fn read(operator: &mut Operator, number: u8) -> Result<Option<MaintenanceRequest>, Failure> {
-    match operator.propose(&works_register(number), Operation::Read)? {
+    match operator.propose(&maintenance_register(number), Operation::Read)? {
         ProposalOutcome::Committed { entry, .. } | ProposalOutcome::Conflict { entry, .. } => {
             Ok(entry.and_then(|entry| MaintenanceRequest::from_bytes(&entry.value)))
         }
@@ -200,7 +200,7 @@
     number: u8,
     next: impl Fn(Option<MaintenanceRequest>) -> Option<MaintenanceRequest>,
 ) -> Result<Option<u64>, Failure> {
-    let name = works_register(number);
+    let name = maintenance_register(number);
     let mut wanted = Operation::Read;
     for _ in 0..TRIES {
         let reads = wanted == Operation::Read;
@@ -230,8 +230,12 @@
         let mut best: Option<((u64, u64), MaintenanceRequest)> = None;
         let mut waits = None;
         for voter in voters.clone() {
-            let Some(Body::MaintenanceShown { work, why, foreman, .. }) =
-                operator.ask(voter, &Body::ShowMaintenance { number })?
+            let Some(Body::MaintenanceShown {
+                stored: work,
+                blocked_reason: why,
+                is_coordinator: foreman,
+                ..
+            }) = operator.ask(voter, &Body::ShowMaintenance { request: number })?
             else {
                 voters.retain(|other| *other != voter); // It would cost its patience for each register.
                 continue;
--- a/crates/edges/fleet/src/node/show.rs
+++ b/crates/edges/fleet/src/node/show.rs
@@ -1,7 +1,7 @@
 //! What a front shows of itself: pages of tables for operators, and how much it holds.
 
-use super::{Census, Node};
-use crate::frame::{Body, MemberRow, ROWS, RegisterRow, Row};
+use super::{ClusterStats, Node};
+use crate::frame::{Body, LeaseRow, MAX_ROWS, MemberRow, RegisterRow};
 use lemonusher_leases::Voter;
 use lemonusher_registers::{Acceptor, AcceptorState, Entry};
 use std::time::Duration;
@@ -17,7 +17,7 @@
     /// The page that is asked for, if this front has it.
     pub(super) fn show(&self, now: Duration, asked: Body) -> Option<Body> {
         match asked {
-            Body::ShowMaintenance { number } => self.works.as_ref().map(|works| works.show(number)),
+            Body::ShowMaintenance { request: number } => self.works.as_ref().map(|works| works.show(number)),
             Body::ShowPlan { without } => self.sites.as_ref().and_then(|sites| sites.show(&without)),
             Body::ShowLeases { after } => self.voter.as_ref().map(|voter| show_leases(voter, now, &after)),
             Body::ShowMembers { after } => Some(self.show_members(&after)),
@@ -32,22 +32,22 @@
         self.detector.members().map(|member| MemberRow {
             name: member.name.clone(),
             address: member.address,
-            location: member.zone,
-            born: member.incarnation,
+            zone: member.zone,
+            incarnation: member.incarnation,
         })
     }
 
     fn show_members(&self, after: &(String, u64)) -> Body {
         let mut rows: Vec<MemberRow> =
-            self.member_rows().filter(|row| (&row.name, row.born) > (&after.0, after.1)).collect();
-        rows.sort_by(|a, b| (&a.name, a.born).cmp(&(&b.name, b.born)));
-        let more = rows.len() > ROWS;
-        rows.truncate(ROWS);
+            self.member_rows().filter(|row| (&row.name, row.incarnation) > (&after.0, after.1)).collect();
+        rows.sort_by(|a, b| (&a.name, a.incarnation).cmp(&(&b.name, b.incarnation)));
+        let more = rows.len() > MAX_ROWS;
+        rows.truncate(MAX_ROWS);
         Body::Members { rows, more }
     }
 
     /// How much it holds of the fleet.
-    pub fn census(&self, now: Duration) -> Census {
+    pub fn stats(&self, now: Duration) -> ClusterStats {
         let (members, member_bytes) = tally(self.member_rows().map(|row| encoded_bytes(&row)));
         let (lives, life_bytes) = tally(self.wire.lives().map(|life| life.name.len() + LIFE_FIXED));
         let held = self.asker.tasks().filter(|task| self.asker.active_lease(now, task).is_some());
@@ -60,10 +60,10 @@
         let (accepted, accepted_bytes) = tally(accepted.map(|(name, entry)| register(name, entry)));
         let (followed, followed_bytes) =
             tally(self.follower.all_committed().map(|(name, entry)| register(name, entry)));
-        Census {
+        ClusterStats {
             members,
             members_lost: self.members_lost,
-            lives,
+            incarnations: lives,
             leases_held,
             leases_granted,
             registers: accepted + followed,
@@ -73,33 +73,38 @@
 }
 
 fn show_leases(voter: &Voter, now: Duration, after: &str) -> Body {
-    let later = voter.grants(now).filter(|(task, _)| task.as_str() > after).take(ROWS + 1);
-    let mut rows: Vec<Row> = later
-        .map(|(task, held)| Row {
+    let later = voter.grants(now).filter(|(task, _)| task.as_str() > after).take(MAX_ROWS + 1);
+    let mut rows: Vec<LeaseRow> = later
+        .map(|(task, held)| LeaseRow {
             task: task.clone(),
-            who: held.holder.clone(),
-            number: held.fencing_token,
-            left: held.until.saturating_sub(now),
+            holder: held.holder.clone(),
+            fencing_token: held.fencing_token,
+            remaining: held.until.saturating_sub(now),
         })
         .collect();
-    let more = rows.len() > ROWS;
-    rows.truncate(ROWS);
-    Body::Leases { mute: voter.is_silent(now), rows, more }
+    let more = rows.len() > MAX_ROWS;
+    rows.truncate(MAX_ROWS);
+    Body::Leases { is_silent: voter.is_silent(now), rows, more }
 }
 
 fn show_registers(keeper: &Acceptor, now: Duration, after: &str) -> Body {
-    let later = keeper.accepted().filter(|(name, _)| name.as_str() > after).take(ROWS + 1);
+    let later = keeper.accepted().filter(|(name, _)| name.as_str() > after).take(MAX_ROWS + 1);
     let mut rows: Vec<RegisterRow> = later
         .map(|(name, entry)| RegisterRow {
             name: name.clone(),
-            stamp: entry.version,
-            number: entry.fencing_token,
-            long: entry.value.len() as u32,
+            version: entry.version,
+            fencing_token: entry.fencing_token,
+            value_bytes: entry.value.len() as u32,
         })
         .collect();
-    let more = rows.len() > ROWS;
-    rows.truncate(ROWS);
-    Body::Registers { votes: keeper.state(now) == AcceptorState::Voting, era: keeper.epoch(), rows, more }
+    let more = rows.len() > MAX_ROWS;
+    rows.truncate(MAX_ROWS);
+    Body::Registers {
+        is_voting: keeper.state(now) == AcceptorState::Voting,
+        epoch: keeper.epoch(),
+        rows,
+        more,
+    }
 }
 
 /// How many there are, and the sum of their bytes.
--- a/crates/edges/fleet/src/sites.rs
+++ b/crates/edges/fleet/src/sites.rs
@@ -1,8 +1,8 @@
 //! The plan for lost zones, on the wire: hands on what fronts see, has the register settled that the lease's holder
 //! wants, and tells the front what the plan means for it.
 
-use crate::frame::{Body, PlanGroup, PlanSite};
-use lemonusher_registers::{Entry, Learner, Operation, ProposalOutcome};
+use crate::frame::{Body, ClassRow, ZoneRow};
+use lemonusher_registers::{Learner, Operation, ProposalOutcome};
 use lemonusher_routing::{ControlUpdate, ZoneObservation};
 use lemonusher_zone_failover::{
     ClassLoad, Coordinator, FailoverConfig, FailoverPlan, LocalView, OperatorOverride, PlanEffect,
@@ -13,18 +13,18 @@
 
 /// The lease's and the register's name; and the register of what operators wish.
 pub const NAME: &str = "sites";
-pub const WISHES: &str = "sites.wishes";
+pub const OVERRIDES_REGISTER: &str = "sites.wishes";
 
 /// What the operator's file says of zones.
 #[derive(Debug, Clone)]
-pub struct SitesTerms {
-    pub terms: FailoverConfig,
-    pub groups: Vec<ClassLoad>,
+pub struct ZoneFailoverSettings {
+    pub config: FailoverConfig,
+    pub classes: Vec<ClassLoad>,
     /// What the front sees, told each period.
-    pub seen: async_channel::Receiver<ZoneObservation>,
+    pub observations: async_channel::Receiver<ZoneObservation>,
 }
 
-pub struct Sites {
+pub struct ZoneFailover {
     terms: FailoverConfig,
     seen: async_channel::Receiver<ZoneObservation>,
     holder: Option<Coordinator>,
@@ -34,13 +34,13 @@
     wishes: Vec<OperatorOverride>,
 }
 
-impl Sites {
+impl ZoneFailover {
     /// `votes`: it keeps what others tell, and may hold the lease.
-    pub fn new(told: &SitesTerms, location: u32, life: u64, votes: bool) -> Sites {
-        Sites {
-            terms: told.terms,
-            seen: told.seen.clone(),
-            holder: votes.then(|| Coordinator::new(life, told.groups.clone())),
+    pub fn new(told: &ZoneFailoverSettings, location: u32, life: u64, votes: bool) -> ZoneFailover {
+        ZoneFailover {
+            terms: told.config,
+            seen: told.observations.clone(),
+            holder: votes.then(|| Coordinator::new(life, told.classes.clone())),
             follow: PlanFollower::new(Duration::ZERO, location, life),
             own: LocalView::default(),
             effect: None,
@@ -117,13 +117,13 @@
 
     /// What the front is to do from now on, if that has changed.
     pub fn word(&mut self, now: Duration, follower: &Learner) -> Option<ControlUpdate> {
-        if let Some((Entry { version: stamp, value, .. }, sure)) = follower.committed(NAME)
-            && let Some(plan) = FailoverPlan::from_bytes(value)
+        if let Some(committed) = follower.committed(NAME)
+            && let Some(plan) = FailoverPlan::from_bytes(&committed.entry.value)
         {
-            self.follow.handle_plan(sure, *stamp, &plan);
+            self.follow.handle_plan(committed.confirmed_at, committed.entry.version, &plan);
         }
-        if let Some((entry, _)) = follower.committed(WISHES) {
-            self.wishes = read_wishes(&entry.value);
+        if let Some(committed) = follower.committed(OVERRIDES_REGISTER) {
+            self.wishes = decode_overrides(&committed.entry.value);
         }
         let effect = self.follow.effect(now, &self.terms, &self.own);
         if self.effect.as_ref() == Some(&effect) {
@@ -137,35 +137,35 @@
     pub fn show(&self, without: &[u32]) -> Option<Body> {
         let shown = self.holder.as_ref()?.preview(&self.terms, self.follow.plan(), without);
         let thousandths = |part: f64| (part * 1000.0).round().clamp(0.0, 65535.0) as u16;
-        let sites = shown.zones.iter().map(|zone| PlanSite {
+        let sites = shown.zones.iter().map(|zone| ZoneRow {
             state: zone.plan.state,
-            open: zone.plan.open_permille,
-            finding: zone.health.to_string(),
+            open_permille: zone.plan.open_permille,
+            health: zone.health.to_string(),
             cores: zone.evidence.cores,
-            part: thousandths(zone.evidence.answering_share),
-            filled: thousandths(zone.utilization),
+            answering_permille: thousandths(zone.evidence.answering_share),
+            filled_permille: thousandths(zone.utilization),
         });
-        let groups = shown.classes.iter().enumerate().map(|(at, group)| PlanGroup {
-            rate: group.rate as f32,
-            work: group.work as f32,
-            served: thousandths(shown.allocation.served_shares[at]),
-            nowhere: shown.allocation.unplaceable_shares[at] > 0.0,
+        let groups = shown.classes.iter().enumerate().map(|(at, group)| ClassRow {
+            requests_per_second: group.rate as f32,
+            work_seconds: group.work as f32,
+            served_permille: thousandths(shown.allocation.served_shares[at]),
+            is_unplaceable: shown.allocation.unplaceable_shares[at] > 0.0,
         });
         let refused_first = shown.allocation.shed_order.iter().map(|group| *group as u8);
         Some(Body::PlanShown {
-            epoch: self.follow.version().map(|version| (version.epoch, version.counter)),
-            sites: sites.collect(),
-            groups: groups.collect(),
-            refused_first: refused_first.collect(),
+            version: self.follow.version().map(|version| (version.epoch, version.counter)),
+            zones: sites.collect(),
+            classes: groups.collect(),
+            shed_order: refused_first.collect(),
         })
     }
 }
 
-pub fn read_wishes(bytes: &[u8]) -> Vec<OperatorOverride> {
+pub fn decode_overrides(bytes: &[u8]) -> Vec<OperatorOverride> {
     let wishes: Vec<OperatorOverride> = postcard::from_bytes(bytes).unwrap_or_default();
     if wishes.len() <= lemonusher_zone_failover::MAX_ZONES { wishes } else { Vec::new() }
 }
 
-pub fn write_wishes(wishes: &[OperatorOverride]) -> Vec<u8> {
+pub fn encode_overrides(wishes: &[OperatorOverride]) -> Vec<u8> {
     postcard::to_allocvec(wishes).unwrap_or_default()
 }
--- a/crates/edges/fleet/src/works.rs
+++ b/crates/edges/fleet/src/works.rs
@@ -19,17 +19,17 @@
 /// The lease's name; registers add a number.
 pub const NAME: &str = "works";
 /// Rows in one message; what does not fit is said in the next periods.
-const ROWS: usize = 32;
+const MAX_ROWS: usize = 32;
 
 /// What the operator's file says of works.
 #[derive(Debug, Clone)]
-pub struct WorksTerms {
-    pub terms: MaintenanceConfig,
+pub struct MaintenanceSettings {
+    pub config: MaintenanceConfig,
     /// Who is told of each machine that is released.
-    pub tell: Option<SocketAddr>,
+    pub notify: Option<SocketAddr>,
 }
 
-pub struct Works {
+pub struct Maintenance {
     terms: MaintenanceConfig,
     tell: Option<SocketAddr>,
     crew: Participant,
@@ -64,11 +64,11 @@
     Some(VersionedRequest { version: entry.version, request: MaintenanceRequest::from_bytes(&entry.value)? })
 }
 
-impl Works {
-    pub fn new(told: &WorksTerms, votes: bool) -> Works {
-        Works {
-            terms: told.terms.clone(),
-            tell: told.tell,
+impl Maintenance {
+    pub fn new(told: &MaintenanceSettings, votes: bool) -> Maintenance {
+        Maintenance {
+            terms: told.config.clone(),
+            tell: told.notify,
             crew: Participant::default(),
             foreman: votes.then(MaintenanceCoordinator::default),
             said: None,
@@ -101,7 +101,7 @@
     pub fn follow(&mut self, now: Duration, follower: &Learner) -> Option<ControlUpdate> {
         for work in 0..MAX_REQUESTS as u8 {
             let name = register(work);
-            match follower.committed(&name).and_then(|(entry, _)| read(entry)) {
+            match follower.committed(&name).and_then(|committed| read(committed.entry)) {
                 Some(VersionedRequest { version: stamp, request: value }) => {
                     if let Some(foreman) = &mut self.foreman {
                         foreman.handle_request(now, work, stamp, value.clone());
@@ -130,7 +130,7 @@
             return None;
         }
         self.next = now + self.terms.poll_interval;
-        let let_go = self.crew.next_confirmations(self.closed_by, &self.out, ROWS);
+        let let_go = self.crew.next_confirmations(self.closed_by, &self.out, MAX_ROWS);
         Some(Report { let_go, released: self.released() })
     }
 
@@ -200,10 +200,11 @@
             _ => None,
         });
         Body::MaintenanceShown {
-            number,
-            work: known.map(|known| ((known.version.epoch, known.version.counter), known.request.to_bytes())),
-            foreman: self.foreman.as_ref().is_some_and(MaintenanceCoordinator::is_active),
-            why: why.map(|why| why.chars().take(160).collect()),
+            request: number,
+            stored: known
+                .map(|known| ((known.version.epoch, known.version.counter), known.request.to_bytes())),
+            is_coordinator: self.foreman.as_ref().is_some_and(MaintenanceCoordinator::is_active),
+            blocked_reason: why.map(|why| why.chars().take(160).collect()),
         }
     }
 }
