--- a/crates/edges/cli/tests/proof_sites.rs
+++ b/crates/edges/cli/tests/proof_sites.rs
@@ -1,7 +1,9 @@
 //! Nine processes of the program in three sites, with engines that start cold and tip over, clients that go on asking,
 //! and faults between them. Judged by the tallies of engines and clients. One line a claim: `proof: NAME figure`.
 
-use lemonusher_cluster::{Desk, Faults, GroupTerms, Halls, HallsTerms, Plan, Rig, Tally};
+use lemonusher_cluster::{
+    FakeClass, FakeZones, FakeZonesConfig, Faults, LoadClient, RequestCounts, Rig, RigConfig,
+};
 use std::collections::BTreeMap;
 use std::process::Command;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -22,21 +24,30 @@
     Duration::from_millis(ms)
 }
 
-fn group(name: &'static str, utility: f64, work: f64, once_only: bool) -> GroupTerms {
+fn group(name: &'static str, utility: f64, work: f64, once_only: bool) -> FakeClass {
     let (goal, limit) = (ms(1500), ms(5000));
-    GroupTerms { name, utility, work, threads: 1.0, goal, limit, once_only, only: None }
+    FakeClass {
+        name,
+        priority_weight: utility,
+        work,
+        threads: 1.0,
+        latency_objective: goal,
+        deadline: limit,
+        non_idempotent: once_only,
+        allowed_zone: None,
+    }
 }
 
 /// Worth for a second of work: 50, 2 and 10.
-fn groups() -> Vec<GroupTerms> {
+fn groups() -> Vec<FakeClass> {
     vec![group("look-up", 1.0, 0.02, false), group("report", 0.5, 0.25, false), group("load", 1.0, 0.1, true)]
 }
 
 struct Fleet {
     _turn: MutexGuard<'static, ()>,
     rig: Rig,
-    halls: Arc<Halls>,
-    desks: Vec<Desk>,
+    halls: Arc<FakeZones>,
+    desks: Vec<LoadClient>,
     stands: fn(usize) -> usize,
     said: BTreeMap<usize, Vec<(Instant, String)>>,
     began: Instant,
@@ -44,42 +55,45 @@
 
 impl Fleet {
     /// `rates`: requests a second of each of the nine clients, by request class.
-    fn start(stands: fn(usize) -> usize, rates: [f64; 3], groups: Vec<GroupTerms>, seed: u64) -> Fleet {
+    fn start(stands: fn(usize) -> usize, rates: [f64; 3], groups: Vec<FakeClass>, seed: u64) -> Fleet {
         let turn = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
-        let halls = Arc::new(Halls::start(HallsTerms {
-            sites: SITES,
-            engines_a_site: 2,
+        let halls = Arc::new(FakeZones::start(FakeZonesConfig {
+            zones: SITES,
+            engines_per_zone: 2,
             cores: 4.0,
-            groups: groups.clone(),
-            cold_from: 0.3,
-            cold_for: ms(6000),
-            fall_multiple: 3.0,
-            fall_after: ms(1000),
+            classes: groups.clone(),
+            cold_share: 0.3,
+            warm_up: ms(6000),
+            overload_multiple: 3.0,
+            overload_window: ms(1000),
         }));
         let told = halls.clone();
-        let plan = Plan {
+        let plan = RigConfig {
             program: PROGRAM,
             fronts: FRONTS,
             voters: 3,
             lease: LEASE,
-            drift: 50,
-            act: ms(200),
-            takes: ms(20),
-            every: ms(500),
-            refuses: true,
-            clocks: vec![1.0; FRONTS],
-            folders: false,
-            seats: 0,
+            clock_drift_permille: 50,
+            act_time: ms(200),
+            task_duration: ms(20),
+            task_interval: ms(500),
+            rejects_stale: true,
+            clock_rates: vec![1.0; FRONTS],
+            persistent: false,
+            quota_slots: 0,
             seed,
-            told: Some(Arc::new(move |front, channel| told.told(front, stands(front), FRONTS, channel))),
-            more: format!(
+            front_start: Some(Arc::new(move |front, channel| {
+                told.front_start(front, stands(front), FRONTS, channel)
+            })),
+            extra_toml: format!(
                 "[fleet.sites]\nperiod_ms = 250\nconfirm_ms = 750\nsteady_ms = 1000\npace_ms = 1000\nwait_ms = 1500\n\
                  stale_ms = 3500\nsafe_part = 0.6\nfloor_part = {FLOOR}\n"
             ),
         };
         let rig = Rig::start(plan);
-        let asks: Vec<_> = groups.iter().map(|group| (group.name, group.goal, group.limit)).collect();
-        let desks = (0..FRONTS).map(|desk| Desk::start(desk as u32, asks.clone(), &rates)).collect();
+        let asks: Vec<_> =
+            groups.iter().map(|group| (group.name, group.latency_objective, group.deadline)).collect();
+        let desks = (0..FRONTS).map(|desk| LoadClient::start(desk as u32, asks.clone(), &rates)).collect();
         let said = BTreeMap::new();
         let mut fleet = Fleet { _turn: turn, rig, halls, desks, stands, said, began: Instant::now() };
         fleet.reach(|_, _| true);
@@ -93,7 +107,7 @@
             let mut fronts: Vec<usize> = (0..FRONTS).collect();
             fronts.sort_by_key(|front| ((self.stands)(*front) != site, (front + FRONTS - number) % FRONTS));
             let reached = fronts.into_iter().filter(|front| holds(site, (self.stands)(*front)));
-            desk.reaches(
+            desk.set_fronts(
                 reached.map(|front| self.rig.fronts[front].as_ref().map(|one| one.address)).collect(),
             );
         }
@@ -107,7 +121,7 @@
         }
     }
 
-    fn run(&mut self, span: Duration) -> Vec<Tally> {
+    fn run(&mut self, span: Duration) -> Vec<RequestCounts> {
         self.tallies();
         let until = Instant::now() + span;
         while Instant::now() < until {
@@ -117,18 +131,18 @@
         self.tallies()
     }
 
-    fn tallies(&self) -> Vec<Tally> {
-        let mut sum = vec![Tally::default(); 3];
+    fn tallies(&self) -> Vec<RequestCounts> {
+        let mut sum = vec![RequestCounts::default(); 3];
         for desk in &self.desks {
             for (all, one) in sum.iter_mut().zip(desk.tallies()) {
-                all.asked += one.asked;
+                all.sent += one.sent;
                 all.returned += one.returned;
-                all.in_goal += one.in_goal;
-                all.pushed_back += one.pushed_back;
-                all.errored += one.errored;
-                all.cut_off += one.cut_off;
-                all.twice += one.twice;
-                all.told_back += one.told_back;
+                all.on_time += one.on_time;
+                all.rejected += one.rejected;
+                all.failed += one.failed;
+                all.aborted += one.aborted;
+                all.duplicates += one.duplicates;
+                all.retry_after_s += one.retry_after_s;
             }
         }
         sum
@@ -182,28 +196,28 @@
 
     /// A whole site goes: its fronts, its engines, its links.
     fn lose(&mut self, site: usize) {
-        self.halls.lose(site);
+        self.halls.stop(site);
         for front in (0..FRONTS).filter(|front| (self.stands)(*front) == site) {
-            self.rig.kill(front);
+            self.rig.kill_front(front);
         }
         self.reach(|_, _| true);
     }
 
     fn back(&mut self, site: usize) {
-        self.halls.back(site);
+        self.halls.restart(site);
         for front in (0..FRONTS).filter(|front| (self.stands)(*front) == site) {
-            self.rig.begin(front);
+            self.rig.start_front(front);
         }
         self.reach(|_, _| true);
     }
 
     /// What must hold in every script: rules 1 and 2 as clients and engines saw them, and epochs that only grow.
-    fn judge(&mut self, tallies: &[Vec<Tally>]) {
+    fn judge(&mut self, tallies: &[Vec<RequestCounts>]) {
         self.listen();
-        assert_eq!(tallies.iter().flatten().map(|tally| tally.twice).sum::<u32>(), 0, "answered twice");
+        assert_eq!(tallies.iter().flatten().map(|tally| tally.duplicates).sum::<u32>(), 0, "answered twice");
         let mut runs: BTreeMap<String, usize> = BTreeMap::new();
         for site in 0..SITES {
-            for came in self.halls.came(site).into_iter().flatten().filter(|came| came.group == 2) {
+            for came in self.halls.received(site).into_iter().flatten().filter(|came| came.class == 2) {
                 *runs.entry(came.id).or_default() += 1;
             }
         }
@@ -231,8 +245,8 @@
     }
 }
 
-fn part(tallies: &[Tally], group: usize) -> f64 {
-    tallies[group].part_returned()
+fn part(tallies: &[RequestCounts], group: usize) -> f64 {
+    tallies[group].returned_share()
 }
 
 #[test]
@@ -256,9 +270,9 @@
         agreed.as_secs_f64() / LEASE.as_secs_f64()
     );
     fleet.run(ms(2000)); // What was let in before has ended.
-    (0..SITES).for_each(|site| _ = fleet.halls.most_strain(site));
+    (0..SITES).for_each(|site| _ = fleet.halls.take_max_load(site));
     let lost = fleet.run(ms(5000));
-    let strain = (0..SITES).filter(|other| *other != site).map(|other| fleet.halls.most_strain(other));
+    let strain = (0..SITES).filter(|other| *other != site).map(|other| fleet.halls.take_max_load(other));
     let strain = strain.fold(0.0, f64::max);
     println!(
         "proof: sites_returned_in_a_loss look-up {:.2} load {:.2} report {:.2}",
@@ -270,7 +284,7 @@
     assert!(part(&lost, 0) > 0.9 && part(&lost, 2) > 0.85, "what is dear was refused: {lost:?}");
     assert!(part(&lost, 1) < part(&lost, 2), "the least worth is refused first: {lost:?}");
     assert!(part(&lost, 1) > FLOOR * 0.7, "below its floor: {lost:?}");
-    assert!(lost[1].pushed_back > 0 && lost[1].told_back > 0.0, "refused without a time to come back");
+    assert!(lost[1].rejected > 0 && lost[1].retry_after_s > 0.0, "refused without a time to come back");
     // It comes back, cold.
     fleet.said.values_mut().for_each(Vec::clear);
     fleet.back(site);
@@ -284,7 +298,7 @@
         fleet.live().iter().all(open)
     });
     let up = up.unwrap_or_else(|| panic!("it never returned: {:?}", fleet.said));
-    let tipped = fleet.halls.tipped(site);
+    let tipped = fleet.halls.is_overloaded(site);
     println!("proof: sites_return_took {:.1} s, tipped {tipped}", up.as_secs_f64());
     assert!(!tipped, "the returning site was pushed over");
     let steps: Vec<usize> = [125, 250, 500, 750]
@@ -307,10 +321,10 @@
     assert!(ready.is_some());
     let before = fleet.run(ms(2000));
     // Site 2 is cut off from the others: engines, talk and clients.
-    fleet.halls.cut(2, 0, true);
-    fleet.halls.cut(2, 1, true);
-    let cut = Faults { cut: true, ..Faults::default() };
-    fleet.rig.relays.fault(|front, voter| (in_turn(front) == 2) != (in_turn(voter) == 2), cut, cut);
+    fleet.halls.set_partitioned(2, 0, true);
+    fleet.halls.set_partitioned(2, 1, true);
+    let cut = Faults { blocked: true, ..Faults::default() };
+    fleet.rig.relays.set_faults(|front, voter| (in_turn(front) == 2) != (in_turn(voter) == 2), cut, cut);
     fleet.reach(|client, front| (client == 2) == (front == 2));
     let agreed = fleet.until(AGREED_WITHIN, |fleet| {
         fleet.live().iter().filter(|front| in_turn(**front) != 2).all(|front| fleet.closed(*front, 2))
@@ -326,9 +340,9 @@
     let apart = fleet.run(ms(4000));
     println!("proof: sites_look_ups_returned_in_a_cut {:.2}", part(&apart, 0));
     assert!(part(&apart, 0) > 0.85, "{apart:?}");
-    fleet.halls.cut(2, 0, false);
-    fleet.halls.cut(2, 1, false);
-    fleet.rig.relays.mend();
+    fleet.halls.set_partitioned(2, 0, false);
+    fleet.halls.set_partitioned(2, 1, false);
+    fleet.rig.relays.clear_faults();
     fleet.reach(|_, _| true);
     let healed = fleet.until(ms(40_000), |fleet| {
         let open =
@@ -359,10 +373,11 @@
     let alone = alone.unwrap_or_else(|| panic!("not all go by themselves: {:?}", fleet.said));
     println!("proof: sites_alone_after_the_voters_are_lost {:.1} s", alone.as_secs_f64());
     fleet.run(ms(2000));
-    (0..SITES).for_each(|site| _ = fleet.halls.most_strain(site));
+    (0..SITES).for_each(|site| _ = fleet.halls.take_max_load(site));
     let lost = fleet.run(ms(5000));
-    let came: usize = (1..SITES).map(|site| fleet.halls.came(site).iter().map(Vec::len).sum::<usize>()).sum();
-    let strain = (1..SITES).map(|site| fleet.halls.most_strain(site)).fold(0.0, f64::max);
+    let came: usize =
+        (1..SITES).map(|site| fleet.halls.received(site).iter().map(Vec::len).sum::<usize>()).sum();
+    let strain = (1..SITES).map(|site| fleet.halls.take_max_load(site)).fold(0.0, f64::max);
     println!(
         "proof: sites_returned_without_a_majority look-up {:.2} load {:.2} report {:.2}, threads a core {strain:.1}",
         part(&lost, 0),
@@ -378,7 +393,7 @@
         fleet.live().iter().all(open)
     });
     assert!(up.is_some(), "it never returned: {:?}", fleet.said);
-    assert!(!fleet.halls.tipped(0), "the returning site was pushed over");
+    assert!(!fleet.halls.is_overloaded(0), "the returning site was pushed over");
     let after = fleet.run(ms(2000));
     fleet.judge(&[before, lost, after]);
 }
@@ -392,14 +407,14 @@
     let before = fleet.run(ms(3000));
     let say = |fleet: &Fleet, words: &[&str]| {
         // Relays answer whoever spoke last, so the operator comes by the links of a front that is stopped meanwhile.
-        let file = fleet.rig.file(8);
+        let file = fleet.rig.config_file(8);
         let mut all = vec![words[0], file.to_str().unwrap()];
         all.extend(&words[1..]);
         let output = Command::new(PROGRAM).args(all).output().unwrap();
         let text = String::from_utf8(output.stdout).unwrap() + &String::from_utf8(output.stderr).unwrap();
         (output.status.code().unwrap(), text)
     };
-    fleet.rig.stop(8, true);
+    fleet.rig.pause_front(8, true);
     let (code, text) = say(&fleet, &["plan"]);
     assert!(code == 0 && text.contains("site hall-0") && text.contains("Up"), "{code} {text}");
     let (code, text) = say(&fleet, &["plan", "--without", "hall-1"]);
@@ -410,19 +425,19 @@
     assert!(code == 1 && text.contains("hall-0, hall-1, hall-2"), "{code} {text}");
     let (code, text) = say(&fleet, &["site", "hall-1", "out"]);
     assert!(code == 0 && text.contains("is settled"), "{code} {text}");
-    fleet.rig.stop(8, false);
+    fleet.rig.pause_front(8, false);
     let out = fleet.until(ms(25_000), |fleet| fleet.live().iter().all(|front| fleet.closed(*front, 1)));
     assert!(out.is_some(), "it was not taken out: {:?}", fleet.said);
     fleet.run(ms(1500)); // What was out there has ended.
-    let counts = |fleet: &Fleet| fleet.halls.came(1).iter().map(Vec::len).sum::<usize>();
+    let counts = |fleet: &Fleet| fleet.halls.received(1).iter().map(Vec::len).sum::<usize>();
     let (came, taken) = (counts(&fleet), fleet.run(ms(2500)));
     println!("proof: sites_batches_sent_to_a_site_that_is_out {}", counts(&fleet) - came);
     assert_eq!(counts(&fleet), came);
     assert!(part(&taken, 0) > 0.9, "{taken:?}");
-    fleet.rig.stop(8, true);
+    fleet.rig.pause_front(8, true);
     let (code, text) = say(&fleet, &["site", "hall-1", "auto"]);
     assert!(code == 0, "{code} {text}");
-    fleet.rig.stop(8, false);
+    fleet.rig.pause_front(8, false);
     let up = fleet.until(ms(30_000), |fleet| {
         let open =
             |front: &usize| fleet.follows(*front).is_some_and(|line| line.contains("closed in part: []"));
--- a/crates/edges/cli/tests/proof_works.rs
+++ b/crates/edges/cli/tests/proof_works.rs
@@ -1,7 +1,7 @@
 //! Seven processes of the program, engines in three halls, and a yard that works on an engine once it has the word. Judged
 //! by the engines' own tallies: from the release to the return nothing comes. One line a claim: `proof: NAME figure`.
 
-use lemonusher_cluster::{Desk, Faults, GroupTerms, Halls, HallsTerms, Plan, Rig};
+use lemonusher_cluster::{FakeClass, FakeZones, FakeZonesConfig, Faults, LoadClient, Rig, RigConfig};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::UdpSocket;
@@ -24,8 +24,8 @@
 
 struct Night {
     rig: Rig,
-    halls: Arc<Halls>,
-    desks: Vec<Desk>,
+    halls: Arc<FakeZones>,
+    desks: Vec<LoadClient>,
     yard: UdpSocket,
     /// By machine: when it was released and, once told, back.
     out: BTreeMap<u32, Vec<(Instant, Option<Instant>)>>,
@@ -37,47 +37,60 @@
     fn start(seed: u64) -> Night {
         let group = |name, utility, work, once_only| {
             let (goal, limit) = (ms(1500), ms(4000));
-            GroupTerms { name, utility, work, threads: 1.0, goal, limit, once_only, only: None }
+            FakeClass {
+                name,
+                priority_weight: utility,
+                work,
+                threads: 1.0,
+                latency_objective: goal,
+                deadline: limit,
+                non_idempotent: once_only,
+                allowed_zone: None,
+            }
         };
         let groups = vec![group("look-up", 1.0, 0.02, false), group("load", 1.0, 0.1, true)];
-        let halls = Arc::new(Halls::start(HallsTerms {
-            sites: SITES,
-            engines_a_site: EACH,
+        let halls = Arc::new(FakeZones::start(FakeZonesConfig {
+            zones: SITES,
+            engines_per_zone: EACH,
             cores: 4.0,
-            groups: groups.clone(),
-            cold_from: 0.3,
-            cold_for: ms(3000),
-            fall_multiple: 3.0,
-            fall_after: ms(1000),
+            classes: groups.clone(),
+            cold_share: 0.3,
+            warm_up: ms(3000),
+            overload_multiple: 3.0,
+            overload_window: ms(1000),
         }));
         let yard = UdpSocket::bind("127.0.0.1:0").unwrap();
         yard.set_read_timeout(Some(ms(20))).unwrap();
         let (told, names) =
             (halls.clone(), (0..FRONTS).map(|n| format!("'n{n}'")).collect::<Vec<_>>().join(", "));
-        let plan = Plan {
+        let plan = RigConfig {
             program: PROGRAM,
             fronts: FRONTS,
             voters: 3,
             lease: ms(1200),
-            drift: 50,
-            act: ms(200),
-            takes: ms(20),
-            every: ms(500),
-            refuses: true,
-            clocks: vec![1.0; FRONTS],
-            folders: false,
-            seats: 0,
+            clock_drift_permille: 50,
+            act_time: ms(200),
+            task_duration: ms(20),
+            task_interval: ms(500),
+            rejects_stale: true,
+            clock_rates: vec![1.0; FRONTS],
+            persistent: false,
+            quota_slots: 0,
             seed,
-            told: Some(Arc::new(move |front, channel| told.told(front, stands(front), FRONTS, channel))),
-            more: format!(
+            front_start: Some(Arc::new(move |front, channel| {
+                told.front_start(front, stands(front), FRONTS, channel)
+            })),
+            extra_toml: format!(
                 "[fleet.sites]\nperiod_ms = 250\nconfirm_ms = 2500\nsteady_ms = 1000\npace_ms = 1000\nwait_ms = 1500\n\
                  stale_ms = 60000\nsafe_part = 0.6\n[fleet.works]\nfronts = [{names}]\ntell = '{}'\nsteady_ms = 500\n",
                 yard.local_addr().unwrap()
             ),
         };
         let rig = Rig::start(plan);
-        let asks: Vec<_> = groups.iter().map(|group| (group.name, group.goal, group.limit)).collect();
-        let desks = (0..FRONTS).map(|desk| Desk::start(desk as u32, asks.clone(), &[10.0, 6.0])).collect();
+        let asks: Vec<_> =
+            groups.iter().map(|group| (group.name, group.latency_objective, group.deadline)).collect();
+        let desks =
+            (0..FRONTS).map(|desk| LoadClient::start(desk as u32, asks.clone(), &[10.0, 6.0])).collect();
         let (out, numbers) = (BTreeMap::new(), BTreeMap::new());
         let night = Night { rig, halls, desks, yard, out, numbers, asked: Instant::now() };
         night.reach();
@@ -87,7 +100,7 @@
     fn reach(&self) {
         for (number, desk) in self.desks.iter().enumerate() {
             let fronts = (0..FRONTS).map(|n| (number + n) % FRONTS);
-            desk.reaches(
+            desk.set_fronts(
                 fronts.map(|front| self.rig.fronts[front].as_ref().map(|one| one.address)).collect(),
             );
         }
@@ -96,13 +109,13 @@
     /// The operator's words, by the links of a front that is stopped meanwhile, as relays answer whoever spoke last.
     fn say(&mut self, words: &[&str]) -> (i32, String) {
         let front = FRONTS - 1;
-        let stopped = self.rig.stopped[front];
-        self.rig.stop(front, true);
-        let file = self.rig.file(front);
+        let stopped = self.rig.paused[front];
+        self.rig.pause_front(front, true);
+        let file = self.rig.config_file(front);
         let mut all = vec!["works", file.to_str().unwrap()];
         all.extend(words);
         let output = Command::new(PROGRAM).args(all).output().unwrap();
-        self.rig.stop(front, stopped);
+        self.rig.pause_front(front, stopped);
         let text = String::from_utf8(output.stdout).unwrap() + &String::from_utf8(output.stderr).unwrap();
         (output.status.code().unwrap(), text)
     }
@@ -153,7 +166,7 @@
     fn disturbed(&self) -> usize {
         let mut all = 0;
         for site in 0..SITES {
-            for (at, came) in self.halls.came(site).into_iter().enumerate() {
+            for (at, came) in self.halls.received(site).into_iter().enumerate() {
                 let machine = (site * EACH + at + 1) as u32;
                 for (from, to) in self.out.get(&machine).into_iter().flatten() {
                     let to = to.unwrap_or_else(Instant::now);
@@ -177,7 +190,7 @@
     fn twice_run(&self) -> usize {
         let mut runs: BTreeMap<String, usize> = BTreeMap::new();
         for site in 0..SITES {
-            for came in self.halls.came(site).into_iter().flatten().filter(|came| came.group == 1) {
+            for came in self.halls.received(site).into_iter().flatten().filter(|came| came.class == 1) {
                 *runs.entry(came.id).or_default() += 1;
             }
         }
@@ -195,7 +208,7 @@
     assert!(code == 0 && text.contains("request 1"), "{code} {text}");
     night.asked = Instant::now();
     let mut chance = fastrand::Rng::with_seed(9);
-    let cut = Faults { cut: true, ..Faults::default() };
+    let cut = Faults { blocked: true, ..Faults::default() };
     let mut over = false;
     for turn in 0..40 {
         over = night.work(ms(1200), ms(600));
@@ -206,25 +219,25 @@
             1 => {
                 // The foreman, if it is one of these, dies; whoever takes over reads all first.
                 let voter = chance.usize(..3);
-                night.rig.kill(voter);
-                night.rig.begin(voter);
+                night.rig.kill_front(voter);
+                night.rig.start_front(voter);
             }
             3 => {
                 let front = 3 + chance.usize(..3);
-                night.rig.kill(front);
-                night.rig.begin(front);
+                night.rig.kill_front(front);
+                night.rig.start_front(front);
             }
-            5 => night.rig.relays.fault(|front, _| front == 4, cut, cut),
-            7 => night.rig.relays.mend(),
+            5 => night.rig.relays.set_faults(|front, _| front == 4, cut, cut),
+            7 => night.rig.relays.clear_faults(),
             8 => {
-                night.rig.stop(1, true);
+                night.rig.pause_front(1, true);
             }
-            10 => night.rig.stop(1, false),
+            10 => night.rig.pause_front(1, false),
             _ => {}
         }
         night.reach();
     }
-    night.rig.mend();
+    night.rig.repair();
     for _ in 0..20 {
         over = over || night.work(ms(1500), ms(600));
     }
@@ -248,19 +261,19 @@
 fn a_front_that_was_cut_off_before_the_drain_and_still_sends_holds_the_release() {
     let mut night = Night::start(2);
     night.work(ms(5000), ms(500));
-    let cut = Faults { cut: true, ..Faults::default() };
-    night.rig.relays.fault(|front, _| front == 4, cut, cut);
+    let cut = Faults { blocked: true, ..Faults::default() };
+    night.rig.relays.set_faults(|front, _| front == 4, cut, cut);
     let (code, text) = night.say(&["ask", "3", "--who", "ann"]);
     assert_eq!(code, 0, "{text}");
     night.work(ms(4000), ms(500));
     assert!(night.out.is_empty(), "released though a front still sends");
     let (_, text) = night.say(&["list"]);
     assert!(text.contains("n4"), "{text}");
-    let before = night.halls.came(0)[2].len();
+    let before = night.halls.received(0)[2].len();
     night.work(ms(1500), ms(500));
-    println!("proof: works_batches_by_a_front_that_is_cut_off {}", night.halls.came(0)[2].len() - before);
+    println!("proof: works_batches_by_a_front_that_is_cut_off {}", night.halls.received(0)[2].len() - before);
     // The operator knows that it is dead, as he has killed it.
-    night.rig.kill(4);
+    night.rig.kill_front(4);
     let (code, text) = night.say(&["without", "0", "n4"]);
     assert_eq!(code, 0, "{text}");
     night.reach();
--- a/crates/testing/cluster/src/halls.rs
+++ b/crates/testing/cluster/src/fake_zones.rs
@@ -17,39 +17,39 @@
 
 /// A request class, as the deployment states it and as engines run it.
 #[derive(Debug, Clone, Copy)]
-pub struct GroupTerms {
+pub struct FakeClass {
     pub name: &'static str,
-    pub utility: f64,
+    pub priority_weight: f64,
     /// Work of a request, in seconds on one thread, and its threads.
     pub work: f64,
     pub threads: f64,
-    pub goal: Duration,
-    pub limit: Duration,
-    pub once_only: bool,
+    pub latency_objective: Duration,
+    pub deadline: Duration,
+    pub non_idempotent: bool,
     /// The only site where it may run.
-    pub only: Option<u32>,
+    pub allowed_zone: Option<u32>,
 }
 
 #[derive(Debug, Clone)]
-pub struct HallsTerms {
-    pub sites: usize,
-    pub engines_a_site: usize,
+pub struct FakeZonesConfig {
+    pub zones: usize,
+    pub engines_per_zone: usize,
     pub cores: f64,
-    pub groups: Vec<GroupTerms>,
+    pub classes: Vec<FakeClass>,
     /// A cold engine bears this part at first, for so long; over `fall_multiple` times that in `fall_after` tips it.
-    pub cold_from: f64,
-    pub cold_for: Duration,
-    pub fall_multiple: f64,
-    pub fall_after: Duration,
+    pub cold_share: f64,
+    pub warm_up: Duration,
+    pub overload_multiple: f64,
+    pub overload_window: Duration,
 }
 
 /// A request as it came to an engine.
 #[derive(Debug, Clone)]
-pub struct Came {
+pub struct ReceivedRequest {
     pub at: Instant,
     pub id: String,
-    pub group: usize,
-    pub from_site: usize,
+    pub class: usize,
+    pub from_zone: usize,
 }
 
 struct Hosted {
@@ -59,7 +59,7 @@
     next: u64,
     running: BTreeMap<u64, (TcpStream, String, usize)>,
     wires: Vec<(usize, TcpStream)>,
-    came: Vec<Came>,
+    came: Vec<ReceivedRequest>,
     recent: VecDeque<(Instant, f64)>,
     up: bool,
     tipped: bool,
@@ -67,24 +67,24 @@
 }
 
 struct Shared {
-    terms: HallsTerms,
+    terms: FakeZonesConfig,
     hosted: Vec<Mutex<Hosted>>,
     /// By site of the front and site of the engine.
     cut: Mutex<Vec<Vec<bool>>>,
     ending: AtomicBool,
 }
 
-pub struct Halls {
+pub struct FakeZones {
     shared: Arc<Shared>,
     /// By engine and the front's site.
     doors: Vec<Vec<SocketAddr>>,
 }
 
-impl Halls {
-    pub fn start(terms: HallsTerms) -> Halls {
-        let engines = terms.sites * terms.engines_a_site;
+impl FakeZones {
+    pub fn start(terms: FakeZonesConfig) -> FakeZones {
+        let engines = terms.zones * terms.engines_per_zone;
         let hosted = |engine: usize| Hosted {
-            site: engine / terms.engines_a_site,
+            site: engine / terms.engines_per_zone,
             model: Model::new(terms.cores, 1e9, 0.05),
             started: None,
             next: 0,
@@ -98,13 +98,13 @@
         };
         let shared = Arc::new(Shared {
             hosted: (0..engines).map(|engine| Mutex::new(hosted(engine))).collect(),
-            cut: Mutex::new(vec![vec![false; terms.sites]; terms.sites]),
+            cut: Mutex::new(vec![vec![false; terms.zones]; terms.zones]),
             ending: AtomicBool::new(false),
             terms,
         });
         let mut doors = vec![Vec::new(); engines];
         for (engine, doors) in doors.iter_mut().enumerate() {
-            for from in 0..shared.terms.sites {
+            for from in 0..shared.terms.zones {
                 let listener = TcpListener::bind("127.0.0.1:0").unwrap();
                 doors.push(listener.local_addr().unwrap());
                 let shared = shared.clone();
@@ -134,25 +134,25 @@
                 last = now;
             }
         });
-        Halls { shared, doors }
+        FakeZones { shared, doors }
     }
 
     /// What a front at this site is told.
-    pub fn told(&self, front: usize, site: usize, fronts: usize, channel: SocketAddr) -> Value {
+    pub fn front_start(&self, front: usize, site: usize, fronts: usize, channel: SocketAddr) -> Value {
         let terms = &self.shared.terms;
         let name = |site: usize| format!("hall-{site}");
-        let class = |group: &GroupTerms| {
-            let mut class = json!({"name": group.name, "aim_us": group.goal.as_micros() as u64, "aim_stretch": 2.0,
-                "hard_limit_us": group.limit.as_micros() as u64, "effect": if group.once_only { "unsafe" } else { "safe" },
-                "points": group.utility, "late_value": 0.0, "group": "all", "key_ttl_us": 0, "stream": false});
-            if let Some(only) = group.only {
+        let class = |group: &FakeClass| {
+            let mut class = json!({"name": group.name, "aim_us": group.latency_objective.as_micros() as u64, "aim_stretch": 2.0,
+                "hard_limit_us": group.deadline.as_micros() as u64, "effect": if group.non_idempotent { "unsafe" } else { "safe" },
+                "points": group.priority_weight, "late_value": 0.0, "group": "all", "key_ttl_us": 0, "stream": false});
+            if let Some(only) = group.allowed_zone {
                 class["areas_open"] = json!([only]);
             }
             class
         };
-        let groups = &terms.groups;
+        let groups = &terms.classes;
         let mut all = settings();
-        all["areas"] = (0..terms.sites).map(name).collect();
+        all["areas"] = (0..terms.zones).map(name).collect();
         (all["balancers"], all["my_number"], all["zone"]) = (fronts.into(), front.into(), site.into());
         all["classes"] = groups.iter().map(class).collect();
         let family = &mut all["family_info"];
@@ -162,14 +162,14 @@
         family["cpu_of_kind"] = json!([terms.cores]);
         family["memory_by_kind_mb"] = json!([1e9]);
         let rules = &mut all["obligations"];
-        rules["cold_from"] = json!(terms.cold_from);
-        rules["cold_us"] = json!(terms.cold_for.as_micros() as u64);
-        rules["fall_multiple"] = json!(terms.fall_multiple);
-        rules["tip_after_us"] = json!(terms.fall_after.as_micros() as u64);
+        rules["cold_from"] = json!(terms.cold_share);
+        rules["cold_us"] = json!(terms.warm_up.as_micros() as u64);
+        rules["fall_multiple"] = json!(terms.overload_multiple);
+        rules["tip_after_us"] = json!(terms.overload_window.as_micros() as u64);
         let mut tells = told(&[], channel);
         let members = (0..self.doors.len()).map(|engine| {
             json!({"id": format!("s-{:08x}", engine + 1), "host_port": self.doors[engine][site].to_string(),
-                "locality": name(engine / terms.engines_a_site), "flavor": "std", "cell": 0, "phase": "Ready",
+                "locality": name(engine / terms.engines_per_zone), "flavor": "std", "cell": 0, "phase": "Ready",
                 "size": 1, "up_since_ms": 0})
         });
         tells["known"]["cmds"][0]["nodes"]["members"] = members.collect();
@@ -178,7 +178,7 @@
     }
 
     /// A hall's engines die: what they ran is gone, connections are reset, new ones are refused.
-    pub fn lose(&self, site: usize) {
+    pub fn stop(&self, site: usize) {
         self.shared.each(site, |one| {
             one.up = false;
             one.model.clear();
@@ -188,16 +188,16 @@
     }
 
     /// They come back, cold.
-    pub fn back(&self, site: usize) {
+    pub fn restart(&self, site: usize) {
         self.shared.each(site, |one| (one.up, one.started, one.tipped) = (true, Some(Instant::now()), false));
     }
 
-    pub fn slow(&self, site: usize, times: f64) {
+    pub fn set_slowdown(&self, site: usize, times: f64) {
         self.shared.each(site, |one| one.model.slow = times);
     }
 
     /// Cuts or mends the link between two sites, in both directions.
-    pub fn cut(&self, a: usize, b: usize, cut: bool) {
+    pub fn set_partitioned(&self, a: usize, b: usize, cut: bool) {
         {
             let mut all = self.shared.cut.lock().unwrap();
             (all[a][b], all[b][a]) = (cut, cut);
@@ -213,34 +213,34 @@
     }
 
     /// All that came to a hall's engines, by engine.
-    pub fn came(&self, site: usize) -> Vec<Vec<Came>> {
+    pub fn received(&self, site: usize) -> Vec<Vec<ReceivedRequest>> {
         let mut all = Vec::new();
         self.shared.each(site, |one| all.push(one.came.clone()));
         all
     }
 
     /// Whether any engine there has tipped over since it last came back.
-    pub fn tipped(&self, site: usize) -> bool {
+    pub fn is_overloaded(&self, site: usize) -> bool {
         let mut tipped = false;
         self.shared.each(site, |one| tipped |= one.tipped);
         tipped
     }
 
     /// The most threads over cores that any engine there had since this was last asked.
-    pub fn most_strain(&self, site: usize) -> f64 {
+    pub fn take_max_load(&self, site: usize) -> f64 {
         let mut most = 0.0f64;
         self.shared.each(site, |one| most = most.max(std::mem::take(&mut one.most_strain)));
         most
     }
 }
 
-impl Drop for Halls {
+impl Drop for FakeZones {
     fn drop(&mut self) {
         self.shared.ending.store(true, Ordering::Relaxed);
         for door in self.doors.iter().flatten() {
             let _ = TcpStream::connect(door); // Wakes the listener, so that it ends.
         }
-        (0..self.shared.terms.sites).for_each(|site| self.lose(site));
+        (0..self.shared.terms.zones).for_each(|site| self.stop(site));
     }
 }
 
@@ -268,7 +268,7 @@
                         return;
                     }
                     let group = words[2].split(',').find_map(|field| field.strip_prefix("queue="));
-                    let group = self.terms.groups.iter().position(|one| Some(one.name) == group).unwrap();
+                    let group = self.terms.classes.iter().position(|one| Some(one.name) == group).unwrap();
                     self.serve(engine, from, id, group, &wire);
                 }
                 "gauges" => {
@@ -292,20 +292,21 @@
     }
 
     fn serve(&self, engine: usize, from: usize, id: String, group: usize, wire: &TcpStream) {
-        let (terms, now) = (&self.terms.groups[group], Instant::now());
+        let (terms, now) = (&self.terms.classes[group], Instant::now());
         let mut one = self.hosted[engine].lock().unwrap();
-        one.came.push(Came { at: now, id: id.clone(), group, from_site: from });
+        one.came.push(ReceivedRequest { at: now, id: id.clone(), class: group, from_zone: from });
         if !one.up || one.tipped {
             return;
         }
-        let cold = one.started.is_some_and(|at| at.elapsed() < self.terms.cold_for);
-        let span = self.terms.fall_after;
+        let cold = one.started.is_some_and(|at| at.elapsed() < self.terms.warm_up);
+        let span = self.terms.overload_window;
         one.recent.push_back((now, terms.work));
         while one.recent.front().is_some_and(|(at, _)| now.duration_since(*at) > span) {
             one.recent.pop_front();
         }
         let sent: f64 = one.recent.iter().map(|(_, work)| work).sum();
-        let bears = self.terms.fall_multiple * self.terms.cold_from * self.terms.cores * span.as_secs_f64();
+        let bears =
+            self.terms.overload_multiple * self.terms.cold_share * self.terms.cores * span.as_secs_f64();
         if cold && sent > bears {
             one.tipped = true; // It stays down until it is started anew.
             one.model.clear();
@@ -330,12 +331,12 @@
     fn run(&self, engine: usize, now: Instant, span: Duration) {
         let mut one = self.hosted[engine].lock().unwrap();
         let age = one.started.map(|at| now.saturating_duration_since(at).as_secs_f64());
-        let (from, long) = (self.terms.cold_from, self.terms.cold_for.as_secs_f64());
+        let (from, long) = (self.terms.cold_share, self.terms.warm_up.as_secs_f64());
         let warmth = age.map_or(1.0, |age| (from + (1.0 - from) * age / long).min(1.0));
         let finished = one.model.run(span.as_secs_f64(), warmth);
         for done in finished {
             if let Some((wire, id, group)) = one.running.remove(&done.0) {
-                let work = self.terms.groups[group].work * 1e3;
+                let work = self.terms.classes[group].work * 1e3;
                 let message = format!("{id} HIT fetches=1,effort={work},high=1 6\r\nx\ty\tz\n\r\n");
                 let _ = (&wire).write_all(message.as_bytes());
             }
--- a/crates/testing/cluster/src/desk.rs
+++ b/crates/testing/cluster/src/load_client.rs
@@ -12,23 +12,23 @@
 
 /// How requests of a request class ended, since this was last asked.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Tally {
-    pub asked: u32,
+pub struct RequestCounts {
+    pub sent: u32,
     pub returned: u32,
-    pub in_goal: u32,
-    pub pushed_back: u32,
-    pub errored: u32,
+    pub on_time: u32,
+    pub rejected: u32,
+    pub failed: u32,
     /// The front ended, or hung up, before it answered.
-    pub cut_off: u32,
+    pub aborted: u32,
     /// Answers beyond the one that was owed.
-    pub twice: u32,
+    pub duplicates: u32,
     /// Sum of the times to come back, in seconds.
-    pub told_back: f64,
+    pub retry_after_s: f64,
 }
 
-impl Tally {
-    pub fn part_returned(&self) -> f64 {
-        f64::from(self.returned) / f64::from(self.asked.max(1))
+impl RequestCounts {
+    pub fn returned_share(&self) -> f64 {
+        f64::from(self.returned) / f64::from(self.sent.max(1))
     }
 }
 
@@ -37,11 +37,11 @@
     at: Instant,
 }
 
-type Tallies = Arc<Mutex<Vec<Tally>>>;
+type Tallies = Arc<Mutex<Vec<RequestCounts>>>;
 
 /// One client.
-pub struct Desk {
-    tallies: Tallies,
+pub struct LoadClient {
+    take_counts: Tallies,
     /// Requests a second, in thousandths, by request class.
     rates: Arc<Vec<AtomicU64>>,
     fronts: Arc<Mutex<Vec<Option<SocketAddr>>>>,
@@ -49,10 +49,10 @@
     thread: Option<JoinHandle<()>>,
 }
 
-impl Desk {
+impl LoadClient {
     /// `groups`: name, goal and limit. `fronts` in the order in which they are tried.
-    pub fn start(number: u32, groups: Vec<(&'static str, Duration, Duration)>, rates: &[f64]) -> Desk {
-        let tallies: Tallies = Arc::new(Mutex::new(vec![Tally::default(); groups.len()]));
+    pub fn start(number: u32, groups: Vec<(&'static str, Duration, Duration)>, rates: &[f64]) -> LoadClient {
+        let tallies: Tallies = Arc::new(Mutex::new(vec![RequestCounts::default(); groups.len()]));
         let rates: Arc<Vec<AtomicU64>> =
             Arc::new(rates.iter().map(|rate| AtomicU64::new((rate * 1000.0) as u64)).collect());
         let fronts: Arc<Mutex<Vec<Option<SocketAddr>>>> = Arc::default();
@@ -69,23 +69,23 @@
                 }
             }
         });
-        Desk { tallies, rates, fronts, ending, thread: Some(thread) }
+        LoadClient { take_counts: tallies, rates, fronts, ending, thread: Some(thread) }
     }
 
     /// The fronts that it may reach from now on, the first first.
-    pub fn reaches(&self, fronts: Vec<Option<SocketAddr>>) {
+    pub fn set_fronts(&self, fronts: Vec<Option<SocketAddr>>) {
         *self.fronts.lock().unwrap() = fronts;
     }
 
-    pub fn pace(&self, times: f64) {
+    pub fn scale_rates(&self, times: f64) {
         for rate in self.rates.iter() {
             rate.store((rate.load(Ordering::Relaxed) as f64 * times) as u64, Ordering::Relaxed);
         }
     }
 
-    pub fn tallies(&self) -> Vec<Tally> {
-        let mut all = self.tallies.lock().unwrap();
-        let fresh = vec![Tally::default(); all.len()];
+    pub fn tallies(&self) -> Vec<RequestCounts> {
+        let mut all = self.take_counts.lock().unwrap();
+        let fresh = vec![RequestCounts::default(); all.len()];
         std::mem::replace(&mut *all, fresh)
     }
 }
@@ -111,20 +111,21 @@
             let answer: Value = serde_json::from_str(&line).unwrap();
             let id = answer["id"].as_u64().unwrap_or_default();
             let Some(Open { group, at }) = waits.lock().unwrap().remove(&id) else {
-                noted.lock().unwrap()[0].twice += 1;
+                noted.lock().unwrap()[0].duplicates += 1;
                 continue;
             };
             let tally = &mut noted.lock().unwrap()[group];
             match answer["error"]["code"].as_i64() {
                 None => {
                     tally.returned += 1;
-                    tally.in_goal += u32::from(at.elapsed() <= goals[group]);
+                    tally.on_time += u32::from(at.elapsed() <= goals[group]);
                 }
                 Some(-32002) => {
-                    tally.pushed_back += 1;
-                    tally.told_back += answer["error"]["data"]["pushback"].as_f64().unwrap_or_default() / 1e3;
+                    tally.rejected += 1;
+                    tally.retry_after_s +=
+                        answer["error"]["data"]["pushback"].as_f64().unwrap_or_default() / 1e3;
                 }
-                Some(_) => tally.errored += 1,
+                Some(_) => tally.failed += 1,
             }
         }
         over.store(true, Ordering::Relaxed);
@@ -145,7 +146,7 @@
                 let params = json!({"call": call, "ttl": limit.as_millis() as u64, "data": data});
                 let message = json!({"jsonrpc": "2.0", "id": *next, "method": name, "params": params});
                 open.lock().unwrap().insert(*next, Open { group, at: Instant::now() });
-                tallies.lock().unwrap()[group].asked += 1;
+                tallies.lock().unwrap()[group].sent += 1;
                 if wire.write_all(format!("{message}\n").as_bytes()).is_err() {
                     gone.store(true, Ordering::Relaxed);
                 }
@@ -155,10 +156,10 @@
     let _ = wire.shutdown(std::net::Shutdown::Both);
     let _ = reader.join();
     let left = std::mem::take(&mut *open.lock().unwrap());
-    left.into_values().for_each(|open| tallies.lock().unwrap()[open.group].cut_off += 1);
+    left.into_values().for_each(|open| tallies.lock().unwrap()[open.group].aborted += 1);
 }
 
-impl Drop for Desk {
+impl Drop for LoadClient {
     fn drop(&mut self) {
         self.ending.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
--- a/crates/testing/cluster/src/relay.rs
+++ b/crates/testing/cluster/src/relays.rs
@@ -10,10 +10,10 @@
 /// What a direction of a link does to what goes over it.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct Faults {
-    pub cut: bool,
+    pub blocked: bool,
     /// Shares, from 0 to 1.
-    pub lost: f64,
-    pub twice: f64,
+    pub loss: f64,
+    pub duplication: f64,
     /// Each is held up for up to so long, so that some overtake others.
     pub delay: Duration,
 }
@@ -75,17 +75,17 @@
     }
 
     /// The address by which a front knows a voter.
-    pub fn way(&self, front: usize, voter: usize) -> SocketAddr {
+    pub fn address(&self, front: usize, voter: usize) -> SocketAddr {
         self.ways[front][voter]
     }
 
     /// Where a voter really listens, in its present life.
-    pub fn leads_to(&self, voter: usize, address: SocketAddr) {
+    pub fn set_voter_address(&self, voter: usize, address: SocketAddr) {
         self.shared.lock().unwrap().voters[voter] = Some(address);
     }
 
     /// Sets the faults of all links for which this holds, towards the voter and back.
-    pub fn fault(&self, which: impl Fn(usize, usize) -> bool, to: Faults, back: Faults) {
+    pub fn set_faults(&self, which: impl Fn(usize, usize) -> bool, to: Faults, back: Faults) {
         for link in &mut self.shared.lock().unwrap().links {
             if which(link.front, link.voter) {
                 link.faults = [to, back];
@@ -93,12 +93,12 @@
         }
     }
 
-    pub fn mend(&self) {
-        self.fault(|_, _| true, Faults::default(), Faults::default());
+    pub fn clear_faults(&self) {
+        self.set_faults(|_, _| true, Faults::default(), Faults::default());
     }
 
     /// Datagrams carried so far.
-    pub fn carried(&self) -> u64 {
+    pub fn forwarded(&self) -> u64 {
         self.shared.lock().unwrap().carried
     }
 }
@@ -116,10 +116,10 @@
                         link.front_at = Some(who);
                     }
                     let faults = link.faults[usize::from(back)];
-                    if faults.cut || chance.f64() < faults.lost {
+                    if faults.blocked || chance.f64() < faults.loss {
                         continue;
                     }
-                    let times = 1 + usize::from(chance.f64() < faults.twice);
+                    let times = 1 + usize::from(chance.f64() < faults.duplication);
                     for _ in 0..times {
                         let at = Instant::now() + faults.delay.mul_f64(chance.f64());
                         link.held.push((at, back, bytes[..long].to_vec()));
--- a/crates/testing/cluster/src/yard.rs
+++ b/crates/testing/cluster/src/task_service.rs
@@ -9,31 +9,31 @@
 
 /// A step of an act as it arrived.
 #[derive(Clone, Debug)]
-pub struct Noted {
+pub struct TaskStep {
     pub at: Instant,
-    pub number: u64,
+    pub fencing_token: u64,
     /// The front's name, and its life.
-    pub who: String,
-    pub begins: bool,
+    pub holder: String,
+    pub is_begin: bool,
     /// The yard refused it, as it has seen a higher number.
-    pub refused: bool,
+    pub rejected: bool,
 }
 
-impl Noted {
+impl TaskStep {
     pub fn front(&self) -> usize {
-        self.who[1..self.who.find('/').unwrap()].parse().unwrap()
+        self.holder[1..self.holder.find('/').unwrap()].parse().unwrap()
     }
 }
 
-pub struct Yard {
+pub struct FakeTaskService {
     pub address: SocketAddr,
-    notes: Arc<Mutex<Vec<Noted>>>,
+    steps: Arc<Mutex<Vec<TaskStep>>>,
     ending: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Yard {
-    pub fn start(refuses: bool) -> Yard {
+impl FakeTaskService {
+    pub fn start(refuses: bool) -> FakeTaskService {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(20))).unwrap();
         let (address, notes) = (socket.local_addr().unwrap(), Arc::new(Mutex::new(Vec::new())));
@@ -56,21 +56,27 @@
                     (seen, seen_of) = (number, who.clone());
                 }
                 let begins = said["step"] == "begin";
-                noted.lock().unwrap().push(Noted { at, number, who, begins, refused: older && refuses });
+                noted.lock().unwrap().push(TaskStep {
+                    at,
+                    fencing_token: number,
+                    holder: who,
+                    is_begin: begins,
+                    rejected: older && refuses,
+                });
             }
         });
-        Yard { address, notes, ending, thread: Some(thread) }
+        FakeTaskService { address, steps: notes, ending, thread: Some(thread) }
     }
 
-    pub fn notes(&self) -> Vec<Noted> {
-        self.notes.lock().unwrap().clone()
+    pub fn steps(&self) -> Vec<TaskStep> {
+        self.steps.lock().unwrap().clone()
     }
 
     /// Waits until an act begins that is noted after so many; none if nothing comes in time.
-    pub fn next(&self, after: usize, patience: Duration) -> Option<Noted> {
+    pub fn wait_for_begin(&self, after: usize, patience: Duration) -> Option<TaskStep> {
         let until = Instant::now() + patience;
         while Instant::now() < until {
-            let found = self.notes().into_iter().skip(after).find(|noted| noted.begins && !noted.refused);
+            let found = self.steps().into_iter().skip(after).find(|noted| noted.is_begin && !noted.rejected);
             if found.is_some() {
                 return found;
             }
@@ -80,7 +86,7 @@
     }
 }
 
-impl Drop for Yard {
+impl Drop for FakeTaskService {
     fn drop(&mut self) {
         self.ending.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
