--- a/crates/tools/scale/src/fleet/meter.rs
+++ b/crates/tools/scale/src/fleet/meter.rs
@@ -2,8 +2,9 @@
 
 use super::simulation::Simulation;
 use super::traffic::{Flow, Traffic};
+use crate::error::MeasureError;
 use crate::process;
-use crate::role::{MeasureError, Role};
+use crate::role::Role;
 use crate::sample::{Metric, Sample, metric};
 use lemonusher_fleet::Kind;
 use std::ops::Range;
--- a/crates/tools/scale/src/front.rs
+++ b/crates/tools/scale/src/front.rs
@@ -1,7 +1,7 @@
 //! A real front as a process of its own, told by a file as on the platform.
 
 use crate::budget;
-use crate::role::MeasureError;
+use crate::error::MeasureError;
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
 use std::net::SocketAddr;
--- a/crates/tools/scale/src/limits.rs
+++ b/crates/tools/scale/src/limits.rs
@@ -1,42 +1,30 @@
-//! What the rig may use of the machine.
+//! What the rig may use of the machine: less than half of its memory, 200 processes, and the descriptors that the soft
+//! limit leaves, less 64 for the rig itself.
 
-use crate::role::MeasureError;
+use crate::error::MeasureError;
+use crate::need::Need;
 use procfs::Current;
-use std::fmt;
 
-/// The most processes that one run starts.
-pub const MOST_PROCESSES: u32 = 200;
-/// The rig uses less than this share of the machine's memory.
+/// Processes that one run starts at most.
+pub const MAX_PROCESSES: u32 = 200;
+/// The share of the machine's memory that the rig may use.
 pub const MEMORY_SHARE: f64 = 0.5;
-/// Descriptors kept back for the rig itself: standard streams, files, timers.
+/// Descriptors kept for the rig itself: standard streams, files, timers.
 pub const SPARE_DESCRIPTORS: u64 = 64;
 
-/// What a run would use.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Need {
-    pub memory_bytes: u64,
-    /// Descriptors of the rig's own process.
-    pub descriptors: u64,
-    pub processes: u32,
-}
-
-impl fmt::Display for Need {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let megabytes = self.memory_bytes.div_ceil(1 << 20);
-        write!(f, "{megabytes} MB of memory, {} descriptors, {} processes", self.descriptors, self.processes)
-    }
-}
-
 /// What a run may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
+    /// Bytes of memory.
     pub memory_bytes: u64,
+    /// Descriptors of the rig's own process.
     pub descriptors: u64,
+    /// Processes that the rig starts.
     pub processes: u32,
 }
 
 impl Limits {
-    /// Half of the machine's memory, and the soft limit on descriptors less what the rig keeps for itself.
+    /// The limits on this machine, now.
     pub fn of_this_machine() -> Result<Self, MeasureError> {
         let unreadable = |cause: procfs::ProcError| MeasureError::Figures(cause.to_string());
         let total = procfs::Meminfo::current().map_err(unreadable)?.mem_total;
@@ -44,7 +32,7 @@
         Ok(Limits {
             memory_bytes: (total as f64 * MEMORY_SHARE) as u64,
             descriptors: soft.unwrap_or(u64::MAX).saturating_sub(SPARE_DESCRIPTORS),
-            processes: MOST_PROCESSES,
+            processes: MAX_PROCESSES,
         })
     }
 
@@ -53,6 +41,7 @@
         if self.hold(need) { Ok(()) } else { Err(MeasureError::DoesNotFit { size, need: *need }) }
     }
 
+    /// Whether a run with this need stays within the limits.
     pub fn hold(&self, need: &Need) -> bool {
         need.memory_bytes <= self.memory_bytes
             && need.descriptors <= self.descriptors
--- a/crates/tools/scale/src/main.rs
+++ b/crates/tools/scale/src/main.rs
@@ -2,9 +2,9 @@
 
 use clap::{Parser, Subcommand};
 use comfy_table::Table;
-use lemonusher_scale::role::{Options, Role};
 use lemonusher_scale::sample::{self, Sample};
 use lemonusher_scale::series::{Series, group};
+use lemonusher_scale::{Options, Role};
 use lemonusher_scale::{Progress, page, plot, roles};
 use std::error::Error;
 use std::path::{Path, PathBuf};
--- a/crates/tools/scale/src/managed/doors.rs
+++ b/crates/tools/scale/src/managed/doors.rs
@@ -1,7 +1,7 @@
 //! The doors of many fronts in one process, each with its own store, log, thread and listener, as a real front has
 //! them; in place of a front's owner there is one that agrees to everything.
 
-use crate::role::MeasureError;
+use crate::error::MeasureError;
 use lemonusher_managed::{GnmiTerms, Hub, Names, Started, Terms, Users, start};
 use lemonusher_routing::ManagementCall;
 use std::io::{BufRead, BufReader};
--- a/crates/tools/scale/src/managed/manager.rs
+++ b/crates/tools/scale/src/managed/manager.rs
@@ -3,8 +3,8 @@
 use super::count::{ByteCount, Counted};
 use super::wire::exchange;
 use crate::budget;
+use crate::error::MeasureError;
 use crate::fleet::{Network, Place};
-use crate::role::MeasureError;
 use fastrand::Rng;
 use hyper_util::rt::TokioIo;
 use lemonusher_managed::gnmi::proto::gnmi::g_nmi_client::GNmiClient;
--- a/crates/tools/scale/src/process.rs
+++ b/crates/tools/scale/src/process.rs
@@ -1,6 +1,6 @@
 //! Figures of processes: processor time, memory, descriptors, wake-ups; from `/proc`.
 
-use crate::role::MeasureError;
+use crate::error::MeasureError;
 use rustix::time::{ClockId, clock_gettime};
 use std::time::Duration;
 
--- a/crates/tools/scale/src/role.rs
+++ b/crates/tools/scale/src/role.rs
@@ -1,25 +1,29 @@
-//! The roles of a front that are measured, and the interface of a measurement.
+//! The roles of a front that are measured.
 
-use crate::limits::Need;
-use crate::progress::Progress;
-use crate::sample::Sample;
+use clap::ValueEnum;
+use clap::builder::PossibleValue;
 use serde::{Deserialize, Serialize};
 use std::fmt;
-use std::path::PathBuf;
 
-/// A role of a front.
-#[derive(
-    Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, clap::ValueEnum,
-)]
+/// A role of a front. Its names stand on the command line and in CSV files.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
+    /// Routing decisions over a list of engines.
     Decision,
+    /// Following the list of engines.
     Discovery,
+    /// The failure detector among the fronts.
     FailureDetector,
+    /// Leases and registers.
     Leases,
+    /// Changes of configuration by managers.
     Configuration,
+    /// Client connections.
     Connections,
+    /// The plan for lost zones, and maintenance.
     Maintenance,
+    /// Voters on machines of their own.
     ControlMachines,
 }
 
@@ -62,6 +66,16 @@
     }
 }
 
+impl ValueEnum for Role {
+    fn value_variants<'a>() -> &'a [Self] {
+        &Role::ALL
+    }
+
+    fn to_possible_value(&self) -> Option<PossibleValue> {
+        Some(PossibleValue::new(self.name()))
+    }
+}
+
 impl fmt::Display for Role {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(self.name())
@@ -71,8 +85,11 @@
 /// What a size counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Axis {
+    /// Fronts of the fleet.
     Fronts,
+    /// Engines of the fleet.
     Engines,
+    /// Client connections of one front.
     Connections,
 }
 
@@ -86,52 +103,3 @@
         }
     }
 }
-
-/// Why a measurement yields nothing.
-#[derive(Debug, thiserror::Error)]
-pub enum MeasureError {
-    /// The machine, or the rig's own limits, can't hold this size.
-    #[error("size {size} does not fit: it needs {need}")]
-    DoesNotFit { size: u32, need: Need },
-    #[error("{role} is not measured yet")]
-    NotMeasured { role: Role },
-    #[error("{what}: {cause}")]
-    Io { what: String, cause: std::io::Error },
-    #[error("the system's figures can't be read: {0}")]
-    Figures(String),
-    /// What is measured did not behave, such as a process that ended early.
-    #[error("the run failed: {0}")]
-    Failed(String),
-}
-
-/// A way to measure one role.
-pub trait Measurement {
-    fn role(&self) -> Role;
-
-    /// The sizes measured if none are given.
-    fn default_sizes(&self) -> Vec<u32>;
-
-    /// Measures one size. A size that does not fit is refused with [`MeasureError::DoesNotFit`] before it starts.
-    fn measure(&mut self, size: u32, progress: &mut Progress) -> Result<Vec<Sample>, MeasureError>;
-}
-
-/// What a measurement is told on the command line.
-#[derive(Debug, Clone, Default)]
-pub struct Options {
-    /// How often each size is measured; every repetition is a sample of its own.
-    pub repeats: u32,
-    /// Short runs, which show that the rig works; their figures are not for the page.
-    pub quick: bool,
-    pub seed: u64,
-    /// The program of a real front; beside this program if none is given.
-    pub front: Option<PathBuf>,
-    /// Only cases whose name holds this text are measured, where a role heeds it.
-    pub case: Option<String>,
-}
-
-impl Options {
-    /// Whether a case is to be measured.
-    pub fn wants(&self, case: &str) -> bool {
-        self.case.as_ref().is_none_or(|text| case.contains(text.as_str()))
-    }
-}
--- a/crates/tools/scale/src/roles/configuration.rs
+++ b/crates/tools/scale/src/roles/configuration.rs
@@ -2,11 +2,14 @@
 //! The doors are real; the time that the network takes is drawn and added.
 
 use crate::budget::CHANGES_A_DAY;
+use crate::error::MeasureError;
 use crate::fleet::{Delays, Network, Place, Run, resident_bytes};
-use crate::limits::{Limits, Need};
+use crate::limits::Limits;
 use crate::managed::{Change, Commit, Door, Doors, Manager, RealFront, Walk};
+use crate::measurement::{Measurement, Options};
+use crate::need::Need;
 use crate::progress::Progress;
-use crate::role::{MeasureError, Measurement, Options, Role};
+use crate::role::Role;
 use crate::roles::failure_detector::LOSSES;
 use crate::sample::{Metric, Sample, metric};
 use crate::watch::Watch;
--- a/crates/tools/scale/src/roles/connections.rs
+++ b/crates/tools/scale/src/roles/connections.rs
@@ -5,11 +5,14 @@
 
 use crate::budget;
 use crate::channel::Channel;
+use crate::error::MeasureError;
 use crate::front::{self, Front, Told, io};
-use crate::limits::{Limits, Need};
+use crate::limits::Limits;
+use crate::measurement::{Measurement, Options};
+use crate::need::Need;
 use crate::process::{self, Figures};
 use crate::progress::Progress;
-use crate::role::{MeasureError, Measurement, Options, Role};
+use crate::role::Role;
 use crate::sample::{Metric, Sample, metric};
 use crate::watch::Watch;
 use std::io::{BufRead, BufReader, Read, Write};
--- a/crates/tools/scale/src/roles/control_machines.rs
+++ b/crates/tools/scale/src/roles/control_machines.rs
@@ -3,9 +3,11 @@
 
 use super::failure_detector::fits;
 use super::leases::{longest, seated, voter_samples, whole};
+use crate::error::MeasureError;
 use crate::fleet::{Meter, Run, Simulation, TASK, replacements, resident_bytes};
+use crate::measurement::{Measurement, Options};
 use crate::progress::Progress;
-use crate::role::{MeasureError, Measurement, Options, Role};
+use crate::role::Role;
 use crate::sample::{Metric, Sample, metric};
 use crate::watch::Preemption;
 use lemonusher_fleet::Kind;
--- a/crates/tools/scale/src/roles/decision.rs
+++ b/crates/tools/scale/src/roles/decision.rs
@@ -8,10 +8,13 @@
 mod host;
 mod real;
 
-use crate::limits::{Limits, Need};
+use crate::error::MeasureError;
+use crate::limits::Limits;
+use crate::measurement::{Measurement, Options};
+use crate::need::Need;
 use crate::process::{allocated_bytes, thread_time};
 use crate::progress::Progress;
-use crate::role::{MeasureError, Measurement, Options, Role};
+use crate::role::Role;
 use crate::sample::{Metric, Sample, metric};
 use crate::watch::Preemption;
 use host::{Host, TABLE_GROUPS, TICK, Telling, Traffic};
--- a/crates/tools/scale/src/roles/failure_detector.rs
+++ b/crates/tools/scale/src/roles/failure_detector.rs
@@ -1,9 +1,12 @@
 //! The failure detector: what it costs each front, and how often it tells a live front as gone.
 
+use crate::error::MeasureError;
 use crate::fleet::{Meter, Run, Setup, Simulation, resident_bytes};
-use crate::limits::{Limits, Need};
+use crate::limits::Limits;
+use crate::measurement::{Measurement, Options};
+use crate::need::Need;
 use crate::progress::Progress;
-use crate::role::{MeasureError, Measurement, Options, Role};
+use crate::role::Role;
 use crate::sample::{Metric, Sample, metric};
 use crate::watch::Preemption;
 use lemonusher_fleet::Kind;
--- a/crates/tools/scale/src/roles/leases.rs
+++ b/crates/tools/scale/src/roles/leases.rs
@@ -1,12 +1,14 @@
 //! Leases, seats and registers: what they cost each front and a voter, and how long their events last.
 
 use super::failure_detector::{LOSSES, fits};
+use crate::error::MeasureError;
 use crate::fleet::{
     Account, Cost, Meter, Registers, Run, Setup, Simulation, cut_regions, herd, replacements, resident_bytes,
     side_by_side,
 };
+use crate::measurement::{Measurement, Options};
 use crate::progress::Progress;
-use crate::role::{MeasureError, Measurement, Options, Role};
+use crate::role::Role;
 use crate::sample::{Metric, Sample, metric};
 use crate::watch::Preemption;
 use lemonusher_fleet::Kind;
--- a/crates/tools/scale/src/roles/maintenance.rs
+++ b/crates/tools/scale/src/roles/maintenance.rs
@@ -6,10 +6,13 @@
 mod sites;
 
 use crate::budget;
-use crate::limits::{Limits, Need};
+use crate::error::MeasureError;
+use crate::limits::Limits;
+use crate::measurement::{Measurement, Options};
+use crate::need::Need;
 use crate::process::{allocated_bytes, thread_time};
 use crate::progress::Progress;
-use crate::role::{MeasureError, Measurement, Options, Role};
+use crate::role::Role;
 use crate::sample::{Metric, Sample, metric};
 use crate::watch::Preemption;
 use std::time::Duration;
--- a/crates/tools/scale/src/roles/maintenance/machines.rs
+++ b/crates/tools/scale/src/roles/maintenance/machines.rs
@@ -3,7 +3,7 @@
 
 use super::{CORES, DONE_AFTER, PERIOD, Shown, Turns, bytes_of, sites, zone};
 use crate::budget;
-use crate::role::MeasureError;
+use crate::error::MeasureError;
 use lemonusher_maintenance::{
     DrainConfirmation, FleetCapacity, FleetView, MAX_CONCURRENT, MAX_MACHINES, Machine, MachineCapacity,
     MaintenanceConfig, MaintenanceCoordinator, MaintenanceRequest, Phase, RegisterAction, VersionedRequest,
--- a/crates/tools/scale/src/roles/maintenance/sites.rs
+++ b/crates/tools/scale/src/roles/maintenance/sites.rs
@@ -2,7 +2,7 @@
 
 use super::{CORES, PERIOD, PLANNED_AFTER, REPORT, Shown, Turns, UTILIZATION, bytes_of, zone};
 use crate::budget;
-use crate::role::MeasureError;
+use crate::error::MeasureError;
 use lemonusher_registers::EntryVersion;
 use lemonusher_zone_failover::{
     AttemptResult, ClassLoad, Coordinator, Demand, FailoverConfig, FailoverPlan, FrontReport, Observation,
--- a/crates/tools/scale/src/roles/mod.rs
+++ b/crates/tools/scale/src/roles/mod.rs
@@ -9,7 +9,9 @@
 mod leases;
 mod maintenance;
 
-use crate::role::{MeasureError, Measurement, Options, Role};
+use crate::error::MeasureError;
+use crate::measurement::{Measurement, Options};
+use crate::role::Role;
 
 /// The measurement of a role, if there is one.
 pub fn measurement(role: Role, options: &Options) -> Result<Box<dyn Measurement>, MeasureError> {
--- a/crates/tools/scale/tests/proof_scale/limits.rs
+++ b/crates/tools/scale/tests/proof_scale/limits.rs
@@ -1,7 +1,7 @@
 //! A size that does not fit is refused with what it would need, before anything is started.
 
-use lemonusher_scale::role::{MeasureError, Options};
 use lemonusher_scale::{Limits, Need, Progress, Role, roles};
+use lemonusher_scale::{MeasureError, Options};
 
 const MB: u64 = 1 << 20;
 
--- a/crates/tools/scale/tests/proof_scale/roles.rs
+++ b/crates/tools/scale/tests/proof_scale/roles.rs
@@ -1,6 +1,6 @@
 //! Each role at small sizes: the rig runs, and yields what the page's tables are made of. No timing fails a test.
 
-use lemonusher_scale::role::Options;
+use lemonusher_scale::Options;
 use lemonusher_scale::sample::{Metric, metric};
 use lemonusher_scale::{Progress, Role, Sample, roles};
 use std::collections::BTreeMap;
--- a/crates/tools/scale/tests/proof_scale_fleet/roles.rs
+++ b/crates/tools/scale/tests/proof_scale_fleet/roles.rs
@@ -1,8 +1,8 @@
 //! Each role of hollow fronts at small sizes: the rig runs, and shows what can be told at any size. All but the doors is
 //! virtual time, so nothing here depends on how busy the machine is.
 
-use lemonusher_scale::role::{MeasureError, Options};
 use lemonusher_scale::sample::{Metric, metric};
+use lemonusher_scale::{MeasureError, Options};
 use lemonusher_scale::{Progress, Role, Sample, roles};
 
 const FRONTS: u32 = 14;
