--- a/crates/core/desired-state/src/lib.rs
+++ b/crates/core/desired-state/src/lib.rs
@@ -7,7 +7,7 @@
 #![warn(missing_docs)]
 
 use lemonusher_membership::{AdminState, DesiredState, Limit, Pool};
-use lemonusher_model::{Fault, FaultKind, Fields, Found, Node, NodeId, Place, Schema, Seg, Text, Tree};
+use lemonusher_model::{Fault, FaultKind, Fields, Node, NodeId, NodeRef, Place, Schema, Segment, Text, Tree};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -103,7 +103,7 @@
         if !pass.faults.is_empty() {
             return Err(pass.faults);
         }
-        let level = [Seg { node: self.front, keys: None }, Seg { node: self.log_level, keys: None }];
+        let level = [Segment { node: self.front, keys: None }, Segment { node: self.log_level, keys: None }];
         let log_level = tree.leaf(schema, &level).unwrap_or(DEFAULT_LOG_LEVEL).to_owned();
         Ok(DesiredConfig { desired_state: DesiredState::new(pools, limits), log_level })
     }
@@ -119,8 +119,9 @@
 impl ReadPass<'_> {
     /// The entries of a list below `/front`, with their places.
     fn entries<'t>(&self, tree: &'t Tree, list: NodeId) -> Vec<(Place, &'t Fields)> {
-        let list_place = vec![Seg { node: self.reader.front, keys: None }, Seg { node: list, keys: None }];
-        let Some(Found::List(entries)) = tree.get(&list_place) else { return Vec::new() };
+        let list_place =
+            vec![Segment { node: self.reader.front, keys: None }, Segment { node: list, keys: None }];
+        let Some(NodeRef::List(entries)) = tree.get(&list_place) else { return Vec::new() };
         let entry_place = |keys: &Vec<Text>| {
             let mut place = list_place.clone();
             place.last_mut().into_iter().for_each(|last| last.keys = Some(keys.clone()));
@@ -183,7 +184,7 @@
         let mut numbers = BTreeSet::new();
         for member in members(entry, id) {
             let mut member_place = place.clone();
-            member_place.push(Seg { node: id, keys: Some(vec![member.clone()]) });
+            member_place.push(Segment { node: id, keys: Some(vec![member.clone()]) });
             numbers.extend(self.number_of(&member_place, Some(member), known).map(|number| number as u32));
         }
         numbers
--- a/crates/core/model/src/diff.rs
+++ b/crates/core/model/src/diff.rs
@@ -1,7 +1,7 @@
 //! What differs between two trees, leaf by leaf. What they share is not looked at.
 
 use crate::schema::NodeId;
-use crate::tree::{Fields, Node, Place, Seg, Text, Tree, each_of};
+use crate::tree::{Fields, Node, Place, Segment, Text, Tree, each_of};
 use std::sync::Arc;
 
 /// A leaf, or a member of a leaf-list, that is not the same in both.
@@ -32,7 +32,7 @@
 impl Tree {
     /// Carries changes out. Where what stands there is not what the change starts from, it says so and the tree
     /// is as it was.
-    pub fn follow(&mut self, schema: &crate::Schema, changes: &[Change]) -> Result<(), String> {
+    pub fn apply_changes(&mut self, schema: &crate::Schema, changes: &[Change]) -> Result<(), String> {
         let before = self.clone();
         for change in changes {
             if let Err(what) = self.follow_one(schema, change) {
@@ -45,7 +45,7 @@
 
     fn follow_one(&mut self, schema: &crate::Schema, change: &Change) -> Result<(), String> {
         let held = match self.get(&change.place) {
-            Some(crate::Found::Leaf(value)) => Some(value.clone()),
+            Some(crate::NodeRef::Leaf(value)) => Some(value.clone()),
             None => None,
             Some(_) => return Err("is no leaf".to_owned()),
         };
@@ -88,7 +88,7 @@
     match (old, new) {
         (Some(Node::Container(a)), Some(Node::Container(b))) => {
             if !Arc::ptr_eq(a, b) {
-                place.push(Seg { node: id, keys: None });
+                place.push(Segment { node: id, keys: None });
                 fields(a, b, place, found);
                 place.pop();
             }
@@ -102,7 +102,7 @@
             for keys in keys {
                 let (a, b) = (a.get(keys).unwrap_or(&none), b.get(keys).unwrap_or(&none));
                 if !Arc::ptr_eq(a, b) {
-                    place.push(Seg { node: id, keys: Some(keys.clone()) });
+                    place.push(Segment { node: id, keys: Some(keys.clone()) });
                     fields(a, b, place, found);
                     place.pop();
                 }
@@ -114,7 +114,7 @@
             }
             for value in a.symmetric_difference(b) {
                 let mut at = place.clone();
-                at.push(Seg { node: id, keys: Some(vec![value.clone()]) });
+                at.push(Segment { node: id, keys: Some(vec![value.clone()]) });
                 let held = |set: &std::collections::BTreeSet<Text>| set.get(value).cloned();
                 found.push(Change { place: at, old: held(a), new: held(b) });
             }
@@ -122,18 +122,18 @@
         (Some(Node::Leaf(a)), Some(Node::Leaf(b))) => {
             if a != b {
                 let mut at = place.clone();
-                at.push(Seg { node: id, keys: None });
+                at.push(Segment { node: id, keys: None });
                 found.push(Change { place: at, old: Some(a.clone()), new: Some(b.clone()) });
             }
         }
         (old, new) => {
             if let Some(old) = old {
-                each_of(id, old, place, &mut |place: &[Seg], value: &Text| {
+                each_of(id, old, place, &mut |place: &[Segment], value: &Text| {
                     found.push(Change { place: place.to_vec(), old: Some(value.clone()), new: None });
                 });
             }
             if let Some(new) = new {
-                each_of(id, new, place, &mut |place: &[Seg], value: &Text| {
+                each_of(id, new, place, &mut |place: &[Segment], value: &Text| {
                     found.push(Change { place: place.to_vec(), old: None, new: Some(value.clone()) });
                 });
             }
--- a/crates/core/model/src/json.rs
+++ b/crates/core/model/src/json.rs
@@ -1,7 +1,7 @@
 //! Data as JSON (RFC 7951): names carry the module at the top, 64-bit numbers are strings.
 
 use crate::fault::{Fault, FaultKind};
-use crate::schema::{Kind, NodeId, Schema};
+use crate::schema::{NodeId, NodeKind, Schema};
 use crate::tree::{Fields, Node, Text};
 use crate::types::JsonForm;
 use serde_json::{Map, Value};
@@ -49,7 +49,7 @@
 
 impl Reader<'_> {
     fn fault(&self, id: Option<NodeId>, kind: FaultKind, what: impl Into<String>) -> Fault {
-        let line = id.map(|id| self.schema.line_of(id)).unwrap_or_default();
+        let line = id.map(|id| self.schema.ancestry(id)).unwrap_or_default();
         let path: String = line.into_iter().map(|id| format!("/{}", self.schema.node(id).name)).collect();
         Fault::new(kind, if path.is_empty() { "/".to_owned() } else { path }, what)
     }
@@ -57,12 +57,12 @@
     fn node(&self, id: Option<NodeId>, entry: bool, value: &Value) -> Result<Node, Fault> {
         let Some(node) = id else { return self.fields(None, value).map(Node::Container) };
         match &self.schema.node(node).kind {
-            Kind::Container | Kind::Notification => self.fields(id, value).map(Node::Container),
-            Kind::List { .. } if entry => self.fields(id, value).map(Node::Container),
-            Kind::List { .. } => self.list(node, value),
-            Kind::Leaf { .. } => self.leaf(node, value).map(Node::Leaf),
-            Kind::LeafList { .. } if entry => self.leaf(node, value).map(Node::Leaf),
-            Kind::LeafList { .. } => {
+            NodeKind::Container | NodeKind::Notification => self.fields(id, value).map(Node::Container),
+            NodeKind::List { .. } if entry => self.fields(id, value).map(Node::Container),
+            NodeKind::List { .. } => self.list(node, value),
+            NodeKind::Leaf { .. } => self.leaf(node, value).map(Node::Leaf),
+            NodeKind::LeafList { .. } if entry => self.leaf(node, value).map(Node::Leaf),
+            NodeKind::LeafList { .. } => {
                 let Value::Array(values) = value else {
                     return Err(self.fault(id, FaultKind::BadElement, "should be an array"));
                 };
--- a/crates/core/model/src/must.rs
+++ b/crates/core/model/src/must.rs
@@ -1,11 +1,11 @@
 //! Constraints: the part of XPath that the model's `must` statements use. Paths of names, `.` and `..`, numbers,
 //! strings, comparisons, `and`, `or`, `not()` and `count()`; anything else is an error when the model is compiled.
 
-use crate::schema::{Kind, NodeId, Schema};
-use crate::statement::{Statement, Wrong};
+use crate::schema::{NodeId, NodeKind, Schema};
+use crate::statement::{ModelError, Statement};
 use crate::tree::{Fields, Node, Text};
 
-const DEEPEST: usize = 16;
+const MAX_DEPTH: usize = 16;
 
 #[derive(Debug)]
 pub struct Must {
@@ -63,7 +63,7 @@
 }
 
 impl Must {
-    pub fn compile(statement: &Statement) -> Result<Must, Wrong> {
+    pub fn compile(statement: &Statement) -> Result<Must, ModelError> {
         let text = statement.arg()?.to_owned();
         let wrong = |what: String| statement.wrong(format!("must '{text}': {what}"));
         let tokens = tokens(&text).map_err(wrong)?;
@@ -74,8 +74,8 @@
         }
         Ok(Must {
             test,
-            message: statement.sub_arg("error-message")?.map(str::to_owned),
-            tag: statement.sub_arg("error-app-tag")?.map(str::to_owned),
+            message: statement.substatement_arg("error-message")?.map(str::to_owned),
+            tag: statement.substatement_arg("error-app-tag")?.map(str::to_owned),
             text,
         })
     }
@@ -157,7 +157,7 @@
             entries.values().for_each(|entry| descend(schema, Some(child), entry, rest, found));
         }
         None => match &schema.node(child).kind {
-            Kind::Container if !rest.is_empty() => {
+            NodeKind::Container if !rest.is_empty() => {
                 descend(schema, Some(child), &Fields::new(), rest, found);
             }
             _ => found.extend(schema.default_of(child).map(Text::from)),
@@ -272,7 +272,7 @@
     }
 
     fn or(&mut self, depth: usize) -> Result<Expr, String> {
-        if depth > DEEPEST {
+        if depth > MAX_DEPTH {
             return Err("it is nested too deeply".to_owned());
         }
         let mut left = self.and(depth)?;
--- a/crates/core/model/src/path.rs
+++ b/crates/core/model/src/path.rs
@@ -1,13 +1,13 @@
 //! Paths as managers write them, `/front/pool[name=east]/admin-state`, with `*` and `...` where many are meant.
 
 use crate::fault::{Fault, FaultKind};
-use crate::schema::{Kind, NodeId, Schema};
-use crate::tree::{Found, Node, Place, Seg, Text, Tree};
+use crate::schema::{NodeId, NodeKind, Schema};
+use crate::tree::{Node, NodeRef, Place, Segment, Text, Tree};
 
 /// The most steps that a path may have.
-pub const MOST_STEPS: usize = 32;
+pub const MAX_PATH_STEPS: usize = 32;
 /// The most patterns that wildcards in names may come to.
-const MOST_PATTERNS: usize = 1024;
+const MAX_PATTERNS: usize = 1024;
 
 /// One step as written.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
@@ -32,7 +32,7 @@
     let mut steps: Vec<Step> = Vec::new();
     let mut rest = text.strip_prefix('/').unwrap_or(text).chars().peekable();
     while rest.peek().is_some() {
-        if steps.len() >= MOST_STEPS {
+        if steps.len() >= MAX_PATH_STEPS {
             return Err(fault("the path has too many steps"));
         }
         let mut step = Step::default();
@@ -85,11 +85,11 @@
                 Some(keys) if keys.iter().all(Option::is_none) => None,
                 Some(_) => return Err(fault("not all keys are given")),
             };
-            let list = matches!(self.node(node).kind, Kind::List { .. });
+            let list = matches!(self.node(node).kind, NodeKind::List { .. });
             if list && keys.is_none() && number + 1 < steps.len() {
                 return Err(fault("the keys of the list are missing"));
             }
-            place.push(Seg { node, keys });
+            place.push(Segment { node, keys });
         }
         Ok(place)
     }
@@ -123,14 +123,14 @@
                         let Some(child) = self.child(holder, name) else { continue };
                         let mut longer = self.longer(pattern, child);
                         let place: Place =
-                            pattern.iter().map(|step| Seg { node: step.node, keys: None }).collect();
+                            pattern.iter().map(|step| Segment { node: step.node, keys: None }).collect();
                         if let Some(keys) = self.step_keys(&place, child, step)? {
                             longer.last_mut().into_iter().for_each(|last| last.keys = Some(keys.clone()));
                         }
                         next.push(longer);
                     }
                 }
-                if next.len() > MOST_PATTERNS {
+                if next.len() > MAX_PATTERNS {
                     return Err(Fault::new(FaultKind::InvalidValue, None, "the path means too many things"));
                 }
             }
@@ -145,7 +145,7 @@
 
     fn longer(&self, pattern: &Pattern, child: NodeId) -> Pattern {
         let keys = match &self.node(child).kind {
-            Kind::List { keys, .. } => Some(vec![None; keys.len()]),
+            NodeKind::List { keys, .. } => Some(vec![None; keys.len()]),
             _ => None,
         };
         let mut longer = pattern.clone();
@@ -153,12 +153,12 @@
         longer
     }
 
-    fn written(&self, place: &[Seg], step: &Step) -> String {
+    fn written(&self, place: &[Segment], step: &Step) -> String {
         let above = if place.is_empty() { String::new() } else { self.text(place) };
         format!("{above}/{}", step.name.chars().take(64).collect::<String>())
     }
 
-    fn step(&self, place: &[Seg], step: &Step) -> Result<NodeId, Fault> {
+    fn step(&self, place: &[Segment], step: &Step) -> Result<NodeId, Fault> {
         let (module, name) = match step.name.split_once(':') {
             Some((module, name)) => (Some(module), name),
             None => (None, step.name.as_str()),
@@ -182,14 +182,14 @@
     /// The keys of a step, in the list's order and in canonical form; `*` and what is missing are left open.
     fn step_keys(
         &self,
-        place: &[Seg],
+        place: &[Segment],
         node: NodeId,
         step: &Step,
     ) -> Result<Option<Vec<Option<Text>>>, Fault> {
         let wrong = |kind, what: String| Fault::new(kind, self.written(place, step), what);
         let fault = |kind, what: String| Err(wrong(kind, what));
         match &self.node(node).kind {
-            Kind::List { keys: leaves, .. } => {
+            NodeKind::List { keys: leaves, .. } => {
                 let mut keys = vec![None; leaves.len()];
                 for (name, value) in &step.keys {
                     let number = leaves.iter().position(|leaf| self.node(*leaf).name == *name);
@@ -205,7 +205,7 @@
                 }
                 Ok(Some(keys))
             }
-            Kind::LeafList { .. } if !step.keys.is_empty() => match step.keys.as_slice() {
+            NodeKind::LeafList { .. } if !step.keys.is_empty() => match step.keys.as_slice() {
                 [(name, value)] if name == "." => match self.canonical(node, value) {
                     Ok(value) => Ok(Some(vec![Some(value)])),
                     Err(what) => fault(FaultKind::InvalidValue, what),
@@ -228,23 +228,23 @@
 
 impl Tree {
     /// Everything in the tree that the pattern means, with its place.
-    pub fn select<'a>(&'a self, pattern: &[PatternStep], visit: &mut impl FnMut(&[Seg], Found<'a>)) {
-        select(Found::Fields(self.fields()), pattern, &mut Vec::new(), visit);
+    pub fn select<'a>(&'a self, pattern: &[PatternStep], visit: &mut impl FnMut(&[Segment], NodeRef<'a>)) {
+        select(NodeRef::Fields(self.fields()), pattern, &mut Vec::new(), visit);
     }
 }
 
 fn select<'a>(
-    at: Found<'a>,
+    at: NodeRef<'a>,
     pattern: &[PatternStep],
     place: &mut Place,
-    visit: &mut impl FnMut(&[Seg], Found<'a>),
+    visit: &mut impl FnMut(&[Segment], NodeRef<'a>),
 ) {
     let Some((step, rest)) = pattern.split_first() else { return visit(place, at) };
-    let Found::Fields(fields) = at else { return };
+    let NodeRef::Fields(fields) = at else { return };
     match (fields.get(&step.node), &step.keys) {
         (Some(Node::Container(inner)), _) => {
-            place.push(Seg { node: step.node, keys: None });
-            select(Found::Fields(inner), rest, place, visit);
+            place.push(Segment { node: step.node, keys: None });
+            select(NodeRef::Fields(inner), rest, place, visit);
             place.pop();
         }
         (Some(Node::List(entries)), Some(wanted)) => {
@@ -258,28 +258,28 @@
                 None => entries.iter().filter(|(keys, _)| fits(keys)).collect(),
             };
             for (keys, entry) in chosen {
-                place.push(Seg { node: step.node, keys: Some(keys.clone()) });
-                select(Found::Fields(entry), rest, place, visit);
+                place.push(Segment { node: step.node, keys: Some(keys.clone()) });
+                select(NodeRef::Fields(entry), rest, place, visit);
                 place.pop();
             }
         }
         (Some(Node::Leaf(value)), _) if rest.is_empty() => {
-            place.push(Seg { node: step.node, keys: None });
-            visit(place, Found::Leaf(value));
+            place.push(Segment { node: step.node, keys: None });
+            visit(place, NodeRef::Leaf(value));
             place.pop();
         }
         (Some(Node::LeafList(values)), keys) if rest.is_empty() => {
             let member = keys.as_ref().and_then(|keys| keys.first().cloned().flatten());
             match member {
                 None => {
-                    place.push(Seg { node: step.node, keys: None });
-                    visit(place, Found::LeafList(values));
+                    place.push(Segment { node: step.node, keys: None });
+                    visit(place, NodeRef::LeafList(values));
                     place.pop();
                 }
                 Some(member) => {
                     let Some(held) = values.get(&member) else { return };
-                    place.push(Seg { node: step.node, keys: Some(vec![member]) });
-                    visit(place, Found::Leaf(held));
+                    place.push(Segment { node: step.node, keys: Some(vec![member]) });
+                    visit(place, NodeRef::Leaf(held));
                     place.pop();
                 }
             }
--- a/crates/core/model/src/schema.rs
+++ b/crates/core/model/src/schema.rs
@@ -2,7 +2,7 @@
 //! its line, never passed over: what the model's text says holds, or the front does not start.
 
 use crate::must::Must;
-use crate::statement::{Statement, Wrong};
+use crate::statement::{ModelError, Statement};
 use crate::types::{Type, integer_bounds, parse_ranges};
 use regex::Regex;
 use std::collections::BTreeMap;
@@ -12,10 +12,10 @@
 
 const MODEL: &str = include_str!("../yang/lemonusher-front.yang");
 /// Groupings and types may refer to each other no deeper than this.
-const DEEPEST: usize = 16;
+const MAX_DEPTH: usize = 16;
 
 #[derive(Debug)]
-pub enum Kind {
+pub enum NodeKind {
     Container,
     List { keys: Vec<NodeId>, min: usize, max: usize },
     Leaf { ty: Type, default: Option<String>, mandatory: bool },
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub struct SchemaNode {
     pub name: String,
-    pub kind: Kind,
+    pub kind: NodeKind,
     /// Whether it may be set; else it is state.
     pub config: bool,
     pub parent: Option<NodeId>,
@@ -42,7 +42,7 @@
     /// The type of a leaf or leaf-list.
     pub fn leaf_type(&self) -> Option<&Type> {
         match &self.kind {
-            Kind::Leaf { ty, .. } | Kind::LeafList { ty, .. } => Some(ty),
+            NodeKind::Leaf { ty, .. } | NodeKind::LeafList { ty, .. } => Some(ty),
             _ => None,
         }
     }
@@ -64,17 +64,17 @@
 
 impl Schema {
     /// The front's own model.
-    pub fn front() -> Result<Schema, Wrong> {
+    pub fn front() -> Result<Schema, ModelError> {
         Schema::compile(MODEL)
     }
 
-    pub fn compile(text: &str) -> Result<Schema, Wrong> {
+    pub fn compile(text: &str) -> Result<Schema, ModelError> {
         let module = Statement::parse(text)?;
         if module.keyword != "module" {
             return Err(module.wrong(format!("'{}' stands where 'module' should", module.keyword)));
         }
         let need = |keyword: &str| {
-            let found = module.sub_arg(keyword)?;
+            let found = module.substatement_arg(keyword)?;
             found.map(str::to_owned).ok_or_else(|| module.wrong(format!("the module has no '{keyword}'")))
         };
         if need("yang-version")? != "1.1" {
@@ -84,8 +84,8 @@
             module: module.arg()?.to_owned(),
             namespace: need("namespace")?,
             prefix: need("prefix")?,
-            revision: module.sub_arg("revision")?.map(str::to_owned),
-            organization: module.sub_arg("organization")?.unwrap_or_default().to_owned(),
+            revision: module.substatement_arg("revision")?.map(str::to_owned),
+            organization: module.substatement_arg("organization")?.unwrap_or_default().to_owned(),
             text: text.to_owned(),
             nodes: Vec::new(),
             tops: Vec::new(),
@@ -97,7 +97,7 @@
             typedefs: by_name(&module, "typedef")?,
             leafrefs: Vec::new(),
         };
-        for sub in &module.subs {
+        for sub in &module.substatements {
             match sub.keyword.as_str() {
                 "yang-version" | "namespace" | "prefix" | "organization" | "contact" | "description"
                 | "reference" | "revision" | "grouping" | "typedef" => {}
@@ -136,7 +136,7 @@
     }
 
     /// The nodes from the top down to this one.
-    pub fn line_of(&self, id: NodeId) -> Vec<NodeId> {
+    pub fn ancestry(&self, id: NodeId) -> Vec<NodeId> {
         let mut line: Vec<NodeId> = std::iter::successors(Some(id), |id| self.nodes[*id].parent).collect();
         line.reverse();
         line
@@ -145,7 +145,7 @@
     /// The keys of a list, in order.
     pub fn keys(&self, id: NodeId) -> &[NodeId] {
         match &self.nodes[id].kind {
-            Kind::List { keys, .. } => keys,
+            NodeKind::List { keys, .. } => keys,
             _ => &[],
         }
     }
@@ -158,15 +158,15 @@
     /// A leaf's default.
     pub fn default_of(&self, id: NodeId) -> Option<&str> {
         match &self.nodes[id].kind {
-            Kind::Leaf { default, .. } => default.as_deref(),
+            NodeKind::Leaf { default, .. } => default.as_deref(),
             _ => None,
         }
     }
 }
 
-fn by_name<'a>(module: &'a Statement, keyword: &str) -> Result<BTreeMap<String, &'a Statement>, Wrong> {
+fn by_name<'a>(module: &'a Statement, keyword: &str) -> Result<BTreeMap<String, &'a Statement>, ModelError> {
     let mut found = BTreeMap::new();
-    for sub in module.subs.iter().filter(|sub| sub.keyword == keyword) {
+    for sub in module.substatements.iter().filter(|sub| sub.keyword == keyword) {
         if found.insert(sub.arg()?.to_owned(), sub).is_some() {
             return Err(sub.wrong(format!("{keyword} '{}' stands twice", sub.arg()?)));
         }
@@ -190,8 +190,8 @@
         parent: Option<NodeId>,
         config: bool,
         depth: usize,
-    ) -> Result<Vec<NodeId>, Wrong> {
-        if depth > DEEPEST {
+    ) -> Result<Vec<NodeId>, ModelError> {
+        if depth > MAX_DEPTH {
             return Err(statement.wrong("groupings use each other too deeply"));
         }
         match statement.keyword.as_str() {
@@ -200,14 +200,14 @@
             }
             "uses" => {
                 let name = statement.arg()?;
-                if let Some(sub) = statement.subs.first() {
+                if let Some(sub) = statement.substatements.first() {
                     return Err(sub.wrong(format!("'{}' is not known in 'uses'", sub.keyword)));
                 }
                 let grouping = self.groupings.get(name).copied();
                 let grouping =
                     grouping.ok_or_else(|| statement.wrong(format!("there is no grouping '{name}'")))?;
                 let mut made = Vec::new();
-                for sub in grouping.subs.iter().filter(|sub| sub.keyword != "description") {
+                for sub in grouping.substatements.iter().filter(|sub| sub.keyword != "description") {
                     made.extend(self.data(sub, parent, config, depth + 1)?);
                 }
                 Ok(made)
@@ -222,9 +222,9 @@
         parent: Option<NodeId>,
         config: bool,
         depth: usize,
-    ) -> Result<NodeId, Wrong> {
+    ) -> Result<NodeId, ModelError> {
         let name = statement.arg()?.to_owned();
-        let config = match statement.sub_arg("config")? {
+        let config = match statement.substatement_arg("config")? {
             None => config,
             Some("false") => false,
             Some("true") if config => true,
@@ -236,17 +236,17 @@
         let id = self.schema.nodes.len();
         self.schema.nodes.push(SchemaNode {
             name,
-            kind: Kind::Container,
+            kind: NodeKind::Container,
             config,
             parent,
             children: Vec::new(),
             musts: Vec::new(),
-            units: statement.sub_arg("units")?.map(str::to_owned),
-            description: statement.sub_arg("description")?.map(str::to_owned),
+            units: statement.substatement_arg("units")?.map(str::to_owned),
+            description: statement.substatement_arg("description")?.map(str::to_owned),
             line: statement.line,
         });
         let holds = matches!(statement.keyword.as_str(), "container" | "list" | "notification");
-        for sub in &statement.subs {
+        for sub in &statement.substatements {
             match sub.keyword.as_str() {
                 "description" | "reference" | "config" | "status" => {}
                 "units" | "type" | "default" | "mandatory" if !holds => {}
@@ -269,53 +269,56 @@
             }
         }
         self.schema.nodes[id].kind = match statement.keyword.as_str() {
-            "container" => Kind::Container,
-            "notification" => Kind::Notification,
+            "container" => NodeKind::Container,
+            "notification" => NodeKind::Notification,
             "list" => self.list(statement, id)?,
             "leaf" => {
                 let ty = self.type_of(statement, id, 0)?;
-                let default = statement.sub_arg("default")?.map(str::to_owned);
-                let mandatory = statement.sub_arg("mandatory")? == Some("true");
+                let default = statement.substatement_arg("default")?.map(str::to_owned);
+                let mandatory = statement.substatement_arg("mandatory")? == Some("true");
                 if mandatory && default.is_some() {
                     return Err(statement.wrong("a mandatory leaf has no default"));
                 }
-                Kind::Leaf { ty, default, mandatory }
+                NodeKind::Leaf { ty, default, mandatory }
             }
             _ => {
                 let (min, max) = elements(statement)?;
-                Kind::LeafList { ty: self.type_of(statement, id, 0)?, min, max }
+                NodeKind::LeafList { ty: self.type_of(statement, id, 0)?, min, max }
             }
         };
         Ok(id)
     }
 
-    fn list(&mut self, statement: &Statement, id: NodeId) -> Result<Kind, Wrong> {
+    fn list(&mut self, statement: &Statement, id: NodeId) -> Result<NodeKind, ModelError> {
         let (min, max) = elements(statement)?;
-        let key = statement.sub_arg("key")?.ok_or_else(|| statement.wrong("a list needs a 'key'"))?;
+        let key =
+            statement.substatement_arg("key")?.ok_or_else(|| statement.wrong("a list needs a 'key'"))?;
         let mut keys = Vec::new();
         for name in key.split_whitespace() {
             let leaf = self.schema.child(Some(id), name);
             let leaf = leaf
-                .filter(|leaf| matches!(self.schema.nodes[*leaf].kind, Kind::Leaf { .. }))
+                .filter(|leaf| matches!(self.schema.nodes[*leaf].kind, NodeKind::Leaf { .. }))
                 .ok_or_else(|| statement.wrong(format!("key '{name}' is no leaf of the list")))?;
             keys.push(leaf);
         }
         if keys.is_empty() {
             return Err(statement.wrong("a list needs a 'key'"));
         }
-        Ok(Kind::List { keys, min, max })
+        Ok(NodeKind::List { keys, min, max })
     }
 
-    fn type_of(&mut self, holder: &'a Statement, id: NodeId, depth: usize) -> Result<Type, Wrong> {
-        let ty = holder.sub("type").ok_or_else(|| holder.wrong("it has no 'type'"))?;
+    fn type_of(&mut self, holder: &'a Statement, id: NodeId, depth: usize) -> Result<Type, ModelError> {
+        let ty = holder.substatement("type").ok_or_else(|| holder.wrong("it has no 'type'"))?;
         let name = ty.arg()?;
-        let known = |allowed: &[&str]| match ty.subs.iter().find(|s| !allowed.contains(&s.keyword.as_str())) {
-            Some(sub) => Err(sub.wrong(format!("'{}' is not known in type '{name}'", sub.keyword))),
-            None => Ok(()),
-        };
+        let known =
+            |allowed: &[&str]| match ty.substatements.iter().find(|s| !allowed.contains(&s.keyword.as_str()))
+            {
+                Some(sub) => Err(sub.wrong(format!("'{}' is not known in type '{name}'", sub.keyword))),
+                None => Ok(()),
+            };
         if let Some(bounds) = integer_bounds(name) {
             known(&["range"])?;
-            let ranges = match ty.sub("range") {
+            let ranges = match ty.substatement("range") {
                 Some(range) => parse_ranges(range.arg()?, bounds).map_err(|what| range.wrong(what))?,
                 None => vec![bounds],
             };
@@ -324,7 +327,7 @@
         match name {
             "string" => {
                 known(&["length", "pattern"])?;
-                let lengths = match ty.sub("length") {
+                let lengths = match ty.substatement("length") {
                     Some(length) => {
                         let all = (0, i128::from(u64::MAX));
                         parse_ranges(length.arg()?, all).map_err(|what| length.wrong(what))?
@@ -332,7 +335,7 @@
                     None => Vec::new(),
                 };
                 let mut patterns = Vec::new();
-                for pattern in ty.subs.iter().filter(|sub| sub.keyword == "pattern") {
+                for pattern in ty.substatements.iter().filter(|sub| sub.keyword == "pattern") {
                     // A pattern of YANG's means the whole value.
                     let whole = format!("^(?:{})$", pattern.arg()?);
                     patterns.push(Regex::new(&whole).map_err(|error| {
@@ -345,13 +348,13 @@
             "boolean" => known(&[]).map(|()| Type::Boolean),
             "enumeration" => {
                 known(&["enum"])?;
-                let names: Result<Vec<String>, Wrong> =
-                    ty.subs.iter().map(|sub| sub.arg().map(str::to_owned)).collect();
+                let names: Result<Vec<String>, ModelError> =
+                    ty.substatements.iter().map(|sub| sub.arg().map(str::to_owned)).collect();
                 Ok(Type::Enumeration(names?))
             }
             "leafref" => {
                 known(&["path"])?;
-                let path = ty.sub("path").ok_or_else(|| ty.wrong("a leafref needs a 'path'"))?;
+                let path = ty.substatement("path").ok_or_else(|| ty.wrong("a leafref needs a 'path'"))?;
                 self.leafrefs.push((id, path.arg()?.to_owned(), path.line));
                 // What it points at is known once all nodes are.
                 Ok(Type::Leafref { target: id, inner: Box::new(Type::Boolean) })
@@ -360,7 +363,7 @@
                 let Some(typedef) = self.typedefs.get(other).copied() else {
                     return Err(ty.wrong(format!("type '{other}' is not known")));
                 };
-                if depth > DEEPEST {
+                if depth > MAX_DEPTH {
                     return Err(ty.wrong("types refer to each other too deeply"));
                 }
                 known(&[])?;
@@ -370,9 +373,9 @@
     }
 
     /// Points leafrefs at their leaves and checks the defaults.
-    fn point(&mut self) -> Result<(), Wrong> {
+    fn point(&mut self) -> Result<(), ModelError> {
         for (id, path, line) in std::mem::take(&mut self.leafrefs) {
-            let wrong = |what: &str| Wrong { line, what: format!("leafref path '{path}' {what}") };
+            let wrong = |what: &str| ModelError { line, what: format!("leafref path '{path}' {what}") };
             let Some(rest) = path.strip_prefix('/') else { return Err(wrong("is not absolute")) };
             let mut at = None;
             for step in rest.split('/') {
@@ -382,7 +385,7 @@
             let target = at.ok_or_else(|| wrong("leads nowhere"))?;
             let node = &self.schema.nodes[target];
             let inner = match &node.kind {
-                Kind::Leaf { ty, .. } if !matches!(ty, Type::Leafref { .. }) => Box::new(ty.clone()),
+                NodeKind::Leaf { ty, .. } if !matches!(ty, Type::Leafref { .. }) => Box::new(ty.clone()),
                 _ => return Err(wrong("leads to no plain leaf")),
             };
             if self.schema.nodes[id].config && !node.config {
@@ -390,27 +393,28 @@
             }
             let pointed = Type::Leafref { target, inner };
             match &mut self.schema.nodes[id].kind {
-                Kind::Leaf { ty, .. } | Kind::LeafList { ty, .. } => *ty = pointed,
+                NodeKind::Leaf { ty, .. } | NodeKind::LeafList { ty, .. } => *ty = pointed,
                 _ => {}
             }
         }
         for (id, node) in self.schema.nodes.iter().enumerate() {
             for must in &node.musts {
-                let wrong = |what| Wrong { line: node.line, what: format!("must '{}': {what}", must.text) };
+                let wrong =
+                    |what| ModelError { line: node.line, what: format!("must '{}': {what}", must.text) };
                 must.check(&self.schema, id).map_err(wrong)?;
             }
-            if let Kind::Leaf { ty, default: Some(default), .. } = &node.kind
+            if let NodeKind::Leaf { ty, default: Some(default), .. } = &node.kind
                 && let Err(what) = ty.canonical(default)
             {
-                return Err(Wrong { line: node.line, what: format!("the default {what}") });
+                return Err(ModelError { line: node.line, what: format!("the default {what}") });
             }
         }
         Ok(())
     }
 }
 
-fn elements(statement: &Statement) -> Result<(usize, usize), Wrong> {
-    let number = |keyword: &str, usual: usize| match statement.sub_arg(keyword)? {
+fn elements(statement: &Statement) -> Result<(usize, usize), ModelError> {
+    let number = |keyword: &str, usual: usize| match statement.substatement_arg(keyword)? {
         None | Some("unbounded") => Ok(usual),
         Some(text) => text.parse().map_err(|_| statement.wrong(format!("'{keyword}' needs a number"))),
     };
@@ -421,7 +425,7 @@
 mod tests {
     use super::*;
 
-    fn wrong(body: &str) -> Wrong {
+    fn wrong(body: &str) -> ModelError {
         let text = format!("module m {{\nyang-version 1.1;\nnamespace 'urn:m';\nprefix m;\n{body}\n}}");
         Schema::compile(&text).expect_err(body)
     }
--- a/crates/core/model/src/statement.rs
+++ b/crates/core/model/src/statement.rs
@@ -4,7 +4,7 @@
 use std::iter::Peekable;
 use std::str::Chars;
 
-const DEEPEST: usize = 32;
+const MAX_DEPTH: usize = 32;
 
 /// One statement with all that stands in it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -13,24 +13,24 @@
     pub argument: Option<String>,
     /// From 1.
     pub line: usize,
-    pub subs: Vec<Statement>,
+    pub substatements: Vec<Statement>,
 }
 
 /// What can't be read or is not known, and on which line.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Wrong {
+pub struct ModelError {
     pub line: usize,
     pub what: String,
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for ModelError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "line {}: {}", self.line, self.what)
     }
 }
 
 impl Statement {
-    pub fn parse(text: &str) -> Result<Statement, Wrong> {
+    pub fn parse(text: &str) -> Result<Statement, ModelError> {
         let mut reader = Reader { rest: text.chars().peekable(), line: 1 };
         let statement = reader.statement(0)?;
         match reader.token()? {
@@ -40,21 +40,21 @@
     }
 
     /// The argument, which must be there.
-    pub fn arg(&self) -> Result<&str, Wrong> {
+    pub fn arg(&self) -> Result<&str, ModelError> {
         self.argument.as_deref().ok_or_else(|| self.wrong(format!("'{}' needs an argument", self.keyword)))
     }
 
     /// The first statement in it with this keyword.
-    pub fn sub(&self, keyword: &str) -> Option<&Statement> {
-        self.subs.iter().find(|sub| sub.keyword == keyword)
+    pub fn substatement(&self, keyword: &str) -> Option<&Statement> {
+        self.substatements.iter().find(|sub| sub.keyword == keyword)
     }
 
-    pub fn sub_arg(&self, keyword: &str) -> Result<Option<&str>, Wrong> {
-        self.sub(keyword).map(Statement::arg).transpose()
+    pub fn substatement_arg(&self, keyword: &str) -> Result<Option<&str>, ModelError> {
+        self.substatement(keyword).map(Statement::arg).transpose()
     }
 
-    pub fn wrong(&self, what: impl Into<String>) -> Wrong {
-        Wrong { line: self.line, what: what.into() }
+    pub fn wrong(&self, what: impl Into<String>) -> ModelError {
+        ModelError { line: self.line, what: what.into() }
     }
 }
 
@@ -73,8 +73,8 @@
 }
 
 impl Reader<'_> {
-    fn wrong(&self, what: &str) -> Wrong {
-        Wrong { line: self.line, what: what.to_owned() }
+    fn wrong(&self, what: &str) -> ModelError {
+        ModelError { line: self.line, what: what.to_owned() }
     }
 
     fn next(&mut self) -> Option<char> {
@@ -83,8 +83,8 @@
         next
     }
 
-    fn statement(&mut self, depth: usize) -> Result<Statement, Wrong> {
-        if depth > DEEPEST {
+    fn statement(&mut self, depth: usize) -> Result<Statement, ModelError> {
+        if depth > MAX_DEPTH {
             return Err(self.wrong("statements are nested too deeply"));
         }
         let keyword = match self.token()? {
@@ -92,7 +92,7 @@
             _ => return Err(self.wrong("a keyword should stand here")),
         };
         let line = self.line;
-        let mut statement = Statement { keyword, argument: None, line, subs: Vec::new() };
+        let mut statement = Statement { keyword, argument: None, line, substatements: Vec::new() };
         let mut token = self.token()?;
         if let Some(Token::Word(text) | Token::Quoted(text)) = token {
             let mut whole = text;
@@ -110,7 +110,7 @@
             Some(Token::End) => Ok(statement),
             Some(Token::Open) => {
                 while !self.closes()? {
-                    statement.subs.push(self.statement(depth + 1)?);
+                    statement.substatements.push(self.statement(depth + 1)?);
                 }
                 Ok(statement)
             }
@@ -118,7 +118,7 @@
         }
     }
 
-    fn closes(&mut self) -> Result<bool, Wrong> {
+    fn closes(&mut self) -> Result<bool, ModelError> {
         self.skip()?;
         let closes = self.rest.peek() == Some(&'}');
         if closes {
@@ -128,7 +128,7 @@
     }
 
     /// Passes over white space and comments.
-    fn skip(&mut self) -> Result<(), Wrong> {
+    fn skip(&mut self) -> Result<(), ModelError> {
         loop {
             match self.rest.peek() {
                 Some(c) if c.is_whitespace() => drop(self.next()),
@@ -146,7 +146,7 @@
         }
     }
 
-    fn comment(&mut self) -> Result<(), Wrong> {
+    fn comment(&mut self) -> Result<(), ModelError> {
         self.next();
         self.next();
         let mut last = ' ';
@@ -159,7 +159,7 @@
         }
     }
 
-    fn token(&mut self) -> Result<Option<Token>, Wrong> {
+    fn token(&mut self) -> Result<Option<Token>, ModelError> {
         self.skip()?;
         let Some(first) = self.rest.peek().copied() else { return Ok(None) };
         let token = match first {
@@ -190,12 +190,12 @@
         Ok(Some(token))
     }
 
-    fn single(&mut self) -> Result<Token, Wrong> {
+    fn single(&mut self) -> Result<Token, ModelError> {
         let from = self.line;
         let mut text = String::new();
         loop {
             match self.next() {
-                None => return Err(Wrong { line: from, what: "a string does not end".to_owned() }),
+                None => return Err(ModelError { line: from, what: "a string does not end".to_owned() }),
                 Some('\'') => return Ok(Token::Quoted(text)),
                 Some(c) => text.push(c),
             }
@@ -203,12 +203,12 @@
     }
 
     /// White space round a line break counts as the break alone.
-    fn double(&mut self) -> Result<Token, Wrong> {
+    fn double(&mut self) -> Result<Token, ModelError> {
         let from = self.line;
         let mut text = String::new();
         loop {
             match self.next() {
-                None => return Err(Wrong { line: from, what: "a string does not end".to_owned() }),
+                None => return Err(ModelError { line: from, what: "a string does not end".to_owned() }),
                 Some('"') => return Ok(Token::Quoted(text)),
                 Some('\\') => match self.next() {
                     Some('n') => text.push('\n'),
@@ -235,8 +235,8 @@
     fn strings_join_and_comments_do_not_count() {
         let text = "module /* a\n */ m { // b\n description \"x\" + 'y\\' ;\n leaf a; }";
         let module = Statement::parse(text).unwrap();
-        assert_eq!(module.sub_arg("description"), Ok(Some("xy\\")));
-        assert_eq!((module.subs[1].line, module.subs[1].keyword.as_str()), (4, "leaf"));
+        assert_eq!(module.substatement_arg("description"), Ok(Some("xy\\")));
+        assert_eq!((module.substatements[1].line, module.substatements[1].keyword.as_str()), (4, "leaf"));
     }
 
     #[test]
--- a/crates/core/model/src/tree.rs
+++ b/crates/core/model/src/tree.rs
@@ -2,7 +2,7 @@
 //! only what lies on its way.
 
 use crate::fault::{Fault, FaultKind};
-use crate::schema::{Kind, NodeId, Schema};
+use crate::schema::{NodeId, NodeKind, Schema};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 use std::sync::Arc;
@@ -22,17 +22,17 @@
 
 /// One step to a place: with keys an entry of a list, or with one value a member of a leaf-list.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Seg {
+pub struct Segment {
     pub node: NodeId,
     pub keys: Option<Vec<Text>>,
 }
 
 /// Where something stands, from the top.
-pub type Place = Vec<Seg>;
+pub type Place = Vec<Segment>;
 
 /// What stands at a place.
 #[derive(Debug, Clone, Copy)]
-pub enum Found<'a> {
+pub enum NodeRef<'a> {
     Fields(&'a Arc<Fields>),
     List(&'a Arc<Entries>),
     LeafList(&'a Arc<BTreeSet<Text>>),
@@ -65,21 +65,21 @@
     }
 
     /// Whether both are one and the same, which is found without looking at what they hold.
-    pub fn same(&self, other: &Tree) -> bool {
+    pub fn is_same(&self, other: &Tree) -> bool {
         Arc::ptr_eq(&self.fields, &other.fields)
     }
 
-    pub fn get(&self, place: &[Seg]) -> Option<Found<'_>> {
-        let mut at = Found::Fields(&self.fields);
+    pub fn get(&self, place: &[Segment]) -> Option<NodeRef<'_>> {
+        let mut at = NodeRef::Fields(&self.fields);
         for seg in place {
-            let Found::Fields(fields) = at else { return None };
+            let NodeRef::Fields(fields) = at else { return None };
             at = match (fields.get(&seg.node)?, &seg.keys) {
-                (Node::Container(inner), None) => Found::Fields(inner),
-                (Node::List(entries), None) => Found::List(entries),
-                (Node::List(entries), Some(keys)) => Found::Fields(entries.get(keys)?),
-                (Node::Leaf(value), None) => Found::Leaf(value),
-                (Node::LeafList(values), None) => Found::LeafList(values),
-                (Node::LeafList(values), Some(keys)) => Found::Leaf(values.get(keys.first()?)?),
+                (Node::Container(inner), None) => NodeRef::Fields(inner),
+                (Node::List(entries), None) => NodeRef::List(entries),
+                (Node::List(entries), Some(keys)) => NodeRef::Fields(entries.get(keys)?),
+                (Node::Leaf(value), None) => NodeRef::Leaf(value),
+                (Node::LeafList(values), None) => NodeRef::LeafList(values),
+                (Node::LeafList(values), Some(keys)) => NodeRef::Leaf(values.get(keys.first()?)?),
                 _ => return None,
             };
         }
@@ -87,9 +87,9 @@
     }
 
     /// A leaf's value, or its default.
-    pub fn leaf<'a>(&'a self, schema: &'a Schema, place: &[Seg]) -> Option<&'a str> {
+    pub fn leaf<'a>(&'a self, schema: &'a Schema, place: &[Segment]) -> Option<&'a str> {
         match self.get(place) {
-            Some(Found::Leaf(value)) => Some(value),
+            Some(NodeRef::Leaf(value)) => Some(value),
             _ => schema.default_of(place.last()?.node),
         }
     }
@@ -99,7 +99,7 @@
         &mut self,
         schema: &Schema,
         op: Op,
-        place: &[Seg],
+        place: &[Segment],
         value: Option<&Node>,
     ) -> Result<(), Fault> {
         let fault = |kind, what: &str| Fault::new(kind, schema.text(place), what);
@@ -108,8 +108,7 @@
                 return Err(fault(FaultKind::ReadOnly, "is state and can't be edited"));
             }
             if schema.is_key(seg.node) {
-                let same =
-                    matches!((self.get(place), value), (Some(Found::Leaf(a)), Some(Node::Leaf(b))) if a == b);
+                let same = matches!((self.get(place), value), (Some(NodeRef::Leaf(a)), Some(Node::Leaf(b))) if a == b);
                 let sets = matches!(op, Op::Merge | Op::Replace);
                 return if same && sets {
                     Ok(())
@@ -137,26 +136,26 @@
     }
 
     /// Calls for every leaf and member of a leaf-list, in order.
-    pub fn each(&self, mut visit: impl FnMut(&[Seg], &Text)) {
+    pub fn for_each_leaf(&self, mut visit: impl FnMut(&[Segment], &Text)) {
         each(&self.fields, &mut Vec::new(), &mut visit);
     }
 
     /// How many leaves and members it holds.
     pub fn count(&self) -> usize {
         let mut count = 0;
-        self.each(|_, _| count += 1);
+        self.for_each_leaf(|_, _| count += 1);
         count
     }
 }
 
-pub(crate) fn each(fields: &Fields, place: &mut Place, visit: &mut impl FnMut(&[Seg], &Text)) {
+pub(crate) fn each(fields: &Fields, place: &mut Place, visit: &mut impl FnMut(&[Segment], &Text)) {
     for (id, node) in fields {
         each_of(*id, node, place, visit);
     }
 }
 
-pub(crate) fn each_of(id: NodeId, node: &Node, place: &mut Place, visit: &mut impl FnMut(&[Seg], &Text)) {
-    place.push(Seg { node: id, keys: None });
+pub(crate) fn each_of(id: NodeId, node: &Node, place: &mut Place, visit: &mut impl FnMut(&[Segment], &Text)) {
+    place.push(Segment { node: id, keys: None });
     match node {
         Node::Container(inner) => each(inner, place, visit),
         Node::Leaf(value) => visit(place, value),
@@ -183,17 +182,17 @@
 }
 
 /// What stands at a place, as a node of its own: an entry of a list comes as what it holds.
-pub fn node_of(found: Found) -> Node {
+pub fn node_of(found: NodeRef) -> Node {
     match found {
-        Found::Fields(fields) => Node::Container(fields.clone()),
-        Found::List(entries) => Node::List(entries.clone()),
-        Found::LeafList(values) => Node::LeafList(values.clone()),
-        Found::Leaf(value) => Node::Leaf(value.clone()),
+        NodeRef::Fields(fields) => Node::Container(fields.clone()),
+        NodeRef::List(entries) => Node::List(entries.clone()),
+        NodeRef::LeafList(values) => Node::LeafList(values.clone()),
+        NodeRef::Leaf(value) => Node::Leaf(value.clone()),
     }
 }
 
 /// Takes away what stands at the place, and what is left empty above it. An entry of a list stays, as its keys do.
-fn remove(fields: &mut Fields, place: &[Seg]) {
+fn remove(fields: &mut Fields, place: &[Segment]) {
     let Some((seg, rest)) = place.split_first() else { return fields.clear() };
     let empty = match (fields.get_mut(&seg.node), &seg.keys) {
         (Some(Node::Container(inner)), _) if !rest.is_empty() => {
@@ -224,7 +223,7 @@
 }
 
 /// Merges a node in at a place; what lies on the way is made.
-fn set(schema: &Schema, fields: &mut Fields, place: &[Seg], value: &Node) {
+fn set(schema: &Schema, fields: &mut Fields, place: &[Segment], value: &Node) {
     let Some((seg, rest)) = place.split_first() else {
         if let Node::Container(inner) = value {
             merge_fields(fields, inner);
@@ -232,13 +231,13 @@
         return;
     };
     match (&schema.node(seg.node).kind, &seg.keys) {
-        (Kind::Container, _) => {
+        (NodeKind::Container, _) => {
             let slot = fields.entry(seg.node).or_insert_with(|| Node::Container(Arc::default()));
             if let Node::Container(inner) = slot {
                 set(schema, Arc::make_mut(inner), rest, value);
             }
         }
-        (Kind::List { keys: leaves, .. }, Some(keys)) => {
+        (NodeKind::List { keys: leaves, .. }, Some(keys)) => {
             let slot = fields.entry(seg.node).or_insert_with(|| Node::List(Arc::default()));
             if let Node::List(entries) = slot {
                 let entry = Arc::make_mut(entries).entry(keys.clone()).or_insert_with(|| {
@@ -248,7 +247,7 @@
                 set(schema, Arc::make_mut(entry), rest, value);
             }
         }
-        (Kind::LeafList { .. }, Some(keys)) => {
+        (NodeKind::LeafList { .. }, Some(keys)) => {
             let slot = fields.entry(seg.node).or_insert_with(|| Node::LeafList(Arc::default()));
             if let Node::LeafList(values) = slot {
                 Arc::make_mut(values).extend(keys.first().cloned());
@@ -321,7 +320,7 @@
 
 impl Schema {
     /// A place as text: `/front/pool[name=east]/location[.=east]`.
-    pub fn text(&self, place: &[Seg]) -> String {
+    pub fn text(&self, place: &[Segment]) -> String {
         if place.is_empty() {
             return "/".to_owned();
         }
--- a/crates/core/model/src/validate.rs
+++ b/crates/core/model/src/validate.rs
@@ -2,13 +2,13 @@
 
 use crate::fault::{Fault, FaultKind};
 use crate::must::Context;
-use crate::schema::{Kind, NodeId, Schema};
-use crate::tree::{Fields, Node, Place, Seg, Text, Tree};
+use crate::schema::{NodeId, NodeKind, Schema};
+use crate::tree::{Fields, Node, Place, Segment, Text, Tree};
 use crate::types::Type;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Faults named at once.
-const MOST_FAULTS: usize = 16;
+const MAX_FAULTS: usize = 16;
 
 impl Schema {
     /// All that is wrong with a tree of config, up to a bound.
@@ -34,7 +34,7 @@
 
 impl<'a> Check<'a> {
     fn say(&mut self, kind: FaultKind, what: impl Into<String>, tag: Option<&str>) {
-        if self.found.len() < MOST_FAULTS {
+        if self.found.len() < MAX_FAULTS {
             let path = self.schema.text(&self.place);
             let mut fault = Fault::new(kind, path, what);
             fault.tag = tag.map(str::to_owned);
@@ -45,16 +45,16 @@
     fn fields(&mut self, holder: Option<NodeId>, fields: &'a Fields, above: &mut Above<'a>) {
         let schema = self.schema;
         for id in schema.children(holder).iter().copied().filter(|id| schema.node(*id).config) {
-            self.place.push(Seg { node: id, keys: None });
+            self.place.push(Segment { node: id, keys: None });
             match (&schema.node(id).kind, fields.get(&id)) {
-                (Kind::Leaf { mandatory: true, .. }, None) => {
+                (NodeKind::Leaf { mandatory: true, .. }, None) => {
                     self.say(FaultKind::MissingElement, "must be set", None);
                 }
-                (Kind::Leaf { ty, .. }, Some(Node::Leaf(value))) => {
+                (NodeKind::Leaf { ty, .. }, Some(Node::Leaf(value))) => {
                     self.leafref(ty, value);
                     self.musts(id, above, Some(value.clone()));
                 }
-                (Kind::LeafList { ty, min, max }, node) => {
+                (NodeKind::LeafList { ty, min, max }, node) => {
                     let empty = BTreeSet::new();
                     let values = match node {
                         Some(Node::LeafList(values)) => &**values,
@@ -63,14 +63,14 @@
                     self.count(values.len(), *min, *max);
                     values.iter().for_each(|value| self.leafref(ty, value));
                 }
-                (Kind::Container, Some(Node::Container(inner))) => {
+                (NodeKind::Container, Some(Node::Container(inner))) => {
                     above.push((Some(id), inner));
                     self.musts(id, above, None);
                     self.fields(Some(id), inner, above);
                     above.pop();
                 }
-                (Kind::Container, None) => self.missing_below(id),
-                (Kind::List { min, max, .. }, node) => {
+                (NodeKind::Container, None) => self.missing_below(id),
+                (NodeKind::List { min, max, .. }, node) => {
                     let Some(Node::List(entries)) = node else {
                         self.count(0, *min, *max);
                         self.place.pop();
@@ -95,13 +95,15 @@
     fn missing_below(&mut self, holder: NodeId) {
         let schema = self.schema;
         for id in schema.children(Some(holder)).iter().copied().filter(|id| schema.node(*id).config) {
-            self.place.push(Seg { node: id, keys: None });
+            self.place.push(Segment { node: id, keys: None });
             match &schema.node(id).kind {
-                Kind::Leaf { mandatory: true, .. } => {
+                NodeKind::Leaf { mandatory: true, .. } => {
                     self.say(FaultKind::MissingElement, "must be set", None);
                 }
-                Kind::List { min, max, .. } | Kind::LeafList { min, max, .. } => self.count(0, *min, *max),
-                Kind::Container => self.missing_below(id),
+                NodeKind::List { min, max, .. } | NodeKind::LeafList { min, max, .. } => {
+                    self.count(0, *min, *max)
+                }
+                NodeKind::Container => self.missing_below(id),
                 _ => {}
             }
             self.place.pop();
@@ -123,7 +125,7 @@
         let (schema, tree) = (self.schema, self.tree);
         let pointed = self.pointed.entry(*target).or_insert_with(|| {
             let mut values = BTreeSet::new();
-            gather(&schema.line_of(*target), tree.fields(), &mut values);
+            gather(&schema.ancestry(*target), tree.fields(), &mut values);
             values
         });
         if !pointed.contains(value) {
--- a/crates/core/model/tests/trees.rs
+++ b/crates/core/model/tests/trees.rs
@@ -22,7 +22,7 @@
 /// All leaves by their paths.
 fn leaves(schema: &Schema, tree: &Tree) -> BTreeMap<String, String> {
     let mut found = BTreeMap::new();
-    tree.each(|place, value| drop(found.insert(schema.text(place), value.to_string())));
+    tree.for_each_leaf(|place, value| drop(found.insert(schema.text(place), value.to_string())));
     found
 }
 
@@ -107,9 +107,9 @@
             // The changes lead there and back.
             let changes = diff(&before, &tree);
             let mut there = before.clone();
-            there.follow(&schema, &changes).unwrap();
+            there.apply_changes(&schema, &changes).unwrap();
             prop_assert_eq!(&there, &tree);
-            there.follow(&schema, &revert(&changes)).unwrap();
+            there.apply_changes(&schema, &revert(&changes)).unwrap();
             prop_assert_eq!(&there, &before);
             prop_assert!(diff(&tree, &tree.clone()).is_empty());
         }
@@ -120,7 +120,7 @@
         // Every leaf's path leads to it.
         for (path, value) in &map {
             let place = place(&schema, path);
-            prop_assert!(matches!(tree.get(&place), Some(Found::Leaf(held)) if &**held == value.as_str()));
+            prop_assert!(matches!(tree.get(&place), Some(NodeRef::Leaf(held)) if &**held == value.as_str()));
         }
     }
 
@@ -136,8 +136,8 @@
     fn keys_may_hold_anything(value in "[ -~]{0,12}") {
         let schema = schema();
         let place = vec![
-            Seg { node: schema.child(None, "front").unwrap(), keys: None },
-            Seg { node: schema.child(schema.child(None, "front"), "pool").unwrap(), keys: Some(vec![value.as_str().into()]) },
+            Segment { node: schema.child(None, "front").unwrap(), keys: None },
+            Segment { node: schema.child(schema.child(None, "front"), "pool").unwrap(), keys: Some(vec![value.as_str().into()]) },
         ];
         let steps = parse_path(&schema.text(&place)).unwrap();
         prop_assert_eq!(&steps[1].keys, &vec![("name".to_owned(), value)]);
@@ -237,7 +237,7 @@
     for bad in ["/a//b", "/a[b", "/a[b=c", "/a[b=c]d", "/[a=b]"] {
         assert!(parse_path(bad).is_err(), "{bad}");
     }
-    assert!(parse_path(&"/a".repeat(MOST_STEPS + 1)).is_err());
+    assert!(parse_path(&"/a".repeat(MAX_PATH_STEPS + 1)).is_err());
 }
 
 #[test]
--- a/crates/core/store/src/merge.rs
+++ b/crates/core/store/src/merge.rs
@@ -3,7 +3,7 @@
 //! The rule: a place that both sides changed to different values is a conflict, and so is an entry that one side deleted
 //! and the other changed.
 
-use lemonusher_model::{Change, Place, Schema, Seg, Tree, diff};
+use lemonusher_model::{Change, Place, Schema, Segment, Tree, diff};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Conflicts named at once.
@@ -11,7 +11,7 @@
 
 /// `theirs` with what `ours` changed of the base. Fails with the paths of the conflicts, up to a bound.
 pub fn merge(schema: &Schema, base: &Tree, ours: &Tree, theirs: &Tree) -> Result<Tree, Vec<String>> {
-    if theirs.same(base) || theirs == base {
+    if theirs.is_same(base) || theirs == base {
         return Ok(ours.clone());
     }
     let our_changes = diff(base, ours);
@@ -39,18 +39,18 @@
     let only_ours: Vec<Change> =
         our_changes.into_iter().filter(|change| !theirs_by_place.contains_key(&change.place)).collect();
     let mut merged = theirs.clone();
-    merged.follow(schema, &only_ours).map_err(|what| vec![what])?;
+    merged.apply_changes(schema, &only_ours).map_err(|what| vec![what])?;
     Ok(merged)
 }
 
 /// The entries that the changes delete: those whose key is no longer set.
-fn deleted_entries<'a>(schema: &Schema, changes: &'a [Change]) -> BTreeSet<&'a [Seg]> {
+fn deleted_entries<'a>(schema: &Schema, changes: &'a [Change]) -> BTreeSet<&'a [Segment]> {
     let deletes_key = |change: &&Change| {
         change.new.is_none() && change.place.last().is_some_and(|last| schema.is_key(last.node))
     };
     changes.iter().filter(deletes_key).map(|change| &change.place[..change.place.len() - 1]).collect()
 }
 
-fn is_within(entries: &BTreeSet<&[Seg]>, place: &Place) -> bool {
+fn is_within(entries: &BTreeSet<&[Segment]>, place: &Place) -> bool {
     (1..=place.len()).any(|length| entries.contains(&place[..length]))
 }
--- a/crates/core/store/src/recover.rs
+++ b/crates/core/store/src/recover.rs
@@ -106,7 +106,7 @@
             changes.iter().map(|change| change.decode(self.schema)).collect();
         let changes = changes?;
         let mut tree = last.tree.clone();
-        tree.follow(self.schema, &changes).map_err(RecordError::Changes)?;
+        tree.apply_changes(self.schema, &changes).map_err(RecordError::Changes)?;
         let version = meta.version(tree, changes).ok_or(RecordError::UnknownMeta)?;
         self.history.push_back(Arc::new(version));
         Ok(())
--- a/crates/core/store/tests/common/mod.rs
+++ b/crates/core/store/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 
-use lemonusher_model::{Found, Node, Op, Schema, Tree, parse_path};
+use lemonusher_model::{Node, NodeRef, Op, Schema, Tree, parse_path};
 use lemonusher_store::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -32,14 +32,14 @@
 pub fn leaf(store: &Store, tree: &Tree, path: &str) -> Option<String> {
     let place = store.schema().place(&parse_path(path).unwrap()).unwrap();
     match tree.get(&place) {
-        Some(Found::Leaf(value)) => Some(value.to_string()),
+        Some(NodeRef::Leaf(value)) => Some(value.to_string()),
         _ => None,
     }
 }
 
 pub fn leaves(store: &Store, tree: &Tree) -> Leaves {
     let mut found = BTreeMap::new();
-    tree.each(|place, value| drop(found.insert(store.schema().text(place), value.to_string())));
+    tree.for_each_leaf(|place, value| drop(found.insert(store.schema().text(place), value.to_string())));
     found
 }
 
--- a/crates/core/store/tests/earlier_log.rs
+++ b/crates/core/store/tests/earlier_log.rs
@@ -111,7 +111,7 @@
 }
 
 fn describe_tree(text: &mut String, schema: &Schema, tree: &Tree) {
-    tree.each(|place, value| writeln!(text, "    {} = {value}", schema.text(place)).unwrap());
+    tree.for_each_leaf(|place, value| writeln!(text, "    {} = {value}", schema.text(place)).unwrap());
 }
 
 fn describe_version(text: &mut String, schema: &Schema, version: &Version) {
--- a/crates/core/watch/src/leaves.rs
+++ b/crates/core/watch/src/leaves.rs
@@ -1,6 +1,6 @@
 //! The leaves of a tree that a set of patterns selects.
 
-use lemonusher_model::{Found, Node, NodeId, Pattern, Place, Seg, Text, Tree};
+use lemonusher_model::{Node, NodeId, NodeRef, Pattern, Place, Segment, Text, Tree};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -25,12 +25,12 @@
     found
 }
 
-fn collect(mut place: Place, at: Found<'_>, found: &mut Leaves) {
+fn collect(mut place: Place, at: NodeRef<'_>, found: &mut Leaves) {
     match at {
-        Found::Leaf(value) => drop(found.insert(place, Value::Leaf(value.clone()))),
-        Found::LeafList(values) => drop(found.insert(place, Value::LeafList(values.clone()))),
-        Found::Fields(fields) => collect_fields(fields, &mut place, found),
-        Found::List(entries) => {
+        NodeRef::Leaf(value) => drop(found.insert(place, Value::Leaf(value.clone()))),
+        NodeRef::LeafList(values) => drop(found.insert(place, Value::LeafList(values.clone()))),
+        NodeRef::Fields(fields) => collect_fields(fields, &mut place, found),
+        NodeRef::List(entries) => {
             entries.iter().for_each(|(keys, entry)| collect_entry(keys, entry, &mut place, found));
         }
     }
@@ -38,7 +38,7 @@
 
 fn collect_fields(fields: &BTreeMap<NodeId, Node>, place: &mut Place, found: &mut Leaves) {
     for (id, node) in fields {
-        place.push(Seg { node: *id, keys: None });
+        place.push(Segment { node: *id, keys: None });
         match node {
             Node::Leaf(value) => drop(found.insert(place.clone(), Value::Leaf(value.clone()))),
             Node::LeafList(values) => drop(found.insert(place.clone(), Value::LeafList(values.clone()))),
--- a/crates/edges/cli/tests/proof_managed.rs
+++ b/crates/edges/cli/tests/proof_managed.rs
@@ -153,7 +153,7 @@
 
 fn without_age(schema: &Schema, tree: &lemonusher_model::Tree) -> BTreeMap<String, String> {
     let mut leaves = BTreeMap::new();
-    tree.each(|place, value| {
+    tree.for_each_leaf(|place, value| {
         let path = schema.text(place);
         if !path.ends_with("/age") {
             leaves.insert(path, value.to_string());
--- a/crates/edges/managed/src/gnmi/paths.rs
+++ b/crates/edges/managed/src/gnmi/paths.rs
@@ -1,5 +1,5 @@
 use super::proto::gnmi::{Path, PathElem};
-use lemonusher_model::{MOST_STEPS, Schema, Seg, Step};
+use lemonusher_model::{MAX_PATH_STEPS, Schema, Segment, Step};
 use tonic::Status;
 
 /// The steps of a path below a prefix.
@@ -16,15 +16,15 @@
             steps.push(Step { name: elem.name.clone(), keys });
         }
     }
-    if steps.len() > MOST_STEPS {
+    if steps.len() > MAX_PATH_STEPS {
         return Err(Status::invalid_argument("the path has too many steps"));
     }
     Ok(steps)
 }
 
 /// A place as a path.
-pub fn from_place(schema: &Schema, place: &[Seg]) -> Path {
-    let elem = |seg: &Seg| {
+pub fn from_place(schema: &Schema, place: &[Segment]) -> Path {
+    let elem = |seg: &Segment| {
         let leaves = schema.keys(seg.node);
         let values = seg.keys.iter().flatten();
         let key = match leaves.is_empty() {
--- a/crates/edges/managed/src/gnmi/service.rs
+++ b/crates/edges/managed/src/gnmi/service.rs
@@ -11,7 +11,7 @@
 use crate::start::Tls;
 use crate::state::Needs;
 use crate::users::{Grant, Users};
-use lemonusher_model::{Fault, FaultKind, Found, Kind, Op, Pattern, Place, Schema, Seg, node_of};
+use lemonusher_model::{Fault, FaultKind, NodeKind, NodeRef, Op, Pattern, Place, Schema, Segment, node_of};
 use lemonusher_store::{CommitOptions, CommitPlan, Edit, Protocol, Store, StoreError, Version};
 use lemonusher_watch::leaves;
 use std::net::TcpListener;
@@ -185,7 +185,7 @@
     Ok(edits)
 }
 
-fn end(place: &[Seg]) -> (Option<usize>, bool) {
+fn end(place: &[Segment]) -> (Option<usize>, bool) {
     (place.last().map(|seg| seg.node), place.last().is_some_and(|seg| seg.keys.is_some()))
 }
 
@@ -371,7 +371,7 @@
     deletes.chain(replaces).chain(updates).collect()
 }
 
-fn at(schema: &Schema, place: &[Seg], found: Found, encoding: Encoding) -> Update {
+fn at(schema: &Schema, place: &[Segment], found: NodeRef, encoding: Encoding) -> Update {
     let (id, _) = end(place);
     let node = node_of(found);
     let val = Some(whole(schema, id, &node, encoding));
@@ -380,7 +380,7 @@
 
 fn is_exact(schema: &Schema, pattern: &Pattern) -> bool {
     let open = |step: &lemonusher_model::PatternStep| {
-        matches!(schema.node(step.node).kind, Kind::List { .. })
+        matches!(schema.node(step.node).kind, NodeKind::List { .. })
             && step.keys.iter().flatten().any(Option::is_none)
     };
     !pattern.is_empty() && !pattern.iter().any(open)
@@ -389,7 +389,7 @@
 fn shown(schema: &Schema, pattern: &Pattern) -> String {
     let place: Place = pattern
         .iter()
-        .map(|step| Seg {
+        .map(|step| Segment {
             node: step.node,
             keys: step.keys.iter().cloned().map(|k| k.into_iter().flatten().collect()).next(),
         })
--- a/crates/edges/netconf/src/data.rs
+++ b/crates/edges/netconf/src/data.rs
@@ -3,7 +3,9 @@
 use crate::BASE;
 use crate::rpc::DefaultOp;
 use crate::xml::{Element, escape};
-use lemonusher_model::{Fault, FaultKind, Fields, Kind, Node, NodeId, Op, Place, Schema, Seg, Text, Tree};
+use lemonusher_model::{
+    Fault, FaultKind, Fields, Node, NodeId, NodeKind, Op, Place, Schema, Segment, Text, Tree,
+};
 use lemonusher_store::Edit;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -34,7 +36,7 @@
 }
 
 fn path(schema: &Schema, id: NodeId) -> String {
-    schema.line_of(id).into_iter().map(|id| format!("/{}", schema.node(id).name)).collect()
+    schema.ancestry(id).into_iter().map(|id| format!("/{}", schema.node(id).name)).collect()
 }
 
 fn child_of(schema: &Schema, holder: Option<NodeId>, element: &Element) -> Result<NodeId, Fault> {
@@ -79,25 +81,25 @@
         let id = child_of(schema, holder, child)?;
         let twice = || Fault::new(FaultKind::BadElement, path(schema, id), "stands twice");
         match &schema.node(id).kind {
-            Kind::Leaf { .. } => {
+            NodeKind::Leaf { .. } => {
                 let value = leaf(schema, id, child)?;
                 if fields.insert(id, Node::Leaf(value)).is_some() {
                     return Err(twice());
                 }
             }
-            Kind::LeafList { .. } => {
+            NodeKind::LeafList { .. } => {
                 if !members.entry(id).or_default().insert(leaf(schema, id, child)?) {
                     return Err(twice());
                 }
             }
-            Kind::List { .. } => {
+            NodeKind::List { .. } => {
                 let keys = keys(schema, id, child)?;
                 let entry = from_xml(schema, Some(id), child)?;
                 if lists.entry(id).or_default().insert(keys, entry).is_some() {
                     return Err(twice());
                 }
             }
-            Kind::Container | Kind::Notification => {
+            NodeKind::Container | NodeKind::Notification => {
                 let inner = from_xml(schema, Some(id), child)?;
                 if fields.insert(id, Node::Container(inner)).is_some() {
                     return Err(twice());
@@ -153,7 +155,7 @@
         for child in &element.children {
             let holder = place.last().map(|seg| seg.node);
             let id = child_of(self.schema, holder, child)?;
-            place.push(Seg { node: id, keys: None });
+            place.push(Segment { node: id, keys: None });
             self.node(place, id, child, op)?;
             place.pop();
         }
@@ -182,17 +184,17 @@
         };
         let below = matches!(op, None | Some(Op::Merge));
         match &schema.node(id).kind {
-            Kind::Leaf { .. } => {
+            NodeKind::Leaf { .. } => {
                 let gone = matches!(op, Some(Op::Delete | Op::Remove));
                 let value = if gone { None } else { Some(Node::Leaf(leaf(schema, id, element)?)) };
                 self.push(op, place, value)
             }
-            Kind::LeafList { .. } => {
+            NodeKind::LeafList { .. } => {
                 let value = leaf(schema, id, element)?;
                 keyed(place, vec![value.clone()]);
                 self.push(op, place, Some(Node::Leaf(value)))
             }
-            Kind::List { .. } => {
+            NodeKind::List { .. } => {
                 keyed(place, keys(schema, id, element)?);
                 if !below {
                     let value = match op {
@@ -210,8 +212,8 @@
                 };
                 self.children(place, &rest, op)
             }
-            Kind::Container | Kind::Notification if below => self.children(place, element, op),
-            Kind::Container | Kind::Notification => {
+            NodeKind::Container | NodeKind::Notification if below => self.children(place, element, op),
+            NodeKind::Container | NodeKind::Notification => {
                 let value = match op {
                     Some(Op::Delete | Op::Remove) => None,
                     _ => Some(Node::Container(from_xml(schema, Some(id), element)?)),
