--- a/crates/core/model/src/diff.rs
+++ b/crates/core/model/src/diff.rs
@@ -1,6 +1,6 @@
 //! What differs between two trees, leaf by leaf. What they share is not looked at.
 
-use crate::schema::NodeId;
+use crate::node_id::NodeId;
 use crate::tree::{Fields, Node, Place, Segment, Text, Tree, each_of};
 use std::sync::Arc;
 
--- /dev/null
+++ b/crates/core/model/src/edit.rs
@@ -0,0 +1,195 @@
+//! Edits of trees (RFC 6241, 7.2). A tree stays in one form: containers, lists and leaf-lists that hold nothing are not there.
+
+use crate::fault::{Fault, FaultKind};
+use crate::node_id::NodeId;
+use crate::schema::{NodeKind, Schema};
+use crate::tree::{Fields, Node, NodeRef, Segment, Tree};
+use std::sync::Arc;
+
+/// What an edit does at its place (RFC 6241, section 7.2).
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Op {
+    Merge,
+    Replace,
+    Create,
+    Delete,
+    Remove,
+}
+
+impl Tree {
+    /// A leaf's value, or its default.
+    pub fn leaf<'a>(&'a self, schema: &'a Schema, place: &[Segment]) -> Option<&'a str> {
+        match self.get(place) {
+            Some(NodeRef::Leaf(value)) => Some(value),
+            _ => schema.default_of(place.last()?.node),
+        }
+    }
+
+    /// Carries out one edit, or leaves the tree as it is.
+    pub fn apply(
+        &mut self,
+        schema: &Schema,
+        op: Op,
+        place: &[Segment],
+        value: Option<&Node>,
+    ) -> Result<(), Fault> {
+        let fault = |kind, what: &str| Fault::new(kind, schema.text(place), what);
+        if let Some(seg) = place.last() {
+            if !schema.node(seg.node).config {
+                return Err(fault(FaultKind::ReadOnly, "is state and can't be edited"));
+            }
+            if schema.is_key(seg.node) {
+                let same = matches!((self.get(place), value), (Some(NodeRef::Leaf(a)), Some(Node::Leaf(b))) if a == b);
+                let sets = matches!(op, Op::Merge | Op::Replace);
+                return if same && sets {
+                    Ok(())
+                } else {
+                    Err(fault(FaultKind::BadElement, "is a key: create or delete the entry instead"))
+                };
+            }
+        }
+        let there = if place.is_empty() { !self.fields().is_empty() } else { self.get(place).is_some() };
+        match op {
+            Op::Create if there => return Err(fault(FaultKind::DataExists, "exists already")),
+            Op::Delete if !there => return Err(fault(FaultKind::DataMissing, "does not exist")),
+            Op::Remove if !there => return Ok(()),
+            _ => {}
+        }
+        if there && matches!(op, Op::Delete | Op::Remove | Op::Replace) {
+            remove(Arc::make_mut(self.fields_mut()), place);
+        }
+        if matches!(op, Op::Merge | Op::Replace | Op::Create) {
+            let value = value.ok_or_else(|| fault(FaultKind::MissingElement, "a value is missing"))?;
+            set(schema, Arc::make_mut(self.fields_mut()), place, value);
+            tidy(self.fields_mut());
+        }
+        Ok(())
+    }
+}
+
+/// Takes away what stands at the place, and what is left empty above it. An entry of a list stays, as its keys do.
+fn remove(fields: &mut Fields, place: &[Segment]) {
+    let Some((seg, rest)) = place.split_first() else { return fields.clear() };
+    let empty = match (fields.get_mut(&seg.node), &seg.keys) {
+        (Some(Node::Container(inner)), _) if !rest.is_empty() => {
+            let inner = Arc::make_mut(inner);
+            remove(inner, rest);
+            inner.is_empty()
+        }
+        (Some(Node::List(entries)), Some(keys)) => {
+            let entries = Arc::make_mut(entries);
+            if rest.is_empty() {
+                entries.remove(keys);
+            } else if let Some(entry) = entries.get_mut(keys) {
+                remove(Arc::make_mut(entry), rest);
+            }
+            entries.is_empty()
+        }
+        (Some(Node::LeafList(values)), Some(keys)) => {
+            let values = Arc::make_mut(values);
+            keys.first().map(|value| values.remove(value));
+            values.is_empty()
+        }
+        (Some(_), None) => true,
+        _ => false,
+    };
+    if empty {
+        fields.remove(&seg.node);
+    }
+}
+
+/// Merges a node in at a place; what lies on the way is made.
+fn set(schema: &Schema, fields: &mut Fields, place: &[Segment], value: &Node) {
+    let Some((seg, rest)) = place.split_first() else {
+        if let Node::Container(inner) = value {
+            merge_fields(fields, inner);
+        }
+        return;
+    };
+    match (&schema.node(seg.node).kind, &seg.keys) {
+        (NodeKind::Container, _) => {
+            let slot = fields.entry(seg.node).or_insert_with(|| Node::Container(Arc::default()));
+            if let Node::Container(inner) = slot {
+                set(schema, Arc::make_mut(inner), rest, value);
+            }
+        }
+        (NodeKind::List { keys: leaves, .. }, Some(keys)) => {
+            let slot = fields.entry(seg.node).or_insert_with(|| Node::List(Arc::default()));
+            if let Node::List(entries) = slot {
+                let entry = Arc::make_mut(entries).entry(keys.clone()).or_insert_with(|| {
+                    let keys = leaves.iter().zip(keys).map(|(leaf, key)| (*leaf, Node::Leaf(key.clone())));
+                    Arc::new(keys.collect())
+                });
+                set(schema, Arc::make_mut(entry), rest, value);
+            }
+        }
+        (NodeKind::LeafList { .. }, Some(keys)) => {
+            let slot = fields.entry(seg.node).or_insert_with(|| Node::LeafList(Arc::default()));
+            if let Node::LeafList(values) = slot {
+                Arc::make_mut(values).extend(keys.first().cloned());
+            }
+        }
+        _ => merge(fields, seg.node, value),
+    }
+}
+
+fn merge(fields: &mut Fields, id: NodeId, value: &Node) {
+    match (fields.get_mut(&id), value) {
+        (Some(Node::Container(old)), Node::Container(new)) => merge_fields(Arc::make_mut(old), new),
+        (Some(Node::LeafList(old)), Node::LeafList(new)) => {
+            Arc::make_mut(old).extend(new.iter().cloned());
+        }
+        (Some(Node::List(old)), Node::List(new)) => {
+            let old = Arc::make_mut(old);
+            for (keys, entry) in new.iter() {
+                match old.get_mut(keys) {
+                    Some(held) => merge_fields(Arc::make_mut(held), entry),
+                    None => drop(old.insert(keys.clone(), entry.clone())),
+                }
+            }
+        }
+        _ => drop(fields.insert(id, value.clone())),
+    }
+}
+
+fn merge_fields(fields: &mut Fields, new: &Fields) {
+    for (id, node) in new {
+        merge(fields, *id, node);
+    }
+}
+
+/// Drops containers, lists and leaf-lists that hold nothing, so that equal trees are equal in form too.
+fn tidy(fields: &mut Arc<Fields>) {
+    if !fields.values().any(hollow) {
+        return;
+    }
+    Arc::make_mut(fields).retain(|_, node| {
+        match node {
+            Node::Container(inner) => tidy(inner),
+            Node::List(entries) if entries.values().any(|entry| entry.values().any(hollow)) => {
+                Arc::make_mut(entries).values_mut().for_each(tidy);
+            }
+            _ => {}
+        }
+        !empty(node)
+    });
+}
+
+fn empty(node: &Node) -> bool {
+    match node {
+        Node::Container(inner) => inner.is_empty(),
+        Node::List(entries) => entries.is_empty(),
+        Node::LeafList(values) => values.is_empty(),
+        Node::Leaf(_) => false,
+    }
+}
+
+/// Whether it is empty or holds something empty.
+fn hollow(node: &Node) -> bool {
+    empty(node)
+        || match node {
+            Node::Container(inner) => inner.values().any(hollow),
+            Node::List(entries) => entries.values().any(|entry| entry.values().any(hollow)),
+            _ => false,
+        }
+}
--- a/crates/core/model/src/json.rs
+++ b/crates/core/model/src/json.rs
@@ -1,7 +1,8 @@
 //! Data as JSON (RFC 7951): names carry the module at the top, 64-bit numbers are strings.
 
 use crate::fault::{Fault, FaultKind};
-use crate::schema::{NodeId, NodeKind, Schema};
+use crate::node_id::NodeId;
+use crate::schema::{NodeKind, Schema};
 use crate::tree::{Fields, Node, Text};
 use crate::types::JsonForm;
 use serde_json::{Map, Value};
--- a/crates/core/model/src/lib.rs
+++ b/crates/core/model/src/lib.rs
@@ -6,22 +6,31 @@
 //! A tree holds what was set explicitly. Containers have no presence: one that holds nothing is not there, so two
 //! trees are equal exactly when they hold the same leaves.
 
+mod compiler;
 mod diff;
+mod edit;
+mod evaluate;
 mod fault;
 mod json;
 mod must;
+mod node_id;
 mod path;
+mod place_text;
 mod schema;
 mod statement;
 mod tree;
 mod types;
 mod validate;
+mod xpath;
 
 pub use diff::{Change, diff, revert};
+pub use edit::Op;
 pub use fault::{Fault, FaultKind};
 pub use json::{from_json, leaf_to_json, to_json};
+pub use must::Must;
+pub use node_id::NodeId;
 pub use path::{MAX_PATH_STEPS, Pattern, PatternStep, Step, parse as parse_path};
-pub use schema::{NodeId, NodeKind, Schema, SchemaNode};
+pub use schema::{NodeKind, Schema, SchemaNode};
 pub use statement::{ModelError, Statement};
-pub use tree::{Fields, Node, NodeRef, Op, Place, Segment, Text, Tree, node_of};
+pub use tree::{Fields, Node, NodeRef, Place, Segment, Text, Tree, node_of};
 pub use types::Type;
--- a/crates/core/model/src/path.rs
+++ b/crates/core/model/src/path.rs
@@ -1,7 +1,8 @@
 //! Paths as managers write them, `/front/pool[name=east]/admin-state`, with `*` and `...` where many are meant.
 
 use crate::fault::{Fault, FaultKind};
-use crate::schema::{NodeId, NodeKind, Schema};
+use crate::node_id::NodeId;
+use crate::schema::{NodeKind, Schema};
 use crate::tree::{Node, NodeRef, Place, Segment, Text, Tree};
 
 /// The most steps that a path may have.
--- a/crates/core/model/src/validate.rs
+++ b/crates/core/model/src/validate.rs
@@ -1,8 +1,9 @@
 //! Whether a whole tree of config holds by the model.
 
+use crate::evaluate::Context;
 use crate::fault::{Fault, FaultKind};
-use crate::must::Context;
-use crate::schema::{NodeId, NodeKind, Schema};
+use crate::node_id::NodeId;
+use crate::schema::{NodeKind, Schema};
 use crate::tree::{Fields, Node, Place, Segment, Text, Tree};
 use crate::types::Type;
 use std::collections::{BTreeMap, BTreeSet};
