--- a/crates/core/model/src/json.rs
+++ b/crates/core/model/src/json.rs
@@ -22,7 +22,7 @@
 }
 
 pub fn leaf_to_json(schema: &Schema, id: Option<NodeId>, value: &str) -> Value {
-    let form = id.and_then(|id| schema.node(id).leaf_type()).map_or(JsonForm::String, |ty| ty.json());
+    let form = id.and_then(|id| schema.node(id).leaf_type()).map_or(JsonForm::String, |ty| ty.json_form());
     let read = match form {
         JsonForm::Number => value.parse::<i64>().ok().map(Value::from),
         JsonForm::Boolean => value.parse::<bool>().ok().map(Value::from),
@@ -133,7 +133,7 @@
         let Some(ty) = self.schema.node(id).leaf_type() else {
             return Err(self.fault(Some(id), FaultKind::BadElement, "is no leaf"));
         };
-        let raw = match (ty.json(), value) {
+        let raw = match (ty.json_form(), value) {
             (JsonForm::Boolean, Value::Bool(value)) => value.to_string(),
             (JsonForm::Number, Value::Number(value)) => value.to_string(),
             (JsonForm::String, Value::Number(value)) if ty.is_integer() => value.to_string(),
@@ -148,6 +148,8 @@
                 return Err(self.fault(Some(id), FaultKind::InvalidValue, "should be a string"));
             }
         };
-        ty.canonical(&raw).map(Text::from).map_err(|what| self.fault(Some(id), FaultKind::InvalidValue, what))
+        ty.canonical(&raw)
+            .map(Text::from)
+            .map_err(|error| self.fault(Some(id), FaultKind::InvalidValue, error.to_string()))
     }
 }
--- a/crates/core/model/src/lib.rs
+++ b/crates/core/model/src/lib.rs
@@ -33,4 +33,4 @@
 pub use schema::{NodeKind, Schema, SchemaNode};
 pub use statement::{ModelError, Statement};
 pub use tree::{Fields, Node, NodeRef, Place, Segment, Text, Tree, node_of};
-pub use types::Type;
+pub use types::{Range, Type, ValueError};
--- a/crates/core/model/src/path.rs
+++ b/crates/core/model/src/path.rs
@@ -4,6 +4,7 @@
 use crate::node_id::NodeId;
 use crate::schema::{NodeKind, Schema};
 use crate::tree::{Node, NodeRef, Place, Segment, Text, Tree};
+use crate::types::ValueError;
 
 /// The most steps that a path may have.
 pub const MAX_PATH_STEPS: usize = 32;
@@ -209,7 +210,7 @@
             NodeKind::LeafList { .. } if !step.keys.is_empty() => match step.keys.as_slice() {
                 [(name, value)] if name == "." => match self.canonical(node, value) {
                     Ok(value) => Ok(Some(vec![Some(value)])),
-                    Err(what) => fault(FaultKind::InvalidValue, what),
+                    Err(error) => fault(FaultKind::InvalidValue, error.to_string()),
                 },
                 _ => fault(FaultKind::BadElement, "a member has the form [.=value]".to_owned()),
             },
@@ -219,10 +220,10 @@
     }
 
     /// The canonical form of a leaf's value.
-    pub fn canonical(&self, leaf: NodeId, raw: &str) -> Result<Text, String> {
+    pub fn canonical(&self, leaf: NodeId, raw: &str) -> Result<Text, ValueError> {
         match self.node(leaf).leaf_type() {
             Some(ty) => ty.canonical(raw).map(Text::from),
-            None => Err("is no leaf".to_owned()),
+            None => Err(ValueError::NotALeaf),
         }
     }
 }
--- a/crates/core/model/src/types.rs
+++ b/crates/core/model/src/types.rs
@@ -1,81 +1,159 @@
-//! The built-in types that the model uses, and a value's one canonical form.
+//! The built-in types that the model uses. Values are held as text in their one canonical form (RFC 7950, 9.1).
 
 use crate::node_id::NodeId;
 use regex::Regex;
+use std::fmt;
+use std::ops::RangeInclusive;
 
-/// The type of a leaf. Values are kept as text in canonical form.
+/// Characters of a refused value that an error repeats.
+const MAX_SHOWN_CHARACTERS: usize = 64;
+
+/// Allowed integers or lengths; wide enough for every built-in integer type.
+pub type Range = RangeInclusive<i128>;
+
+/// The type of a leaf or leaf-list.
 #[derive(Debug, Clone)]
 pub enum Type {
+    /// `string`.
     String {
-        /// Allowed lengths in characters, and the patterns that must all match.
-        lengths: Vec<(i128, i128)>,
+        /// Allowed lengths in characters; empty for any.
+        lengths: Vec<Range>,
+        /// All of them must match the whole value.
         patterns: Vec<Regex>,
     },
+    /// A built-in integer type.
     Integer {
-        /// The built-in type's name: 64-bit ones are strings in JSON.
+        /// The type's name: 64-bit ones are strings in JSON.
         name: String,
-        ranges: Vec<(i128, i128)>,
+        /// Allowed values, in order.
+        ranges: Vec<Range>,
     },
+    /// `boolean`.
     Boolean,
+    /// `enumeration`, with the names.
     Enumeration(Vec<String>),
-    /// Holds a value of the leaf that it points at, which must be there.
+    /// `leafref`: holds a value of the leaf that it points at, which must exist.
     Leafref {
+        /// The leaf that it points at.
         target: NodeId,
+        /// That leaf's type.
         inner: Box<Type>,
     },
 }
 
-/// The least and the greatest value of a built-in integer type.
-pub fn integer_bounds(name: &str) -> Option<(i128, i128)> {
+/// Why a text is no value of a type.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum ValueError {
+    /// A string of a length that is not allowed.
+    Length {
+        /// Its length in characters.
+        length: i128,
+        /// The allowed lengths.
+        allowed: Vec<Range>,
+    },
+    /// A string that does not match this pattern.
+    Pattern(String),
+    /// No integer.
+    NotAnInteger {
+        /// The start of the text.
+        value: String,
+        /// The type's name.
+        type_name: String,
+    },
+    /// An integer that is not allowed.
+    OutOfRange {
+        /// The integer.
+        value: i128,
+        /// The allowed ones.
+        allowed: Vec<Range>,
+    },
+    /// Neither `true` nor `false`; the start of the text.
+    NotABoolean(String),
+    /// None of the names of an enumeration.
+    NotInEnumeration {
+        /// The start of the text.
+        value: String,
+        /// The names.
+        names: Vec<String>,
+    },
+    /// The node is no leaf and holds no value.
+    NotALeaf,
+}
+
+impl fmt::Display for ValueError {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            ValueError::Length { length, allowed } => {
+                write!(f, "has {length} characters; allowed are {}", listed(allowed))
+            }
+            ValueError::Pattern(pattern) => write!(f, "does not match {pattern}"),
+            ValueError::NotAnInteger { value, type_name } => write!(f, "'{value}' is no {type_name}"),
+            ValueError::OutOfRange { value, allowed } => {
+                write!(f, "{value} is out of range; allowed are {}", listed(allowed))
+            }
+            ValueError::NotABoolean(value) => write!(f, "'{value}' is neither true nor false"),
+            ValueError::NotInEnumeration { value, names } => {
+                write!(f, "'{value}' is none of {}", names.join(", "))
+            }
+            ValueError::NotALeaf => f.write_str("is no leaf"),
+        }
+    }
+}
+
+/// Why a `range` or `length` can't be read.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum RangeError {
+    /// A bound that is no number, `min` or `max`.
+    NoBound(String),
+    /// A part that lies outside the type, or not behind the part before it.
+    Outside(String),
+}
+
+impl fmt::Display for RangeError {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            RangeError::NoBound(text) => write!(f, "'{text}' is no bound of a range"),
+            RangeError::Outside(part) => write!(f, "'{part}' lies outside the type, or out of order"),
+        }
+    }
+}
+
+/// All values of a built-in integer type; none if there is no such type.
+pub fn integer_bounds(name: &str) -> Option<Range> {
     let (signed, bits) = match name.strip_prefix('u') {
         Some(rest) => (false, rest.strip_prefix("int")?),
         None => (true, name.strip_prefix("int")?),
     };
     let bits: u32 = bits.parse().ok().filter(|bits| matches!(bits, 8 | 16 | 32 | 64))?;
-    Some(if signed { (-(1 << (bits - 1)), (1 << (bits - 1)) - 1) } else { (0, (1 << bits) - 1) })
+    Some(if signed { -(1 << (bits - 1))..=(1 << (bits - 1)) - 1 } else { 0..=(1 << bits) - 1 })
 }
 
 impl Type {
-    /// The canonical form of a value, or why it is none.
-    pub fn canonical(&self, raw: &str) -> Result<String, String> {
+    /// The canonical form of a value.
+    pub fn canonical(&self, raw: &str) -> Result<String, ValueError> {
         match self {
-            Type::String { lengths, patterns } => {
-                let length = raw.chars().count() as i128;
-                if !lengths.is_empty() && !within(lengths, length) {
-                    return Err(format!("has {length} characters; allowed are {}", ranges(lengths)));
-                }
-                match patterns.iter().find(|pattern| !pattern.is_match(raw)) {
-                    Some(pattern) => Err(format!("does not match {}", shown(pattern))),
-                    None => Ok(raw.to_owned()),
-                }
-            }
-            Type::Integer { name, ranges: allowed } => {
-                let value: i128 = raw.trim().parse().map_err(|_| format!("'{}' is no {name}", brief(raw)))?;
-                if !within(allowed, value) {
-                    return Err(format!("{value} is out of range; allowed are {}", ranges(allowed)));
-                }
-                Ok(value.to_string())
-            }
+            Type::String { lengths, patterns } => canonical_string(raw, lengths, patterns),
+            Type::Integer { name, ranges } => canonical_integer(raw, name, ranges),
             Type::Boolean => match raw {
                 "true" | "false" => Ok(raw.to_owned()),
-                _ => Err(format!("'{}' is neither true nor false", brief(raw))),
+                _ => Err(ValueError::NotABoolean(shortened(raw))),
             },
             Type::Enumeration(names) => {
                 if names.iter().any(|name| name == raw) {
                     return Ok(raw.to_owned());
                 }
-                Err(format!("'{}' is none of {}", brief(raw), names.join(", ")))
+                Err(ValueError::NotInEnumeration { value: shortened(raw), names: names.clone() })
             }
             Type::Leafref { inner, .. } => inner.canonical(raw),
         }
     }
 
-    /// Whether JSON has it as a number, a string or a boolean (RFC 7951, section 6).
-    pub fn json(&self) -> JsonForm {
+    /// How JSON has it (RFC 7951, section 6).
+    pub(crate) fn json_form(&self) -> JsonForm {
         match self {
             Type::Integer { name, .. } if !name.ends_with("64") => JsonForm::Number,
             Type::Boolean => JsonForm::Boolean,
-            Type::Leafref { inner, .. } => inner.json(),
+            Type::Leafref { inner, .. } => inner.json_form(),
             _ => JsonForm::String,
         }
     }
@@ -90,6 +168,7 @@
     }
 }
 
+/// The form of a value in JSON.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JsonForm {
     Number,
@@ -97,44 +176,72 @@
     String,
 }
 
-fn within(ranges: &[(i128, i128)], value: i128) -> bool {
-    ranges.iter().any(|(least, most)| (*least..=*most).contains(&value))
+fn canonical_string(raw: &str, lengths: &[Range], patterns: &[Regex]) -> Result<String, ValueError> {
+    let length = raw.chars().count() as i128;
+    if !lengths.is_empty() && !is_within(lengths, length) {
+        return Err(ValueError::Length { length, allowed: lengths.to_vec() });
+    }
+    match patterns.iter().find(|pattern| !pattern.is_match(raw)) {
+        Some(pattern) => Err(ValueError::Pattern(pattern_of(pattern))),
+        None => Ok(raw.to_owned()),
+    }
+}
+
+fn canonical_integer(raw: &str, type_name: &str, ranges: &[Range]) -> Result<String, ValueError> {
+    let value: i128 = raw
+        .trim()
+        .parse()
+        .map_err(|_| ValueError::NotAnInteger { value: shortened(raw), type_name: type_name.to_owned() })?;
+    if !is_within(ranges, value) {
+        return Err(ValueError::OutOfRange { value, allowed: ranges.to_vec() });
+    }
+    Ok(value.to_string())
 }
 
-fn ranges(ranges: &[(i128, i128)]) -> String {
-    let one = |(least, most): &(i128, i128)| {
-        if least == most { least.to_string() } else { format!("{least} to {most}") }
+fn is_within(ranges: &[Range], value: i128) -> bool {
+    ranges.iter().any(|range| range.contains(&value))
+}
+
+fn listed(ranges: &[Range]) -> String {
+    let one = |range: &Range| match (range.start(), range.end()) {
+        (min, max) if min == max => min.to_string(),
+        (min, max) => format!("{min} to {max}"),
     };
     ranges.iter().map(one).collect::<Vec<_>>().join(" or ")
 }
 
-/// Errors repeat no more than the start of what was sent.
-fn brief(raw: &str) -> String {
-    raw.chars().take(64).collect()
+fn shortened(raw: &str) -> String {
+    raw.chars().take(MAX_SHOWN_CHARACTERS).collect()
+}
+
+/// The regular expression of a YANG pattern, which means the whole value.
+pub fn whole_value_pattern(pattern: &str) -> String {
+    format!("^(?:{pattern})$")
 }
 
-fn shown(pattern: &Regex) -> String {
+/// The YANG pattern of a regular expression.
+fn pattern_of(pattern: &Regex) -> String {
     pattern.as_str().trim_start_matches("^(?:").trim_end_matches(")$").to_owned()
 }
 
 /// Reads `1..10 | 20 | 30..max` within the bounds of the type.
-pub fn parse_ranges(text: &str, (least, most): (i128, i128)) -> Result<Vec<(i128, i128)>, String> {
+pub fn parse_ranges(text: &str, bounds: Range) -> Result<Vec<Range>, RangeError> {
     let bound = |text: &str| match text.trim() {
-        "min" => Ok(least),
-        "max" => Ok(most),
-        number => number.parse::<i128>().map_err(|_| format!("'{number}' is no bound of a range")),
+        "min" => Ok(*bounds.start()),
+        "max" => Ok(*bounds.end()),
+        number => number.parse::<i128>().map_err(|_| RangeError::NoBound(number.to_owned())),
     };
-    let mut found: Vec<(i128, i128)> = Vec::new();
+    let mut ranges: Vec<Range> = Vec::new();
     for part in text.split('|') {
         let (from, to) = part.split_once("..").unwrap_or((part, part));
         let (from, to) = (bound(from)?, bound(to)?);
-        let last = found.last().map_or(least, |(_, last)| last + 1);
-        if from > to || from < last || to > most {
-            return Err(format!("'{}' lies outside the type, or out of order", part.trim()));
+        let min = ranges.last().map_or(*bounds.start(), |last| last.end() + 1);
+        if from > to || from < min || to > *bounds.end() {
+            return Err(RangeError::Outside(part.trim().to_owned()));
         }
-        found.push((from, to));
+        ranges.push(from..=to);
     }
-    Ok(found)
+    Ok(ranges)
 }
 
 #[cfg(test)]
--- a/crates/edges/managed/src/gnmi/values.rs
+++ b/crates/edges/managed/src/gnmi/values.rs
@@ -61,19 +61,19 @@
         Typed::LeaflistVal(list) => {
             let members: Result<Vec<_>, Fault> =
                 list.element.iter().map(|one| text_of(one, &fault)).collect();
-            let members: Result<_, String> = members?
+            let members: Result<_, Fault> = members?
                 .iter()
                 .map(|text| match id {
-                    Some(id) => schema.canonical(id, text),
-                    None => Err("is no leaf-list".to_owned()),
+                    Some(id) => schema.canonical(id, text).map_err(|error| fault(&error.to_string())),
+                    None => Err(fault("is no leaf-list")),
                 })
                 .collect();
-            Ok(Node::LeafList(std::sync::Arc::new(members.map_err(|what| fault(&what))?)))
+            Ok(Node::LeafList(std::sync::Arc::new(members?)))
         }
         _ => {
             let text = text_of(&TypedValue { value: Some(value.clone()) }, &fault)?;
             let id = id.ok_or_else(|| fault("a scalar can't be set there"))?;
-            schema.canonical(id, &text).map(Node::Leaf).map_err(|what| fault(&what))
+            schema.canonical(id, &text).map(Node::Leaf).map_err(|error| fault(&error.to_string()))
         }
     }
 }
--- a/crates/edges/netconf/src/data.rs
+++ b/crates/edges/netconf/src/data.rs
@@ -56,7 +56,7 @@
         return Err(Fault::new(FaultKind::BadElement, path(schema, id), "a leaf holds no elements"));
     }
     let value = schema.canonical(id, element.value());
-    value.map_err(|what| Fault::new(FaultKind::InvalidValue, path(schema, id), what))
+    value.map_err(|error| Fault::new(FaultKind::InvalidValue, path(schema, id), error.to_string()))
 }
 
 /// The keys of a list's entry.
