--- a/crates/edges/processor/src/lib.rs
+++ b/crates/edges/processor/src/lib.rs
@@ -1,46 +1,20 @@
-//! The external processor's door: Envoy's `ext_proc` v3 over gRPC. Streams and headers are translated here; what a
-//! call may do is `lemonusher-consult`'s to say, and which engine it goes to the decision module's. The door runs on a
-//! thread of its own and reaches the front by one bounded queue; each stream hears back by a bounded line of its own.
+//! The external processor: a gRPC server of Envoy's `ext_proc` v3. Messages and headers are translated here; what a
+//! call may do is decided by `lemonusher-external-call`, and which engine it goes to by the decision module. The
+//! server runs on a thread of its own and reaches the front through one bounded queue; each stream has a bounded queue
+//! for the responses to it. Inputs are the streams of proxies and the front's responses; outputs are `ProxyEvent`s and
+//! the messages to proxies. The names of the wire stand in `wire.rs`.
 
-mod door;
-mod names;
+#![warn(missing_docs)]
 
-pub use door::{Started, Terms, start};
-pub use names::{Fault, Group, Names, outcome_of};
+mod events;
+mod headers;
+mod messages;
+mod outcome;
+mod server;
+mod stream;
+mod wire;
 
-use lemonusher::AttemptOutcome;
-use lemonusher_consult::{Asked, StreamId, Verdict};
-use std::net::SocketAddr;
-use std::time::{Duration, Instant};
-
-/// What proxies tell, as the front hears it.
-pub enum FromProxy {
-    Asked {
-        asked: Asked,
-        line: async_channel::Sender<Told>,
-        received: Instant,
-    },
-    /// The engine has answered.
-    Answered {
-        stream: StreamId,
-        outcome: AttemptOutcome,
-    },
-    /// A stream is over, whole or broken.
-    Ended {
-        stream: StreamId,
-        whole: bool,
-    },
-    /// What a message took on its way here and back, without the time that the decision took.
-    Measured(Duration),
-}
-
-/// What a proxy is told.
-#[derive(Debug, Clone)]
-pub struct Told {
-    pub verdict: Verdict,
-    /// Where the engine of a verdict is.
-    pub address: Option<SocketAddr>,
-    /// From the message's receipt until the front took it up, and when it answered.
-    pub waited: Duration,
-    pub at: Instant,
-}
+pub use events::{ProxyEvent, ProxyResponse};
+pub use headers::{HeaderNames, PathClass, RequestClass, RequestError};
+pub use outcome::attempt_outcome;
+pub use server::{ServerConfig, StartedServer, start};
