--- a/crates/core/model/src/diff.rs
+++ b/crates/core/model/src/diff.rs
@@ -1,21 +1,27 @@
-//! What differs between two trees, leaf by leaf. What they share is not looked at.
+//! What differs between two trees, leaf by leaf. What they share in memory is not compared.
 
+use crate::edit::Op;
 use crate::node_id::NodeId;
-use crate::tree::{Fields, Node, Place, Segment, Text, Tree, each_of};
+use crate::schema::Schema;
+use crate::tree::{Entries, Fields, Node, NodeRef, Place, Segment, Text, Tree, visit_node};
+use std::collections::BTreeSet;
 use std::sync::Arc;
 
 /// A leaf, or a member of a leaf-list, that is not the same in both.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
+    /// Where the leaf stands; with its value as the key for a member of a leaf-list.
     pub place: Place,
+    /// The value before; none if it was not set.
     pub old: Option<Text>,
+    /// The value after; none if it is not set.
     pub new: Option<Text>,
 }
 
 /// The changes that lead from one tree to the other, in order of their places.
 pub fn diff(old: &Tree, new: &Tree) -> Vec<Change> {
     let mut found = Vec::new();
-    fields(old.fields(), new.fields(), &mut Place::new(), &mut found);
+    diff_fields(old.fields(), new.fields(), &mut Place::new(), &mut found);
     found
 }
 
@@ -30,12 +36,11 @@
 }
 
 impl Tree {
-    /// Carries changes out. Where what stands there is not what the change starts from, it says so and the tree
-    /// is as it was.
-    pub fn apply_changes(&mut self, schema: &crate::Schema, changes: &[Change]) -> Result<(), String> {
+    /// Carries changes out. Fails where a value is not the one that the change starts from, and the tree is as it was.
+    pub fn apply_changes(&mut self, schema: &Schema, changes: &[Change]) -> Result<(), String> {
         let before = self.clone();
         for change in changes {
-            if let Err(what) = self.follow_one(schema, change) {
+            if let Err(what) = self.apply_change(schema, change) {
                 *self = before;
                 return Err(format!("{}: {what}", schema.text(&change.place)));
             }
@@ -43,100 +48,113 @@
         Ok(())
     }
 
-    fn follow_one(&mut self, schema: &crate::Schema, change: &Change) -> Result<(), String> {
-        let held = match self.get(&change.place) {
-            Some(crate::NodeRef::Leaf(value)) => Some(value.clone()),
+    fn apply_change(&mut self, schema: &Schema, change: &Change) -> Result<(), String> {
+        let current = match self.get(&change.place) {
+            Some(NodeRef::Leaf(value)) => Some(value.clone()),
             None => None,
             Some(_) => return Err("is no leaf".to_owned()),
         };
         let Some(last) = change.place.last() else { return Err("a change has no place".to_owned()) };
-        // A key comes and goes with its entry: whichever of the entry's changes is first does it for all.
+        // A key is added and removed with its entry, by whichever of the entry's changes is first.
         if schema.is_key(last.node) {
             let entry = &change.place[..change.place.len() - 1];
             return match (&change.new, self.get(entry)) {
                 (Some(_), None) => {
                     let empty = Node::Container(Arc::default());
-                    self.apply(schema, crate::Op::Merge, entry, Some(&empty)).map_err(|fault| fault.what)
-                }
-                (None, Some(_)) => {
-                    self.apply(schema, crate::Op::Remove, entry, None).map_err(|fault| fault.what)
+                    self.apply(schema, Op::Merge, entry, Some(&empty)).map_err(|fault| fault.what)
                 }
+                (None, Some(_)) => self.apply(schema, Op::Remove, entry, None).map_err(|fault| fault.what),
                 _ => Ok(()),
             };
         }
-        if held != change.old {
-            // Its entry has gone already, with all that it held.
-            let gone = change.new.is_none() && held.is_none();
-            return if gone { Ok(()) } else { Err("is not what the change starts from".to_owned()) };
+        if current != change.old {
+            // Its entry is deleted already, with all that it held.
+            let deleted = change.new.is_none() && current.is_none();
+            return if deleted { Ok(()) } else { Err("is not what the change starts from".to_owned()) };
         }
         let (op, value) = match &change.new {
-            Some(value) => (crate::Op::Merge, Some(Node::Leaf(value.clone()))),
-            None => (crate::Op::Remove, None),
+            Some(value) => (Op::Merge, Some(Node::Leaf(value.clone()))),
+            None => (Op::Remove, None),
         };
         self.apply(schema, op, &change.place, value.as_ref()).map_err(|fault| fault.what)
     }
 }
 
-fn fields(old: &Fields, new: &Fields, place: &mut Place, found: &mut Vec<Change>) {
-    let ids: std::collections::BTreeSet<NodeId> = old.keys().chain(new.keys()).copied().collect();
+fn diff_fields(old: &Fields, new: &Fields, place: &mut Place, found: &mut Vec<Change>) {
+    let ids: BTreeSet<NodeId> = old.keys().chain(new.keys()).copied().collect();
     for id in ids {
-        node(id, old.get(&id), new.get(&id), place, found);
+        diff_node(id, old.get(&id), new.get(&id), place, found);
     }
 }
 
-fn node(id: NodeId, old: Option<&Node>, new: Option<&Node>, place: &mut Place, found: &mut Vec<Change>) {
+fn diff_node(id: NodeId, old: Option<&Node>, new: Option<&Node>, place: &mut Place, found: &mut Vec<Change>) {
     match (old, new) {
-        (Some(Node::Container(a)), Some(Node::Container(b))) => {
-            if !Arc::ptr_eq(a, b) {
+        (Some(Node::Container(old)), Some(Node::Container(new))) => {
+            if !Arc::ptr_eq(old, new) {
                 place.push(Segment { node: id, keys: None });
-                fields(a, b, place, found);
+                diff_fields(old, new, place, found);
                 place.pop();
             }
         }
-        (Some(Node::List(a)), Some(Node::List(b))) => {
-            if Arc::ptr_eq(a, b) {
-                return;
-            }
-            let none = Arc::new(Fields::new());
-            let keys: std::collections::BTreeSet<&Vec<Text>> = a.keys().chain(b.keys()).collect();
-            for keys in keys {
-                let (a, b) = (a.get(keys).unwrap_or(&none), b.get(keys).unwrap_or(&none));
-                if !Arc::ptr_eq(a, b) {
-                    place.push(Segment { node: id, keys: Some(keys.clone()) });
-                    fields(a, b, place, found);
-                    place.pop();
-                }
+        (Some(Node::List(old)), Some(Node::List(new))) => {
+            if !Arc::ptr_eq(old, new) {
+                diff_entries(id, old, new, place, found);
             }
         }
-        (Some(Node::LeafList(a)), Some(Node::LeafList(b))) => {
-            if Arc::ptr_eq(a, b) {
-                return;
-            }
-            for value in a.symmetric_difference(b) {
-                let mut at = place.clone();
-                at.push(Segment { node: id, keys: Some(vec![value.clone()]) });
-                let held = |set: &std::collections::BTreeSet<Text>| set.get(value).cloned();
-                found.push(Change { place: at, old: held(a), new: held(b) });
+        (Some(Node::LeafList(old)), Some(Node::LeafList(new))) => {
+            if !Arc::ptr_eq(old, new) {
+                diff_members(id, old, new, place, found);
             }
         }
-        (Some(Node::Leaf(a)), Some(Node::Leaf(b))) => {
-            if a != b {
-                let mut at = place.clone();
-                at.push(Segment { node: id, keys: None });
-                found.push(Change { place: at, old: Some(a.clone()), new: Some(b.clone()) });
+        (Some(Node::Leaf(old)), Some(Node::Leaf(new))) => {
+            if old != new {
+                let place = child_place(place, id, None);
+                found.push(Change { place, old: Some(old.clone()), new: Some(new.clone()) });
             }
         }
         (old, new) => {
             if let Some(old) = old {
-                each_of(id, old, place, &mut |place: &[Segment], value: &Text| {
+                visit_node(id, old, place, &mut |place: &[Segment], value: &Text| {
                     found.push(Change { place: place.to_vec(), old: Some(value.clone()), new: None });
                 });
             }
             if let Some(new) = new {
-                each_of(id, new, place, &mut |place: &[Segment], value: &Text| {
+                visit_node(id, new, place, &mut |place: &[Segment], value: &Text| {
                     found.push(Change { place: place.to_vec(), old: None, new: Some(value.clone()) });
                 });
             }
         }
     }
 }
+
+fn diff_entries(id: NodeId, old: &Entries, new: &Entries, place: &mut Place, found: &mut Vec<Change>) {
+    let empty = Arc::new(Fields::new());
+    let keys: BTreeSet<&Vec<Text>> = old.keys().chain(new.keys()).collect();
+    for keys in keys {
+        let (old, new) = (old.get(keys).unwrap_or(&empty), new.get(keys).unwrap_or(&empty));
+        if !Arc::ptr_eq(old, new) {
+            place.push(Segment { node: id, keys: Some(keys.clone()) });
+            diff_fields(old, new, place, found);
+            place.pop();
+        }
+    }
+}
+
+fn diff_members(
+    id: NodeId,
+    old: &BTreeSet<Text>,
+    new: &BTreeSet<Text>,
+    place: &Place,
+    found: &mut Vec<Change>,
+) {
+    for value in old.symmetric_difference(new) {
+        let place = child_place(place, id, Some(vec![value.clone()]));
+        found.push(Change { place, old: old.get(value).cloned(), new: new.get(value).cloned() });
+    }
+}
+
+fn child_place(place: &Place, node: NodeId, keys: Option<Vec<Text>>) -> Place {
+    let mut child = place.clone();
+    child.push(Segment { node, keys });
+    child
+}
--- a/crates/core/model/src/edit.rs
+++ b/crates/core/model/src/edit.rs
@@ -9,10 +9,15 @@
 /// What an edit does at its place (RFC 6241, section 7.2).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Op {
+    /// Sets the value and leaves what else is there.
     Merge,
+    /// Sets the value in place of what is there.
     Replace,
+    /// Sets the value; fails if something is there.
     Create,
+    /// Deletes what is there; fails if nothing is.
     Delete,
+    /// Deletes what is there, if anything is.
     Remove,
 }
 
@@ -25,7 +30,7 @@
         }
     }
 
-    /// Carries out one edit, or leaves the tree as it is.
+    /// Carries out one edit, or fails and leaves the tree as it is.
     pub fn apply(
         &mut self,
         schema: &Schema,
@@ -34,11 +39,11 @@
         value: Option<&Node>,
     ) -> Result<(), Fault> {
         let fault = |kind, what: &str| Fault::new(kind, schema.text(place), what);
-        if let Some(seg) = place.last() {
-            if !schema.node(seg.node).config {
+        if let Some(segment) = place.last() {
+            if !schema.node(segment.node).config {
                 return Err(fault(FaultKind::ReadOnly, "is state and can't be edited"));
             }
-            if schema.is_key(seg.node) {
+            if schema.is_key(segment.node) {
                 let same = matches!((self.get(place), value), (Some(NodeRef::Leaf(a)), Some(Node::Leaf(b))) if a == b);
                 let sets = matches!(op, Op::Merge | Op::Replace);
                 return if same && sets {
@@ -48,29 +53,29 @@
                 };
             }
         }
-        let there = if place.is_empty() { !self.fields().is_empty() } else { self.get(place).is_some() };
+        let exists = if place.is_empty() { !self.fields().is_empty() } else { self.get(place).is_some() };
         match op {
-            Op::Create if there => return Err(fault(FaultKind::DataExists, "exists already")),
-            Op::Delete if !there => return Err(fault(FaultKind::DataMissing, "does not exist")),
-            Op::Remove if !there => return Ok(()),
+            Op::Create if exists => return Err(fault(FaultKind::DataExists, "exists already")),
+            Op::Delete if !exists => return Err(fault(FaultKind::DataMissing, "does not exist")),
+            Op::Remove if !exists => return Ok(()),
             _ => {}
         }
-        if there && matches!(op, Op::Delete | Op::Remove | Op::Replace) {
+        if exists && matches!(op, Op::Delete | Op::Remove | Op::Replace) {
             remove(Arc::make_mut(self.fields_mut()), place);
         }
         if matches!(op, Op::Merge | Op::Replace | Op::Create) {
             let value = value.ok_or_else(|| fault(FaultKind::MissingElement, "a value is missing"))?;
             set(schema, Arc::make_mut(self.fields_mut()), place, value);
-            tidy(self.fields_mut());
+            remove_empty(self.fields_mut());
         }
         Ok(())
     }
 }
 
-/// Takes away what stands at the place, and what is left empty above it. An entry of a list stays, as its keys do.
+/// Removes what stands at the place, and what is left empty above it. An entry of a list stays, as its keys do.
 fn remove(fields: &mut Fields, place: &[Segment]) {
-    let Some((seg, rest)) = place.split_first() else { return fields.clear() };
-    let empty = match (fields.get_mut(&seg.node), &seg.keys) {
+    let Some((segment, rest)) = place.split_first() else { return fields.clear() };
+    let empty = match (fields.get_mut(&segment.node), &segment.keys) {
         (Some(Node::Container(inner)), _) if !rest.is_empty() => {
             let inner = Arc::make_mut(inner);
             remove(inner, rest);
@@ -94,27 +99,27 @@
         _ => false,
     };
     if empty {
-        fields.remove(&seg.node);
+        fields.remove(&segment.node);
     }
 }
 
-/// Merges a node in at a place; what lies on the way is made.
+/// Merges a node in at a place, and adds the nodes above it that are missing.
 fn set(schema: &Schema, fields: &mut Fields, place: &[Segment], value: &Node) {
-    let Some((seg, rest)) = place.split_first() else {
+    let Some((segment, rest)) = place.split_first() else {
         if let Node::Container(inner) = value {
             merge_fields(fields, inner);
         }
         return;
     };
-    match (&schema.node(seg.node).kind, &seg.keys) {
+    match (&schema.node(segment.node).kind, &segment.keys) {
         (NodeKind::Container, _) => {
-            let slot = fields.entry(seg.node).or_insert_with(|| Node::Container(Arc::default()));
+            let slot = fields.entry(segment.node).or_insert_with(|| Node::Container(Arc::default()));
             if let Node::Container(inner) = slot {
                 set(schema, Arc::make_mut(inner), rest, value);
             }
         }
         (NodeKind::List { keys: leaves, .. }, Some(keys)) => {
-            let slot = fields.entry(seg.node).or_insert_with(|| Node::List(Arc::default()));
+            let slot = fields.entry(segment.node).or_insert_with(|| Node::List(Arc::default()));
             if let Node::List(entries) = slot {
                 let entry = Arc::make_mut(entries).entry(keys.clone()).or_insert_with(|| {
                     let keys = leaves.iter().zip(keys).map(|(leaf, key)| (*leaf, Node::Leaf(key.clone())));
@@ -124,12 +129,12 @@
             }
         }
         (NodeKind::LeafList { .. }, Some(keys)) => {
-            let slot = fields.entry(seg.node).or_insert_with(|| Node::LeafList(Arc::default()));
+            let slot = fields.entry(segment.node).or_insert_with(|| Node::LeafList(Arc::default()));
             if let Node::LeafList(values) = slot {
                 Arc::make_mut(values).extend(keys.first().cloned());
             }
         }
-        _ => merge(fields, seg.node, value),
+        _ => merge(fields, segment.node, value),
     }
 }
 
@@ -143,7 +148,7 @@
             let old = Arc::make_mut(old);
             for (keys, entry) in new.iter() {
                 match old.get_mut(keys) {
-                    Some(held) => merge_fields(Arc::make_mut(held), entry),
+                    Some(existing) => merge_fields(Arc::make_mut(existing), entry),
                     None => drop(old.insert(keys.clone(), entry.clone())),
                 }
             }
@@ -159,23 +164,23 @@
 }
 
 /// Drops containers, lists and leaf-lists that hold nothing, so that equal trees are equal in form too.
-fn tidy(fields: &mut Arc<Fields>) {
-    if !fields.values().any(hollow) {
+fn remove_empty(fields: &mut Arc<Fields>) {
+    if !fields.values().any(holds_empty) {
         return;
     }
     Arc::make_mut(fields).retain(|_, node| {
         match node {
-            Node::Container(inner) => tidy(inner),
-            Node::List(entries) if entries.values().any(|entry| entry.values().any(hollow)) => {
-                Arc::make_mut(entries).values_mut().for_each(tidy);
+            Node::Container(inner) => remove_empty(inner),
+            Node::List(entries) if entries.values().any(|entry| entry.values().any(holds_empty)) => {
+                Arc::make_mut(entries).values_mut().for_each(remove_empty);
             }
             _ => {}
         }
-        !empty(node)
+        !is_empty(node)
     });
 }
 
-fn empty(node: &Node) -> bool {
+fn is_empty(node: &Node) -> bool {
     match node {
         Node::Container(inner) => inner.is_empty(),
         Node::List(entries) => entries.is_empty(),
@@ -185,11 +190,11 @@
 }
 
 /// Whether it is empty or holds something empty.
-fn hollow(node: &Node) -> bool {
-    empty(node)
+fn holds_empty(node: &Node) -> bool {
+    is_empty(node)
         || match node {
-            Node::Container(inner) => inner.values().any(hollow),
-            Node::List(entries) => entries.values().any(|entry| entry.values().any(hollow)),
+            Node::Container(inner) => inner.values().any(holds_empty),
+            Node::List(entries) => entries.values().any(|entry| entry.values().any(holds_empty)),
             _ => false,
         }
 }
--- a/crates/core/model/src/json.rs
+++ b/crates/core/model/src/json.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// What a node holds. `top` names are those that need their module.
+/// A node's data; with `None` for the whole tree, whose names carry the module.
 pub fn to_json(schema: &Schema, id: Option<NodeId>, node: &Node) -> Value {
     match node {
         Node::Container(fields) => Value::Object(fields_to_json(schema, fields, id.is_none())),
@@ -21,6 +21,7 @@
     }
 }
 
+/// A leaf's value, in the form of its type.
 pub fn leaf_to_json(schema: &Schema, id: Option<NodeId>, value: &str) -> Value {
     let form = id.and_then(|id| schema.node(id).leaf_type()).map_or(JsonForm::String, |ty| ty.json_form());
     let read = match form {
@@ -39,7 +40,8 @@
     fields.iter().map(|(id, node)| (name(*id), to_json(schema, Some(*id), node))).collect()
 }
 
-/// Reads what a node is to hold: for `None` the whole tree, for a list with `entry` one of its entries.
+/// Reads data for a node: for `None` the whole tree, with `entry` one entry of a list or one member of a leaf-list. Fails
+/// where the data does not fit the model.
 pub fn from_json(schema: &Schema, id: Option<NodeId>, entry: bool, value: &Value) -> Result<Node, Fault> {
     Reader { schema }.node(id, entry, value)
 }
@@ -50,8 +52,8 @@
 
 impl Reader<'_> {
     fn fault(&self, id: Option<NodeId>, kind: FaultKind, what: impl Into<String>) -> Fault {
-        let line = id.map(|id| self.schema.ancestry(id)).unwrap_or_default();
-        let path: String = line.into_iter().map(|id| format!("/{}", self.schema.node(id).name)).collect();
+        let ancestry = id.map(|id| self.schema.ancestry(id)).unwrap_or_default();
+        let path: String = ancestry.into_iter().map(|id| format!("/{}", self.schema.node(id).name)).collect();
         Fault::new(kind, if path.is_empty() { "/".to_owned() } else { path }, what)
     }
 
--- /dev/null
+++ b/crates/core/model/src/pattern.rs
@@ -0,0 +1,143 @@
+//! Patterns: paths with `*` for any name or key and `...` for any number of steps, and what they select in a tree.
+
+use crate::fault::{Fault, FaultKind};
+use crate::node_id::NodeId;
+use crate::path::Step;
+use crate::schema::{NodeKind, Schema};
+use crate::tree::{Node, NodeRef, Place, Segment, Text, Tree};
+
+/// The most patterns that wildcards in names may expand to.
+const MAX_PATTERNS: usize = 1024;
+
+/// A step whose node is known and whose keys may be left open.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct PatternStep {
+    /// The node.
+    pub node: NodeId,
+    /// For a list: each key, or none for any.
+    pub keys: Option<Vec<Option<Text>>>,
+}
+
+/// Steps from the top down.
+pub type Pattern = Vec<PatternStep>;
+
+impl Schema {
+    /// All patterns that the steps expand to, with wildcards in names resolved. Fails where a step leads nowhere, or where
+    /// there are too many.
+    pub fn patterns(&self, steps: &[Step]) -> Result<Vec<Pattern>, Fault> {
+        let mut patterns: Vec<Pattern> = vec![Pattern::new()];
+        for step in steps {
+            let mut next: Vec<Pattern> = Vec::new();
+            for pattern in &patterns {
+                self.extend_pattern(pattern, step, &mut next)?;
+                if next.len() > MAX_PATTERNS {
+                    return Err(Fault::new(FaultKind::InvalidValue, None, "the path means too many things"));
+                }
+            }
+            if next.is_empty() {
+                let what = format!("there is no '{}' there", step.name);
+                return Err(Fault::new(FaultKind::UnknownElement, None, what));
+            }
+            patterns = next;
+        }
+        Ok(patterns)
+    }
+
+    /// Adds to `next` the patterns that one step more leads to.
+    fn extend_pattern(&self, pattern: &Pattern, step: &Step, next: &mut Vec<Pattern>) -> Result<(), Fault> {
+        let parent = pattern.last().map(|last| last.node);
+        match step.name.as_str() {
+            "*" => {
+                next.extend(self.children(parent).iter().map(|child| self.with_child(pattern, *child)));
+            }
+            "..." => self.add_descendants(pattern, next),
+            name => {
+                let name = name.split_once(':').map_or(name, |(_, name)| name);
+                let Some(child) = self.child(parent, name) else { return Ok(()) };
+                let mut longer = self.with_child(pattern, child);
+                let place: Place =
+                    pattern.iter().map(|step| Segment { node: step.node, keys: None }).collect();
+                if let Some(keys) = self.step_keys(&place, child, step)? {
+                    longer.last_mut().into_iter().for_each(|last| last.keys = Some(keys.clone()));
+                }
+                next.push(longer);
+            }
+        }
+        Ok(())
+    }
+
+    /// Adds the pattern itself and all that lead further down.
+    fn add_descendants(&self, pattern: &Pattern, next: &mut Vec<Pattern>) {
+        next.push(pattern.clone());
+        let mut unexplored = vec![pattern.clone()];
+        while let Some(pattern) = unexplored.pop() {
+            for child in self.children(pattern.last().map(|last| last.node)) {
+                let longer = self.with_child(&pattern, *child);
+                next.push(longer.clone());
+                unexplored.push(longer);
+            }
+        }
+    }
+
+    /// The pattern with a step to a child, whose keys are left open.
+    fn with_child(&self, pattern: &Pattern, child: NodeId) -> Pattern {
+        let keys = match &self.node(child).kind {
+            NodeKind::List { keys, .. } => Some(vec![None; keys.len()]),
+            _ => None,
+        };
+        let mut longer = pattern.clone();
+        longer.push(PatternStep { node: child, keys });
+        longer
+    }
+}
+
+impl Tree {
+    /// Calls for everything in the tree that the pattern selects, with its place.
+    pub fn select<'a>(&'a self, pattern: &[PatternStep], visit: &mut impl FnMut(&[Segment], NodeRef<'a>)) {
+        select(NodeRef::Fields(self.fields()), pattern, &mut Vec::new(), visit);
+    }
+}
+
+fn select<'a>(
+    at: NodeRef<'a>,
+    pattern: &[PatternStep],
+    place: &mut Place,
+    visit: &mut impl FnMut(&[Segment], NodeRef<'a>),
+) {
+    let Some((step, rest)) = pattern.split_first() else { return visit(place, at) };
+    let NodeRef::Fields(fields) = at else { return };
+    let mut descend = |keys: Option<Vec<Text>>, at: NodeRef<'a>| {
+        place.push(Segment { node: step.node, keys });
+        select(at, rest, place, visit);
+        place.pop();
+    };
+    match (fields.get(&step.node), &step.keys) {
+        (Some(Node::Container(inner)), _) => descend(None, NodeRef::Fields(inner)),
+        (Some(Node::List(entries)), Some(keys)) => {
+            // Where all keys are known, no pass over the entries is needed.
+            let exact: Option<Vec<Text>> = keys.iter().cloned().collect();
+            let selected: Vec<_> = match &exact {
+                Some(exact) => entries.get_key_value(exact).into_iter().collect(),
+                None => entries.iter().filter(|(entry_keys, _)| match_keys(keys, entry_keys)).collect(),
+            };
+            for (entry_keys, entry) in selected {
+                descend(Some(entry_keys.clone()), NodeRef::Fields(entry));
+            }
+        }
+        (Some(Node::Leaf(value)), _) if rest.is_empty() => descend(None, NodeRef::Leaf(value)),
+        (Some(Node::LeafList(values)), keys) if rest.is_empty() => {
+            match keys.as_ref().and_then(|keys| keys.first().cloned().flatten()) {
+                None => descend(None, NodeRef::LeafList(values)),
+                Some(member) => {
+                    let Some(value) = values.get(&member) else { return };
+                    descend(Some(vec![member]), NodeRef::Leaf(value));
+                }
+            }
+        }
+        _ => {}
+    }
+}
+
+fn match_keys(pattern: &[Option<Text>], keys: &[Text]) -> bool {
+    pattern.iter().zip(keys).all(|(wanted, key)| wanted.as_ref().is_none_or(|wanted| wanted == key))
+}
--- a/crates/core/model/src/place_text.rs
+++ b/crates/core/model/src/place_text.rs
@@ -11,15 +11,15 @@
             return "/".to_owned();
         }
         let mut text = String::new();
-        for seg in place {
-            let _ = write!(text, "/{}", self.node(seg.node).name);
-            let Some(keys) = &seg.keys else { continue };
-            let leaves = self.keys(seg.node);
+        for segment in place {
+            let _ = write!(text, "/{}", self.node(segment.node).name);
+            let Some(keys) = &segment.keys else { continue };
+            let leaves = self.keys(segment.node);
             if leaves.is_empty() {
                 keys.iter().for_each(|value| predicate(&mut text, ".", value));
             } else {
-                let named = leaves.iter().zip(keys);
-                named.for_each(|(leaf, value)| predicate(&mut text, &self.node(*leaf).name, value));
+                let keyed = leaves.iter().zip(keys);
+                keyed.for_each(|(leaf, value)| predicate(&mut text, &self.node(*leaf).name, value));
             }
         }
         text
--- a/crates/core/model/src/statement.rs
+++ b/crates/core/model/src/statement.rs
@@ -4,22 +4,28 @@
 use std::iter::Peekable;
 use std::str::Chars;
 
+/// The deepest nesting of statements.
 const MAX_DEPTH: usize = 32;
 
 /// One statement with all that stands in it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Statement {
+    /// The keyword.
     pub keyword: String,
+    /// The argument, with its strings joined.
     pub argument: Option<String>,
-    /// From 1.
+    /// The line of the keyword, from 1.
     pub line: usize,
+    /// The statements in it, in order.
     pub substatements: Vec<Statement>,
 }
 
-/// What can't be read or is not known, and on which line.
+/// What of a model can't be read or is not known, and on which line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ModelError {
+    /// The line, from 1.
     pub line: usize,
+    /// What is wrong there, in words.
     pub what: String,
 }
 
@@ -30,6 +36,7 @@
 }
 
 impl Statement {
+    /// Reads one statement, behind which nothing else may stand.
     pub fn parse(text: &str) -> Result<Statement, ModelError> {
         let mut reader = Reader { rest: text.chars().peekable(), line: 1 };
         let statement = reader.statement(0)?;
@@ -49,17 +56,19 @@
         self.substatements.iter().find(|sub| sub.keyword == keyword)
     }
 
+    /// The argument of the first statement in it with this keyword.
     pub fn substatement_arg(&self, keyword: &str) -> Result<Option<&str>, ModelError> {
         self.substatement(keyword).map(Statement::arg).transpose()
     }
 
+    /// An error at this statement.
     pub fn wrong(&self, what: impl Into<String>) -> ModelError {
         ModelError { line: self.line, what: what.into() }
     }
 }
 
 enum Token {
-    Word(String),
+    Unquoted(String),
     Quoted(String),
     Open,
     Close,
@@ -69,6 +78,7 @@
 
 struct Reader<'a> {
     rest: Peekable<Chars<'a>>,
+    /// The line of the next character, from 1.
     line: usize,
 }
 
@@ -88,23 +98,23 @@
             return Err(self.wrong("statements are nested too deeply"));
         }
         let keyword = match self.token()? {
-            Some(Token::Word(word)) => word,
+            Some(Token::Unquoted(keyword)) => keyword,
             _ => return Err(self.wrong("a keyword should stand here")),
         };
         let line = self.line;
         let mut statement = Statement { keyword, argument: None, line, substatements: Vec::new() };
         let mut token = self.token()?;
-        if let Some(Token::Word(text) | Token::Quoted(text)) = token {
-            let mut whole = text;
+        if let Some(Token::Unquoted(text) | Token::Quoted(text)) = token {
+            let mut argument = text;
             token = self.token()?;
             while let Some(Token::Plus) = token {
                 let Some(Token::Quoted(more)) = self.token()? else {
                     return Err(self.wrong("a quoted string should follow '+'"));
                 };
-                whole.push_str(&more);
+                argument.push_str(&more);
                 token = self.token()?;
             }
-            statement.argument = Some(whole);
+            statement.argument = Some(argument);
         }
         match token {
             Some(Token::End) => Ok(statement),
@@ -118,6 +128,7 @@
         }
     }
 
+    /// Whether a closing brace follows, which is consumed.
     fn closes(&mut self) -> Result<bool, ModelError> {
         self.skip()?;
         let closes = self.rest.peek() == Some(&'}');
@@ -127,7 +138,7 @@
         Ok(closes)
     }
 
-    /// Passes over white space and comments.
+    /// Skips white space and comments.
     fn skip(&mut self) -> Result<(), ModelError> {
         loop {
             match self.rest.peek() {
@@ -146,6 +157,7 @@
         }
     }
 
+    /// Skips a comment `/* */`.
     fn comment(&mut self) -> Result<(), ModelError> {
         self.next();
         self.next();
@@ -175,21 +187,24 @@
                 self.next();
                 return self.double().map(Some);
             }
-            _ => {
-                let mut word = String::new();
-                while let Some(c) = self.rest.peek() {
-                    if c.is_whitespace() || matches!(c, '{' | '}' | ';' | '"' | '\'') {
-                        break;
-                    }
-                    word.extend(self.next());
-                }
-                return Ok(Some(Token::Word(word)));
-            }
+            _ => return Ok(Some(self.unquoted())),
         };
         self.next();
         Ok(Some(token))
     }
 
+    fn unquoted(&mut self) -> Token {
+        let mut text = String::new();
+        while let Some(c) = self.rest.peek() {
+            if c.is_whitespace() || matches!(c, '{' | '}' | ';' | '"' | '\'') {
+                break;
+            }
+            text.extend(self.next());
+        }
+        Token::Unquoted(text)
+    }
+
+    /// A string in single quotes.
     fn single(&mut self) -> Result<Token, ModelError> {
         let from = self.line;
         let mut text = String::new();
@@ -202,7 +217,7 @@
         }
     }
 
-    /// White space round a line break counts as the break alone.
+    /// A string in double quotes. White space around a line break counts as the break alone.
     fn double(&mut self) -> Result<Token, ModelError> {
         let from = self.line;
         let mut text = String::new();
--- a/crates/core/model/src/types.rs
+++ b/crates/core/model/src/types.rs
@@ -171,8 +171,11 @@
 /// The form of a value in JSON.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JsonForm {
+    /// A number.
     Number,
+    /// `true` or `false`.
     Boolean,
+    /// A string.
     String,
 }
 
--- a/crates/core/model/src/validate.rs
+++ b/crates/core/model/src/validate.rs
@@ -1,141 +1,152 @@
-//! Whether a whole tree of config holds by the model.
+//! Whether a whole tree of config holds by the model: mandatory nodes, numbers of elements, leafrefs and constraints. Types
+//! are checked when values are read.
 
 use crate::evaluate::Context;
 use crate::fault::{Fault, FaultKind};
 use crate::node_id::NodeId;
 use crate::schema::{NodeKind, Schema};
-use crate::tree::{Fields, Node, Place, Segment, Text, Tree};
+use crate::tree::{Entries, Fields, Node, Place, Segment, Text, Tree};
 use crate::types::Type;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Faults named at once.
+/// Faults reported at once.
 const MAX_FAULTS: usize = 16;
 
 impl Schema {
-    /// All that is wrong with a tree of config, up to a bound.
+    /// Checks a tree of config. Fails with all its faults, up to a bound.
     pub fn validate(&self, tree: &Tree) -> Result<(), Vec<Fault>> {
-        let mut check =
-            Check { schema: self, tree, place: Place::new(), pointed: BTreeMap::new(), found: Vec::new() };
+        let mut pass = Pass {
+            schema: self,
+            tree,
+            place: Place::new(),
+            leafref_values: BTreeMap::new(),
+            faults: Vec::new(),
+        };
         let mut above = vec![(None, &**tree.fields())];
-        check.fields(None, tree.fields(), &mut above);
-        if check.found.is_empty() { Ok(()) } else { Err(check.found) }
+        pass.fields(None, tree.fields(), &mut above);
+        if pass.faults.is_empty() { Ok(()) } else { Err(pass.faults) }
     }
 }
 
-struct Check<'a> {
+/// One pass over a tree.
+struct Pass<'a> {
     schema: &'a Schema,
     tree: &'a Tree,
+    /// The node that is being checked.
     place: Place,
-    /// Values that leafrefs may have, by the leaf they point at.
-    pointed: BTreeMap<NodeId, BTreeSet<Text>>,
-    found: Vec<Fault>,
+    /// Values that leafrefs may have, by the leaf that they point at.
+    leafref_values: BTreeMap<NodeId, BTreeSet<Text>>,
+    faults: Vec<Fault>,
 }
 
+/// The nodes above the one that is being checked, from the top down, with what they hold.
 type Above<'a> = Vec<(Option<NodeId>, &'a Fields)>;
 
-impl<'a> Check<'a> {
-    fn say(&mut self, kind: FaultKind, what: impl Into<String>, tag: Option<&str>) {
-        if self.found.len() < MAX_FAULTS {
+impl<'a> Pass<'a> {
+    fn add_fault(&mut self, kind: FaultKind, what: impl Into<String>, tag: Option<&str>) {
+        if self.faults.len() < MAX_FAULTS {
             let path = self.schema.text(&self.place);
             let mut fault = Fault::new(kind, path, what);
             fault.tag = tag.map(str::to_owned);
-            self.found.push(fault);
+            self.faults.push(fault);
         }
     }
 
+    /// Checks all config nodes in a node, set or not.
     fn fields(&mut self, holder: Option<NodeId>, fields: &'a Fields, above: &mut Above<'a>) {
         let schema = self.schema;
         for id in schema.children(holder).iter().copied().filter(|id| schema.node(*id).config) {
             self.place.push(Segment { node: id, keys: None });
-            match (&schema.node(id).kind, fields.get(&id)) {
-                (NodeKind::Leaf { mandatory: true, .. }, None) => {
-                    self.say(FaultKind::MissingElement, "must be set", None);
-                }
-                (NodeKind::Leaf { ty, .. }, Some(Node::Leaf(value))) => {
-                    self.leafref(ty, value);
-                    self.musts(id, above, Some(value.clone()));
-                }
-                (NodeKind::LeafList { ty, min, max }, node) => {
-                    let empty = BTreeSet::new();
-                    let values = match node {
-                        Some(Node::LeafList(values)) => &**values,
-                        _ => &empty,
-                    };
-                    self.count(values.len(), *min, *max);
-                    values.iter().for_each(|value| self.leafref(ty, value));
-                }
-                (NodeKind::Container, Some(Node::Container(inner))) => {
-                    above.push((Some(id), inner));
-                    self.musts(id, above, None);
-                    self.fields(Some(id), inner, above);
-                    above.pop();
-                }
-                (NodeKind::Container, None) => self.missing_below(id),
-                (NodeKind::List { min, max, .. }, node) => {
-                    let Some(Node::List(entries)) = node else {
-                        self.count(0, *min, *max);
-                        self.place.pop();
-                        continue;
-                    };
-                    self.count(entries.len(), *min, *max);
-                    for (keys, entry) in entries.iter() {
-                        self.place.last_mut().into_iter().for_each(|last| last.keys = Some(keys.clone()));
-                        above.push((Some(id), entry));
-                        self.musts(id, above, None);
-                        self.fields(Some(id), entry, above);
-                        above.pop();
-                    }
-                }
-                _ => {}
-            }
+            self.node(id, fields.get(&id), above);
             self.place.pop();
         }
     }
 
-    /// A container that holds nothing still owes what is mandatory in it.
-    fn missing_below(&mut self, holder: NodeId) {
+    fn node(&mut self, id: NodeId, node: Option<&'a Node>, above: &mut Above<'a>) {
+        let schema = self.schema;
+        match (&schema.node(id).kind, node) {
+            (NodeKind::Leaf { mandatory: true, .. }, None) => self.missing(),
+            (NodeKind::Leaf { ty, .. }, Some(Node::Leaf(value))) => {
+                self.leafref(ty, value);
+                self.constraints(id, above, Some(value.clone()));
+            }
+            (NodeKind::LeafList { ty, min, max }, Some(Node::LeafList(values))) => {
+                self.element_count(values.len(), *min, *max);
+                values.iter().for_each(|value| self.leafref(ty, value));
+            }
+            (NodeKind::LeafList { min, max, .. }, _) => self.element_count(0, *min, *max),
+            (NodeKind::Container, Some(Node::Container(inner))) => {
+                above.push((Some(id), inner));
+                self.constraints(id, above, None);
+                self.fields(Some(id), inner, above);
+                above.pop();
+            }
+            (NodeKind::Container, None) => self.unset_container(id),
+            (NodeKind::List { min, max, .. }, Some(Node::List(entries))) => {
+                self.element_count(entries.len(), *min, *max);
+                self.entries(id, entries, above);
+            }
+            (NodeKind::List { min, max, .. }, _) => self.element_count(0, *min, *max),
+            _ => {}
+        }
+    }
+
+    fn entries(&mut self, id: NodeId, entries: &'a Entries, above: &mut Above<'a>) {
+        for (keys, entry) in entries {
+            self.place.last_mut().into_iter().for_each(|last| last.keys = Some(keys.clone()));
+            above.push((Some(id), entry));
+            self.constraints(id, above, None);
+            self.fields(Some(id), entry, above);
+            above.pop();
+        }
+    }
+
+    /// A container without presence that holds nothing must still hold what is mandatory in it.
+    fn unset_container(&mut self, holder: NodeId) {
         let schema = self.schema;
         for id in schema.children(Some(holder)).iter().copied().filter(|id| schema.node(*id).config) {
             self.place.push(Segment { node: id, keys: None });
             match &schema.node(id).kind {
-                NodeKind::Leaf { mandatory: true, .. } => {
-                    self.say(FaultKind::MissingElement, "must be set", None);
-                }
+                NodeKind::Leaf { mandatory: true, .. } => self.missing(),
                 NodeKind::List { min, max, .. } | NodeKind::LeafList { min, max, .. } => {
-                    self.count(0, *min, *max)
+                    self.element_count(0, *min, *max);
                 }
-                NodeKind::Container => self.missing_below(id),
+                NodeKind::Container => self.unset_container(id),
                 _ => {}
             }
             self.place.pop();
         }
     }
 
-    fn count(&mut self, count: usize, min: usize, max: usize) {
+    fn missing(&mut self) {
+        self.add_fault(FaultKind::MissingElement, "must be set", None);
+    }
+
+    fn element_count(&mut self, count: usize, min: usize, max: usize) {
         if count < min {
             let what = format!("holds {count}; at least {min} are needed");
-            self.say(FaultKind::TooFew, what, Some("too-few-elements"));
+            self.add_fault(FaultKind::TooFew, what, Some("too-few-elements"));
         } else if count > max {
             let what = format!("holds {count}; at most {max} are allowed");
-            self.say(FaultKind::TooMany, what, Some("too-many-elements"));
+            self.add_fault(FaultKind::TooMany, what, Some("too-many-elements"));
         }
     }
 
     fn leafref(&mut self, ty: &Type, value: &Text) {
         let Type::Leafref { target, .. } = ty else { return };
         let (schema, tree) = (self.schema, self.tree);
-        let pointed = self.pointed.entry(*target).or_insert_with(|| {
+        let allowed = self.leafref_values.entry(*target).or_insert_with(|| {
             let mut values = BTreeSet::new();
-            gather(&schema.ancestry(*target), tree.fields(), &mut values);
+            collect_values(&schema.ancestry(*target), tree.fields(), &mut values);
             values
         });
-        if !pointed.contains(value) {
+        if !allowed.contains(value) {
             let what = format!("'{value}' is no {} that there is", schema.node(*target).name);
-            self.say(FaultKind::MissingInstance, what, Some("instance-required"));
+            self.add_fault(FaultKind::MissingInstance, what, Some("instance-required"));
         }
     }
 
-    fn musts(&mut self, id: NodeId, above: &Above<'a>, leaf: Option<Text>) {
+    fn constraints(&mut self, id: NodeId, above: &Above<'a>, leaf: Option<Text>) {
         let schema = self.schema;
         if schema.node(id).musts.is_empty() {
             return;
@@ -144,18 +155,22 @@
         for must in &schema.node(id).musts {
             if !must.holds(&context) {
                 let what = must.message.clone().unwrap_or_else(|| format!("must hold: {}", must.text));
-                self.say(FaultKind::MustViolation, what, must.tag.as_deref().or(Some("must-violation")));
+                let tag = must.tag.as_deref().or(Some("must-violation"));
+                self.add_fault(FaultKind::MustViolation, what, tag);
             }
         }
     }
 }
 
-fn gather(line: &[NodeId], fields: &Fields, values: &mut BTreeSet<Text>) {
-    let Some((id, rest)) = line.split_first() else { return };
+/// All values of the leaf to which the nodes lead from the top.
+fn collect_values(ancestry: &[NodeId], fields: &Fields, values: &mut BTreeSet<Text>) {
+    let Some((id, rest)) = ancestry.split_first() else { return };
     match fields.get(id) {
         Some(Node::Leaf(value)) => drop(values.insert(value.clone())),
-        Some(Node::Container(inner)) => gather(rest, inner, values),
-        Some(Node::List(entries)) => entries.values().for_each(|entry| gather(rest, entry, values)),
+        Some(Node::Container(inner)) => collect_values(rest, inner, values),
+        Some(Node::List(entries)) => {
+            entries.values().for_each(|entry| collect_values(rest, entry, values));
+        }
         _ => {}
     }
 }
--- a/crates/core/model/src/xpath.rs
+++ b/crates/core/model/src/xpath.rs
@@ -6,6 +6,7 @@
 /// The deepest nesting of parentheses and functions.
 const MAX_DEPTH: usize = 16;
 
+/// An expression of XPath.
 #[derive(Debug)]
 pub enum Expression {
     Or(Box<Expression>, Box<Expression>),
@@ -18,6 +19,7 @@
     Literal(String),
 }
 
+/// An operator of comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Comparison {
     Equal,
@@ -66,6 +68,7 @@
 }
 
 impl Expression {
+    /// Reads a whole expression.
     pub fn parse(text: &str) -> Result<Expression, XPathError> {
         let mut parser = Parser { tokens: tokens(text)?, position: 0 };
         let expression = parser.or(0)?;
--- a/crates/core/model/tests/trees.rs
+++ b/crates/core/model/tests/trees.rs
@@ -14,7 +14,7 @@
     schema.place(&parse_path(text).unwrap()).unwrap()
 }
 
-fn put(schema: &Schema, tree: &mut Tree, path: &str, value: &str) {
+fn set_leaf(schema: &Schema, tree: &mut Tree, path: &str, value: &str) {
     let place = place(schema, path);
     tree.apply(schema, Op::Merge, &place, Some(&Node::Leaf(value.into()))).unwrap();
 }
@@ -34,7 +34,7 @@
     value: u8,
 }
 
-fn an_edit() -> impl Strategy<Value = Edit> {
+fn edit_strategy() -> impl Strategy<Value = Edit> {
     let op = prop::sample::select(vec![Op::Merge, Op::Replace, Op::Create, Op::Delete, Op::Remove]);
     (op, 0..5u8, 0..3u8, 0..3u8).prop_map(|(op, target, pool, value)| Edit { op, target, pool, value })
 }
@@ -77,7 +77,7 @@
     true
 }
 
-fn carry_out(schema: &Schema, tree: &mut Tree, edit: &Edit) -> bool {
+fn apply_edit(schema: &Schema, tree: &mut Tree, edit: &Edit) -> bool {
     let state = ["enabled", "draining", "disabled"][edit.value as usize];
     let pool = format!("/front/pool[name=p{}]", edit.pool);
     let (path, value) = match edit.target {
@@ -95,12 +95,12 @@
 
 proptest! {
     #[test]
-    fn edits_do_what_they_do_to_a_map_of_leaves(edits in prop::collection::vec(an_edit(), 1..40)) {
+    fn any_edits_agree_with_a_map_of_leaves(edits in prop::collection::vec(edit_strategy(), 1..40)) {
         let schema = schema();
         let (mut tree, mut map) = (Tree::default(), BTreeMap::new());
         for edit in &edits {
             let before = tree.clone();
-            let done = carry_out(&schema, &mut tree, edit);
+            let done = apply_edit(&schema, &mut tree, edit);
             prop_assert_eq!(done, reference(&mut map, edit), "{:?}", edit);
             prop_assert_eq!(&leaves(&schema, &tree), &map, "{:?}", edit);
             prop_assert!(done || tree == before);
@@ -125,7 +125,7 @@
     }
 
     #[test]
-    fn any_text_is_a_path_or_an_error(text in "\\PC{0,40}") {
+    fn any_text_is_read_as_a_path_or_refused(text in "\\PC{0,40}") {
         if let Ok(steps) = parse_path(&text) {
             let schema = schema();
             let _ = (schema.place(&steps), schema.patterns(&steps));
@@ -133,7 +133,7 @@
     }
 
     #[test]
-    fn keys_may_hold_anything(value in "[ -~]{0,12}") {
+    fn any_key_value_is_written_and_read_back(value in "[ -~]{0,12}") {
         let schema = schema();
         let place = vec![
             Segment { node: schema.child(None, "front").unwrap(), keys: None },
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn what_does_not_hold_is_told_with_its_place() {
+fn faults_are_reported_with_their_place() {
     let schema = schema();
     type Case<'a> = (&'a [(&'a str, &'a str)], FaultKind, &'a str, &'a str);
     let cases: [Case; 4] = [
@@ -180,22 +180,22 @@
     ];
     for (leaves, kind, path, tag) in cases {
         let mut tree = Tree::default();
-        leaves.iter().for_each(|(path, value)| put(&schema, &mut tree, path, value));
+        leaves.iter().for_each(|(path, value)| set_leaf(&schema, &mut tree, path, value));
         let found = schema.validate(&tree).unwrap_err();
         assert_eq!(found.len(), 1, "{found:?}");
         assert_eq!((found[0].kind, found[0].path.as_deref()), (kind, Some(path)));
         assert_eq!(found[0].tag.as_deref(), Some(tag));
     }
     let mut tree = Tree::default();
-    put(&schema, &mut tree, "/front/service-group[name=report]/most-open", "5");
-    put(&schema, &mut tree, "/front/pool[name=a]/serves[.=report]", "report");
-    put(&schema, &mut tree, "/front/pool[name=a]/admin-state", "draining");
-    put(&schema, &mut tree, "/front/pool[name=a]/drained-for", "a new disk");
+    set_leaf(&schema, &mut tree, "/front/service-group[name=report]/most-open", "5");
+    set_leaf(&schema, &mut tree, "/front/pool[name=a]/serves[.=report]", "report");
+    set_leaf(&schema, &mut tree, "/front/pool[name=a]/admin-state", "draining");
+    set_leaf(&schema, &mut tree, "/front/pool[name=a]/drained-for", "a new disk");
     assert_eq!(schema.validate(&tree), Ok(()));
 }
 
 #[test]
-fn counts_and_what_is_mandatory_are_checked_everywhere() {
+fn element_counts_and_mandatory_nodes_are_checked_everywhere() {
     let text = "module m { yang-version 1.1; namespace 'urn:m'; prefix m;
         container c { container d { leaf must-be { type string; mandatory true; }
             leaf-list some { type string; min-elements 1; max-elements 2; } }
@@ -206,12 +206,12 @@
     };
     let mut tree = Tree::default();
     assert_eq!(kinds(&tree), [FaultKind::MissingElement, FaultKind::TooFew]);
-    put(&schema, &mut tree, "/c/d/must-be", "x");
+    set_leaf(&schema, &mut tree, "/c/d/must-be", "x");
     for value in ["a", "b"] {
-        put(&schema, &mut tree, &format!("/c/d/some[.={value}]"), value);
+        set_leaf(&schema, &mut tree, &format!("/c/d/some[.={value}]"), value);
     }
     assert!(kinds(&tree).is_empty());
-    put(&schema, &mut tree, "/c/d/some[.=e]", "e");
+    set_leaf(&schema, &mut tree, "/c/d/some[.=e]", "e");
     let entry = Node::Container(Arc::default());
     tree.apply(&schema, Op::Merge, &place(&schema, "/c/l[k=1]"), Some(&entry)).unwrap();
     tree.apply(&schema, Op::Merge, &place(&schema, "/c/l[k=2]"), Some(&entry)).unwrap();
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn paths_that_lead_nowhere_say_what_is_there() {
+fn unknown_path_names_the_nodes_that_are_known() {
     let schema = schema();
     let fault = |path: &str| schema.place(&parse_path(path).unwrap()).unwrap_err();
     let unknown = fault("/front/pol");
@@ -241,11 +241,11 @@
 }
 
 #[test]
-fn wildcards_mean_all_that_fits() {
+fn wildcards_select_all_matches() {
     let schema = schema();
     let mut tree = Tree::default();
     for pool in ["a", "b", "c"] {
-        put(&schema, &mut tree, &format!("/front/pool[name={pool}]/admin-state"), "draining");
+        set_leaf(&schema, &mut tree, &format!("/front/pool[name={pool}]/admin-state"), "draining");
     }
     let count = |path: &str| {
         let mut places = std::collections::BTreeSet::new();
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn state_and_keys_cannot_be_edited() {
+fn edits_of_state_and_keys_are_refused() {
     let schema = schema();
     let mut tree = Tree::default();
     let leaf = Node::Leaf("x".into());
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn json_that_does_not_fit_is_refused_with_its_kind() {
+fn json_that_does_not_fit_the_model_is_refused() {
     let schema = schema();
     let kind = |value| from_json(&schema, None, false, &value).unwrap_err().kind;
     assert_eq!(kind(json!([])), FaultKind::BadElement);
--- a/crates/core/model/tests/unit/compiler.rs
+++ b/crates/core/model/tests/unit/compiler.rs
@@ -1,3 +1,5 @@
+//! The compiler: the front's own model, and modules that it refuses.
+
 use super::*;
 
 fn wrong(body: &str) -> ModelError {
@@ -6,14 +8,14 @@
 }
 
 #[test]
-fn the_fronts_model_compiles() {
+fn front_model_compiles() {
     let schema = Schema::front().unwrap();
     assert_eq!(schema.module, "lemonusher-front");
     assert!(schema.notification("engine-changed").is_some());
 }
 
 #[test]
-fn what_is_not_known_is_told_by_its_line() {
+fn unknown_statements_are_reported_by_line() {
     for (body, line, what) in [
         ("rpc x;", 5, "'rpc'"),
         ("container a {\n anydata b;\n}", 6, "'anydata'"),
--- a/crates/core/model/tests/unit/statement.rs
+++ b/crates/core/model/tests/unit/statement.rs
@@ -1,7 +1,9 @@
+//! The grammar of statements.
+
 use super::*;
 
 #[test]
-fn strings_join_and_comments_do_not_count() {
+fn strings_are_joined_and_comments_skipped() {
     let text = "module /* a\n */ m { // b\n description \"x\" + 'y\\' ;\n leaf a; }";
     let module = Statement::parse(text).unwrap();
     assert_eq!(module.substatement_arg("description"), Ok(Some("xy\\")));
@@ -9,7 +11,7 @@
 }
 
 #[test]
-fn what_is_broken_is_told_by_line() {
+fn syntax_errors_are_reported_by_line() {
     for (text, line) in [
         ("module m {\n leaf a", 2),
         ("module m {\n\n leaf \"a", 3),
--- a/crates/core/model/tests/unit/types.rs
+++ b/crates/core/model/tests/unit/types.rs
@@ -1,7 +1,9 @@
+//! Integer types and their ranges.
+
 use super::*;
 
 #[test]
-fn integers_have_one_form_and_stay_in_range() {
+fn integers_have_one_canonical_form_within_their_ranges() {
     let (name, bounds) = ("uint16".to_owned(), integer_bounds("uint16").unwrap());
     let ranges = parse_ranges("1..10 | 20..max", bounds.clone()).unwrap();
     let ty = Type::Integer { name, ranges };
