--- a/crates/edges/cli/src/client.rs
+++ b/crates/edges/cli/src/client.rs
@@ -13,7 +13,7 @@
 use lemonusher_managed::gnmi::proto::gnmi_ext::{
     Commit, CommitCancel, CommitConfirm, CommitRequest, Extension, RegisteredExtension,
 };
-use lemonusher_managed::gnmi::{EXPECT, OURS};
+use lemonusher_managed::gnmi::{EXPECTED_VERSION_KEY, EXTENSION_ID};
 use std::path::PathBuf;
 use std::time::Duration;
 use tonic::metadata::MetadataValue;
@@ -163,7 +163,7 @@
             message.extension.push(commit(&terms.id, action));
         }
         if let Some(expect) = terms.expect {
-            message.extension.push(ours(&serde_json::json!({EXPECT: expect})));
+            message.extension.push(ours(&serde_json::json!({EXPECTED_VERSION_KEY: expect})));
         }
         self.change(message).await
     }
@@ -186,7 +186,7 @@
         request.set_timeout(PATIENCE);
         let answer = self.inner.set(request).await.map_err(failed)?.into_inner();
         let version = answer.extension.into_iter().find_map(|extension| match extension.ext {
-            Some(Ext::RegisteredExt(told)) if told.id == OURS => {
+            Some(Ext::RegisteredExt(told)) if told.id == EXTENSION_ID => {
                 serde_json::from_slice::<serde_json::Value>(&told.msg).ok()?.get("version")?.as_u64()
             }
             _ => None,
@@ -299,7 +299,7 @@
 }
 
 fn ours(told: &serde_json::Value) -> Extension {
-    let told = RegisteredExtension { id: OURS, msg: told.to_string().into_bytes() };
+    let told = RegisteredExtension { id: EXTENSION_ID, msg: told.to_string().into_bytes() };
     Extension { ext: Some(Ext::RegisteredExt(told)) }
 }
 
--- a/crates/edges/cli/src/main.rs
+++ b/crates/edges/cli/src/main.rs
@@ -9,7 +9,7 @@
 use clap::{Parser, Subcommand, ValueEnum};
 use client::{Client, Reach, SetTerms};
 use lemonusher_managed::gnmi::proto::gnmi::get_request::DataType;
-use lemonusher_managed::{GnmiTerms, Names, NetconfTerms, Started, Terms, Tls, User, Users};
+use lemonusher_managed::{GnmiConfig, ManagementConfig, Names, NetconfConfig, Started, Tls, User, Users};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -221,7 +221,8 @@
             let level = Arc::new(move |level: &str| dial.set(level));
             let started = lemonusher_managed::start(terms, known, front, level, Vec::new())
                 .map_err(|unfit| failed(unfit.to_string()))?;
-            let Started { requests, wanted, notices, gnmi, netconf, hub } = started;
+            let Started { requests, desired_state: wanted, notifications: notices, gnmi, netconf, hub } =
+                started;
             _hub = Some(hub);
             if let Some(address) = gnmi {
                 tracing::info!("gNMI at {address}");
@@ -341,7 +342,7 @@
 }
 
 /// What the file says of managers, with the files read that it names.
-fn terms_of(managed: &file::Managed) -> Result<Terms, Failure> {
+fn terms_of(managed: &file::Managed) -> Result<ManagementConfig, Failure> {
     let read = |path: &PathBuf| {
         std::fs::read(path).map_err(|error| Failure::File(vec![format!("{}: {error}", path.display())]))
     };
@@ -365,17 +366,17 @@
                 }
                 _ => None,
             };
-            Some(GnmiTerms { listen: *gnmi.listen.get_ref(), tls })
+            Some(GnmiConfig { listen: *gnmi.listen.get_ref(), tls })
         }
     };
     let netconf = match &managed.netconf {
         None => None,
         Some(netconf) => {
             let host_key = netconf.host_key.as_ref().map(|path| text(path.get_ref())).transpose()?;
-            Some(NetconfTerms { listen: *netconf.listen.get_ref(), host_key })
+            Some(NetconfConfig { listen: *netconf.listen.get_ref(), host_key })
         }
     };
-    Ok(Terms {
+    Ok(ManagementConfig {
         folder: managed.folder.as_ref().map(|folder| folder.get_ref().clone()),
         history: *managed.history.get_ref(),
         sessions: *managed.sessions.get_ref(),
--- a/crates/edges/cli/tests/managers/mod.rs
+++ b/crates/edges/cli/tests/managers/mod.rs
@@ -222,7 +222,7 @@
             stream: channel.into_stream(),
             _handle: handle,
             framer: Framer::new(64 * 1024 * 1024),
-            framing: Framing::Mark,
+            framing: Framing::EndOfMessage,
             id: 0,
             next: 1,
         };
@@ -233,8 +233,8 @@
         let theirs = parse(&netconf.receive().await.expect("a hello")).unwrap();
         netconf.id = theirs.child("session-id").unwrap().value().parse().unwrap();
         if capabilities.contains("base:1.1") {
-            netconf.framing = Framing::Chunks;
-            netconf.framer.set(Framing::Chunks);
+            netconf.framing = Framing::Chunked;
+            netconf.framer.set_framing(Framing::Chunked);
         }
         netconf
     }
@@ -253,7 +253,7 @@
     pub async fn receive(&mut self) -> Option<String> {
         let mut bytes = vec![0; 16 * 1024];
         loop {
-            if let Some(message) = self.framer.cut().unwrap() {
+            if let Some(message) = self.framer.next_message().unwrap() {
                 return Some(String::from_utf8(message).unwrap());
             }
             let read =
--- a/crates/edges/managed/src/disk.rs
+++ b/crates/edges/managed/src/disk.rs
@@ -11,12 +11,12 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-const LOG: &str = "state.log";
-const NEXT: &str = "state.log.next";
-const LOCK: &str = "lock";
+const LOG_FILE: &str = "state.log";
+const NEXT_LOG_FILE: &str = "state.log.next";
+const LOCK_FILE: &str = "lock";
 /// Bytes beyond which a log may be made shorter, and how many times as long as when it last was.
-const SHORT: u64 = 256 * 1024;
-const GROWN: u64 = 4;
+const MIN_COMPACTION_BYTES: u64 = 256 * 1024;
+const COMPACTION_GROWTH: u64 = 4;
 
 /// The log of the state, in a folder that no other process uses.
 #[derive(Debug)]
@@ -25,9 +25,9 @@
     log: File,
     length: u64,
     /// Its length when it was last as short as can be.
-    base: u64,
+    compacted_length: u64,
     /// A record is half there and could not be taken back.
-    stuck: bool,
+    broken: bool,
     _lock: File,
 }
 
@@ -36,7 +36,7 @@
 pub enum DiskError {
     Io(PathBuf, io::Error),
     /// Another process uses the folder.
-    Taken(PathBuf),
+    InUse(PathBuf),
     Recovery(PathBuf, RecoveryError),
 }
 
@@ -44,7 +44,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             DiskError::Io(path, error) => write!(f, "{}: {error}", path.display()),
-            DiskError::Taken(path) => write!(f, "{}: another process uses it", path.display()),
+            DiskError::InUse(path) => write!(f, "{}: another process uses it", path.display()),
             DiskError::Recovery(path, unfit) => write!(f, "{}: {unfit}; it is left as it is", path.display()),
         }
     }
@@ -58,17 +58,17 @@
             move |error| DiskError::Io(path, error)
         };
         std::fs::create_dir_all(folder).map_err(io(folder))?;
-        let (lock_path, path) = (folder.join(LOCK), folder.join(LOG));
+        let (lock_path, path) = (folder.join(LOCK_FILE), folder.join(LOG_FILE));
         let lock = File::create(&lock_path).map_err(io(&lock_path))?;
         match lock.try_lock() {
             Ok(()) => {}
-            Err(TryLockError::WouldBlock) => return Err(DiskError::Taken(folder.to_owned())),
+            Err(TryLockError::WouldBlock) => return Err(DiskError::InUse(folder.to_owned())),
             Err(TryLockError::Error(error)) => return Err(DiskError::Io(lock_path, error)),
         }
         // A shorter log that was not yet in place when the process ended says nothing new.
-        match std::fs::remove_file(folder.join(NEXT)) {
+        match std::fs::remove_file(folder.join(NEXT_LOG_FILE)) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => {
-                return Err(DiskError::Io(folder.join(NEXT), error));
+                return Err(DiskError::Io(folder.join(NEXT_LOG_FILE), error));
             }
             _ => {}
         }
@@ -97,12 +97,22 @@
         sync_folder(folder).map_err(io(folder))?;
         tracing::info!(records, version = store.running().number, "state read from {}", path.display());
         let base = length;
-        Ok((Disk { folder: folder.to_owned(), log, length, base, stuck: false, _lock: lock }, store))
+        Ok((
+            Disk {
+                folder: folder.to_owned(),
+                log,
+                length,
+                compacted_length: base,
+                broken: false,
+                _lock: lock,
+            },
+            store,
+        ))
     }
 
     /// Writes a record and syncs it.
     pub fn append(&mut self, record: &Record) -> io::Result<()> {
-        if self.stuck {
+        if self.broken {
             return Err(io::Error::other("an earlier record is half written and can't be taken back"));
         }
         let bytes = encode_record(record);
@@ -116,28 +126,30 @@
                 // Whether it is there is not known: it must not be, as it will not be acknowledged.
                 let back = self.log.set_len(self.length);
                 let back = back.and_then(|()| self.log.seek(SeekFrom::Start(self.length)));
-                self.stuck = back.and_then(|_| self.log.sync_all()).is_err();
+                self.broken = back.and_then(|_| self.log.sync_all()).is_err();
                 Err(error)
             }
         }
     }
 
     /// Whether the log has grown enough to be made shorter.
-    pub fn grown(&self) -> bool {
-        !self.stuck && self.length > SHORT && self.length > self.base * GROWN
+    pub fn needs_compaction(&self) -> bool {
+        !self.broken
+            && self.length > MIN_COMPACTION_BYTES
+            && self.length > self.compacted_length * COMPACTION_GROWTH
     }
 
     /// Puts the shortest log that says the same in place of this one. A crash at any point leaves one or the
     /// other.
-    pub fn shorten(&mut self, store: &Store) -> io::Result<()> {
+    pub fn compact(&mut self, store: &Store) -> io::Result<()> {
         let bytes = compact(store);
-        let next = self.folder.join(NEXT);
+        let next = self.folder.join(NEXT_LOG_FILE);
         let mut file = OpenOptions::new().write(true).create(true).truncate(true).open(&next)?;
         file.write_all(&bytes)?;
         file.sync_all()?;
-        std::fs::rename(&next, self.folder.join(LOG))?;
+        std::fs::rename(&next, self.folder.join(LOG_FILE))?;
         sync_folder(&self.folder)?;
-        (self.log, self.length, self.base) = (file, bytes.len() as u64, bytes.len() as u64);
+        (self.log, self.length, self.compacted_length) = (file, bytes.len() as u64, bytes.len() as u64);
         Ok(())
     }
 
@@ -188,17 +200,17 @@
     fn commits_come_back_also_from_a_shortened_log() {
         let folder = folder("back");
         let (mut disk, mut store) = open(&folder).unwrap();
-        assert!(matches!(open(&folder), Err(DiskError::Taken(_))));
+        assert!(matches!(open(&folder), Err(DiskError::InUse(_))));
         for cell in 0..4 {
             put(&mut disk, &mut store, cell);
         }
-        disk.shorten(&store).unwrap();
+        disk.compact(&store).unwrap();
         put(&mut disk, &mut store, 9);
         let tree = store.running().tree.clone();
         drop(disk);
         let (disk, store) = open(&folder).unwrap();
         assert_eq!((&store.running().tree, store.running().number), (&tree, 5));
-        assert_eq!(disk.length(), std::fs::metadata(folder.join(LOG)).unwrap().len());
+        assert_eq!(disk.length(), std::fs::metadata(folder.join(LOG_FILE)).unwrap().len());
         drop(disk);
         std::fs::remove_dir_all(folder).unwrap();
     }
@@ -211,18 +223,18 @@
         (0..4).for_each(|cell| put(&mut disk, &mut store, cell));
         drop(disk);
         let tree = store.running().tree.clone();
-        let old = std::fs::read(folder.join(LOG)).unwrap();
+        let old = std::fs::read(folder.join(LOG_FILE)).unwrap();
         let new = compact(&store);
         let steps: Vec<(&[u8], Option<&[u8]>)> =
             vec![(&old, Some(b"")), (&old, Some(&new[..new.len() / 2])), (&old, Some(&new)), (&new, None)];
         for (log, next) in steps {
-            std::fs::write(folder.join(LOG), log).unwrap();
+            std::fs::write(folder.join(LOG_FILE), log).unwrap();
             if let Some(next) = next {
-                std::fs::write(folder.join(NEXT), next).unwrap();
+                std::fs::write(folder.join(NEXT_LOG_FILE), next).unwrap();
             }
             let (_disk, store) = open(&folder).unwrap();
             assert_eq!(store.running().tree, tree);
-            assert!(!folder.join(NEXT).exists());
+            assert!(!folder.join(NEXT_LOG_FILE).exists());
         }
         std::fs::remove_dir_all(folder).unwrap();
     }
@@ -233,8 +245,8 @@
         let log = include_bytes!("../../../core/store/tests/fixtures/state.log");
         let folder = folder("earlier");
         std::fs::create_dir_all(&folder).unwrap();
-        std::fs::write(folder.join(LOG), log).unwrap();
-        std::fs::write(folder.join(LOCK), b"").unwrap();
+        std::fs::write(folder.join(LOG_FILE), log).unwrap();
+        std::fs::write(folder.join(LOCK_FILE), b"").unwrap();
         let (mut disk, mut store) = open(&folder).unwrap();
         assert_eq!((store.running().number, disk.length()), (19, log.len() as u64));
         assert!(store.startup().is_some() && store.pending().is_some_and(|pending| pending.orphaned));
@@ -244,7 +256,7 @@
         store.finish_commit(plan);
         let mut wanted = log.to_vec();
         wanted.extend(encode_record(&record));
-        assert_eq!(std::fs::read(folder.join(LOG)).unwrap(), wanted);
+        assert_eq!(std::fs::read(folder.join(LOG_FILE)).unwrap(), wanted);
         let tree = store.running().tree.clone();
         drop(disk);
         let (disk, store) = open(&folder).unwrap();
@@ -259,11 +271,11 @@
         let (mut disk, mut store) = open(&folder).unwrap();
         (0..3).for_each(|cell| put(&mut disk, &mut store, cell));
         drop(disk);
-        let mut bytes = std::fs::read(folder.join(LOG)).unwrap();
+        let mut bytes = std::fs::read(folder.join(LOG_FILE)).unwrap();
         bytes[HEADER.len() + 20] ^= 1;
-        std::fs::write(folder.join(LOG), &bytes).unwrap();
+        std::fs::write(folder.join(LOG_FILE), &bytes).unwrap();
         assert!(matches!(open(&folder), Err(DiskError::Recovery(..))));
-        assert_eq!(std::fs::read(folder.join(LOG)).unwrap(), bytes);
+        assert_eq!(std::fs::read(folder.join(LOG_FILE)).unwrap(), bytes);
         std::fs::remove_dir_all(folder).unwrap();
     }
 }
--- a/crates/edges/managed/src/gnmi/mod.rs
+++ b/crates/edges/managed/src/gnmi/mod.rs
@@ -18,5 +18,5 @@
 }
 
 pub use paths::{from_place, to_steps};
-pub use service::{EXPECT, OURS, serve};
+pub use service::{EXPECTED_VERSION_KEY, EXTENSION_ID, serve};
 pub use values::{typed, untyped};
--- a/crates/edges/managed/src/gnmi/service.rs
+++ b/crates/edges/managed/src/gnmi/service.rs
@@ -9,7 +9,7 @@
 use super::values::{typed, untyped, whole};
 use crate::hub::{Hub, unix_ms};
 use crate::start::Tls;
-use crate::state::Needs;
+use crate::state::StateSelection;
 use crate::users::{Grant, Users};
 use lemonusher_model::{Fault, FaultKind, NodeKind, NodeRef, Op, Pattern, Place, Schema, Segment, node_of};
 use lemonusher_store::{CommitOptions, CommitPlan, Edit, Protocol, Store, StoreError, Version};
@@ -27,15 +27,15 @@
 
 /// The number under which this program's own extension goes: `{"rollback": N}`, `{"expect": N}` or both. The
 /// answer to a Set carries `{"version": N}`.
-pub const OURS: i32 = 999;
+pub const EXTENSION_ID: i32 = 999;
 /// The key by which a writer says what it has seen.
-pub const EXPECT: &str = "expect";
+pub const EXPECTED_VERSION_KEY: &str = "expect";
 
-const LARGEST: usize = 16 * 1024 * 1024;
-const MOST_PATHS: usize = 1024;
-const ROLLBACK_AFTER: Duration = Duration::from_secs(600);
-const STREAMS: u32 = 64;
-const CALLS: usize = 64;
+const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
+const MAX_PATHS: usize = 1024;
+const DEFAULT_CONFIRM_TIMEOUT: Duration = Duration::from_secs(600);
+const MAX_STREAMS_PER_CONNECTION: u32 = 64;
+const MAX_CALLS_PER_CONNECTION: usize = 64;
 
 pub(super) struct Service {
     pub hub: Arc<Hub>,
@@ -54,10 +54,10 @@
 ) -> Result<(), String> {
     let listener = tokio::net::TcpListener::from_std(listener).map_err(|error| error.to_string())?;
     let service = Service { hub, users, subscriptions, subscribed: Arc::default() };
-    let service = GNmiServer::new(service).max_decoding_message_size(LARGEST);
+    let service = GNmiServer::new(service).max_decoding_message_size(MAX_MESSAGE_BYTES);
     let mut server = Server::builder()
-        .max_concurrent_streams(STREAMS)
-        .concurrency_limit_per_connection(CALLS)
+        .max_concurrent_streams(MAX_STREAMS_PER_CONNECTION)
+        .concurrency_limit_per_connection(MAX_CALLS_PER_CONNECTION)
         .http2_keepalive_interval(Some(Duration::from_secs(20)))
         .http2_keepalive_timeout(Some(Duration::from_secs(10)))
         .tcp_nodelay(true);
@@ -138,11 +138,11 @@
     for extension in extensions {
         match &extension.ext {
             Some(Ext::Commit(commit)) => asked.commit = Some(commit.clone()),
-            Some(Ext::RegisteredExt(RegisteredExtension { id: OURS, msg })) => {
+            Some(Ext::RegisteredExt(RegisteredExtension { id: EXTENSION_ID, msg })) => {
                 let told: serde_json::Value = serde_json::from_slice(msg)
                     .map_err(|_| Status::invalid_argument("extension 999 is a JSON object"))?;
                 asked.rollback = told.get("rollback").and_then(serde_json::Value::as_u64);
-                asked.expect = told.get(EXPECT).and_then(serde_json::Value::as_u64);
+                asked.expect = told.get(EXPECTED_VERSION_KEY).and_then(serde_json::Value::as_u64);
             }
             _ => {} // Extensions that are not known are passed over, as the specification has it.
         }
@@ -194,7 +194,7 @@
         Some(given) if given.seconds > 0 || given.nanos > 0 => {
             Duration::new(given.seconds.max(0) as u64, given.nanos.max(0) as u32)
         }
-        _ => ROLLBACK_AFTER,
+        _ => DEFAULT_CONFIRM_TIMEOUT,
     }
 }
 
@@ -250,7 +250,7 @@
         self.grant(request.metadata())?;
         let request = request.into_inner();
         let encoding = encoding(request.encoding)?;
-        if request.path.len() > MOST_PATHS {
+        if request.path.len() > MAX_PATHS {
             return Err(Status::invalid_argument("too many paths"));
         }
         let schema = self.hub.schema().clone();
@@ -264,7 +264,8 @@
         let mut notifications = Vec::new();
         for path in paths {
             let patterns = self.patterns(request.prefix.as_ref(), Some(path))?;
-            let needs = if state { Needs::of(&schema, &patterns) } else { Needs::default() };
+            let needs =
+                if state { StateSelection::of(&schema, &patterns) } else { StateSelection::default() };
             let view = self.hub.view(config, needs).await;
             let mut update = Vec::new();
             if encoding == Encoding::Proto {
@@ -308,7 +309,7 @@
         if !request.union_replace.is_empty() {
             return Err(Status::unimplemented("union_replace is not known"));
         }
-        if request.delete.len() + request.replace.len() + request.update.len() > MOST_PATHS * 64 {
+        if request.delete.len() + request.replace.len() + request.update.len() > MAX_PATHS * 64 {
             return Err(Status::invalid_argument("too many changes at once"));
         }
         let asked = asked(&request.extension)?;
@@ -329,7 +330,7 @@
                 }
             });
             let committed = committed.await;
-            hub.close(session);
+            hub.close_session(session);
             committed
         });
         let committed = carried.await.unwrap_or_else(|_| Err(StoreError::Failed("it came to no end".into())));
@@ -342,7 +343,7 @@
             |version: Arc<Version>| version.number,
         );
         let msg = serde_json::json!({"version": version}).to_string().into_bytes();
-        let told = Extension { ext: Some(Ext::RegisteredExt(RegisteredExtension { id: OURS, msg })) };
+        let told = Extension { ext: Some(Ext::RegisteredExt(RegisteredExtension { id: EXTENSION_ID, msg })) };
         Ok(Response::new(SetResponse {
             prefix,
             response: results,
--- a/crates/edges/managed/src/gnmi/subscribe.rs
+++ b/crates/edges/managed/src/gnmi/subscribe.rs
@@ -9,7 +9,7 @@
 use super::service::{Service, encoding, status, unix_ns};
 use super::values::typed;
 use crate::hub::Hub;
-use crate::state::Needs;
+use crate::state::StateSelection;
 use crate::users::Grant;
 use lemonusher_model::{Pattern, Schema};
 use lemonusher_store::{Protocol, SessionId};
@@ -25,31 +25,31 @@
 use tonic::{Status, Streaming};
 
 /// Messages that a subscriber may be behind.
-const LINE: usize = 64;
-const MOST_SUBSCRIPTIONS: usize = 64;
+const MAX_QUEUED_MESSAGES: usize = 64;
+const MAX_SUBSCRIPTIONS_PER_CALL: usize = 64;
 /// Updates in one message.
-const CHUNK: usize = 1024;
-const SHORTEST: Duration = Duration::from_millis(20);
-const USUAL: Duration = Duration::from_secs(1);
+const MAX_UPDATES_PER_MESSAGE: usize = 1024;
+const MIN_INTERVAL: Duration = Duration::from_millis(20);
+const DEFAULT_SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 /// How often state that changes without notice is compared for those who want changes.
-const COMPARE: Duration = Duration::from_millis(250);
+const COMPARE_INTERVAL: Duration = Duration::from_millis(250);
 /// How soon a subscriber that had no room is tried again.
-const AGAIN: Duration = Duration::from_millis(50);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-type Line = Pin<Box<dyn Stream<Item = Result<SubscribeResponse, Status>> + Send>>;
+type ResponseStream = Pin<Box<dyn Stream<Item = Result<SubscribeResponse, Status>> + Send>>;
 
 /// One of all the subscriptions that there may be, given back when it ends.
-struct Seat {
+struct SubscriptionGuard {
     hub: Arc<Hub>,
     session: SessionId,
     all: Arc<AtomicUsize>,
     count: usize,
 }
 
-impl Drop for Seat {
+impl Drop for SubscriptionGuard {
     fn drop(&mut self) {
         self.all.fetch_sub(self.count, Ordering::SeqCst);
-        self.hub.close(self.session);
+        self.hub.close_session(self.session);
     }
 }
 
@@ -57,11 +57,11 @@
     hub: Arc<Hub>,
     schema: Arc<Schema>,
     watch: Watch,
-    needs: Needs,
+    needs: StateSelection,
     config: bool,
     encoding: Encoding,
     line: mpsc::Sender<Result<SubscribeResponse, Status>>,
-    seat: Seat,
+    seat: SubscriptionGuard,
     told_lost: u64,
 }
 
@@ -69,7 +69,7 @@
     service: &Service,
     grant: Grant,
     mut requests: Streaming<SubscribeRequest>,
-) -> Result<Line, Status> {
+) -> Result<ResponseStream, Status> {
     let first = requests.message().await?.and_then(|request| request.request);
     let Some(Asked::Subscribe(list)) = first else {
         return Err(Status::invalid_argument("the first message is a subscription list"));
@@ -79,8 +79,10 @@
     let encoding = encoding(list.encoding)?;
     let mode =
         ListMode::try_from(list.mode).map_err(|_| Status::invalid_argument("the mode is not known"))?;
-    if list.subscription.is_empty() || list.subscription.len() > MOST_SUBSCRIPTIONS {
-        return Err(Status::invalid_argument(format!("1 to {MOST_SUBSCRIPTIONS} subscriptions are taken")));
+    if list.subscription.is_empty() || list.subscription.len() > MAX_SUBSCRIPTIONS_PER_CALL {
+        return Err(Status::invalid_argument(format!(
+            "1 to {MAX_SUBSCRIPTIONS_PER_CALL} subscriptions are taken"
+        )));
     }
     let (mut terms, mut all) = (Vec::new(), Vec::new());
     for subscription in &list.subscription {
@@ -98,13 +100,13 @@
             service.subscribed.fetch_sub(count, Ordering::SeqCst);
             status(&refused)
         })?;
-    let seat = Seat { hub: hub.clone(), session, all: service.subscribed.clone(), count };
+    let seat = SubscriptionGuard { hub: hub.clone(), session, all: service.subscribed.clone(), count };
     tracing::info!(session, user = grant.user, subscriptions = count, "subscribed");
-    let (line, answers) = mpsc::channel(LINE);
+    let (line, answers) = mpsc::channel(MAX_QUEUED_MESSAGES);
     let config = all.iter().any(|pattern| pattern.get(1).is_none_or(|step| schema.node(step.node).config));
     let subscriber = Subscriber {
         watch: Watch::new(terms, hub.now()),
-        needs: Needs::of(&schema, &all),
+        needs: StateSelection::of(&schema, &all),
         hub,
         schema,
         config,
@@ -130,9 +132,11 @@
 ) -> Result<watch::Subscription, Status> {
     let span = |ns: u64| Duration::from_nanos(ns);
     let every = match span(asked.sample_interval) {
-        Duration::ZERO => USUAL,
-        short if short < SHORTEST => {
-            return Err(Status::invalid_argument(format!("the shortest sample interval is {SHORTEST:?}")));
+        Duration::ZERO => DEFAULT_SAMPLE_INTERVAL,
+        short if short < MIN_INTERVAL => {
+            return Err(Status::invalid_argument(format!(
+                "the shortest sample interval is {MIN_INTERVAL:?}"
+            )));
         }
         every => every,
     };
@@ -144,7 +148,7 @@
         Ok(SubscriptionMode::OnChange) => watch::SubscriptionMode::OnChange,
         Ok(SubscriptionMode::Sample) => sample,
         // What changes by commits or notices is told as it changes, what drifts by samples.
-        Ok(SubscriptionMode::TargetDefined) => match Needs::of(schema, &patterns).drifts() {
+        Ok(SubscriptionMode::TargetDefined) => match StateSelection::of(schema, &patterns).drifts() {
             true => sample,
             false => watch::SubscriptionMode::OnChange,
         },
@@ -152,8 +156,8 @@
     };
     let heartbeat = match span(asked.heartbeat_interval) {
         Duration::ZERO => None,
-        short if short < SHORTEST => {
-            return Err(Status::invalid_argument(format!("the shortest heartbeat is {SHORTEST:?}")));
+        short if short < MIN_INTERVAL => {
+            return Err(Status::invalid_argument(format!("the shortest heartbeat is {MIN_INTERVAL:?}")));
         }
         span => Some(span),
     };
@@ -181,12 +185,12 @@
             })),
             extension: Vec::new(),
         };
-        let deletes = notification.deletes.chunks(CHUNK).map(|part| {
+        let deletes = notification.deletes.chunks(MAX_UPDATES_PER_MESSAGE).map(|part| {
             notify(Vec::new(), part.iter().map(|place| from_place(&self.schema, place)).collect())
         });
         let updates = notification
             .updates
-            .chunks(CHUNK)
+            .chunks(MAX_UPDATES_PER_MESSAGE)
             .map(|part| notify(part.iter().map(update).collect(), Vec::new()));
         deletes.chain(updates).collect()
     }
@@ -235,7 +239,7 @@
     }
 
     async fn stream(mut self, mut requests: Streaming<SubscribeRequest>, updates_only: bool) {
-        let mut happened = self.hub.happenings();
+        let mut happened = self.hub.subscribe();
         let tree = self.tree().await;
         let notification = self.watch.initial(&tree, updates_only);
         if !self.give(notification).await || !self.synced().await {
@@ -246,10 +250,10 @@
             let now = self.hub.now();
             let mut due = self.watch.next_timeout();
             if drifts {
-                due = Some(due.unwrap_or(Duration::MAX).min(now + COMPARE));
+                due = Some(due.unwrap_or(Duration::MAX).min(now + COMPARE_INTERVAL));
             }
             if self.watch.has_backlog() || self.watch.lost_updates() > self.told_lost {
-                due = Some(due.unwrap_or(Duration::MAX).min(now + AGAIN));
+                due = Some(due.unwrap_or(Duration::MAX).min(now + RETRY_INTERVAL));
             }
             let wait = due.map_or(Duration::from_secs(3600), |due| due.saturating_sub(now));
             tokio::select! {
@@ -271,7 +275,7 @@
                         }
                         tokio::select! {
                             () = self.line.closed() => return,
-                            () = tokio::time::sleep(wait.min(COMPARE)) => {}
+                            () = tokio::time::sleep(wait.min(COMPARE_INTERVAL)) => {}
                         }
                     }
                     Some(Err(_)) => return,
@@ -290,8 +294,8 @@
     async fn turn(&mut self, tree: &lemonusher_model::Tree) -> bool {
         // One that has read all may be given more than its line holds: it waits for itself alone.
         let room = match self.line.capacity() {
-            LINE => usize::MAX,
-            free => free.saturating_sub(4) * CHUNK,
+            MAX_QUEUED_MESSAGES => usize::MAX,
+            free => free.saturating_sub(4) * MAX_UPDATES_PER_MESSAGE,
         };
         for notification in self.watch.poll(self.hub.now(), tree, room) {
             if !self.give(notification).await {
@@ -300,7 +304,7 @@
         }
         let lost = self.watch.lost_updates();
         if lost > self.told_lost {
-            self.hub.lost(self.seat.session, lost);
+            self.hub.record_lost_updates(self.seat.session, lost);
             if room > 0 && self.tell_lost(lost) {
                 tracing::warn!(session = self.seat.session, lost, "a subscriber did not read in time");
                 self.told_lost = lost;
--- a/crates/edges/managed/src/hub.rs
+++ b/crates/edges/managed/src/hub.rs
@@ -3,7 +3,7 @@
 
 use crate::disk::Disk;
 use crate::parts::Part;
-use crate::state::{Needs, Sources, view};
+use crate::state::{Sources, StateSelection, view};
 use async_channel::Sender;
 use lemonusher_desired_state::Names;
 use lemonusher_model::{Schema, Tree};
@@ -18,13 +18,13 @@
 use tokio::sync::{Notify, broadcast};
 
 /// A part that says nothing for so long is taken as lost.
-const PART_PATIENCE: Duration = Duration::from_secs(5);
+const PART_TIMEOUT: Duration = Duration::from_secs(5);
 /// Notices that a door may be behind before it loses some.
-const NOTICES: usize = 4096;
+const MAX_QUEUED_NOTIFICATIONS: usize = 4096;
 
 /// What subscribers to notifications hear of.
 #[derive(Debug, Clone)]
-pub enum Happened {
+pub enum ManagementEvent {
     Committed(Arc<Version>),
     Engine(EngineNotification),
 }
@@ -33,7 +33,7 @@
     store: Store,
     disk: Option<Disk>,
     /// Updates that each session's subscriptions have lost.
-    lost: BTreeMap<SessionId, u64>,
+    lost_updates: BTreeMap<SessionId, u64>,
 }
 
 pub struct Hub {
@@ -41,14 +41,14 @@
     names: Names,
     front: String,
     core: Mutex<Core>,
-    lane: tokio::sync::Mutex<()>,
+    commit_lock: tokio::sync::Mutex<()>,
     parts: Vec<Arc<dyn Part>>,
     requests: Sender<ManagementCall>,
-    began: Instant,
+    started_at: Instant,
     freshness: Duration,
-    latest: tokio::sync::Mutex<Option<(Instant, Arc<Snapshot>)>>,
-    happened: broadcast::Sender<Happened>,
-    due_changed: Notify,
+    latest_snapshot: tokio::sync::Mutex<Option<(Instant, Arc<Snapshot>)>>,
+    events: broadcast::Sender<ManagementEvent>,
+    timeout_changed: Notify,
 }
 
 impl Hub {
@@ -67,15 +67,15 @@
             schema,
             names,
             front,
-            core: Mutex::new(Core { store, disk, lost: BTreeMap::new() }),
-            lane: tokio::sync::Mutex::new(()),
+            core: Mutex::new(Core { store, disk, lost_updates: BTreeMap::new() }),
+            commit_lock: tokio::sync::Mutex::new(()),
             parts,
             requests,
-            began: Instant::now(),
+            started_at: Instant::now(),
             freshness,
-            latest: tokio::sync::Mutex::new(None),
-            happened: broadcast::Sender::new(NOTICES),
-            due_changed: Notify::new(),
+            latest_snapshot: tokio::sync::Mutex::new(None),
+            events: broadcast::Sender::new(MAX_QUEUED_NOTIFICATIONS),
+            timeout_changed: Notify::new(),
         })
     }
 
@@ -89,11 +89,11 @@
 
     /// Since the hub's start; the store's spans count from there.
     pub fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
-    pub fn happenings(&self) -> broadcast::Receiver<Happened> {
-        self.happened.subscribe()
+    pub fn subscribe(&self) -> broadcast::Receiver<ManagementEvent> {
+        self.events.subscribe()
     }
 
     fn core(&self) -> MutexGuard<'_, Core> {
@@ -106,16 +106,16 @@
     }
 
     /// A session has ended; what it alone could have confirmed falls due.
-    pub fn close(&self, session: SessionId) {
+    pub fn close_session(&self, session: SessionId) {
         let mut core = self.core();
         core.store.close_session(session);
-        core.lost.remove(&session);
+        core.lost_updates.remove(&session);
         drop(core);
-        self.due_changed.notify_one();
+        self.timeout_changed.notify_one();
     }
 
-    pub fn lost(&self, session: SessionId, updates: u64) {
-        *self.core().lost.entry(session).or_default() = updates;
+    pub fn record_lost_updates(&self, session: SessionId, updates: u64) {
+        *self.core().lost_updates.entry(session).or_default() = updates;
     }
 
     /// Plans something and carries it out. The future may be dropped: what is planned goes on to its end.
@@ -125,11 +125,11 @@
     ) -> Result<Option<Arc<Version>>, StoreError> {
         let hub = self.clone();
         let carried = tokio::spawn(async move {
-            let _lane = hub.lane.lock().await;
+            let _lane = hub.commit_lock.lock().await;
             let now = hub.now();
             let planned = plan(&mut hub.core().store, now, unix_ms())?;
             match planned {
-                Some(plan) => hub.carry(plan).await.map(Some),
+                Some(plan) => hub.execute(plan).await.map(Some),
                 None => Ok(None),
             }
         });
@@ -139,7 +139,7 @@
     }
 
     /// Takes a plan through all parts and the log.
-    async fn carry(self: &Arc<Self>, plan: CommitPlan) -> Result<Arc<Version>, StoreError> {
+    async fn execute(self: &Arc<Self>, plan: CommitPlan) -> Result<Arc<Version>, StoreError> {
         let version = plan.version.clone();
         let (mut round, asks) = TwoPhaseCommit::start(self.parts.iter().map(|part| part.name()).collect());
         let mut asks = VecDeque::from(asks);
@@ -147,7 +147,7 @@
         while let Some(ask) = asks.pop_front() {
             let told = match ask {
                 CommitAction::Prepare(part) => {
-                    Some(match self.ask(part, |part| part.prepare(version.clone())).await {
+                    Some(match self.call_part(part, |part| part.prepare(version.clone())).await {
                         Some(Ok(())) => CommitEvent::Prepared(part),
                         Some(Err(why)) => CommitEvent::Declined { part, reason: why },
                         None => CommitEvent::Lost(part),
@@ -158,13 +158,13 @@
                     Err(error) => CommitEvent::NotLogged(error.to_string()),
                 }),
                 CommitAction::Activate(part) => {
-                    Some(match self.ask(part, |part| part.switch(version.number)).await {
+                    Some(match self.call_part(part, |part| part.activate(version.number)).await {
                         Some(Ok(())) => CommitEvent::Activated(part),
                         _ => CommitEvent::Lost(part),
                     })
                 }
                 CommitAction::Discard(part) => {
-                    self.ask(part, |part| part.abandon(version.number)).await;
+                    self.call_part(part, |part| part.discard(version.number)).await;
                     None
                 }
                 CommitAction::Done(lost) => {
@@ -204,13 +204,13 @@
             "{}",
             version.cause
         );
-        let _ = self.happened.send(Happened::Committed(version.clone()));
-        self.due_changed.notify_one();
+        let _ = self.events.send(ManagementEvent::Committed(version.clone()));
+        self.timeout_changed.notify_one();
         Ok(version)
     }
 
     /// What a part says; none if it panicked or took too long.
-    async fn ask(
+    async fn call_part(
         &self,
         part: usize,
         ask: impl FnOnce(&dyn Part) -> crate::PartFuture,
@@ -218,7 +218,7 @@
         let part = self.parts[part].clone();
         let asked = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| ask(&*part))).ok()?;
         let task = tokio::spawn(asked);
-        match tokio::time::timeout(PART_PATIENCE, task).await {
+        match tokio::time::timeout(PART_TIMEOUT, task).await {
             Ok(Ok(said)) => Some(said),
             Ok(Err(_)) | Err(_) => None,
         }
@@ -234,8 +234,12 @@
     }
 
     /// Keeps or drops the startup datastore.
-    pub async fn keep_startup(&self, session: SessionId, from: Option<Datastore>) -> Result<(), StoreError> {
-        let _lane = self.lane.lock().await;
+    pub async fn copy_to_startup(
+        &self,
+        session: SessionId,
+        from: Option<Datastore>,
+    ) -> Result<(), StoreError> {
+        let _lane = self.commit_lock.lock().await;
         let mut core = self.core();
         let plan = core.store.plan_startup(session, from)?;
         let record = Record::startup(&self.schema, plan.tree.as_ref());
@@ -247,7 +251,7 @@
     }
 
     /// Takes back what nobody confirmed in time, for as long as the front runs.
-    pub async fn tend(self: Arc<Self>) {
+    pub async fn revert_expired_commits(self: Arc<Self>) {
         loop {
             let due = self.core().store.next_timeout();
             let wait = due.map(|due| due.saturating_sub(self.now()));
@@ -259,24 +263,27 @@
                     }
                 }
                 Some(wait) => {
-                    let _ = tokio::time::timeout(wait, self.due_changed.notified()).await;
+                    let _ = tokio::time::timeout(wait, self.timeout_changed.notified()).await;
                 }
-                None => self.due_changed.notified().await,
+                None => self.timeout_changed.notified().await,
             }
         }
     }
 
     /// Passes the owner's notices on.
-    pub async fn hear(self: Arc<Self>, notices: async_channel::Receiver<EngineNotification>) {
+    pub async fn forward_notifications(
+        self: Arc<Self>,
+        notices: async_channel::Receiver<EngineNotification>,
+    ) {
         while let Ok(noticed) = notices.recv().await {
             tracing::debug!(engine = format!("{:08x}", noticed.engine), "engine changed");
-            let _ = self.happened.send(Happened::Engine(noticed));
+            let _ = self.events.send(ManagementEvent::Engine(noticed));
         }
     }
 
     /// The front as it stood a short while ago at most.
     async fn snapshot(&self) -> Option<Arc<Snapshot>> {
-        let mut latest = self.latest.lock().await;
+        let mut latest = self.latest_snapshot.lock().await;
         if let Some((at, snapshot)) = &*latest
             && at.elapsed() < self.freshness
         {
@@ -284,14 +291,14 @@
         }
         let (reply, answer) = async_channel::bounded(1);
         self.requests.send(ManagementCall::Read { reply }).await.ok()?;
-        let snapshot = tokio::time::timeout(PART_PATIENCE, answer.recv()).await.ok()?.ok()?;
+        let snapshot = tokio::time::timeout(PART_TIMEOUT, answer.recv()).await.ok()?.ok()?;
         let snapshot = Arc::new(snapshot);
         *latest = Some((Instant::now(), snapshot.clone()));
         Some(snapshot)
     }
 
     /// What is in force and the state beside it.
-    pub async fn view(&self, config: bool, needs: Needs) -> Tree {
+    pub async fn view(&self, config: bool, needs: StateSelection) -> Tree {
         let snapshot = if needs.snapshot { self.snapshot().await } else { None };
         let core = self.core();
         let sources = Sources {
@@ -299,7 +306,7 @@
             names: &self.names,
             front: &self.front,
             store: &core.store,
-            lost: &core.lost,
+            lost: &core.lost_updates,
             snapshot: snapshot.as_deref(),
             up: self.now(),
             now: self.now(),
@@ -317,8 +324,8 @@
 }
 
 fn shorten(core: &mut Core) {
-    let Some(disk) = core.disk.as_mut().filter(|disk| disk.grown()) else { return };
-    if let Err(error) = disk.shorten(&core.store) {
+    let Some(disk) = core.disk.as_mut().filter(|disk| disk.needs_compaction()) else { return };
+    if let Err(error) = disk.compact(&core.store) {
         tracing::warn!("the log could not be made shorter: {error}");
     }
 }
--- a/crates/edges/managed/src/lib.rs
+++ b/crates/edges/managed/src/lib.rs
@@ -12,8 +12,8 @@
 mod users;
 
 pub use disk::{Disk, DiskError};
-pub use hub::{Happened, Hub};
+pub use hub::{Hub, ManagementEvent};
 pub use lemonusher_desired_state::Names;
 pub use parts::{Part, PartFuture};
-pub use start::{GnmiTerms, NetconfTerms, Started, Terms, Tls, Unfit, start};
+pub use start::{GnmiConfig, ManagementConfig, NetconfConfig, StartError, Started, Tls, start};
 pub use users::{Grant, User, Users};
--- a/crates/edges/managed/src/netconf/mod.rs
+++ b/crates/edges/managed/src/netconf/mod.rs
@@ -16,13 +16,13 @@
 use tokio::sync::{Notify, Semaphore};
 
 /// Connections beyond the sessions that there may be, for those that have not come in yet.
-const MOST_CONNECTIONS: usize = 1200;
-const IN_BY: Duration = Duration::from_secs(30);
-const KEEPALIVE: Duration = Duration::from_secs(30);
-const REJECT_AFTER: Duration = Duration::from_millis(300);
+const MAX_CONNECTIONS: usize = 1200;
+const LOGIN_TIMEOUT: Duration = Duration::from_secs(30);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(30);
+const REJECTION_DELAY: Duration = Duration::from_millis(300);
 
 /// What all sessions share.
-pub(super) struct Door {
+pub(super) struct ServerState {
     pub hub: Arc<Hub>,
     pub users: Users,
     /// Ends a session from another.
@@ -33,7 +33,7 @@
     pub subscriptions: usize,
 }
 
-impl Door {
+impl ServerState {
     pub(super) fn kills(&self) -> std::sync::MutexGuard<'_, BTreeMap<u32, Arc<Notify>>> {
         self.kills.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -56,26 +56,26 @@
     subscriptions: usize,
 ) -> Result<(), String> {
     let listener = tokio::net::TcpListener::from_std(listener).map_err(|error| error.to_string())?;
-    let methods: &[MethodKind] = match (users.0.is_empty(), users.keyed()) {
+    let methods: &[MethodKind] = match (users.0.is_empty(), users.uses_keys()) {
         (true, _) => &[MethodKind::None, MethodKind::Password],
         (false, true) => &[MethodKind::PublicKey],
         (false, false) => &[MethodKind::Password],
     };
     let config = Arc::new(Config {
         methods: MethodSet::from(methods),
-        auth_rejection_time: REJECT_AFTER,
+        auth_rejection_time: REJECTION_DELAY,
         auth_rejection_time_initial: Some(Duration::ZERO),
         keys: vec![key],
         max_auth_attempts: 6,
         inactivity_timeout: None,
-        keepalive_interval: Some(KEEPALIVE),
+        keepalive_interval: Some(KEEPALIVE_INTERVAL),
         keepalive_max: 3,
         nodelay: true,
         window_size: 256 * 1024,
         channel_buffer_size: 16,
         ..Config::default()
     });
-    let door = Arc::new(Door {
+    let door = Arc::new(ServerState {
         hub,
         users,
         kills: Mutex::default(),
@@ -83,7 +83,7 @@
         subscribed: AtomicUsize::new(0),
         subscriptions,
     });
-    let places = Arc::new(Semaphore::new(MOST_CONNECTIONS));
+    let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let Ok(place) = places.clone().acquire_owned().await else { return Ok(()) };
         let socket = match listener.accept().await {
@@ -97,10 +97,12 @@
         let (config, door) = (config.clone(), door.clone());
         tokio::spawn(async move {
             let _place = place;
-            let visitor = Visitor { door, grant: None, channel: None, began: Arc::default() };
+            let visitor = Connection { door, grant: None, channel: None, began: Arc::default() };
             let began = visitor.began.clone();
             let running =
-                match tokio::time::timeout(IN_BY, russh::server::run_stream(config, socket, visitor)).await {
+                match tokio::time::timeout(LOGIN_TIMEOUT, russh::server::run_stream(config, socket, visitor))
+                    .await
+                {
                     Ok(Ok(running)) => running,
                     Ok(Err(_)) | Err(_) => return,
                 };
@@ -108,7 +110,7 @@
             let late = async {
                 tokio::select! {
                     () = began.notified() => std::future::pending().await,
-                    () = tokio::time::sleep(IN_BY) => {}
+                    () = tokio::time::sleep(LOGIN_TIMEOUT) => {}
                 }
             };
             tokio::select! {
@@ -123,15 +125,15 @@
 }
 
 /// One SSH connection.
-struct Visitor {
-    door: Arc<Door>,
+struct Connection {
+    door: Arc<ServerState>,
     grant: Option<Grant>,
     channel: Option<Channel<Msg>>,
     /// The session has begun.
     began: Arc<Notify>,
 }
 
-impl Visitor {
+impl Connection {
     fn let_in(&mut self, grant: Option<Grant>) -> Auth {
         let Some(grant) = grant else { return Auth::reject() };
         self.grant = Some(grant);
@@ -139,7 +141,7 @@
     }
 }
 
-impl Handler for Visitor {
+impl Handler for Connection {
     type Error = russh::Error;
 
     async fn auth_none(&mut self, user: &str) -> Result<Auth, Self::Error> {
@@ -149,7 +151,7 @@
     }
 
     async fn auth_password(&mut self, user: &str, password: &str) -> Result<Auth, Self::Error> {
-        let keyed = self.door.users.keyed();
+        let keyed = self.door.users.uses_keys();
         let grant = if keyed { None } else { self.door.users.by_password(Some(user), Some(password)) };
         Ok(self.let_in(grant))
     }
--- a/crates/edges/managed/src/netconf/session.rs
+++ b/crates/edges/managed/src/netconf/session.rs
@@ -1,14 +1,14 @@
 //! One NETCONF session: hello, then operations one after the other, and notifications between them.
 
-use super::Door;
-use crate::hub::{Happened, Hub};
-use crate::state::{Needs, admin, listed};
+use super::ServerState;
+use crate::hub::{Hub, ManagementEvent};
+use crate::state::{StateSelection, admin, listed};
 use crate::users::Grant;
 use lemonusher_model::{Node, Op, Pattern, Place, Schema, Tree, parse_path};
 use lemonusher_netconf::{BASE, MONITORING};
 use lemonusher_netconf::{
-    CommitTerms, Element, Framer, Framing, Notified, Operation, RpcError, TestOption, edits, escape, filter,
-    frame, hello, notification, parse, push_fields, read, reply, tree_of,
+    CommitParameters, Element, Framer, Framing, NotificationContent, Operation, RpcError, TestOption, edits,
+    escape, filter, frame, hello, notification, parse, push_fields, read, reply, tree_of,
 };
 use lemonusher_store::{CommitOptions, Datastore, Edit, Protocol, SessionId, StoreError};
 use std::sync::Arc;
@@ -19,19 +19,19 @@
 use tokio::sync::broadcast::Receiver;
 use tokio::sync::broadcast::error::RecvError;
 
-const LONGEST_MESSAGE: usize = 16 * 1024 * 1024;
+const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
 /// Bytes of messages in part that all sessions may hold.
-const MOST_HELD: usize = 64 * 1024 * 1024;
-const READ: usize = 16 * 1024;
-const HELLO_BY: Duration = Duration::from_secs(30);
+const MAX_BUFFERED_BYTES: usize = 64 * 1024 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+const HELLO_TIMEOUT: Duration = Duration::from_secs(30);
 /// A manager that takes nothing for so long has gone.
-const STALL: Duration = Duration::from_secs(60);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(60);
 /// The capability by which a manager asks for a candidate of its own.
-const PRIVATE: &str = "urn:ietf:params:netconf:capability:private-candidate:1.0";
+const PRIVATE_CANDIDATE: &str = "urn:ietf:params:netconf:capability:private-candidate:1.0";
 
 struct Session {
     id: SessionId,
-    door: Arc<Door>,
+    door: Arc<ServerState>,
     hub: Arc<Hub>,
     schema: Arc<Schema>,
     grant: Grant,
@@ -43,7 +43,7 @@
 }
 
 struct Subscription {
-    happened: Receiver<Happened>,
+    happened: Receiver<ManagementEvent>,
     filter: Option<Element>,
 }
 
@@ -55,7 +55,7 @@
             self.door.subscribed.fetch_sub(1, Ordering::SeqCst);
         }
         self.door.kills().remove(&self.id);
-        self.hub.close(self.id);
+        self.hub.close_session(self.id);
         tracing::info!(session = self.id, "NETCONF session ends");
     }
 }
@@ -74,14 +74,14 @@
     ];
     let mut all: Vec<String> = base.iter().map(|name| name.to_string()).collect();
     all.extend(known.iter().map(|name| format!("urn:ietf:params:netconf:capability:{name}")));
-    all.push(PRIVATE.to_owned());
+    all.push(PRIVATE_CANDIDATE.to_owned());
     all.push(format!("{MONITORING}?module=ietf-netconf-monitoring&revision=2010-10-04"));
     let revision = schema.revision.as_deref().unwrap_or_default();
     all.push(format!("{}?module={}&revision={revision}", schema.namespace, schema.module));
     all
 }
 
-pub(super) async fn run(stream: impl AsyncRead + AsyncWrite + Unpin, door: Arc<Door>, grant: Grant) {
+pub(super) async fn run(stream: impl AsyncRead + AsyncWrite + Unpin, door: Arc<ServerState>, grant: Grant) {
     let hub = door.hub.clone();
     let id = match hub.with_store(|store| store.open_session(&grant.user, Protocol::Netconf)) {
         Ok(id) => id,
@@ -91,7 +91,7 @@
     door.kills().insert(id, killed.clone());
     tracing::info!(session = id, user = grant.user, "NETCONF session begins");
     let schema = hub.schema().clone();
-    let framing = Framing::Mark;
+    let framing = Framing::EndOfMessage;
     let mut session = Session { id, door, hub, schema, grant, framing, subscription: None, held: 0, lost: 0 };
     tokio::select! {
         ended = session.serve(stream) => {
@@ -104,7 +104,7 @@
 }
 
 /// Who asks may end the session with an operation.
-enum Next {
+enum AfterReply {
     Goes,
     Ends,
 }
@@ -112,13 +112,13 @@
 impl Session {
     async fn serve(&mut self, stream: impl AsyncRead + AsyncWrite + Unpin) -> Result<(), String> {
         let (mut reader, mut writer) = tokio::io::split(stream);
-        write(&mut writer, Framing::Mark, &hello(&capabilities(&self.schema), self.id)).await?;
-        let mut framer = Framer::new(LONGEST_MESSAGE);
-        let greeted = tokio::time::timeout(HELLO_BY, self.message(&mut reader, &mut framer)).await;
+        write(&mut writer, Framing::EndOfMessage, &hello(&capabilities(&self.schema), self.id)).await?;
+        let mut framer = Framer::new(MAX_MESSAGE_BYTES);
+        let greeted = tokio::time::timeout(HELLO_TIMEOUT, self.message(&mut reader, &mut framer)).await;
         let greeting = greeted.map_err(|_| "no hello came in time".to_owned())??;
         let Some(greeting) = greeting else { return Ok(()) };
         self.greet(&greeting)?;
-        framer.set(self.framing);
+        framer.set_framing(self.framing);
         loop {
             let incoming = self.message(&mut reader, &mut framer);
             let Some(message) = incoming.await? else { return Ok(()) };
@@ -126,20 +126,20 @@
                 Incoming::Message(text) => {
                     let (answer, next) = self.answer(&text).await;
                     write(&mut writer, self.framing, &answer).await?;
-                    if let Next::Ends = next {
+                    if let AfterReply::Ends = next {
                         return Ok(());
                     }
                 }
-                Incoming::Happened(happened) => {
+                Incoming::ManagementEvent(happened) => {
                     if let Some(text) = self.notify(&happened) {
                         write(&mut writer, self.framing, &text).await?;
                     }
                 }
                 Incoming::Lost(count) => {
                     self.lost += count;
-                    self.hub.lost(self.id, self.lost);
+                    self.hub.record_lost_updates(self.id, self.lost);
                     let leaves = vec![("count", self.lost.to_string())];
-                    let text = self.notified(&Notified { name: "updates-lost", leaves });
+                    let text = self.notified(&NotificationContent { name: "updates-lost", leaves });
                     write(&mut writer, self.framing, &text).await?;
                 }
             }
@@ -152,14 +152,14 @@
         reader: &mut (impl AsyncRead + Unpin),
         framer: &mut Framer,
     ) -> Result<Option<Incoming>, String> {
-        let mut bytes = vec![0; READ];
+        let mut bytes = vec![0; READ_BUFFER_BYTES];
         loop {
-            if let Some(message) = framer.cut().map_err(|broken| broken.to_string())? {
-                self.hold(framer.held())?;
+            if let Some(message) = framer.next_message().map_err(|broken| broken.to_string())? {
+                self.hold(framer.buffered_bytes())?;
                 let text = String::from_utf8(message).map_err(|_| "a message is no UTF-8".to_owned())?;
                 return Ok(Some(Incoming::Message(text)));
             }
-            self.hold(framer.held())?;
+            self.hold(framer.buffered_bytes())?;
             let happened = async {
                 match &mut self.subscription {
                     Some(subscription) => subscription.happened.recv().await,
@@ -173,7 +173,7 @@
                     Err(error) => return Err(error.to_string()),
                 },
                 happened = happened => match happened {
-                    Ok(happened) => return Ok(Some(Incoming::Happened(happened))),
+                    Ok(happened) => return Ok(Some(Incoming::ManagementEvent(happened))),
                     Err(RecvError::Lagged(count)) => return Ok(Some(Incoming::Lost(count))),
                     Err(RecvError::Closed) => return Ok(None),
                 },
@@ -185,7 +185,7 @@
     fn hold(&mut self, bytes: usize) -> Result<(), String> {
         let others = self.door.held.fetch_sub(self.held, Ordering::SeqCst) - self.held;
         self.held = 0;
-        if others + bytes > MOST_HELD && bytes > READ {
+        if others + bytes > MAX_BUFFERED_BYTES && bytes > READ_BUFFER_BYTES {
             return Err("there is no room for a message as long as this one".to_owned());
         }
         self.door.held.fetch_add(bytes, Ordering::SeqCst);
@@ -203,22 +203,22 @@
         let has =
             |name: &str| capabilities.is_some_and(|all| all.children.iter().any(|one| one.value() == name));
         if has("urn:ietf:params:netconf:base:1.1") {
-            self.framing = Framing::Chunks;
+            self.framing = Framing::Chunked;
         } else if !has("urn:ietf:params:netconf:base:1.0") {
             return Err("the manager knows neither version 1.0 nor 1.1".to_owned());
         }
-        if has(PRIVATE) {
+        if has(PRIVATE_CANDIDATE) {
             let _ = self.hub.with_store(|store| store.use_private_candidate(self.id));
         }
         Ok(())
     }
 
-    async fn answer(&mut self, text: &str) -> (String, Next) {
+    async fn answer(&mut self, text: &str) -> (String, AfterReply) {
         let rpc = match read(text) {
             Ok(rpc) => rpc,
-            Err((attributes, error)) => return (reply(&attributes, &Err(vec![error])), Next::Goes),
+            Err((attributes, error)) => return (reply(&attributes, &Err(vec![error])), AfterReply::Goes),
         };
-        let next = if rpc.operation == Operation::CloseSession { Next::Ends } else { Next::Goes };
+        let next = if rpc.operation == Operation::CloseSession { AfterReply::Ends } else { AfterReply::Goes };
         let answer = self.operate(rpc.operation).await;
         (reply(&rpc.attributes, &answer), next)
     }
@@ -239,7 +239,7 @@
         }
         let locking = matches!(operation, Operation::Lock(_));
         let schema = self.schema.clone();
-        let refused = |refused: StoreError| RpcError::of_refused(&schema, &refused, locking);
+        let refused = |refused: StoreError| RpcError::of_store_error(&schema, &refused, locking);
         let id = self.id;
         match operation {
             Operation::Get { filter } => {
@@ -297,7 +297,7 @@
                 Ok(String::new())
             }
             Operation::DeleteConfig { target: Datastore::Startup } => {
-                self.hub.keep_startup(id, None).await.map_err(refused)?;
+                self.hub.copy_to_startup(id, None).await.map_err(refused)?;
                 Ok(String::new())
             }
             Operation::DeleteConfig { .. } => Err(vec![not_supported("only startup can be deleted")]),
@@ -315,7 +315,7 @@
                 self.hub.with_store(|store| store.validate(&tree)).map_err(refused)?;
                 Ok(String::new())
             }
-            Operation::Commit(CommitTerms { confirmed, persist, persist_id, expect }) => {
+            Operation::Commit(CommitParameters { confirmed, persist, persist_id, expect }) => {
                 let terms = CommitOptions {
                     confirm_timeout: confirmed,
                     persist,
@@ -376,7 +376,7 @@
                     let what = "there are as many subscriptions as there may be";
                     return Err(vec![RpcError::application("resource-denied", what)]);
                 }
-                self.subscription = Some(Subscription { happened: self.hub.happenings(), filter });
+                self.subscription = Some(Subscription { happened: self.hub.subscribe(), filter });
                 Ok(String::new())
             }
         }
@@ -388,12 +388,14 @@
         source: Result<Datastore, Box<Element>>,
     ) -> Result<(), Vec<RpcError>> {
         let (id, schema) = (self.id, self.schema.clone());
-        let refused = |refused: StoreError| RpcError::of_refused(&schema, &refused, false);
+        let refused = |refused: StoreError| RpcError::of_store_error(&schema, &refused, false);
         if source == Ok(target) {
             return Err(vec![RpcError::protocol("invalid-value", "source and target are the same")]);
         }
         match (target, &source) {
-            (Datastore::Startup, Ok(from)) => self.hub.keep_startup(id, Some(*from)).await.map_err(refused),
+            (Datastore::Startup, Ok(from)) => {
+                self.hub.copy_to_startup(id, Some(*from)).await.map_err(refused)
+            }
             (Datastore::Startup, Err(_)) => Err(vec![not_supported("startup is copied from a datastore")]),
             (Datastore::Candidate, _) => {
                 let tree = self.source(source)?;
@@ -415,7 +417,7 @@
         match source {
             Ok(datastore) => {
                 let tree = self.hub.with_store(|store| store.tree(self.id, datastore).cloned());
-                tree.ok_or_else(|| RpcError::of_refused(&self.schema, &StoreError::NoStartup, false))
+                tree.ok_or_else(|| RpcError::of_store_error(&self.schema, &StoreError::NoStartup, false))
             }
             Err(config) => {
                 tree_of(&self.schema, &config).map_err(|fault| vec![RpcError::of_fault(&self.schema, &fault)])
@@ -424,7 +426,7 @@
     }
 
     /// Which parts of the state a filter can let through.
-    fn needs(&self, filter: Option<&Element>) -> Needs {
+    fn needs(&self, filter: Option<&Element>) -> StateSelection {
         let mut paths = Vec::new();
         for front in filter.iter().flat_map(|filter| &filter.children) {
             for second in &front.children {
@@ -447,7 +449,7 @@
             .filter_map(|path| self.schema.patterns(&parse_path(path).ok()?).ok())
             .flatten()
             .collect();
-        Needs::of(&self.schema, &patterns)
+        StateSelection::of(&self.schema, &patterns)
     }
 
     fn data(&self, tree: &Tree, wanted: Option<&Element>) -> String {
@@ -461,16 +463,16 @@
         text
     }
 
-    fn notified(&self, notified: &Notified) -> String {
+    fn notified(&self, notified: &NotificationContent) -> String {
         let date = humantime::format_rfc3339_millis(SystemTime::now()).to_string();
         notification(&self.schema.namespace, &date, notified)
     }
 
     /// What has happened, if the manager wants to hear of it.
-    fn notify(&self, happened: &Happened) -> Option<String> {
+    fn notify(&self, happened: &ManagementEvent) -> Option<String> {
         let notified = match happened {
-            Happened::Committed(version) => match Hub::is_rollback(version) {
-                Some(to) => Notified {
+            ManagementEvent::Committed(version) => match Hub::is_rollback(version) {
+                Some(to) => NotificationContent {
                     name: "rolled-back",
                     leaves: vec![
                         ("version", version.number.to_string()),
@@ -478,7 +480,7 @@
                         ("cause", version.cause.to_string()),
                     ],
                 },
-                None => Notified {
+                None => NotificationContent {
                     name: "committed",
                     leaves: vec![
                         ("version", version.number.to_string()),
@@ -488,7 +490,7 @@
                     ],
                 },
             },
-            Happened::Engine(noticed) => Notified {
+            ManagementEvent::Engine(noticed) => NotificationContent {
                 name: "engine-changed",
                 leaves: vec![
                     ("engine", format!("{:08x}", noticed.engine)),
@@ -519,7 +521,7 @@
 
 enum Incoming {
     Message(String),
-    Happened(Happened),
+    ManagementEvent(ManagementEvent),
     /// So many happenings came faster than they were read.
     Lost(u64),
 }
@@ -530,13 +532,13 @@
 
 async fn write(writer: &mut (impl AsyncWrite + Unpin), framing: Framing, text: &str) -> Result<(), String> {
     let bytes = frame(framing, text);
-    let written = tokio::time::timeout(STALL, async {
+    let written = tokio::time::timeout(WRITE_TIMEOUT, async {
         writer.write_all(&bytes).await?;
         writer.flush().await
     });
     match written.await {
         Ok(Ok(())) => Ok(()),
         Ok(Err(error)) => Err(error.to_string()),
-        Err(_) => Err(format!("the manager took nothing for {STALL:?}")),
+        Err(_) => Err(format!("the manager took nothing for {WRITE_TIMEOUT:?}")),
     }
 }
--- a/crates/edges/managed/src/parts.rs
+++ b/crates/edges/managed/src/parts.rs
@@ -17,19 +17,19 @@
     /// Looks at a version and holds what it needs of it ready, or declines it.
     fn prepare(&self, version: Arc<Version>) -> PartFuture;
     /// Takes up what it prepared for this version.
-    fn switch(&self, number: u64) -> PartFuture;
+    fn activate(&self, number: u64) -> PartFuture;
     /// Forgets what it prepared for this version.
-    fn abandon(&self, number: u64) -> PartFuture;
+    fn discard(&self, number: u64) -> PartFuture;
 }
 
 /// The owner: membership and the door.
-pub(crate) struct OwnerPart {
+pub(crate) struct RouterPart {
     pub schema: Arc<Schema>,
     pub reader: DesiredStateReader,
     pub requests: Sender<ManagementCall>,
 }
 
-impl Part for OwnerPart {
+impl Part for RouterPart {
     fn name(&self) -> String {
         "the owner".to_owned()
     }
@@ -50,7 +50,7 @@
         })
     }
 
-    fn switch(&self, number: u64) -> PartFuture {
+    fn activate(&self, number: u64) -> PartFuture {
         let requests = self.requests.clone();
         Box::pin(async move {
             let (reply, answer) = bounded(1);
@@ -60,7 +60,7 @@
         })
     }
 
-    fn abandon(&self, number: u64) -> PartFuture {
+    fn discard(&self, number: u64) -> PartFuture {
         let requests = self.requests.clone();
         Box::pin(async move {
             let request = ManagementCall::Discard { number };
@@ -70,20 +70,20 @@
 }
 
 /// The log's level.
-pub(crate) struct LevelPart {
+pub(crate) struct LogLevelPart {
     pub schema: Arc<Schema>,
     pub reader: DesiredStateReader,
     pub set: Arc<dyn Fn(&str) + Send + Sync>,
     pub ready: Mutex<Option<(u64, String)>>,
 }
 
-impl LevelPart {
+impl LogLevelPart {
     fn held(&self) -> std::sync::MutexGuard<'_, Option<(u64, String)>> {
         self.ready.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Part for LevelPart {
+impl Part for LogLevelPart {
     fn name(&self) -> String {
         "the log".to_owned()
     }
@@ -95,14 +95,14 @@
         Box::pin(async { Ok(()) })
     }
 
-    fn switch(&self, number: u64) -> PartFuture {
+    fn activate(&self, number: u64) -> PartFuture {
         if let Some((_, level)) = self.held().take_if(|(ready, _)| *ready == number) {
             (self.set)(&level);
         }
         Box::pin(async { Ok(()) })
     }
 
-    fn abandon(&self, number: u64) -> PartFuture {
+    fn discard(&self, number: u64) -> PartFuture {
         self.held().take_if(|(ready, _)| *ready == number);
         Box::pin(async { Ok(()) })
     }
--- a/crates/edges/managed/src/start.rs
+++ b/crates/edges/managed/src/start.rs
@@ -2,7 +2,7 @@
 
 use crate::disk::{Disk, DiskError};
 use crate::hub::{Hub, unix_ms};
-use crate::parts::{LevelPart, OwnerPart, Part};
+use crate::parts::{LogLevelPart, Part, RouterPart};
 use crate::users::Users;
 use crate::{gnmi, netconf};
 use lemonusher_desired_state::{DesiredStateReader, Names};
@@ -18,12 +18,12 @@
 use std::time::Duration;
 
 /// Requests and notices that may wait between the managed side and the owner.
-const QUEUE: usize = 256;
-const NOTICES: usize = 4096;
+const MAX_QUEUED_REQUESTS: usize = 256;
+const MAX_QUEUED_NOTIFICATIONS: usize = 4096;
 
 /// What the operator's file says of the managed side.
 #[derive(Debug, Clone)]
-pub struct Terms {
+pub struct ManagementConfig {
     /// Where commits last.
     pub folder: Option<PathBuf>,
     pub history: usize,
@@ -33,13 +33,13 @@
     pub freshness: Duration,
     /// The startup datastore, where there is one, is what a start begins with.
     pub from_startup: bool,
-    pub gnmi: Option<GnmiTerms>,
-    pub netconf: Option<NetconfTerms>,
+    pub gnmi: Option<GnmiConfig>,
+    pub netconf: Option<NetconfConfig>,
     pub users: Users,
 }
 
 #[derive(Debug, Clone)]
-pub struct GnmiTerms {
+pub struct GnmiConfig {
     pub listen: SocketAddr,
     pub tls: Option<Tls>,
 }
@@ -52,7 +52,7 @@
 }
 
 #[derive(Debug, Clone)]
-pub struct NetconfTerms {
+pub struct NetconfConfig {
     pub listen: SocketAddr,
     /// The host's private key, in OpenSSH's form.
     pub host_key: Option<String>,
@@ -61,8 +61,8 @@
 /// What the front needs of the managed side.
 pub struct Started {
     pub requests: async_channel::Receiver<ManagementCall>,
-    pub wanted: Arc<DesiredState>,
-    pub notices: async_channel::Sender<EngineNotification>,
+    pub desired_state: Arc<DesiredState>,
+    pub notifications: async_channel::Sender<EngineNotification>,
     pub gnmi: Option<SocketAddr>,
     pub netconf: Option<SocketAddr>,
     pub hub: Arc<Hub>,
@@ -70,7 +70,7 @@
 
 /// Why the managed side can't start.
 #[derive(Debug)]
-pub enum Unfit {
+pub enum StartError {
     Model(String),
     Disk(DiskError),
     Log(io::Error),
@@ -81,16 +81,18 @@
     Thread(io::Error),
 }
 
-impl fmt::Display for Unfit {
+impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Unfit::Model(what) => write!(f, "the front's model: {what}"),
-            Unfit::Disk(error) => write!(f, "state: {error}"),
-            Unfit::Log(error) => write!(f, "the state's log: {error}"),
-            Unfit::Listen(address, error) => write!(f, "can't listen on {address}: {error}"),
-            Unfit::Wishes(what) => write!(f, "the state that was kept does not fit the deployment: {what}"),
-            Unfit::Key(what) => write!(f, "key: {what}"),
-            Unfit::Thread(error) => write!(f, "can't start a thread: {error}"),
+            StartError::Model(what) => write!(f, "the front's model: {what}"),
+            StartError::Disk(error) => write!(f, "state: {error}"),
+            StartError::Log(error) => write!(f, "the state's log: {error}"),
+            StartError::Listen(address, error) => write!(f, "can't listen on {address}: {error}"),
+            StartError::Wishes(what) => {
+                write!(f, "the state that was kept does not fit the deployment: {what}")
+            }
+            StartError::Key(what) => write!(f, "key: {what}"),
+            StartError::Thread(error) => write!(f, "can't start a thread: {error}"),
         }
     }
 }
@@ -98,20 +100,20 @@
 /// Starts the managed side. `level` sets the log's level; `more` are parts that a commit moves besides the
 /// front's own.
 pub fn start(
-    terms: Terms,
+    terms: ManagementConfig,
     names: Names,
     front: String,
     level: Arc<dyn Fn(&str) + Send + Sync>,
     more: Vec<Arc<dyn Part>>,
-) -> Result<Started, Unfit> {
-    let schema = Arc::new(Schema::front().map_err(|wrong| Unfit::Model(wrong.to_string()))?);
+) -> Result<Started, StartError> {
+    let schema = Arc::new(Schema::front().map_err(|wrong| StartError::Model(wrong.to_string()))?);
     let reader = DesiredStateReader::new(&schema, names.clone())
-        .ok_or_else(|| Unfit::Model("it lacks pools or service groups".to_owned()))?;
+        .ok_or_else(|| StartError::Model("it lacks pools or service groups".to_owned()))?;
     let bounds = Bounds { history: terms.history, sessions: terms.sessions };
     let (mut disk, mut store) = match &terms.folder {
         None => (None, Store::new(schema.clone(), bounds)),
         Some(folder) => {
-            let (disk, store) = Disk::open(folder, schema.clone(), bounds).map_err(Unfit::Disk)?;
+            let (disk, store) = Disk::open(folder, schema.clone(), bounds).map_err(StartError::Disk)?;
             (Some(disk), store)
         }
     };
@@ -122,23 +124,23 @@
     }
     for plan in first.into_iter().flatten() {
         if let Some(disk) = &mut disk {
-            disk.append(&Record::commit(&schema, &plan)).map_err(Unfit::Log)?;
+            disk.append(&Record::commit(&schema, &plan)).map_err(StartError::Log)?;
         }
         tracing::info!(commit = plan.version.number, "at the start: {}", plan.version.cause);
         store.finish_commit(plan);
     }
     let wishes = reader.read(&schema, &store.running().tree).map_err(|faults| {
-        Unfit::Wishes(faults.iter().map(|fault| fault.to_string()).collect::<Vec<_>>().join("; "))
+        StartError::Wishes(faults.iter().map(|fault| fault.to_string()).collect::<Vec<_>>().join("; "))
     })?;
     if store.running().number > 0 {
         level(&wishes.log_level);
     }
 
-    let (requests, asked) = async_channel::bounded(QUEUE);
-    let (notices, noticed) = async_channel::bounded(NOTICES);
+    let (requests, asked) = async_channel::bounded(MAX_QUEUED_REQUESTS);
+    let (notices, noticed) = async_channel::bounded(MAX_QUEUED_NOTIFICATIONS);
     let mut parts: Vec<Arc<dyn Part>> = vec![
-        Arc::new(OwnerPart { schema: schema.clone(), reader: reader.clone(), requests: requests.clone() }),
-        Arc::new(LevelPart { schema: schema.clone(), reader, set: level, ready: Mutex::new(None) }),
+        Arc::new(RouterPart { schema: schema.clone(), reader: reader.clone(), requests: requests.clone() }),
+        Arc::new(LogLevelPart { schema: schema.clone(), reader, set: level, ready: Mutex::new(None) }),
     ];
     parts.extend(more);
     let hub = Hub::new(schema, names, front, store, disk, parts, requests, terms.freshness);
@@ -148,28 +150,28 @@
             listener.set_nonblocking(true)?;
             Ok(listener)
         });
-        listener.map_err(|error| Unfit::Listen(address, error))
+        listener.map_err(|error| StartError::Listen(address, error))
     };
     let gnmi_listener = terms.gnmi.as_ref().map(|gnmi| bind(gnmi.listen)).transpose()?;
     let netconf_listener = terms.netconf.as_ref().map(|netconf| bind(netconf.listen)).transpose()?;
     let address = |listener: &Option<TcpListener>| listener.as_ref().and_then(|l| l.local_addr().ok());
     let started = Started {
         requests: asked,
-        wanted: Arc::new(wishes.desired_state),
-        notices,
+        desired_state: Arc::new(wishes.desired_state),
+        notifications: notices,
         gnmi: address(&gnmi_listener),
         netconf: address(&netconf_listener),
         hub: hub.clone(),
     };
     let netconf_keys = match &terms.netconf {
-        Some(netconf) => Some(netconf::host_key(netconf.host_key.as_deref()).map_err(Unfit::Key)?),
+        Some(netconf) => Some(netconf::host_key(netconf.host_key.as_deref()).map_err(StartError::Key)?),
         None => None,
     };
     let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(Unfit::Thread)?;
+        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(StartError::Thread)?;
     let serve = async move {
-        tokio::spawn(hub.clone().tend());
-        tokio::spawn(hub.clone().hear(noticed));
+        tokio::spawn(hub.clone().revert_expired_commits());
+        tokio::spawn(hub.clone().forward_notifications(noticed));
         if let (Some(listener), Some(gnmi)) = (gnmi_listener, terms.gnmi) {
             let serve =
                 gnmi::serve(hub.clone(), listener, gnmi.tls, terms.users.clone(), terms.subscriptions);
@@ -190,6 +192,6 @@
         std::future::pending::<()>().await
     };
     let run = move || runtime.block_on(serve);
-    std::thread::Builder::new().name("managed".to_owned()).spawn(run).map_err(Unfit::Thread)?;
+    std::thread::Builder::new().name("managed".to_owned()).spawn(run).map_err(StartError::Thread)?;
     Ok(started)
 }
--- a/crates/edges/managed/src/state.rs
+++ b/crates/edges/managed/src/state.rs
@@ -12,7 +12,7 @@
 
 /// Which parts of the state are wanted: the larger ones are made only then.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Needs {
+pub struct StateSelection {
     /// Anything of the state.
     pub state: bool,
     pub snapshot: bool,
@@ -22,9 +22,9 @@
     pub commits: bool,
 }
 
-impl Needs {
-    pub fn of(schema: &Schema, patterns: &[Pattern]) -> Needs {
-        let mut needs = Needs::default();
+impl StateSelection {
+    pub fn of(schema: &Schema, patterns: &[Pattern]) -> StateSelection {
+        let mut needs = StateSelection::default();
         for pattern in patterns {
             let name = |at: usize| pattern.get(at).map(|step| schema.node(step.node).name.as_str());
             let (second, third) = (name(1), name(2));
@@ -60,15 +60,15 @@
     pub now: Duration,
 }
 
-struct Maker<'a> {
+struct FieldsBuilder<'a> {
     schema: &'a Schema,
     holder: NodeId,
     fields: Fields,
 }
 
-impl<'a> Maker<'a> {
-    fn new(schema: &'a Schema, holder: NodeId) -> Maker<'a> {
-        Maker { schema, holder, fields: Fields::new() }
+impl<'a> FieldsBuilder<'a> {
+    fn new(schema: &'a Schema, holder: NodeId) -> FieldsBuilder<'a> {
+        FieldsBuilder { schema, holder, fields: Fields::new() }
     }
 
     /// A leaf that the model does not know is left out.
@@ -96,13 +96,13 @@
         }
     }
 
-    fn within(&self, name: &str) -> Option<Maker<'a>> {
-        Some(Maker::new(self.schema, self.schema.child(Some(self.holder), name)?))
+    fn within(&self, name: &str) -> Option<FieldsBuilder<'a>> {
+        Some(FieldsBuilder::new(self.schema, self.schema.child(Some(self.holder), name)?))
     }
 }
 
 /// What is in force, with the state beside it.
-pub fn view(sources: &Sources, config: bool, needs: Needs) -> Tree {
+pub fn view(sources: &Sources, config: bool, needs: StateSelection) -> Tree {
     let schema = sources.schema;
     let running = &sources.store.running().tree;
     let Some(front) = schema.child(None, "front") else { return running.clone() };
@@ -113,7 +113,7 @@
     if needs.state
         && let Some(id) = schema.child(Some(front), "state")
     {
-        fields.insert(id, Node::Container(Arc::new(state(sources, Maker::new(schema, id), needs))));
+        fields.insert(id, Node::Container(Arc::new(state(sources, FieldsBuilder::new(schema, id), needs))));
     }
     let mut top = Fields::new();
     if !fields.is_empty() {
@@ -122,7 +122,7 @@
     Tree::of(top)
 }
 
-fn state(sources: &Sources, mut state: Maker, needs: Needs) -> Fields {
+fn state(sources: &Sources, mut state: FieldsBuilder, needs: StateSelection) -> Fields {
     let store = sources.store;
     state.leaf("name", sources.front);
     state.leaf("up", sources.up.as_millis());
@@ -147,7 +147,7 @@
         && let Some(list) = state.within("session")
     {
         let entries = store.sessions().iter().map(|(id, session)| {
-            let mut entry = Maker::new(list.schema, list.holder);
+            let mut entry = FieldsBuilder::new(list.schema, list.holder);
             entry.leaf("id", id);
             entry.leaf("user", &session.user);
             entry.leaf("protocol", session.protocol.name());
@@ -160,7 +160,7 @@
         && let Some(list) = state.within("commit")
     {
         let entries = store.history().map(|version| {
-            let mut entry = Maker::new(list.schema, list.holder);
+            let mut entry = FieldsBuilder::new(list.schema, list.holder);
             entry.leaf("version", version.number);
             entry.leaf("at", version.committed_at_ms);
             entry.leaf("user", &version.author.user);
@@ -179,10 +179,10 @@
     state.fields
 }
 
-fn counters(state: &mut Maker, snapshot: &Snapshot) {
+fn counters(state: &mut FieldsBuilder, snapshot: &Snapshot) {
     let Some(list) = state.within("counter") else { return };
     let entries = snapshot.counters.iter().map(|counted| {
-        let mut entry = Maker::new(list.schema, list.holder);
+        let mut entry = FieldsBuilder::new(list.schema, list.holder);
         let group = counted.request_class.and_then(|class| snapshot.request_classes.get(class));
         entry.leaf("name", counted.counter);
         entry.leaf("service-group", group.map_or("-", |name| name));
@@ -192,7 +192,7 @@
     state.list("counter", entries);
 }
 
-fn engines(state: &mut Maker, sources: &Sources, snapshot: &Snapshot) {
+fn engines(state: &mut FieldsBuilder, sources: &Sources, snapshot: &Snapshot) {
     let Some(list) = state.within("engine") else { return };
     let name = |names: &[String], number: u32| match names.get(number as usize) {
         Some(name) => name.clone(),
@@ -200,7 +200,7 @@
     };
     let entries = snapshot.engines.iter().map(|engine| {
         let held = &engine.endpoint.entry;
-        let mut entry = Maker::new(list.schema, list.holder);
+        let mut entry = FieldsBuilder::new(list.schema, list.holder);
         entry.leaf("id", format!("{:08x}", held.engine));
         if let Some(address) = engine.address {
             entry.leaf("address", address);
--- a/crates/edges/managed/src/users.rs
+++ b/crates/edges/managed/src/users.rs
@@ -35,7 +35,7 @@
     }
 
     /// Whether keys are asked for at all.
-    pub fn keyed(&self) -> bool {
+    pub fn uses_keys(&self) -> bool {
         self.0.iter().any(|user| user.ssh_key.is_some())
     }
 
--- a/crates/edges/managed/tests/parts.rs
+++ b/crates/edges/managed/tests/parts.rs
@@ -1,6 +1,6 @@
 //! Parts that decline, panic or fall silent at each step of applying: the old state stands whole, or the new one.
 
-use lemonusher_managed::{Names, Part, PartFuture, Started, Terms, Users, start};
+use lemonusher_managed::{ManagementConfig, Names, Part, PartFuture, Started, Users, start};
 use lemonusher_model::{Node, Op, parse_path};
 use lemonusher_routing::ManagementCall;
 use lemonusher_store::{CommitOptions, Edit, Protocol, StoreError, Version};
@@ -42,7 +42,7 @@
         })
     }
 
-    fn switch(&self, number: u64) -> PartFuture {
+    fn activate(&self, number: u64) -> PartFuture {
         let fault = *self.fault.lock().unwrap();
         assert!(fault != Fault::PanicAtSwitch, "as told");
         self.switched.store(number, Ordering::SeqCst);
@@ -52,7 +52,7 @@
         })
     }
 
-    fn abandon(&self, number: u64) -> PartFuture {
+    fn discard(&self, number: u64) -> PartFuture {
         self.abandoned.store(number, Ordering::SeqCst);
         Box::pin(async { Ok(()) })
     }
@@ -81,7 +81,7 @@
 }
 
 fn managed(part: Arc<Failing>) -> Started {
-    let terms = Terms {
+    let terms = ManagementConfig {
         folder: None,
         history: 10,
         sessions: 10,
--- a/crates/edges/netconf/src/data.rs
+++ b/crates/edges/netconf/src/data.rs
@@ -1,7 +1,7 @@
 //! Data as XML: trees out, configs and edits in, and subtree filters.
 
 use crate::BASE;
-use crate::rpc::DefaultOp;
+use crate::rpc::DefaultOperation;
 use crate::xml::{Element, escape};
 use lemonusher_model::{
     Fault, FaultKind, Fields, Node, NodeId, NodeKind, Op, Place, Schema, Segment, Text, Tree,
@@ -124,16 +124,21 @@
 }
 
 /// The edits that a `config` element asks for, in order.
-pub fn edits(schema: &Schema, tree: &Tree, config: &Element, default: DefaultOp) -> Result<Vec<Edit>, Fault> {
+pub fn edits(
+    schema: &Schema,
+    tree: &Tree,
+    config: &Element,
+    default: DefaultOperation,
+) -> Result<Vec<Edit>, Fault> {
     let mut found = Vec::new();
     let mut walk = Walk { schema, tree, edits: &mut found };
     let op = match default {
-        DefaultOp::Merge => Some(Op::Merge),
-        DefaultOp::Replace => Some(Op::Replace),
-        DefaultOp::None => None,
+        DefaultOperation::Merge => Some(Op::Merge),
+        DefaultOperation::Replace => Some(Op::Replace),
+        DefaultOperation::None => None,
     };
     walk.children(&mut Place::new(), config, op)?;
-    if default == DefaultOp::Replace {
+    if default == DefaultOperation::Replace {
         // What the config does not name goes too.
         let value = Some(Node::Container(from_xml(schema, None, config)?));
         let whole = Edit { op: Op::Replace, place: Place::new(), value };
--- a/crates/edges/netconf/src/error.rs
+++ b/crates/edges/netconf/src/error.rs
@@ -63,7 +63,7 @@
     }
 
     /// What the store refuses. Where a lock was asked for, another's stands against it.
-    pub fn of_refused(schema: &Schema, refused: &StoreError, locking: bool) -> Vec<RpcError> {
+    pub fn of_store_error(schema: &Schema, refused: &StoreError, locking: bool) -> Vec<RpcError> {
         let text = refused.to_string();
         let one = |tag: &'static str| RpcError::protocol(tag, text.clone());
         let failed = |app_tag: &str| RpcError {
--- a/crates/edges/netconf/src/frames.rs
+++ b/crates/edges/netconf/src/frames.rs
@@ -2,31 +2,31 @@
 
 use std::fmt;
 
-const MARK: &[u8] = b"]]>]]>";
+const END_OF_MESSAGE: &[u8] = b"]]>]]>";
 /// The longest line that begins a chunk: `\n#4294967295\n`.
-const LONGEST_HEAD: usize = 13;
+const MAX_CHUNK_HEADER_BYTES: usize = 13;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
     /// Version 1.0, and every hello.
-    Mark,
+    EndOfMessage,
     /// Version 1.1.
-    Chunks,
+    Chunked,
 }
 
 /// Why what comes can't be cut into messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Broken {
+pub enum FramingError {
     TooLong,
     /// Chunks are not framed as they should be.
     Framing,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for FramingError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Broken::TooLong => "a message is too long",
-            Broken::Framing => "chunks are not framed as RFC 6242 has it",
+            FramingError::TooLong => "a message is too long",
+            FramingError::Framing => "chunks are not framed as RFC 6242 has it",
         })
     }
 }
@@ -37,34 +37,34 @@
     framing: Framing,
     bytes: Vec<u8>,
     /// How far the end mark has been looked for.
-    looked: usize,
+    searched: usize,
     /// The message whose chunks are coming.
     message: Vec<u8>,
     /// What is still to come of the chunk.
-    chunk: usize,
-    longest: usize,
+    chunk_remaining: usize,
+    max_message_bytes: usize,
 }
 
 impl Framer {
     /// Messages of `longest` bytes at most.
     pub fn new(longest: usize) -> Framer {
         Framer {
-            framing: Framing::Mark,
+            framing: Framing::EndOfMessage,
             bytes: Vec::new(),
-            looked: 0,
+            searched: 0,
             message: Vec::new(),
-            chunk: 0,
-            longest,
+            chunk_remaining: 0,
+            max_message_bytes: longest,
         }
     }
 
     /// What comes from now on is framed so.
-    pub fn set(&mut self, framing: Framing) {
-        (self.framing, self.looked) = (framing, 0);
+    pub fn set_framing(&mut self, framing: Framing) {
+        (self.framing, self.searched) = (framing, 0);
     }
 
     /// Bytes that are held.
-    pub fn held(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.bytes.len() + self.message.len()
     }
 
@@ -73,51 +73,59 @@
     }
 
     /// The next whole message.
-    pub fn cut(&mut self) -> Result<Option<Vec<u8>>, Broken> {
+    pub fn next_message(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
         match self.framing {
-            Framing::Mark => self.next_marked(),
-            Framing::Chunks => self.next_chunked(),
+            Framing::EndOfMessage => self.next_marked(),
+            Framing::Chunked => self.next_chunked(),
         }
     }
 
-    fn next_marked(&mut self) -> Result<Option<Vec<u8>>, Broken> {
-        let found = self.bytes[self.looked..].windows(MARK.len()).position(|window| window == MARK);
-        let Some(at) = found.map(|at| at + self.looked) else {
-            self.looked = self.bytes.len().saturating_sub(MARK.len() - 1);
-            return if self.bytes.len() > self.longest { Err(Broken::TooLong) } else { Ok(None) };
+    fn next_marked(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
+        let found = self.bytes[self.searched..]
+            .windows(END_OF_MESSAGE.len())
+            .position(|window| window == END_OF_MESSAGE);
+        let Some(at) = found.map(|at| at + self.searched) else {
+            self.searched = self.bytes.len().saturating_sub(END_OF_MESSAGE.len() - 1);
+            return if self.bytes.len() > self.max_message_bytes {
+                Err(FramingError::TooLong)
+            } else {
+                Ok(None)
+            };
         };
-        let mut message: Vec<u8> = self.bytes.drain(..at + MARK.len()).collect();
+        let mut message: Vec<u8> = self.bytes.drain(..at + END_OF_MESSAGE.len()).collect();
         message.truncate(at);
-        self.looked = 0;
-        if message.len() > self.longest { Err(Broken::TooLong) } else { Ok(Some(message)) }
+        self.searched = 0;
+        if message.len() > self.max_message_bytes { Err(FramingError::TooLong) } else { Ok(Some(message)) }
     }
 
-    fn next_chunked(&mut self) -> Result<Option<Vec<u8>>, Broken> {
+    fn next_chunked(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
         loop {
-            if self.chunk > 0 {
-                let take = self.chunk.min(self.bytes.len());
+            if self.chunk_remaining > 0 {
+                let take = self.chunk_remaining.min(self.bytes.len());
                 self.message.extend(self.bytes.drain(..take));
-                self.chunk -= take;
-                if self.chunk > 0 {
+                self.chunk_remaining -= take;
+                if self.chunk_remaining > 0 {
                     return Ok(None);
                 }
             }
             let Some((length, head)) = self.head()? else { return Ok(None) };
             self.bytes.drain(..head);
             match length {
-                None if self.message.is_empty() => return Err(Broken::Framing),
+                None if self.message.is_empty() => return Err(FramingError::Framing),
                 None => return Ok(Some(std::mem::take(&mut self.message))),
-                Some(length) if self.message.len() + length > self.longest => return Err(Broken::TooLong),
-                Some(length) => self.chunk = length,
+                Some(length) if self.message.len() + length > self.max_message_bytes => {
+                    return Err(FramingError::TooLong);
+                }
+                Some(length) => self.chunk_remaining = length,
             }
         }
     }
 
     /// The length of the next chunk, or none at the message's end, and how long the line is that says so.
-    fn head(&self) -> Result<Option<(Option<usize>, usize)>, Broken> {
-        let bytes = &self.bytes[..self.bytes.len().min(LONGEST_HEAD)];
+    fn head(&self) -> Result<Option<(Option<usize>, usize)>, FramingError> {
+        let bytes = &self.bytes[..self.bytes.len().min(MAX_CHUNK_HEADER_BYTES)];
         if !b"\n#".starts_with(&bytes[..bytes.len().min(2)]) {
-            return Err(Broken::Framing);
+            return Err(FramingError::Framing);
         }
         if bytes.len() < 3 {
             return Ok(None);
@@ -125,14 +133,18 @@
         let end = bytes[2..].iter().position(|byte| *byte == b'\n').map(|at| at + 2);
         let Some(end) = end else {
             let fine = bytes[2] == b'#' || bytes[2..].iter().all(u8::is_ascii_digit);
-            return if fine && bytes.len() < LONGEST_HEAD { Ok(None) } else { Err(Broken::Framing) };
+            return if fine && bytes.len() < MAX_CHUNK_HEADER_BYTES {
+                Ok(None)
+            } else {
+                Err(FramingError::Framing)
+            };
         };
         let line = &bytes[2..end];
         if line == b"#" {
             return Ok(Some((None, end + 1)));
         }
         let number = std::str::from_utf8(line).ok().filter(|text| !text.starts_with(['0', '+']));
-        let number = number.and_then(|text| text.parse::<u32>().ok()).ok_or(Broken::Framing)?;
+        let number = number.and_then(|text| text.parse::<u32>().ok()).ok_or(FramingError::Framing)?;
         Ok(Some((Some(number as usize), end + 1)))
     }
 }
@@ -140,7 +152,7 @@
 /// A message as it goes out.
 pub fn frame(framing: Framing, message: &str) -> Vec<u8> {
     match framing {
-        Framing::Mark => [message.as_bytes(), MARK].concat(),
-        Framing::Chunks => format!("\n#{}\n{message}\n##\n", message.len()).into_bytes(),
+        Framing::EndOfMessage => [message.as_bytes(), END_OF_MESSAGE].concat(),
+        Framing::Chunked => format!("\n#{}\n{message}\n##\n", message.len()).into_bytes(),
     }
 }
--- a/crates/edges/netconf/src/lib.rs
+++ b/crates/edges/netconf/src/lib.rs
@@ -9,9 +9,10 @@
 
 pub use data::{edits, filter, from_xml, push_fields, tree_of};
 pub use error::RpcError;
-pub use frames::{Broken, Framer, Framing, frame};
+pub use frames::{Framer, Framing, FramingError, frame};
 pub use rpc::{
-    CommitTerms, DefaultOp, Notified, Operation, Rpc, TestOption, hello, notification, read, reply,
+    CommitParameters, DefaultOperation, NotificationContent, Operation, Rpc, TestOption, hello, notification,
+    read, reply,
 };
 pub use xml::{Element, Malformed, escape, parse};
 
--- a/crates/edges/netconf/src/rpc.rs
+++ b/crates/edges/netconf/src/rpc.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Unless the manager says otherwise, so long a commit waits to be confirmed (RFC 6241, section 8.4).
-const CONFIRM_WITHIN: Duration = Duration::from_secs(600);
+const DEFAULT_CONFIRM_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// Namespace, name and value of each.
 pub type Attributes = Vec<(String, String, String)>;
@@ -21,7 +21,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DefaultOp {
+pub enum DefaultOperation {
     Merge,
     Replace,
     None,
@@ -35,7 +35,7 @@
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct CommitTerms {
+pub struct CommitParameters {
     pub confirmed: Option<Duration>,
     pub persist: Option<String>,
     pub persist_id: Option<String>,
@@ -54,7 +54,7 @@
     },
     EditConfig {
         target: Datastore,
-        default: DefaultOp,
+        default: DefaultOperation,
         test: TestOption,
         on_error: ErrorOption,
         config: Element,
@@ -69,7 +69,7 @@
     Lock(Datastore),
     Unlock(Datastore),
     Validate(Result<Datastore, Box<Element>>),
-    Commit(CommitTerms),
+    Commit(CommitParameters),
     CancelCommit {
         persist_id: Option<String>,
     },
@@ -144,9 +144,9 @@
         "edit-config" => Operation::EditConfig {
             target: datastore(need("target")?)?,
             default: match text("default-operation").as_deref() {
-                None | Some("merge") => DefaultOp::Merge,
-                Some("replace") => DefaultOp::Replace,
-                Some("none") => DefaultOp::None,
+                None | Some("merge") => DefaultOperation::Merge,
+                Some("replace") => DefaultOperation::Replace,
+                Some("none") => DefaultOperation::None,
                 Some(_) => return Err(bad("default-operation")),
             },
             test: match text("test-option").as_deref() {
@@ -172,14 +172,14 @@
         "validate" => Operation::Validate(source(need("source")?)?),
         "commit" => {
             let within = match text("confirm-timeout") {
-                None => CONFIRM_WITHIN,
+                None => DEFAULT_CONFIRM_TIMEOUT,
                 Some(text) => {
                     let seconds = text.parse::<u32>().ok().filter(|seconds| *seconds > 0);
                     Duration::from_secs(u64::from(seconds.ok_or_else(|| bad("confirm-timeout"))?))
                 }
             };
             let confirmed = element.child("confirmed").is_some();
-            Operation::Commit(CommitTerms {
+            Operation::Commit(CommitParameters {
                 confirmed: confirmed.then_some(within),
                 persist: text("persist"),
                 persist_id: text("persist-id"),
@@ -276,13 +276,13 @@
 
 /// What has happened: the notification's name and its leaves.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Notified {
+pub struct NotificationContent {
     pub name: &'static str,
     pub leaves: Vec<(&'static str, String)>,
 }
 
 /// A notification of RFC 5277. `date` is in the form of RFC 3339.
-pub fn notification(namespace: &str, date: &str, notified: &Notified) -> String {
+pub fn notification(namespace: &str, date: &str, notified: &NotificationContent) -> String {
     let mut text = format!(
         "<?xml version=\"1.0\" encoding=\"UTF-8\"?><notification xmlns=\"{NOTIFICATION}\"><eventTime>{date}</eventTime><{} xmlns=\"{}\">",
         notified.name,
--- a/crates/edges/netconf/src/xml.rs
+++ b/crates/edges/netconf/src/xml.rs
@@ -6,9 +6,9 @@
 use quick_xml::name::ResolveResult;
 use std::fmt;
 
-const DEEPEST: usize = 32;
-const MOST_ELEMENTS: usize = 1_000_000;
-const MOST_ATTRIBUTES: usize = 64;
+const MAX_DEPTH: usize = 32;
+const MAX_ELEMENTS: usize = 1_000_000;
+const MAX_ATTRIBUTES: usize = 64;
 
 /// An element with all that stands in it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -69,10 +69,10 @@
             }
             ref event @ (Event::Start(ref start) | Event::Empty(ref start)) => {
                 elements += 1;
-                if open.len() >= DEEPEST {
+                if open.len() >= MAX_DEPTH {
                     return Err(wrong("elements are nested too deeply".to_owned()));
                 }
-                if elements > MOST_ELEMENTS {
+                if elements > MAX_ELEMENTS {
                     return Err(wrong("there are too many elements".to_owned()));
                 }
                 let mut element =
@@ -83,7 +83,7 @@
                     if key.as_namespace_binding().is_some() {
                         continue;
                     }
-                    if element.attributes.len() >= MOST_ATTRIBUTES {
+                    if element.attributes.len() >= MAX_ATTRIBUTES {
                         return Err(wrong("there are too many attributes".to_owned()));
                     }
                     let ns = match reader.resolver().resolve_attribute(key).0 {
--- a/crates/edges/netconf/tests/messages.rs
+++ b/crates/edges/netconf/tests/messages.rs
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-fn all(framer: &mut Framer) -> Result<Vec<String>, Broken> {
+fn all(framer: &mut Framer) -> Result<Vec<String>, FramingError> {
     let mut found = Vec::new();
-    while let Some(message) = framer.cut()? {
+    while let Some(message) = framer.next_message()? {
         found.push(String::from_utf8(message).unwrap());
     }
     Ok(found)
@@ -23,25 +23,25 @@
         cut in 1..17usize,
         chunks in any::<bool>(),
     ) {
-        let framing = if chunks { Framing::Chunks } else { Framing::Mark };
+        let framing = if chunks { Framing::Chunked } else { Framing::EndOfMessage };
         prop_assume!(chunks || texts.iter().all(|text| !text.contains("]]>") && !text.ends_with(']')));
         let bytes: Vec<u8> = texts.iter().flat_map(|text| frame(framing, text)).collect();
         let mut framer = Framer::new(1000);
-        framer.set(framing);
+        framer.set_framing(framing);
         let mut found = Vec::new();
         for part in bytes.chunks(cut) {
             framer.push(part);
             found.extend(all(&mut framer).unwrap());
         }
         prop_assert_eq!(found, texts);
-        prop_assert_eq!(framer.held(), 0);
+        prop_assert_eq!(framer.buffered_bytes(), 0);
     }
 
     #[test]
     fn noise_is_a_message_an_error_or_nothing_yet(noise in prop::collection::vec(any::<u8>(), 0..300)) {
-        for framing in [Framing::Mark, Framing::Chunks] {
+        for framing in [Framing::EndOfMessage, Framing::Chunked] {
             let mut framer = Framer::new(100);
-            framer.set(framing);
+            framer.set_framing(framing);
             framer.push(&noise);
             let _ = all(&mut framer);
         }
@@ -60,18 +60,18 @@
 fn frames_that_are_none_are_told_at_once() {
     for wrong in ["x", "\nx", "\n#0\n", "\n#x", "\n#12x", "\n##\n", "\n#99999999999", "\n#+1\na"] {
         let mut framer = Framer::new(100);
-        framer.set(Framing::Chunks);
+        framer.set_framing(Framing::Chunked);
         framer.push(wrong.as_bytes());
-        assert_eq!(framer.cut(), Err(Broken::Framing), "{wrong:?}");
+        assert_eq!(framer.next_message(), Err(FramingError::Framing), "{wrong:?}");
     }
     let mut framer = Framer::new(100);
     framer.push(&[b'x'; 101]);
-    assert_eq!(framer.cut(), Err(Broken::TooLong));
-    framer.set(Framing::Chunks);
+    assert_eq!(framer.next_message(), Err(FramingError::TooLong));
+    framer.set_framing(Framing::Chunked);
     let mut framer = Framer::new(100);
-    framer.set(Framing::Chunks);
+    framer.set_framing(Framing::Chunked);
     framer.push(b"\n#4294967295\n");
-    assert_eq!(framer.cut(), Err(Broken::TooLong));
+    assert_eq!(framer.next_message(), Err(FramingError::TooLong));
 }
 
 #[test]
@@ -108,7 +108,10 @@
     let edit = "<edit-config><target><candidate/></target><default-operation>none</default-operation>
         <error-option>rollback-on-error</error-option><config/></edit-config>";
     let Ok(Operation::EditConfig { target, default, test, on_error, .. }) = rpc(edit) else { panic!() };
-    assert_eq!((target, default, on_error), (Datastore::Candidate, DefaultOp::None, ErrorOption::Rollback));
+    assert_eq!(
+        (target, default, on_error),
+        (Datastore::Candidate, DefaultOperation::None, ErrorOption::Rollback)
+    );
     assert_eq!(test, TestOption::TestThenSet);
     let commit = "<commit><confirmed/><confirm-timeout>5</confirm-timeout><persist>x</persist></commit>";
     let Ok(Operation::Commit(terms)) = rpc(commit) else { panic!() };
@@ -156,7 +159,7 @@
     .unwrap()
 }
 
-fn carry_out(schema: &Schema, tree: &mut Tree, text: &str, default: DefaultOp) -> Result<(), String> {
+fn carry_out(schema: &Schema, tree: &mut Tree, text: &str, default: DefaultOperation) -> Result<(), String> {
     let edits = edits(schema, tree, &config(text), default).map_err(|fault| fault.to_string())?;
     for edit in edits {
         tree.apply(schema, edit.op, &edit.place, edit.value.as_ref()).map_err(|fault| fault.to_string())?;
@@ -174,7 +177,7 @@
     let schema = Schema::front().unwrap();
     let mut tree = Tree::default();
     let pool = |name: &str, more: &str| format!("<pool><name>{name}</name>{more}</pool>");
-    let merge = DefaultOp::Merge;
+    let merge = DefaultOperation::Merge;
     carry_out(&schema, &mut tree, &pool("a", "<cell>1</cell><cell>2</cell>"), merge).unwrap();
     carry_out(&schema, &mut tree, &pool("b", ""), merge).unwrap();
     assert_eq!(json(&schema, &tree), json!({"pool": [{"name": "a", "cell": [1, 2]}, {"name": "b"}]}));
@@ -182,16 +185,16 @@
     let create = "<pool nc:operation='create'><name>a</name></pool>";
     assert!(carry_out(&schema, &mut tree, create, merge).unwrap_err().contains("exists"));
     let inner = pool("a", "<cell nc:operation='delete'>2</cell><cell nc:operation='remove'>9</cell>");
-    carry_out(&schema, &mut tree, &inner, DefaultOp::None).unwrap();
+    carry_out(&schema, &mut tree, &inner, DefaultOperation::None).unwrap();
     assert_eq!(json(&schema, &tree)["pool"][0], json!({"name": "a", "cell": [1]}));
-    assert!(carry_out(&schema, &mut tree, &pool("c", ""), DefaultOp::None).is_err());
+    assert!(carry_out(&schema, &mut tree, &pool("c", ""), DefaultOperation::None).is_err());
     let replace = "<pool nc:operation='replace'><name>a</name><admin-state>draining</admin-state></pool>";
     carry_out(&schema, &mut tree, replace, merge).unwrap();
     assert_eq!(json(&schema, &tree)["pool"][0], json!({"name": "a", "admin-state": "draining"}));
     let gone = "<pool nc:operation='delete'><name>a</name></pool>";
     carry_out(&schema, &mut tree, gone, merge).unwrap();
     assert!(carry_out(&schema, &mut tree, gone, merge).is_err());
-    carry_out(&schema, &mut tree, "<log-level>warn</log-level>", DefaultOp::Replace).unwrap();
+    carry_out(&schema, &mut tree, "<log-level>warn</log-level>", DefaultOperation::Replace).unwrap();
     assert_eq!(json(&schema, &tree), json!({"log-level": "warn"}));
 }
 
@@ -208,7 +211,7 @@
         ("<pool xmlns='urn:x'/>", "namespace"),
         ("<pool><name>a</name><cell>x</cell></pool>", "uint32"),
     ] {
-        let fault = edits(&schema, &tree, &config(text), DefaultOp::Merge).unwrap_err().to_string();
+        let fault = edits(&schema, &tree, &config(text), DefaultOperation::Merge).unwrap_err().to_string();
         assert!(fault.contains(what), "{text}: {fault}");
     }
 }
@@ -218,7 +221,7 @@
     let pools = "<log-level>warn</log-level>
         <pool><name>a</name><admin-state>draining</admin-state><cell>1</cell><cell>2</cell></pool>
         <pool><name>b</name><admin-state>disabled</admin-state><cell>2</cell></pool>";
-    carry_out(schema, &mut tree, pools, DefaultOp::Merge).unwrap();
+    carry_out(schema, &mut tree, pools, DefaultOperation::Merge).unwrap();
     tree
 }
 
@@ -275,7 +278,8 @@
 fn errors_carry_tag_path_and_app_tag() {
     let schema = Schema::front().unwrap();
     let mut tree = filled(&schema);
-    carry_out(&schema, &mut tree, "<pool><name>a</name><serves>x</serves></pool>", DefaultOp::Merge).unwrap();
+    carry_out(&schema, &mut tree, "<pool><name>a</name><serves>x</serves></pool>", DefaultOperation::Merge)
+        .unwrap();
     let fault = schema.validate(&tree).unwrap_err().remove(0);
     let error = RpcError::of_fault(&schema, &fault);
     let text = parse(&reply(&[], &Err(vec![error]))).unwrap();
--- a/crates/tools/scale/src/managed/doors.rs
+++ b/crates/tools/scale/src/managed/doors.rs
@@ -2,7 +2,7 @@
 //! them; in place of a front's owner there is one that agrees to everything.
 
 use crate::role::MeasureError;
-use lemonusher_managed::{GnmiTerms, Hub, Names, Started, Terms, Users, start};
+use lemonusher_managed::{GnmiConfig, Hub, ManagementConfig, Names, Started, Users, start};
 use lemonusher_routing::ManagementCall;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -65,14 +65,14 @@
 }
 
 fn open(front: usize, folder: PathBuf, runtime: &Handle) -> Result<Door, MeasureError> {
-    let terms = Terms {
+    let terms = ManagementConfig {
         folder: Some(folder),
         history: HISTORY,
         sessions: SESSIONS,
         subscriptions: 1,
         freshness: FRESHNESS,
         from_startup: false,
-        gnmi: Some(GnmiTerms { listen: SocketAddr::from(LOOPBACK), tls: None }),
+        gnmi: Some(GnmiConfig { listen: SocketAddr::from(LOOPBACK), tls: None }),
         netconf: None,
         users: Users::default(),
     };
