--- a/crates/edges/managed/src/gnmi/service.rs
+++ b/crates/edges/managed/src/gnmi/service.rs
@@ -264,8 +264,11 @@
         let mut notifications = Vec::new();
         for path in paths {
             let patterns = self.patterns(request.prefix.as_ref(), Some(path))?;
-            let needs =
-                if state { StateSelection::of(&schema, &patterns) } else { StateSelection::default() };
+            let needs = if state {
+                StateSelection::for_patterns(&schema, &patterns)
+            } else {
+                StateSelection::default()
+            };
             let view = self.hub.view(config, needs).await;
             let mut update = Vec::new();
             if encoding == Encoding::Proto {
--- a/crates/edges/managed/src/gnmi/subscribe.rs
+++ b/crates/edges/managed/src/gnmi/subscribe.rs
@@ -106,7 +106,7 @@
     let config = all.iter().any(|pattern| pattern.get(1).is_none_or(|step| schema.node(step.node).config));
     let subscriber = Subscriber {
         watch: Watch::new(terms, hub.now()),
-        needs: StateSelection::of(&schema, &all),
+        needs: StateSelection::for_patterns(&schema, &all),
         hub,
         schema,
         config,
@@ -148,10 +148,12 @@
         Ok(SubscriptionMode::OnChange) => watch::SubscriptionMode::OnChange,
         Ok(SubscriptionMode::Sample) => sample,
         // What changes by commits or notices is told as it changes, what drifts by samples.
-        Ok(SubscriptionMode::TargetDefined) => match StateSelection::of(schema, &patterns).drifts() {
-            true => sample,
-            false => watch::SubscriptionMode::OnChange,
-        },
+        Ok(SubscriptionMode::TargetDefined) => {
+            match StateSelection::for_patterns(schema, &patterns).changes_without_event() {
+                true => sample,
+                false => watch::SubscriptionMode::OnChange,
+            }
+        }
         Err(_) => return Err(Status::invalid_argument("the subscription's mode is not known")),
     };
     let heartbeat = match span(asked.heartbeat_interval) {
@@ -245,7 +247,7 @@
         if !self.give(notification).await || !self.synced().await {
             return;
         }
-        let drifts = self.watch.has_on_change() && self.needs.drifts();
+        let drifts = self.watch.has_on_change() && self.needs.changes_without_event();
         loop {
             let now = self.hub.now();
             let mut due = self.watch.next_timeout();
--- a/crates/edges/managed/src/netconf/mod.rs
+++ b/crates/edges/managed/src/netconf/mod.rs
@@ -26,16 +26,16 @@
     pub hub: Arc<Hub>,
     pub users: Users,
     /// Ends a session from another.
-    pub kills: Mutex<BTreeMap<u32, Arc<Notify>>>,
+    pub kill_signals: Mutex<BTreeMap<u32, Arc<Notify>>>,
     /// Bytes of messages that have come in part, over all sessions.
-    pub held: AtomicUsize,
+    pub buffered_bytes: AtomicUsize,
     pub subscribed: AtomicUsize,
     pub subscriptions: usize,
 }
 
 impl ServerState {
     pub(super) fn kills(&self) -> std::sync::MutexGuard<'_, BTreeMap<u32, Arc<Notify>>> {
-        self.kills.lock().unwrap_or_else(PoisonError::into_inner)
+        self.kill_signals.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -78,8 +78,8 @@
     let door = Arc::new(ServerState {
         hub,
         users,
-        kills: Mutex::default(),
-        held: AtomicUsize::new(0),
+        kill_signals: Mutex::default(),
+        buffered_bytes: AtomicUsize::new(0),
         subscribed: AtomicUsize::new(0),
         subscriptions,
     });
--- a/crates/edges/managed/src/netconf/session.rs
+++ b/crates/edges/managed/src/netconf/session.rs
@@ -50,7 +50,7 @@
 /// What goes with the session, however it ends.
 impl Drop for Session {
     fn drop(&mut self) {
-        self.door.held.fetch_sub(self.held, Ordering::SeqCst);
+        self.door.buffered_bytes.fetch_sub(self.held, Ordering::SeqCst);
         if self.subscription.is_some() {
             self.door.subscribed.fetch_sub(1, Ordering::SeqCst);
         }
@@ -105,8 +105,8 @@
 
 /// Who asks may end the session with an operation.
 enum AfterReply {
-    Goes,
-    Ends,
+    Continue,
+    Close,
 }
 
 impl Session {
@@ -126,7 +126,7 @@
                 Incoming::Message(text) => {
                     let (answer, next) = self.answer(&text).await;
                     write(&mut writer, self.framing, &answer).await?;
-                    if let AfterReply::Ends = next {
+                    if let AfterReply::Close = next {
                         return Ok(());
                     }
                 }
@@ -183,12 +183,12 @@
 
     /// Counts what this session holds towards what all may.
     fn hold(&mut self, bytes: usize) -> Result<(), String> {
-        let others = self.door.held.fetch_sub(self.held, Ordering::SeqCst) - self.held;
+        let others = self.door.buffered_bytes.fetch_sub(self.held, Ordering::SeqCst) - self.held;
         self.held = 0;
         if others + bytes > MAX_BUFFERED_BYTES && bytes > READ_BUFFER_BYTES {
             return Err("there is no room for a message as long as this one".to_owned());
         }
-        self.door.held.fetch_add(bytes, Ordering::SeqCst);
+        self.door.buffered_bytes.fetch_add(bytes, Ordering::SeqCst);
         self.held = bytes;
         Ok(())
     }
@@ -216,9 +216,10 @@
     async fn answer(&mut self, text: &str) -> (String, AfterReply) {
         let rpc = match read(text) {
             Ok(rpc) => rpc,
-            Err((attributes, error)) => return (reply(&attributes, &Err(vec![error])), AfterReply::Goes),
+            Err((attributes, error)) => return (reply(&attributes, &Err(vec![error])), AfterReply::Continue),
         };
-        let next = if rpc.operation == Operation::CloseSession { AfterReply::Ends } else { AfterReply::Goes };
+        let next =
+            if rpc.operation == Operation::CloseSession { AfterReply::Close } else { AfterReply::Continue };
         let answer = self.operate(rpc.operation).await;
         (reply(&rpc.attributes, &answer), next)
     }
@@ -315,7 +316,12 @@
                 self.hub.with_store(|store| store.validate(&tree)).map_err(refused)?;
                 Ok(String::new())
             }
-            Operation::Commit(CommitParameters { confirmed, persist, persist_id, expect }) => {
+            Operation::Commit(CommitParameters {
+                confirm_timeout: confirmed,
+                persist,
+                persist_id,
+                expected_version: expect,
+            }) => {
                 let terms = CommitOptions {
                     confirm_timeout: confirmed,
                     persist,
@@ -449,7 +455,7 @@
             .filter_map(|path| self.schema.patterns(&parse_path(path).ok()?).ok())
             .flatten()
             .collect();
-        StateSelection::of(&self.schema, &patterns)
+        StateSelection::for_patterns(&self.schema, &patterns)
     }
 
     fn data(&self, tree: &Tree, wanted: Option<&Element>) -> String {
--- a/crates/edges/managed/src/start.rs
+++ b/crates/edges/managed/src/start.rs
@@ -76,7 +76,7 @@
     Log(io::Error),
     Listen(SocketAddr, io::Error),
     /// What was wanted when the front last ran names what the deployment no longer states.
-    Wishes(String),
+    DesiredState(String),
     Key(String),
     Thread(io::Error),
 }
@@ -88,7 +88,7 @@
             StartError::Disk(error) => write!(f, "state: {error}"),
             StartError::Log(error) => write!(f, "the state's log: {error}"),
             StartError::Listen(address, error) => write!(f, "can't listen on {address}: {error}"),
-            StartError::Wishes(what) => {
+            StartError::DesiredState(what) => {
                 write!(f, "the state that was kept does not fit the deployment: {what}")
             }
             StartError::Key(what) => write!(f, "key: {what}"),
@@ -130,7 +130,7 @@
         store.finish_commit(plan);
     }
     let wishes = reader.read(&schema, &store.running().tree).map_err(|faults| {
-        StartError::Wishes(faults.iter().map(|fault| fault.to_string()).collect::<Vec<_>>().join("; "))
+        StartError::DesiredState(faults.iter().map(|fault| fault.to_string()).collect::<Vec<_>>().join("; "))
     })?;
     if store.running().number > 0 {
         level(&wishes.log_level);
--- a/crates/edges/managed/src/state.rs
+++ b/crates/edges/managed/src/state.rs
@@ -23,7 +23,7 @@
 }
 
 impl StateSelection {
-    pub fn of(schema: &Schema, patterns: &[Pattern]) -> StateSelection {
+    pub fn for_patterns(schema: &Schema, patterns: &[Pattern]) -> StateSelection {
         let mut needs = StateSelection::default();
         for pattern in patterns {
             let name = |at: usize| pattern.get(at).map(|step| schema.node(step.node).name.as_str());
@@ -43,7 +43,7 @@
     }
 
     /// Whether it changes without a commit or a notice.
-    pub fn drifts(self) -> bool {
+    pub fn changes_without_event(self) -> bool {
         self.snapshot || self.sessions
     }
 }
--- a/crates/edges/netconf/src/frames.rs
+++ b/crates/edges/netconf/src/frames.rs
@@ -17,16 +17,16 @@
 /// Why what comes can't be cut into messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FramingError {
-    TooLong,
+    MessageTooLong,
     /// Chunks are not framed as they should be.
-    Framing,
+    BadChunk,
 }
 
 impl fmt::Display for FramingError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            FramingError::TooLong => "a message is too long",
-            FramingError::Framing => "chunks are not framed as RFC 6242 has it",
+            FramingError::MessageTooLong => "a message is too long",
+            FramingError::BadChunk => "chunks are not framed as RFC 6242 has it",
         })
     }
 }
@@ -87,7 +87,7 @@
         let Some(at) = found.map(|at| at + self.searched) else {
             self.searched = self.bytes.len().saturating_sub(END_OF_MESSAGE.len() - 1);
             return if self.bytes.len() > self.max_message_bytes {
-                Err(FramingError::TooLong)
+                Err(FramingError::MessageTooLong)
             } else {
                 Ok(None)
             };
@@ -95,7 +95,11 @@
         let mut message: Vec<u8> = self.bytes.drain(..at + END_OF_MESSAGE.len()).collect();
         message.truncate(at);
         self.searched = 0;
-        if message.len() > self.max_message_bytes { Err(FramingError::TooLong) } else { Ok(Some(message)) }
+        if message.len() > self.max_message_bytes {
+            Err(FramingError::MessageTooLong)
+        } else {
+            Ok(Some(message))
+        }
     }
 
     fn next_chunked(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
@@ -111,10 +115,10 @@
             let Some((length, head)) = self.head()? else { return Ok(None) };
             self.bytes.drain(..head);
             match length {
-                None if self.message.is_empty() => return Err(FramingError::Framing),
+                None if self.message.is_empty() => return Err(FramingError::BadChunk),
                 None => return Ok(Some(std::mem::take(&mut self.message))),
                 Some(length) if self.message.len() + length > self.max_message_bytes => {
-                    return Err(FramingError::TooLong);
+                    return Err(FramingError::MessageTooLong);
                 }
                 Some(length) => self.chunk_remaining = length,
             }
@@ -125,7 +129,7 @@
     fn head(&self) -> Result<Option<(Option<usize>, usize)>, FramingError> {
         let bytes = &self.bytes[..self.bytes.len().min(MAX_CHUNK_HEADER_BYTES)];
         if !b"\n#".starts_with(&bytes[..bytes.len().min(2)]) {
-            return Err(FramingError::Framing);
+            return Err(FramingError::BadChunk);
         }
         if bytes.len() < 3 {
             return Ok(None);
@@ -136,7 +140,7 @@
             return if fine && bytes.len() < MAX_CHUNK_HEADER_BYTES {
                 Ok(None)
             } else {
-                Err(FramingError::Framing)
+                Err(FramingError::BadChunk)
             };
         };
         let line = &bytes[2..end];
@@ -144,7 +148,7 @@
             return Ok(Some((None, end + 1)));
         }
         let number = std::str::from_utf8(line).ok().filter(|text| !text.starts_with(['0', '+']));
-        let number = number.and_then(|text| text.parse::<u32>().ok()).ok_or(FramingError::Framing)?;
+        let number = number.and_then(|text| text.parse::<u32>().ok()).ok_or(FramingError::BadChunk)?;
         Ok(Some((Some(number as usize), end + 1)))
     }
 }
--- a/crates/edges/netconf/src/rpc.rs
+++ b/crates/edges/netconf/src/rpc.rs
@@ -36,11 +36,11 @@
 
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CommitParameters {
-    pub confirmed: Option<Duration>,
+    pub confirm_timeout: Option<Duration>,
     pub persist: Option<String>,
     pub persist_id: Option<String>,
     /// The version that the manager has seen, in this program's own namespace.
-    pub expect: Option<u64>,
+    pub expected_version: Option<u64>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -180,10 +180,10 @@
             };
             let confirmed = element.child("confirmed").is_some();
             Operation::Commit(CommitParameters {
-                confirmed: confirmed.then_some(within),
+                confirm_timeout: confirmed.then_some(within),
                 persist: text("persist"),
                 persist_id: text("persist-id"),
-                expect: match text("expect") {
+                expected_version: match text("expect") {
                     None => None,
                     Some(text) => Some(text.parse().map_err(|_| bad("expect"))?),
                 },
--- a/crates/edges/netconf/tests/messages.rs
+++ b/crates/edges/netconf/tests/messages.rs
@@ -62,16 +62,16 @@
         let mut framer = Framer::new(100);
         framer.set_framing(Framing::Chunked);
         framer.push(wrong.as_bytes());
-        assert_eq!(framer.next_message(), Err(FramingError::Framing), "{wrong:?}");
+        assert_eq!(framer.next_message(), Err(FramingError::BadChunk), "{wrong:?}");
     }
     let mut framer = Framer::new(100);
     framer.push(&[b'x'; 101]);
-    assert_eq!(framer.next_message(), Err(FramingError::TooLong));
+    assert_eq!(framer.next_message(), Err(FramingError::MessageTooLong));
     framer.set_framing(Framing::Chunked);
     let mut framer = Framer::new(100);
     framer.set_framing(Framing::Chunked);
     framer.push(b"\n#4294967295\n");
-    assert_eq!(framer.next_message(), Err(FramingError::TooLong));
+    assert_eq!(framer.next_message(), Err(FramingError::MessageTooLong));
 }
 
 #[test]
@@ -115,7 +115,7 @@
     assert_eq!(test, TestOption::TestThenSet);
     let commit = "<commit><confirmed/><confirm-timeout>5</confirm-timeout><persist>x</persist></commit>";
     let Ok(Operation::Commit(terms)) = rpc(commit) else { panic!() };
-    assert_eq!((terms.confirmed, terms.persist.as_deref()), (Some(Duration::from_secs(5)), Some("x")));
+    assert_eq!((terms.confirm_timeout, terms.persist.as_deref()), (Some(Duration::from_secs(5)), Some("x")));
     assert_eq!(rpc("<kill-session><session-id>4</session-id></kill-session>"), Ok(Operation::KillSession(4)));
 }
 
