--- a/crates/edges/managed/src/gnmi/paths.rs
+++ b/crates/edges/managed/src/gnmi/paths.rs
@@ -1,8 +1,11 @@
+//! gNMI's paths and the model's.
+
 use super::proto::gnmi::{Path, PathElem};
-use lemonusher_model::{MAX_PATH_STEPS, Schema, Segment, Step};
+use super::status::fault_status;
+use lemonusher_model::{MAX_PATH_STEPS, Pattern, Place, Schema, Segment, Step};
 use tonic::Status;
 
-/// The steps of a path below a prefix.
+/// The steps of a path below a prefix. Fails for an unknown origin or too many steps.
 pub fn to_steps(schema: &Schema, prefix: Option<&Path>, path: Option<&Path>) -> Result<Vec<Step>, Status> {
     let parts = [prefix, path].into_iter().flatten();
     let mut steps = Vec::new();
@@ -22,11 +25,33 @@
     Ok(steps)
 }
 
+/// All patterns that a path below a prefix means.
+pub(super) fn to_patterns(
+    schema: &Schema,
+    prefix: Option<&Path>,
+    path: Option<&Path>,
+) -> Result<Vec<Pattern>, Status> {
+    let steps = to_steps(schema, prefix, path)?;
+    schema.patterns(&steps).map_err(|fault| fault_status(&fault))
+}
+
+/// A pattern as text, without the keys that it leaves open.
+pub(super) fn shown(schema: &Schema, pattern: &Pattern) -> String {
+    let place: Place = pattern
+        .iter()
+        .map(|step| Segment {
+            node: step.node,
+            keys: step.keys.iter().cloned().map(|keys| keys.into_iter().flatten().collect()).next(),
+        })
+        .collect();
+    schema.text(&place)
+}
+
 /// A place as a path.
 pub fn from_place(schema: &Schema, place: &[Segment]) -> Path {
-    let elem = |seg: &Segment| {
-        let leaves = schema.keys(seg.node);
-        let values = seg.keys.iter().flatten();
+    let elem = |segment: &Segment| {
+        let leaves = schema.keys(segment.node);
+        let values = segment.keys.iter().flatten();
         let key = match leaves.is_empty() {
             true => values.map(|value| (".".to_owned(), value.to_string())).collect(),
             false => {
@@ -34,7 +59,7 @@
                 names.zip(values.map(|value| value.to_string())).collect()
             }
         };
-        PathElem { name: schema.node(seg.node).name.clone(), key }
+        PathElem { name: schema.node(segment.node).name.clone(), key }
     };
     Path { elem: place.iter().map(elem).collect(), ..Path::default() }
 }
--- a/crates/edges/managed/src/gnmi/subscribe.rs
+++ b/crates/edges/managed/src/gnmi/subscribe.rs
@@ -1,44 +1,79 @@
-//! Subscriptions. What is due, and what is lost, the watch says; here it is timed, encoded and handed over. A
-//! subscriber that does not read fills its own line and no other.
+//! Subscribe: what is due and what is lost is the watch's to say; here it is timed, encoded and sent. A subscriber that does
+//! not read fills its own queue and no other.
 
-use super::paths::from_place;
-use super::proto::gnmi::subscribe_request::Request as Asked;
-use super::proto::gnmi::subscribe_response::Response as Said;
+use super::paths::{from_place, to_patterns};
+use super::proto::gnmi::subscribe_request::Request as SubscribeCall;
+use super::proto::gnmi::subscribe_response::Response as SubscribeReply;
 use super::proto::gnmi::subscription_list::Mode as ListMode;
 use super::proto::gnmi::*;
-use super::service::{Service, encoding, status, unix_ns};
-use super::values::typed;
-use crate::hub::Hub;
+use super::status::store_status;
+use super::values::{encoding, typed, unix_ns};
+use crate::hub::{Hub, ManagementEvent};
 use crate::state::StateSelection;
 use crate::users::Grant;
-use lemonusher_model::{Pattern, Schema};
+use lemonusher_model::{Pattern, Schema, Tree};
 use lemonusher_store::{Protocol, SessionId};
 use lemonusher_watch::{self as watch, Watch};
 use std::pin::Pin;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
+use tokio::sync::broadcast;
 use tokio::sync::broadcast::error::RecvError;
 use tokio::sync::mpsc;
 use tokio_stream::wrappers::ReceiverStream;
 use tokio_stream::{Stream, StreamExt};
 use tonic::{Status, Streaming};
 
-/// Messages that a subscriber may be behind.
+/// Messages that may be queued for a subscriber.
 const MAX_QUEUED_MESSAGES: usize = 64;
+/// Messages of the queue that are left free of updates, for what else a subscriber is sent.
+const RESERVED_MESSAGES: usize = 4;
 const MAX_SUBSCRIPTIONS_PER_CALL: usize = 64;
-/// Updates in one message.
+/// Updates or deletes in one message.
 const MAX_UPDATES_PER_MESSAGE: usize = 1024;
+/// The shortest sample or heartbeat interval.
 const MIN_INTERVAL: Duration = Duration::from_millis(20);
+/// The sample interval of a subscription that names none.
 const DEFAULT_SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
-/// How often state that changes without notice is compared for those who want changes.
+/// How often state that changes without an event is compared for subscriptions on change.
 const COMPARE_INTERVAL: Duration = Duration::from_millis(250);
-/// How soon a subscriber that had no room is tried again.
+/// After how long a subscriber that had no room is tried again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// How long a stream waits where nothing is due by time.
+const IDLE_INTERVAL: Duration = Duration::from_secs(3600);
 
-type ResponseStream = Pin<Box<dyn Stream<Item = Result<SubscribeResponse, Status>> + Send>>;
+/// What a subscriber reads.
+pub(super) type ResponseStream = Pin<Box<dyn Stream<Item = Result<SubscribeResponse, Status>> + Send>>;
 
-/// One of all the subscriptions that there may be, given back when it ends.
+/// All subscriptions of all clients, counted against their bound.
+pub(super) struct Subscriptions {
+    hub: Arc<Hub>,
+    max: usize,
+    count: Arc<AtomicUsize>,
+}
+
+impl Subscriptions {
+    pub(super) fn new(hub: Arc<Hub>, max: usize) -> Subscriptions {
+        Subscriptions { hub, max, count: Arc::default() }
+    }
+
+    /// Counts the subscriptions of one call and opens its session.
+    fn open(&self, grant: &Grant, count: usize) -> Result<SubscriptionGuard, Status> {
+        if self.count.fetch_add(count, Ordering::SeqCst) + count > self.max {
+            self.count.fetch_sub(count, Ordering::SeqCst);
+            return Err(Status::resource_exhausted("there are as many subscriptions as there may be"));
+        }
+        let session = self.hub.with_store(|store| store.open_session(&grant.user, Protocol::Gnmi));
+        let session = session.map_err(|error| {
+            self.count.fetch_sub(count, Ordering::SeqCst);
+            store_status(&error)
+        })?;
+        Ok(SubscriptionGuard { hub: self.hub.clone(), session, all: self.count.clone(), count })
+    }
+}
+
+/// The subscriptions and the session of one call, given back when it ends.
 struct SubscriptionGuard {
     hub: Arc<Hub>,
     session: SessionId,
@@ -53,67 +88,53 @@
     }
 }
 
+/// One Subscribe call.
 struct Subscriber {
     hub: Arc<Hub>,
     schema: Arc<Schema>,
     watch: Watch,
-    needs: StateSelection,
+    /// The parts of the state that the subscriptions can select.
+    selection: StateSelection,
+    /// Whether any subscription can select config.
     config: bool,
     encoding: Encoding,
-    line: mpsc::Sender<Result<SubscribeResponse, Status>>,
-    seat: SubscriptionGuard,
-    told_lost: u64,
+    queue: mpsc::Sender<Result<SubscribeResponse, Status>>,
+    guard: SubscriptionGuard,
+    /// Lost updates that the subscriber has been notified of.
+    reported_lost: u64,
 }
 
-pub(super) async fn open(
-    service: &Service,
+pub(super) async fn subscribe(
+    subscriptions: &Subscriptions,
     grant: Grant,
     mut requests: Streaming<SubscribeRequest>,
 ) -> Result<ResponseStream, Status> {
     let first = requests.message().await?.and_then(|request| request.request);
-    let Some(Asked::Subscribe(list)) = first else {
+    let Some(SubscribeCall::Subscribe(list)) = first else {
         return Err(Status::invalid_argument("the first message is a subscription list"));
     };
-    let hub = service.hub.clone();
+    let hub = subscriptions.hub.clone();
     let schema = hub.schema().clone();
     let encoding = encoding(list.encoding)?;
     let mode =
         ListMode::try_from(list.mode).map_err(|_| Status::invalid_argument("the mode is not known"))?;
-    if list.subscription.is_empty() || list.subscription.len() > MAX_SUBSCRIPTIONS_PER_CALL {
-        return Err(Status::invalid_argument(format!(
-            "1 to {MAX_SUBSCRIPTIONS_PER_CALL} subscriptions are taken"
-        )));
-    }
-    let (mut terms, mut all) = (Vec::new(), Vec::new());
-    for subscription in &list.subscription {
-        let patterns = service.patterns(list.prefix.as_ref(), subscription.path.as_ref())?;
-        all.extend(patterns.iter().cloned());
-        terms.push(terms_of(&schema, subscription, patterns)?);
-    }
-    let count = terms.len();
-    if service.subscribed.fetch_add(count, Ordering::SeqCst) + count > service.subscriptions {
-        service.subscribed.fetch_sub(count, Ordering::SeqCst);
-        return Err(Status::resource_exhausted("there are as many subscriptions as there may be"));
-    }
-    let session =
-        hub.with_store(|store| store.open_session(&grant.user, Protocol::Gnmi)).map_err(|refused| {
-            service.subscribed.fetch_sub(count, Ordering::SeqCst);
-            status(&refused)
-        })?;
-    let seat = SubscriptionGuard { hub: hub.clone(), session, all: service.subscribed.clone(), count };
-    tracing::info!(session, user = grant.user, subscriptions = count, "subscribed");
-    let (line, answers) = mpsc::channel(MAX_QUEUED_MESSAGES);
-    let config = all.iter().any(|pattern| pattern.get(1).is_none_or(|step| schema.node(step.node).config));
+    let watched = watched(&schema, &list)?;
+    let patterns: Vec<Pattern> = watched.iter().flat_map(|one| one.patterns.iter().cloned()).collect();
+    let count = watched.len();
+    let guard = subscriptions.open(&grant, count)?;
+    tracing::info!(session = guard.session, user = grant.user, subscriptions = count, "subscribed");
+    let (queue, responses) = mpsc::channel(MAX_QUEUED_MESSAGES);
+    let is_config = |pattern: &Pattern| pattern.get(1).is_none_or(|step| schema.node(step.node).config);
     let subscriber = Subscriber {
-        watch: Watch::new(terms, hub.now()),
-        needs: StateSelection::for_patterns(&schema, &all),
+        watch: Watch::new(watched, hub.now()),
+        selection: StateSelection::for_patterns(&schema, &patterns),
+        config: patterns.iter().any(is_config),
         hub,
         schema,
-        config,
         encoding,
-        line,
-        seat,
-        told_lost: 0,
+        queue,
+        guard,
+        reported_lost: 0,
     };
     tokio::spawn(async move {
         match mode {
@@ -122,32 +143,44 @@
             ListMode::Stream => subscriber.stream(requests, list.updates_only).await,
         }
     });
-    Ok(Box::pin(ReceiverStream::new(answers)))
+    Ok(Box::pin(ReceiverStream::new(responses)))
+}
+
+/// The subscriptions of a list, as the watch has them.
+fn watched(schema: &Schema, list: &SubscriptionList) -> Result<Vec<watch::Subscription>, Status> {
+    if list.subscription.is_empty() || list.subscription.len() > MAX_SUBSCRIPTIONS_PER_CALL {
+        return Err(Status::invalid_argument(format!(
+            "1 to {MAX_SUBSCRIPTIONS_PER_CALL} subscriptions are taken"
+        )));
+    }
+    let mut watched = Vec::new();
+    for subscription in &list.subscription {
+        let patterns = to_patterns(schema, list.prefix.as_ref(), subscription.path.as_ref())?;
+        watched.push(watched_subscription(schema, subscription, patterns)?);
+    }
+    Ok(watched)
 }
 
-fn terms_of(
+fn watched_subscription(
     schema: &Schema,
-    asked: &Subscription,
+    subscription: &Subscription,
     patterns: Vec<Pattern>,
 ) -> Result<watch::Subscription, Status> {
-    let span = |ns: u64| Duration::from_nanos(ns);
-    let every = match span(asked.sample_interval) {
+    let sample_interval = match Duration::from_nanos(subscription.sample_interval) {
         Duration::ZERO => DEFAULT_SAMPLE_INTERVAL,
         short if short < MIN_INTERVAL => {
             return Err(Status::invalid_argument(format!(
                 "the shortest sample interval is {MIN_INTERVAL:?}"
             )));
         }
-        every => every,
-    };
-    let sample = watch::SubscriptionMode::Sample {
-        sample_interval: every,
-        suppress_redundant: asked.suppress_redundant,
+        interval => interval,
     };
-    let mode = match SubscriptionMode::try_from(asked.mode) {
+    let suppress_redundant = subscription.suppress_redundant;
+    let sample = watch::SubscriptionMode::Sample { sample_interval, suppress_redundant };
+    let mode = match SubscriptionMode::try_from(subscription.mode) {
         Ok(SubscriptionMode::OnChange) => watch::SubscriptionMode::OnChange,
         Ok(SubscriptionMode::Sample) => sample,
-        // What changes by commits or notices is told as it changes, what drifts by samples.
+        // What changes with an event is sent on change, the rest by samples.
         Ok(SubscriptionMode::TargetDefined) => {
             match StateSelection::for_patterns(schema, &patterns).changes_without_event() {
                 true => sample,
@@ -156,21 +189,28 @@
         }
         Err(_) => return Err(Status::invalid_argument("the subscription's mode is not known")),
     };
-    let heartbeat = match span(asked.heartbeat_interval) {
+    let heartbeat_interval = match Duration::from_nanos(subscription.heartbeat_interval) {
         Duration::ZERO => None,
         short if short < MIN_INTERVAL => {
             return Err(Status::invalid_argument(format!("the shortest heartbeat is {MIN_INTERVAL:?}")));
         }
-        span => Some(span),
+        interval => Some(interval),
     };
-    Ok(watch::Subscription { patterns, mode, heartbeat_interval: heartbeat })
+    Ok(watch::Subscription { patterns, mode, heartbeat_interval })
+}
+
+/// Whether a stream goes on.
+enum StreamState {
+    Open,
+    Closed,
 }
 
 impl Subscriber {
-    async fn tree(&self) -> lemonusher_model::Tree {
-        self.hub.view(self.config, self.needs).await
+    async fn tree(&self) -> Tree {
+        self.hub.view(self.config, self.selection).await
     }
 
+    /// A notification as messages of bounded size, the deletes first.
     fn messages(&self, notification: watch::Notification) -> Vec<SubscribeResponse> {
         let timestamp = unix_ns();
         let update = |watch::Update { place, value }: &watch::Update| Update {
@@ -178,8 +218,8 @@
             path: Some(from_place(&self.schema, place)),
             duplicates: 0,
         };
-        let notify = |update: Vec<Update>, delete: Vec<Path>| SubscribeResponse {
-            response: Some(Said::Update(Notification {
+        let message = |update: Vec<Update>, delete: Vec<Path>| SubscribeResponse {
+            response: Some(SubscribeReply::Update(Notification {
                 timestamp,
                 update,
                 delete,
@@ -188,51 +228,52 @@
             extension: Vec::new(),
         };
         let deletes = notification.deletes.chunks(MAX_UPDATES_PER_MESSAGE).map(|part| {
-            notify(Vec::new(), part.iter().map(|place| from_place(&self.schema, place)).collect())
+            message(Vec::new(), part.iter().map(|place| from_place(&self.schema, place)).collect())
         });
         let updates = notification
             .updates
             .chunks(MAX_UPDATES_PER_MESSAGE)
-            .map(|part| notify(part.iter().map(update).collect(), Vec::new()));
+            .map(|part| message(part.iter().map(update).collect(), Vec::new()));
         deletes.chain(updates).collect()
     }
 
-    /// Hands messages over, waiting for room: only for what the subscriber itself waits for.
-    async fn give(&self, notification: watch::Notification) -> bool {
+    /// Sends a notification, waiting for room: only the subscriber itself waits for it. False once it has closed.
+    async fn send(&self, notification: watch::Notification) -> bool {
         for message in self.messages(notification) {
-            if self.line.send(Ok(message)).await.is_err() {
+            if self.queue.send(Ok(message)).await.is_err() {
                 return false;
             }
         }
         true
     }
 
-    async fn synced(&self) -> bool {
-        let said = SubscribeResponse { response: Some(Said::SyncResponse(true)), extension: Vec::new() };
-        self.line.send(Ok(said)).await.is_ok()
+    async fn send_sync_response(&self) -> bool {
+        let response = Some(SubscribeReply::SyncResponse(true));
+        self.queue.send(Ok(SubscribeResponse { response, extension: Vec::new() })).await.is_ok()
     }
 
     async fn once(mut self) {
         let tree = self.tree().await;
         let notification = self.watch.initial(&tree, false);
-        if self.give(notification).await {
-            self.synced().await;
+        if self.send(notification).await {
+            self.send_sync_response().await;
         }
     }
 
     async fn poll(mut self, mut requests: Streaming<SubscribeRequest>, updates_only: bool) {
-        let mut only = updates_only;
+        let mut updates_only = updates_only;
         loop {
             let tree = self.tree().await;
-            let notification = self.watch.initial(&tree, only);
-            only = false;
-            if !self.give(notification).await || !self.synced().await {
+            let notification = self.watch.initial(&tree, updates_only);
+            updates_only = false;
+            if !self.send(notification).await || !self.send_sync_response().await {
                 return;
             }
             match requests.message().await {
-                Ok(Some(SubscribeRequest { request: Some(Asked::Poll(_)), .. })) => {}
+                Ok(Some(SubscribeRequest { request: Some(SubscribeCall::Poll(_)), .. })) => {}
                 Ok(Some(_)) => {
-                    let _ = self.line.send(Err(Status::invalid_argument("only polls are taken now"))).await;
+                    let refused = Status::invalid_argument("only polls are taken now");
+                    let _ = self.queue.send(Err(refused)).await;
                     return;
                 }
                 Ok(None) | Err(_) => return,
@@ -241,88 +282,105 @@
     }
 
     async fn stream(mut self, mut requests: Streaming<SubscribeRequest>, updates_only: bool) {
-        let mut happened = self.hub.subscribe();
+        let mut events = self.hub.subscribe();
         let tree = self.tree().await;
         let notification = self.watch.initial(&tree, updates_only);
-        if !self.give(notification).await || !self.synced().await {
+        if !self.send(notification).await || !self.send_sync_response().await {
             return;
         }
-        let drifts = self.watch.has_on_change() && self.needs.changes_without_event();
         loop {
-            let now = self.hub.now();
-            let mut due = self.watch.next_timeout();
-            if drifts {
-                due = Some(due.unwrap_or(Duration::MAX).min(now + COMPARE_INTERVAL));
-            }
-            if self.watch.has_backlog() || self.watch.lost_updates() > self.told_lost {
-                due = Some(due.unwrap_or(Duration::MAX).min(now + RETRY_INTERVAL));
-            }
-            let wait = due.map_or(Duration::from_secs(3600), |due| due.saturating_sub(now));
-            tokio::select! {
-                () = tokio::time::sleep(wait) => {}
-                heard = happened.recv(), if self.watch.has_on_change() => match heard {
-                    Ok(_) | Err(RecvError::Lagged(_)) => {}
-                    Err(RecvError::Closed) => return,
-                },
-                request = requests.next() => match request {
-                    Some(Ok(_)) => {
-                        let refused = Status::invalid_argument("a stream takes no further message");
-                        let _ = self.line.try_send(Err(refused));
-                        return;
-                    }
-                    // A client may close its side and go on reading.
-                    None => {
-                        if self.line.is_closed() {
-                            return;
-                        }
-                        tokio::select! {
-                            () = self.line.closed() => return,
-                            () = tokio::time::sleep(wait.min(COMPARE_INTERVAL)) => {}
-                        }
-                    }
-                    Some(Err(_)) => return,
-                },
-                () = self.line.closed() => return,
+            if let StreamState::Closed = self.wait(&mut events, &mut requests).await {
+                return;
             }
             let tree = self.tree().await;
-            if !self.turn(&tree).await {
+            if !self.send_due(&tree).await {
                 return;
             }
         }
     }
 
-    /// Tells what is due to a subscriber that has room, and counts what is due to one that has none. False once
-    /// it has gone.
-    async fn turn(&mut self, tree: &lemonusher_model::Tree) -> bool {
-        // One that has read all may be given more than its line holds: it waits for itself alone.
-        let room = match self.line.capacity() {
+    /// How long a stream waits where no event comes.
+    fn wait_time(&self) -> Duration {
+        let now = self.hub.now();
+        let mut due = self.watch.next_timeout();
+        if self.watch.has_on_change() && self.selection.changes_without_event() {
+            due = Some(due.unwrap_or(Duration::MAX).min(now + COMPARE_INTERVAL));
+        }
+        if self.watch.has_backlog() || self.watch.lost_updates() > self.reported_lost {
+            due = Some(due.unwrap_or(Duration::MAX).min(now + RETRY_INTERVAL));
+        }
+        due.map_or(IDLE_INTERVAL, |due| due.saturating_sub(now))
+    }
+
+    /// Waits until something may be due.
+    async fn wait(
+        &self,
+        events: &mut broadcast::Receiver<ManagementEvent>,
+        requests: &mut Streaming<SubscribeRequest>,
+    ) -> StreamState {
+        let wait = self.wait_time();
+        tokio::select! {
+            () = tokio::time::sleep(wait) => StreamState::Open,
+            event = events.recv(), if self.watch.has_on_change() => match event {
+                Ok(_) | Err(RecvError::Lagged(_)) => StreamState::Open,
+                Err(RecvError::Closed) => StreamState::Closed,
+            },
+            request = requests.next() => match request {
+                Some(Ok(_)) => {
+                    let refused = Status::invalid_argument("a stream takes no further message");
+                    let _ = self.queue.try_send(Err(refused));
+                    StreamState::Closed
+                }
+                Some(Err(_)) => StreamState::Closed,
+                None => self.wait_half_closed(wait).await,
+            },
+            () = self.queue.closed() => StreamState::Closed,
+        }
+    }
+
+    /// A client may close its side and go on reading.
+    async fn wait_half_closed(&self, wait: Duration) -> StreamState {
+        if self.queue.is_closed() {
+            return StreamState::Closed;
+        }
+        tokio::select! {
+            () = self.queue.closed() => StreamState::Closed,
+            () = tokio::time::sleep(wait.min(COMPARE_INTERVAL)) => StreamState::Open,
+        }
+    }
+
+    /// Sends what is due to a subscriber that has room, and counts what is due to one that has none. False once it has
+    /// closed.
+    async fn send_due(&mut self, tree: &Tree) -> bool {
+        // One that has read everything may be sent more than its queue holds: it waits for itself alone.
+        let room = match self.queue.capacity() {
             MAX_QUEUED_MESSAGES => usize::MAX,
-            free => free.saturating_sub(4) * MAX_UPDATES_PER_MESSAGE,
+            free => free.saturating_sub(RESERVED_MESSAGES) * MAX_UPDATES_PER_MESSAGE,
         };
         for notification in self.watch.poll(self.hub.now(), tree, room) {
-            if !self.give(notification).await {
+            if !self.send(notification).await {
                 return false;
             }
         }
         let lost = self.watch.lost_updates();
-        if lost > self.told_lost {
-            self.hub.record_lost_updates(self.seat.session, lost);
-            if room > 0 && self.tell_lost(lost) {
-                tracing::warn!(session = self.seat.session, lost, "a subscriber did not read in time");
-                self.told_lost = lost;
+        if lost > self.reported_lost {
+            self.hub.record_lost_updates(self.guard.session, lost);
+            if room > 0 && self.report_lost(lost) {
+                tracing::warn!(session = self.guard.session, lost, "a subscriber did not read in time");
+                self.reported_lost = lost;
             }
         }
         true
     }
 
-    /// Tells the subscriber itself how many updates it has lost.
-    fn tell_lost(&self, lost: u64) -> bool {
-        let path = format!("/front/state/session[id={}]/lost-updates", self.seat.session);
+    /// Notifies the subscriber itself of how many updates it has lost. False if there was no room.
+    fn report_lost(&self, lost: u64) -> bool {
+        let path = format!("/front/state/session[id={}]/lost-updates", self.guard.session);
         let place = lemonusher_model::parse_path(&path).and_then(|steps| self.schema.place(&steps));
         let Ok(place) = place else { return true };
         let value = watch::Value::Leaf(lost.to_string().into());
-        let notification =
-            watch::Notification { updates: vec![watch::Update { place, value }], deletes: Vec::new() };
-        self.messages(notification).into_iter().all(|message| self.line.try_send(Ok(message)).is_ok())
+        let updates = vec![watch::Update { place, value }];
+        let notification = watch::Notification { updates, deletes: Vec::new() };
+        self.messages(notification).into_iter().all(|message| self.queue.try_send(Ok(message)).is_ok())
     }
 }
--- a/crates/edges/managed/src/gnmi/values.rs
+++ b/crates/edges/managed/src/gnmi/values.rs
@@ -1,7 +1,24 @@
+//! gNMI's values and the model's.
+
 use super::proto::gnmi::typed_value::Value as Typed;
 use super::proto::gnmi::{Encoding, ScalarArray, TypedValue};
+use crate::hub::unix_ms;
 use lemonusher_model::{Fault, FaultKind, Node, NodeId, Schema, Type, from_json, leaf_to_json, to_json};
 use lemonusher_watch::Value;
+use tonic::Status;
+
+/// An encoding that is known here.
+pub(super) fn encoding(number: i32) -> Result<Encoding, Status> {
+    match Encoding::try_from(number) {
+        Ok(known @ (Encoding::Json | Encoding::JsonIetf | Encoding::Proto)) => Ok(known),
+        _ => Err(Status::unimplemented("known encodings are JSON, JSON_IETF and PROTO")),
+    }
+}
+
+/// The time for timestamps: Unix time in nanoseconds.
+pub(super) fn unix_ns() -> i64 {
+    (unix_ms() as i64).saturating_mul(1_000_000)
+}
 
 /// A leaf or all members of a leaf-list, in this encoding.
 pub fn typed(schema: &Schema, id: NodeId, value: &Value, encoding: Encoding) -> TypedValue {
@@ -19,8 +36,8 @@
     TypedValue { value: Some(value) }
 }
 
-/// What stands at a node, as JSON.
-pub fn whole(schema: &Schema, id: Option<NodeId>, node: &Node, encoding: Encoding) -> TypedValue {
+/// A node with all below it, as JSON.
+pub fn json_value(schema: &Schema, id: Option<NodeId>, node: &Node, encoding: Encoding) -> TypedValue {
     TypedValue { value: Some(json(encoding, &to_json(schema, id, node))) }
 }
 
@@ -42,7 +59,7 @@
     }
 }
 
-/// What a value sets at a node: `entry` where the place names an entry of a list.
+/// What a value sets at a node; `entry` where the place names an entry of a list. Fails where it does not fit the model.
 pub fn untyped(
     schema: &Schema,
     id: Option<NodeId>,
