--- /dev/null
+++ b/crates/core/model/src/compiler.rs
@@ -0,0 +1,262 @@
+//! Compiles a module to the nodes that data is checked against. A statement that is not known is an error with its line,
+//! never passed over: what the model's text says holds, or the front does not start.
+
+mod references;
+mod types;
+
+use crate::must::Must;
+use crate::node_id::NodeId;
+use crate::schema::{NodeKind, Schema, SchemaNode};
+use crate::statement::{ModelError, Statement};
+use std::collections::BTreeMap;
+
+const MODEL: &str = include_str!("../yang/lemonusher-front.yang");
+/// Groupings and types may refer to each other no deeper than this.
+const MAX_DEPTH: usize = 16;
+
+impl Schema {
+    /// The front's own model.
+    pub fn front() -> Result<Schema, ModelError> {
+        Schema::compile(MODEL)
+    }
+
+    /// Compiles a module's text. Fails with the line of the first statement that can't be read or is not known.
+    pub fn compile(text: &str) -> Result<Schema, ModelError> {
+        let module = Statement::parse(text)?;
+        let mut compiler = Compiler {
+            schema: empty_schema(&module, text)?,
+            groupings: by_name(&module, "grouping")?,
+            typedefs: by_name(&module, "typedef")?,
+            leafrefs: Vec::new(),
+        };
+        for statement in &module.substatements {
+            match statement.keyword.as_str() {
+                "yang-version" | "namespace" | "prefix" | "organization" | "contact" | "description"
+                | "reference" | "revision" | "grouping" | "typedef" => {}
+                "notification" => {
+                    let id = compiler.node(statement, None, false, 0)?;
+                    compiler.schema.notifications.push(id);
+                }
+                _ => {
+                    let nodes = compiler.data_nodes(statement, None, true, 0)?;
+                    compiler.schema.tops.extend(nodes);
+                }
+            }
+        }
+        compiler.resolve_leafrefs()?;
+        compiler.check_constraints()?;
+        Ok(compiler.schema)
+    }
+}
+
+/// The schema of a module without its nodes.
+fn empty_schema(module: &Statement, text: &str) -> Result<Schema, ModelError> {
+    if module.keyword != "module" {
+        return Err(module.wrong(format!("'{}' stands where 'module' should", module.keyword)));
+    }
+    let required = |keyword: &str| {
+        let argument = module.substatement_arg(keyword)?;
+        argument.map(str::to_owned).ok_or_else(|| module.wrong(format!("the module has no '{keyword}'")))
+    };
+    if required("yang-version")? != "1.1" {
+        return Err(module.wrong("only yang-version 1.1 is known"));
+    }
+    Ok(Schema {
+        module: module.arg()?.to_owned(),
+        namespace: required("namespace")?,
+        prefix: required("prefix")?,
+        revision: module.substatement_arg("revision")?.map(str::to_owned),
+        organization: module.substatement_arg("organization")?.unwrap_or_default().to_owned(),
+        text: text.to_owned(),
+        nodes: Vec::new(),
+        tops: Vec::new(),
+        notifications: Vec::new(),
+    })
+}
+
+fn by_name<'a>(module: &'a Statement, keyword: &str) -> Result<BTreeMap<String, &'a Statement>, ModelError> {
+    let mut found = BTreeMap::new();
+    for statement in module.substatements.iter().filter(|statement| statement.keyword == keyword) {
+        if found.insert(statement.arg()?.to_owned(), statement).is_some() {
+            return Err(statement.wrong(format!("{keyword} '{}' stands twice", statement.arg()?)));
+        }
+    }
+    Ok(found)
+}
+
+struct Compiler<'a> {
+    schema: Schema,
+    groupings: BTreeMap<String, &'a Statement>,
+    typedefs: BTreeMap<String, &'a Statement>,
+    /// Leafrefs whose targets are not resolved yet.
+    leafrefs: Vec<UnresolvedLeafref>,
+}
+
+struct UnresolvedLeafref {
+    node: NodeId,
+    path: String,
+    /// The line of the path.
+    line: usize,
+}
+
+impl<'a> Compiler<'a> {
+    /// A data node, or those of a grouping that is used.
+    fn data_nodes(
+        &mut self,
+        statement: &'a Statement,
+        parent: Option<NodeId>,
+        config: bool,
+        depth: usize,
+    ) -> Result<Vec<NodeId>, ModelError> {
+        if depth > MAX_DEPTH {
+            return Err(statement.wrong("groupings use each other too deeply"));
+        }
+        match statement.keyword.as_str() {
+            "container" | "list" | "leaf" | "leaf-list" => {
+                Ok(vec![self.node(statement, parent, config, depth)?])
+            }
+            "uses" => {
+                let mut nodes = Vec::new();
+                for statement in self.used_statements(statement)? {
+                    nodes.extend(self.data_nodes(statement, parent, config, depth + 1)?);
+                }
+                Ok(nodes)
+            }
+            other => Err(statement.wrong(format!("statement '{other}' is not known here"))),
+        }
+    }
+
+    /// The statements of the grouping that a `uses` names.
+    fn used_statements(
+        &self,
+        uses: &Statement,
+    ) -> Result<impl Iterator<Item = &'a Statement> + use<'a>, ModelError> {
+        let name = uses.arg()?;
+        if let Some(within) = uses.substatements.first() {
+            return Err(within.wrong(format!("'{}' is not known in 'uses'", within.keyword)));
+        }
+        let grouping = self.groupings.get(name).copied();
+        let grouping = grouping.ok_or_else(|| uses.wrong(format!("there is no grouping '{name}'")))?;
+        Ok(grouping.substatements.iter().filter(|statement| statement.keyword != "description"))
+    }
+
+    fn node(
+        &mut self,
+        statement: &'a Statement,
+        parent: Option<NodeId>,
+        config: bool,
+        depth: usize,
+    ) -> Result<NodeId, ModelError> {
+        let name = statement.arg()?.to_owned();
+        let config = match statement.substatement_arg("config")? {
+            None => config,
+            Some("false") => false,
+            Some("true") if config => true,
+            Some(_) => return Err(statement.wrong("'config' is true or false, and false below false")),
+        };
+        if self.schema.children(parent).iter().any(|id| self.schema.nodes[*id].name == name) {
+            return Err(statement.wrong(format!("'{name}' stands twice")));
+        }
+        let id = self.schema.nodes.len();
+        self.schema.nodes.push(SchemaNode {
+            name,
+            kind: NodeKind::Container,
+            config,
+            parent,
+            children: Vec::new(),
+            musts: Vec::new(),
+            units: statement.substatement_arg("units")?.map(str::to_owned),
+            description: statement.substatement_arg("description")?.map(str::to_owned),
+            line: statement.line,
+        });
+        for within in &statement.substatements {
+            self.substatement(statement, within, id, depth)?;
+        }
+        self.schema.nodes[id].kind = self.kind(statement, id)?;
+        Ok(id)
+    }
+
+    /// One statement within a node's statement.
+    fn substatement(
+        &mut self,
+        statement: &Statement,
+        within: &'a Statement,
+        id: NodeId,
+        depth: usize,
+    ) -> Result<(), ModelError> {
+        let keyword = statement.keyword.as_str();
+        let has_children = matches!(keyword, "container" | "list" | "notification");
+        match within.keyword.as_str() {
+            "description" | "reference" | "config" | "status" => {}
+            "units" | "type" | "default" | "mandatory" if !has_children => {}
+            "key" if keyword == "list" => {}
+            "min-elements" | "max-elements" if matches!(keyword, "list" | "leaf-list") => {}
+            "ordered-by" if within.arg()? == "system" => {}
+            "must" => {
+                let must = Must::compile(within)?;
+                self.schema.nodes[id].musts.push(must);
+            }
+            "container" | "list" | "leaf" | "leaf-list" | "uses" if has_children => {
+                let config = self.schema.nodes[id].config;
+                let nodes = self.data_nodes(within, Some(id), config, depth)?;
+                self.schema.nodes[id].children.extend(nodes);
+            }
+            other => {
+                return Err(within.wrong(format!("statement '{other}' is not known in '{keyword}'")));
+            }
+        }
+        Ok(())
+    }
+
+    fn kind(&mut self, statement: &'a Statement, id: NodeId) -> Result<NodeKind, ModelError> {
+        match statement.keyword.as_str() {
+            "container" => Ok(NodeKind::Container),
+            "notification" => Ok(NodeKind::Notification),
+            "list" => self.list(statement, id),
+            "leaf" => {
+                let ty = self.type_of(statement, id, 0)?;
+                let default = statement.substatement_arg("default")?.map(str::to_owned);
+                let mandatory = statement.substatement_arg("mandatory")? == Some("true");
+                if mandatory && default.is_some() {
+                    return Err(statement.wrong("a mandatory leaf has no default"));
+                }
+                Ok(NodeKind::Leaf { ty, default, mandatory })
+            }
+            _ => {
+                let (min, max) = element_bounds(statement)?;
+                Ok(NodeKind::LeafList { ty: self.type_of(statement, id, 0)?, min, max })
+            }
+        }
+    }
+
+    fn list(&self, statement: &Statement, id: NodeId) -> Result<NodeKind, ModelError> {
+        let (min, max) = element_bounds(statement)?;
+        let no_key = || statement.wrong("a list needs a 'key'");
+        let key = statement.substatement_arg("key")?.ok_or_else(no_key)?;
+        let mut keys = Vec::new();
+        for name in key.split_whitespace() {
+            let leaf = self.schema.child(Some(id), name);
+            let leaf = leaf
+                .filter(|leaf| matches!(self.schema.nodes[*leaf].kind, NodeKind::Leaf { .. }))
+                .ok_or_else(|| statement.wrong(format!("key '{name}' is no leaf of the list")))?;
+            keys.push(leaf);
+        }
+        if keys.is_empty() {
+            return Err(no_key());
+        }
+        Ok(NodeKind::List { keys, min, max })
+    }
+}
+
+/// The fewest and the most elements of a list or leaf-list.
+fn element_bounds(statement: &Statement) -> Result<(usize, usize), ModelError> {
+    let number = |keyword: &str, default: usize| match statement.substatement_arg(keyword)? {
+        None | Some("unbounded") => Ok(default),
+        Some(text) => text.parse().map_err(|_| statement.wrong(format!("'{keyword}' needs a number"))),
+    };
+    Ok((number("min-elements", 0)?, number("max-elements", usize::MAX)?))
+}
+
+#[cfg(test)]
+#[path = "../tests/unit/compiler.rs"]
+mod tests;
