--- a/crates/edges/deployment/src/lib.rs
+++ b/crates/edges/deployment/src/lib.rs
@@ -1,43 +1,46 @@
-//! What a deployment states of itself when a gateway starts, as the object that holds it names things, and
-//! load reports. Both hosts read them here; nothing here decides.
+//! Reads a deployment's settings, as every host of the gateway is given them at its start, and engines' load reports.
+//! Input is the settings object (JSON); output is the decision module's `Deployment`. Nothing here decides.
+//!
+//! The settings' own names are mapped to the code's once, by the `rename` attributes of the structs in
+//! `settings.rs`; values that are names themselves (`on_request`, `inline`, `busy`, ...) are mapped in `convert.rs`
+//! and `load_report.rs`. `expecting` keeps the texts of errors as they were.
+
+#![warn(missing_docs)]
 
 use lemonusher::*;
 use serde::Deserialize;
 use std::time::Duration;
 
-pub fn span(us: u64) -> Duration {
-    Duration::from_micros(us)
-}
-
 /// The values of a load report, in the order in which the deployment names them.
-pub struct LoadFields(Vec<String>);
+pub struct LoadReportFields(Vec<String>);
 
-impl LoadFields {
-    pub fn of(settled: &Settled) -> Self {
-        LoadFields(settled.report.fields.clone())
+impl LoadReportFields {
+    /// The fields that these settings name.
+    pub fn new(settings: &Settings) -> Self {
+        LoadReportFields(settings.load_report.fields.clone())
     }
 
-    /// Reads values that stand in the stated order.
-    pub fn in_order(&self, values: &[f64]) -> LoadReport {
+    /// Reads values that come in the stated order.
+    pub fn read_ordered(&self, values: &[f64]) -> LoadReport {
         let mut load = LoadReport::default();
         for (field, value) in self.0.iter().zip(values) {
-            set(&mut load, field, *value);
+            set_field(&mut load, field, *value);
         }
         load
     }
 
-    /// Reads values that come with their names.
-    pub fn named<'a>(&self, values: impl IntoIterator<Item = (&'a str, f64)>) -> LoadReport {
+    /// Reads values that come with their names. Names that are not known are passed over.
+    pub fn read_named<'a>(&self, values: impl IntoIterator<Item = (&'a str, f64)>) -> LoadReport {
         let mut load = LoadReport::default();
         for (field, value) in values {
-            set(&mut load, field, value);
+            set_field(&mut load, field, value);
         }
         load
     }
 }
 
-/// A value goes by one name in the simulator and by another on sockets.
-fn set(load: &mut LoadReport, field: &str, value: f64) {
+/// The names of the fields: the first is the simulator's, the second that on sockets.
+fn set_field(load: &mut LoadReport, field: &str, value: f64) {
     match field {
         "busy" | "util" => load.cores_busy = Some(value),
         "rif" | "inflight" => load.in_flight = Some(value),
@@ -48,219 +51,350 @@
     }
 }
 
-pub fn deployment(settled: &Settled) -> Deployment {
-    let family = &settled.family_info;
-    let ceilings = &settled.ceilings;
-    let rules = &settled.obligations;
+/// The deployment that these settings state.
+pub fn deployment(settings: &Settings) -> Deployment {
     Deployment {
-        fronts: settled.balancers,
-        front_index: settled.my_number,
-        zone: settled.zone,
-        request_classes: settled.classes.iter().enumerate().map(|(i, c)| terms(i, c, settled)).collect(),
-        machine_kinds: (family.cpu_of_kind.iter().enumerate())
-            .map(|(i, &cores)| MachineKind {
-                cores,
-                memory_mb: family.memory_by_kind_mb.get(i).copied().unwrap_or(0.0),
-            })
+        fronts: settings.fronts,
+        front_index: settings.front_index,
+        zone: settings.zone,
+        request_classes: settings
+            .request_classes
+            .iter()
+            .enumerate()
+            .map(|(index, class)| request_class(index, class, &settings.engines))
             .collect(),
-        tick: span(settled.tick_us),
-        capabilities: Capabilities {
-            probes: ceilings.probes,
-            peer_messages: ceilings.peers,
-            cancel: ceilings.cancel,
-            retry_after: ceilings.retry_after,
-            max_retry_after: span(ceilings.max_retry_after_us),
-            hedging: ceilings.second_copies,
-            max_attempts: ceilings.max_attempts,
-            connect_timeout: span(ceilings.connect_timeout_us),
-        },
-        probe_cost: settled.prices.probe,
-        safety_rules: SafetyRules {
-            drain_grace: span(rules.drain_grace_us),
-            slow_start_share: rules.cold_from,
-            slow_start_window: span(rules.cold_us),
-            overload_factor: rules.fall_multiple,
-            overload_window: span(rules.tip_after_us),
-            unknown_outcome_delay: span(rules.settle_after_doubt_us),
-            discovery_poll_deadline: span(rules.ask_within_us),
-            retry_budget: rules.resend_span_us.map(|window| RetryBudget {
-                free_retries: rules.min_extra.unwrap_or(0.0),
-                retry_ratio: rules.extra_ratio.unwrap_or(0.0),
-                window: span(window),
-            }),
-        },
-        discovery: match settled.discovery.as_str() {
+        machine_kinds: machine_kinds(&settings.engines),
+        tick: Duration::from_micros(settings.tick_us),
+        capabilities: capabilities(&settings.capabilities),
+        probe_cost: settings.costs.probe,
+        safety_rules: safety_rules(&settings.safety_rules),
+        discovery: match settings.discovery.as_str() {
             "on_request" => Discovery::Polled,
             _ => Discovery::Pushed,
         },
-        load_reporting: match settled.report.via.as_str() {
+        load_reporting: match settings.load_report.sent_with.as_str() {
             "inline" => LoadReporting::WithResponses,
             "on_probe" => LoadReporting::WithProbes,
             _ => LoadReporting::None,
         },
-        progress_interval: span(family.note_period_us),
-        priorities: family.lanes_count,
-        memory_grants: family.takes_grants,
-        retries_marked: settled.client_habits.marks_retry,
+        progress_interval: Duration::from_micros(settings.engines.progress_interval_us),
+        priorities: settings.engines.priorities,
+        memory_grants: settings.engines.memory_grants,
+        retries_marked: settings.clients.marks_retries,
+    }
+}
+
+fn machine_kinds(engines: &EngineSettings) -> Vec<MachineKind> {
+    let memory_mb = |index: usize| engines.memory_by_kind_mb.get(index).copied().unwrap_or(0.0);
+    let kinds = engines.cores_by_kind.iter().enumerate();
+    kinds.map(|(index, &cores)| MachineKind { cores, memory_mb: memory_mb(index) }).collect()
+}
+
+fn capabilities(stated: &CapabilitySettings) -> Capabilities {
+    Capabilities {
+        probes: stated.probes,
+        peer_messages: stated.peer_messages,
+        cancel: stated.cancel,
+        retry_after: stated.retry_after,
+        max_retry_after: Duration::from_micros(stated.max_retry_after_us),
+        hedging: stated.hedging,
+        max_attempts: stated.max_attempts,
+        connect_timeout: Duration::from_micros(stated.connect_timeout_us),
     }
 }
 
-fn terms(index: usize, class: &Class, settled: &Settled) -> RequestClassConfig {
-    let family = &settled.family_info;
+fn safety_rules(stated: &SafetySettings) -> SafetyRules {
+    SafetyRules {
+        drain_grace: Duration::from_micros(stated.drain_grace_us),
+        slow_start_share: stated.slow_start_share,
+        slow_start_window: Duration::from_micros(stated.slow_start_window_us),
+        overload_factor: stated.overload_factor,
+        overload_window: Duration::from_micros(stated.overload_window_us),
+        unknown_outcome_delay: Duration::from_micros(stated.unknown_outcome_delay_us),
+        discovery_poll_deadline: Duration::from_micros(stated.discovery_poll_deadline_us),
+        retry_budget: stated.retry_budget_window_us.map(|window_us| RetryBudget {
+            free_retries: stated.free_retries.unwrap_or(0.0),
+            retry_ratio: stated.retry_ratio.unwrap_or(0.0),
+            window: Duration::from_micros(window_us),
+        }),
+    }
+}
+
+fn request_class(index: usize, class: &RequestClassSettings, engines: &EngineSettings) -> RequestClassConfig {
     RequestClassConfig {
-        latency_objective: span(class.aim_us),
-        objective_work_factor: class.aim_stretch,
-        deadline: span(class.hard_limit_us),
-        priority_weight: class.points,
-        late_value_share: class.late_value,
-        idempotency: match class.effect {
-            ClassEffect::Safe => Idempotency::Idempotent,
-            ClassEffect::Unsafe => Idempotency::NonIdempotent,
-            ClassEffect::Keyed => Idempotency::IdempotencyKeyed {
-                scope: match class.group {
-                    Group::All => DeduplicationScope::Everywhere,
-                    Group::Zone => DeduplicationScope::Zone,
-                    Group::Cell => DeduplicationScope::Cell,
-                },
-                retention: span(class.key_ttl_us),
+        latency_objective: Duration::from_micros(class.latency_objective_us),
+        objective_work_factor: class.objective_work_factor,
+        deadline: Duration::from_micros(class.deadline_us),
+        priority_weight: class.priority_weight,
+        late_value_share: class.late_value_share,
+        idempotency: idempotency(class),
+        ordered: class.ordered,
+        allowed_zones: class.allowed_zones.clone(),
+        allowed_machine_kinds: class.allowed_machine_kinds.clone(),
+        threads: engines.threads_by_class.get(index).copied().unwrap_or(1.0),
+        bulk_load: engines.bulk_load_by_class.get(index).copied().unwrap_or(false),
+        waits_for_bulk_loads: engines.waits_for_bulk_loads_by_class.get(index).copied().unwrap_or(false),
+    }
+}
+
+fn idempotency(class: &RequestClassSettings) -> Idempotency {
+    match class.idempotency {
+        IdempotencySetting::Idempotent => Idempotency::Idempotent,
+        IdempotencySetting::NonIdempotent => Idempotency::NonIdempotent,
+        IdempotencySetting::IdempotencyKeyed => Idempotency::IdempotencyKeyed {
+            scope: match class.deduplication_scope {
+                ScopeSetting::Everywhere => DeduplicationScope::Everywhere,
+                ScopeSetting::Zone => DeduplicationScope::Zone,
+                ScopeSetting::Cell => DeduplicationScope::Cell,
             },
+            retention: Duration::from_micros(class.key_retention_us),
         },
-        ordered: class.by_arrival,
-        allowed_zones: class.areas_open.clone(),
-        allowed_machine_kinds: class.kinds_open.clone(),
-        threads: family.class_threads.get(index).copied().unwrap_or(1.0),
-        bulk_load: family.class_load.get(index).copied().unwrap_or(false),
-        waits_for_bulk_loads: family.yields_to_loads.get(index).copied().unwrap_or(false),
     }
 }
 
+/// Settings of a deployment, the same for every front but for its index and zone.
 #[derive(Deserialize)]
-pub struct Settled {
-    pub balancers: u32,
-    #[serde(default)]
-    pub my_number: u32,
+#[serde(expecting = "struct Settled")]
+pub struct Settings {
+    /// Number of fronts.
+    #[serde(rename = "balancers")]
+    pub fronts: u32,
+    /// Index of this front, from 0.
+    #[serde(rename = "my_number", default)]
+    pub front_index: u32,
+    /// Index of this front's zone, from 0.
     #[serde(default)]
     pub zone: u32,
+    /// Time between two decisions.
     pub tick_us: u64,
-    pub ceilings: Ceilings,
-    #[serde(default)]
-    pub prices: Prices,
-    pub classes: Vec<Class>,
-    #[serde(default)]
-    pub client_habits: Habits,
+    /// What fronts may do.
+    #[serde(rename = "ceilings")]
+    pub capabilities: CapabilitySettings,
+    /// What things cost.
+    #[serde(rename = "prices", default)]
+    pub costs: CostSettings,
+    /// Request classes, in the order of their indices.
+    #[serde(rename = "classes")]
+    pub request_classes: Vec<RequestClassSettings>,
+    /// How clients behave.
+    #[serde(rename = "client_habits", default)]
+    pub clients: ClientSettings,
+    /// How the endpoint list is followed: `on_request` for polled, all else for pushed.
     pub discovery: String,
-    pub family_info: Family,
-    pub obligations: Obligations,
-    #[serde(default)]
-    pub report: Report,
-    /// Names of the zones and of the kinds of machine, in the order in which they are numbered.
-    #[serde(default)]
-    pub areas: Vec<String>,
-    #[serde(default)]
-    pub kinds: Vec<String>,
+    /// What engines are and do.
+    #[serde(rename = "family_info")]
+    pub engines: EngineSettings,
+    /// Figures of the safety rules.
+    #[serde(rename = "obligations")]
+    pub safety_rules: SafetySettings,
+    /// Load reports of engines.
+    #[serde(rename = "report", default)]
+    pub load_report: LoadReportSettings,
+    /// Names of the zones, in the order of their indices.
+    #[serde(rename = "areas", default)]
+    pub zones: Vec<String>,
+    /// Names of the kinds of machine, in the order of their indices.
+    #[serde(rename = "kinds", default)]
+    pub machine_kinds: Vec<String>,
 }
 
+/// How clients behave.
 #[derive(Deserialize, Default)]
-#[serde(default)]
-pub struct Habits {
-    pub marks_retry: bool,
+#[serde(default, expecting = "struct Habits")]
+pub struct ClientSettings {
+    /// Whether they mark the requests that they send again.
+    #[serde(rename = "marks_retry")]
+    pub marks_retries: bool,
 }
 
+/// What fronts may do.
 #[derive(Deserialize, Default)]
-#[serde(default)]
-pub struct Ceilings {
+#[serde(default, expecting = "struct Ceilings")]
+pub struct CapabilitySettings {
+    /// They may cancel an attempt in flight.
     pub cancel: bool,
+    /// After this time a connection attempt to an engine has failed.
     pub connect_timeout_us: u64,
+    /// Attempts of one request at most, the first among them.
     pub max_attempts: u32,
+    /// The longest time to come back that may be given with a rejection.
     pub max_retry_after_us: u64,
-    pub peers: bool,
+    /// They may send messages to each other.
+    #[serde(rename = "peers")]
+    pub peer_messages: bool,
+    /// They may probe an engine's load.
     pub probes: bool,
+    /// They may give a time to come back with a rejection.
     pub retry_after: bool,
-    pub second_copies: bool,
-    pub conn_idle_us: u64,
-    pub streams_per_conn: usize,
-    pub open_cap: usize,
+    /// Two attempts of one request may be in flight at once.
+    #[serde(rename = "second_copies")]
+    pub hedging: bool,
+    /// Engines close a connection that has been idle for so long.
+    #[serde(rename = "conn_idle_us")]
+    pub idle_timeout_us: u64,
+    /// Attempts on one connection to an engine at most.
+    #[serde(rename = "streams_per_conn")]
+    pub max_streams_per_connection: usize,
+    /// Open requests of one front at most.
+    #[serde(rename = "open_cap")]
+    pub max_open_requests: usize,
 }
 
-/// What things cost, in shares of the priority weight asked for when one comes with each request.
+/// What things cost, as shares of the priority weight of a request, if one comes with each request.
 #[derive(Deserialize, Default)]
-#[serde(default)]
-pub struct Prices {
+#[serde(default, expecting = "struct Prices")]
+pub struct CostSettings {
+    /// A load probe.
     pub probe: f64,
+    /// A new connection to an engine.
     pub handshake: f64,
 }
 
+/// A request class.
 #[derive(Deserialize)]
-pub struct Class {
+#[serde(expecting = "struct Class")]
+pub struct RequestClassSettings {
+    /// Its name, by which requests state their class.
     #[serde(default)]
     pub name: String,
-    #[serde(default)]
-    pub aim_stretch: f64,
-    pub aim_us: u64,
-    pub effect: ClassEffect,
-    #[serde(default)]
-    pub group: Group,
-    pub hard_limit_us: u64,
-    #[serde(default)]
-    pub key_ttl_us: u64,
-    #[serde(default)]
-    pub late_value: f64,
-    pub points: f64,
-    #[serde(default)]
-    pub by_arrival: bool,
-    pub areas_open: Option<Vec<u32>>,
-    pub kinds_open: Option<Vec<u32>>,
+    /// How much of a request's own work, spread over its threads, is added to the latency objective; no unit.
+    #[serde(rename = "aim_stretch", default)]
+    pub objective_work_factor: f64,
+    /// A response is in time within this, plus the share of its work.
+    #[serde(rename = "aim_us")]
+    pub latency_objective_us: u64,
+    /// Whether a request may run again.
+    #[serde(rename = "effect")]
+    pub idempotency: IdempotencySetting,
+    /// The engines among which repeats with one idempotency key are dropped.
+    #[serde(rename = "group", default)]
+    pub deduplication_scope: ScopeSetting,
+    /// The longest that a client waits, over all its tries.
+    #[serde(rename = "hard_limit_us")]
+    pub deadline_us: u64,
+    /// How long repeats with one idempotency key are dropped.
+    #[serde(rename = "key_ttl_us", default)]
+    pub key_retention_us: u64,
+    /// Share of the priority weight that a late response still earns, from 0 to 1.
+    #[serde(rename = "late_value", default)]
+    pub late_value_share: f64,
+    /// What a response in time is worth, against other classes; no unit.
+    #[serde(rename = "points")]
+    pub priority_weight: f64,
+    /// Whether requests of one key run one at a time, in the order of arrival.
+    #[serde(rename = "by_arrival", default)]
+    pub ordered: bool,
+    /// Indices of the only zones that it may be sent to; `None` for all.
+    #[serde(rename = "areas_open")]
+    pub allowed_zones: Option<Vec<u32>>,
+    /// Indices of the only kinds of machine that it may be sent to; `None` for all.
+    #[serde(rename = "kinds_open")]
+    pub allowed_machine_kinds: Option<Vec<u32>>,
 }
 
+/// Whether a request may run again.
 #[derive(Deserialize, Clone, Copy)]
-#[serde(rename_all = "lowercase")]
-pub enum ClassEffect {
-    Safe,
-    Keyed,
-    Unsafe,
+pub enum IdempotencySetting {
+    /// It may.
+    #[serde(rename = "safe")]
+    Idempotent,
+    /// It may while engines drop repeats of its key.
+    #[serde(rename = "keyed")]
+    IdempotencyKeyed,
+    /// It must not.
+    #[serde(rename = "unsafe")]
+    NonIdempotent,
 }
 
+/// The engines among which repeats with one idempotency key are dropped.
 #[derive(Deserialize, Clone, Copy, Default)]
-#[serde(rename_all = "lowercase")]
-pub enum Group {
+pub enum ScopeSetting {
+    /// All engines.
     #[default]
-    All,
+    #[serde(rename = "all")]
+    Everywhere,
+    /// The engines of one zone.
+    #[serde(rename = "zone")]
     Zone,
+    /// The engines of one cell.
+    #[serde(rename = "cell")]
     Cell,
 }
 
+/// What engines are and do. Lists go by the index of the request class, or of the kind of machine.
 #[derive(Deserialize, Default)]
-#[serde(default)]
-pub struct Family {
-    pub class_load: Vec<bool>,
-    pub class_threads: Vec<f64>,
-    pub yields_to_loads: Vec<bool>,
-    pub cpu_of_kind: Vec<f64>,
+#[serde(default, expecting = "struct Family")]
+pub struct EngineSettings {
+    /// By request class: whether it is a bulk load, which holds its table group on its engine while it runs.
+    #[serde(rename = "class_load")]
+    pub bulk_load_by_class: Vec<bool>,
+    /// By request class: the threads that a request runs on.
+    #[serde(rename = "class_threads")]
+    pub threads_by_class: Vec<f64>,
+    /// By request class: whether it stands still while a bulk load holds its table group on the same engine.
+    #[serde(rename = "yields_to_loads")]
+    pub waits_for_bulk_loads_by_class: Vec<bool>,
+    /// By kind of machine: its cores.
+    #[serde(rename = "cpu_of_kind")]
+    pub cores_by_kind: Vec<f64>,
+    /// By kind of machine: its memory in megabytes.
     pub memory_by_kind_mb: Vec<f64>,
-    pub lanes_count: bool,
-    pub takes_grants: bool,
-    pub note_period_us: u64,
-    pub says_cost: bool,
+    /// Whether engines heed the priority given with an attempt.
+    #[serde(rename = "lanes_count")]
+    pub priorities: bool,
+    /// Whether engines heed the memory grant given with an attempt.
+    #[serde(rename = "takes_grants")]
+    pub memory_grants: bool,
+    /// Time between two progress reports of an attempt; zero for none.
+    #[serde(rename = "note_period_us")]
+    pub progress_interval_us: u64,
+    /// Whether engines state with a response what the attempt used.
+    #[serde(rename = "says_cost")]
+    pub reports_usage: bool,
 }
 
+/// Figures of the safety rules.
 #[derive(Deserialize, Default)]
-#[serde(default)]
-pub struct Obligations {
-    pub ask_within_us: u64,
-    pub cold_from: f64,
-    pub cold_us: u64,
+#[serde(default, expecting = "struct Obligations")]
+pub struct SafetySettings {
+    /// Where discovery is polled, a front that has not asked for so long counts as notified of the list as it is.
+    #[serde(rename = "ask_within_us")]
+    pub discovery_poll_deadline_us: u64,
+    /// What an engine that has just started can do, as a share of what it does when warm, from 0 to 1.
+    #[serde(rename = "cold_from")]
+    pub slow_start_share: f64,
+    /// For how long after its start an engine warms up.
+    #[serde(rename = "cold_us")]
+    pub slow_start_window_us: u64,
+    /// After a front has been notified that an engine drains, an attempt may still begin there for so long.
     pub drain_grace_us: u64,
-    pub fall_multiple: f64,
-    pub tip_after_us: u64,
-    pub settle_after_doubt_us: u64,
-    pub min_extra: Option<f64>,
-    pub extra_ratio: Option<f64>,
-    pub resend_span_us: Option<u64>,
+    /// An engine that warms up fails at so many times the work that it can do within the overload window; no unit.
+    #[serde(rename = "fall_multiple")]
+    pub overload_factor: f64,
+    /// The time over which the work sent to an engine that warms up is added.
+    #[serde(rename = "tip_after_us")]
+    pub overload_window_us: u64,
+    /// How long the next request of a key waits after an attempt that may still be running.
+    #[serde(rename = "settle_after_doubt_us")]
+    pub unknown_outcome_delay_us: u64,
+    /// Retries that are allowed in any window of the budget, however few requests there are.
+    #[serde(rename = "min_extra")]
+    pub free_retries: Option<f64>,
+    /// Retries that are allowed besides, as a share of the window's requests.
+    #[serde(rename = "extra_ratio")]
+    pub retry_ratio: Option<f64>,
+    /// The window of the retry budget; `None` for no budget.
+    #[serde(rename = "resend_span_us")]
+    pub retry_budget_window_us: Option<u64>,
 }
 
+/// Load reports of engines.
 #[derive(Deserialize, Default)]
-#[serde(default)]
-pub struct Report {
+#[serde(default, expecting = "struct Report")]
+pub struct LoadReportSettings {
+    /// Names of the values, in the order in which reports hold them.
     pub fields: Vec<String>,
-    pub via: String,
+    /// What they come with: `inline` for responses, `on_probe` for probes, all else for nothing.
+    #[serde(rename = "via")]
+    pub sent_with: String,
 }
--- a/crates/edges/front/src/program/channel.rs
+++ b/crates/edges/front/src/program/channel.rs
@@ -110,7 +110,7 @@
     fn listed(&mut self, member: Member) -> Option<Endpoint> {
         let settled = &self.shared.settled;
         let place = |number: Option<u32>, names: &[String]| number.filter(|n| (*n as usize) < names.len());
-        let places = place(member.zone, &settled.areas).zip(place(member.kind, &settled.kinds));
+        let places = place(member.zone, &settled.zones).zip(place(member.kind, &settled.machine_kinds));
         let Some((location, kind)) = places else {
             if self.left_out.len() < MOST_TOLD && self.left_out.insert(member.id) {
                 log::warn!("engine {:08x} is left out: unknown location or kind", member.id);
--- a/crates/edges/front/src/program/clients.rs
+++ b/crates/edges/front/src/program/clients.rs
@@ -431,12 +431,12 @@
             self.fault(Fault { id, kind });
             None
         };
-        let named = |class: &lemonusher_deployment::Class| class.name == request.method;
-        let Some(service_group) = self.shared.settled.classes.iter().position(named) else {
+        let named = |class: &lemonusher_deployment::RequestClassSettings| class.name == request.method;
+        let Some(service_group) = self.shared.settled.request_classes.iter().position(named) else {
             return faulty(Some(request.id), FaultKind::UnknownMethod);
         };
         self.highest.set(self.highest.get().max(request.id));
-        let most = self.shared.settled.classes[service_group].hard_limit_us.saturating_mul(MOST_TTL);
+        let most = self.shared.settled.request_classes[service_group].deadline_us.saturating_mul(MOST_TTL);
         if request.ttl_ms == 0 || request.ttl_ms.saturating_mul(1000) > most {
             return faulty(Some(request.id), FaultKind::InvalidParams);
         }
--- a/crates/edges/front/src/program/engines/link.rs
+++ b/crates/edges/front/src/program/engines/link.rs
@@ -208,7 +208,7 @@
         self.used.set(Instant::now());
         self.asked.set(None);
         let load = answer.load.map(|values| {
-            self.shared.fields.named(values.iter().map(|(name, value)| (name.as_str(), *value)))
+            self.shared.fields.read_named(values.iter().map(|(name, value)| (name.as_str(), *value)))
         });
         let mut all = self.out.borrow_mut();
         let Some((id, out)) =
--- a/crates/edges/front/src/program/engines/mod.rs
+++ b/crates/edges/front/src/program/engines/mod.rs
@@ -74,9 +74,9 @@
 
 /// Closes connections that have been idle, well before their engine does, and retires quiet ones.
 async fn tend(engines: Rc<Engines>) {
-    let ceilings = &engines.shared.settled.ceilings;
-    let idle = Duration::from_micros(ceilings.conn_idle_us) / IDLE_SHARE;
-    let period = Duration::from_micros(engines.shared.settled.family_info.note_period_us);
+    let ceilings = &engines.shared.settled.capabilities;
+    let idle = Duration::from_micros(ceilings.idle_timeout_us) / IDLE_SHARE;
+    let period = Duration::from_micros(engines.shared.settled.engines.progress_interval_us);
     let quiet = period * QUIET_PERIODS + engines.shared.connect_timeout;
     loop {
         Timer::after(engines.shared.connect_timeout).await;
@@ -143,7 +143,7 @@
                 (pool.address, pool.state, pool.started) = (one.address, one.state, one.started_at);
                 // Where connections cost, hundreds of fronts that all open one to each engine at once are what engines
                 // that hold few can't bear: each is opened when it is first wanted.
-                let free = self.shared.settled.prices.handshake == 0.0;
+                let free = self.shared.settled.costs.handshake == 0.0;
                 if free && one.state == EngineState::Active && pool.links.iter().all(|l| l.retired.get()) {
                     opened.push(one.engine);
                 }
@@ -216,7 +216,7 @@
         if pool.state != EngineState::Active {
             return (Placed::Drains, false);
         }
-        let streams = self.shared.settled.ceilings.streams_per_conn.max(1);
+        let streams = self.shared.settled.capabilities.max_streams_per_connection.max(1);
         let placed = match pool.free(order, streams) {
             Some(link) => Placed::On(link),
             None if pool.waiting.len() < MOST_WAITING => {
@@ -235,7 +235,7 @@
 
     /// What waits for a connection to an engine is tried again.
     async fn send_waiting(self: &Rc<Self>, engine: EngineId) {
-        let streams = self.shared.settled.ceilings.streams_per_conn.max(1);
+        let streams = self.shared.settled.capabilities.max_streams_per_connection.max(1);
         loop {
             let next = {
                 let mut pools = self.pools.borrow_mut();
@@ -269,7 +269,7 @@
                 memory_mb,
                 ..
             } => {
-                let class = self.shared.settled.classes.get(*service_group);
+                let class = self.shared.settled.request_classes.get(*service_group);
                 let left = terms.until.saturating_duration_since(now);
                 let terms = Terms {
                     queue: class.map_or("", |class| &class.name),
@@ -281,7 +281,7 @@
             }
             EngineCommand::Probe { token, .. } => {
                 let id: Arc<str> = format!("p{token}").into();
-                let report = !self.shared.settled.report.fields.is_empty();
+                let report = !self.shared.settled.load_report.fields.is_empty();
                 (*token, id.clone(), engine::probe(&id, report).into_bytes(), OutKind::Probe)
             }
             _ => return,
--- a/crates/edges/front/src/program/shared.rs
+++ b/crates/edges/front/src/program/shared.rs
@@ -3,15 +3,15 @@
 use super::descriptors::Descriptors;
 use crate::transport::{Pulse, Room};
 use async_executor::LocalExecutor;
-use lemonusher_deployment::{LoadFields, Settled};
+use lemonusher_deployment::{LoadReportFields, Settings};
 use lemonusher_routing::{Counters, RouterEvent};
 use std::rc::Rc;
 use std::time::Duration;
 
 /// What all parts share.
 pub struct Shared {
-    pub settled: Settled,
-    pub fields: LoadFields,
+    pub settled: Settings,
+    pub fields: LoadReportFields,
     pub counters: Rc<Counters>,
     pub queue: async_channel::Sender<RouterEvent>,
     pub executor: Rc<LocalExecutor<'static>>,
--- a/crates/edges/front/src/program/start.rs
+++ b/crates/edges/front/src/program/start.rs
@@ -13,7 +13,7 @@
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
 use lemonusher::{LoadReporting, RequestClassConfig};
-use lemonusher_deployment::{LoadFields, Settled, deployment, span};
+use lemonusher_deployment::{LoadReportFields, Settings, deployment};
 use lemonusher_membership::DesiredState;
 use lemonusher_routing::{
     Clock, ControlUpdate, Counters, EngineNotification, Limits, ManagementCall, RequestRouter, RouterEvent,
@@ -129,15 +129,15 @@
 /// Reads the names from the file that a front is told.
 pub fn names(path: &str) -> Result<Names, Unfit> {
     let told = Told::read(path)?;
-    let settled =
-        Settled::deserialize(&told.settings).map_err(|e| Unfit::Malformed(path.to_owned(), e.to_string()))?;
+    let settled = Settings::deserialize(&told.settings)
+        .map_err(|e| Unfit::Malformed(path.to_owned(), e.to_string()))?;
     Ok(Names {
         terms: deployment(&settled).request_classes,
         front: told.name,
         location: settled.zone,
-        locations: settled.areas,
-        kinds: settled.kinds,
-        service_groups: settled.classes.into_iter().map(|class| class.name).collect(),
+        locations: settled.zones,
+        kinds: settled.machine_kinds,
+        service_groups: settled.request_classes.into_iter().map(|class| class.name).collect(),
     })
 }
 
@@ -170,10 +170,10 @@
     let mut signals = Signals::new(watched).map_err(Unfit::Signals)?;
     let mut told = Told::read(&path)?;
     let malformed = |what: String| Unfit::Malformed(path.clone(), what);
-    let settled = Settled::deserialize(&told.settings).map_err(|e| malformed(e.to_string()))?;
+    let settled = Settings::deserialize(&told.settings).map_err(|e| malformed(e.to_string()))?;
     let seed =
         u64::from_str_radix(&told.seed, 16).map_err(|_| malformed("'seed' is no hex number".into()))?;
-    let known = protocol::channel::known(told.known.get(), &settled.areas, &settled.kinds)
+    let known = protocol::channel::known(told.known.get(), &settled.zones, &settled.machine_kinds)
         .map_err(|e| malformed(e.to_string()))?;
     let mut stated = deployment(&settled);
     let listener = match &consulting {
@@ -190,7 +190,7 @@
 
     let longest = stated.request_classes.iter().map(|t| t.deadline).max().unwrap_or_default();
     let clock = Clock::starting(oldest_cold(&known.1, stated.safety_rules.slow_start_window) + stated.tick);
-    let names = settled.classes.iter().map(|class| class.name.clone()).collect();
+    let names = settled.request_classes.iter().map(|class| class.name.clone()).collect();
     let counters = Rc::new(Counters::new(names));
     let (queue, heard) = async_channel::bounded(QUEUE);
     let (orders, ordered) = async_channel::bounded(QUEUE);
@@ -199,12 +199,12 @@
     let executor = Rc::new(LocalExecutor::new());
     let memory = told.limits.memory_mb * 1024 * 1024;
     let limits = Limits {
-        open: settled.ceilings.open_cap.max(1),
+        open: settled.capabilities.max_open_requests.max(1),
         bytes: memory / STATEMENT_SHARE,
         probe: stated.capabilities.connect_timeout,
     };
     let shared = Rc::new(Shared {
-        fields: LoadFields::of(&settled),
+        fields: LoadReportFields::new(&settled),
         counters: counters.clone(),
         queue: queue.clone(),
         executor: executor.clone(),
@@ -215,7 +215,7 @@
         answers: Room::new(memory / PART_SHARE),
         descriptors: Descriptors::of(told.limits.sockets),
         pulse: Pulse::new(PULSE),
-        connect_timeout: span(settled.ceilings.connect_timeout_us),
+        connect_timeout: Duration::from_micros(settled.capabilities.connect_timeout_us),
         cold_since: recovers.then(|| SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()),
         settled,
     });
--- a/crates/tools/simhost/src/main.rs
+++ b/crates/tools/simhost/src/main.rs
@@ -6,7 +6,7 @@
 mod wire;
 
 use lemonusher::{Action, EndpointUpdateKind, Event, Gateway};
-use lemonusher_deployment::{deployment, span};
+use lemonusher_deployment::deployment;
 use serde::de::IgnoredAny;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, BufRead, Write};
@@ -62,7 +62,7 @@
 
 impl Host {
     fn play(&mut self, frame: &Frame) -> Result<Reply, String> {
-        let now = span(frame.now_us);
+        let now = Duration::from_micros(frame.now_us);
         for raw in &frame.msgs {
             match serde_json::from_str::<Msg>(raw.get()) {
                 Ok(msg) => self.hear(now, msg),
@@ -136,7 +136,7 @@
             Msg::HEALTH { front_id, cost_time_us, code, engine, gauge } => {
                 self.tell(now, front_id, |reading| {
                     let answered = code == wire::Code::Done;
-                    let after = span(cost_time_us);
+                    let after = Duration::from_micros(cost_time_us);
                     Some(Event::ProbeEnded { engine, answered, elapsed: after, load: reading.gauge(gauge) })
                 })
             }
--- a/crates/tools/simhost/src/translate.rs
+++ b/crates/tools/simhost/src/translate.rs
@@ -2,7 +2,7 @@
 
 use crate::wire::{Cmd, Code, Ended, Entry, Ingress, State};
 use lemonusher::*;
-use lemonusher_deployment::{LoadFields, Settled, span};
+use lemonusher_deployment::{LoadReportFields, Settings};
 use std::time::Duration;
 
 fn us(span: Duration) -> u64 {
@@ -11,17 +11,17 @@
 
 /// How an instance's load reports and answer notes are to be read.
 pub struct Reading {
-    fields: LoadFields,
+    fields: LoadReportFields,
     says_cost: bool,
 }
 
 impl Reading {
-    pub fn of(settled: &Settled) -> Self {
-        Reading { fields: LoadFields::of(settled), says_cost: settled.family_info.says_cost }
+    pub fn of(settled: &Settings) -> Self {
+        Reading { fields: LoadReportFields::new(settled), says_cost: settled.engines.reports_usage }
     }
 
     pub fn gauge(&self, values: Option<Vec<f64>>) -> Option<LoadReport> {
-        values.map(|values| self.fields.in_order(&values))
+        values.map(|values| self.fields.read_ordered(&values))
     }
 
     pub fn ending(&self, ended: Ended) -> Event {
@@ -33,7 +33,7 @@
             request: ended.call.into(),
             attempt: ended.n,
             engine: ended.engine,
-            elapsed: span(ended.cost_time_us),
+            elapsed: Duration::from_micros(ended.cost_time_us),
             outcome: outcome(ended.code),
             request_finished: ended.no_more,
             usage: cost,
@@ -66,7 +66,7 @@
             State::Leaving => EngineState::Draining,
             State::Left => EngineState::Removed,
         },
-        started_at: span(entry.started_at_us),
+        started_at: Duration::from_micros(entry.started_at_us),
         blocked_classes: 0,
     }
 }
@@ -77,8 +77,8 @@
         request_class: ingress.grade,
         table_group: ingress.tables,
         key: ingress.relation,
-        client_timeout: span(ingress.time_budget_us),
-        work: ingress.estimate_us.filter(|work| *work > 0).map(span),
+        client_timeout: Duration::from_micros(ingress.time_budget_us),
+        work: ingress.estimate_us.filter(|work| *work > 0).map(Duration::from_micros),
         memory_mb: ingress.footprint_mb,
         client_retry: ingress.is_retry,
     })
--- a/crates/tools/simhost/src/wire.rs
+++ b/crates/tools/simhost/src/wire.rs
@@ -1,6 +1,6 @@
 //! The bench wire as serde types, in the wire's own words.
 
-use lemonusher_deployment::Settled;
+use lemonusher_deployment::Settings;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
@@ -23,7 +23,7 @@
     POWER_ON {
         front_id: u32,
         rng_seed: u64,
-        settings: Box<Settled>,
+        settings: Box<Settings>,
     },
     RETIRE {
         front_id: u32,
