--- a/crates/edges/cli/src/file.rs
+++ b/crates/edges/cli/src/file.rs
@@ -8,422 +8,517 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// What an operator's file switches on.
+/// An operator's file: what it switches on.
 #[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct File {
+#[serde(deny_unknown_fields, expecting = "struct File")]
+pub struct ConfigFile {
+    /// Where the front's own settings are.
     #[serde(default)]
-    pub front: Front,
+    pub front: FrontSection,
+    /// The log.
     #[serde(default)]
-    pub log: Log,
-    pub managed: Option<Managed>,
-    pub processor: Option<Processor>,
-    pub fleet: Option<Fleet>,
+    pub log: LogSection,
+    /// Managers' protocols; off if absent.
+    pub managed: Option<ManagementSection>,
+    /// The external processor; off if absent.
+    pub processor: Option<ProcessorSection>,
+    /// Messages between fronts; off if absent.
+    pub fleet: Option<FleetSection>,
 }
 
-/// Talk between fronts.
+/// `[fleet]`: messages between fronts, and leases.
 #[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Fleet {
+#[serde(deny_unknown_fields, expecting = "struct Fleet")]
+pub struct FleetSection {
+    /// Address to listen at.
     pub listen: Spanned<SocketAddr>,
-    /// What only fronts of this fleet know.
+    /// File with the secret that only fronts of this fleet know; 16 bytes at least.
     pub key_file: Spanned<PathBuf>,
-    /// The 3, 5 or 7 that vote, alike at every front.
+    /// The 3, 5 or 7 voters, alike at every front.
     pub voters: Spanned<Vec<SocketAddr>>,
     /// Whether this front is one of them.
-    #[serde(default)]
-    pub votes: bool,
-    /// Which of them, from 0, where that is not told by the address it listens at.
-    pub place: Option<Spanned<usize>>,
-    /// By what other fronts reach this one, where that is not the address it listens at.
-    pub known_as: Option<Spanned<SocketAddr>>,
-    #[serde(default = "Fleet::lease")]
+    #[serde(rename = "votes", default)]
+    pub is_voter: bool,
+    /// Which of them, from 0, if the address that it listens at does not tell.
+    #[serde(rename = "place")]
+    pub voter_index: Option<Spanned<usize>>,
+    /// The address by which other fronts reach this one, if it is not the one that it listens at.
+    #[serde(rename = "known_as")]
+    pub advertised_address: Option<Spanned<SocketAddr>>,
+    /// Duration of a lease, in milliseconds.
+    #[serde(default = "FleetSection::default_lease_ms")]
     pub lease_ms: Spanned<u64>,
     /// By how many thousandths a clock may run fast or slow.
-    #[serde(default = "Fleet::drift")]
-    pub drift_thousandths: Spanned<u32>,
-    /// How long an act may take where what is acted upon can't refuse an older number.
-    #[serde(default = "Fleet::act")]
-    pub act_ms: u64,
-    /// Where the highest number lasts.
-    pub folder: Option<Spanned<PathBuf>>,
-    /// Into how many seats what fronts share is cut; 0 for no seats.
-    #[serde(default)]
-    pub seats: u32,
-    /// How many of them this front wants, and where it begins to look.
-    #[serde(default = "Fleet::wants")]
-    pub wants_seats: usize,
+    #[serde(rename = "drift_thousandths", default = "FleetSection::default_clock_drift_permille")]
+    pub clock_drift_permille: Spanned<u32>,
+    /// Longest action of a lease holder in milliseconds, where what is acted upon can't refuse an older fencing token.
+    #[serde(rename = "act_ms", default = "FleetSection::default_max_action_time_ms")]
+    pub max_action_time_ms: u64,
+    /// Folder in which the highest fencing token is stored.
+    #[serde(rename = "folder")]
+    pub state_folder: Option<Spanned<PathBuf>>,
+    /// Number of quota slots into which the fronts' common quota is divided; 0 for none.
+    #[serde(rename = "seats", default)]
+    pub quota_slots: u32,
+    /// Number of quota slots that this front asks for.
+    #[serde(rename = "wants_seats", default = "FleetSection::default_wanted_slots")]
+    pub wanted_slots: usize,
+    /// The quota slot for which this front asks first.
+    #[serde(rename = "number", default)]
+    pub first_slot: u32,
+    /// Tasks that this front is willing to hold.
     #[serde(default)]
-    pub number: u32,
-    #[serde(default)]
-    pub tasks: Vec<FleetTask>,
-    pub sites: Option<Spanned<Sites>>,
-    pub works: Option<Spanned<Works>>,
+    pub tasks: Vec<TaskSection>,
+    /// Failover of zones; off if absent.
+    #[serde(rename = "sites")]
+    pub zones: Option<Spanned<ZonesSection>>,
+    /// Maintenance of machines; off if absent.
+    #[serde(rename = "works")]
+    pub maintenance: Option<Spanned<MaintenanceSection>>,
 }
 
-/// The plan for lost sites; alike at every front.
+/// `[fleet.zones]`: failover of zones; alike at every front. Times are in milliseconds.
 #[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct Sites {
-    pub period_ms: u64,
-    pub confirm_ms: u64,
-    pub steady_ms: u64,
-    pub pace_ms: u64,
-    pub wait_ms: u64,
-    pub stale_ms: u64,
-    pub safe_part: f64,
-    pub floor_part: f64,
-}
-
-/// Works on machines; alike at every front. They need `[fleet.sites]`.
+#[serde(deny_unknown_fields, default, expecting = "struct Sites")]
+pub struct ZonesSection {
+    /// Between two reports of a front.
+    #[serde(rename = "period_ms")]
+    pub report_interval_ms: u64,
+    /// A loss must last so long.
+    #[serde(rename = "confirm_ms")]
+    pub confirmation_time_ms: u64,
+    /// A lost zone must answer for so long before it returns.
+    #[serde(rename = "steady_ms")]
+    pub probation_ms: u64,
+    /// Between two steps of a return, at least.
+    #[serde(rename = "pace_ms")]
+    pub ramp_interval_ms: u64,
+    /// A lost zone is left alone for so long; doubles with each loss in a row.
+    #[serde(rename = "wait_ms")]
+    pub recovery_backoff_ms: u64,
+    /// A front that has heard nothing of the plan for so long decides by itself.
+    #[serde(rename = "stale_ms")]
+    pub plan_timeout_ms: u64,
+    /// Share of the remaining capacity that a plan uses at most, from 0 to 1.
+    #[serde(rename = "safe_part")]
+    pub max_utilization: f64,
+    /// Share of each request class that is admitted at least, from 0 to 1.
+    #[serde(rename = "floor_part")]
+    pub admission_floor: f64,
+}
+
+/// `[fleet.maintenance]`: maintenance of machines; alike at every front. Needs `[fleet.zones]`.
 #[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Works {
-    /// The fronts that count, by name: each must have let a machine go before it is released.
-    pub fronts: Vec<String>,
-    /// Who is told of each machine that is released, by a datagram.
-    pub tell: Option<Spanned<SocketAddr>>,
-    #[serde(default = "Works::keep")]
-    pub keep_part: f64,
-    #[serde(default = "Works::margin")]
-    pub margin_part: f64,
-    #[serde(default = "Works::steady")]
-    pub steady_ms: u64,
-}
-
-impl Works {
-    fn keep() -> f64 {
+#[serde(deny_unknown_fields, expecting = "struct Works")]
+pub struct MaintenanceSection {
+    /// Names of the fronts that must confirm that a machine is drained before it is released.
+    #[serde(rename = "fronts")]
+    pub required_fronts: Vec<String>,
+    /// Address that is notified of each released machine by a datagram.
+    #[serde(rename = "tell")]
+    pub notify: Option<Spanned<SocketAddr>>,
+    /// Share that must still be served, of what would be served with a zone lost; from 0 to 1.
+    #[serde(rename = "keep_part", default = "MaintenanceSection::default_min_reserve")]
+    pub min_reserve: f64,
+    /// By what share more demand than now is provided for.
+    #[serde(rename = "margin_part", default = "MaintenanceSection::default_demand_margin")]
+    pub demand_margin: f64,
+    /// A returned machine must answer for so long, in milliseconds.
+    #[serde(rename = "steady_ms", default = "MaintenanceSection::default_probation_ms")]
+    pub probation_ms: u64,
+}
+
+impl MaintenanceSection {
+    fn default_min_reserve() -> f64 {
         0.9
     }
 
-    fn margin() -> f64 {
+    fn default_demand_margin() -> f64 {
         0.1
     }
 
-    fn steady() -> u64 {
+    fn default_probation_ms() -> u64 {
         10_000
     }
 
-    pub fn terms(&self, period: Duration) -> lemonusher_maintenance::MaintenanceConfig {
+    pub fn config(&self, poll_interval: Duration) -> lemonusher_maintenance::MaintenanceConfig {
         lemonusher_maintenance::MaintenanceConfig {
-            poll_interval: period,
-            required_fronts: self.fronts.clone(),
-            min_reserve: self.keep_part,
-            demand_margin: self.margin_part,
-            probation: Duration::from_millis(self.steady_ms),
+            poll_interval,
+            required_fronts: self.required_fronts.clone(),
+            min_reserve: self.min_reserve,
+            demand_margin: self.demand_margin,
+            probation: Duration::from_millis(self.probation_ms),
         }
     }
 }
 
-impl Default for Sites {
-    fn default() -> Sites {
-        Sites {
-            period_ms: 500,
-            confirm_ms: 2000,
-            steady_ms: 4000,
-            pace_ms: 5000,
-            wait_ms: 5000,
-            stale_ms: 10_000,
-            safe_part: 0.8,
-            floor_part: 0.05,
+impl Default for ZonesSection {
+    fn default() -> ZonesSection {
+        ZonesSection {
+            report_interval_ms: 500,
+            confirmation_time_ms: 2000,
+            probation_ms: 4000,
+            ramp_interval_ms: 5000,
+            recovery_backoff_ms: 5000,
+            plan_timeout_ms: 10_000,
+            max_utilization: 0.8,
+            admission_floor: 0.05,
         }
     }
 }
 
-impl Sites {
-    pub fn terms(&self) -> lemonusher_zone_failover::FailoverConfig {
+impl ZonesSection {
+    pub fn config(&self) -> lemonusher_zone_failover::FailoverConfig {
         let ms = Duration::from_millis;
         lemonusher_zone_failover::FailoverConfig {
-            report_interval: ms(self.period_ms),
-            confirmation_time: ms(self.confirm_ms),
-            probation: ms(self.steady_ms),
-            ramp_interval: ms(self.pace_ms),
-            recovery_backoff: ms(self.wait_ms),
-            plan_timeout: ms(self.stale_ms),
-            max_utilization: self.safe_part,
-            admission_floor: self.floor_part,
+            report_interval: ms(self.report_interval_ms),
+            confirmation_time: ms(self.confirmation_time_ms),
+            probation: ms(self.probation_ms),
+            ramp_interval: ms(self.ramp_interval_ms),
+            recovery_backoff: ms(self.recovery_backoff_ms),
+            plan_timeout: ms(self.plan_timeout_ms),
+            max_utilization: self.max_utilization,
+            admission_floor: self.admission_floor,
         }
     }
 }
 
-/// A task of the fleet that this front is willing to hold.
+/// `[[fleet.tasks]]`: a task of the fleet that this front is willing to hold.
 #[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct FleetTask {
+#[serde(deny_unknown_fields, expecting = "struct FleetTask")]
+pub struct TaskSection {
+    /// Name of the task and of its lease.
     pub name: Spanned<String>,
-    /// Who is told of each act by a datagram.
-    pub tell: Option<Spanned<SocketAddr>>,
-    #[serde(default = "FleetTask::every")]
-    pub every_ms: Spanned<u64>,
-    #[serde(default)]
-    pub takes_ms: u64,
-    /// Whether what is acted upon refuses an older number.
-    #[serde(default)]
-    pub refuses_older: bool,
-}
-
-impl Fleet {
+    /// Address that is notified of each action by a datagram.
+    #[serde(rename = "tell")]
+    pub notify: Option<Spanned<SocketAddr>>,
+    /// Time between two actions, in milliseconds.
+    #[serde(rename = "every_ms", default = "TaskSection::default_interval_ms")]
+    pub interval_ms: Spanned<u64>,
+    /// Duration of an action, in milliseconds.
+    #[serde(rename = "takes_ms", default)]
+    pub duration_ms: u64,
+    /// Whether what is acted upon refuses an older fencing token.
+    #[serde(rename = "refuses_older", default)]
+    pub is_fenced: bool,
+}
+
+impl FleetSection {
     /// This front's place among the voters.
-    pub fn place(&self) -> Option<usize> {
+    pub fn own_voter_index(&self) -> Option<usize> {
         let voters = self.voters.get_ref();
-        let stated = self.place.as_ref().map(|place| *place.get_ref());
+        let stated = self.voter_index.as_ref().map(|place| *place.get_ref());
         stated.or_else(|| voters.iter().position(|voter| voter == self.listen.get_ref()))
     }
 
-    fn lease() -> Spanned<u64> {
+    fn default_lease_ms() -> Spanned<u64> {
         Spanned::new(0..0, 3000)
     }
 
-    fn drift() -> Spanned<u32> {
+    fn default_clock_drift_permille() -> Spanned<u32> {
         Spanned::new(0..0, 20)
     }
 
-    fn act() -> u64 {
+    fn default_max_action_time_ms() -> u64 {
         1000
     }
 
-    fn wants() -> usize {
+    fn default_wanted_slots() -> usize {
         1
     }
 }
 
-impl FleetTask {
-    fn every() -> Spanned<u64> {
+impl TaskSection {
+    fn default_interval_ms() -> Spanned<u64> {
         Spanned::new(0..0, 1000)
     }
 }
 
+/// `[front]`: where the front's settings are.
 #[derive(Debug, Default, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Front {
-    /// The file that the front is told by, from the folder of this one; else the one that `PROXY_CONFIG` names.
-    pub told: Option<Spanned<PathBuf>>,
+#[serde(deny_unknown_fields, expecting = "struct Front")]
+pub struct FrontSection {
+    /// The front's start file, from the folder of this one; if absent, the one that `PROXY_CONFIG` names.
+    #[serde(rename = "told")]
+    pub start_file: Option<Spanned<PathBuf>>,
 }
 
+/// `[log]`: the log on standard error.
 #[derive(Debug, Default, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct Log {
-    pub level: Level,
-    pub form: Form,
+#[serde(deny_unknown_fields, default, expecting = "struct Log")]
+pub struct LogSection {
+    /// The least severe level that is written.
+    pub level: LogLevel,
+    /// How lines are written.
+    #[serde(rename = "form")]
+    pub format: LogFormat,
 }
 
+/// Severity of log lines.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Level {
+#[serde(rename_all = "lowercase", expecting = "enum Level")]
+pub enum LogLevel {
+    /// Errors alone.
     Error,
+    /// Warnings too.
     Warn,
+    /// What operators usually want.
     #[default]
     Info,
+    /// Details for finding faults.
     Debug,
+    /// Everything.
     Trace,
 }
 
+/// How log lines are written.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Form {
+#[serde(rename_all = "lowercase", expecting = "enum Form")]
+pub enum LogFormat {
+    /// As text.
     #[default]
     Text,
+    /// As one JSON object a line.
     Json,
 }
 
+/// `[managed]`: managers' protocols and the store behind them.
 #[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Managed {
-    /// Where commits last; without it they end with the process.
-    pub folder: Option<Spanned<PathBuf>>,
-    #[serde(default = "Managed::history")]
-    pub history: Spanned<usize>,
-    #[serde(default = "Managed::sessions")]
-    pub sessions: Spanned<usize>,
-    #[serde(default = "Managed::subscriptions")]
-    pub subscriptions: Spanned<usize>,
-    /// How old the counters that a manager reads may be, in milliseconds.
-    #[serde(default = "Managed::freshness")]
-    pub freshness_ms: Spanned<u64>,
-    /// Begins with what managers kept in the startup datastore, where there is one.
+#[serde(deny_unknown_fields, expecting = "struct Managed")]
+pub struct ManagementSection {
+    /// Folder in which commits are stored; without it they end with the process.
+    #[serde(rename = "folder")]
+    pub state_folder: Option<Spanned<PathBuf>>,
+    /// Number of commits that can be rolled back to.
+    #[serde(rename = "history", default = "ManagementSection::default_max_commits")]
+    pub max_commits: Spanned<usize>,
+    /// Maximum number of sessions, over both protocols.
+    #[serde(rename = "sessions", default = "ManagementSection::default_max_sessions")]
+    pub max_sessions: Spanned<usize>,
+    /// Maximum number of subscriptions.
+    #[serde(rename = "subscriptions", default = "ManagementSection::default_max_subscriptions")]
+    pub max_subscriptions: Spanned<usize>,
+    /// Maximum age of the counters that managers read, in milliseconds.
+    #[serde(rename = "freshness_ms", default = "ManagementSection::default_max_counter_age_ms")]
+    pub max_counter_age_ms: Spanned<u64>,
+    /// Whether a start begins with the startup datastore, if there is one.
+    #[serde(rename = "from_startup", default)]
+    pub starts_from_startup: bool,
+    /// The gNMI server; off if absent.
+    pub gnmi: Option<GnmiSection>,
+    /// The NETCONF server; off if absent.
+    pub netconf: Option<NetconfSection>,
+    /// Users. If there are none, whoever reaches a loopback address may read and write.
     #[serde(default)]
-    pub from_startup: bool,
-    pub gnmi: Option<Gnmi>,
-    pub netconf: Option<Netconf>,
-    #[serde(default)]
-    pub users: Vec<User>,
+    pub users: Vec<UserSection>,
 }
 
+/// `[managed.gnmi]`: the gNMI server.
 #[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Gnmi {
+#[serde(deny_unknown_fields, expecting = "struct Gnmi")]
+pub struct GnmiSection {
+    /// Address to listen at.
     pub listen: Spanned<SocketAddr>,
+    /// File with the certificate, PEM; TLS if there is one.
     pub certificate: Option<Spanned<PathBuf>>,
+    /// File with its private key, PEM.
     pub key: Option<Spanned<PathBuf>>,
 }
 
+/// `[managed.netconf]`: the NETCONF server.
 #[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Netconf {
+#[serde(deny_unknown_fields, expecting = "struct Netconf")]
+pub struct NetconfSection {
+    /// Address to listen at.
     pub listen: Spanned<SocketAddr>,
-    /// The host's private key, in OpenSSH's form; without it a new one is made at each start.
+    /// File with the host's private key, in OpenSSH's form; without it a new one is made at each start.
     pub host_key: Option<Spanned<PathBuf>>,
 }
 
+/// `[[managed.users]]`: a manager.
 #[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct User {
+#[serde(deny_unknown_fields, expecting = "struct User")]
+pub struct UserSection {
+    /// Name to log in by.
     pub name: Spanned<String>,
-    #[serde(default)]
-    pub may: May,
-    /// The public key that NETCONF takes, as a line of OpenSSH's.
+    /// What the user may do.
+    #[serde(rename = "may", default)]
+    pub access: Access,
+    /// Public key for NETCONF, as a line of OpenSSH's.
     pub ssh_key: Option<Spanned<String>>,
-    /// A file that holds the password that gNMI takes.
+    /// File with the password for gNMI.
     pub password_file: Option<Spanned<PathBuf>>,
 }
 
+/// What a user may do.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum May {
+#[serde(rename_all = "lowercase", expecting = "enum May")]
+pub enum Access {
+    /// Read.
     #[default]
     Read,
+    /// Read and write.
     Write,
 }
 
-impl fmt::Display for May {
+impl fmt::Display for Access {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            May::Read => "read",
-            May::Write => "read and write",
+            Access::Read => "read",
+            Access::Write => "read and write",
         })
     }
 }
 
-impl Managed {
-    fn history() -> Spanned<usize> {
+impl ManagementSection {
+    fn default_max_commits() -> Spanned<usize> {
         Spanned::new(0..0, 100)
     }
 
-    fn sessions() -> Spanned<usize> {
+    fn default_max_sessions() -> Spanned<usize> {
         Spanned::new(0..0, 64)
     }
 
-    fn subscriptions() -> Spanned<usize> {
+    fn default_max_subscriptions() -> Spanned<usize> {
         Spanned::new(0..0, 256)
     }
 
-    fn freshness() -> Spanned<u64> {
+    fn default_max_counter_age_ms() -> Spanned<u64> {
         Spanned::new(0..0, 50)
     }
 
-    pub fn freshness_span(&self) -> Duration {
-        Duration::from_millis(*self.freshness_ms.get_ref())
+    pub fn max_counter_age(&self) -> Duration {
+        Duration::from_millis(*self.max_counter_age_ms.get_ref())
     }
 }
 
-/// The external processor. With it the front serves proxies alone: no listener for clients, no connections to
-/// engines.
+/// `[processor]`: the external processor. With it the front serves proxies alone: no listener for clients, no
+/// connections to engines.
 #[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Processor {
+#[serde(deny_unknown_fields, expecting = "struct Processor")]
+pub struct ProcessorSection {
+    /// Address to listen at.
     pub listen: Spanned<SocketAddr>,
-    /// The proxies' message timeout, and what they do then.
-    #[serde(default = "Processor::message_timeout")]
+    /// The proxies' `message_timeout`, in milliseconds.
+    #[serde(default = "ProcessorSection::default_message_timeout_ms")]
     pub message_timeout_ms: Spanned<u64>,
-    #[serde(default)]
-    pub fails: Fails,
-    /// How much longer in all the proxies may be asked to wait (their max_message_timeout).
-    #[serde(default)]
-    pub more_time_ms: u64,
-    #[serde(default = "Processor::retry_within")]
-    pub retry_within_ms: u64,
-    /// Shared by all processors of a deployment; without it tickets hold for one process.
+    /// What the proxies do when they get no response in time.
+    #[serde(rename = "fails", default)]
+    pub failure_mode: FailureMode,
+    /// How much longer in all the proxies may be asked to wait (their `max_message_timeout`), in milliseconds.
+    #[serde(rename = "more_time_ms", default)]
+    pub max_timeout_extension_ms: u64,
+    /// How long a proxy's retry is waited for, in milliseconds.
+    #[serde(rename = "retry_within_ms", default = "ProcessorSection::default_retry_window_ms")]
+    pub retry_window_ms: u64,
+    /// File with the key that signs continuation tokens, the same for all processors of a deployment; without it
+    /// tokens are valid for one process.
     pub key_file: Option<Spanned<PathBuf>>,
-    #[serde(default = "Processor::streams")]
-    pub streams: Spanned<usize>,
-    #[serde(default = "Processor::remembered")]
-    pub remembered: usize,
-    /// The request's body holds the statement, from which its table group is read.
-    #[serde(default)]
-    pub statement: bool,
-    /// Engines count as cold at the start, as it is not known what proxies still have out there.
-    #[serde(default = "Processor::recovers")]
+    /// Maximum number of open streams, over all proxies.
+    #[serde(rename = "streams", default = "ProcessorSection::default_max_streams")]
+    pub max_streams: Spanned<usize>,
+    /// Maximum number of finished calls that are remembered.
+    #[serde(rename = "remembered", default = "ProcessorSection::default_max_remembered")]
+    pub max_remembered: usize,
+    /// Whether the request's body holds the statement, from which its table group is read.
+    #[serde(rename = "statement", default)]
+    pub body_is_statement: bool,
+    /// Whether engines count as just started at the start, as it is not known what proxies have in flight.
+    #[serde(default = "ProcessorSection::default_recovers")]
     pub recovers: bool,
-    /// Decisions are made this often at most, in microseconds.
-    #[serde(default = "Processor::tick")]
+    /// Time between two decisions, in microseconds.
+    #[serde(default = "ProcessorSection::default_tick_us")]
     pub tick_us: Spanned<u64>,
+    /// Names of headers that are not the usual ones.
     #[serde(default)]
-    pub headers: Headers,
-    /// Path prefixes that stand for a request class.
-    #[serde(default)]
-    pub paths: std::collections::BTreeMap<String, String>,
-    #[serde(default = "Processor::patience")]
-    pub patience_ms: u64,
+    pub headers: HeadersSection,
+    /// Request classes by path prefix.
+    #[serde(rename = "paths", default)]
+    pub class_by_path: std::collections::BTreeMap<String, String>,
+    /// Client timeout of a request that states none, in milliseconds.
+    #[serde(rename = "patience_ms", default = "ProcessorSection::default_client_timeout_ms")]
+    pub client_timeout_ms: u64,
 }
 
+/// What proxies do when they get no response in time.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Fails {
+#[serde(rename_all = "lowercase", expecting = "enum Fails")]
+pub enum FailureMode {
+    /// They forward the request (`failure_mode_allow`).
     Open,
+    /// They answer with an error.
     #[default]
     Closed,
 }
 
-/// Names of headers, where they are not the usual ones.
+/// `[processor.headers]`: names of headers, if they are not the usual ones; `HeaderNames` says what each holds.
 #[derive(Debug, Default, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct Headers {
-    pub batch: Option<String>,
-    pub service_group: Option<String>,
+#[serde(deny_unknown_fields, default, expecting = "struct Headers")]
+pub struct HeadersSection {
+    #[serde(rename = "batch")]
+    pub request_id: Option<String>,
+    #[serde(rename = "service_group")]
+    pub request_class: Option<String>,
     pub table_group: Option<String>,
-    pub patience: Option<String>,
-    pub repeat: Option<String>,
-    pub attempt: Option<String>,
-    pub ticket: Option<String>,
-    pub engine: Option<String>,
-    pub time_limit: Option<String>,
+    #[serde(rename = "patience")]
+    pub client_timeout: Option<String>,
+    #[serde(rename = "repeat")]
+    pub client_retry: Option<String>,
+    #[serde(rename = "attempt")]
+    pub attempt_count: Option<String>,
+    #[serde(rename = "ticket")]
+    pub continuation_token: Option<String>,
+    #[serde(rename = "engine")]
+    pub engine_address: Option<String>,
+    #[serde(rename = "time_limit")]
+    pub upstream_timeout: Option<String>,
     pub outcome: Option<String>,
 }
 
-impl Processor {
-    fn message_timeout() -> Spanned<u64> {
+impl ProcessorSection {
+    fn default_message_timeout_ms() -> Spanned<u64> {
         Spanned::new(0..0, 200)
     }
 
-    fn tick() -> Spanned<u64> {
+    fn default_tick_us() -> Spanned<u64> {
         Spanned::new(0..0, 250)
     }
 
-    fn retry_within() -> u64 {
+    fn default_retry_window_ms() -> u64 {
         500
     }
 
-    fn streams() -> Spanned<usize> {
+    fn default_max_streams() -> Spanned<usize> {
         Spanned::new(0..0, 10_000)
     }
 
-    fn remembered() -> usize {
+    fn default_max_remembered() -> usize {
         100_000
     }
 
-    fn recovers() -> bool {
+    fn default_recovers() -> bool {
         true
     }
 
-    fn patience() -> u64 {
+    fn default_client_timeout_ms() -> u64 {
         5000
     }
 
     /// The headers' names, the usual ones where none is given.
-    pub fn names(&self) -> lemonusher_processor::HeaderNames {
+    pub fn header_names(&self) -> lemonusher_processor::HeaderNames {
         let mut names = lemonusher_processor::HeaderNames::default();
-        let held = &self.headers;
+        let given = &self.headers;
         for (given, name) in [
-            (&held.batch, &mut names.request_id),
-            (&held.service_group, &mut names.request_class),
-            (&held.table_group, &mut names.table_group),
-            (&held.patience, &mut names.client_timeout),
-            (&held.repeat, &mut names.client_retry),
-            (&held.attempt, &mut names.attempt_count),
-            (&held.ticket, &mut names.continuation_token),
-            (&held.engine, &mut names.engine_address),
-            (&held.time_limit, &mut names.upstream_timeout),
-            (&held.outcome, &mut names.outcome),
+            (&given.request_id, &mut names.request_id),
+            (&given.request_class, &mut names.request_class),
+            (&given.table_group, &mut names.table_group),
+            (&given.client_timeout, &mut names.client_timeout),
+            (&given.client_retry, &mut names.client_retry),
+            (&given.attempt_count, &mut names.attempt_count),
+            (&given.continuation_token, &mut names.continuation_token),
+            (&given.engine_address, &mut names.engine_address),
+            (&given.upstream_timeout, &mut names.upstream_timeout),
+            (&given.outcome, &mut names.outcome),
         ] {
             if let Some(given) = given {
                 *name = given.to_ascii_lowercase();
@@ -434,132 +529,132 @@
             prefix: prefix.clone(),
             request_class: class.clone(),
         };
-        names.paths = self.paths.iter().map(class).collect();
+        names.paths = self.class_by_path.iter().map(class).collect();
         names.paths.sort_by_key(|class| std::cmp::Reverse(class.prefix.len()));
-        names.default_client_timeout = Duration::from_millis(self.patience_ms.max(1));
+        names.default_client_timeout = Duration::from_millis(self.client_timeout_ms.max(1));
         names
     }
 }
 
 /// What is wrong in a file, and where.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Wrong {
+pub struct ConfigError {
     pub file: PathBuf,
     /// From 1; none where the whole file is meant.
     pub line: Option<usize>,
-    pub what: String,
+    pub message: String,
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{}:", self.file.display())?;
         if let Some(line) = self.line {
             write!(f, "{line}:")?;
         }
-        write!(f, " {}", self.what)
+        write!(f, " {}", self.message)
     }
 }
 
 /// Reads and checks a file.
-pub fn read(path: &Path) -> Result<File, Vec<Wrong>> {
-    let whole = |what: String| vec![Wrong { file: path.to_owned(), line: None, what }];
+pub fn read(path: &Path) -> Result<ConfigFile, Vec<ConfigError>> {
+    let whole = |message: String| vec![ConfigError { file: path.to_owned(), line: None, message }];
     let text = std::fs::read_to_string(path).map_err(|error| whole(format!("can't be read: {error}")))?;
     parse(path, &text)
 }
 
 /// Checks a file's text. Paths in it start from the file's folder.
-pub fn parse(path: &Path, text: &str) -> Result<File, Vec<Wrong>> {
-    let wrong = |span: Option<Range<usize>>, what: String| Wrong {
+pub fn parse(path: &Path, text: &str) -> Result<ConfigFile, Vec<ConfigError>> {
+    let error = |span: Option<Range<usize>>, message: String| ConfigError {
         file: path.to_owned(),
         line: span.map(|span| line_of(text, span.start)),
-        what,
+        message,
     };
-    let mut file: File =
-        toml::from_str(text).map_err(|error| vec![wrong(error.span(), one_line(error.message()))])?;
+    let mut file: ConfigFile =
+        toml::from_str(text).map_err(|cause| vec![error(cause.span(), one_line(cause.message()))])?;
     let folder = path.parent().unwrap_or(Path::new(""));
-    rebase(&mut file, folder);
+    resolve_paths(&mut file, folder);
     let mut found = Vec::new();
-    let mut say = |span: Range<usize>, what: String| found.push(wrong(Some(span), what));
+    let mut report = |span: Range<usize>, what: String| found.push(error(Some(span), what));
     if let Some(managed) = &file.managed {
-        check_managed(managed, &mut say);
+        check_managed(managed, &mut report);
     }
     if let Some(processor) = &file.processor {
         if !processor.listen.get_ref().ip().is_loopback() && processor.key_file.is_none() {
             let what =
                 "beyond loopback a 'key_file' is needed, the same for all processors of the deployment";
-            say(processor.listen.span(), what.to_owned());
+            report(processor.listen.span(), what.to_owned());
         }
         if !(5..=60_000).contains(processor.message_timeout_ms.get_ref()) {
             let what = "'message_timeout_ms' goes from 5 to 60000, as the proxies have it";
-            say(processor.message_timeout_ms.span(), what.to_owned());
+            report(processor.message_timeout_ms.span(), what.to_owned());
         }
         if !(50..=50_000).contains(processor.tick_us.get_ref()) {
-            say(processor.tick_us.span(), "'tick_us' goes from 50 to 50000".to_owned());
+            report(processor.tick_us.span(), "'tick_us' goes from 50 to 50000".to_owned());
         }
-        if !(1..=1_000_000).contains(processor.streams.get_ref()) {
-            say(processor.streams.span(), "'streams' goes from 1 to 1000000".to_owned());
+        if !(1..=1_000_000).contains(processor.max_streams.get_ref()) {
+            report(processor.max_streams.span(), "'streams' goes from 1 to 1000000".to_owned());
         }
     }
     if let Some(fleet) = &file.fleet {
-        check_fleet(fleet, &mut say);
+        check_fleet(fleet, &mut report);
     }
     if found.is_empty() { Ok(file) } else { Err(found) }
 }
 
-fn check_fleet(fleet: &Fleet, say: &mut impl FnMut(Range<usize>, String)) {
+fn check_fleet(fleet: &FleetSection, report: &mut impl FnMut(Range<usize>, String)) {
     let voters = fleet.voters.get_ref();
     if ![3, 5, 7].contains(&voters.len()) {
-        say(fleet.voters.span(), format!("there are {} 'voters'; 3, 5 or 7 vote", voters.len()));
+        report(fleet.voters.span(), format!("there are {} 'voters'; 3, 5 or 7 vote", voters.len()));
     }
     let different: std::collections::BTreeSet<&SocketAddr> = voters.iter().collect();
     if different.len() < voters.len() {
-        say(fleet.voters.span(), "a voter stands twice; give each one place".to_owned());
+        report(fleet.voters.span(), "a voter stands twice; give each one place".to_owned());
     }
-    if let Some(what) = fleet.sites.as_ref().and_then(|sites| sites.get_ref().terms().wrong()) {
-        say(fleet.sites.as_ref().map_or(0..0, Spanned::span), what.to_owned());
+    if let Some(what) = fleet.zones.as_ref().and_then(|sites| sites.get_ref().config().wrong()) {
+        report(fleet.zones.as_ref().map_or(0..0, Spanned::span), what.to_owned());
     }
-    if let Some(works) = &fleet.works {
-        if fleet.sites.is_none() {
-            say(works.span(), "works need [fleet.sites], which says what fronts see".to_owned());
+    if let Some(works) = &fleet.maintenance {
+        if fleet.zones.is_none() {
+            report(works.span(), "works need [fleet.zones], which says what fronts see".to_owned());
         }
-        if works.get_ref().fronts.is_empty() {
-            say(works.span(), "'fronts' names every front that counts".to_owned());
+        if works.get_ref().required_fronts.is_empty() {
+            report(works.span(), "'fronts' names every front that counts".to_owned());
         }
     }
-    match &fleet.place {
+    match &fleet.voter_index {
         Some(place) if *place.get_ref() >= voters.len() => {
-            say(place.span(), format!("'place' goes from 0 to {}", voters.len().saturating_sub(1)));
+            report(place.span(), format!("'place' goes from 0 to {}", voters.len().saturating_sub(1)));
         }
-        None if fleet.votes && fleet.place().is_none() => {
-            let what = "this front votes but listens at none of 'voters'; say which it is with 'place'";
-            say(fleet.voters.span(), what.to_owned());
+        None if fleet.is_voter && fleet.own_voter_index().is_none() => {
+            let what = "this front votes but listens at none of 'voters'; report which it is with 'place'";
+            report(fleet.voters.span(), what.to_owned());
         }
         _ => {}
     }
     if !(100..=600_000).contains(fleet.lease_ms.get_ref()) {
-        say(fleet.lease_ms.span(), "'lease_ms' goes from 100 to 600000".to_owned());
+        report(fleet.lease_ms.span(), "'lease_ms' goes from 100 to 600000".to_owned());
     }
-    if *fleet.drift_thousandths.get_ref() >= 500 {
-        say(fleet.drift_thousandths.span(), "'drift_thousandths' is under 500".to_owned());
+    if *fleet.clock_drift_permille.get_ref() >= 500 {
+        report(fleet.clock_drift_permille.span(), "'drift_thousandths' is under 500".to_owned());
     }
     let mut names = std::collections::BTreeSet::new();
     for task in &fleet.tasks {
         let name = task.name.get_ref();
         if name.is_empty() || name.len() > lemonusher_leases::MAX_NAME_BYTES || name.starts_with("seat.") {
             let most = lemonusher_leases::MAX_NAME_BYTES;
-            say(
+            report(
                 task.name.span(),
                 format!("a task's 'name' has 1 to {most} bytes and does not begin with 'seat.'"),
             );
         }
         if !names.insert(name) {
-            say(task.name.span(), format!("task '{name}' stands twice; give each one entry"));
+            report(task.name.span(), format!("task '{name}' stands twice; give each one entry"));
         }
-        if !(10..=3_600_000).contains(task.every_ms.get_ref()) {
-            say(task.every_ms.span(), "'every_ms' goes from 10 to 3600000".to_owned());
+        if !(10..=3_600_000).contains(task.interval_ms.get_ref()) {
+            report(task.interval_ms.span(), "'every_ms' goes from 10 to 3600000".to_owned());
         }
-        if task.tell.as_ref().is_some_and(|to| !to.get_ref().ip().is_loopback()) {
-            say(
+        if task.notify.as_ref().is_some_and(|to| !to.get_ref().ip().is_loopback()) {
+            report(
                 task.name.span(),
                 "only a loopback address is told, as what is told is not sealed".to_owned(),
             );
@@ -567,88 +662,91 @@
     }
 }
 
-fn check_managed(managed: &Managed, say: &mut impl FnMut(Range<usize>, String)) {
+fn check_managed(managed: &ManagementSection, report: &mut impl FnMut(Range<usize>, String)) {
     let bounds = [
-        (&managed.history, "history", 1..=10_000),
-        (&managed.sessions, "sessions", 1..=1024),
-        (&managed.subscriptions, "subscriptions", 1..=4096),
+        (&managed.max_commits, "history", 1..=10_000),
+        (&managed.max_sessions, "sessions", 1..=1024),
+        (&managed.max_subscriptions, "subscriptions", 1..=4096),
     ];
     for (value, name, allowed) in bounds {
         if !allowed.contains(value.get_ref()) {
             let (least, most) = (allowed.start(), allowed.end());
-            say(value.span(), format!("'{name}' is {}; it goes from {least} to {most}", value.get_ref()));
+            report(value.span(), format!("'{name}' is {}; it goes from {least} to {most}", value.get_ref()));
         }
     }
-    if !(1..=10_000).contains(managed.freshness_ms.get_ref()) {
-        let value = managed.freshness_ms.get_ref();
-        say(managed.freshness_ms.span(), format!("'freshness_ms' is {value}; it goes from 1 to 10000"));
+    if !(1..=10_000).contains(managed.max_counter_age_ms.get_ref()) {
+        let value = managed.max_counter_age_ms.get_ref();
+        report(
+            managed.max_counter_age_ms.span(),
+            format!("'freshness_ms' is {value}; it goes from 1 to 10000"),
+        );
     }
     if let Some(gnmi) = &managed.gnmi {
         let keyed = gnmi.certificate.is_some() && gnmi.key.is_some();
         if let (Some(alone), None) | (None, Some(alone)) = (&gnmi.certificate, &gnmi.key) {
-            say(alone.span(), "'certificate' and 'key' go together; name both or neither".to_owned());
+            report(alone.span(), "'certificate' and 'key' go together; name both or neither".to_owned());
         }
         if !keyed && !gnmi.listen.get_ref().ip().is_loopback() {
             let what =
                 "without 'certificate' and 'key' only a loopback address such as 127.0.0.1:9339 is taken";
-            say(gnmi.listen.span(), what.to_owned());
+            report(gnmi.listen.span(), what.to_owned());
         }
         let secret = managed.users.iter().any(|user| user.password_file.is_some());
         if !secret && !gnmi.listen.get_ref().ip().is_loopback() {
             let what = "beyond loopback at least one of 'users' needs a 'password_file'";
-            say(gnmi.listen.span(), what.to_owned());
+            report(gnmi.listen.span(), what.to_owned());
         }
     }
     if let Some(netconf) = &managed.netconf {
         let keyed = managed.users.iter().any(|user| user.ssh_key.is_some());
         if !keyed && !netconf.listen.get_ref().ip().is_loopback() {
             let what = "without a user's 'ssh_key' only a loopback address such as 127.0.0.1:8300 is taken";
-            say(netconf.listen.span(), what.to_owned());
+            report(netconf.listen.span(), what.to_owned());
         }
     }
     let mut names = std::collections::BTreeSet::new();
     for user in &managed.users {
         let name = user.name.get_ref();
         if name.is_empty() || name.len() > 64 {
-            say(user.name.span(), "a user's 'name' has 1 to 64 characters".to_owned());
+            report(user.name.span(), "a user's 'name' has 1 to 64 characters".to_owned());
         }
         if !names.insert(name) {
-            say(user.name.span(), format!("user '{name}' stands twice; give each one entry"));
+            report(user.name.span(), format!("user '{name}' stands twice; give each one entry"));
         }
     }
     if managed.gnmi.is_none() && managed.netconf.is_none() {
-        let span = managed.history.span();
-        say(span, "[managed] opens no door; add [managed.gnmi] or [managed.netconf]".to_owned());
+        let span = managed.max_commits.span();
+        report(span, "[managed] opens no door; add [managed.gnmi] or [managed.netconf]".to_owned());
     }
 }
 
-fn rebase(file: &mut File, folder: &Path) {
-    let rebase = |path: &mut Option<Spanned<PathBuf>>| {
+fn resolve_paths(file: &mut ConfigFile, folder: &Path) {
+    let resolve = |path: &mut Option<Spanned<PathBuf>>| {
         if let Some(path) = path {
-            let whole = folder.join(path.get_ref());
-            *path.get_mut() = whole;
+            let resolved = folder.join(path.get_ref());
+            *path.get_mut() = resolved;
         }
     };
-    rebase(&mut file.front.told);
+    resolve(&mut file.front.start_file);
     if let Some(processor) = &mut file.processor {
-        rebase(&mut processor.key_file);
+        resolve(&mut processor.key_file);
     }
     if let Some(fleet) = &mut file.fleet {
-        let whole = folder.join(fleet.key_file.get_ref());
-        *fleet.key_file.get_mut() = whole;
-        rebase(&mut fleet.folder);
+        let resolved = folder.join(fleet.key_file.get_ref());
+        *fleet.key_file.get_mut() = resolved;
+        resolve(&mut fleet.state_folder);
     }
     let Some(managed) = &mut file.managed else { return };
-    rebase(&mut managed.folder);
+    resolve(&mut managed.state_folder);
     if let Some(gnmi) = &mut managed.gnmi {
-        rebase(&mut gnmi.certificate);
-        rebase(&mut gnmi.key);
+        resolve(&mut gnmi.certificate);
+        resolve(&mut gnmi.key);
     }
     if let Some(netconf) = &mut managed.netconf {
-        rebase(&mut netconf.host_key);
+        resolve(&mut netconf.host_key);
     }
     for user in &mut managed.users {
-        rebase(&mut user.password_file);
+        resolve(&mut user.password_file);
     }
 }
 
@@ -664,13 +762,13 @@
 mod tests {
     use super::*;
 
-    fn wrong(text: &str) -> Vec<(Option<usize>, String)> {
+    fn errors(text: &str) -> Vec<(Option<usize>, String)> {
         let found = parse(Path::new("x.toml"), text).unwrap_err();
-        found.into_iter().map(|wrong| (wrong.line, wrong.what)).collect()
+        found.into_iter().map(|error| (error.line, error.message)).collect()
     }
 
     #[test]
-    fn each_mistake_is_told_with_its_line_and_what_would_be_right() {
+    fn errors_name_their_line_and_what_would_be_right() {
         let cases = [
             ("[log]\nlevle = 'info'\n", 2, "expected `level`"),
             ("[log]\n\nlevel = 'loud'\n", 3, "`error`"),
@@ -688,18 +786,18 @@
             ("[managed\n", 1, ""),
         ];
         for (text, line, right) in cases {
-            let found = wrong(text);
+            let found = errors(text);
             assert!(
-                found.iter().any(|(at, what)| *at == Some(line) && what.contains(right)),
+                found.iter().any(|(at, message)| *at == Some(line) && message.contains(right)),
                 "{text}: {found:?}"
             );
         }
     }
 
     #[test]
-    fn paths_start_from_the_files_folder_and_an_empty_file_is_one() {
+    fn paths_start_from_the_files_folder_and_an_empty_file_is_valid() {
         let file = parse(Path::new("/a/b.toml"), "[front]\ntold = 'c.json'\n").unwrap();
-        assert_eq!(file.front.told.unwrap().into_inner(), Path::new("/a/c.json"));
+        assert_eq!(file.front.start_file.unwrap().into_inner(), Path::new("/a/c.json"));
         assert!(parse(Path::new("x"), "").unwrap().managed.is_none());
     }
 }
--- a/crates/edges/cli/src/fleet.rs
+++ b/crates/edges/cli/src/fleet.rs
@@ -13,7 +13,7 @@
 const TRIES: usize = 3;
 
 /// What the file says, with the key read.
-pub fn terms_of(held: &file::Fleet, front: &str, location: u32) -> Result<Terms, Failure> {
+pub fn terms_of(held: &file::FleetSection, front: &str, location: u32) -> Result<Terms, Failure> {
     let ms = Duration::from_millis;
     let path = held.key_file.get_ref();
     let key =
@@ -27,27 +27,27 @@
         key: Key::new(key.trim_ascii()),
         leases: LeaseTerms {
             duration: ms(*held.lease_ms.get_ref()),
-            clock_drift_permille: *held.drift_thousandths.get_ref(),
-            max_action_time: ms(held.act_ms),
+            clock_drift_permille: *held.clock_drift_permille.get_ref(),
+            max_action_time: ms(held.max_action_time_ms),
         },
         voters: held.voters.get_ref().clone(),
-        votes: held.votes,
-        place: held.place(),
-        known_as: held.known_as.as_ref().map(|address| *address.get_ref()),
+        votes: held.is_voter,
+        place: held.own_voter_index(),
+        known_as: held.advertised_address.as_ref().map(|address| *address.get_ref()),
         location,
-        folder: held.folder.as_ref().map(|folder| folder.get_ref().clone()),
+        folder: held.state_folder.as_ref().map(|folder| folder.get_ref().clone()),
         tasks: (held.tasks.iter())
             .map(|task| Task {
                 name: task.name.get_ref().clone(),
-                tell: task.tell.as_ref().map(|to| *to.get_ref()),
-                every: ms(*task.every_ms.get_ref()),
-                takes: ms(task.takes_ms),
-                fenced: task.refuses_older,
+                tell: task.notify.as_ref().map(|to| *to.get_ref()),
+                every: ms(*task.interval_ms.get_ref()),
+                takes: ms(task.duration_ms),
+                fenced: task.is_fenced,
             })
             .collect(),
-        seats: held.seats,
-        wants: held.wants_seats,
-        number: held.number,
+        seats: held.quota_slots,
+        wants: held.wanted_slots,
+        number: held.first_slot,
         sites: None,
         works: None,
     })
--- a/crates/edges/cli/src/journal.rs
+++ b/crates/edges/cli/src/journal.rs
@@ -1,7 +1,7 @@
 //! The log of this binary: `tracing`, as text or as JSON lines. What the front writes by `log` joins it, with
 //! the request, engine and commit that it names as fields.
 
-use crate::file::{Form, Level};
+use crate::file::{LogFormat, LogLevel};
 use log::kv::{Key, Value, VisitSource};
 use std::io;
 use tracing_subscriber::filter::LevelFilter;
@@ -81,18 +81,18 @@
 }
 
 /// Starts the log, on standard error.
-pub fn start(level: Level, form: Form) -> Dial {
+pub fn start(level: LogLevel, format: LogFormat) -> Dial {
     let filter = match level {
-        Level::Error => LevelFilter::ERROR,
-        Level::Warn => LevelFilter::WARN,
-        Level::Info => LevelFilter::INFO,
-        Level::Debug => LevelFilter::DEBUG,
-        Level::Trace => LevelFilter::TRACE,
+        LogLevel::Error => LevelFilter::ERROR,
+        LogLevel::Warn => LevelFilter::WARN,
+        LogLevel::Info => LevelFilter::INFO,
+        LogLevel::Debug => LevelFilter::DEBUG,
+        LogLevel::Trace => LevelFilter::TRACE,
     };
     let (held, dial) = reload::Layer::new(filter);
-    let written = match form {
-        Form::Text => fmt::layer().with_writer(io::stderr).with_ansi(false).boxed(),
-        Form::Json => fmt::layer().json().flatten_event(true).with_writer(io::stderr).boxed(),
+    let written = match format {
+        LogFormat::Text => fmt::layer().with_writer(io::stderr).with_ansi(false).boxed(),
+        LogFormat::Json => fmt::layer().json().flatten_event(true).with_writer(io::stderr).boxed(),
     };
     // Other libraries say little that concerns an operator.
     let ours = tracing_subscriber::filter::filter_fn(|metadata| {
--- a/crates/edges/cli/src/main.rs
+++ b/crates/edges/cli/src/main.rs
@@ -156,15 +156,15 @@
     ExitCode::from(code)
 }
 
-fn read_file(path: &Path) -> Result<file::File, Failure> {
+fn read_file(path: &Path) -> Result<file::ConfigFile, Failure> {
     let wrong =
-        |found: Vec<file::Wrong>| Failure::File(found.iter().map(|wrong| wrong.to_string()).collect());
+        |found: Vec<file::ConfigError>| Failure::File(found.iter().map(|wrong| wrong.to_string()).collect());
     file::read(path).map_err(wrong)
 }
 
-fn read(path: &Path) -> Result<(file::File, String), Failure> {
+fn read(path: &Path) -> Result<(file::ConfigFile, String), Failure> {
     let file = read_file(path)?;
-    let told = match &file.front.told {
+    let told = match &file.front.start_file {
         Some(told) => told.get_ref().to_string_lossy().into_owned(),
         None => std::env::var("PROXY_CONFIG").map_err(|_| {
             Failure::File(vec![format!(
@@ -190,9 +190,9 @@
             println!("{voters} fronts vote; after a crash of its holder a task is free within {kept:?}");
         }
         if let Some(managed) = &file.managed {
-            println!("managers' counters are at most {:?} old", managed.freshness_span());
+            println!("managers' counters are at most {:?} old", managed.max_counter_age());
             for user in &managed.users {
-                println!("user {} may {}", user.name.get_ref(), user.may);
+                println!("user {} may {}", user.name.get_ref(), user.access);
             }
         }
     }
@@ -204,7 +204,7 @@
     let names = lemonusher_front::names(&told).map_err(|unfit| Failure::File(vec![unfit.to_string()]))?;
     let managed = file.managed.as_ref().map(terms_of).transpose()?;
     let processor = file.processor.as_ref().map(|held| processor_of(held, &names)).transpose()?;
-    let dial = journal::start(file.log.level, file.log.form);
+    let dial = journal::start(file.log.level, file.log.format);
     let failed = |what: String| Failure::Failed(what);
     let mut _hub = None;
     let door = match managed {
@@ -242,17 +242,18 @@
     };
     let mut fleet =
         file.fleet.as_ref().map(|held| fleet::terms_of(held, &names.front, names.location)).transpose()?;
-    let planned = file.fleet.as_ref().and_then(|held| held.sites.as_ref()).map(|held| held.get_ref().terms());
+    let planned =
+        file.fleet.as_ref().and_then(|held| held.zones.as_ref()).map(|held| held.get_ref().config());
     let mut sites = None;
     if let Some((fleet, terms)) = fleet.as_mut().zip(planned) {
         let (told, seen) = async_channel::bounded(1);
         let groups = lemonusher_routing::groups(&names.terms, terms.admission_floor);
         fleet.sites = Some(lemonusher_fleet::SitesTerms { terms, groups, seen });
         sites = Some((terms, told));
-        let works = file.fleet.as_ref().and_then(|held| held.works.as_ref()).map(|held| held.get_ref());
+        let works = file.fleet.as_ref().and_then(|held| held.maintenance.as_ref()).map(|held| held.get_ref());
         fleet.works = works.map(|works| lemonusher_fleet::WorksTerms {
-            terms: works.terms(terms.report_interval),
-            tell: works.tell.as_ref().map(|to| *to.get_ref()),
+            terms: works.config(terms.report_interval),
+            tell: works.notify.as_ref().map(|to| *to.get_ref()),
         });
     }
     let fleet = match fleet {
@@ -265,8 +266,8 @@
             Some(started)
         }
     };
-    let seats = file.fleet.as_ref().is_some_and(|held| held.seats > 0);
-    let works = file.fleet.as_ref().is_some_and(|held| held.works.is_some());
+    let seats = file.fleet.as_ref().is_some_and(|held| held.quota_slots > 0);
+    let works = file.fleet.as_ref().is_some_and(|held| held.maintenance.is_some());
     let told_by = fleet.as_ref().map(|started| lemonusher_front::Fleet {
         words: started.words.clone(),
         seats,
@@ -287,7 +288,10 @@
 }
 
 /// What the file says of proxies that ask the external processor.
-fn processor_of(held: &file::Processor, names: &lemonusher_front::Names) -> Result<ProcessorConfig, Failure> {
+fn processor_of(
+    held: &file::ProcessorSection,
+    names: &lemonusher_front::Names,
+) -> Result<ProcessorConfig, Failure> {
     let ms = |ms: u64| Duration::from_millis(ms);
     let longest = names.terms.iter().map(|terms| terms.deadline).max().unwrap_or_default();
     let signing_key = match &held.key_file {
@@ -305,29 +309,29 @@
     });
     let server = lemonusher_processor::ServerConfig {
         listen: *held.listen.get_ref(),
-        header_names: held.names(),
+        header_names: held.header_names(),
         request_classes: classes.collect(),
         signing_key,
         token_validity: longest * 2,
-        max_streams: *held.streams.get_ref(),
-        read_table_group: held.statement.then_some(lemonusher_front::table_group),
+        max_streams: *held.max_streams.get_ref(),
+        read_table_group: held.body_is_statement.then_some(lemonusher_front::table_group),
     };
     let calls = lemonusher_external_call::CallConfig {
         message_timeout: ms(*held.message_timeout_ms.get_ref()),
-        failure_mode_allow: held.fails == file::Fails::Open,
-        max_timeout_extension: ms(held.more_time_ms),
-        retry_window: ms(held.retry_within_ms),
+        failure_mode_allow: held.failure_mode == file::FailureMode::Open,
+        max_timeout_extension: ms(held.max_timeout_extension_ms),
+        retry_window: ms(held.retry_window_ms),
         unknown_outcome_retention: longest * 2,
         idempotency: names.terms.iter().map(|terms| terms.idempotency).collect(),
-        max_calls: *held.streams.get_ref(),
-        max_remembered: held.remembered,
+        max_calls: *held.max_streams.get_ref(),
+        max_remembered: held.max_remembered,
     };
     let tick = Duration::from_micros(*held.tick_us.get_ref());
     Ok(ProcessorConfig { server, calls, recovers: held.recovers, tick })
 }
 
 /// What the file says of managers, with the files read that it names.
-fn terms_of(managed: &file::Managed) -> Result<Terms, Failure> {
+fn terms_of(managed: &file::ManagementSection) -> Result<Terms, Failure> {
     let read = |path: &PathBuf| {
         std::fs::read(path).map_err(|error| Failure::File(vec![format!("{}: {error}", path.display())]))
     };
@@ -337,7 +341,7 @@
         let password = user.password_file.as_ref().map(|path| text(path.get_ref())).transpose()?;
         users.push(User {
             name: user.name.get_ref().clone(),
-            may_write: user.may == file::May::Write,
+            may_write: user.access == file::Access::Write,
             ssh_key: user.ssh_key.as_ref().map(|key| key.get_ref().clone()),
             password: password.map(|password| password.trim_end().to_owned()),
         });
@@ -362,12 +366,12 @@
         }
     };
     Ok(Terms {
-        folder: managed.folder.as_ref().map(|folder| folder.get_ref().clone()),
-        history: *managed.history.get_ref(),
-        sessions: *managed.sessions.get_ref(),
-        subscriptions: *managed.subscriptions.get_ref(),
-        freshness: managed.freshness_span(),
-        from_startup: managed.from_startup,
+        folder: managed.state_folder.as_ref().map(|folder| folder.get_ref().clone()),
+        history: *managed.max_commits.get_ref(),
+        sessions: *managed.max_sessions.get_ref(),
+        subscriptions: *managed.max_subscriptions.get_ref(),
+        freshness: managed.max_counter_age(),
+        from_startup: managed.starts_from_startup,
         gnmi,
         netconf,
         users: Users(users),
--- a/crates/edges/cli/src/works.rs
+++ b/crates/edges/cli/src/works.rs
@@ -113,10 +113,10 @@
 
 /// The fronts that count, as the operator's file names them.
 fn fronts_that_count(path: &Path) -> Result<Vec<String>, Failure> {
-    let works = read_file(path)?.fleet.and_then(|fleet| fleet.works);
+    let works = read_file(path)?.fleet.and_then(|fleet| fleet.maintenance);
     let works =
         works.ok_or_else(|| Failure::File(vec![format!("{}: has no [fleet.works]", path.display())]))?;
-    Ok(works.into_inner().fronts)
+    Ok(works.into_inner().required_fronts)
 }
 
 /// Asks for machines, in as many registers as they need; nothing is asked for unless there are as many free.
