--- /dev/null
+++ b/crates/edges/cli/src/file/fleet.rs
@@ -0,0 +1,200 @@
+//! `[fleet]` and `[[fleet.tasks]]`.
+
+use super::maintenance::MaintenanceSection;
+use super::zones::ZonesSection;
+use super::{Checker, resolve, resolve_optional};
+use lemonusher_leases::MAX_NAME_BYTES;
+use serde::Deserialize;
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use toml::Spanned;
+
+/// Names of leases on quota slots begin so.
+const QUOTA_SLOT_PREFIX: &str = "seat.";
+
+/// `[fleet]`: messages between fronts, and leases.
+#[derive(Debug, Deserialize)]
+#[serde(deny_unknown_fields, expecting = "struct Fleet")]
+pub struct FleetSection {
+    /// Address to listen at.
+    pub listen: Spanned<SocketAddr>,
+    /// File with the secret that only fronts of this fleet know; 16 bytes at least.
+    pub key_file: Spanned<PathBuf>,
+    /// The 3, 5 or 7 voters, alike at every front.
+    pub voters: Spanned<Vec<SocketAddr>>,
+    /// Whether this front is one of them.
+    #[serde(rename = "votes", default)]
+    pub is_voter: bool,
+    /// Which of them, from 0, if the address that it listens at does not tell.
+    #[serde(rename = "place")]
+    pub voter_index: Option<Spanned<usize>>,
+    /// The address by which other fronts reach this one, if it is not the one that it listens at.
+    #[serde(rename = "known_as")]
+    pub advertised_address: Option<Spanned<SocketAddr>>,
+    /// Duration of a lease, in milliseconds.
+    #[serde(default = "FleetSection::default_lease_ms")]
+    pub lease_ms: Spanned<u64>,
+    /// By how many thousandths a clock may run fast or slow.
+    #[serde(rename = "drift_thousandths", default = "FleetSection::default_clock_drift_permille")]
+    pub clock_drift_permille: Spanned<u32>,
+    /// Longest action of a lease holder in milliseconds, where what is acted upon can't refuse an older fencing token.
+    #[serde(rename = "act_ms", default = "FleetSection::default_max_action_time_ms")]
+    pub max_action_time_ms: u64,
+    /// Folder in which the highest fencing token is stored.
+    #[serde(rename = "folder")]
+    pub state_folder: Option<Spanned<PathBuf>>,
+    /// Number of quota slots into which the fronts' common quota is divided; 0 for none.
+    #[serde(rename = "seats", default)]
+    pub quota_slots: u32,
+    /// Number of quota slots that this front asks for.
+    #[serde(rename = "wants_seats", default = "FleetSection::default_wanted_slots")]
+    pub wanted_slots: usize,
+    /// The quota slot for which this front asks first.
+    #[serde(rename = "number", default)]
+    pub first_slot: u32,
+    /// Tasks that this front is willing to hold.
+    #[serde(default)]
+    pub tasks: Vec<TaskSection>,
+    /// Failover of zones; off if absent.
+    #[serde(rename = "sites")]
+    pub zones: Option<Spanned<ZonesSection>>,
+    /// Maintenance of machines; off if absent.
+    #[serde(rename = "works")]
+    pub maintenance: Option<Spanned<MaintenanceSection>>,
+}
+
+impl FleetSection {
+    pub(super) fn resolve_paths(&mut self, folder: &Path) {
+        resolve(&mut self.key_file, folder);
+        resolve_optional(&mut self.state_folder, folder);
+    }
+
+    pub(super) fn check(&self, checker: &mut Checker) {
+        self.check_voters(checker);
+        self.check_zones_and_maintenance(checker);
+        self.check_voter_index(checker);
+        checker.check_range(&self.lease_ms, "lease_ms", 100..=600_000);
+        if *self.clock_drift_permille.get_ref() >= 500 {
+            checker.report(self.clock_drift_permille.span(), "'drift_thousandths' is under 500");
+        }
+        let mut names = BTreeSet::new();
+        for task in &self.tasks {
+            task.check(&mut names, checker);
+        }
+    }
+
+    fn check_voters(&self, checker: &mut Checker) {
+        let voters = self.voters.get_ref();
+        if ![3, 5, 7].contains(&voters.len()) {
+            checker
+                .report(self.voters.span(), format!("there are {} 'voters'; 3, 5 or 7 vote", voters.len()));
+        }
+        let different: BTreeSet<&SocketAddr> = voters.iter().collect();
+        if different.len() < voters.len() {
+            checker.report(self.voters.span(), "a voter stands twice; give each one place");
+        }
+    }
+
+    fn check_zones_and_maintenance(&self, checker: &mut Checker) {
+        if let Some(zones) = &self.zones
+            && let Some(problem) = zones.get_ref().config().wrong()
+        {
+            checker.report(zones.span(), problem);
+        }
+        if let Some(maintenance) = &self.maintenance {
+            if self.zones.is_none() {
+                checker.report(maintenance.span(), "works need [fleet.sites], which says what fronts see");
+            }
+            if maintenance.get_ref().required_fronts.is_empty() {
+                checker.report(maintenance.span(), "'fronts' names every front that counts");
+            }
+        }
+    }
+
+    fn check_voter_index(&self, checker: &mut Checker) {
+        let voters = self.voters.get_ref().len();
+        match &self.voter_index {
+            Some(index) if *index.get_ref() >= voters => {
+                let message = format!("'place' goes from 0 to {}", voters.saturating_sub(1));
+                checker.report(index.span(), message);
+            }
+            None if self.is_voter && self.own_voter_index().is_none() => {
+                let message =
+                    "this front votes but listens at none of 'voters'; say which it is with 'place'";
+                checker.report(self.voters.span(), message);
+            }
+            _ => {}
+        }
+    }
+
+    /// This front's place among the voters.
+    pub fn own_voter_index(&self) -> Option<usize> {
+        let voters = self.voters.get_ref();
+        let stated = self.voter_index.as_ref().map(|place| *place.get_ref());
+        stated.or_else(|| voters.iter().position(|voter| voter == self.listen.get_ref()))
+    }
+
+    fn default_lease_ms() -> Spanned<u64> {
+        Spanned::new(0..0, 3000)
+    }
+
+    fn default_clock_drift_permille() -> Spanned<u32> {
+        Spanned::new(0..0, 20)
+    }
+
+    fn default_max_action_time_ms() -> u64 {
+        1000
+    }
+
+    fn default_wanted_slots() -> usize {
+        1
+    }
+}
+
+/// `[[fleet.tasks]]`: a task of the fleet that this front is willing to hold.
+#[derive(Debug, Deserialize)]
+#[serde(deny_unknown_fields, expecting = "struct FleetTask")]
+pub struct TaskSection {
+    /// Name of the task and of its lease.
+    pub name: Spanned<String>,
+    /// Address that is notified of each action by a datagram.
+    #[serde(rename = "tell")]
+    pub notify: Option<Spanned<SocketAddr>>,
+    /// Time between two actions, in milliseconds.
+    #[serde(rename = "every_ms", default = "TaskSection::default_interval_ms")]
+    pub interval_ms: Spanned<u64>,
+    /// Duration of an action, in milliseconds.
+    #[serde(rename = "takes_ms", default)]
+    pub duration_ms: u64,
+    /// Whether what is acted upon refuses an older fencing token.
+    #[serde(rename = "refuses_older", default)]
+    pub is_fenced: bool,
+}
+
+impl TaskSection {
+    /// `names` are those of the tasks before it.
+    fn check<'a>(&'a self, names: &mut BTreeSet<&'a str>, checker: &mut Checker) {
+        let name = self.name.get_ref().as_str();
+        if name.is_empty() || name.len() > MAX_NAME_BYTES || name.starts_with(QUOTA_SLOT_PREFIX) {
+            checker.report(
+                self.name.span(),
+                format!(
+                    "a task's 'name' has 1 to {MAX_NAME_BYTES} bytes and does not begin with '{QUOTA_SLOT_PREFIX}'"
+                ),
+            );
+        }
+        if !names.insert(name) {
+            checker.report(self.name.span(), format!("task '{name}' stands twice; give each one entry"));
+        }
+        checker.check_range(&self.interval_ms, "every_ms", 10..=3_600_000);
+        if self.notify.as_ref().is_some_and(|to| !to.get_ref().ip().is_loopback()) {
+            let message = "only a loopback address is told, as what is told is not sealed";
+            checker.report(self.name.span(), message);
+        }
+    }
+
+    fn default_interval_ms() -> Spanned<u64> {
+        Spanned::new(0..0, 1000)
+    }
+}
--- /dev/null
+++ b/crates/edges/cli/src/file/management.rs
@@ -0,0 +1,210 @@
+//! `[managed]`, its servers and its users.
+
+use super::{Checker, resolve_optional};
+use serde::Deserialize;
+use std::collections::BTreeSet;
+use std::fmt;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+use toml::Spanned;
+
+/// Longest name of a user, in bytes.
+const MAX_USER_NAME_BYTES: usize = 64;
+
+/// `[managed]`: managers' protocols and the store behind them.
+#[derive(Debug, Deserialize)]
+#[serde(deny_unknown_fields, expecting = "struct Managed")]
+pub struct ManagementSection {
+    /// Folder in which commits are stored; without it they end with the process.
+    #[serde(rename = "folder")]
+    pub state_folder: Option<Spanned<PathBuf>>,
+    /// Number of commits that can be rolled back to.
+    #[serde(rename = "history", default = "ManagementSection::default_max_commits")]
+    pub max_commits: Spanned<usize>,
+    /// Maximum number of sessions, over both protocols.
+    #[serde(rename = "sessions", default = "ManagementSection::default_max_sessions")]
+    pub max_sessions: Spanned<usize>,
+    /// Maximum number of subscriptions.
+    #[serde(rename = "subscriptions", default = "ManagementSection::default_max_subscriptions")]
+    pub max_subscriptions: Spanned<usize>,
+    /// Maximum age of the counters that managers read, in milliseconds.
+    #[serde(rename = "freshness_ms", default = "ManagementSection::default_max_counter_age_ms")]
+    pub max_counter_age_ms: Spanned<u64>,
+    /// Whether a start begins with the startup datastore, if there is one.
+    #[serde(rename = "from_startup", default)]
+    pub starts_from_startup: bool,
+    /// The gNMI server; off if absent.
+    pub gnmi: Option<GnmiSection>,
+    /// The NETCONF server; off if absent.
+    pub netconf: Option<NetconfSection>,
+    /// Users. If there are none, whoever reaches a loopback address may read and write.
+    #[serde(default)]
+    pub users: Vec<UserSection>,
+}
+
+impl ManagementSection {
+    pub(super) fn resolve_paths(&mut self, folder: &Path) {
+        resolve_optional(&mut self.state_folder, folder);
+        if let Some(gnmi) = &mut self.gnmi {
+            resolve_optional(&mut gnmi.certificate, folder);
+            resolve_optional(&mut gnmi.key, folder);
+        }
+        if let Some(netconf) = &mut self.netconf {
+            resolve_optional(&mut netconf.host_key, folder);
+        }
+        for user in &mut self.users {
+            resolve_optional(&mut user.password_file, folder);
+        }
+    }
+
+    pub(super) fn check(&self, checker: &mut Checker) {
+        let bounds = [
+            (&self.max_commits, "history", 1..=10_000),
+            (&self.max_sessions, "sessions", 1..=1024),
+            (&self.max_subscriptions, "subscriptions", 1..=4096),
+        ];
+        for (value, name, allowed) in bounds {
+            if !allowed.contains(value.get_ref()) {
+                let (least, most) = (allowed.start(), allowed.end());
+                let message = format!("'{name}' is {}; it goes from {least} to {most}", value.get_ref());
+                checker.report(value.span(), message);
+            }
+        }
+        let age = self.max_counter_age_ms.get_ref();
+        if !(1..=10_000).contains(age) {
+            let message = format!("'freshness_ms' is {age}; it goes from 1 to 10000");
+            checker.report(self.max_counter_age_ms.span(), message);
+        }
+        if let Some(gnmi) = &self.gnmi {
+            gnmi.check(&self.users, checker);
+        }
+        if let Some(netconf) = &self.netconf {
+            netconf.check(&self.users, checker);
+        }
+        self.check_users(checker);
+        if self.gnmi.is_none() && self.netconf.is_none() {
+            let message = "[managed] opens no door; add [managed.gnmi] or [managed.netconf]";
+            checker.report(self.max_commits.span(), message);
+        }
+    }
+
+    fn check_users(&self, checker: &mut Checker) {
+        let mut names = BTreeSet::new();
+        for user in &self.users {
+            let name = user.name.get_ref();
+            if name.is_empty() || name.len() > MAX_USER_NAME_BYTES {
+                checker.report(user.name.span(), "a user's 'name' has 1 to 64 characters");
+            }
+            if !names.insert(name) {
+                checker.report(user.name.span(), format!("user '{name}' stands twice; give each one entry"));
+            }
+        }
+    }
+
+    fn default_max_commits() -> Spanned<usize> {
+        Spanned::new(0..0, 100)
+    }
+
+    fn default_max_sessions() -> Spanned<usize> {
+        Spanned::new(0..0, 64)
+    }
+
+    fn default_max_subscriptions() -> Spanned<usize> {
+        Spanned::new(0..0, 256)
+    }
+
+    fn default_max_counter_age_ms() -> Spanned<u64> {
+        Spanned::new(0..0, 50)
+    }
+
+    pub fn max_counter_age(&self) -> Duration {
+        Duration::from_millis(*self.max_counter_age_ms.get_ref())
+    }
+}
+
+/// `[managed.gnmi]`: the gNMI server.
+#[derive(Debug, Deserialize)]
+#[serde(deny_unknown_fields, expecting = "struct Gnmi")]
+pub struct GnmiSection {
+    /// Address to listen at.
+    pub listen: Spanned<SocketAddr>,
+    /// File with the certificate, PEM; TLS if there is one.
+    pub certificate: Option<Spanned<PathBuf>>,
+    /// File with its private key, PEM.
+    pub key: Option<Spanned<PathBuf>>,
+}
+
+/// `[managed.netconf]`: the NETCONF server.
+#[derive(Debug, Deserialize)]
+#[serde(deny_unknown_fields, expecting = "struct Netconf")]
+pub struct NetconfSection {
+    /// Address to listen at.
+    pub listen: Spanned<SocketAddr>,
+    /// File with the host's private key, in OpenSSH's form; without it a new one is made at each start.
+    pub host_key: Option<Spanned<PathBuf>>,
+}
+
+/// `[[managed.users]]`: a manager.
+#[derive(Debug, Deserialize)]
+#[serde(deny_unknown_fields, expecting = "struct User")]
+pub struct UserSection {
+    /// Name to log in by.
+    pub name: Spanned<String>,
+    /// What the user may do.
+    #[serde(rename = "may", default)]
+    pub access: Access,
+    /// Public key for NETCONF, as a line of OpenSSH's.
+    pub ssh_key: Option<Spanned<String>>,
+    /// File with the password for gNMI.
+    pub password_file: Option<Spanned<PathBuf>>,
+}
+
+/// What a user may do.
+#[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Deserialize)]
+#[serde(rename_all = "lowercase", expecting = "enum May")]
+pub enum Access {
+    /// Read.
+    #[default]
+    Read,
+    /// Read and write.
+    Write,
+}
+
+impl fmt::Display for Access {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            Access::Read => "read",
+            Access::Write => "read and write",
+        })
+    }
+}
+
+impl GnmiSection {
+    fn check(&self, users: &[UserSection], checker: &mut Checker) {
+        let has_tls = self.certificate.is_some() && self.key.is_some();
+        let is_loopback = self.listen.get_ref().ip().is_loopback();
+        if let (Some(alone), None) | (None, Some(alone)) = (&self.certificate, &self.key) {
+            checker.report(alone.span(), "'certificate' and 'key' go together; name both or neither");
+        }
+        if !has_tls && !is_loopback {
+            let message =
+                "without 'certificate' and 'key' only a loopback address such as 127.0.0.1:9339 is taken";
+            checker.report(self.listen.span(), message);
+        }
+        if users.iter().all(|user| user.password_file.is_none()) && !is_loopback {
+            let message = "beyond loopback at least one of 'users' needs a 'password_file'";
+            checker.report(self.listen.span(), message);
+        }
+    }
+}
+
+impl NetconfSection {
+    fn check(&self, users: &[UserSection], checker: &mut Checker) {
+        if users.iter().all(|user| user.ssh_key.is_none()) && !self.listen.get_ref().ip().is_loopback() {
+            let message =
+                "without a user's 'ssh_key' only a loopback address such as 127.0.0.1:8300 is taken";
+            checker.report(self.listen.span(), message);
+        }
+    }
+}
