--- a/crates/edges/cli/src/file/fleet.rs
+++ b/crates/edges/cli/src/file/fleet.rs
@@ -98,9 +98,9 @@
 
     fn check_zones_and_maintenance(&self, checker: &mut Checker) {
         if let Some(zones) = &self.zones
-            && let Some(problem) = zones.get_ref().config().wrong()
+            && let Err(error) = zones.get_ref().config().validate()
         {
-            checker.report(zones.span(), problem);
+            checker.report(zones.span(), error.to_string());
         }
         if let Some(maintenance) = &self.maintenance {
             if self.zones.is_none() {
--- a/crates/edges/fleet/tests/limits.rs
+++ b/crates/edges/fleet/tests/limits.rs
@@ -114,7 +114,7 @@
         let mut work =
             MaintenanceRequest::new(&"w".repeat(MAX_NAME_BYTES), 9, MAX_CONCURRENT, u32::MAX, machines);
         fronts.iter().for_each(|front| assert!(work.extension.dead_fronts.add(&fronts, front)));
-        work.machines.iter_mut().for_each(|one| one.1 = Phase::Released { fencing_token: u64::MAX });
+        work.machines.iter_mut().for_each(|one| one.phase = Phase::Released { fencing_token: u64::MAX });
         work.split(u64::MAX)
     };
     let long: Vec<usize> = full(&machines).iter().map(|part| part.to_bytes().len()).collect();
@@ -132,7 +132,7 @@
         let me = Member { name: format!("n{n}"), address, incarnation: n as u64, zone: 0, refutations: 0 };
         let mut detector = FailureDetector::new(me, DetectorTerms { probe_interval: LEASE }, n as u64);
         detector.add_seed(Duration::ZERO, voter);
-        let said: Vec<Vec<u8>> = detector.sends().map(|(_, bytes)| bytes).collect();
+        let said: Vec<Vec<u8>> = detector.take_outgoing().map(|(_, bytes)| bytes).collect();
         said.into_iter().for_each(|bytes| speaker.say(Body::FailureDetector(bytes), voter));
         if n % FRONTS_BEFORE_ANSWER == 0 {
             // What was sent before has been read once this is answered, so the system's buffer drops nothing.
--- a/crates/edges/managed/src/start.rs
+++ b/crates/edges/managed/src/start.rs
@@ -5,7 +5,7 @@
 use crate::parts::{LevelPart, OwnerPart, Part};
 use crate::users::Users;
 use crate::{gnmi, netconf};
-use lemonusher_desired_state::{Names, Reader};
+use lemonusher_desired_state::{DesiredStateReader, Names};
 use lemonusher_membership::DesiredState;
 use lemonusher_model::Schema;
 use lemonusher_routing::{EngineNotification, ManagementCall};
@@ -105,7 +105,7 @@
     more: Vec<Arc<dyn Part>>,
 ) -> Result<Started, Unfit> {
     let schema = Arc::new(Schema::front().map_err(|wrong| Unfit::Model(wrong.to_string()))?);
-    let reader = Reader::new(&schema, names.clone())
+    let reader = DesiredStateReader::new(&schema, names.clone())
         .ok_or_else(|| Unfit::Model("it lacks pools or service groups".to_owned()))?;
     let bounds = Bounds { history: terms.history, sessions: terms.sessions };
     let (mut disk, mut store) = match &terms.folder {
@@ -116,16 +116,16 @@
         }
     };
     // What nobody can confirm any more is taken back before anything is served.
-    let mut first = vec![store.due(Duration::ZERO, unix_ms())];
+    let mut first = vec![store.poll_timeout(Duration::ZERO, unix_ms())];
     if terms.from_startup && first[0].is_none() {
-        first.push(store.begin_with_startup(unix_ms()));
+        first.push(store.plan_start_from_startup(unix_ms()));
     }
     for plan in first.into_iter().flatten() {
         if let Some(disk) = &mut disk {
             disk.append(&Record::commit(&schema, &plan)).map_err(Unfit::Log)?;
         }
         tracing::info!(commit = plan.version.number, "at the start: {}", plan.version.cause);
-        store.finish(plan);
+        store.finish_commit(plan);
     }
     let wishes = reader.read(&schema, &store.running().tree).map_err(|faults| {
         Unfit::Wishes(faults.iter().map(|fault| fault.to_string()).collect::<Vec<_>>().join("; "))
