--- a/crates/edges/cli/src/client.rs
+++ b/crates/edges/cli/src/client.rs
@@ -1,11 +1,11 @@
-//! The verbs that speak gNMI to a running front.
+//! The commands that manage a running front, over gNMI.
 
-use crate::Failure;
+use crate::CommandError;
 use clap::Args;
 use lemonusher_managed::gnmi::proto::gnmi::g_nmi_client::GNmiClient;
 use lemonusher_managed::gnmi::proto::gnmi::get_request::DataType;
-use lemonusher_managed::gnmi::proto::gnmi::subscribe_request::Request as Asked;
-use lemonusher_managed::gnmi::proto::gnmi::subscribe_response::Response as Said;
+use lemonusher_managed::gnmi::proto::gnmi::subscribe_request::Request as SubscribeMessage;
+use lemonusher_managed::gnmi::proto::gnmi::subscribe_response::Response as SubscribeReply;
 use lemonusher_managed::gnmi::proto::gnmi::typed_value::Value as Typed;
 use lemonusher_managed::gnmi::proto::gnmi::*;
 use lemonusher_managed::gnmi::proto::gnmi_ext::commit::Action;
@@ -20,12 +20,12 @@
 use tonic::transport::{Certificate, Channel, ClientTlsConfig, Endpoint};
 use tonic::{Request, Status};
 
-const PATIENCE: Duration = Duration::from_secs(10);
-const LARGEST: usize = 256 * 1024 * 1024;
+const TIMEOUT: Duration = Duration::from_secs(10);
+const MAX_MESSAGE_BYTES: usize = 256 * 1024 * 1024;
 
 /// Which front, and as whom.
 #[derive(Args, Clone)]
-pub struct Reach {
+pub struct ConnectionArgs {
     /// The front's gNMI address.
     #[arg(long, global = true, default_value = "127.0.0.1:9339")]
     address: String,
@@ -44,7 +44,7 @@
 
 /// What `set` may be asked for besides the value.
 #[derive(Args, Clone, Default)]
-pub struct SetTerms {
+pub struct SetArgs {
     /// Takes away what stands at PATH.
     #[arg(long)]
     pub delete: bool,
@@ -68,10 +68,10 @@
     json: bool,
 }
 
-type Done = Result<(), Failure>;
+type CommandResult = Result<(), CommandError>;
 
-fn failed(status: Status) -> Failure {
-    Failure::Failed(format!("{}: {}", code(&status), status.message()))
+fn failed(status: Status) -> CommandError {
+    CommandError::Failed(format!("{}: {}", code(&status), status.message()))
 }
 
 fn code(status: &Status) -> String {
@@ -79,74 +79,75 @@
 }
 
 impl Client {
-    pub async fn connect(reach: &Reach, json: bool) -> Result<Client, Failure> {
+    pub async fn connect(args: &ConnectionArgs, json: bool) -> Result<Client, CommandError> {
         let read = |path: &PathBuf| {
-            std::fs::read(path).map_err(|error| Failure::File(vec![format!("{}: {error}", path.display())]))
+            std::fs::read(path)
+                .map_err(|error| CommandError::File(vec![format!("{}: {error}", path.display())]))
         };
-        let scheme = if reach.ca.is_some() { "https" } else { "http" };
-        let wrong = |error: tonic::transport::Error| {
+        let scheme = if args.ca.is_some() { "https" } else { "http" };
+        let connect_error = |error: tonic::transport::Error| {
             let cause = std::error::Error::source(&error).map(|cause| format!(": {cause}"));
-            Failure::Failed(format!("{}: {error}{}", reach.address, cause.unwrap_or_default()))
+            CommandError::Failed(format!("{}: {error}{}", args.address, cause.unwrap_or_default()))
         };
-        let mut endpoint = Endpoint::from_shared(format!("{scheme}://{}", reach.address))
-            .map_err(wrong)?
-            .connect_timeout(PATIENCE);
-        if let Some(ca) = &reach.ca {
+        let mut endpoint = Endpoint::from_shared(format!("{scheme}://{}", args.address))
+            .map_err(connect_error)?
+            .connect_timeout(TIMEOUT);
+        if let Some(ca) = &args.ca {
             let mut tls = ClientTlsConfig::new().ca_certificate(Certificate::from_pem(read(ca)?));
-            if let Some(name) = &reach.server_name {
+            if let Some(name) = &args.server_name {
                 tls = tls.domain_name(name);
             }
-            endpoint = endpoint.tls_config(tls).map_err(wrong)?;
+            endpoint = endpoint.tls_config(tls).map_err(connect_error)?;
         }
-        let user = match (&reach.user, &reach.password_file) {
+        let user = match (&args.user, &args.password_file) {
             (Some(user), Some(file)) => {
                 let password = String::from_utf8_lossy(&read(file)?).trim_end().to_owned();
                 Some((user.clone(), password))
             }
             _ => None,
         };
-        let channel = endpoint.connect().await.map_err(wrong)?;
-        let inner = GNmiClient::new(channel).max_decoding_message_size(LARGEST);
+        let channel = endpoint.connect().await.map_err(connect_error)?;
+        let inner = GNmiClient::new(channel).max_decoding_message_size(MAX_MESSAGE_BYTES);
         Ok(Client { inner, user, json })
     }
 
-    fn request<T>(&self, message: T) -> Result<Request<T>, Failure> {
+    fn request<T>(&self, message: T) -> Result<Request<T>, CommandError> {
         let mut request = Request::new(message);
         if let Some((user, password)) = &self.user {
             for (name, value) in [("username", user), ("password", password)] {
                 let value = MetadataValue::try_from(value.as_str())
-                    .map_err(|_| Failure::Failed(format!("{name} can't be sent")))?;
+                    .map_err(|_| CommandError::Failed(format!("{name} can't be sent")))?;
                 request.metadata_mut().insert(name, value);
             }
         }
         Ok(request)
     }
 
-    pub async fn get(&mut self, path: &str, kind: DataType) -> Done {
+    pub async fn get(&mut self, path: &str, kind: DataType) -> CommandResult {
         let encoding = if self.json { Encoding::JsonIetf } else { Encoding::Proto };
         let message = GetRequest {
-            path: vec![path_of(path)?],
+            path: vec![parse_path(path)?],
             r#type: kind.into(),
             encoding: encoding.into(),
             ..GetRequest::default()
         };
         let mut request = self.request(message)?;
-        request.set_timeout(PATIENCE);
-        let answer = self.inner.get(request).await.map_err(failed)?.into_inner();
-        for update in answer.notification.into_iter().flat_map(|notification| notification.update) {
+        request.set_timeout(TIMEOUT);
+        let response = self.inner.get(request).await.map_err(failed)?.into_inner();
+        for update in response.notification.into_iter().flat_map(|notification| notification.update) {
             self.print(&update, false);
         }
         Ok(())
     }
 
-    pub async fn set(&mut self, path: &str, value: Option<&str>, terms: &SetTerms) -> Done {
-        let path = path_of(path)?;
+    pub async fn set(&mut self, path: &str, value: Option<&str>, args: &SetArgs) -> CommandResult {
+        let path = parse_path(path)?;
         let mut message = SetRequest::default();
-        if terms.delete {
+        if args.delete {
             message.delete.push(path);
         } else {
             let Some(value) = value else {
-                return Err(Failure::Failed("VALUE is missing, or --delete".to_owned()));
+                return Err(CommandError::Failed("VALUE is missing, or --delete".to_owned()));
             };
             let val = if value.starts_with(['{', '[']) {
                 Typed::JsonIetfVal(value.as_bytes().to_vec())
@@ -155,39 +156,40 @@
             };
             let update =
                 Update { path: Some(path), val: Some(TypedValue { value: Some(val) }), duplicates: 0 };
-            if terms.replace { message.replace.push(update) } else { message.update.push(update) }
+            if args.replace { message.replace.push(update) } else { message.update.push(update) }
         }
-        if let Some(seconds) = terms.confirm_in {
+        if let Some(seconds) = args.confirm_in {
             let rollback_duration = Some(prost_types::Duration { seconds: seconds as i64, nanos: 0 });
             let action = Action::Commit(CommitRequest { rollback_duration });
-            message.extension.push(commit(&terms.id, action));
+            message.extension.push(commit_extension(&args.id, action));
         }
-        if let Some(expect) = terms.expect {
-            message.extension.push(ours(&serde_json::json!({EXPECT: expect})));
+        if let Some(expect) = args.expect {
+            message.extension.push(own_extension(&serde_json::json!({EXPECT: expect})));
         }
         self.change(message).await
     }
 
-    pub async fn confirm(&mut self, id: &str, cancel: bool) -> Done {
+    pub async fn confirm(&mut self, id: &str, cancel: bool) -> CommandResult {
         let action = match cancel {
             true => Action::Cancel(CommitCancel {}),
             false => Action::Confirm(CommitConfirm {}),
         };
-        self.change(SetRequest { extension: vec![commit(id, action)], ..SetRequest::default() }).await
+        self.change(SetRequest { extension: vec![commit_extension(id, action)], ..SetRequest::default() })
+            .await
     }
 
-    pub async fn roll_back(&mut self, to: u64) -> Done {
-        let extension = vec![ours(&serde_json::json!({"rollback": to}))];
+    pub async fn rollback(&mut self, to: u64) -> CommandResult {
+        let extension = vec![own_extension(&serde_json::json!({"rollback": to}))];
         self.change(SetRequest { extension, ..SetRequest::default() }).await
     }
 
-    async fn change(&mut self, message: SetRequest) -> Done {
+    async fn change(&mut self, message: SetRequest) -> CommandResult {
         let mut request = self.request(message)?;
-        request.set_timeout(PATIENCE);
-        let answer = self.inner.set(request).await.map_err(failed)?.into_inner();
-        let version = answer.extension.into_iter().find_map(|extension| match extension.ext {
-            Some(Ext::RegisteredExt(told)) if told.id == OURS => {
-                serde_json::from_slice::<serde_json::Value>(&told.msg).ok()?.get("version")?.as_u64()
+        request.set_timeout(TIMEOUT);
+        let response = self.inner.set(request).await.map_err(failed)?.into_inner();
+        let version = response.extension.into_iter().find_map(|extension| match extension.ext {
+            Some(Ext::RegisteredExt(extension)) if extension.id == OURS => {
+                serde_json::from_slice::<serde_json::Value>(&extension.msg).ok()?.get("version")?.as_u64()
             }
             _ => None,
         });
@@ -199,17 +201,17 @@
         Ok(())
     }
 
-    pub async fn history(&mut self) -> Done {
+    pub async fn history(&mut self) -> CommandResult {
         let message = GetRequest {
-            path: vec![path_of("/front/state/commit")?],
+            path: vec![parse_path("/front/state/commit")?],
             encoding: Encoding::JsonIetf.into(),
             ..GetRequest::default()
         };
         let mut request = self.request(message)?;
-        request.set_timeout(PATIENCE);
-        let answer = self.inner.get(request).await.map_err(failed)?.into_inner();
-        let updates = answer.notification.into_iter().flat_map(|notification| notification.update);
-        let mut commits: Vec<serde_json::Value> = updates.filter_map(|update| json_of(&update)).collect();
+        request.set_timeout(TIMEOUT);
+        let response = self.inner.get(request).await.map_err(failed)?.into_inner();
+        let updates = response.notification.into_iter().flat_map(|notification| notification.update);
+        let mut commits: Vec<serde_json::Value> = updates.filter_map(|update| update_json(&update)).collect();
         let number = |commit: &serde_json::Value| {
             commit.get("version").and_then(|v| v.as_str()).and_then(|v| v.parse::<u64>().ok())
         };
@@ -239,14 +241,19 @@
     }
 
     /// Prints updates as they come, up to `count` of them.
-    pub async fn watch(&mut self, path: &str, every: Option<Duration>, count: Option<usize>) -> Done {
+    pub async fn watch(
+        &mut self,
+        path: &str,
+        every: Option<Duration>,
+        count: Option<usize>,
+    ) -> CommandResult {
         let (mode, sample_interval) = match every {
             Some(every) => (SubscriptionMode::Sample, every.as_nanos() as u64),
             None => (SubscriptionMode::OnChange, 0),
         };
         let list = SubscriptionList {
             subscription: vec![Subscription {
-                path: Some(path_of(path)?),
+                path: Some(parse_path(path)?),
                 mode: mode.into(),
                 sample_interval,
                 ..Subscription::default()
@@ -254,19 +261,20 @@
             encoding: Encoding::Proto.into(),
             ..SubscriptionList::default()
         };
-        let first = SubscribeRequest { request: Some(Asked::Subscribe(list)), extension: Vec::new() };
+        let first =
+            SubscribeRequest { request: Some(SubscribeMessage::Subscribe(list)), extension: Vec::new() };
         // The stream of requests stays open for as long as updates are wanted.
         let requests = tokio_stream::StreamExt::chain(tokio_stream::iter([first]), tokio_stream::pending());
         let request = self.request(requests)?;
-        let mut answers = self.inner.subscribe(request).await.map_err(failed)?.into_inner();
+        let mut responses = self.inner.subscribe(request).await.map_err(failed)?.into_inner();
         let mut printed = 0;
-        while let Some(answer) = answers.message().await.map_err(failed)? {
-            let Some(Said::Update(notification)) = answer.response else { continue };
+        while let Some(response) = responses.message().await.map_err(failed)? {
+            let Some(SubscribeReply::Update(notification)) = response.response else { continue };
             for path in &notification.delete {
                 printed += 1;
                 match self.json {
-                    true => println!("{}", serde_json::json!({"path": text_of(path), "deleted": true})),
-                    false => println!("{} is gone", text_of(path)),
+                    true => println!("{}", serde_json::json!({"path": path_text(path), "deleted": true})),
+                    false => println!("{} is gone", path_text(path)),
                 }
             }
             for update in &notification.update {
@@ -281,11 +289,11 @@
     }
 
     fn print(&self, update: &Update, line: bool) {
-        let path = update.path.as_ref().map(text_of).unwrap_or_default();
+        let path = update.path.as_ref().map(path_text).unwrap_or_default();
         if !self.json {
             return println!("{path} {}", value_text(update.val.as_ref()));
         }
-        let value = json_of(update);
+        let value = update_json(update);
         if line {
             println!("{}", serde_json::json!({"path": path, "value": value}));
         } else {
@@ -294,17 +302,18 @@
     }
 }
 
-fn commit(id: &str, action: Action) -> Extension {
+fn commit_extension(id: &str, action: Action) -> Extension {
     Extension { ext: Some(Ext::Commit(Commit { id: id.to_owned(), action: Some(action) })) }
 }
 
-fn ours(told: &serde_json::Value) -> Extension {
-    let told = RegisteredExtension { id: OURS, msg: told.to_string().into_bytes() };
-    Extension { ext: Some(Ext::RegisteredExt(told)) }
+fn own_extension(content: &serde_json::Value) -> Extension {
+    let extension = RegisteredExtension { id: OURS, msg: content.to_string().into_bytes() };
+    Extension { ext: Some(Ext::RegisteredExt(extension)) }
 }
 
-fn path_of(text: &str) -> Result<Path, Failure> {
-    let steps = lemonusher_model::parse_path(text).map_err(|fault| Failure::Failed(fault.to_string()))?;
+fn parse_path(text: &str) -> Result<Path, CommandError> {
+    let steps =
+        lemonusher_model::parse_path(text).map_err(|error| CommandError::Failed(error.to_string()))?;
     let elem = steps
         .into_iter()
         .map(|step| PathElem { name: step.name, key: step.keys.into_iter().collect() })
@@ -312,7 +321,7 @@
     Ok(Path { elem, ..Path::default() })
 }
 
-fn text_of(path: &Path) -> String {
+fn path_text(path: &Path) -> String {
     let mut text = String::new();
     for elem in &path.elem {
         text.push('/');
@@ -342,7 +351,7 @@
     }
 }
 
-fn json_of(update: &Update) -> Option<serde_json::Value> {
+fn update_json(update: &Update) -> Option<serde_json::Value> {
     Some(match update.val.as_ref()?.value.as_ref()? {
         Typed::JsonVal(bytes) | Typed::JsonIetfVal(bytes) => serde_json::from_slice(bytes).ok()?,
         Typed::UintVal(value) => (*value).into(),
--- a/crates/edges/cli/src/fleet.rs
+++ b/crates/edges/cli/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The fleet's part of an operator's file, and what an operator asks of a fleet.
 
-use crate::{Failure, file, read_file};
+use crate::{CommandError, file, read_file};
 use lemonusher_fleet::{Body, Frame, Key, MemberRow, RegisterRow, Row, Task, Terms};
 use lemonusher_leases::{Incarnation, LeaseConfig as LeaseTerms};
 use lemonusher_registers::{Operation, ProposalOutcome, Proposer};
@@ -9,34 +9,34 @@
 use std::path::Path;
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_millis(500);
-const TRIES: usize = 3;
+const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
+const MAX_TRIES: usize = 3;
 
 /// What the file says, with the key read.
-pub fn terms_of(held: &file::FleetSection, front: &str, location: u32) -> Result<Terms, Failure> {
+pub fn fleet_config(section: &file::FleetSection, front: &str, zone: u32) -> Result<Terms, CommandError> {
     let ms = Duration::from_millis;
-    let path = held.key_file.get_ref();
-    let key =
-        std::fs::read(path).map_err(|error| Failure::File(vec![format!("{}: {error}", path.display())]))?;
+    let path = section.key_file.get_ref();
+    let key = std::fs::read(path)
+        .map_err(|error| CommandError::File(vec![format!("{}: {error}", path.display())]))?;
     if key.trim_ascii().len() < 16 {
-        return Err(Failure::File(vec![format!("{}: a key has 16 bytes at least", path.display())]));
+        return Err(CommandError::File(vec![format!("{}: a key has 16 bytes at least", path.display())]));
     }
     Ok(Terms {
         name: front.to_owned(),
-        listen: *held.listen.get_ref(),
+        listen: *section.listen.get_ref(),
         key: Key::new(key.trim_ascii()),
         leases: LeaseTerms {
-            duration: ms(*held.lease_ms.get_ref()),
-            clock_drift_permille: *held.clock_drift_permille.get_ref(),
-            max_action_time: ms(held.max_action_time_ms),
+            duration: ms(*section.lease_ms.get_ref()),
+            clock_drift_permille: *section.clock_drift_permille.get_ref(),
+            max_action_time: ms(section.max_action_time_ms),
         },
-        voters: held.voters.get_ref().clone(),
-        votes: held.is_voter,
-        place: held.own_voter_index(),
-        known_as: held.advertised_address.as_ref().map(|address| *address.get_ref()),
-        location,
-        folder: held.state_folder.as_ref().map(|folder| folder.get_ref().clone()),
-        tasks: (held.tasks.iter())
+        voters: section.voters.get_ref().clone(),
+        votes: section.is_voter,
+        place: section.own_voter_index(),
+        known_as: section.advertised_address.as_ref().map(|address| *address.get_ref()),
+        location: zone,
+        folder: section.state_folder.as_ref().map(|folder| folder.get_ref().clone()),
+        tasks: (section.tasks.iter())
             .map(|task| Task {
                 name: task.name.get_ref().clone(),
                 tell: task.notify.as_ref().map(|to| *to.get_ref()),
@@ -45,9 +45,9 @@
                 fenced: task.is_fenced,
             })
             .collect(),
-        seats: held.quota_slots,
-        wants: held.wanted_slots,
-        number: held.first_slot,
+        seats: section.quota_slots,
+        wants: section.wanted_slots,
+        number: section.first_slot,
         sites: None,
         works: None,
     })
@@ -55,41 +55,42 @@
 
 /// An operator beside the fleet: it speaks under a name of its own and holds nothing.
 pub struct Operator {
-    pub terms: Terms,
-    me: Incarnation,
-    seq: u64,
+    pub config: Terms,
+    incarnation: Incarnation,
+    sequence: u64,
     socket: UdpSocket,
 }
 
 impl Operator {
-    pub fn of(path: &Path) -> Result<Operator, Failure> {
+    pub fn connect(path: &Path) -> Result<Operator, CommandError> {
         let file = read_file(path)?;
-        let held = file.fleet.as_ref().ok_or_else(|| {
-            Failure::File(vec![format!("{}: has no [fleet], so there is nobody to ask", path.display())])
+        let section = file.fleet.as_ref().ok_or_else(|| {
+            CommandError::File(vec![format!("{}: has no [fleet], so there is nobody to ask", path.display())])
         })?;
-        let failed = |error: std::io::Error| Failure::Failed(error.to_string());
+        let failed = |error: std::io::Error| CommandError::Failed(error.to_string());
         let socket = UdpSocket::bind(("127.0.0.1", 0)).map_err(failed)?;
-        socket.set_read_timeout(Some(PATIENCE)).map_err(failed)?;
-        let me = Incarnation { name: "operator".to_owned(), id: rand::random() };
-        Ok(Operator { terms: terms_of(held, "operator", 0)?, me, seq: 0, socket })
+        socket.set_read_timeout(Some(REPLY_TIMEOUT)).map_err(failed)?;
+        let incarnation = Incarnation { name: "operator".to_owned(), id: rand::random() };
+        Ok(Operator { config: fleet_config(section, "operator", 0)?, incarnation, sequence: 0, socket })
     }
 
-    fn say(&mut self, body: Body, to: SocketAddr) -> Result<(), Failure> {
-        self.seq += 1;
-        let terms = lemonusher_fleet::mark(&self.terms);
-        let frame = Frame { from: self.me.clone(), seq: self.seq, terms, body };
+    fn send(&mut self, body: Body, to: SocketAddr) -> Result<(), CommandError> {
+        self.sequence += 1;
+        let terms = lemonusher_fleet::mark(&self.config);
+        let frame = Frame { from: self.incarnation.clone(), seq: self.sequence, terms, body };
         let sealed =
-            frame.seal(&self.terms.key).ok_or_else(|| Failure::Failed("it is too long".to_owned()))?;
-        self.socket.send_to(&sealed, to).map(drop).map_err(|error| Failure::Failed(error.to_string()))
+            frame.seal(&self.config.key).ok_or_else(|| CommandError::Failed("it is too long".to_owned()))?;
+        self.socket.send_to(&sealed, to).map(drop).map_err(|error| CommandError::Failed(error.to_string()))
     }
 
     /// Asks a voter once, and again where no answer comes; none if none ever does.
-    pub fn ask(&mut self, voter: SocketAddr, body: &Body) -> Result<Option<Body>, Failure> {
-        for _ in 0..TRIES {
-            self.say(body.clone(), voter)?;
+    pub fn ask(&mut self, voter: SocketAddr, body: &Body) -> Result<Option<Body>, CommandError> {
+        for _ in 0..MAX_TRIES {
+            self.send(body.clone(), voter)?;
             let mut bytes = [0; 2048];
             let Ok((long, from)) = self.socket.recv_from(&mut bytes) else { continue };
-            if let Some(frame) = Frame::open(&bytes[..long], &self.terms.key).ok().filter(|_| from == voter) {
+            if let Some(frame) = Frame::open(&bytes[..long], &self.config.key).ok().filter(|_| from == voter)
+            {
                 return Ok(Some(frame.body));
             }
         }
@@ -97,7 +98,7 @@
     }
 
     /// What a voter shows, whole; none if it does not answer.
-    fn table(&mut self, voter: SocketAddr) -> Result<Option<(bool, Vec<Row>)>, Failure> {
+    fn leases(&mut self, voter: SocketAddr) -> Result<Option<(bool, Vec<Row>)>, CommandError> {
         let mut all: Vec<Row> = Vec::new();
         loop {
             let after = all.last().map(|row| row.task.clone()).unwrap_or_default();
@@ -114,7 +115,10 @@
     }
 
     /// The registers that a voter has accepted, and whether it votes on them.
-    fn registers(&mut self, voter: SocketAddr) -> Result<Option<(bool, u64, Vec<RegisterRow>)>, Failure> {
+    fn registers(
+        &mut self,
+        voter: SocketAddr,
+    ) -> Result<Option<(bool, u64, Vec<RegisterRow>)>, CommandError> {
         let mut all: Vec<RegisterRow> = Vec::new();
         loop {
             let after = all.last().map(|row| row.name.clone()).unwrap_or_default();
@@ -131,7 +135,7 @@
     }
 
     /// The other fronts that a front sees.
-    fn members(&mut self, front: SocketAddr) -> Result<Option<Vec<MemberRow>>, Failure> {
+    fn members(&mut self, front: SocketAddr) -> Result<Option<Vec<MemberRow>>, CommandError> {
         let mut all: Vec<MemberRow> = Vec::new();
         loop {
             let after = all.last().map(|row| (row.name.clone(), row.born)).unwrap_or_default();
@@ -148,12 +152,12 @@
     }
 }
 
-/// Prints what each voter knows to be held.
-pub fn show(path: &Path, json: bool) -> Result<(), Failure> {
-    let mut operator = Operator::of(path)?;
-    let (mut answered, voters) = (0, operator.terms.voters.clone());
+/// Prints what each voter knows to be section.
+pub fn show(path: &Path, json: bool) -> Result<(), CommandError> {
+    let mut operator = Operator::connect(path)?;
+    let (mut answered, voters) = (0, operator.config.voters.clone());
     for voter in &voters {
-        let table = operator.table(*voter)?;
+        let table = operator.leases(*voter)?;
         let registers = if table.is_some() { operator.registers(*voter)? } else { None };
         let members = if table.is_some() { operator.members(*voter)? } else { None };
         answered += usize::from(table.as_ref().is_some_and(|(mute, _)| !mute));
@@ -196,29 +200,30 @@
     if answered * 2 > voters.len() {
         return Ok(());
     }
-    Err(Failure::Failed(format!("{answered} of {} voters vote: nothing is granted", voters.len())))
+    Err(CommandError::Failed(format!("{answered} of {} voters vote: nothing is granted", voters.len())))
 }
 
 /// Asks the holder of a task to let it go to another.
-pub fn hand_over(path: &Path, task: &str, json: bool) -> Result<(), Failure> {
-    let mut operator = Operator::of(path)?;
-    let holder = |operator: &mut Operator| -> Result<Option<Row>, Failure> {
-        for voter in operator.terms.voters.clone() {
+pub fn hand_over(path: &Path, task: &str, json: bool) -> Result<(), CommandError> {
+    let mut operator = Operator::connect(path)?;
+    let holder = |operator: &mut Operator| -> Result<Option<Row>, CommandError> {
+        for voter in operator.config.voters.clone() {
             let held =
-                operator.table(voter)?.and_then(|(_, rows)| rows.into_iter().find(|row| row.task == task));
+                operator.leases(voter)?.and_then(|(_, rows)| rows.into_iter().find(|row| row.task == task));
             if held.is_some() {
                 return Ok(held);
             }
         }
         Ok(None)
     };
-    let before = holder(&mut operator)?.ok_or_else(|| Failure::Failed(format!("nobody holds {task}")))?;
-    for voter in operator.terms.voters.clone() {
-        operator.say(Body::HandOver { task: task.to_owned() }, voter)?;
+    let before =
+        holder(&mut operator)?.ok_or_else(|| CommandError::Failed(format!("nobody holds {task}")))?;
+    for voter in operator.config.voters.clone() {
+        operator.send(Body::HandOver { task: task.to_owned() }, voter)?;
     }
-    let until = std::time::Instant::now() + operator.terms.leases.voter_hold_time() * 4;
+    let until = std::time::Instant::now() + operator.config.leases.voter_hold_time() * 4;
     while std::time::Instant::now() < until {
-        std::thread::sleep(PATIENCE / 5);
+        std::thread::sleep(REPLY_TIMEOUT / 5);
         if let Some(now) = holder(&mut operator)?.filter(|row| row.number > before.number) {
             if json {
                 println!(
@@ -231,12 +236,12 @@
             return Ok(());
         }
     }
-    Err(Failure::Failed(format!("{task} was not taken by another; {} held it", before.who)))
+    Err(CommandError::Failed(format!("{task} was not taken by another; {} held it", before.who)))
 }
 
 /// What may be wanted of a site.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
-pub enum SiteWish {
+pub enum ZoneOverride {
     /// The fleet decides by what it sees.
     Auto,
     /// Taken out in steps, and kept out.
@@ -249,35 +254,36 @@
     Hurry,
 }
 
-fn wish_of(wish: SiteWish) -> OperatorOverride {
-    match wish {
-        SiteWish::Auto => OperatorOverride::Auto,
-        SiteWish::Out => OperatorOverride::Disable,
-        SiteWish::Drill => OperatorOverride::Drill,
-        SiteWish::HoldReturn => OperatorOverride::HoldRecovery,
-        SiteWish::Hurry => OperatorOverride::FastRecovery,
+fn operator_override(requested: ZoneOverride) -> OperatorOverride {
+    match requested {
+        ZoneOverride::Auto => OperatorOverride::Auto,
+        ZoneOverride::Out => OperatorOverride::Disable,
+        ZoneOverride::Drill => OperatorOverride::Drill,
+        ZoneOverride::HoldReturn => OperatorOverride::HoldRecovery,
+        ZoneOverride::Hurry => OperatorOverride::FastRecovery,
     }
 }
 
 /// The names by which the deployment speaks; where the file names none, sites are numbers.
-fn names_of(path: &Path) -> Result<lemonusher_front::DeploymentNames, Failure> {
-    let (_, told) = crate::read(path)?;
-    lemonusher_front::read_names(&told).map_err(|unfit| Failure::File(vec![unfit.to_string()]))
+fn deployment_names(path: &Path) -> Result<lemonusher_front::DeploymentNames, CommandError> {
+    let (_, start_file) = crate::read_with_start_file(path)?;
+    lemonusher_front::read_names(&start_file).map_err(|error| CommandError::File(vec![error.to_string()]))
 }
 
-fn site_of(names: &lemonusher_front::DeploymentNames, name: &str) -> Result<u32, Failure> {
+fn zone_index(names: &lemonusher_front::DeploymentNames, name: &str) -> Result<u32, CommandError> {
     let known = names.zones.iter().position(|known| known == name);
     known.map(|at| at as u32).ok_or_else(|| {
-        Failure::Failed(format!("there is no site '{name}'; there are {}", names.zones.join(", ")))
+        CommandError::Failed(format!("there is no site '{name}'; there are {}", names.zones.join(", ")))
     })
 }
 
 /// Prints the plan as a voter has it.
-pub fn plan(path: &Path, without: &[String], json: bool) -> Result<(), Failure> {
-    let names = names_of(path)?;
-    let without = without.iter().map(|name| site_of(&names, name)).collect::<Result<Vec<u32>, Failure>>()?;
-    let mut operator = Operator::of(path)?;
-    for voter in operator.terms.voters.clone() {
+pub fn plan(path: &Path, without: &[String], json: bool) -> Result<(), CommandError> {
+    let names = deployment_names(path)?;
+    let without =
+        without.iter().map(|name| zone_index(&names, name)).collect::<Result<Vec<u32>, CommandError>>()?;
+    let mut operator = Operator::connect(path)?;
+    for voter in operator.config.voters.clone() {
         let Some(Body::PlanShown { epoch, sites, groups, refused_first }) =
             operator.ask(voter, &Body::ShowPlan { without: without.clone() })?
         else {
@@ -337,35 +343,42 @@
         }
         return Ok(());
     }
-    Err(Failure::Failed("no voter shows a plan: is [fleet.sites] in the file, and do voters run?".to_owned()))
+    Err(CommandError::Failed(
+        "no voter shows a plan: is [fleet.sites] in the file, and do voters run?".to_owned(),
+    ))
 }
 
 /// Settles what is wanted of a site, in a register that the plan's holder follows.
-pub fn wish(path: &Path, site: &str, wish: SiteWish, json: bool) -> Result<(), Failure> {
-    let number = site_of(&names_of(path)?, site)? as usize;
-    let mut operator = Operator::of(path)?;
-    let mut wishes = Vec::new();
+pub fn override_zone(
+    path: &Path,
+    site: &str,
+    requested: ZoneOverride,
+    json: bool,
+) -> Result<(), CommandError> {
+    let number = zone_index(&deployment_names(path)?, site)? as usize;
+    let mut operator = Operator::connect(path)?;
+    let mut overrides = Vec::new();
     let mut change = Operation::Read;
-    for _ in 0..TRIES * 2 {
+    for _ in 0..MAX_TRIES * 2 {
         match operator.propose(lemonusher_fleet::WISHES, change)? {
             ProposalOutcome::Committed { entry: Some(entry), .. }
-                if lemonusher_fleet::read_wishes(&entry.value) == wishes && !wishes.is_empty() =>
+                if lemonusher_fleet::read_wishes(&entry.value) == overrides && !overrides.is_empty() =>
             {
                 if json {
                     println!("{}", serde_json::json!({"site": site, "version": entry.version.counter}));
                 } else {
-                    println!("{site}: {wish:?} is settled, version {}", entry.version.counter);
+                    println!("{site}: {requested:?} is settled, version {}", entry.version.counter);
                 }
                 return Ok(());
             }
             ProposalOutcome::Committed { entry, .. } | ProposalOutcome::Conflict { entry, .. } => {
-                wishes = entry
+                overrides = entry
                     .as_ref()
                     .map(|entry| lemonusher_fleet::read_wishes(&entry.value))
                     .unwrap_or_default();
-                wishes.resize(wishes.len().max(number + 1), OperatorOverride::Auto);
-                wishes[number] = wish_of(wish);
-                let value = lemonusher_fleet::write_wishes(&wishes);
+                overrides.resize(overrides.len().max(number + 1), OperatorOverride::Auto);
+                overrides[number] = operator_override(requested);
+                let value = lemonusher_fleet::write_wishes(&overrides);
                 let (after, number) =
                     entry.map_or((None, 0), |entry| (Some(entry.version), entry.fencing_token));
                 change = Operation::CompareAndSet { expected: after, fencing_token: number, value };
@@ -373,34 +386,36 @@
             ProposalOutcome::Unknown { .. } => break,
         }
     }
-    Err(Failure::Failed("too few voters answered; ask again".to_owned()))
+    Err(CommandError::Failed("too few voters answered; ask again".to_owned()))
 }
 
 impl Operator {
     /// Changes a register as any front would, and waits for the outcome.
-    pub fn propose(&mut self, name: &str, change: Operation) -> Result<ProposalOutcome, Failure> {
-        let clock = std::time::Instant::now();
-        let mut proposer = Proposer::new(self.me.clone(), self.terms.voters.len());
-        let terms = self.terms.leases;
-        self.socket.set_read_timeout(Some(PATIENCE / 10)).map_err(|e| Failure::Failed(e.to_string()))?;
-        let mut posts = proposer.propose(clock.elapsed(), name, change);
-        let until = terms.duration * 4 + PATIENCE * 4;
-        while clock.elapsed() < until {
-            for post in std::mem::take(&mut posts) {
-                if let Some(voter) = self.terms.voters.get(post.voter).copied() {
-                    self.say(Body::RegisterRequest(post.request), voter)?;
+    pub fn propose(&mut self, name: &str, change: Operation) -> Result<ProposalOutcome, CommandError> {
+        let started = std::time::Instant::now();
+        let mut proposer = Proposer::new(self.incarnation.clone(), self.config.voters.len());
+        let terms = self.config.leases;
+        self.socket
+            .set_read_timeout(Some(REPLY_TIMEOUT / 10))
+            .map_err(|e| CommandError::Failed(e.to_string()))?;
+        let mut requests = proposer.propose(started.elapsed(), name, change);
+        let until = terms.duration * 4 + REPLY_TIMEOUT * 4;
+        while started.elapsed() < until {
+            for sent in std::mem::take(&mut requests) {
+                if let Some(voter) = self.config.voters.get(sent.voter).copied() {
+                    self.send(Body::RegisterRequest(sent.request), voter)?;
                 }
             }
             let mut bytes = [0; 2048];
             if let Ok((long, from)) = self.socket.recv_from(&mut bytes)
-                && let Some(voter) = self.terms.voters.iter().position(|known| *known == from)
+                && let Some(voter) = self.config.voters.iter().position(|known| *known == from)
                 && let Ok(Frame { body: Body::RegisterReply(reply), .. }) =
-                    Frame::open(&bytes[..long], &self.terms.key)
+                    Frame::open(&bytes[..long], &self.config.key)
             {
-                posts =
-                    proposer.handle_reply(clock.elapsed(), &terms, voter, reply, &mut rand::random::<f64>);
+                requests =
+                    proposer.handle_reply(started.elapsed(), &terms, voter, reply, &mut rand::random::<f64>);
             }
-            posts.extend(proposer.poll(clock.elapsed(), &terms, &mut rand::random::<f64>));
+            requests.extend(proposer.poll(started.elapsed(), &terms, &mut rand::random::<f64>));
             if let Some(outcome) = proposer.take_outcomes().pop() {
                 return Ok(outcome);
             }
--- a/crates/edges/cli/src/journal.rs
+++ b/crates/edges/cli/src/journal.rs
@@ -1,5 +1,5 @@
-//! The log of this binary: `tracing`, as text or as JSON lines. What the front writes by `log` joins it, with
-//! the request, engine and commit that it names as fields.
+//! The log of this binary: `tracing`, as text or as JSON lines. Lines that the front writes by `log` are forwarded,
+//! with the request, engine and commit that they name as fields.
 
 use crate::file::{LogFormat, LogLevel};
 use log::kv::{Key, Value, VisitSource};
@@ -10,18 +10,18 @@
 
 /// Sets the level while the front runs.
 #[derive(Clone)]
-pub struct Dial(reload::Handle<LevelFilter, Registry>);
+pub struct LogLevelHandle(reload::Handle<LevelFilter, Registry>);
 
-impl Dial {
+impl LogLevelHandle {
     pub fn set(&self, level: &str) {
         let Some(filter) = filter(level) else { return };
-        if self.0.modify(|held| *held = filter).is_ok() {
+        if self.0.modify(|current| *current = filter).is_ok() {
             log::set_max_level(bridge_level(filter));
         }
     }
 }
 
-struct Bridge;
+struct LogBridge;
 
 #[derive(Default)]
 struct Fields {
@@ -42,7 +42,7 @@
     }
 }
 
-macro_rules! pass_on {
+macro_rules! forward {
     ($level:expr, $fields:expr, $record:expr) => {{
         let engine = $fields.engine.map(|engine| format!("{engine:08x}"));
         tracing::event!(
@@ -57,7 +57,7 @@
     }};
 }
 
-impl log::Log for Bridge {
+impl log::Log for LogBridge {
     fn enabled(&self, metadata: &log::Metadata) -> bool {
         metadata.level() <= log::max_level() && metadata.target().starts_with("lemonusher")
     }
@@ -69,11 +69,11 @@
         let mut fields = Fields::default();
         let _ = record.key_values().visit(&mut fields);
         match record.level() {
-            log::Level::Error => pass_on!(tracing::Level::ERROR, fields, record),
-            log::Level::Warn => pass_on!(tracing::Level::WARN, fields, record),
-            log::Level::Info => pass_on!(tracing::Level::INFO, fields, record),
-            log::Level::Debug => pass_on!(tracing::Level::DEBUG, fields, record),
-            log::Level::Trace => pass_on!(tracing::Level::TRACE, fields, record),
+            log::Level::Error => forward!(tracing::Level::ERROR, fields, record),
+            log::Level::Warn => forward!(tracing::Level::WARN, fields, record),
+            log::Level::Info => forward!(tracing::Level::INFO, fields, record),
+            log::Level::Debug => forward!(tracing::Level::DEBUG, fields, record),
+            log::Level::Trace => forward!(tracing::Level::TRACE, fields, record),
         }
     }
 
@@ -81,7 +81,7 @@
 }
 
 /// Starts the log, on standard error.
-pub fn start(level: LogLevel, format: LogFormat) -> Dial {
+pub fn start(level: LogLevel, format: LogFormat) -> LogLevelHandle {
     let filter = match level {
         LogLevel::Error => LevelFilter::ERROR,
         LogLevel::Warn => LevelFilter::WARN,
@@ -89,22 +89,23 @@
         LogLevel::Debug => LevelFilter::DEBUG,
         LogLevel::Trace => LevelFilter::TRACE,
     };
-    let (held, dial) = reload::Layer::new(filter);
-    let written = match format {
+    let (filter_layer, handle) = reload::Layer::new(filter);
+    let format_layer = match format {
         LogFormat::Text => fmt::layer().with_writer(io::stderr).with_ansi(false).boxed(),
         LogFormat::Json => fmt::layer().json().flatten_event(true).with_writer(io::stderr).boxed(),
     };
     // Other libraries say little that concerns an operator.
-    let ours = tracing_subscriber::filter::filter_fn(|metadata| {
+    let is_ours = tracing_subscriber::filter::filter_fn(|metadata| {
         metadata.target().starts_with("lemonusher") || metadata.target() == "front"
     });
     // Not by `init`, which would put a bridge of its own in place of the one that knows our fields.
-    let subscriber = tracing_subscriber::registry().with(held).with(written.with_filter(ours));
+    let subscriber =
+        tracing_subscriber::registry().with(filter_layer).with(format_layer.with_filter(is_ours));
     let _ = tracing::subscriber::set_global_default(subscriber);
-    if log::set_boxed_logger(Box::new(Bridge)).is_ok() {
+    if log::set_boxed_logger(Box::new(LogBridge)).is_ok() {
         log::set_max_level(bridge_level(filter));
     }
-    Dial(dial)
+    LogLevelHandle(handle)
 }
 
 fn filter(level: &str) -> Option<LevelFilter> {
--- a/crates/edges/cli/src/main.rs
+++ b/crates/edges/cli/src/main.rs
@@ -7,7 +7,7 @@
 mod works;
 
 use clap::{Parser, Subcommand, ValueEnum};
-use client::{Client, Reach, SetTerms};
+use client::{Client, ConnectionArgs, SetArgs};
 use lemonusher_managed::gnmi::proto::gnmi::get_request::DataType;
 use lemonusher_managed::{GnmiTerms, Names, NetconfTerms, Started, Terms, Tls, User, Users};
 use std::path::{Path, PathBuf};
@@ -21,18 +21,18 @@
 /// can't be used.
 #[derive(Parser)]
 #[command(version)]
-struct Line {
+struct CommandLine {
     /// Prints results and errors as JSON.
     #[arg(long, global = true)]
     json: bool,
     #[command(flatten)]
-    reach: Reach,
+    connection: ConnectionArgs,
     #[command(subcommand)]
-    verb: Verb,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum Verb {
+enum Command {
     /// Runs a front with what an operator's file switches on, until SIGTERM.
     Run {
         /// The operator's file, such as deploy/lemonusher.toml.
@@ -52,7 +52,7 @@
         path: String,
         value: Option<String>,
         #[command(flatten)]
-        terms: SetTerms,
+        args: SetArgs,
     },
     /// Prints what stands at a path, and then what changes there, until it is ended.
     Watch {
@@ -91,13 +91,14 @@
         file: PathBuf,
         site: String,
         #[arg(value_enum)]
-        wish: fleet::SiteWish,
+        #[arg(value_name = "WISH")]
+        requested: fleet::ZoneOverride,
     },
     /// Asks for machines to be taken out for work, and says how far that has come.
     Works {
         file: PathBuf,
         #[command(subcommand)]
-        verb: works::Verb,
+        command: works::Command,
     },
     /// Asks the holder of a task to hand it over, through the voters that a file names.
     HandOver { file: PathBuf, task: String },
@@ -110,85 +111,91 @@
     State,
 }
 
-/// Why a verb did not do what it is for.
+/// Why a command failed.
 #[derive(Debug)]
-pub enum Failure {
+pub enum CommandError {
     /// A file can't be used; each is one line.
     File(Vec<String>),
-    /// It was tried and failed.
+    /// It was tried and failed, for this reason.
     Failed(String),
 }
 
-impl Failure {
-    fn code(&self) -> u8 {
+impl CommandError {
+    fn exit_code(&self) -> u8 {
         match self {
-            Failure::Failed(_) => 1,
-            Failure::File(_) => 3,
+            CommandError::Failed(_) => 1,
+            CommandError::File(_) => 3,
         }
     }
 }
 
 fn main() -> ExitCode {
-    let line = Line::parse();
-    let done = match line.verb {
-        Verb::Run { file } => run(&file),
-        Verb::Check { file } => check(&file, line.json),
-        Verb::Fleet { file } => fleet::show(&file, line.json),
-        Verb::HandOver { file, task } => fleet::hand_over(&file, &task, line.json),
-        Verb::Works { file, verb } => works::run(&file, verb, line.json),
-        Verb::Plan { file, without } => fleet::plan(&file, &without, line.json),
-        Verb::Site { file, site, wish } => fleet::wish(&file, &site, wish, line.json),
-        verb => speak(verb, &line.reach, line.json),
+    let command_line = CommandLine::parse();
+    let done = match command_line.command {
+        Command::Run { file } => run(&file),
+        Command::Check { file } => check(&file, command_line.json),
+        Command::Fleet { file } => fleet::show(&file, command_line.json),
+        Command::HandOver { file, task } => fleet::hand_over(&file, &task, command_line.json),
+        Command::Works { file, command } => works::run(&file, command, command_line.json),
+        Command::Plan { file, without } => fleet::plan(&file, &without, command_line.json),
+        Command::Site { file, site, requested } => {
+            fleet::override_zone(&file, &site, requested, command_line.json)
+        }
+        command => manage(command, &command_line.connection, command_line.json),
     };
-    let Err(failure) = done else { return ExitCode::SUCCESS };
-    let code = failure.code();
-    let told = match failure {
-        Failure::File(lines) => lines,
-        Failure::Failed(what) => vec![what],
+    let Err(error) = done else { return ExitCode::SUCCESS };
+    let code = error.exit_code();
+    let messages = match error {
+        CommandError::File(lines) => lines,
+        CommandError::Failed(message) => vec![message],
     };
-    for what in told {
-        if line.json {
-            eprintln!("{}", serde_json::json!({"error": what, "code": code}));
+    for message in messages {
+        if command_line.json {
+            eprintln!("{}", serde_json::json!({"error": message, "code": code}));
         } else {
-            eprintln!("lemonusher: {what}");
+            eprintln!("lemonusher: {message}");
         }
     }
     ExitCode::from(code)
 }
 
-fn read_file(path: &Path) -> Result<file::ConfigFile, Failure> {
-    let wrong =
-        |found: Vec<file::ConfigError>| Failure::File(found.iter().map(|wrong| wrong.to_string()).collect());
-    file::read(path).map_err(wrong)
+fn read_file(path: &Path) -> Result<file::ConfigFile, CommandError> {
+    let to_lines = |errors: Vec<file::ConfigError>| {
+        CommandError::File(errors.iter().map(|error| error.to_string()).collect())
+    };
+    file::read(path).map_err(to_lines)
 }
 
-fn read(path: &Path) -> Result<(file::ConfigFile, String), Failure> {
+fn read_with_start_file(path: &Path) -> Result<(file::ConfigFile, String), CommandError> {
     let file = read_file(path)?;
-    let told = match &file.front.start_file {
-        Some(told) => told.get_ref().to_string_lossy().into_owned(),
+    let start_file = match &file.front.start_file {
+        Some(path) => path.get_ref().to_string_lossy().into_owned(),
         None => std::env::var("PROXY_CONFIG").map_err(|_| {
-            Failure::File(vec![format!(
+            CommandError::File(vec![format!(
                 "{}: names no file in [front] 'told', and PROXY_CONFIG is not set",
                 path.display()
             )])
         })?,
     };
-    Ok((file, told))
+    Ok((file, start_file))
 }
 
-fn check(path: &Path, json: bool) -> Result<(), Failure> {
-    let (file, told) = read(path)?;
-    let names =
-        lemonusher_front::read_names(&told).map_err(|unfit| Failure::File(vec![unfit.to_string()]))?;
-    let fleet =
-        file.fleet.as_ref().map(|held| fleet::terms_of(held, &names.front, names.zone)).transpose()?;
+fn check(path: &Path, json: bool) -> Result<(), CommandError> {
+    let (file, start_file) = read_with_start_file(path)?;
+    let names = lemonusher_front::read_names(&start_file)
+        .map_err(|error| CommandError::File(vec![error.to_string()]))?;
+    let fleet = file
+        .fleet
+        .as_ref()
+        .map(|section| fleet::fleet_config(section, &names.front, names.zone))
+        .transpose()?;
     if json {
         println!("{}", serde_json::json!({"file": path, "front": names.front, "ok": true}));
     } else {
         println!("{}: can be used; it runs front {}", path.display(), names.front);
         if let Some(fleet) = &fleet {
-            let (voters, kept) = (fleet.voters.len(), fleet.leases.voter_hold_time());
-            println!("{voters} fronts vote; after a crash of its holder a task is free within {kept:?}");
+            let (voters, hold_time) = (fleet.voters.len(), fleet.leases.voter_hold_time());
+            println!("{voters} fronts vote; after a crash of its holder a task is free within {hold_time:?}");
         }
         if let Some(managed) = &file.managed {
             println!("managers' counters are at most {:?} old", managed.max_counter_age());
@@ -200,16 +207,16 @@
     Ok(())
 }
 
-fn run(path: &Path) -> Result<(), Failure> {
-    let (file, told) = read(path)?;
-    let names =
-        lemonusher_front::read_names(&told).map_err(|unfit| Failure::File(vec![unfit.to_string()]))?;
-    let managed = file.managed.as_ref().map(terms_of).transpose()?;
-    let processor = file.processor.as_ref().map(|held| processor_of(held, &names)).transpose()?;
-    let dial = journal::start(file.log.level, file.log.format);
-    let failed = |what: String| Failure::Failed(what);
-    let mut _hub = None;
-    let door = match managed {
+fn run(path: &Path) -> Result<(), CommandError> {
+    let (file, start_file) = read_with_start_file(path)?;
+    let names = lemonusher_front::read_names(&start_file)
+        .map_err(|error| CommandError::File(vec![error.to_string()]))?;
+    let managed = file.managed.as_ref().map(management_config).transpose()?;
+    let processor = file.processor.as_ref().map(|section| processor_config(section, &names)).transpose()?;
+    let log_level = journal::start(file.log.level, file.log.format);
+    let failed = |what: String| CommandError::Failed(what);
+    let mut _management_hub = None;
+    let management = match managed {
         None => None,
         Some(terms) => {
             let front = names.front.clone();
@@ -218,11 +225,11 @@
                 machine_kinds: names.machine_kinds.clone(),
                 request_classes: names.request_classes.clone(),
             };
-            let level = Arc::new(move |level: &str| dial.set(level));
+            let level = Arc::new(move |level: &str| log_level.set(level));
             let started = lemonusher_managed::start(terms, known, front, level, Vec::new())
-                .map_err(|unfit| failed(unfit.to_string()))?;
+                .map_err(|error| failed(error.to_string()))?;
             let Started { requests, wanted, notices, gnmi, netconf, hub } = started;
-            _hub = Some(hub);
+            _management_hub = Some(hub);
             if let Some(address) = gnmi {
                 tracing::info!("gNMI at {address}");
             }
@@ -236,7 +243,7 @@
             })
         }
     };
-    let consulting = match processor {
+    let external_processing = match processor {
         None => None,
         Some(ProcessorConfig { server, calls, recovers, tick }) => {
             let listen = server.listen;
@@ -251,20 +258,30 @@
             })
         }
     };
-    let mut fleet =
-        file.fleet.as_ref().map(|held| fleet::terms_of(held, &names.front, names.zone)).transpose()?;
-    let planned =
-        file.fleet.as_ref().and_then(|held| held.zones.as_ref()).map(|held| held.get_ref().config());
-    let mut sites = None;
-    if let Some((fleet, terms)) = fleet.as_mut().zip(planned) {
-        let (told, seen) = async_channel::bounded(1);
+    let mut fleet = file
+        .fleet
+        .as_ref()
+        .map(|section| fleet::fleet_config(section, &names.front, names.zone))
+        .transpose()?;
+    let failover = file
+        .fleet
+        .as_ref()
+        .and_then(|section| section.zones.as_ref())
+        .map(|section| section.get_ref().config());
+    let mut zone_failover = None;
+    if let Some((fleet, terms)) = fleet.as_mut().zip(failover) {
+        let (observations, seen) = async_channel::bounded(1);
         let groups = lemonusher_routing::class_loads(&names.class_configs, terms.admission_floor);
         fleet.sites = Some(lemonusher_fleet::SitesTerms { terms, groups, seen });
-        sites = Some(lemonusher_front::ZoneFailover { config: terms, observations: told });
-        let works = file.fleet.as_ref().and_then(|held| held.maintenance.as_ref()).map(|held| held.get_ref());
-        fleet.works = works.map(|works| lemonusher_fleet::WorksTerms {
-            terms: works.config(terms.report_interval),
-            tell: works.notify.as_ref().map(|to| *to.get_ref()),
+        zone_failover = Some(lemonusher_front::ZoneFailover { config: terms, observations });
+        let maintenance = file
+            .fleet
+            .as_ref()
+            .and_then(|section| section.maintenance.as_ref())
+            .map(|section| section.get_ref());
+        fleet.works = maintenance.map(|section| lemonusher_fleet::WorksTerms {
+            terms: section.config(terms.report_interval),
+            tell: section.notify.as_ref().map(|to| *to.get_ref()),
         });
     }
     let fleet = match fleet {
@@ -277,17 +294,17 @@
             Some(started)
         }
     };
-    let seats = file.fleet.as_ref().is_some_and(|held| held.quota_slots > 0);
-    let works = file.fleet.as_ref().is_some_and(|held| held.maintenance.is_some());
-    let told_by = fleet.as_ref().map(|started| lemonusher_front::FleetChannels {
+    let shares_quota = file.fleet.as_ref().is_some_and(|section| section.quota_slots > 0);
+    let maintenance = file.fleet.as_ref().is_some_and(|section| section.maintenance.is_some());
+    let fleet_channels = fleet.as_ref().map(|started| lemonusher_front::FleetChannels {
         control_updates: started.words.clone(),
-        shares_quota: seats,
-        zone_failover: sites,
-        maintenance: works,
+        shares_quota,
+        zone_failover,
+        maintenance,
     });
-    let ended = lemonusher_front::serve(told, door, consulting, told_by);
-    drop(fleet); // Lets go of all that it holds.
-    ended.map_err(|unfit| failed(unfit.to_string()))
+    let ended = lemonusher_front::serve(start_file, management, external_processing, fleet_channels);
+    drop(fleet); // Releases its leases.
+    ended.map_err(|error| failed(error.to_string()))
 }
 
 /// The server, the calls' configuration, whether a start counts as a recovery, and the time between decisions.
@@ -299,17 +316,17 @@
 }
 
 /// What the file says of proxies that ask the external processor.
-fn processor_of(
-    held: &file::ProcessorSection,
+fn processor_config(
+    section: &file::ProcessorSection,
     names: &lemonusher_front::DeploymentNames,
-) -> Result<ProcessorConfig, Failure> {
+) -> Result<ProcessorConfig, CommandError> {
     let ms = |ms: u64| Duration::from_millis(ms);
-    let longest = names.class_configs.iter().map(|terms| terms.deadline).max().unwrap_or_default();
-    let signing_key = match &held.key_file {
+    let max_deadline = names.class_configs.iter().map(|terms| terms.deadline).max().unwrap_or_default();
+    let signing_key = match &section.key_file {
         Some(path) => {
             let path = path.get_ref();
             let bytes = std::fs::read(path)
-                .map_err(|error| Failure::File(vec![format!("{}: {error}", path.display())]))?;
+                .map_err(|error| CommandError::File(vec![format!("{}: {error}", path.display())]))?;
             lemonusher_external_call::SigningKey::new(bytes.trim_ascii())
         }
         None => lemonusher_external_call::SigningKey::new(&rand::random::<[u8; 32]>()),
@@ -319,32 +336,32 @@
         lemonusher_processor::RequestClass { name: name.clone(), max_client_timeout }
     });
     let server = lemonusher_processor::ServerConfig {
-        listen: *held.listen.get_ref(),
-        header_names: held.header_names(),
+        listen: *section.listen.get_ref(),
+        header_names: section.header_names(),
         request_classes: classes.collect(),
         signing_key,
-        token_validity: longest * 2,
-        max_streams: *held.max_streams.get_ref(),
-        read_table_group: held.body_is_statement.then_some(lemonusher_front::table_group),
+        token_validity: max_deadline * 2,
+        max_streams: *section.max_streams.get_ref(),
+        read_table_group: section.body_is_statement.then_some(lemonusher_front::table_group),
     };
     let calls = lemonusher_external_call::CallConfig {
-        message_timeout: ms(*held.message_timeout_ms.get_ref()),
-        failure_mode_allow: held.failure_mode == file::FailureMode::Open,
-        max_timeout_extension: ms(held.max_timeout_extension_ms),
-        retry_window: ms(held.retry_window_ms),
-        unknown_outcome_retention: longest * 2,
+        message_timeout: ms(*section.message_timeout_ms.get_ref()),
+        failure_mode_allow: section.failure_mode == file::FailureMode::Open,
+        max_timeout_extension: ms(section.max_timeout_extension_ms),
+        retry_window: ms(section.retry_window_ms),
+        unknown_outcome_retention: max_deadline * 2,
         idempotency: names.class_configs.iter().map(|terms| terms.idempotency).collect(),
-        max_calls: *held.max_streams.get_ref(),
-        max_remembered: held.max_remembered,
+        max_calls: *section.max_streams.get_ref(),
+        max_remembered: section.max_remembered,
     };
-    let tick = Duration::from_micros(*held.tick_us.get_ref());
-    Ok(ProcessorConfig { server, calls, recovers: held.recovers, tick })
+    let tick = Duration::from_micros(*section.tick_us.get_ref());
+    Ok(ProcessorConfig { server, calls, recovers: section.recovers, tick })
 }
 
 /// What the file says of managers, with the files read that it names.
-fn terms_of(managed: &file::ManagementSection) -> Result<Terms, Failure> {
+fn management_config(managed: &file::ManagementSection) -> Result<Terms, CommandError> {
     let read = |path: &PathBuf| {
-        std::fs::read(path).map_err(|error| Failure::File(vec![format!("{}: {error}", path.display())]))
+        std::fs::read(path).map_err(|error| CommandError::File(vec![format!("{}: {error}", path.display())]))
     };
     let text = |path: &PathBuf| read(path).map(|bytes| String::from_utf8_lossy(&bytes).into_owned());
     let mut users = Vec::new();
@@ -390,15 +407,18 @@
 }
 
 /// Speaks to a running front.
-fn speak(verb: Verb, reach: &Reach, json: bool) -> Result<(), Failure> {
+fn manage(command: Command, connection: &ConnectionArgs, json: bool) -> Result<(), CommandError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|error| Failure::Failed(error.to_string()))?;
+    let runtime = runtime.map_err(|error| CommandError::Failed(error.to_string()))?;
     runtime.block_on(async {
-        let mut client = Client::connect(reach, json).await?;
-        match verb {
-            Verb::Run { .. } | Verb::Check { .. } | Verb::Fleet { .. } | Verb::HandOver { .. } => Ok(()),
-            Verb::Plan { .. } | Verb::Site { .. } | Verb::Works { .. } => Ok(()),
-            Verb::Get { path, kind } => {
+        let mut client = Client::connect(connection, json).await?;
+        match command {
+            Command::Run { .. }
+            | Command::Check { .. }
+            | Command::Fleet { .. }
+            | Command::HandOver { .. } => Ok(()),
+            Command::Plan { .. } | Command::Site { .. } | Command::Works { .. } => Ok(()),
+            Command::Get { path, kind } => {
                 let kind = match kind {
                     Kind::All => DataType::All,
                     Kind::Config => DataType::Config,
@@ -406,13 +426,13 @@
                 };
                 client.get(&path, kind).await
             }
-            Verb::Set { path, value, terms } => client.set(&path, value.as_deref(), &terms).await,
-            Verb::Watch { path, every, count } => {
+            Command::Set { path, value, args } => client.set(&path, value.as_deref(), &args).await,
+            Command::Watch { path, every, count } => {
                 client.watch(&path, every.map(Duration::from_millis), count).await
             }
-            Verb::Commit { id, cancel } => client.confirm(&id, cancel).await,
-            Verb::Rollback { version } => client.roll_back(version).await,
-            Verb::History => client.history().await,
+            Command::Commit { id, cancel } => client.confirm(&id, cancel).await,
+            Command::Rollback { version } => client.rollback(version).await,
+            Command::History => client.history().await,
         }
     })
 }
--- a/crates/edges/cli/src/works.rs
+++ b/crates/edges/cli/src/works.rs
@@ -1,7 +1,7 @@
 //! What operators ask of works: each request is a register that they change as any front would.
 
 use crate::fleet::Operator;
-use crate::{Failure, read_file};
+use crate::{CommandError, read_file};
 use lemonusher_fleet::{Body, works_register};
 use lemonusher_maintenance::{
     MAX_CONCURRENT, MAX_MACHINES, MAX_REQUESTS, Machine, MachineStatus, MaintenanceRequest, Phase,
@@ -10,10 +10,10 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-const TRIES: usize = 8;
+const MAX_TRIES: usize = 8;
 
 #[derive(clap::Subcommand)]
-pub enum Verb {
+pub enum Command {
     /// Asks for machines, named by their ids in hex, to be taken out.
     Ask {
         #[arg(required = true)]
@@ -44,23 +44,23 @@
     Without { number: u8, front: String },
 }
 
-fn machine_of(text: &str) -> Result<Machine, Failure> {
+fn parse_machine(text: &str) -> Result<Machine, CommandError> {
     let hex = text.strip_prefix("s-").unwrap_or(text);
     Machine::from_str_radix(hex, 16)
-        .map_err(|_| Failure::Failed(format!("'{text}' is no engine's id in hex")))
+        .map_err(|_| CommandError::Failed(format!("'{text}' is no engine's id in hex")))
 }
 
-pub fn run(path: &Path, verb: Verb, json: bool) -> Result<(), Failure> {
-    let mut operator = Operator::of(path)?;
-    match verb {
-        Verb::Ask { machines, who, at_once, out_for, urgency } => {
-            let machines = machines.iter().map(|text| machine_of(text)).collect::<Result<Vec<_>, _>>()?;
+pub fn run(path: &Path, command: Command, json: bool) -> Result<(), CommandError> {
+    let mut operator = Operator::connect(path)?;
+    match command {
+        Command::Ask { machines, who, at_once, out_for, urgency } => {
+            let machines = machines.iter().map(|text| parse_machine(text)).collect::<Result<Vec<_>, _>>()?;
             let most = MAX_MACHINES * MAX_REQUESTS;
             if machines.len() > most
                 || at_once > MAX_CONCURRENT
                 || who.len() > lemonusher_maintenance::MAX_NAME_BYTES
             {
-                return Err(Failure::Failed(format!(
+                return Err(CommandError::Failed(format!(
                     "one request names {most} machines at most, {MAX_CONCURRENT} of them out at once, and who asks in {} \
                      bytes",
                     lemonusher_maintenance::MAX_NAME_BYTES
@@ -68,42 +68,42 @@
             }
             ask(&mut operator, &MaintenanceRequest::new(&who, urgency, at_once, out_for, &machines), json)
         }
-        Verb::List => list(&mut operator, &fronts_that_count(path).unwrap_or_default(), json),
-        Verb::Hold { number } => edit(&mut operator, number, json, "is held", |work| {
+        Command::List => list(&mut operator, &required_fronts(path).unwrap_or_default(), json),
+        Command::Hold { number } => edit(&mut operator, number, json, "is held", |work| {
             work.on_hold = true;
             true
         }),
-        Verb::GoOn { number } => edit(&mut operator, number, json, "goes on", |work| {
+        Command::GoOn { number } => edit(&mut operator, number, json, "goes on", |work| {
             work.on_hold = false;
             true
         }),
-        Verb::Withdraw { number } => edit(&mut operator, number, json, "is withdrawn", |work| {
+        Command::Withdraw { number } => edit(&mut operator, number, json, "is withdrawn", |work| {
             work.withdraw();
             true
         }),
-        Verb::Without { number, front } => {
-            let fronts = fronts_that_count(path)?;
+        Command::Without { number, front } => {
+            let fronts = required_fronts(path)?;
             edit(&mut operator, number, json, "does not wait for it", |work| {
                 work.extension.dead_fronts.add(&fronts, &front)
             })
         }
-        Verb::Back { machine } => {
-            let machine = machine_of(&machine)?;
+        Command::Back { machine } => {
+            let machine = parse_machine(&machine)?;
             for number in 0..MAX_REQUESTS as u8 {
-                let back = |stands: Option<MaintenanceRequest>| {
-                    stands.and_then(|mut work| work.mark_returned(machine).then_some(work))
+                let back = |current: Option<MaintenanceRequest>| {
+                    current.and_then(|mut work| work.mark_returned(machine).then_some(work))
                 };
                 if let Some(version) = change(&mut operator, number, back)? {
-                    tell(json, number, version, "has a machine back");
+                    print_change(json, number, version, "has a machine back");
                     return Ok(());
                 }
             }
-            Err(Failure::Failed(format!("{machine:08x} is not released: nobody expects it back")))
+            Err(CommandError::Failed(format!("{machine:08x} is not released: nobody expects it back")))
         }
     }
 }
 
-fn tell(json: bool, number: u8, version: u64, what: &str) {
+fn print_change(json: bool, number: u8, version: u64, what: &str) {
     if json {
         println!("{}", serde_json::json!({"request": number, "version": version}));
     } else {
@@ -112,25 +112,26 @@
 }
 
 /// The fronts that count, as the operator's file names them.
-fn fronts_that_count(path: &Path) -> Result<Vec<String>, Failure> {
+fn required_fronts(path: &Path) -> Result<Vec<String>, CommandError> {
     let works = read_file(path)?.fleet.and_then(|fleet| fleet.maintenance);
     let works =
-        works.ok_or_else(|| Failure::File(vec![format!("{}: has no [fleet.works]", path.display())]))?;
+        works.ok_or_else(|| CommandError::File(vec![format!("{}: has no [fleet.works]", path.display())]))?;
     Ok(works.into_inner().required_fronts)
 }
 
 /// Asks for machines, in as many registers as they need; nothing is asked for unless there are as many free.
-fn ask(operator: &mut Operator, work: &MaintenanceRequest, json: bool) -> Result<(), Failure> {
+fn ask(operator: &mut Operator, work: &MaintenanceRequest, json: bool) -> Result<(), CommandError> {
     let mut parts = work.split(rand::random());
-    let free = |stands: &Option<MaintenanceRequest>| stands.as_ref().is_none_or(MaintenanceRequest::is_over);
+    let free =
+        |current: &Option<MaintenanceRequest>| current.as_ref().is_none_or(MaintenanceRequest::is_over);
     if parts.len() > 1 {
-        let mut room = 0;
+        let mut free_places = 0;
         for number in 0..MAX_REQUESTS as u8 {
-            room += usize::from(free(&read(operator, number)?));
+            free_places += usize::from(free(&read(operator, number)?));
         }
-        if room < parts.len() {
-            return Err(Failure::Failed(format!(
-                "{room} of {MAX_REQUESTS} places for {MAX_MACHINES} machines each are free, and this takes {}; ask again \
+        if free_places < parts.len() {
+            return Err(CommandError::Failed(format!(
+                "{free_places} of {MAX_REQUESTS} places for {MAX_MACHINES} machines each are free, and this takes {}; ask again \
                  when a request is over",
                 parts.len()
             )));
@@ -139,15 +140,15 @@
     parts.reverse();
     for number in 0..MAX_REQUESTS as u8 {
         let Some(part) = parts.last() else { return Ok(()) };
-        if let Some(version) = change(operator, number, |stands| free(&stands).then(|| part.clone()))? {
-            tell(json, number, version, "is asked for");
+        if let Some(version) = change(operator, number, |current| free(&current).then(|| part.clone()))? {
+            print_change(json, number, version, "is asked for");
             parts.pop();
         }
     }
     if parts.is_empty() {
         return Ok(());
     }
-    Err(Failure::Failed(format!("{MAX_REQUESTS} requests are under way; ask again when one is over")))
+    Err(CommandError::Failed(format!("{MAX_REQUESTS} requests are under way; ask again when one is over")))
 }
 
 /// Edits a request, in all registers that hold parts of it.
@@ -157,54 +158,54 @@
     json: bool,
     what: &str,
     edit: impl Fn(&mut MaintenanceRequest) -> bool,
-) -> Result<(), Failure> {
+) -> Result<(), CommandError> {
     let edited =
-        |stands: Option<MaintenanceRequest>| stands.and_then(|mut work| edit(&mut work).then_some(work));
+        |current: Option<MaintenanceRequest>| current.and_then(|mut work| edit(&mut work).then_some(work));
     let whole = read(operator, number)?;
     for part in 0..MAX_REQUESTS as u8 {
         if part != number
             && let Some(whole) = whole.as_ref().filter(|whole| whole.extension.request_group != 0)
         {
-            let part_of_it = |stands: Option<MaintenanceRequest>| {
-                edited(stands.filter(|other| other.is_same_request(whole)))
+            let part_of_it = |current: Option<MaintenanceRequest>| {
+                edited(current.filter(|other| other.is_same_request(whole)))
             };
             if let Some(version) = change(operator, part, part_of_it)? {
-                tell(json, part, version, what);
+                print_change(json, part, version, what);
             }
         }
     }
     match change(operator, number, edited)? {
         Some(version) => {
-            tell(json, number, version, what);
+            print_change(json, number, version, what);
             Ok(())
         }
-        None => Err(Failure::Failed(format!("there is no request {number}, or it can't be changed so"))),
+        None => Err(CommandError::Failed(format!("there is no request {number}, or it can't be changed so"))),
     }
 }
 
-/// What stands in a register, by a whole round.
-fn read(operator: &mut Operator, number: u8) -> Result<Option<MaintenanceRequest>, Failure> {
+/// What current in a register, by a whole round.
+fn read(operator: &mut Operator, number: u8) -> Result<Option<MaintenanceRequest>, CommandError> {
     match operator.propose(&works_register(number), Operation::Read)? {
         ProposalOutcome::Committed { entry, .. } | ProposalOutcome::Conflict { entry, .. } => {
             Ok(entry.and_then(|entry| MaintenanceRequest::from_bytes(&entry.value)))
         }
         ProposalOutcome::Unknown { .. } => {
-            Err(Failure::Failed("too few voters answered; look and ask again".to_owned()))
+            Err(CommandError::Failed("too few voters answered; look and ask again".to_owned()))
         }
     }
 }
 
-/// Settles what `next` makes of what stands there, however often another comes first; none where it makes nothing.
+/// Settles what `next` makes of what current there, however often another comes first; none where it makes nothing.
 fn change(
     operator: &mut Operator,
     number: u8,
     next: impl Fn(Option<MaintenanceRequest>) -> Option<MaintenanceRequest>,
-) -> Result<Option<u64>, Failure> {
+) -> Result<Option<u64>, CommandError> {
     let name = works_register(number);
     let mut wanted = Operation::Read;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_TRIES {
         let reads = wanted == Operation::Read;
-        let stands: Option<Entry> = match operator.propose(&name, wanted)? {
+        let current: Option<Entry> = match operator.propose(&name, wanted)? {
             ProposalOutcome::Committed { entry, .. } if !reads => {
                 return Ok(entry.map(|entry| entry.version.counter));
             }
@@ -212,19 +213,19 @@
             ProposalOutcome::Unknown { .. } => break,
         };
         let Some(value) =
-            next(stands.as_ref().and_then(|entry| MaintenanceRequest::from_bytes(&entry.value)))
+            next(current.as_ref().and_then(|entry| MaintenanceRequest::from_bytes(&entry.value)))
         else {
             return Ok(None);
         };
-        let (after, number) = stands.map_or((None, 0), |entry| (Some(entry.version), entry.fencing_token));
+        let (after, number) = current.map_or((None, 0), |entry| (Some(entry.version), entry.fencing_token));
         wanted = Operation::CompareAndSet { expected: after, fencing_token: number, value: value.to_bytes() };
     }
-    Err(Failure::Failed("too few voters answered, or others came first; look and ask again".to_owned()))
+    Err(CommandError::Failed("too few voters answered, or others came first; look and ask again".to_owned()))
 }
 
-fn list(operator: &mut Operator, fronts: &[String], json: bool) -> Result<(), Failure> {
+fn list(operator: &mut Operator, fronts: &[String], json: bool) -> Result<(), CommandError> {
     let mut answered = false;
-    let mut voters = operator.terms.voters.clone();
+    let mut voters = operator.config.voters.clone();
     let mut first_part: BTreeMap<u64, u8> = BTreeMap::new();
     for number in 0..MAX_REQUESTS as u8 {
         let mut best: Option<((u64, u64), MaintenanceRequest)> = None;
@@ -285,6 +286,6 @@
     if answered {
         Ok(())
     } else {
-        Err(Failure::Failed("no voter answered, or [fleet.works] is not in the file".to_owned()))
+        Err(CommandError::Failed("no voter answered, or [fleet.works] is not in the file".to_owned()))
     }
 }
