--- a/crates/edges/cli/src/file/mod.rs
+++ b/crates/edges/cli/src/file/mod.rs
@@ -9,9 +9,9 @@
 mod processor;
 mod zones;
 
-pub use fleet::FleetSection;
+pub use fleet::{FleetSection, TaskSection};
 pub use log::{LogFormat, LogLevel, LogSection};
-pub use management::{Access, ManagementSection};
+pub use management::{Access, GnmiSection, ManagementSection, NetconfSection, UserSection};
 pub use processor::{FailureMode, ProcessorSection};
 
 use serde::Deserialize;
--- /dev/null
+++ b/crates/edges/cli/src/fleet/leases.rs
@@ -0,0 +1,188 @@
+//! `lemonusher fleet` and `lemonusher hand-over`: the leases and registers of the voters.
+
+use super::operator::{Operator, REPLY_TIMEOUT};
+use crate::error::CommandError;
+use lemonusher_fleet::{Body, MemberRow, RegisterRow, Row};
+use serde_json::json;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::time::Instant;
+
+struct VoterLeases {
+    /// The voter started lately and does not vote yet.
+    is_silent: bool,
+    rows: Vec<Row>,
+}
+
+struct VoterRegisters {
+    votes: bool,
+    epoch: u64,
+    rows: Vec<RegisterRow>,
+}
+
+/// What one voter shows.
+struct VoterState {
+    voter: SocketAddr,
+    /// None if it does not answer.
+    leases: Option<VoterLeases>,
+    registers: Option<VoterRegisters>,
+    members: Option<Vec<MemberRow>>,
+}
+
+impl Operator {
+    fn voter_state(&mut self, voter: SocketAddr) -> Result<VoterState, CommandError> {
+        let leases = self.leases(voter)?;
+        let registers = if leases.is_some() { self.registers(voter)? } else { None };
+        let members = if leases.is_some() { self.members(voter)? } else { None };
+        Ok(VoterState { voter, leases, registers, members })
+    }
+
+    /// All leases that a voter has granted; none if it does not answer.
+    fn leases(&mut self, voter: SocketAddr) -> Result<Option<VoterLeases>, CommandError> {
+        let mut all: Vec<Row> = Vec::new();
+        loop {
+            let after = all.last().map(|row| row.task.clone()).unwrap_or_default();
+            match self.ask(voter, &Body::ShowLeases { after })? {
+                Some(Body::Leases { mute, rows, more }) => {
+                    all.extend(rows);
+                    if !more {
+                        return Ok(Some(VoterLeases { is_silent: mute, rows: all }));
+                    }
+                }
+                _ => return Ok(None),
+            }
+        }
+    }
+
+    /// All registers that a voter has accepted; none if it does not answer.
+    fn registers(&mut self, voter: SocketAddr) -> Result<Option<VoterRegisters>, CommandError> {
+        let mut all: Vec<RegisterRow> = Vec::new();
+        loop {
+            let after = all.last().map(|row| row.name.clone()).unwrap_or_default();
+            match self.ask(voter, &Body::ShowRegisters { after })? {
+                Some(Body::Registers { votes, era, rows, more }) => {
+                    all.extend(rows);
+                    if !more {
+                        return Ok(Some(VoterRegisters { votes, epoch: era, rows: all }));
+                    }
+                }
+                _ => return Ok(None),
+            }
+        }
+    }
+
+    /// All other fronts that a front knows; none if it does not answer.
+    fn members(&mut self, front: SocketAddr) -> Result<Option<Vec<MemberRow>>, CommandError> {
+        let mut all: Vec<MemberRow> = Vec::new();
+        loop {
+            let after = all.last().map(|row| (row.name.clone(), row.born)).unwrap_or_default();
+            match self.ask(front, &Body::ShowMembers { after })? {
+                Some(Body::Members { rows, more }) => {
+                    all.extend(rows);
+                    if !more {
+                        return Ok(Some(all));
+                    }
+                }
+                _ => return Ok(None),
+            }
+        }
+    }
+
+    /// The lease on a task, by the first voter that shows one.
+    fn holder(&mut self, task: &str) -> Result<Option<Row>, CommandError> {
+        for voter in self.config.voters.clone() {
+            let rows = self.leases(voter)?.map(|leases| leases.rows).unwrap_or_default();
+            let lease = rows.into_iter().find(|row| row.task == task);
+            if lease.is_some() {
+                return Ok(lease);
+            }
+        }
+        Ok(None)
+    }
+}
+
+/// Prints the leases and registers of each voter, and the fronts that it knows. Fails unless a majority votes.
+pub fn show(path: &Path, json: bool) -> Result<(), CommandError> {
+    let mut operator = Operator::connect(path)?;
+    let voters = operator.config.voters.clone();
+    let mut voting = 0;
+    for voter in &voters {
+        let state = operator.voter_state(*voter)?;
+        voting += usize::from(state.leases.as_ref().is_some_and(|leases| !leases.is_silent));
+        if json { state.print_json() } else { state.print_text() }
+    }
+    if voting * 2 > voters.len() {
+        return Ok(());
+    }
+    Err(CommandError::Failed(format!("{voting} of {} voters vote: nothing is granted", voters.len())))
+}
+
+impl VoterState {
+    fn print_json(&self) {
+        let leases = self.leases.as_ref();
+        let registers = self.registers.as_ref().map(
+            |registers| json!({"votes": registers.votes, "era": registers.epoch, "rows": registers.rows}),
+        );
+        println!(
+            "{}",
+            json!({
+                "voter": self.voter,
+                "answers": leases.is_some(),
+                "mute": leases.map(|leases| leases.is_silent),
+                "leases": leases.map(|leases| &leases.rows),
+                "registers": registers,
+                "fronts": self.members,
+            })
+        );
+    }
+
+    fn print_text(&self) {
+        let voter = self.voter;
+        match &self.leases {
+            None => println!("voter {voter}: does not answer"),
+            Some(VoterLeases { is_silent: true, .. }) => {
+                println!("voter {voter}: has started lately and does not vote yet");
+            }
+            Some(VoterLeases { rows, .. }) => {
+                println!("voter {voter}: {} leases", rows.len());
+                for Row { task, who, number, left } in rows {
+                    println!("  {task:<24} {who}  number {number}, {:.1} s left", left.as_secs_f64());
+                }
+            }
+        }
+        if let Some(VoterRegisters { votes, epoch, rows }) = &self.registers {
+            let memory = if *votes { "it votes" } else { "it has no memory yet" };
+            println!("  registers: {memory}, era {epoch}");
+            for RegisterRow { name, stamp, number, long } in rows {
+                println!("  {name:<24} version {}, written under {number}, {long} bytes", stamp.counter);
+            }
+        }
+        if let Some(members) = &self.members {
+            let names: Vec<&str> = members.iter().map(|row| row.name.as_str()).collect();
+            println!("  it sees {} other fronts: {}", names.len(), names.join(", "));
+        }
+    }
+}
+
+/// Asks the holder of a task to hand it over to another front.
+pub fn hand_over(path: &Path, task: &str, json: bool) -> Result<(), CommandError> {
+    let mut operator = Operator::connect(path)?;
+    let before =
+        operator.holder(task)?.ok_or_else(|| CommandError::Failed(format!("nobody holds {task}")))?;
+    for voter in operator.config.voters.clone() {
+        operator.send(Body::HandOver { task: task.to_owned() }, voter)?;
+    }
+    let deadline = Instant::now() + operator.config.leases.voter_hold_time() * 4;
+    while Instant::now() < deadline {
+        std::thread::sleep(REPLY_TIMEOUT / 5);
+        let Some(now) = operator.holder(task)?.filter(|row| row.number > before.number) else { continue };
+        let Row { who, number, .. } = now;
+        if json {
+            println!("{}", json!({"task": task, "from": before.who, "to": who, "number": number}));
+        } else {
+            println!("{task}: from {} to {who}, number {number}", before.who);
+        }
+        return Ok(());
+    }
+    Err(CommandError::Failed(format!("{task} was not taken by another; {} held it", before.who)))
+}
--- a/crates/edges/cli/src/works.rs
+++ b/crates/edges/cli/src/fleet/maintenance.rs
@@ -1,19 +1,24 @@
-//! What operators ask of works: each request is a register that they change as any front would.
+//! `lemonusher works`: maintenance requests. Each is a register that operators change as any front would.
 
-use crate::fleet::Operator;
-use crate::{CommandError, read_file};
+use super::operator::Operator;
+use crate::error::CommandError;
+use crate::inputs::read_file;
 use lemonusher_fleet::{Body, works_register};
 use lemonusher_maintenance::{
-    MAX_CONCURRENT, MAX_MACHINES, MAX_REQUESTS, Machine, MachineStatus, MaintenanceRequest, Phase,
+    MAX_CONCURRENT, MAX_MACHINES, MAX_NAME_BYTES, MAX_REQUESTS, Machine, MachineStatus, MaintenanceRequest,
+    Phase,
 };
 use lemonusher_registers::{Entry, Operation, ProposalOutcome};
+use serde_json::json;
 use std::collections::BTreeMap;
+use std::net::SocketAddr;
 use std::path::Path;
 
+/// How often a change is tried again after another came first.
 const MAX_TRIES: usize = 8;
 
 #[derive(clap::Subcommand)]
-pub enum Command {
+pub enum MaintenanceCommand {
     /// Asks for machines, named by their ids in hex, to be taken out.
     Ask {
         #[arg(required = true)]
@@ -50,62 +55,68 @@
         .map_err(|_| CommandError::Failed(format!("'{text}' is no engine's id in hex")))
 }
 
-pub fn run(path: &Path, command: Command, json: bool) -> Result<(), CommandError> {
+/// Carries out a command on maintenance requests.
+pub fn run(path: &Path, command: MaintenanceCommand, json: bool) -> Result<(), CommandError> {
     let mut operator = Operator::connect(path)?;
     match command {
-        Command::Ask { machines, who, at_once, out_for, urgency } => {
+        MaintenanceCommand::Ask { machines, who, at_once, out_for, urgency } => {
             let machines = machines.iter().map(|text| parse_machine(text)).collect::<Result<Vec<_>, _>>()?;
-            let most = MAX_MACHINES * MAX_REQUESTS;
-            if machines.len() > most
-                || at_once > MAX_CONCURRENT
-                || who.len() > lemonusher_maintenance::MAX_NAME_BYTES
-            {
-                return Err(CommandError::Failed(format!(
-                    "one request names {most} machines at most, {MAX_CONCURRENT} of them out at once, and who asks in {} \
-                     bytes",
-                    lemonusher_maintenance::MAX_NAME_BYTES
-                )));
-            }
-            ask(&mut operator, &MaintenanceRequest::new(&who, urgency, at_once, out_for, &machines), json)
+            check_bounds(&machines, &who, at_once)?;
+            let request = MaintenanceRequest::new(&who, urgency, at_once, out_for, &machines);
+            ask(&mut operator, &request, json)
         }
-        Command::List => list(&mut operator, &required_fronts(path).unwrap_or_default(), json),
-        Command::Hold { number } => edit(&mut operator, number, json, "is held", |work| {
+        MaintenanceCommand::List => list(&mut operator, &required_fronts(path).unwrap_or_default(), json),
+        MaintenanceCommand::Hold { number } => edit(&mut operator, number, json, "is held", |work| {
             work.on_hold = true;
             true
         }),
-        Command::GoOn { number } => edit(&mut operator, number, json, "goes on", |work| {
+        MaintenanceCommand::GoOn { number } => edit(&mut operator, number, json, "goes on", |work| {
             work.on_hold = false;
             true
         }),
-        Command::Withdraw { number } => edit(&mut operator, number, json, "is withdrawn", |work| {
-            work.withdraw();
-            true
-        }),
-        Command::Without { number, front } => {
+        MaintenanceCommand::Withdraw { number } => {
+            edit(&mut operator, number, json, "is withdrawn", |work| {
+                work.withdraw();
+                true
+            })
+        }
+        MaintenanceCommand::Without { number, front } => {
             let fronts = required_fronts(path)?;
             edit(&mut operator, number, json, "does not wait for it", |work| {
                 work.extension.dead_fronts.add(&fronts, &front)
             })
         }
-        Command::Back { machine } => {
-            let machine = parse_machine(&machine)?;
-            for number in 0..MAX_REQUESTS as u8 {
-                let back = |current: Option<MaintenanceRequest>| {
-                    current.and_then(|mut work| work.mark_returned(machine).then_some(work))
-                };
-                if let Some(version) = change(&mut operator, number, back)? {
-                    print_change(json, number, version, "has a machine back");
-                    return Ok(());
-                }
-            }
-            Err(CommandError::Failed(format!("{machine:08x} is not released: nobody expects it back")))
+        MaintenanceCommand::Back { machine } => mark_returned(&mut operator, parse_machine(&machine)?, json),
+    }
+}
+
+fn check_bounds(machines: &[Machine], who: &str, at_once: u16) -> Result<(), CommandError> {
+    let max_machines = MAX_MACHINES * MAX_REQUESTS;
+    if machines.len() <= max_machines && at_once <= MAX_CONCURRENT && who.len() <= MAX_NAME_BYTES {
+        return Ok(());
+    }
+    Err(CommandError::Failed(format!(
+        "one request names {max_machines} machines at most, {MAX_CONCURRENT} of them out at once, and who asks in \
+         {MAX_NAME_BYTES} bytes"
+    )))
+}
+
+fn mark_returned(operator: &mut Operator, machine: Machine, json: bool) -> Result<(), CommandError> {
+    for number in 0..MAX_REQUESTS as u8 {
+        let returned = |current: Option<MaintenanceRequest>| {
+            current.and_then(|mut request| request.mark_returned(machine).then_some(request))
+        };
+        if let Some(version) = change(operator, number, returned)? {
+            print_change(json, number, version, "has a machine back");
+            return Ok(());
         }
     }
+    Err(CommandError::Failed(format!("{machine:08x} is not released: nobody expects it back")))
 }
 
 fn print_change(json: bool, number: u8, version: u64, what: &str) {
     if json {
-        println!("{}", serde_json::json!({"request": number, "version": version}));
+        println!("{}", json!({"request": number, "version": version}));
     } else {
         println!("request {number} {what}, version {version}");
     }
@@ -223,69 +234,102 @@
     Err(CommandError::Failed("too few voters answered, or others came first; look and ask again".to_owned()))
 }
 
+/// A maintenance request as the voters show it.
+struct ShownRequest {
+    number: u8,
+    /// Epoch and counter of the register's entry.
+    version: (u64, u64),
+    request: MaintenanceRequest,
+    /// Number of the first register that holds a part of it, if it is kept in several.
+    part_of: Option<u8>,
+    /// Why it does not go on, as the coordinator says.
+    blocked: Option<String>,
+}
+
 fn list(operator: &mut Operator, fronts: &[String], json: bool) -> Result<(), CommandError> {
-    let mut answered = false;
     let mut voters = operator.config.voters.clone();
-    let mut first_part: BTreeMap<u64, u8> = BTreeMap::new();
+    let mut has_answer = false;
+    let mut first_parts: BTreeMap<u64, u8> = BTreeMap::new();
     for number in 0..MAX_REQUESTS as u8 {
-        let mut best: Option<((u64, u64), MaintenanceRequest)> = None;
-        let mut waits = None;
-        for voter in voters.clone() {
-            let Some(Body::MaintenanceShown { work, why, foreman, .. }) =
-                operator.ask(voter, &Body::ShowMaintenance { number })?
-            else {
-                voters.retain(|other| *other != voter); // It would cost its patience for each register.
-                continue;
-            };
-            answered = true;
-            if foreman {
-                waits = why;
-            }
-            let shown =
-                work.and_then(|(stamp, bytes)| Some((stamp, MaintenanceRequest::from_bytes(&bytes)?)));
-            if shown.as_ref().map(|(stamp, _)| *stamp) > best.as_ref().map(|(stamp, _)| *stamp) {
-                best = shown;
-            }
-        }
-        let Some((stamp, work)) = best else { continue };
-        let first = *first_part.entry(work.extension.request_group).or_insert(number);
-        let part_of = (work.extension.request_group != 0).then_some(first);
-        if json {
-            let left_out: Vec<&String> = fronts.iter().filter(|front| work.excludes(fronts, front)).collect();
-            let machines = work.machines.iter().map(
-                |MachineStatus { machine, phase }| serde_json::json!({"machine": format!("{machine:08x}"), "phase": phase}),
-            );
-            println!(
-                "{}",
-                serde_json::json!({"request": number, "version": stamp.1, "who": work.requester, "urgency": work.urgency,
-                    "at_once": work.max_concurrent, "part_of": part_of, "held": work.on_hold, "over": work.is_over(), "waits": waits,
-                    "without": left_out, "machines": machines.collect::<Vec<_>>()})
-            );
+        let Some(mut shown) = show_request(operator, number, &mut voters, &mut has_answer)? else { continue };
+        let group = shown.request.extension.request_group;
+        let first = *first_parts.entry(group).or_insert(number);
+        shown.part_of = (group != 0).then_some(first);
+        if json { shown.print_json(fronts) } else { shown.print_text() }
+    }
+    if has_answer {
+        return Ok(());
+    }
+    Err(CommandError::Failed("no voter answered, or [fleet.works] is not in the file".to_owned()))
+}
+
+/// The latest version of a request that any voter shows. A voter that does not answer is not asked again.
+fn show_request(
+    operator: &mut Operator,
+    number: u8,
+    voters: &mut Vec<SocketAddr>,
+    has_answer: &mut bool,
+) -> Result<Option<ShownRequest>, CommandError> {
+    let mut latest: Option<((u64, u64), MaintenanceRequest)> = None;
+    let mut blocked = None;
+    for voter in voters.clone() {
+        let Some(Body::MaintenanceShown { work, why, foreman, .. }) =
+            operator.ask(voter, &Body::ShowMaintenance { number })?
+        else {
+            voters.retain(|other| *other != voter);
             continue;
+        };
+        *has_answer = true;
+        if foreman {
+            blocked = why;
+        }
+        let shown =
+            work.and_then(|(version, bytes)| Some((version, MaintenanceRequest::from_bytes(&bytes)?)));
+        if shown.as_ref().map(|(version, _)| *version) > latest.as_ref().map(|(version, _)| *version) {
+            latest = shown;
         }
-        let count = |holds: fn(&Phase) -> bool| work.machines.iter().filter(|one| holds(&one.phase)).count();
+    }
+    let shown = |(version, request)| ShownRequest { number, version, request, part_of: None, blocked };
+    Ok(latest.map(shown))
+}
+
+impl ShownRequest {
+    fn print_json(&self, fronts: &[String]) {
+        let request = &self.request;
+        let excluded: Vec<&String> = fronts.iter().filter(|front| request.excludes(fronts, front)).collect();
+        let machines = request.machines.iter().map(
+            |MachineStatus { machine, phase }| json!({"machine": format!("{machine:08x}"), "phase": phase}),
+        );
+        println!(
+            "{}",
+            json!({"request": self.number, "version": self.version.1, "who": request.requester,
+                "urgency": request.urgency, "at_once": request.max_concurrent, "part_of": self.part_of,
+                "held": request.on_hold, "over": request.is_over(), "waits": self.blocked,
+                "without": excluded, "machines": machines.collect::<Vec<_>>()})
+        );
+    }
+
+    fn print_text(&self) {
+        let ShownRequest { number, request, .. } = self;
+        let count =
+            |matches: fn(&Phase) -> bool| request.machines.iter().filter(|one| matches(&one.phase)).count();
         println!(
             "request {number} of {}: {} machines, {} asked, {} out, {} over{}",
-            work.requester,
-            work.machines.len(),
+            request.requester,
+            request.machines.len(),
             count(|phase| *phase == Phase::Pending),
             count(|phase| phase.is_out()),
             count(|phase| phase.is_over()),
-            if work.on_hold { "; held" } else { "" }
+            if request.on_hold { "; held" } else { "" }
         );
-        if let Some(first) = part_of.filter(|first| *first != number) {
+        if let Some(first) = self.part_of.filter(|first| first != number) {
             println!("  part of request {first}");
         }
-        for MachineStatus { machine, phase } in work.machines.iter().filter(|one| one.phase.is_out()) {
+        for MachineStatus { machine, phase } in request.machines.iter().filter(|one| one.phase.is_out()) {
             println!("  {machine:08x} {phase}");
         }
-        if let Some(why) = waits {
-            println!("  waits: {why}");
+        if let Some(blocked) = &self.blocked {
+            println!("  waits: {blocked}");
         }
     }
-    if answered {
-        Ok(())
-    } else {
-        Err(CommandError::Failed("no voter answered, or [fleet.works] is not in the file".to_owned()))
-    }
 }
--- /dev/null
+++ b/crates/edges/cli/src/fleet/mod.rs
@@ -0,0 +1,61 @@
+//! The fleet's part of an operator's file, and the commands that ask the fleet.
+
+mod leases;
+mod maintenance;
+mod operator;
+mod zones;
+
+pub use leases::{hand_over, show};
+pub use maintenance::{MaintenanceCommand, run as run_maintenance};
+pub use zones::{ZoneOverride, override_zone, plan};
+
+use crate::error::{CommandError, read_bytes};
+use crate::file::{FleetSection, TaskSection};
+use lemonusher_fleet::{Key, Task, Terms};
+use lemonusher_leases::LeaseConfig;
+use std::time::Duration;
+
+/// Shortest key, in bytes.
+const MIN_KEY_BYTES: usize = 16;
+
+/// The configuration that the file states, with the key read, for a front of this name in this zone.
+pub fn fleet_config(section: &FleetSection, front: &str, zone: u32) -> Result<Terms, CommandError> {
+    let path = section.key_file.get_ref();
+    let key = read_bytes(path)?;
+    if key.trim_ascii().len() < MIN_KEY_BYTES {
+        let message = format!("{}: a key has {MIN_KEY_BYTES} bytes at least", path.display());
+        return Err(CommandError::File(vec![message]));
+    }
+    Ok(Terms {
+        name: front.to_owned(),
+        listen: *section.listen.get_ref(),
+        key: Key::new(key.trim_ascii()),
+        leases: LeaseConfig {
+            duration: Duration::from_millis(*section.lease_ms.get_ref()),
+            clock_drift_permille: *section.clock_drift_permille.get_ref(),
+            max_action_time: Duration::from_millis(section.max_action_time_ms),
+        },
+        voters: section.voters.get_ref().clone(),
+        votes: section.is_voter,
+        place: section.own_voter_index(),
+        known_as: section.advertised_address.as_ref().map(|address| *address.get_ref()),
+        location: zone,
+        folder: section.state_folder.as_ref().map(|folder| folder.get_ref().clone()),
+        tasks: section.tasks.iter().map(task).collect(),
+        seats: section.quota_slots,
+        wants: section.wanted_slots,
+        number: section.first_slot,
+        sites: None,
+        works: None,
+    })
+}
+
+fn task(section: &TaskSection) -> Task {
+    Task {
+        name: section.name.get_ref().clone(),
+        tell: section.notify.as_ref().map(|to| *to.get_ref()),
+        every: Duration::from_millis(*section.interval_ms.get_ref()),
+        takes: Duration::from_millis(section.duration_ms),
+        fenced: section.is_fenced,
+    }
+}
--- /dev/null
+++ b/crates/edges/cli/src/fleet/operator.rs
@@ -0,0 +1,100 @@
+//! An operator's datagrams to the fleet. An operator has a name of its own and holds nothing.
+
+use super::fleet_config;
+use crate::error::CommandError;
+use crate::inputs::read_file;
+use lemonusher_fleet::{Body, Frame, Terms};
+use lemonusher_leases::Incarnation;
+use lemonusher_registers::{Operation, ProposalOutcome, Proposer};
+use std::net::{SocketAddr, UdpSocket};
+use std::path::Path;
+use std::time::{Duration, Instant};
+
+/// How long a reply is waited for.
+pub const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
+/// How often one question is sent.
+pub const MAX_TRIES: usize = 3;
+/// Longest datagram that is read.
+const MAX_DATAGRAM_BYTES: usize = 2048;
+
+/// An operator beside the fleet.
+pub struct Operator {
+    /// The fleet's configuration, as the file states it.
+    pub config: Terms,
+    incarnation: Incarnation,
+    sequence: u64,
+    socket: UdpSocket,
+}
+
+impl Operator {
+    /// Reads the operator's file, and opens a socket.
+    pub fn connect(path: &Path) -> Result<Operator, CommandError> {
+        let file = read_file(path)?;
+        let section = file.fleet.as_ref().ok_or_else(|| {
+            CommandError::File(vec![format!("{}: has no [fleet], so there is nobody to ask", path.display())])
+        })?;
+        let failed = |error: std::io::Error| CommandError::Failed(error.to_string());
+        let socket = UdpSocket::bind(("127.0.0.1", 0)).map_err(failed)?;
+        socket.set_read_timeout(Some(REPLY_TIMEOUT)).map_err(failed)?;
+        let incarnation = Incarnation { name: "operator".to_owned(), id: rand::random() };
+        Ok(Operator { config: fleet_config(section, "operator", 0)?, incarnation, sequence: 0, socket })
+    }
+
+    /// Sends a message once.
+    pub fn send(&mut self, body: Body, to: SocketAddr) -> Result<(), CommandError> {
+        self.sequence += 1;
+        let terms = lemonusher_fleet::mark(&self.config);
+        let frame = Frame { from: self.incarnation.clone(), seq: self.sequence, terms, body };
+        let sealed =
+            frame.seal(&self.config.key).ok_or_else(|| CommandError::Failed("it is too long".to_owned()))?;
+        self.socket.send_to(&sealed, to).map(drop).map_err(|error| CommandError::Failed(error.to_string()))
+    }
+
+    /// Asks a voter, again if no reply comes; none if there is none at all.
+    pub fn ask(&mut self, voter: SocketAddr, body: &Body) -> Result<Option<Body>, CommandError> {
+        for _ in 0..MAX_TRIES {
+            self.send(body.clone(), voter)?;
+            let mut bytes = [0; MAX_DATAGRAM_BYTES];
+            let Ok((length, from)) = self.socket.recv_from(&mut bytes) else { continue };
+            if let Some(frame) =
+                Frame::open(&bytes[..length], &self.config.key).ok().filter(|_| from == voter)
+            {
+                return Ok(Some(frame.body));
+            }
+        }
+        Ok(None)
+    }
+
+    /// Proposes a change of a register as any front would, and waits for the outcome.
+    pub fn propose(&mut self, name: &str, change: Operation) -> Result<ProposalOutcome, CommandError> {
+        let started = Instant::now();
+        let mut proposer = Proposer::new(self.incarnation.clone(), self.config.voters.len());
+        let terms = self.config.leases;
+        self.socket
+            .set_read_timeout(Some(REPLY_TIMEOUT / 10))
+            .map_err(|e| CommandError::Failed(e.to_string()))?;
+        let mut requests = proposer.propose(started.elapsed(), name, change);
+        let until = terms.duration * 4 + REPLY_TIMEOUT * 4;
+        while started.elapsed() < until {
+            for sent in std::mem::take(&mut requests) {
+                if let Some(voter) = self.config.voters.get(sent.voter).copied() {
+                    self.send(Body::RegisterRequest(sent.request), voter)?;
+                }
+            }
+            let mut bytes = [0; MAX_DATAGRAM_BYTES];
+            if let Ok((length, from)) = self.socket.recv_from(&mut bytes)
+                && let Some(voter) = self.config.voters.iter().position(|known| *known == from)
+                && let Ok(Frame { body: Body::RegisterReply(reply), .. }) =
+                    Frame::open(&bytes[..length], &self.config.key)
+            {
+                requests =
+                    proposer.handle_reply(started.elapsed(), &terms, voter, reply, &mut rand::random::<f64>);
+            }
+            requests.extend(proposer.poll(started.elapsed(), &terms, &mut rand::random::<f64>));
+            if let Some(outcome) = proposer.take_outcomes().pop() {
+                return Ok(outcome);
+            }
+        }
+        Ok(ProposalOutcome::Unknown { name: name.to_owned() })
+    }
+}
--- a/crates/edges/cli/src/journal.rs
+++ b/crates/edges/cli/src/log_output.rs
@@ -13,6 +13,7 @@
 pub struct LogLevelHandle(reload::Handle<LevelFilter, Registry>);
 
 impl LogLevelHandle {
+    /// Sets the level by its name; a name that is not known changes nothing.
     pub fn set(&self, level: &str) {
         let Some(filter) = filter(level) else { return };
         if self.0.modify(|current| *current = filter).is_ok() {
--- a/crates/edges/cli/src/client.rs
+++ b/crates/edges/cli/src/manage/client.rs
@@ -1,7 +1,8 @@
-//! The commands that manage a running front, over gNMI.
+//! The gNMI client.
 
-use crate::CommandError;
-use clap::Args;
+use super::values::{parse_path, path_text, update_json, value_text};
+use super::{ConnectionArgs, SetArgs};
+use crate::error::{CommandError, read_bytes};
 use lemonusher_managed::gnmi::proto::gnmi::g_nmi_client::GNmiClient;
 use lemonusher_managed::gnmi::proto::gnmi::get_request::DataType;
 use lemonusher_managed::gnmi::proto::gnmi::subscribe_request::Request as SubscribeMessage;
@@ -14,57 +15,25 @@
     Commit, CommitCancel, CommitConfirm, CommitRequest, Extension, RegisteredExtension,
 };
 use lemonusher_managed::gnmi::{EXPECT, OURS};
-use std::path::PathBuf;
 use std::time::Duration;
 use tonic::metadata::MetadataValue;
 use tonic::transport::{Certificate, Channel, ClientTlsConfig, Endpoint};
 use tonic::{Request, Status};
 
+/// For a connection, and for the reply to one request.
 const TIMEOUT: Duration = Duration::from_secs(10);
+/// Longest message that is read.
 const MAX_MESSAGE_BYTES: usize = 256 * 1024 * 1024;
 
-/// Which front, and as whom.
-#[derive(Args, Clone)]
-pub struct ConnectionArgs {
-    /// The front's gNMI address.
-    #[arg(long, global = true, default_value = "127.0.0.1:9339")]
-    address: String,
-    #[arg(long, global = true)]
-    user: Option<String>,
-    /// A file that holds the password.
-    #[arg(long, global = true)]
-    password_file: Option<PathBuf>,
-    /// The certificate that the front's must be signed by, as PEM; with it, the connection uses TLS.
-    #[arg(long, global = true)]
-    ca: Option<PathBuf>,
-    /// The name in the front's certificate, where it is not its address.
-    #[arg(long, global = true)]
-    server_name: Option<String>,
-}
-
-/// What `set` may be asked for besides the value.
-#[derive(Args, Clone, Default)]
-pub struct SetArgs {
-    /// Takes away what stands at PATH.
-    #[arg(long)]
-    pub delete: bool,
-    /// Puts VALUE in place of all that stands at PATH.
-    #[arg(long)]
-    pub replace: bool,
-    /// Goes back unless `lemonusher commit ID` follows within so many seconds.
-    #[arg(long, value_name = "SECONDS")]
-    pub confirm_in: Option<u64>,
-    /// The id that such a change goes by.
-    #[arg(long, default_value = "cli")]
-    pub id: String,
-    /// The version that must be in force.
-    #[arg(long, value_name = "VERSION")]
-    pub expect: Option<u64>,
+struct Credentials {
+    user: String,
+    password: String,
 }
 
+/// A connection to a front, which prints what it gets.
 pub struct Client {
     inner: GNmiClient<Channel>,
-    user: Option<(String, String)>,
+    credentials: Option<Credentials>,
     json: bool,
 }
 
@@ -78,12 +47,18 @@
     format!("{:?}", status.code())
 }
 
+fn commit_extension(id: &str, action: Action) -> Extension {
+    Extension { ext: Some(Ext::Commit(Commit { id: id.to_owned(), action: Some(action) })) }
+}
+
+fn own_extension(content: &serde_json::Value) -> Extension {
+    let extension = RegisteredExtension { id: OURS, msg: content.to_string().into_bytes() };
+    Extension { ext: Some(Ext::RegisteredExt(extension)) }
+}
+
 impl Client {
+    /// Connects, with TLS if a certificate is given.
     pub async fn connect(args: &ConnectionArgs, json: bool) -> Result<Client, CommandError> {
-        let read = |path: &PathBuf| {
-            std::fs::read(path)
-                .map_err(|error| CommandError::File(vec![format!("{}: {error}", path.display())]))
-        };
         let scheme = if args.ca.is_some() { "https" } else { "http" };
         let connect_error = |error: tonic::transport::Error| {
             let cause = std::error::Error::source(&error).map(|cause| format!(": {cause}"));
@@ -93,27 +68,27 @@
             .map_err(connect_error)?
             .connect_timeout(TIMEOUT);
         if let Some(ca) = &args.ca {
-            let mut tls = ClientTlsConfig::new().ca_certificate(Certificate::from_pem(read(ca)?));
+            let mut tls = ClientTlsConfig::new().ca_certificate(Certificate::from_pem(read_bytes(ca)?));
             if let Some(name) = &args.server_name {
                 tls = tls.domain_name(name);
             }
             endpoint = endpoint.tls_config(tls).map_err(connect_error)?;
         }
-        let user = match (&args.user, &args.password_file) {
+        let credentials = match (&args.user, &args.password_file) {
             (Some(user), Some(file)) => {
-                let password = String::from_utf8_lossy(&read(file)?).trim_end().to_owned();
-                Some((user.clone(), password))
+                let password = String::from_utf8_lossy(&read_bytes(file)?).trim_end().to_owned();
+                Some(Credentials { user: user.clone(), password })
             }
             _ => None,
         };
         let channel = endpoint.connect().await.map_err(connect_error)?;
         let inner = GNmiClient::new(channel).max_decoding_message_size(MAX_MESSAGE_BYTES);
-        Ok(Client { inner, user, json })
+        Ok(Client { inner, credentials, json })
     }
 
     fn request<T>(&self, message: T) -> Result<Request<T>, CommandError> {
         let mut request = Request::new(message);
-        if let Some((user, password)) = &self.user {
+        if let Some(Credentials { user, password }) = &self.credentials {
             for (name, value) in [("username", user), ("password", password)] {
                 let value = MetadataValue::try_from(value.as_str())
                     .map_err(|_| CommandError::Failed(format!("{name} can't be sent")))?;
@@ -123,6 +98,7 @@
         Ok(request)
     }
 
+    /// Prints what stands at a path.
     pub async fn get(&mut self, path: &str, kind: DataType) -> CommandResult {
         let encoding = if self.json { Encoding::JsonIetf } else { Encoding::Proto };
         let message = GetRequest {
@@ -140,6 +116,7 @@
         Ok(())
     }
 
+    /// Changes what stands at a path.
     pub async fn set(&mut self, path: &str, value: Option<&str>, args: &SetArgs) -> CommandResult {
         let path = parse_path(path)?;
         let mut message = SetRequest::default();
@@ -169,6 +146,7 @@
         self.change(message).await
     }
 
+    /// Confirms a change, or cancels it.
     pub async fn confirm(&mut self, id: &str, cancel: bool) -> CommandResult {
         let action = match cancel {
             true => Action::Cancel(CommitCancel {}),
@@ -178,6 +156,7 @@
             .await
     }
 
+    /// Puts an earlier version in force.
     pub async fn rollback(&mut self, to: u64) -> CommandResult {
         let extension = vec![own_extension(&serde_json::json!({"rollback": to}))];
         self.change(SetRequest { extension, ..SetRequest::default() }).await
@@ -201,6 +180,7 @@
         Ok(())
     }
 
+    /// Prints the commits that can be rolled back to.
     pub async fn history(&mut self) -> CommandResult {
         let message = GetRequest {
             path: vec![parse_path("/front/state/commit")?],
@@ -301,62 +281,3 @@
         }
     }
 }
-
-fn commit_extension(id: &str, action: Action) -> Extension {
-    Extension { ext: Some(Ext::Commit(Commit { id: id.to_owned(), action: Some(action) })) }
-}
-
-fn own_extension(content: &serde_json::Value) -> Extension {
-    let extension = RegisteredExtension { id: OURS, msg: content.to_string().into_bytes() };
-    Extension { ext: Some(Ext::RegisteredExt(extension)) }
-}
-
-fn parse_path(text: &str) -> Result<Path, CommandError> {
-    let steps =
-        lemonusher_model::parse_path(text).map_err(|error| CommandError::Failed(error.to_string()))?;
-    let elem = steps
-        .into_iter()
-        .map(|step| PathElem { name: step.name, key: step.keys.into_iter().collect() })
-        .collect();
-    Ok(Path { elem, ..Path::default() })
-}
-
-fn path_text(path: &Path) -> String {
-    let mut text = String::new();
-    for elem in &path.elem {
-        text.push('/');
-        text.push_str(&elem.name);
-        let keys: std::collections::BTreeMap<_, _> = elem.key.iter().collect();
-        for (name, value) in keys {
-            text.push_str(&format!("[{name}={}]", value.replace('\\', "\\\\").replace(']', "\\]")));
-        }
-    }
-    if text.is_empty() { "/".to_owned() } else { text }
-}
-
-fn value_text(value: Option<&TypedValue>) -> String {
-    match value.and_then(|value| value.value.as_ref()) {
-        Some(Typed::StringVal(text) | Typed::AsciiVal(text)) => text.clone(),
-        Some(Typed::UintVal(value)) => value.to_string(),
-        Some(Typed::IntVal(value)) => value.to_string(),
-        Some(Typed::BoolVal(value)) => value.to_string(),
-        Some(Typed::LeaflistVal(list)) => {
-            let all: Vec<String> = list.element.iter().map(|value| value_text(Some(value))).collect();
-            all.join(" ")
-        }
-        Some(Typed::JsonVal(bytes) | Typed::JsonIetfVal(bytes)) => {
-            String::from_utf8_lossy(bytes).into_owned()
-        }
-        _ => String::new(),
-    }
-}
-
-fn update_json(update: &Update) -> Option<serde_json::Value> {
-    Some(match update.val.as_ref()?.value.as_ref()? {
-        Typed::JsonVal(bytes) | Typed::JsonIetfVal(bytes) => serde_json::from_slice(bytes).ok()?,
-        Typed::UintVal(value) => (*value).into(),
-        Typed::IntVal(value) => (*value).into(),
-        Typed::BoolVal(value) => (*value).into(),
-        other => value_text(Some(&TypedValue { value: Some(other.clone()) })).into(),
-    })
-}
