--- a/crates/edges/cli/src/main.rs
+++ b/crates/edges/cli/src/main.rs
@@ -1,19 +1,22 @@
-//! `lemonusher`: the front as operators run and manage it.
+//! `lemonusher`: the front as operators run and manage it. Doc comments on commands and options are their help texts.
 
-mod client;
+#![warn(missing_docs)]
+
+mod check;
+mod error;
 mod file;
 mod fleet;
-mod journal;
-mod works;
-
-use clap::{Parser, Subcommand, ValueEnum};
-use client::{Client, Reach, SetTerms};
-use lemonusher_managed::gnmi::proto::gnmi::get_request::DataType;
-use lemonusher_managed::{GnmiConfig, ManagementConfig, Names, NetconfConfig, Started, Tls, User, Users};
-use std::path::{Path, PathBuf};
+mod inputs;
+mod log_output;
+mod manage;
+mod run;
+
+use clap::{Parser, Subcommand};
+use error::CommandError;
+use fleet::{MaintenanceCommand, ZoneOverride};
+use manage::{ConnectionArgs, ManageCommand};
+use std::path::PathBuf;
 use std::process::ExitCode;
-use std::sync::Arc;
-use std::time::Duration;
 
 /// A gateway that keeps short and long queries apart on shared engines.
 ///
@@ -21,18 +24,18 @@
 /// can't be used.
 #[derive(Parser)]
 #[command(version)]
-struct Line {
+struct CommandLine {
     /// Prints results and errors as JSON.
     #[arg(long, global = true)]
     json: bool,
     #[command(flatten)]
-    reach: Reach,
+    connection: ConnectionArgs,
     #[command(subcommand)]
-    verb: Verb,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum Verb {
+enum Command {
     /// Runs a front with what an operator's file switches on, until SIGTERM.
     Run {
         /// The operator's file, such as deploy/lemonusher.toml.
@@ -40,42 +43,8 @@
     },
     /// Checks an operator's file, and the file that it tells the front by.
     Check { file: PathBuf },
-    /// Prints what stands at a path, such as /front/pool or /front/state/engine[id=0000002a].
-    Get {
-        path: String,
-        /// Config, state, or both.
-        #[arg(long, value_enum, default_value = "all")]
-        kind: Kind,
-    },
-    /// Sets a leaf, or a whole entry given as JSON, in one commit.
-    Set {
-        path: String,
-        value: Option<String>,
-        #[command(flatten)]
-        terms: SetTerms,
-    },
-    /// Prints what stands at a path, and then what changes there, until it is ended.
-    Watch {
-        path: String,
-        /// Samples at this period instead of telling changes.
-        #[arg(long, value_name = "MILLISECONDS")]
-        every: Option<u64>,
-        /// Ends after so many updates.
-        #[arg(long)]
-        count: Option<usize>,
-    },
-    /// Confirms a change that was set with --confirm-in.
-    Commit {
-        #[arg(default_value = "cli")]
-        id: String,
-        /// Takes it back instead.
-        #[arg(long)]
-        cancel: bool,
-    },
-    /// Puts an earlier version in force again.
-    Rollback { version: u64 },
-    /// Lists the commits that can be gone back to, the latest first.
-    History,
+    #[command(flatten)]
+    Manage(ManageCommand),
     /// Shows the voters of the fleet that a file names, and the leases that they have granted.
     Fleet { file: PathBuf },
     /// Prints the plan for lost sites as it stands, or as it would be without some: who is served where, what is refused
@@ -91,332 +60,52 @@
         file: PathBuf,
         site: String,
         #[arg(value_enum)]
-        wish: fleet::SiteWish,
+        #[arg(value_name = "WISH")]
+        requested: ZoneOverride,
     },
     /// Asks for machines to be taken out for work, and says how far that has come.
     Works {
         file: PathBuf,
         #[command(subcommand)]
-        verb: works::Verb,
+        command: MaintenanceCommand,
     },
     /// Asks the holder of a task to hand it over, through the voters that a file names.
     HandOver { file: PathBuf, task: String },
 }
 
-#[derive(Clone, Copy, ValueEnum)]
-enum Kind {
-    All,
-    Config,
-    State,
-}
-
-/// Why a verb did not do what it is for.
-#[derive(Debug)]
-pub enum Failure {
-    /// A file can't be used; each is one line.
-    File(Vec<String>),
-    /// It was tried and failed.
-    Failed(String),
-}
-
-impl Failure {
-    fn code(&self) -> u8 {
-        match self {
-            Failure::Failed(_) => 1,
-            Failure::File(_) => 3,
-        }
-    }
-}
-
 fn main() -> ExitCode {
-    let line = Line::parse();
-    let done = match line.verb {
-        Verb::Run { file } => run(&file),
-        Verb::Check { file } => check(&file, line.json),
-        Verb::Fleet { file } => fleet::show(&file, line.json),
-        Verb::HandOver { file, task } => fleet::hand_over(&file, &task, line.json),
-        Verb::Works { file, verb } => works::run(&file, verb, line.json),
-        Verb::Plan { file, without } => fleet::plan(&file, &without, line.json),
-        Verb::Site { file, site, wish } => fleet::wish(&file, &site, wish, line.json),
-        verb => speak(verb, &line.reach, line.json),
-    };
-    let Err(failure) = done else { return ExitCode::SUCCESS };
-    let code = failure.code();
-    let told = match failure {
-        Failure::File(lines) => lines,
-        Failure::Failed(what) => vec![what],
-    };
-    for what in told {
-        if line.json {
-            eprintln!("{}", serde_json::json!({"error": what, "code": code}));
-        } else {
-            eprintln!("lemonusher: {what}");
+    let command_line = CommandLine::parse();
+    let done = match command_line.command {
+        Command::Run { file } => run::run(&file),
+        Command::Check { file } => check::check(&file, command_line.json),
+        Command::Fleet { file } => fleet::show(&file, command_line.json),
+        Command::HandOver { file, task } => fleet::hand_over(&file, &task, command_line.json),
+        Command::Works { file, command } => fleet::run_maintenance(&file, command, command_line.json),
+        Command::Plan { file, without } => fleet::plan(&file, &without, command_line.json),
+        Command::Site { file, site, requested } => {
+            fleet::override_zone(&file, &site, requested, command_line.json)
         }
-    }
-    ExitCode::from(code)
-}
-
-fn read_file(path: &Path) -> Result<file::File, Failure> {
-    let wrong =
-        |found: Vec<file::Wrong>| Failure::File(found.iter().map(|wrong| wrong.to_string()).collect());
-    file::read(path).map_err(wrong)
-}
-
-fn read(path: &Path) -> Result<(file::File, String), Failure> {
-    let file = read_file(path)?;
-    let told = match &file.front.told {
-        Some(told) => told.get_ref().to_string_lossy().into_owned(),
-        None => std::env::var("PROXY_CONFIG").map_err(|_| {
-            Failure::File(vec![format!(
-                "{}: names no file in [front] 'told', and PROXY_CONFIG is not set",
-                path.display()
-            )])
-        })?,
+        Command::Manage(command) => manage::manage(command, &command_line.connection, command_line.json),
     };
-    Ok((file, told))
-}
-
-fn check(path: &Path, json: bool) -> Result<(), Failure> {
-    let (file, told) = read(path)?;
-    let names =
-        lemonusher_front::read_names(&told).map_err(|unfit| Failure::File(vec![unfit.to_string()]))?;
-    let fleet =
-        file.fleet.as_ref().map(|held| fleet::terms_of(held, &names.front, names.zone)).transpose()?;
-    if json {
-        println!("{}", serde_json::json!({"file": path, "front": names.front, "ok": true}));
-    } else {
-        println!("{}: can be used; it runs front {}", path.display(), names.front);
-        if let Some(fleet) = &fleet {
-            let (voters, kept) = (fleet.voters.len(), fleet.leases.voter_hold_time());
-            println!("{voters} fronts vote; after a crash of its holder a task is free within {kept:?}");
-        }
-        if let Some(managed) = &file.managed {
-            println!("managers' counters are at most {:?} old", managed.freshness_span());
-            for user in &managed.users {
-                println!("user {} may {}", user.name.get_ref(), user.may);
-            }
-        }
+    match done {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => fail(error, command_line.json),
     }
-    Ok(())
 }
 
-fn run(path: &Path) -> Result<(), Failure> {
-    let (file, told) = read(path)?;
-    let names =
-        lemonusher_front::read_names(&told).map_err(|unfit| Failure::File(vec![unfit.to_string()]))?;
-    let managed = file.managed.as_ref().map(terms_of).transpose()?;
-    let processor = file.processor.as_ref().map(|held| processor_of(held, &names)).transpose()?;
-    let dial = journal::start(file.log.level, file.log.form);
-    let failed = |what: String| Failure::Failed(what);
-    let mut _hub = None;
-    let door = match managed {
-        None => None,
-        Some(terms) => {
-            let front = names.front.clone();
-            let known = Names {
-                zones: names.zones.clone(),
-                machine_kinds: names.machine_kinds.clone(),
-                request_classes: names.request_classes.clone(),
-            };
-            let level = Arc::new(move |level: &str| dial.set(level));
-            let started = lemonusher_managed::start(terms, known, front, level, Vec::new())
-                .map_err(|unfit| failed(unfit.to_string()))?;
-            let Started { requests, desired_state: wanted, notifications: notices, gnmi, netconf, hub } =
-                started;
-            _hub = Some(hub);
-            if let Some(address) = gnmi {
-                tracing::info!("gNMI at {address}");
-            }
-            if let Some(address) = netconf {
-                tracing::info!("NETCONF at {address}");
-            }
-            Some(lemonusher_front::ManagementChannels {
-                calls: requests,
-                desired_state: wanted,
-                notifications: notices,
-            })
-        }
-    };
-    let consulting = match processor {
-        None => None,
-        Some(ProcessorConfig { server, calls, recovers, tick }) => {
-            let listen = server.listen;
-            let started = lemonusher_processor::start(server)
-                .map_err(|error| failed(format!("can't listen on {listen}: {error}")))?;
-            tracing::info!("external processor at {}", started.address);
-            Some(lemonusher_front::ExternalProcessing {
-                config: calls,
-                events: started.events,
-                recovers,
-                tick,
-            })
-        }
-    };
-    let mut fleet =
-        file.fleet.as_ref().map(|held| fleet::terms_of(held, &names.front, names.zone)).transpose()?;
-    let planned = file.fleet.as_ref().and_then(|held| held.sites.as_ref()).map(|held| held.get_ref().terms());
-    let mut sites = None;
-    if let Some((fleet, terms)) = fleet.as_mut().zip(planned) {
-        let (told, seen) = async_channel::bounded(1);
-        let groups = lemonusher_routing::class_loads(&names.class_configs, terms.admission_floor);
-        fleet.zone_failover = Some(lemonusher_fleet::ZoneFailoverSettings {
-            config: terms,
-            classes: groups,
-            observations: seen,
-        });
-        sites = Some(lemonusher_front::ZoneFailover { config: terms, observations: told });
-        let works = file.fleet.as_ref().and_then(|held| held.works.as_ref()).map(|held| held.get_ref());
-        fleet.maintenance = works.map(|works| lemonusher_fleet::MaintenanceSettings {
-            config: works.terms(terms.report_interval),
-            notify: works.tell.as_ref().map(|to| *to.get_ref()),
-        });
-    }
-    let fleet = match fleet {
-        None => None,
-        Some(terms) => {
-            let listen = terms.listen;
-            let started = lemonusher_fleet::start(terms)
-                .map_err(|error| failed(format!("fleet: can't start at {listen}: {error}")))?;
-            tracing::info!("fleet at {}", started.address);
-            Some(started)
-        }
+/// Prints an error on standard error, one line each.
+fn fail(error: CommandError, json: bool) -> ExitCode {
+    let code = error.exit_code();
+    let messages = match error {
+        CommandError::File(lines) => lines,
+        CommandError::Failed(message) => vec![message],
     };
-    let seats = file.fleet.as_ref().is_some_and(|held| held.seats > 0);
-    let works = file.fleet.as_ref().is_some_and(|held| held.works.is_some());
-    let told_by = fleet.as_ref().map(|started| lemonusher_front::FleetChannels {
-        control_updates: started.control_updates.clone(),
-        shares_quota: seats,
-        zone_failover: sites,
-        maintenance: works,
-    });
-    let ended = lemonusher_front::serve(told, door, consulting, told_by);
-    drop(fleet); // Lets go of all that it holds.
-    ended.map_err(|unfit| failed(unfit.to_string()))
-}
-
-/// The server, the calls' configuration, whether a start counts as a recovery, and the time between decisions.
-struct ProcessorConfig {
-    server: lemonusher_processor::ServerConfig,
-    calls: lemonusher_external_call::CallConfig,
-    recovers: bool,
-    tick: Duration,
-}
-
-/// What the file says of proxies that ask the external processor.
-fn processor_of(
-    held: &file::Processor,
-    names: &lemonusher_front::DeploymentNames,
-) -> Result<ProcessorConfig, Failure> {
-    let ms = |ms: u64| Duration::from_millis(ms);
-    let longest = names.class_configs.iter().map(|terms| terms.deadline).max().unwrap_or_default();
-    let signing_key = match &held.key_file {
-        Some(path) => {
-            let path = path.get_ref();
-            let bytes = std::fs::read(path)
-                .map_err(|error| Failure::File(vec![format!("{}: {error}", path.display())]))?;
-            lemonusher_external_call::SigningKey::new(bytes.trim_ascii())
+    for message in messages {
+        if json {
+            eprintln!("{}", serde_json::json!({"error": message, "code": code}));
+        } else {
+            eprintln!("lemonusher: {message}");
         }
-        None => lemonusher_external_call::SigningKey::new(&rand::random::<[u8; 32]>()),
-    };
-    let classes = names.request_classes.iter().zip(&names.class_configs).map(|(name, terms)| {
-        let max_client_timeout = terms.deadline * 2;
-        lemonusher_processor::RequestClass { name: name.clone(), max_client_timeout }
-    });
-    let server = lemonusher_processor::ServerConfig {
-        listen: *held.listen.get_ref(),
-        header_names: held.names(),
-        request_classes: classes.collect(),
-        signing_key,
-        token_validity: longest * 2,
-        max_streams: *held.streams.get_ref(),
-        read_table_group: held.statement.then_some(lemonusher_front::table_group),
-    };
-    let calls = lemonusher_external_call::CallConfig {
-        message_timeout: ms(*held.message_timeout_ms.get_ref()),
-        failure_mode_allow: held.fails == file::Fails::Open,
-        max_timeout_extension: ms(held.more_time_ms),
-        retry_window: ms(held.retry_within_ms),
-        unknown_outcome_retention: longest * 2,
-        idempotency: names.class_configs.iter().map(|terms| terms.idempotency).collect(),
-        max_calls: *held.streams.get_ref(),
-        max_remembered: held.remembered,
-    };
-    let tick = Duration::from_micros(*held.tick_us.get_ref());
-    Ok(ProcessorConfig { server, calls, recovers: held.recovers, tick })
-}
-
-/// What the file says of managers, with the files read that it names.
-fn terms_of(managed: &file::Managed) -> Result<ManagementConfig, Failure> {
-    let read = |path: &PathBuf| {
-        std::fs::read(path).map_err(|error| Failure::File(vec![format!("{}: {error}", path.display())]))
-    };
-    let text = |path: &PathBuf| read(path).map(|bytes| String::from_utf8_lossy(&bytes).into_owned());
-    let mut users = Vec::new();
-    for user in &managed.users {
-        let password = user.password_file.as_ref().map(|path| text(path.get_ref())).transpose()?;
-        users.push(User {
-            name: user.name.get_ref().clone(),
-            may_write: user.may == file::May::Write,
-            ssh_key: user.ssh_key.as_ref().map(|key| key.get_ref().clone()),
-            password: password.map(|password| password.trim_end().to_owned()),
-        });
     }
-    let gnmi = match &managed.gnmi {
-        None => None,
-        Some(gnmi) => {
-            let tls = match (&gnmi.certificate, &gnmi.key) {
-                (Some(certificate), Some(key)) => {
-                    Some(Tls { certificate: read(certificate.get_ref())?, key: read(key.get_ref())? })
-                }
-                _ => None,
-            };
-            Some(GnmiConfig { listen: *gnmi.listen.get_ref(), tls })
-        }
-    };
-    let netconf = match &managed.netconf {
-        None => None,
-        Some(netconf) => {
-            let host_key = netconf.host_key.as_ref().map(|path| text(path.get_ref())).transpose()?;
-            Some(NetconfConfig { listen: *netconf.listen.get_ref(), host_key })
-        }
-    };
-    Ok(ManagementConfig {
-        folder: managed.folder.as_ref().map(|folder| folder.get_ref().clone()),
-        history: *managed.history.get_ref(),
-        sessions: *managed.sessions.get_ref(),
-        subscriptions: *managed.subscriptions.get_ref(),
-        freshness: managed.freshness_span(),
-        from_startup: managed.from_startup,
-        gnmi,
-        netconf,
-        users: Users(users),
-    })
-}
-
-/// Speaks to a running front.
-fn speak(verb: Verb, reach: &Reach, json: bool) -> Result<(), Failure> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|error| Failure::Failed(error.to_string()))?;
-    runtime.block_on(async {
-        let mut client = Client::connect(reach, json).await?;
-        match verb {
-            Verb::Run { .. } | Verb::Check { .. } | Verb::Fleet { .. } | Verb::HandOver { .. } => Ok(()),
-            Verb::Plan { .. } | Verb::Site { .. } | Verb::Works { .. } => Ok(()),
-            Verb::Get { path, kind } => {
-                let kind = match kind {
-                    Kind::All => DataType::All,
-                    Kind::Config => DataType::Config,
-                    Kind::State => DataType::State,
-                };
-                client.get(&path, kind).await
-            }
-            Verb::Set { path, value, terms } => client.set(&path, value.as_deref(), &terms).await,
-            Verb::Watch { path, every, count } => {
-                client.watch(&path, every.map(Duration::from_millis), count).await
-            }
-            Verb::Commit { id, cancel } => client.confirm(&id, cancel).await,
-            Verb::Rollback { version } => client.roll_back(version).await,
-            Verb::History => client.history().await,
-        }
-    })
+    ExitCode::from(code)
 }
--- a/crates/edges/front/src/program/clients/reading.rs
+++ b/crates/edges/front/src/program/clients/reading.rs
@@ -192,13 +192,13 @@
     /// Opens a request, or says what is wrong with it.
     fn accept_request(self: &Rc<Self>, message: ClientRequest) -> Result<IncomingRequest, Fault> {
         let fault = |id, kind| Fault { id, kind };
-        let classes = &self.shared.settings.classes;
+        let classes = &self.shared.settings.request_classes;
         let request_class = classes
             .iter()
             .position(|class| class.name == message.request_class)
             .ok_or(fault(Some(message.id), FaultKind::UnknownMethod))?;
         self.highest_ticket.set(self.highest_ticket.get().max(message.id));
-        let max_timeout_us = classes[request_class].hard_limit_us.saturating_mul(MAX_TIMEOUT_FACTOR);
+        let max_timeout_us = classes[request_class].deadline_us.saturating_mul(MAX_TIMEOUT_FACTOR);
         let timeout_us = message.client_timeout_ms.saturating_mul(1000);
         if timeout_us == 0 || timeout_us > max_timeout_us {
             return Err(fault(Some(message.id), FaultKind::InvalidParams));
--- a/crates/edges/front/src/program/discovery.rs
+++ b/crates/edges/front/src/program/discovery.rs
@@ -156,8 +156,8 @@
     fn endpoint_of(&mut self, record: EndpointRecord) -> Option<Endpoint> {
         let settings = &self.shared.settings;
         let stated = |number: Option<u32>, names: &[String]| number.filter(|n| (*n as usize) < names.len());
-        let zone = stated(record.zone, &settings.areas);
-        let machine_kind = stated(record.machine_kind, &settings.kinds);
+        let zone = stated(record.zone, &settings.zones);
+        let machine_kind = stated(record.machine_kind, &settings.machine_kinds);
         let (Some(zone), Some(machine_kind)) = (zone, machine_kind) else {
             if self.skipped_engines.len() < MAX_LOGGED_ENGINES && self.skipped_engines.insert(record.engine) {
                 log::warn!("engine {:08x} is left out: unknown location or kind", record.engine);
--- a/crates/edges/front/src/program/engines/mod.rs
+++ b/crates/edges/front/src/program/engines/mod.rs
@@ -66,8 +66,8 @@
 async fn maintain(engines: Rc<EnginePools>) {
     let settings = &engines.shared.settings;
     let connect_timeout = engines.shared.connect_timeout;
-    let max_idle_time = Duration::from_micros(settings.ceilings.conn_idle_us) / IDLE_DIVISOR;
-    let progress_period = Duration::from_micros(settings.family_info.note_period_us);
+    let max_idle_time = Duration::from_micros(settings.capabilities.idle_timeout_us) / IDLE_DIVISOR;
+    let progress_period = Duration::from_micros(settings.engines.progress_interval_us);
     let max_silence = progress_period * MAX_SILENT_PERIODS + connect_timeout;
     loop {
         Timer::after(connect_timeout).await;
--- a/crates/edges/front/src/program/engines/sending.rs
+++ b/crates/edges/front/src/program/engines/sending.rs
@@ -100,7 +100,7 @@
     }
 
     fn streams_per_connection(&self) -> usize {
-        self.shared.settings.ceilings.streams_per_conn.max(1)
+        self.shared.settings.capabilities.max_streams_per_connection.max(1)
     }
 
     /// Sends what waits for a connection to an engine, as far as there are free streams.
@@ -153,7 +153,7 @@
                 memory_mb,
                 ..
             } => {
-                let class = self.shared.settings.classes.get(*request_class);
+                let class = self.shared.settings.request_classes.get(*request_class);
                 let time_left = conditions.until.saturating_duration_since(now);
                 let parameters = AttemptParameters {
                     request_class: class.map_or("", |class| &class.name),
@@ -167,7 +167,7 @@
             }
             EngineCommand::Probe { token, .. } => {
                 let id: Arc<str> = format!("p{token}").into();
-                let load_report = !self.shared.settings.report.fields.is_empty();
+                let load_report = !self.shared.settings.load_report.fields.is_empty();
                 let bytes = engine::encode_probe(&id, load_report).into_bytes();
                 Some(OutgoingMessage { token: *token, id, bytes, kind: InFlightKind::Probe })
             }
--- a/crates/edges/front/src/program/shared.rs
+++ b/crates/edges/front/src/program/shared.rs
@@ -3,7 +3,7 @@
 use super::descriptor_limits::DescriptorLimits;
 use crate::transport::{MemoryBudget, StallDetector};
 use async_executor::LocalExecutor;
-use lemonusher_deployment::{LoadFields, Settled};
+use lemonusher_deployment::{LoadReportFields, Settings};
 use lemonusher_routing::{Counters, RouterEvent};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,9 +12,9 @@
 /// What the tasks of a front share.
 pub struct Shared {
     /// The deployment's settings.
-    pub settings: Settled,
+    pub settings: Settings,
     /// How load reports are read.
-    pub load_fields: LoadFields,
+    pub load_fields: LoadReportFields,
     /// The front's counters.
     pub counters: Rc<Counters>,
     /// The router's queue of events.
