--- a/crates/edges/managed/src/netconf/mod.rs
+++ b/crates/edges/managed/src/netconf/mod.rs
@@ -30,11 +30,12 @@
     /// Bytes of messages that have come in part, over all sessions.
     pub buffered_bytes: AtomicUsize,
     pub subscribed: AtomicUsize,
-    pub subscriptions: usize,
+    /// Subscriptions that all sessions may have.
+    pub max_subscriptions: usize,
 }
 
 impl ServerState {
-    pub(super) fn kills(&self) -> std::sync::MutexGuard<'_, BTreeMap<u32, Arc<Notify>>> {
+    pub(super) fn kill_signals(&self) -> std::sync::MutexGuard<'_, BTreeMap<u32, Arc<Notify>>> {
         self.kill_signals.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -53,7 +54,7 @@
     listener: TcpListener,
     key: PrivateKey,
     users: Users,
-    subscriptions: usize,
+    max_subscriptions: usize,
 ) -> Result<(), String> {
     let listener = tokio::net::TcpListener::from_std(listener).map_err(|error| error.to_string())?;
     let methods: &[MethodKind] = match (users.0.is_empty(), users.uses_keys()) {
@@ -75,13 +76,13 @@
         channel_buffer_size: 16,
         ..Config::default()
     });
-    let door = Arc::new(ServerState {
+    let server = Arc::new(ServerState {
         hub,
         users,
         kill_signals: Mutex::default(),
         buffered_bytes: AtomicUsize::new(0),
         subscribed: AtomicUsize::new(0),
-        subscriptions,
+        max_subscriptions,
     });
     let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
@@ -94,10 +95,10 @@
                 continue;
             }
         };
-        let (config, door) = (config.clone(), door.clone());
+        let (config, server) = (config.clone(), server.clone());
         tokio::spawn(async move {
             let _place = place;
-            let visitor = Connection { door, grant: None, channel: None, began: Arc::default() };
+            let visitor = Connection { server, grant: None, channel: None, began: Arc::default() };
             let began = visitor.began.clone();
             let running =
                 match tokio::time::timeout(LOGIN_TIMEOUT, russh::server::run_stream(config, socket, visitor))
@@ -126,7 +127,7 @@
 
 /// One SSH connection.
 struct Connection {
-    door: Arc<ServerState>,
+    server: Arc<ServerState>,
     grant: Option<Grant>,
     channel: Option<Channel<Msg>>,
     /// The session has begun.
@@ -145,20 +146,20 @@
     type Error = russh::Error;
 
     async fn auth_none(&mut self, user: &str) -> Result<Auth, Self::Error> {
-        let open = self.door.users.0.is_empty();
-        let grant = if open { self.door.users.by_password(Some(user), None) } else { None };
+        let open = self.server.users.0.is_empty();
+        let grant = if open { self.server.users.by_password(Some(user), None) } else { None };
         Ok(self.let_in(grant))
     }
 
     async fn auth_password(&mut self, user: &str, password: &str) -> Result<Auth, Self::Error> {
-        let keyed = self.door.users.uses_keys();
-        let grant = if keyed { None } else { self.door.users.by_password(Some(user), Some(password)) };
+        let keyed = self.server.users.uses_keys();
+        let grant = if keyed { None } else { self.server.users.by_password(Some(user), Some(password)) };
         Ok(self.let_in(grant))
     }
 
     async fn auth_publickey(&mut self, user: &str, key: VerifiedPublicKey<'_>) -> Result<Auth, Self::Error> {
         let text = key.public_key.to_openssh().unwrap_or_default();
-        let grant = self.door.users.by_key(user, &text);
+        let grant = self.server.users.by_key(user, &text);
         Ok(self.let_in(grant))
     }
 
@@ -188,9 +189,9 @@
         };
         session.channel_success(channel)?;
         self.began.notify_one();
-        let (door, handle) = (self.door.clone(), session.handle());
+        let (server, handle) = (self.server.clone(), session.handle());
         tokio::spawn(async move {
-            session::run(held.into_stream(), door, grant).await;
+            session::run(held.into_stream(), server, grant).await;
             let said = "the session has ended".to_owned();
             let _ = handle.disconnect(russh::Disconnect::ByApplication, said, String::new()).await;
         });
--- a/crates/edges/managed/src/netconf/session.rs
+++ b/crates/edges/managed/src/netconf/session.rs
@@ -1,98 +1,115 @@
 //! One NETCONF session: hello, then operations one after the other, and notifications between them.
 
+mod notifications;
+mod operations;
+
 use super::ServerState;
 use crate::hub::{Hub, ManagementEvent};
-use crate::state::{StateSelection, admin, listed};
 use crate::users::Grant;
-use lemonusher_model::{Node, Op, Pattern, Place, Schema, Tree, parse_path};
-use lemonusher_netconf::{BASE, MONITORING};
+use lemonusher_model::Schema;
 use lemonusher_netconf::{
-    CommitParameters, Element, Framer, Framing, NotificationContent, Operation, RpcError, TestOption, edits,
-    escape, filter, frame, hello, notification, parse, push_fields, read, reply, tree_of,
+    BASE, Element, Framer, Framing, MONITORING, Operation, frame, hello, parse, read, reply,
 };
-use lemonusher_store::{CommitOptions, Datastore, Edit, Protocol, SessionId, StoreError};
+use lemonusher_store::{Protocol, SessionId};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
-use std::time::{Duration, SystemTime};
+use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::sync::Notify;
 use tokio::sync::broadcast::Receiver;
 use tokio::sync::broadcast::error::RecvError;
 
 const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
-/// Bytes of messages in part that all sessions may hold.
+/// Bytes of incomplete messages that all sessions may hold.
 const MAX_BUFFERED_BYTES: usize = 64 * 1024 * 1024;
 const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// How long a manager has for its hello.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(30);
-/// A manager that takes nothing for so long has gone.
+/// How long a manager may read nothing of a message.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(60);
-/// The capability by which a manager asks for a candidate of its own.
+const BASE_1_0: &str = "urn:ietf:params:netconf:base:1.0";
+const BASE_1_1: &str = "urn:ietf:params:netconf:base:1.1";
+/// The capability by which a manager asks for a private candidate.
 const PRIVATE_CANDIDATE: &str = "urn:ietf:params:netconf:capability:private-candidate:1.0";
+/// The capabilities of RFC 6241 and RFC 5277, without their common prefix.
+const CAPABILITIES: [&str; 8] = [
+    "writable-running:1.0",
+    "candidate:1.0",
+    "confirmed-commit:1.1",
+    "rollback-on-error:1.0",
+    "validate:1.1",
+    "startup:1.0",
+    "notification:1.0",
+    "interleave:1.0",
+];
 
 struct Session {
     id: SessionId,
-    door: Arc<ServerState>,
+    server: Arc<ServerState>,
     hub: Arc<Hub>,
     schema: Arc<Schema>,
     grant: Grant,
     framing: Framing,
     subscription: Option<Subscription>,
-    /// What it holds of `Door::held`.
-    held: usize,
-    lost: u64,
+    /// This session's part of [`ServerState::buffered_bytes`].
+    buffered_bytes: usize,
+    /// Events that were dropped because the session did not take them in time.
+    lost_events: u64,
 }
 
 struct Subscription {
-    happened: Receiver<ManagementEvent>,
+    events: Receiver<ManagementEvent>,
     filter: Option<Element>,
 }
 
-/// What goes with the session, however it ends.
+/// Gives back what the session holds, however it ends.
 impl Drop for Session {
     fn drop(&mut self) {
-        self.door.buffered_bytes.fetch_sub(self.held, Ordering::SeqCst);
+        self.server.buffered_bytes.fetch_sub(self.buffered_bytes, Ordering::SeqCst);
         if self.subscription.is_some() {
-            self.door.subscribed.fetch_sub(1, Ordering::SeqCst);
+            self.server.subscribed.fetch_sub(1, Ordering::SeqCst);
         }
-        self.door.kills().remove(&self.id);
+        self.server.kill_signals().remove(&self.id);
         self.hub.close_session(self.id);
         tracing::info!(session = self.id, "NETCONF session ends");
     }
 }
 
-fn capabilities(schema: &Schema) -> Vec<String> {
-    let base = ["urn:ietf:params:netconf:base:1.0", "urn:ietf:params:netconf:base:1.1"];
-    let known = [
-        "writable-running:1.0",
-        "candidate:1.0",
-        "confirmed-commit:1.1",
-        "rollback-on-error:1.0",
-        "validate:1.1",
-        "startup:1.0",
-        "notification:1.0",
-        "interleave:1.0",
-    ];
-    let mut all: Vec<String> = base.iter().map(|name| name.to_string()).collect();
-    all.extend(known.iter().map(|name| format!("urn:ietf:params:netconf:capability:{name}")));
-    all.push(PRIVATE_CANDIDATE.to_owned());
-    all.push(format!("{MONITORING}?module=ietf-netconf-monitoring&revision=2010-10-04"));
-    let revision = schema.revision.as_deref().unwrap_or_default();
-    all.push(format!("{}?module={}&revision={revision}", schema.namespace, schema.module));
-    all
+/// What comes next for a session.
+enum Incoming {
+    Message(String),
+    Event(ManagementEvent),
+    /// So many events were dropped because they came faster than they were taken.
+    Lost(u64),
 }
 
-pub(super) async fn run(stream: impl AsyncRead + AsyncWrite + Unpin, door: Arc<ServerState>, grant: Grant) {
-    let hub = door.hub.clone();
+/// Whether the session goes on after a reply.
+enum AfterReply {
+    Continue,
+    Close,
+}
+
+/// Runs a session on a connection until it ends or is killed by another.
+pub(super) async fn run(stream: impl AsyncRead + AsyncWrite + Unpin, server: Arc<ServerState>, grant: Grant) {
+    let hub = server.hub.clone();
     let id = match hub.with_store(|store| store.open_session(&grant.user, Protocol::Netconf)) {
         Ok(id) => id,
-        Err(refused) => return tracing::warn!("no NETCONF session for {}: {refused}", grant.user),
+        Err(error) => return tracing::warn!("no NETCONF session for {}: {error}", grant.user),
     };
     let killed = Arc::new(Notify::new());
-    door.kills().insert(id, killed.clone());
+    server.kill_signals().insert(id, killed.clone());
     tracing::info!(session = id, user = grant.user, "NETCONF session begins");
-    let schema = hub.schema().clone();
-    let framing = Framing::EndOfMessage;
-    let mut session = Session { id, door, hub, schema, grant, framing, subscription: None, held: 0, lost: 0 };
+    let mut session = Session {
+        id,
+        server,
+        schema: hub.schema().clone(),
+        hub,
+        grant,
+        framing: Framing::EndOfMessage,
+        subscription: None,
+        buffered_bytes: 0,
+        lost_events: 0,
+    };
     tokio::select! {
         ended = session.serve(stream) => {
             if let Err(why) = ended {
@@ -103,66 +120,58 @@
     }
 }
 
-/// Who asks may end the session with an operation.
-enum AfterReply {
-    Continue,
-    Close,
-}
-
 impl Session {
     async fn serve(&mut self, stream: impl AsyncRead + AsyncWrite + Unpin) -> Result<(), String> {
         let (mut reader, mut writer) = tokio::io::split(stream);
-        write(&mut writer, Framing::EndOfMessage, &hello(&capabilities(&self.schema), self.id)).await?;
+        let our_hello = hello(&capabilities(&self.schema), self.id);
+        write(&mut writer, Framing::EndOfMessage, &our_hello).await?;
         let mut framer = Framer::new(MAX_MESSAGE_BYTES);
-        let greeted = tokio::time::timeout(HELLO_TIMEOUT, self.message(&mut reader, &mut framer)).await;
-        let greeting = greeted.map_err(|_| "no hello came in time".to_owned())??;
-        let Some(greeting) = greeting else { return Ok(()) };
-        self.greet(&greeting)?;
+        let first = tokio::time::timeout(HELLO_TIMEOUT, self.next(&mut reader, &mut framer)).await;
+        let first = first.map_err(|_| "no hello came in time".to_owned())??;
+        let Some(first) = first else { return Ok(()) };
+        self.handle_hello(&first)?;
         framer.set_framing(self.framing);
         loop {
-            let incoming = self.message(&mut reader, &mut framer);
-            let Some(message) = incoming.await? else { return Ok(()) };
-            match message {
+            let Some(incoming) = self.next(&mut reader, &mut framer).await? else { return Ok(()) };
+            match incoming {
                 Incoming::Message(text) => {
-                    let (answer, next) = self.answer(&text).await;
+                    let (answer, after) = self.handle_message(&text).await;
                     write(&mut writer, self.framing, &answer).await?;
-                    if let AfterReply::Close = next {
+                    if let AfterReply::Close = after {
                         return Ok(());
                     }
                 }
-                Incoming::ManagementEvent(happened) => {
-                    if let Some(text) = self.notify(&happened) {
+                Incoming::Event(event) => {
+                    if let Some(text) = self.notify(&event) {
                         write(&mut writer, self.framing, &text).await?;
                     }
                 }
                 Incoming::Lost(count) => {
-                    self.lost += count;
-                    self.hub.record_lost_updates(self.id, self.lost);
-                    let leaves = vec![("count", self.lost.to_string())];
-                    let text = self.notified(&NotificationContent { name: "updates-lost", leaves });
-                    write(&mut writer, self.framing, &text).await?;
+                    self.lost_events += count;
+                    self.hub.record_lost_updates(self.id, self.lost_events);
+                    write(&mut writer, self.framing, &self.lost_notification()).await?;
                 }
             }
         }
     }
 
-    /// The next message, or what has happened meanwhile for one that wants to hear of it.
-    async fn message(
+    /// The next message, or the next event for a session that has subscribed. None once the manager has closed.
+    async fn next(
         &mut self,
         reader: &mut (impl AsyncRead + Unpin),
         framer: &mut Framer,
     ) -> Result<Option<Incoming>, String> {
         let mut bytes = vec![0; READ_BUFFER_BYTES];
         loop {
-            if let Some(message) = framer.next_message().map_err(|broken| broken.to_string())? {
-                self.hold(framer.buffered_bytes())?;
+            if let Some(message) = framer.next_message().map_err(|error| error.to_string())? {
+                self.count_buffered(framer.buffered_bytes())?;
                 let text = String::from_utf8(message).map_err(|_| "a message is no UTF-8".to_owned())?;
                 return Ok(Some(Incoming::Message(text)));
             }
-            self.hold(framer.buffered_bytes())?;
-            let happened = async {
+            self.count_buffered(framer.buffered_bytes())?;
+            let event = async {
                 match &mut self.subscription {
-                    Some(subscription) => subscription.happened.recv().await,
+                    Some(subscription) => subscription.events.recv().await,
                     None => std::future::pending().await,
                 }
             };
@@ -172,8 +181,8 @@
                     Ok(count) => framer.push(&bytes[..count]),
                     Err(error) => return Err(error.to_string()),
                 },
-                happened = happened => match happened {
-                    Ok(happened) => return Ok(Some(Incoming::ManagementEvent(happened))),
+                event = event => match event {
+                    Ok(event) => return Ok(Some(Incoming::Event(event))),
                     Err(RecvError::Lagged(count)) => return Ok(Some(Incoming::Lost(count))),
                     Err(RecvError::Closed) => return Ok(None),
                 },
@@ -181,30 +190,32 @@
         }
     }
 
-    /// Counts what this session holds towards what all may.
-    fn hold(&mut self, bytes: usize) -> Result<(), String> {
-        let others = self.door.buffered_bytes.fetch_sub(self.held, Ordering::SeqCst) - self.held;
-        self.held = 0;
+    /// Counts what this session buffers towards the bound of all sessions. Fails if there is no room.
+    fn count_buffered(&mut self, bytes: usize) -> Result<(), String> {
+        let total = &self.server.buffered_bytes;
+        let others = total.fetch_sub(self.buffered_bytes, Ordering::SeqCst) - self.buffered_bytes;
+        self.buffered_bytes = 0;
         if others + bytes > MAX_BUFFERED_BYTES && bytes > READ_BUFFER_BYTES {
             return Err("there is no room for a message as long as this one".to_owned());
         }
-        self.door.buffered_bytes.fetch_add(bytes, Ordering::SeqCst);
-        self.held = bytes;
+        total.fetch_add(bytes, Ordering::SeqCst);
+        self.buffered_bytes = bytes;
         Ok(())
     }
 
-    fn greet(&mut self, greeting: &Incoming) -> Result<(), String> {
-        let Incoming::Message(text) = greeting else { return Err("no hello came".to_owned()) };
-        let hello = parse(text).map_err(|wrong| format!("the hello can't be read: {wrong}"))?;
+    fn handle_hello(&mut self, first: &Incoming) -> Result<(), String> {
+        let Incoming::Message(text) = first else { return Err("no hello came".to_owned()) };
+        let hello = parse(text).map_err(|error| format!("the hello can't be read: {error}"))?;
         if hello.name != "hello" || hello.ns != BASE || hello.child("session-id").is_some() {
             return Err("the first message is no hello of a manager's".to_owned());
         }
         let capabilities = hello.child("capabilities");
-        let has =
-            |name: &str| capabilities.is_some_and(|all| all.children.iter().any(|one| one.value() == name));
-        if has("urn:ietf:params:netconf:base:1.1") {
+        let has = |name: &str| {
+            capabilities.is_some_and(|all| all.children.iter().any(|capability| capability.value() == name))
+        };
+        if has(BASE_1_1) {
             self.framing = Framing::Chunked;
-        } else if !has("urn:ietf:params:netconf:base:1.0") {
+        } else if !has(BASE_1_0) {
             return Err("the manager knows neither version 1.0 nor 1.1".to_owned());
         }
         if has(PRIVATE_CANDIDATE) {
@@ -213,329 +224,33 @@
         Ok(())
     }
 
-    async fn answer(&mut self, text: &str) -> (String, AfterReply) {
+    async fn handle_message(&mut self, text: &str) -> (String, AfterReply) {
         let rpc = match read(text) {
             Ok(rpc) => rpc,
-            Err((attributes, error)) => return (reply(&attributes, &Err(vec![error])), AfterReply::Continue),
-        };
-        let next =
-            if rpc.operation == Operation::CloseSession { AfterReply::Close } else { AfterReply::Continue };
-        let answer = self.operate(rpc.operation).await;
-        (reply(&rpc.attributes, &answer), next)
-    }
-
-    async fn operate(&mut self, operation: Operation) -> Result<String, Vec<RpcError>> {
-        let writes = !matches!(
-            operation,
-            Operation::Get { .. }
-                | Operation::GetConfig { .. }
-                | Operation::Validate(_)
-                | Operation::CloseSession
-                | Operation::GetSchema { .. }
-                | Operation::CreateSubscription { .. }
-        );
-        if writes && !self.grant.may_write {
-            let what = format!("user {} may only read", self.grant.user);
-            return Err(vec![RpcError::protocol("access-denied", what)]);
-        }
-        let locking = matches!(operation, Operation::Lock(_));
-        let schema = self.schema.clone();
-        let refused = |refused: StoreError| RpcError::of_store_error(&schema, &refused, locking);
-        let id = self.id;
-        match operation {
-            Operation::Get { filter } => {
-                let needs = self.needs(filter.as_ref());
-                let tree = self.hub.view(true, needs).await;
-                Ok(self.data(&tree, filter.as_ref()))
-            }
-            Operation::GetConfig { source, filter } => {
-                let tree = self.hub.with_store(|store| store.tree(id, source).cloned());
-                let tree = tree.ok_or_else(|| refused(StoreError::NoStartup))?;
-                Ok(self.data(&tree, filter.as_ref()))
-            }
-            Operation::EditConfig { target, default, test, on_error, config } => {
-                let wanted = move |tree: &Tree, schema: &Schema| -> Result<Vec<Edit>, StoreError> {
-                    Ok(edits(schema, tree, &config, default)?)
-                };
-                match target {
-                    Datastore::Candidate => self.hub.with_store(|store| {
-                        let tree = store.tree(id, Datastore::Candidate).cloned().unwrap_or_default();
-                        let edits = wanted(&tree, &schema)?;
-                        if test != TestOption::Set {
-                            let mut tried = tree;
-                            for edit in &edits {
-                                tried.apply(&schema, edit.op, &edit.place, edit.value.as_ref())?;
-                            }
-                            store.validate(&tried)?;
-                        }
-                        match test {
-                            TestOption::TestOnly => Ok(()),
-                            _ => store.edit_candidate(id, &edits, on_error),
-                        }
-                    }),
-                    Datastore::Running => {
-                        let done = self.hub.commit(move |store, now, at| {
-                            let schema = store.schema().clone();
-                            let edits = wanted(&store.running().tree, &schema)?;
-                            let plan = store.edit_running(id, &edits, &CommitOptions::default(), now, at)?;
-                            match (test, plan) {
-                                (TestOption::TestOnly, Some(plan)) => {
-                                    store.abandon_commit(&plan);
-                                    Ok(None)
-                                }
-                                (_, plan) => Ok(plan),
-                            }
-                        });
-                        done.await.map(drop)
-                    }
-                    Datastore::Startup => return Err(vec![not_supported("startup can only be copied to")]),
-                }
-                .map_err(refused)?;
-                Ok(String::new())
-            }
-            Operation::CopyConfig { target, source } => {
-                self.copy(target, source).await?;
-                Ok(String::new())
-            }
-            Operation::DeleteConfig { target: Datastore::Startup } => {
-                self.hub.copy_to_startup(id, None).await.map_err(refused)?;
-                Ok(String::new())
-            }
-            Operation::DeleteConfig { .. } => Err(vec![not_supported("only startup can be deleted")]),
-            Operation::Lock(datastore) => {
-                self.hub.with_store(|store| store.lock(id, datastore)).map_err(refused)?;
-                tracing::info!(session = id, "locks {datastore:?}");
-                Ok(String::new())
-            }
-            Operation::Unlock(datastore) => {
-                self.hub.with_store(|store| store.unlock(id, datastore)).map_err(refused)?;
-                Ok(String::new())
-            }
-            Operation::Validate(source) => {
-                let tree = self.source(source)?;
-                self.hub.with_store(|store| store.validate(&tree)).map_err(refused)?;
-                Ok(String::new())
-            }
-            Operation::Commit(CommitParameters {
-                confirm_timeout: confirmed,
-                persist,
-                persist_id,
-                expected_version: expect,
-            }) => {
-                let terms = CommitOptions {
-                    confirm_timeout: confirmed,
-                    persist,
-                    persist_id,
-                    expected_version: expect,
-                };
-                let done = self.hub.commit(move |store, now, at| store.commit(id, &terms, now, at));
-                done.await.map_err(refused)?;
-                Ok(String::new())
-            }
-            Operation::CancelCommit { persist_id } => {
-                let done = self
-                    .hub
-                    .commit(move |store, _, at| store.cancel(id, persist_id.as_deref(), at).map(Some));
-                done.await.map_err(refused)?;
-                Ok(String::new())
-            }
-            Operation::DiscardChanges => {
-                self.hub.with_store(|store| store.discard_candidate(id)).map_err(refused)?;
-                Ok(String::new())
-            }
-            Operation::CloseSession => Ok(String::new()),
-            Operation::KillSession(other) if other == id => {
-                let what = "a session can't kill itself; it may close";
-                Err(vec![RpcError::element("invalid-value", "session-id", what)])
-            }
-            Operation::KillSession(other) => {
-                let kill = self.door.kills().get(&other).cloned();
-                let Some(kill) = kill else {
-                    let what = format!("there is no NETCONF session {other}");
-                    return Err(vec![RpcError::element("invalid-value", "session-id", what)]);
-                };
-                kill.notify_one();
-                Ok(String::new())
-            }
-            Operation::GetSchema { identifier, version, format } => {
-                let known = identifier == schema.module
-                    && version.is_none_or(|version| Some(version) == schema.revision);
-                if !known {
-                    let what = format!("there is no such schema; {} is", schema.module);
-                    return Err(vec![RpcError::application("invalid-value", what)]);
-                }
-                if format.is_some_and(|format| format != "yang" && !format.ends_with(":yang")) {
-                    return Err(vec![RpcError::application("invalid-value", "the only format is yang")]);
-                }
-                Ok(format!("<data xmlns=\"{MONITORING}\">{}</data>", escape(&schema.text)))
-            }
-            Operation::CreateSubscription { stream, filter } => {
-                if stream.is_some_and(|stream| stream != "NETCONF") {
-                    let what = "the only stream is NETCONF";
-                    return Err(vec![RpcError::element("invalid-value", "stream", what)]);
-                }
-                if self.subscription.is_some() {
-                    return Err(vec![RpcError::application("operation-failed", "it has subscribed already")]);
-                }
-                if self.door.subscribed.fetch_add(1, Ordering::SeqCst) >= self.door.subscriptions {
-                    self.door.subscribed.fetch_sub(1, Ordering::SeqCst);
-                    let what = "there are as many subscriptions as there may be";
-                    return Err(vec![RpcError::application("resource-denied", what)]);
-                }
-                self.subscription = Some(Subscription { happened: self.hub.subscribe(), filter });
-                Ok(String::new())
-            }
-        }
-    }
-
-    async fn copy(
-        &mut self,
-        target: Datastore,
-        source: Result<Datastore, Box<Element>>,
-    ) -> Result<(), Vec<RpcError>> {
-        let (id, schema) = (self.id, self.schema.clone());
-        let refused = |refused: StoreError| RpcError::of_store_error(&schema, &refused, false);
-        if source == Ok(target) {
-            return Err(vec![RpcError::protocol("invalid-value", "source and target are the same")]);
-        }
-        match (target, &source) {
-            (Datastore::Startup, Ok(from)) => {
-                self.hub.copy_to_startup(id, Some(*from)).await.map_err(refused)
-            }
-            (Datastore::Startup, Err(_)) => Err(vec![not_supported("startup is copied from a datastore")]),
-            (Datastore::Candidate, _) => {
-                let tree = self.source(source)?;
-                self.hub.with_store(|store| store.replace_candidate(id, tree)).map_err(refused)
+            Err((attributes, error)) => {
+                return (reply(&attributes, &Err(vec![error])), AfterReply::Continue);
             }
-            (Datastore::Running, _) => {
-                let tree = self.source(source)?;
-                let done = self.hub.commit(move |store, now, at| {
-                    let value = Some(Node::Container(tree.fields().clone()));
-                    let edit = Edit { op: Op::Replace, place: Place::new(), value };
-                    store.edit_running(id, &[edit], &CommitOptions::default(), now, at)
-                });
-                done.await.map(drop).map_err(refused)
-            }
-        }
-    }
-
-    fn source(&self, source: Result<Datastore, Box<Element>>) -> Result<Tree, Vec<RpcError>> {
-        match source {
-            Ok(datastore) => {
-                let tree = self.hub.with_store(|store| store.tree(self.id, datastore).cloned());
-                tree.ok_or_else(|| RpcError::of_store_error(&self.schema, &StoreError::NoStartup, false))
-            }
-            Err(config) => {
-                tree_of(&self.schema, &config).map_err(|fault| vec![RpcError::of_fault(&self.schema, &fault)])
-            }
-        }
-    }
-
-    /// Which parts of the state a filter can let through.
-    fn needs(&self, filter: Option<&Element>) -> StateSelection {
-        let mut paths = Vec::new();
-        for front in filter.iter().flat_map(|filter| &filter.children) {
-            for second in &front.children {
-                for third in &second.children {
-                    paths.push(format!("/{}/{}/{}", front.name, second.name, third.name));
-                }
-                if second.children.is_empty() {
-                    paths.push(format!("/{}/{}", front.name, second.name));
-                }
-            }
-            if front.children.is_empty() {
-                paths.push(format!("/{}", front.name));
-            }
-        }
-        if filter.is_none() {
-            paths.push("/front".to_owned());
-        }
-        let patterns: Vec<Pattern> = paths
-            .iter()
-            .filter_map(|path| self.schema.patterns(&parse_path(path).ok()?).ok())
-            .flatten()
-            .collect();
-        StateSelection::for_patterns(&self.schema, &patterns)
-    }
-
-    fn data(&self, tree: &Tree, wanted: Option<&Element>) -> String {
-        let kept = match wanted {
-            Some(wanted) => Arc::new(filter(&self.schema, tree.fields(), wanted)),
-            None => tree.fields().clone(),
         };
-        let mut text = "<data>".to_owned();
-        push_fields(&mut text, &self.schema, &kept, true);
-        text.push_str("</data>");
-        text
-    }
-
-    fn notified(&self, notified: &NotificationContent) -> String {
-        let date = humantime::format_rfc3339_millis(SystemTime::now()).to_string();
-        notification(&self.schema.namespace, &date, notified)
-    }
-
-    /// What has happened, if the manager wants to hear of it.
-    fn notify(&self, happened: &ManagementEvent) -> Option<String> {
-        let notified = match happened {
-            ManagementEvent::Committed(version) => match Hub::is_rollback(version) {
-                Some(to) => NotificationContent {
-                    name: "rolled-back",
-                    leaves: vec![
-                        ("version", version.number.to_string()),
-                        ("to", to.to_string()),
-                        ("cause", version.cause.to_string()),
-                    ],
-                },
-                None => NotificationContent {
-                    name: "committed",
-                    leaves: vec![
-                        ("version", version.number.to_string()),
-                        ("user", version.author.user.clone()),
-                        ("cause", version.cause.to_string()),
-                        ("changes", version.changes.len().to_string()),
-                    ],
-                },
-            },
-            ManagementEvent::Engine(noticed) => NotificationContent {
-                name: "engine-changed",
-                leaves: vec![
-                    ("engine", format!("{:08x}", noticed.engine)),
-                    ("listed", listed(noticed.state).to_owned()),
-                    ("admin-state", admin(noticed.admin).to_owned()),
-                    (
-                        "used",
-                        (noticed.blocked_classes != u64::MAX && listed(noticed.state) == "active")
-                            .to_string(),
-                    ),
-                ],
-            },
+        let after = match rpc.operation {
+            Operation::CloseSession => AfterReply::Close,
+            _ => AfterReply::Continue,
         };
-        let filter = self.subscription.as_ref().and_then(|subscription| subscription.filter.as_ref());
-        if let Some(filter) = filter.filter(|filter| !filter.children.is_empty()) {
-            let wanted = |element: &&Element| {
-                element.name == notified.name
-                    && element.children.iter().all(|leaf| {
-                        let held = notified.leaves.iter().find(|(name, _)| *name == leaf.name);
-                        held.is_some_and(|(_, value)| leaf.value().is_empty() || leaf.value() == value)
-                    })
-            };
-            filter.children.iter().find(wanted)?;
-        }
-        Some(self.notified(&notified))
+        let answer = self.operate(rpc.operation).await;
+        (reply(&rpc.attributes, &answer), after)
     }
 }
 
-enum Incoming {
-    Message(String),
-    ManagementEvent(ManagementEvent),
-    /// So many happenings came faster than they were read.
-    Lost(u64),
-}
-
-fn not_supported(what: &str) -> RpcError {
-    RpcError::protocol("operation-not-supported", what)
+fn capabilities(schema: &Schema) -> Vec<String> {
+    let mut all = vec![BASE_1_0.to_owned(), BASE_1_1.to_owned()];
+    all.extend(CAPABILITIES.iter().map(|name| format!("urn:ietf:params:netconf:capability:{name}")));
+    all.push(PRIVATE_CANDIDATE.to_owned());
+    all.push(format!("{MONITORING}?module=ietf-netconf-monitoring&revision=2010-10-04"));
+    let revision = schema.revision.as_deref().unwrap_or_default();
+    all.push(format!("{}?module={}&revision={revision}", schema.namespace, schema.module));
+    all
 }
 
+/// Writes one message. Fails if the manager reads nothing for too long.
 async fn write(writer: &mut (impl AsyncWrite + Unpin), framing: Framing, text: &str) -> Result<(), String> {
     let bytes = frame(framing, text);
     let written = tokio::time::timeout(WRITE_TIMEOUT, async {
--- a/crates/edges/managed/src/state.rs
+++ b/crates/edges/managed/src/state.rs
@@ -208,8 +208,8 @@
         entry.leaf("location", name(&sources.names.zones, held.zone));
         entry.leaf("kind", name(&sources.names.machine_kinds, held.machine_kind));
         entry.leaf("cell", held.cell);
-        entry.leaf("listed", listed(held.state));
-        entry.leaf("admin-state", admin(engine.endpoint.admin));
+        entry.leaf("listed", list_state_name(held.state));
+        entry.leaf("admin-state", admin_state_name(engine.endpoint.admin));
         entry.leaf("used", engine.endpoint.is_open());
         entry.leaf("resting", engine.ejected);
         if !held.started_at.is_zero() {
@@ -221,7 +221,7 @@
     state.list("engine", entries);
 }
 
-pub fn listed(state: EngineState) -> &'static str {
+pub fn list_state_name(state: EngineState) -> &'static str {
     match state {
         EngineState::Active => "active",
         EngineState::Draining => "leaving",
@@ -229,7 +229,7 @@
     }
 }
 
-pub fn admin(admin: AdminState) -> &'static str {
+pub fn admin_state_name(admin: AdminState) -> &'static str {
     match admin {
         AdminState::Enabled => "enabled",
         AdminState::Draining => "draining",
--- a/crates/edges/netconf/src/lib.rs
+++ b/crates/edges/netconf/src/lib.rs
@@ -11,8 +11,8 @@
 pub use error::RpcError;
 pub use frames::{Framer, Framing, FramingError, frame};
 pub use rpc::{
-    CommitParameters, DefaultOperation, NotificationContent, Operation, Rpc, TestOption, hello, notification,
-    read, reply,
+    CommitParameters, ConfigSource, DefaultOperation, NotificationContent, Operation, Rpc, TestOption, hello,
+    notification, read, reply,
 };
 pub use xml::{Element, Malformed, escape, parse};
 
--- a/crates/edges/netconf/src/rpc.rs
+++ b/crates/edges/netconf/src/rpc.rs
@@ -43,6 +43,15 @@
     pub expected_version: Option<u64>,
 }
 
+/// Where a config is read from.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum ConfigSource {
+    /// A datastore.
+    Datastore(Datastore),
+    /// A `config` element within the operation.
+    Inline(Box<Element>),
+}
+
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Operation {
     Get {
@@ -61,14 +70,14 @@
     },
     CopyConfig {
         target: Datastore,
-        source: Result<Datastore, Box<Element>>,
+        source: ConfigSource,
     },
     DeleteConfig {
         target: Datastore,
     },
     Lock(Datastore),
     Unlock(Datastore),
-    Validate(Result<Datastore, Box<Element>>),
+    Validate(ConfigSource),
     Commit(CommitParameters),
     CancelCommit {
         persist_id: Option<String>,
@@ -233,11 +242,10 @@
     }
 }
 
-/// A datastore, or a whole config written out.
-fn source(holder: &Element) -> Result<Result<Datastore, Box<Element>>, RpcError> {
+fn source(holder: &Element) -> Result<ConfigSource, RpcError> {
     match holder.child("config") {
-        Some(config) => Ok(Err(Box::new(config.clone()))),
-        None => datastore(holder).map(Ok),
+        Some(config) => Ok(ConfigSource::Inline(Box::new(config.clone()))),
+        None => datastore(holder).map(ConfigSource::Datastore),
     }
 }
 
