--- a/crates/core/model/src/json.rs
+++ b/crates/core/model/src/json.rs
@@ -1,14 +1,15 @@
 //! Data as JSON (RFC 7951): names carry the module at the top, 64-bit numbers are strings.
 
 use crate::fault::{Fault, FaultKind};
-use crate::schema::{Kind, NodeId, Schema};
+use crate::node_id::NodeId;
+use crate::schema::{NodeKind, Schema};
 use crate::tree::{Fields, Node, Text};
 use crate::types::JsonForm;
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// What a node holds. `top` names are those that need their module.
+/// A node's data; with `None` for the whole tree, whose names carry the module.
 pub fn to_json(schema: &Schema, id: Option<NodeId>, node: &Node) -> Value {
     match node {
         Node::Container(fields) => Value::Object(fields_to_json(schema, fields, id.is_none())),
@@ -20,8 +21,9 @@
     }
 }
 
+/// A leaf's value, in the form of its type.
 pub fn leaf_to_json(schema: &Schema, id: Option<NodeId>, value: &str) -> Value {
-    let form = id.and_then(|id| schema.node(id).leaf_type()).map_or(JsonForm::String, |ty| ty.json());
+    let form = id.and_then(|id| schema.node(id).leaf_type()).map_or(JsonForm::String, |ty| ty.json_form());
     let read = match form {
         JsonForm::Number => value.parse::<i64>().ok().map(Value::from),
         JsonForm::Boolean => value.parse::<bool>().ok().map(Value::from),
@@ -38,7 +40,8 @@
     fields.iter().map(|(id, node)| (name(*id), to_json(schema, Some(*id), node))).collect()
 }
 
-/// Reads what a node is to hold: for `None` the whole tree, for a list with `entry` one of its entries.
+/// Reads data for a node: for `None` the whole tree, with `entry` one entry of a list or one member of a leaf-list. Fails
+/// where the data does not fit the model.
 pub fn from_json(schema: &Schema, id: Option<NodeId>, entry: bool, value: &Value) -> Result<Node, Fault> {
     Reader { schema }.node(id, entry, value)
 }
@@ -49,20 +52,20 @@
 
 impl Reader<'_> {
     fn fault(&self, id: Option<NodeId>, kind: FaultKind, what: impl Into<String>) -> Fault {
-        let line = id.map(|id| self.schema.line_of(id)).unwrap_or_default();
-        let path: String = line.into_iter().map(|id| format!("/{}", self.schema.node(id).name)).collect();
+        let ancestry = id.map(|id| self.schema.ancestry(id)).unwrap_or_default();
+        let path: String = ancestry.into_iter().map(|id| format!("/{}", self.schema.node(id).name)).collect();
         Fault::new(kind, if path.is_empty() { "/".to_owned() } else { path }, what)
     }
 
     fn node(&self, id: Option<NodeId>, entry: bool, value: &Value) -> Result<Node, Fault> {
         let Some(node) = id else { return self.fields(None, value).map(Node::Container) };
         match &self.schema.node(node).kind {
-            Kind::Container | Kind::Notification => self.fields(id, value).map(Node::Container),
-            Kind::List { .. } if entry => self.fields(id, value).map(Node::Container),
-            Kind::List { .. } => self.list(node, value),
-            Kind::Leaf { .. } => self.leaf(node, value).map(Node::Leaf),
-            Kind::LeafList { .. } if entry => self.leaf(node, value).map(Node::Leaf),
-            Kind::LeafList { .. } => {
+            NodeKind::Container | NodeKind::Notification => self.fields(id, value).map(Node::Container),
+            NodeKind::List { .. } if entry => self.fields(id, value).map(Node::Container),
+            NodeKind::List { .. } => self.list(node, value),
+            NodeKind::Leaf { .. } => self.leaf(node, value).map(Node::Leaf),
+            NodeKind::LeafList { .. } if entry => self.leaf(node, value).map(Node::Leaf),
+            NodeKind::LeafList { .. } => {
                 let Value::Array(values) = value else {
                     return Err(self.fault(id, FaultKind::BadElement, "should be an array"));
                 };
@@ -132,7 +135,7 @@
         let Some(ty) = self.schema.node(id).leaf_type() else {
             return Err(self.fault(Some(id), FaultKind::BadElement, "is no leaf"));
         };
-        let raw = match (ty.json(), value) {
+        let raw = match (ty.json_form(), value) {
             (JsonForm::Boolean, Value::Bool(value)) => value.to_string(),
             (JsonForm::Number, Value::Number(value)) => value.to_string(),
             (JsonForm::String, Value::Number(value)) if ty.is_integer() => value.to_string(),
@@ -147,6 +150,8 @@
                 return Err(self.fault(Some(id), FaultKind::InvalidValue, "should be a string"));
             }
         };
-        ty.canonical(&raw).map(Text::from).map_err(|what| self.fault(Some(id), FaultKind::InvalidValue, what))
+        ty.canonical(&raw)
+            .map(Text::from)
+            .map_err(|error| self.fault(Some(id), FaultKind::InvalidValue, error.to_string()))
     }
 }
--- a/crates/edges/front/src/program/external_processing.rs
+++ b/crates/edges/front/src/program/external_processing.rs
@@ -1,11 +1,13 @@
-//! Proxies that send attempts by themselves, in the place of client sessions and engine connections: their events go to the
-//! router's queue, the router's commands and responses go to them. The state of a call is `lemonusher-external-call`'s.
+//! External processing: proxies that send attempts by themselves, in the place of clients and of connections to engines.
+//! Their events go into the router's queue, the router's commands and responses go to them. The state of a call is decided
+//! in `lemonusher-external-call`.
 
 use super::shared::Shared;
+use crate::transport::Signal;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::FutureExt;
-use lemonusher::{EndpointUpdateKind, EngineId, EngineState, RequestId};
+use lemonusher::{Deployment, EndpointUpdateKind, EngineId, EngineState, LoadReporting, RequestId};
 use lemonusher_external_call::{
     CallAction, CallConfig, CallRequest, CallResponse, ExternalCalls, FinalResponse, StreamId,
 };
@@ -17,7 +19,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What `run` needs to serve proxies that use external processing.
+/// What the front needs to serve proxies by external processing.
 pub struct ExternalProcessing {
     /// Configuration of the calls.
     pub config: CallConfig,
@@ -29,27 +31,44 @@
     pub tick: Duration,
 }
 
-/// Keeps the router's responses, which come while it carries out a decision, until this task runs.
+impl ExternalProcessing {
+    /// Restricts a deployment to what external processing can do: engines are reached by proxies alone, so nothing is
+    /// probed and no load is reported.
+    pub(super) fn restrict(&self, deployment: &mut Deployment) {
+        deployment.tick = self.tick;
+        deployment.capabilities.probes = false;
+        deployment.capabilities.cancel = false;
+        deployment.load_reporting = LoadReporting::None;
+    }
+}
+
+/// Collects the router's responses, which come in the middle of its turn, for later.
 struct ResponseInbox {
     requests: RefCell<BTreeMap<u64, RequestId>>,
-    received: RefCell<VecDeque<(RequestId, Response)>>,
-    wake: Sender<()>,
+    responses: RefCell<VecDeque<ReceivedResponse>>,
+    ready: Signal,
+}
+
+struct ReceivedResponse {
+    request: RequestId,
+    response: Response,
 }
 
 impl ResponseSink for ResponseInbox {
     fn respond(&self, ticket: u64, response: Response) {
         if let Some(request) = self.requests.borrow_mut().remove(&ticket) {
-            self.received.borrow_mut().push_back((request, response));
-            let _ = self.wake.try_send(());
+            self.responses.borrow_mut().push_back(ReceivedResponse { request, response });
+            self.ready.notify();
         }
     }
 }
 
-enum Next {
+/// What the bridge waits for.
+enum BridgeEvent {
     Command(EngineCommand),
     Proxy(ProxyEvent),
     ResponsesReady,
-    Due,
+    Timer,
     Closed,
 }
 
@@ -65,7 +84,7 @@
     calls: ExternalCalls,
     inbox: Rc<ResponseInbox>,
     tickets: BTreeMap<RequestId, u64>,
-    next_ticket: u64,
+    last_ticket: u64,
     streams: BTreeMap<StreamId, ProxyStream>,
     addresses: BTreeMap<EngineId, SocketAddr>,
     started_at: Instant,
@@ -73,48 +92,61 @@
 
 /// Serves for as long as the front runs.
 pub async fn run(shared: Rc<Shared>, commands: Receiver<EngineCommand>, external: ExternalProcessing) {
-    let (wake, response_ready) = async_channel::bounded(1);
-    let inbox = Rc::new(ResponseInbox { requests: RefCell::default(), received: RefCell::default(), wake });
+    let inbox = Rc::new(ResponseInbox {
+        requests: RefCell::default(),
+        responses: RefCell::default(),
+        ready: Signal::new(),
+    });
     let mut bridge = ProcessorBridge {
         shared,
         calls: ExternalCalls::new(external.config),
         inbox,
         tickets: BTreeMap::new(),
-        next_ticket: 0,
+        last_ticket: 0,
         streams: BTreeMap::new(),
         addresses: BTreeMap::new(),
         started_at: Instant::now(),
     };
     loop {
-        let timer = async {
-            match bridge.calls.next_timeout() {
-                Some(at) => Timer::at(bridge.started_at + at).await,
-                None => std::future::pending().await,
-            };
-            Next::Due
-        };
-        // The router's commands go first: a response to a proxy must not wait behind requests.
-        let command = async { commands.recv().await.map_or(Next::Closed, Next::Command) };
-        let response = async { response_ready.recv().await.map_or(Next::Closed, |()| Next::ResponsesReady) };
-        let proxy = async { external.events.recv().await.map_or(Next::Closed, Next::Proxy) };
-        let next = command.or(response).or(timer).or(proxy).await;
+        let event = bridge.next_event(&commands, &external.events).await;
         let now = bridge.started_at.elapsed();
-        let actions = match next {
-            Next::Closed => return,
-            Next::Due => bridge.calls.poll(now),
-            Next::ResponsesReady => bridge.handle_responses(now),
-            Next::Command(command) => bridge.handle_command(command),
-            Next::Proxy(event) => bridge.handle_proxy_event(now, event),
+        let actions = match event {
+            BridgeEvent::Closed => return,
+            BridgeEvent::Timer => bridge.calls.poll(now),
+            BridgeEvent::ResponsesReady => bridge.handle_responses(now),
+            BridgeEvent::Command(command) => bridge.handle_command(command),
+            BridgeEvent::Proxy(event) => bridge.handle_proxy_event(now, event),
         };
         bridge.execute(actions).await;
     }
 }
 
 impl ProcessorBridge {
+    /// Waits for what comes first. The router's commands go first: a response to a proxy must not wait behind requests.
+    async fn next_event(
+        &self,
+        commands: &Receiver<EngineCommand>,
+        proxy_events: &Receiver<ProxyEvent>,
+    ) -> BridgeEvent {
+        let timer = async {
+            match self.calls.next_timeout() {
+                Some(at) => Timer::at(self.started_at + at).await,
+                None => std::future::pending().await,
+            };
+            BridgeEvent::Timer
+        };
+        let command = async { commands.recv().await.map_or(BridgeEvent::Closed, BridgeEvent::Command) };
+        let responses = async {
+            self.inbox.ready.wait().await.map_or(BridgeEvent::Closed, |()| BridgeEvent::ResponsesReady)
+        };
+        let proxy_event = async { proxy_events.recv().await.map_or(BridgeEvent::Closed, BridgeEvent::Proxy) };
+        command.or(responses).or(timer).or(proxy_event).await
+    }
+
     fn handle_responses(&mut self, now: Duration) -> Vec<CallAction> {
-        let received: Vec<(RequestId, Response)> = self.inbox.received.borrow_mut().drain(..).collect();
+        let responses: Vec<ReceivedResponse> = self.inbox.responses.borrow_mut().drain(..).collect();
         let mut actions = Vec::new();
-        for (request, response) in received {
+        for ReceivedResponse { request, response } in responses {
             self.tickets.remove(&request);
             actions.extend(match response {
                 Response::Returned(_) => Vec::new(), // The proxy has passed it on already.
@@ -137,7 +169,7 @@
                 self.handle_endpoints(kind, endpoints);
                 Vec::new()
             }
-            // Nothing is probed, and an attempt that a proxy has begun can't be called back.
+            // Nothing is probed, and what a proxy has sent can't be cancelled.
             EngineCommand::Probe { .. }
             | EngineCommand::SetPriority { .. }
             | EngineCommand::Cancel(_)
@@ -185,8 +217,9 @@
                 CallAction::Cancel(request) => {
                     if let Some(ticket) = self.tickets.remove(&request) {
                         self.inbox.requests.borrow_mut().remove(&ticket);
-                        let event = RouterEvent::ClientGone { sink: self.inbox.clone(), ticket, request };
-                        let _ = self.shared.events.send(event).await;
+                        let disconnected =
+                            RouterEvent::ClientGone { sink: self.inbox.clone(), ticket, request };
+                        let _ = self.shared.events.send(disconnected).await;
                     }
                 }
                 CallAction::EndAttempt { token, outcome } => {
@@ -198,8 +231,8 @@
     }
 
     async fn submit(&mut self, call: CallRequest) {
-        self.next_ticket += 1;
-        let ticket = self.next_ticket;
+        self.last_ticket += 1;
+        let ticket = self.last_ticket;
         // Seldom, a request of this id is still on its way out of the router's tables: the new one has its ticket.
         self.tickets.insert(call.request.clone(), ticket);
         self.inbox.requests.borrow_mut().insert(ticket, call.request.clone());
