--- a/crates/edges/managed/src/netconf/session/operations.rs
+++ b/crates/edges/managed/src/netconf/session/operations.rs
@@ -4,8 +4,8 @@
 use crate::state::StateSelection;
 use lemonusher_model::{Node, Op, Pattern, Place, Schema, Tree, parse_path};
 use lemonusher_netconf::{
-    CommitParameters, ConfigSource, DefaultOperation, Element, MONITORING, Operation, RpcError, TestOption,
-    edits, escape, filter, push_fields, tree_of,
+    CommitParameters, ConfigSource, DefaultOperation, Element, ErrorTag, MONITORING, Operation, RpcError,
+    TestOption, edits, escape, filter, push_fields, tree_of,
 };
 use lemonusher_store::{CommitOptions, Datastore, Edit, ErrorOption, Store, StoreError};
 use std::sync::Arc;
@@ -32,7 +32,7 @@
     pub(super) async fn operate(&mut self, operation: Operation) -> Reply {
         if is_write(&operation) && !self.grant.may_write {
             let what = format!("user {} may only read", self.grant.user);
-            return Err(vec![RpcError::protocol("access-denied", what)]);
+            return Err(vec![RpcError::protocol(ErrorTag::AccessDenied, what)]);
         }
         match operation {
             Operation::Get { filter } => self.get(filter).await,
@@ -124,7 +124,7 @@
 
     async fn copy_config(&self, target: Datastore, source: ConfigSource) -> Reply {
         if source == ConfigSource::Datastore(target) {
-            return Err(vec![RpcError::protocol("invalid-value", "source and target are the same")]);
+            return Err(vec![RpcError::protocol(ErrorTag::InvalidValue, "source and target are the same")]);
         }
         let id = self.id;
         match (target, source) {
@@ -198,12 +198,12 @@
     fn kill_session(&self, session: u32) -> Reply {
         if session == self.id {
             let what = "a session can't kill itself; it may close";
-            return Err(vec![RpcError::element("invalid-value", "session-id", what)]);
+            return Err(vec![RpcError::element(ErrorTag::InvalidValue, "session-id", what)]);
         }
         let signal = self.server.kill_signals().get(&session).cloned();
         let Some(signal) = signal else {
             let what = format!("there is no NETCONF session {session}");
-            return Err(vec![RpcError::element("invalid-value", "session-id", what)]);
+            return Err(vec![RpcError::element(ErrorTag::InvalidValue, "session-id", what)]);
         };
         signal.notify_one();
         Ok(String::new())
@@ -215,10 +215,10 @@
             identifier == schema.module && version.is_none_or(|version| Some(version) == schema.revision);
         if !known {
             let what = format!("there is no such schema; {} is", schema.module);
-            return Err(vec![RpcError::application("invalid-value", what)]);
+            return Err(vec![RpcError::application(ErrorTag::InvalidValue, what)]);
         }
         if format.is_some_and(|format| format != "yang" && !format.ends_with(":yang")) {
-            return Err(vec![RpcError::application("invalid-value", "the only format is yang")]);
+            return Err(vec![RpcError::application(ErrorTag::InvalidValue, "the only format is yang")]);
         }
         Ok(format!("<data xmlns=\"{MONITORING}\">{}</data>", escape(&schema.text)))
     }
@@ -226,15 +226,15 @@
     fn create_subscription(&mut self, stream: Option<String>, filter: Option<Element>) -> Reply {
         if stream.is_some_and(|stream| stream != "NETCONF") {
             let what = "the only stream is NETCONF";
-            return Err(vec![RpcError::element("invalid-value", "stream", what)]);
+            return Err(vec![RpcError::element(ErrorTag::InvalidValue, "stream", what)]);
         }
         if self.subscription.is_some() {
-            return Err(vec![RpcError::application("operation-failed", "it has subscribed already")]);
+            return Err(vec![RpcError::application(ErrorTag::OperationFailed, "it has subscribed already")]);
         }
         if self.server.subscribed.fetch_add(1, Ordering::SeqCst) >= self.server.max_subscriptions {
             self.server.subscribed.fetch_sub(1, Ordering::SeqCst);
             let what = "there are as many subscriptions as there may be";
-            return Err(vec![RpcError::application("resource-denied", what)]);
+            return Err(vec![RpcError::application(ErrorTag::ResourceDenied, what)]);
         }
         self.subscription = Some(Subscription { events: self.hub.subscribe(), filter });
         Ok(String::new())
@@ -308,5 +308,5 @@
 }
 
 fn not_supported(what: &str) -> RpcError {
-    RpcError::protocol("operation-not-supported", what)
+    RpcError::protocol(ErrorTag::OperationNotSupported, what)
 }
--- a/crates/edges/netconf/src/error.rs
+++ b/crates/edges/netconf/src/error.rs
@@ -1,59 +1,154 @@
+//! Errors of NETCONF, and those of the model and the store as such.
+
 use crate::BASE;
 use crate::xml::escape;
 use lemonusher_model::{Fault, FaultKind, Schema};
 use lemonusher_store::StoreError;
 use std::fmt::Write;
 
+/// The layer at which an error occurred (`error-type`).
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ErrorType {
+    /// Secure transport and message framing.
+    Rpc,
+    /// The operations of NETCONF.
+    Protocol,
+    /// Data and this server.
+    Application,
+}
+
+impl ErrorType {
+    /// The name in an `error-type`.
+    pub fn name(self) -> &'static str {
+        match self {
+            ErrorType::Rpc => "rpc",
+            ErrorType::Protocol => "protocol",
+            ErrorType::Application => "application",
+        }
+    }
+}
+
+/// What kind of error it is (`error-tag`; RFC 6241, appendix A).
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ErrorTag {
+    /// `in-use`.
+    InUse,
+    /// `invalid-value`.
+    InvalidValue,
+    /// `missing-attribute`.
+    MissingAttribute,
+    /// `bad-element`.
+    BadElement,
+    /// `missing-element`.
+    MissingElement,
+    /// `unknown-element`.
+    UnknownElement,
+    /// `unknown-namespace`.
+    UnknownNamespace,
+    /// `access-denied`.
+    AccessDenied,
+    /// `lock-denied`.
+    LockDenied,
+    /// `resource-denied`.
+    ResourceDenied,
+    /// `data-exists`.
+    DataExists,
+    /// `data-missing`.
+    DataMissing,
+    /// `operation-not-supported`.
+    OperationNotSupported,
+    /// `operation-failed`.
+    OperationFailed,
+    /// `malformed-message`.
+    MalformedMessage,
+}
+
+impl ErrorTag {
+    /// The name in an `error-tag`.
+    pub fn name(self) -> &'static str {
+        match self {
+            ErrorTag::InUse => "in-use",
+            ErrorTag::InvalidValue => "invalid-value",
+            ErrorTag::MissingAttribute => "missing-attribute",
+            ErrorTag::BadElement => "bad-element",
+            ErrorTag::MissingElement => "missing-element",
+            ErrorTag::UnknownElement => "unknown-element",
+            ErrorTag::UnknownNamespace => "unknown-namespace",
+            ErrorTag::AccessDenied => "access-denied",
+            ErrorTag::LockDenied => "lock-denied",
+            ErrorTag::ResourceDenied => "resource-denied",
+            ErrorTag::DataExists => "data-exists",
+            ErrorTag::DataMissing => "data-missing",
+            ErrorTag::OperationNotSupported => "operation-not-supported",
+            ErrorTag::OperationFailed => "operation-failed",
+            ErrorTag::MalformedMessage => "malformed-message",
+        }
+    }
+}
+
 /// One `rpc-error` (RFC 6241, section 4.3 and appendix A).
-#[derive(Debug, Clone, PartialEq, Eq, Default)]
+#[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RpcError {
-    /// `rpc`, `protocol` or `application`.
-    pub kind: &'static str,
-    pub tag: &'static str,
+    /// The layer at which it occurred.
+    pub error_type: ErrorType,
+    /// What kind of error it is.
+    pub tag: ErrorTag,
+    /// The `error-app-tag`.
     pub app_tag: Option<String>,
+    /// The `error-path`, with prefixes.
     pub path: Option<String>,
+    /// The message for people.
     pub message: String,
-    /// The session that holds a lock, or the element that is meant.
+    /// The session that holds a lock.
     pub session: Option<u32>,
+    /// The element that is meant.
     pub element: Option<String>,
 }
 
 impl RpcError {
-    pub fn protocol(tag: &'static str, message: impl Into<String>) -> RpcError {
-        RpcError { kind: "protocol", tag, message: message.into(), ..RpcError::default() }
+    fn new(error_type: ErrorType, tag: ErrorTag, message: String) -> RpcError {
+        RpcError { error_type, tag, app_tag: None, path: None, message, session: None, element: None }
+    }
+
+    /// An error of a NETCONF operation.
+    pub fn protocol(tag: ErrorTag, message: impl Into<String>) -> RpcError {
+        RpcError::new(ErrorType::Protocol, tag, message.into())
     }
 
-    pub fn rpc(tag: &'static str, message: impl Into<String>) -> RpcError {
-        RpcError { kind: "rpc", tag, message: message.into(), ..RpcError::default() }
+    /// An error of a message.
+    pub fn rpc(tag: ErrorTag, message: impl Into<String>) -> RpcError {
+        RpcError::new(ErrorType::Rpc, tag, message.into())
     }
 
-    pub fn application(tag: &'static str, message: impl Into<String>) -> RpcError {
-        RpcError { kind: "application", tag, message: message.into(), ..RpcError::default() }
+    /// An error of the data or of this server.
+    pub fn application(tag: ErrorTag, message: impl Into<String>) -> RpcError {
+        RpcError::new(ErrorType::Application, tag, message.into())
     }
 
     /// A bad or missing element of an operation.
-    pub fn element(tag: &'static str, element: &str, message: impl Into<String>) -> RpcError {
+    pub fn element(tag: ErrorTag, element: &str, message: impl Into<String>) -> RpcError {
         RpcError { element: Some(element.to_owned()), ..RpcError::protocol(tag, message) }
     }
 
+    /// The error for data that does not fit the model.
     pub fn of_fault(schema: &Schema, fault: &Fault) -> RpcError {
         let (tag, app_tag) = match fault.kind {
-            FaultKind::UnknownElement => ("unknown-element", None),
-            FaultKind::UnknownNamespace => ("unknown-namespace", None),
-            FaultKind::BadElement => ("bad-element", None),
-            FaultKind::MissingElement => ("missing-element", None),
-            FaultKind::InvalidValue => ("invalid-value", None),
-            FaultKind::ReadOnly => ("invalid-value", Some("read-only")),
-            FaultKind::DataExists => ("data-exists", None),
-            FaultKind::DataMissing => ("data-missing", None),
-            FaultKind::MissingInstance => ("data-missing", Some("instance-required")),
-            FaultKind::MustViolation => ("operation-failed", Some("must-violation")),
-            FaultKind::TooFew => ("operation-failed", Some("too-few-elements")),
-            FaultKind::TooMany => ("operation-failed", Some("too-many-elements")),
+            FaultKind::UnknownElement => (ErrorTag::UnknownElement, None),
+            FaultKind::UnknownNamespace => (ErrorTag::UnknownNamespace, None),
+            FaultKind::BadElement => (ErrorTag::BadElement, None),
+            FaultKind::MissingElement => (ErrorTag::MissingElement, None),
+            FaultKind::InvalidValue => (ErrorTag::InvalidValue, None),
+            FaultKind::ReadOnly => (ErrorTag::InvalidValue, Some("read-only")),
+            FaultKind::DataExists => (ErrorTag::DataExists, None),
+            FaultKind::DataMissing => (ErrorTag::DataMissing, None),
+            FaultKind::MissingInstance => (ErrorTag::DataMissing, Some("instance-required")),
+            FaultKind::MustViolation => (ErrorTag::OperationFailed, Some("must-violation")),
+            FaultKind::TooFew => (ErrorTag::OperationFailed, Some("too-few-elements")),
+            FaultKind::TooMany => (ErrorTag::OperationFailed, Some("too-many-elements")),
         };
         let path = fault.path.as_deref();
-        let last = path.and_then(|path| path.rsplit('/').next());
-        let element = last.map(|last| last.split('[').next().unwrap_or_default().to_owned());
+        let last_step = path.and_then(|path| path.rsplit('/').next());
+        let element = last_step.map(|step| step.split('[').next().unwrap_or_default().to_owned());
         RpcError {
             app_tag: fault.tag.clone().or(app_tag.map(str::to_owned)),
             path: path.map(|path| prefixed(schema, path)),
@@ -62,28 +157,30 @@
         }
     }
 
-    /// What the store refuses. Where a lock was asked for, another's stands against it.
-    pub fn of_store_error(schema: &Schema, refused: &StoreError, locking: bool) -> Vec<RpcError> {
-        let text = refused.to_string();
-        let one = |tag: &'static str| RpcError::protocol(tag, text.clone());
+    /// The errors for what the store refuses; `locking` where the operation was to lock.
+    pub fn of_store_error(schema: &Schema, error: &StoreError, locking: bool) -> Vec<RpcError> {
+        let text = error.to_string();
+        let protocol = |tag: ErrorTag| RpcError::protocol(tag, text.clone());
         let failed = |app_tag: &str| RpcError {
             app_tag: Some(app_tag.to_owned()),
-            ..RpcError::application("operation-failed", text.clone())
+            ..RpcError::application(ErrorTag::OperationFailed, text.clone())
         };
-        let held = if locking { "lock-denied" } else { "in-use" };
-        vec![match refused {
+        let locked = if locking { ErrorTag::LockDenied } else { ErrorTag::InUse };
+        vec![match error {
             StoreError::Faults(faults) => {
                 return faults.iter().map(|fault| RpcError::of_fault(schema, fault)).collect();
             }
-            StoreError::Locked(by) | StoreError::Pending(by) => RpcError { session: Some(*by), ..one(held) },
-            StoreError::Modified => RpcError { session: Some(0), ..one("lock-denied") },
-            StoreError::Busy => one("in-use"),
-            StoreError::TooManySessions | StoreError::TooManyFollowUps => one("resource-denied"),
-            StoreError::NothingPending => one("invalid-value"),
-            StoreError::NoVersion(_) => one("invalid-value"),
-            StoreError::NoStartup => RpcError::application("data-missing", text.clone()),
-            StoreError::NotLocked => RpcError::application("operation-failed", text.clone()),
-            StoreError::UnknownSession => RpcError::application("operation-failed", text.clone()),
+            StoreError::Locked(session) | StoreError::Pending(session) => {
+                RpcError { session: Some(*session), ..protocol(locked) }
+            }
+            StoreError::Modified => RpcError { session: Some(0), ..protocol(ErrorTag::LockDenied) },
+            StoreError::Busy => protocol(ErrorTag::InUse),
+            StoreError::TooManySessions | StoreError::TooManyFollowUps => protocol(ErrorTag::ResourceDenied),
+            StoreError::NothingPending => protocol(ErrorTag::InvalidValue),
+            StoreError::NoVersion(_) => protocol(ErrorTag::InvalidValue),
+            StoreError::NoStartup => RpcError::application(ErrorTag::DataMissing, text.clone()),
+            StoreError::NotLocked => RpcError::application(ErrorTag::OperationFailed, text.clone()),
+            StoreError::UnknownSession => RpcError::application(ErrorTag::OperationFailed, text.clone()),
             StoreError::Stale { .. } => failed("stale"),
             StoreError::Conflict(_) => failed("conflict"),
             StoreError::Failed(_) => failed("declined"),
@@ -94,7 +191,8 @@
         let _ = write!(
             to,
             "<rpc-error><error-type>{}</error-type><error-tag>{}</error-tag><error-severity>error</error-severity>",
-            self.kind, self.tag
+            self.error_type.name(),
+            self.tag.name()
         );
         if let Some(tag) = &self.app_tag {
             let _ = write!(to, "<error-app-tag>{}</error-app-tag>", escape(tag));
--- a/crates/edges/netconf/src/lib.rs
+++ b/crates/edges/netconf/src/lib.rs
@@ -8,7 +8,7 @@
 mod xml;
 
 pub use data::{edits, filter, from_xml, push_fields, tree_of};
-pub use error::RpcError;
+pub use error::{ErrorTag, ErrorType, RpcError};
 pub use frames::{Framer, Framing, FramingError, frame};
 pub use rpc::{
     CommitParameters, ConfigSource, DefaultOperation, NotificationContent, Operation, Rpc, TestOption, hello,
--- a/crates/edges/netconf/src/rpc.rs
+++ b/crates/edges/netconf/src/rpc.rs
@@ -1,6 +1,6 @@
 //! Operations as typed values, and what is answered.
 
-use crate::error::RpcError;
+use crate::error::{ErrorTag, RpcError};
 use crate::xml::{Element, escape, parse};
 use crate::{BASE, MONITORING, NOTIFICATION};
 use lemonusher_store::{Datastore, ErrorOption};
@@ -99,20 +99,21 @@
 /// Reads a message: an `rpc`, or why it is none, with the attributes that the reply must repeat.
 pub fn read(text: &str) -> Result<Rpc, (Attributes, RpcError)> {
     let none = Vec::new;
-    let rpc = parse(text).map_err(|wrong| (none(), RpcError::rpc("malformed-message", wrong.to_string())))?;
+    let rpc = parse(text)
+        .map_err(|wrong| (none(), RpcError::rpc(ErrorTag::MalformedMessage, wrong.to_string())))?;
     if rpc.name != "rpc" || rpc.ns != BASE {
         let what = format!("'{}' stands where an rpc of {BASE} should", rpc.name);
-        return Err((none(), RpcError::rpc("malformed-message", what)));
+        return Err((none(), RpcError::rpc(ErrorTag::MalformedMessage, what)));
     }
     let attributes = rpc.attributes.clone();
     if rpc.attribute("", "message-id").is_none() {
-        let error = RpcError::rpc("missing-attribute", "an rpc has a message-id");
+        let error = RpcError::rpc(ErrorTag::MissingAttribute, "an rpc has a message-id");
         return Err((attributes, RpcError { element: Some("rpc".to_owned()), ..error }));
     }
     let mut children = rpc.children.into_iter();
     let operation = match (children.next(), children.next()) {
         (Some(operation), None) => operation,
-        _ => return Err((attributes, RpcError::rpc("bad-element", "an rpc holds one operation"))),
+        _ => return Err((attributes, RpcError::rpc(ErrorTag::BadElement, "an rpc holds one operation"))),
     };
     match operation_of(operation) {
         Ok(operation) => Ok(Rpc { attributes, operation }),
@@ -128,12 +129,12 @@
     };
     if element.ns != ns {
         let what = format!("'{}' is not known in namespace '{}'", element.name, element.ns);
-        return Err(RpcError::element("unknown-namespace", &element.name, what));
+        return Err(RpcError::element(ErrorTag::UnknownNamespace, &element.name, what));
     }
     let text = |name: &str| element.child(name).map(|child| child.value().to_owned());
     let need = |name: &str| {
         let child = element.child(name);
-        child.ok_or_else(|| RpcError::element("missing-element", name, format!("'{name}' is missing")))
+        child.ok_or_else(|| RpcError::element(ErrorTag::MissingElement, name, format!("'{name}' is missing")))
     };
     let filter = |name: &str| -> Result<Option<Element>, RpcError> {
         let Some(filter) = element.child(name) else { return Ok(None) };
@@ -141,7 +142,7 @@
             None | Some("subtree") => Ok(Some(filter.clone())),
             Some(other) => {
                 let what = format!("filters of type '{other}' are not known; subtree is");
-                Err(RpcError::protocol("operation-not-supported", what))
+                Err(RpcError::protocol(ErrorTag::OperationNotSupported, what))
             }
         }
     };
@@ -213,19 +214,19 @@
         "create-subscription" => {
             if let Some(name) = ["startTime", "stopTime"].iter().find(|name| element.child(name).is_some()) {
                 let what = "past notifications are not kept, so there is no replay";
-                return Err(RpcError::element("operation-not-supported", name, what));
+                return Err(RpcError::element(ErrorTag::OperationNotSupported, name, what));
             }
             Operation::CreateSubscription { stream: text("stream"), filter: filter("filter")? }
         }
         other => {
             let what = format!("operation '{other}' is not known");
-            return Err(RpcError::protocol("operation-not-supported", what));
+            return Err(RpcError::protocol(ErrorTag::OperationNotSupported, what));
         }
     })
 }
 
 fn bad(element: &str) -> RpcError {
-    RpcError::element("invalid-value", element, format!("the value of '{element}' is not known"))
+    RpcError::element(ErrorTag::InvalidValue, element, format!("the value of '{element}' is not known"))
 }
 
 fn datastore(holder: &Element) -> Result<Datastore, RpcError> {
@@ -236,9 +237,9 @@
         Some("startup") => Ok(Datastore::Startup),
         Some(other) => {
             let what = format!("'{other}' can't be meant here; running, candidate and startup can");
-            Err(RpcError::element("operation-not-supported", other, what))
+            Err(RpcError::element(ErrorTag::OperationNotSupported, other, what))
         }
-        None => Err(RpcError::element("missing-element", &holder.name, "no datastore is named")),
+        None => Err(RpcError::element(ErrorTag::MissingElement, &holder.name, "no datastore is named")),
     }
 }
 
--- a/crates/edges/netconf/tests/messages.rs
+++ b/crates/edges/netconf/tests/messages.rs
@@ -133,12 +133,12 @@
         ("<commit><confirmed/><confirm-timeout>0</confirm-timeout></commit>", "invalid-value"),
         ("<kill-session><session-id>x</session-id></kill-session>", "invalid-value"),
     ] {
-        assert_eq!(rpc(operation).unwrap_err().tag, tag, "{operation}");
+        assert_eq!(rpc(operation).unwrap_err().tag.name(), tag, "{operation}");
     }
     let (_, error) = read(&format!("<rpc xmlns=\"{BASE}\"><get/></rpc>")).unwrap_err();
-    assert_eq!(error.tag, "missing-attribute");
-    assert_eq!(read("<rpc message-id='1'><get/></rpc>").unwrap_err().1.tag, "malformed-message");
-    assert_eq!(read("noise").unwrap_err().1.tag, "malformed-message");
+    assert_eq!(error.tag.name(), "missing-attribute");
+    assert_eq!(read("<rpc message-id='1'><get/></rpc>").unwrap_err().1.tag.name(), "malformed-message");
+    assert_eq!(read("noise").unwrap_err().1.tag.name(), "malformed-message");
 }
 
 #[test]
