--- /dev/null
+++ b/crates/edges/netconf/src/edits.rs
@@ -0,0 +1,163 @@
+//! The edits that a `config` element asks for (RFC 6241, 7.2).
+
+use crate::BASE;
+use crate::data::{child_of, from_xml, keys, leaf};
+use crate::operation::DefaultOperation;
+use crate::xml::Element;
+use lemonusher_model::{Fault, FaultKind, Node, NodeId, NodeKind, Op, Place, Schema, Segment, Text, Tree};
+use lemonusher_store::Edit;
+use std::sync::Arc;
+
+/// Characters of an operation's name that an error repeats.
+const MAX_SHOWN_CHARACTERS: usize = 32;
+
+/// The edits of a `config` element, in order. Fails where it does not fit the model, or where an element without an
+/// operation means something that `tree` does not hold.
+pub fn edits(
+    schema: &Schema,
+    tree: &Tree,
+    config: &Element,
+    default: DefaultOperation,
+) -> Result<Vec<Edit>, Fault> {
+    let mut pass = Pass { schema, tree, edits: Vec::new() };
+    let op = match default {
+        DefaultOperation::Merge => Some(Op::Merge),
+        DefaultOperation::Replace => Some(Op::Replace),
+        DefaultOperation::None => None,
+    };
+    pass.children(&mut Place::new(), config, op)?;
+    let mut edits = pass.edits;
+    if default == DefaultOperation::Replace {
+        // What the config does not name is deleted as well, so the whole tree is replaced first.
+        let value = Some(Node::Container(from_xml(schema, None, config)?));
+        edits.retain(|edit| matches!(edit.op, Op::Delete | Op::Create));
+        edits.insert(0, Edit { op: Op::Replace, place: Place::new(), value });
+    }
+    Ok(edits)
+}
+
+/// One pass over a `config` element, with the edits found so far.
+struct Pass<'a> {
+    schema: &'a Schema,
+    tree: &'a Tree,
+    edits: Vec<Edit>,
+}
+
+impl Pass<'_> {
+    fn children(&mut self, place: &mut Place, element: &Element, op: Option<Op>) -> Result<(), Fault> {
+        for child in &element.children {
+            let parent = place.last().map(|segment| segment.node);
+            let id = child_of(self.schema, parent, child)?;
+            place.push(Segment { node: id, keys: None });
+            self.node(place, id, child, op)?;
+            place.pop();
+        }
+        Ok(())
+    }
+
+    fn node(
+        &mut self,
+        place: &mut Place,
+        id: NodeId,
+        element: &Element,
+        inherited: Option<Op>,
+    ) -> Result<(), Fault> {
+        let op = self.operation(place, element, inherited)?;
+        match &self.schema.node(id).kind {
+            NodeKind::Leaf { .. } => {
+                let value = match op {
+                    Some(Op::Delete | Op::Remove) => None,
+                    _ => Some(Node::Leaf(leaf(self.schema, id, element)?)),
+                };
+                self.push(op, place, value)
+            }
+            NodeKind::LeafList { .. } => {
+                let value = leaf(self.schema, id, element)?;
+                set_keys(place, vec![value.clone()]);
+                self.push(op, place, Some(Node::Leaf(value)))
+            }
+            NodeKind::List { .. } => {
+                set_keys(place, keys(self.schema, id, element)?);
+                self.entry(place, id, element, op)
+            }
+            NodeKind::Container | NodeKind::Notification if is_merged(op) => {
+                self.children(place, element, op)
+            }
+            NodeKind::Container | NodeKind::Notification => self.whole(place, id, element, op),
+        }
+    }
+
+    /// The operation that an element names, or else the inherited one.
+    fn operation(
+        &self,
+        place: &Place,
+        element: &Element,
+        inherited: Option<Op>,
+    ) -> Result<Option<Op>, Fault> {
+        Ok(match element.attribute(BASE, "operation") {
+            None => inherited,
+            Some("merge") => Some(Op::Merge),
+            Some("replace") => Some(Op::Replace),
+            Some("create") => Some(Op::Create),
+            Some("delete") => Some(Op::Delete),
+            Some("remove") => Some(Op::Remove),
+            Some(other) => {
+                let shown: String = other.chars().take(MAX_SHOWN_CHARACTERS).collect();
+                let what = format!("operation '{shown}' is not known");
+                return Err(Fault::new(FaultKind::InvalidValue, self.schema.text(place), what));
+            }
+        })
+    }
+
+    /// An entry of a list: as a whole, or the entry itself and then what stands in it.
+    fn entry(
+        &mut self,
+        place: &mut Place,
+        id: NodeId,
+        element: &Element,
+        op: Option<Op>,
+    ) -> Result<(), Fault> {
+        if !is_merged(op) {
+            return self.whole(place, id, element, op);
+        }
+        self.push(op, place, Some(Node::Container(Arc::default())))?;
+        let schema = self.schema;
+        let is_no_key =
+            |child: &&Element| schema.keys(id).iter().all(|key| schema.node(*key).name != child.name);
+        let children = element.children.iter().filter(is_no_key).cloned().collect();
+        self.children(place, &Element { children, ..Element::default() }, op)
+    }
+
+    /// A container or an entry of a list as one edit.
+    fn whole(&mut self, place: &Place, id: NodeId, element: &Element, op: Option<Op>) -> Result<(), Fault> {
+        let value = match op {
+            Some(Op::Delete | Op::Remove) => None,
+            _ => Some(Node::Container(from_xml(self.schema, Some(id), element)?)),
+        };
+        self.push(op, place, value)
+    }
+
+    /// A node without an operation only leads to others: it must exist.
+    fn push(&mut self, op: Option<Op>, place: &Place, value: Option<Node>) -> Result<(), Fault> {
+        match op {
+            Some(op) => self.edits.push(Edit { op, place: place.clone(), value }),
+            None if self.tree.get(place).is_none() => {
+                let text = self.schema.text(place);
+                return Err(Fault::new(FaultKind::DataMissing, text, "does not exist"));
+            }
+            None => {}
+        }
+        Ok(())
+    }
+}
+
+/// Whether what stands in an element is edited by itself.
+fn is_merged(op: Option<Op>) -> bool {
+    matches!(op, None | Some(Op::Merge))
+}
+
+fn set_keys(place: &mut Place, keys: Vec<Text>) {
+    if let Some(last) = place.last_mut() {
+        last.keys = Some(keys);
+    }
+}
--- /dev/null
+++ b/crates/edges/netconf/src/filter.rs
@@ -0,0 +1,99 @@
+//! Subtree filters (RFC 6241, section 6).
+
+use crate::BASE;
+use crate::xml::Element;
+use lemonusher_model::{Fields, Node, NodeId, Schema, Text};
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// What a subtree filter lets through.
+pub fn filter(schema: &Schema, fields: &Fields, filter: &Element) -> Fields {
+    filter_fields(schema, None, fields, &filter.children).unwrap_or_default()
+}
+
+/// None where a content match among the siblings does not hold.
+fn filter_fields(
+    schema: &Schema,
+    parent: Option<NodeId>,
+    fields: &Fields,
+    filters: &[Element],
+) -> Option<Fields> {
+    let is_known =
+        |element: &&Element| element.ns.is_empty() || element.ns == schema.namespace || element.ns == BASE;
+    let filters: Vec<&Element> = filters.iter().filter(is_known).collect();
+    for element in filters.iter().filter(|element| is_content_match(element)) {
+        if !content_matches(schema, parent, fields, element)? {
+            return None;
+        }
+    }
+    // With nothing but content matches, everything beside them is selected.
+    if !filters.is_empty() && filters.iter().all(|element| is_content_match(element)) {
+        return Some(fields.clone());
+    }
+    let mut selected = Fields::new();
+    for element in filters {
+        let id = schema.child(parent, &element.name);
+        let Some((id, node)) = id.and_then(|id| Some((id, fields.get(&id)?))) else { continue };
+        if let Some(part) = filter_node(schema, id, node, element) {
+            add(&mut selected, id, part);
+        }
+    }
+    Some(selected)
+}
+
+fn is_content_match(element: &Element) -> bool {
+    element.children.is_empty() && !element.value().is_empty()
+}
+
+/// Whether a leaf has the value, or a leaf-list holds it; none for what is no value of a leaf.
+fn content_matches(
+    schema: &Schema,
+    parent: Option<NodeId>,
+    fields: &Fields,
+    element: &Element,
+) -> Option<bool> {
+    let id = schema.child(parent, &element.name)?;
+    let value = schema.canonical(id, element.value()).ok()?;
+    Some(match fields.get(&id) {
+        Some(Node::Leaf(set)) => *set == value,
+        Some(Node::LeafList(members)) => members.contains(&value),
+        _ => false,
+    })
+}
+
+/// What an element selects of a node.
+fn filter_node(schema: &Schema, id: NodeId, node: &Node, element: &Element) -> Option<Node> {
+    if element.children.is_empty() {
+        return Some(node.clone());
+    }
+    let inner = |fields: &Fields| {
+        let selected = filter_fields(schema, Some(id), fields, &element.children)?;
+        (!selected.is_empty()).then(|| Arc::new(selected))
+    };
+    match node {
+        Node::Container(fields) => inner(fields).map(Node::Container),
+        Node::List(entries) => {
+            let entries: BTreeMap<Vec<Text>, Arc<Fields>> =
+                entries.iter().filter_map(|(keys, entry)| Some((keys.clone(), inner(entry)?))).collect();
+            (!entries.is_empty()).then(|| Node::List(Arc::new(entries)))
+        }
+        Node::Leaf(_) | Node::LeafList(_) => None,
+    }
+}
+
+/// Adds what one element selects. Several elements may select parts of one container or list.
+fn add(selected: &mut Fields, id: NodeId, part: Node) {
+    match (selected.get_mut(&id), part) {
+        (Some(Node::List(entries)), Node::List(more)) => {
+            let entries = Arc::make_mut(entries);
+            for (keys, entry) in more.iter() {
+                let slot = entries.entry(keys.clone()).or_default();
+                Arc::make_mut(slot).extend(entry.iter().map(|(id, node)| (*id, node.clone())));
+            }
+        }
+        (Some(Node::Container(fields)), Node::Container(more)) => {
+            Arc::make_mut(fields).extend(more.iter().map(|(id, node)| (*id, node.clone())));
+        }
+        (_, part) => drop(selected.insert(id, part)),
+    }
+}
--- a/crates/edges/netconf/src/frames.rs
+++ b/crates/edges/netconf/src/frames.rs
@@ -6,6 +6,7 @@
 /// The longest line that begins a chunk: `\n#4294967295\n`.
 const MAX_CHUNK_HEADER_BYTES: usize = 13;
 
+/// How messages are framed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
     /// Version 1.0, and every hello.
@@ -14,9 +15,10 @@
     Chunked,
 }
 
-/// Why what comes can't be cut into messages.
+/// Why a stream can't be split into messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FramingError {
+    /// A message is longer than the bound.
     MessageTooLong,
     /// Chunks are not framed as they should be.
     BadChunk,
@@ -31,48 +33,50 @@
     }
 }
 
-/// Cuts what comes into messages.
+/// Splits a stream of bytes into messages.
 #[derive(Debug)]
 pub struct Framer {
     framing: Framing,
+    /// Bytes that have not been taken into a message yet.
     bytes: Vec<u8>,
-    /// How far the end mark has been looked for.
+    /// Bytes in which the end mark has been searched for.
     searched: usize,
-    /// The message whose chunks are coming.
+    /// The chunks of the incomplete message.
     message: Vec<u8>,
-    /// What is still to come of the chunk.
+    /// Bytes missing of the current chunk.
     chunk_remaining: usize,
     max_message_bytes: usize,
 }
 
 impl Framer {
-    /// Messages of `longest` bytes at most.
-    pub fn new(longest: usize) -> Framer {
+    /// Begins with the framing of version 1.0.
+    pub fn new(max_message_bytes: usize) -> Framer {
         Framer {
             framing: Framing::EndOfMessage,
             bytes: Vec::new(),
             searched: 0,
             message: Vec::new(),
             chunk_remaining: 0,
-            max_message_bytes: longest,
+            max_message_bytes,
         }
     }
 
-    /// What comes from now on is framed so.
+    /// Sets the framing of what follows.
     pub fn set_framing(&mut self, framing: Framing) {
         (self.framing, self.searched) = (framing, 0);
     }
 
-    /// Bytes that are held.
+    /// Bytes that are buffered.
     pub fn buffered_bytes(&self) -> usize {
         self.bytes.len() + self.message.len()
     }
 
+    /// Adds bytes that were read.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next whole message.
+    /// The next complete message, if there is one.
     pub fn next_message(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
         match self.framing {
             Framing::EndOfMessage => self.next_marked(),
@@ -112,9 +116,9 @@
                     return Ok(None);
                 }
             }
-            let Some((length, head)) = self.head()? else { return Ok(None) };
-            self.bytes.drain(..head);
-            match length {
+            let Some(header) = self.chunk_header()? else { return Ok(None) };
+            self.bytes.drain(..header.header_bytes);
+            match header.chunk_bytes {
                 None if self.message.is_empty() => return Err(FramingError::BadChunk),
                 None => return Ok(Some(std::mem::take(&mut self.message))),
                 Some(length) if self.message.len() + length > self.max_message_bytes => {
@@ -125,8 +129,8 @@
         }
     }
 
-    /// The length of the next chunk, or none at the message's end, and how long the line is that says so.
-    fn head(&self) -> Result<Option<(Option<usize>, usize)>, FramingError> {
+    /// The header of the next chunk; none while it is incomplete.
+    fn chunk_header(&self) -> Result<Option<ChunkHeader>, FramingError> {
         let bytes = &self.bytes[..self.bytes.len().min(MAX_CHUNK_HEADER_BYTES)];
         if !b"\n#".starts_with(&bytes[..bytes.len().min(2)]) {
             return Err(FramingError::BadChunk);
@@ -136,8 +140,8 @@
         }
         let end = bytes[2..].iter().position(|byte| *byte == b'\n').map(|at| at + 2);
         let Some(end) = end else {
-            let fine = bytes[2] == b'#' || bytes[2..].iter().all(u8::is_ascii_digit);
-            return if fine && bytes.len() < MAX_CHUNK_HEADER_BYTES {
+            let valid = bytes[2] == b'#' || bytes[2..].iter().all(u8::is_ascii_digit);
+            return if valid && bytes.len() < MAX_CHUNK_HEADER_BYTES {
                 Ok(None)
             } else {
                 Err(FramingError::BadChunk)
@@ -145,15 +149,22 @@
         };
         let line = &bytes[2..end];
         if line == b"#" {
-            return Ok(Some((None, end + 1)));
+            return Ok(Some(ChunkHeader { chunk_bytes: None, header_bytes: end + 1 }));
         }
         let number = std::str::from_utf8(line).ok().filter(|text| !text.starts_with(['0', '+']));
         let number = number.and_then(|text| text.parse::<u32>().ok()).ok_or(FramingError::BadChunk)?;
-        Ok(Some((Some(number as usize), end + 1)))
+        Ok(Some(ChunkHeader { chunk_bytes: Some(number as usize), header_bytes: end + 1 }))
     }
 }
 
-/// A message as it goes out.
+/// The line before a chunk, or at the end of a message.
+struct ChunkHeader {
+    /// None at the end of a message.
+    chunk_bytes: Option<usize>,
+    header_bytes: usize,
+}
+
+/// A message as it is sent.
 pub fn frame(framing: Framing, message: &str) -> Vec<u8> {
     match framing {
         Framing::EndOfMessage => [message.as_bytes(), END_OF_MESSAGE].concat(),
--- a/crates/edges/netconf/src/lib.rs
+++ b/crates/edges/netconf/src/lib.rs
@@ -1,22 +1,29 @@
-//! NETCONF's messages (RFC 6241, RFC 6242, RFC 5277, RFC 6022): both framings, XML within bounds, operations as
-//! typed values, data as XML, subtree filters, edits, and errors with tag, path and app-tag. No sockets.
+//! NETCONF's messages (RFC 6241, RFC 6242, RFC 5277, RFC 6022): both framings, XML within bounds, operations as typed values,
+//! data as XML, subtree filters, edits, and errors with tag, path and app-tag. No sockets.
+
+#![warn(missing_docs)]
 
 mod data;
+mod edits;
 mod error;
+mod filter;
 mod frames;
+mod operation;
 mod rpc;
 mod xml;
 
-pub use data::{edits, filter, from_xml, push_fields, tree_of};
+pub use data::{from_xml, push_fields, tree_of};
+pub use edits::edits;
 pub use error::{ErrorTag, ErrorType, RpcError};
+pub use filter::filter;
 pub use frames::{Framer, Framing, FramingError, frame};
-pub use rpc::{
-    CommitParameters, ConfigSource, DefaultOperation, NotificationContent, Operation, Rpc, TestOption, hello,
-    notification, read, reply,
-};
+pub use operation::{CommitParameters, ConfigSource, DefaultOperation, Operation, TestOption};
+pub use rpc::{Attributes, NotificationContent, Rpc, hello, notification, read, reply};
 pub use xml::{Element, Malformed, escape, parse};
 
-/// The namespaces that messages stand in.
+/// The namespace of operations and replies.
 pub const BASE: &str = "urn:ietf:params:xml:ns:netconf:base:1.0";
+/// The namespace of notifications.
 pub const NOTIFICATION: &str = "urn:ietf:params:xml:ns:netconf:notification:1.0";
+/// The namespace of `get-schema`.
 pub const MONITORING: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring";
--- a/crates/edges/netconf/tests/messages.rs
+++ b/crates/edges/netconf/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Framing however it is cut, XML within bounds, operations, edits and filters.
+//! Framing, XML within bounds, operations, edits and filters.
 
 use lemonusher_model::{Fields, Node, Op, Schema, Tree, parse_path, to_json};
 use lemonusher_netconf::*;
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-fn all(framer: &mut Framer) -> Result<Vec<String>, FramingError> {
+fn all_messages(framer: &mut Framer) -> Result<Vec<String>, FramingError> {
     let mut found = Vec::new();
     while let Some(message) = framer.next_message()? {
         found.push(String::from_utf8(message).unwrap());
@@ -18,7 +18,7 @@
 
 proptest! {
     #[test]
-    fn messages_come_whole_however_they_are_cut(
+    fn messages_are_split_alike_from_any_chunks_of_bytes(
         texts in prop::collection::vec("[<a-z/>\\]#\n]{1,40}", 1..6),
         cut in 1..17usize,
         chunks in any::<bool>(),
@@ -31,33 +31,33 @@
         let mut found = Vec::new();
         for part in bytes.chunks(cut) {
             framer.push(part);
-            found.extend(all(&mut framer).unwrap());
+            found.extend(all_messages(&mut framer).unwrap());
         }
         prop_assert_eq!(found, texts);
         prop_assert_eq!(framer.buffered_bytes(), 0);
     }
 
     #[test]
-    fn noise_is_a_message_an_error_or_nothing_yet(noise in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn any_bytes_are_a_message_an_error_or_incomplete(noise in prop::collection::vec(any::<u8>(), 0..300)) {
         for framing in [Framing::EndOfMessage, Framing::Chunked] {
             let mut framer = Framer::new(100);
             framer.set_framing(framing);
             framer.push(&noise);
-            let _ = all(&mut framer);
+            let _ = all_messages(&mut framer);
         }
         let text = String::from_utf8_lossy(&noise);
         let _ = (parse(&text), read(&text));
     }
 
     #[test]
-    fn text_goes_there_and_back(text in "[ -~äß\n]{0,40}") {
+    fn escaped_text_is_read_back(text in "[ -~äß\n]{0,40}") {
         let found = parse(&format!("<a b=\"{0}\">{0}</a>", escape(&text))).unwrap();
         prop_assert_eq!(&found.text, &text);
     }
 }
 
 #[test]
-fn frames_that_are_none_are_told_at_once() {
+fn invalid_frames_are_refused_at_once() {
     for wrong in ["x", "\nx", "\n#0\n", "\n#x", "\n#12x", "\n##\n", "\n#99999999999", "\n#+1\na"] {
         let mut framer = Framer::new(100);
         framer.set_framing(Framing::Chunked);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn xml_stays_within_its_bounds() {
+fn xml_out_of_bounds_is_refused() {
     let laughs = "<!DOCTYPE a [<!ENTITY b \"lol\"><!ENTITY c \"&b;&b;\">]><a>&c;</a>";
     let deep = "<a>".repeat(100);
     let many = format!("<a{}/>", (0..100).map(|n| format!(" b{n}=''")).collect::<String>());
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn operations_are_read_with_their_options() {
+fn operations_are_read_with_their_parameters() {
     let edit = "<edit-config><target><candidate/></target><default-operation>none</default-operation>
         <error-option>rollback-on-error</error-option><config/></edit-config>";
     let Ok(Operation::EditConfig { target, default, test, on_error, .. }) = rpc(edit) else { panic!() };
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn what_is_wrong_with_an_operation_is_told_by_its_tag() {
+fn invalid_operations_are_refused_with_their_tag() {
     for (operation, tag) in [
         ("<fly/>", "operation-not-supported"),
         ("<get xmlns='urn:x'/>", "unknown-namespace"),
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_reply_repeats_the_requests_attributes() {
+fn reply_repeats_the_attributes_of_the_request() {
     let text = format!("<rpc xmlns=\"{BASE}\" message-id=\"7\" xmlns:x=\"urn:x\" x:y=\"&lt;z\"><get/></rpc>");
     let rpc = read(&text).unwrap();
     let ok = parse(&reply(&rpc.attributes, &Ok(String::new()))).unwrap();
@@ -159,7 +159,12 @@
     .unwrap()
 }
 
-fn carry_out(schema: &Schema, tree: &mut Tree, text: &str, default: DefaultOperation) -> Result<(), String> {
+fn apply_edits(
+    schema: &Schema,
+    tree: &mut Tree,
+    text: &str,
+    default: DefaultOperation,
+) -> Result<(), String> {
     let edits = edits(schema, tree, &config(text), default).map_err(|fault| fault.to_string())?;
     for edit in edits {
         tree.apply(schema, edit.op, &edit.place, edit.value.as_ref()).map_err(|fault| fault.to_string())?;
@@ -173,33 +178,33 @@
 }
 
 #[test]
-fn edits_do_what_their_operations_say() {
+fn edits_follow_their_operations() {
     let schema = Schema::front().unwrap();
     let mut tree = Tree::default();
     let pool = |name: &str, more: &str| format!("<pool><name>{name}</name>{more}</pool>");
     let merge = DefaultOperation::Merge;
-    carry_out(&schema, &mut tree, &pool("a", "<cell>1</cell><cell>2</cell>"), merge).unwrap();
-    carry_out(&schema, &mut tree, &pool("b", ""), merge).unwrap();
+    apply_edits(&schema, &mut tree, &pool("a", "<cell>1</cell><cell>2</cell>"), merge).unwrap();
+    apply_edits(&schema, &mut tree, &pool("b", ""), merge).unwrap();
     assert_eq!(json(&schema, &tree), json!({"pool": [{"name": "a", "cell": [1, 2]}, {"name": "b"}]}));
 
     let create = "<pool nc:operation='create'><name>a</name></pool>";
-    assert!(carry_out(&schema, &mut tree, create, merge).unwrap_err().contains("exists"));
+    assert!(apply_edits(&schema, &mut tree, create, merge).unwrap_err().contains("exists"));
     let inner = pool("a", "<cell nc:operation='delete'>2</cell><cell nc:operation='remove'>9</cell>");
-    carry_out(&schema, &mut tree, &inner, DefaultOperation::None).unwrap();
+    apply_edits(&schema, &mut tree, &inner, DefaultOperation::None).unwrap();
     assert_eq!(json(&schema, &tree)["pool"][0], json!({"name": "a", "cell": [1]}));
-    assert!(carry_out(&schema, &mut tree, &pool("c", ""), DefaultOperation::None).is_err());
+    assert!(apply_edits(&schema, &mut tree, &pool("c", ""), DefaultOperation::None).is_err());
     let replace = "<pool nc:operation='replace'><name>a</name><admin-state>draining</admin-state></pool>";
-    carry_out(&schema, &mut tree, replace, merge).unwrap();
+    apply_edits(&schema, &mut tree, replace, merge).unwrap();
     assert_eq!(json(&schema, &tree)["pool"][0], json!({"name": "a", "admin-state": "draining"}));
     let gone = "<pool nc:operation='delete'><name>a</name></pool>";
-    carry_out(&schema, &mut tree, gone, merge).unwrap();
-    assert!(carry_out(&schema, &mut tree, gone, merge).is_err());
-    carry_out(&schema, &mut tree, "<log-level>warn</log-level>", DefaultOperation::Replace).unwrap();
+    apply_edits(&schema, &mut tree, gone, merge).unwrap();
+    assert!(apply_edits(&schema, &mut tree, gone, merge).is_err());
+    apply_edits(&schema, &mut tree, "<log-level>warn</log-level>", DefaultOperation::Replace).unwrap();
     assert_eq!(json(&schema, &tree), json!({"log-level": "warn"}));
 }
 
 #[test]
-fn configs_that_do_not_fit_are_refused_with_their_place() {
+fn configs_that_do_not_fit_the_model_are_refused_with_their_path() {
     let schema = Schema::front().unwrap();
     let tree = Tree::default();
     for (text, what) in [
@@ -221,12 +226,12 @@
     let pools = "<log-level>warn</log-level>
         <pool><name>a</name><admin-state>draining</admin-state><cell>1</cell><cell>2</cell></pool>
         <pool><name>b</name><admin-state>disabled</admin-state><cell>2</cell></pool>";
-    carry_out(schema, &mut tree, pools, DefaultOperation::Merge).unwrap();
+    apply_edits(schema, &mut tree, pools, DefaultOperation::Merge).unwrap();
     tree
 }
 
 #[test]
-fn filters_let_through_what_they_name() {
+fn filters_select_what_they_name() {
     let schema = Schema::front().unwrap();
     let tree = filled(&schema);
     let kept = |text: &str| {
@@ -257,7 +262,7 @@
 }
 
 #[test]
-fn data_goes_out_and_comes_back_the_same() {
+fn data_written_as_xml_is_read_back() {
     let schema = Schema::front().unwrap();
     let tree = filled(&schema);
     let mut text = "<data>".to_owned();
@@ -275,10 +280,10 @@
 }
 
 #[test]
-fn errors_carry_tag_path_and_app_tag() {
+fn errors_have_tag_path_and_app_tag() {
     let schema = Schema::front().unwrap();
     let mut tree = filled(&schema);
-    carry_out(&schema, &mut tree, "<pool><name>a</name><serves>x</serves></pool>", DefaultOperation::Merge)
+    apply_edits(&schema, &mut tree, "<pool><name>a</name><serves>x</serves></pool>", DefaultOperation::Merge)
         .unwrap();
     let fault = schema.validate(&tree).unwrap_err().remove(0);
     let error = RpcError::of_fault(&schema, &fault);
