--- a/crates/edges/fleet/src/frame.rs
+++ b/crates/edges/fleet/src/frame.rs
@@ -9,41 +9,44 @@
 use std::time::Duration;
 
 /// A datagram's bytes at most.
-pub const LONGEST: usize = 1200;
-const TAG: usize = 16;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
+const TAG_BYTES: usize = 16;
 /// Rows that fit a datagram.
-pub const ROWS: usize = 8;
+pub const MAX_ROWS: usize = 8;
 
 #[derive(Clone)]
-pub struct Key([u8; 32]);
+pub struct FleetKey([u8; 32]);
 
-impl fmt::Debug for Key {
+impl fmt::Debug for FleetKey {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str("Key")
     }
 }
 
-impl Key {
+impl FleetKey {
     /// Of whatever a key file holds, which must be hard to guess.
-    pub fn new(secret: &[u8]) -> Key {
-        Key(blake3::derive_key("lemonusher 2026-12 talk between fronts", secret))
+    pub fn new(secret: &[u8]) -> FleetKey {
+        FleetKey(blake3::derive_key("lemonusher 2026-12 talk between fronts", secret))
     }
 
-    fn tag(&self, bytes: &[u8]) -> [u8; TAG] {
-        let mut tag = [0; TAG];
-        tag.copy_from_slice(&blake3::keyed_hash(&self.0, bytes).as_bytes()[..TAG]);
+    fn tag(&self, bytes: &[u8]) -> [u8; TAG_BYTES] {
+        let mut tag = [0; TAG_BYTES];
+        tag.copy_from_slice(&blake3::keyed_hash(&self.0, bytes).as_bytes()[..TAG_BYTES]);
         tag
     }
 }
 
 /// A line of the table that a voter shows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Row {
+pub struct LeaseRow {
     pub task: String,
-    pub who: Incarnation,
-    pub number: u64,
+    #[serde(rename = "who")]
+    pub holder: Incarnation,
+    #[serde(rename = "number")]
+    pub fencing_token: u64,
     /// How much longer the voter counts it as held.
-    pub left: Duration,
+    #[serde(rename = "left")]
+    pub remaining: Duration,
 }
 
 /// A front that one sees.
@@ -51,39 +54,44 @@
 pub struct MemberRow {
     pub name: String,
     pub address: SocketAddr,
-    pub location: u32,
-    pub born: u64,
+    #[serde(rename = "location")]
+    pub zone: u32,
+    #[serde(rename = "born")]
+    pub incarnation: u64,
 }
 
 /// A register as a voter has accepted it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegisterRow {
     pub name: String,
-    pub stamp: registers::EntryVersion,
-    pub number: u64,
+    #[serde(rename = "stamp")]
+    pub version: registers::EntryVersion,
+    #[serde(rename = "number")]
+    pub fencing_token: u64,
     /// The value's bytes.
-    pub long: u32,
+    #[serde(rename = "long")]
+    pub value_bytes: u32,
 }
 
 /// A zone in the plan that is shown; parts in thousandths.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlanSite {
+pub struct ZoneRow {
     pub state: sites::ZoneState,
-    pub open: u16,
-    pub finding: String,
+    pub open_permille: u16,
+    pub health: String,
     pub cores: u32,
     /// The part of its engines that answer, slow ones counted for less.
-    pub part: u16,
+    pub answering_permille: u16,
     /// The part of what it may take that the plan fills.
-    pub filled: u16,
+    pub filled_permille: u16,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PlanGroup {
-    pub rate: f32,
-    pub work: f32,
-    pub served: u16,
-    pub nowhere: bool,
+pub struct ClassRow {
+    pub requests_per_second: f32,
+    pub work_seconds: f32,
+    pub served_permille: u16,
+    pub is_unplaceable: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -101,23 +109,23 @@
         without: Vec<u32>,
     },
     PlanShown {
-        epoch: Option<(u64, u64)>,
-        sites: Vec<PlanSite>,
-        groups: Vec<PlanGroup>,
+        version: Option<(u64, u64)>,
+        zones: Vec<ZoneRow>,
+        classes: Vec<ClassRow>,
         /// Groups by number, in the order in which they are refused.
-        refused_first: Vec<u8>,
+        shed_order: Vec<u8>,
     },
     /// What a front has let go of machines that are to be worked on.
     DrainConfirmations(Vec<lemonusher_maintenance::DrainConfirmation>),
     ShowMaintenance {
-        number: u8,
+        request: u8,
     },
     /// A request as a front follows it (stamp, value), and why it waits, as far as the coordinator tells.
     MaintenanceShown {
-        number: u8,
-        work: Option<((u64, u64), Vec<u8>)>,
-        foreman: bool,
-        why: Option<String>,
+        request: u8,
+        stored: Option<((u64, u64), Vec<u8>)>,
+        is_coordinator: bool,
+        blocked_reason: Option<String>,
     },
     ShowMembers {
         after: (String, u64),
@@ -130,8 +138,8 @@
         after: String,
     },
     Registers {
-        votes: bool,
-        era: u64,
+        is_voting: bool,
+        epoch: u64,
         rows: Vec<RegisterRow>,
         more: bool,
     },
@@ -140,8 +148,8 @@
         after: String,
     },
     Leases {
-        mute: bool,
-        rows: Vec<Row>,
+        is_silent: bool,
+        rows: Vec<LeaseRow>,
         more: bool,
     },
     /// Asks that a task be handed over: by an operator of a voter, and by that of the holder.
@@ -152,7 +160,7 @@
 
 /// Which part of a front a message belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
+pub enum MessageKind {
     FailureDetector,
     Leases,
     Registers,
@@ -163,13 +171,13 @@
 }
 
 impl Body {
-    pub fn kind(&self) -> Kind {
+    pub fn kind(&self) -> MessageKind {
         match self {
-            Body::FailureDetector(_) => Kind::FailureDetector,
-            Body::LeaseRequest(_) | Body::LeaseReply(_) => Kind::Leases,
-            Body::RegisterRequest(_) | Body::RegisterReply(_) => Kind::Registers,
-            Body::FrontReport(_) | Body::DrainConfirmations(_) => Kind::Reports,
-            _ => Kind::Operators,
+            Body::FailureDetector(_) => MessageKind::FailureDetector,
+            Body::LeaseRequest(_) | Body::LeaseReply(_) => MessageKind::Leases,
+            Body::RegisterRequest(_) | Body::RegisterReply(_) => MessageKind::Registers,
+            Body::FrontReport(_) | Body::DrainConfirmations(_) => MessageKind::Reports,
+            _ => MessageKind::Operators,
         }
     }
 }
@@ -178,45 +186,49 @@
 pub struct Frame {
     pub from: Incarnation,
     /// Counts up within an incarnation.
-    pub seq: u64,
+    pub sequence: u64,
     /// What the sender states of leases, as one number: who states other terms is not listened to.
-    pub terms: u64,
+    pub config_fingerprint: u64,
     pub body: Body,
 }
 
 /// Why a datagram was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unfit {
+pub enum OpenError {
     /// Not of this fleet: too short or long, or its tag is wrong.
-    Foreign,
+    Unauthenticated,
     /// Of this fleet's key, but it can't be read.
     Malformed,
 }
 
 impl Frame {
     /// None if it is too long, which nothing that is sent here ever is.
-    pub fn seal(&self, key: &Key) -> Option<Vec<u8>> {
+    pub fn seal(&self, key: &FleetKey) -> Option<Vec<u8>> {
         let mut bytes = postcard::to_allocvec(self).ok()?;
         let tag = key.tag(&bytes);
         bytes.extend_from_slice(&tag);
-        (bytes.len() <= LONGEST).then_some(bytes)
+        (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
-    pub fn open(bytes: &[u8], key: &Key) -> Result<Frame, Unfit> {
-        let at = bytes.len().checked_sub(TAG).filter(|_| bytes.len() <= LONGEST).ok_or(Unfit::Foreign)?;
-        let (said, tag) = bytes.split_at(at);
+    pub fn open(bytes: &[u8], key: &FleetKey) -> Result<Frame, OpenError> {
+        let at = bytes
+            .len()
+            .checked_sub(TAG_BYTES)
+            .filter(|_| bytes.len() <= MAX_DATAGRAM_BYTES)
+            .ok_or(OpenError::Unauthenticated)?;
+        let (payload, tag) = bytes.split_at(at);
         // The comparison of two hashes takes as long wherever they differ.
-        if blake3::Hash::from_bytes(wide(&key.tag(said))) != blake3::Hash::from_bytes(wide(tag)) {
-            return Err(Unfit::Foreign);
+        if blake3::Hash::from_bytes(padded(&key.tag(payload))) != blake3::Hash::from_bytes(padded(tag)) {
+            return Err(OpenError::Unauthenticated);
         }
-        postcard::from_bytes(said).map_err(|_| Unfit::Malformed)
+        postcard::from_bytes(payload).map_err(|_| OpenError::Malformed)
     }
 }
 
-fn wide(tag: &[u8]) -> [u8; 32] {
-    let mut wide = [0; 32];
-    wide[..TAG].copy_from_slice(&tag[..TAG]);
-    wide
+fn padded(tag: &[u8]) -> [u8; 32] {
+    let mut padded = [0; 32];
+    padded[..TAG_BYTES].copy_from_slice(&tag[..TAG_BYTES]);
+    padded
 }
 
 #[cfg(test)]
@@ -225,36 +237,51 @@
 
     #[test]
     fn only_what_the_key_has_sealed_whole_is_opened() {
-        let (key, other) = (Key::new(b"a secret"), Key::new(b"another"));
+        let (key, other) = (FleetKey::new(b"a secret"), FleetKey::new(b"another"));
         let from = Incarnation { name: "n1".into(), id: 5 };
-        let frame = Frame { from, seq: 1, terms: 9, body: Body::HandOver { task: "account".into() } };
+        let frame = Frame {
+            from,
+            sequence: 1,
+            config_fingerprint: 9,
+            body: Body::HandOver { task: "account".into() },
+        };
         let sealed = frame.seal(&key).unwrap();
         assert_eq!(Frame::open(&sealed, &key), Ok(frame));
-        assert_eq!(Frame::open(&sealed, &other), Err(Unfit::Foreign));
+        assert_eq!(Frame::open(&sealed, &other), Err(OpenError::Unauthenticated));
         for place in 0..sealed.len() {
             let mut spoilt = sealed.clone();
             spoilt[place] ^= 1;
-            assert_eq!(Frame::open(&spoilt, &key), Err(Unfit::Foreign));
+            assert_eq!(Frame::open(&spoilt, &key), Err(OpenError::Unauthenticated));
         }
-        assert_eq!(Frame::open(&sealed[..3], &key), Err(Unfit::Foreign));
-        assert_eq!(Frame::open(&[0; 4000], &key), Err(Unfit::Foreign));
+        assert_eq!(Frame::open(&sealed[..3], &key), Err(OpenError::Unauthenticated));
+        assert_eq!(Frame::open(&[0; 4000], &key), Err(OpenError::Unauthenticated));
     }
 
     #[test]
     fn a_full_table_fits_a_datagram() {
         let life = Incarnation { name: "n".repeat(40), id: u64::MAX };
-        let row = Row { task: "t".repeat(48), who: life.clone(), number: u64::MAX, left: Duration::MAX };
+        let row = LeaseRow {
+            task: "t".repeat(48),
+            holder: life.clone(),
+            fencing_token: u64::MAX,
+            remaining: Duration::MAX,
+        };
         let fits = |body| {
-            let frame = Frame { from: life.clone(), seq: u64::MAX, terms: u64::MAX, body };
-            assert!(frame.seal(&Key::new(b"k")).is_some());
+            let frame = Frame { from: life.clone(), sequence: u64::MAX, config_fingerprint: u64::MAX, body };
+            assert!(frame.seal(&FleetKey::new(b"k")).is_some());
         };
-        fits(Body::Leases { mute: false, rows: vec![row; ROWS], more: true });
+        fits(Body::Leases { is_silent: false, rows: vec![row; MAX_ROWS], more: true });
         let stamp = registers::EntryVersion { epoch: u64::MAX, counter: u64::MAX };
-        let row = RegisterRow { name: "r".repeat(48), stamp, number: u64::MAX, long: u32::MAX };
-        fits(Body::Registers { votes: true, era: u64::MAX, rows: vec![row; ROWS], more: true });
+        let row = RegisterRow {
+            name: "r".repeat(48),
+            version: stamp,
+            fencing_token: u64::MAX,
+            value_bytes: u32::MAX,
+        };
+        fits(Body::Registers { is_voting: true, epoch: u64::MAX, rows: vec![row; MAX_ROWS], more: true });
         let address = "[ffff:ffff::ffff]:65535".parse().unwrap();
-        let row = MemberRow { name: "n".repeat(64), address, location: u32::MAX, born: u64::MAX };
-        fits(Body::Members { rows: vec![row; ROWS], more: true });
+        let row = MemberRow { name: "n".repeat(64), address, zone: u32::MAX, incarnation: u64::MAX };
+        fits(Body::Members { rows: vec![row; MAX_ROWS], more: true });
         let ballot = lemonusher_leases::Ballot { round: u64::MAX, proposer: u64::MAX };
         let entry = registers::Entry {
             version: stamp,
@@ -264,7 +291,7 @@
         let row = registers::RegisterState {
             name: "r".repeat(48),
             promised: ballot,
-            accepted: Some((ballot, entry)),
+            accepted: Some(registers::AcceptedEntry { ballot, entry }),
         };
         fits(Body::RegisterReply(registers::RegisterReply::StateCopy {
             round: u64::MAX,
@@ -308,15 +335,32 @@
             lemonusher_maintenance::DrainConfirmation { request: 15, version: stamp, machine: u32::MAX };
         fits(Body::DrainConfirmations(vec![let_go; 32]));
         let work = Some(((u64::MAX, u64::MAX), vec![1; registers::MAX_VALUE_BYTES]));
-        fits(Body::MaintenanceShown { number: 15, work, foreman: true, why: Some("w".repeat(160)) });
+        fits(Body::MaintenanceShown {
+            request: 15,
+            stored: work,
+            is_coordinator: true,
+            blocked_reason: Some("w".repeat(160)),
+        });
         let (state, finding) = (sites::ZoneState::Recovering, "CutOff".to_owned());
-        let site = PlanSite { state, open: 1000, finding, cores: u32::MAX, part: 1000, filled: 1000 };
-        let group = PlanGroup { rate: 1e9, work: 1e9, served: 1000, nowhere: true };
+        let site = ZoneRow {
+            state,
+            open_permille: 1000,
+            health: finding,
+            cores: u32::MAX,
+            answering_permille: 1000,
+            filled_permille: 1000,
+        };
+        let group = ClassRow {
+            requests_per_second: 1e9,
+            work_seconds: 1e9,
+            served_permille: 1000,
+            is_unplaceable: true,
+        };
         fits(Body::PlanShown {
-            epoch: Some((u64::MAX, u64::MAX)),
-            sites: vec![site; sites::MAX_ZONES],
-            groups: vec![group; sites::MAX_CLASSES],
-            refused_first: vec![63; sites::MAX_CLASSES],
+            version: Some((u64::MAX, u64::MAX)),
+            zones: vec![site; sites::MAX_ZONES],
+            classes: vec![group; sites::MAX_CLASSES],
+            shed_order: vec![63; sites::MAX_CLASSES],
         });
     }
 }
--- a/crates/edges/routing/src/router/endpoints.rs
+++ b/crates/edges/routing/src/router/endpoints.rs
@@ -3,6 +3,7 @@
 
 use super::RequestRouter;
 use crate::counters::Counter;
+use crate::log_text::LoggedRestrictions;
 use crate::management::EngineNotification;
 use crate::messages::{Endpoint, EngineCommand, Token};
 use lemonusher::{EndpointUpdateKind, EngineEntry, EngineId, EngineState, Event};
@@ -13,6 +14,7 @@
 use std::time::Duration;
 
 impl RequestRouter {
+    /// The discovery channel sent a list, or its changes.
     pub(super) fn handle_endpoints(
         &mut self,
         now: Duration,
@@ -63,6 +65,7 @@
         }
     }
 
+    /// The zone failover plan applies here as stated from now on.
     pub(super) fn handle_zone_plan(&mut self, now: Duration, effect: &PlanEffect) {
         let Some(zone_monitor) = &mut self.zone_monitor else { return };
         zone_monitor.handle_plan(effect);
@@ -70,7 +73,7 @@
             "sites: epoch {:?}{}, closed in part: {:?}, let in: {:?}",
             effect.version.map(|version| (version.epoch, version.counter)),
             if effect.isolated { ", goes by itself" } else { "" },
-            effect.restrictions,
+            LoggedRestrictions(&effect.restrictions),
             effect.admitted_shares
         );
         let restrictions = effect.restrictions.iter().map(|restriction| ZoneRestriction {
@@ -82,6 +85,7 @@
         self.apply_endpoint_change(now, EndpointUpdateKind::Delta, change);
     }
 
+    /// These engines are out of service for maintenance from now on.
     pub(super) fn handle_maintenance(
         &mut self,
         now: Duration,
