--- a/crates/edges/cli/benches/managed.rs
+++ b/crates/edges/cli/benches/managed.rs
@@ -5,7 +5,7 @@
 mod managers;
 
 use hdrhistogram::Histogram;
-use lemonusher_fakes::{Answers, Tallying};
+use lemonusher_fakes::{CountingEngine, EngineBehavior};
 use lemonusher_managed::Disk;
 use lemonusher_managed::gnmi::proto::gnmi::SubscriptionMode;
 use lemonusher_managed::gnmi::proto::gnmi::get_request::DataType;
@@ -20,15 +20,15 @@
 
 fn main() {
     let runtime = runtime();
-    let engine = Tallying::start(|_| Answers::Hit);
+    let engine = CountingEngine::start(|_| EngineBehavior::Result);
     let world = run(&[&engine], None, "");
     let mut id = 0;
     let mut ask = |histogram: &mut Histogram<u64>, client: &mut lemonusher_fakes::Client| {
         for _ in 0..REQUESTS / 8 {
             id += 1;
             let from = Instant::now();
-            client.ask(id, "look-up");
-            client.next().unwrap();
+            client.send_request(id, "look-up");
+            client.next_response().unwrap();
             histogram.record(from.elapsed().as_nanos() as u64).unwrap();
         }
     };
--- a/crates/edges/cli/tests/limits.rs
+++ b/crates/edges/cli/tests/limits.rs
@@ -3,7 +3,7 @@
 #[allow(dead_code)] // Shared with the proofs, which use more of it.
 mod managers;
 
-use lemonusher_fakes::{Answers, Tallying, file, told};
+use lemonusher_fakes::{CountingEngine, EngineBehavior, start_config, temp_file};
 use lemonusher_managed::gnmi::proto::gnmi::get_request::DataType;
 use managers::*;
 use serde_json::json;
@@ -12,7 +12,7 @@
 #[test]
 fn managers_see_and_name_every_engine() {
     for count in [1024, 1025, 2049] {
-        let engine = Tallying::start(|_| Answers::Hit);
+        let engine = CountingEngine::start(|_| EngineBehavior::Result);
         let world = run(&vec![&engine; count], None, "");
         let ids: Vec<String> = (1..=count).map(|id| format!("{id:08x}")).collect();
         runtime().block_on(async {
@@ -34,8 +34,8 @@
 #[test]
 fn an_operators_file_names_as_many_fronts_as_there_are() {
     for fronts in [1024, 1025, 4097] {
-        let key = file("key", "a key of sixteen bytes or more");
-        let told = file("json", &told(&[], "127.0.0.1:1".parse().unwrap()).to_string());
+        let key = temp_file("key", "a key of sixteen bytes or more");
+        let told = temp_file("json", &start_config(&[], "127.0.0.1:1".parse().unwrap()).to_string());
         let names: Vec<String> = (0..fronts).map(|front| format!("'n{front}'")).collect();
         let text = format!(
             "[front]\ntold = {told:?}\n[fleet]\nlisten = '127.0.0.1:1'\nkey_file = {key:?}\nseats = {fronts}\n\
@@ -43,7 +43,7 @@
              [fleet.sites]\n[fleet.works]\nfronts = [{}]\n",
             names.join(", ")
         );
-        let path = file("toml", &text);
+        let path = temp_file("toml", &text);
         let check = ["check", path.to_str().unwrap()];
         let output = Command::new(env!("CARGO_BIN_EXE_lemonusher")).args(check).output().unwrap();
         let said = String::from_utf8(output.stderr).unwrap();
--- a/crates/edges/cli/tests/managers/mod.rs
+++ b/crates/edges/cli/tests/managers/mod.rs
@@ -1,6 +1,8 @@
 //! Managers as tests play them: a front run by an operator's file, and clients of both protocols.
 
-use lemonusher_fakes::{Commands, Front, LONG, Tallying, file, place, told};
+use lemonusher_fakes::{
+    CountingEngine, DiscoveryServer, Front, TEST_TIMEOUT, start_config, temp_file, temp_path,
+};
 use lemonusher_managed::gnmi::proto::gnmi::g_nmi_client::GNmiClient;
 use lemonusher_managed::gnmi::proto::gnmi::get_request::DataType;
 use lemonusher_managed::gnmi::proto::gnmi::subscribe_request::Request as Asked;
@@ -32,7 +34,7 @@
 
 impl Folder {
     pub fn new() -> Folder {
-        Folder(place("state"))
+        Folder(temp_path("state"))
     }
 }
 
@@ -48,19 +50,19 @@
     pub gnmi: SocketAddr,
     pub netconf: SocketAddr,
     /// Kept so that the front's channel has somebody to speak to.
-    _commands: Commands,
+    _commands: DiscoveryServer,
 }
 
 /// Runs a front that knows these engines, with `more` in its file's `[managed]`.
-pub fn run(engines: &[&Tallying], folder: Option<&Path>, more: &str) -> World {
-    let commands = Commands::start();
+pub fn run(engines: &[&CountingEngine], folder: Option<&Path>, more: &str) -> World {
+    let commands = DiscoveryServer::start();
     let known: Vec<(u32, SocketAddr)> =
         engines.iter().enumerate().map(|(number, engine)| (number as u32 + 1, engine.address)).collect();
-    run_told(&told(&known, commands.address), commands, folder, more)
+    run_told(&start_config(&known, commands.address), commands, folder, more)
 }
 
-pub fn run_told(told: &Value, commands: Commands, folder: Option<&Path>, more: &str) -> World {
-    let told = file("json", &told.to_string());
+pub fn run_told(told: &Value, commands: DiscoveryServer, folder: Option<&Path>, more: &str) -> World {
+    let told = temp_file("json", &told.to_string());
     let folder = folder.map(|folder| format!("folder = {:?}", folder.display().to_string()));
     let text = format!(
         "[front]\ntold = {:?}\n[managed]\nfreshness_ms = 5\n{}\n{more}\n[managed.gnmi]\nlisten = \"127.0.0.1:0\"\n[managed.netconf]\nlisten = \"127.0.0.1:0\"\n",
@@ -73,12 +75,12 @@
 }
 
 /// Runs a front by an operator's file that opens both doors.
-pub fn run_file(text: &str, commands: Commands) -> World {
-    let path = file("toml", text);
+pub fn run_file(text: &str, commands: DiscoveryServer) -> World {
+    let path = temp_file("toml", text);
     let mut command = Command::new(env!("CARGO_BIN_EXE_lemonusher"));
     command.arg("run").arg(&path);
     let front = Front::spawn(command, path);
-    let address = |what: &str| front.said_at_start(what).and_then(|text| text.parse().ok()).expect(what);
+    let address = |what: &str| front.startup_log_value(what).and_then(|text| text.parse().ok()).expect(what);
     World { gnmi: address("gNMI at"), netconf: address("NETCONF at"), front, _commands: commands }
 }
 
@@ -176,7 +178,7 @@
 
 /// The next updates of a stream: path's last name, keys and value; none for a sync.
 pub async fn updates(updates: &mut Updates) -> Option<Vec<Update>> {
-    let next = tokio::time::timeout(LONG, updates.stream.message()).await.expect("an update in time");
+    let next = tokio::time::timeout(TEST_TIMEOUT, updates.stream.message()).await.expect("an update in time");
     match next.unwrap().expect("the stream goes on").response {
         Some(Said::Update(notification)) => Some(notification.update),
         _ => None,
@@ -256,8 +258,9 @@
             if let Some(message) = self.framer.cut().unwrap() {
                 return Some(String::from_utf8(message).unwrap());
             }
-            let read =
-                tokio::time::timeout(LONG, self.stream.read(&mut bytes)).await.expect("an answer in time");
+            let read = tokio::time::timeout(TEST_TIMEOUT, self.stream.read(&mut bytes))
+                .await
+                .expect("an answer in time");
             match read {
                 Ok(0) | Err(_) => return None,
                 Ok(count) => self.framer.push(&bytes[..count]),
--- a/crates/edges/cli/tests/proof_managed.rs
+++ b/crates/edges/cli/tests/proof_managed.rs
@@ -3,7 +3,7 @@
 
 mod managers;
 
-use lemonusher_fakes::{Answers, Commands, LONG, Tallying, told};
+use lemonusher_fakes::{CountingEngine, DiscoveryServer, EngineBehavior, TEST_TIMEOUT, start_config};
 use lemonusher_managed::gnmi::proto::gnmi::SetRequest;
 use lemonusher_managed::gnmi::proto::gnmi::SubscriptionMode;
 use lemonusher_managed::gnmi::proto::gnmi::get_request::DataType;
@@ -23,8 +23,8 @@
 
 const POOL: &str = "/front/pool[name=a]";
 
-fn hits() -> Tallying {
-    Tallying::start(|_| Answers::Hit)
+fn hits() -> CountingEngine {
+    CountingEngine::start(|_| EngineBehavior::Result)
 }
 
 /// The config that is in force, by both protocols: NETCONF's bytes and gNMI's JSON.
@@ -109,8 +109,8 @@
     let world = run(&[&engines[0], &engines[1]], None, "");
     let mut client = world.front.client();
     for id in 1..=50 {
-        client.ask(id, if id % 5 == 0 { "load" } else { "look-up" });
-        client.next().unwrap();
+        client.send_request(id, if id % 5 == 0 { "load" } else { "look-up" });
+        client.next_response().unwrap();
     }
     runtime().block_on(async {
         let mut gnmi = Gnmi::connect(world.gnmi).await;
@@ -183,12 +183,12 @@
     const REQUESTS: u64 = 10_000;
     const CLIENTS: u64 = 8;
     let engines = [
-        Tallying::start(|n| match n {
-            n if n % 97 == 5 => Answers::Fault,
-            n if n % 211 == 7 => Answers::HangUp,
-            _ => Answers::Hit,
+        CountingEngine::start(|n| match n {
+            n if n % 97 == 5 => EngineBehavior::Fail,
+            n if n % 211 == 7 => EngineBehavior::CloseConnection,
+            _ => EngineBehavior::Result,
         }),
-        Tallying::start(|n| if n % 53 == 3 { Answers::Shed } else { Answers::Hit }),
+        CountingEngine::start(|n| if n % 53 == 3 { EngineBehavior::Reject } else { EngineBehavior::Result }),
         hits(),
     ];
     let world = run(&[&engines[0], &engines[1], &engines[2]], None, "");
@@ -200,10 +200,10 @@
                 let (mut asked, mut open) = (0, 0);
                 while asked < REQUESTS / CLIENTS || open > 0 {
                     if asked < REQUESTS / CLIENTS && open < 16 {
-                        client.ask(asked + 1, if asked % 10 == 0 { "load" } else { "look-up" });
+                        client.send_request(asked + 1, if asked % 10 == 0 { "load" } else { "look-up" });
                         (asked, open) = (asked + 1, open + 1);
                     } else {
-                        client.next().expect("one answer a batch");
+                        client.next_response().expect("one answer a batch");
                         open -= 1;
                     }
                 }
@@ -216,7 +216,7 @@
             gnmi.subscribe(&["/front/state/counter"], SubscriptionMode::Sample, 50).await.unwrap();
         let counted = || {
             world.front.signal("USR1");
-            counts(&world.front.logged("counts: "))
+            counts(&world.front.wait_for_log("counts: "))
         };
         for _ in 0..100 {
             let before = counted();
@@ -284,17 +284,17 @@
                     if stop.load(Ordering::SeqCst) {
                         return;
                     }
-                    client.ask(id, "look-up");
-                    client.next().expect("an answer");
+                    client.send_request(id, "look-up");
+                    client.next_response().expect("an answer");
                     asked.fetch_add(1, Ordering::SeqCst);
                 }
             });
         }
         // Clients stop also where the test fails.
         let _stops = Stops(stop.clone());
-        let wait_for = |engine: &Tallying, more: usize| {
+        let wait_for = |engine: &CountingEngine, more: usize| {
             let from = engine.tally().len();
-            let until = Instant::now() + LONG;
+            let until = Instant::now() + TEST_TIMEOUT;
             while engine.tally().len() < from + more {
                 assert!(Instant::now() < until, "no batch came");
                 std::thread::sleep(Duration::from_millis(5));
@@ -303,7 +303,7 @@
         runtime().block_on(async {
             let mut gnmi = Gnmi::connect(world.gnmi).await;
             // The one that the statements' tables call home.
-            let until = Instant::now() + LONG;
+            let until = Instant::now() + TEST_TIMEOUT;
             while engines.iter().all(|engine| engine.tally().len() < 20) {
                 assert!(Instant::now() < until, "no batch came");
                 std::thread::sleep(Duration::from_millis(5));
@@ -482,12 +482,12 @@
 
 #[test]
 fn a_subscriber_that_stops_loses_updates_and_holds_nobody_up() {
-    let commands = Commands::start();
+    let commands = DiscoveryServer::start();
     // Many engines that nobody listens at make each sample large.
     let engine = hits();
     let mut known = vec![(1, engine.address)];
     known.extend((2..600).map(|id| (id, commands.address)));
-    let mut text = told(&known, commands.address);
+    let mut text = start_config(&known, commands.address);
     for member in text["known"]["cmds"][0]["nodes"]["members"].as_array_mut().unwrap().iter_mut().skip(1) {
         member["phase"] = json!("Terminating");
     }
@@ -502,12 +502,12 @@
         // It is read until it has lost something, by the front's own count; requests are answered all the while.
         let mut client = world.front.client();
         let (mut requests, mut lost) = (0, 0);
-        let until = Instant::now() + LONG;
+        let until = Instant::now() + TEST_TIMEOUT;
         while lost == 0 || requests < 40 {
             assert!(Instant::now() < until, "{lost} lost, {requests} answered");
             requests += 1;
-            client.ask(requests, "look-up");
-            client.returned(requests, b"x\ty\tz\n");
+            client.send_request(requests, "look-up");
+            client.expect_result(requests, b"x\ty\tz\n");
             updates(&mut fine).await;
             let state = gnmi.get("/", DataType::State).await.unwrap();
             let sessions = &state["lemonusher-front:front"]["state"]["session"];
@@ -544,7 +544,7 @@
         for address in [world.gnmi, world.netconf] {
             let mut wire = TcpStream::connect(address).unwrap();
             // The door hangs up: its last bytes, if any, are followed by an end or a reset, and not by silence.
-            wire.set_read_timeout(Some(LONG)).unwrap();
+            wire.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
             let _ = wire.write_all(&noise);
             let ended = loop {
                 match wire.read(&mut [0; 4096]) {
@@ -625,23 +625,23 @@
 
 #[test]
 fn users_come_in_by_their_keys_over_tls_and_do_what_they_may() {
-    use lemonusher_fakes::file;
+    use lemonusher_fakes::temp_file;
     use lemonusher_managed::gnmi::proto::gnmi::g_nmi_client::GNmiClient;
     use lemonusher_managed::gnmi::proto::gnmi::{CapabilityRequest, SetRequest};
     use russh::client;
     use russh::keys::{Algorithm, PrivateKey, PrivateKeyWithHashAlg};
     use tonic::transport::{Certificate, ClientTlsConfig, Endpoint};
 
-    let commands = Commands::start();
+    let commands = DiscoveryServer::start();
     let made = rcgen::generate_simple_self_signed(vec!["front.test".to_owned()]).unwrap();
     let (certificate, key) = (made.cert.pem(), made.signing_key.serialize_pem());
     let ssh = Arc::new(PrivateKey::random(&mut rand::rng(), Algorithm::Ed25519).unwrap());
     let stranger = Arc::new(PrivateKey::random(&mut rand::rng(), Algorithm::Ed25519).unwrap());
     let files = [
-        file("json", &told(&[], commands.address).to_string()),
-        file("pem", &certificate),
-        file("key", &key),
-        file("password", "open sesame\n"),
+        temp_file("json", &start_config(&[], commands.address).to_string()),
+        temp_file("pem", &certificate),
+        temp_file("key", &key),
+        temp_file("password", "open sesame\n"),
     ];
     let [told, pem, key, password] = files.each_ref().map(|path| format!("{:?}", path.display().to_string()));
     let public = ssh.public_key().to_openssh().unwrap();
--- a/crates/edges/cli/tests/proof_processor.rs
+++ b/crates/edges/cli/tests/proof_processor.rs
@@ -14,7 +14,7 @@
 use envoy_types::pb::envoy::config::core::v3::HeaderValue;
 use envoy_types::pb::envoy::service::ext_proc::v3::processing_request::Request as Say;
 use envoy_types::pb::envoy::service::ext_proc::v3::processing_response::Response as Answer;
-use lemonusher_fakes::LONG;
+use lemonusher_fakes::TEST_TIMEOUT;
 use proxies::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -133,7 +133,7 @@
                 processor.kill();
                 processor.start();
             }
-            let answers = tokio::time::timeout(LONG * 2, load).await.expect("all are answered").unwrap();
+            let answers = tokio::time::timeout(TEST_TIMEOUT * 2, load).await.expect("all are answered").unwrap();
             assert_eq!(answers.len(), 3000);
             // Down for good: each still gets one answer, of the proxy's own making.
             processor.kill();
@@ -244,7 +244,7 @@
         }
         drop(held);
         // One that asks again at once and for ever is answered each time, and others are served.
-        let until = std::time::Instant::now() + LONG;
+        let until = std::time::Instant::now() + TEST_TIMEOUT;
         loop {
             let answer = proxy.request("often-last", "look-up").await;
             if answer.status == 200 {
@@ -276,7 +276,7 @@
             processor.kill();
             processor.start();
         }
-        let answers = tokio::time::timeout(LONG * 2, load).await.expect("all are answered").unwrap();
+        let answers = tokio::time::timeout(TEST_TIMEOUT * 2, load).await.expect("all are answered").unwrap();
         let served = answers.values().filter(|answer| answer.status == 200).count();
         tally(&[&engines[0], &engines[1]]);
         assert!(answers.len() == 900 && served > 300, "{served}");
@@ -292,7 +292,7 @@
         let addresses: Vec<SocketAddr> = engines.iter().map(|engine| engine.address).collect();
         let more = "recovers = false\nstatement = true\nmessage_timeout_ms = 1000\n[managed]\n[managed.gnmi]\nlisten = \"127.0.0.1:0\"";
         let processor = Processor::new(&addresses, more);
-        let gnmi = processor.front.as_ref().unwrap().said_at_start("gNMI at").unwrap().parse().unwrap();
+        let gnmi = processor.front.as_ref().unwrap().startup_log_value("gNMI at").unwrap().parse().unwrap();
         let mut proxy = Proxy::new(&[processor.address], None);
         proxy.body = Some("select * from sales_17.orders".to_owned());
         let first = drive(&proxy, 0..100, 4).await;
--- a/crates/edges/cli/tests/proof_sites.rs
+++ b/crates/edges/cli/tests/proof_sites.rs
@@ -102,7 +102,7 @@
     fn listen(&mut self) {
         let now = Instant::now();
         for (number, front) in self.rig.fronts.iter().enumerate() {
-            let lines = front.iter().flat_map(|front| front.lines());
+            let lines = front.iter().flat_map(|front| front.take_log_lines());
             self.said.entry(number).or_default().extend(lines.map(|line| (now, line)));
         }
     }
--- a/crates/edges/cli/tests/proxies/mod.rs
+++ b/crates/edges/cli/tests/proxies/mod.rs
@@ -10,7 +10,7 @@
     HttpBody, HttpHeaders, ProcessingRequest, ProcessingResponse,
 };
 use envoy_types::pb::google::protobuf::{Struct, Value, value::Kind};
-use lemonusher_fakes::{Front, file, place, told};
+use lemonusher_fakes::{Front, start_config, temp_file, temp_path};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener as StdListener};
 use std::path::PathBuf;
@@ -104,16 +104,16 @@
         let (free, nobody) = (unused_address(), unused_address());
         let known: Vec<(u32, SocketAddr)> =
             engines.iter().enumerate().map(|(number, address)| (number as u32 + 1, *address)).collect();
-        let key = place("tickets.key");
+        let key = temp_path("tickets.key");
         std::fs::write(&key, "a key of the test's own").unwrap();
-        let told = told(&known, nobody).to_string();
+        let told = start_config(&known, nobody).to_string();
         let mut processor = Processor { front: None, address: free, told, key, more: more.to_owned() };
         processor.start();
         processor
     }
 
     pub fn start(&mut self) {
-        let told = file("json", &self.told);
+        let told = temp_file("json", &self.told);
         let text = format!(
             "[front]\ntold = {:?}\n[processor]\nlisten = \"{}\"\nkey_file = {:?}\n{}\n",
             told.display().to_string(),
@@ -121,7 +121,7 @@
             self.key.display().to_string(),
             self.more,
         );
-        let path = file("toml", &text);
+        let path = temp_file("toml", &text);
         let mut command = Command::new(env!("CARGO_BIN_EXE_lemonusher"));
         command.arg("run").arg(&path);
         self.front = Some(Front::spawn_until(command, path, "serves proxies"));
--- a/crates/edges/front/tests/crossings.rs
+++ b/crates/edges/front/tests/crossings.rs
@@ -13,9 +13,9 @@
 /// Within this a front does what it does at once, on however busy a machine.
 const PROMPT: Duration = Duration::from_secs(3);
 
-fn one() -> (Front, Engine, Commands) {
-    let (engine, commands) = (Engine::start(), Commands::start());
-    (Front::start(FRONT, &told(&[(1, engine.address)], commands.address)), engine, commands)
+fn one() -> (Front, Engine, DiscoveryServer) {
+    let (engine, commands) = (Engine::start(), DiscoveryServer::start());
+    (Front::start(FRONT, &start_config(&[(1, engine.address)], commands.address)), engine, commands)
 }
 
 /// A frame of the whole list.
@@ -29,18 +29,20 @@
 fn counts(front: &Front, what: &str) -> bool {
     std::thread::sleep(Duration::from_millis(5));
     front.signal("USR1");
-    front.logged("counts:").contains(what)
+    front.wait_for_log("counts:").contains(what)
 }
 
 /// A front of which engine 1, the only one at first, lets no connection come up yet; a look-up waits for it.
-fn waits_for_a_connection(shape: impl Fn(&mut Value)) -> (Front, Client, String, LateEngine, Commands) {
-    let (late, commands) = (LateEngine::start(), Commands::start());
-    let mut told = told(&[(1, late.address)], commands.address);
+fn waits_for_a_connection(
+    shape: impl Fn(&mut Value),
+) -> (Front, Client, String, UnconnectableEngine, DiscoveryServer) {
+    let (late, commands) = (UnconnectableEngine::start(), DiscoveryServer::start());
+    let mut told = start_config(&[(1, late.address)], commands.address);
     told["settings"]["ceilings"]["connect_timeout_us"] = json!(10_000_000);
     shape(&mut told);
     let front = Front::start(FRONT, &told);
     let mut client = front.client();
-    let call = client.ask(1, "look-up");
+    let call = client.send_request(1, "look-up");
     assert!((0..200).any(|_| counts(&front, "dispatched look-up=1")), "not sent on");
     (front, client, call, late, commands)
 }
@@ -49,18 +51,18 @@
 fn a_request_that_is_revoked_in_the_piece_that_brings_it_is_not_sent_on() {
     let (front, engine, _commands) = one();
     let mut client = front.client();
-    assert!(client.fit());
-    client.wire.set_nodelay(true).unwrap(); // All of it stands at the front before it runs again.
-    front.stop();
-    let call = client.ask(1, "look-up");
-    client.write(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":1}}"#);
-    let ours = client.ask(2, "look-up");
+    assert!(client.is_ready());
+    client.stream.set_nodelay(true).unwrap(); // All of it stands at the front before it runs again.
+    front.freeze();
+    let call = client.send_request(1, "look-up");
+    client.send_line(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":1}}"#);
+    let ours = client.send_request(2, "look-up");
     front.signal("CONT");
-    let first = engine.next("serve");
+    let first = engine.next_message("serve");
     assert_ne!(first.id, call);
     assert_eq!(first.id, ours);
-    first.answer("HIT", "fetches=1", b"a\tb\tc\n");
-    client.returned(2, b"a\tb\tc\n");
+    first.respond("HIT", "fetches=1", b"a\tb\tc\n");
+    client.expect_result(2, b"a\tb\tc\n");
 }
 
 #[test]
@@ -68,12 +70,12 @@
     // Nothing is opened ahead: one connection waits to come up, and one more is opened elsewhere.
     let priced = |told: &mut Value| told["settings"]["prices"] = json!({"handshake": 1.0});
     let (front, mut client, call, late, commands) = waits_for_a_connection(priced);
-    let (other, (_, mut wire)) = (Engine::start(), commands.next());
+    let (other, (_, mut wire)) = (Engine::start(), commands.next_connection());
     wire.write_all(&changes(2, &[(1, late.address, 2), (2, other.address, 0)])).unwrap();
-    let again = other.next_within("serve", PROMPT).expect("not sent elsewhere");
+    let again = other.next_message_within("serve", PROMPT).expect("not sent elsewhere");
     assert_eq!(again.id, call);
-    let held = front.descriptors();
-    let engine = late.come_up();
+    let held = front.open_descriptors();
+    let engine = late.accept_connections();
     // An empty change now and then, so that discovery does not fall silent and is not asked anew.
     let mut speaks = || wire.write_all(&changes(2, &[])).unwrap();
     let mut came_up = || {
@@ -82,14 +84,14 @@
     };
     assert!((0..1000).any(|_| came_up()), "it never came up");
     let from = Instant::now();
-    while front.descriptors() >= held {
+    while front.open_descriptors() >= held {
         assert!(from.elapsed() < PROMPT, "kept");
         speaks();
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert!(engine.quiet(Duration::from_millis(100)));
-    again.answer("HIT", "fetches=1", b"a\tb\tc\n");
-    client.returned(1, b"a\tb\tc\n");
+    assert!(engine.is_quiet(Duration::from_millis(100)));
+    again.respond("HIT", "fetches=1", b"a\tb\tc\n");
+    client.expect_result(1, b"a\tb\tc\n");
     drop(front);
 }
 
@@ -97,25 +99,25 @@
 #[test]
 fn a_whole_list_that_crosses_an_attempt_takes_it_from_an_engine_that_it_does_not_name() {
     let (front, mut client, call, late, commands) = waits_for_a_connection(|_| {});
-    let (other, drains, (_, mut wire)) = (Engine::start(), Engine::start(), commands.next());
+    let (other, drains, (_, mut wire)) = (Engine::start(), Engine::start(), commands.next_connection());
     let listed = [(2, other.address, 0), (3, drains.address, 1)];
     wire.write_all(&whole(9, &listed)).unwrap();
-    let again = other.next_within("serve", PROMPT).expect("not sent elsewhere");
+    let again = other.next_message_within("serve", PROMPT).expect("not sent elsewhere");
     assert_eq!(again.id, call);
-    again.answer("HIT", "fetches=1", b"a\tb\tc\n");
-    client.returned(1, b"a\tb\tc\n");
+    again.respond("HIT", "fetches=1", b"a\tb\tc\n");
+    client.expect_result(1, b"a\tb\tc\n");
     // Asked for again after a loss: from the list on, which says the same once more and changes nothing.
     drop(wire);
-    let (last, mut wire) = commands.next();
+    let (last, mut wire) = commands.next_connection();
     assert_eq!(last, 9);
     wire.write_all(&whole(9, &[(1, late.address, 0)])).unwrap();
-    let engine = late.come_up();
+    let engine = late.accept_connections();
     for id in 2..=9 {
-        client.ask(id, "look-up");
-        other.next("serve").answer("HIT", "fetches=1", b"a\tb\tc\n");
-        client.returned(id, b"a\tb\tc\n");
+        client.send_request(id, "look-up");
+        other.next_message("serve").respond("HIT", "fetches=1", b"a\tb\tc\n");
+        client.expect_result(id, b"a\tb\tc\n");
     }
-    let served = |one: &Engine| one.try_next(Duration::from_millis(100)).is_some();
+    let served = |one: &Engine| one.try_next_request(Duration::from_millis(100)).is_some();
     assert!(!served(&engine) && !served(&drains));
     drop(front);
 }
@@ -123,34 +125,34 @@
 #[test]
 fn a_drain_that_a_new_channel_tells_takes_back_what_waits_for_a_connection() {
     let (front, mut client, call, late, commands) = waits_for_a_connection(|_| {});
-    let (other, moved) = (Engine::start(), Commands::start());
-    let (_old, newer) = (commands.next(), told(&[(1, late.address)], moved.address));
+    let (other, moved) = (Engine::start(), DiscoveryServer::start());
+    let (_old, newer) = (commands.next_connection(), start_config(&[(1, late.address)], moved.address));
     front.reload(&newer.to_string());
-    let (last, mut wire) = moved.next();
+    let (last, mut wire) = moved.next_connection();
     assert_eq!(last, 1);
     wire.write_all(&changes(2, &[(1, late.address, 1), (2, other.address, 0)])).unwrap();
-    let again = other.next_within("serve", PROMPT).expect("not sent elsewhere");
+    let again = other.next_message_within("serve", PROMPT).expect("not sent elsewhere");
     assert_eq!(again.id, call);
-    let engine = late.come_up();
-    again.answer("HIT", "fetches=1", b"a\tb\tc\n");
-    client.returned(1, b"a\tb\tc\n");
-    assert!(engine.quiet(PROMPT));
+    let engine = late.accept_connections();
+    again.respond("HIT", "fetches=1", b"a\tb\tc\n");
+    client.expect_result(1, b"a\tb\tc\n");
+    assert!(engine.is_quiet(PROMPT));
 }
 
 /// Work that may run once only goes elsewhere as well: nothing of it was sent.
 #[test]
 fn an_attempt_whose_connection_never_comes_up_goes_elsewhere() {
-    let (late, other, commands) = (LateEngine::start(), Engine::start(), Commands::start());
+    let (late, other, commands) = (UnconnectableEngine::start(), Engine::start(), DiscoveryServer::start());
     // Both are tried, whichever of them comes first.
     let known = [(1, late.address), (2, other.address), (3, late.address)];
-    let front = Front::start(FRONT, &told(&known, commands.address));
+    let front = Front::start(FRONT, &start_config(&known, commands.address));
     let mut client = front.client();
     for id in 1..=8 {
-        let call = client.ask_of(id, if id % 2 == 0 { "load" } else { "look-up" }, id);
-        let serve = other.next_within("serve", PROMPT).expect("not sent elsewhere");
+        let call = client.send_request_for_table_group(id, if id % 2 == 0 { "load" } else { "look-up" }, id);
+        let serve = other.next_message_within("serve", PROMPT).expect("not sent elsewhere");
         assert_eq!(serve.id, call);
-        serve.answer("HIT", "fetches=1", b"a\tb\tc\n");
-        client.returned(id, b"a\tb\tc\n");
+        serve.respond("HIT", "fetches=1", b"a\tb\tc\n");
+        client.expect_result(id, b"a\tb\tc\n");
     }
     assert!(counts(&front, "dispatch ended no connection"), "none was tried in vain");
     drop(late);
@@ -159,15 +161,15 @@
 /// The file that it is told by is a pipe, so that it stands in the middle of its start until the test writes.
 #[test]
 fn a_signal_during_the_start_ends_the_front_in_order() {
-    let pipe = place("told");
+    let pipe = temp_path("told");
     assert!(Command::new("mkfifo").arg(&pipe).status().unwrap().success());
-    let commands = Commands::start();
+    let commands = DiscoveryServer::start();
     let mut child: Child = Command::new(FRONT).env("PROXY_CONFIG", &pipe).spawn().unwrap();
     // Comes back once the front has opened its side, and waits for what it is told.
     let mut told_by = std::fs::OpenOptions::new().write(true).open(&pipe).unwrap();
     let id = child.id().to_string();
     assert!(Command::new("kill").args(["-s", "TERM", &id]).status().unwrap().success());
-    told_by.write_all(told(&[], commands.address).to_string().as_bytes()).unwrap();
+    told_by.write_all(start_config(&[], commands.address).to_string().as_bytes()).unwrap();
     drop(told_by);
     let from = Instant::now();
     let status = loop {
@@ -205,8 +207,8 @@
 #[test]
 fn what_would_stand_behind_a_part_that_the_system_did_not_take_can_be_taken_back() {
     const LARGE: usize = 100_000;
-    let (engine, commands) = (TcpListener::bind("127.0.0.1:0").unwrap(), Commands::start());
-    let mut told = told(&[(1, engine.local_addr().unwrap())], commands.address);
+    let (engine, commands) = (TcpListener::bind("127.0.0.1:0").unwrap(), DiscoveryServer::start());
+    let mut told = start_config(&[(1, engine.local_addr().unwrap())], commands.address);
     told["limits"]["sockets"] = json!(64); // One connection to an engine.
     told["settings"]["ceilings"]["probes"] = json!(false);
     told["settings"]["ceilings"]["connect_timeout_us"] = json!(10_000_000);
@@ -223,7 +225,7 @@
         let (call, id) = (format!("{:016x}", asked + 1), asked / 3 + 1);
         let params = json!({"call": call, "ttl": 20_000, "data": data});
         let line = json!({"jsonrpc": "2.0", "id": id, "method": "look-up", "params": params});
-        clients[asked % 3].write(&line.to_string());
+        clients[asked % 3].send_line(&line.to_string());
         asked += 1;
         let sent = format!("dispatched look-up={asked}");
         assert!((0..1000).any(|_| counts(&front, &sent)), "not sent on");
@@ -232,9 +234,9 @@
         }
     }
     let mut last = front.client();
-    let call = last.ask(1, "look-up");
+    let call = last.send_request(1, "look-up");
     assert!((0..1000).any(|_| counts(&front, &format!("dispatched look-up={}", asked + 1))), "not sent on");
-    last.write(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":1}}"#);
+    last.send_line(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":1}}"#);
     assert!((0..1000).any(|_| counts(&front, "left look-up=1")), "not heard");
     // All that was asked before comes whole, and nothing of what was taken back.
     wire.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
--- a/crates/edges/front/tests/fleet.rs
+++ b/crates/edges/front/tests/fleet.rs
@@ -15,7 +15,7 @@
 const WORK_MS: u32 = 200;
 
 fn one_of(fronts: usize, number: usize, address: SocketAddr, engines: &Value, channel: SocketAddr) -> Value {
-    let mut told = told(&[], channel);
+    let mut told = start_config(&[], channel);
     told["listen"] = json!(address.to_string());
     told["seed"] = json!(format!("{:016x}", 0x9e37_79b9_7f4a_7c15u64.wrapping_mul(number as u64 + 1)));
     told["settings"]["balancers"] = json!(fronts);
@@ -48,13 +48,13 @@
             let params = json!({"call": format!("{number:04x}{call:012x}"), "ttl": 2000,
                 "data": base64(format!("select * from sales_{call}.orders").as_bytes())});
             let line = json!({"jsonrpc": "2.0", "id": id, "method": "look-up", "params": params}).to_string();
-            if stop.load(Ordering::Relaxed) || !client.try_write(&line) {
+            if stop.load(Ordering::Relaxed) || !client.try_send_line(&line) {
                 break;
             }
             asked = id;
             thread::sleep(Duration::from_millis(5));
         }
-        (1..=asked).all(|_| client.try_next().is_some());
+        (1..=asked).all(|_| client.try_next_response().is_some());
     }
 }
 
@@ -63,7 +63,8 @@
 #[test]
 fn twenty_fronts_stay_within_what_a_cold_engine_bears_through_their_restarts() {
     const FRONTS: usize = 20;
-    let (engine, commands) = (Tallying::start(|_| Answers::HitOf(WORK_MS)), Commands::start());
+    let (engine, commands) =
+        (CountingEngine::start(|_| EngineBehavior::ResultAfterWork(WORK_MS)), DiscoveryServer::start());
     let addresses = addresses(FRONTS);
     let _alone = ALONE.lock().unwrap_or_else(|broken| broken.into_inner());
     let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
@@ -139,7 +140,7 @@
             thread::spawn(move || {
                 let any = SocketAddr::from(([127, 0, 0, 1], 0));
                 let front = Front::start(FRONT, &one_of(30, number, any, &json!([]), nobody));
-                let fit = front.client().fit();
+                let fit = front.client().is_ready();
                 (fit, from.elapsed())
             })
         })
--- a/crates/edges/front/tests/limits.rs
+++ b/crates/edges/front/tests/limits.rs
@@ -19,12 +19,12 @@
 const FRAME: u32 = 4096;
 
 struct Crowd {
-    listeners: Vec<Tallying>,
+    listeners: Vec<CountingEngine>,
 }
 
 impl Crowd {
-    fn start(answers: impl Fn(usize) -> Answers + Send + Sync + Clone + 'static) -> Crowd {
-        Crowd { listeners: (0..LISTENERS).map(|_| Tallying::start(answers.clone())).collect() }
+    fn start(answers: impl Fn(usize) -> EngineBehavior + Send + Sync + Clone + 'static) -> Crowd {
+        Crowd { listeners: (0..LISTENERS).map(|_| CountingEngine::start(answers.clone())).collect() }
     }
 
     fn engines(&self, count: u32) -> Vec<(u32, SocketAddr)> {
@@ -34,7 +34,7 @@
 
 /// One of 350 fronts on little.
 fn little(engines: &[(u32, SocketAddr)], channel: SocketAddr) -> Value {
-    let mut told = told(engines, channel);
+    let mut told = start_config(engines, channel);
     told["limits"] = json!({"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": DESCRIPTORS});
     told["settings"]["balancers"] = json!(350);
     told
@@ -54,11 +54,14 @@
     while group < groups {
         for client in &mut clients {
             group += 1;
-            client.ask_of(group, "look-up", group);
+            client.send_request_for_table_group(group, "look-up", group);
         }
-        served +=
-            clients.iter_mut().filter_map(Client::next).filter(|one| one.get("result").is_some()).count();
-        assert!(front.descriptors() <= DESCRIPTORS as usize);
+        served += clients
+            .iter_mut()
+            .filter_map(Client::next_response)
+            .filter(|one| one.get("result").is_some())
+            .count();
+        assert!(front.open_descriptors() <= DESCRIPTORS as usize);
     }
     served as u64
 }
@@ -67,7 +70,8 @@
 fn a_front_on_little_serves_1024_engines_and_says_what_it_lacks() {
     for (shape, handshake) in [("probes", 0.0), ("blind", 0.0), ("blind", 1.0)] {
         // Told as more work than it takes, so that a busy machine is not taken for slow engines.
-        let (crowd, commands) = (Crowd::start(|_| Answers::HitOf(200)), Commands::start());
+        let (crowd, commands) =
+            (Crowd::start(|_| EngineBehavior::ResultAfterWork(200)), DiscoveryServer::start());
         let mut told = little(&crowd.engines(ENGINES), commands.address);
         told["settings"]["prices"] = json!({"handshake": handshake});
         if shape == "blind" {
@@ -75,17 +79,17 @@
             told["settings"]["report"] = json!({"fields": [], "via": "none"});
         }
         let front = Front::start_within(FRONT, &told, DESCRIPTORS);
-        assert!(front.client().fit());
-        let lacks = front.logged("descriptors for");
+        assert!(front.client().is_ready());
+        let lacks = front.wait_for_log("descriptors for");
         assert!(lacks.contains("1024 engines") && lacks.contains("78 connections"), "{lacks}");
         front.signal("USR1");
-        let ahead = front.logged("counts:");
+        let ahead = front.wait_for_log("counts:");
         assert!(!ahead.contains("engine connections"), "opened ahead: {ahead}");
         let (asked, from) = (128, Instant::now());
         let served = press(&front, asked, 4);
         let (took, memory) = (from.elapsed(), most_memory(&front));
         front.signal("USR1");
-        let counts = front.logged("counts:");
+        let counts = front.wait_for_log("counts:");
         println!(
             "{shape}, handshake {handshake}: {served} of {asked} served in {took:?}, {memory} kB; {counts}"
         );
@@ -99,26 +103,30 @@
 #[test]
 fn connections_that_their_engine_does_not_end_make_room_for_those_that_are_wanted() {
     const HELD: u32 = 16; // Descriptors for engines of a front with 64.
-    let (old, new, commands) = (Engine::start(), Tallying::start(|_| Answers::HitOf(200)), Commands::start());
+    let (old, new, commands) = (
+        Engine::start(),
+        CountingEngine::start(|_| EngineBehavior::ResultAfterWork(200)),
+        DiscoveryServer::start(),
+    );
     let known: Vec<(u32, SocketAddr)> = (1..=HELD).map(|id| (id, old.address)).collect();
-    let mut told = told(&known, commands.address);
+    let mut told = start_config(&known, commands.address);
     told["limits"]["sockets"] = json!(64);
     told["settings"]["prices"] = json!({"handshake": 1.0});
     told["settings"]["ceilings"]["probes"] = json!(false);
     told["settings"]["ceilings"]["connect_timeout_us"] = json!(10_000_000);
     told["settings"]["report"] = json!({"fields": [], "via": "none"});
     let front = Front::start(FRONT, &told);
-    let (_, mut wire) = commands.next();
+    let (_, mut wire) = commands.next_connection();
     let mut client = front.client();
     let (mut kept, mut from, mut group) = (Vec::new(), BTreeSet::new(), 0);
     while from.len() < HELD as usize {
         group += 1;
         assert!(group < 1000, "{} connections", from.len());
-        client.ask_of(group, "look-up", group);
-        let said = old.next("serve");
-        said.answer("HIT", "fetches=1,effort=200,high=1", b"a\tb\tc\n");
-        client.returned(group, b"a\tb\tc\n");
-        from.insert(said.from());
+        client.send_request_for_table_group(group, "look-up", group);
+        let said = old.next_message("serve");
+        said.respond("HIT", "fetches=1,effort=200,high=1", b"a\tb\tc\n");
+        client.expect_result(group, b"a\tb\tc\n");
+        from.insert(said.front_address());
         kept.push(said);
     }
     let mut records: Vec<_> = known.iter().map(|(id, address)| (*id, *address, 1)).collect();
@@ -126,15 +134,15 @@
     wire.write_all(&changes(2, &records)).unwrap();
     let listed = || {
         front.signal("USR1");
-        front.logged("counts:").contains(&format!("{} engines", 2 * HELD))
+        front.wait_for_log("counts:").contains(&format!("{} engines", 2 * HELD))
     };
     assert!((0..200).any(|_| listed()), "not listed");
     let asked = Instant::now();
     for id in 1..=8 {
-        client.ask_of(group + id, "look-up", id);
+        client.send_request_for_table_group(group + id, "look-up", id);
     }
     for _ in 1..=8 {
-        let answer = client.next().expect("an answer");
+        let answer = client.next_response().expect("an answer");
         assert!(answer.get("result").is_some(), "{answer}");
     }
     assert!(asked.elapsed() < Duration::from_secs(3), "after {:?}", asked.elapsed());
@@ -146,23 +154,24 @@
 #[test]
 fn the_longest_list_is_followed_and_a_longer_one_leaves_the_front_as_it_is() {
     for (records, followed) in [(ENGINES, true), (FRAME, true), (FRAME + 1, false)] {
-        let (engine, commands) = (Tallying::start(|_| Answers::HitOf(200)), Commands::start());
+        let (engine, commands) =
+            (CountingEngine::start(|_| EngineBehavior::ResultAfterWork(200)), DiscoveryServer::start());
         let mut told = little(&[(1, engine.address)], commands.address);
         told["settings"]["prices"] = json!({"handshake": 1.0});
         let front = Front::start(FRONT, &told);
-        let (_, mut wire) = commands.next();
+        let (_, mut wire) = commands.next_connection();
         let listed: Vec<_> = (1..=records).map(|id| (id, engine.address, 0)).collect();
         // A longer one is closed over, so not all of it may be taken.
         let _ = wire.write_all(&changes(2, &listed));
         if followed {
-            let lacks = front.logged("descriptors for");
+            let lacks = front.wait_for_log("descriptors for");
             assert!(lacks.contains(&format!("{records} engines")), "{lacks}");
         } else {
-            front.logged(&format!("a frame of {} bytes", 9 + 27 * records));
-            assert_eq!(commands.next().0, 1, "asked again from what it has");
+            front.wait_for_log(&format!("a frame of {} bytes", 9 + 27 * records));
+            assert_eq!(commands.next_connection().0, 1, "asked again from what it has");
         }
         let mut client = front.client();
-        client.ask(1, "look-up");
-        assert!(client.next().unwrap().get("result").is_some());
+        client.send_request(1, "look-up");
+        assert!(client.next_response().unwrap().get("result").is_some());
     }
 }
--- a/crates/edges/front/tests/platform.rs
+++ b/crates/edges/front/tests/platform.rs
@@ -30,13 +30,13 @@
 
 #[test]
 fn a_front_at_work_is_one_process_without_children() {
-    let (engine, commands) = (Engine::start(), Commands::start());
-    let front = Front::start(FRONT, &told(&[(1, engine.address)], commands.address));
+    let (engine, commands) = (Engine::start(), DiscoveryServer::start());
+    let front = Front::start(FRONT, &start_config(&[(1, engine.address)], commands.address));
     let mut client = front.client();
     for id in 1..=20 {
-        client.ask(id, "look-up");
-        engine.next("serve").answer("HIT", "fetches=1", b"a\tb\tc\n");
-        client.returned(id, b"a\tb\tc\n");
+        client.send_request(id, "look-up");
+        engine.next_message("serve").respond("HIT", "fetches=1", b"a\tb\tc\n");
+        client.expect_result(id, b"a\tb\tc\n");
     }
     let tasks: Vec<String> = std::fs::read_dir(format!("/proc/{}/task", front.id()))
         .unwrap()
--- a/crates/edges/front/tests/races.rs
+++ b/crates/edges/front/tests/races.rs
@@ -14,22 +14,22 @@
 
 /// The first of engines 1 and 2 to which look-ups of these tests go.
 fn home() -> u32 {
-    let (engines, commands) = ([Engine::start(), Engine::start()], Commands::start());
+    let (engines, commands) = ([Engine::start(), Engine::start()], DiscoveryServer::start());
     let known = [(1, engines[0].address), (2, engines[1].address)];
-    let front = Front::start(FRONT, &told(&known, commands.address));
+    let front = Front::start(FRONT, &start_config(&known, commands.address));
     let mut client = front.client();
-    client.ask(1, "look-up");
+    client.send_request(1, "look-up");
     let pause = Duration::from_millis(50);
-    let sent = |id: &u32| engines[*id as usize - 1].try_next(pause).is_some();
+    let sent = |id: &u32| engines[*id as usize - 1].try_next_request(pause).is_some();
     [1, 2].into_iter().cycle().take(200).find(sent).expect("sent nowhere")
 }
 
 /// A front whose look-ups go first to an engine to which no connection comes up yet, and then to another.
-fn late(shape: impl Fn(&mut Value)) -> (Front, LateEngine, Engine, Commands) {
-    let (late, other, commands) = (LateEngine::start(), Engine::start(), Commands::start());
+fn late(shape: impl Fn(&mut Value)) -> (Front, UnconnectableEngine, Engine, DiscoveryServer) {
+    let (late, other, commands) = (UnconnectableEngine::start(), Engine::start(), DiscoveryServer::start());
     let first = home();
     let known = [(first, late.address), (3 - first, other.address)];
-    let mut told = told(&known, commands.address);
+    let mut told = start_config(&known, commands.address);
     told["settings"]["ceilings"]["connect_timeout_us"] = json!(10_000_000);
     shape(&mut told);
     (Front::start(FRONT, &told), late, other, commands)
@@ -38,8 +38,8 @@
 /// What an engine is sent first is not the request of this call, though it was sent to that engine before.
 fn first_is_not(front: &Front, engine: &Engine, call: &str) {
     let mut client = front.client();
-    let ours = client.ask(1, "look-up");
-    let said = engine.next("serve");
+    let ours = client.send_request(1, "look-up");
+    let said = engine.next_message("serve");
     assert_ne!(said.id, call);
     assert_eq!(said.id, ours);
 }
@@ -48,14 +48,14 @@
 fn on_its_way(front: &Front) {
     let on_its_way = || {
         front.signal("USR1");
-        front.logged("counts:").contains("dispatched look-up=1")
+        front.wait_for_log("counts:").contains("dispatched look-up=1")
     };
     assert!((0..200).any(|_| on_its_way()), "not sent on");
 }
 
-fn one(shape: impl Fn(&mut Value)) -> (Front, Engine, Commands) {
-    let (engine, commands) = (Engine::start(), Commands::start());
-    let mut told = told(&[(1, engine.address)], commands.address);
+fn one(shape: impl Fn(&mut Value)) -> (Front, Engine, DiscoveryServer) {
+    let (engine, commands) = (Engine::start(), DiscoveryServer::start());
+    let mut told = start_config(&[(1, engine.address)], commands.address);
     shape(&mut told);
     (Front::start(FRONT, &told), engine, commands)
 }
@@ -68,12 +68,12 @@
         let (front, late, _other, _commands) =
             late(|told| told["settings"]["ceilings"]["cancel"] = json!(cancel));
         let mut client = front.client();
-        let call = client.ask(1, "look-up");
+        let call = client.send_request(1, "look-up");
         on_its_way(&front);
         let mut kept = None;
         match left {
-            "revoke" => client.write(REVOKE),
-            "half" => client.wire.shutdown(Shutdown::Write).unwrap(),
+            "revoke" => client.send_line(REVOKE),
+            "half" => client.stream.shutdown(Shutdown::Write).unwrap(),
             "close" => drop(client),
             _ => client.reset(),
         }
@@ -81,7 +81,7 @@
             kept = Some(front.client());
         }
         std::thread::sleep(Duration::from_millis(100)); // What the terms allow it to hear of that.
-        first_is_not(&front, &late.come_up(), &call);
+        first_is_not(&front, &late.accept_connections(), &call);
         drop(kept);
     }
 }
@@ -89,19 +89,19 @@
 #[test]
 fn an_attempt_that_waits_for_a_connection_is_not_sent_once_its_engine_drains() {
     let (front, late, other, commands) = late(|_| {});
-    let (_, mut wire) = commands.next();
+    let (_, mut wire) = commands.next_connection();
     let mut client = front.client();
-    let call = client.ask(1, "look-up");
+    let call = client.send_request(1, "look-up");
     on_its_way(&front);
     let drains = changes(2, &[(home(), late.address, 1)]);
     wire.write_all(&drains).unwrap();
     // It goes elsewhere at once, though the connection may still come up.
-    let again = other.next_within("serve", PROMPT).expect("not sent elsewhere");
+    let again = other.next_message_within("serve", PROMPT).expect("not sent elsewhere");
     assert_eq!(again.id, call);
-    let engine = late.come_up();
-    again.answer("HIT", "fetches=1", b"a\tb\tc\n");
-    client.returned(1, b"a\tb\tc\n");
-    assert!(engine.quiet(PROMPT));
+    let engine = late.accept_connections();
+    again.respond("HIT", "fetches=1", b"a\tb\tc\n");
+    client.expect_result(1, b"a\tb\tc\n");
+    assert!(engine.is_quiet(PROMPT));
 }
 
 #[test]
@@ -109,12 +109,12 @@
     let (front, late, _other, _commands) = late(|_| {});
     let mut client = front.client();
     let asked = Instant::now();
-    client.ask(1, "look-up");
+    client.send_request(1, "look-up");
     on_its_way(&front);
     std::thread::sleep(Duration::from_millis(300));
-    let engine = late.come_up();
-    let serve = engine.next("serve");
-    let budget = serve.rest.split(',').find_map(|field| field.strip_prefix("budget=")).unwrap();
+    let engine = late.accept_connections();
+    let serve = engine.next_message("serve");
+    let budget = serve.arguments.split(',').find_map(|field| field.strip_prefix("budget=")).unwrap();
     let (budget, waited) = (budget.parse::<u64>().unwrap(), asked.elapsed().as_millis() as u64);
     assert!(budget <= 20_000 - 300 && budget + waited <= 20_100, "{budget} after {waited}");
 }
@@ -122,25 +122,25 @@
 /// The engines drop repeats for a while after the first attempt; the second waits for its connection meanwhile.
 #[test]
 fn an_attempt_that_waits_for_a_connection_is_not_sent_once_repeats_are_no_longer_dropped() {
-    let (engine, late, commands) = (Engine::start(), LateEngine::start(), Commands::start());
+    let (engine, late, commands) = (Engine::start(), UnconnectableEngine::start(), DiscoveryServer::start());
     let first = home();
-    let mut told = told(&[(first, engine.address), (3 - first, late.address)], commands.address);
+    let mut told = start_config(&[(first, engine.address), (3 - first, late.address)], commands.address);
     told["settings"]["ceilings"]["connect_timeout_us"] = json!(10_000_000);
     told["settings"]["classes"][0]["effect"] = json!("keyed");
     told["settings"]["classes"][0]["key_ttl_us"] = json!(700_000);
     told["settings"]["classes"][0]["aim_us"] = json!(20_000_000);
     let front = Front::start(FRONT, &told);
     let mut client = front.client();
-    let call = client.ask(1, "look-up");
-    engine.next("serve").answer("FAULT", "-", b""); // It may have run.
-    assert!(client.fit());
+    let call = client.send_request(1, "look-up");
+    engine.next_message("serve").respond("FAULT", "-", b""); // It may have run.
+    assert!(client.is_ready());
     // Neither sent again nor rejected: who is told that trying again is safe would come when it no longer is.
-    let code = client.error(Some(1));
+    let code = client.expect_error(Some(1));
     assert!(code != -32002 && code != 0, "{code}");
-    let late = late.come_up();
+    let late = late.accept_connections();
     let mut other = front.client();
-    let ours: Vec<String> = (1..=8).map(|id| other.ask(id, "look-up")).collect();
-    let sent = late.next("serve").id;
+    let ours: Vec<String> = (1..=8).map(|id| other.send_request(id, "look-up")).collect();
+    let sent = late.next_message("serve").id;
     assert!(sent != call && ours.contains(&sent), "{sent}");
 }
 
@@ -149,23 +149,23 @@
 fn what_a_client_sent_that_has_gone_by_the_time_it_is_read_is_not_sent_on() {
     for left in ["close", "half", "reset"] {
         let (front, engine, _commands) = one(|_| {});
-        assert!(front.client().fit());
-        front.stop();
+        assert!(front.client().is_ready());
+        front.freeze();
         let mut gone = front.client();
-        let calls: Vec<String> = (1..=32).map(|id| gone.ask(id, "look-up")).collect();
+        let calls: Vec<String> = (1..=32).map(|id| gone.send_request(id, "look-up")).collect();
         let mut kept = None;
         match left {
             "close" => drop(gone),
             "reset" => gone.reset(),
             _ => {
-                gone.wire.shutdown(Shutdown::Write).unwrap();
+                gone.stream.shutdown(Shutdown::Write).unwrap();
                 kept = Some(gone);
             }
         }
         front.signal("CONT");
         let mut client = front.client();
-        let ours = client.ask(1, "look-up");
-        let first = engine.next("serve").id;
+        let ours = client.send_request(1, "look-up");
+        let first = engine.next_message("serve").id;
         assert!(!calls.contains(&first), "{left}");
         assert_eq!(first, ours);
         drop(kept);
@@ -176,17 +176,17 @@
 #[test]
 fn a_client_that_reads_nothing_and_closes_its_side_has_gone_at_once() {
     let (front, engine, _commands) = one(|_| {});
-    let mut slow = front.deaf_client();
+    let mut slow = front.slow_reader();
     let rows = "r\t\t\n".repeat(11_750).into_bytes();
     // More than the system holds for it, and less than the front does.
     for id in 1..=90 {
-        slow.ask(id, "look-up");
-        engine.next("serve").answer("HIT", "fetches=1", &rows);
+        slow.send_request(id, "look-up");
+        engine.next_message("serve").respond("HIT", "fetches=1", &rows);
     }
-    let call = slow.ask(300, "look-up");
-    engine.next("serve");
-    slow.wire.shutdown(Shutdown::Write).unwrap();
-    let cancel = engine.next_within("cancel", PROMPT).expect("still waited for");
+    let call = slow.send_request(300, "look-up");
+    engine.next_message("serve");
+    slow.stream.shutdown(Shutdown::Write).unwrap();
+    let cancel = engine.next_message_within("cancel", PROMPT).expect("still waited for");
     assert_eq!(cancel.id, call);
 }
 
@@ -198,20 +198,20 @@
         let (front, engine, _commands) = one(|_| {});
         let mut resting = front.client();
         if end != "never spoke" {
-            resting.ask(1, "look-up");
-            engine.next("serve").answer("HIT", "fetches=1", b"a\tb\tc\n");
-            resting.returned(1, b"a\tb\tc\n");
+            resting.send_request(1, "look-up");
+            engine.next_message("serve").respond("HIT", "fetches=1", b"a\tb\tc\n");
+            resting.expect_result(1, b"a\tb\tc\n");
         }
         if end == "told to end" {
             front.signal("TERM");
         }
-        assert!(resting.ends_in_order(), "{end}");
-        resting.ask(2, "look-up");
-        assert!(resting.ends_in_order(), "{end}: reset");
-        resting.wire.write_all(b"{\"half a li").expect(end);
-        assert!(resting.ends_in_order(), "{end}: reset");
+        assert!(resting.is_closed_in_order(), "{end}");
+        resting.send_request(2, "look-up");
+        assert!(resting.is_closed_in_order(), "{end}: reset");
+        resting.stream.write_all(b"{\"half a li").expect(end);
+        assert!(resting.is_closed_in_order(), "{end}: reset");
         drop(resting);
-        assert!(engine.quiet(Duration::from_millis(200)), "{end}: sent on");
+        assert!(engine.is_quiet(Duration::from_millis(200)), "{end}: sent on");
     }
 }
 
@@ -219,16 +219,16 @@
 fn a_half_line_keeps_its_connection_from_being_closed_as_idle() {
     let (front, engine, _commands) = one(|told| told["limits"]["sockets"] = json!(96));
     let mut half = front.client();
-    assert!(half.fit());
+    assert!(half.is_ready());
     let params = r#""params":{"call":"9b1f03aa5c7e2d41","ttl":9000,"data":"c2VsZWN0IDE="}}"#;
-    half.wire.write_all(br#"{"jsonrpc":"2.0","id":1,"method":"look-up","#).unwrap();
-    assert!(front.client().fit()); // The first half has been read.
+    half.stream.write_all(br#"{"jsonrpc":"2.0","id":1,"method":"look-up","#).unwrap();
+    assert!(front.client().is_ready()); // The first half has been read.
     // Others press for its place.
     let others: Vec<TcpStream> = (0..80).map(|_| TcpStream::connect(front.address).unwrap()).collect();
-    assert!(front.client().fit());
-    half.wire.write_all(format!("{params}\n").as_bytes()).unwrap();
-    engine.next("serve").answer("HIT", "fetches=1", b"a\tb\tc\n");
-    half.returned(1, b"a\tb\tc\n");
+    assert!(front.client().is_ready());
+    half.stream.write_all(format!("{params}\n").as_bytes()).unwrap();
+    engine.next_message("serve").respond("HIT", "fetches=1", b"a\tb\tc\n");
+    half.expect_result(1, b"a\tb\tc\n");
     drop(others);
 }
 
@@ -236,41 +236,41 @@
 fn a_line_too_long_gets_its_error_once_and_what_is_open_its_answer() {
     let (front, engine, _commands) = one(|_| {});
     let mut bad = front.client();
-    bad.ask(1, "look-up");
-    let serve = engine.next("serve");
-    let _ = bad.wire.write_all(&[b'x'; 300_000]);
-    assert!(bad.error(None) < -32002);
-    serve.answer("HIT", "fetches=1", b"a\tb\tc\n");
-    bad.returned(1, b"a\tb\tc\n");
-    assert!(bad.ends_in_order());
+    bad.send_request(1, "look-up");
+    let serve = engine.next_message("serve");
+    let _ = bad.stream.write_all(&[b'x'; 300_000]);
+    assert!(bad.expect_error(None) < -32002);
+    serve.respond("HIT", "fetches=1", b"a\tb\tc\n");
+    bad.expect_result(1, b"a\tb\tc\n");
+    assert!(bad.is_closed_in_order());
 }
 
 #[test]
 fn the_end_comes_in_time_though_engines_hang_answers_never_end_and_clients_do_not_read() {
     let (mut front, engine, _commands) = one(|_| {});
-    let mut deaf = front.deaf_client();
+    let mut deaf = front.slow_reader();
     let rows = "r\t\t\n".repeat(11_750).into_bytes();
     for id in 1..=90 {
-        deaf.ask(id, "look-up");
-        engine.next("serve").answer("HIT", "fetches=1", &rows);
+        deaf.send_request(id, "look-up");
+        engine.next_message("serve").respond("HIT", "fetches=1", &rows);
     }
     let mut client = front.client();
-    client.ask(1, "load");
-    let load = engine.next("serve"); // It hangs.
-    client.ask(2, "look-up");
-    let endless = engine.next("serve");
-    (&endless.wire).write_all(format!("{} HIT fetches=1 600\r\nr\t\t\n", endless.id).as_bytes()).unwrap();
+    client.send_request(1, "load");
+    let load = engine.next_message("serve"); // It hangs.
+    client.send_request(2, "look-up");
+    let endless = engine.next_message("serve");
+    (&endless.stream).write_all(format!("{} HIT fetches=1 600\r\nr\t\t\n", endless.id).as_bytes()).unwrap();
     let mut half = front.client();
-    half.wire.write_all(b"{\"jsonrpc\"").unwrap();
+    half.stream.write_all(b"{\"jsonrpc\"").unwrap();
     let told = Instant::now();
     front.signal("TERM");
-    let mut ends =
-        [client.next().unwrap(), client.next().unwrap()].map(|answer| answer["id"].as_u64().unwrap());
+    let mut ends = [client.next_response().unwrap(), client.next_response().unwrap()]
+        .map(|answer| answer["id"].as_u64().unwrap());
     ends.sort_unstable();
     assert_eq!(ends, [1, 2]);
-    assert!(client.ends_in_order());
+    assert!(client.is_closed_in_order());
     // The kill comes no sooner than this after the signal.
-    assert_eq!(front.ends_within(Duration::from_millis(3700).saturating_sub(told.elapsed())), Some(0));
+    assert_eq!(front.exit_code_within(Duration::from_millis(3700).saturating_sub(told.elapsed())), Some(0));
     drop((deaf, half, load));
 }
 
@@ -280,41 +280,42 @@
     let (mut front, engine, _commands) = one(|_| {});
     let mut client = front.client();
     for id in 1..=8 {
-        client.ask(id, "look-up");
+        client.send_request(id, "look-up");
     }
-    let first: Vec<Said> = (1..=8).map(|_| engine.next("serve")).collect();
+    let first: Vec<EngineMessage> = (1..=8).map(|_| engine.next_message("serve")).collect();
     front.signal("TERM");
-    front.logged("closing");
+    front.wait_for_log("closing");
     for id in 9..=16 {
-        client.ask(id, "look-up");
+        client.send_request(id, "look-up");
     }
-    let more: Vec<Said> = (9..=16).map(|_| engine.next("serve")).collect();
-    first.iter().chain(&more).for_each(|serve| serve.answer("HIT", "fetches=1", b"a\tb\tc\n"));
-    let mut answered: Vec<u64> = (1..=16).map(|_| client.next().unwrap()["id"].as_u64().unwrap()).collect();
+    let more: Vec<EngineMessage> = (9..=16).map(|_| engine.next_message("serve")).collect();
+    first.iter().chain(&more).for_each(|serve| serve.respond("HIT", "fetches=1", b"a\tb\tc\n"));
+    let mut answered: Vec<u64> =
+        (1..=16).map(|_| client.next_response().unwrap()["id"].as_u64().unwrap()).collect();
     answered.sort_unstable();
     assert_eq!(answered, (1..=16).collect::<Vec<u64>>());
-    assert!(client.ends_in_order());
-    client.ask(17, "look-up"); // After the end of the connection: nobody's.
-    assert!(engine.quiet(Duration::from_millis(200)));
-    assert_eq!(front.ends_within(PROMPT), Some(0));
+    assert!(client.is_closed_in_order());
+    client.send_request(17, "look-up"); // After the end of the connection: nobody's.
+    assert!(engine.is_quiet(Duration::from_millis(200)));
+    assert_eq!(front.exit_code_within(PROMPT), Some(0));
 }
 
 /// Connections wait in the system's queue, with requests on them, when the front is told to end.
 #[test]
 fn what_stands_in_the_queue_of_connections_at_the_signal_is_answered() {
     let (mut front, engine, _commands) = one(|_| {});
-    assert!(front.client().fit());
-    front.stop();
+    assert!(front.client().is_ready());
+    front.freeze();
     let mut clients: Vec<Client> = (0..20).map(|_| front.client()).collect();
-    clients.iter_mut().for_each(|client| drop(client.ask(1, "look-up")));
+    clients.iter_mut().for_each(|client| drop(client.send_request(1, "look-up")));
     front.signal("TERM");
     front.signal("CONT");
     for _ in 0..20 {
-        engine.next("serve").answer("HIT", "fetches=1", b"a\tb\tc\n");
+        engine.next_message("serve").respond("HIT", "fetches=1", b"a\tb\tc\n");
     }
-    clients.iter_mut().for_each(|client| client.returned(1, b"a\tb\tc\n"));
-    assert!(clients.iter_mut().all(Client::ends_in_order));
-    assert_eq!(front.ends_within(PROMPT), Some(0));
+    clients.iter_mut().for_each(|client| client.expect_result(1, b"a\tb\tc\n"));
+    assert!(clients.iter_mut().all(Client::is_closed_in_order));
+    assert_eq!(front.exit_code_within(PROMPT), Some(0));
 }
 
 /// Idle clients hold all that clients may hold, and the channel is lost and comes back; there are more engines than
@@ -322,33 +323,34 @@
 #[test]
 fn idle_clients_and_many_engines_leave_descriptors_for_discovery_and_for_who_asks() {
     for sockets in [64u64, 96] {
-        let (commands, engines) = (Commands::start(), (0..60).map(|_| Engine::start()).collect::<Vec<_>>());
-        let mut told = told(&[], commands.address);
+        let (commands, engines) =
+            (DiscoveryServer::start(), (0..60).map(|_| Engine::start()).collect::<Vec<_>>());
+        let mut told = start_config(&[], commands.address);
         told["limits"]["sockets"] = json!(sockets);
         // However busy the machine, none is given up for the time it takes.
         told["settings"]["ceilings"]["connect_timeout_us"] = json!(5_000_000);
         told["settings"]["classes"][0]["aim_us"] = json!(20_000_000);
         let front = Front::start_within(FRONT, &told, sockets);
-        drop(commands.next()); // Lost at once.
+        drop(commands.next_connection()); // Lost at once.
         let idle: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(front.address).unwrap()).collect();
-        let (from, mut wire) = commands.next();
+        let (from, mut wire) = commands.next_connection();
         assert_eq!(from, 1);
         let listed: Vec<(u32, SocketAddr, u8)> =
             engines.iter().zip(1..).map(|(engine, id)| (id, engine.address, 0)).collect();
         wire.write_all(&changes(2, &listed)).unwrap();
-        front.logged("engine 0000003c is Active");
+        front.wait_for_log("engine 0000003c is Active");
         let mut most = 0;
         // Each of many groups of tables has another home: every engine is wanted in turn.
         for group in 0..150u64 {
             let mut client = front.client();
-            client.ask_of(1, "look-up", group);
-            let sent = |engine: &Engine| engine.try_next(Duration::from_millis(1));
+            client.send_request_for_table_group(1, "look-up", group);
+            let sent = |engine: &Engine| engine.try_next_request(Duration::from_millis(1));
             let Some(serve) = engines.iter().cycle().take(60 * 100).find_map(sent) else {
-                panic!("{group} of {sockets}: {:?}", client.next());
+                panic!("{group} of {sockets}: {:?}", client.next_response());
             };
-            serve.answer("HIT", "fetches=1", b"a\tb\tc\n");
-            client.returned(1, b"a\tb\tc\n");
-            most = most.max(front.descriptors() as u64);
+            serve.respond("HIT", "fetches=1", b"a\tb\tc\n");
+            client.expect_result(1, b"a\tb\tc\n");
+            most = most.max(front.open_descriptors() as u64);
         }
         assert!(most < sockets, "{most} of {sockets}");
         drop((idle, wire));
@@ -359,19 +361,19 @@
 #[test]
 fn a_reload_in_the_middle_of_an_event_loses_and_repeats_nothing() {
     let (front, engine, commands) = one(|_| {});
-    let moved = Commands::start();
-    let (from, mut wire) = commands.next();
+    let moved = DiscoveryServer::start();
+    let (from, mut wire) = commands.next_connection();
     assert_eq!(from, 1);
     let whole = changes(2, &[(2, engine.address, 1)]);
     wire.write_all(&whole[..20]).unwrap();
-    front.reload(&told(&[(1, engine.address)], moved.address).to_string());
-    let (from, mut new) = moved.next();
+    front.reload(&start_config(&[(1, engine.address)], moved.address).to_string());
+    let (from, mut new) = moved.next_connection();
     assert_eq!(from, 1);
     let _ = wire.write_all(&whole[20..]); // The rest comes after all, on a connection that nobody reads.
     new.write_all(&[whole.clone(), whole, changes(3, &[(3, engine.address, 1)])].concat()).unwrap();
-    front.logged("engine 00000003 is Leaving");
+    front.wait_for_log("engine 00000003 is Leaving");
     front.signal("USR1");
-    assert!(front.logged("counts:").contains("channel events 3;"));
+    assert!(front.wait_for_log("counts:").contains("channel events 3;"));
 }
 
 /// The watch is silent while an engine begins to drain; the next one, asked for anew, tells of it, and what comes
@@ -379,16 +381,16 @@
 #[test]
 fn an_engine_that_drains_while_the_watch_is_silent_gets_nothing_once_that_is_heard_anew() {
     let (front, engine, commands) = one(|_| {});
-    let (from, mut silent) = commands.next();
-    let (again, mut wire) = commands.next();
+    let (from, mut silent) = commands.next_connection();
+    let (again, mut wire) = commands.next_connection();
     assert_eq!((from, again), (1, 1));
     let _ = silent.write_all(&changes(2, &[(1, engine.address, 0)]));
     wire.write_all(&changes(2, &[(1, engine.address, 1)])).unwrap();
-    front.logged("is Leaving");
+    front.wait_for_log("is Leaving");
     let mut client = front.client();
-    client.ask(1, "look-up");
-    assert_eq!(client.error(Some(1)), -32002);
-    assert!(engine.quiet(Duration::from_millis(100)));
+    client.send_request(1, "look-up");
+    assert_eq!(client.expect_error(Some(1)), -32002);
+    assert!(engine.is_quiet(Duration::from_millis(100)));
 }
 
 /// Half a line from an engine stands unread when its connection is closed as idle.
@@ -398,15 +400,15 @@
         told["settings"]["ceilings"]["conn_idle_us"] = json!(1_000_000);
     });
     let mut client = front.client();
-    client.ask(1, "look-up");
-    let serve = engine.next("serve");
-    serve.answer("HIT", "fetches=1", b"a\tb\tc\n");
-    client.returned(1, b"a\tb\tc\n");
+    client.send_request(1, "look-up");
+    let serve = engine.next_message("serve");
+    serve.respond("HIT", "fetches=1", b"a\tb\tc\n");
+    client.expect_result(1, b"a\tb\tc\n");
     // The front's end of the connection is shut, and only then comes half a line.
-    let mut wire = serve.wire.try_clone().unwrap();
-    assert_eq!(engine.ended(), serve.from());
+    let mut wire = serve.stream.try_clone().unwrap();
+    assert_eq!(engine.next_closed(), serve.front_address());
     wire.write_all(format!("{} HI", serve.id).as_bytes()).unwrap();
-    wire.set_read_timeout(Some(LONG)).unwrap();
+    wire.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     assert_eq!(wire.read(&mut [0; 16]).map_err(|e| e.kind()), Ok(0));
     assert!(wire.take_error().unwrap().is_none());
 }
--- a/crates/edges/front/tests/sockets.rs
+++ b/crates/edges/front/tests/sockets.rs
@@ -10,26 +10,26 @@
 const PAUSE: Duration = Duration::from_millis(150);
 
 /// A front with one engine.
-fn one() -> (Front, Engine, Commands) {
-    let (engine, commands) = (Engine::start(), Commands::start());
-    let front = Front::start(FRONT, &told(&[(1, engine.address)], commands.address));
+fn one() -> (Front, Engine, DiscoveryServer) {
+    let (engine, commands) = (Engine::start(), DiscoveryServer::start());
+    let front = Front::start(FRONT, &start_config(&[(1, engine.address)], commands.address));
     (front, engine, commands)
 }
 
 /// A front with two engines, the first of which a request of these tests goes to.
-fn two() -> (Front, [(u32, Engine); 2], Commands) {
-    let (engines, commands) = ([(1, Engine::start()), (2, Engine::start())], Commands::start());
+fn two() -> (Front, [(u32, Engine); 2], DiscoveryServer) {
+    let (engines, commands) = ([(1, Engine::start()), (2, Engine::start())], DiscoveryServer::start());
     let known: Vec<(u32, SocketAddr)> = engines.iter().map(|(id, e)| (*id, e.address)).collect();
-    let front = Front::start(FRONT, &told(&known, commands.address));
+    let front = Front::start(FRONT, &start_config(&known, commands.address));
     let mut client = front.client();
-    client.ask(1, "look-up");
+    client.send_request(1, "look-up");
     let [a, b] = engines;
     let first = [&a, &b].into_iter().cycle().find_map(|(id, e)| {
-        let said = e.try_next(PAUSE)?;
-        said.answer("HIT", "fetches=1", b"");
+        let said = e.try_next_request(PAUSE)?;
+        said.respond("HIT", "fetches=1", b"");
         Some(*id)
     });
-    client.returned(1, b"");
+    client.expect_result(1, b"");
     (front, if first == Some(a.0) { [a, b] } else { [b, a] }, commands)
 }
 
@@ -37,33 +37,33 @@
 fn a_result_of_several_pages_is_joined_in_order() {
     let (front, engine, _commands) = one();
     let mut client = front.client();
-    let call = client.ask(7, "look-up");
-    let serve = engine.next("serve");
+    let call = client.send_request(7, "look-up");
+    let serve = engine.next_message("serve");
     assert_eq!(
         (serve.id.as_str(), serve.body.as_slice()),
         (call.as_str(), b"select * from sales_17.orders".as_slice())
     );
-    let fields: Vec<&str> = serve.rest.split(',').collect();
+    let fields: Vec<&str> = serve.arguments.split(',').collect();
     assert!(fields.contains(&"queue=look-up") && fields.contains(&"weight=3"), "{fields:?}");
     let budget: u64 = fields.iter().find_map(|f| f.strip_prefix("budget=")).unwrap().parse().unwrap();
     assert!((1..=20_000).contains(&budget));
-    serve.answer("INFO", "detail=advance,figure=0.50", b"");
-    serve.answer("HIT", "fetches=3,effort=120,high=64", b"a\tb\tc\n");
-    let pages = [engine.next("read"), engine.next("read")];
-    assert_eq!(pages.each_ref().map(|p| p.rest.as_str()), ["1", "2"]);
-    serve.answer("PART", "fetch_no=2", b"g\th\ti\n");
-    serve.answer("PART", "fetch_no=1", b"d\te\tf\n");
-    client.returned(7, b"a\tb\tc\nd\te\tf\ng\th\ti\n");
-    assert_eq!(engine.next("release").id, call);
+    serve.respond("INFO", "detail=advance,figure=0.50", b"");
+    serve.respond("HIT", "fetches=3,effort=120,high=64", b"a\tb\tc\n");
+    let pages = [engine.next_message("read"), engine.next_message("read")];
+    assert_eq!(pages.each_ref().map(|p| p.arguments.as_str()), ["1", "2"]);
+    serve.respond("PART", "fetch_no=2", b"g\th\ti\n");
+    serve.respond("PART", "fetch_no=1", b"d\te\tf\n");
+    client.expect_result(7, b"a\tb\tc\nd\te\tf\ng\th\ti\n");
+    assert_eq!(engine.next_message("release").id, call);
 }
 
 #[test]
 fn what_cannot_be_sent_is_pushed_back_with_a_time_to_come_back() {
-    let commands = Commands::start();
-    let front = Front::start(FRONT, &told(&[], commands.address));
+    let commands = DiscoveryServer::start();
+    let front = Front::start(FRONT, &start_config(&[], commands.address));
     let mut client = front.client();
-    client.ask(1, "look-up");
-    let answer = client.next().unwrap();
+    client.send_request(1, "look-up");
+    let answer = client.next_response().unwrap();
     assert_eq!(answer["error"]["code"], -32002);
     assert!(answer["error"]["data"]["pushback"].as_u64().unwrap() > 0);
 }
@@ -73,17 +73,17 @@
     let (front, [(_, first), (_, second)], _commands) = two();
     let mut client = front.client();
     for (id, end) in [(1, "FAULT"), (2, "reset"), (3, "reset in mid-answer")] {
-        client.ask(id, "load");
-        let serve = first.try_next(PAUSE).unwrap_or_else(|| second.next("serve"));
+        client.send_request(id, "load");
+        let serve = first.try_next_request(PAUSE).unwrap_or_else(|| second.next_message("serve"));
         match end {
-            "FAULT" => serve.answer("FAULT", "-", b""),
-            "reset" => serve.hang_up(),
+            "FAULT" => serve.respond("FAULT", "-", b""),
+            "reset" => serve.close_connection(),
             _ => {
-                serve.answer("HIT", "fetches=2", b"a\tb\tc\n");
-                serve.hang_up();
+                serve.respond("HIT", "fetches=2", b"a\tb\tc\n");
+                serve.close_connection();
             }
         }
-        let code = client.error(Some(id));
+        let code = client.expect_error(Some(id));
         assert!(code != -32002 && code != 0, "{end}: {code}");
     }
 }
@@ -93,31 +93,31 @@
     for end in ["SHED", "FAULT", "LATE", "reset", "WHAT"] {
         let (front, [(_, first), (_, second)], _commands) = two();
         let mut client = front.client();
-        client.ask(2, "look-up");
-        let serve = first.next("serve");
+        client.send_request(2, "look-up");
+        let serve = first.next_message("serve");
         if end == "reset" {
-            serve.hang_up()
+            serve.close_connection()
         } else {
-            serve.answer(end, "-", b"")
+            serve.respond(end, "-", b"")
         }
-        let again = second.next("serve");
+        let again = second.next_message("serve");
         assert_eq!(again.id, serve.id, "{end}");
-        again.answer("HIT", "-", b"x\ty\tz\n");
-        client.returned(2, b"x\ty\tz\n");
+        again.respond("HIT", "-", b"x\ty\tz\n");
+        client.expect_result(2, b"x\ty\tz\n");
     }
 }
 
 #[test]
 fn a_refused_connection_proves_that_once_only_work_never_ran() {
     let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let (engine, commands) = (Engine::start(), Commands::start());
+    let (engine, commands) = (Engine::start(), DiscoveryServer::start());
     // Whichever of the two the order puts first, one of these goes to the closed one first.
     for known in [[(1, closed), (2, engine.address)], [(1, engine.address), (2, closed)]] {
-        let front = Front::start(FRONT, &told(&known, commands.address));
+        let front = Front::start(FRONT, &start_config(&known, commands.address));
         let mut client = front.client();
-        client.ask(1, "load");
-        engine.next("serve").answer("HIT", "fetches=1", b"a\tb\tc\n");
-        client.returned(1, b"a\tb\tc\n");
+        client.send_request(1, "load");
+        engine.next_message("serve").respond("HIT", "fetches=1", b"a\tb\tc\n");
+        client.expect_result(1, b"a\tb\tc\n");
     }
 }
 
@@ -125,22 +125,22 @@
 fn a_revoked_request_is_cancelled_and_gets_no_answer() {
     let (front, engine, _commands) = one();
     let mut client = front.client();
-    let call = client.ask(1, "look-up");
-    let serve = engine.next("serve");
-    client.write(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":1}}"#);
-    assert_eq!(engine.next("cancel").id, call);
-    serve.answer("HIT", "fetches=1", b"late\t\t\n");
-    assert!(client.fit()); // The first thing to come.
+    let call = client.send_request(1, "look-up");
+    let serve = engine.next_message("serve");
+    client.send_line(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":1}}"#);
+    assert_eq!(engine.next_message("cancel").id, call);
+    serve.respond("HIT", "fetches=1", b"late\t\t\n");
+    assert!(client.is_ready()); // The first thing to come.
 }
 
 #[test]
 fn a_client_that_has_gone_leaves_its_requests() {
     let (front, engine, _commands) = one();
     let mut client = front.client();
-    let call = client.ask(1, "look-up");
-    engine.next("serve");
+    let call = client.send_request(1, "look-up");
+    engine.next_message("serve");
     drop(client);
-    assert_eq!(engine.next("cancel").id, call);
+    assert_eq!(engine.next_message("cancel").id, call);
 }
 
 /// Each of the ends of an attempt that may cross another: the first counts, and the second harms nothing.
@@ -148,45 +148,45 @@
 fn a_reset_that_crosses_a_cancel_is_the_end_of_the_attempt() {
     let (front, engine, _commands) = one();
     let mut client = front.client();
-    client.ask(1, "look-up");
-    let serve = engine.next("serve");
+    client.send_request(1, "look-up");
+    let serve = engine.next_message("serve");
     std::thread::sleep(PAUSE);
-    serve.answer("INFO", "detail=advance,figure=0.001", b"");
-    serve.hang_up();
-    let code = client.error(Some(1)); // The engine rests; the request is pushed back once it starts too late.
+    serve.respond("INFO", "detail=advance,figure=0.001", b"");
+    serve.close_connection();
+    let code = client.expect_error(Some(1)); // The engine rests; the request is pushed back once it starts too late.
     assert_eq!(code, -32002);
-    assert!(client.fit());
+    assert!(client.is_ready());
 }
 
 #[test]
 fn an_answer_after_the_time_limit_reaches_nobody() {
     let (front, engine, _commands) = one();
     let mut client = front.client();
-    let call = client.ask_for(1, "look-up", 300);
-    let serve = engine.next("serve");
-    assert_eq!(client.error(Some(1)), -32002); // In time, though the engine has said nothing.
-    assert_eq!(engine.next("cancel").id, call);
-    serve.answer("HIT", "fetches=3", b"late\t\t\n");
-    engine.next("read behind cancel").answer("FAULT", "-", b"");
-    assert_eq!(engine.next("release").id, call);
-    client.ask(2, "look-up");
-    let again = engine.next("serve");
-    assert_eq!(again.from(), serve.from()); // The connection has stood it.
-    again.answer("HIT", "fetches=1", b"");
-    client.returned(2, b"");
+    let call = client.send_request_with_timeout(1, "look-up", 300);
+    let serve = engine.next_message("serve");
+    assert_eq!(client.expect_error(Some(1)), -32002); // In time, though the engine has said nothing.
+    assert_eq!(engine.next_message("cancel").id, call);
+    serve.respond("HIT", "fetches=3", b"late\t\t\n");
+    engine.next_message("read behind cancel").respond("FAULT", "-", b"");
+    assert_eq!(engine.next_message("release").id, call);
+    client.send_request(2, "look-up");
+    let again = engine.next_message("serve");
+    assert_eq!(again.front_address(), serve.front_address()); // The connection has stood it.
+    again.respond("HIT", "fetches=1", b"");
+    client.expect_result(2, b"");
 }
 
 #[test]
 fn a_lost_page_ends_a_request_that_may_run_again_elsewhere() {
     let (front, [(_, first), (_, second)], _commands) = two();
     let mut client = front.client();
-    client.ask(2, "look-up");
-    let serve = first.next("serve");
-    serve.answer("HIT", "fetches=2", b"a\tb\tc\n");
-    first.next("read");
-    serve.answer("FAULT", "-", b"");
-    second.next("serve").answer("HIT", "fetches=1", b"d\te\tf\n");
-    client.returned(2, b"d\te\tf\n");
+    client.send_request(2, "look-up");
+    let serve = first.next_message("serve");
+    serve.respond("HIT", "fetches=2", b"a\tb\tc\n");
+    first.next_message("read");
+    serve.respond("FAULT", "-", b"");
+    second.next_message("serve").respond("HIT", "fetches=1", b"d\te\tf\n");
+    client.expect_result(2, b"d\te\tf\n");
 }
 
 #[test]
@@ -194,17 +194,17 @@
     let (front, engine, _commands) = one();
     let mut client = front.client();
     for (id, pages) in [(1, 9), (2, 9999)] {
-        client.ask(id, "load");
-        let serve = engine.next("serve");
+        client.send_request(id, "load");
+        let serve = engine.next_message("serve");
         let large = "a\tb\tc\n".repeat(7000);
-        serve.answer("HIT", &format!("fetches={pages}"), large.as_bytes());
+        serve.respond("HIT", &format!("fetches={pages}"), large.as_bytes());
         if pages < 10 {
-            (1..pages).for_each(|_| drop(engine.next("read")));
-            serve.answer("PART", "fetch_no=1", large.as_bytes());
+            (1..pages).for_each(|_| drop(engine.next_message("read")));
+            serve.respond("PART", "fetch_no=1", large.as_bytes());
         }
-        let code = client.error(Some(id));
+        let code = client.expect_error(Some(id));
         assert!(code != -32002, "{pages}: {code}");
-        engine.next("release");
+        engine.next_message("release");
     }
 }
 
@@ -212,29 +212,29 @@
 fn answers_that_bring_more_than_is_theirs_end_nothing() {
     let (front, engine, _commands) = one();
     let mut client = front.client();
-    client.ask(1, "load");
-    let other = engine.next("serve");
-    client.ask(2, "look-up");
-    let serve = engine.next("serve");
-    assert_eq!(serve.from(), other.from());
-    (&serve.wire).write_all(b"00000000deadbeef HIT fetches=2 9\r\nnot a row\r\n").unwrap();
-    (&serve.wire).write_all(b"00000000deadbeef PART fetch_no=1 0\r\n\r\n").unwrap();
-    serve.answer("PART", "fetch_no=1", b"too\tsoon\t\n");
-    serve.answer("PONG", "-", b"");
+    client.send_request(1, "load");
+    let other = engine.next_message("serve");
+    client.send_request(2, "look-up");
+    let serve = engine.next_message("serve");
+    assert_eq!(serve.front_address(), other.front_address());
+    (&serve.stream).write_all(b"00000000deadbeef HIT fetches=2 9\r\nnot a row\r\n").unwrap();
+    (&serve.stream).write_all(b"00000000deadbeef PART fetch_no=1 0\r\n\r\n").unwrap();
+    serve.respond("PART", "fetch_no=1", b"too\tsoon\t\n");
+    serve.respond("PONG", "-", b"");
     for _ in 0..2 {
-        serve.answer("HIT", "fetches=2", b"a\tb\tc\n"); // And a second copy while its page is awaited.
+        serve.respond("HIT", "fetches=2", b"a\tb\tc\n"); // And a second copy while its page is awaited.
     }
-    engine.next("read");
+    engine.next_message("read");
     for page in [7, 0, 1, 1] {
-        serve.answer("PART", &format!("fetch_no={page}"), format!("{page}\t\t\n").as_bytes());
+        serve.respond("PART", &format!("fetch_no={page}"), format!("{page}\t\t\n").as_bytes());
     }
-    client.returned(2, b"a\tb\tc\n1\t\t\n");
-    serve.answer("HIT", "fetches=1", b"late\t\t\n");
-    serve.answer("FAULT", "-", b"");
-    other.answer("HIT", "fetches=1", b"d\te\tf\n");
-    client.returned(1, b"d\te\tf\n");
+    client.expect_result(2, b"a\tb\tc\n1\t\t\n");
+    serve.respond("HIT", "fetches=1", b"late\t\t\n");
+    serve.respond("FAULT", "-", b"");
+    other.respond("HIT", "fetches=1", b"d\te\tf\n");
+    client.expect_result(1, b"d\te\tf\n");
     front.signal("USR1");
-    assert!(front.logged("counts:").contains("engine connections 1; stray answers 10;"));
+    assert!(front.wait_for_log("counts:").contains("engine connections 1; stray answers 10;"));
 }
 
 #[test]
@@ -248,10 +248,10 @@
     ] {
         let (front, engine, _commands) = one();
         let mut client = front.client();
-        client.ask(1, "load");
-        let serve = engine.next("serve");
-        (&serve.wire).write_all(spoilt.replace("ID", &serve.id).as_bytes()).unwrap();
-        assert_ne!(client.error(Some(1)), -32002, "{spoilt}");
+        client.send_request(1, "load");
+        let serve = engine.next_message("serve");
+        (&serve.stream).write_all(spoilt.replace("ID", &serve.id).as_bytes()).unwrap();
+        assert_ne!(client.expect_error(Some(1)), -32002, "{spoilt}");
     }
 }
 
@@ -262,15 +262,15 @@
     let rows = "r\t\t\n".repeat(11_750).into_bytes();
     // More than the system holds for a connection that is not read.
     for id in 1..=32 {
-        slow.ask(id, "look-up");
-        let serve = engine.next("serve");
-        serve.answer("HIT", "fetches=1", &rows);
+        slow.send_request(id, "look-up");
+        let serve = engine.next_message("serve");
+        serve.respond("HIT", "fetches=1", &rows);
     }
-    quick.ask(1, "look-up");
-    engine.next("serve").answer("HIT", "fetches=1", b"");
-    quick.returned(1, b"");
+    quick.send_request(1, "look-up");
+    engine.next_message("serve").respond("HIT", "fetches=1", b"");
+    quick.expect_result(1, b"");
     for id in 1..=32 {
-        slow.returned(id, &rows);
+        slow.expect_result(id, &rows);
     }
 }
 
@@ -278,25 +278,25 @@
 fn a_client_that_closes_only_its_side_still_gets_an_answer() {
     let (front, engine, _commands) = one();
     let mut client = front.client();
-    let call = client.ask(1, "load");
-    engine.next("serve");
-    client.wire.shutdown(std::net::Shutdown::Write).unwrap();
-    assert_ne!(client.error(Some(1)), -32002);
-    assert_eq!(client.next(), None);
-    assert_eq!(engine.next("cancel").id, call);
+    let call = client.send_request(1, "load");
+    engine.next_message("serve");
+    client.stream.shutdown(std::net::Shutdown::Write).unwrap();
+    assert_ne!(client.expect_error(Some(1)), -32002);
+    assert_eq!(client.next_response(), None);
+    assert_eq!(engine.next_message("cancel").id, call);
 }
 
 #[test]
 fn time_in_which_the_front_does_not_run_is_lost_to_its_clients() {
     let (front, engine, _commands) = one();
     let mut client = front.client();
-    assert!(client.fit());
+    assert!(client.is_ready());
     front.signal("STOP");
-    client.ask(1, "look-up");
+    client.send_request(1, "look-up");
     std::thread::sleep(PAUSE * 4);
     front.signal("CONT");
-    let serve = engine.next("serve");
-    let budget = serve.rest.split(',').find_map(|field| field.strip_prefix("budget=")).unwrap();
+    let serve = engine.next_message("serve");
+    let budget = serve.arguments.split(',').find_map(|field| field.strip_prefix("budget=")).unwrap();
     assert!(budget.parse::<u128>().unwrap() <= 20_000 - (PAUSE * 3).as_millis(), "{budget}");
 }
 
@@ -305,157 +305,157 @@
 fn a_request_is_not_out_again_before_its_engine_has_read_the_cancel() {
     let (front, engine, _commands) = one();
     let mut client = front.client();
-    client.ask(1, "look-up");
-    let serve = engine.next("serve");
+    client.send_request(1, "look-up");
+    let serve = engine.next_message("serve");
     std::thread::sleep(PAUSE); // It has been out for long against the share done.
-    serve.answer("INFO", "detail=advance,figure=0.001", b"");
-    engine.next("cancel");
-    let behind = engine.next("read behind cancel");
-    assert!(engine.quiet(PAUSE / 5));
-    behind.answer("FAULT", "-", b"");
-    let again = engine.next("serve");
+    serve.respond("INFO", "detail=advance,figure=0.001", b"");
+    engine.next_message("cancel");
+    let behind = engine.next_message("read behind cancel");
+    assert!(engine.is_quiet(PAUSE / 5));
+    behind.respond("FAULT", "-", b"");
+    let again = engine.next_message("serve");
     assert_eq!(again.id, serve.id);
-    assert_ne!(again.from(), serve.from());
-    serve.answer("HIT", "fetches=1", b"old\t\t\n");
-    again.answer("HIT", "fetches=1", b"new\t\t\n");
-    client.returned(1, b"new\t\t\n");
+    assert_ne!(again.front_address(), serve.front_address());
+    serve.respond("HIT", "fetches=1", b"old\t\t\n");
+    again.respond("HIT", "fetches=1", b"new\t\t\n");
+    client.expect_result(1, b"new\t\t\n");
 }
 
 #[test]
 fn an_answer_that_crosses_its_cancel_counts() {
     let (front, engine, _commands) = one();
     let mut client = front.client();
-    client.ask(1, "look-up");
-    let serve = engine.next("serve");
+    client.send_request(1, "look-up");
+    let serve = engine.next_message("serve");
     std::thread::sleep(PAUSE);
-    serve.answer("INFO", "detail=advance,figure=0.001", b"");
-    engine.next("cancel");
-    serve.answer("HIT", "fetches=1", b"a\tb\tc\n");
-    client.returned(1, b"a\tb\tc\n");
-    engine.next("read behind cancel").answer("FAULT", "-", b"");
-    client.ask(2, "look-up"); // The connection has stood it.
-    engine.next("serve").answer("HIT", "fetches=1", b"");
-    client.returned(2, b"");
+    serve.respond("INFO", "detail=advance,figure=0.001", b"");
+    engine.next_message("cancel");
+    serve.respond("HIT", "fetches=1", b"a\tb\tc\n");
+    client.expect_result(1, b"a\tb\tc\n");
+    engine.next_message("read behind cancel").respond("FAULT", "-", b"");
+    client.send_request(2, "look-up"); // The connection has stood it.
+    engine.next_message("serve").respond("HIT", "fetches=1", b"");
+    client.expect_result(2, b"");
 }
 
 #[test]
 fn a_silent_engine_does_not_keep_a_cancelled_request() {
-    let (engine, commands) = (Engine::start(), Commands::start());
-    let mut told = told(&[(1, engine.address)], commands.address);
+    let (engine, commands) = (Engine::start(), DiscoveryServer::start());
+    let mut told = start_config(&[(1, engine.address)], commands.address);
     told["settings"]["classes"][0]["aim_us"] = json!(20_000_000); // It is worth a retry for long.
     let front = Front::start(FRONT, &told);
     let mut client = front.client();
-    client.ask(1, "look-up");
-    let serve = engine.next("serve");
+    client.send_request(1, "look-up");
+    let serve = engine.next_message("serve");
     std::thread::sleep(PAUSE);
-    serve.answer("INFO", "detail=advance,figure=0.001", b"");
-    engine.next("cancel");
-    engine.next("read behind cancel"); // And no answer to it.
-    let again = engine.next("serve");
-    again.answer("HIT", "fetches=1", b"a\tb\tc\n");
-    client.returned(1, b"a\tb\tc\n");
+    serve.respond("INFO", "detail=advance,figure=0.001", b"");
+    engine.next_message("cancel");
+    engine.next_message("read behind cancel"); // And no answer to it.
+    let again = engine.next_message("serve");
+    again.respond("HIT", "fetches=1", b"a\tb\tc\n");
+    client.expect_result(1, b"a\tb\tc\n");
 }
 
 #[test]
 fn the_channel_is_followed_through_split_repeated_and_missing_frames_and_losses() {
     let (front, [(first, home), (second, other)], commands) = two();
-    let (last, mut wire) = commands.next();
+    let (last, mut wire) = commands.next_connection();
     assert_eq!(last, 1);
     let drains = changes(2, &[(first, home.address, 1)]);
     wire.write_all(&drains[..10]).unwrap();
     wire.flush().unwrap();
     std::thread::sleep(PAUSE / 5);
     wire.write_all(&drains[10..]).unwrap();
-    front.logged("is Leaving");
+    front.wait_for_log("is Leaving");
     let mut client = front.client();
-    client.ask(1, "look-up");
-    other.next("serve").answer("HIT", "fetches=1", b"");
-    client.returned(1, b"");
+    client.send_request(1, "look-up");
+    other.next_message("serve").respond("HIT", "fetches=1", b"");
+    client.expect_result(1, b"");
     // Lost and back, from the last event on; what it has is passed over, what is missing asked for again.
     drop(wire);
-    let (last, mut wire) = commands.next();
+    let (last, mut wire) = commands.next_connection();
     assert_eq!(last, 2);
     wire.write_all(&drains).unwrap();
     wire.write_all(&changes(4, &[(second, other.address, 1)])).unwrap();
-    let (last, mut wire) = commands.next();
+    let (last, mut wire) = commands.next_connection();
     assert_eq!(last, 2);
     // An engine of a kind that nobody has stated is left out, and a bad frame ends the connection.
     let mut strange = changes(3, &[(first, home.address, 0), (9, home.address, 0)]);
     strange[13 + 27 + 12] = 7;
     wire.write_all(&strange).unwrap();
-    front.logged("engine 00000009 is left out");
+    front.wait_for_log("engine 00000009 is left out");
     wire.write_all(&changes(4, &[(second, other.address, 2)])).unwrap();
-    front.logged("is Left");
-    client.ask(2, "look-up");
-    home.next("serve").answer("HIT", "fetches=1", b"");
-    client.returned(2, b"");
+    front.wait_for_log("is Left");
+    client.send_request(2, "look-up");
+    home.next_message("serve").respond("HIT", "fetches=1", b"");
+    client.expect_result(2, b"");
     wire.write_all(&[0, 0, 0, 1, 1]).unwrap();
-    assert_eq!(commands.next().0, 4);
+    assert_eq!(commands.next_connection().0, 4);
 }
 
 #[test]
 fn a_file_read_anew_moves_the_channel_and_cuts_nothing() {
     let (front, engine, commands) = one();
-    let (mut client, moved) = (front.client(), Commands::start());
-    let (from, mut wire) = commands.next();
+    let (mut client, moved) = (front.client(), DiscoveryServer::start());
+    let (from, mut wire) = commands.next_connection();
     assert_eq!(from, 1);
     wire.write_all(&changes(2, &[(2, engine.address, 1)])).unwrap();
-    front.logged("engine 00000002 is Leaving");
-    client.ask(1, "look-up");
-    let serve = engine.next("serve");
+    front.wait_for_log("engine 00000002 is Leaving");
+    client.send_request(1, "look-up");
+    let serve = engine.next_message("serve");
     for told in ["{", "{}"] {
         front.reload(told);
-        front.logged("all stays as it is");
+        front.wait_for_log("all stays as it is");
     }
-    let mut newer = told(&[(1, engine.address)], moved.address);
+    let mut newer = start_config(&[(1, engine.address)], moved.address);
     newer["limits"]["sockets"] = json!(512);
     front.reload(&newer.to_string());
-    front.logged("only at the next start: limits");
-    let (from, mut wire) = moved.next();
+    front.wait_for_log("only at the next start: limits");
+    let (from, mut wire) = moved.next_connection();
     assert_eq!(from, 2);
     wire.write_all(&changes(3, &[(3, engine.address, 1)])).unwrap();
-    front.logged("engine 00000003 is Leaving");
-    serve.answer("HIT", "fetches=1", b"a\tb\tc\n");
-    client.returned(1, b"a\tb\tc\n");
+    front.wait_for_log("engine 00000003 is Leaving");
+    serve.respond("HIT", "fetches=1", b"a\tb\tc\n");
+    client.expect_result(1, b"a\tb\tc\n");
     // And back again, to where the first connection is still open.
-    front.reload(&told(&[(1, engine.address)], commands.address).to_string());
-    assert_eq!(commands.next().0, 3);
-    assert!(client.fit());
+    front.reload(&start_config(&[(1, engine.address)], commands.address).to_string());
+    assert_eq!(commands.next_connection().0, 3);
+    assert!(client.is_ready());
 }
 
 #[test]
 fn a_channel_that_stays_open_and_says_nothing_is_asked_anew() {
     let (_front, _engine, commands) = one();
-    let (from, mut wire) = commands.next();
+    let (from, mut wire) = commands.next_connection();
     let frame = changes(2, &[(7, commands.address, 1)]);
     wire.write_all(&frame[..20]).unwrap(); // It stops within an event.
-    assert_eq!((from, commands.next().0), (1, 1));
+    assert_eq!((from, commands.next_connection().0), (1, 1));
 }
 
 #[test]
 fn a_new_engine_at_the_address_of_one_that_has_gone_gets_connections_of_its_own() {
     let (front, engine, commands) = one();
     let mut client = front.client();
-    client.ask(1, "look-up");
-    let old = engine.next("serve");
-    let (_, mut wire) = commands.next();
+    client.send_request(1, "look-up");
+    let old = engine.next_message("serve");
+    let (_, mut wire) = commands.next_connection();
     wire.write_all(&changes(2, &[(1, engine.address, 2), (5, engine.address, 0)])).unwrap();
-    front.logged("engine 00000005 is Active");
-    client.ask(2, "look-up");
-    let new = engine.next("serve");
-    assert_ne!(new.from(), old.from());
-    old.answer("HIT", "fetches=1", b"old\t\t\n"); // What was out there may still end well.
-    client.returned(1, b"old\t\t\n");
-    new.answer("HIT", "fetches=1", b"");
-    client.returned(2, b"");
+    front.wait_for_log("engine 00000005 is Active");
+    client.send_request(2, "look-up");
+    let new = engine.next_message("serve");
+    assert_ne!(new.front_address(), old.front_address());
+    old.respond("HIT", "fetches=1", b"old\t\t\n"); // What was out there may still end well.
+    client.expect_result(1, b"old\t\t\n");
+    new.respond("HIT", "fetches=1", b"");
+    client.expect_result(2, b"");
 }
 
 #[test]
 fn bad_input_gets_its_error_and_harms_nobody_else() {
     let (front, engine, _commands) = one();
     let (mut bad, mut good) = (front.client(), front.client());
-    good.ask(1, "look-up");
-    let serve = engine.next("serve");
+    good.send_request(1, "look-up");
+    let serve = engine.next_message("serve");
     let params = r#""call":"9b1f03aa5c7e2d41","ttl":1500"#;
     for (line, id, code) in [
         ("{", None, -32700),
@@ -486,120 +486,120 @@
             -32602,
         ),
     ] {
-        bad.write(line);
-        assert_eq!(bad.error(id), code, "{line}");
+        bad.send_line(line);
+        assert_eq!(bad.expect_error(id), code, "{line}");
     }
-    assert!(bad.fit());
+    assert!(bad.is_ready());
     // An id that is open, and a call that is open elsewhere: neither ends what came first.
-    good.ask(1, "look-up");
-    assert_eq!(good.error(None), -32600);
+    good.send_request(1, "look-up");
+    assert_eq!(good.expect_error(None), -32600);
     let data = base64(b"select 1");
     let params = json!({"call": serve.id, "ttl": 1500, "data": data});
-    bad.write(&json!({"jsonrpc": "2.0", "id": 8, "method": "look-up", "params": params}).to_string());
-    bad.error(Some(8));
+    bad.send_line(&json!({"jsonrpc": "2.0", "id": 8, "method": "look-up", "params": params}).to_string());
+    bad.expect_error(Some(8));
     // Told once, as all that is wrong with a line; and the connection ends.
-    let _ = bad.wire.write_all(&[b'x'; 400_000]);
-    assert_eq!(bad.error(None), -32600);
-    assert_eq!(bad.next(), None);
-    assert!(engine.quiet(PAUSE));
-    serve.answer("HIT", "fetches=1", b"a\tb\tc\n");
-    good.returned(1, b"a\tb\tc\n");
+    let _ = bad.stream.write_all(&[b'x'; 400_000]);
+    assert_eq!(bad.expect_error(None), -32600);
+    assert_eq!(bad.next_response(), None);
+    assert!(engine.is_quiet(PAUSE));
+    serve.respond("HIT", "fetches=1", b"a\tb\tc\n");
+    good.expect_result(1, b"a\tb\tc\n");
 }
 
 #[test]
 fn connections_that_say_nothing_whole_are_closed_and_others_are_not() {
     let (front, engine, _commands) = one();
     let mut good = front.client();
-    good.ask(1, "look-up");
-    let serve = engine.next("serve");
+    good.send_request(1, "look-up");
+    let serve = engine.next_message("serve");
     let (mut silent, mut half, mut again) = (front.client(), front.client(), front.client());
-    half.wire.write_all(b"{\"jsonrpc\"").unwrap();
-    assert!(again.fit());
-    again.wire.write_all(b"{").unwrap();
+    half.stream.write_all(b"{\"jsonrpc\"").unwrap();
+    assert!(again.is_ready());
+    again.stream.write_all(b"{").unwrap();
     for bad in [&mut silent, &mut half, &mut again] {
-        assert_eq!(bad.next(), None);
+        assert_eq!(bad.next_response(), None);
     }
-    serve.answer("HIT", "fetches=1", b"a\tb\tc\n");
-    good.returned(1, b"a\tb\tc\n");
-    assert!(good.fit());
+    serve.respond("HIT", "fetches=1", b"a\tb\tc\n");
+    good.expect_result(1, b"a\tb\tc\n");
+    assert!(good.is_ready());
 }
 
 #[test]
 fn a_connection_that_looks_idle_is_not_closed_over_what_has_come_meanwhile() {
     let (front, engine, _commands) = one();
     let mut clients: Vec<Client> = (0..8).map(|_| front.client()).collect();
-    assert!(clients.iter_mut().all(Client::fit));
+    assert!(clients.iter_mut().all(Client::is_ready));
     front.signal("STOP");
-    clients.iter_mut().for_each(|client| drop(client.ask(1, "look-up")));
+    clients.iter_mut().for_each(|client| drop(client.send_request(1, "look-up")));
     std::thread::sleep(Duration::from_millis(6500)); // Longer than any may be idle.
     front.signal("CONT");
     for _ in 0..8 {
-        engine.next("serve").answer("HIT", "fetches=1", b"a\tb\tc\n");
+        engine.next_message("serve").respond("HIT", "fetches=1", b"a\tb\tc\n");
     }
-    clients.iter_mut().for_each(|client| client.returned(1, b"a\tb\tc\n"));
+    clients.iter_mut().for_each(|client| client.expect_result(1, b"a\tb\tc\n"));
 }
 
 #[test]
 fn what_can_never_be_used_is_told_so_and_not_for_ever() {
     let (front, engine, _commands) = one();
     let mut bad = front.client();
-    bad.write(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":4}}"#); // Nothing was asked.
-    assert_eq!(bad.error(None), -32602);
+    bad.send_line(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":4}}"#); // Nothing was asked.
+    assert_eq!(bad.expect_error(None), -32602);
     for ttl in ["0", "-5", "1e400", "9e15", "NaN", "\"1500\""] {
         let params = format!(r#"{{"call":"9b1f03aa5c7e2d41","ttl":{ttl},"data":""}}"#);
-        bad.write(&format!(r#"{{"jsonrpc":"2.0","id":4,"method":"look-up","params":{params}}}"#));
-        assert!(bad.next().unwrap()["error"]["code"].as_i64().unwrap() < -32002, "{ttl}");
+        bad.send_line(&format!(r#"{{"jsonrpc":"2.0","id":4,"method":"look-up","params":{params}}}"#));
+        assert!(bad.next_response().unwrap()["error"]["code"].as_i64().unwrap() < -32002, "{ttl}");
     }
     // Revoked after its answer: nothing is said.
-    bad.write(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":3}}"#);
-    assert!(bad.fit());
+    bad.send_line(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":3}}"#);
+    assert!(bad.is_ready());
     // Its end may overtake the last errors, as it goes on sending.
-    let _ = bad.wire.write_all("{\n".repeat(100).as_bytes());
-    while let Some(answer) = bad.next() {
+    let _ = bad.stream.write_all("{\n".repeat(100).as_bytes());
+    while let Some(answer) = bad.next_response() {
         assert_eq!(answer["error"]["code"], -32700);
     }
-    assert!(engine.quiet(PAUSE));
+    assert!(engine.is_quiet(PAUSE));
 }
 
 #[test]
 fn long_lines_on_many_connections_take_no_more_than_their_part() {
-    let (engine, commands) = (Engine::start(), Commands::start());
-    let mut told = told(&[(1, engine.address)], commands.address);
+    let (engine, commands) = (Engine::start(), DiscoveryServer::start());
+    let mut told = start_config(&[(1, engine.address)], commands.address);
     told["limits"]["memory_mb"] = json!(32);
     let front = Front::start(FRONT, &told);
     let mut good = front.client();
-    good.ask(1, "look-up");
-    let serve = engine.next("serve");
+    good.send_request(1, "look-up");
+    let serve = engine.next_message("serve");
     let mut bad: Vec<Client> = (0..40).map(|_| front.client()).collect();
     for client in &mut bad {
-        let _ = client.wire.write_all(&[b'x'; 200_000]);
+        let _ = client.stream.write_all(&[b'x'; 200_000]);
     }
-    good.ask(2, "look-up");
-    let second = engine.next("serve");
+    good.send_request(2, "look-up");
+    let second = engine.next_message("serve");
     for (id, serve) in [(1, serve), (2, second)] {
-        serve.answer("HIT", "fetches=1", b"a\tb\tc\n");
-        good.returned(id, b"a\tb\tc\n");
+        serve.respond("HIT", "fetches=1", b"a\tb\tc\n");
+        good.expect_result(id, b"a\tb\tc\n");
     }
-    assert!(bad.iter_mut().all(|client| client.next().is_none()));
+    assert!(bad.iter_mut().all(|client| client.next_response().is_none()));
     front.signal("USR1");
-    assert!(front.logged("counts:").contains("lines with no room"));
+    assert!(front.wait_for_log("counts:").contains("lines with no room"));
 }
 
 #[test]
 fn engines_that_have_gone_leave_nothing_behind() {
     let (front, engine, commands) = one();
-    let (_, mut wire) = commands.next();
+    let (_, mut wire) = commands.next_connection();
     for id in 2..=60u32 {
         let frame = changes(u64::from(id), &[(id - 1, engine.address, 2), (id, engine.address, 0)]);
         wire.write_all(&frame).unwrap();
     }
-    front.logged("engine 0000003c is Active");
+    front.wait_for_log("engine 0000003c is Active");
     let mut client = front.client();
-    client.ask(1, "look-up");
-    engine.next("serve").answer("HIT", "fetches=1", b"");
-    client.returned(1, b"");
+    client.send_request(1, "look-up");
+    engine.next_message("serve").respond("HIT", "fetches=1", b"");
+    client.expect_result(1, b"");
     front.signal("USR1");
-    assert!(front.logged("counts:").contains("holds 0 batches, 0 dispatches, 1 engines"));
+    assert!(front.wait_for_log("counts:").contains("holds 0 batches, 0 dispatches, 1 engines"));
 }
 
 #[test]
@@ -607,84 +607,84 @@
     let (front, engine, _commands) = one();
     let mut client = front.client();
     for id in 1..=33 {
-        client.ask(id, "look-up");
+        client.send_request(id, "look-up");
     }
-    assert_eq!(client.error(Some(33)), -32600);
-    engine.next("serve").answer("HIT", "fetches=1", b"");
-    client.returned(1, b"");
+    assert_eq!(client.expect_error(Some(33)), -32600);
+    engine.next_message("serve").respond("HIT", "fetches=1", b"");
+    client.expect_result(1, b"");
 }
 
 #[test]
 fn a_signal_to_end_is_followed_by_an_answer_to_all_and_an_end() {
     let (mut front, engine, _commands) = one();
     let mut client = front.client();
-    client.ask(1, "look-up");
-    engine.next("serve").answer("HIT", "fetches=1", b"");
-    client.returned(1, b"");
-    client.ask(2, "load");
-    let running = engine.next("serve"); // It never ends.
+    client.send_request(1, "look-up");
+    engine.next_message("serve").respond("HIT", "fetches=1", b"");
+    client.expect_result(1, b"");
+    client.send_request(2, "load");
+    let running = engine.next_message("serve"); // It never ends.
     front.signal("TERM");
     front.signal("HUP"); // Too late to matter, and no harm.
-    front.logged("closing");
-    assert!(!client.fit());
+    front.wait_for_log("closing");
+    assert!(!client.is_ready());
     let mut late = front.client();
-    late.ask(3, "look-up");
-    let answered = engine.next("serve");
-    answered.answer("HIT", "fetches=1", b"a\tb\tc\n");
-    late.returned(3, b"a\tb\tc\n");
-    let code = client.error(Some(2)); // It may have run: errored, not pushed back.
+    late.send_request(3, "look-up");
+    let answered = engine.next_message("serve");
+    answered.respond("HIT", "fetches=1", b"a\tb\tc\n");
+    late.expect_result(3, b"a\tb\tc\n");
+    let code = client.expect_error(Some(2)); // It may have run: errored, not pushed back.
     assert_ne!(code, -32002);
-    assert_eq!(engine.next("cancel").id, running.id);
-    let counts = front.logged("counts");
+    assert_eq!(engine.next_message("cancel").id, running.id);
+    let counts = front.wait_for_log("counts");
     for count in ["taken look-up=2 load=1", "returned look-up=2", "errored load=1"] {
         assert!(counts.contains(count), "{counts}");
     }
-    assert_eq!(front.ends(), Some(0));
+    assert_eq!(front.exit_code(), Some(0));
 }
 
 #[test]
 fn counters_are_printed_on_request() {
     let (front, engine, _commands) = one();
     let mut client = front.client();
-    client.ask(1, "load");
-    engine.next("serve").answer("HIT", "fetches=1", b"");
-    client.returned(1, b"");
+    client.send_request(1, "load");
+    engine.next_message("serve").respond("HIT", "fetches=1", b"");
+    client.expect_result(1, b"");
     front.signal("USR1");
-    let counts = front.logged("counts");
+    let counts = front.wait_for_log("counts");
     assert!(counts.contains("dispatched load=1") && counts.contains("returned load=1"), "{counts}");
-    assert!(client.fit());
+    assert!(client.is_ready());
 }
 
 #[test]
 fn idle_clients_make_room_when_descriptors_run_short() {
-    let (engine, commands) = (Engine::start(), Commands::start());
-    let mut told = told(&[(1, engine.address)], commands.address);
+    let (engine, commands) = (Engine::start(), DiscoveryServer::start());
+    let mut told = start_config(&[(1, engine.address)], commands.address);
     told["limits"]["sockets"] = json!(96);
     let front = Front::start(FRONT, &told);
     let mut busy = front.client();
-    busy.ask(1, "look-up");
-    let serve = engine.next("serve");
+    busy.send_request(1, "look-up");
+    let serve = engine.next_message("serve");
     let idle: Vec<TcpStream> = (0..120).map(|_| TcpStream::connect(front.address).unwrap()).collect();
     let mut last = front.client();
-    assert!(last.fit());
-    serve.answer("HIT", "fetches=1", b"a\tb\tc\n");
-    busy.returned(1, b"a\tb\tc\n");
+    assert!(last.is_ready());
+    serve.respond("HIT", "fetches=1", b"a\tb\tc\n");
+    busy.expect_result(1, b"a\tb\tc\n");
     drop(idle);
 }
 
 #[test]
 fn a_front_that_cannot_start_says_why() {
-    let commands = Commands::start();
-    let good = told(&[], commands.address);
+    let commands = DiscoveryServer::start();
+    let good = start_config(&[], commands.address);
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let shaped = |shape: &dyn Fn(&mut Value)| {
         let mut told = good.clone();
         shape(&mut told);
-        unfit(FRONT, Some(&told.to_string()))
+        start_failure(FRONT, Some(&told.to_string()))
     };
     for ((code, text), names) in [
-        (unfit(FRONT, None), "PROXY_CONFIG"),
-        (unfit(FRONT, Some("{")), "can't use"),
+        (start_failure(FRONT, None), "PROXY_CONFIG"),
+        (start_failure(FRONT, Some("{")), "can't use"),
         (shaped(&|told| drop(told["settings"].as_object_mut().unwrap().remove("classes"))), "classes"),
         (shaped(&|told| told["seed"] = json!("none")), "seed"),
         (shaped(&|told| drop(told["known"].as_object_mut().unwrap().remove("cmds"))), "cmds"),
--- a/crates/testing/cluster/src/halls.rs
+++ b/crates/testing/cluster/src/halls.rs
@@ -3,7 +3,7 @@
 //! can be cut. Every engine keeps a tally by which a test judges.
 
 use lemonusher_emulator::{Engine as Model, Work};
-use lemonusher_fakes::{settings, told};
+use lemonusher_fakes::{settings, start_config};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -166,7 +166,7 @@
         rules["cold_us"] = json!(terms.cold_for.as_micros() as u64);
         rules["fall_multiple"] = json!(terms.fall_multiple);
         rules["tip_after_us"] = json!(terms.fall_after.as_micros() as u64);
-        let mut tells = told(&[], channel);
+        let mut tells = start_config(&[], channel);
         let members = (0..self.doors.len()).map(|engine| {
             json!({"id": format!("s-{:08x}", engine + 1), "host_port": self.doors[engine][site].to_string(),
                 "locality": name(engine / terms.engines_a_site), "flavor": "std", "cell": 0, "phase": "Ready",
--- a/crates/testing/cluster/src/lib.rs
+++ b/crates/testing/cluster/src/lib.rs
@@ -11,7 +11,7 @@
 pub use relay::{Faults, Relays};
 pub use yard::{Noted, Yard};
 
-use lemonusher_fakes::{Commands, Front, file, place, told};
+use lemonusher_fakes::{DiscoveryServer, Front, start_config, temp_file, temp_path};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -54,12 +54,12 @@
     pub fronts: Vec<Option<Front>>,
     pub stopped: Vec<bool>,
     folder: PathBuf,
-    commands: Commands,
+    commands: DiscoveryServer,
 }
 
 impl Rig {
     pub fn start(plan: Plan) -> Rig {
-        let folder = place("rig");
+        let folder = temp_path("rig");
         std::fs::create_dir_all(&folder).unwrap();
         std::fs::write(folder.join("key"), format!("the rig's key of seed {}", plan.seed)).unwrap();
         let mut rig = Rig {
@@ -67,7 +67,7 @@
             yard: Yard::start(plan.refuses),
             fronts: (0..plan.fronts).map(|_| None).collect(),
             stopped: vec![false; plan.fronts],
-            commands: Commands::start(),
+            commands: DiscoveryServer::start(),
             folder,
             plan,
         };
@@ -84,10 +84,10 @@
     pub fn begin(&mut self, front: usize) {
         let mut tells = match &self.plan.told {
             Some(told) => told(front, self.commands.address),
-            None => told(&[], self.commands.address),
+            None => start_config(&[], self.commands.address),
         };
         tells["name"] = format!("n{front}").into();
-        let told_file = file("json", &tells.to_string());
+        let told_file = temp_file("json", &tells.to_string());
         let plan = &self.plan;
         let voters: Vec<String> =
             (0..plan.voters).map(|voter| format!("'{}'", self.relays.way(front, voter))).collect();
@@ -117,7 +117,7 @@
         command.arg("run").arg(&path).env("LEMONUSHER_TEST_CLOCK", plan.clocks[front].to_string());
         let started = Front::spawn(command, told_file);
         if front < plan.voters {
-            self.relays.leads_to(front, started.said_at_start("fleet at ").unwrap().parse().unwrap());
+            self.relays.leads_to(front, started.startup_log_value("fleet at ").unwrap().parse().unwrap());
         }
         self.fronts[front] = Some(started);
         self.stopped[front] = false;
--- a/crates/testing/fakes/src/lib.rs
+++ b/crates/testing/fakes/src/lib.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 /// Longer than anything takes, on however busy a machine.
-pub const LONG: Duration = Duration::from_secs(30);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 /// Rows are read by base64 on the client's side.
 const DIGITS: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
@@ -62,7 +62,7 @@
 }
 
 /// What the front is told at its start, with these engines ready.
-pub fn told(engines: &[(u32, SocketAddr)], channel: SocketAddr) -> Value {
+pub fn start_config(engines: &[(u32, SocketAddr)], channel: SocketAddr) -> Value {
     let member = |(id, address): &(u32, SocketAddr)| {
         json!({"id": format!("s-{id:08x}"), "host_port": address.to_string(), "locality": "east",
             "flavor": "std", "cell": 0, "phase": "Ready", "size": 1, "up_since_ms": 0})
@@ -77,33 +77,33 @@
 }
 
 /// A front that is to fail at its start: its exit code, and what it wrote.
-pub fn unfit(program: &str, told: Option<&str>) -> (Option<i32>, String) {
+pub fn start_failure(program: &str, told: Option<&str>) -> (Option<i32>, String) {
     let mut command = Command::new(program);
     command.env_remove("PROXY_CONFIG");
     if let Some(text) = told {
-        command.env("PROXY_CONFIG", file("json", text));
+        command.env("PROXY_CONFIG", temp_file("json", text));
     }
     let output = command.output().unwrap();
     (output.status.code(), String::from_utf8(output.stderr).unwrap())
 }
 
 /// A place of a test's own below the folder for temporary files.
-pub fn place(name: &str) -> PathBuf {
+pub fn temp_path(name: &str) -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     std::env::temp_dir().join(format!("lemonusher-{}-{number}-{name}", std::process::id()))
 }
 
 /// A file that holds this text.
-pub fn file(ending: &str, text: &str) -> PathBuf {
-    let path = place(&format!("file.{ending}"));
+pub fn temp_file(ending: &str, text: &str) -> PathBuf {
+    let path = temp_path(&format!("file.{ending}"));
     std::fs::write(&path, text).unwrap();
     path
 }
 
 impl Front {
     pub fn start(program: &str, told: &Value) -> Front {
-        let file = file("json", &told.to_string());
+        let file = temp_file("json", &told.to_string());
         let mut command = Command::new(program);
         command.env("PROXY_CONFIG", &file).env("RUST_LOG", "info");
         Front::spawn(command, file)
@@ -111,7 +111,7 @@
 
     /// The same, with so many descriptors as the system's own limit.
     pub fn start_within(program: &str, told: &Value, descriptors: u64) -> Front {
-        let file = file("json", &told.to_string());
+        let file = temp_file("json", &told.to_string());
         let mut command = Command::new("sh");
         command.arg("-c").arg(format!("ulimit -n {descriptors} && exec \"$0\"")).arg(program);
         command.env("PROXY_CONFIG", &file).env("RUST_LOG", "info");
@@ -140,7 +140,8 @@
         thread::spawn(move || stderr.lines().map_while(Result::ok).for_each(|line| drop(send.send(line))));
         let mut before = Vec::new();
         let address = loop {
-            let line: String = log.recv_timeout(LONG).unwrap_or_else(|_| panic!("no start: {before:?}"));
+            let line: String =
+                log.recv_timeout(TEST_TIMEOUT).unwrap_or_else(|_| panic!("no start: {before:?}"));
             if let Some(address) = ready(&line) {
                 break address;
             }
@@ -150,7 +151,7 @@
     }
 
     /// What the log said before the front listened, after this text.
-    pub fn said_at_start(&self, text: &str) -> Option<String> {
+    pub fn startup_log_value(&self, text: &str) -> Option<String> {
         self.before.iter().find_map(|line| Some(line.split_once(text)?.1.trim().to_owned()))
     }
 
@@ -169,7 +170,7 @@
     }
 
     /// A client that can be sent next to nothing for as long as it does not read.
-    pub fn deaf_client(&self) -> Client {
+    pub fn slow_reader(&self) -> Client {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(4096).unwrap();
         socket.connect(&self.address.into()).unwrap();
@@ -182,7 +183,7 @@
     }
 
     /// Stops all of it where it stands, and returns once it does.
-    pub fn stop(&self) {
+    pub fn freeze(&self) {
         self.signal("STOP");
         let stands = |task: &std::fs::DirEntry| {
             let stat = std::fs::read_to_string(task.path().join("stat")).unwrap_or_default();
@@ -201,26 +202,26 @@
     }
 
     /// All that the log has said since it was last read.
-    pub fn lines(&self) -> Vec<String> {
+    pub fn take_log_lines(&self) -> Vec<String> {
         self.log.lock().unwrap().try_iter().collect()
     }
 
     /// The next line of the log that holds this text.
-    pub fn logged(&self, text: &str) -> String {
+    pub fn wait_for_log(&self, text: &str) -> String {
         loop {
-            let line = self.log.lock().unwrap().recv_timeout(LONG).expect(text);
+            let line = self.log.lock().unwrap().recv_timeout(TEST_TIMEOUT).expect(text);
             if line.contains(text) {
                 return line;
             }
         }
     }
 
-    pub fn ends(&mut self) -> Option<i32> {
+    pub fn exit_code(&mut self) -> Option<i32> {
         self.child.wait().unwrap().code()
     }
 
     /// Its exit code, if it ends within this time.
-    pub fn ends_within(&mut self, span: Duration) -> Option<i32> {
+    pub fn exit_code_within(&mut self, span: Duration) -> Option<i32> {
         let from = Instant::now();
         loop {
             match self.child.try_wait().unwrap() {
@@ -232,7 +233,7 @@
     }
 
     /// How many descriptors it has open.
-    pub fn descriptors(&self) -> usize {
+    pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 }
@@ -245,59 +246,59 @@
 }
 
 pub struct Client {
-    pub wire: TcpStream,
+    pub stream: TcpStream,
     lines: BufReader<TcpStream>,
 }
 
 impl Client {
     pub fn new(wire: TcpStream) -> Client {
-        wire.set_read_timeout(Some(LONG)).unwrap();
-        wire.set_write_timeout(Some(LONG)).unwrap();
-        Client { lines: BufReader::new(wire.try_clone().unwrap()), wire }
+        wire.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        wire.set_write_timeout(Some(TEST_TIMEOUT)).unwrap();
+        Client { lines: BufReader::new(wire.try_clone().unwrap()), stream: wire }
     }
 
-    pub fn write(&mut self, line: &str) {
-        self.wire.write_all(format!("{line}\n").as_bytes()).unwrap();
+    pub fn send_line(&mut self, line: &str) {
+        self.stream.write_all(format!("{line}\n").as_bytes()).unwrap();
     }
 
     /// The same, where the front may have gone.
-    pub fn try_write(&mut self, line: &str) -> bool {
-        self.wire.write_all(format!("{line}\n").as_bytes()).is_ok()
+    pub fn try_send_line(&mut self, line: &str) -> bool {
+        self.stream.write_all(format!("{line}\n").as_bytes()).is_ok()
     }
 
     /// The next answer; `None` once there is none to come, for whatever reason.
-    pub fn try_next(&mut self) -> Option<Value> {
+    pub fn try_next_response(&mut self) -> Option<Value> {
         let mut line = String::new();
         self.lines.read_line(&mut line).ok().filter(|length| *length > 0)?;
         serde_json::from_str(&line).ok()
     }
 
     /// Asks under an id that makes the call as well; the call is returned.
-    pub fn ask(&mut self, id: u64, method: &str) -> String {
-        self.ask_for(id, method, 20_000)
+    pub fn send_request(&mut self, id: u64, method: &str) -> String {
+        self.send_request_with_timeout(id, method, 20_000)
     }
 
     /// The same, with so many milliseconds of patience.
-    pub fn ask_for(&mut self, id: u64, method: &str, ttl: u64) -> String {
+    pub fn send_request_with_timeout(&mut self, id: u64, method: &str, ttl: u64) -> String {
         self.ask_all(id, method, ttl, if method == "load" { 3 } else { 17 })
     }
 
     /// The same, of this group of tables.
-    pub fn ask_of(&mut self, id: u64, method: &str, group: u64) -> String {
+    pub fn send_request_for_table_group(&mut self, id: u64, method: &str, group: u64) -> String {
         self.ask_all(id, method, 20_000, group)
     }
 
     fn ask_all(&mut self, id: u64, method: &str, ttl: u64, group: u64) -> String {
-        let call = format!("{:08x}{id:08x}", self.wire.local_addr().unwrap().port());
+        let call = format!("{:08x}{id:08x}", self.stream.local_addr().unwrap().port());
         let data = base64(format!("select * from sales_{group}.orders").as_bytes());
         let params = json!({"call": call, "ttl": ttl, "data": data});
-        self.write(&json!({"jsonrpc": "2.0", "id": id, "method": method, "params": params}).to_string());
+        self.send_line(&json!({"jsonrpc": "2.0", "id": id, "method": method, "params": params}).to_string());
         call
     }
 
     /// The next answer; `None` once the front has closed the connection.
     #[allow(clippy::should_implement_trait)]
-    pub fn next(&mut self) -> Option<Value> {
+    pub fn next_response(&mut self) -> Option<Value> {
         let mut line = String::new();
         match self.lines.read_line(&mut line) {
             Ok(0) => None,
@@ -307,67 +308,67 @@
         }
     }
 
-    pub fn returned(&mut self, id: u64, rows: &[u8]) {
+    pub fn expect_result(&mut self, id: u64, rows: &[u8]) {
         let wanted = json!({"jsonrpc": "2.0", "id": id, "result": {"data": base64(rows)}});
-        assert_eq!(self.next(), Some(wanted));
+        assert_eq!(self.next_response(), Some(wanted));
     }
 
-    pub fn error(&mut self, id: Option<u64>) -> i64 {
-        let answer = self.next().unwrap();
+    pub fn expect_error(&mut self, id: Option<u64>) -> i64 {
+        let answer = self.next_response().unwrap();
         assert_eq!(answer["id"], json!(id), "{answer}");
         answer["error"]["code"].as_i64().expect("an error")
     }
 
     /// Whether the front has ended the connection in order, after what stood before that: an end of file, no reset.
-    pub fn ends_in_order(&mut self) -> bool {
+    pub fn is_closed_in_order(&mut self) -> bool {
         let mut rest = Vec::new();
         let ended = self.lines.read_to_end(&mut rest).is_ok_and(|_| rest.is_empty());
         // A reset that comes after an end of file is told by this alone.
-        ended && self.wire.take_error().unwrap().is_none()
+        ended && self.stream.take_error().unwrap().is_none()
     }
 
     /// Ends the connection by a reset.
     pub fn reset(self) {
-        socket2::SockRef::from(&self.wire).set_linger(Some(Duration::ZERO)).unwrap();
+        socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).unwrap();
     }
 
-    pub fn fit(&mut self) -> bool {
-        self.write(r#"{"jsonrpc":"2.0","id":999,"method":"heartbeat"}"#);
-        self.next().unwrap()["result"]["fit"].as_bool().unwrap()
+    pub fn is_ready(&mut self) -> bool {
+        self.send_line(r#"{"jsonrpc":"2.0","id":999,"method":"heartbeat"}"#);
+        self.next_response().unwrap()["result"]["fit"].as_bool().unwrap()
     }
 }
 
 /// Something that a front said to an engine.
-pub struct Said {
+pub struct EngineMessage {
     pub verb: String,
     pub id: String,
     /// Fields, page number or priority.
-    pub rest: String,
+    pub arguments: String,
     pub body: Vec<u8>,
-    pub wire: TcpStream,
+    pub stream: TcpStream,
 }
 
-impl Said {
-    pub fn answer(&self, word: &str, fields: &str, body: &[u8]) {
+impl EngineMessage {
+    pub fn respond(&self, word: &str, fields: &str, body: &[u8]) {
         let mut message = format!("{} {word} {fields} {}\r\n", self.id, body.len()).into_bytes();
         message.extend_from_slice(body);
         message.extend_from_slice(b"\r\n");
-        (&self.wire).write_all(&message).unwrap();
+        (&self.stream).write_all(&message).unwrap();
     }
 
-    pub fn hang_up(&self) {
-        self.wire.shutdown(Shutdown::Both).unwrap();
+    pub fn close_connection(&self) {
+        self.stream.shutdown(Shutdown::Both).unwrap();
     }
 
-    pub fn from(&self) -> SocketAddr {
-        self.wire.peer_addr().unwrap()
+    pub fn front_address(&self) -> SocketAddr {
+        self.stream.peer_addr().unwrap()
     }
 }
 
 /// An engine that answers probes, and tells the test of all else.
 pub struct Engine {
     pub address: SocketAddr,
-    said: Receiver<Said>,
+    said: Receiver<EngineMessage>,
     ends: Receiver<SocketAddr>,
 }
 
@@ -393,43 +394,43 @@
     }
 
     /// Which connection the front has ended next.
-    pub fn ended(&self) -> SocketAddr {
-        self.ends.recv_timeout(LONG).expect("an end")
+    pub fn next_closed(&self) -> SocketAddr {
+        self.ends.recv_timeout(TEST_TIMEOUT).expect("an end")
     }
 
-    pub fn next(&self, verb: &str) -> Said {
-        let said = self.said.recv_timeout(LONG).expect(verb);
-        assert_eq!(said.verb, verb, "{} {}", said.id, said.rest);
+    pub fn next_message(&self, verb: &str) -> EngineMessage {
+        let said = self.said.recv_timeout(TEST_TIMEOUT).expect(verb);
+        assert_eq!(said.verb, verb, "{} {}", said.id, said.arguments);
         said
     }
 
     /// This, if it comes next and within this time.
-    pub fn next_within(&self, verb: &str, span: Duration) -> Option<Said> {
+    pub fn next_message_within(&self, verb: &str, span: Duration) -> Option<EngineMessage> {
         let said = self.said.recv_timeout(span).ok()?;
-        assert_eq!(said.verb, verb, "{} {}", said.id, said.rest);
+        assert_eq!(said.verb, verb, "{} {}", said.id, said.arguments);
         Some(said)
     }
 
     /// A request, if one comes within this time.
-    pub fn try_next(&self, span: Duration) -> Option<Said> {
+    pub fn try_next_request(&self, span: Duration) -> Option<EngineMessage> {
         self.said.recv_timeout(span).ok().filter(|said| said.verb == "serve")
     }
 
     /// Whether nothing comes for a while.
-    pub fn quiet(&self, span: Duration) -> bool {
+    pub fn is_quiet(&self, span: Duration) -> bool {
         matches!(self.said.recv_timeout(span), Err(RecvTimeoutError::Timeout))
     }
 }
 
 /// An engine to which no connection comes up until the test says so: its queue of connections is full.
-pub struct LateEngine {
+pub struct UnconnectableEngine {
     pub address: SocketAddr,
     listener: TcpListener,
     queued: Vec<TcpStream>,
 }
 
-impl LateEngine {
-    pub fn start() -> LateEngine {
+impl UnconnectableEngine {
+    pub fn start() -> UnconnectableEngine {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(0).unwrap();
@@ -438,28 +439,28 @@
         let come_up = |_| TcpStream::connect_timeout(&address, Duration::from_millis(300)).ok();
         let queued: Vec<TcpStream> = (0..64).map_while(come_up).collect();
         assert!(queued.len() < 64, "connections go on coming up");
-        LateEngine { address, listener, queued }
+        UnconnectableEngine { address, listener, queued }
     }
 
     /// Connections come up from now on; those that were asked for before, within a second or two.
-    pub fn come_up(self) -> Engine {
+    pub fn accept_connections(self) -> Engine {
         drop(self.queued);
         Engine::on(self.listener)
     }
 }
 
-fn converse(wire: TcpStream, send: &Sender<Said>) {
+fn converse(wire: TcpStream, send: &Sender<EngineMessage>) {
     let mut lines = BufReader::new(wire.try_clone().unwrap());
     let mut cancelled = BTreeSet::new();
     let mut line = String::new();
     while lines.read_line(&mut line).is_ok_and(|n| n > 0) {
         let words: Vec<&str> = line.trim_end().split(' ').collect();
-        let mut said = Said {
+        let mut said = EngineMessage {
             verb: words[0].to_owned(),
             id: words[1].to_owned(),
-            rest: words.get(2).copied().unwrap_or_default().to_owned(),
+            arguments: words.get(2).copied().unwrap_or_default().to_owned(),
             body: Vec::new(),
-            wire: wire.try_clone().unwrap(),
+            stream: wire.try_clone().unwrap(),
         };
         if said.verb == "serve" {
             let mut body = vec![0; words[3].parse::<usize>().unwrap() + 2];
@@ -468,7 +469,7 @@
             said.body = body;
         }
         match said.verb.as_str() {
-            "gauges" => said.answer("PONG", "use=util:0.10", b""),
+            "gauges" => said.respond("PONG", "use=util:0.10", b""),
             "cancel" => drop(cancelled.insert(said.id.clone())),
             _ => {}
         }
@@ -483,20 +484,20 @@
 }
 
 /// The command channel: connections of the front, each with the number that it asked from.
-pub struct Commands {
+pub struct DiscoveryServer {
     pub address: SocketAddr,
     listener: TcpListener,
 }
 
-impl Commands {
-    pub fn start() -> Commands {
+impl DiscoveryServer {
+    pub fn start() -> DiscoveryServer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        Commands { address: listener.local_addr().unwrap(), listener }
+        DiscoveryServer { address: listener.local_addr().unwrap(), listener }
     }
 
-    pub fn next(&self) -> (u64, TcpStream) {
+    pub fn next_connection(&self) -> (u64, TcpStream) {
         let (mut wire, _) = self.listener.accept().unwrap();
-        wire.set_read_timeout(Some(LONG)).unwrap();
+        wire.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let mut last = [0; 8];
         wire.read_exact(&mut last).unwrap();
         (u64::from_be_bytes(last), wire)
@@ -523,13 +524,13 @@
 
 /// What a tallying engine does with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Answers {
-    Hit,
+pub enum EngineBehavior {
+    Result,
     /// The same, after so many milliseconds of work as it says.
-    HitOf(u32),
-    Fault,
-    Shed,
-    HangUp,
+    ResultAfterWork(u32),
+    Fail,
+    Reject,
+    CloseConnection,
 }
 
 fn hit(id: &str, work_ms: u32) -> String {
@@ -537,14 +538,14 @@
 }
 
 /// An engine that answers by itself and tallies what it was sent.
-pub struct Tallying {
+pub struct CountingEngine {
     pub address: SocketAddr,
-    tally: Arc<Mutex<Vec<(Instant, String)>>>,
+    requests: Arc<Mutex<Vec<(Instant, String)>>>,
 }
 
-impl Tallying {
+impl CountingEngine {
     /// `answers` is asked with the number of each request, from zero.
-    pub fn start(answers: impl Fn(usize) -> Answers + Send + Sync + 'static) -> Tallying {
+    pub fn start(answers: impl Fn(usize) -> EngineBehavior + Send + Sync + 'static) -> CountingEngine {
         let engine = Engine::start();
         let tally: Arc<Mutex<Vec<(Instant, String)>>> = Arc::default();
         let (address, kept) = (engine.address, tally.clone());
@@ -560,23 +561,23 @@
                 };
                 // The front may have gone: then nobody is told.
                 let message = match answers(number) {
-                    Answers::Hit => hit(&said.id, 1),
-                    Answers::HitOf(work_ms) => hit(&said.id, work_ms),
-                    Answers::Fault => format!("{} FAULT - 0\r\n\r\n", said.id),
-                    Answers::Shed => format!("{} SHED - 0\r\n\r\n", said.id),
-                    Answers::HangUp => {
-                        let _ = said.wire.shutdown(Shutdown::Both);
+                    EngineBehavior::Result => hit(&said.id, 1),
+                    EngineBehavior::ResultAfterWork(work_ms) => hit(&said.id, work_ms),
+                    EngineBehavior::Fail => format!("{} FAULT - 0\r\n\r\n", said.id),
+                    EngineBehavior::Reject => format!("{} SHED - 0\r\n\r\n", said.id),
+                    EngineBehavior::CloseConnection => {
+                        let _ = said.stream.shutdown(Shutdown::Both);
                         continue;
                     }
                 };
-                let _ = (&said.wire).write_all(message.as_bytes());
+                let _ = (&said.stream).write_all(message.as_bytes());
             }
         });
-        Tallying { address, tally }
+        CountingEngine { address, requests: tally }
     }
 
     /// Every request that was sent there, and when.
     pub fn tally(&self) -> Vec<(Instant, String)> {
-        self.tally.lock().unwrap().clone()
+        self.requests.lock().unwrap().clone()
     }
 }
