--- a/crates/tools/simhost/src/main.rs
+++ b/crates/tools/simhost/src/main.rs
@@ -1,33 +1,23 @@
-//! Hosts gateways for the bench: frames in on standard input, replies out on standard output. Each
-//! instance has a gateway of its own; this program only translates.
+//! Hosts fronts for the simulator: frames in on standard input, replies out on standard output, a line each. This
+//! program only translates; each front's gateway decides.
+
+#![warn(missing_docs)]
 
 mod translate;
-#[allow(non_camel_case_types, clippy::upper_case_acronyms)]
 mod wire;
 
-use lemonusher::{Action, EndpointUpdateKind, Event, Gateway};
-use lemonusher_deployment::deployment;
+use lemonusher::{EndpointUpdateKind, Event, Gateway};
+use lemonusher_deployment::{Settings, deployment};
 use serde::de::IgnoredAny;
+use std::any::Any;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
 use std::time::Duration;
-use translate::Reading;
-use wire::{Cmd, Entry, Frame, KNOWN, Mode, Msg, Reply};
-
-struct Instance {
-    gateway: Gateway,
-    reading: Reading,
-}
-
-#[derive(Default)]
-struct Host {
-    instances: BTreeMap<u32, Instance>,
-    rosters: BTreeMap<u32, Vec<Entry>>,
-    heard: BTreeSet<u32>,
-    crashes: Vec<Cmd>,
-}
+use translate::ReportReader;
+use wire::Frame;
+use wire::{AttemptCode, Command, EndpointEntry, KNOWN_EVENTS, ListMode, Reply, SimulatorEvent};
 
 fn main() -> ExitCode {
     match run() {
@@ -53,126 +43,162 @@
             continue;
         }
         let frame: Frame = serde_json::from_str(&line).map_err(|e| format!("batch {count}: {e}"))?;
-        let reply = host.play(&frame)?;
+        let reply = host.handle_frame(&frame)?;
         serde_json::to_writer(&mut output, &reply).map_err(|e| format!("cannot write: {e}"))?;
         output.write_all(b"\n").and_then(|()| output.flush()).map_err(|e| format!("cannot write: {e}"))?;
     }
     Ok(())
 }
 
+/// How much of a malformed event an error quotes, in characters.
+const MAX_QUOTED_CHARS: usize = 60;
+
+struct Front {
+    gateway: Gateway,
+    reports: ReportReader,
+}
+
+/// All fronts, and the endpoint lists that they may be shown.
+#[derive(Default)]
+pub struct Host {
+    fronts: BTreeMap<u32, Front>,
+    endpoint_lists: BTreeMap<u32, Vec<EndpointEntry>>,
+    /// Fronts that have had an event in this frame, and so decide at its end.
+    to_decide: BTreeSet<u32>,
+    crashes: Vec<Command>,
+}
+
 impl Host {
-    fn play(&mut self, frame: &Frame) -> Result<Reply, String> {
+    /// Handles all events of a frame, then lets each front decide that had one. Fails on a malformed event; an event
+    /// of an unknown name is reported on standard error and passed over.
+    pub fn handle_frame(&mut self, frame: &Frame) -> Result<Reply, String> {
         let now = Duration::from_micros(frame.now_us);
-        for raw in &frame.msgs {
-            match serde_json::from_str::<Msg>(raw.get()) {
-                Ok(msg) => self.hear(now, msg),
-                Err(error) => match unknown(raw.get()) {
+        for raw in &frame.events {
+            match serde_json::from_str::<SimulatorEvent>(raw.get()) {
+                Ok(event) => self.handle_event(now, event),
+                Err(error) => match unknown_event(raw.get()) {
                     Some(name) => eprintln!("batch {}: unknown event {name} ignored", frame.serial),
                     None => {
-                        return Err(format!("batch {}: event {}: {error}", frame.serial, head(raw.get())));
+                        let quoted = quote(raw.get());
+                        return Err(format!("batch {}: event {quoted}: {error}", frame.serial));
                     }
                 },
             }
         }
-        let mut cmds = std::mem::take(&mut self.crashes);
-        for front in std::mem::take(&mut self.heard) {
-            let Some(instance) = self.instances.get_mut(&front) else { continue };
-            match catch_unwind(AssertUnwindSafe(|| instance.gateway.decide(now))) {
-                Ok(actions) => cmds.extend(actions.into_iter().map(|a: Action| translate::command(front, a))),
-                Err(panic) => cmds.push(crash(front, panic)),
+        let mut commands = std::mem::take(&mut self.crashes);
+        for number in std::mem::take(&mut self.to_decide) {
+            let Some(front) = self.fronts.get_mut(&number) else { continue };
+            match catch_unwind(AssertUnwindSafe(|| front.gateway.decide(now))) {
+                Ok(actions) => {
+                    commands.extend(actions.into_iter().map(|action| translate::command(number, action)));
+                }
+                Err(panic) => commands.push(crash(number, panic)),
             }
         }
-        Ok(Reply { serial: frame.serial, cmds })
+        Ok(Reply { serial: frame.serial, commands })
     }
 
-    fn hear(&mut self, now: Duration, msg: Msg) {
-        match msg {
-            Msg::POWER_ON { front_id, rng_seed, settings } => {
-                let gateway = Gateway::new(deployment(&settings), rng_seed);
-                self.instances.insert(front_id, Instance { gateway, reading: Reading::of(&settings) });
-                self.heard.insert(front_id);
+    fn handle_event(&mut self, now: Duration, event: SimulatorEvent) {
+        match event {
+            SimulatorEvent::FrontStarted { front, seed, settings } => {
+                self.start_front(front, seed, &settings);
             }
-            Msg::RETIRE { front_id } => {
-                if self.instances.remove(&front_id).is_none() {
-                    eprintln!("RETIRE for instance {front_id}, which is not on: ignored");
+            SimulatorEvent::FrontRetired { front } => {
+                if self.fronts.remove(&front).is_none() {
+                    eprintln!("RETIRE for instance {front}, which is not on: ignored");
                 }
             }
-            Msg::MANIFEST { roster_id, entries } => {
-                self.rosters.insert(roster_id, entries);
+            SimulatorEvent::EndpointList { list, entries } => {
+                self.endpoint_lists.insert(list, entries);
             }
-            Msg::PEERS_KNOWN { front_id, roster_id, mode } => {
-                let kind = match mode {
-                    Mode::Update => EndpointUpdateKind::Delta,
-                    Mode::Replace => EndpointUpdateKind::Full,
-                    Mode::Restored => EndpointUpdateKind::Restored,
-                    Mode::Unavailable => {
-                        return self.tell(now, front_id, |_| Some(Event::DiscoveryUnavailable));
-                    }
-                };
-                let Some(list) = self.rosters.get(&roster_id) else {
-                    eprintln!("list {roster_id} for instance {front_id} is not known: ignored");
-                    return;
-                };
-                let entries = list.iter().map(translate::entry).collect();
-                self.tell(now, front_id, |_| Some(Event::Endpoints(kind, entries)));
+            SimulatorEvent::EndpointsShown { front, list, mode } => {
+                self.show_endpoints(now, front, list, mode);
+            }
+            SimulatorEvent::RequestArrived(arrived) => {
+                self.deliver(now, arrived.front, |_| Some(translate::arrival(arrived)));
             }
-            Msg::INGRESS(ingress) => {
-                self.tell(now, ingress.front_id, |_| Some(translate::arrival(ingress)));
+            SimulatorEvent::ResponseStarted { front, request } => {
+                self.deliver(now, front, |_| Some(Event::ResponseStarted(request.into())));
             }
-            Msg::BEGUN { front_id, call } => {
-                self.tell(now, front_id, |_| Some(Event::ResponseStarted(call.into())))
+            SimulatorEvent::Progress { front, request, attempt, engine, what, level } => {
+                self.deliver(now, front, |_| {
+                    let progress = translate::progress(what, level)?;
+                    Some(Event::Progress { request: request.into(), attempt, engine, progress })
+                });
             }
-            Msg::PROGRESS { front_id, call, n, engine, what, level } => self.tell(now, front_id, |_| {
-                let note = translate::note(what, level)?;
-                Some(Event::Progress { request: call.into(), attempt: n, engine, progress: note })
-            }),
-            Msg::REPLY(ended) => {
-                self.tell(now, ended.front_id, |reading| Some(reading.ending(ended)));
+            SimulatorEvent::AttemptEnded(ended) => {
+                self.deliver(now, ended.front, |reports| Some(reports.attempt_ended(ended)));
             }
-            Msg::CLIENT_LEFT { front_id, call } => {
-                self.tell(now, front_id, |_| Some(Event::ClientGone(call.into())));
+            SimulatorEvent::ClientGone { front, request } => {
+                self.deliver(now, front, |_| Some(Event::ClientGone(request.into())));
             }
-            Msg::RING { front_id } => self.tell(now, front_id, |_| Some(Event::TimerFired)),
-            Msg::HEALTH { front_id, cost_time_us, code, engine, gauge } => {
-                self.tell(now, front_id, |reading| {
-                    let answered = code == wire::Code::Done;
-                    let after = Duration::from_micros(cost_time_us);
-                    Some(Event::ProbeEnded { engine, answered, elapsed: after, load: reading.gauge(gauge) })
-                })
+            SimulatorEvent::TimerFired { front } => {
+                self.deliver(now, front, |_| Some(Event::TimerFired));
             }
-            Msg::PEER_DATA { front_id, sender, data } => {
-                self.tell(now, front_id, |_| Some(Event::PeerMessage { from: sender, data }));
+            SimulatorEvent::ProbeEnded { front, elapsed_us, outcome, engine, load } => {
+                let answered = outcome == AttemptCode::Returned;
+                let elapsed = Duration::from_micros(elapsed_us);
+                self.deliver(now, front, |reports| {
+                    Some(Event::ProbeEnded { engine, answered, elapsed, load: reports.load(load) })
+                });
+            }
+            SimulatorEvent::PeerMessage { front, from, data } => {
+                self.deliver(now, front, |_| Some(Event::PeerMessage { from, data }));
             }
         }
     }
 
-    fn tell(&mut self, now: Duration, front: u32, event: impl FnOnce(&Reading) -> Option<Event>) {
-        let Some(instance) = self.instances.get_mut(&front) else {
+    fn start_front(&mut self, front: u32, seed: u64, settings: &Settings) {
+        let gateway = Gateway::new(deployment(settings), seed);
+        self.fronts.insert(front, Front { gateway, reports: ReportReader::new(settings) });
+        self.to_decide.insert(front);
+    }
+
+    fn show_endpoints(&mut self, now: Duration, front: u32, list: u32, mode: ListMode) {
+        let kind = match mode {
+            ListMode::Delta => EndpointUpdateKind::Delta,
+            ListMode::Full => EndpointUpdateKind::Full,
+            ListMode::Restored => EndpointUpdateKind::Restored,
+            ListMode::Unavailable => {
+                return self.deliver(now, front, |_| Some(Event::DiscoveryUnavailable));
+            }
+        };
+        let Some(entries) = self.endpoint_lists.get(&list) else {
+            eprintln!("list {list} for instance {front} is not known: ignored");
+            return;
+        };
+        let entries = entries.iter().map(translate::engine_entry).collect();
+        self.deliver(now, front, |_| Some(Event::Endpoints(kind, entries)));
+    }
+
+    /// Hands a front an event, which is made with the front's way of reading reports.
+    fn deliver(&mut self, now: Duration, front: u32, event: impl FnOnce(&ReportReader) -> Option<Event>) {
+        let Some(running) = self.fronts.get_mut(&front) else {
             eprintln!("event for instance {front}, which is not on: ignored");
             return;
         };
-        self.heard.insert(front);
-        let Some(event) = event(&instance.reading) else { return };
-        if let Err(panic) = catch_unwind(AssertUnwindSafe(|| instance.gateway.handle_event(now, event))) {
+        self.to_decide.insert(front);
+        let Some(event) = event(&running.reports) else { return };
+        if let Err(panic) = catch_unwind(AssertUnwindSafe(|| running.gateway.handle_event(now, event))) {
             self.crashes.push(crash(front, panic));
         }
     }
 }
 
-fn crash(front_id: u32, panic: Box<dyn std::any::Any + Send>) -> Cmd {
-    let line = (panic.downcast_ref::<&str>().map(|s| s.to_string()))
+fn crash(front: u32, panic: Box<dyn Any + Send>) -> Command {
+    let message = (panic.downcast_ref::<&str>().map(|text| text.to_string()))
         .or_else(|| panic.downcast_ref::<String>().cloned())
         .unwrap_or_else(|| "panic".to_owned());
-    Cmd::CRASH { front_id, line }
+    Command::Crash { front, message }
 }
 
-/// The event's name, if it is one this program does not know.
-fn unknown(raw: &str) -> Option<String> {
-    let named: BTreeMap<String, IgnoredAny> = serde_json::from_str(raw).ok()?;
-    let name = named.into_keys().next()?;
-    (!KNOWN.contains(&name.as_str())).then_some(name)
+/// The event's name, if it is one that this program does not know.
+fn unknown_event(raw: &str) -> Option<String> {
+    let fields: BTreeMap<String, IgnoredAny> = serde_json::from_str(raw).ok()?;
+    let name = fields.into_keys().next()?;
+    (!KNOWN_EVENTS.contains(&name.as_str())).then_some(name)
 }
 
-fn head(raw: &str) -> &str {
-    raw.char_indices().nth(60).map_or(raw, |(end, _)| &raw[..end])
+fn quote(raw: &str) -> &str {
+    raw.char_indices().nth(MAX_QUOTED_CHARS).map_or(raw, |(end, _)| &raw[..end])
 }
--- a/crates/tools/simhost/src/translate.rs
+++ b/crates/tools/simhost/src/translate.rs
@@ -1,90 +1,106 @@
-//! Between the wire's words and the interface's. Nothing here decides.
+//! Translates between the simulator's messages and the decision module's events and actions. Nothing here decides.
 
-use crate::wire::{Cmd, Code, Ended, Entry, Ingress, State};
+use crate::wire::{AttemptCode, AttemptEnded, Command, EndpointEntry, EndpointState, RequestArrived};
 use lemonusher::*;
 use lemonusher_deployment::{LoadReportFields, Settings};
 use std::time::Duration;
 
-fn us(span: Duration) -> u64 {
-    u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
+/// What the simulator gives back with a timer.
+const TIMER_CONTEXT: &str = "due";
+/// Packed usage: milliseconds of work times this, plus the memory.
+const USAGE_WORK_FACTOR: u64 = 4096;
+/// Packed usage: megabytes of one unit of memory.
+const USAGE_MEMORY_UNIT_MB: f64 = 4.0;
+
+fn micros(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// How an instance's load reports and answer notes are to be read.
-pub struct Reading {
+/// How load reports and usage are to be read, by a front's settings.
+pub struct ReportReader {
     fields: LoadReportFields,
-    says_cost: bool,
+    reports_usage: bool,
 }
 
-impl Reading {
-    pub fn of(settled: &Settings) -> Self {
-        Reading { fields: LoadReportFields::new(settled), says_cost: settled.engines.reports_usage }
+impl ReportReader {
+    pub fn new(settings: &Settings) -> Self {
+        ReportReader {
+            fields: LoadReportFields::new(settings),
+            reports_usage: settings.engines.reports_usage,
+        }
     }
 
-    pub fn gauge(&self, values: Option<Vec<f64>>) -> Option<LoadReport> {
+    pub fn load(&self, values: Option<Vec<f64>>) -> Option<LoadReport> {
         values.map(|values| self.fields.read_ordered(&values))
     }
 
-    pub fn ending(&self, ended: Ended) -> Event {
-        let cost = (self.says_cost && ended.code == Code::Done && ended.note > 0).then(|| ResourceUsage {
-            work: Duration::from_millis(ended.note / 4096),
-            memory_mb: (ended.note % 4096) as f64 * 4.0,
-        });
+    pub fn attempt_ended(&self, ended: AttemptEnded) -> Event {
+        let has_usage =
+            self.reports_usage && ended.outcome == AttemptCode::Returned && ended.packed_usage > 0;
         Event::AttemptEnded(AttemptEnd {
-            request: ended.call.into(),
-            attempt: ended.n,
+            request: ended.request.into(),
+            attempt: ended.attempt,
             engine: ended.engine,
-            elapsed: Duration::from_micros(ended.cost_time_us),
-            outcome: outcome(ended.code),
-            request_finished: ended.no_more,
-            usage: cost,
-            load: self.gauge(ended.gauge),
+            elapsed: Duration::from_micros(ended.elapsed_us),
+            outcome: outcome(ended.outcome),
+            request_finished: ended.request_finished,
+            usage: has_usage.then(|| usage(ended.packed_usage)),
+            load: self.load(ended.load),
         })
     }
 }
 
-fn outcome(code: Code) -> AttemptOutcome {
+fn usage(packed: u64) -> ResourceUsage {
+    ResourceUsage {
+        work: Duration::from_millis(packed / USAGE_WORK_FACTOR),
+        memory_mb: (packed % USAGE_WORK_FACTOR) as f64 * USAGE_MEMORY_UNIT_MB,
+    }
+}
+
+fn outcome(code: AttemptCode) -> AttemptOutcome {
     match code {
-        Code::Done => AttemptOutcome::Returned,
-        Code::Err => AttemptOutcome::Errored,
-        Code::Busy => AttemptOutcome::Rejected,
-        Code::Etimedout => AttemptOutcome::TimedOut,
-        Code::Econnrefused => AttemptOutcome::ConnectFailed,
-        Code::Econnreset => AttemptOutcome::Reset,
-        Code::Ecanceled => AttemptOutcome::Cancelled,
-        Code::Skipped => AttemptOutcome::NotSent,
+        AttemptCode::Returned => AttemptOutcome::Returned,
+        AttemptCode::Failed => AttemptOutcome::Errored,
+        AttemptCode::Rejected => AttemptOutcome::Rejected,
+        AttemptCode::TimedOut => AttemptOutcome::TimedOut,
+        AttemptCode::ConnectFailed => AttemptOutcome::ConnectFailed,
+        AttemptCode::Reset => AttemptOutcome::Reset,
+        AttemptCode::Cancelled => AttemptOutcome::Cancelled,
+        AttemptCode::NotSent => AttemptOutcome::NotSent,
     }
 }
 
-pub fn entry(entry: &Entry) -> EngineEntry {
+pub fn engine_entry(entry: &EndpointEntry) -> EngineEntry {
     EngineEntry {
         engine: entry.engine,
-        zone: entry.campus,
-        cell: entry.unit_group,
-        machine_kind: entry.generation_hw,
+        zone: entry.zone,
+        cell: entry.cell,
+        machine_kind: entry.machine_kind,
         state: match entry.state {
-            State::Active => EngineState::Active,
-            State::Leaving => EngineState::Draining,
-            State::Left => EngineState::Removed,
+            EndpointState::Active => EngineState::Active,
+            EndpointState::Draining => EngineState::Draining,
+            EndpointState::Removed => EngineState::Removed,
         },
         started_at: Duration::from_micros(entry.started_at_us),
         blocked_classes: 0,
     }
 }
 
-pub fn arrival(ingress: Ingress) -> Event {
+pub fn arrival(arrived: RequestArrived) -> Event {
     Event::Arrived(Arrival {
-        request: ingress.call.into(),
-        request_class: ingress.grade,
-        table_group: ingress.tables,
-        key: ingress.relation,
-        client_timeout: Duration::from_micros(ingress.time_budget_us),
-        work: ingress.estimate_us.filter(|work| *work > 0).map(Duration::from_micros),
-        memory_mb: ingress.footprint_mb,
-        client_retry: ingress.is_retry,
+        request: arrived.request.into(),
+        request_class: arrived.request_class,
+        table_group: arrived.table_group,
+        key: arrived.key,
+        client_timeout: Duration::from_micros(arrived.client_timeout_us),
+        work: arrived.work_us.filter(|work_us| *work_us > 0).map(Duration::from_micros),
+        memory_mb: arrived.memory_mb,
+        client_retry: arrived.client_retry,
     })
 }
 
-pub fn note(what: u32, level: f64) -> Option<AttemptProgress> {
+/// Reads a progress report; none if it is of a kind that is not known.
+pub fn progress(what: u32, level: f64) -> Option<AttemptProgress> {
     match what {
         1 => Some(AttemptProgress::Done(level)),
         2 => Some(AttemptProgress::Spilling(level)),
@@ -94,23 +110,25 @@
     }
 }
 
-pub fn command(front_id: u32, action: Action) -> Cmd {
+pub fn command(front: u32, action: Action) -> Command {
     match action {
         Action::SetPriority { request, priority, memory_mb } => {
-            Cmd::ASSIGN_TERMS { front_id, call: request.to_string(), prio: priority, workspace_mb: memory_mb }
+            Command::SetPriority { front, request: request.to_string(), priority, memory_mb }
         }
-        Action::Send { request, engine, timeout: time_out, .. } => {
-            Cmd::RELAY { front_id, call: request.to_string(), try_for_us: us(time_out), engine }
+        Action::Send { request, engine, timeout, .. } => {
+            Command::Send { front, request: request.to_string(), timeout_us: micros(timeout), engine }
         }
         Action::Cancel { request, attempt } => {
-            Cmd::DROP_ATTEMPT { front_id, call: request.to_string(), n: attempt }
-        }
-        Action::Reject { request, retry_after: come_back } => {
-            Cmd::DECLINE { front_id, call: request.to_string(), stay_away_us: come_back.map_or(0, us) }
+            Command::Cancel { front, request: request.to_string(), attempt }
         }
-        Action::Fail { request } => Cmd::DROP_REQUEST { front_id, call: request.to_string() },
-        Action::SetTimer { at } => Cmd::ARM { front_id, fire_at_us: us(at), ctx: "due" },
-        Action::Probe { engine } => Cmd::TEST { front_id, engine },
-        Action::WatchEndpoints => Cmd::KEEP_INFORMED { front_id, want: true },
+        Action::Reject { request, retry_after } => Command::Reject {
+            front,
+            request: request.to_string(),
+            retry_after_us: retry_after.map_or(0, micros),
+        },
+        Action::Fail { request } => Command::Fail { front, request: request.to_string() },
+        Action::SetTimer { at } => Command::SetTimer { front, at_us: micros(at), context: TIMER_CONTEXT },
+        Action::Probe { engine } => Command::Probe { front, engine },
+        Action::WatchEndpoints => Command::WatchEndpoints { front, want: true },
     }
 }
--- a/crates/tools/simhost/src/wire.rs
+++ b/crates/tools/simhost/src/wire.rs
@@ -1,83 +1,133 @@
-//! The bench wire as serde types, in the wire's own words.
+//! The messages of the simulator: the one table that maps its names to the code's. Each line of input is a `Frame`, each
+//! line of output a `Reply`. Times are in microseconds of the simulated clock.
 
 use lemonusher_deployment::Settings;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
+/// All events of one moment.
 #[derive(Deserialize)]
 pub struct Frame<'a> {
+    /// The simulated time.
     pub now_us: u64,
+    /// Number of the frame; the reply repeats it.
     pub serial: u64,
-    #[serde(borrow)]
-    pub msgs: Vec<&'a RawValue>,
+    /// The events, each to be read as a `SimulatorEvent`.
+    #[serde(rename = "msgs", borrow)]
+    pub events: Vec<&'a RawValue>,
 }
 
+/// What the fronts do in answer to a frame.
 #[derive(Serialize)]
 pub struct Reply {
     pub serial: u64,
-    pub cmds: Vec<Cmd>,
+    #[serde(rename = "cmds")]
+    pub commands: Vec<Command>,
 }
 
+/// Something that happens to a front, or to the lists that fronts are shown.
 #[derive(Deserialize)]
-pub enum Msg {
-    POWER_ON {
-        front_id: u32,
-        rng_seed: u64,
+pub enum SimulatorEvent {
+    /// A front starts.
+    #[serde(rename = "POWER_ON")]
+    FrontStarted {
+        #[serde(rename = "front_id")]
+        front: u32,
+        #[serde(rename = "rng_seed")]
+        seed: u64,
         settings: Box<Settings>,
     },
-    RETIRE {
-        front_id: u32,
+    /// A front ends.
+    #[serde(rename = "RETIRE")]
+    FrontRetired {
+        #[serde(rename = "front_id")]
+        front: u32,
     },
-    MANIFEST {
-        roster_id: u32,
-        entries: Vec<Entry>,
+    /// An endpoint list, to be shown to fronts by its number.
+    #[serde(rename = "MANIFEST")]
+    EndpointList {
+        #[serde(rename = "roster_id")]
+        list: u32,
+        entries: Vec<EndpointEntry>,
     },
-    PEERS_KNOWN {
-        front_id: u32,
-        #[serde(default)]
-        roster_id: u32,
-        mode: Mode,
+    /// A front is shown an endpoint list, or discovery fails.
+    #[serde(rename = "PEERS_KNOWN")]
+    EndpointsShown {
+        #[serde(rename = "front_id")]
+        front: u32,
+        #[serde(rename = "roster_id", default)]
+        list: u32,
+        mode: ListMode,
     },
-    INGRESS(Ingress),
-    BEGUN {
-        front_id: u32,
-        call: String,
+    /// A request arrives at a front.
+    #[serde(rename = "INGRESS")]
+    RequestArrived(RequestArrived),
+    /// The response to a request has begun.
+    #[serde(rename = "BEGUN")]
+    ResponseStarted {
+        #[serde(rename = "front_id")]
+        front: u32,
+        #[serde(rename = "call")]
+        request: String,
     },
-    PROGRESS {
-        front_id: u32,
-        call: String,
-        #[serde(default)]
-        n: u32,
+    /// A progress report of an attempt.
+    #[serde(rename = "PROGRESS")]
+    Progress {
+        #[serde(rename = "front_id")]
+        front: u32,
+        #[serde(rename = "call")]
+        request: String,
+        #[serde(rename = "n", default)]
+        attempt: u32,
         engine: u32,
+        /// What `level` is of; `translate::progress` says which is which.
         what: u32,
         #[serde(default)]
         level: f64,
     },
-    REPLY(Ended),
-    CLIENT_LEFT {
-        front_id: u32,
-        call: String,
+    /// An attempt has ended.
+    #[serde(rename = "REPLY")]
+    AttemptEnded(AttemptEnded),
+    /// The client of a request has left.
+    #[serde(rename = "CLIENT_LEFT")]
+    ClientGone {
+        #[serde(rename = "front_id")]
+        front: u32,
+        #[serde(rename = "call")]
+        request: String,
     },
-    RING {
-        front_id: u32,
+    /// A front's timer fires.
+    #[serde(rename = "RING")]
+    TimerFired {
+        #[serde(rename = "front_id")]
+        front: u32,
     },
-    HEALTH {
-        front_id: u32,
-        #[serde(default)]
-        cost_time_us: u64,
-        code: Code,
+    /// A load probe has ended.
+    #[serde(rename = "HEALTH")]
+    ProbeEnded {
+        #[serde(rename = "front_id")]
+        front: u32,
+        #[serde(rename = "cost_time_us", default)]
+        elapsed_us: u64,
+        #[serde(rename = "code")]
+        outcome: AttemptCode,
         engine: u32,
-        gauge: Option<Vec<f64>>,
+        #[serde(rename = "gauge")]
+        load: Option<Vec<f64>>,
     },
-    PEER_DATA {
-        front_id: u32,
-        sender: u32,
+    /// A message of another front.
+    #[serde(rename = "PEER_DATA")]
+    PeerMessage {
+        #[serde(rename = "front_id")]
+        front: u32,
+        #[serde(rename = "sender")]
+        from: u32,
         data: String,
     },
 }
 
-/// The names of `Msg`, to tell a malformed event from an unknown one.
-pub const KNOWN: [&str; 12] = [
+/// The simulator's names of all events that this program knows, to tell a malformed event from an unknown one.
+pub const KNOWN_EVENTS: [&str; 12] = [
     "POWER_ON",
     "RETIRE",
     "MANIFEST",
@@ -92,93 +142,207 @@
     "PEER_DATA",
 ];
 
+/// A request that arrives at a front.
 #[derive(Deserialize)]
-pub struct Ingress {
-    pub front_id: u32,
-    pub call: String,
-    #[serde(default)]
-    pub is_retry: bool,
-    pub estimate_us: Option<u64>,
-    #[serde(default)]
-    pub grade: usize,
-    #[serde(default)]
-    pub tables: u64,
-    pub relation: Option<u64>,
-    pub time_budget_us: u64,
-    #[serde(default)]
-    pub footprint_mb: f64,
+#[serde(expecting = "struct Ingress")]
+pub struct RequestArrived {
+    #[serde(rename = "front_id")]
+    pub front: u32,
+    #[serde(rename = "call")]
+    pub request: String,
+    #[serde(rename = "is_retry", default)]
+    pub client_retry: bool,
+    /// The client's estimate of its work.
+    #[serde(rename = "estimate_us")]
+    pub work_us: Option<u64>,
+    #[serde(rename = "grade", default)]
+    pub request_class: usize,
+    #[serde(rename = "tables", default)]
+    pub table_group: u64,
+    #[serde(rename = "relation")]
+    pub key: Option<u64>,
+    #[serde(rename = "time_budget_us")]
+    pub client_timeout_us: u64,
+    #[serde(rename = "footprint_mb", default)]
+    pub memory_mb: f64,
 }
 
+/// An attempt that has ended.
 #[derive(Deserialize)]
-pub struct Ended {
-    pub front_id: u32,
-    pub call: String,
-    #[serde(default)]
-    pub note: u64,
-    #[serde(default)]
-    pub no_more: bool,
+#[serde(expecting = "struct Ended")]
+pub struct AttemptEnded {
+    #[serde(rename = "front_id")]
+    pub front: u32,
+    #[serde(rename = "call")]
+    pub request: String,
+    /// What it used, packed as `translate::usage` says; 0 for not stated.
+    #[serde(rename = "note", default)]
+    pub packed_usage: u64,
+    #[serde(rename = "no_more", default)]
+    pub request_finished: bool,
     pub engine: u32,
-    #[serde(default)]
-    pub cost_time_us: u64,
-    #[serde(default)]
-    pub n: u32,
-    pub code: Code,
-    pub gauge: Option<Vec<f64>>,
+    #[serde(rename = "cost_time_us", default)]
+    pub elapsed_us: u64,
+    #[serde(rename = "n", default)]
+    pub attempt: u32,
+    #[serde(rename = "code")]
+    pub outcome: AttemptCode,
+    #[serde(rename = "gauge")]
+    pub load: Option<Vec<f64>>,
 }
 
+/// How an attempt or a probe ended.
 #[derive(Deserialize, Clone, Copy, PartialEq)]
-#[serde(rename_all = "lowercase")]
-pub enum Code {
-    Done,
-    Err,
-    Busy,
-    Etimedout,
-    Econnrefused,
-    Econnreset,
-    Ecanceled,
-    Skipped,
+#[serde(expecting = "enum Code")]
+pub enum AttemptCode {
+    #[serde(rename = "done")]
+    Returned,
+    #[serde(rename = "err")]
+    Failed,
+    #[serde(rename = "busy")]
+    Rejected,
+    #[serde(rename = "etimedout")]
+    TimedOut,
+    #[serde(rename = "econnrefused")]
+    ConnectFailed,
+    #[serde(rename = "econnreset")]
+    Reset,
+    #[serde(rename = "ecanceled")]
+    Cancelled,
+    #[serde(rename = "skipped")]
+    NotSent,
 }
 
+/// How a front is shown an endpoint list.
 #[derive(Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Mode {
-    Update,
-    Replace,
+#[serde(expecting = "enum Mode")]
+pub enum ListMode {
+    /// Only the changes.
+    #[serde(rename = "update")]
+    Delta,
+    /// All of it.
+    #[serde(rename = "replace")]
+    Full,
+    /// All of it, after discovery was unavailable.
+    #[serde(rename = "restored")]
     Restored,
+    /// Not at all: discovery is unavailable.
+    #[serde(rename = "unavailable")]
     Unavailable,
 }
 
+/// State of an engine.
 #[derive(Deserialize, Clone, Copy)]
-#[serde(rename_all = "lowercase")]
-pub enum State {
+#[serde(expecting = "enum State")]
+pub enum EndpointState {
+    #[serde(rename = "active")]
     Active,
-    Leaving,
-    Left,
+    #[serde(rename = "leaving")]
+    Draining,
+    #[serde(rename = "left")]
+    Removed,
 }
 
+/// An engine in an endpoint list.
 #[derive(Deserialize, Clone)]
-pub struct Entry {
-    #[serde(default)]
-    pub campus: u32,
-    #[serde(default)]
-    pub unit_group: u32,
-    pub state: State,
-    #[serde(default)]
-    pub generation_hw: u32,
+#[serde(expecting = "struct Entry")]
+pub struct EndpointEntry {
+    #[serde(rename = "campus", default)]
+    pub zone: u32,
+    #[serde(rename = "unit_group", default)]
+    pub cell: u32,
+    pub state: EndpointState,
+    #[serde(rename = "generation_hw", default)]
+    pub machine_kind: u32,
     #[serde(default)]
     pub started_at_us: u64,
     pub engine: u32,
 }
 
+/// What a front does.
 #[derive(Serialize)]
-pub enum Cmd {
-    RELAY { front_id: u32, call: String, try_for_us: u64, engine: u32 },
-    DROP_ATTEMPT { front_id: u32, call: String, n: u32 },
-    DECLINE { front_id: u32, call: String, stay_away_us: u64 },
-    DROP_REQUEST { front_id: u32, call: String },
-    ARM { front_id: u32, fire_at_us: u64, ctx: &'static str },
-    TEST { front_id: u32, engine: u32 },
-    KEEP_INFORMED { front_id: u32, want: bool },
-    ASSIGN_TERMS { front_id: u32, call: String, prio: u8, workspace_mb: f64 },
-    CRASH { front_id: u32, line: String },
+pub enum Command {
+    /// Sends a request to an engine.
+    #[serde(rename = "RELAY")]
+    Send {
+        #[serde(rename = "front_id")]
+        front: u32,
+        #[serde(rename = "call")]
+        request: String,
+        #[serde(rename = "try_for_us")]
+        timeout_us: u64,
+        engine: u32,
+    },
+    /// Cancels an attempt.
+    #[serde(rename = "DROP_ATTEMPT")]
+    Cancel {
+        #[serde(rename = "front_id")]
+        front: u32,
+        #[serde(rename = "call")]
+        request: String,
+        #[serde(rename = "n")]
+        attempt: u32,
+    },
+    /// Rejects a request; 0 for no time to come back.
+    #[serde(rename = "DECLINE")]
+    Reject {
+        #[serde(rename = "front_id")]
+        front: u32,
+        #[serde(rename = "call")]
+        request: String,
+        #[serde(rename = "stay_away_us")]
+        retry_after_us: u64,
+    },
+    /// Answers a request as failed.
+    #[serde(rename = "DROP_REQUEST")]
+    Fail {
+        #[serde(rename = "front_id")]
+        front: u32,
+        #[serde(rename = "call")]
+        request: String,
+    },
+    /// Sets the front's timer.
+    #[serde(rename = "ARM")]
+    SetTimer {
+        #[serde(rename = "front_id")]
+        front: u32,
+        #[serde(rename = "fire_at_us")]
+        at_us: u64,
+        #[serde(rename = "ctx")]
+        context: &'static str,
+    },
+    /// Probes an engine's load.
+    #[serde(rename = "TEST")]
+    Probe {
+        #[serde(rename = "front_id")]
+        front: u32,
+        engine: u32,
+    },
+    /// Asks to be shown endpoint lists.
+    #[serde(rename = "KEEP_INFORMED")]
+    WatchEndpoints {
+        #[serde(rename = "front_id")]
+        front: u32,
+        want: bool,
+    },
+    /// Sets the priority and the memory grant of a request.
+    #[serde(rename = "ASSIGN_TERMS")]
+    SetPriority {
+        #[serde(rename = "front_id")]
+        front: u32,
+        #[serde(rename = "call")]
+        request: String,
+        #[serde(rename = "prio")]
+        priority: u8,
+        #[serde(rename = "workspace_mb")]
+        memory_mb: f64,
+    },
+    /// The front panicked.
+    #[serde(rename = "CRASH")]
+    Crash {
+        #[serde(rename = "front_id")]
+        front: u32,
+        #[serde(rename = "line")]
+        message: String,
+    },
 }
