--- a/crates/edges/cli/tests/proof_managed.rs
+++ b/crates/edges/cli/tests/proof_managed.rs
@@ -245,7 +245,7 @@
             };
             assert_eq!(of("taken"), REQUESTS);
             assert_eq!(of("returned") + of("pushed back") + of("errored"), REQUESTS);
-            let tallied: u64 = engines.iter().map(|engine| engine.tally().len() as u64).sum();
+            let tallied: u64 = engines.iter().map(|engine| engine.requests().len() as u64).sum();
             assert!(of("dispatched") >= tallied);
             let failed = of("dispatch ended errored") + of("dispatch ended full") + of("dispatch ended reset");
             assert!(of("returned") > REQUESTS / 2, "{before:?}");
@@ -293,9 +293,9 @@
         // Clients stop also where the test fails.
         let _stops = Stops(stop.clone());
         let wait_for = |engine: &CountingEngine, more: usize| {
-            let from = engine.tally().len();
+            let from = engine.requests().len();
             let until = Instant::now() + TEST_TIMEOUT;
-            while engine.tally().len() < from + more {
+            while engine.requests().len() < from + more {
                 assert!(Instant::now() < until, "no batch came");
                 std::thread::sleep(Duration::from_millis(5));
             }
@@ -304,11 +304,11 @@
             let mut gnmi = Gnmi::connect(world.gnmi).await;
             // The one that the statements' tables call home.
             let until = Instant::now() + TEST_TIMEOUT;
-            while engines.iter().all(|engine| engine.tally().len() < 20) {
+            while engines.iter().all(|engine| engine.requests().len() < 20) {
                 assert!(Instant::now() < until, "no batch came");
                 std::thread::sleep(Duration::from_millis(5));
             }
-            let home = usize::from(engines[1].tally().len() >= 20);
+            let home = usize::from(engines[1].requests().len() >= 20);
             let id = format!("{:08x}", home + 1);
             let pool =
                 |state: &str| update(POOL, &json!({"name": "a", "engine": [id], "admin-state": state}));
@@ -325,10 +325,10 @@
             (drained, opened, home)
         })
     });
-    let tally = engines[home].tally();
+    let tally = engines[home].requests();
     let late: Vec<Duration> = (tally.iter())
-        .filter(|(at, _)| *at > drained && *at < opened)
-        .map(|(at, _)| at.duration_since(drained))
+        .filter(|request| request.at > drained && request.at < opened)
+        .map(|request| request.at.duration_since(drained))
         .collect();
     assert!(late.iter().all(|late| *late <= GRACE), "{late:?}");
     let last = late.iter().max().copied().unwrap_or_default();
--- a/crates/edges/front/tests/crossings.rs
+++ b/crates/edges/front/tests/crossings.rs
@@ -70,7 +70,7 @@
     // Nothing is opened ahead: one connection waits to come up, and one more is opened elsewhere.
     let priced = |told: &mut Value| told["settings"]["prices"] = json!({"handshake": 1.0});
     let (front, mut client, call, late, commands) = waits_for_a_connection(priced);
-    let (other, (_, mut wire)) = (Engine::start(), commands.next_connection());
+    let (other, DiscoveryConnection { stream: mut wire, .. }) = (Engine::start(), commands.next_connection());
     wire.write_all(&changes(2, &[(1, late.address, 2), (2, other.address, 0)])).unwrap();
     let again = other.next_message_within("serve", PROMPT).expect("not sent elsewhere");
     assert_eq!(again.id, call);
@@ -99,7 +99,8 @@
 #[test]
 fn a_whole_list_that_crosses_an_attempt_takes_it_from_an_engine_that_it_does_not_name() {
     let (front, mut client, call, late, commands) = waits_for_a_connection(|_| {});
-    let (other, drains, (_, mut wire)) = (Engine::start(), Engine::start(), commands.next_connection());
+    let (other, drains, DiscoveryConnection { stream: mut wire, .. }) =
+        (Engine::start(), Engine::start(), commands.next_connection());
     let listed = [(2, other.address, 0), (3, drains.address, 1)];
     wire.write_all(&whole(9, &listed)).unwrap();
     let again = other.next_message_within("serve", PROMPT).expect("not sent elsewhere");
@@ -108,7 +109,7 @@
     client.expect_result(1, b"a\tb\tc\n");
     // Asked for again after a loss: from the list on, which says the same once more and changes nothing.
     drop(wire);
-    let (last, mut wire) = commands.next_connection();
+    let DiscoveryConnection { last_change: last, stream: mut wire } = commands.next_connection();
     assert_eq!(last, 9);
     wire.write_all(&whole(9, &[(1, late.address, 0)])).unwrap();
     let engine = late.accept_connections();
@@ -128,7 +129,7 @@
     let (other, moved) = (Engine::start(), DiscoveryServer::start());
     let (_old, newer) = (commands.next_connection(), start_config(&[(1, late.address)], moved.address));
     front.reload(&newer.to_string());
-    let (last, mut wire) = moved.next_connection();
+    let DiscoveryConnection { last_change: last, stream: mut wire } = moved.next_connection();
     assert_eq!(last, 1);
     wire.write_all(&changes(2, &[(1, late.address, 1), (2, other.address, 0)])).unwrap();
     let again = other.next_message_within("serve", PROMPT).expect("not sent elsewhere");
--- a/crates/edges/front/tests/fleet.rs
+++ b/crates/edges/front/tests/fleet.rs
@@ -103,7 +103,7 @@
     // Three times 0.34 of 8 cores for 1.5 s, in requests of 200 ms.
     let allowed = 3.0 * 0.34 * 8.0 * 1.5 / (f64::from(WORK_MS) / 1e3);
     let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
-    let tally: Vec<Instant> = engine.tally().into_iter().map(|(at, _)| at).collect();
+    let tally: Vec<Instant> = engine.requests().into_iter().map(|request| request.at).collect();
     let window = Duration::from_millis(1500);
     let in_window =
         |at: &Instant| tally.iter().filter(|other| **other >= *at && **other < *at + window).count();
--- a/crates/edges/front/tests/limits.rs
+++ b/crates/edges/front/tests/limits.rs
@@ -116,7 +116,7 @@
     told["settings"]["ceilings"]["connect_timeout_us"] = json!(10_000_000);
     told["settings"]["report"] = json!({"fields": [], "via": "none"});
     let front = Front::start(FRONT, &told);
-    let (_, mut wire) = commands.next_connection();
+    let DiscoveryConnection { stream: mut wire, .. } = commands.next_connection();
     let mut client = front.client();
     let (mut kept, mut from, mut group) = (Vec::new(), BTreeSet::new(), 0);
     while from.len() < HELD as usize {
@@ -159,7 +159,7 @@
         let mut told = little(&[(1, engine.address)], commands.address);
         told["settings"]["prices"] = json!({"handshake": 1.0});
         let front = Front::start(FRONT, &told);
-        let (_, mut wire) = commands.next_connection();
+        let DiscoveryConnection { stream: mut wire, .. } = commands.next_connection();
         let listed: Vec<_> = (1..=records).map(|id| (id, engine.address, 0)).collect();
         // A longer one is closed over, so not all of it may be taken.
         let _ = wire.write_all(&changes(2, &listed));
@@ -168,7 +168,7 @@
             assert!(lacks.contains(&format!("{records} engines")), "{lacks}");
         } else {
             front.wait_for_log(&format!("a frame of {} bytes", 9 + 27 * records));
-            assert_eq!(commands.next_connection().0, 1, "asked again from what it has");
+            assert_eq!(commands.next_connection().last_change, 1, "asked again from what it has");
         }
         let mut client = front.client();
         client.send_request(1, "look-up");
--- a/crates/edges/front/tests/races.rs
+++ b/crates/edges/front/tests/races.rs
@@ -89,7 +89,7 @@
 #[test]
 fn an_attempt_that_waits_for_a_connection_is_not_sent_once_its_engine_drains() {
     let (front, late, other, commands) = late(|_| {});
-    let (_, mut wire) = commands.next_connection();
+    let DiscoveryConnection { stream: mut wire, .. } = commands.next_connection();
     let mut client = front.client();
     let call = client.send_request(1, "look-up");
     on_its_way(&front);
@@ -333,7 +333,7 @@
         let front = Front::start_within(FRONT, &told, sockets);
         drop(commands.next_connection()); // Lost at once.
         let idle: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(front.address).unwrap()).collect();
-        let (from, mut wire) = commands.next_connection();
+        let DiscoveryConnection { last_change: from, stream: mut wire } = commands.next_connection();
         assert_eq!(from, 1);
         let listed: Vec<(u32, SocketAddr, u8)> =
             engines.iter().zip(1..).map(|(engine, id)| (id, engine.address, 0)).collect();
@@ -362,12 +362,12 @@
 fn a_reload_in_the_middle_of_an_event_loses_and_repeats_nothing() {
     let (front, engine, commands) = one(|_| {});
     let moved = DiscoveryServer::start();
-    let (from, mut wire) = commands.next_connection();
+    let DiscoveryConnection { last_change: from, stream: mut wire } = commands.next_connection();
     assert_eq!(from, 1);
     let whole = changes(2, &[(2, engine.address, 1)]);
     wire.write_all(&whole[..20]).unwrap();
     front.reload(&start_config(&[(1, engine.address)], moved.address).to_string());
-    let (from, mut new) = moved.next_connection();
+    let DiscoveryConnection { last_change: from, stream: mut new } = moved.next_connection();
     assert_eq!(from, 1);
     let _ = wire.write_all(&whole[20..]); // The rest comes after all, on a connection that nobody reads.
     new.write_all(&[whole.clone(), whole, changes(3, &[(3, engine.address, 1)])].concat()).unwrap();
@@ -381,8 +381,8 @@
 #[test]
 fn an_engine_that_drains_while_the_watch_is_silent_gets_nothing_once_that_is_heard_anew() {
     let (front, engine, commands) = one(|_| {});
-    let (from, mut silent) = commands.next_connection();
-    let (again, mut wire) = commands.next_connection();
+    let DiscoveryConnection { last_change: from, stream: mut silent } = commands.next_connection();
+    let DiscoveryConnection { last_change: again, stream: mut wire } = commands.next_connection();
     assert_eq!((from, again), (1, 1));
     let _ = silent.write_all(&changes(2, &[(1, engine.address, 0)]));
     wire.write_all(&changes(2, &[(1, engine.address, 1)])).unwrap();
--- a/crates/edges/front/tests/sockets.rs
+++ b/crates/edges/front/tests/sockets.rs
@@ -359,7 +359,7 @@
 #[test]
 fn the_channel_is_followed_through_split_repeated_and_missing_frames_and_losses() {
     let (front, [(first, home), (second, other)], commands) = two();
-    let (last, mut wire) = commands.next_connection();
+    let DiscoveryConnection { last_change: last, stream: mut wire } = commands.next_connection();
     assert_eq!(last, 1);
     let drains = changes(2, &[(first, home.address, 1)]);
     wire.write_all(&drains[..10]).unwrap();
@@ -373,11 +373,11 @@
     client.expect_result(1, b"");
     // Lost and back, from the last event on; what it has is passed over, what is missing asked for again.
     drop(wire);
-    let (last, mut wire) = commands.next_connection();
+    let DiscoveryConnection { last_change: last, stream: mut wire } = commands.next_connection();
     assert_eq!(last, 2);
     wire.write_all(&drains).unwrap();
     wire.write_all(&changes(4, &[(second, other.address, 1)])).unwrap();
-    let (last, mut wire) = commands.next_connection();
+    let DiscoveryConnection { last_change: last, stream: mut wire } = commands.next_connection();
     assert_eq!(last, 2);
     // An engine of a kind that nobody has stated is left out, and a bad frame ends the connection.
     let mut strange = changes(3, &[(first, home.address, 0), (9, home.address, 0)]);
@@ -390,14 +390,14 @@
     home.next_message("serve").respond("HIT", "fetches=1", b"");
     client.expect_result(2, b"");
     wire.write_all(&[0, 0, 0, 1, 1]).unwrap();
-    assert_eq!(commands.next_connection().0, 4);
+    assert_eq!(commands.next_connection().last_change, 4);
 }
 
 #[test]
 fn a_file_read_anew_moves_the_channel_and_cuts_nothing() {
     let (front, engine, commands) = one();
     let (mut client, moved) = (front.client(), DiscoveryServer::start());
-    let (from, mut wire) = commands.next_connection();
+    let DiscoveryConnection { last_change: from, stream: mut wire } = commands.next_connection();
     assert_eq!(from, 1);
     wire.write_all(&changes(2, &[(2, engine.address, 1)])).unwrap();
     front.wait_for_log("engine 00000002 is Leaving");
@@ -411,7 +411,7 @@
     newer["limits"]["sockets"] = json!(512);
     front.reload(&newer.to_string());
     front.wait_for_log("only at the next start: limits");
-    let (from, mut wire) = moved.next_connection();
+    let DiscoveryConnection { last_change: from, stream: mut wire } = moved.next_connection();
     assert_eq!(from, 2);
     wire.write_all(&changes(3, &[(3, engine.address, 1)])).unwrap();
     front.wait_for_log("engine 00000003 is Leaving");
@@ -419,17 +419,17 @@
     client.expect_result(1, b"a\tb\tc\n");
     // And back again, to where the first connection is still open.
     front.reload(&start_config(&[(1, engine.address)], commands.address).to_string());
-    assert_eq!(commands.next_connection().0, 3);
+    assert_eq!(commands.next_connection().last_change, 3);
     assert!(client.is_ready());
 }
 
 #[test]
 fn a_channel_that_stays_open_and_says_nothing_is_asked_anew() {
     let (_front, _engine, commands) = one();
-    let (from, mut wire) = commands.next_connection();
+    let DiscoveryConnection { last_change: from, stream: mut wire } = commands.next_connection();
     let frame = changes(2, &[(7, commands.address, 1)]);
     wire.write_all(&frame[..20]).unwrap(); // It stops within an event.
-    assert_eq!((from, commands.next_connection().0), (1, 1));
+    assert_eq!((from, commands.next_connection().last_change), (1, 1));
 }
 
 #[test]
@@ -438,7 +438,7 @@
     let mut client = front.client();
     client.send_request(1, "look-up");
     let old = engine.next_message("serve");
-    let (_, mut wire) = commands.next_connection();
+    let DiscoveryConnection { stream: mut wire, .. } = commands.next_connection();
     wire.write_all(&changes(2, &[(1, engine.address, 2), (5, engine.address, 0)])).unwrap();
     front.wait_for_log("engine 00000005 is Active");
     client.send_request(2, "look-up");
@@ -588,7 +588,7 @@
 #[test]
 fn engines_that_have_gone_leave_nothing_behind() {
     let (front, engine, commands) = one();
-    let (_, mut wire) = commands.next_connection();
+    let DiscoveryConnection { stream: mut wire, .. } = commands.next_connection();
     for id in 2..=60u32 {
         let frame = changes(u64::from(id), &[(id - 1, engine.address, 2), (id, engine.address, 0)]);
         wire.write_all(&frame).unwrap();
@@ -682,7 +682,7 @@
         shape(&mut told);
         start_failure(FRONT, Some(&told.to_string()))
     };
-    for ((code, text), names) in [
+    for (FailedStart { exit_code, stderr }, names) in [
         (start_failure(FRONT, None), "PROXY_CONFIG"),
         (start_failure(FRONT, Some("{")), "can't use"),
         (shaped(&|told| drop(told["settings"].as_object_mut().unwrap().remove("classes"))), "classes"),
@@ -690,7 +690,7 @@
         (shaped(&|told| drop(told["known"].as_object_mut().unwrap().remove("cmds"))), "cmds"),
         (shaped(&|told| told["listen"] = json!(taken.local_addr().unwrap().to_string())), "listen"),
     ] {
-        assert_eq!(code, Some(1), "{names}: {text}");
-        assert!(text.contains(names) && text.lines().count() == 1, "{names}: {text}");
+        assert_eq!(exit_code, Some(1), "{names}: {stderr}");
+        assert!(stderr.contains(names) && stderr.lines().count() == 1, "{names}: {stderr}");
     }
 }
--- /dev/null
+++ b/crates/testing/fakes/src/client.rs
@@ -0,0 +1,107 @@
+//! A client of a front.
+
+use crate::{TEST_TIMEOUT, base64};
+use serde_json::{Value, json};
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::TcpStream;
+use std::time::Duration;
+
+/// A connection to a front, by JSON-RPC in lines.
+pub struct Client {
+    /// The connection.
+    pub stream: TcpStream,
+    lines: BufReader<TcpStream>,
+}
+
+impl Client {
+    /// A client on this connection.
+    pub fn new(stream: TcpStream) -> Client {
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        stream.set_write_timeout(Some(TEST_TIMEOUT)).unwrap();
+        Client { lines: BufReader::new(stream.try_clone().unwrap()), stream }
+    }
+
+    /// Sends one line.
+    pub fn send_line(&mut self, line: &str) {
+        self.stream.write_all(format!("{line}\n").as_bytes()).unwrap();
+    }
+
+    /// The same; whether it could be sent.
+    pub fn try_send_line(&mut self, line: &str) -> bool {
+        self.stream.write_all(format!("{line}\n").as_bytes()).is_ok()
+    }
+
+    /// The next response; `None` if there is none, for whatever reason.
+    pub fn try_next_response(&mut self) -> Option<Value> {
+        let mut line = String::new();
+        self.lines.read_line(&mut line).ok().filter(|length| *length > 0)?;
+        serde_json::from_str(&line).ok()
+    }
+
+    /// Sends a request with this id. Returns the id that engines see.
+    pub fn send_request(&mut self, id: u64, method: &str) -> String {
+        self.send_request_with_timeout(id, method, 20_000)
+    }
+
+    /// The same, with a client timeout in milliseconds.
+    pub fn send_request_with_timeout(&mut self, id: u64, method: &str, ttl: u64) -> String {
+        self.send_request_with(id, method, ttl, if method == "load" { 3 } else { 17 })
+    }
+
+    /// The same, for a table group.
+    pub fn send_request_for_table_group(&mut self, id: u64, method: &str, group: u64) -> String {
+        self.send_request_with(id, method, 20_000, group)
+    }
+
+    fn send_request_with(&mut self, id: u64, method: &str, ttl: u64, group: u64) -> String {
+        let call = format!("{:08x}{id:08x}", self.stream.local_addr().unwrap().port());
+        let data = base64(format!("select * from sales_{group}.orders").as_bytes());
+        let params = json!({"call": call, "ttl": ttl, "data": data});
+        self.send_line(&json!({"jsonrpc": "2.0", "id": id, "method": method, "params": params}).to_string());
+        call
+    }
+
+    /// The next response; `None` if the front has closed the connection.
+    #[allow(clippy::should_implement_trait)]
+    pub fn next_response(&mut self) -> Option<Value> {
+        let mut line = String::new();
+        match self.lines.read_line(&mut line) {
+            Ok(0) => None,
+            Ok(_) => Some(serde_json::from_str(&line).unwrap()),
+            Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => None,
+            Err(e) => panic!("no answer: {e}"),
+        }
+    }
+
+    /// Expects a result with this id and these rows next.
+    pub fn expect_result(&mut self, id: u64, rows: &[u8]) {
+        let expected = json!({"jsonrpc": "2.0", "id": id, "result": {"data": base64(rows)}});
+        assert_eq!(self.next_response(), Some(expected));
+    }
+
+    /// Expects an error with this id next, and returns its code.
+    pub fn expect_error(&mut self, id: Option<u64>) -> i64 {
+        let answer = self.next_response().unwrap();
+        assert_eq!(answer["id"], json!(id), "{answer}");
+        answer["error"]["code"].as_i64().expect("an error")
+    }
+
+    /// Whether the front closed the connection in order, with nothing unread: an end of file, no reset.
+    pub fn is_closed_in_order(&mut self) -> bool {
+        let mut rest = Vec::new();
+        let at_end = self.lines.read_to_end(&mut rest).is_ok_and(|_| rest.is_empty());
+        // A reset that comes after an end of file shows here alone.
+        at_end && self.stream.take_error().unwrap().is_none()
+    }
+
+    /// Resets the connection.
+    pub fn reset(self) {
+        socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).unwrap();
+    }
+
+    /// Whether the front says that it is ready.
+    pub fn is_ready(&mut self) -> bool {
+        self.send_line(r#"{"jsonrpc":"2.0","id":999,"method":"heartbeat"}"#);
+        self.next_response().unwrap()["result"]["fit"].as_bool().unwrap()
+    }
+}
--- /dev/null
+++ b/crates/testing/fakes/src/discovery.rs
@@ -0,0 +1,55 @@
+//! Discovery: the server that fronts learn of engines from, and its frames.
+
+use crate::TEST_TIMEOUT;
+use std::io::Read;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+
+/// A connection of a front to discovery.
+pub struct DiscoveryConnection {
+    /// Number of the last change that the front knows.
+    pub last_change: u64,
+    /// The connection.
+    pub stream: TcpStream,
+}
+
+/// A discovery server, which the test answers for.
+pub struct DiscoveryServer {
+    /// Its address.
+    pub address: SocketAddr,
+    listener: TcpListener,
+}
+
+impl DiscoveryServer {
+    /// Starts one on a free port.
+    pub fn start() -> DiscoveryServer {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        DiscoveryServer { address: listener.local_addr().unwrap(), listener }
+    }
+
+    /// The next connection of a front.
+    pub fn next_connection(&self) -> DiscoveryConnection {
+        let (mut stream, _) = self.listener.accept().unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        let mut last_change = [0; 8];
+        stream.read_exact(&mut last_change).unwrap();
+        DiscoveryConnection { last_change: u64::from_be_bytes(last_change), stream }
+    }
+}
+
+/// A frame with the change of this number: engines with their addresses and states.
+pub fn changes(number: u64, records: &[(u32, SocketAddr, u8)]) -> Vec<u8> {
+    let mut frame = ((9 + 27 * records.len()) as u32).to_be_bytes().to_vec();
+    frame.extend(number.to_be_bytes());
+    frame.push(2);
+    for (id, address, state) in records {
+        let SocketAddr::V4(address) = address else { unreachable!() };
+        frame.extend(id.to_be_bytes());
+        frame.extend(address.ip().octets());
+        frame.extend(address.port().to_be_bytes());
+        frame.extend([*state, 0, 0]);
+        frame.extend(0u16.to_be_bytes());
+        frame.extend(1000u32.to_be_bytes());
+        frame.extend(0u64.to_be_bytes());
+    }
+    frame
+}
