--- a/crates/edges/cli/src/fleet/leases.rs
+++ b/crates/edges/cli/src/fleet/leases.rs
@@ -2,7 +2,7 @@
 
 use super::operator::{Operator, REPLY_TIMEOUT};
 use crate::error::CommandError;
-use lemonusher_fleet::{Body, MemberRow, RegisterRow, Row};
+use lemonusher_fleet::{Body, LeaseRow, MemberRow, RegisterRow};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -11,7 +11,7 @@
 struct VoterLeases {
     /// The voter started lately and does not vote yet.
     is_silent: bool,
-    rows: Vec<Row>,
+    rows: Vec<LeaseRow>,
 }
 
 struct VoterRegisters {
@@ -39,11 +39,11 @@
 
     /// All leases that a voter has granted; none if it does not answer.
     fn leases(&mut self, voter: SocketAddr) -> Result<Option<VoterLeases>, CommandError> {
-        let mut all: Vec<Row> = Vec::new();
+        let mut all: Vec<LeaseRow> = Vec::new();
         loop {
             let after = all.last().map(|row| row.task.clone()).unwrap_or_default();
             match self.ask(voter, &Body::ShowLeases { after })? {
-                Some(Body::Leases { mute, rows, more }) => {
+                Some(Body::Leases { is_silent: mute, rows, more }) => {
                     all.extend(rows);
                     if !more {
                         return Ok(Some(VoterLeases { is_silent: mute, rows: all }));
@@ -60,7 +60,7 @@
         loop {
             let after = all.last().map(|row| row.name.clone()).unwrap_or_default();
             match self.ask(voter, &Body::ShowRegisters { after })? {
-                Some(Body::Registers { votes, era, rows, more }) => {
+                Some(Body::Registers { is_voting: votes, epoch: era, rows, more }) => {
                     all.extend(rows);
                     if !more {
                         return Ok(Some(VoterRegisters { votes, epoch: era, rows: all }));
@@ -75,7 +75,7 @@
     fn members(&mut self, front: SocketAddr) -> Result<Option<Vec<MemberRow>>, CommandError> {
         let mut all: Vec<MemberRow> = Vec::new();
         loop {
-            let after = all.last().map(|row| (row.name.clone(), row.born)).unwrap_or_default();
+            let after = all.last().map(|row| (row.name.clone(), row.incarnation)).unwrap_or_default();
             match self.ask(front, &Body::ShowMembers { after })? {
                 Some(Body::Members { rows, more }) => {
                     all.extend(rows);
@@ -89,7 +89,7 @@
     }
 
     /// The lease on a task, by the first voter that shows one.
-    fn holder(&mut self, task: &str) -> Result<Option<Row>, CommandError> {
+    fn holder(&mut self, task: &str) -> Result<Option<LeaseRow>, CommandError> {
         for voter in self.config.voters.clone() {
             let rows = self.leases(voter)?.map(|leases| leases.rows).unwrap_or_default();
             let lease = rows.into_iter().find(|row| row.task == task);
@@ -145,7 +145,7 @@
             }
             Some(VoterLeases { rows, .. }) => {
                 println!("voter {voter}: {} leases", rows.len());
-                for Row { task, who, number, left } in rows {
+                for LeaseRow { task, holder: who, fencing_token: number, remaining: left } in rows {
                     println!("  {task:<24} {who}  number {number}, {:.1} s left", left.as_secs_f64());
                 }
             }
@@ -153,7 +153,7 @@
         if let Some(VoterRegisters { votes, epoch, rows }) = &self.registers {
             let memory = if *votes { "it votes" } else { "it has no memory yet" };
             println!("  registers: {memory}, era {epoch}");
-            for RegisterRow { name, stamp, number, long } in rows {
+            for RegisterRow { name, version: stamp, fencing_token: number, value_bytes: long } in rows {
                 println!("  {name:<24} version {}, written under {number}, {long} bytes", stamp.counter);
             }
         }
@@ -175,14 +175,16 @@
     let deadline = Instant::now() + operator.config.leases.voter_hold_time() * 4;
     while Instant::now() < deadline {
         std::thread::sleep(REPLY_TIMEOUT / 5);
-        let Some(now) = operator.holder(task)?.filter(|row| row.number > before.number) else { continue };
-        let Row { who, number, .. } = now;
+        let Some(now) = operator.holder(task)?.filter(|row| row.fencing_token > before.fencing_token) else {
+            continue;
+        };
+        let LeaseRow { holder: who, fencing_token: number, .. } = now;
         if json {
-            println!("{}", json!({"task": task, "from": before.who, "to": who, "number": number}));
+            println!("{}", json!({"task": task, "from": before.holder, "to": who, "number": number}));
         } else {
-            println!("{task}: from {} to {who}, number {number}", before.who);
+            println!("{task}: from {} to {who}, number {number}", before.holder);
         }
         return Ok(());
     }
-    Err(CommandError::Failed(format!("{task} was not taken by another; {} held it", before.who)))
+    Err(CommandError::Failed(format!("{task} was not taken by another; {} held it", before.holder)))
 }
--- a/crates/edges/cli/src/fleet/maintenance.rs
+++ b/crates/edges/cli/src/fleet/maintenance.rs
@@ -3,7 +3,7 @@
 use super::operator::Operator;
 use crate::error::CommandError;
 use crate::inputs::read_file;
-use lemonusher_fleet::{Body, works_register};
+use lemonusher_fleet::{Body, maintenance_register};
 use lemonusher_maintenance::{
     MAX_CONCURRENT, MAX_MACHINES, MAX_NAME_BYTES, MAX_REQUESTS, Machine, MachineStatus, MaintenanceRequest,
     Phase,
@@ -196,7 +196,7 @@
 
 /// What current in a register, by a whole round.
 fn read(operator: &mut Operator, number: u8) -> Result<Option<MaintenanceRequest>, CommandError> {
-    match operator.propose(&works_register(number), Operation::Read)? {
+    match operator.propose(&maintenance_register(number), Operation::Read)? {
         ProposalOutcome::Committed { entry, .. } | ProposalOutcome::Conflict { entry, .. } => {
             Ok(entry.and_then(|entry| MaintenanceRequest::from_bytes(&entry.value)))
         }
@@ -212,7 +212,7 @@
     number: u8,
     next: impl Fn(Option<MaintenanceRequest>) -> Option<MaintenanceRequest>,
 ) -> Result<Option<u64>, CommandError> {
-    let name = works_register(number);
+    let name = maintenance_register(number);
     let mut wanted = Operation::Read;
     for _ in 0..MAX_TRIES {
         let reads = wanted == Operation::Read;
@@ -273,8 +273,9 @@
     let mut latest: Option<((u64, u64), MaintenanceRequest)> = None;
     let mut blocked = None;
     for voter in voters.clone() {
-        let Some(Body::MaintenanceShown { work, why, foreman, .. }) =
-            operator.ask(voter, &Body::ShowMaintenance { number })?
+        let Some(Body::MaintenanceShown {
+            stored: work, blocked_reason: why, is_coordinator: foreman, ..
+        }) = operator.ask(voter, &Body::ShowMaintenance { request: number })?
         else {
             voters.retain(|other| *other != voter);
             continue;
--- a/crates/edges/cli/src/fleet/operator.rs
+++ b/crates/edges/cli/src/fleet/operator.rs
@@ -3,7 +3,7 @@
 use super::fleet_config;
 use crate::error::CommandError;
 use crate::inputs::read_file;
-use lemonusher_fleet::{Body, Frame, Terms};
+use lemonusher_fleet::{Body, FleetConfig, Frame};
 use lemonusher_leases::Incarnation;
 use lemonusher_registers::{Operation, ProposalOutcome, Proposer};
 use std::net::{SocketAddr, UdpSocket};
@@ -20,7 +20,7 @@
 /// An operator beside the fleet.
 pub struct Operator {
     /// The fleet's configuration, as the file states it.
-    pub config: Terms,
+    pub config: FleetConfig,
     incarnation: Incarnation,
     sequence: u64,
     socket: UdpSocket,
@@ -43,8 +43,13 @@
     /// Sends a message once.
     pub fn send(&mut self, body: Body, to: SocketAddr) -> Result<(), CommandError> {
         self.sequence += 1;
-        let terms = lemonusher_fleet::mark(&self.config);
-        let frame = Frame { from: self.incarnation.clone(), seq: self.sequence, terms, body };
+        let terms = lemonusher_fleet::config_fingerprint(&self.config);
+        let frame = Frame {
+            from: self.incarnation.clone(),
+            sequence: self.sequence,
+            config_fingerprint: terms,
+            body,
+        };
         let sealed =
             frame.seal(&self.config.key).ok_or_else(|| CommandError::Failed("it is too long".to_owned()))?;
         self.socket.send_to(&sealed, to).map(drop).map_err(|error| CommandError::Failed(error.to_string()))
--- a/crates/edges/cli/src/fleet/zones.rs
+++ b/crates/edges/cli/src/fleet/zones.rs
@@ -3,7 +3,7 @@
 use super::operator::{MAX_TRIES, Operator};
 use crate::error::CommandError;
 use crate::inputs::read_inputs;
-use lemonusher_fleet::{Body, PlanGroup, PlanSite};
+use lemonusher_fleet::{Body, ClassRow, ZoneRow};
 use lemonusher_front::DeploymentNames;
 use lemonusher_registers::{Entry, Operation, ProposalOutcome};
 use lemonusher_zone_failover::OperatorOverride;
@@ -49,8 +49,8 @@
 struct ShownPlan {
     /// Epoch and version; none if no plan is committed yet.
     epoch: Option<(u64, u64)>,
-    zones: Vec<PlanSite>,
-    classes: Vec<PlanGroup>,
+    zones: Vec<ZoneRow>,
+    classes: Vec<ClassRow>,
     /// Indices of request classes, in the order in which they are refused.
     refused_first: Vec<u8>,
 }
@@ -63,7 +63,15 @@
     let mut operator = Operator::connect(path)?;
     for voter in operator.config.voters.clone() {
         let shown = operator.ask(voter, &Body::ShowPlan { without: without.clone() })?;
-        let Some(Body::PlanShown { epoch, sites, groups, refused_first }) = shown else { continue };
+        let Some(Body::PlanShown {
+            version: epoch,
+            zones: sites,
+            classes: groups,
+            shed_order: refused_first,
+        }) = shown
+        else {
+            continue;
+        };
         let plan = ShownPlan { epoch, zones: sites, classes: groups, refused_first };
         if json {
             plan.print_json(&names)
@@ -89,13 +97,13 @@
 impl ShownPlan {
     fn print_json(&self, names: &DeploymentNames) {
         let zones = self.zones.iter().enumerate().map(|(index, zone)| {
-            json!({"site": name_at(&names.zones, index), "state": zone.state, "open": share(zone.open),
-                "found": zone.finding, "cores": zone.cores, "answers": share(zone.part),
-                "filled": share(zone.filled)})
+            json!({"site": name_at(&names.zones, index), "state": zone.state, "open": share(zone.open_permille),
+                "found": zone.health, "cores": zone.cores, "answers": share(zone.answering_permille),
+                "filled": share(zone.filled_permille)})
         });
         let classes = self.classes.iter().enumerate().map(|(index, class)| {
-            json!({"group": name_at(&names.request_classes, index), "rate": class.rate, "work": class.work,
-                "served": share(class.served), "may_run_nowhere": class.nowhere})
+            json!({"group": name_at(&names.request_classes, index), "rate": class.requests_per_second, "work": class.work_seconds,
+                "served": share(class.served_permille), "may_run_nowhere": class.is_unplaceable})
         });
         let order = self.refused_first.iter();
         let order = order.map(|index| name_at(&names.request_classes, usize::from(*index)));
@@ -116,26 +124,28 @@
                 "site {:<16} {}, {:.1} % open; looks {}, {} cores, {:.0} % answer; filled to {:.0} %",
                 name_at(&names.zones, index),
                 zone.state,
-                share(zone.open) * 100.0,
-                zone.finding.to_lowercase(),
+                share(zone.open_permille) * 100.0,
+                zone.health.to_lowercase(),
                 zone.cores,
-                share(zone.part) * 100.0,
-                share(zone.filled) * 100.0
+                share(zone.answering_permille) * 100.0,
+                share(zone.filled_permille) * 100.0
             );
         }
         for index in self.refused_first.iter().map(|index| usize::from(*index)) {
             let Some(class) = self.classes.get(index) else { continue };
-            let nowhere = if class.nowhere { "; it may run nowhere that is left" } else { "" };
+            let nowhere = if class.is_unplaceable { "; it may run nowhere that is left" } else { "" };
             println!(
                 "group {:<15} {:.1} a second of {:.2} s work, {:.1} % served{nowhere}",
                 name_at(&names.request_classes, index),
-                class.rate,
-                class.work,
-                share(class.served) * 100.0
+                class.requests_per_second,
+                class.work_seconds,
+                share(class.served_permille) * 100.0
             );
         }
         println!("(groups in the order in which they are refused)");
-        let is_short = |class: &PlanGroup| class.served < SERVED_WHOLE_PERMILLE && class.rate > 0.0;
+        let is_short = |class: &ClassRow| {
+            class.served_permille < SERVED_WHOLE_PERMILLE && class.requests_per_second > 0.0
+        };
         if self.classes.iter().any(is_short) {
             println!("warning: what is left can't carry all");
         }
@@ -154,9 +164,9 @@
     let mut overrides = Vec::new();
     let mut operation = Operation::Read;
     for _ in 0..MAX_TRIES * 2 {
-        match operator.propose(lemonusher_fleet::WISHES, operation)? {
+        match operator.propose(lemonusher_fleet::OVERRIDES_REGISTER, operation)? {
             ProposalOutcome::Committed { entry: Some(entry), .. }
-                if !overrides.is_empty() && lemonusher_fleet::read_wishes(&entry.value) == overrides =>
+                if !overrides.is_empty() && lemonusher_fleet::decode_overrides(&entry.value) == overrides =>
             {
                 let version = entry.version.counter;
                 if json {
@@ -170,7 +180,7 @@
                 overrides = with_override(entry.as_ref(), index, operator_override(requested));
                 let (expected, fencing_token) =
                     entry.map_or((None, 0), |entry| (Some(entry.version), entry.fencing_token));
-                let value = lemonusher_fleet::write_wishes(&overrides);
+                let value = lemonusher_fleet::encode_overrides(&overrides);
                 operation = Operation::CompareAndSet { expected, fencing_token, value };
             }
             ProposalOutcome::Unknown { .. } => break,
@@ -181,7 +191,8 @@
 
 /// The overrides of a register's entry, with one of them changed.
 fn with_override(entry: Option<&Entry>, index: usize, requested: OperatorOverride) -> Vec<OperatorOverride> {
-    let mut overrides = entry.map(|entry| lemonusher_fleet::read_wishes(&entry.value)).unwrap_or_default();
+    let mut overrides =
+        entry.map(|entry| lemonusher_fleet::decode_overrides(&entry.value)).unwrap_or_default();
     overrides.resize(overrides.len().max(index + 1), OperatorOverride::Auto);
     overrides[index] = requested;
     overrides
--- a/crates/edges/cli/src/manage/client.rs
+++ b/crates/edges/cli/src/manage/client.rs
@@ -14,7 +14,7 @@
 use lemonusher_managed::gnmi::proto::gnmi_ext::{
     Commit, CommitCancel, CommitConfirm, CommitRequest, Extension, RegisteredExtension,
 };
-use lemonusher_managed::gnmi::{EXPECT, OURS};
+use lemonusher_managed::gnmi::{EXPECTED_VERSION_KEY, EXTENSION_ID};
 use std::time::Duration;
 use tonic::metadata::MetadataValue;
 use tonic::transport::{Certificate, Channel, ClientTlsConfig, Endpoint};
@@ -52,7 +52,7 @@
 }
 
 fn own_extension(content: &serde_json::Value) -> Extension {
-    let extension = RegisteredExtension { id: OURS, msg: content.to_string().into_bytes() };
+    let extension = RegisteredExtension { id: EXTENSION_ID, msg: content.to_string().into_bytes() };
     Extension { ext: Some(Ext::RegisteredExt(extension)) }
 }
 
@@ -141,7 +141,7 @@
             message.extension.push(commit_extension(&args.id, action));
         }
         if let Some(expect) = args.expect {
-            message.extension.push(own_extension(&serde_json::json!({EXPECT: expect})));
+            message.extension.push(own_extension(&serde_json::json!({EXPECTED_VERSION_KEY: expect})));
         }
         self.change(message).await
     }
@@ -167,7 +167,7 @@
         request.set_timeout(TIMEOUT);
         let response = self.inner.set(request).await.map_err(failed)?.into_inner();
         let version = response.extension.into_iter().find_map(|extension| match extension.ext {
-            Some(Ext::RegisteredExt(extension)) if extension.id == OURS => {
+            Some(Ext::RegisteredExt(extension)) if extension.id == EXTENSION_ID => {
                 serde_json::from_slice::<serde_json::Value>(&extension.msg).ok()?.get("version")?.as_u64()
             }
             _ => None,
--- a/crates/edges/cli/src/run/management.rs
+++ b/crates/edges/cli/src/run/management.rs
@@ -2,13 +2,13 @@
 
 use crate::error::{CommandError, read_bytes};
 use crate::file::{Access, GnmiSection, ManagementSection, NetconfSection, UserSection};
-use lemonusher_managed::{GnmiTerms, NetconfTerms, Terms, Tls, User, Users};
+use lemonusher_managed::{GnmiConfig, ManagementConfig, NetconfConfig, Tls, User, Users};
 use std::path::Path;
 
 /// The configuration that the file states, with the files read that it names.
-pub fn management_config(section: &ManagementSection) -> Result<Terms, CommandError> {
+pub fn management_config(section: &ManagementSection) -> Result<ManagementConfig, CommandError> {
     let users = section.users.iter().map(user).collect::<Result<Vec<User>, CommandError>>()?;
-    Ok(Terms {
+    Ok(ManagementConfig {
         folder: section.state_folder.as_ref().map(|folder| folder.get_ref().clone()),
         history: *section.max_commits.get_ref(),
         sessions: *section.max_sessions.get_ref(),
@@ -31,19 +31,19 @@
     })
 }
 
-fn gnmi(section: &GnmiSection) -> Result<GnmiTerms, CommandError> {
+fn gnmi(section: &GnmiSection) -> Result<GnmiConfig, CommandError> {
     let tls = match (&section.certificate, &section.key) {
         (Some(certificate), Some(key)) => {
             Some(Tls { certificate: read_bytes(certificate.get_ref())?, key: read_bytes(key.get_ref())? })
         }
         _ => None,
     };
-    Ok(GnmiTerms { listen: *section.listen.get_ref(), tls })
+    Ok(GnmiConfig { listen: *section.listen.get_ref(), tls })
 }
 
-fn netconf(section: &NetconfSection) -> Result<NetconfTerms, CommandError> {
+fn netconf(section: &NetconfSection) -> Result<NetconfConfig, CommandError> {
     let host_key = section.host_key.as_ref().map(|path| read_text(path.get_ref())).transpose()?;
-    Ok(NetconfTerms { listen: *section.listen.get_ref(), host_key })
+    Ok(NetconfConfig { listen: *section.listen.get_ref(), host_key })
 }
 
 fn read_text(path: &Path) -> Result<String, CommandError> {
--- a/crates/edges/cli/src/run/mod.rs
+++ b/crates/edges/cli/src/run/mod.rs
@@ -41,7 +41,7 @@
 
 /// Starts managers' servers. What is returned first keeps them running.
 fn start_management(
-    config: lemonusher_managed::Terms,
+    config: lemonusher_managed::ManagementConfig,
     names: &DeploymentNames,
     log_level: LogLevelHandle,
 ) -> Result<(Arc<Hub>, ManagementChannels), CommandError> {
@@ -53,7 +53,7 @@
     let set_level = Arc::new(move |level: &str| log_level.set(level));
     let started = lemonusher_managed::start(config, known, names.front.clone(), set_level, Vec::new())
         .map_err(failed)?;
-    let Started { requests, wanted, notices, gnmi, netconf, hub } = started;
+    let Started { requests, desired_state: wanted, notifications: notices, gnmi, netconf, hub } = started;
     if let Some(address) = gnmi {
         tracing::info!("gNMI at {address}");
     }
@@ -76,19 +76,23 @@
 fn start_fleet(
     section: &FleetSection,
     names: &DeploymentNames,
-) -> Result<(lemonusher_fleet::Started, FleetChannels), CommandError> {
+) -> Result<(lemonusher_fleet::FleetHandle, FleetChannels), CommandError> {
     let mut config = fleet_config(section, &names.front, names.zone)?;
     let mut zone_failover = None;
     if let Some(zones) = &section.zones {
         let failover = zones.get_ref().config();
         let (observations, seen) = async_channel::bounded(1);
         let groups = lemonusher_routing::class_loads(&names.class_configs, failover.admission_floor);
-        config.sites = Some(lemonusher_fleet::SitesTerms { terms: failover, groups, seen });
+        config.zone_failover = Some(lemonusher_fleet::ZoneFailoverSettings {
+            config: failover,
+            classes: groups,
+            observations: seen,
+        });
         zone_failover = Some(ZoneFailover { config: failover, observations });
         let maintenance = section.maintenance.as_ref().map(|maintenance| maintenance.get_ref());
-        config.works = maintenance.map(|maintenance| lemonusher_fleet::WorksTerms {
-            terms: maintenance.config(failover.report_interval),
-            tell: maintenance.notify.as_ref().map(|to| *to.get_ref()),
+        config.maintenance = maintenance.map(|maintenance| lemonusher_fleet::MaintenanceSettings {
+            config: maintenance.config(failover.report_interval),
+            notify: maintenance.notify.as_ref().map(|to| *to.get_ref()),
         });
     }
     let listen = config.listen;
@@ -96,7 +100,7 @@
         .map_err(|error| failed(format!("fleet: can't start at {listen}: {error}")))?;
     tracing::info!("fleet at {}", started.address);
     let channels = FleetChannels {
-        control_updates: started.words.clone(),
+        control_updates: started.control_updates.clone(),
         shares_quota: section.quota_slots > 0,
         zone_failover,
         maintenance: section.maintenance.is_some(),
--- a/crates/edges/front/tests/unit/engine.rs
+++ b/crates/edges/front/tests/unit/engine.rs
@@ -1,21 +1,30 @@
 use super::*;
 
 fn whole(bytes: &[u8]) -> Result<EngineReply, ReplyError> {
-    let parse_reply = parse_reply(bytes)?.expect("a whole answer");
-    assert_eq!(parse_reply.0, bytes.len());
-    Ok(parse_reply.1)
+    let reply = parse_reply(bytes)?.expect("a whole answer");
+    assert_eq!(reply.length, bytes.len());
+    Ok(reply.message)
 }
 
 #[test]
-fn reads_answers_and_waits_for_whole_ones() {
+fn reads_replies_and_waits_for_complete_ones() {
     let hit: &[u8] =
         b"a1 HIT fetches=2,effort=120.5,high=64,use=inflight:7;util:0.61;a:NaN;b:-1;c:inf;odd 6\r\na\t\tb\r\n\r\n";
     for end in 0..hit.len() {
         assert_eq!(parse_reply(&hit[..end]), Ok(None), "{end}");
     }
     let answer = whole(hit).unwrap();
-    assert_eq!(answer.kind, ReplyKind::Completed { pages: 2, usage: Some((120.5, 64.0)) });
-    assert_eq!(answer.load, Some(vec![("inflight".into(), 7.0), ("util".into(), 0.61)]));
+    assert_eq!(
+        answer.kind,
+        ReplyKind::Completed { pages: 2, usage: Some(ReportedUsage { work_ms: 120.5, memory_mb: 64.0 }) }
+    );
+    assert_eq!(
+        answer.load,
+        Some(vec![
+            LoadField { name: "inflight".into(), value: 7.0 },
+            LoadField { name: "util".into(), value: 0.61 }
+        ])
+    );
     assert_eq!((answer.id.as_str(), answer.body.as_slice()), ("a1", b"a\t\tb\r\n".as_slice()));
     for (line, kind) in [
         ("HIT -", ReplyKind::Completed { pages: 1, usage: None }),
@@ -37,7 +46,7 @@
 }
 
 #[test]
-fn turns_away_what_is_no_answer() {
+fn rejects_malformed_replies() {
     for (bytes, why) in [
         ("x HIT 0\r\n\r\n", ReplyError::Line),
         (" HIT - 0\r\n\r\n", ReplyError::Line),
@@ -58,7 +67,7 @@
 }
 
 #[test]
-fn tells_whole_rows_from_others() {
+fn recognises_complete_rows() {
     for whole in ["", "a\tb\tc\n", "\t\t\n\t\té\r\n"] {
         assert!(has_whole_rows(whole.as_bytes()), "{whole}");
     }
@@ -68,7 +77,7 @@
 }
 
 #[test]
-fn writes_requests_with_their_terms() {
+fn writes_attempts_with_their_parameters() {
     let mut parameters =
         AttemptParameters { request_class: "look-up", budget_ms: 900, priority: 3, memory_mb: 0 };
     assert_eq!(
