--- a/crates/edges/managed/src/hub.rs
+++ b/crates/edges/managed/src/hub.rs
@@ -1,5 +1,5 @@
-//! Where all doors meet: the store, its log, and the parts. One commit is on its way at a time, whatever door it
-//! came by, and goes on to its end when whoever asked for it has gone.
+//! What NETCONF and gNMI share: the store, its log, and the parts of the front. One commit is in progress at a time,
+//! whatever protocol it came by, and goes on to its end also when its caller no longer waits.
 
 use crate::disk::Disk;
 use crate::parts::Part;
@@ -17,52 +17,72 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::{Notify, broadcast};
 
-/// A part that says nothing for so long is taken as lost.
+/// How long a part may take for an answer before it counts as lost.
 const PART_TIMEOUT: Duration = Duration::from_secs(5);
-/// Notices that a door may be behind before it loses some.
+/// After how long a revert that failed is tried again.
+const REVERT_RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Events that may be queued for a subscriber before it loses some.
 const MAX_QUEUED_NOTIFICATIONS: usize = 4096;
 
-/// What subscribers to notifications hear of.
+/// What subscribers to notifications are sent.
 #[derive(Debug, Clone)]
 pub enum ManagementEvent {
+    /// A version is in force.
     Committed(Arc<Version>),
+    /// An engine's listing or use has changed.
     Engine(EngineNotification),
 }
 
+/// What is accessed under the lock.
 struct Core {
     store: Store,
+    /// None for a store that does not outlive the process.
     disk: Option<Disk>,
     /// Updates that each session's subscriptions have lost.
     lost_updates: BTreeMap<SessionId, u64>,
 }
 
+/// What a hub is made of.
+pub(crate) struct HubSetup {
+    pub schema: Arc<Schema>,
+    pub names: Names,
+    pub front: String,
+    pub store: Store,
+    pub disk: Option<Disk>,
+    pub parts: Vec<Arc<dyn Part>>,
+    /// Calls to the request router.
+    pub requests: Sender<ManagementCall>,
+    /// How old the state that a manager reads may be.
+    pub freshness: Duration,
+}
+
+/// The store with all that a commit involves, shared by all sessions.
 pub struct Hub {
     schema: Arc<Schema>,
     names: Names,
     front: String,
     core: Mutex<Core>,
+    /// Held by the commit in progress.
     commit_lock: tokio::sync::Mutex<()>,
     parts: Vec<Arc<dyn Part>>,
     requests: Sender<ManagementCall>,
     started_at: Instant,
     freshness: Duration,
-    latest_snapshot: tokio::sync::Mutex<Option<(Instant, Arc<Snapshot>)>>,
+    latest_snapshot: tokio::sync::Mutex<Option<TakenSnapshot>>,
     events: broadcast::Sender<ManagementEvent>,
+    /// Notified when the store's next timeout may have changed.
     timeout_changed: Notify,
 }
 
+/// A snapshot of the router, and when it was taken.
+struct TakenSnapshot {
+    at: Instant,
+    snapshot: Arc<Snapshot>,
+}
+
 impl Hub {
-    #[allow(clippy::too_many_arguments)]
-    pub fn new(
-        schema: Arc<Schema>,
-        names: Names,
-        front: String,
-        store: Store,
-        disk: Option<Disk>,
-        parts: Vec<Arc<dyn Part>>,
-        requests: Sender<ManagementCall>,
-        freshness: Duration,
-    ) -> Arc<Hub> {
+    pub(crate) fn new(setup: HubSetup) -> Arc<Hub> {
+        let HubSetup { schema, names, front, store, disk, parts, requests, freshness } = setup;
         Arc::new(Hub {
             schema,
             names,
@@ -79,19 +99,22 @@
         })
     }
 
+    /// The model of all trees.
     pub fn schema(&self) -> &Arc<Schema> {
         &self.schema
     }
 
+    /// The front's name.
     pub fn front(&self) -> &str {
         &self.front
     }
 
-    /// Since the hub's start; the store's spans count from there.
+    /// The time since the hub's start, from which the store's times count.
     pub fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
 
+    /// All events from now on.
     pub fn subscribe(&self) -> broadcast::Receiver<ManagementEvent> {
         self.events.subscribe()
     }
@@ -100,12 +123,12 @@
         self.core.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Looks at or changes what no commit is needed for.
+    /// Reads the store, or changes what selection no commit.
     pub fn with_store<T>(&self, act: impl FnOnce(&mut Store) -> T) -> T {
         act(&mut self.core().store)
     }
 
-    /// A session has ended; what it alone could have confirmed falls due.
+    /// A session has ended; a commit that it alone could have confirmed is to be reverted.
     pub fn close_session(&self, session: SessionId) {
         let mut core = self.core();
         core.store.close_session(session);
@@ -114,18 +137,19 @@
         self.timeout_changed.notify_one();
     }
 
+    /// Sets the number of updates that a session's subscriptions have lost.
     pub fn record_lost_updates(&self, session: SessionId, updates: u64) {
         *self.core().lost_updates.entry(session).or_default() = updates;
     }
 
-    /// Plans something and carries it out. The future may be dropped: what is planned goes on to its end.
+    /// Plans a commit and executes it. The future may be dropped: what is planned goes on to its end.
     pub async fn commit(
         self: &Arc<Self>,
         plan: impl FnOnce(&mut Store, Duration, u64) -> Result<Option<CommitPlan>, StoreError> + Send + 'static,
     ) -> Result<Option<Arc<Version>>, StoreError> {
         let hub = self.clone();
-        let carried = tokio::spawn(async move {
-            let _lane = hub.commit_lock.lock().await;
+        let committing = tokio::spawn(async move {
+            let _in_progress = hub.commit_lock.lock().await;
             let now = hub.now();
             let planned = plan(&mut hub.core().store, now, unix_ms())?;
             match planned {
@@ -133,67 +157,22 @@
                 None => Ok(None),
             }
         });
-        carried
-            .await
-            .unwrap_or_else(|_| Err(StoreError::Failed("the commit came to an end too early".into())))
+        let failed = || StoreError::Failed("the commit came to an end too early".into());
+        committing.await.unwrap_or_else(|_| Err(failed()))
     }
 
-    /// Takes a plan through all parts and the log.
+    /// Takes a plan through all parts and the log, and finishes or abandons it.
     async fn execute(self: &Arc<Self>, plan: CommitPlan) -> Result<Arc<Version>, StoreError> {
         let version = plan.version.clone();
-        let (mut round, asks) = TwoPhaseCommit::start(self.parts.iter().map(|part| part.name()).collect());
-        let mut asks = VecDeque::from(asks);
-        let mut outcome = Err("it came to no end".to_owned());
-        while let Some(ask) = asks.pop_front() {
-            let told = match ask {
-                CommitAction::Prepare(part) => {
-                    Some(match self.call_part(part, |part| part.prepare(version.clone())).await {
-                        Some(Ok(())) => CommitEvent::Prepared(part),
-                        Some(Err(why)) => CommitEvent::Declined { part, reason: why },
-                        None => CommitEvent::Lost(part),
-                    })
-                }
-                CommitAction::Log => Some(match self.log(&plan) {
-                    Ok(()) => CommitEvent::Logged,
-                    Err(error) => CommitEvent::NotLogged(error.to_string()),
-                }),
-                CommitAction::Activate(part) => {
-                    Some(match self.call_part(part, |part| part.activate(version.number)).await {
-                        Some(Ok(())) => CommitEvent::Activated(part),
-                        _ => CommitEvent::Lost(part),
-                    })
-                }
-                CommitAction::Discard(part) => {
-                    self.call_part(part, |part| part.discard(version.number)).await;
-                    None
-                }
-                CommitAction::Done(lost) => {
-                    for part in lost {
-                        let part = self.parts[part].name();
-                        tracing::error!(commit = version.number, part, "a part did not say that it switched");
-                    }
-                    outcome = Ok(());
-                    None
-                }
-                CommitAction::Failed(why) => {
-                    outcome = Err(why.to_string());
-                    None
-                }
-            };
-            asks.extend(told.map(|told| round.handle_event(told)).unwrap_or_default());
-        }
+        let outcome = self.run_parts(&plan).await;
         let mut core = self.core();
-        match outcome {
-            Ok(()) => {
-                core.store.finish_commit(plan);
-                shorten(&mut core);
-            }
-            Err(why) => {
-                core.store.abandon_commit(&plan);
-                tracing::warn!(commit = version.number, "commit failed: {why}");
-                return Err(StoreError::Failed(why));
-            }
+        if let Err(why) = outcome {
+            core.store.abandon_commit(&plan);
+            tracing::warn!(commit = version.number, "commit failed: {why}");
+            return Err(StoreError::Failed(why));
         }
+        core.store.finish_commit(plan);
+        compact_if_needed(&mut core);
         drop(core);
         tracing::info!(
             commit = version.number,
@@ -209,17 +188,78 @@
         Ok(version)
     }
 
-    /// What a part says; none if it panicked or took too long.
+    /// Carries out what the two-phase commit asks for, until it is done or has failed.
+    async fn run_parts(&self, plan: &CommitPlan) -> Result<(), String> {
+        let (mut commit, actions) =
+            TwoPhaseCommit::start(self.parts.iter().map(|part| part.name()).collect());
+        let mut actions = VecDeque::from(actions);
+        let mut outcome = Err("it came to no end".to_owned());
+        while let Some(action) = actions.pop_front() {
+            match action {
+                CommitAction::Done(lost) => {
+                    self.log_lost_parts(&plan.version, lost);
+                    outcome = Ok(());
+                }
+                CommitAction::Failed(failure) => outcome = Err(failure.to_string()),
+                action => {
+                    if let Some(event) = self.carry_out(action, plan).await {
+                        actions.extend(commit.handle_event(event));
+                    }
+                }
+            }
+        }
+        outcome
+    }
+
+    /// One step of a commit, and the event that it leads to.
+    async fn carry_out(&self, action: CommitAction, plan: &CommitPlan) -> Option<CommitEvent> {
+        let version = &plan.version;
+        match action {
+            CommitAction::Prepare(part) => {
+                let prepared = self.call_part(part, |part| part.prepare(version.clone())).await;
+                Some(match prepared {
+                    Some(Ok(())) => CommitEvent::Prepared(part),
+                    Some(Err(reason)) => CommitEvent::Declined { part, reason },
+                    None => CommitEvent::Lost(part),
+                })
+            }
+            CommitAction::Log => Some(match self.log(plan) {
+                Ok(()) => CommitEvent::Logged,
+                Err(error) => CommitEvent::NotLogged(error.to_string()),
+            }),
+            CommitAction::Activate(part) => {
+                let activated = self.call_part(part, |part| part.activate(version.number)).await;
+                Some(match activated {
+                    Some(Ok(())) => CommitEvent::Activated(part),
+                    Some(Err(_)) | None => CommitEvent::Lost(part),
+                })
+            }
+            CommitAction::Discard(part) => {
+                self.call_part(part, |part| part.discard(version.number)).await;
+                None
+            }
+            CommitAction::Done(_) | CommitAction::Failed(_) => None,
+        }
+    }
+
+    fn log_lost_parts(&self, version: &Version, lost: Vec<usize>) {
+        for part in lost {
+            let part = self.parts[part].name();
+            tracing::error!(commit = version.number, part, "a part did not say that it switched");
+        }
+    }
+
+    /// A part's answer; none if it panicked or took too long.
     async fn call_part(
         &self,
         part: usize,
-        ask: impl FnOnce(&dyn Part) -> crate::PartFuture,
+        call: impl FnOnce(&dyn Part) -> crate::PartFuture,
     ) -> Option<Result<(), String>> {
         let part = self.parts[part].clone();
-        let asked = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| ask(&*part))).ok()?;
-        let task = tokio::spawn(asked);
+        let future = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| call(&*part))).ok()?;
+        let task = tokio::spawn(future);
         match tokio::time::timeout(PART_TIMEOUT, task).await {
-            Ok(Ok(said)) => Some(said),
+            Ok(Ok(answer)) => Some(answer),
             Ok(Err(_)) | Err(_) => None,
         }
     }
@@ -233,13 +273,13 @@
         }
     }
 
-    /// Keeps or drops the startup datastore.
+    /// Copies a datastore to startup, or deletes startup.
     pub async fn copy_to_startup(
         &self,
         session: SessionId,
         from: Option<Datastore>,
     ) -> Result<(), StoreError> {
-        let _lane = self.commit_lock.lock().await;
+        let _in_progress = self.commit_lock.lock().await;
         let mut core = self.core();
         let plan = core.store.plan_startup(session, from)?;
         let record = Record::startup(&self.schema, plan.tree.as_ref());
@@ -250,16 +290,17 @@
         Ok(())
     }
 
-    /// Takes back what nobody confirmed in time, for as long as the front runs.
+    /// Reverts commits that nobody confirmed in time, for as long as the front runs.
     pub async fn revert_expired_commits(self: Arc<Self>) {
         loop {
             let due = self.core().store.next_timeout();
             let wait = due.map(|due| due.saturating_sub(self.now()));
             match wait {
                 Some(Duration::ZERO) => {
-                    let taken = self.commit(|store, now, at| Ok(store.poll_timeout(now, at))).await;
-                    if taken.is_err() {
-                        tokio::time::sleep(Duration::from_millis(200)).await;
+                    let reverted =
+                        self.commit(|store, now, unix_ms| Ok(store.poll_timeout(now, unix_ms))).await;
+                    if reverted.is_err() {
+                        tokio::time::sleep(REVERT_RETRY_INTERVAL).await;
                     }
                 }
                 Some(wait) => {
@@ -270,21 +311,21 @@
         }
     }
 
-    /// Passes the owner's notices on.
+    /// Forwards the router's notifications to all subscribers.
     pub async fn forward_notifications(
         self: Arc<Self>,
-        notices: async_channel::Receiver<EngineNotification>,
+        notifications: async_channel::Receiver<EngineNotification>,
     ) {
-        while let Ok(noticed) = notices.recv().await {
-            tracing::debug!(engine = format!("{:08x}", noticed.engine), "engine changed");
-            let _ = self.events.send(ManagementEvent::Engine(noticed));
+        while let Ok(notification) = notifications.recv().await {
+            tracing::debug!(engine = format!("{:08x}", notification.engine), "engine changed");
+            let _ = self.events.send(ManagementEvent::Engine(notification));
         }
     }
 
-    /// The front as it stood a short while ago at most.
+    /// The router's state, no older than the configured freshness; none if it does not answer.
     async fn snapshot(&self) -> Option<Arc<Snapshot>> {
         let mut latest = self.latest_snapshot.lock().await;
-        if let Some((at, snapshot)) = &*latest
+        if let Some(TakenSnapshot { at, snapshot }) = &*latest
             && at.elapsed() < self.freshness
         {
             return Some(snapshot.clone());
@@ -293,13 +334,13 @@
         self.requests.send(ManagementCall::Read { reply }).await.ok()?;
         let snapshot = tokio::time::timeout(PART_TIMEOUT, answer.recv()).await.ok()?.ok()?;
         let snapshot = Arc::new(snapshot);
-        *latest = Some((Instant::now(), snapshot.clone()));
+        *latest = Some(TakenSnapshot { at: Instant::now(), snapshot: snapshot.clone() });
         Some(snapshot)
     }
 
-    /// What is in force and the state beside it.
-    pub async fn view(&self, config: bool, needs: StateSelection) -> Tree {
-        let snapshot = if needs.snapshot { self.snapshot().await } else { None };
+    /// What is running, if `config`, and the selected parts of the state.
+    pub async fn view(&self, config: bool, selection: StateSelection) -> Tree {
+        let snapshot = if selection.snapshot { self.snapshot().await } else { None };
         let core = self.core();
         let sources = Sources {
             schema: &self.schema,
@@ -311,10 +352,10 @@
             up: self.now(),
             now: self.now(),
         };
-        view(&sources, config, needs)
+        view(&sources, config, selection)
     }
 
-    /// The version in force, and whether it was gone back to.
+    /// The version that a version went back to, if it did.
     pub fn is_rollback(version: &Version) -> Option<u64> {
         match version.cause {
             Cause::RolledBack { to } | Cause::Expired { to } | Cause::Cancelled { to } => Some(to),
@@ -323,13 +364,15 @@
     }
 }
 
-fn shorten(core: &mut Core) {
+/// A failure leaves the longer log in use.
+fn compact_if_needed(core: &mut Core) {
     let Some(disk) = core.disk.as_mut().filter(|disk| disk.needs_compaction()) else { return };
     if let Err(error) = disk.compact(&core.store) {
         tracing::warn!("the log could not be made shorter: {error}");
     }
 }
 
+/// The date: Unix time in milliseconds.
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
--- a/crates/edges/managed/src/start.rs
+++ b/crates/edges/managed/src/start.rs
@@ -1,7 +1,7 @@
 //! Brings the managed side up: state from its folder, then the doors, on a thread of their own.
 
 use crate::disk::{Disk, DiskError};
-use crate::hub::{Hub, unix_ms};
+use crate::hub::{Hub, HubSetup, unix_ms};
 use crate::parts::{LogLevelPart, Part, RouterPart};
 use crate::users::Users;
 use crate::{gnmi, netconf};
@@ -143,7 +143,8 @@
         Arc::new(LogLevelPart { schema: schema.clone(), reader, set: level, ready: Mutex::new(None) }),
     ];
     parts.extend(more);
-    let hub = Hub::new(schema, names, front, store, disk, parts, requests, terms.freshness);
+    let hub =
+        Hub::new(HubSetup { schema, names, front, store, disk, parts, requests, freshness: terms.freshness });
 
     let bind = |address: SocketAddr| {
         let listener = TcpListener::bind(address).and_then(|listener| {
