--- a/crates/edges/managed/src/disk.rs
+++ b/crates/edges/managed/src/disk.rs
@@ -1,5 +1,5 @@
-//! The log's file. A commit is acknowledged only once its record is synced; what could not be written is taken
-//! back, and where that fails too nothing further is written.
+//! The log's file. The rule: a commit is acknowledged only once its record is synced. A record that could not be written is
+//! truncated, and where that fails too nothing further is written.
 
 use lemonusher_model::Schema;
 use lemonusher_store::{
@@ -14,8 +14,9 @@
 const LOG_FILE: &str = "state.log";
 const NEXT_LOG_FILE: &str = "state.log.next";
 const LOCK_FILE: &str = "lock";
-/// Bytes beyond which a log may be made shorter, and how many times as long as when it last was.
+/// The length beyond which a log may be compacted.
 const MIN_COMPACTION_BYTES: u64 = 256 * 1024;
+/// How many times its length after the last compaction a log must have before the next one.
 const COMPACTION_GROWTH: u64 = 4;
 
 /// The log of the state, in a folder that no other process uses.
@@ -23,10 +24,11 @@
 pub struct Disk {
     folder: PathBuf,
     log: File,
+    /// The log's length in bytes.
     length: u64,
-    /// Its length when it was last as short as can be.
+    /// Its length when it was opened or last compacted.
     compacted_length: u64,
-    /// A record is half there and could not be taken back.
+    /// A record is half written and could not be truncated.
     broken: bool,
     _lock: File,
 }
@@ -34,9 +36,11 @@
 /// Why the log can't be used.
 #[derive(Debug)]
 pub enum DiskError {
+    /// A file or folder could not be accessed.
     Io(PathBuf, io::Error),
     /// Another process uses the folder.
     InUse(PathBuf),
+    /// The log is corrupt or does not fit.
     Recovery(PathBuf, RecoveryError),
 }
 
@@ -45,72 +49,37 @@
         match self {
             DiskError::Io(path, error) => write!(f, "{}: {error}", path.display()),
             DiskError::InUse(path) => write!(f, "{}: another process uses it", path.display()),
-            DiskError::Recovery(path, unfit) => write!(f, "{}: {unfit}; it is left as it is", path.display()),
+            DiskError::Recovery(path, error) => write!(f, "{}: {error}; it is left as it is", path.display()),
         }
     }
 }
 
 impl Disk {
-    /// Opens or makes the log, and brings back what it holds. A tail that was cut short is cut off.
+    /// Opens or creates the log, and recovers the store from it. A tail that was cut short is truncated.
     pub fn open(folder: &Path, schema: Arc<Schema>, bounds: Bounds) -> Result<(Disk, Store), DiskError> {
-        let io = |path: &Path| {
-            let path = path.to_owned();
-            move |error| DiskError::Io(path, error)
-        };
-        std::fs::create_dir_all(folder).map_err(io(folder))?;
-        let (lock_path, path) = (folder.join(LOCK_FILE), folder.join(LOG_FILE));
-        let lock = File::create(&lock_path).map_err(io(&lock_path))?;
-        match lock.try_lock() {
-            Ok(()) => {}
-            Err(TryLockError::WouldBlock) => return Err(DiskError::InUse(folder.to_owned())),
-            Err(TryLockError::Error(error)) => return Err(DiskError::Io(lock_path, error)),
-        }
-        // A shorter log that was not yet in place when the process ended says nothing new.
-        match std::fs::remove_file(folder.join(NEXT_LOG_FILE)) {
-            Err(error) if error.kind() != io::ErrorKind::NotFound => {
-                return Err(DiskError::Io(folder.join(NEXT_LOG_FILE), error));
-            }
-            _ => {}
-        }
+        std::fs::create_dir_all(folder).map_err(io_error(folder))?;
+        let lock = lock(folder)?;
+        remove_unfinished_compaction(folder)?;
+        let path = folder.join(LOG_FILE);
         let options = OpenOptions::new().read(true).write(true).create(true).truncate(false).clone();
-        let mut log = options.open(&path).map_err(io(&path))?;
+        let mut log = options.open(&path).map_err(io_error(&path))?;
         let mut bytes = Vec::new();
-        log.read_to_end(&mut bytes).map_err(io(&path))?;
+        log.read_to_end(&mut bytes).map_err(io_error(&path))?;
         let recovered = recover(schema, bounds, &bytes);
-        let Recovered { store, valid_length: whole, records } =
-            recovered.map_err(|unfit| DiskError::Recovery(path.clone(), unfit))?;
-        if whole < bytes.len() {
-            tracing::warn!(bytes = bytes.len() - whole, "the log's tail was cut short and is cut off");
+        let Recovered { store, valid_length, records } =
+            recovered.map_err(|error| DiskError::Recovery(path.clone(), error))?;
+        if valid_length < bytes.len() {
+            tracing::warn!(bytes = bytes.len() - valid_length, "the log's tail was cut short and is cut off");
         }
-        let mut length = whole as u64;
-        let mend = |log: &mut File, length: &mut u64| -> io::Result<()> {
-            log.set_len(*length)?;
-            if *length == 0 {
-                log.seek(SeekFrom::Start(0))?;
-                log.write_all(HEADER)?;
-                *length = HEADER.len() as u64;
-            }
-            log.seek(SeekFrom::Start(*length))?;
-            log.sync_all()
-        };
-        mend(&mut log, &mut length).map_err(io(&path))?;
-        sync_folder(folder).map_err(io(folder))?;
+        let length = prepare_to_append(&mut log, valid_length as u64).map_err(io_error(&path))?;
+        sync_folder(folder).map_err(io_error(folder))?;
         tracing::info!(records, version = store.running().number, "state read from {}", path.display());
-        let base = length;
-        Ok((
-            Disk {
-                folder: folder.to_owned(),
-                log,
-                length,
-                compacted_length: base,
-                broken: false,
-                _lock: lock,
-            },
-            store,
-        ))
+        let folder = folder.to_owned();
+        let disk = Disk { folder, log, length, compacted_length: length, broken: false, _lock: lock };
+        Ok((disk, store))
     }
 
-    /// Writes a record and syncs it.
+    /// Writes a record and syncs it. After an error the record is not in the log.
     pub fn append(&mut self, record: &Record) -> io::Result<()> {
         if self.broken {
             return Err(io::Error::other("an earlier record is half written and can't be taken back"));
@@ -124,23 +93,22 @@
             }
             Err(error) => {
                 // Whether it is there is not known: it must not be, as it will not be acknowledged.
-                let back = self.log.set_len(self.length);
-                let back = back.and_then(|()| self.log.seek(SeekFrom::Start(self.length)));
-                self.broken = back.and_then(|_| self.log.sync_all()).is_err();
+                let truncated = self.log.set_len(self.length);
+                let truncated = truncated.and_then(|()| self.log.seek(SeekFrom::Start(self.length)));
+                self.broken = truncated.and_then(|_| self.log.sync_all()).is_err();
                 Err(error)
             }
         }
     }
 
-    /// Whether the log has grown enough to be made shorter.
+    /// Whether the log has grown enough to be compacted.
     pub fn needs_compaction(&self) -> bool {
         !self.broken
             && self.length > MIN_COMPACTION_BYTES
             && self.length > self.compacted_length * COMPACTION_GROWTH
     }
 
-    /// Puts the shortest log that says the same in place of this one. A crash at any point leaves one or the
-    /// other.
+    /// Replaces the log by the shortest one with the same content. A crash at any point leaves one or the other.
     pub fn compact(&mut self, store: &Store) -> io::Result<()> {
         let bytes = compact(store);
         let next = self.folder.join(NEXT_LOG_FILE);
@@ -149,15 +117,57 @@
         file.sync_all()?;
         std::fs::rename(&next, self.folder.join(LOG_FILE))?;
         sync_folder(&self.folder)?;
-        (self.log, self.length, self.compacted_length) = (file, bytes.len() as u64, bytes.len() as u64);
+        self.log = file;
+        self.length = bytes.len() as u64;
+        self.compacted_length = self.length;
         Ok(())
     }
 
+    /// The log's length in bytes.
     pub fn length(&self) -> u64 {
         self.length
     }
 }
 
+fn io_error(path: &Path) -> impl Fn(io::Error) -> DiskError + use<> {
+    let path = path.to_owned();
+    move |error| DiskError::Io(path.clone(), error)
+}
+
+/// Locks a folder for this process, until the file is closed.
+fn lock(folder: &Path) -> Result<File, DiskError> {
+    let path = folder.join(LOCK_FILE);
+    let lock = File::create(&path).map_err(io_error(&path))?;
+    match lock.try_lock() {
+        Ok(()) => Ok(lock),
+        Err(TryLockError::WouldBlock) => Err(DiskError::InUse(folder.to_owned())),
+        Err(TryLockError::Error(error)) => Err(DiskError::Io(path, error)),
+    }
+}
+
+/// A compacted log that was not in place yet when the process ended holds nothing new.
+fn remove_unfinished_compaction(folder: &Path) -> Result<(), DiskError> {
+    let path = folder.join(NEXT_LOG_FILE);
+    match std::fs::remove_file(&path) {
+        Err(error) if error.kind() != io::ErrorKind::NotFound => Err(DiskError::Io(path, error)),
+        _ => Ok(()),
+    }
+}
+
+/// Truncates a log to its valid part, with a header if that is empty, and returns its length.
+fn prepare_to_append(log: &mut File, valid_length: u64) -> io::Result<u64> {
+    log.set_len(valid_length)?;
+    let mut length = valid_length;
+    if length == 0 {
+        log.seek(SeekFrom::Start(0))?;
+        log.write_all(HEADER)?;
+        length = HEADER.len() as u64;
+    }
+    log.seek(SeekFrom::Start(length))?;
+    log.sync_all()?;
+    Ok(length)
+}
+
 /// A file's name lasts only once its folder is synced.
 fn sync_folder(folder: &Path) -> io::Result<()> {
     File::open(folder)?.sync_all()
--- a/crates/edges/managed/src/netconf/mod.rs
+++ b/crates/edges/managed/src/netconf/mod.rs
@@ -40,6 +40,9 @@
     }
 }
 
+/// The host's private key.
+pub type HostKey = PrivateKey;
+
 /// The host's key: what the file holds, or one that lasts as long as the process.
 pub fn host_key(text: Option<&str>) -> Result<PrivateKey, String> {
     match text {
--- a/crates/edges/managed/src/netconf/session/operations.rs
+++ b/crates/edges/managed/src/netconf/session/operations.rs
@@ -11,6 +11,9 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
+/// All lines of a session stand in the log under one target.
+const LOG_TARGET: &str = "lemonusher_managed::netconf::session";
+
 /// The data of a reply.
 type Reply = Result<String, Vec<RpcError>>;
 
@@ -162,7 +165,7 @@
     fn lock(&self, datastore: Datastore) -> Reply {
         let locked = self.hub.with_store(|store| store.lock(self.id, datastore));
         locked.map_err(|error| RpcError::of_store_error(&self.schema, &error, true))?;
-        tracing::info!(session = self.id, "locks {datastore:?}");
+        tracing::info!(target: LOG_TARGET, session = self.id, "locks {datastore:?}");
         Ok(String::new())
     }
 
--- a/crates/edges/managed/src/parts.rs
+++ b/crates/edges/managed/src/parts.rs
@@ -1,4 +1,4 @@
-//! What a commit moves: each part prepares or declines, then all switch.
+//! The parts of the front that a commit involves: each prepares or declines, then all activate.
 
 use async_channel::{Sender, bounded};
 use lemonusher_desired_state::DesiredStateReader;
@@ -9,20 +9,22 @@
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, PoisonError};
 
+/// A part's answer; an error is its reason.
 pub type PartFuture = Pin<Box<dyn Future<Output = Result<(), String>> + Send>>;
 
 /// A part of the front that follows what operators want.
 pub trait Part: Send + Sync {
+    /// The name in errors and in the log.
     fn name(&self) -> String;
-    /// Looks at a version and holds what it needs of it ready, or declines it.
+    /// Prepares to follow a version, or declines it.
     fn prepare(&self, version: Arc<Version>) -> PartFuture;
-    /// Takes up what it prepared for this version.
+    /// Follows what it prepared for this version.
     fn activate(&self, number: u64) -> PartFuture;
     /// Forgets what it prepared for this version.
     fn discard(&self, number: u64) -> PartFuture;
 }
 
-/// The owner: membership and the door.
+/// The request router: pools and admission limits.
 pub(crate) struct RouterPart {
     pub schema: Arc<Schema>,
     pub reader: DesiredStateReader,
@@ -35,16 +37,16 @@
     }
 
     fn prepare(&self, version: Arc<Version>) -> PartFuture {
-        // Read here: the owner's thread only takes over what is ready.
-        let wishes = self.reader.read(&self.schema, &version.tree);
+        // Read here: the router's thread only takes over what is prepared.
+        let desired = self.reader.read(&self.schema, &version.tree);
         let requests = self.requests.clone();
         Box::pin(async move {
-            let wishes = wishes.map_err(|faults| {
+            let desired = desired.map_err(|faults| {
                 faults.iter().map(|fault| fault.to_string()).collect::<Vec<_>>().join("; ")
             })?;
             let (reply, answer) = bounded(1);
-            let wanted = Arc::new(wishes.desired_state);
-            let request = ManagementCall::Prepare { number: version.number, desired_state: wanted, reply };
+            let desired_state = Arc::new(desired.desired_state);
+            let request = ManagementCall::Prepare { number: version.number, desired_state, reply };
             requests.send(request).await.map_err(|_| "it has ended".to_owned())?;
             answer.recv().await.map_err(|_| "it has ended".to_owned())?.map_err(|error| error.to_string())
         })
@@ -74,12 +76,18 @@
     pub schema: Arc<Schema>,
     pub reader: DesiredStateReader,
     pub set: Arc<dyn Fn(&str) + Send + Sync>,
-    pub ready: Mutex<Option<(u64, String)>>,
+    pub prepared: Mutex<Option<PreparedLevel>>,
+}
+
+/// The level of a version that is prepared.
+pub(crate) struct PreparedLevel {
+    version: u64,
+    level: String,
 }
 
 impl LogLevelPart {
-    fn held(&self) -> std::sync::MutexGuard<'_, Option<(u64, String)>> {
-        self.ready.lock().unwrap_or_else(PoisonError::into_inner)
+    fn prepared(&self) -> std::sync::MutexGuard<'_, Option<PreparedLevel>> {
+        self.prepared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -89,21 +97,22 @@
     }
 
     fn prepare(&self, version: Arc<Version>) -> PartFuture {
-        if let Ok(wishes) = self.reader.read(&self.schema, &version.tree) {
-            *self.held() = Some((version.number, wishes.log_level));
+        if let Ok(desired) = self.reader.read(&self.schema, &version.tree) {
+            *self.prepared() = Some(PreparedLevel { version: version.number, level: desired.log_level });
         }
         Box::pin(async { Ok(()) })
     }
 
     fn activate(&self, number: u64) -> PartFuture {
-        if let Some((_, level)) = self.held().take_if(|(ready, _)| *ready == number) {
-            (self.set)(&level);
+        let prepared = self.prepared().take_if(|prepared| prepared.version == number);
+        if let Some(prepared) = prepared {
+            (self.set)(&prepared.level);
         }
         Box::pin(async { Ok(()) })
     }
 
     fn discard(&self, number: u64) -> PartFuture {
-        self.held().take_if(|(ready, _)| *ready == number);
+        self.prepared().take_if(|prepared| prepared.version == number);
         Box::pin(async { Ok(()) })
     }
 }
--- a/crates/edges/managed/src/start.rs
+++ b/crates/edges/managed/src/start.rs
@@ -1,4 +1,4 @@
-//! Brings the managed side up: state from its folder, then the doors, on a thread of their own.
+//! Starts the managed side: the state from its folder, then the servers, on a thread of their own.
 
 use crate::disk::{Disk, DiskError};
 use crate::hub::{Hub, HubSetup, unix_ms};
@@ -17,42 +17,56 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Requests and notices that may wait between the managed side and the owner.
+/// Calls that may be queued for the request router.
 const MAX_QUEUED_REQUESTS: usize = 256;
+/// Notifications that may be queued from the request router.
 const MAX_QUEUED_NOTIFICATIONS: usize = 4096;
 
-/// What the operator's file says of the managed side.
+/// What the operator's file configures of the managed side.
 #[derive(Debug, Clone)]
 pub struct ManagementConfig {
-    /// Where commits last.
+    /// The folder of the state; none for a state that does not outlive the process.
     pub folder: Option<PathBuf>,
+    /// Versions that can be rolled back to.
     pub history: usize,
+    /// Sessions that may be open at once.
     pub sessions: usize,
+    /// Subscriptions that may be open at once, for each protocol.
     pub subscriptions: usize,
     /// How old the state that a manager reads may be.
     pub freshness: Duration,
-    /// The startup datastore, where there is one, is what a start begins with.
+    /// Whether the startup datastore, where there is one, is put in force at the start.
     pub from_startup: bool,
+    /// The gNMI server, if there is to be one.
     pub gnmi: Option<GnmiConfig>,
+    /// The NETCONF server, if there is to be one.
     pub netconf: Option<NetconfConfig>,
+    /// Who may use them.
     pub users: Users,
 }
 
+/// The gNMI server.
 #[derive(Debug, Clone)]
 pub struct GnmiConfig {
+    /// Where to listen.
     pub listen: SocketAddr,
+    /// None for plain text.
     pub tls: Option<Tls>,
 }
 
 /// A certificate and its key, as PEM.
 #[derive(Debug, Clone)]
 pub struct Tls {
+    /// The certificate chain.
     pub certificate: Vec<u8>,
+    /// The private key.
     pub key: Vec<u8>,
 }
 
+/// The NETCONF server.
 #[derive(Debug, Clone)]
 pub struct NetconfConfig {
+    /// Where to listen.
     pub listen: SocketAddr,
     /// The host's private key, in OpenSSH's form.
     pub host_key: Option<String>,
@@ -60,24 +74,36 @@
 
 /// What the front needs of the managed side.
 pub struct Started {
+    /// Calls to the request router.
     pub requests: async_channel::Receiver<ManagementCall>,
+    /// The desired state when the front last ran.
     pub desired_state: Arc<DesiredState>,
+    /// Notifications from the request router.
     pub notifications: async_channel::Sender<EngineNotification>,
+    /// Where gNMI listens.
     pub gnmi: Option<SocketAddr>,
+    /// Where NETCONF listens.
     pub netconf: Option<SocketAddr>,
+    /// The store and the commits.
     pub hub: Arc<Hub>,
 }
 
 /// Why the managed side can't start.
 #[derive(Debug)]
 pub enum StartError {
+    /// The front's model can't be used.
     Model(String),
+    /// The state can't be read.
     Disk(DiskError),
+    /// A commit at the start could not be logged.
     Log(io::Error),
+    /// An address can't be listened on.
     Listen(SocketAddr, io::Error),
-    /// What was wanted when the front last ran names what the deployment no longer states.
+    /// The desired state names what the deployment no longer states.
     DesiredState(String),
+    /// The host key can't be used.
     Key(String),
+    /// The thread or its runtime can't be started.
     Thread(io::Error),
 }
 
@@ -97,102 +123,141 @@
     }
 }
 
-/// Starts the managed side. `level` sets the log's level; `more` are parts that a commit moves besides the
-/// front's own.
+/// Starts the managed side. `level` sets the log's level; `more` are parts that a commit involves besides the front's own.
 pub fn start(
-    terms: ManagementConfig,
+    config: ManagementConfig,
     names: Names,
     front: String,
     level: Arc<dyn Fn(&str) + Send + Sync>,
     more: Vec<Arc<dyn Part>>,
 ) -> Result<Started, StartError> {
-    let schema = Arc::new(Schema::front().map_err(|wrong| StartError::Model(wrong.to_string()))?);
+    let schema = Arc::new(Schema::front().map_err(|error| StartError::Model(error.to_string()))?);
     let reader = DesiredStateReader::new(&schema, names.clone())
         .ok_or_else(|| StartError::Model("it lacks pools or service groups".to_owned()))?;
-    let bounds = Bounds { history: terms.history, sessions: terms.sessions };
-    let (mut disk, mut store) = match &terms.folder {
-        None => (None, Store::new(schema.clone(), bounds)),
-        Some(folder) => {
-            let (disk, store) = Disk::open(folder, schema.clone(), bounds).map_err(StartError::Disk)?;
-            (Some(disk), store)
-        }
-    };
-    // What nobody can confirm any more is taken back before anything is served.
-    let mut first = vec![store.poll_timeout(Duration::ZERO, unix_ms())];
-    if terms.from_startup && first[0].is_none() {
-        first.push(store.plan_start_from_startup(unix_ms()));
-    }
-    for plan in first.into_iter().flatten() {
-        if let Some(disk) = &mut disk {
-            disk.append(&Record::commit(&schema, &plan)).map_err(StartError::Log)?;
-        }
-        tracing::info!(commit = plan.version.number, "at the start: {}", plan.version.cause);
-        store.finish_commit(plan);
-    }
-    let wishes = reader.read(&schema, &store.running().tree).map_err(|faults| {
+    let (mut disk, mut store) = open_store(&config, &schema)?;
+    commit_at_start(&config, &schema, &mut disk, &mut store)?;
+    let desired = reader.read(&schema, &store.running().tree).map_err(|faults| {
         StartError::DesiredState(faults.iter().map(|fault| fault.to_string()).collect::<Vec<_>>().join("; "))
     })?;
     if store.running().number > 0 {
-        level(&wishes.log_level);
+        level(&desired.log_level);
     }
 
-    let (requests, asked) = async_channel::bounded(MAX_QUEUED_REQUESTS);
-    let (notices, noticed) = async_channel::bounded(MAX_QUEUED_NOTIFICATIONS);
+    let (requests, router_requests) = async_channel::bounded(MAX_QUEUED_REQUESTS);
+    let (notifications, from_router) = async_channel::bounded(MAX_QUEUED_NOTIFICATIONS);
     let mut parts: Vec<Arc<dyn Part>> = vec![
         Arc::new(RouterPart { schema: schema.clone(), reader: reader.clone(), requests: requests.clone() }),
-        Arc::new(LogLevelPart { schema: schema.clone(), reader, set: level, ready: Mutex::new(None) }),
+        Arc::new(LogLevelPart { schema: schema.clone(), reader, set: level, prepared: Mutex::new(None) }),
     ];
     parts.extend(more);
-    let hub =
-        Hub::new(HubSetup { schema, names, front, store, disk, parts, requests, freshness: terms.freshness });
-
-    let bind = |address: SocketAddr| {
-        let listener = TcpListener::bind(address).and_then(|listener| {
-            listener.set_nonblocking(true)?;
-            Ok(listener)
-        });
-        listener.map_err(|error| StartError::Listen(address, error))
-    };
-    let gnmi_listener = terms.gnmi.as_ref().map(|gnmi| bind(gnmi.listen)).transpose()?;
-    let netconf_listener = terms.netconf.as_ref().map(|netconf| bind(netconf.listen)).transpose()?;
-    let address = |listener: &Option<TcpListener>| listener.as_ref().and_then(|l| l.local_addr().ok());
+    let freshness = config.freshness;
+    let hub = Hub::new(HubSetup { schema, names, front, store, disk, parts, requests, freshness });
+
+    let servers = Servers::bind(config)?;
     let started = Started {
-        requests: asked,
-        desired_state: Arc::new(wishes.desired_state),
-        notifications: notices,
-        gnmi: address(&gnmi_listener),
-        netconf: address(&netconf_listener),
+        requests: router_requests,
+        desired_state: Arc::new(desired.desired_state),
+        notifications,
+        gnmi: servers.gnmi_address(),
+        netconf: servers.netconf_address(),
         hub: hub.clone(),
     };
-    let netconf_keys = match &terms.netconf {
-        Some(netconf) => Some(netconf::host_key(netconf.host_key.as_deref()).map_err(StartError::Key)?),
-        None => None,
-    };
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(StartError::Thread)?;
     let serve = async move {
         tokio::spawn(hub.clone().revert_expired_commits());
-        tokio::spawn(hub.clone().forward_notifications(noticed));
-        if let (Some(listener), Some(gnmi)) = (gnmi_listener, terms.gnmi) {
-            let serve =
-                gnmi::serve(hub.clone(), listener, gnmi.tls, terms.users.clone(), terms.subscriptions);
+        tokio::spawn(hub.clone().forward_notifications(from_router));
+        servers.spawn(&hub);
+        std::future::pending::<()>().await
+    };
+    let run = move || runtime.block_on(serve);
+    std::thread::Builder::new().name("managed".to_owned()).spawn(run).map_err(StartError::Thread)?;
+    Ok(started)
+}
+
+fn open_store(config: &ManagementConfig, schema: &Arc<Schema>) -> Result<(Option<Disk>, Store), StartError> {
+    let bounds = Bounds { history: config.history, sessions: config.sessions };
+    match &config.folder {
+        None => Ok((None, Store::new(schema.clone(), bounds))),
+        Some(folder) => {
+            let (disk, store) = Disk::open(folder, schema.clone(), bounds).map_err(StartError::Disk)?;
+            Ok((Some(disk), store))
+        }
+    }
+}
+
+/// Reverts a commit that nobody can confirm any more, before anything is served, or puts startup in force.
+fn commit_at_start(
+    config: &ManagementConfig,
+    schema: &Schema,
+    disk: &mut Option<Disk>,
+    store: &mut Store,
+) -> Result<(), StartError> {
+    let mut plans = vec![store.poll_timeout(Duration::ZERO, unix_ms())];
+    if config.from_startup && plans[0].is_none() {
+        plans.push(store.plan_start_from_startup(unix_ms()));
+    }
+    for plan in plans.into_iter().flatten() {
+        if let Some(disk) = disk {
+            disk.append(&Record::commit(schema, &plan)).map_err(StartError::Log)?;
+        }
+        tracing::info!(commit = plan.version.number, "at the start: {}", plan.version.cause);
+        store.finish_commit(plan);
+    }
+    Ok(())
+}
+
+/// The servers for managers, bound to their addresses.
+struct Servers {
+    gnmi: Option<(TcpListener, Option<Tls>)>,
+    netconf: Option<(TcpListener, netconf::HostKey)>,
+    users: Users,
+    subscriptions: usize,
+}
+
+impl Servers {
+    fn bind(config: ManagementConfig) -> Result<Servers, StartError> {
+        let ManagementConfig { gnmi, netconf, users, subscriptions, .. } = config;
+        let gnmi = gnmi.map(|gnmi| Ok((bind(gnmi.listen)?, gnmi.tls))).transpose()?;
+        let netconf_listener = netconf.as_ref().map(|netconf| bind(netconf.listen)).transpose()?;
+        let host_key = netconf.map(|netconf| netconf::host_key(netconf.host_key.as_deref())).transpose();
+        let netconf = netconf_listener.zip(host_key.map_err(StartError::Key)?);
+        Ok(Servers { gnmi, netconf, users, subscriptions })
+    }
+
+    fn gnmi_address(&self) -> Option<SocketAddr> {
+        self.gnmi.as_ref().and_then(|(listener, _)| listener.local_addr().ok())
+    }
+
+    fn netconf_address(&self) -> Option<SocketAddr> {
+        self.netconf.as_ref().and_then(|(listener, _)| listener.local_addr().ok())
+    }
+
+    /// Serves on tasks of this thread's runtime.
+    fn spawn(self, hub: &Arc<Hub>) {
+        if let Some((listener, tls)) = self.gnmi {
+            let serve = gnmi::serve(hub.clone(), listener, tls, self.users.clone(), self.subscriptions);
             tokio::spawn(async move {
                 if let Err(error) = serve.await {
                     tracing::error!("gNMI ends: {error}");
                 }
             });
         }
-        if let (Some(listener), Some(key)) = (netconf_listener, netconf_keys) {
-            let serve = netconf::serve(hub.clone(), listener, key, terms.users, terms.subscriptions);
+        if let Some((listener, key)) = self.netconf {
+            let serve = netconf::serve(hub.clone(), listener, key, self.users, self.subscriptions);
             tokio::spawn(async move {
                 if let Err(error) = serve.await {
                     tracing::error!("NETCONF ends: {error}");
                 }
             });
         }
-        std::future::pending::<()>().await
-    };
-    let run = move || runtime.block_on(serve);
-    std::thread::Builder::new().name("managed".to_owned()).spawn(run).map_err(StartError::Thread)?;
-    Ok(started)
+    }
+}
+
+fn bind(address: SocketAddr) -> Result<TcpListener, StartError> {
+    let listener = TcpListener::bind(address).and_then(|listener| {
+        listener.set_nonblocking(true)?;
+        Ok(listener)
+    });
+    listener.map_err(|error| StartError::Listen(address, error))
 }
--- a/crates/edges/managed/src/users.rs
+++ b/crates/edges/managed/src/users.rs
@@ -1,49 +1,55 @@
-//! Who may read and who may write.
+//! Users: who may read and who may write.
 
 use subtle::ConstantTimeEq;
 
 /// One user of the operator's file.
 #[derive(Debug, Clone, Default)]
 pub struct User {
+    /// The name that the manager gives.
     pub name: String,
+    /// Whether it may change anything; reading is always allowed.
     pub may_write: bool,
     /// A public key in OpenSSH's form.
     pub ssh_key: Option<String>,
+    /// The password, in plain text.
     pub password: Option<String>,
 }
 
-/// What somebody who has come in may do.
+/// What an authenticated manager may do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Grant {
+    /// The user's name.
     pub user: String,
+    /// Whether it may change anything; reading is always allowed.
     pub may_write: bool,
 }
 
+/// All users.
 #[derive(Debug, Clone, Default)]
 pub struct Users(pub Vec<User>);
 
 impl Users {
-    /// By name and password. With no user at all, anybody who reaches the door may do both.
+    /// Authenticates by name and password. Without any user everybody may read and write.
     pub fn by_password(&self, name: Option<&str>, password: Option<&str>) -> Option<Grant> {
         if self.0.is_empty() {
             return Some(Grant { user: name.unwrap_or("anyone").to_owned(), may_write: true });
         }
         let user = self.0.iter().find(|user| Some(user.name.as_str()) == name)?;
-        let held = user.password.as_deref()?;
-        let same = bool::from(held.as_bytes().ct_eq(password?.as_bytes()));
+        let expected = user.password.as_deref()?;
+        let same = bool::from(expected.as_bytes().ct_eq(password?.as_bytes()));
         same.then(|| Grant { user: user.name.clone(), may_write: user.may_write })
     }
 
-    /// Whether keys are asked for at all.
+    /// Whether any user has a key; then passwords are not accepted over SSH.
     pub fn uses_keys(&self) -> bool {
         self.0.iter().any(|user| user.ssh_key.is_some())
     }
 
-    /// By name and public key, the key's type and data as OpenSSH writes them.
+    /// Authenticates by name and public key, the key's type and data as OpenSSH writes them.
     pub fn by_key(&self, name: &str, key: &str) -> Option<Grant> {
         let body = |key: &str| key.split_whitespace().take(2).map(str::to_owned).collect::<Vec<_>>();
         let user = self.0.iter().find(|user| user.name == name)?;
-        let same = user.ssh_key.as_deref().is_some_and(|held| body(held) == body(key));
+        let same = user.ssh_key.as_deref().is_some_and(|expected| body(expected) == body(key));
         same.then(|| Grant { user: user.name.clone(), may_write: user.may_write })
     }
 }
