--- a/crates/edges/managed/src/hub.rs
+++ b/crates/edges/managed/src/hub.rs
@@ -347,9 +347,9 @@
             names: &self.names,
             front: &self.front,
             store: &core.store,
-            lost: &core.lost_updates,
+            lost_updates: &core.lost_updates,
             snapshot: snapshot.as_deref(),
-            up: self.now(),
+            uptime: self.now(),
             now: self.now(),
         };
         view(&sources, config, selection)
--- a/crates/edges/managed/src/lib.rs
+++ b/crates/edges/managed/src/lib.rs
@@ -1,6 +1,8 @@
-//! The managed front. A thread of its own holds the store and its log, moves the front's parts through each
-//! commit, and opens the doors for managers: gNMI and NETCONF. It reaches the owner by bounded queues alone and
-//! decides nothing that the pure packages decide.
+//! The managed front. A thread of its own holds the store and its log, takes the front's parts through each commit, and
+//! serves managers over gNMI and NETCONF. It reaches the request router by bounded queues alone and decides nothing that the
+//! pure packages decide.
+
+#![warn(missing_docs)]
 
 mod disk;
 pub mod gnmi;
--- a/crates/edges/managed/src/netconf/mod.rs
+++ b/crates/edges/managed/src/netconf/mod.rs
@@ -1,34 +1,47 @@
-//! NETCONF over SSH (RFC 6241, RFC 6242), on russh. Messages are `lemonusher-netconf`'s; here are connections,
-//! who may come in, and the bounds of what they hold together.
+//! NETCONF over SSH (RFC 6241, RFC 6242), on russh. Messages are `lemonusher-netconf`'s; here are connections, their
+//! authentication, and the bounds of all sessions together.
 
 mod session;
 
 use crate::hub::Hub;
 use crate::users::{Grant, Users};
 use russh::keys::{Algorithm, PrivateKey};
-use russh::server::{Auth, ChannelOpenHandle, Config, Handler, Msg, Session, VerifiedPublicKey};
+use russh::server::{Auth, ChannelOpenHandle, Config, Handle, Handler, Msg, Session, VerifiedPublicKey};
 use russh::{Channel, ChannelId, MethodKind, MethodSet};
 use std::collections::BTreeMap;
 use std::net::TcpListener;
 use std::sync::atomic::AtomicUsize;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
+use tokio::net::TcpStream;
 use tokio::sync::{Notify, Semaphore};
 
-/// Connections beyond the sessions that there may be, for those that have not come in yet.
+/// Connections that may be open at once: more than sessions, for those that are not authenticated yet.
 const MAX_CONNECTIONS: usize = 1200;
+/// How long a client has to authenticate, and then to begin its session.
 const LOGIN_TIMEOUT: Duration = Duration::from_secs(30);
+/// After how long without data a keepalive is sent.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(30);
+/// How long a rejected authentication takes.
 const REJECTION_DELAY: Duration = Duration::from_millis(300);
+/// How long nothing is accepted after an error of the listener.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Keepalives without an answer after which a connection is closed.
+const MAX_MISSED_KEEPALIVES: usize = 3;
+const MAX_AUTH_ATTEMPTS: usize = 6;
+const WINDOW_BYTES: u32 = 256 * 1024;
+/// Messages that may be queued for a channel.
+const MAX_QUEUED_MESSAGES: usize = 16;
 
 /// What all sessions share.
 pub(super) struct ServerState {
     pub hub: Arc<Hub>,
     pub users: Users,
-    /// Ends a session from another.
+    /// Kills a session, by its id.
     pub kill_signals: Mutex<BTreeMap<u32, Arc<Notify>>>,
-    /// Bytes of messages that have come in part, over all sessions.
+    /// Bytes of incomplete messages, over all sessions.
     pub buffered_bytes: AtomicUsize,
+    /// Subscriptions that are open, over all sessions.
     pub subscribed: AtomicUsize,
     /// Subscriptions that all sessions may have.
     pub max_subscriptions: usize,
@@ -51,34 +64,16 @@
     }
 }
 
-/// Serves until the front ends.
+/// Serves until the front ends. `max_subscriptions` is for all sessions together.
 pub async fn serve(
     hub: Arc<Hub>,
     listener: TcpListener,
-    key: PrivateKey,
+    key: HostKey,
     users: Users,
     max_subscriptions: usize,
 ) -> Result<(), String> {
     let listener = tokio::net::TcpListener::from_std(listener).map_err(|error| error.to_string())?;
-    let methods: &[MethodKind] = match (users.0.is_empty(), users.uses_keys()) {
-        (true, _) => &[MethodKind::None, MethodKind::Password],
-        (false, true) => &[MethodKind::PublicKey],
-        (false, false) => &[MethodKind::Password],
-    };
-    let config = Arc::new(Config {
-        methods: MethodSet::from(methods),
-        auth_rejection_time: REJECTION_DELAY,
-        auth_rejection_time_initial: Some(Duration::ZERO),
-        keys: vec![key],
-        max_auth_attempts: 6,
-        inactivity_timeout: None,
-        keepalive_interval: Some(KEEPALIVE_INTERVAL),
-        keepalive_max: 3,
-        nodelay: true,
-        window_size: 256 * 1024,
-        channel_buffer_size: 16,
-        ..Config::default()
-    });
+    let config = Arc::new(ssh_config(key, &users));
     let server = Arc::new(ServerState {
         hub,
         users,
@@ -87,58 +82,87 @@
         subscribed: AtomicUsize::new(0),
         max_subscriptions,
     });
-    let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else { return Ok(()) };
+        let Ok(slot) = slots.clone().acquire_owned().await else { return Ok(()) };
         let socket = match listener.accept().await {
             Ok((socket, _)) => socket,
             Err(error) => {
                 tracing::warn!("NETCONF can't accept: {error}");
-                tokio::time::sleep(Duration::from_millis(100)).await;
+                tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
                 continue;
             }
         };
         let (config, server) = (config.clone(), server.clone());
         tokio::spawn(async move {
-            let _place = place;
-            let visitor = Connection { server, grant: None, channel: None, began: Arc::default() };
-            let began = visitor.began.clone();
-            let running =
-                match tokio::time::timeout(LOGIN_TIMEOUT, russh::server::run_stream(config, socket, visitor))
-                    .await
-                {
-                    Ok(Ok(running)) => running,
-                    Ok(Err(_)) | Err(_) => return,
-                };
-            let handle = running.handle();
-            let late = async {
-                tokio::select! {
-                    () = began.notified() => std::future::pending().await,
-                    () = tokio::time::sleep(LOGIN_TIMEOUT) => {}
-                }
-            };
-            tokio::select! {
-                _ = running => {}
-                () = late => {
-                    let said = "no session was begun in time".to_owned();
-                    let _ = handle.disconnect(russh::Disconnect::ByApplication, said, String::new()).await;
-                }
-            }
+            let _slot = slot;
+            serve_connection(config, server, socket).await;
         });
     }
 }
 
+/// With users that have keys, keys alone; else passwords, and without any user anybody.
+fn ssh_config(key: HostKey, users: &Users) -> Config {
+    let methods: &[MethodKind] = match (users.0.is_empty(), users.uses_keys()) {
+        (true, _) => &[MethodKind::None, MethodKind::Password],
+        (false, true) => &[MethodKind::PublicKey],
+        (false, false) => &[MethodKind::Password],
+    };
+    Config {
+        methods: MethodSet::from(methods),
+        auth_rejection_time: REJECTION_DELAY,
+        auth_rejection_time_initial: Some(Duration::ZERO),
+        keys: vec![key],
+        max_auth_attempts: MAX_AUTH_ATTEMPTS,
+        inactivity_timeout: None,
+        keepalive_interval: Some(KEEPALIVE_INTERVAL),
+        keepalive_max: MAX_MISSED_KEEPALIVES,
+        nodelay: true,
+        window_size: WINDOW_BYTES,
+        channel_buffer_size: MAX_QUEUED_MESSAGES,
+        ..Config::default()
+    }
+}
+
+/// Serves one connection until it ends, or until its time to begin a session has run out.
+async fn serve_connection(config: Arc<Config>, server: Arc<ServerState>, socket: TcpStream) {
+    let connection = Connection { server, grant: None, channel: None, session_begun: Arc::default() };
+    let session_begun = connection.session_begun.clone();
+    let authenticating = russh::server::run_stream(config, socket, connection);
+    let running = match tokio::time::timeout(LOGIN_TIMEOUT, authenticating).await {
+        Ok(Ok(running)) => running,
+        Ok(Err(_)) | Err(_) => return,
+    };
+    let handle = running.handle();
+    let timed_out = async {
+        tokio::select! {
+            () = session_begun.notified() => std::future::pending().await,
+            () = tokio::time::sleep(LOGIN_TIMEOUT) => {}
+        }
+    };
+    tokio::select! {
+        _ = running => {}
+        () = timed_out => disconnect(&handle, "no session was begun in time").await,
+    }
+}
+
+async fn disconnect(handle: &Handle, reason: &str) {
+    let _ = handle.disconnect(russh::Disconnect::ByApplication, reason.to_owned(), String::new()).await;
+}
+
 /// One SSH connection.
 struct Connection {
     server: Arc<ServerState>,
+    /// Set once it is authenticated, until its session begins.
     grant: Option<Grant>,
+    /// The channel on which the session is to run.
     channel: Option<Channel<Msg>>,
-    /// The session has begun.
-    began: Arc<Notify>,
+    /// Notified when the session begins.
+    session_begun: Arc<Notify>,
 }
 
 impl Connection {
-    fn let_in(&mut self, grant: Option<Grant>) -> Auth {
+    fn accept(&mut self, grant: Option<Grant>) -> Auth {
         let Some(grant) = grant else { return Auth::reject() };
         self.grant = Some(grant);
         Auth::Accept
@@ -151,19 +175,19 @@
     async fn auth_none(&mut self, user: &str) -> Result<Auth, Self::Error> {
         let open = self.server.users.0.is_empty();
         let grant = if open { self.server.users.by_password(Some(user), None) } else { None };
-        Ok(self.let_in(grant))
+        Ok(self.accept(grant))
     }
 
     async fn auth_password(&mut self, user: &str, password: &str) -> Result<Auth, Self::Error> {
-        let keyed = self.server.users.uses_keys();
-        let grant = if keyed { None } else { self.server.users.by_password(Some(user), Some(password)) };
-        Ok(self.let_in(grant))
+        let uses_keys = self.server.users.uses_keys();
+        let grant = if uses_keys { None } else { self.server.users.by_password(Some(user), Some(password)) };
+        Ok(self.accept(grant))
     }
 
     async fn auth_publickey(&mut self, user: &str, key: VerifiedPublicKey<'_>) -> Result<Auth, Self::Error> {
         let text = key.public_key.to_openssh().unwrap_or_default();
         let grant = self.server.users.by_key(user, &text);
-        Ok(self.let_in(grant))
+        Ok(self.accept(grant))
     }
 
     async fn channel_open_session(
@@ -172,7 +196,7 @@
         reply: ChannelOpenHandle,
         _session: &mut Session,
     ) -> Result<(), Self::Error> {
-        // One channel a connection; without an answer the request counts as rejected.
+        // One channel a connection; a request without an answer counts as rejected.
         if self.channel.is_none() && self.grant.is_some() {
             self.channel = Some(channel);
             reply.accept().await;
@@ -186,17 +210,16 @@
         name: &str,
         session: &mut Session,
     ) -> Result<(), Self::Error> {
-        let ours = self.channel.take_if(|held| held.id() == channel && name == "netconf");
-        let (Some(held), Some(grant)) = (ours, self.grant.take()) else {
+        let netconf = self.channel.take_if(|open| open.id() == channel && name == "netconf");
+        let (Some(netconf), Some(grant)) = (netconf, self.grant.take()) else {
             return session.channel_failure(channel);
         };
         session.channel_success(channel)?;
-        self.began.notify_one();
+        self.session_begun.notify_one();
         let (server, handle) = (self.server.clone(), session.handle());
         tokio::spawn(async move {
-            session::run(held.into_stream(), server, grant).await;
-            let said = "the session has ended".to_owned();
-            let _ = handle.disconnect(russh::Disconnect::ByApplication, said, String::new()).await;
+            session::run(netconf.into_stream(), server, grant).await;
+            disconnect(&handle, "the session has ended").await;
         });
         Ok(())
     }
--- a/crates/edges/managed/src/state.rs
+++ b/crates/edges/managed/src/state.rs
@@ -10,21 +10,29 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Which parts of the state are wanted: the larger ones are made only then.
+/// The size of a page in `/proc`.
+const PAGE_BYTES: u64 = 4096;
+
+/// Which parts of the state are selected: the larger ones are made only then.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StateSelection {
     /// Anything of the state.
     pub state: bool,
+    /// Anything that the request router must be asked for.
     pub snapshot: bool,
+    /// The counters.
     pub counters: bool,
+    /// The engines.
     pub engines: bool,
+    /// The sessions.
     pub sessions: bool,
+    /// The history.
     pub commits: bool,
 }
 
 impl StateSelection {
     pub fn for_patterns(schema: &Schema, patterns: &[Pattern]) -> StateSelection {
-        let mut needs = StateSelection::default();
+        let mut selection = StateSelection::default();
         for pattern in patterns {
             let name = |at: usize| pattern.get(at).map(|step| schema.node(step.node).name.as_str());
             let (second, third) = (name(1), name(2));
@@ -32,34 +40,41 @@
                 continue;
             }
             let all = third.is_none();
-            needs.state = true;
-            needs.counters |= all || third == Some("counter");
-            needs.engines |= all || third == Some("engine");
-            needs.sessions |= all || third == Some("session");
-            needs.commits |= all || third == Some("commit");
-            needs.snapshot |= !matches!(third, Some("session" | "commit" | "confirm" | "version" | "name"));
+            selection.state = true;
+            selection.counters |= all || third == Some("counter");
+            selection.engines |= all || third == Some("engine");
+            selection.sessions |= all || third == Some("session");
+            selection.commits |= all || third == Some("commit");
+            selection.snapshot |=
+                !matches!(third, Some("session" | "commit" | "confirm" | "version" | "name"));
         }
-        needs
+        selection
     }
 
-    /// Whether it changes without a commit or a notice.
+    /// Whether it changes without a commit or an engine's notification.
     pub fn changes_without_event(self) -> bool {
         self.snapshot || self.sessions
     }
 }
 
-/// What the state is made of.
+/// What the state is read from.
 pub struct Sources<'a> {
     pub schema: &'a Schema,
     pub names: &'a Names,
+    /// The front's name.
     pub front: &'a str,
     pub store: &'a Store,
-    pub lost: &'a BTreeMap<SessionId, u64>,
+    /// Lost updates by session.
+    pub lost_updates: &'a BTreeMap<SessionId, u64>,
+    /// None if it is not selected, or the request router does not answer.
     pub snapshot: Option<&'a Snapshot>,
-    pub up: Duration,
+    /// How long the managed side has run.
+    pub uptime: Duration,
+    /// The time from which the store's times count.
     pub now: Duration,
 }
 
+/// Collects the fields of a container or a list's entry by their names in the model.
 struct FieldsBuilder<'a> {
     schema: &'a Schema,
     holder: NodeId,
@@ -78,31 +93,33 @@
         }
     }
 
+    /// Entries that lack a key are left out.
     fn list(&mut self, name: &str, entries: impl Iterator<Item = Fields>) {
         let Some(id) = self.schema.child(Some(self.holder), name) else { return };
         let keys = self.schema.keys(id);
-        let mut held: BTreeMap<Vec<Text>, Arc<Fields>> = BTreeMap::new();
+        let mut keyed: BTreeMap<Vec<Text>, Arc<Fields>> = BTreeMap::new();
         for entry in entries {
             let key = |id: &NodeId| match entry.get(id) {
                 Some(Node::Leaf(value)) => Some(value.clone()),
                 _ => None,
             };
             if let Some(keys) = keys.iter().map(key).collect() {
-                held.insert(keys, Arc::new(entry));
+                keyed.insert(keys, Arc::new(entry));
             }
         }
-        if !held.is_empty() {
-            self.fields.insert(id, Node::List(Arc::new(held)));
+        if !keyed.is_empty() {
+            self.fields.insert(id, Node::List(Arc::new(keyed)));
         }
     }
 
+    /// A builder for a node within this one.
     fn within(&self, name: &str) -> Option<FieldsBuilder<'a>> {
         Some(FieldsBuilder::new(self.schema, self.schema.child(Some(self.holder), name)?))
     }
 }
 
-/// What is in force, with the state beside it.
-pub fn view(sources: &Sources, config: bool, needs: StateSelection) -> Tree {
+/// What is running, if `config`, with the selected parts of the state.
+pub fn view(sources: &Sources, config: bool, selection: StateSelection) -> Tree {
     let schema = sources.schema;
     let running = &sources.store.running().tree;
     let Some(front) = schema.child(None, "front") else { return running.clone() };
@@ -110,10 +127,11 @@
         Some(Node::Container(fields)) if config => (**fields).clone(),
         _ => Fields::new(),
     };
-    if needs.state
+    if selection.state
         && let Some(id) = schema.child(Some(front), "state")
     {
-        fields.insert(id, Node::Container(Arc::new(state(sources, FieldsBuilder::new(schema, id), needs))));
+        fields
+            .insert(id, Node::Container(Arc::new(state(sources, FieldsBuilder::new(schema, id), selection))));
     }
     let mut top = Fields::new();
     if !fields.is_empty() {
@@ -122,10 +140,10 @@
     Tree::of(top)
 }
 
-fn state(sources: &Sources, mut state: FieldsBuilder, needs: StateSelection) -> Fields {
+fn state(sources: &Sources, mut state: FieldsBuilder, selection: StateSelection) -> Fields {
     let store = sources.store;
     state.leaf("name", sources.front);
-    state.leaf("up", sources.up.as_millis());
+    state.leaf("up", sources.uptime.as_millis());
     state.leaf("version", store.running().number);
     if let Some(bytes) = resident() {
         state.leaf("resident-bytes", bytes);
@@ -136,40 +154,18 @@
         state.leaf("statement-bytes", snapshot.statement_bytes);
         state.leaf("deciding", snapshot.decision_time.as_micros());
         state.leaf("notices-lost", snapshot.dropped_notifications);
-        if needs.counters {
+        if selection.counters {
             counters(&mut state, snapshot);
         }
-        if needs.engines {
+        if selection.engines {
             engines(&mut state, sources, snapshot);
         }
     }
-    if needs.sessions
-        && let Some(list) = state.within("session")
-    {
-        let entries = store.sessions().iter().map(|(id, session)| {
-            let mut entry = FieldsBuilder::new(list.schema, list.holder);
-            entry.leaf("id", id);
-            entry.leaf("user", &session.user);
-            entry.leaf("protocol", session.protocol.name());
-            entry.leaf("lost-updates", sources.lost.get(id).copied().unwrap_or_default());
-            entry.fields
-        });
-        state.list("session", entries);
+    if selection.sessions {
+        sessions(&mut state, sources);
     }
-    if needs.commits
-        && let Some(list) = state.within("commit")
-    {
-        let entries = store.history().map(|version| {
-            let mut entry = FieldsBuilder::new(list.schema, list.holder);
-            entry.leaf("version", version.number);
-            entry.leaf("at", version.committed_at_ms);
-            entry.leaf("user", &version.author.user);
-            entry.leaf("protocol", version.author.protocol.name());
-            entry.leaf("cause", version.cause);
-            entry.leaf("changes", version.changes.len());
-            entry.fields
-        });
-        state.list("commit", entries);
+    if selection.commits {
+        commits(&mut state, sources);
     }
     if let (Some(pending), Some(mut confirm)) = (store.pending(), state.within("confirm")) {
         confirm.leaf("version", store.running().number);
@@ -179,13 +175,41 @@
     state.fields
 }
 
+fn sessions(state: &mut FieldsBuilder, sources: &Sources) {
+    let Some(list) = state.within("session") else { return };
+    let entries = sources.store.sessions().iter().map(|(id, session)| {
+        let mut entry = FieldsBuilder::new(list.schema, list.holder);
+        entry.leaf("id", id);
+        entry.leaf("user", &session.user);
+        entry.leaf("protocol", session.protocol.name());
+        entry.leaf("lost-updates", sources.lost_updates.get(id).copied().unwrap_or_default());
+        entry.fields
+    });
+    state.list("session", entries);
+}
+
+fn commits(state: &mut FieldsBuilder, sources: &Sources) {
+    let Some(list) = state.within("commit") else { return };
+    let entries = sources.store.history().map(|version| {
+        let mut entry = FieldsBuilder::new(list.schema, list.holder);
+        entry.leaf("version", version.number);
+        entry.leaf("at", version.committed_at_ms);
+        entry.leaf("user", &version.author.user);
+        entry.leaf("protocol", version.author.protocol.name());
+        entry.leaf("cause", version.cause);
+        entry.leaf("changes", version.changes.len());
+        entry.fields
+    });
+    state.list("commit", entries);
+}
+
 fn counters(state: &mut FieldsBuilder, snapshot: &Snapshot) {
     let Some(list) = state.within("counter") else { return };
     let entries = snapshot.counters.iter().map(|counted| {
         let mut entry = FieldsBuilder::new(list.schema, list.holder);
-        let group = counted.request_class.and_then(|class| snapshot.request_classes.get(class));
+        let class = counted.request_class.and_then(|class| snapshot.request_classes.get(class));
         entry.leaf("name", counted.counter);
-        entry.leaf("service-group", group.map_or("-", |name| name));
+        entry.leaf("service-group", class.map_or("-", |name| name));
         entry.leaf("count", counted.value);
         entry.fields
     });
@@ -199,21 +223,21 @@
         None => number.to_string(),
     };
     let entries = snapshot.engines.iter().map(|engine| {
-        let held = &engine.endpoint.entry;
+        let listed = &engine.endpoint.entry;
         let mut entry = FieldsBuilder::new(list.schema, list.holder);
-        entry.leaf("id", format!("{:08x}", held.engine));
+        entry.leaf("id", format!("{:08x}", listed.engine));
         if let Some(address) = engine.address {
             entry.leaf("address", address);
         }
-        entry.leaf("location", name(&sources.names.zones, held.zone));
-        entry.leaf("kind", name(&sources.names.machine_kinds, held.machine_kind));
-        entry.leaf("cell", held.cell);
-        entry.leaf("listed", list_state_name(held.state));
+        entry.leaf("location", name(&sources.names.zones, listed.zone));
+        entry.leaf("kind", name(&sources.names.machine_kinds, listed.machine_kind));
+        entry.leaf("cell", listed.cell);
+        entry.leaf("listed", list_state_name(listed.state));
         entry.leaf("admin-state", admin_state_name(engine.endpoint.admin));
         entry.leaf("used", engine.endpoint.is_open());
         entry.leaf("resting", engine.ejected);
-        if !held.started_at.is_zero() {
-            entry.leaf("age", snapshot.now.saturating_sub(held.started_at).as_millis());
+        if !listed.started_at.is_zero() {
+            entry.leaf("age", snapshot.now.saturating_sub(listed.started_at).as_millis());
         }
         entry.leaf("out", engine.in_flight);
         entry.fields
@@ -221,6 +245,7 @@
     state.list("engine", entries);
 }
 
+/// The model's name of a state in the list.
 pub fn list_state_name(state: EngineState) -> &'static str {
     match state {
         EngineState::Active => "active",
@@ -229,6 +254,7 @@
     }
 }
 
+/// The model's name of an administrative state.
 pub fn admin_state_name(admin: AdminState) -> &'static str {
     match admin {
         AdminState::Enabled => "enabled",
@@ -237,8 +263,8 @@
     }
 }
 
-/// Memory of the whole process that is in use.
+/// Resident memory of the process, in bytes.
 fn resident() -> Option<u64> {
     let statm = std::fs::read_to_string("/proc/self/statm").ok()?;
-    statm.split_whitespace().nth(1)?.parse::<u64>().ok().map(|pages| pages * 4096)
+    statm.split_whitespace().nth(1)?.parse::<u64>().ok().map(|pages| pages * PAGE_BYTES)
 }
