--- a/crates/core/failure-detector/tests/limits.rs
+++ b/crates/core/failure-detector/tests/limits.rs
@@ -43,8 +43,8 @@
         (1..=addresses).for_each(|n| one.add_seed(Duration::ZERO, at(n)));
         let _ = one.take_outgoing();
         let mut again = BTreeSet::new();
-        for turn in 1..=addresses as u32 {
-            one.poll(PERIOD * 4 * turn);
+        for poll in 1..=addresses as u32 {
+            one.poll(PERIOD * 4 * poll);
             again.extend(one.take_outgoing().into_iter().map(|datagram| datagram.to));
         }
         assert_eq!(again.len(), greeted, "of {addresses}");
--- a/crates/core/leases/tests/stories.rs
+++ b/crates/core/leases/tests/scenarios.rs
@@ -180,7 +180,7 @@
 fn delayed_and_repeated_requests_change_nothing() {
     let mut voter = Voter::new(ms(0), &CONFIG, 0);
     let (a, b) = (Incarnation { name: "a".into(), id: 1 }, Incarnation { name: "b".into(), id: 2 });
-    let ballot = |round, born| Ballot { round, proposer: born };
+    let ballot = |round, proposer| Ballot { round, proposer };
     let accept = |incarnation: &Incarnation, round, number| LeaseRequest::Accept {
         task: TASK.into(),
         ballot: ballot(round, incarnation.id),
--- a/crates/core/registers/tests/learner.rs
+++ b/crates/core/registers/tests/learner.rs
@@ -173,7 +173,7 @@
     world.earlier.clear();
     world.poll();
     world.poll();
-    assert_eq!(world.poll().len(), VOTERS, "once changes are told, no name is asked for");
+    assert_eq!(world.poll().len(), VOTERS, "once changes are reported, no register is read by name");
 }
 
 /// Against all that was accepted by a majority: changes, restarts, and replies that are lost, late and repeated.
--- a/crates/core/registers/tests/stories.rs
+++ b/crates/core/registers/tests/scenarios.rs
@@ -252,7 +252,7 @@
     let (mut committed, mut epochs) = (0, BTreeSet::new());
     for seed in 0..900 {
         let mut world = World::new(seed, [3, 5][seed as usize % 2], false);
-        world.run(ms(3000)); // All are blank at the first start of all, and found an epoch.
+        world.run(ms(3000)); // At the first start all are without memory, and begin an epoch.
         world.restart_minorities();
         world.run(ms(500));
         assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
--- a/crates/edges/fleet/src/maintenance.rs
+++ b/crates/edges/fleet/src/maintenance.rs
@@ -33,7 +33,7 @@
     pub notify: Option<SocketAddr>,
 }
 
-/// What the router was last told.
+/// What was last sent to the router.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct SentUpdate {
     version: u64,
--- a/crates/edges/fleet/src/node/mod.rs
+++ b/crates/edges/fleet/src/node/mod.rs
@@ -75,7 +75,7 @@
     voter: Option<Voter>,
     lease_client: LeaseClient,
     quota_slots: Option<QuotaSlots>,
-    /// The share of the quota that the router was last told, from 0 to 1.
+    /// The share of the quota that was last sent to the router, from 0 to 1.
     quota: f64,
     /// Only at voters.
     acceptor: Option<Acceptor>,
--- a/crates/edges/fleet/src/zone_failover.rs
+++ b/crates/edges/fleet/src/zone_failover.rs
@@ -46,7 +46,7 @@
     plan_follower: PlanFollower,
     /// What this front's router observed last.
     local_view: LocalView,
-    /// What the router was last told.
+    /// What was last sent to the router.
     effect: Option<PlanEffect>,
     overrides: Vec<OperatorOverride>,
 }
--- a/crates/edges/fleet/tests/limits.rs
+++ b/crates/edges/fleet/tests/limits.rs
@@ -86,10 +86,10 @@
     }
 
     /// What a voter has accepted since a revision of an incarnation; repeated while a busy machine does not reply.
-    fn changes(&mut self, (born, since): (u64, u64), voter: SocketAddr) -> Changes {
+    fn changes(&mut self, (incarnation, since): (u64, u64), voter: SocketAddr) -> Changes {
         for _ in 0..MAX_QUESTIONS {
             self.send(
-                Body::RegisterRequest(RegisterRequest::ChangesSince { incarnation: born, revision: since }),
+                Body::RegisterRequest(RegisterRequest::ChangesSince { incarnation, revision: since }),
                 voter,
             );
             if let Some(Body::RegisterReply(RegisterReply::Changes(changes))) = self.receive() {
--- a/crates/edges/fleet/tests/unit/frame.rs
+++ b/crates/edges/fleet/tests/unit/frame.rs
@@ -15,10 +15,10 @@
     let sealed = frame.seal(&key).unwrap();
     assert_eq!(Frame::open(&sealed, &key), Ok(frame));
     assert_eq!(Frame::open(&sealed, &other), Err(OpenError::Unauthenticated));
-    for place in 0..sealed.len() {
-        let mut spoilt = sealed.clone();
-        spoilt[place] ^= 1;
-        assert_eq!(Frame::open(&spoilt, &key), Err(OpenError::Unauthenticated));
+    for index in 0..sealed.len() {
+        let mut corrupt = sealed.clone();
+        corrupt[index] ^= 1;
+        assert_eq!(Frame::open(&corrupt, &key), Err(OpenError::Unauthenticated));
     }
     assert_eq!(Frame::open(&sealed[..3], &key), Err(OpenError::Unauthenticated));
     assert_eq!(Frame::open(&[0; 4000], &key), Err(OpenError::Unauthenticated));
