--- a/crates/tools/scale/src/budget.rs
+++ b/crates/tools/scale/src/budget.rs
@@ -11,20 +11,20 @@
 /// Client connections of all fronts.
 pub const CLIENT_CONNECTIONS: u32 = 3_400_000;
 /// Client connections of one front.
-pub const CONNECTIONS_A_FRONT: u32 = 6_540;
+pub const CONNECTIONS_PER_FRONT: u32 = 6_540;
 /// Requests a second at one front.
-pub const REQUESTS_A_SECOND: u32 = 2_885;
+pub const REQUESTS_PER_SECOND: u32 = 2_885;
 /// Configuration changes a day.
-pub const CHANGES_A_DAY: u32 = 360;
+pub const CHANGES_PER_DAY: u32 = 360;
 /// Engines restarted or replaced in a day.
-pub const REPLACEMENTS_A_DAY: u32 = 110;
+pub const REPLACEMENTS_PER_DAY: u32 = 110;
 /// Machines set aside for control.
 pub const CONTROL_MACHINES: u32 = 8;
 
 /// What control may cost one front.
 pub const CONTROL_PROCESSOR_PERCENT: f64 = 1.8;
 pub const CONTROL_MEMORY_MB: f64 = 256.0;
-pub const CONTROL_BYTES_A_SECOND: f64 = 2_048.0;
+pub const CONTROL_BYTES_PER_SECOND: f64 = 2_048.0;
 /// A configuration change is in force everywhere within this time.
 pub const IN_FORCE_SECONDS: f64 = 3.0;
 /// A task has another working holder within this time.
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Budget {
     pub metric: Metric,
-    pub most: f64,
+    pub max: f64,
 }
 
 /// The size along an axis that is designed for.
@@ -47,7 +47,7 @@
     match axis {
         Axis::Fronts => FRONTS,
         Axis::Engines => ENGINES,
-        Axis::Connections => CONNECTIONS_A_FRONT,
+        Axis::Connections => CONNECTIONS_PER_FRONT,
     }
 }
 
@@ -57,7 +57,7 @@
     let control = [
         (metric::PROCESSOR, CONTROL_PROCESSOR_PERCENT),
         (metric::MEMORY, CONTROL_MEMORY_MB),
-        (metric::BYTES_CONTROL, CONTROL_BYTES_A_SECOND),
+        (metric::BYTES_CONTROL, CONTROL_BYTES_PER_SECOND),
     ];
     let own: Vec<(Metric, f64)> = match role {
         Role::Decision => {
@@ -74,10 +74,10 @@
         }
         Role::Discovery | Role::FailureDetector | Role::Maintenance => control.into(),
     };
-    own.into_iter().map(|(metric, most)| Budget { metric, most }).collect()
+    own.into_iter().map(|(metric, max)| Budget { metric, max }).collect()
 }
 
 /// The budget of one metric of a role, if it has one.
 pub fn of_metric(role: Role, metric: &Metric) -> Option<f64> {
-    of(role).into_iter().find(|budget| budget.metric == *metric).map(|budget| budget.most)
+    of(role).into_iter().find(|budget| budget.metric == *metric).map(|budget| budget.max)
 }
--- a/crates/tools/scale/src/channel.rs
+++ b/crates/tools/scale/src/channel.rs
@@ -8,19 +8,19 @@
 use std::time::Duration;
 
 /// Bytes of a frame before its records: length, number and kind.
-pub const FRAME_HEAD: usize = 13;
+pub const FRAME_HEADER_BYTES: usize = 13;
 /// Bytes of one engine in a frame.
-pub const RECORD: usize = 27;
+pub const RECORD_BYTES: usize = 27;
 /// An empty frame comes so often.
-pub const EMPTY_PERIOD: Duration = Duration::from_secs(1);
-const HELLO: usize = 8;
+pub const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const HELLO_BYTES: usize = 8;
 const WEIGHT: u32 = 1_000;
 
 /// How an engine stands in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
     Ready,
-    Gone,
+    Removed,
 }
 
 /// One engine in the list.
@@ -34,20 +34,20 @@
 
 /// What a frame tells.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum News {
-    Nothing,
-    Whole(Vec<Entry>),
-    Changes(Vec<Entry>),
+pub enum ListUpdate {
+    Empty,
+    Full(Vec<Entry>),
+    Delta(Vec<Entry>),
 }
 
 /// A frame's bytes.
-pub fn frame(number: u64, news: &News) -> Vec<u8> {
+pub fn frame(number: u64, news: &ListUpdate) -> Vec<u8> {
     let (kind, entries): (u8, &[Entry]) = match news {
-        News::Nothing => (0, &[]),
-        News::Whole(entries) => (1, entries),
-        News::Changes(entries) => (2, entries),
+        ListUpdate::Empty => (0, &[]),
+        ListUpdate::Full(entries) => (1, entries),
+        ListUpdate::Delta(entries) => (2, entries),
     };
-    let length = FRAME_HEAD - 4 + RECORD * entries.len();
+    let length = FRAME_HEADER_BYTES - 4 + RECORD_BYTES * entries.len();
     let mut bytes = (length as u32).to_be_bytes().to_vec();
     bytes.extend(number.to_be_bytes());
     bytes.push(kind);
@@ -58,7 +58,7 @@
 fn record(bytes: &mut Vec<u8>, entry: &Entry) {
     let state = match entry.state {
         State::Ready => 0,
-        State::Gone => 2,
+        State::Removed => 2,
     };
     bytes.extend(entry.id.to_be_bytes());
     bytes.extend(entry.address.ip().octets());
@@ -70,91 +70,91 @@
 }
 
 #[derive(Debug, Default)]
-struct Told {
+struct Followers {
     number: u64,
     /// What a front that comes is told first.
-    whole: Option<Vec<u8>>,
-    wires: Vec<TcpStream>,
+    full_list: Option<Vec<u8>>,
+    streams: Vec<TcpStream>,
 }
 
 /// A listener that tells every front the same.
 #[derive(Debug)]
 pub struct Channel {
     pub address: SocketAddr,
-    told: Arc<Mutex<Told>>,
+    state: Arc<Mutex<Followers>>,
 }
 
 impl Channel {
     pub fn start() -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
-        let told: Arc<Mutex<Told>> = Arc::default();
-        let accepting = Arc::downgrade(&told);
+        let state: Arc<Mutex<Followers>> = Arc::default();
+        let accepting = Arc::downgrade(&state);
         thread::spawn(move || {
-            for wire in listener.incoming() {
-                let Some(told) = accepting.upgrade() else { return };
-                if let Ok(wire) = wire {
-                    let _ = welcome(wire, &mut lock(&told)); // A front that breaks off comes again.
+            for stream in listener.incoming() {
+                let Some(state) = accepting.upgrade() else { return };
+                if let Ok(stream) = stream {
+                    let _ = add_follower(stream, &mut lock(&state)); // A front that breaks off comes again.
                 }
             }
         });
-        let beating = Arc::downgrade(&told);
+        let weak = Arc::downgrade(&state);
         thread::spawn(move || {
-            while let Some(told) = beating.upgrade() {
-                let mut told = lock(&told);
-                let empty = frame(told.number, &News::Nothing);
-                told.send(&empty);
-                drop(told);
-                thread::sleep(EMPTY_PERIOD);
+            while let Some(state) = weak.upgrade() {
+                let mut state = lock(&state);
+                let empty = frame(state.number, &ListUpdate::Empty);
+                state.send(&empty);
+                drop(state);
+                thread::sleep(KEEPALIVE_INTERVAL);
             }
         });
-        Ok(Channel { address, told })
+        Ok(Channel { address, state })
     }
 
     /// Tells all fronts, and yields how many bytes that takes for each.
-    pub fn tell(&self, news: &News) -> usize {
-        let mut told = lock(&self.told);
-        told.number += 1;
-        let bytes = frame(told.number, news);
-        if matches!(news, News::Whole(_)) {
-            told.whole = Some(bytes.clone());
+    pub fn publish(&self, news: &ListUpdate) -> usize {
+        let mut state = lock(&self.state);
+        state.number += 1;
+        let bytes = frame(state.number, news);
+        if matches!(news, ListUpdate::Full(_)) {
+            state.full_list = Some(bytes.clone());
         }
-        told.send(&bytes);
+        state.send(&bytes);
         bytes.len()
     }
 
     /// How many fronts follow it.
     pub fn fronts(&self) -> usize {
-        lock(&self.told).wires.len()
+        lock(&self.state).streams.len()
     }
 }
 
 impl Drop for Channel {
     fn drop(&mut self) {
-        lock(&self.told).wires.clear();
-        self.told = Arc::default();
+        lock(&self.state).streams.clear();
+        self.state = Arc::default();
         let _ = TcpStream::connect(self.address); // Wakes the accepting thread, which then ends.
     }
 }
 
-impl Told {
+impl Followers {
     /// Who can't be told has gone.
     fn send(&mut self, bytes: &[u8]) {
-        self.wires.retain_mut(|wire| wire.write_all(bytes).is_ok());
+        self.streams.retain_mut(|stream| stream.write_all(bytes).is_ok());
     }
 }
 
-fn welcome(mut wire: TcpStream, told: &mut Told) -> io::Result<()> {
-    wire.set_read_timeout(Some(EMPTY_PERIOD))?;
-    wire.set_nodelay(true)?;
-    wire.read_exact(&mut [0; HELLO])?;
-    if let Some(whole) = &told.whole {
-        wire.write_all(whole)?;
+fn add_follower(mut stream: TcpStream, state: &mut Followers) -> io::Result<()> {
+    stream.set_read_timeout(Some(KEEPALIVE_INTERVAL))?;
+    stream.set_nodelay(true)?;
+    stream.read_exact(&mut [0; HELLO_BYTES])?;
+    if let Some(full_list) = &state.full_list {
+        stream.write_all(full_list)?;
     }
-    told.wires.push(wire);
+    state.streams.push(stream);
     Ok(())
 }
 
-fn lock(told: &Mutex<Told>) -> MutexGuard<'_, Told> {
-    told.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(state: &Mutex<Followers>) -> MutexGuard<'_, Followers> {
+    state.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/tools/scale/src/clients.rs
+++ b/crates/tools/scale/src/clients.rs
@@ -12,8 +12,8 @@
 /// Table groups that they ask of.
 const TABLE_GROUPS: u64 = 256;
 /// What a client gives a request, in milliseconds.
-const PATIENCE_MS: u64 = 4_000;
-const LONGEST_ANSWER: Duration = Duration::from_secs(10);
+const CLIENT_TIMEOUT_MS: u64 = 4_000;
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Clients that ask until they are dropped.
 #[derive(Debug)]
@@ -25,12 +25,12 @@
 
 impl Clients {
     /// So many connections, each of which rests for this span between an answer and its next request.
-    pub fn start(address: SocketAddr, count: u64, rest: Duration) -> Self {
+    pub fn start(address: SocketAddr, count: u64, pause: Duration) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let returned = Arc::new(AtomicU64::new(0));
         let threads = (0..count).map(|number| {
             let (stop, returned) = (stop.clone(), returned.clone());
-            thread::spawn(move || ask(address, number, rest, &stop, &returned))
+            thread::spawn(move || run(address, number, pause, &stop, &returned))
         });
         Clients { threads: threads.collect(), stop, returned }
     }
@@ -50,22 +50,22 @@
     }
 }
 
-fn ask(
+fn run(
     address: SocketAddr,
     number: u64,
-    rest: Duration,
+    pause: Duration,
     stop: &AtomicBool,
     returned: &AtomicU64,
 ) -> io::Result<()> {
-    let wire = TcpStream::connect(address)?;
-    wire.set_nodelay(true)?;
-    wire.set_read_timeout(Some(LONGEST_ANSWER))?;
-    let mut lines = BufReader::new(wire);
+    let stream = TcpStream::connect(address)?;
+    stream.set_nodelay(true)?;
+    stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
+    let mut lines = BufReader::new(stream);
     let mut answer = String::new();
-    let mut ticket = 0;
+    let mut id = 0;
     while !stop.load(Ordering::Relaxed) {
-        ticket += 1;
-        lines.get_mut().write_all(request(number, ticket).as_bytes())?;
+        id += 1;
+        lines.get_mut().write_all(request(number, id).as_bytes())?;
         answer.clear();
         if lines.read_line(&mut answer)? == 0 {
             return Ok(());
@@ -73,18 +73,18 @@
         if answer.contains("\"result\"") {
             returned.fetch_add(1, Ordering::Relaxed);
         }
-        thread::sleep(rest);
+        thread::sleep(pause);
     }
     Ok(())
 }
 
 /// One line that asks of one table group after the other.
-fn request(client: u64, ticket: u64) -> String {
-    let group = (ticket.wrapping_mul(31) + client * 17) % TABLE_GROUPS;
+fn request(client: u64, id: u64) -> String {
+    let group = (id.wrapping_mul(31) + client * 17) % TABLE_GROUPS;
     let statement = STANDARD.encode(format!("select 1 from s_{group}.t"));
-    let call = client << 32 | ticket;
+    let call = client << 32 | id;
     format!(
-        "{{\"jsonrpc\":\"2.0\",\"id\":{ticket},\"method\":\"look-up\",\"params\":{{\"call\":\"{call:016x}\",\
-         \"ttl\":{PATIENCE_MS},\"data\":\"{statement}\"}}}}\n"
+        "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"look-up\",\"params\":{{\"call\":\"{call:016x}\",\
+         \"ttl\":{CLIENT_TIMEOUT_MS},\"data\":\"{statement}\"}}}}\n"
     )
 }
--- a/crates/tools/scale/src/engine.rs
+++ b/crates/tools/scale/src/engine.rs
@@ -11,11 +11,11 @@
 const HIT: &str = "HIT fetches=1,effort=20,high=1 6\r\nx\ty\tz\n\r\n";
 const REPORT: &str = "PONG use=busy:0.2 0\r\n\r\n";
 /// Longest statement that is read.
-const LONGEST_BODY: usize = 64 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// Requests seen so far.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Tally {
+pub struct ReceivedRequests {
     pub requests: u64,
     pub first: Option<Instant>,
     pub last: Option<Instant>,
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub struct Engines {
     pub address: SocketAddrV4,
-    tally: Arc<Mutex<Tally>>,
+    received: Arc<Mutex<ReceivedRequests>>,
 }
 
 impl Engines {
@@ -34,41 +34,41 @@
         let SocketAddr::V4(address) = listener.local_addr()? else {
             return Err(io::Error::other("the loopback address is of version 4"));
         };
-        let tally: Arc<Mutex<Tally>> = Arc::default();
-        let counting = Arc::downgrade(&tally);
+        let received: Arc<Mutex<ReceivedRequests>> = Arc::default();
+        let counting = Arc::downgrade(&received);
         thread::spawn(move || {
-            for wire in listener.incoming() {
-                let Some(tally) = counting.upgrade() else { return };
-                if let Ok(wire) = wire {
-                    thread::spawn(move || converse(wire, &tally));
+            for stream in listener.incoming() {
+                let Some(received) = counting.upgrade() else { return };
+                if let Ok(stream) = stream {
+                    thread::spawn(move || serve(stream, &received));
                 }
             }
         });
-        Ok(Engines { address, tally })
+        Ok(Engines { address, received })
     }
 
-    pub fn tally(&self) -> Tally {
-        *self.tally.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn received(&self) -> ReceivedRequests {
+        *self.received.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Counts from nothing again.
     pub fn reset(&self) {
-        *self.tally.lock().unwrap_or_else(PoisonError::into_inner) = Tally::default();
+        *self.received.lock().unwrap_or_else(PoisonError::into_inner) = ReceivedRequests::default();
     }
 }
 
 impl Drop for Engines {
     fn drop(&mut self) {
-        self.tally = Arc::default();
+        self.received = Arc::default();
         let _ = TcpStream::connect(self.address); // Wakes the accepting thread, which then ends.
     }
 }
 
 /// Answers until the front ends the connection.
-fn converse(wire: TcpStream, tally: &Mutex<Tally>) -> io::Result<()> {
-    wire.set_nodelay(true)?;
-    let mut out = wire.try_clone()?;
-    let mut lines = BufReader::new(wire);
+fn serve(stream: TcpStream, received: &Mutex<ReceivedRequests>) -> io::Result<()> {
+    stream.set_nodelay(true)?;
+    let mut out = stream.try_clone()?;
+    let mut lines = BufReader::new(stream);
     let mut line = String::new();
     loop {
         line.clear();
@@ -78,9 +78,9 @@
         let words: Vec<&str> = line.split_whitespace().collect();
         match words[..] {
             ["serve", id, _, length] => {
-                let length = length.parse::<usize>().unwrap_or(0).min(LONGEST_BODY);
+                let length = length.parse::<usize>().unwrap_or(0).min(MAX_BODY_BYTES);
                 lines.read_exact(&mut vec![0; length + 2])?;
-                count(tally);
+                count(received);
                 out.write_all(format!("{id} {HIT}").as_bytes())?;
             }
             ["gauges" | "health", tag] => out.write_all(format!("{tag} {REPORT}").as_bytes())?,
@@ -89,10 +89,10 @@
     }
 }
 
-fn count(tally: &Mutex<Tally>) {
-    let mut tally = tally.lock().unwrap_or_else(PoisonError::into_inner);
+fn count(received: &Mutex<ReceivedRequests>) {
+    let mut received = received.lock().unwrap_or_else(PoisonError::into_inner);
     let now = Instant::now();
-    tally.requests += 1;
-    tally.first.get_or_insert(now);
-    tally.last = Some(now);
+    received.requests += 1;
+    received.first.get_or_insert(now);
+    received.last = Some(now);
 }
--- a/crates/tools/scale/src/fit.rs
+++ b/crates/tools/scale/src/fit.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 /// A fit wants at least so many different sizes that were not disturbed.
-pub const FEWEST_SIZES: usize = 3;
+pub const MIN_SIZES: usize = 3;
 /// The confidence of all intervals.
 pub const CONFIDENCE: f64 = 0.95;
 
@@ -19,10 +19,10 @@
 /// Why points have no fit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FitError {
-    #[error("too few good sizes: {good}, {FEWEST_SIZES} wanted")]
+    #[error("too few good sizes: {good}, {MIN_SIZES} wanted")]
     TooFewSizes { good: usize },
     /// There would be enough sizes, had some not been disturbed.
-    #[error("disturbed: {good} good sizes of {measured}, {FEWEST_SIZES} wanted")]
+    #[error("disturbed: {good} good sizes of {measured}, {MIN_SIZES} wanted")]
     Disturbed { good: usize, measured: usize },
     #[error("a size or value is not a finite number")]
     NotFinite,
@@ -95,8 +95,8 @@
     }
     let good: Vec<Point> = points.iter().copied().filter(|point| !point.disturbed).collect();
     let (good_sizes, all_sizes) = (sizes(&good), sizes(points));
-    if good_sizes < FEWEST_SIZES {
-        return Err(if all_sizes >= FEWEST_SIZES {
+    if good_sizes < MIN_SIZES {
+        return Err(if all_sizes >= MIN_SIZES {
             FitError::Disturbed { good: good_sizes, measured: all_sizes }
         } else {
             FitError::TooFewSizes { good: good_sizes }
--- a/crates/tools/scale/src/fleet/hollow.rs
+++ b/crates/tools/scale/src/fleet/hollow.rs
@@ -11,11 +11,11 @@
 use std::time::Duration;
 
 /// A front's thread looks round this often at least.
-const NAP: Duration = Duration::from_millis(20);
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// A thread that has nothing to wait for waits so long all the same.
-const SHORTEST_WAIT: Duration = Duration::from_millis(1);
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(1);
 /// A date in 2026, in milliseconds since 1970, at the origin of the rig's time.
-const DATE_MS: u64 = 1_796_000_000_000;
+const ORIGIN_UNIX_MS: u64 = 1_796_000_000_000;
 
 pub struct Hollow {
     node: Node,
@@ -23,9 +23,9 @@
     /// When this life began, on the rig's clock.
     born: Duration,
     /// The number of this life, which parts its wake-ups from those of an earlier one.
-    pub life: u64,
+    pub incarnation: u64,
     location: u32,
-    sees: Option<Sender<ZoneObservation>>,
+    observations: Option<Sender<ZoneObservation>>,
     pub traffic: Traffic,
     /// What all calls into the state machine took.
     pub processor: Duration,
@@ -40,26 +40,27 @@
     pub voters: Vec<SocketAddr>,
     pub location: u32,
     pub now: Duration,
-    pub life: u64,
+    pub incarnation: u64,
     pub seed: u64,
 }
 
 impl Hollow {
     pub fn new(start: Start) -> Hollow {
         let (told, seen) = async_channel::bounded(1);
-        let Start { setup, front, address, voters, location, now, life, seed } = start;
+        let Start { setup, front, address, voters, location, now, incarnation, seed } = start;
         let terms = setup.terms(front, address, voters, location, seen);
-        let date_ms = DATE_MS + now.as_millis() as u64;
+        let date_ms = ORIGIN_UNIX_MS + now.as_millis() as u64;
         let counts = Arc::new(Counts::default());
         let from = thread_time();
-        let node = Node::new(terms, Birth { address, life, date_ms, seed }, None, counts.clone());
+        let node =
+            Node::new(terms, Birth { address, life: incarnation, date_ms, seed }, None, counts.clone());
         Hollow {
             node,
             address,
             born: now,
-            life,
+            incarnation,
             location,
-            sees: (setup.registers != Registers::None).then_some(told),
+            observations: (setup.registers != Registers::None).then_some(told),
             traffic: Traffic::default(),
             processor: thread_time().saturating_sub(from),
             counts,
@@ -80,14 +81,14 @@
     }
 
     /// Hears a datagram, and does what is due then, as a front's thread does.
-    pub fn hear(&mut self, now: Duration, from: SocketAddr, bytes: &[u8]) -> Vec<Message> {
+    pub fn handle_datagram(&mut self, now: Duration, from: SocketAddr, bytes: &[u8]) -> Vec<Message> {
         let (local, began) = (self.local(now), thread_time());
         self.node.hear(local, from, bytes);
         self.node.wake(local);
         self.sent(began)
     }
 
-    pub fn wake(&mut self, now: Duration) -> Vec<Message> {
+    pub fn poll(&mut self, now: Duration) -> Vec<Message> {
         let (local, began) = (self.local(now), thread_time());
         self.node.wake(local);
         self.sent(began)
@@ -111,16 +112,16 @@
     }
 
     /// Tells it what a front's requests would have shown of the zones.
-    pub fn see(&self) {
-        if let Some(sees) = &self.sees {
-            let _ = sees.force_send(setup::seen(self.location));
+    pub fn observe_zones(&self) {
+        if let Some(observations) = &self.observations {
+            let _ = observations.force_send(setup::seen(self.location));
         }
     }
 
     /// When it wants to be woken, on the rig's clock.
-    pub fn due(&self, now: Duration) -> Duration {
-        let due = self.node.due().unwrap_or(Duration::MAX).saturating_sub(self.local(now));
-        now + due.clamp(SHORTEST_WAIT, NAP)
+    pub fn next_timeout(&self, now: Duration) -> Duration {
+        let next_timeout = self.node.due().unwrap_or(Duration::MAX).saturating_sub(self.local(now));
+        now + next_timeout.clamp(MIN_POLL_INTERVAL, MAX_POLL_INTERVAL)
     }
 
     pub fn census(&self, now: Duration) -> Census {
--- a/crates/tools/scale/src/fleet/loopback.rs
+++ b/crates/tools/scale/src/fleet/loopback.rs
@@ -12,12 +12,12 @@
 
 /// All sockets are looked at this often.
 const SWEEP: Duration = Duration::from_millis(1);
-const LARGEST: usize = 2048;
+const MAX_DATAGRAM_BYTES: usize = 2048;
 
 struct Member {
     hollow: Hollow,
     socket: UdpSocket,
-    due: Duration,
+    next_timeout: Duration,
 }
 
 pub struct Loopback {
@@ -44,10 +44,10 @@
                 voters: voters.clone(),
                 location: Place::of(front).zone,
                 now: Duration::ZERO,
-                life: fastrand::u64(1..),
+                incarnation: fastrand::u64(1..),
                 seed: fastrand::u64(..),
             };
-            members.push(Member { hollow: Hollow::new(start), socket, due: Duration::ZERO });
+            members.push(Member { hollow: Hollow::new(start), socket, next_timeout: Duration::ZERO });
         }
         Ok(Loopback { members, clock: Instant::now(), key: key() })
     }
@@ -78,8 +78,8 @@
     }
 
     /// Tells all fronts what requests would have shown.
-    pub fn see(&self) {
-        self.members.iter().for_each(|member| member.hollow.see());
+    pub fn observe_zones(&self) {
+        self.members.iter().for_each(|member| member.hollow.observe_zones());
     }
 
     pub fn traffic(&self, front: usize) -> &Traffic {
@@ -102,21 +102,21 @@
 
 impl Member {
     fn turn(&mut self, clock: Instant, key: &Key) {
-        let mut bytes = [0; LARGEST];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES];
         while let Ok((long, from)) = self.socket.recv_from(&mut bytes) {
-            let heard = &bytes[..long];
-            if let Ok(frame) = Frame::open(heard, key) {
-                self.hollow.traffic.count_heard(frame.body.kind(), long);
+            let received = &bytes[..long];
+            if let Ok(frame) = Frame::open(received, key) {
+                self.hollow.traffic.count_received(frame.body.kind(), long);
             }
-            let sent = self.hollow.hear(clock.elapsed(), from, heard);
+            let sent = self.hollow.handle_datagram(clock.elapsed(), from, received);
             self.send(sent);
-            self.due = self.hollow.due(clock.elapsed());
+            self.next_timeout = self.hollow.next_timeout(clock.elapsed());
         }
         let now = clock.elapsed();
-        if self.due <= now {
-            let sent = self.hollow.wake(now);
+        if self.next_timeout <= now {
+            let sent = self.hollow.poll(now);
             self.send(sent);
-            self.due = self.hollow.due(now);
+            self.next_timeout = self.hollow.next_timeout(now);
         }
     }
 
--- a/crates/tools/scale/src/fleet/meter.rs
+++ b/crates/tools/scale/src/fleet/meter.rs
@@ -33,12 +33,12 @@
     pub bytes_in: f64,
     pub bytes_out: f64,
     /// Of the front that sent and heard the most.
-    pub bytes_most: f64,
+    pub max_bytes: f64,
     /// Percent of a core; of all that the front's state machine does, whatever kinds are watched.
     pub processor: f64,
     pub state_bytes: f64,
     /// Fronts that it has told as gone, an hour.
-    pub told_gone_an_hour: f64,
+    pub members_lost_per_hour: f64,
     /// Other fronts that it sees.
     pub members: f64,
 }
@@ -66,18 +66,18 @@
         let mut members = 0;
         let fronts = after.len().max(1) as f64;
         for ((after, before), front) in after.iter().zip(&self.before).zip(self.fronts.clone()) {
-            let heard = after.traffic.heard(&self.kinds) - before.traffic.heard(&self.kinds);
+            let received = after.traffic.received(&self.kinds) - before.traffic.received(&self.kinds);
             let sent = after.traffic.sent(&self.kinds) - before.traffic.sent(&self.kinds);
-            let a_second = |count: u64| count as f64 / seconds;
-            cost.messages_in += a_second(heard.messages) / fronts;
-            cost.messages_out += a_second(sent.messages) / fronts;
-            cost.bytes_in += a_second(heard.bytes) / fronts;
-            cost.bytes_out += a_second(sent.bytes) / fronts;
-            cost.bytes_most = cost.bytes_most.max(a_second(both(heard, sent).bytes));
+            let per_second = |count: u64| count as f64 / seconds;
+            cost.messages_in += per_second(received.messages) / fronts;
+            cost.messages_out += per_second(sent.messages) / fronts;
+            cost.bytes_in += per_second(received.bytes) / fronts;
+            cost.bytes_out += per_second(sent.bytes) / fronts;
+            cost.max_bytes = cost.max_bytes.max(per_second(both(received, sent).bytes));
             let processor = after.processor.saturating_sub(before.processor).as_secs_f64();
             cost.processor += 100.0 * processor / seconds / fronts;
-            cost.told_gone_an_hour +=
-                a_second(after.members_lost - before.members_lost) * SECONDS_AN_HOUR / fronts;
+            cost.members_lost_per_hour +=
+                per_second(after.members_lost - before.members_lost) * SECONDS_PER_HOUR / fronts;
             let census = simulation.census(front);
             cost.state_bytes += census.bytes as f64 / fronts;
             members += census.members;
@@ -87,10 +87,10 @@
     }
 }
 
-const SECONDS_AN_HOUR: f64 = 3_600.0;
+const SECONDS_PER_HOUR: f64 = 3_600.0;
 
-fn both(heard: Flow, sent: Flow) -> Flow {
-    heard + sent
+fn both(received: Flow, sent: Flow) -> Flow {
+    received + sent
 }
 
 /// The resident bytes of this process.
--- a/crates/tools/scale/src/fleet/mod.rs
+++ b/crates/tools/scale/src/fleet/mod.rs
@@ -12,7 +12,7 @@
 mod simulation;
 mod traffic;
 
-pub use events::{Cut, Herd, Replacement, cut_regions, herd, replacements};
+pub use events::{Partition, Replacement, ThunderingHerd, herd, partition_regions, replacements};
 pub use hollow::Hollow;
 pub use loopback::Loopback;
 pub use meter::{Cost, Meter, Run, resident_bytes};
--- a/crates/tools/scale/src/fleet/network.rs
+++ b/crates/tools/scale/src/fleet/network.rs
@@ -53,15 +53,15 @@
     /// The share of datagrams that is lost.
     pub loss: f64,
     /// Nothing goes between the regions.
-    pub cut: bool,
+    pub partitioned: bool,
 }
 
 impl Network {
     /// How long a datagram takes; none if it is lost.
-    pub fn delay(&self, from: Place, to: Place, chance: &mut Rng) -> Option<Duration> {
-        if (self.cut && from.region != to.region) || chance.f64() < self.loss {
+    pub fn delay(&self, from: Place, to: Place, rng: &mut Rng) -> Option<Duration> {
+        if (self.partitioned && from.region != to.region) || rng.f64() < self.loss {
             return None;
         }
-        Some(self.delays.between(from, to).mul_f64(1.0 + JITTER * chance.f64()))
+        Some(self.delays.between(from, to).mul_f64(1.0 + JITTER * rng.f64()))
     }
 }
--- a/crates/tools/scale/src/fleet/setup.rs
+++ b/crates/tools/scale/src/fleet/setup.rs
@@ -13,7 +13,7 @@
 /// A task that every front is willing to hold.
 pub const TASK: &str = "account";
 /// Request classes of the plan for lost zones.
-const SERVICE_GROUPS: usize = 4;
+const REQUEST_CLASSES: usize = 4;
 
 /// Which registers fronts follow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -33,7 +33,7 @@
     pub voters: usize,
     pub leases: LeaseTerms,
     /// Each front wants a seat of its own.
-    pub seats: bool,
+    pub quota_slots: bool,
     /// Each front is willing to hold [`TASK`].
     pub task: bool,
     pub registers: Registers,
@@ -53,7 +53,7 @@
                 clock_drift_permille: 20,
                 max_action_time: Duration::from_secs(1),
             },
-            seats: false,
+            quota_slots: false,
             task: false,
             registers: Registers::None,
             delays: Delays::STATED,
@@ -84,7 +84,7 @@
             location,
             folder: None,
             tasks: if self.task { vec![task()] } else { Vec::new() },
-            seats: if self.seats { self.fronts as u32 } else { 0 },
+            seats: if self.quota_slots { self.fronts as u32 } else { 0 },
             wants: 1,
             number: front as u32,
             sites: (self.registers != Registers::None).then(|| sites(seen)),
@@ -128,7 +128,7 @@
         floor: zone_terms().admission_floor,
         allowed_zones: None,
     };
-    SitesTerms { terms: zone_terms(), groups: vec![group; SERVICE_GROUPS], seen }
+    SitesTerms { terms: zone_terms(), groups: vec![group; REQUEST_CLASSES], seen }
 }
 
 /// The defaults of an operator's file.
@@ -148,19 +148,19 @@
 
 /// What a front sees in a period in which all is well: each zone's engines answer.
 pub fn seen(location: u32) -> ZoneObservation {
-    let engines_a_zone = budget::ENGINES / budget::ZONES;
+    let engines_per_zone = budget::ENGINES / budget::ZONES;
     let sights = (0..budget::ZONES).map(|site| zones::ZoneStats {
         zone: site,
-        listed: engines_a_zone as u16,
-        cores: engines_a_zone * CORES,
-        answering: engines_a_zone as u16,
+        listed: engines_per_zone as u16,
+        cores: engines_per_zone * CORES,
+        answering: engines_per_zone as u16,
         silent: 0,
-        returned: budget::REQUESTS_A_SECOND / 2 / budget::ZONES,
+        returned: budget::REQUESTS_PER_SECOND / 2 / budget::ZONES,
         slow: 0,
         failed: 0,
     });
-    let rate = budget::REQUESTS_A_SECOND as f32 / SERVICE_GROUPS as f32;
-    let demand = vec![zones::Demand { rate, work: 0.01 }; SERVICE_GROUPS];
+    let rate = budget::REQUESTS_PER_SECOND as f32 / REQUEST_CLASSES as f32;
+    let demand = vec![zones::Demand { rate, work: 0.01 }; REQUEST_CLASSES];
     let report = zones::FrontReport { zone: location, zones: sights.collect(), demand };
     let engine = |id: u32| zones::EngineObservation {
         engine: id,
--- a/crates/tools/scale/src/fleet/side_by_side.rs
+++ b/crates/tools/scale/src/fleet/side_by_side.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Account {
     pub sent: Flow,
-    pub heard: Flow,
+    pub received: Flow,
     pub state_bytes: usize,
     /// Processor time; a real one's has the time for its socket, too.
     pub processor: Duration,
@@ -55,15 +55,15 @@
     if setup.task {
         hold_task(&mut hollow)?;
     }
-    let (sees, seen) = async_channel::bounded(1);
+    let (observations, seen) = async_channel::bounded(1);
     let location = Place::of(last).zone;
     let listen = SocketAddr::from(([127, 0, 0, 1], 0));
     let terms = setup.terms(last, listen, hollow.voters(setup.voters), location, seen);
     let real = lemonusher_fleet::start(terms)?;
-    run(&mut hollow, &sees, location, settled);
+    run(&mut hollow, &observations, location, settled);
     let (real_before, hollow_before) = (real_account(&real), hollow_accounts(&hollow, setup));
     let watch = Watch::start(Duration::MAX);
-    let lateness = run(&mut hollow, &sees, location, span).max(watch.finish().greatest);
+    let lateness = run(&mut hollow, &observations, location, span).max(watch.finish().greatest);
     let (real_after, hollow_after) = (real_account(&real), hollow_accounts(&hollow, setup));
     let hollow = hollow_after.iter().zip(&hollow_before).map(|(after, before)| after.since(before));
     Ok(SideBySide { real: real_after.since(&real_before), hollow: hollow.collect(), lateness })
@@ -73,7 +73,7 @@
     fn since(&self, before: &Account) -> Account {
         Account {
             sent: self.sent - before.sent,
-            heard: self.heard - before.heard,
+            received: self.received - before.received,
             state_bytes: self.state_bytes,
             processor: self.processor.saturating_sub(before.processor),
         }
@@ -86,7 +86,7 @@
         if waited >= TASK_HELD {
             return Err(io::Error::new(io::ErrorKind::TimedOut, "no hollow front got hold of the task"));
         }
-        hollow.see();
+        hollow.observe_zones();
         hollow.run_for(zone_terms().report_interval);
         waited += zone_terms().report_interval;
     }
@@ -94,12 +94,17 @@
 }
 
 /// Lets all fronts run, and tells them once a period what requests would have shown.
-fn run(hollow: &mut Loopback, sees: &Sender<ZoneObservation>, location: u32, span: Duration) -> Duration {
+fn run(
+    hollow: &mut Loopback,
+    observations: &Sender<ZoneObservation>,
+    location: u32,
+    span: Duration,
+) -> Duration {
     let period = zone_terms().report_interval;
     let mut lateness = Duration::ZERO;
     for _ in 0..span.as_nanos().div_ceil(period.as_nanos()) {
-        let _ = sees.force_send(seen(location));
-        hollow.see();
+        let _ = observations.force_send(seen(location));
+        hollow.observe_zones();
         lateness = lateness.max(hollow.run_for(period));
     }
     lateness
@@ -113,7 +118,7 @@
     };
     Account {
         sent: flow(&counts.sent, &counts.bytes),
-        heard: flow(&counts.heard, &counts.heard_bytes),
+        received: flow(&counts.heard, &counts.heard_bytes),
         state_bytes: real.census().bytes,
         processor: thread_time_of(THREAD),
     }
@@ -122,7 +127,7 @@
 fn hollow_accounts(hollow: &Loopback, setup: &Setup) -> Vec<Account> {
     let account = |front: usize| Account {
         sent: hollow.traffic(front).sent(&KINDS),
-        heard: hollow.traffic(front).heard(&KINDS),
+        received: hollow.traffic(front).received(&KINDS),
         state_bytes: hollow.census(front).bytes,
         processor: hollow.processor(front),
     };
--- a/crates/tools/scale/src/fleet/simulation.rs
+++ b/crates/tools/scale/src/fleet/simulation.rs
@@ -16,13 +16,13 @@
 /// A port whose encoding is as long as that of most ephemeral ports.
 const PORT: u16 = 47_000;
 
-enum What {
-    Wake {
-        life: u64,
+enum EventKind {
+    Poll {
+        incarnation: u64,
     },
     /// What requests would have shown in the last period.
-    See {
-        life: u64,
+    Observe {
+        incarnation: u64,
     },
     Deliver {
         from: SocketAddr,
@@ -37,7 +37,7 @@
     /// Parts events of one moment, in the order in which they were made.
     sequence: u64,
     front: usize,
-    what: What,
+    what: EventKind,
 }
 
 impl PartialEq for Event {
@@ -65,7 +65,7 @@
 struct Slot {
     front: Option<Hollow>,
     /// When it is to be woken next.
-    wakes: Duration,
+    next_poll: Duration,
 }
 
 pub struct Simulation {
@@ -75,8 +75,8 @@
     queue: BinaryHeap<Reverse<Event>>,
     sequence: u64,
     slots: Vec<Slot>,
-    places: HashMap<SocketAddr, usize>,
-    chance: Rng,
+    fronts_by_address: HashMap<SocketAddr, usize>,
+    rng: Rng,
 }
 
 fn address(front: usize) -> SocketAddr {
@@ -88,18 +88,18 @@
     /// A fleet whose fronts start within the first seconds, its voters first.
     pub fn new(setup: Setup) -> Simulation {
         let mut simulation = Simulation {
-            network: Network { delays: setup.delays, loss: setup.loss, cut: false },
+            network: Network { delays: setup.delays, loss: setup.loss, partitioned: false },
             now: Duration::ZERO,
             queue: BinaryHeap::new(),
             sequence: 0,
             slots: (0..setup.fronts).map(|_| Slot::default()).collect(),
-            places: (0..setup.fronts).map(|front| (address(front), front)).collect(),
-            chance: Rng::with_seed(setup.seed),
+            fronts_by_address: (0..setup.fronts).map(|front| (address(front), front)).collect(),
+            rng: Rng::with_seed(setup.seed),
             setup,
         };
         for front in 0..simulation.setup.fronts {
             let votes = front < simulation.setup.voters;
-            let late = if votes { Duration::ZERO } else { START_SPREAD.mul_f64(simulation.chance.f64()) };
+            let late = if votes { Duration::ZERO } else { START_SPREAD.mul_f64(simulation.rng.f64()) };
             simulation.start_at(front, late);
         }
         simulation
@@ -115,7 +115,7 @@
 
     /// Begins a new life of a front, in place of the one that is there.
     pub fn start_at(&mut self, front: usize, at: Duration) {
-        self.push(at, front, What::Start);
+        self.push(at, front, EventKind::Start);
     }
 
     /// Ends a front without a word.
@@ -179,12 +179,12 @@
     pub fn run_until_holds(
         &mut self,
         step: Duration,
-        most: Duration,
+        max: Duration,
         mut holds: impl FnMut(&Simulation) -> bool,
     ) -> Option<Duration> {
         let began = self.now;
         while !holds(self) {
-            if self.now >= began + most {
+            if self.now >= began + max {
                 return None;
             }
             self.run_for(step);
@@ -192,7 +192,7 @@
         Some(self.now - began)
     }
 
-    fn push(&mut self, at: Duration, front: usize, what: What) {
+    fn push(&mut self, at: Duration, front: usize, what: EventKind) {
         self.sequence += 1;
         self.queue.push(Reverse(Event { at, sequence: self.sequence, front, what }));
     }
@@ -200,10 +200,10 @@
     fn play(&mut self, event: Event) {
         let Event { at, front, what, .. } = event;
         match what {
-            What::Start => self.begin(front),
-            What::Wake { life } => self.wake(front, life, at),
-            What::See { life } => self.see(front, life),
-            What::Deliver { from, kind, bytes } => self.deliver(front, from, kind, &bytes),
+            EventKind::Start => self.begin(front),
+            EventKind::Poll { incarnation } => self.poll(front, incarnation, at),
+            EventKind::Observe { incarnation } => self.observe_zones(front, incarnation),
+            EventKind::Deliver { from, kind, bytes } => self.deliver(front, from, kind, &bytes),
         }
     }
 
@@ -215,47 +215,51 @@
             voters: (0..self.setup.voters).map(address).collect(),
             location: Place::of(front).zone,
             now: self.now,
-            life: self.chance.u64(1..),
-            seed: self.chance.u64(..),
+            incarnation: self.rng.u64(1..),
+            seed: self.rng.u64(..),
         };
         let mut hollow = Hollow::new(start);
-        let (life, now) = (hollow.life, self.now);
-        let sent = hollow.wake(now);
+        let (incarnation, now) = (hollow.incarnation, self.now);
+        let sent = hollow.poll(now);
         self.slots[front].front = Some(hollow);
-        self.slots[front].wakes = Duration::MAX;
+        self.slots[front].next_poll = Duration::MAX;
         self.send(front, sent);
         self.schedule(front);
         if self.setup.registers != Registers::None {
-            let first = zone_terms().report_interval.mul_f64(self.chance.f64());
-            self.push(now + first, front, What::See { life });
+            let first = zone_terms().report_interval.mul_f64(self.rng.f64());
+            self.push(now + first, front, EventKind::Observe { incarnation });
         }
     }
 
-    fn wake(&mut self, front: usize, life: u64, at: Duration) {
+    fn poll(&mut self, front: usize, incarnation: u64, at: Duration) {
         let slot = &mut self.slots[front];
-        let Some(hollow) = slot.front.as_mut().filter(|hollow| hollow.life == life) else { return };
+        let Some(hollow) = slot.front.as_mut().filter(|hollow| hollow.incarnation == incarnation) else {
+            return;
+        };
         // Another wake-up has taken the place of this one.
-        if slot.wakes != at {
+        if slot.next_poll != at {
             return;
         }
-        slot.wakes = Duration::MAX;
-        let sent = hollow.wake(self.now);
+        slot.next_poll = Duration::MAX;
+        let sent = hollow.poll(self.now);
         self.send(front, sent);
         self.schedule(front);
     }
 
-    fn see(&mut self, front: usize, life: u64) {
-        let Some(hollow) = self.slots[front].front.as_ref().filter(|hollow| hollow.life == life) else {
+    fn observe_zones(&mut self, front: usize, incarnation: u64) {
+        let Some(hollow) =
+            self.slots[front].front.as_ref().filter(|hollow| hollow.incarnation == incarnation)
+        else {
             return;
         };
-        hollow.see();
-        self.push(self.now + zone_terms().report_interval, front, What::See { life });
+        hollow.observe_zones();
+        self.push(self.now + zone_terms().report_interval, front, EventKind::Observe { incarnation });
     }
 
     fn deliver(&mut self, front: usize, from: SocketAddr, kind: Kind, bytes: &[u8]) {
         let Some(hollow) = &mut self.slots[front].front else { return };
-        hollow.traffic.count_heard(kind, bytes.len());
-        let sent = hollow.hear(self.now, from, bytes);
+        hollow.traffic.count_received(kind, bytes.len());
+        let sent = hollow.handle_datagram(self.now, from, bytes);
         self.send(front, sent);
         self.schedule(front);
     }
@@ -263,20 +267,20 @@
     /// Makes the next wake-up, if it is earlier than the one there is.
     fn schedule(&mut self, front: usize) {
         let Some(hollow) = &self.slots[front].front else { return };
-        let (due, life) = (hollow.due(self.now), hollow.life);
-        if due < self.slots[front].wakes {
-            self.slots[front].wakes = due;
-            self.push(due, front, What::Wake { life });
+        let (next_timeout, incarnation) = (hollow.next_timeout(self.now), hollow.incarnation);
+        if next_timeout < self.slots[front].next_poll {
+            self.slots[front].next_poll = next_timeout;
+            self.push(next_timeout, front, EventKind::Poll { incarnation });
         }
     }
 
     fn send(&mut self, sender: usize, sent: Vec<Message>) {
         let from = address(sender);
         for Message { kind, datagram } in sent {
-            let Some(front) = self.places.get(&datagram.to).copied() else { continue };
-            let delay = self.network.delay(Place::of(sender), Place::of(front), &mut self.chance);
+            let Some(front) = self.fronts_by_address.get(&datagram.to).copied() else { continue };
+            let delay = self.network.delay(Place::of(sender), Place::of(front), &mut self.rng);
             if let Some(delay) = delay {
-                self.push(self.now + delay, front, What::Deliver { from, kind, bytes: datagram.bytes });
+                self.push(self.now + delay, front, EventKind::Deliver { from, kind, bytes: datagram.bytes });
             }
         }
     }
--- a/crates/tools/scale/src/fleet/traffic.rs
+++ b/crates/tools/scale/src/fleet/traffic.rs
@@ -37,13 +37,13 @@
 /// What one front has sent and heard so far.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Traffic {
-    heard: BTreeMap<Kind, Flow>,
+    received: BTreeMap<Kind, Flow>,
     sent: BTreeMap<Kind, Flow>,
 }
 
 impl Traffic {
-    pub fn count_heard(&mut self, kind: Kind, bytes: usize) {
-        self.heard.entry(kind).or_default().count(bytes);
+    pub fn count_received(&mut self, kind: Kind, bytes: usize) {
+        self.received.entry(kind).or_default().count(bytes);
     }
 
     pub fn count_sent(&mut self, kind: Kind, bytes: usize) {
@@ -51,8 +51,8 @@
     }
 
     /// What was heard of these kinds.
-    pub fn heard(&self, kinds: &[Kind]) -> Flow {
-        sum(&self.heard, kinds)
+    pub fn received(&self, kinds: &[Kind]) -> Flow {
+        sum(&self.received, kinds)
     }
 
     pub fn sent(&self, kinds: &[Kind]) -> Flow {
--- a/crates/tools/scale/src/front.rs
+++ b/crates/tools/scale/src/front.rs
@@ -15,13 +15,13 @@
 /// The name of the program.
 const PROGRAM: &str = "lemonusher-front";
 /// It listens within this time, on however busy a machine.
-const LONGEST_START: Duration = Duration::from_secs(30);
+const MAX_START_TIME: Duration = Duration::from_secs(30);
 /// What its log says before its address.
 const LISTENS: &str = "listens on ";
 
 /// What a front is told that a measurement varies.
 #[derive(Debug, Clone)]
-pub struct Told {
+pub struct FrontOptions {
     /// Where its list of engines comes from.
     pub channel: SocketAddr,
     /// Descriptors that it shares out.
@@ -34,13 +34,13 @@
 pub struct Front {
     child: Child,
     pub address: SocketAddr,
-    _told: NamedTempFile,
+    _start_file: NamedTempFile,
 }
 
 impl Front {
     /// Starts the program and waits until it listens.
-    pub fn start(program: &Path, told: &Told) -> Result<Self, MeasureError> {
-        let file = write(told).map_err(io("the file that the front is told"))?;
+    pub fn start(program: &Path, options: &FrontOptions) -> Result<Self, MeasureError> {
+        let file = write(options).map_err(io("the file that the front is told"))?;
         let mut child = Command::new(program)
             .env("PROXY_CONFIG", file.path())
             .env("RUST_LOG", "info")
@@ -49,12 +49,12 @@
             .spawn()
             .map_err(io(&program.display().to_string()))?;
         let found = child.stderr.take().map(|log| follow(BufReader::new(log)));
-        let address = found.and_then(|found| found.recv_timeout(LONGEST_START).ok());
+        let address = found.and_then(|found| found.recv_timeout(MAX_START_TIME).ok());
         let Some(address) = address else {
             end(&mut child);
             return Err(MeasureError::Failed("the front did not start to listen".into()));
         };
-        Ok(Front { child, address, _told: file })
+        Ok(Front { child, address, _start_file: file })
     }
 
     pub fn pid(&self) -> u32 {
@@ -75,16 +75,16 @@
 
 /// Reads the log to its end, and yields the address that it names.
 fn follow(log: impl BufRead + Send + 'static) -> Receiver<SocketAddr> {
-    let (tell, told) = channel();
+    let (sender, options) = channel();
     thread::spawn(move || {
         for line in log.lines().map_while(Result::ok) {
             let after = line.split_once(LISTENS).and_then(|(_, rest)| rest.split(',').next());
             if let Some(address) = after.and_then(|text| text.parse().ok()) {
-                let _ = tell.send(address); // Nobody waits any more.
+                let _ = sender.send(address); // Nobody waits any more.
             }
         }
     });
-    told
+    options
 }
 
 /// The front's program: as given, or beside this one. Tests lie one folder deeper.
@@ -107,19 +107,19 @@
     move |cause| MeasureError::Io { what: what.clone(), cause }
 }
 
-fn write(told: &Told) -> std::io::Result<NamedTempFile> {
+fn write(options: &FrontOptions) -> std::io::Result<NamedTempFile> {
     let mut file = NamedTempFile::new()?;
-    file.write_all(text(told).to_string().as_bytes())?;
+    file.write_all(text(options).to_string().as_bytes())?;
     Ok(file)
 }
 
 /// The file's text: the values of `docs/front-example.json`, at the design size in fronts and zones.
-fn text(told: &Told) -> Value {
+fn text(options: &FrontOptions) -> Value {
     let zones: Vec<String> = (0..budget::ZONES).map(|zone| format!("zone-{zone}")).collect();
     json!({
         "name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": told.memory_mb, "sockets": told.descriptors},
-        "channel": told.channel.to_string(),
+        "limits": {"cores": 1.0, "memory_mb": options.memory_mb, "sockets": options.descriptors},
+        "channel": options.channel.to_string(),
         "known": {"cursor": 0, "cmds": []},
         "settings": {
             "areas": zones, "kinds": ["std"], "balancers": budget::FRONTS, "my_number": 0, "zone": 0,
--- a/crates/tools/scale/src/managed/manager.rs
+++ b/crates/tools/scale/src/managed/manager.rs
@@ -16,10 +16,10 @@
 use tonic::{Code, Status};
 
 /// Engines of one pool of the configuration that all fronts begin with.
-const ENGINES_A_POOL: u32 = 10;
+const ENGINES_PER_POOL: u32 = 10;
 /// A commit that came while another was under way is tried again after this.
-const AGAIN: Duration = Duration::from_millis(20);
-const TRIES: u32 = 100;
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
+const MAX_TRIES: u32 = 100;
 
 /// One change of configuration.
 #[derive(Debug, Clone)]
@@ -45,11 +45,11 @@
 
 fn pools() -> Vec<serde_json::Value> {
     let pool = |pool: u32| {
-        let first = pool * ENGINES_A_POOL;
-        let engines: Vec<String> = (first..first + ENGINES_A_POOL).map(|id| format!("{id:08x}")).collect();
+        let first = pool * ENGINES_PER_POOL;
+        let engines: Vec<String> = (first..first + ENGINES_PER_POOL).map(|id| format!("{id:08x}")).collect();
         serde_json::json!({"name": format!("p{pool}"), "engine": engines})
     };
-    (0..budget::ENGINES / ENGINES_A_POOL).map(pool).collect()
+    (0..budget::ENGINES / ENGINES_PER_POOL).map(pool).collect()
 }
 
 fn update(path: &str, value: &serde_json::Value) -> Update {
@@ -69,30 +69,30 @@
     /// Connecting, the commit, and its answer, over loopback.
     pub local: Duration,
     /// How often another commit was in the way.
-    pub refused: u32,
+    pub conflicts: u32,
 }
 
 /// What a manager has spent on a walk over fronts, and when the change came into force at each.
 #[derive(Debug, Clone, Default)]
-pub struct Walk {
+pub struct Rollout {
     /// By front of the walk: since the walk began, with the network's time.
     pub in_force: Vec<Duration>,
     pub commits: Vec<Commit>,
 }
 
-impl Walk {
+impl Rollout {
     /// The walk as it would go over this network: at each front in turn.
-    pub fn over(commits: &[(usize, Commit)], network: &Network, manager: Place, seed: u64) -> Walk {
-        let mut chance = Rng::with_seed(seed);
-        let (mut clock, mut walk) = (Duration::ZERO, Walk::default());
+    pub fn over(commits: &[(usize, Commit)], network: &Network, manager: Place, seed: u64) -> Rollout {
+        let mut rng = Rng::with_seed(seed);
+        let (mut clock, mut rollout) = (Duration::ZERO, Rollout::default());
         for (front, commit) in commits {
-            let way = exchange(network, manager, Place::of(*front), &mut chance);
+            let way = exchange(network, manager, Place::of(*front), &mut rng);
             clock += way.there + commit.local;
-            walk.in_force.push(clock);
-            walk.commits.push(*commit);
+            rollout.in_force.push(clock);
+            rollout.commits.push(*commit);
             clock += way.back;
         }
-        walk
+        rollout
     }
 }
 
@@ -104,28 +104,28 @@
 
 impl Manager {
     /// Connects, commits and goes.
-    pub async fn commit(&self, door: SocketAddr, change: &Change) -> Result<Commit, MeasureError> {
+    pub async fn commit(&self, server: SocketAddr, change: &Change) -> Result<Commit, MeasureError> {
         let began = Instant::now();
-        let mut client = self.connect(door).await?;
-        for refused in 0..TRIES {
+        let mut client = self.connect(server).await?;
+        for conflicts in 0..MAX_TRIES {
             let request = SetRequest { update: vec![change.update()], ..SetRequest::default() };
             match client.set(request).await {
-                Ok(_) => return Ok(Commit { local: began.elapsed(), refused }),
-                Err(status) if status.code() == Code::Aborted => tokio::time::sleep(AGAIN).await,
-                Err(status) => return Err(failed(door, &status)),
+                Ok(_) => return Ok(Commit { local: began.elapsed(), conflicts }),
+                Err(status) if status.code() == Code::Aborted => tokio::time::sleep(RETRY_INTERVAL).await,
+                Err(status) => return Err(failed(server, &status)),
             }
         }
-        Err(MeasureError::Failed(format!("{door}: another commit was in the way {TRIES} times")))
+        Err(MeasureError::Failed(format!("{server}: another commit was in the way {MAX_TRIES} times")))
     }
 
-    async fn connect(&self, door: SocketAddr) -> Result<GNmiClient<Channel>, MeasureError> {
-        let unreachable = |cause: tonic::transport::Error| MeasureError::Failed(format!("{door}: {cause}"));
-        let endpoint = Endpoint::from_shared(format!("http://{door}")).map_err(unreachable)?;
+    async fn connect(&self, server: SocketAddr) -> Result<GNmiClient<Channel>, MeasureError> {
+        let unreachable = |cause: tonic::transport::Error| MeasureError::Failed(format!("{server}: {cause}"));
+        let endpoint = Endpoint::from_shared(format!("http://{server}")).map_err(unreachable)?;
         let bytes = self.bytes.clone();
         let connector = tower::service_fn(move |_| {
             let bytes = bytes.clone();
             async move {
-                let stream = tokio::net::TcpStream::connect(door).await?;
+                let stream = tokio::net::TcpStream::connect(server).await?;
                 stream.set_nodelay(true)?;
                 Ok::<TokioIo<Counted>, std::io::Error>(TokioIo::new(bytes.counted(stream)))
             }
@@ -135,6 +135,6 @@
     }
 }
 
-fn failed(door: SocketAddr, status: &Status) -> MeasureError {
-    MeasureError::Failed(format!("{door}: {status}"))
+fn failed(server: SocketAddr, status: &Status) -> MeasureError {
+    MeasureError::Failed(format!("{server}: {status}"))
 }
--- a/crates/tools/scale/src/managed/mod.rs
+++ b/crates/tools/scale/src/managed/mod.rs
@@ -2,11 +2,11 @@
 //! loopback. The time that a network would take is drawn and added; what a door does is measured.
 
 mod count;
-mod doors;
 mod manager;
+mod servers;
 mod wire;
 
 pub use count::ByteCount;
-pub use doors::{Door, Doors, RealFront, names};
-pub use manager::{Change, Commit, Manager, Walk};
+pub use manager::{Change, Commit, Manager, Rollout};
+pub use servers::{ManagementServer, ManagementServers, RealFront, names};
 pub use wire::{Exchange, exchange};
--- a/crates/tools/scale/src/managed/doors.rs
+++ b/crates/tools/scale/src/managed/servers.rs
@@ -19,20 +19,20 @@
 const SESSIONS: usize = 16;
 const FRESHNESS: Duration = Duration::from_millis(100);
 /// What the file of a front on the platform states.
-const TOLD: &str = include_str!("../../../../../docs/front-example.json");
+const START_CONFIG: &str = include_str!("../../../../../docs/front-example.json");
 const PROGRAM: &str = "lemonusher";
-const GNMI_AT: &str = "gNMI at ";
-const LONGEST_START: Duration = Duration::from_secs(30);
+const GNMI_LOG_PREFIX: &str = "gNMI at ";
+const MAX_START_TIME: Duration = Duration::from_secs(30);
 
 /// One front's door.
-pub struct Door {
+pub struct ManagementServer {
     pub gnmi: SocketAddr,
     pub hub: Arc<Hub>,
 }
 
 /// Doors that stand until the process ends.
-pub struct Doors {
-    doors: Vec<Door>,
+pub struct ManagementServers {
+    servers: Vec<ManagementServer>,
     folder: TempDir,
     runtime: Handle,
 }
@@ -46,25 +46,25 @@
     }
 }
 
-impl Doors {
+impl ManagementServers {
     /// None yet. Their logs lie in a temporary folder.
-    pub fn new(runtime: Handle) -> Result<Doors, MeasureError> {
+    pub fn new(runtime: Handle) -> Result<ManagementServers, MeasureError> {
         let folder = TempDir::new().map_err(io("a folder for the fronts' logs"))?;
-        Ok(Doors { doors: Vec::new(), folder, runtime })
+        Ok(ManagementServers { servers: Vec::new(), folder, runtime })
     }
 
     /// Opens more until there are so many.
-    pub fn open(&mut self, count: usize) -> Result<&[Door], MeasureError> {
-        while self.doors.len() < count {
-            let front = self.doors.len();
-            let door = open(front, self.folder.path().join(format!("{front}")), &self.runtime)?;
-            self.doors.push(door);
+    pub fn open(&mut self, count: usize) -> Result<&[ManagementServer], MeasureError> {
+        while self.servers.len() < count {
+            let front = self.servers.len();
+            let server = open(front, self.folder.path().join(format!("{front}")), &self.runtime)?;
+            self.servers.push(server);
         }
-        Ok(&self.doors[..count])
+        Ok(&self.servers[..count])
     }
 }
 
-fn open(front: usize, folder: PathBuf, runtime: &Handle) -> Result<Door, MeasureError> {
+fn open(front: usize, folder: PathBuf, runtime: &Handle) -> Result<ManagementServer, MeasureError> {
     let terms = Terms {
         folder: Some(folder),
         history: HISTORY,
@@ -79,13 +79,13 @@
     let started = start(terms, names(), format!("front-{front:04}"), Arc::new(|_| {}), Vec::new())
         .map_err(|unfit| MeasureError::Failed(unfit.to_string()))?;
     let Started { requests, hub, gnmi, .. } = started;
-    runtime.spawn(agree(requests));
+    runtime.spawn(accept_all(requests));
     let gnmi = gnmi.ok_or_else(|| MeasureError::Failed("the door has no address".into()))?;
-    Ok(Door { gnmi, hub })
+    Ok(ManagementServer { gnmi, hub })
 }
 
 /// An owner that is always ready, and takes up whatever it is told.
-async fn agree(requests: async_channel::Receiver<ManagementCall>) {
+async fn accept_all(requests: async_channel::Receiver<ManagementCall>) {
     while let Ok(request) = requests.recv().await {
         match request {
             ManagementCall::Prepare { reply, .. } | ManagementCall::Activate { reply, .. } => {
@@ -141,27 +141,27 @@
 
 /// The address of the door, as the log tells it; the log is read to its end.
 fn follow(log: impl BufRead + Send + 'static) -> Option<SocketAddr> {
-    let (tell, told) = channel();
+    let (sender, receiver) = channel();
     std::thread::spawn(move || {
         for line in log.lines().map_while(Result::ok) {
-            let address = line.split_once(GNMI_AT).and_then(|(_, rest)| rest.trim().parse().ok());
+            let address = line.split_once(GNMI_LOG_PREFIX).and_then(|(_, rest)| rest.trim().parse().ok());
             if let Some(address) = address {
-                let _ = tell.send(address); // Nobody waits any more.
+                let _ = sender.send(address); // Nobody waits any more.
             }
         }
     });
-    told.recv_timeout(LONGEST_START).ok()
+    receiver.recv_timeout(MAX_START_TIME).ok()
 }
 
 /// The file that the front is told, and the operator's file that names it.
 fn write_files(folder: &Path) -> std::io::Result<PathBuf> {
-    let mut told: serde_json::Value = serde_json::from_str(TOLD)?;
-    told["listen"] = "127.0.0.1:0".into();
-    let (told_path, operator_path) = (folder.join("told.json"), folder.join("front.toml"));
-    std::fs::write(&told_path, told.to_string())?;
+    let mut receiver: serde_json::Value = serde_json::from_str(START_CONFIG)?;
+    receiver["listen"] = "127.0.0.1:0".into();
+    let (start_path, operator_path) = (folder.join("told.json"), folder.join("front.toml"));
+    std::fs::write(&start_path, receiver.to_string())?;
     let text = format!(
         "[front]\ntold = {:?}\n[managed]\nhistory = {HISTORY}\nfolder = {:?}\n[managed.gnmi]\nlisten = \"127.0.0.1:0\"\n",
-        told_path.display().to_string(),
+        start_path.display().to_string(),
         folder.join("state").display().to_string(),
     );
     std::fs::write(&operator_path, text)?;
--- a/crates/tools/scale/src/page.rs
+++ b/crates/tools/scale/src/page.rs
@@ -4,7 +4,7 @@
 use crate::budget;
 use crate::role::Role;
 use crate::sample::{self, FileError, Sample};
-use crate::series::{Breaks, Series, group};
+use crate::series::{BudgetCrossing, Series, group};
 use std::path::Path;
 
 const BEGIN: &str = "<!-- figures:";
@@ -115,11 +115,11 @@
 
 /// The size at which the budget is passed.
 fn passed_at(series: &Series) -> String {
-    match series.breaks() {
+    match series.budget_crossing() {
         None => "–".into(),
-        Some(Breaks::Below(size)) => format!("at most {}", figure(size)),
-        Some(Breaks::At(size)) => figure(size),
-        Some(Breaks::Beyond(size)) => format!("not up to {}", figure(size)),
+        Some(BudgetCrossing::Below(size)) => format!("at most {}", figure(size)),
+        Some(BudgetCrossing::At(size)) => figure(size),
+        Some(BudgetCrossing::Beyond(size)) => format!("not up to {}", figure(size)),
     }
 }
 
@@ -147,15 +147,15 @@
     let worst = of_metric
         .filter_map(|series| Some((series, series.at_design()?)))
         .max_by(|a, b| a.1.value.total_cmp(&b.1.value));
-    let most = bound(budget.most);
+    let max = bound(budget.max);
     let metric = budget.metric.title();
     let Some((series, estimate)) = worst else {
-        return format!("| {role} | {metric} | – | not measured | {most} | – | – |\n");
+        return format!("| {role} | {metric} | – | not measured | {max} | – | – |\n");
     };
-    let verdict = if estimate.value > budget.most { "**past**" } else { "within" };
-    let breaks = format!("{} {}", passed_at(series), series.role.axis().name());
+    let verdict = if estimate.value > budget.max { "**past**" } else { "within" };
+    let crossing = format!("{} {}", passed_at(series), series.role.axis().name());
     let case = if series.case.is_empty() { "–" } else { &series.case };
-    format!("| {role} | {metric} | {case} | {} | {most} | {verdict} | {breaks} |\n", at_design(series))
+    format!("| {role} | {metric} | {case} | {} | {max} | {verdict} | {crossing} |\n", at_design(series))
 }
 
 /// A budget as it is stated, thousands parted by commas.
--- a/crates/tools/scale/src/plot.rs
+++ b/crates/tools/scale/src/plot.rs
@@ -57,8 +57,8 @@
 
 fn range(values: impl Iterator<Item = f64> + Clone) -> std::ops::Range<f64> {
     let least = values.clone().fold(f64::INFINITY, f64::min);
-    let most = values.fold(f64::NEG_INFINITY, f64::max);
-    least / ROOM..most * ROOM
+    let max = values.fold(f64::NEG_INFINITY, f64::max);
+    least / ROOM..max * ROOM
 }
 
 type Cause = Box<dyn std::error::Error>;
--- a/crates/tools/scale/src/roles/configuration.rs
+++ b/crates/tools/scale/src/roles/configuration.rs
@@ -1,11 +1,11 @@
 //! Configuration as it stands: nothing spreads a commit between fronts, so a manager commits at each front's gNMI door.
 //! The doors are real; the time that the network takes is drawn and added.
 
-use crate::budget::CHANGES_A_DAY;
+use crate::budget::CHANGES_PER_DAY;
 use crate::error::MeasureError;
 use crate::fleet::{Delays, Network, Place, Run, resident_bytes};
 use crate::limits::Limits;
-use crate::managed::{Change, Commit, Door, Doors, Manager, RealFront, Walk};
+use crate::managed::{Change, Commit, ManagementServer, ManagementServers, Manager, RealFront, Rollout};
 use crate::measurement::{Measurement, Options};
 use crate::need::Need;
 use crate::progress::Progress;
@@ -21,16 +21,16 @@
 /// Managers that share the fronts between them: one a machine set aside for control.
 const MANAGERS: usize = 8;
 /// Changes that come at once, each with a manager of its own.
-const AT_ONCE: usize = 10;
+const CONCURRENT_CHANGES: usize = 10;
 /// One front in so many is away while a change is made.
-const AWAY: usize = 20;
+const ABSENT_EVERY: usize = 20;
 /// How late the rig may wake.
-const LATEST: Duration = Duration::from_millis(100);
+const MAX_LATENESS: Duration = Duration::from_millis(100);
 /// What a door takes: its store, its log, its thread.
-const BYTES_A_DOOR: u64 = 4 << 20;
-const DESCRIPTORS_A_DOOR: u64 = 10;
+const BYTES_PER_SERVER: u64 = 4 << 20;
+const DESCRIPTORS_PER_SERVER: u64 = 10;
 const REAL_COMMITS: usize = 100;
-const SECONDS_A_DAY: f64 = 86_400.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
 const IN_FORCE_MEDIAN: Metric = Metric::new("in_force_p50", "s");
 const IN_FORCE_P99: Metric = Metric::new("in_force_p99", "s");
@@ -49,7 +49,7 @@
 pub struct Configuration {
     options: Options,
     runtime: Runtime,
-    doors: Doors,
+    servers: ManagementServers,
     /// What this process held before any door was opened.
     resident: f64,
     changes: u32,
@@ -66,8 +66,8 @@
             .enable_all()
             .build()
             .map_err(|cause| MeasureError::Io { what: "the managers' runtime".into(), cause })?;
-        let doors = Doors::new(runtime.handle().clone())?;
-        Ok(Configuration { options: options.clone(), runtime, doors, resident, changes: 0 })
+        let servers = ManagementServers::new(runtime.handle().clone())?;
+        Ok(Configuration { options: options.clone(), runtime, servers, resident, changes: 0 })
     }
 
     /// A change that differs from what stands.
@@ -77,10 +77,10 @@
     }
 
     fn run(&mut self, size: u32, seed: u64, fresh: bool) -> Result<Vec<Sample>, MeasureError> {
-        let doors = self.doors.open(size as usize)?;
-        let fronts: Fronts = doors.iter().map(|door| door.gnmi).enumerate().collect();
+        let servers = self.servers.open(size as usize)?;
+        let fronts: Fronts = servers.iter().map(|server| server.gnmi).enumerate().collect();
         if fresh {
-            self.runtime.block_on(walks(&fronts, MANAGERS, &Change::Pools, &Manager::default()))?;
+            self.runtime.block_on(roll_out_all(&fronts, MANAGERS, &Change::Pools, &Manager::default()))?;
         }
         let mut samples = Vec::new();
         for (way, managers) in [("one-manager", 1), ("8-managers", MANAGERS)] {
@@ -103,9 +103,9 @@
     ) -> Result<Vec<Sample>, MeasureError> {
         let change = self.next_change(0);
         let manager = Manager::default();
-        let watch = Watch::start(LATEST);
+        let watch = Watch::start(MAX_LATENESS);
         let processor = crate::process::process_time();
-        let parts = self.runtime.block_on(walks(fronts, managers, &change, &manager))?;
+        let parts = self.runtime.block_on(roll_out_all(fronts, managers, &change, &manager))?;
         let processor = crate::process::process_time().saturating_sub(processor);
         let disturbed = watch.finish().disturbed();
         let mut samples = Vec::new();
@@ -119,9 +119,9 @@
         samples.push(run.sample(COMMIT_BYTES, bytes));
         let commit_ms = processor.as_secs_f64() * 1e3 / each;
         samples.push(run.sample(COMMIT_PROCESSOR, commit_ms));
-        let a_second = f64::from(CHANGES_A_DAY) / SECONDS_A_DAY;
-        samples.push(run.sample(metric::BYTES_CONTROL, bytes * a_second));
-        samples.push(run.sample(metric::PROCESSOR, commit_ms / 1e3 * a_second * 100.0));
+        let per_second = f64::from(CHANGES_PER_DAY) / SECONDS_PER_DAY;
+        samples.push(run.sample(metric::BYTES_CONTROL, bytes * per_second));
+        samples.push(run.sample(metric::PROCESSOR, commit_ms / 1e3 * per_second * 100.0));
         let memory = (resident_bytes()? - self.resident).max(0.0) / each / 1e6;
         samples.push(run.sample(metric::MEMORY, memory));
         samples.extend(local(&run, &parts));
@@ -130,15 +130,16 @@
 
     /// Ten changes at once, each by a manager that goes to all fronts in turn.
     fn at_once(&mut self, size: u32, fronts: &Fronts, seed: u64) -> Result<Vec<Sample>, MeasureError> {
-        let changes: Vec<Change> = (0..AT_ONCE as u32).map(|pool| self.next_change(pool + 1)).collect();
-        let watch = Watch::start(LATEST);
+        let changes: Vec<Change> =
+            (0..CONCURRENT_CHANGES as u32).map(|pool| self.next_change(pool + 1)).collect();
+        let watch = Watch::start(MAX_LATENESS);
         let parts = self.runtime.block_on(async {
-            let mut walking = JoinSet::new();
+            let mut rollouts = JoinSet::new();
             for change in changes {
                 let fronts = fronts.clone();
-                walking.spawn(async move { walk(fronts, change, Manager::default()).await });
+                rollouts.spawn(async move { roll_out(fronts, change, Manager::default()).await });
             }
-            joined(walking).await
+            joined(rollouts).await
         })?;
         let disturbed = watch.finish().disturbed();
         let case = |loss| run(format!("way=10-changes-at-once,loss={loss}"), size, disturbed);
@@ -148,14 +149,14 @@
     /// Some fronts are away while a change is made. Nothing brings it to them later: whoever made it would have to.
     fn away(&mut self, size: u32) -> Result<Vec<Sample>, MeasureError> {
         let change = self.next_change(0);
-        let doors = self.doors.open(size as usize)?;
-        let there = |front: &usize| !front.is_multiple_of(AWAY);
+        let servers = self.servers.open(size as usize)?;
+        let there = |front: &usize| !front.is_multiple_of(ABSENT_EVERY);
         let fronts: Fronts =
-            doors.iter().map(|door| door.gnmi).enumerate().filter(|(front, _)| there(front)).collect();
-        let before: Vec<u64> = doors.iter().map(version).collect();
-        self.runtime.block_on(walks(&fronts, MANAGERS, &change, &Manager::default()))?;
-        let doors = self.doors.open(size as usize)?;
-        let left = doors.iter().zip(&before).filter(|(door, before)| version(door) == **before).count();
+            servers.iter().map(|server| server.gnmi).enumerate().filter(|(front, _)| there(front)).collect();
+        let before: Vec<u64> = servers.iter().map(version).collect();
+        self.runtime.block_on(roll_out_all(&fronts, MANAGERS, &change, &Manager::default()))?;
+        let servers = self.servers.open(size as usize)?;
+        let left = servers.iter().zip(&before).filter(|(server, before)| version(server) == **before).count();
         Ok(vec![run("way=8-managers".into(), size, false).sample(LEFT_BEHIND, left as f64)])
     }
 
@@ -164,16 +165,17 @@
         let backwards: Fronts = fronts.iter().rev().copied().collect();
         let changes = [(true, fronts.clone()), (false, backwards)];
         self.runtime.block_on(async {
-            let mut walking = JoinSet::new();
+            let mut rollouts = JoinSet::new();
             for (drained, fronts) in changes {
-                let change = Change::Drain { pool: AT_ONCE as u32 + 1, drained };
-                walking.spawn(async move { walk(fronts, change, Manager::default()).await });
+                let change = Change::Drain { pool: CONCURRENT_CHANGES as u32 + 1, drained };
+                rollouts.spawn(async move { roll_out(fronts, change, Manager::default()).await });
             }
-            joined(walking).await
+            joined(rollouts).await
         })?;
-        let doors = self.doors.open(size as usize)?;
-        let drained = doors.iter().filter(|door| is_drained(door, AT_ONCE as u32 + 1)).count();
-        let different = drained.min(doors.len() - drained);
+        let servers = self.servers.open(size as usize)?;
+        let drained =
+            servers.iter().filter(|server| is_drained(server, CONCURRENT_CHANGES as u32 + 1)).count();
+        let different = drained.min(servers.len() - drained);
         Ok(vec![run("way=2-managers-opposed".into(), size, false).sample(DIFFERENT, different as f64)])
     }
 
@@ -183,7 +185,7 @@
         let manager = Manager::default();
         self.runtime.block_on(manager.commit(front.gnmi, &Change::Pools))?;
         let (mut commits, before) = (Vec::new(), manager.bytes.get());
-        let watch = Watch::start(LATEST);
+        let watch = Watch::start(MAX_LATENESS);
         for _ in 0..REAL_COMMITS {
             let change = self.next_change(0);
             commits.push((0, self.runtime.block_on(manager.commit(front.gnmi, &change))?));
@@ -200,51 +202,51 @@
     Run { role: Role::Configuration, case, size, disturbed }
 }
 
-fn version(door: &Door) -> u64 {
-    door.hub.with_store(|store| store.running().number)
+fn version(server: &ManagementServer) -> u64 {
+    server.hub.with_store(|store| store.running().number)
 }
 
-fn is_drained(door: &Door, pool: u32) -> bool {
-    let schema = door.hub.schema();
+fn is_drained(server: &ManagementServer, pool: u32) -> bool {
+    let schema = server.hub.schema();
     let steps = lemonusher_model::parse_path(&format!("/front/pool[name=p{pool}]/admin-state"));
     let place = steps.ok().and_then(|steps| schema.place(&steps).ok());
-    let running = door.hub.with_store(|store| store.running().clone());
+    let running = server.hub.with_store(|store| store.running().clone());
     place.is_some_and(|place| running.tree.leaf(schema, &place) == Some("draining"))
 }
 
 /// Each manager takes every so-many-th front.
-async fn walks(
+async fn roll_out_all(
     fronts: &Fronts,
     managers: usize,
     change: &Change,
     manager: &Manager,
 ) -> Result<Vec<Vec<(usize, Commit)>>, MeasureError> {
-    let mut walking = JoinSet::new();
+    let mut rollouts = JoinSet::new();
     for first in 0..managers {
         let part: Fronts = fronts.iter().skip(first).step_by(managers).copied().collect();
         let (change, manager) = (change.clone(), manager.clone());
-        walking.spawn(async move { walk(part, change, manager).await });
+        rollouts.spawn(async move { roll_out(part, change, manager).await });
     }
-    joined(walking).await
+    joined(rollouts).await
 }
 
-async fn walk(
+async fn roll_out(
     fronts: Fronts,
     change: Change,
     manager: Manager,
 ) -> Result<Vec<(usize, Commit)>, MeasureError> {
     let mut commits = Vec::new();
-    for (front, door) in fronts {
-        commits.push((front, manager.commit(door, &change).await?));
+    for (front, server) in fronts {
+        commits.push((front, manager.commit(server, &change).await?));
     }
     Ok(commits)
 }
 
 async fn joined(
-    mut walking: JoinSet<Result<Vec<(usize, Commit)>, MeasureError>>,
+    mut rollouts: JoinSet<Result<Vec<(usize, Commit)>, MeasureError>>,
 ) -> Result<Vec<Vec<(usize, Commit)>>, MeasureError> {
     let mut parts = Vec::new();
-    while let Some(part) = walking.join_next().await {
+    while let Some(part) = rollouts.join_next().await {
         parts.push(part.map_err(|cause| MeasureError::Failed(cause.to_string()))??);
     }
     Ok(parts)
@@ -252,11 +254,12 @@
 
 /// When a change is in force at the fronts, with the network's time; the managers are in the first zones.
 fn in_force(run: &Run, parts: &[Vec<(usize, Commit)>], loss: u32, seed: u64) -> Vec<Sample> {
-    let network = Network { delays: Delays::STATED, loss: f64::from(loss) / 100.0, cut: false };
-    let walk = |(number, commits): (usize, &Vec<(usize, Commit)>)| {
-        Walk::over(commits, &network, Place::of(number), seed + number as u64).in_force
+    let network = Network { delays: Delays::STATED, loss: f64::from(loss) / 100.0, partitioned: false };
+    let roll_out = |(number, commits): (usize, &Vec<(usize, Commit)>)| {
+        Rollout::over(commits, &network, Place::of(number), seed + number as u64).in_force
     };
-    let mut all: Vec<f64> = parts.iter().enumerate().flat_map(walk).map(|span| span.as_secs_f64()).collect();
+    let mut all: Vec<f64> =
+        parts.iter().enumerate().flat_map(roll_out).map(|span| span.as_secs_f64()).collect();
     all.sort_by(f64::total_cmp);
     vec![
         run.sample(IN_FORCE_MEDIAN, quantile(&all, 0.5)),
@@ -300,10 +303,10 @@
 }
 
 fn fits(size: u32) -> Result<(), MeasureError> {
-    let doors = u64::from(size);
+    let servers = u64::from(size);
     let need = Need {
-        memory_bytes: doors * BYTES_A_DOOR,
-        descriptors: doors * DESCRIPTORS_A_DOOR,
+        memory_bytes: servers * BYTES_PER_SERVER,
+        descriptors: servers * DESCRIPTORS_PER_SERVER,
         ..Need::default()
     };
     let limits = Limits::of_this_machine().map_err(|cause| MeasureError::Figures(cause.to_string()))?;
--- a/crates/tools/scale/src/roles/connections.rs
+++ b/crates/tools/scale/src/roles/connections.rs
@@ -6,7 +6,7 @@
 use crate::budget;
 use crate::channel::Channel;
 use crate::error::MeasureError;
-use crate::front::{self, Front, Told, io};
+use crate::front::{self, Front, FrontOptions, io};
 use crate::limits::Limits;
 use crate::measurement::{Measurement, Options};
 use crate::need::Need;
@@ -35,7 +35,7 @@
 const STEP: Duration = Duration::from_millis(10);
 /// A front that has just started settles for so long.
 const SETTLE: Duration = Duration::from_millis(500);
-const LONGEST_ANSWER: Duration = Duration::from_secs(10);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 /// How late the rig's own timers may be.
 const LATENESS: Duration = Duration::from_millis(50);
 /// Descriptors that a front is told for each connection wanted: clients hold a third of them.
@@ -44,7 +44,7 @@
 const BYTES_AT_MOST: u64 = 64 * 1024;
 /// Descriptors that either process needs beside its connections.
 const SPARE: u64 = 64;
-const SPEAK: &[u8] = b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"heartbeat\"}\n";
+const HEARTBEAT_LINE: &[u8] = b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"heartbeat\"}\n";
 
 /// What the connections do, and what the front is given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -91,12 +91,12 @@
 
     fn run(&self, size: u32, case: Case) -> Result<Run, MeasureError> {
         let channel = Channel::start().map_err(io("the command channel"))?;
-        let told = Told {
+        let front_options = FrontOptions {
             channel: channel.address,
             descriptors: case.descriptors(size),
             memory_mb: budget::FRONT_MEMORY_MB as u32,
         };
-        let front = Front::start(&front::program(self.options.front.as_deref())?, &told)?;
+        let front = Front::start(&front::program(self.options.front.as_deref())?, &front_options)?;
         std::thread::sleep(SETTLE);
         let before = process::of(front.pid())?;
         let mut clients = Clients::open(front.address, size)?;
@@ -104,7 +104,7 @@
         let begun = (Instant::now(), process::of(front.pid())?);
         let window = self.window();
         match case {
-            Case::Heartbeat => clients.speak_for(window),
+            Case::Heartbeat => clients.heartbeat_for(window),
             Case::Resting | Case::Platform => std::thread::sleep(window),
         }
         let after = process::of(front.pid())?;
@@ -165,7 +165,7 @@
         let mut lines = Vec::new();
         for _ in 0..count {
             let wire = TcpStream::connect(address).map_err(io("a connection to the front"))?;
-            wire.set_read_timeout(Some(LONGEST_ANSWER)).map_err(io("a connection to the front"))?;
+            wire.set_read_timeout(Some(RESPONSE_TIMEOUT)).map_err(io("a connection to the front"))?;
             let mut line = BufReader::with_capacity(256, wire);
             speak(&mut line); // One that was closed is counted at the end.
             lines.push(line);
@@ -174,7 +174,7 @@
     }
 
     /// Each speaks once in a period, one after the other.
-    fn speak_for(&mut self, window: Duration) {
+    fn heartbeat_for(&mut self, window: Duration) {
         let begun = Instant::now();
         let mut spoken = 0u64;
         while begun.elapsed() < window {
@@ -197,7 +197,7 @@
 /// Says that it lives, and reads the answer; false if the connection is over.
 fn speak(line: &mut BufReader<TcpStream>) -> bool {
     let mut answer = String::new();
-    let written = line.get_mut().write_all(SPEAK);
+    let written = line.get_mut().write_all(HEARTBEAT_LINE);
     written.is_ok() && line.read_line(&mut answer).is_ok_and(|read| read > 0)
 }
 
@@ -222,7 +222,7 @@
     }
 
     fn default_sizes(&self) -> Vec<u32> {
-        vec![100, 1_000, 5_000, budget::CONNECTIONS_A_FRONT]
+        vec![100, 1_000, 5_000, budget::CONNECTIONS_PER_FRONT]
     }
 
     fn measure(&mut self, size: u32, progress: &mut Progress) -> Result<Vec<Sample>, MeasureError> {
--- a/crates/tools/scale/src/roles/control_machines.rs
+++ b/crates/tools/scale/src/roles/control_machines.rs
@@ -2,7 +2,7 @@
 //! The fleet allows up to seven voters, so of eight machines one stands by.
 
 use super::failure_detector::fits;
-use super::leases::{longest, seated, voter_samples, whole};
+use super::leases::{full_fleet, max_seconds, voter_samples, with_quota_slots};
 use crate::error::MeasureError;
 use crate::fleet::{Meter, Run, Simulation, TASK, replacements, resident_bytes};
 use crate::measurement::{Measurement, Options};
@@ -14,8 +14,8 @@
 use std::time::Duration;
 
 const VOTERS: [usize; 3] = [3, 5, 7];
-const GONE: usize = 2;
-const SETTLED: Duration = Duration::from_secs(20);
+const LOST_VOTERS: usize = 2;
+const SETTLE_TIME: Duration = Duration::from_secs(20);
 const SPAN: Duration = Duration::from_secs(20);
 const QUICK: Duration = Duration::from_secs(5);
 /// Longer than any lease that was granted before.
@@ -42,8 +42,8 @@
     fn steady(&self, size: u32, voters: usize, seed: u64) -> Result<Vec<Sample>, MeasureError> {
         let fronts = size as usize;
         let preemption = Preemption::start(PREEMPTED);
-        let mut simulation = Simulation::new(whole(fronts, voters, 0, seed));
-        let (settled, span) = if self.options.quick { (QUICK, QUICK) } else { (SETTLED, SPAN) };
+        let mut simulation = Simulation::new(full_fleet(fronts, voters, 0, seed));
+        let (settled, span) = if self.options.quick { (QUICK, QUICK) } else { (SETTLE_TIME, SPAN) };
         simulation.run_for(settled);
         let front = Meter::start(&simulation, voters..fronts, &ALL);
         let voter = Meter::start(&simulation, 0..voters, &ALL);
@@ -57,23 +57,23 @@
         Ok(samples)
     }
 
-    fn two_gone(&self, size: u32, voters: usize, seed: u64) -> Vec<Sample> {
+    fn two_voters_lost(&self, size: u32, voters: usize, seed: u64) -> Vec<Sample> {
         let fronts = size as usize;
-        let mut simulation = Simulation::new(seated(fronts, voters, 0, seed));
-        simulation.run_for(SETTLED);
+        let mut simulation = Simulation::new(with_quota_slots(fronts, voters, 0, seed));
+        simulation.run_for(SETTLE_TIME);
         // The last voters, so that the first region keeps its own.
-        (voters - GONE..voters).for_each(|voter| simulation.kill(voter));
+        (voters - LOST_VOTERS..voters).for_each(|voter| simulation.kill(voter));
         simulation.run_for(AFTER_LOSS);
-        let case = format!("voters={voters},gone={GONE}");
+        let case = format!("voters={voters},gone={LOST_VOTERS}");
         let run = Run { role: Role::ControlMachines, case, size, disturbed: false };
-        let left = (fronts - GONE) as f64;
+        let left = (fronts - LOST_VOTERS) as f64;
         let holders = simulation.holders(TASK).len();
         let held = 100.0 * (simulation.leases_held(0..fronts) - holders) as f64 / left;
         let mut samples = vec![run.sample(HELD, held), run.sample(HOLDERS, holders as f64)];
         if holders > 0 {
             let trials = if self.options.quick { 1 } else { TRIALS };
             let lost = replacements(&mut simulation, trials);
-            samples.push(run.sample(metric::REPLACEMENT, longest(&lost.killed)));
+            samples.push(run.sample(metric::REPLACEMENT, max_seconds(&lost.killed)));
         }
         samples
     }
@@ -96,7 +96,7 @@
             for voters in VOTERS {
                 progress.step(format!("{size} fronts, {voters} voters, run {}", repeat + 1));
                 samples.extend(self.steady(size, voters, seed)?);
-                samples.extend(self.two_gone(size, voters, seed));
+                samples.extend(self.two_voters_lost(size, voters, seed));
             }
         }
         Ok(samples)
--- a/crates/tools/scale/src/roles/decision.rs
+++ b/crates/tools/scale/src/roles/decision.rs
@@ -5,7 +5,7 @@
 //! latency objective, as happens under overload. Only the gateway's own processor time is counted. A last case offers the
 //! same rate to a real front process.
 
-mod host;
+mod driver;
 mod real;
 
 use crate::error::MeasureError;
@@ -17,13 +17,13 @@
 use crate::role::Role;
 use crate::sample::{Metric, Sample, metric};
 use crate::watch::Preemption;
-use host::{Host, TABLE_GROUPS, TICK, Telling, Traffic};
+use driver::{GatewayDriver, LoadReports, TABLE_GROUPS, TICK, Traffic};
 use std::time::Duration;
 
 /// Processor time of the gateway for each request that arrives.
 pub const DECISION: Metric = Metric::new("decision", "µs a request");
 /// The longest tick: what everything else on the front's one core waits for.
-pub const LONGEST_TICK: Metric = Metric::new("longest_tick", "ms");
+pub const MAX_TICK: Metric = Metric::new("longest_tick", "ms");
 /// Processor time beyond the usual that the replacement of one engine costs, until every table group was asked of.
 /// Only in the case that is steady enough to tell.
 pub const LIST_CHANGE: Metric = Metric::new("list_change", "ms");
@@ -32,25 +32,25 @@
 
 /// Requests held that are aimed at.
 const HELD_CASES: [u32; 3] = [0, 100, 1_000];
-const REPORT_CASES: [Telling; 4] =
-    [Telling::Never, Telling::WithAnswers, Telling::WhenProbed, Telling::AllFresh];
+const REPORT_CASES: [LoadReports; 4] =
+    [LoadReports::Never, LoadReports::WithResponses, LoadReports::WithProbes, LoadReports::AllFresh];
 /// Of the wall time, the most that a run may be kept off its core. Processor time is counted, so what is left of a
 /// preemption is cold caches.
 const PREEMPTED_SHARE: f64 = 0.25;
 /// A run that was disturbed is kept as such and run again, so often at most.
-const MOST_AGAIN: u32 = 3;
+const MAX_RERUNS: u32 = 3;
 /// A run ends at the first of these, but after [`FEWEST_TICKS`] at least, unless these take [`MOST_OF_ALL`].
-const LONGEST_WINDOW: Duration = Duration::from_secs(4);
-const MOST_PROCESSOR: Duration = Duration::from_secs(4);
-const MOST_OF_ALL: Duration = Duration::from_secs(30);
+const MAX_WINDOW: Duration = Duration::from_secs(4);
+const MAX_PROCESSOR_TIME: Duration = Duration::from_secs(4);
+const MAX_RUN_TIME: Duration = Duration::from_secs(30);
 /// Reports count for three seconds: all are fresh for so long.
 const FRESH_WINDOW: Duration = Duration::from_secs(2);
 const QUICK_WINDOW: Duration = Duration::from_millis(100);
-const FEWEST_TICKS: u32 = 10;
+const MIN_TICKS: u32 = 10;
 
 /// What an engine takes at most, in bytes, beside its place in each table group's order.
-const BYTES_AN_ENGINE: u64 = 4 * 1024;
-const BYTES_A_PLACE: u64 = 4;
+const BYTES_PER_ENGINE: u64 = 4 * 1024;
+const BYTES_PER_ORDER_ENTRY: u64 = 4;
 
 /// Drives one gateway in virtual time.
 pub struct Decision {
@@ -59,7 +59,7 @@
 
 /// What a size takes of the machine.
 fn need(engines: u32) -> Need {
-    let bytes = u64::from(engines) * (BYTES_AN_ENGINE + TABLE_GROUPS * BYTES_A_PLACE);
+    let bytes = u64::from(engines) * (BYTES_PER_ENGINE + TABLE_GROUPS * BYTES_PER_ORDER_ENTRY);
     Need { memory_bytes: bytes, ..Need::default() }
 }
 
@@ -69,11 +69,11 @@
     }
 
     /// Runs one case until there are enough undisturbed runs.
-    fn repeat(&self, engines: u32, telling: Telling, held: u32, case: &str) -> Vec<Sample> {
+    fn repeat(&self, engines: u32, load_reports: LoadReports, held: u32, case: &str) -> Vec<Sample> {
         let mut samples = Vec::new();
         let (mut good, mut runs) = (0, 0);
-        while good < self.options.repeats && runs < self.options.repeats + MOST_AGAIN {
-            let run = self.run(engines, telling, held, self.options.seed + u64::from(good));
+        while good < self.options.repeats && runs < self.options.repeats + MAX_RERUNS {
+            let run = self.run(engines, load_reports, held, self.options.seed + u64::from(good));
             runs += 1;
             good += u32::from(!run.disturbed);
             samples.extend(run.samples(case, engines));
@@ -81,29 +81,29 @@
         samples
     }
 
-    fn run(&self, engines: u32, telling: Telling, held: u32, seed: u64) -> Run {
-        let mut host = Host::new(Traffic { engines, telling, held, seed });
-        host.warm_up();
-        let longest = match telling {
+    fn run(&self, engines: u32, load_reports: LoadReports, held: u32, seed: u64) -> Run {
+        let mut driver = GatewayDriver::new(Traffic { engines, load_reports, held, seed });
+        driver.warm_up();
+        let longest = match load_reports {
             _ if self.options.quick => QUICK_WINDOW,
-            Telling::AllFresh => FRESH_WINDOW,
-            Telling::Never | Telling::WithAnswers | Telling::WhenProbed => LONGEST_WINDOW,
+            LoadReports::AllFresh => FRESH_WINDOW,
+            LoadReports::Never | LoadReports::WithResponses | LoadReports::WithProbes => MAX_WINDOW,
         };
         let preemption = Preemption::start(PREEMPTED_SHARE);
         let mut window = Window::default();
         let begun = thread_time();
         while window.goes_on(longest, thread_time().saturating_sub(begun)) {
-            let arrived = host.arrived();
-            let spent = host.tick();
-            window.add(spent, host.arrived() - arrived, host.held());
+            let arrived = driver.arrived();
+            let spent = driver.tick();
+            window.add(spent, driver.arrived() - arrived, driver.held());
         }
-        let list_change = (telling == Telling::AllFresh && held == 0).then(|| {
-            let (spent, ticks) = host.replace_one();
+        let list_change = (load_reports == LoadReports::AllFresh && held == 0).then(|| {
+            let (spent, ticks) = driver.replace_one();
             spent.saturating_sub(window.processor * ticks / window.ticks)
         });
         let (_, lateness) = preemption.finish();
         let before = allocated_bytes();
-        drop(host);
+        drop(driver);
         let bytes = before.saturating_sub(allocated_bytes());
         Run { window, list_change, bytes, disturbed: lateness.disturbed() }
     }
@@ -121,10 +121,10 @@
 
 impl Window {
     fn goes_on(&self, longest: Duration, spent: Duration) -> bool {
-        if self.ticks < FEWEST_TICKS {
-            return self.ticks == 0 || spent < MOST_OF_ALL;
+        if self.ticks < MIN_TICKS {
+            return self.ticks == 0 || spent < MAX_RUN_TIME;
         }
-        TICK * self.ticks < longest && spent < MOST_PROCESSOR
+        TICK * self.ticks < longest && spent < MAX_PROCESSOR_TIME
     }
 
     fn add(&mut self, spent: Duration, arrived: u64, held: usize) {
@@ -165,7 +165,7 @@
             (DECISION, seconds / arrived * 1e6),
             (metric::PROCESSOR, seconds / virtual_seconds * 100.0),
             (metric::MEMORY, self.bytes as f64 / f64::from(1 << 20)),
-            (LONGEST_TICK, window.longest.as_secs_f64() * 1e3),
+            (MAX_TICK, window.longest.as_secs_f64() * 1e3),
             (HELD, window.held as f64 / f64::from(window.ticks)),
         ];
         values.extend(self.list_change.map(|spent| (LIST_CHANGE, spent.as_secs_f64() * 1e3)));
@@ -173,12 +173,12 @@
     }
 }
 
-fn name(telling: Telling) -> &'static str {
-    match telling {
-        Telling::Never => "none",
-        Telling::WithAnswers => "with-answers",
-        Telling::WhenProbed => "when-probed",
-        Telling::AllFresh => "all-fresh",
+fn name(load_reports: LoadReports) -> &'static str {
+    match load_reports {
+        LoadReports::Never => "none",
+        LoadReports::WithResponses => "with-answers",
+        LoadReports::WithProbes => "when-probed",
+        LoadReports::AllFresh => "all-fresh",
     }
 }
 
@@ -194,12 +194,12 @@
     fn measure(&mut self, size: u32, progress: &mut Progress) -> Result<Vec<Sample>, MeasureError> {
         Limits::of_this_machine()?.check(size, &need(size))?;
         let mut samples = Vec::new();
-        for telling in REPORT_CASES {
+        for load_reports in REPORT_CASES {
             for held in HELD_CASES {
-                let case = format!("reports={} held={held}", name(telling));
+                let case = format!("reports={} held={held}", name(load_reports));
                 if self.options.wants(&case) {
                     progress.step(format!("{size} engines, {case}"));
-                    samples.extend(self.repeat(size, telling, held, &case));
+                    samples.extend(self.repeat(size, load_reports, held, &case));
                 }
             }
         }
--- a/crates/tools/scale/src/roles/decision/host.rs
+++ b/crates/tools/scale/src/roles/decision/driver.rs
@@ -26,10 +26,10 @@
 
 const SHORT: usize = 0;
 const WIDE: usize = 1;
-const SHORT_GOAL: Duration = Duration::from_secs(1);
-const SHORT_LIMIT: Duration = Duration::from_secs(5);
-const WIDE_GOAL: Duration = Duration::from_secs(3);
-const WIDE_LIMIT: Duration = Duration::from_secs(20);
+const SHORT_OBJECTIVE: Duration = Duration::from_secs(1);
+const SHORT_DEADLINE: Duration = Duration::from_secs(5);
+const WIDE_OBJECTIVE: Duration = Duration::from_secs(3);
+const WIDE_DEADLINE: Duration = Duration::from_secs(20);
 /// Of a core's threads so many that no gate lets it in.
 const WIDE_THREADS: f64 = 64.0;
 /// A wide request is given up after this part of its goal: the gateway's `START_BY`.
@@ -44,21 +44,21 @@
 
 /// How engines tell of their load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Telling {
+pub enum LoadReports {
     Never,
-    WithAnswers,
-    WhenProbed,
+    WithResponses,
+    WithProbes,
     /// With answers, and all engines have told just before the measurement: the best case, as an engine to which
     /// nothing was sent lately has no report that counts.
     AllFresh,
 }
 
-impl Telling {
+impl LoadReports {
     fn reports(self) -> LoadReporting {
         match self {
-            Telling::Never => LoadReporting::None,
-            Telling::WithAnswers | Telling::AllFresh => LoadReporting::WithResponses,
-            Telling::WhenProbed => LoadReporting::WithProbes,
+            LoadReports::Never => LoadReporting::None,
+            LoadReports::WithResponses | LoadReports::AllFresh => LoadReporting::WithResponses,
+            LoadReports::WithProbes => LoadReporting::WithProbes,
         }
     }
 }
@@ -67,41 +67,41 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Traffic {
     pub engines: u32,
-    pub telling: Telling,
+    pub load_reports: LoadReports,
     /// Requests to be held at any time.
     pub held: u32,
     pub seed: u64,
 }
 
 /// One gateway and the world around it.
-pub struct Host {
+pub struct GatewayDriver {
     traffic: Traffic,
     gateway: Gateway,
-    random: StdRng,
+    rng: StdRng,
     now: Duration,
     tick: u64,
     /// Arrivals due that are not yet whole.
     due: f64,
     arrived: u64,
     waiting: BTreeSet<RequestId>,
-    answers: BTreeMap<u64, Vec<Event>>,
+    responses: BTreeMap<u64, Vec<Event>>,
 }
 
-impl Host {
+impl GatewayDriver {
     /// A host with the list of the warm-up.
     pub fn new(traffic: Traffic) -> Self {
-        let mut gateway = Gateway::new(stated(traffic.telling.reports()), traffic.seed);
-        gateway.handle_event(Duration::ZERO, roster(WARM_ENGINES.min(traffic.engines)));
-        Host {
+        let mut gateway = Gateway::new(deployment(traffic.load_reports.reports()), traffic.seed);
+        gateway.handle_event(Duration::ZERO, full_list(WARM_ENGINES.min(traffic.engines)));
+        GatewayDriver {
             traffic,
             gateway,
-            random: StdRng::seed_from_u64(traffic.seed),
+            rng: StdRng::seed_from_u64(traffic.seed),
             now: Duration::ZERO,
             tick: 0,
             due: 0.0,
             arrived: 0,
             waiting: BTreeSet::new(),
-            answers: BTreeMap::new(),
+            responses: BTreeMap::new(),
         }
     }
 
@@ -121,8 +121,8 @@
         while self.now < WARM_UP {
             self.tick();
         }
-        self.gateway.handle_event(self.now, roster(self.traffic.engines));
-        if self.traffic.telling == Telling::AllFresh {
+        self.gateway.handle_event(self.now, full_list(self.traffic.engines));
+        if self.traffic.load_reports == LoadReports::AllFresh {
             for engine in 0..self.traffic.engines {
                 let event = self.probed(engine);
                 self.gateway.handle_event(self.now, event);
@@ -136,13 +136,13 @@
     /// One engine goes and another comes. Yields the processor time until each table group was asked of once, and
     /// the ticks that took.
     pub fn replace_one(&mut self) -> (Duration, u32) {
-        let gone = EngineEntry { state: EngineState::Removed, ..entry(0) };
-        let changes = Event::Endpoints(EndpointUpdateKind::Delta, vec![gone, entry(self.traffic.engines)]);
+        let removed = EngineEntry { state: EngineState::Removed, ..entry(0) };
+        let changes = Event::Endpoints(EndpointUpdateKind::Delta, vec![removed, entry(self.traffic.engines)]);
         let begun = thread_time();
         self.gateway.handle_event(self.now, changes);
-        let heard = thread_time().saturating_sub(begun);
+        let list_time = thread_time().saturating_sub(begun);
         let ticks: Duration = (0..SETTLE_TICKS).map(|_| self.tick()).sum();
-        (heard + ticks, SETTLE_TICKS as u32)
+        (list_time + ticks, SETTLE_TICKS as u32)
     }
 
     /// One tick: answers and arrivals are heard, the gateway decides, its actions are carried out. Yields the
@@ -150,8 +150,8 @@
     pub fn tick(&mut self) -> Duration {
         self.tick += 1;
         self.now += TICK;
-        let mut events = self.answers.remove(&self.tick).unwrap_or_default();
-        self.due += f64::from(budget::REQUESTS_A_SECOND) * TICK.as_secs_f64();
+        let mut events = self.responses.remove(&self.tick).unwrap_or_default();
+        self.due += f64::from(budget::REQUESTS_PER_SECOND) * TICK.as_secs_f64();
         while self.due >= 1.0 {
             self.due -= 1.0;
             events.push(self.arrival());
@@ -163,14 +163,14 @@
         let actions = self.gateway.decide(self.now);
         let spent = thread_time().saturating_sub(begun);
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
         spent
     }
 
     fn arrival(&mut self) -> Event {
-        let wide_a_second = f64::from(self.traffic.held) / (WIDE_GOAL.as_secs_f64() * GIVEN_UP_AFTER);
-        let wide = self.random.random_bool((wide_a_second / f64::from(budget::REQUESTS_A_SECOND)).min(1.0));
+        let wide_a_second = f64::from(self.traffic.held) / (WIDE_OBJECTIVE.as_secs_f64() * GIVEN_UP_AFTER);
+        let wide = self.rng.random_bool((wide_a_second / f64::from(budget::REQUESTS_PER_SECOND)).min(1.0));
         let request: RequestId = format!("{:016x}", self.arrived).into();
         let table_group = self.arrived % TABLE_GROUPS;
         self.arrived += 1;
@@ -180,24 +180,24 @@
             request_class: if wide { WIDE } else { SHORT },
             table_group,
             key: None,
-            client_timeout: if wide { WIDE_LIMIT } else { SHORT_LIMIT },
+            client_timeout: if wide { WIDE_DEADLINE } else { SHORT_DEADLINE },
             work: None,
             memory_mb: 0.0,
             client_retry: false,
         })
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send { request, engine, .. } => {
                 self.waiting.remove(&request);
-                let ticks = self.random.random_range(ANSWER_TICKS);
-                let answer = self.answer(request, engine, TICK * ticks as u32);
-                self.answers.entry(self.tick + ticks).or_default().push(answer);
+                let ticks = self.rng.random_range(ANSWER_TICKS);
+                let response = self.response(request, engine, TICK * ticks as u32);
+                self.responses.entry(self.tick + ticks).or_default().push(response);
             }
             Action::Probe { engine } => {
-                let answer = self.probed(engine);
-                self.answers.entry(self.tick + 1).or_default().push(answer);
+                let response = self.probed(engine);
+                self.responses.entry(self.tick + 1).or_default().push(response);
             }
             Action::Reject { request, .. } | Action::Fail { request } => {
                 self.waiting.remove(&request);
@@ -209,8 +209,8 @@
         }
     }
 
-    fn answer(&mut self, request: RequestId, engine: EngineId, after: Duration) -> Event {
-        let with_answers = self.traffic.telling.reports() == LoadReporting::WithResponses;
+    fn response(&mut self, request: RequestId, engine: EngineId, after: Duration) -> Event {
+        let with_answers = self.traffic.load_reports.reports() == LoadReporting::WithResponses;
         Event::AttemptEnded(AttemptEnd {
             request,
             attempt: 0,
@@ -229,7 +229,7 @@
     }
 
     fn report(&mut self) -> LoadReport {
-        LoadReport { cores_busy: Some(self.random.random_range(BUSY)), ..LoadReport::default() }
+        LoadReport { cores_busy: Some(self.rng.random_range(BUSY)), ..LoadReport::default() }
     }
 }
 
@@ -237,25 +237,25 @@
     EngineEntry { engine, zone: engine % budget::ZONES, state: EngineState::Active, ..EngineEntry::default() }
 }
 
-fn roster(engines: u32) -> Event {
+fn full_list(engines: u32) -> Event {
     Event::Endpoints(EndpointUpdateKind::Full, (0..engines).map(entry).collect())
 }
 
 /// A deployment of the design size in fronts, with the values of `docs/front-example.json`.
-fn stated(reports: LoadReporting) -> Deployment {
+fn deployment(reports: LoadReporting) -> Deployment {
     let short = RequestClassConfig {
-        latency_objective: SHORT_GOAL,
+        latency_objective: SHORT_OBJECTIVE,
         objective_work_factor: 1.5,
-        deadline: SHORT_LIMIT,
+        deadline: SHORT_DEADLINE,
         priority_weight: 1.0,
         idempotency: Idempotency::Idempotent,
         threads: 1.0,
         ..RequestClassConfig::default()
     };
     let wide = RequestClassConfig {
-        latency_objective: WIDE_GOAL,
+        latency_objective: WIDE_OBJECTIVE,
         objective_work_factor: 0.0,
-        deadline: WIDE_LIMIT,
+        deadline: WIDE_DEADLINE,
         threads: WIDE_THREADS,
         ..short.clone()
     };
@@ -264,14 +264,14 @@
         request_classes: vec![short, wide],
         machine_kinds: vec![MachineKind { cores: CORES, memory_mb: MEMORY_MB }],
         tick: TICK,
-        capabilities: permits(),
-        safety_rules: duties(),
+        capabilities: capabilities(),
+        safety_rules: safety_rules(),
         load_reporting: reports,
         ..Deployment::default()
     }
 }
 
-fn permits() -> Capabilities {
+fn capabilities() -> Capabilities {
     Capabilities {
         probes: true,
         cancel: true,
@@ -283,7 +283,7 @@
     }
 }
 
-fn duties() -> SafetyRules {
+fn safety_rules() -> SafetyRules {
     SafetyRules {
         drain_grace: Duration::from_secs(2),
         slow_start_share: 0.34,
--- a/crates/tools/scale/src/roles/decision/real.rs
+++ b/crates/tools/scale/src/roles/decision/real.rs
@@ -1,11 +1,11 @@
 //! The same rate at a real front process, with engines and clients over loopback: what of it is served.
 
 use crate::budget;
-use crate::channel::{Channel, Entry, News, State};
+use crate::channel::{Channel, Entry, ListUpdate, State};
 use crate::clients::Clients;
 use crate::engine::Engines;
 use crate::error::MeasureError;
-use crate::front::{self, Front, Told, io};
+use crate::front::{self, Front, FrontOptions, io};
 use crate::measurement::Options;
 use crate::process;
 use crate::role::Role;
@@ -20,33 +20,37 @@
 pub const CASE: &str = "real front, reports=when-probed";
 /// So many clients that rest for so long offer 2,885 requests a second if each is answered within 2 ms.
 const CLIENTS: u64 = 64;
-const REST: Duration = Duration::from_millis(20);
+const CLIENT_PAUSE: Duration = Duration::from_millis(20);
 /// Before the front is watched.
 const SETTLE: Duration = Duration::from_secs(3);
 const WINDOW: Duration = Duration::from_secs(4);
 const QUICK: Duration = Duration::from_millis(300);
 /// How late the rig's own timers may be.
 const LATENESS: Duration = Duration::from_millis(50);
-const LONGEST_START: Duration = Duration::from_secs(10);
+const MAX_START_TIME: Duration = Duration::from_secs(10);
 const STEP: Duration = Duration::from_millis(2);
 
-fn list(engines: u32, place: &Engines) -> News {
-    let entry =
-        |id: u32| Entry { id, address: place.address, state: State::Ready, zone: (id % budget::ZONES) as u8 };
-    News::Whole((0..engines).map(entry).collect())
+fn list(engines: u32, engines_listener: &Engines) -> ListUpdate {
+    let entry = |id: u32| Entry {
+        id,
+        address: engines_listener.address,
+        state: State::Ready,
+        zone: (id % budget::ZONES) as u8,
+    };
+    ListUpdate::Full((0..engines).map(entry).collect())
 }
 
 fn start(options: &Options) -> Result<(Channel, Front), MeasureError> {
     let channel = Channel::start().map_err(io("the command channel"))?;
-    let told = Told {
+    let front_options = FrontOptions {
         channel: channel.address,
         descriptors: budget::FRONT_DESCRIPTORS as u32,
         memory_mb: budget::FRONT_MEMORY_MB as u32,
     };
-    let front = Front::start(&front::program(options.front.as_deref())?, &told)?;
+    let front = Front::start(&front::program(options.front.as_deref())?, &front_options)?;
     let begun = Instant::now();
     while channel.fronts() == 0 {
-        if begun.elapsed() > LONGEST_START {
+        if begun.elapsed() > MAX_START_TIME {
             return Err(MeasureError::Failed("the front never asked for the list".into()));
         }
         thread::sleep(STEP);
@@ -57,9 +61,9 @@
 /// One run at a front of the platform's size.
 pub fn run(engines: u32, options: &Options) -> Result<Vec<Sample>, MeasureError> {
     let (channel, front) = start(options)?;
-    let place = Engines::start().map_err(io("an engine's listener"))?;
-    channel.tell(&list(engines, &place));
-    let clients = Clients::start(front.address, CLIENTS, REST);
+    let engines_listener = Engines::start().map_err(io("an engine's listener"))?;
+    channel.publish(&list(engines, &engines_listener));
+    let clients = Clients::start(front.address, CLIENTS, CLIENT_PAUSE);
     thread::sleep(if options.quick { QUICK } else { SETTLE });
     let watch = Watch::start(LATENESS);
     let (begun, before, returned) = (Instant::now(), process::of(front.pid())?, clients.returned());
--- a/crates/tools/scale/src/roles/discovery.rs
+++ b/crates/tools/scale/src/roles/discovery.rs
@@ -3,11 +3,11 @@
 //! those that replace it.
 
 use crate::budget;
-use crate::channel::{Channel, Entry, FRAME_HEAD, News, RECORD, State};
+use crate::channel::{Channel, Entry, FRAME_HEADER_BYTES, ListUpdate, RECORD_BYTES, State};
 use crate::clients::Clients;
 use crate::engine::Engines;
 use crate::error::MeasureError;
-use crate::front::{self, Front, Told, io};
+use crate::front::{self, Front, FrontOptions, io};
 use crate::limits::Limits;
 use crate::measurement::{Measurement, Options};
 use crate::need::Need;
@@ -45,15 +45,15 @@
 /// Requests go on for so long after the zone was replaced.
 const AFTER_ZONE: Duration = Duration::from_secs(1);
 /// What is not acted upon by then never is.
-const LONGEST: Duration = Duration::from_secs(10);
+const MAX_WAIT: Duration = Duration::from_secs(10);
 const STEP: Duration = Duration::from_millis(1);
 const CLIENTS: u64 = 8;
-const REST: Duration = Duration::from_millis(10);
+const CLIENT_PAUSE: Duration = Duration::from_millis(10);
 /// How late the rig's own timers may be.
 const LATENESS: Duration = Duration::from_millis(50);
 const DAY_SECONDS: f64 = 86_400.0;
 /// Bytes that an engine takes of the rig and the front at most, and descriptors and memory of all else.
-const BYTES_AN_ENGINE: u64 = 8 * 1024;
+const BYTES_PER_ENGINE: u64 = 8 * 1024;
 const DESCRIPTORS: u64 = 1_024;
 
 /// Tells a real front of engines.
@@ -62,16 +62,16 @@
 }
 
 /// Listeners that stand for the engines.
-struct Places {
+struct Listeners {
     staying: Engines,
     leaving: Engines,
-    coming: Engines,
+    joining: Engines,
 }
 
-impl Places {
+impl Listeners {
     fn start() -> Result<Self, MeasureError> {
         let engines = || Engines::start().map_err(io("an engine's listener"));
-        Ok(Places { staying: engines()?, leaving: engines()?, coming: engines()? })
+        Ok(Listeners { staying: engines()?, leaving: engines()?, joining: engines()? })
     }
 }
 
@@ -83,26 +83,26 @@
     Entry { id, address, state, zone: zone(id % NEW_IDS) as u8 }
 }
 
-fn whole(engines: u32, places: &Places) -> News {
+fn full_list(engines: u32, listeners: &Listeners) -> ListUpdate {
     let list = (0..engines).map(|id| {
-        let place = if zone(id) == ZONE { &places.leaving } else { &places.staying };
+        let place = if zone(id) == ZONE { &listeners.leaving } else { &listeners.staying };
         entry(id, place.address, State::Ready)
     });
-    News::Whole(list.collect())
+    ListUpdate::Full(list.collect())
 }
 
 /// All engines of the zone go, and as many come.
-fn replaced(engines: u32, places: &Places) -> News {
+fn zone_replacement(engines: u32, listeners: &Listeners) -> ListUpdate {
     let of_zone = || (0..engines).filter(|id| zone(*id) == ZONE);
-    let gone = of_zone().map(|id| entry(id, places.leaving.address, State::Gone));
-    let come = of_zone().map(|id| entry(NEW_IDS + id, places.coming.address, State::Ready));
-    News::Changes(gone.chain(come).collect())
+    let removed = of_zone().map(|id| entry(id, listeners.leaving.address, State::Removed));
+    let added = of_zone().map(|id| entry(NEW_IDS + id, listeners.joining.address, State::Ready));
+    ListUpdate::Delta(removed.chain(added).collect())
 }
 
 /// What the channel sends one front in a second: an empty frame each second, and a day's replacements.
-fn bytes_a_second() -> f64 {
-    let replacement = (FRAME_HEAD + 2 * RECORD) as f64;
-    FRAME_HEAD as f64 + f64::from(budget::REPLACEMENTS_A_DAY) * replacement / DAY_SECONDS
+fn bytes_per_second() -> f64 {
+    let replacement = (FRAME_HEADER_BYTES + 2 * RECORD_BYTES) as f64;
+    FRAME_HEADER_BYTES as f64 + f64::from(budget::REPLACEMENTS_PER_DAY) * replacement / DAY_SECONDS
 }
 
 fn milliseconds(span: Duration) -> f64 {
@@ -120,37 +120,37 @@
 
     fn start(&self) -> Result<(Channel, Front), MeasureError> {
         let channel = Channel::start().map_err(io("the command channel"))?;
-        let told = Told {
+        let published_at = FrontOptions {
             channel: channel.address,
             descriptors: budget::FRONT_DESCRIPTORS as u32,
             memory_mb: budget::FRONT_MEMORY_MB as u32,
         };
-        let front = Front::start(&front::program(self.options.front.as_deref())?, &told)?;
+        let front = Front::start(&front::program(self.options.front.as_deref())?, &published_at)?;
         wait(|| channel.fronts() > 0, "the front never asked for the list")?;
         Ok((channel, front))
     }
 
     /// Without clients: what the front's own work takes.
-    fn idle(&self, engines: u32) -> Result<Vec<(Metric, f64)>, MeasureError> {
+    fn measure_idle(&self, engines: u32) -> Result<Vec<(Metric, f64)>, MeasureError> {
         let (channel, front) = self.start()?;
-        let places = Places::start()?;
+        let listeners = Listeners::start()?;
         let span = self.span(SETTLE);
         thread::sleep(span);
         let empty = process::of(front.pid())?;
-        let spent = |news: News| -> Result<(usize, f64), MeasureError> {
+        let spent = |news: ListUpdate| -> Result<(usize, f64), MeasureError> {
             let before = process::of(front.pid())?.processor;
-            let bytes = channel.tell(&news);
+            let bytes = channel.publish(&news);
             thread::sleep(span);
             let after = process::of(front.pid())?.processor;
             Ok((bytes, milliseconds(after.saturating_sub(before))))
         };
-        let (list_bytes, list_processor) = spent(whole(engines, &places))?;
+        let (list_bytes, list_processor) = spent(full_list(engines, &listeners))?;
         let full = process::of(front.pid())?;
-        let (zone_bytes, zone_processor) = spent(replaced(engines, &places))?;
+        let (zone_bytes, zone_processor) = spent(zone_replacement(engines, &listeners))?;
         let before = (Instant::now(), process::of(front.pid())?.processor);
         thread::sleep(self.span(IDLE));
-        let idle = process::of(front.pid())?.processor.saturating_sub(before.1).as_secs_f64();
-        let rate = idle / before.0.elapsed().as_secs_f64();
+        let measure_idle = process::of(front.pid())?.processor.saturating_sub(before.1).as_secs_f64();
+        let rate = measure_idle / before.0.elapsed().as_secs_f64();
         // The front's own work goes on while it takes a list up.
         let own = rate * milliseconds(span);
         let grown = full.resident_bytes.saturating_sub(empty.resident_bytes) as f64;
@@ -158,7 +158,7 @@
             (metric::PROCESSOR, rate * 100.0),
             (metric::MEMORY, full.resident_bytes as f64 / f64::from(1 << 20)),
             (metric::STATE, grown),
-            (metric::BYTES_CONTROL, bytes_a_second()),
+            (metric::BYTES_CONTROL, bytes_per_second()),
             (LIST_BYTES, list_bytes as f64),
             (LIST_PROCESSOR, (list_processor - own).max(0.0)),
             (ZONE_BYTES, zone_bytes as f64),
@@ -167,24 +167,26 @@
     }
 
     /// With clients that ask all the time: how long until requests go where the list says.
-    fn acted(&self, engines: u32) -> Result<Vec<(Metric, f64)>, MeasureError> {
+    fn measure_reaction(&self, engines: u32) -> Result<Vec<(Metric, f64)>, MeasureError> {
         let (channel, front) = self.start()?;
-        let places = Places::start()?;
-        let clients = Clients::start(front.address, CLIENTS, REST);
+        let listeners = Listeners::start()?;
+        let clients = Clients::start(front.address, CLIENTS, CLIENT_PAUSE);
         thread::sleep(self.span(SETTLE));
-        let told = Instant::now();
-        channel.tell(&whole(engines, &places));
-        let used = || places.staying.tally().first.into_iter().chain(places.leaving.tally().first).min();
+        let published_at = Instant::now();
+        channel.publish(&full_list(engines, &listeners));
+        let used =
+            || listeners.staying.received().first.into_iter().chain(listeners.leaving.received().first).min();
         wait(|| used().is_some(), "the list was never used")?;
-        let list_used = used().unwrap_or(told).saturating_duration_since(told);
-        wait(|| places.leaving.tally().requests > 0, "the zone was never used")?;
+        let list_used = used().unwrap_or(published_at).saturating_duration_since(published_at);
+        wait(|| listeners.leaving.received().requests > 0, "the zone was never used")?;
         thread::sleep(self.span(SETTLE));
-        let told = Instant::now();
-        channel.tell(&replaced(engines, &places));
-        wait(|| places.coming.tally().requests > 0, "what replaces the zone was never used")?;
+        let published_at = Instant::now();
+        channel.publish(&zone_replacement(engines, &listeners));
+        wait(|| listeners.joining.received().requests > 0, "what replaces the zone was never used")?;
         thread::sleep(self.span(AFTER_ZONE));
-        let since = |at: Option<Instant>| at.unwrap_or(told).saturating_duration_since(told);
-        let (left, used) = (since(places.leaving.tally().last), since(places.coming.tally().first));
+        let since = |at: Option<Instant>| at.unwrap_or(published_at).saturating_duration_since(published_at);
+        let (left, used) =
+            (since(listeners.leaving.received().last), since(listeners.joining.received().first));
         drop(clients);
         Ok(vec![
             (LIST_USED, milliseconds(list_used)),
@@ -195,8 +197,8 @@
 
     fn run(&self, size: u32) -> Result<Vec<Sample>, MeasureError> {
         let watch = Watch::start(LATENESS);
-        let mut values = self.idle(size)?;
-        values.extend(self.acted(size)?);
+        let mut values = self.measure_idle(size)?;
+        values.extend(self.measure_reaction(size)?);
         let disturbed = watch.finish().disturbed();
         let samples = values.into_iter().map(|(metric, value)| Sample {
             role: Role::Discovery,
@@ -213,7 +215,7 @@
 fn wait(done: impl Fn() -> bool, otherwise: &str) -> Result<(), MeasureError> {
     let begun = Instant::now();
     while !done() {
-        if begun.elapsed() > LONGEST {
+        if begun.elapsed() > MAX_WAIT {
             return Err(MeasureError::Failed(otherwise.into()));
         }
         thread::sleep(STEP);
@@ -231,7 +233,7 @@
     }
 
     fn measure(&mut self, size: u32, progress: &mut Progress) -> Result<Vec<Sample>, MeasureError> {
-        let memory_bytes = u64::from(size) * BYTES_AN_ENGINE;
+        let memory_bytes = u64::from(size) * BYTES_PER_ENGINE;
         let need = Need { memory_bytes, descriptors: DESCRIPTORS, processes: 1 };
         Limits::of_this_machine()?.check(size, &need)?;
         let mut samples = Vec::new();
--- a/crates/tools/scale/src/roles/failure_detector.rs
+++ b/crates/tools/scale/src/roles/failure_detector.rs
@@ -15,14 +15,14 @@
 /// Percent of datagrams that are lost.
 pub const LOSSES: [u32; 3] = [0, 1, 20];
 /// Until then all fronts have started and found each other.
-const SETTLED: Duration = Duration::from_secs(60);
+const SETTLE_TIME: Duration = Duration::from_secs(60);
 const SPAN: Duration = Duration::from_secs(120);
 const QUICK: Duration = Duration::from_secs(10);
 /// The rig's thread may be off its core for this share of the time.
 const PREEMPTED: f64 = 0.6;
 /// A hollow front in a fleet of so many, at most.
-const BYTES_A_FRONT: u64 = 64 * 1024;
-const BYTES_A_PAIR: u64 = 512;
+const BYTES_PER_FRONT: u64 = 64 * 1024;
+const BYTES_PER_PAIR: u64 = 512;
 
 /// Fronts that a front told as gone though they were there.
 const FALSE_ALARMS: Metric = Metric::new("false_alarms_a_front", "1/h");
@@ -46,7 +46,7 @@
         let fronts = size as usize;
         let preemption = Preemption::start(PREEMPTED);
         let mut simulation = Simulation::new(Setup::detector(fronts, f64::from(loss) / 100.0, seed));
-        let (settled, span) = if self.options.quick { (QUICK, QUICK) } else { (SETTLED, SPAN) };
+        let (settled, span) = if self.options.quick { (QUICK, QUICK) } else { (SETTLE_TIME, SPAN) };
         simulation.run_for(settled);
         let meter = Meter::start(&simulation, 0..fronts, &[Kind::FailureDetector]);
         simulation.run_for(span);
@@ -62,8 +62,8 @@
         let mut samples = run.cost(&cost);
         samples.push(run.sample(metric::MEMORY, memory));
         let calm = Run { disturbed: false, ..run };
-        samples.push(calm.sample(BYTES_MOST, cost.bytes_most));
-        samples.push(calm.sample(FALSE_ALARMS, cost.told_gone_an_hour));
+        samples.push(calm.sample(BYTES_MOST, cost.max_bytes));
+        samples.push(calm.sample(FALSE_ALARMS, cost.members_lost_per_hour));
         samples.push(calm.sample(SEEN, 100.0 * cost.members / f64::from(size - 1)));
         Ok(samples)
     }
@@ -93,15 +93,15 @@
 
 /// Refuses a hollow fleet that the machine can't hold, or that is none.
 pub fn fits(size: u32) -> Result<(), MeasureError> {
-    if size < FEWEST {
-        return Err(MeasureError::Failed(format!("a fleet has {FEWEST} fronts at least, not {size}")));
+    if size < MIN_FRONTS {
+        return Err(MeasureError::Failed(format!("a fleet has {MIN_FRONTS} fronts at least, not {size}")));
     }
     let fronts = u64::from(size);
-    let memory_bytes = fronts * BYTES_A_FRONT + fronts * fronts * BYTES_A_PAIR;
+    let memory_bytes = fronts * BYTES_PER_FRONT + fronts * fronts * BYTES_PER_PAIR;
     let need = Need { memory_bytes, ..Need::default() };
     let limits = Limits::of_this_machine().map_err(|cause| MeasureError::Figures(cause.to_string()))?;
     if limits.hold(&need) { Ok(()) } else { Err(MeasureError::DoesNotFit { size, need }) }
 }
 
 /// All voters are fronts, and some fronts are none.
-const FEWEST: u32 = 8;
+const MIN_FRONTS: u32 = 8;
--- a/crates/tools/scale/src/roles/leases.rs
+++ b/crates/tools/scale/src/roles/leases.rs
@@ -3,8 +3,8 @@
 use super::failure_detector::{LOSSES, fits};
 use crate::error::MeasureError;
 use crate::fleet::{
-    Account, Cost, Meter, Registers, Run, Setup, Simulation, cut_regions, herd, replacements, resident_bytes,
-    side_by_side,
+    Account, Cost, Meter, Registers, Run, Setup, Simulation, herd, partition_regions, replacements,
+    resident_bytes, side_by_side,
 };
 use crate::measurement::{Measurement, Options};
 use crate::progress::Progress;
@@ -15,15 +15,15 @@
 use std::time::Duration;
 
 const VOTERS: usize = 3;
-const SETTLED: Duration = Duration::from_secs(20);
+const SETTLE_TIME: Duration = Duration::from_secs(20);
 const SPAN: Duration = Duration::from_secs(30);
 const QUICK: Duration = Duration::from_secs(5);
 /// For how long the regions lose each other.
-const CUT: Duration = Duration::from_secs(3_600);
-const QUICK_CUT: Duration = Duration::from_secs(20);
+const PARTITION_TIME: Duration = Duration::from_secs(3_600);
+const QUICK_PARTITION_TIME: Duration = Duration::from_secs(20);
 /// One thread can drive so many hollow fronts over loopback, and may be late by so much.
-const MOST_OVER_LOOPBACK: u32 = 40;
-const LATEST: Duration = Duration::from_millis(100);
+const MAX_LOOPBACK_FRONTS: u32 = 40;
+const MAX_LATENESS: Duration = Duration::from_millis(100);
 /// Losses of a holder, each way.
 const TRIALS: usize = 10;
 /// The rig's thread may be off its core for this share of the time.
@@ -40,15 +40,15 @@
 const REPLACEMENT_MEDIAN: Metric = Metric::new("replacement_p50", "s");
 /// From an orderly stop of the holder.
 const REPLACEMENT_STOPPED: Metric = Metric::new("replacement_after_stop", "s");
-const HERD_NINE_TENTHS: Metric = Metric::new("seats_nine_tenths_again", "s");
-const HERD_NEARLY_ALL: Metric = Metric::new("seats_99_percent_again", "s");
+const HERD_90_PERCENT: Metric = Metric::new("seats_nine_tenths_again", "s");
+const HERD_99_PERCENT: Metric = Metric::new("seats_99_percent_again", "s");
 const HERD_PEAK: Metric = Metric::new("voter_busiest_second", "messages");
 const HELD_WITH: Metric = Metric::new("seats_held_with_majority", "%");
 const HELD_WITHOUT: Metric = Metric::new("seats_held_without_majority", "%");
 const HOLDERS_WITH: Metric = Metric::new("task_holders_with_majority", "1");
 const HOLDERS_WITHOUT: Metric = Metric::new("task_holders_without_majority", "1");
-const SEATS_AGAIN: Metric = Metric::new("seats_99_percent_after_return", "s");
-const MEMBERS_AGAIN: Metric = Metric::new("all_members_seen_after_return", "s");
+const SLOTS_RECOVERED: Metric = Metric::new("seats_99_percent_after_return", "s");
+const MEMBERS_RECOVERED: Metric = Metric::new("all_members_seen_after_return", "s");
 
 /// What a voter carries.
 const VOTER: [Metric; 5] = [
@@ -65,14 +65,14 @@
 }
 
 /// A fleet with all that fronts have: seats, a task, and every register.
-pub fn whole(fronts: usize, voters: usize, loss: u32, seed: u64) -> Setup {
+pub fn full_fleet(fronts: usize, voters: usize, loss: u32, seed: u64) -> Setup {
     let setup = Setup::detector(fronts, f64::from(loss) / 100.0, seed);
-    Setup { voters, seats: true, task: true, registers: Registers::ZonesAndWorks, ..setup }
+    Setup { voters, quota_slots: true, task: true, registers: Registers::ZonesAndWorks, ..setup }
 }
 
 /// A fleet with seats and a task, and no register.
-pub fn seated(fronts: usize, voters: usize, loss: u32, seed: u64) -> Setup {
-    Setup { registers: Registers::None, ..whole(fronts, voters, loss, seed) }
+pub fn with_quota_slots(fronts: usize, voters: usize, loss: u32, seed: u64) -> Setup {
+    Setup { registers: Registers::None, ..full_fleet(fronts, voters, loss, seed) }
 }
 
 /// A voter's load.
@@ -94,8 +94,8 @@
     fn steady(&self, size: u32, loss: u32, seed: u64) -> Result<Vec<Sample>, MeasureError> {
         let fronts = size as usize;
         let preemption = Preemption::start(PREEMPTED);
-        let mut simulation = Simulation::new(whole(fronts, VOTERS, loss, seed));
-        let (settled, span) = if self.options.quick { (QUICK, QUICK) } else { (SETTLED, SPAN) };
+        let mut simulation = Simulation::new(full_fleet(fronts, VOTERS, loss, seed));
+        let (settled, span) = if self.options.quick { (QUICK, QUICK) } else { (SETTLE_TIME, SPAN) };
         simulation.run_for(settled);
         let meters = PARTS.map(|(part, kinds)| {
             let front = Meter::start(&simulation, VOTERS..fronts, kinds);
@@ -109,8 +109,9 @@
             let run = self.run(format!("part={part},loss={loss}"), size, disturbed);
             let all = run.cost(&front.finish(&simulation));
             // State and processor time are those of the whole front, whatever part its messages are of.
-            let whole = |sample: &Sample| [metric::STATE, metric::PROCESSOR].contains(&sample.metric);
-            samples.extend(all.into_iter().filter(|sample| part == "all" || !whole(sample)));
+            let is_of_whole_front =
+                |sample: &Sample| [metric::STATE, metric::PROCESSOR].contains(&sample.metric);
+            samples.extend(all.into_iter().filter(|sample| part == "all" || !is_of_whole_front(sample)));
             let voter = voter_samples(&run, &voter.finish(&simulation));
             samples.extend(voter.into_iter().filter(|sample| part == "all" || sample.metric != VOTER[4]));
         }
@@ -123,37 +124,37 @@
     fn events(&self, size: u32, loss: u32, seed: u64) -> Vec<Sample> {
         let fronts = size as usize;
         let trials = if self.options.quick { 1 } else { TRIALS };
-        let mut simulation = Simulation::new(seated(fronts, VOTERS, loss, seed));
-        simulation.run_for(SETTLED);
+        let mut simulation = Simulation::new(with_quota_slots(fronts, VOTERS, loss, seed));
+        simulation.run_for(SETTLE_TIME);
         let run = self.run(format!("event=holder-lost,loss={loss}"), size, false);
         let lost = replacements(&mut simulation, trials);
         let mut samples = vec![
-            run.sample(metric::REPLACEMENT, longest(&lost.killed)),
+            run.sample(metric::REPLACEMENT, max_seconds(&lost.killed)),
             run.sample(REPLACEMENT_MEDIAN, median(&lost.killed)),
-            run.sample(REPLACEMENT_STOPPED, longest(&lost.stopped)),
+            run.sample(REPLACEMENT_STOPPED, max_seconds(&lost.stopped)),
         ];
         let run = self.run(format!("event=all-voters-restart,loss={loss}"), size, false);
         let herd = herd(&mut simulation, VOTERS);
-        samples.push(run.sample(HERD_NINE_TENTHS, herd.nine_tenths.as_secs_f64()));
-        samples.push(run.sample(HERD_NEARLY_ALL, herd.nearly_all.as_secs_f64()));
+        samples.push(run.sample(HERD_90_PERCENT, herd.nine_tenths.as_secs_f64()));
+        samples.push(run.sample(HERD_99_PERCENT, herd.nearly_all.as_secs_f64()));
         samples.push(run.sample(HERD_PEAK, herd.peak_messages as f64));
         samples
     }
 
     /// A real front and hollow ones in one fleet over loopback, with all that fronts have.
     fn side_by_side(&self, size: u32, seed: u64) -> Result<Vec<Sample>, MeasureError> {
-        let setup = whole(size as usize, VOTERS, 0, seed);
-        let compared = side_by_side(&setup, SETTLED, SPAN)
+        let setup = full_fleet(size as usize, VOTERS, 0, seed);
+        let compared = side_by_side(&setup, SETTLE_TIME, SPAN)
             .map_err(|cause| MeasureError::Io { what: "a fleet over loopback".into(), cause })?;
-        let disturbed = compared.lateness > LATEST;
+        let disturbed = compared.lateness > MAX_LATENESS;
         let samples = |front: &str, of: &dyn Fn(fn(&Account) -> f64) -> f64| {
             let run = self.run(format!("side-by-side={front}"), size, disturbed);
             let seconds = SPAN.as_secs_f64();
             vec![
                 run.sample(metric::MESSAGES_OUT, of(|account| account.sent.messages as f64) / seconds),
-                run.sample(metric::MESSAGES_IN, of(|account| account.heard.messages as f64) / seconds),
+                run.sample(metric::MESSAGES_IN, of(|account| account.received.messages as f64) / seconds),
                 run.sample(metric::BYTES_OUT, of(|account| account.sent.bytes as f64) / seconds),
-                run.sample(metric::BYTES_IN, of(|account| account.heard.bytes as f64) / seconds),
+                run.sample(metric::BYTES_IN, of(|account| account.received.bytes as f64) / seconds),
                 run.sample(metric::STATE, of(|account| account.state_bytes as f64)),
                 run.sample(
                     metric::PROCESSOR,
@@ -166,24 +167,24 @@
         Ok(all)
     }
 
-    fn cut(&self, size: u32, seed: u64) -> Vec<Sample> {
-        let span = if self.options.quick { QUICK_CUT } else { CUT };
-        let mut simulation = Simulation::new(seated(size as usize, VOTERS, 0, seed));
-        simulation.run_for(SETTLED);
-        let cut = cut_regions(&mut simulation, span);
+    fn partition(&self, size: u32, seed: u64) -> Vec<Sample> {
+        let span = if self.options.quick { QUICK_PARTITION_TIME } else { PARTITION_TIME };
+        let mut simulation = Simulation::new(with_quota_slots(size as usize, VOTERS, 0, seed));
+        simulation.run_for(SETTLE_TIME);
+        let partition = partition_regions(&mut simulation, span);
         let run = self.run("event=regions-cut-an-hour,loss=0".into(), size, false);
         vec![
-            run.sample(HELD_WITH, cut.held_with_majority),
-            run.sample(HELD_WITHOUT, cut.held_without),
-            run.sample(HOLDERS_WITH, cut.holders_with_majority as f64),
-            run.sample(HOLDERS_WITHOUT, cut.holders_without as f64),
-            run.sample(SEATS_AGAIN, cut.seats_again.as_secs_f64()),
-            run.sample(MEMBERS_AGAIN, cut.members_again.as_secs_f64()),
+            run.sample(HELD_WITH, partition.held_with_majority),
+            run.sample(HELD_WITHOUT, partition.held_without),
+            run.sample(HOLDERS_WITH, partition.holders_with_majority as f64),
+            run.sample(HOLDERS_WITHOUT, partition.holders_without as f64),
+            run.sample(SLOTS_RECOVERED, partition.slots_recovered_after.as_secs_f64()),
+            run.sample(MEMBERS_RECOVERED, partition.members_recovered_after.as_secs_f64()),
         ]
     }
 }
 
-pub fn longest(spans: &[Duration]) -> f64 {
+pub fn max_seconds(spans: &[Duration]) -> f64 {
     spans.iter().max().map_or(0.0, Duration::as_secs_f64)
 }
 
@@ -217,13 +218,13 @@
                 }
             }
         }
-        if size <= MOST_OVER_LOOPBACK && !self.options.quick && self.options.wants("side-by-side=real") {
+        if size <= MAX_LOOPBACK_FRONTS && !self.options.quick && self.options.wants("side-by-side=real") {
             progress.step(format!("{size} fronts over loopback, one of them real"));
             samples.extend(self.side_by_side(size, self.options.seed)?);
         }
         if self.options.wants("event=regions-cut-an-hour,loss=0") {
             progress.step(format!("{size} fronts, the regions cut"));
-            samples.extend(self.cut(size, self.options.seed));
+            samples.extend(self.partition(size, self.options.seed));
         }
         Ok(samples)
     }
--- a/crates/tools/scale/src/roles/maintenance.rs
+++ b/crates/tools/scale/src/roles/maintenance.rs
@@ -3,7 +3,7 @@
 //! counted.
 
 mod machines;
-mod sites;
+mod zones;
 
 use crate::budget;
 use crate::error::MeasureError;
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 /// The longest single turn.
-pub const LONGEST_TURN: Metric = Metric::new("longest_turn", "ms");
+pub const MAX_POLL: Metric = Metric::new("longest_turn", "ms");
 /// One front's report, as encoded.
 pub const REPORT: Metric = Metric::new("report", "B");
 /// From the loss of a zone until the plan that closes it is to be settled.
@@ -31,7 +31,7 @@
 /// Of the wall time, the most that a run may be kept off its core.
 const PREEMPTED_SHARE: f64 = 0.25;
 /// Bytes that a machine takes of all parts at most.
-const BYTES_A_MACHINE: u64 = 8 * 1024;
+const BYTES_PER_MACHINE: u64 = 8 * 1024;
 /// Cores of a machine.
 const CORES: u32 = 16;
 /// The part of all cores that the demand fills.
@@ -67,17 +67,17 @@
 
 /// Processor time of the turns of one part.
 #[derive(Debug, Default)]
-struct Turns {
+struct PollTimes {
     count: u32,
     sum: Duration,
     longest: Duration,
 }
 
-impl Turns {
+impl PollTimes {
     /// Runs one turn and counts its time.
-    fn time<T>(&mut self, turn: impl FnOnce() -> T) -> T {
+    fn time<T>(&mut self, poll: impl FnOnce() -> T) -> T {
         let begun = thread_time();
-        let result = turn();
+        let result = poll();
         let spent = thread_time().saturating_sub(begun);
         self.count += 1;
         self.sum += spent;
@@ -92,8 +92,8 @@
 }
 
 /// What a case has shown.
-struct Shown {
-    turns: Turns,
+struct CaseResult {
+    poll_times: PollTimes,
     /// Heap of the part that is measured.
     bytes: usize,
     /// What else there is to tell.
@@ -119,18 +119,18 @@
 
     fn run(&self, size: u32, case: Case) -> Result<Vec<Sample>, MeasureError> {
         let preemption = Preemption::start(PREEMPTED_SHARE);
-        let shown = match case {
-            Case::Front => sites::front(size, self.options.quick)?,
-            Case::Planner => sites::planner(size)?,
+        let result = match case {
+            Case::Front => zones::front(size, self.options.quick)?,
+            Case::Planner => zones::planner(size)?,
             Case::Maintenance => machines::request(size, self.options.quick)?,
         };
         let (_, lateness) = preemption.finish();
         let mut values = vec![
-            (metric::PROCESSOR, shown.turns.percent()),
-            (LONGEST_TURN, shown.turns.longest.as_secs_f64() * 1e3),
-            (metric::MEMORY, shown.bytes as f64 / f64::from(1 << 20)),
+            (metric::PROCESSOR, result.poll_times.percent()),
+            (MAX_POLL, result.poll_times.longest.as_secs_f64() * 1e3),
+            (metric::MEMORY, result.bytes as f64 / f64::from(1 << 20)),
         ];
-        values.extend(shown.more);
+        values.extend(result.more);
         let samples = values.into_iter().map(|(metric, value)| Sample {
             role: Role::Maintenance,
             case: case.name().to_string(),
@@ -153,7 +153,7 @@
     }
 
     fn measure(&mut self, size: u32, progress: &mut Progress) -> Result<Vec<Sample>, MeasureError> {
-        let need = Need { memory_bytes: u64::from(size) * BYTES_A_MACHINE, ..Need::default() };
+        let need = Need { memory_bytes: u64::from(size) * BYTES_PER_MACHINE, ..Need::default() };
         Limits::of_this_machine()?.check(size, &need)?;
         let mut samples = Vec::new();
         for case in Case::ALL {
--- a/crates/tools/scale/src/roles/maintenance/machines.rs
+++ b/crates/tools/scale/src/roles/maintenance/machines.rs
@@ -1,7 +1,7 @@
 //! Machines taken out for work: one full request is worked off by the holder of the lease, with every front letting go
 //! within a period.
 
-use super::{CORES, DONE_AFTER, PERIOD, Shown, Turns, bytes_of, sites, zone};
+use super::{CORES, CaseResult, DONE_AFTER, PERIOD, PollTimes, bytes_of, zone, zones};
 use crate::budget;
 use crate::error::MeasureError;
 use lemonusher_maintenance::{
@@ -12,14 +12,14 @@
 use std::time::Duration;
 
 /// The request's number, and how long a machine may be out.
-const NUMBER: u8 = 0;
-const OUT_SECONDS: u32 = 3_600;
+const REGISTER: u8 = 0;
+const MAX_OUTAGE_S: u32 = 3_600;
 /// Machines of the request in a quick run.
 const QUICK_MACHINES: usize = 4;
 /// Turns at most for each machine of the request.
-const TURNS_A_MACHINE: usize = 40;
+const MAX_POLLS_PER_MACHINE: usize = 40;
 
-fn terms() -> MaintenanceConfig {
+fn config() -> MaintenanceConfig {
     MaintenanceConfig {
         poll_interval: PERIOD,
         required_fronts: (0..budget::FRONTS).map(name).collect(),
@@ -38,83 +38,83 @@
         let capacity = MachineCapacity { zone: zone(machine), work: f64::from(CORES), answers: true };
         (machine, capacity)
     };
-    FleetCapacity { machines: (0..machines).map(entry).collect(), classes: sites::groups(machines) }
+    FleetCapacity { machines: (0..machines).map(entry).collect(), classes: zones::classes(machines) }
 }
 
 /// The register of the request: what stands there, and under which stamp.
 struct Register {
-    stamp: EntryVersion,
-    work: MaintenanceRequest,
+    version: EntryVersion,
+    request: MaintenanceRequest,
 }
 
 impl Register {
     fn committed(&self) -> VersionedRequest {
-        VersionedRequest { version: self.stamp, request: self.work.clone() }
+        VersionedRequest { version: self.version, request: self.request.clone() }
     }
 
-    fn settle(&mut self, work: MaintenanceRequest) {
-        self.stamp.counter += 1;
-        self.work = work;
+    fn commit(&mut self, request: MaintenanceRequest) {
+        self.version.counter += 1;
+        self.request = request;
     }
 
     fn machines(&self, wanted: impl Fn(Phase) -> bool) -> Vec<Machine> {
-        let all = self.work.machines.iter().filter(|status| wanted(status.phase));
+        let all = self.request.machines.iter().filter(|status| wanted(status.phase));
         all.map(|status| status.machine).collect()
     }
 }
 
 /// Works off one request as large as a register holds.
-pub fn request(machines: u32, quick: bool) -> Result<Shown, MeasureError> {
+pub fn request(machines: u32, quick: bool) -> Result<CaseResult, MeasureError> {
     let asked = if quick { QUICK_MACHINES } else { MAX_MACHINES }.min(machines as usize);
     let wanted: Vec<Machine> =
         (0..machines).step_by((machines as usize / asked).max(1)).take(asked).collect();
-    let work = MaintenanceRequest::new("operator", 0, MAX_CONCURRENT, OUT_SECONDS, &wanted);
-    let mut register = Register { stamp: EntryVersion { epoch: 1, counter: 1 }, work };
-    let (terms, seen) = (terms(), FleetView { capacity: fleet(machines), ..FleetView::default() });
-    let mut foreman = MaintenanceCoordinator::default();
-    foreman.set_lease(Some(1));
-    let (mut turns, mut now) = (Turns::default(), Duration::ZERO);
+    let request = MaintenanceRequest::new("operator", 0, MAX_CONCURRENT, MAX_OUTAGE_S, &wanted);
+    let mut register = Register { version: EntryVersion { epoch: 1, counter: 1 }, request };
+    let (config, view) = (config(), FleetView { capacity: fleet(machines), ..FleetView::default() });
+    let mut coordinator = MaintenanceCoordinator::default();
+    coordinator.set_lease(Some(1));
+    let (mut poll_times, mut now) = (PollTimes::default(), Duration::ZERO);
     let fronts: Vec<String> = (0..budget::FRONTS).map(name).collect();
-    for _ in 0..asked * TURNS_A_MACHINE {
+    for _ in 0..asked * MAX_POLLS_PER_MACHINE {
         now += PERIOD;
-        turns.time(|| {
-            tell(&mut foreman, &register, &fronts);
-            act(&mut foreman, &mut register, now, &terms, &seen);
+        poll_times.time(|| {
+            confirm_drains(&mut coordinator, &register, &fronts);
+            poll_coordinator(&mut coordinator, &mut register, now, &config, &view);
         });
-        if register.work.is_over() {
+        if register.request.is_over() {
             let more = vec![(DONE_AFTER, now.as_secs_f64())];
-            return Ok(Shown { turns, bytes: bytes_of((foreman, seen)), more });
+            return Ok(CaseResult { poll_times, bytes: bytes_of((coordinator, view)), more });
         }
-        work_done(&mut foreman, &mut register, now);
+        return_machines(&mut coordinator, &mut register, now);
     }
     Err(MeasureError::Failed("the request was never worked off".into()))
 }
 
 /// Every front says each period what it has let go.
-fn tell(foreman: &mut MaintenanceCoordinator, register: &Register, fronts: &[String]) {
+fn confirm_drains(coordinator: &mut MaintenanceCoordinator, register: &Register, fronts: &[String]) {
     let draining = register.machines(|phase| phase == Phase::Draining);
-    let let_go = |machine| DrainConfirmation { request: NUMBER, version: register.stamp, machine };
-    let told: Vec<DrainConfirmation> = draining.into_iter().map(let_go).collect();
-    fronts.iter().for_each(|front| foreman.handle_confirmations(front, &told));
+    let confirmation = |machine| DrainConfirmation { request: REGISTER, version: register.version, machine };
+    let confirmations: Vec<DrainConfirmation> = draining.into_iter().map(confirmation).collect();
+    fronts.iter().for_each(|front| coordinator.handle_confirmations(front, &confirmations));
 }
 
 /// One period of the holder: all reads are answered at once, and one change settled.
-fn act(
-    foreman: &mut MaintenanceCoordinator,
+fn poll_coordinator(
+    coordinator: &mut MaintenanceCoordinator,
     register: &mut Register,
     now: Duration,
-    terms: &MaintenanceConfig,
-    seen: &FleetView,
+    config: &MaintenanceConfig,
+    view: &FleetView,
 ) {
-    while let Some(want) = foreman.poll(now, terms, seen) {
+    while let Some(want) = coordinator.poll(now, config, view) {
         match want {
-            RegisterAction::Read(NUMBER) => {
-                foreman.handle_committed(now, NUMBER, Some(register.committed()));
+            RegisterAction::Read(REGISTER) => {
+                coordinator.handle_committed(now, REGISTER, Some(register.committed()));
             }
-            RegisterAction::Read(other) => foreman.handle_committed(now, other, None),
+            RegisterAction::Read(other) => coordinator.handle_committed(now, other, None),
             RegisterAction::Write(change) => {
-                register.settle(change.value);
-                foreman.handle_committed(now, NUMBER, Some(register.committed()));
+                register.commit(change.value);
+                coordinator.handle_committed(now, REGISTER, Some(register.committed()));
                 return;
             }
         }
@@ -122,15 +122,15 @@
 }
 
 /// Whoever works on the machines says at once that they are back.
-fn work_done(foreman: &mut MaintenanceCoordinator, register: &mut Register, now: Duration) {
+fn return_machines(coordinator: &mut MaintenanceCoordinator, register: &mut Register, now: Duration) {
     let released = register.machines(|phase| matches!(phase, Phase::Released { .. }));
     if released.is_empty() {
         return;
     }
-    let mut work = register.work.clone();
+    let mut request = register.request.clone();
     released.into_iter().for_each(|machine| {
-        work.mark_returned(machine);
+        request.mark_returned(machine);
     });
-    register.settle(work);
-    foreman.handle_request(now, NUMBER, register.stamp, register.work.clone());
+    register.commit(request);
+    coordinator.handle_request(now, REGISTER, register.version, register.request.clone());
 }
--- a/crates/tools/scale/src/series.rs
+++ b/crates/tools/scale/src/series.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// A budget that no line reaches within so many times the largest measured size is not said to be passed anywhere.
-const FARTHEST: f64 = 10.0;
+const MAX_EXTRAPOLATION: f64 = 10.0;
 
 /// All samples of one metric of a role in one case.
 #[derive(Debug, Clone)]
@@ -70,30 +70,34 @@
 
     /// Where the budget is passed: between the two measured sizes where the medians cross it, else where the fit
     /// reaches it. None without a budget or without a fit.
-    pub fn breaks(&self) -> Option<Breaks> {
-        let most = self.budget()?;
+    pub fn budget_crossing(&self) -> Option<BudgetCrossing> {
+        let max = self.budget()?;
         let medians: Vec<(f64, f64)> =
             self.sizes().iter().filter_map(|size| Some((f64::from(*size), self.median_at(*size)?))).collect();
-        if let Some((smallest, _)) = medians.first().filter(|(_, value)| *value > most) {
-            return Some(Breaks::Below(*smallest));
+        if let Some((smallest, _)) = medians.first().filter(|(_, value)| *value > max) {
+            return Some(BudgetCrossing::Below(*smallest));
         }
         for pair in medians.windows(2) {
             let ((low, below), (high, above)) = (pair[0], pair[1]);
-            if below <= most && above > most {
-                return Some(Breaks::At(low + (high - low) * (most - below) / (above - below)));
+            if below <= max && above > max {
+                return Some(BudgetCrossing::At(low + (high - low) * (max - below) / (above - below)));
             }
         }
         let fit = self.fit().ok()?;
-        let farthest = fit.largest * FARTHEST;
-        let reached = (most - fit.intercept) / fit.slope;
+        let farthest = fit.largest * MAX_EXTRAPOLATION;
+        let reached = (max - fit.intercept) / fit.slope;
         let grows = fit.slope > fit.slope_margin;
-        Some(if grows && reached <= farthest { Breaks::At(reached) } else { Breaks::Beyond(farthest) })
+        Some(if grows && reached <= farthest {
+            BudgetCrossing::At(reached)
+        } else {
+            BudgetCrossing::Beyond(farthest)
+        })
     }
 }
 
 /// The size at which a budget is passed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Breaks {
+pub enum BudgetCrossing {
     /// At the smallest size that was measured, or before.
     Below(f64),
     At(f64),
--- a/crates/tools/scale/src/watch.rs
+++ b/crates/tools/scale/src/watch.rs
@@ -35,10 +35,10 @@
     /// Watches from now on.
     pub fn start(bound: Duration) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
-        let told = stop.clone();
+        let stopping = stop.clone();
         let thread = thread::spawn(move || {
             let mut greatest = Duration::ZERO;
-            while !told.load(Ordering::Relaxed) {
+            while !stopping.load(Ordering::Relaxed) {
                 let due = Instant::now() + TICK;
                 thread::sleep(TICK);
                 greatest = greatest.max(Instant::now().saturating_duration_since(due));
--- a/crates/tools/scale/tests/proof_scale/page.rs
+++ b/crates/tools/scale/tests/proof_scale/page.rs
@@ -3,7 +3,7 @@
 use lemonusher_scale::page::{figure, names, regenerate};
 use lemonusher_scale::role::Role;
 use lemonusher_scale::sample::{self, Metric, Sample, metric};
-use lemonusher_scale::series::{Breaks, group};
+use lemonusher_scale::series::{BudgetCrossing, group};
 use std::path::{Path, PathBuf};
 
 fn docs() -> PathBuf {
@@ -90,25 +90,27 @@
     let [series] = &all[..] else { panic!("{all:?}") };
     assert_eq!(series.median_at(1_300), Some(150.0));
     // 100 % of a core lies halfway between 320 and 1,300 engines.
-    assert_eq!(series.breaks(), Some(Breaks::At(810.0)));
+    assert_eq!(series.budget_crossing(), Some(BudgetCrossing::At(810.0)));
     assert_eq!(series.at_design().map(|estimate| (estimate.value, estimate.margin)), Some((150.0, None)));
     let other = Metric::new("other", "s");
     let unbounded = group(&[Sample { metric: other, ..decision(20, 1.0, false) }]);
-    assert_eq!(unbounded[0].breaks(), None);
+    assert_eq!(unbounded[0].budget_crossing(), None);
 }
 
 #[test]
 fn a_budget_is_passed_where_a_line_reaches_it_and_nowhere_if_that_is_far_away() {
-    let breaks = |values: [f64; 3]| {
+    let budget_crossing = |values: [f64; 3]| {
         let sizes = [100, 200, 400].into_iter().zip(values);
         let samples: Vec<Sample> = sizes.map(|(size, value)| decision(size, value, false)).collect();
-        group(&samples)[0].breaks()
+        group(&samples)[0].budget_crossing()
+    };
+    assert_eq!(budget_crossing([101.0, 150.0, 200.0]), Some(BudgetCrossing::Below(100.0)));
+    let Some(BudgetCrossing::At(reached)) = budget_crossing([5.0, 10.0, 20.0]) else {
+        panic!("the line reaches 100 %")
     };
-    assert_eq!(breaks([101.0, 150.0, 200.0]), Some(Breaks::Below(100.0)));
-    let Some(Breaks::At(reached)) = breaks([5.0, 10.0, 20.0]) else { panic!("the line reaches 100 %") };
     assert!((reached - 2_000.0).abs() < 1e-6, "{reached}");
-    assert_eq!(breaks([0.5, 1.0, 2.0]), Some(Breaks::Beyond(4_000.0)));
-    assert_eq!(breaks([20.0, 20.0, 20.0]), Some(Breaks::Beyond(4_000.0)));
+    assert_eq!(budget_crossing([0.5, 1.0, 2.0]), Some(BudgetCrossing::Beyond(4_000.0)));
+    assert_eq!(budget_crossing([20.0, 20.0, 20.0]), Some(BudgetCrossing::Beyond(4_000.0)));
 }
 
 #[test]
--- a/crates/tools/scale/tests/proof_scale/roles.rs
+++ b/crates/tools/scale/tests/proof_scale/roles.rs
@@ -22,7 +22,7 @@
 }
 
 /// The greatest value of a metric.
-fn most(samples: &[Sample], metric: &Metric) -> f64 {
+fn max(samples: &[Sample], metric: &Metric) -> f64 {
     let values = samples.iter().filter(|sample| sample.metric == *metric).map(|sample| sample.value);
     values.max_by(f64::total_cmp).expect("the metric was measured")
 }
@@ -39,8 +39,8 @@
         println!(
             "proof: decision at {engines} engines: {:.1} % of a core at most, {full:.0?} of 1,000; a real front serves \
              {:.0} a second",
-            most(&samples, &metric::PROCESSOR),
-            most(&samples, &Metric::new("served", "1/s")),
+            max(&samples, &metric::PROCESSOR),
+            max(&samples, &Metric::new("served", "1/s")),
         );
         assert_eq!(full.len(), 4);
         assert!(full.values().all(|held| (700.0..1_300.0).contains(held)), "{full:?}");
@@ -62,12 +62,12 @@
              descriptors",
             of_case("resting"),
             of_case("heartbeat"),
-            most(&samples, &metric::DESCRIPTORS),
+            max(&samples, &metric::DESCRIPTORS),
         );
         assert_eq!((of_case("resting"), of_case("heartbeat")), (f64::from(size), f64::from(size)));
         // A third of the descriptors is for clients.
         assert!(platform <= 342.0 && platform >= f64::from(size.min(300)), "{platform}");
-        assert!(most(&samples, &metric::DESCRIPTORS) >= f64::from(size));
+        assert!(max(&samples, &metric::DESCRIPTORS) >= f64::from(size));
     }
 }
 
@@ -75,14 +75,14 @@
 fn a_front_acts_upon_a_list_and_on_the_replacement_of_a_zone() {
     for engines in [14, 70] {
         let samples = measured(Role::Discovery, engines);
-        let bytes = |name| most(&samples, &Metric::new(name, "B"));
+        let bytes = |name| max(&samples, &Metric::new(name, "B"));
         println!(
             "proof: list of {engines}: {} bytes, {} for a zone; used {:.0} ms after it was told, the zone left {:.0} ms \
              after",
             bytes("whole_list"),
             bytes("zone_replaced"),
-            most(&samples, &Metric::new("whole_list_used", "ms")),
-            most(&samples, &Metric::new("zone_left", "ms")),
+            max(&samples, &Metric::new("whole_list_used", "ms")),
+            max(&samples, &Metric::new("zone_left", "ms")),
         );
         assert_eq!(bytes("whole_list"), f64::from(13 + 27 * engines));
         assert_eq!(bytes("zone_replaced"), f64::from(13 + 27 * 2 * engines / 7));
@@ -93,8 +93,8 @@
 fn a_lost_zone_is_planned_and_a_request_for_maintenance_is_worked_off() {
     for machines in [70, 140] {
         let samples = measured(Role::Maintenance, machines);
-        let planned = most(&samples, &Metric::new("planned_after", "s"));
-        let done = most(&samples, &Metric::new("done_after", "s"));
+        let planned = max(&samples, &Metric::new("planned_after", "s"));
+        let done = max(&samples, &Metric::new("done_after", "s"));
         println!(
             "proof: {machines} machines: a lost zone is planned {planned} s after, 4 machines done after {done} s"
         );
--- a/crates/tools/scale/tests/proof_scale_fleet/hollow.rs
+++ b/crates/tools/scale/tests/proof_scale_fleet/hollow.rs
@@ -8,31 +8,31 @@
 const SHORT_LEASE: Duration = Duration::from_millis(600);
 /// The default lease. A socket's wait ends up to 8 ms late; against this lease's timers that is little.
 const LEASE: Duration = Duration::from_secs(3);
-const SETTLED: Duration = Duration::from_secs(10);
+const SETTLE_TIME: Duration = Duration::from_secs(10);
 const SPAN: Duration = Duration::from_secs(40);
 const FRONTS: usize = 24;
 /// Hollow and real may differ by this share.
 const TENTH: f64 = 0.1;
 /// A fleet that was later than this is compared anew: its probes go unanswered, which is the machine's doing.
-const LATEST: Duration = Duration::from_millis(100);
-const TRIES: usize = 5;
+const MAX_LATENESS: Duration = Duration::from_millis(100);
+const MAX_TRIES: usize = 5;
 
 fn setup(registers: Registers, lease: Duration) -> Setup {
     let mut setup = Setup::detector(FRONTS, 0.0, 1);
     setup.leases.duration = lease;
     setup.leases.max_action_time = Duration::from_millis(100);
-    Setup { seats: true, task: true, registers, ..setup }
+    Setup { quota_slots: true, task: true, registers, ..setup }
 }
 
 fn undisturbed(setup: &Setup, span: Duration) -> SideBySide {
-    for _ in 1..TRIES {
-        let compared = side_by_side(setup, SETTLED, span).unwrap();
-        if compared.lateness < LATEST {
+    for _ in 1..MAX_TRIES {
+        let compared = side_by_side(setup, SETTLE_TIME, span).unwrap();
+        if compared.lateness < MAX_LATENESS {
             return compared;
         }
         println!("compares anew: the rig was {:?} late", compared.lateness);
     }
-    side_by_side(setup, SETTLED, span).unwrap()
+    side_by_side(setup, SETTLE_TIME, span).unwrap()
 }
 
 type Figure = (&'static str, fn(&Account) -> f64);
@@ -40,8 +40,8 @@
 const FIGURES: [Figure; 5] = [
     ("messages_out", |account| account.sent.messages as f64),
     ("bytes_out", |account| account.sent.bytes as f64),
-    ("messages_in", |account| account.heard.messages as f64),
-    ("bytes_in", |account| account.heard.bytes as f64),
+    ("messages_in", |account| account.received.messages as f64),
+    ("bytes_in", |account| account.received.bytes as f64),
     ("state", |account| account.state_bytes as f64),
 ];
 
@@ -78,7 +78,7 @@
     setup.delays = Delays { same_zone: soon, same_region: soon, between_regions: soon };
     let real = undisturbed(&setup, SPAN).real;
     let mut simulation = Simulation::new(setup.clone());
-    simulation.run_for(SETTLED);
+    simulation.run_for(SETTLE_TIME);
     let kinds = [Kind::FailureDetector, Kind::Leases, Kind::Registers, Kind::Reports];
     let fronts = setup.voters..setup.fronts;
     let before: Vec<_> = fronts.clone().map(|front| simulation.traffic(front)).collect();
@@ -89,7 +89,7 @@
             let after = simulation.traffic(front);
             Account {
                 sent: after.sent(&kinds) - before.sent(&kinds),
-                heard: after.heard(&kinds) - before.heard(&kinds),
+                received: after.received(&kinds) - before.received(&kinds),
                 state_bytes: simulation.census(front).bytes,
                 processor: Duration::ZERO,
             }
--- a/crates/tools/scale/tests/proof_scale_fleet/roles.rs
+++ b/crates/tools/scale/tests/proof_scale_fleet/roles.rs
@@ -44,12 +44,12 @@
 #[test]
 fn leases_go_on_where_the_majority_is() {
     let samples = measured(Role::Leases, FRONTS);
-    let cut = "event=regions-cut-an-hour,loss=0";
-    assert_eq!(proof(&samples, cut, "task_holders_with_majority"), 1.0);
-    assert_eq!(proof(&samples, cut, "task_holders_without_majority"), 0.0);
-    assert_eq!(proof(&samples, cut, "seats_held_without_majority"), 0.0);
-    assert!(proof(&samples, cut, "seats_held_with_majority") >= 99.0);
-    proof(&samples, cut, "seats_99_percent_after_return");
+    let partitioned = "event=regions-cut-an-hour,loss=0";
+    assert_eq!(proof(&samples, partitioned, "task_holders_with_majority"), 1.0);
+    assert_eq!(proof(&samples, partitioned, "task_holders_without_majority"), 0.0);
+    assert_eq!(proof(&samples, partitioned, "seats_held_without_majority"), 0.0);
+    assert!(proof(&samples, partitioned, "seats_held_with_majority") >= 99.0);
+    proof(&samples, partitioned, "seats_99_percent_after_return");
     assert!(proof(&samples, "event=holder-lost,loss=0", &metric::REPLACEMENT.name) <= 9.0);
     proof(&samples, "event=all-voters-restart,loss=0", "seats_nine_tenths_again");
     let parts = ["leases", "registers", "reports"]
