--- a/crates/edges/cli/tests/proof_sites.rs
+++ b/crates/edges/cli/tests/proof_sites.rs
@@ -91,9 +91,7 @@
             ),
         };
         let rig = Rig::start(plan);
-        let asks: Vec<_> =
-            groups.iter().map(|group| (group.name, group.latency_objective, group.deadline)).collect();
-        let desks = (0..FRONTS).map(|desk| LoadClient::start(desk as u32, asks.clone(), &rates)).collect();
+        let desks = (0..FRONTS).map(|desk| LoadClient::start(desk as u32, groups.clone(), &rates)).collect();
         let said = BTreeMap::new();
         let mut fleet = Fleet { _turn: turn, rig, halls, desks, stands, said, began: Instant::now() };
         fleet.reach(|_, _| true);
@@ -134,7 +132,7 @@
     fn tallies(&self) -> Vec<RequestCounts> {
         let mut sum = vec![RequestCounts::default(); 3];
         for desk in &self.desks {
-            for (all, one) in sum.iter_mut().zip(desk.tallies()) {
+            for (all, one) in sum.iter_mut().zip(desk.take_counts()) {
                 all.sent += one.sent;
                 all.returned += one.returned;
                 all.on_time += one.on_time;
--- a/crates/edges/cli/tests/proof_works.rs
+++ b/crates/edges/cli/tests/proof_works.rs
@@ -87,10 +87,8 @@
             ),
         };
         let rig = Rig::start(plan);
-        let asks: Vec<_> =
-            groups.iter().map(|group| (group.name, group.latency_objective, group.deadline)).collect();
         let desks =
-            (0..FRONTS).map(|desk| LoadClient::start(desk as u32, asks.clone(), &[10.0, 6.0])).collect();
+            (0..FRONTS).map(|desk| LoadClient::start(desk as u32, groups.clone(), &[10.0, 6.0])).collect();
         let (out, numbers) = (BTreeMap::new(), BTreeMap::new());
         let night = Night { rig, halls, desks, yard, out, numbers, asked: Instant::now() };
         night.reach();
--- a/crates/testing/cluster/src/fake_zones.rs
+++ b/crates/testing/cluster/src/fake_zones.rs
@@ -1,345 +1,257 @@
-//! Engines in halls, on loopback: each runs the emulator's model in real time, starts cold, and tips over when more is
-//! sent to it than it can bear. Fronts of each site reach each hall by a door of its own, so that links between sites
-//! can be cut. Every engine keeps a tally by which a test judges.
+//! Engines in zones, on loopback. Fronts of each zone reach each engine by a listener of its own, so that links between
+//! zones can be partitioned. Every engine keeps a record by which a test judges.
 
-use lemonusher_emulator::{Engine as Model, Work};
+use crate::ReceivedRequest;
+use crate::fake_engine::{FakeEngine, serve_connection};
 use lemonusher_fakes::{settings, told};
 use serde_json::{Value, json};
-use std::collections::{BTreeMap, VecDeque};
-use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Time between two steps of the engines' model.
 const TICK: Duration = Duration::from_millis(2);
 
 /// A request class, as the deployment states it and as engines run it.
 #[derive(Debug, Clone, Copy)]
 pub struct FakeClass {
+    /// Its name.
     pub name: &'static str,
+    /// The value of an answer in time.
     pub priority_weight: f64,
-    /// Work of a request, in seconds on one thread, and its threads.
+    /// Work of a request, in seconds on one thread.
     pub work: f64,
+    /// Threads that a request runs on.
     pub threads: f64,
+    /// An answer within it is in time.
     pub latency_objective: Duration,
+    /// The longest that a client waits.
     pub deadline: Duration,
+    /// Whether a request must not run twice.
     pub non_idempotent: bool,
-    /// The only site where it may run.
+    /// The only zone where it may run; none: all.
     pub allowed_zone: Option<u32>,
 }
 
+/// How the zones are made.
 #[derive(Debug, Clone)]
 pub struct FakeZonesConfig {
+    /// Zones.
     pub zones: usize,
+    /// Engines in each zone.
     pub engines_per_zone: usize,
+    /// Cores of an engine.
     pub cores: f64,
+    /// The request classes.
     pub classes: Vec<FakeClass>,
-    /// A cold engine bears this part at first, for so long; over `fall_multiple` times that in `fall_after` tips it.
+    /// The share of its speed at which a cold engine starts.
     pub cold_share: f64,
+    /// How long an engine is cold.
     pub warm_up: Duration,
+    /// A cold engine is overloaded by more than so many times the work that it can do cold in the overload window.
     pub overload_multiple: f64,
+    /// The window over which work sent to a cold engine is summed.
     pub overload_window: Duration,
 }
 
-/// A request as it came to an engine.
-#[derive(Debug, Clone)]
-pub struct ReceivedRequest {
-    pub at: Instant,
-    pub id: String,
-    pub class: usize,
-    pub from_zone: usize,
+/// All engines, and the links to them.
+pub(crate) struct Shared {
+    pub(crate) config: FakeZonesConfig,
+    pub(crate) engines: Vec<Mutex<FakeEngine>>,
+    /// By zone of the front and zone of the engine.
+    partitioned: Mutex<Vec<Vec<bool>>>,
+    ending: AtomicBool,
 }
 
-struct Hosted {
-    site: usize,
-    model: Model,
-    started: Option<Instant>,
-    next: u64,
-    running: BTreeMap<u64, (TcpStream, String, usize)>,
-    wires: Vec<(usize, TcpStream)>,
-    came: Vec<ReceivedRequest>,
-    recent: VecDeque<(Instant, f64)>,
-    up: bool,
-    tipped: bool,
-    most_strain: f64,
-}
+impl Shared {
+    fn for_each_in(&self, zone: usize, mut act: impl FnMut(&mut FakeEngine)) {
+        for engine in &self.engines {
+            let mut engine = engine.lock().unwrap();
+            if engine.zone == zone {
+                act(&mut engine);
+            }
+        }
+    }
 
-struct Shared {
-    terms: FakeZonesConfig,
-    hosted: Vec<Mutex<Hosted>>,
-    /// By site of the front and site of the engine.
-    cut: Mutex<Vec<Vec<bool>>>,
-    ending: AtomicBool,
+    /// Accepts connections of fronts in one zone to one engine.
+    fn accept(self: &Arc<Shared>, listener: &TcpListener, index: usize, from_zone: usize) {
+        for stream in listener.incoming().map_while(Result::ok) {
+            if self.ending.load(Ordering::Relaxed) {
+                return;
+            }
+            let mut engine = self.engines[index].lock().unwrap();
+            if !engine.is_up || self.partitioned.lock().unwrap()[from_zone][engine.zone] {
+                continue; // Dropping the stream closes or resets it.
+            }
+            engine.add_connection(from_zone, stream.try_clone().unwrap());
+            let shared = self.clone();
+            thread::spawn(move || serve_connection(&shared, index, from_zone, stream));
+        }
+    }
+
+    /// Runs the engines' model in real time.
+    fn tick(&self) {
+        let mut last = Instant::now();
+        while !self.ending.load(Ordering::Relaxed) {
+            thread::sleep(TICK);
+            let now = Instant::now();
+            for engine in &self.engines {
+                engine.lock().unwrap().run(&self.config, now, now - last);
+            }
+            last = now;
+        }
+    }
 }
 
+/// The zones; their threads end with them.
 pub struct FakeZones {
     shared: Arc<Shared>,
-    /// By engine and the front's site.
-    doors: Vec<Vec<SocketAddr>>,
+    /// By engine and the front's zone.
+    addresses: Vec<Vec<SocketAddr>>,
 }
 
 impl FakeZones {
-    pub fn start(terms: FakeZonesConfig) -> FakeZones {
-        let engines = terms.zones * terms.engines_per_zone;
-        let hosted = |engine: usize| Hosted {
-            site: engine / terms.engines_per_zone,
-            model: Model::new(terms.cores, 1e9, 0.05),
-            started: None,
-            next: 0,
-            running: BTreeMap::new(),
-            wires: Vec::new(),
-            came: Vec::new(),
-            recent: VecDeque::new(),
-            up: true,
-            tipped: false,
-            most_strain: 0.0,
-        };
+    /// Starts all engines, warm.
+    pub fn start(config: FakeZonesConfig) -> FakeZones {
+        let engine_count = config.zones * config.engines_per_zone;
+        let engine = |index: usize| FakeEngine::new(index / config.engines_per_zone, config.cores);
         let shared = Arc::new(Shared {
-            hosted: (0..engines).map(|engine| Mutex::new(hosted(engine))).collect(),
-            cut: Mutex::new(vec![vec![false; terms.zones]; terms.zones]),
+            engines: (0..engine_count).map(|index| Mutex::new(engine(index))).collect(),
+            partitioned: Mutex::new(vec![vec![false; config.zones]; config.zones]),
             ending: AtomicBool::new(false),
-            terms,
+            config,
         });
-        let mut doors = vec![Vec::new(); engines];
-        for (engine, doors) in doors.iter_mut().enumerate() {
-            for from in 0..shared.terms.zones {
+        let mut addresses = vec![Vec::new(); engine_count];
+        for (index, addresses) in addresses.iter_mut().enumerate() {
+            for from_zone in 0..shared.config.zones {
                 let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-                doors.push(listener.local_addr().unwrap());
+                addresses.push(listener.local_addr().unwrap());
                 let shared = shared.clone();
-                thread::spawn(move || {
-                    for wire in listener.incoming().map_while(Result::ok) {
-                        if shared.ending.load(Ordering::Relaxed) {
-                            return;
-                        }
-                        let mut one = shared.hosted[engine].lock().unwrap();
-                        if !one.up || shared.cut.lock().unwrap()[from][one.site] {
-                            continue; // Dropped: reset or closed at once.
-                        }
-                        one.wires.push((from, wire.try_clone().unwrap()));
-                        let shared = shared.clone();
-                        thread::spawn(move || shared.converse(engine, from, wire));
-                    }
-                });
+                thread::spawn(move || shared.accept(&listener, index, from_zone));
             }
         }
         let ticking = shared.clone();
-        thread::spawn(move || {
-            let mut last = Instant::now();
-            while !ticking.ending.load(Ordering::Relaxed) {
-                thread::sleep(TICK);
-                let now = Instant::now();
-                (0..ticking.hosted.len()).for_each(|engine| ticking.run(engine, now, now - last));
-                last = now;
-            }
-        });
-        FakeZones { shared, doors }
+        thread::spawn(move || ticking.tick());
+        FakeZones { shared, addresses }
     }
 
-    /// What a front at this site is told.
-    pub fn front_start(&self, front: usize, site: usize, fronts: usize, channel: SocketAddr) -> Value {
-        let terms = &self.shared.terms;
-        let name = |site: usize| format!("hall-{site}");
-        let class = |group: &FakeClass| {
-            let mut class = json!({"name": group.name, "aim_us": group.latency_objective.as_micros() as u64, "aim_stretch": 2.0,
-                "hard_limit_us": group.deadline.as_micros() as u64, "effect": if group.non_idempotent { "unsafe" } else { "safe" },
-                "points": group.priority_weight, "late_value": 0.0, "group": "all", "key_ttl_us": 0, "stream": false});
-            if let Some(only) = group.allowed_zone {
-                class["areas_open"] = json!([only]);
-            }
-            class
-        };
-        let groups = &terms.classes;
-        let mut all = settings();
-        all["areas"] = (0..terms.zones).map(name).collect();
-        (all["balancers"], all["my_number"], all["zone"]) = (fronts.into(), front.into(), site.into());
-        all["classes"] = groups.iter().map(class).collect();
-        let family = &mut all["family_info"];
-        family["class_load"] = groups.iter().map(|_| false).collect();
-        family["class_threads"] = groups.iter().map(|group| json!(group.threads)).collect();
-        family["yields_to_loads"] = groups.iter().map(|_| false).collect();
-        family["cpu_of_kind"] = json!([terms.cores]);
+    /// The start configuration of a front in this zone; `channel` is the address of its command channel.
+    pub fn front_start(&self, front: usize, zone: usize, fronts: usize, channel: SocketAddr) -> Value {
+        let mut start = told(&[], channel);
+        let members = (0..self.addresses.len()).map(|engine| self.member(engine, zone));
+        start["known"]["cmds"][0]["nodes"]["members"] = members.collect();
+        start["name"] = format!("n{front}").into();
+        start["settings"] = self.deployment(front, zone, fronts);
+        start
+    }
+
+    /// The deployment's settings, by their names on the wire.
+    fn deployment(&self, front: usize, zone: usize, fronts: usize) -> Value {
+        let config = &self.shared.config;
+        let classes = &config.classes;
+        let mut deployment = settings();
+        deployment["areas"] = (0..config.zones).map(zone_name).collect();
+        deployment["balancers"] = fronts.into();
+        deployment["my_number"] = front.into();
+        deployment["zone"] = zone.into();
+        deployment["classes"] = classes.iter().map(class_settings).collect();
+        let family = &mut deployment["family_info"];
+        family["class_load"] = classes.iter().map(|_| false).collect();
+        family["class_threads"] = classes.iter().map(|class| json!(class.threads)).collect();
+        family["yields_to_loads"] = classes.iter().map(|_| false).collect();
+        family["cpu_of_kind"] = json!([config.cores]);
         family["memory_by_kind_mb"] = json!([1e9]);
-        let rules = &mut all["obligations"];
-        rules["cold_from"] = json!(terms.cold_share);
-        rules["cold_us"] = json!(terms.warm_up.as_micros() as u64);
-        rules["fall_multiple"] = json!(terms.overload_multiple);
-        rules["tip_after_us"] = json!(terms.overload_window.as_micros() as u64);
-        let mut tells = told(&[], channel);
-        let members = (0..self.doors.len()).map(|engine| {
-            json!({"id": format!("s-{:08x}", engine + 1), "host_port": self.doors[engine][site].to_string(),
-                "locality": name(engine / terms.engines_per_zone), "flavor": "std", "cell": 0, "phase": "Ready",
-                "size": 1, "up_since_ms": 0})
-        });
-        tells["known"]["cmds"][0]["nodes"]["members"] = members.collect();
-        (tells["name"], tells["settings"]) = (format!("n{front}").into(), all);
-        tells
+        let rules = &mut deployment["obligations"];
+        rules["cold_from"] = json!(config.cold_share);
+        rules["cold_us"] = json!(config.warm_up.as_micros() as u64);
+        rules["fall_multiple"] = json!(config.overload_multiple);
+        rules["tip_after_us"] = json!(config.overload_window.as_micros() as u64);
+        deployment
     }
 
-    /// A hall's engines die: what they ran is gone, connections are reset, new ones are refused.
-    pub fn stop(&self, site: usize) {
-        self.shared.each(site, |one| {
-            one.up = false;
-            one.model.clear();
-            one.running.clear();
-            one.wires.drain(..).for_each(|(_, wire)| drop(wire.shutdown(Shutdown::Both)));
-        });
+    /// An engine in the endpoint list of a front in this zone.
+    fn member(&self, engine: usize, front_zone: usize) -> Value {
+        let zone = engine / self.shared.config.engines_per_zone;
+        json!({"id": format!("s-{:08x}", engine + 1), "host_port": self.addresses[engine][front_zone].to_string(),
+            "locality": zone_name(zone), "flavor": "std", "cell": 0, "phase": "Ready",
+            "size": 1, "up_since_ms": 0})
     }
 
-    /// They come back, cold.
-    pub fn restart(&self, site: usize) {
-        self.shared.each(site, |one| (one.up, one.started, one.tipped) = (true, Some(Instant::now()), false));
+    /// Stops a zone's engines: what they ran is lost, connections are reset, new ones are refused.
+    pub fn stop(&self, zone: usize) {
+        self.shared.for_each_in(zone, FakeEngine::stop);
     }
 
-    pub fn set_slowdown(&self, site: usize, times: f64) {
-        self.shared.each(site, |one| one.model.slow = times);
+    /// Starts a zone's engines, cold.
+    pub fn restart(&self, zone: usize) {
+        self.shared.for_each_in(zone, FakeEngine::restart);
     }
 
-    /// Cuts or mends the link between two sites, in both directions.
-    pub fn set_partitioned(&self, a: usize, b: usize, cut: bool) {
+    /// Makes a zone's engines so many times slower.
+    pub fn set_slowdown(&self, zone: usize, factor: f64) {
+        self.shared.for_each_in(zone, |engine| engine.set_slowdown(factor));
+    }
+
+    /// Partitions two zones, in both directions, or ends that.
+    pub fn set_partitioned(&self, a: usize, b: usize, partitioned: bool) {
         {
-            let mut all = self.shared.cut.lock().unwrap();
-            (all[a][b], all[b][a]) = (cut, cut);
+            let mut all = self.shared.partitioned.lock().unwrap();
+            all[a][b] = partitioned;
+            all[b][a] = partitioned;
         }
-        if cut {
+        if partitioned {
             for (from, to) in [(a, b), (b, a)] {
-                self.shared.each(to, |one| {
-                    let gone = one.wires.extract_if(.., |(site, _)| *site == from);
-                    gone.for_each(|(_, wire)| drop(wire.shutdown(Shutdown::Both)));
-                });
+                self.shared.for_each_in(to, |engine| engine.close_connections_from(from));
             }
         }
     }
 
-    /// All that came to a hall's engines, by engine.
-    pub fn received(&self, site: usize) -> Vec<Vec<ReceivedRequest>> {
-        let mut all = Vec::new();
-        self.shared.each(site, |one| all.push(one.came.clone()));
-        all
+    /// All requests that a zone's engines received, by engine.
+    pub fn received(&self, zone: usize) -> Vec<Vec<ReceivedRequest>> {
+        let mut received = Vec::new();
+        self.shared.for_each_in(zone, |engine| received.push(engine.received.clone()));
+        received
     }
 
-    /// Whether any engine there has tipped over since it last came back.
-    pub fn is_overloaded(&self, site: usize) -> bool {
-        let mut tipped = false;
-        self.shared.each(site, |one| tipped |= one.tipped);
-        tipped
+    /// Whether any engine of a zone has been overloaded since it last started.
+    pub fn is_overloaded(&self, zone: usize) -> bool {
+        let mut is_overloaded = false;
+        self.shared.for_each_in(zone, |engine| is_overloaded |= engine.is_overloaded);
+        is_overloaded
     }
 
-    /// The most threads over cores that any engine there had since this was last asked.
-    pub fn take_max_load(&self, site: usize) -> f64 {
-        let mut most = 0.0f64;
-        self.shared.each(site, |one| most = most.max(std::mem::take(&mut one.most_strain)));
-        most
+    /// The most threads for each core that any engine of a zone ran since the last call.
+    pub fn take_max_load(&self, zone: usize) -> f64 {
+        let mut max_load = 0.0f64;
+        self.shared.for_each_in(zone, |engine| max_load = max_load.max(std::mem::take(&mut engine.max_load)));
+        max_load
     }
 }
 
 impl Drop for FakeZones {
     fn drop(&mut self) {
         self.shared.ending.store(true, Ordering::Relaxed);
-        for door in self.doors.iter().flatten() {
-            let _ = TcpStream::connect(door); // Wakes the listener, so that it ends.
+        for address in self.addresses.iter().flatten() {
+            let _ = TcpStream::connect(address); // Wakes the listener, so that it ends.
         }
-        (0..self.shared.terms.zones).for_each(|site| self.stop(site));
+        (0..self.shared.config.zones).for_each(|zone| self.stop(zone));
     }
 }
 
-impl Shared {
-    fn each(&self, site: usize, mut what: impl FnMut(&mut Hosted)) {
-        for one in &self.hosted {
-            let mut one = one.lock().unwrap();
-            if one.site == site {
-                what(&mut one);
-            }
-        }
-    }
-
-    fn converse(&self, engine: usize, from: usize, wire: TcpStream) {
-        let mut lines = BufReader::new(wire.try_clone().unwrap());
-        let mut line = String::new();
-        while lines.read_line(&mut line).is_ok_and(|n| n > 0) {
-            let words: Vec<String> = line.trim_end().split(' ').map(str::to_owned).collect();
-            line.clear();
-            let id = words.get(1).cloned().unwrap_or_default();
-            match words[0].as_str() {
-                "serve" => {
-                    let mut body = vec![0; words[3].parse::<usize>().unwrap() + 2];
-                    if lines.read_exact(&mut body).is_err() {
-                        return;
-                    }
-                    let group = words[2].split(',').find_map(|field| field.strip_prefix("queue="));
-                    let group = self.terms.classes.iter().position(|one| Some(one.name) == group).unwrap();
-                    self.serve(engine, from, id, group, &wire);
-                }
-                "gauges" => {
-                    let busy = self.hosted[engine].lock().unwrap().model.strain().min(1.0);
-                    let _ = (&wire).write_all(format!("{id} PONG use=busy:{busy:.2} 0\r\n\r\n").as_bytes());
-                }
-                "cancel" => {
-                    let mut one = self.hosted[engine].lock().unwrap();
-                    let number = one.running.iter().find(|(_, (_, run, _))| *run == id).map(|(n, _)| *n);
-                    if let Some(number) = number {
-                        one.running.remove(&number);
-                        one.model.cancel(number);
-                    }
-                }
-                "read" => {
-                    let _ = (&wire).write_all(format!("{id} FAULT - 0\r\n\r\n").as_bytes());
-                }
-                _ => {}
-            }
-        }
-    }
-
-    fn serve(&self, engine: usize, from: usize, id: String, group: usize, wire: &TcpStream) {
-        let (terms, now) = (&self.terms.classes[group], Instant::now());
-        let mut one = self.hosted[engine].lock().unwrap();
-        one.came.push(ReceivedRequest { at: now, id: id.clone(), class: group, from_zone: from });
-        if !one.up || one.tipped {
-            return;
-        }
-        let cold = one.started.is_some_and(|at| at.elapsed() < self.terms.warm_up);
-        let span = self.terms.overload_window;
-        one.recent.push_back((now, terms.work));
-        while one.recent.front().is_some_and(|(at, _)| now.duration_since(*at) > span) {
-            one.recent.pop_front();
-        }
-        let sent: f64 = one.recent.iter().map(|(_, work)| work).sum();
-        let bears =
-            self.terms.overload_multiple * self.terms.cold_share * self.terms.cores * span.as_secs_f64();
-        if cold && sent > bears {
-            one.tipped = true; // It stays down until it is started anew.
-            one.model.clear();
-            return;
-        }
-        one.next += 1;
-        let number = one.next;
-        one.running.insert(number, (wire.try_clone().unwrap(), id, group));
-        let work = Work {
-            left: terms.work,
-            threads: terms.threads,
-            memory_mb: 1.0,
-            tables: 0,
-            load: false,
-            waits_for_loads: false,
-        };
-        one.model.put(number, work);
-        let strain = one.model.strain();
-        one.most_strain = one.most_strain.max(strain);
-    }
+/// A zone's name in the deployment.
+fn zone_name(zone: usize) -> String {
+    format!("hall-{zone}")
+}
 
-    fn run(&self, engine: usize, now: Instant, span: Duration) {
-        let mut one = self.hosted[engine].lock().unwrap();
-        let age = one.started.map(|at| now.saturating_duration_since(at).as_secs_f64());
-        let (from, long) = (self.terms.cold_share, self.terms.warm_up.as_secs_f64());
-        let warmth = age.map_or(1.0, |age| (from + (1.0 - from) * age / long).min(1.0));
-        let finished = one.model.run(span.as_secs_f64(), warmth);
-        for done in finished {
-            if let Some((wire, id, group)) = one.running.remove(&done.0) {
-                let work = self.terms.classes[group].work * 1e3;
-                let message = format!("{id} HIT fetches=1,effort={work},high=1 6\r\nx\ty\tz\n\r\n");
-                let _ = (&wire).write_all(message.as_bytes());
-            }
-        }
+fn class_settings(class: &FakeClass) -> Value {
+    let effect = if class.non_idempotent { "unsafe" } else { "safe" };
+    let mut settings = json!({"name": class.name, "aim_us": class.latency_objective.as_micros() as u64, "aim_stretch": 2.0,
+        "hard_limit_us": class.deadline.as_micros() as u64, "effect": effect,
+        "points": class.priority_weight, "late_value": 0.0, "group": "all", "key_ttl_us": 0, "stream": false});
+    if let Some(zone) = class.allowed_zone {
+        settings["areas_open"] = json!([zone]);
     }
+    settings
 }
--- a/crates/testing/cluster/src/load_client.rs
+++ b/crates/testing/cluster/src/load_client.rs
@@ -1,169 +1,222 @@
-//! Clients: each asks at its own pace whichever front it reaches, its own site's first, and notes how each request ended.
+//! Clients: each sends requests at its own rate to the first front that it reaches, and counts how they end.
 
+use crate::FakeClass;
 use lemonusher_fakes::base64;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
-use std::net::{SocketAddr, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How requests of a request class ended, since this was last asked.
+/// JSON-RPC's error code of a rejected request.
+const REJECTED_CODE: i64 = -32002;
+/// Time between two looks whether a request is due.
+const SEND_INTERVAL: Duration = Duration::from_millis(4);
+/// Time until the next try where no front is reached.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(20);
+/// Table groups that the requests name in turn.
+const TABLE_GROUPS: u64 = 23;
+
+/// How requests of a class ended since the last look.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RequestCounts {
+    /// Requests sent.
     pub sent: u32,
+    /// Answered with a result.
     pub returned: u32,
+    /// Of those returned: within the latency objective.
     pub on_time: u32,
+    /// Answered as rejected, with a Retry-After.
     pub rejected: u32,
+    /// Answered as failed.
     pub failed: u32,
-    /// The front ended, or hung up, before it answered.
+    /// Never answered: the connection ended first.
     pub aborted: u32,
-    /// Answers beyond the one that was owed.
+    /// Answers beyond the one that was due.
     pub duplicates: u32,
-    /// Sum of the times to come back, in seconds.
+    /// Sum of the Retry-After times, in seconds.
     pub retry_after_s: f64,
 }
 
 impl RequestCounts {
+    /// The share of the requests sent that returned.
     pub fn returned_share(&self) -> f64 {
         f64::from(self.returned) / f64::from(self.sent.max(1))
     }
 }
 
-struct Open {
-    group: usize,
-    at: Instant,
+/// A request that is not answered yet.
+struct OpenRequest {
+    class: usize,
+    sent_at: Instant,
 }
 
-type Tallies = Arc<Mutex<Vec<RequestCounts>>>;
+/// What the client shares with its threads.
+struct Shared {
+    number: u32,
+    classes: Vec<FakeClass>,
+    /// By class.
+    counts: Mutex<Vec<RequestCounts>>,
+    /// By class: thousandths of a request a second.
+    rates_milli: Vec<AtomicU64>,
+    /// In the order in which they are tried.
+    fronts: Mutex<Vec<Option<SocketAddr>>>,
+    ending: AtomicBool,
+}
 
-/// One client.
+/// One client; its thread ends with it.
 pub struct LoadClient {
-    take_counts: Tallies,
-    /// Requests a second, in thousandths, by request class.
-    rates: Arc<Vec<AtomicU64>>,
-    fronts: Arc<Mutex<Vec<Option<SocketAddr>>>>,
-    ending: Arc<AtomicBool>,
+    shared: Arc<Shared>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl LoadClient {
-    /// `groups`: name, goal and limit. `fronts` in the order in which they are tried.
-    pub fn start(number: u32, groups: Vec<(&'static str, Duration, Duration)>, rates: &[f64]) -> LoadClient {
-        let tallies: Tallies = Arc::new(Mutex::new(vec![RequestCounts::default(); groups.len()]));
-        let rates: Arc<Vec<AtomicU64>> =
-            Arc::new(rates.iter().map(|rate| AtomicU64::new((rate * 1000.0) as u64)).collect());
-        let fronts: Arc<Mutex<Vec<Option<SocketAddr>>>> = Arc::default();
-        let ending = Arc::new(AtomicBool::new(false));
-        let (noted, paced, known, ends) = (tallies.clone(), rates.clone(), fronts.clone(), ending.clone());
-        let thread = std::thread::spawn(move || {
-            let mut next = 0;
-            while !ends.load(Ordering::Relaxed) {
-                let reached =
-                    known.lock().unwrap().iter().flatten().find_map(|front| TcpStream::connect(front).ok());
-                match reached {
-                    Some(wire) => ask(number, &mut next, wire, &groups, &paced, &noted, &ends),
-                    None => std::thread::sleep(Duration::from_millis(20)),
-                }
-            }
+    /// `number` tells the clients' requests apart; `rates` by class, in requests a second. It reaches no front yet.
+    pub fn start(number: u32, classes: Vec<FakeClass>, rates: &[f64]) -> LoadClient {
+        let shared = Arc::new(Shared {
+            number,
+            counts: Mutex::new(vec![RequestCounts::default(); classes.len()]),
+            classes,
+            rates_milli: rates.iter().map(|rate| AtomicU64::new((rate * 1000.0) as u64)).collect(),
+            fronts: Mutex::default(),
+            ending: AtomicBool::new(false),
         });
-        LoadClient { take_counts: tallies, rates, fronts, ending, thread: Some(thread) }
+        let of_thread = shared.clone();
+        let thread = std::thread::spawn(move || of_thread.run());
+        LoadClient { shared, thread: Some(thread) }
     }
 
-    /// The fronts that it may reach from now on, the first first.
+    /// Sets the fronts that it can reach from now on, in the order in which they are tried.
     pub fn set_fronts(&self, fronts: Vec<Option<SocketAddr>>) {
-        *self.fronts.lock().unwrap() = fronts;
+        *self.shared.fronts.lock().unwrap() = fronts;
     }
 
-    pub fn scale_rates(&self, times: f64) {
-        for rate in self.rates.iter() {
-            rate.store((rate.load(Ordering::Relaxed) as f64 * times) as u64, Ordering::Relaxed);
+    /// Multiplies all rates.
+    pub fn scale_rates(&self, factor: f64) {
+        for rate in &self.shared.rates_milli {
+            rate.store((rate.load(Ordering::Relaxed) as f64 * factor) as u64, Ordering::Relaxed);
         }
     }
 
-    pub fn tallies(&self) -> Vec<RequestCounts> {
-        let mut all = self.take_counts.lock().unwrap();
-        let fresh = vec![RequestCounts::default(); all.len()];
-        std::mem::replace(&mut *all, fresh)
+    /// By class: the counts since the last call.
+    pub fn take_counts(&self) -> Vec<RequestCounts> {
+        let mut counts = self.shared.counts.lock().unwrap();
+        let zeros = vec![RequestCounts::default(); counts.len()];
+        std::mem::replace(&mut *counts, zeros)
     }
 }
 
-/// Asks one front for as long as the connection lasts.
-fn ask(
-    number: u32,
-    next: &mut u64,
-    mut wire: TcpStream,
-    groups: &[(&'static str, Duration, Duration)],
-    rates: &[AtomicU64],
-    tallies: &Tallies,
-    ending: &AtomicBool,
-) {
-    let open: Arc<Mutex<BTreeMap<u64, Open>>> = Arc::default();
-    let (reading, waits, noted) = (wire.try_clone().unwrap(), open.clone(), tallies.clone());
-    let goals: Vec<Duration> = groups.iter().map(|(_, goal, _)| *goal).collect();
-    let gone = Arc::new(AtomicBool::new(false));
-    let over = gone.clone();
-    let reader = std::thread::spawn(move || {
-        let mut lines = BufReader::new(reading).lines();
+impl Drop for LoadClient {
+    fn drop(&mut self) {
+        self.shared.ending.store(true, Ordering::Relaxed);
+        if let Some(thread) = self.thread.take() {
+            let _ = thread.join();
+        }
+    }
+}
+
+impl Shared {
+    fn run(&self) {
+        let mut last_id = 0;
+        while !self.ending.load(Ordering::Relaxed) {
+            match self.connect() {
+                Some(stream) => self.use_connection(stream, &mut last_id),
+                None => std::thread::sleep(RECONNECT_INTERVAL),
+            }
+        }
+    }
+
+    fn connect(&self) -> Option<TcpStream> {
+        let fronts = self.fronts.lock().unwrap();
+        fronts.iter().flatten().find_map(|front| TcpStream::connect(front).ok())
+    }
+
+    /// Sends requests for as long as the connection lasts.
+    fn use_connection(&self, mut stream: TcpStream, last_id: &mut u64) {
+        let open: Mutex<BTreeMap<u64, OpenRequest>> = Mutex::default();
+        let closed = AtomicBool::new(false);
+        let reading = stream.try_clone().unwrap();
+        std::thread::scope(|scope| {
+            scope.spawn(|| {
+                self.read_responses(reading, &open);
+                closed.store(true, Ordering::Relaxed);
+            });
+            self.send_requests(&mut stream, &open, &closed, last_id);
+            let _ = stream.shutdown(Shutdown::Both);
+        });
+        let unanswered = std::mem::take(&mut *open.lock().unwrap());
+        for request in unanswered.into_values() {
+            self.counts.lock().unwrap()[request.class].aborted += 1;
+        }
+    }
+
+    fn read_responses(&self, stream: TcpStream, open: &Mutex<BTreeMap<u64, OpenRequest>>) {
+        let mut lines = BufReader::new(stream).lines();
         while let Some(Ok(line)) = lines.next() {
-            let answer: Value = serde_json::from_str(&line).unwrap();
-            let id = answer["id"].as_u64().unwrap_or_default();
-            let Some(Open { group, at }) = waits.lock().unwrap().remove(&id) else {
-                noted.lock().unwrap()[0].duplicates += 1;
+            let response: Value = serde_json::from_str(&line).unwrap();
+            let id = response["id"].as_u64().unwrap_or_default();
+            let request = open.lock().unwrap().remove(&id);
+            let mut counts = self.counts.lock().unwrap();
+            let Some(OpenRequest { class, sent_at }) = request else {
+                counts[0].duplicates += 1;
                 continue;
             };
-            let tally = &mut noted.lock().unwrap()[group];
-            match answer["error"]["code"].as_i64() {
+            let counts = &mut counts[class];
+            match response["error"]["code"].as_i64() {
                 None => {
-                    tally.returned += 1;
-                    tally.on_time += u32::from(at.elapsed() <= goals[group]);
+                    let in_time = sent_at.elapsed() <= self.classes[class].latency_objective;
+                    counts.returned += 1;
+                    counts.on_time += u32::from(in_time);
                 }
-                Some(-32002) => {
-                    tally.rejected += 1;
-                    tally.retry_after_s +=
-                        answer["error"]["data"]["pushback"].as_f64().unwrap_or_default() / 1e3;
+                Some(REJECTED_CODE) => {
+                    let retry_after_ms = response["error"]["data"]["pushback"].as_f64();
+                    counts.rejected += 1;
+                    counts.retry_after_s += retry_after_ms.unwrap_or_default() / 1e3;
                 }
-                Some(_) => tally.failed += 1,
+                Some(_) => counts.failed += 1,
             }
         }
-        over.store(true, Ordering::Relaxed);
-    });
-    let mut credit = vec![0.0; groups.len()];
-    let mut last = Instant::now();
-    while !gone.load(Ordering::Relaxed) && !ending.load(Ordering::Relaxed) {
-        std::thread::sleep(Duration::from_millis(4));
-        let span = last.elapsed().as_secs_f64();
-        last = Instant::now();
-        for (group, (name, _, limit)) in groups.iter().enumerate() {
-            credit[group] += span * rates[group].load(Ordering::Relaxed) as f64 / 1e3;
-            while credit[group] >= 1.0 {
-                credit[group] -= 1.0;
-                *next += 1;
-                let call = format!("{number:08x}{next:08x}");
-                let data = base64(format!("select * from sales_{}.orders", *next % 23).as_bytes());
-                let params = json!({"call": call, "ttl": limit.as_millis() as u64, "data": data});
-                let message = json!({"jsonrpc": "2.0", "id": *next, "method": name, "params": params});
-                open.lock().unwrap().insert(*next, Open { group, at: Instant::now() });
-                tallies.lock().unwrap()[group].sent += 1;
-                if wire.write_all(format!("{message}\n").as_bytes()).is_err() {
-                    gone.store(true, Ordering::Relaxed);
+    }
+
+    fn send_requests(
+        &self,
+        stream: &mut TcpStream,
+        open: &Mutex<BTreeMap<u64, OpenRequest>>,
+        closed: &AtomicBool,
+        last_id: &mut u64,
+    ) {
+        let mut credit = vec![0.0; self.classes.len()];
+        let mut last = Instant::now();
+        while !closed.load(Ordering::Relaxed) && !self.ending.load(Ordering::Relaxed) {
+            std::thread::sleep(SEND_INTERVAL);
+            let elapsed_s = last.elapsed().as_secs_f64();
+            last = Instant::now();
+            for (class, credit) in credit.iter_mut().enumerate() {
+                *credit += elapsed_s * self.rates_milli[class].load(Ordering::Relaxed) as f64 / 1e3;
+                while *credit >= 1.0 {
+                    *credit -= 1.0;
+                    *last_id += 1;
+                    let message = self.message(class, *last_id);
+                    open.lock().unwrap().insert(*last_id, OpenRequest { class, sent_at: Instant::now() });
+                    self.counts.lock().unwrap()[class].sent += 1;
+                    if stream.write_all(message.as_bytes()).is_err() {
+                        closed.store(true, Ordering::Relaxed);
+                    }
                 }
             }
         }
     }
-    let _ = wire.shutdown(std::net::Shutdown::Both);
-    let _ = reader.join();
-    let left = std::mem::take(&mut *open.lock().unwrap());
-    left.into_values().for_each(|open| tallies.lock().unwrap()[open.group].aborted += 1);
-}
 
-impl Drop for LoadClient {
-    fn drop(&mut self) {
-        self.ending.store(true, Ordering::Relaxed);
-        if let Some(thread) = self.thread.take() {
-            let _ = thread.join();
-        }
+    /// The line of a request, as JSON-RPC.
+    fn message(&self, class: usize, id: u64) -> String {
+        let class = &self.classes[class];
+        let call = format!("{:08x}{id:08x}", self.number);
+        let data = base64(format!("select * from sales_{}.orders", id % TABLE_GROUPS).as_bytes());
+        let params = json!({"call": call, "ttl": class.deadline.as_millis() as u64, "data": data});
+        let message = json!({"jsonrpc": "2.0", "id": id, "method": class.name, "params": params});
+        format!("{message}\n")
     }
 }
--- a/crates/testing/cluster/src/relays.rs
+++ b/crates/testing/cluster/src/relays.rs
@@ -1,5 +1,5 @@
-//! Relays: a front knows each voter by the address of a relay of its own, so that each link fails by itself, in either
-//! direction.
+//! UDP relays between fronts and voters. A front knows each voter by the address of a relay of its own, so that each link
+//! fails by itself, in either direction.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,136 +7,193 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// What a direction of a link does to what goes over it.
+/// Time between two rounds over all links.
+const ROUND_INTERVAL: Duration = Duration::from_millis(1);
+/// Bytes of a datagram at most.
+const MAX_DATAGRAM_BYTES: usize = 2048;
+
+/// What a direction of a link does to datagrams.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct Faults {
+    /// Nothing passes.
     pub blocked: bool,
-    /// Shares, from 0 to 1.
+    /// The share that is lost, from 0 to 1.
     pub loss: f64,
+    /// The share that is forwarded twice, from 0 to 1.
     pub duplication: f64,
-    /// Each is held up for up to so long, so that some overtake others.
+    /// Each is delayed by up to so long, so that some overtake others.
     pub delay: Duration,
 }
 
+#[derive(Clone, Copy, PartialEq)]
+enum Direction {
+    ToVoter,
+    ToFront,
+}
+
+/// A datagram that waits for its delay.
+struct Delayed {
+    due: Instant,
+    direction: Direction,
+    bytes: Vec<u8>,
+}
+
 struct Link {
     front: usize,
     voter: usize,
-    /// Where the front sends to, and where the voter hears from.
-    near: UdpSocket,
-    far: UdpSocket,
-    front_at: Option<SocketAddr>,
-    faults: [Faults; 2], // Towards the voter, and back.
-    held: Vec<(Instant, bool, Vec<u8>)>,
+    /// The front sends here.
+    front_side: UdpSocket,
+    /// The voter sees datagrams come from here.
+    voter_side: UdpSocket,
+    /// Known once the front has sent something.
+    front_address: Option<SocketAddr>,
+    to_voter: Faults,
+    to_front: Faults,
+    delayed: Vec<Delayed>,
+}
+
+impl Link {
+    fn start(front: usize, voter: usize) -> Link {
+        Link {
+            front,
+            voter,
+            front_side: socket(),
+            voter_side: socket(),
+            front_address: None,
+            to_voter: Faults::default(),
+            to_front: Faults::default(),
+            delayed: Vec::new(),
+        }
+    }
+
+    /// Takes in all that has arrived for this direction.
+    fn receive(&mut self, direction: Direction, rng: &mut fastrand::Rng) {
+        let (socket, faults) = match direction {
+            Direction::ToVoter => (&self.front_side, self.to_voter),
+            Direction::ToFront => (&self.voter_side, self.to_front),
+        };
+        let mut bytes = [0; MAX_DATAGRAM_BYTES];
+        while let Ok((length, sender)) = socket.recv_from(&mut bytes) {
+            if direction == Direction::ToVoter {
+                self.front_address = Some(sender);
+            }
+            if faults.blocked || rng.f64() < faults.loss {
+                continue;
+            }
+            let copies = 1 + usize::from(rng.f64() < faults.duplication);
+            for _ in 0..copies {
+                let due = Instant::now() + faults.delay.mul_f64(rng.f64());
+                self.delayed.push(Delayed { due, direction, bytes: bytes[..length].to_vec() });
+            }
+        }
+    }
+
+    /// Forwards what is due; returns how many datagrams were. Those without a known receiver are dropped.
+    fn forward(&mut self, voter_address: Option<SocketAddr>) -> u64 {
+        let now = Instant::now();
+        let mut forwarded = 0;
+        for datagram in self.delayed.extract_if(.., |datagram| datagram.due <= now) {
+            forwarded += 1;
+            let (socket, receiver) = match datagram.direction {
+                Direction::ToVoter => (&self.voter_side, voter_address),
+                Direction::ToFront => (&self.front_side, self.front_address),
+            };
+            if let Some(receiver) = receiver {
+                let _ = socket.send_to(&datagram.bytes, receiver);
+            }
+        }
+        forwarded
+    }
+}
+
+fn socket() -> UdpSocket {
+    let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
+    socket.set_nonblocking(true).unwrap();
+    socket
 }
 
 struct Shared {
     links: Vec<Link>,
-    voters: Vec<Option<SocketAddr>>,
-    chance: fastrand::Rng,
-    carried: u64,
+    /// By voter; none before it has started.
+    voter_addresses: Vec<Option<SocketAddr>>,
+    rng: fastrand::Rng,
+    forwarded: u64,
+}
+
+impl Shared {
+    fn round(&mut self) {
+        for link in &mut self.links {
+            link.receive(Direction::ToVoter, &mut self.rng);
+            link.receive(Direction::ToFront, &mut self.rng);
+            self.forwarded += link.forward(self.voter_addresses[link.voter]);
+        }
+    }
 }
 
+/// A relay for each front and voter, run by one thread that ends with it.
 pub struct Relays {
     shared: Arc<Mutex<Shared>>,
-    ways: Vec<Vec<SocketAddr>>,
+    /// By front and voter.
+    addresses: Vec<Vec<SocketAddr>>,
     ending: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-fn socket() -> UdpSocket {
-    let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-    socket.set_nonblocking(true).unwrap();
-    socket
-}
-
 impl Relays {
+    /// Starts relays without faults.
     pub fn start(fronts: usize, voters: usize, seed: u64) -> Relays {
         let mut links = Vec::new();
+        let mut addresses = Vec::new();
         for front in 0..fronts {
-            for voter in 0..voters {
-                let faults = [Faults::default(); 2];
-                let (near, far) = (socket(), socket());
-                links.push(Link { front, voter, near, far, front_at: None, faults, held: Vec::new() });
-            }
+            let of_front: Vec<Link> = (0..voters).map(|voter| Link::start(front, voter)).collect();
+            addresses.push(of_front.iter().map(|link| link.front_side.local_addr().unwrap()).collect());
+            links.extend(of_front);
         }
-        let way = |front: usize, voter: usize| links[front * voters + voter].near.local_addr().unwrap();
-        let ways = (0..fronts).map(|front| (0..voters).map(|voter| way(front, voter)).collect()).collect();
-        let chance = fastrand::Rng::with_seed(seed);
-        let shared = Arc::new(Mutex::new(Shared { links, voters: vec![None; voters], chance, carried: 0 }));
+        let shared = Arc::new(Mutex::new(Shared {
+            links,
+            voter_addresses: vec![None; voters],
+            rng: fastrand::Rng::with_seed(seed),
+            forwarded: 0,
+        }));
         let ending = Arc::new(AtomicBool::new(false));
-        let (all, ends) = (shared.clone(), ending.clone());
+        let (of_thread, is_ending) = (shared.clone(), ending.clone());
         let thread = std::thread::spawn(move || {
-            while !ends.load(Ordering::Relaxed) {
-                all.lock().unwrap().round();
-                std::thread::sleep(Duration::from_millis(1));
+            while !is_ending.load(Ordering::Relaxed) {
+                of_thread.lock().unwrap().round();
+                std::thread::sleep(ROUND_INTERVAL);
             }
         });
-        Relays { shared, ways, ending, thread: Some(thread) }
+        Relays { shared, addresses, ending, thread: Some(thread) }
     }
 
     /// The address by which a front knows a voter.
     pub fn address(&self, front: usize, voter: usize) -> SocketAddr {
-        self.ways[front][voter]
+        self.addresses[front][voter]
     }
 
-    /// Where a voter really listens, in its present life.
+    /// Where a voter's present process listens.
     pub fn set_voter_address(&self, voter: usize, address: SocketAddr) {
-        self.shared.lock().unwrap().voters[voter] = Some(address);
+        self.shared.lock().unwrap().voter_addresses[voter] = Some(address);
     }
 
-    /// Sets the faults of all links for which this holds, towards the voter and back.
-    pub fn set_faults(&self, which: impl Fn(usize, usize) -> bool, to: Faults, back: Faults) {
+    /// Sets the faults of all links for which the condition on front and voter holds.
+    pub fn set_faults(&self, affects: impl Fn(usize, usize) -> bool, to_voter: Faults, to_front: Faults) {
         for link in &mut self.shared.lock().unwrap().links {
-            if which(link.front, link.voter) {
-                link.faults = [to, back];
+            if affects(link.front, link.voter) {
+                link.to_voter = to_voter;
+                link.to_front = to_front;
             }
         }
     }
 
+    /// Clears the faults of all links.
     pub fn clear_faults(&self) {
         self.set_faults(|_, _| true, Faults::default(), Faults::default());
     }
 
-    /// Datagrams carried so far.
+    /// Datagrams forwarded so far.
     pub fn forwarded(&self) -> u64 {
-        self.shared.lock().unwrap().carried
-    }
-}
-
-impl Shared {
-    fn round(&mut self) {
-        let Shared { links, voters, chance, carried } = self;
-        let mut bytes = [0; 2048];
-        for link in links {
-            for back in [false, true] {
-                loop {
-                    let from = if back { &link.far } else { &link.near };
-                    let Ok((long, who)) = from.recv_from(&mut bytes) else { break };
-                    if !back {
-                        link.front_at = Some(who);
-                    }
-                    let faults = link.faults[usize::from(back)];
-                    if faults.blocked || chance.f64() < faults.loss {
-                        continue;
-                    }
-                    let times = 1 + usize::from(chance.f64() < faults.duplication);
-                    for _ in 0..times {
-                        let at = Instant::now() + faults.delay.mul_f64(chance.f64());
-                        link.held.push((at, back, bytes[..long].to_vec()));
-                    }
-                }
-            }
-            let now = Instant::now();
-            for (_, back, said) in link.held.extract_if(.., |(at, ..)| *at <= now) {
-                *carried += 1;
-                let sent = match (back, link.front_at, voters[link.voter]) {
-                    (true, Some(front), _) => link.near.send_to(&said, front),
-                    (false, _, Some(voter)) => link.far.send_to(&said, voter),
-                    _ => continue,
-                };
-                drop(sent); // Who is not there hears nothing.
-            }
-        }
+        self.shared.lock().unwrap().forwarded
     }
 }
 
--- a/crates/testing/cluster/src/task_service.rs
+++ b/crates/testing/cluster/src/task_service.rs
@@ -1,4 +1,7 @@
-//! The yard: what is acted upon. It notes each act, and refuses an older number where it is one that can.
+//! The service that the fronts' task acts on, by datagrams. It notes each step of an act, with the time at which it
+//! arrived, and rejects stale fencing tokens where it is set to.
+//!
+//! A fencing token is stale if a greater one has been seen, or the same one from another holder.
 
 use serde_json::{Value, json};
 use std::net::{SocketAddr, UdpSocket};
@@ -7,25 +10,36 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// A step of an act as it arrived.
+/// How long a read waits before the service looks whether it is to end.
+const READ_TIMEOUT: Duration = Duration::from_millis(20);
+/// Time between two looks for a new step.
+const WAIT_INTERVAL: Duration = Duration::from_millis(5);
+
+/// A step of an act, as it arrived.
 #[derive(Clone, Debug)]
 pub struct TaskStep {
+    /// When it arrived.
     pub at: Instant,
+    /// Of the lease under which the front acts.
     pub fencing_token: u64,
-    /// The front's name, and its life.
+    /// The front's name and incarnation, as `n3/...`.
     pub holder: String,
+    /// Whether the act begins; else it goes on or ends.
     pub is_begin: bool,
-    /// The yard refused it, as it has seen a higher number.
+    /// The service rejected it, as its fencing token is stale.
     pub rejected: bool,
 }
 
 impl TaskStep {
+    /// The front's index.
     pub fn front(&self) -> usize {
         self.holder[1..self.holder.find('/').unwrap()].parse().unwrap()
     }
 }
 
+/// The task service; its thread ends with it.
 pub struct FakeTaskService {
+    /// Where it receives steps.
     pub address: SocketAddr,
     steps: Arc<Mutex<Vec<TaskStep>>>,
     ending: Arc<AtomicBool>,
@@ -33,54 +47,32 @@
 }
 
 impl FakeTaskService {
-    pub fn start(refuses: bool) -> FakeTaskService {
+    /// `rejects_stale`: whether it rejects stale fencing tokens.
+    pub fn start(rejects_stale: bool) -> FakeTaskService {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-        socket.set_read_timeout(Some(Duration::from_millis(20))).unwrap();
-        let (address, notes) = (socket.local_addr().unwrap(), Arc::new(Mutex::new(Vec::new())));
+        socket.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
+        let address = socket.local_addr().unwrap();
+        let steps = Arc::new(Mutex::new(Vec::new()));
         let ending = Arc::new(AtomicBool::new(false));
-        let (noted, ends) = (notes.clone(), ending.clone());
-        let thread = std::thread::spawn(move || {
-            let (mut bytes, mut seen, mut seen_of) = ([0; 2048], 0, String::new());
-            while !ends.load(Ordering::Relaxed) {
-                let Ok((long, from)) = socket.recv_from(&mut bytes) else { continue };
-                let at = Instant::now();
-                let said: Value = serde_json::from_slice(&bytes[..long]).unwrap();
-                let (number, who) =
-                    (said["number"].as_u64().unwrap(), said["who"].as_str().unwrap().to_owned());
-                // The same number from another life is no more than an older one.
-                let older = number < seen || (number == seen && who != seen_of);
-                if older && refuses {
-                    let told = json!({"task": said["task"], "seen": seen}).to_string();
-                    let _ = socket.send_to(told.as_bytes(), from);
-                } else if number > seen {
-                    (seen, seen_of) = (number, who.clone());
-                }
-                let begins = said["step"] == "begin";
-                noted.lock().unwrap().push(TaskStep {
-                    at,
-                    fencing_token: number,
-                    holder: who,
-                    is_begin: begins,
-                    rejected: older && refuses,
-                });
-            }
-        });
-        FakeTaskService { address, steps: notes, ending, thread: Some(thread) }
+        let (noted, is_ending) = (steps.clone(), ending.clone());
+        let thread = std::thread::spawn(move || receive(&socket, rejects_stale, &noted, &is_ending));
+        FakeTaskService { address, steps, ending, thread: Some(thread) }
     }
 
+    /// All steps so far.
     pub fn steps(&self) -> Vec<TaskStep> {
         self.steps.lock().unwrap().clone()
     }
 
-    /// Waits until an act begins that is noted after so many; none if nothing comes in time.
-    pub fn wait_for_begin(&self, after: usize, patience: Duration) -> Option<TaskStep> {
-        let until = Instant::now() + patience;
-        while Instant::now() < until {
-            let found = self.steps().into_iter().skip(after).find(|noted| noted.is_begin && !noted.rejected);
-            if found.is_some() {
-                return found;
+    /// Waits for an act that begins, and is not rejected, after the first `after` steps; none in time.
+    pub fn wait_for_begin(&self, after: usize, timeout: Duration) -> Option<TaskStep> {
+        let deadline = Instant::now() + timeout;
+        while Instant::now() < deadline {
+            let begun = self.steps().into_iter().skip(after).find(|step| step.is_begin && !step.rejected);
+            if begun.is_some() {
+                return begun;
             }
-            std::thread::sleep(Duration::from_millis(5));
+            std::thread::sleep(WAIT_INTERVAL);
         }
         None
     }
@@ -94,3 +86,28 @@
         }
     }
 }
+
+fn receive(socket: &UdpSocket, rejects_stale: bool, steps: &Mutex<Vec<TaskStep>>, is_ending: &AtomicBool) {
+    let mut bytes = [0; 2048];
+    let mut highest_token = 0;
+    let mut highest_holder = String::new();
+    while !is_ending.load(Ordering::Relaxed) {
+        let Ok((length, sender)) = socket.recv_from(&mut bytes) else { continue };
+        let at = Instant::now();
+        let message: Value = serde_json::from_slice(&bytes[..length]).unwrap();
+        let fencing_token = message["number"].as_u64().unwrap();
+        let holder = message["who"].as_str().unwrap().to_owned();
+        let is_begin = message["step"] == "begin";
+        let is_stale =
+            fencing_token < highest_token || (fencing_token == highest_token && holder != highest_holder);
+        let rejected = is_stale && rejects_stale;
+        if rejected {
+            let reply = json!({"task": message["task"], "seen": highest_token}).to_string();
+            let _ = socket.send_to(reply.as_bytes(), sender);
+        } else if fencing_token > highest_token {
+            highest_token = fencing_token;
+            highest_holder = holder.clone();
+        }
+        steps.lock().unwrap().push(TaskStep { at, fencing_token, holder, is_begin, rejected });
+    }
+}
