--- a/crates/tools/scale/src/budget.rs
+++ b/crates/tools/scale/src/budget.rs
@@ -5,8 +5,11 @@
 
 /// The fleet at the design size.
 pub const FRONTS: u32 = 520;
+/// Engines.
 pub const ENGINES: u32 = 1_300;
+/// Zones.
 pub const ZONES: u32 = 7;
+/// Regions.
 pub const REGIONS: u32 = 2;
 /// Client connections of all fronts.
 pub const CLIENT_CONNECTIONS: u32 = 3_400_000;
@@ -23,22 +26,28 @@
 
 /// What control may cost one front.
 pub const CONTROL_PROCESSOR_PERCENT: f64 = 1.8;
+/// What control may take of one front's memory, in MB.
 pub const CONTROL_MEMORY_MB: f64 = 256.0;
+/// What control may send and receive at one front, in bytes a second.
 pub const CONTROL_BYTES_PER_SECOND: f64 = 2_048.0;
 /// A configuration change is in force everywhere within this time.
 pub const IN_FORCE_SECONDS: f64 = 3.0;
-/// A task has another working holder within this time.
+/// A task has another working lease holder within this time.
 pub const REPLACEMENT_SECONDS: f64 = 9.0;
 
 /// What the platform gives a front (`docs/front-example.json`, `limits`).
 pub const FRONT_PROCESSOR_PERCENT: f64 = 100.0;
+/// Memory that the platform gives a front, in MB.
 pub const FRONT_MEMORY_MB: f64 = 192.0;
+/// Descriptors that the platform gives a front.
 pub const FRONT_DESCRIPTORS: f64 = 1_024.0;
 
 /// The most that a metric of a role may be at the design size.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Budget {
+    /// The metric.
     pub metric: Metric,
+    /// In the metric's unit.
     pub max: f64,
 }
 
--- a/crates/tools/scale/src/channel.rs
+++ b/crates/tools/scale/src/channel.rs
@@ -11,38 +11,47 @@
 pub const FRAME_HEADER_BYTES: usize = 13;
 /// Bytes of one engine in a frame.
 pub const RECORD_BYTES: usize = 27;
-/// An empty frame comes so often.
+/// Time between two empty frames.
 pub const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const HELLO_BYTES: usize = 8;
 const WEIGHT: u32 = 1_000;
 
-/// How an engine stands in the list.
+/// The state of an engine in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
+    /// It may be used.
     Ready,
+    /// It is removed from the list.
     Removed,
 }
 
 /// One engine in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Entry {
+    /// The engine's id.
     pub id: u32,
+    /// Where it listens.
     pub address: SocketAddrV4,
+    /// Whether it may be used.
     pub state: State,
+    /// The zone that it stands in.
     pub zone: u8,
 }
 
-/// What a frame tells.
+/// The content of a frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ListUpdate {
+    /// Nothing: the channel is alive.
     Empty,
+    /// The full list.
     Full(Vec<Entry>),
+    /// Entries that changed.
     Delta(Vec<Entry>),
 }
 
 /// A frame's bytes.
-pub fn frame(number: u64, news: &ListUpdate) -> Vec<u8> {
-    let (kind, entries): (u8, &[Entry]) = match news {
+pub fn frame(number: u64, update: &ListUpdate) -> Vec<u8> {
+    let (kind, entries): (u8, &[Entry]) = match update {
         ListUpdate::Empty => (0, &[]),
         ListUpdate::Full(entries) => (1, entries),
         ListUpdate::Delta(entries) => (2, entries),
@@ -72,19 +81,21 @@
 #[derive(Debug, Default)]
 struct Followers {
     number: u64,
-    /// What a front that comes is told first.
+    /// The frame that a new follower gets first.
     full_list: Option<Vec<u8>>,
     streams: Vec<TcpStream>,
 }
 
-/// A listener that tells every front the same.
+/// A listener that sends all fronts the same frames.
 #[derive(Debug)]
 pub struct Channel {
+    /// Where fronts connect.
     pub address: SocketAddr,
     state: Arc<Mutex<Followers>>,
 }
 
 impl Channel {
+    /// Starts the listener, without a list.
     pub fn start() -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
@@ -94,7 +105,7 @@
             for stream in listener.incoming() {
                 let Some(state) = accepting.upgrade() else { return };
                 if let Ok(stream) = stream {
-                    let _ = add_follower(stream, &mut lock(&state)); // A front that breaks off comes again.
+                    let _ = add_follower(stream, &mut lock(&state)); // A front whose connection breaks connects again.
                 }
             }
         });
@@ -111,12 +122,12 @@
         Ok(Channel { address, state })
     }
 
-    /// Tells all fronts, and yields how many bytes that takes for each.
-    pub fn publish(&self, news: &ListUpdate) -> usize {
+    /// Sends an update to all fronts; returns its bytes for each.
+    pub fn publish(&self, update: &ListUpdate) -> usize {
         let mut state = lock(&self.state);
         state.number += 1;
-        let bytes = frame(state.number, news);
-        if matches!(news, ListUpdate::Full(_)) {
+        let bytes = frame(state.number, update);
+        if matches!(update, ListUpdate::Full(_)) {
             state.full_list = Some(bytes.clone());
         }
         state.send(&bytes);
@@ -138,7 +149,7 @@
 }
 
 impl Followers {
-    /// Who can't be told has gone.
+    /// Drops followers whose connection is broken.
     fn send(&mut self, bytes: &[u8]) {
         self.streams.retain_mut(|stream| stream.write_all(bytes).is_ok());
     }
--- a/crates/tools/scale/src/clients.rs
+++ b/crates/tools/scale/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of a real front: a few connections, each of which asks, waits for its answer, rests, and asks again.
+//! Clients of a real front: a few connections, each of which sends a request, waits for the response, pauses, and sends the next.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -24,7 +24,7 @@
 }
 
 impl Clients {
-    /// So many connections, each of which rests for this span between an answer and its next request.
+    /// So many connections, each of which pauses for so long between a response and its next request.
     pub fn start(address: SocketAddr, count: u64, pause: Duration) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let returned = Arc::new(AtomicU64::new(0));
--- a/crates/tools/scale/src/engine.rs
+++ b/crates/tools/scale/src/engine.rs
@@ -1,4 +1,4 @@
-//! Engines for a real front: one listener that stands for any number of them, answers each request and probe at once,
+//! Engines for a real front: one listener in place of any number of them, which answers each request and probe at once,
 //! and counts requests.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -16,19 +16,24 @@
 /// Requests seen so far.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ReceivedRequests {
+    /// How many.
     pub requests: u64,
+    /// When the first arrived.
     pub first: Option<Instant>,
+    /// When the last arrived.
     pub last: Option<Instant>,
 }
 
-/// A listener that stands for engines.
+/// A listener in place of engines.
 #[derive(Debug)]
 pub struct Engines {
+    /// Where the engines listen.
     pub address: SocketAddrV4,
     received: Arc<Mutex<ReceivedRequests>>,
 }
 
 impl Engines {
+    /// Starts the listener.
     pub fn start() -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let SocketAddr::V4(address) = listener.local_addr()? else {
@@ -47,6 +52,7 @@
         Ok(Engines { address, received })
     }
 
+    /// What has been received since the start or the last reset.
     pub fn received(&self) -> ReceivedRequests {
         *self.received.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/tools/scale/src/fit.rs
+++ b/crates/tools/scale/src/fit.rs
@@ -11,19 +11,32 @@
 /// One measured point.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Point {
+    /// Along the role's axis.
     pub size: f64,
+    /// In the metric's unit.
     pub value: f64,
+    /// Not used for the fit.
     pub disturbed: bool,
 }
 
 /// Why points have no fit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FitError {
+    /// Too few different sizes were measured.
     #[error("too few good sizes: {good}, {MIN_SIZES} wanted")]
-    TooFewSizes { good: usize },
+    TooFewSizes {
+        /// Different sizes that were not disturbed.
+        good: usize,
+    },
     /// There would be enough sizes, had some not been disturbed.
     #[error("disturbed: {good} good sizes of {measured}, {MIN_SIZES} wanted")]
-    Disturbed { good: usize, measured: usize },
+    Disturbed {
+        /// Different sizes that were not disturbed.
+        good: usize,
+        /// Different sizes in all.
+        measured: usize,
+    },
+    /// A size or a value is infinite or no number.
     #[error("a size or value is not a finite number")]
     NotFinite,
 }
@@ -31,7 +44,9 @@
 /// The line `value = intercept + slope * size`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Fit {
+    /// In the metric's unit, for one more of the size.
     pub slope: f64,
+    /// At a size of zero.
     pub intercept: f64,
     /// Half the width of the slope's interval.
     pub slope_margin: f64,
@@ -39,10 +54,13 @@
     pub residual: f64,
     /// The curve by a power of the size; none where a value or size is not above zero.
     pub power: Option<Power>,
+    /// Points that were used.
     pub points: usize,
     /// Points that were disturbed and left out.
     pub left_out: usize,
+    /// The smallest size.
     pub smallest: f64,
+    /// The largest size.
     pub largest: f64,
     mean_size: f64,
     /// Sum of squared distances of the sizes from their mean.
@@ -53,7 +71,9 @@
 /// The curve `value = factor * size ^ exponent`, from a line through the logarithms.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Power {
+    /// The value at a size of one.
     pub factor: f64,
+    /// The power of the size.
     pub exponent: f64,
 }
 
@@ -61,10 +81,12 @@
     /// Growth with an exponent above this is not called linear.
     pub const LINEAR_UP_TO: f64 = 1.2;
 
+    /// The curve's value at a size.
     pub fn at(&self, size: f64) -> f64 {
         self.factor * size.powf(self.exponent)
     }
 
+    /// Whether growth counts as linear.
     pub fn linear(&self) -> bool {
         self.exponent <= Self::LINEAR_UP_TO
     }
@@ -109,20 +131,28 @@
     points.iter().map(|point| point.size.to_bits()).collect::<BTreeSet<_>>().len()
 }
 
-/// Slope, intercept, mean of x and the spread of x of the least-squares line.
-fn least_squares(points: &[(f64, f64)]) -> (f64, f64, f64, f64) {
+/// The least-squares line through points.
+struct LeastSquares {
+    slope: f64,
+    intercept: f64,
+    mean_x: f64,
+    /// Sum of squared distances of x from its mean.
+    spread: f64,
+}
+
+fn least_squares(points: &[(f64, f64)]) -> LeastSquares {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
     let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
     let spread = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum::<f64>();
     let slope = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum::<f64>() / spread;
-    (slope, mean_y - slope * mean_x, mean_x, spread)
+    LeastSquares { slope, intercept: mean_y - slope * mean_x, mean_x, spread }
 }
 
 /// At least three different sizes are given, so the spread is above zero and a degree of freedom is left.
 fn line(good: &[Point], left_out: usize) -> Fit {
     let pairs: Vec<(f64, f64)> = good.iter().map(|point| (point.size, point.value)).collect();
-    let (slope, intercept, mean_size, spread) = least_squares(&pairs);
+    let LeastSquares { slope, intercept, mean_x: mean_size, spread } = least_squares(&pairs);
     let freedom = (good.len() - 2) as f64;
     let squares = pairs.iter().map(|(size, value)| (value - intercept - slope * size).powi(2)).sum::<f64>();
     let residual = (squares / freedom).sqrt();
@@ -149,6 +179,6 @@
         return None;
     }
     let logs: Vec<(f64, f64)> = pairs.iter().map(|(size, value)| (size.ln(), value.ln())).collect();
-    let (exponent, intercept, ..) = least_squares(&logs);
-    Some(Power { factor: intercept.exp(), exponent })
+    let line = least_squares(&logs);
+    Some(Power { factor: line.intercept.exp(), exponent: line.slope })
 }
--- a/crates/tools/scale/src/fleet/events.rs
+++ b/crates/tools/scale/src/fleet/events.rs
@@ -1,4 +1,4 @@
-//! What happens to leases when holders, voters or a whole region go, in a fleet whose fronts want a seat each and one
+//! What happens to leases when holders, voters or a whole region are lost, in a fleet whose fronts want a quota slot each and one
 //! task that all are willing to hold.
 
 use super::network::Place;
@@ -7,23 +7,23 @@
 use lemonusher_fleet::Kind;
 use std::time::Duration;
 
-/// Spans are told to this step.
+/// Resolution of the spans.
 const STEP: Duration = Duration::from_millis(50);
-/// Nothing is waited for longer.
+/// How long anything is waited for.
 const MAX_WAIT: Duration = Duration::from_secs(120);
 /// Between two losses of a holder.
 const SETTLE_TIME: Duration = Duration::from_secs(10);
 
-/// How long a task was without a working holder, by loss; [`LONGEST`] where it had none by then.
+/// How long a task was without a working holder, by loss; at most [`MAX_WAIT`].
 #[derive(Debug, Clone, Default)]
 pub struct Replacement {
-    /// The holder was killed without a word.
+    /// The holder was killed.
     pub killed: Vec<Duration>,
-    /// It was stopped in order.
+    /// It was stopped gracefully.
     pub stopped: Vec<Duration>,
 }
 
-/// Ends the task's holder so many times each way; it comes back as a new life.
+/// Ends the task's holder so many times each way; it returns as a new incarnation.
 pub fn replacements(simulation: &mut Simulation, trials: usize) -> Replacement {
     let mut all = Replacement::default();
     for _ in 0..trials {
@@ -47,11 +47,11 @@
 /// What follows when all voters lose their memory at once.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ThunderingHerd {
-    /// Until so many seats were held again; [`LONGEST`] if they were not by then.
+    /// Until nine in ten quota slots were held again; at most [`MAX_WAIT`].
     pub nine_tenths: Duration,
     /// Until 99 of 100 were.
     pub nearly_all: Duration,
-    /// Messages that one voter heard in its busiest second, at most.
+    /// Messages that one voter received in its busiest second, at most.
     pub peak_messages: u64,
 }
 
@@ -88,21 +88,24 @@
     simulation.traffic(front).received(&kinds).messages
 }
 
-/// What each side of a cut between the regions could do, and what followed its end.
+/// What each side of a partition between the regions could do, and what followed its end.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Partition {
-    /// The share of its fronts' seats that the side with a majority of the voters held at the cut's end, and the other.
+    /// The share of its fronts' quota slots that the side with a majority of the voters held at the end, in percent.
     pub held_with_majority: f64,
+    /// The same of the other side.
     pub held_without: f64,
     /// Fronts that could act on the task, by side.
     pub holders_with_majority: usize,
+    /// The same of the other side.
     pub holders_without: usize,
-    /// After the cut's end: until 99 of 100 seats were held, and until every front saw all others.
+    /// After the partition's end: until 99 of 100 quota slots were held.
     pub slots_recovered_after: Duration,
+    /// After the partition's end: until every front saw all others.
     pub members_recovered_after: Duration,
 }
 
-/// Cuts the regions off from each other for so long. The first region has a majority of the voters.
+/// Partitions the regions for so long. The first region has a majority of the voters.
 pub fn partition_regions(simulation: &mut Simulation, span: Duration) -> Partition {
     let fronts = simulation.fronts();
     let side = |region: u32| (0..fronts).filter(move |front| Place::of(*front).region == region);
--- a/crates/tools/scale/src/fleet/hollow.rs
+++ b/crates/tools/scale/src/fleet/hollow.rs
@@ -1,4 +1,4 @@
-//! One hollow front: its state machine, what it has sent and heard, and the processor time that it took.
+//! One hollow front: its state machine, what it has sent and received, and the processor time that it took.
 
 use super::setup::{self, Registers, Setup};
 use super::traffic::Traffic;
@@ -10,29 +10,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A front's thread looks round this often at least.
+/// A front's thread polls this often at least.
 const MAX_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// A thread that has nothing to wait for waits so long all the same.
+/// The least time between two polls.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(1);
 /// A date in 2026, in milliseconds since 1970, at the origin of the rig's time.
 const ORIGIN_UNIX_MS: u64 = 1_796_000_000_000;
 
+/// A hollow front, in one incarnation.
 pub struct Hollow {
     node: Node,
     address: SocketAddr,
-    /// When this life began, on the rig's clock.
+    /// When this incarnation began, on the rig's clock.
     born: Duration,
-    /// The number of this life, which parts its wake-ups from those of an earlier one.
+    /// Tells its polls from those of an earlier incarnation.
     pub incarnation: u64,
     location: u32,
     observations: Option<Sender<ZoneObservation>>,
+    /// What it has sent and received.
     pub traffic: Traffic,
     /// What all calls into the state machine took.
     pub processor: Duration,
     counts: Arc<Counts>,
 }
 
-/// Where and when a life begins.
+/// Where and when an incarnation begins.
 pub struct Start<'a> {
     pub setup: &'a Setup,
     pub front: usize,
@@ -45,10 +47,11 @@
 }
 
 impl Hollow {
+    /// Begins an incarnation.
     pub fn new(start: Start) -> Hollow {
-        let (told, seen) = async_channel::bounded(1);
+        let (observations, receiver) = async_channel::bounded(1);
         let Start { setup, front, address, voters, location, now, incarnation, seed } = start;
-        let terms = setup.terms(front, address, voters, location, seen);
+        let terms = setup.terms(front, address, voters, location, receiver);
         let date_ms = ORIGIN_UNIX_MS + now.as_millis() as u64;
         let counts = Arc::new(Counts::default());
         let from = thread_time();
@@ -60,27 +63,29 @@
             born: now,
             incarnation,
             location,
-            observations: (setup.registers != Registers::None).then_some(told),
+            observations: (setup.registers != Registers::None).then_some(observations),
             traffic: Traffic::default(),
             processor: thread_time().saturating_sub(from),
             counts,
         }
     }
 
+    /// Where it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
+    /// The counters of its state machine.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
 
-    /// This life's own clock.
+    /// This incarnation's own clock.
     fn local(&self, now: Duration) -> Duration {
         now.saturating_sub(self.born)
     }
 
-    /// Hears a datagram, and does what is due then, as a front's thread does.
+    /// Handles a datagram, and does what is due then, as a front's thread does.
     pub fn handle_datagram(&mut self, now: Duration, from: SocketAddr, bytes: &[u8]) -> Vec<Message> {
         let (local, began) = (self.local(now), thread_time());
         self.node.hear(local, from, bytes);
@@ -88,13 +93,14 @@
         self.sent(began)
     }
 
+    /// Does what is due now; returns what it sends.
     pub fn poll(&mut self, now: Duration) -> Vec<Message> {
         let (local, began) = (self.local(now), thread_time());
         self.node.wake(local);
         self.sent(began)
     }
 
-    /// Lets go of all that it holds and says that it leaves, as a front does that is stopped in order.
+    /// Releases all leases and leaves the fleet, as a front does on a graceful stop.
     pub fn leave(&mut self, now: Duration) -> Vec<Message> {
         let (local, began) = (self.local(now), thread_time());
         self.node.leave(local);
@@ -111,31 +117,35 @@
         sent
     }
 
-    /// Tells it what a front's requests would have shown of the zones.
+    /// Hands it what a front's requests would have shown of the zones.
     pub fn observe_zones(&self) {
         if let Some(observations) = &self.observations {
             let _ = observations.force_send(setup::seen(self.location));
         }
     }
 
-    /// When it wants to be woken, on the rig's clock.
+    /// When it wants to be polled, on the rig's clock.
     pub fn next_timeout(&self, now: Duration) -> Duration {
         let next_timeout = self.node.due().unwrap_or(Duration::MAX).saturating_sub(self.local(now));
         now + next_timeout.clamp(MIN_POLL_INTERVAL, MAX_POLL_INTERVAL)
     }
 
+    /// What it sees of the fleet.
     pub fn census(&self, now: Duration) -> Census {
         self.node.census(self.local(now))
     }
 
+    /// Leases that it holds.
     pub fn leases_held(&self, now: Duration) -> usize {
         self.node.leases_held(self.local(now))
     }
 
+    /// Other fronts that it sees.
     pub fn members(&self) -> usize {
         self.node.members()
     }
 
+    /// Whether it holds the task's lease and may act now.
     pub fn may_act(&self, now: Duration, task: &str) -> bool {
         self.node.may_act(self.local(now), task).is_some()
     }
--- a/crates/tools/scale/src/fleet/loopback.rs
+++ b/crates/tools/scale/src/fleet/loopback.rs
@@ -20,6 +20,7 @@
     next_timeout: Duration,
 }
 
+/// Hollow fronts with sockets on loopback.
 pub struct Loopback {
     members: Vec<Member>,
     clock: Instant,
@@ -73,15 +74,17 @@
         latest
     }
 
+    /// How many hollow fronts there are.
     pub fn fronts(&self) -> usize {
         self.members.len()
     }
 
-    /// Tells all fronts what requests would have shown.
+    /// Hands all fronts what requests would have shown.
     pub fn observe_zones(&self) {
         self.members.iter().for_each(|member| member.hollow.observe_zones());
     }
 
+    /// What a front has sent and received.
     pub fn traffic(&self, front: usize) -> &Traffic {
         &self.members[front].hollow.traffic
     }
@@ -91,10 +94,12 @@
         self.members[front].hollow.may_act(self.clock.elapsed(), task)
     }
 
+    /// Processor time of a front's state machine.
     pub fn processor(&self, front: usize) -> Duration {
         self.members[front].hollow.processor
     }
 
+    /// What a front sees of the fleet.
     pub fn census(&self, front: usize) -> Census {
         self.members[front].hollow.census(self.clock.elapsed())
     }
--- a/crates/tools/scale/src/fleet/meter.rs
+++ b/crates/tools/scale/src/fleet/meter.rs
@@ -28,16 +28,21 @@
 /// What one front cost, a second; the mean over the fronts watched.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Cost {
+    /// Messages received.
     pub messages_in: f64,
+    /// Messages sent.
     pub messages_out: f64,
+    /// Bytes received.
     pub bytes_in: f64,
+    /// Bytes sent.
     pub bytes_out: f64,
-    /// Of the front that sent and heard the most.
+    /// Of the front that sent and received the most.
     pub max_bytes: f64,
     /// Percent of a core; of all that the front's state machine does, whatever kinds are watched.
     pub processor: f64,
+    /// Bytes of its state, at the end.
     pub state_bytes: f64,
-    /// Fronts that it has told as gone, an hour.
+    /// Fronts that it has reported as lost, an hour.
     pub members_lost_per_hour: f64,
     /// Other fronts that it sees.
     pub members: f64,
@@ -59,6 +64,7 @@
         Meter { fronts, kinds: kinds.to_vec(), began: simulation.now(), before }
     }
 
+    /// Ends the watch.
     pub fn finish(self, simulation: &Simulation) -> Cost {
         let seconds = (simulation.now() - self.began).as_secs_f64();
         let after = readings(simulation, self.fronts.clone());
@@ -100,13 +106,18 @@
 
 /// Makes the samples of one run.
 pub struct Run {
+    /// The role that is measured.
     pub role: Role,
+    /// What else was held fixed.
     pub case: String,
+    /// Along the role's axis.
     pub size: u32,
+    /// The measurement's own lateness passed its bound.
     pub disturbed: bool,
 }
 
 impl Run {
+    /// A sample of this run.
     pub fn sample(&self, metric: Metric, value: f64) -> Sample {
         Sample {
             role: self.role,
--- a/crates/tools/scale/src/fleet/network.rs
+++ b/crates/tools/scale/src/fleet/network.rs
@@ -7,11 +7,14 @@
 /// A front's zone and region. Fronts are dealt over the zones in turn; zones belong to the regions in turn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Place {
+    /// The zone's number.
     pub zone: u32,
+    /// The region's number.
     pub region: u32,
 }
 
 impl Place {
+    /// Where a front stands.
     pub fn of(front: usize) -> Place {
         let zone = front as u32 % ZONES;
         Place { zone, region: zone % REGIONS }
@@ -21,8 +24,11 @@
 /// One way, before jitter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Delays {
+    /// Within a zone.
     pub same_zone: Duration,
+    /// Between zones of a region.
     pub same_region: Duration,
+    /// Between regions.
     pub between_regions: Duration,
 }
 
@@ -34,6 +40,7 @@
         between_regions: Duration::from_millis(35),
     };
 
+    /// The delay between two places, one way.
     pub fn between(&self, a: Place, b: Place) -> Duration {
         match (a.region == b.region, a.zone == b.zone) {
             (false, _) => self.between_regions,
@@ -49,10 +56,11 @@
 /// Loses and delays datagrams.
 #[derive(Debug, Clone)]
 pub struct Network {
+    /// One way, before jitter.
     pub delays: Delays,
     /// The share of datagrams that is lost.
     pub loss: f64,
-    /// Nothing goes between the regions.
+    /// Nothing passes between the regions.
     pub partitioned: bool,
 }
 
--- a/crates/tools/scale/src/fleet/setup.rs
+++ b/crates/tools/scale/src/fleet/setup.rs
@@ -18,27 +18,34 @@
 /// Which registers fronts follow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Registers {
+    /// None.
     None,
-    /// The plan for lost zones, and operators' wishes.
+    /// The plan for lost zones, and operators' overrides.
     Zones,
-    /// These, and one register for each work on machines.
+    /// These, and one register for each maintenance request.
     ZonesAndWorks,
 }
 
 /// A fleet, alike at all its fronts.
 #[derive(Debug, Clone)]
 pub struct Setup {
+    /// All fronts, voters among them.
     pub fronts: usize,
     /// The first so many fronts vote.
     pub voters: usize,
+    /// The terms of leases.
     pub leases: LeaseTerms,
-    /// Each front wants a seat of its own.
+    /// Each front wants a quota slot of its own.
     pub quota_slots: bool,
     /// Each front is willing to hold [`TASK`].
     pub task: bool,
+    /// The registers that are followed.
     pub registers: Registers,
+    /// Of the network.
     pub delays: Delays,
+    /// The share of datagrams that is lost, from 0 to 1.
     pub loss: f64,
+    /// Of everything random.
     pub seed: u64,
 }
 
--- a/crates/tools/scale/src/fleet/side_by_side.rs
+++ b/crates/tools/scale/src/fleet/side_by_side.rs
@@ -1,4 +1,4 @@
-//! One real front and hollow ones in one fleet over loopback: what each sends, hears and holds.
+//! One real front and hollow ones in one fleet over loopback: what each sends, receives and holds.
 
 use super::loopback::Loopback;
 use super::network::Place;
@@ -20,18 +20,23 @@
 const THREAD: &str = "fleet";
 const KINDS: [Kind; 4] = [Kind::FailureDetector, Kind::Leases, Kind::Registers, Kind::Reports];
 
-/// What one front sent and heard over a span, and the state that it held at its end.
+/// What one front sent and received over a span, and the state that it held at its end.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Account {
+    /// What it sent.
     pub sent: Flow,
+    /// What it received.
     pub received: Flow,
+    /// Bytes of its state.
     pub state_bytes: usize,
     /// Processor time; a real one's has the time for its socket, too.
     pub processor: Duration,
 }
 
+/// A real front and hollow ones over the same span.
 #[derive(Debug, Clone)]
 pub struct SideBySide {
+    /// Of the real front.
     pub real: Account,
     /// Of each hollow front that does not vote, as the real one doesn't.
     pub hollow: Vec<Account>,
@@ -48,7 +53,7 @@
 
 /// Runs a fleet of which the last front is a real one, on a thread of its own with its own socket and clock; accounts
 /// for `span` once it has run for `settled`. The task is held by a hollow front from the start, as its holder renews a
-/// lease more than others: of one real front among many hollow ones, holding it or not would be told as a difference.
+/// lease more than others: of one real front among many hollow ones, holding it or not would show as a difference.
 pub fn side_by_side(setup: &Setup, settled: Duration, span: Duration) -> io::Result<SideBySide> {
     let last = setup.fronts - 1;
     let mut hollow = Loopback::start(setup, last)?;
@@ -93,7 +98,7 @@
     Ok(())
 }
 
-/// Lets all fronts run, and tells them once a period what requests would have shown.
+/// Runs all fronts, and hands them once a period what requests would have shown.
 fn run(
     hollow: &mut Loopback,
     observations: &Sender<ZoneObservation>,
--- a/crates/tools/scale/src/fleet/simulation.rs
+++ b/crates/tools/scale/src/fleet/simulation.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// A place of the fleet, and the life that is there now.
+/// A front of the fleet, in its present incarnation.
 #[derive(Default)]
 struct Slot {
     front: Option<Hollow>,
@@ -68,8 +68,10 @@
     next_poll: Duration,
 }
 
+/// A simulated fleet.
 pub struct Simulation {
     setup: Setup,
+    /// Between the fronts.
     pub network: Network,
     now: Duration,
     queue: BinaryHeap<Reverse<Event>>,
@@ -105,15 +107,17 @@
         simulation
     }
 
+    /// Virtual time since the start.
     pub fn now(&self) -> Duration {
         self.now
     }
 
+    /// How many fronts the fleet has.
     pub fn fronts(&self) -> usize {
         self.slots.len()
     }
 
-    /// Begins a new life of a front, in place of the one that is there.
+    /// Begins a new incarnation of a front, in place of the one that is running.
     pub fn start_at(&mut self, front: usize, at: Duration) {
         self.push(at, front, EventKind::Start);
     }
@@ -130,14 +134,17 @@
         self.send(front, sent);
     }
 
+    /// A front; none where it is not running.
     pub fn front(&self, front: usize) -> Option<&Hollow> {
         self.slots[front].front.as_ref()
     }
 
+    /// What a front's present incarnation has sent and received.
     pub fn traffic(&self, front: usize) -> Traffic {
         self.front(front).map(|hollow| hollow.traffic.clone()).unwrap_or_default()
     }
 
+    /// What a front sees of the fleet.
     pub fn census(&self, front: usize) -> Census {
         self.front(front).map(|hollow| hollow.census(self.now)).unwrap_or_default()
     }
@@ -171,6 +178,7 @@
         self.now = until;
     }
 
+    /// Plays all events of this span.
     pub fn run_for(&mut self, span: Duration) {
         self.run_until(self.now + span);
     }
--- a/crates/tools/scale/src/fleet/traffic.rs
+++ b/crates/tools/scale/src/fleet/traffic.rs
@@ -7,11 +7,14 @@
 /// Messages and their bytes. Bytes are those of whole sealed datagrams, without the headers of UDP and IP.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Flow {
+    /// How many.
     pub messages: u64,
+    /// Their bytes.
     pub bytes: u64,
 }
 
 impl Flow {
+    /// Counts one message.
     pub fn count(&mut self, bytes: usize) {
         self.messages += 1;
         self.bytes += bytes as u64;
@@ -34,7 +37,7 @@
     }
 }
 
-/// What one front has sent and heard so far.
+/// What one front has sent and received so far.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Traffic {
     received: BTreeMap<Kind, Flow>,
@@ -42,19 +45,22 @@
 }
 
 impl Traffic {
+    /// Counts a message received.
     pub fn count_received(&mut self, kind: Kind, bytes: usize) {
         self.received.entry(kind).or_default().count(bytes);
     }
 
+    /// Counts a message sent.
     pub fn count_sent(&mut self, kind: Kind, bytes: usize) {
         self.sent.entry(kind).or_default().count(bytes);
     }
 
-    /// What was heard of these kinds.
+    /// What was received of these kinds.
     pub fn received(&self, kinds: &[Kind]) -> Flow {
         sum(&self.received, kinds)
     }
 
+    /// What was sent of these kinds.
     pub fn sent(&self, kinds: &[Kind]) -> Flow {
         sum(&self.sent, kinds)
     }
--- a/crates/tools/scale/src/front.rs
+++ b/crates/tools/scale/src/front.rs
@@ -1,4 +1,4 @@
-//! A real front as a process of its own, told by a file as on the platform.
+//! A real front as a process of its own, started with a file as on the platform.
 
 use crate::budget;
 use crate::error::MeasureError;
@@ -19,13 +19,14 @@
 /// What its log says before its address.
 const LISTENS: &str = "listens on ";
 
-/// What a front is told that a measurement varies.
+/// What a measurement varies of a front's start file.
 #[derive(Debug, Clone)]
 pub struct FrontOptions {
     /// Where its list of engines comes from.
     pub channel: SocketAddr,
     /// Descriptors that it shares out.
     pub descriptors: u32,
+    /// Memory that it may use, in MB.
     pub memory_mb: u32,
 }
 
@@ -33,6 +34,7 @@
 #[derive(Debug)]
 pub struct Front {
     child: Child,
+    /// Where it listens.
     pub address: SocketAddr,
     _start_file: NamedTempFile,
 }
@@ -57,6 +59,7 @@
         Ok(Front { child, address, _start_file: file })
     }
 
+    /// The id of its process.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
--- a/crates/tools/scale/src/lib.rs
+++ b/crates/tools/scale/src/lib.rs
@@ -4,9 +4,12 @@
 //! its interval; [`page`] and [`plot`] write `docs/CAPACITY.md` and one SVG a role from the CSV files alone, so that
 //! the page can be checked against them.
 
+#![warn(missing_docs)]
+
 pub mod budget;
 pub mod channel;
 pub mod clients;
+pub mod connected_front;
 pub mod engine;
 pub mod error;
 pub mod fit;
--- a/crates/tools/scale/src/managed/count.rs
+++ b/crates/tools/scale/src/managed/count.rs
@@ -15,6 +15,7 @@
 pub type Counted = InspectWriter<InspectReader<TcpStream, Inspect>, Inspect>;
 
 impl ByteCount {
+    /// Bytes so far.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
@@ -26,6 +27,7 @@
         })
     }
 
+    /// Counts the bytes of this stream.
     pub fn counted(&self, stream: TcpStream) -> Counted {
         InspectWriter::new(InspectReader::new(stream, self.inspect()), self.inspect())
     }
--- a/crates/tools/scale/src/managed/manager.rs
+++ b/crates/tools/scale/src/managed/manager.rs
@@ -1,4 +1,4 @@
-//! A manager: connects to a front's gNMI door, commits one change, and goes on to the next front.
+//! A manager: connects to a front's gNMI server, commits one change, and continues with the next front.
 
 use super::count::{ByteCount, Counted};
 use super::wire::exchange;
@@ -17,7 +17,7 @@
 
 /// Engines of one pool of the configuration that all fronts begin with.
 const ENGINES_PER_POOL: u32 = 10;
-/// A commit that came while another was under way is tried again after this.
+/// Until a commit that conflicted with another one is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 const MAX_TRIES: u32 = 100;
 
@@ -26,8 +26,13 @@
 pub enum Change {
     /// All pools of the design size.
     Pools,
-    /// Withdraws a pool, or takes it up again.
-    Drain { pool: u32, drained: bool },
+    /// Withdraws a pool, or enables it again.
+    Drain {
+        /// The pool's number.
+        pool: u32,
+        /// Whether it is withdrawn.
+        drained: bool,
+    },
 }
 
 impl Change {
@@ -72,20 +77,30 @@
     pub conflicts: u32,
 }
 
-/// What a manager has spent on a walk over fronts, and when the change came into force at each.
+/// A commit at one front.
+#[derive(Debug, Clone, Copy)]
+pub struct FrontCommit {
+    /// The front's index.
+    pub front: usize,
+    /// What it took.
+    pub commit: Commit,
+}
+
+/// The commits of one change at front after front, and when it was in force at each.
 #[derive(Debug, Clone, Default)]
 pub struct Rollout {
     /// By front of the walk: since the walk began, with the network's time.
     pub in_force: Vec<Duration>,
+    /// By front: its commit.
     pub commits: Vec<Commit>,
 }
 
 impl Rollout {
-    /// The walk as it would go over this network: at each front in turn.
-    pub fn over(commits: &[(usize, Commit)], network: &Network, manager: Place, seed: u64) -> Rollout {
+    /// The rollout as it would be over this network: at each front in turn.
+    pub fn over(commits: &[FrontCommit], network: &Network, manager: Place, seed: u64) -> Rollout {
         let mut rng = Rng::with_seed(seed);
         let (mut clock, mut rollout) = (Duration::ZERO, Rollout::default());
-        for (front, commit) in commits {
+        for FrontCommit { front, commit } in commits {
             let way = exchange(network, manager, Place::of(*front), &mut rng);
             clock += way.there + commit.local;
             rollout.in_force.push(clock);
@@ -99,11 +114,12 @@
 /// Commits over real connections, whose bytes it counts.
 #[derive(Debug, Clone, Default)]
 pub struct Manager {
+    /// Of all its connections.
     pub bytes: ByteCount,
 }
 
 impl Manager {
-    /// Connects, commits and goes.
+    /// Connects, commits and disconnects.
     pub async fn commit(&self, server: SocketAddr, change: &Change) -> Result<Commit, MeasureError> {
         let began = Instant::now();
         let mut client = self.connect(server).await?;
--- a/crates/tools/scale/src/managed/servers.rs
+++ b/crates/tools/scale/src/managed/servers.rs
@@ -1,4 +1,4 @@
-//! The doors of many fronts in one process, each with its own store, log, thread and listener, as a real front has
+//! The management servers of many fronts in one process, each with its own store, log, thread and listener, as a real front has
 //! them; in place of a front's owner there is one that agrees to everything.
 
 use crate::error::MeasureError;
@@ -24,13 +24,15 @@
 const GNMI_LOG_PREFIX: &str = "gNMI at ";
 const MAX_START_TIME: Duration = Duration::from_secs(30);
 
-/// One front's door.
+/// One front's management server.
 pub struct ManagementServer {
+    /// Where it speaks gNMI.
     pub gnmi: SocketAddr,
+    /// Its configuration store.
     pub hub: Arc<Hub>,
 }
 
-/// Doors that stand until the process ends.
+/// Management servers; they run until the process ends.
 pub struct ManagementServers {
     servers: Vec<ManagementServer>,
     folder: TempDir,
@@ -84,7 +86,7 @@
     Ok(ManagementServer { gnmi, hub })
 }
 
-/// An owner that is always ready, and takes up whatever it is told.
+/// In place of a request router: accepts every configuration.
 async fn accept_all(requests: async_channel::Receiver<ManagementCall>) {
     while let Ok(request) = requests.recv().await {
         match request {
@@ -96,9 +98,10 @@
     }
 }
 
-/// A real front with its door, as a process of its own; ended when dropped.
+/// A real front with its management server, as a process of its own; ended when dropped.
 pub struct RealFront {
     child: Child,
+    /// Where it speaks gNMI.
     pub gnmi: SocketAddr,
     _folder: TempDir,
 }
@@ -139,7 +142,7 @@
     let _ = child.wait();
 }
 
-/// The address of the door, as the log tells it; the log is read to its end.
+/// The address of the management server, from the log; the log is read to its end.
 fn follow(log: impl BufRead + Send + 'static) -> Option<SocketAddr> {
     let (sender, receiver) = channel();
     std::thread::spawn(move || {
@@ -153,7 +156,7 @@
     receiver.recv_timeout(MAX_START_TIME).ok()
 }
 
-/// The file that the front is told, and the operator's file that names it.
+/// The start file, and the operator's file that names it.
 fn write_files(folder: &Path) -> std::io::Result<PathBuf> {
     let mut receiver: serde_json::Value = serde_json::from_str(START_CONFIG)?;
     receiver["listen"] = "127.0.0.1:0".into();
--- a/crates/tools/scale/src/managed/wire.rs
+++ b/crates/tools/scale/src/managed/wire.rs
@@ -15,11 +15,11 @@
 pub struct Exchange {
     /// Until the request has arrived.
     pub there: Duration,
-    /// From then, without the time at the door, until the answer has arrived.
+    /// From then, without the time at the server, until the answer has arrived.
     pub back: Duration,
 }
 
-/// A handshake of one round trip, then a request and its answer; without TLS, as today's loopback doors have it.
+/// A handshake of one round trip, then a request and its answer; without TLS, as the servers on loopback.
 pub fn exchange(network: &Network, manager: Place, front: Place, rng: &mut Rng) -> Exchange {
     let handshake = round_trip(network, manager, front, CONNECT_RETRANSMISSION_TIMEOUT, rng);
     let resend = MIN_RETRANSMISSION_TIMEOUT.max(network.delays.between(manager, front) * 2);
--- a/crates/tools/scale/src/page.rs
+++ b/crates/tools/scale/src/page.rs
@@ -12,14 +12,16 @@
 const END: &str = "<!-- end -->";
 /// The block that holds every role against its budgets.
 const SUMMARY: &str = "summary";
-/// What stands for figures that there are not.
+/// In place of figures that were not measured.
 const NOT_MEASURED: &str = "Not measured.";
 
 /// Why a page can't be generated.
 #[derive(Debug, thiserror::Error)]
 pub enum PageError {
+    /// A block is not closed.
     #[error("the block {0} has no end")]
     NoEnd(String),
+    /// A CSV file can't be used.
     #[error(transparent)]
     File(#[from] FileError),
 }
@@ -181,7 +183,7 @@
     parted(&format!("{:.0}", (value / scale).round() * scale))
 }
 
-/// Parts the thousands of a whole number.
+/// Separates the thousands of a whole number by commas.
 fn parted(whole: &str) -> String {
     let (sign, number) = whole.strip_prefix('-').map_or(("", whole), |number| ("-", number));
     let mut parted = String::new();
--- a/crates/tools/scale/src/plot.rs
+++ b/crates/tools/scale/src/plot.rs
@@ -17,7 +17,9 @@
 #[derive(Debug, thiserror::Error)]
 #[error("{path}: {cause}")]
 pub struct PlotError {
+    /// The SVG file.
     pub path: String,
+    /// What failed.
     pub cause: String,
 }
 
--- a/crates/tools/scale/src/process.rs
+++ b/crates/tools/scale/src/process.rs
@@ -9,9 +9,11 @@
 pub struct Figures {
     /// User and system time of the threads that it has now.
     pub processor: Duration,
+    /// Resident memory, in bytes.
     pub resident_bytes: u64,
     /// The greatest resident size so far.
     pub peak_bytes: u64,
+    /// Open descriptors.
     pub descriptors: usize,
     /// Voluntary context switches of all its threads: how often they have waited and woken.
     pub wakeups: u64,
@@ -85,7 +87,7 @@
 #[global_allocator]
 static HEAP: peak_alloc::PeakAlloc = peak_alloc::PeakAlloc;
 
-/// Bytes that this process has allocated and not given back.
+/// Bytes that this process has allocated and not freed.
 pub fn allocated_bytes() -> usize {
     HEAP.current_usage()
 }
--- a/crates/tools/scale/src/progress.rs
+++ b/crates/tools/scale/src/progress.rs
@@ -45,6 +45,7 @@
         }
     }
 
+    /// Clears the bar.
     pub fn finish(self) {
         self.bar.finish_and_clear();
     }
--- a/crates/tools/scale/src/roles/configuration.rs
+++ b/crates/tools/scale/src/roles/configuration.rs
@@ -1,11 +1,11 @@
-//! Configuration as it stands: nothing spreads a commit between fronts, so a manager commits at each front's gNMI door.
-//! The doors are real; the time that the network takes is drawn and added.
+//! Configuration: nothing replicates a commit between fronts, so a manager commits at each front's gNMI server.
+//! The servers are real; the time that the network takes is drawn and added.
 
 use crate::budget::CHANGES_PER_DAY;
 use crate::error::MeasureError;
 use crate::fleet::{Delays, Network, Place, Run, resident_bytes};
 use crate::limits::Limits;
-use crate::managed::{Change, Commit, ManagementServer, ManagementServers, Manager, RealFront, Rollout};
+use crate::managed::{Change, FrontCommit, ManagementServer, ManagementServers, Manager, RealFront, Rollout};
 use crate::measurement::{Measurement, Options};
 use crate::need::Need;
 use crate::progress::Progress;
@@ -20,13 +20,13 @@
 
 /// Managers that share the fronts between them: one a machine set aside for control.
 const MANAGERS: usize = 8;
-/// Changes that come at once, each with a manager of its own.
+/// Changes made at once, each by a manager of its own.
 const CONCURRENT_CHANGES: usize = 10;
 /// One front in so many is away while a change is made.
 const ABSENT_EVERY: usize = 20;
 /// How late the rig may wake.
 const MAX_LATENESS: Duration = Duration::from_millis(100);
-/// What a door takes: its store, its log, its thread.
+/// What a server takes at most: its store, its log, its thread.
 const BYTES_PER_SERVER: u64 = 4 << 20;
 const DESCRIPTORS_PER_SERVER: u64 = 10;
 const REAL_COMMITS: usize = 100;
@@ -39,7 +39,7 @@
 const COMMIT_P99: Metric = Metric::new("commit_p99", "ms");
 /// At one front, both ways.
 const COMMIT_BYTES: Metric = Metric::new("bytes_a_commit", "B");
-/// Of the door's thread and the manager's together.
+/// Of the server's thread and the manager's together.
 const COMMIT_PROCESSOR: Metric = Metric::new("processor_a_commit", "ms");
 /// Fronts that were away and have not got the change after they are back.
 const LEFT_BEHIND: Metric = Metric::new("fronts_left_behind", "1");
@@ -50,13 +50,22 @@
     options: Options,
     runtime: Runtime,
     servers: ManagementServers,
-    /// What this process held before any door was opened.
+    /// Resident bytes of this process before any server was started.
     resident: f64,
     changes: u32,
 }
 
-/// Doors with their places in the fleet.
-type Fronts = Vec<(usize, SocketAddr)>;
+/// The management server of a front.
+#[derive(Debug, Clone, Copy)]
+struct FrontAddress {
+    front: usize,
+    gnmi: SocketAddr,
+}
+
+fn addresses(servers: &[ManagementServer]) -> Vec<FrontAddress> {
+    let address = |(front, server): (usize, &ManagementServer)| FrontAddress { front, gnmi: server.gnmi };
+    servers.iter().enumerate().map(address).collect()
+}
 
 impl Configuration {
     pub fn new(options: &Options) -> Result<Self, MeasureError> {
@@ -70,7 +79,7 @@
         Ok(Configuration { options: options.clone(), runtime, servers, resident, changes: 0 })
     }
 
-    /// A change that differs from what stands.
+    /// A change that differs from what is configured.
     fn next_change(&mut self, pool: u32) -> Change {
         self.changes += 1;
         Change::Drain { pool, drained: self.changes % 2 == 1 }
@@ -78,7 +87,7 @@
 
     fn run(&mut self, size: u32, seed: u64, fresh: bool) -> Result<Vec<Sample>, MeasureError> {
         let servers = self.servers.open(size as usize)?;
-        let fronts: Fronts = servers.iter().map(|server| server.gnmi).enumerate().collect();
+        let fronts = addresses(servers);
         if fresh {
             self.runtime.block_on(roll_out_all(&fronts, MANAGERS, &Change::Pools, &Manager::default()))?;
         }
@@ -98,7 +107,7 @@
         size: u32,
         way: &str,
         managers: usize,
-        fronts: &Fronts,
+        fronts: &[FrontAddress],
         seed: u64,
     ) -> Result<Vec<Sample>, MeasureError> {
         let change = self.next_change(0);
@@ -128,15 +137,20 @@
         Ok(samples)
     }
 
-    /// Ten changes at once, each by a manager that goes to all fronts in turn.
-    fn at_once(&mut self, size: u32, fronts: &Fronts, seed: u64) -> Result<Vec<Sample>, MeasureError> {
+    /// Ten changes at once, each by a manager that commits at all fronts in turn.
+    fn at_once(
+        &mut self,
+        size: u32,
+        fronts: &[FrontAddress],
+        seed: u64,
+    ) -> Result<Vec<Sample>, MeasureError> {
         let changes: Vec<Change> =
             (0..CONCURRENT_CHANGES as u32).map(|pool| self.next_change(pool + 1)).collect();
         let watch = Watch::start(MAX_LATENESS);
         let parts = self.runtime.block_on(async {
             let mut rollouts = JoinSet::new();
             for change in changes {
-                let fronts = fronts.clone();
+                let fronts = fronts.to_vec();
                 rollouts.spawn(async move { roll_out(fronts, change, Manager::default()).await });
             }
             joined(rollouts).await
@@ -150,9 +164,8 @@
     fn away(&mut self, size: u32) -> Result<Vec<Sample>, MeasureError> {
         let change = self.next_change(0);
         let servers = self.servers.open(size as usize)?;
-        let there = |front: &usize| !front.is_multiple_of(ABSENT_EVERY);
-        let fronts: Fronts =
-            servers.iter().map(|server| server.gnmi).enumerate().filter(|(front, _)| there(front)).collect();
+        let is_present = |address: &FrontAddress| !address.front.is_multiple_of(ABSENT_EVERY);
+        let fronts: Vec<FrontAddress> = addresses(servers).into_iter().filter(is_present).collect();
         let before: Vec<u64> = servers.iter().map(version).collect();
         self.runtime.block_on(roll_out_all(&fronts, MANAGERS, &change, &Manager::default()))?;
         let servers = self.servers.open(size as usize)?;
@@ -161,9 +174,9 @@
     }
 
     /// Two managers want opposed things of one pool, and go round the fronts in opposed directions.
-    fn opposed(&mut self, size: u32, fronts: &Fronts) -> Result<Vec<Sample>, MeasureError> {
-        let backwards: Fronts = fronts.iter().rev().copied().collect();
-        let changes = [(true, fronts.clone()), (false, backwards)];
+    fn opposed(&mut self, size: u32, fronts: &[FrontAddress]) -> Result<Vec<Sample>, MeasureError> {
+        let backwards: Vec<FrontAddress> = fronts.iter().rev().copied().collect();
+        let changes = [(true, fronts.to_vec()), (false, backwards)];
         self.runtime.block_on(async {
             let mut rollouts = JoinSet::new();
             for (drained, fronts) in changes {
@@ -188,7 +201,8 @@
         let watch = Watch::start(MAX_LATENESS);
         for _ in 0..REAL_COMMITS {
             let change = self.next_change(0);
-            commits.push((0, self.runtime.block_on(manager.commit(front.gnmi, &change))?));
+            let commit = self.runtime.block_on(manager.commit(front.gnmi, &change))?;
+            commits.push(FrontCommit { front: 0, commit });
         }
         let run = run("door=real".into(), size, watch.finish().disturbed());
         let bytes = (manager.bytes.get() - before) as f64 / REAL_COMMITS as f64;
@@ -216,14 +230,14 @@
 
 /// Each manager takes every so-many-th front.
 async fn roll_out_all(
-    fronts: &Fronts,
+    fronts: &[FrontAddress],
     managers: usize,
     change: &Change,
     manager: &Manager,
-) -> Result<Vec<Vec<(usize, Commit)>>, MeasureError> {
+) -> Result<Vec<Vec<FrontCommit>>, MeasureError> {
     let mut rollouts = JoinSet::new();
     for first in 0..managers {
-        let part: Fronts = fronts.iter().skip(first).step_by(managers).copied().collect();
+        let part: Vec<FrontAddress> = fronts.iter().skip(first).step_by(managers).copied().collect();
         let (change, manager) = (change.clone(), manager.clone());
         rollouts.spawn(async move { roll_out(part, change, manager).await });
     }
@@ -231,20 +245,21 @@
 }
 
 async fn roll_out(
-    fronts: Fronts,
+    fronts: Vec<FrontAddress>,
     change: Change,
     manager: Manager,
-) -> Result<Vec<(usize, Commit)>, MeasureError> {
+) -> Result<Vec<FrontCommit>, MeasureError> {
     let mut commits = Vec::new();
-    for (front, server) in fronts {
-        commits.push((front, manager.commit(server, &change).await?));
+    for FrontAddress { front, gnmi } in fronts {
+        let commit = manager.commit(gnmi, &change).await?;
+        commits.push(FrontCommit { front, commit });
     }
     Ok(commits)
 }
 
 async fn joined(
-    mut rollouts: JoinSet<Result<Vec<(usize, Commit)>, MeasureError>>,
-) -> Result<Vec<Vec<(usize, Commit)>>, MeasureError> {
+    mut rollouts: JoinSet<Result<Vec<FrontCommit>, MeasureError>>,
+) -> Result<Vec<Vec<FrontCommit>>, MeasureError> {
     let mut parts = Vec::new();
     while let Some(part) = rollouts.join_next().await {
         parts.push(part.map_err(|cause| MeasureError::Failed(cause.to_string()))??);
@@ -253,9 +268,9 @@
 }
 
 /// When a change is in force at the fronts, with the network's time; the managers are in the first zones.
-fn in_force(run: &Run, parts: &[Vec<(usize, Commit)>], loss: u32, seed: u64) -> Vec<Sample> {
+fn in_force(run: &Run, parts: &[Vec<FrontCommit>], loss: u32, seed: u64) -> Vec<Sample> {
     let network = Network { delays: Delays::STATED, loss: f64::from(loss) / 100.0, partitioned: false };
-    let roll_out = |(number, commits): (usize, &Vec<(usize, Commit)>)| {
+    let roll_out = |(number, commits): (usize, &Vec<FrontCommit>)| {
         Rollout::over(commits, &network, Place::of(number), seed + number as u64).in_force
     };
     let mut all: Vec<f64> =
@@ -268,9 +283,8 @@
     ]
 }
 
-fn local(run: &Run, parts: &[Vec<(usize, Commit)>]) -> Vec<Sample> {
-    let mut all: Vec<f64> =
-        parts.iter().flatten().map(|(_, commit)| commit.local.as_secs_f64() * 1e3).collect();
+fn local(run: &Run, parts: &[Vec<FrontCommit>]) -> Vec<Sample> {
+    let mut all: Vec<f64> = parts.iter().flatten().map(|one| one.commit.local.as_secs_f64() * 1e3).collect();
     all.sort_by(f64::total_cmp);
     vec![run.sample(COMMIT_MEDIAN, quantile(&all, 0.5)), run.sample(COMMIT_P99, quantile(&all, 0.99))]
 }
--- a/crates/tools/scale/src/roles/connections.rs
+++ b/crates/tools/scale/src/roles/connections.rs
@@ -1,4 +1,4 @@
-//! Client connections: what each takes of a real front process while it rests, and while it only says that it lives.
+//! Client connections: what each takes of a real front process while it is idle, and while it only sends heartbeats.
 //!
 //! A front closes a connection on which nothing was said for six seconds, so the windows are shorter, and a connection
 //! that is to stay must speak. Memory is the process's resident size; buffers inside the system's kernel are not in it.
@@ -13,7 +13,7 @@
 use crate::process::{self, Figures};
 use crate::progress::Progress;
 use crate::role::Role;
-use crate::sample::{Metric, Sample, metric};
+use crate::sample::{Metric, MetricValue, Sample, metric};
 use crate::watch::Watch;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -38,7 +38,7 @@
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 /// How late the rig's own timers may be.
 const LATENESS: Duration = Duration::from_millis(50);
-/// Descriptors that a front is told for each connection wanted: clients hold a third of them.
+/// Descriptors that a front is given for each connection wanted: clients may use a third of them.
 const DESCRIPTORS_EACH: u32 = 3;
 /// Bytes that a connection takes of both processes and the kernel at most.
 const BYTES_AT_MOST: u64 = 64 * 1024;
@@ -51,7 +51,7 @@
 enum Case {
     /// Each has spoken once and says nothing more.
     Resting,
-    /// Each says that it lives, in time to stay.
+    /// Each sends heartbeats, often enough to stay open.
     Heartbeat,
     /// Resting, at a front that has the platform's 1,024 descriptors.
     Platform,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Opens connections to a real front and lets them rest.
+/// Opens connections to a real front and leaves them idle.
 pub struct Connections {
     options: Options,
 }
@@ -127,23 +127,23 @@
 }
 
 impl Run {
-    fn values(&self) -> [(Metric, f64); 6] {
+    fn values(&self) -> [MetricValue; 6] {
         let seconds = self.span.as_secs_f64();
         let processor = self.after.processor.saturating_sub(self.begun.processor).as_secs_f64();
         let wakeups = self.after.wakeups.saturating_sub(self.begun.wakeups) as f64;
         let grown = self.after.resident_bytes.saturating_sub(self.before.resident_bytes) as f64;
         [
-            (metric::MEMORY, self.after.resident_bytes as f64 / f64::from(1 << 20)),
-            (BYTES_EACH, grown / self.held.max(1) as f64),
-            (metric::DESCRIPTORS, self.after.descriptors as f64),
-            (metric::PROCESSOR, processor / seconds * 100.0),
-            (WAKEUPS, wakeups / seconds),
-            (HELD, self.held as f64),
+            metric::MEMORY.of(self.after.resident_bytes as f64 / f64::from(1 << 20)),
+            BYTES_EACH.of(grown / self.held.max(1) as f64),
+            metric::DESCRIPTORS.of(self.after.descriptors as f64),
+            metric::PROCESSOR.of(processor / seconds * 100.0),
+            WAKEUPS.of(wakeups / seconds),
+            HELD.of(self.held as f64),
         ]
     }
 
     fn samples(&self, case: Case) -> impl Iterator<Item = Sample> {
-        self.values().into_iter().map(move |(metric, value)| Sample {
+        self.values().into_iter().map(move |MetricValue { metric, value }| Sample {
             role: Role::Connections,
             case: case.name().to_string(),
             size: self.size,
@@ -194,7 +194,7 @@
     }
 }
 
-/// Says that it lives, and reads the answer; false if the connection is over.
+/// Sends a heartbeat, and reads the answer; false if the connection is over.
 fn speak(line: &mut BufReader<TcpStream>) -> bool {
     let mut answer = String::new();
     let written = line.get_mut().write_all(HEARTBEAT_LINE);
--- a/crates/tools/scale/src/roles/control_machines.rs
+++ b/crates/tools/scale/src/roles/control_machines.rs
@@ -1,5 +1,5 @@
-//! The machines set aside for control: what each of 3, 5 or 7 voters carries, and what happens with two of them gone.
-//! The fleet allows up to seven voters, so of eight machines one stands by.
+//! The machines set aside for control: what each of 3, 5 or 7 voters carries, and what happens with two of them lost.
+//! The fleet allows up to seven voters, so of eight machines one is spare.
 
 use super::failure_detector::fits;
 use super::leases::{full_fleet, max_seconds, voter_samples, with_quota_slots};
@@ -25,7 +25,7 @@
 const PREEMPTED: f64 = 0.6;
 
 const ALL: [Kind; 4] = [Kind::FailureDetector, Kind::Leases, Kind::Registers, Kind::Reports];
-/// With two voters gone.
+/// With two voters lost.
 const HELD: Metric = Metric::new("seats_held", "%");
 const HOLDERS: Metric = Metric::new("task_holders", "1");
 
@@ -49,7 +49,7 @@
         let voter = Meter::start(&simulation, 0..voters, &ALL);
         simulation.run_for(span);
         let memory = (resident_bytes()? - self.resident).max(0.0) / f64::from(size) / 1e6;
-        let disturbed = preemption.finish().1.disturbed();
+        let disturbed = preemption.finish().lateness.disturbed();
         let run = Run { role: Role::ControlMachines, case: format!("voters={voters}"), size, disturbed };
         let mut samples = run.cost(&front.finish(&simulation));
         samples.extend(voter_samples(&run, &voter.finish(&simulation)));
--- a/crates/tools/scale/src/roles/decision.rs
+++ b/crates/tools/scale/src/roles/decision.rs
@@ -15,7 +15,7 @@
 use crate::process::{allocated_bytes, thread_time};
 use crate::progress::Progress;
 use crate::role::Role;
-use crate::sample::{Metric, Sample, metric};
+use crate::sample::{Metric, MetricValue, Sample, metric};
 use crate::watch::Preemption;
 use driver::{GatewayDriver, LoadReports, TABLE_GROUPS, TICK, Traffic};
 use std::time::Duration;
@@ -25,7 +25,7 @@
 /// The longest tick: what everything else on the front's one core waits for.
 pub const MAX_TICK: Metric = Metric::new("longest_tick", "ms");
 /// Processor time beyond the usual that the replacement of one engine costs, until every table group was asked of.
-/// Only in the case that is steady enough to tell.
+/// Only in the case that is steady enough.
 pub const LIST_CHANGE: Metric = Metric::new("list_change", "ms");
 /// Requests held, on the average over the run.
 pub const HELD: Metric = Metric::new("held", "requests");
@@ -98,10 +98,10 @@
             window.add(spent, driver.arrived() - arrived, driver.held());
         }
         let list_change = (load_reports == LoadReports::AllFresh && held == 0).then(|| {
-            let (spent, ticks) = driver.replace_one();
-            spent.saturating_sub(window.processor * ticks / window.ticks)
+            let cost = driver.replace_one();
+            cost.processor.saturating_sub(window.processor * cost.ticks / window.ticks)
         });
-        let (_, lateness) = preemption.finish();
+        let lateness = preemption.finish().lateness;
         let before = allocated_bytes();
         drop(driver);
         let bytes = before.saturating_sub(allocated_bytes());
@@ -147,7 +147,7 @@
 
 impl Run {
     fn samples(&self, case: &str, engines: u32) -> impl Iterator<Item = Sample> {
-        self.values().into_iter().map(move |(metric, value)| Sample {
+        self.values().into_iter().map(move |MetricValue { metric, value }| Sample {
             role: Role::Decision,
             case: case.to_string(),
             size: engines,
@@ -157,18 +157,18 @@
         })
     }
 
-    fn values(&self) -> Vec<(Metric, f64)> {
+    fn values(&self) -> Vec<MetricValue> {
         let window = &self.window;
         let (seconds, arrived) = (window.processor.as_secs_f64(), window.arrived.max(1) as f64);
         let virtual_seconds = (TICK * window.ticks).as_secs_f64();
         let mut values = vec![
-            (DECISION, seconds / arrived * 1e6),
-            (metric::PROCESSOR, seconds / virtual_seconds * 100.0),
-            (metric::MEMORY, self.bytes as f64 / f64::from(1 << 20)),
-            (MAX_TICK, window.longest.as_secs_f64() * 1e3),
-            (HELD, window.held as f64 / f64::from(window.ticks)),
+            DECISION.of(seconds / arrived * 1e6),
+            metric::PROCESSOR.of(seconds / virtual_seconds * 100.0),
+            metric::MEMORY.of(self.bytes as f64 / f64::from(1 << 20)),
+            MAX_TICK.of(window.longest.as_secs_f64() * 1e3),
+            HELD.of(window.held as f64 / f64::from(window.ticks)),
         ];
-        values.extend(self.list_change.map(|spent| (LIST_CHANGE, spent.as_secs_f64() * 1e3)));
+        values.extend(self.list_change.map(|spent| LIST_CHANGE.of(spent.as_secs_f64() * 1e3)));
         values
     }
 }
--- a/crates/tools/scale/src/roles/decision/driver.rs
+++ b/crates/tools/scale/src/roles/decision/driver.rs
@@ -1,4 +1,4 @@
-//! A host of one gateway in virtual time: requests at a steady rate, engines that answer, probes that are answered.
+//! Drives one gateway in virtual time: requests at a steady rate, engines that answer, probes that are answered.
 
 use crate::budget;
 use crate::process::thread_time;
@@ -42,13 +42,13 @@
 /// Busy cores that engines report: from, and up to.
 const BUSY: std::ops::Range<f64> = 0.15..0.35;
 
-/// How engines tell of their load.
+/// How engines report their load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadReports {
     Never,
     WithResponses,
     WithProbes,
-    /// With answers, and all engines have told just before the measurement: the best case, as an engine to which
+    /// With responses, and all engines have reported just before the measurement: the best case, as an engine to which
     /// nothing was sent lately has no report that counts.
     AllFresh,
 }
@@ -73,14 +73,23 @@
     pub seed: u64,
 }
 
-/// One gateway and the world around it.
+/// What the replacement of an engine cost.
+#[derive(Debug, Clone, Copy)]
+pub struct ReplacementCost {
+    /// Processor time of the gateway.
+    pub processor: Duration,
+    /// Ticks that it was counted over.
+    pub ticks: u32,
+}
+
+/// One gateway, with its clients and engines.
 pub struct GatewayDriver {
     traffic: Traffic,
     gateway: Gateway,
     rng: StdRng,
     now: Duration,
     tick: u64,
-    /// Arrivals due that are not yet whole.
+    /// Arrivals due, with the fraction of the next one.
     due: f64,
     arrived: u64,
     waiting: BTreeSet<RequestId>,
@@ -133,19 +142,19 @@
         }
     }
 
-    /// One engine goes and another comes. Yields the processor time until each table group was asked of once, and
+    /// One engine is replaced by another. Returns the processor time until each table group was asked of once, and
     /// the ticks that took.
-    pub fn replace_one(&mut self) -> (Duration, u32) {
+    pub fn replace_one(&mut self) -> ReplacementCost {
         let removed = EngineEntry { state: EngineState::Removed, ..entry(0) };
         let changes = Event::Endpoints(EndpointUpdateKind::Delta, vec![removed, entry(self.traffic.engines)]);
         let begun = thread_time();
         self.gateway.handle_event(self.now, changes);
         let list_time = thread_time().saturating_sub(begun);
         let ticks: Duration = (0..SETTLE_TICKS).map(|_| self.tick()).sum();
-        (list_time + ticks, SETTLE_TICKS as u32)
+        ReplacementCost { processor: list_time + ticks, ticks: SETTLE_TICKS as u32 }
     }
 
-    /// One tick: answers and arrivals are heard, the gateway decides, its actions are carried out. Yields the
+    /// One tick: responses and arrivals are handled, the gateway decides, its actions are executed. Returns the
     /// processor time that the gateway took.
     pub fn tick(&mut self) -> Duration {
         self.tick += 1;
--- a/crates/tools/scale/src/roles/decision/real.rs
+++ b/crates/tools/scale/src/roles/decision/real.rs
@@ -1,15 +1,16 @@
 //! The same rate at a real front process, with engines and clients over loopback: what of it is served.
 
 use crate::budget;
-use crate::channel::{Channel, Entry, ListUpdate, State};
+use crate::channel::{Entry, ListUpdate, State};
 use crate::clients::Clients;
+use crate::connected_front::ConnectedFront;
 use crate::engine::Engines;
 use crate::error::MeasureError;
-use crate::front::{self, Front, FrontOptions, io};
+use crate::front::io;
 use crate::measurement::Options;
 use crate::process;
 use crate::role::Role;
-use crate::sample::{Metric, Sample, metric};
+use crate::sample::{Metric, MetricValue, Sample, metric};
 use crate::watch::Watch;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -18,7 +19,7 @@
 pub const SERVED: Metric = Metric::new("served", "1/s");
 
 pub const CASE: &str = "real front, reports=when-probed";
-/// So many clients that rest for so long offer 2,885 requests a second if each is answered within 2 ms.
+/// So many clients that pause for so long offer 2,885 requests a second if each is answered within 2 ms.
 const CLIENTS: u64 = 64;
 const CLIENT_PAUSE: Duration = Duration::from_millis(20);
 /// Before the front is watched.
@@ -27,7 +28,6 @@
 const QUICK: Duration = Duration::from_millis(300);
 /// How late the rig's own timers may be.
 const LATENESS: Duration = Duration::from_millis(50);
-const MAX_START_TIME: Duration = Duration::from_secs(10);
 const STEP: Duration = Duration::from_millis(2);
 
 fn list(engines: u32, engines_listener: &Engines) -> ListUpdate {
@@ -40,27 +40,9 @@
     ListUpdate::Full((0..engines).map(entry).collect())
 }
 
-fn start(options: &Options) -> Result<(Channel, Front), MeasureError> {
-    let channel = Channel::start().map_err(io("the command channel"))?;
-    let front_options = FrontOptions {
-        channel: channel.address,
-        descriptors: budget::FRONT_DESCRIPTORS as u32,
-        memory_mb: budget::FRONT_MEMORY_MB as u32,
-    };
-    let front = Front::start(&front::program(options.front.as_deref())?, &front_options)?;
-    let begun = Instant::now();
-    while channel.fronts() == 0 {
-        if begun.elapsed() > MAX_START_TIME {
-            return Err(MeasureError::Failed("the front never asked for the list".into()));
-        }
-        thread::sleep(STEP);
-    }
-    Ok((channel, front))
-}
-
 /// One run at a front of the platform's size.
 pub fn run(engines: u32, options: &Options) -> Result<Vec<Sample>, MeasureError> {
-    let (channel, front) = start(options)?;
+    let ConnectedFront { channel, front } = ConnectedFront::start(options, STEP)?;
     let engines_listener = Engines::start().map_err(io("an engine's listener"))?;
     channel.publish(&list(engines, &engines_listener));
     let clients = Clients::start(front.address, CLIENTS, CLIENT_PAUSE);
@@ -74,12 +56,12 @@
     drop(clients);
     let processor = after.processor.saturating_sub(before.processor).as_secs_f64();
     let values = [
-        (SERVED, served),
-        (metric::PROCESSOR, processor / span * 100.0),
-        (metric::MEMORY, after.resident_bytes as f64 / f64::from(1 << 20)),
-        (metric::DESCRIPTORS, after.descriptors as f64),
+        SERVED.of(served),
+        metric::PROCESSOR.of(processor / span * 100.0),
+        metric::MEMORY.of(after.resident_bytes as f64 / f64::from(1 << 20)),
+        metric::DESCRIPTORS.of(after.descriptors as f64),
     ];
-    let sample = |(metric, value)| Sample {
+    let sample = |MetricValue { metric, value }| Sample {
         role: Role::Decision,
         case: CASE.to_string(),
         size: engines,
--- a/crates/tools/scale/src/roles/discovery.rs
+++ b/crates/tools/scale/src/roles/discovery.rs
@@ -1,20 +1,21 @@
 //! Discovery: what the list of engines and its changes take of a real front process, and how long until it acts upon
-//! them. Engines of three kinds of address tell where requests go: those that stay, those of a zone that is lost, and
+//! them. Engines of three kinds of address tell where requests go: those that stay, those of a zone that is removed, and
 //! those that replace it.
 
 use crate::budget;
-use crate::channel::{Channel, Entry, FRAME_HEADER_BYTES, ListUpdate, RECORD_BYTES, State};
+use crate::channel::{Entry, FRAME_HEADER_BYTES, ListUpdate, RECORD_BYTES, State};
 use crate::clients::Clients;
+use crate::connected_front::ConnectedFront;
 use crate::engine::Engines;
 use crate::error::MeasureError;
-use crate::front::{self, Front, FrontOptions, io};
+use crate::front::io;
 use crate::limits::Limits;
 use crate::measurement::{Measurement, Options};
 use crate::need::Need;
 use crate::process;
 use crate::progress::Progress;
 use crate::role::Role;
-use crate::sample::{Metric, Sample, metric};
+use crate::sample::{Metric, MetricValue, Sample, metric};
 use crate::watch::Watch;
 use std::net::SocketAddrV4;
 use std::thread;
@@ -28,9 +29,9 @@
 pub const ZONE_PROCESSOR: Metric = Metric::new("zone_replaced_processor", "ms");
 /// From the writing of the frame until a request has reached an engine of the list.
 pub const LIST_USED: Metric = Metric::new("whole_list_used", "ms");
-/// From the writing of the frame until the last request has reached an engine that it takes away.
+/// From the writing of the frame until the last request has reached an engine that it removes.
 pub const ZONE_LEFT: Metric = Metric::new("zone_left", "ms");
-/// From the writing of the frame until a request has reached an engine that it brings.
+/// From the writing of the frame until a request has reached an engine that it adds.
 pub const ZONE_USED: Metric = Metric::new("zone_used", "ms");
 
 /// The zone that is replaced.
@@ -61,7 +62,7 @@
     options: Options,
 }
 
-/// Listeners that stand for the engines.
+/// Listeners in place of the engines.
 struct Listeners {
     staying: Engines,
     leaving: Engines,
@@ -91,7 +92,7 @@
     ListUpdate::Full(list.collect())
 }
 
-/// All engines of the zone go, and as many come.
+/// All engines of the zone are replaced by as many new ones.
 fn zone_replacement(engines: u32, listeners: &Listeners) -> ListUpdate {
     let of_zone = || (0..engines).filter(|id| zone(*id) == ZONE);
     let removed = of_zone().map(|id| entry(id, listeners.leaving.address, State::Removed));
@@ -118,28 +119,16 @@
         if self.options.quick { usual.min(QUICK) } else { usual }
     }
 
-    fn start(&self) -> Result<(Channel, Front), MeasureError> {
-        let channel = Channel::start().map_err(io("the command channel"))?;
-        let published_at = FrontOptions {
-            channel: channel.address,
-            descriptors: budget::FRONT_DESCRIPTORS as u32,
-            memory_mb: budget::FRONT_MEMORY_MB as u32,
-        };
-        let front = Front::start(&front::program(self.options.front.as_deref())?, &published_at)?;
-        wait(|| channel.fronts() > 0, "the front never asked for the list")?;
-        Ok((channel, front))
-    }
-
     /// Without clients: what the front's own work takes.
-    fn measure_idle(&self, engines: u32) -> Result<Vec<(Metric, f64)>, MeasureError> {
-        let (channel, front) = self.start()?;
+    fn measure_idle(&self, engines: u32) -> Result<Vec<MetricValue>, MeasureError> {
+        let ConnectedFront { channel, front } = ConnectedFront::start(&self.options, STEP)?;
         let listeners = Listeners::start()?;
         let span = self.span(SETTLE);
         thread::sleep(span);
         let empty = process::of(front.pid())?;
-        let spent = |news: ListUpdate| -> Result<(usize, f64), MeasureError> {
+        let spent = |update: ListUpdate| -> Result<(usize, f64), MeasureError> {
             let before = process::of(front.pid())?.processor;
-            let bytes = channel.publish(&news);
+            let bytes = channel.publish(&update);
             thread::sleep(span);
             let after = process::of(front.pid())?.processor;
             Ok((bytes, milliseconds(after.saturating_sub(before))))
@@ -151,24 +140,24 @@
         thread::sleep(self.span(IDLE));
         let measure_idle = process::of(front.pid())?.processor.saturating_sub(before.1).as_secs_f64();
         let rate = measure_idle / before.0.elapsed().as_secs_f64();
-        // The front's own work goes on while it takes a list up.
+        // The front's own work goes on while it applies a list.
         let own = rate * milliseconds(span);
         let grown = full.resident_bytes.saturating_sub(empty.resident_bytes) as f64;
         Ok(vec![
-            (metric::PROCESSOR, rate * 100.0),
-            (metric::MEMORY, full.resident_bytes as f64 / f64::from(1 << 20)),
-            (metric::STATE, grown),
-            (metric::BYTES_CONTROL, bytes_per_second()),
-            (LIST_BYTES, list_bytes as f64),
-            (LIST_PROCESSOR, (list_processor - own).max(0.0)),
-            (ZONE_BYTES, zone_bytes as f64),
-            (ZONE_PROCESSOR, (zone_processor - own).max(0.0)),
+            metric::PROCESSOR.of(rate * 100.0),
+            metric::MEMORY.of(full.resident_bytes as f64 / f64::from(1 << 20)),
+            metric::STATE.of(grown),
+            metric::BYTES_CONTROL.of(bytes_per_second()),
+            LIST_BYTES.of(list_bytes as f64),
+            LIST_PROCESSOR.of((list_processor - own).max(0.0)),
+            ZONE_BYTES.of(zone_bytes as f64),
+            ZONE_PROCESSOR.of((zone_processor - own).max(0.0)),
         ])
     }
 
     /// With clients that ask all the time: how long until requests go where the list says.
-    fn measure_reaction(&self, engines: u32) -> Result<Vec<(Metric, f64)>, MeasureError> {
-        let (channel, front) = self.start()?;
+    fn measure_reaction(&self, engines: u32) -> Result<Vec<MetricValue>, MeasureError> {
+        let ConnectedFront { channel, front } = ConnectedFront::start(&self.options, STEP)?;
         let listeners = Listeners::start()?;
         let clients = Clients::start(front.address, CLIENTS, CLIENT_PAUSE);
         thread::sleep(self.span(SETTLE));
@@ -189,9 +178,9 @@
             (since(listeners.leaving.received().last), since(listeners.joining.received().first));
         drop(clients);
         Ok(vec![
-            (LIST_USED, milliseconds(list_used)),
-            (ZONE_LEFT, milliseconds(left)),
-            (ZONE_USED, milliseconds(used)),
+            LIST_USED.of(milliseconds(list_used)),
+            ZONE_LEFT.of(milliseconds(left)),
+            ZONE_USED.of(milliseconds(used)),
         ])
     }
 
@@ -200,7 +189,7 @@
         let mut values = self.measure_idle(size)?;
         values.extend(self.measure_reaction(size)?);
         let disturbed = watch.finish().disturbed();
-        let samples = values.into_iter().map(|(metric, value)| Sample {
+        let samples = values.into_iter().map(|MetricValue { metric, value }| Sample {
             role: Role::Discovery,
             case: String::new(),
             size,
--- a/crates/tools/scale/src/roles/failure_detector.rs
+++ b/crates/tools/scale/src/roles/failure_detector.rs
@@ -1,4 +1,4 @@
-//! The failure detector: what it costs each front, and how often it tells a live front as gone.
+//! The failure detector: what it costs each front, and how often it reports a live front as lost.
 
 use crate::error::MeasureError;
 use crate::fleet::{Meter, Run, Setup, Simulation, resident_bytes};
@@ -24,11 +24,11 @@
 const BYTES_PER_FRONT: u64 = 64 * 1024;
 const BYTES_PER_PAIR: u64 = 512;
 
-/// Fronts that a front told as gone though they were there.
+/// Fronts that a front reported as lost though they were alive.
 const FALSE_ALARMS: Metric = Metric::new("false_alarms_a_front", "1/h");
 /// Other fronts that a front sees, of all that there are.
 const SEEN: Metric = Metric::new("members_seen", "%");
-/// Of the front that sent and heard the most.
+/// Of the front that sent and received the most.
 const BYTES_MOST: Metric = Metric::new("bytes_busiest_front", "B/s");
 
 pub struct FailureDetector {
@@ -52,7 +52,7 @@
         simulation.run_for(span);
         let cost = meter.finish(&simulation);
         let memory = (resident_bytes()? - self.resident).max(0.0) / f64::from(size) / 1e6;
-        let (_, lateness) = preemption.finish();
+        let lateness = preemption.finish().lateness;
         let run = Run {
             role: Role::FailureDetector,
             case: format!("loss={loss}"),
--- a/crates/tools/scale/src/roles/leases.rs
+++ b/crates/tools/scale/src/roles/leases.rs
@@ -1,4 +1,4 @@
-//! Leases, seats and registers: what they cost each front and a voter, and how long their events last.
+//! Leases, quota slots and registers: what they cost each front and a voter, and how long their events last.
 
 use super::failure_detector::{LOSSES, fits};
 use crate::error::MeasureError;
@@ -24,7 +24,7 @@
 /// One thread can drive so many hollow fronts over loopback, and may be late by so much.
 const MAX_LOOPBACK_FRONTS: u32 = 40;
 const MAX_LATENESS: Duration = Duration::from_millis(100);
-/// Losses of a holder, each way.
+/// Losses of a lease holder, each way.
 const TRIALS: usize = 10;
 /// The rig's thread may be off its core for this share of the time.
 const PREEMPTED: f64 = 0.6;
@@ -64,13 +64,13 @@
     resident: f64,
 }
 
-/// A fleet with all that fronts have: seats, a task, and every register.
+/// A fleet with all that fronts have: quota slots, a task, and every register.
 pub fn full_fleet(fronts: usize, voters: usize, loss: u32, seed: u64) -> Setup {
     let setup = Setup::detector(fronts, f64::from(loss) / 100.0, seed);
     Setup { voters, quota_slots: true, task: true, registers: Registers::ZonesAndWorks, ..setup }
 }
 
-/// A fleet with seats and a task, and no register.
+/// A fleet with quota slots and a task, and no register.
 pub fn with_quota_slots(fronts: usize, voters: usize, loss: u32, seed: u64) -> Setup {
     Setup { registers: Registers::None, ..full_fleet(fronts, voters, loss, seed) }
 }
@@ -103,7 +103,7 @@
         });
         simulation.run_for(span);
         let memory = (resident_bytes()? - self.resident).max(0.0) / f64::from(size) / 1e6;
-        let disturbed = preemption.finish().1.disturbed();
+        let disturbed = preemption.finish().lateness.disturbed();
         let mut samples = Vec::new();
         for (part, front, voter) in meters {
             let run = self.run(format!("part={part},loss={loss}"), size, disturbed);
--- a/crates/tools/scale/src/roles/maintenance.rs
+++ b/crates/tools/scale/src/roles/maintenance.rs
@@ -1,4 +1,4 @@
-//! Site loss and maintenance in virtual time: what one front tells, what the holder of each lease computes. All
+//! Site loss and maintenance in virtual time: what one front reports, what the coordinators compute. All
 //! fronts, zones and voters' answers are played in one process; registers answer at once, so that only computing is
 //! counted.
 
@@ -13,11 +13,11 @@
 use crate::process::{allocated_bytes, thread_time};
 use crate::progress::Progress;
 use crate::role::Role;
-use crate::sample::{Metric, Sample, metric};
+use crate::sample::{Metric, MetricValue, Sample, metric};
 use crate::watch::Preemption;
 use std::time::Duration;
 
-/// The longest single turn.
+/// The longest single poll.
 pub const MAX_POLL: Metric = Metric::new("longest_turn", "ms");
 /// One front's report, as encoded.
 pub const REPORT: Metric = Metric::new("report", "B");
@@ -26,7 +26,7 @@
 /// From a request until its last machine is done, with machines worked on for no time at all.
 pub const DONE_AFTER: Metric = Metric::new("done_after", "s");
 
-/// How often all parts have a turn.
+/// Time between two polls of each part.
 const PERIOD: Duration = Duration::from_millis(500);
 /// Of the wall time, the most that a run may be kept off its core.
 const PREEMPTED_SHARE: f64 = 0.25;
@@ -37,7 +37,7 @@
 /// The part of all cores that the demand fills.
 const UTILIZATION: f64 = 0.5;
 
-/// Where a machine stands.
+/// The zone of a machine.
 fn zone(machine: u32) -> u32 {
     machine % budget::ZONES
 }
@@ -45,11 +45,11 @@
 /// The parts that are measured by themselves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Case {
-    /// Any front: it watches all machines and tells each period.
+    /// Any front: it observes all machines and reports each period.
     Front,
-    /// The holder of the plan for lost zones: it hears all fronts and plans; a zone is lost on the way.
+    /// The coordinator of zone failover: it gets all reports and plans; a zone is lost on the way.
     Planner,
-    /// The holder of maintenance: a full request is worked off.
+    /// The maintenance coordinator: a full request is worked off.
     Maintenance,
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// Processor time of the turns of one part.
+/// Processor time of the polls of one part.
 #[derive(Debug, Default)]
 struct PollTimes {
     count: u32,
@@ -74,7 +74,7 @@
 }
 
 impl PollTimes {
-    /// Runs one turn and counts its time.
+    /// Runs one poll and counts its time.
     fn time<T>(&mut self, poll: impl FnOnce() -> T) -> T {
         let begun = thread_time();
         let result = poll();
@@ -85,7 +85,7 @@
         result
     }
 
-    /// Percent of a core, with one turn a period.
+    /// Percent of a core, with one poll a period.
     fn percent(&self) -> f64 {
         self.sum.as_secs_f64() / (PERIOD * self.count.max(1)).as_secs_f64() * 100.0
     }
@@ -96,11 +96,11 @@
     poll_times: PollTimes,
     /// Heap of the part that is measured.
     bytes: usize,
-    /// What else there is to tell.
-    more: Vec<(Metric, f64)>,
+    /// Other metrics.
+    more: Vec<MetricValue>,
 }
 
-/// Drops what is measured, and yields how much of the heap that gives back.
+/// Drops what is measured; returns how much of the heap that frees.
 fn bytes_of<T>(part: T) -> usize {
     let before = allocated_bytes();
     drop(part);
@@ -124,14 +124,14 @@
             Case::Planner => zones::planner(size)?,
             Case::Maintenance => machines::request(size, self.options.quick)?,
         };
-        let (_, lateness) = preemption.finish();
+        let lateness = preemption.finish().lateness;
         let mut values = vec![
-            (metric::PROCESSOR, result.poll_times.percent()),
-            (MAX_POLL, result.poll_times.longest.as_secs_f64() * 1e3),
-            (metric::MEMORY, result.bytes as f64 / f64::from(1 << 20)),
+            metric::PROCESSOR.of(result.poll_times.percent()),
+            MAX_POLL.of(result.poll_times.longest.as_secs_f64() * 1e3),
+            metric::MEMORY.of(result.bytes as f64 / f64::from(1 << 20)),
         ];
         values.extend(result.more);
-        let samples = values.into_iter().map(|(metric, value)| Sample {
+        let samples = values.into_iter().map(|MetricValue { metric, value }| Sample {
             role: Role::Maintenance,
             case: case.name().to_string(),
             size,
--- a/crates/tools/scale/src/roles/maintenance/machines.rs
+++ b/crates/tools/scale/src/roles/maintenance/machines.rs
@@ -1,4 +1,4 @@
-//! Machines taken out for work: one full request is worked off by the holder of the lease, with every front letting go
+//! Machines taken out for maintenance: one full request is worked off by the coordinator, with every front confirming
 //! within a period.
 
 use super::{CORES, CaseResult, DONE_AFTER, PERIOD, PollTimes, bytes_of, zone, zones};
@@ -41,7 +41,7 @@
     FleetCapacity { machines: (0..machines).map(entry).collect(), classes: zones::classes(machines) }
 }
 
-/// The register of the request: what stands there, and under which stamp.
+/// The register of the request: what is committed, and its version.
 struct Register {
     version: EntryVersion,
     request: MaintenanceRequest,
@@ -65,9 +65,9 @@
 
 /// Works off one request as large as a register holds.
 pub fn request(machines: u32, quick: bool) -> Result<CaseResult, MeasureError> {
-    let asked = if quick { QUICK_MACHINES } else { MAX_MACHINES }.min(machines as usize);
+    let machine_count = if quick { QUICK_MACHINES } else { MAX_MACHINES }.min(machines as usize);
     let wanted: Vec<Machine> =
-        (0..machines).step_by((machines as usize / asked).max(1)).take(asked).collect();
+        (0..machines).step_by((machines as usize / machine_count).max(1)).take(machine_count).collect();
     let request = MaintenanceRequest::new("operator", 0, MAX_CONCURRENT, MAX_OUTAGE_S, &wanted);
     let mut register = Register { version: EntryVersion { epoch: 1, counter: 1 }, request };
     let (config, view) = (config(), FleetView { capacity: fleet(machines), ..FleetView::default() });
@@ -75,14 +75,14 @@
     coordinator.set_lease(Some(1));
     let (mut poll_times, mut now) = (PollTimes::default(), Duration::ZERO);
     let fronts: Vec<String> = (0..budget::FRONTS).map(name).collect();
-    for _ in 0..asked * MAX_POLLS_PER_MACHINE {
+    for _ in 0..machine_count * MAX_POLLS_PER_MACHINE {
         now += PERIOD;
         poll_times.time(|| {
             confirm_drains(&mut coordinator, &register, &fronts);
             poll_coordinator(&mut coordinator, &mut register, now, &config, &view);
         });
         if register.request.is_over() {
-            let more = vec![(DONE_AFTER, now.as_secs_f64())];
+            let more = vec![DONE_AFTER.of(now.as_secs_f64())];
             return Ok(CaseResult { poll_times, bytes: bytes_of((coordinator, view)), more });
         }
         return_machines(&mut coordinator, &mut register, now);
@@ -90,7 +90,7 @@
     Err(MeasureError::Failed("the request was never worked off".into()))
 }
 
-/// Every front says each period what it has let go.
+/// Every front confirms all drains each period.
 fn confirm_drains(coordinator: &mut MaintenanceCoordinator, register: &Register, fronts: &[String]) {
     let draining = register.machines(|phase| phase == Phase::Draining);
     let confirmation = |machine| DrainConfirmation { request: REGISTER, version: register.version, machine };
@@ -98,7 +98,7 @@
     fronts.iter().for_each(|front| coordinator.handle_confirmations(front, &confirmations));
 }
 
-/// One period of the holder: all reads are answered at once, and one change settled.
+/// One period of the coordinator: all reads are answered at once, and one change committed.
 fn poll_coordinator(
     coordinator: &mut MaintenanceCoordinator,
     register: &mut Register,
--- a/crates/tools/scale/src/roles/maintenance/zones.rs
+++ b/crates/tools/scale/src/roles/maintenance/zones.rs
@@ -1,4 +1,4 @@
-//! The loss of a zone: one front's watch over all machines, and the holder that hears all fronts.
+//! The loss of a zone: one front's observation of all machines, and the coordinator that gets all reports.
 
 use super::{CORES, CaseResult, PERIOD, PLANNED_AFTER, PollTimes, REPORT, UTILIZATION, bytes_of, zone};
 use crate::budget;
@@ -53,7 +53,7 @@
     WORK_S.into_iter().map(class).collect()
 }
 
-/// A front that hears from every machine in every period.
+/// A front that every machine answers in every period.
 pub fn front(machines: u32, quick: bool) -> Result<CaseResult, MeasureError> {
     let mut observer = Observer::new(Duration::ZERO, 0, classes(machines));
     (0..machines).for_each(|machine| observer.update_engine(machine, zone(machine), CORES, true));
@@ -78,7 +78,7 @@
         });
         bytes = postcard::to_allocvec(&report).map_or(0, |encoded| encoded.len());
     }
-    Ok(CaseResult { poll_times, bytes: bytes_of(observer), more: vec![(REPORT, bytes as f64)] })
+    Ok(CaseResult { poll_times, bytes: bytes_of(observer), more: vec![REPORT.of(bytes as f64)] })
 }
 
 /// What a front sees of one zone.
@@ -109,7 +109,7 @@
     }
 }
 
-/// The holder of the lease over a fleet of the design size, until it has planned the loss of a zone.
+/// The coordinator of a fleet of the design size, until it has planned the loss of a zone.
 pub fn planner(machines: u32) -> Result<CaseResult, MeasureError> {
     let mut coordinator = Coordinator::new(1, classes(machines));
     coordinator.set_lease(Some(1));
@@ -117,7 +117,7 @@
     for period in 0..STEADY_PERIODS + MAX_PERIODS {
         now += PERIOD;
         let lost = (period >= STEADY_PERIODS).then_some(LOST);
-        // Who stood in the lost zone is not heard any more.
+        // The fronts of the lost zone don't report any more.
         let reporting = (0..budget::FRONTS).filter(|front| lost != Some(front % budget::ZONES));
         let reports: Vec<(u32, FrontReport)> =
             reporting.map(|front| (front, report(front, machines, lost))).collect();
@@ -133,7 +133,7 @@
                 version += 1;
                 if closes(&plan) {
                     let after = PERIOD * (period + 1 - STEADY_PERIODS);
-                    let more = vec![(PLANNED_AFTER, after.as_secs_f64())];
+                    let more = vec![PLANNED_AFTER.of(after.as_secs_f64())];
                     return Ok(CaseResult { poll_times, bytes: bytes_of(coordinator), more });
                 }
                 coordinator.handle_committed(
--- a/crates/tools/scale/src/sample.rs
+++ b/crates/tools/scale/src/sample.rs
@@ -8,8 +8,10 @@
 /// A quantity that roles are measured in, with its unit.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Metric {
+    /// As it stands in CSV files.
     #[serde(rename = "metric")]
     pub name: Cow<'static, str>,
+    /// As it stands in CSV files.
     pub unit: Cow<'static, str>,
 }
 
@@ -19,22 +21,43 @@
         Metric { name: Cow::Borrowed(name), unit: Cow::Borrowed(unit) }
     }
 
+    /// A value of this metric.
+    pub fn of(self, value: f64) -> MetricValue {
+        MetricValue { metric: self, value }
+    }
+
     /// Name and unit; a plain count has the unit `1`, which is left out.
     pub fn title(&self) -> String {
         if self.unit == "1" { self.name.to_string() } else { format!("{}, {}", self.name, self.unit) }
     }
 }
 
+/// A value of a metric, before it is known of which role and size.
+#[derive(Debug, Clone, PartialEq)]
+pub struct MetricValue {
+    /// The metric.
+    pub metric: Metric,
+    /// In the metric's unit.
+    pub value: f64,
+}
+
 /// The metrics that more than one role uses, or that a budget names.
 pub mod metric {
     use super::Metric;
 
+    /// Processor time.
     pub const PROCESSOR: Metric = Metric::new("processor", "% of a core");
+    /// Resident or allocated memory.
     pub const MEMORY: Metric = Metric::new("memory", "MB");
+    /// Bytes of a state machine's state.
     pub const STATE: Metric = Metric::new("state", "B");
+    /// Messages received.
     pub const MESSAGES_IN: Metric = Metric::new("messages_in", "1/s");
+    /// Messages sent.
     pub const MESSAGES_OUT: Metric = Metric::new("messages_out", "1/s");
+    /// Bytes received.
     pub const BYTES_IN: Metric = Metric::new("bytes_in", "B/s");
+    /// Bytes sent.
     pub const BYTES_OUT: Metric = Metric::new("bytes_out", "B/s");
     /// Bytes a second in and out together; what the budget for control names.
     pub const BYTES_CONTROL: Metric = Metric::new("bytes_control", "B/s");
@@ -42,19 +65,24 @@
     pub const IN_FORCE: Metric = Metric::new("in_force_slowest", "s");
     /// From the loss of a task's holder until another one works.
     pub const REPLACEMENT: Metric = Metric::new("replacement", "s");
+    /// Open descriptors.
     pub const DESCRIPTORS: Metric = Metric::new("descriptors", "1");
+    /// A span of time.
     pub const TIME: Metric = Metric::new("time", "ms");
 }
 
 /// One measured value.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Sample {
+    /// The role that was measured.
     pub role: Role,
     /// What else was held fixed, such as `loss=20`; empty if there is only one case.
     pub case: String,
     /// The size along the role's [`crate::role::Axis`].
     pub size: u32,
+    /// What was measured.
     pub metric: Metric,
+    /// In the metric's unit.
     pub value: f64,
     /// The measurement's own lateness passed its bound: not used for a fit.
     pub disturbed: bool,
@@ -63,12 +91,30 @@
 /// A CSV file that can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
+    /// It is no CSV file of samples.
     #[error("{path}: {cause}")]
-    Csv { path: String, cause: csv::Error },
+    Csv {
+        /// The file.
+        path: String,
+        /// What failed.
+        cause: csv::Error,
+    },
+    /// It can't be written.
     #[error("{path}: {cause}")]
-    Io { path: String, cause: std::io::Error },
+    Io {
+        /// The file.
+        path: String,
+        /// What failed.
+        cause: std::io::Error,
+    },
+    /// A value is infinite or no number.
     #[error("{path}: line {line}: the value is not a finite number")]
-    NotFinite { path: String, line: usize },
+    NotFinite {
+        /// The file.
+        path: String,
+        /// Counted from 1, the header among them.
+        line: usize,
+    },
 }
 
 /// A line of a CSV file. Flat, since the format knows no nested values.
--- a/crates/tools/scale/src/series.rs
+++ b/crates/tools/scale/src/series.rs
@@ -12,9 +12,13 @@
 /// All samples of one metric of a role in one case.
 #[derive(Debug, Clone)]
 pub struct Series {
+    /// The role.
     pub role: Role,
+    /// What else was held fixed.
     pub case: String,
+    /// The metric.
     pub metric: Metric,
+    /// Values by size.
     pub points: Vec<Point>,
 }
 
@@ -24,10 +28,12 @@
         fit(&self.points)
     }
 
+    /// The most that the metric may be at the design size, if it has a budget.
     pub fn budget(&self) -> Option<f64> {
         budget::of_metric(self.role, &self.metric)
     }
 
+    /// The size that is designed for.
     pub fn design_size(&self) -> u32 {
         budget::design_size(self.role.axis())
     }
@@ -100,6 +106,7 @@
 pub enum BudgetCrossing {
     /// At the smallest size that was measured, or before.
     Below(f64),
+    /// At this size.
     At(f64),
     /// Not up to this size, as far as a line can tell.
     Beyond(f64),
@@ -108,6 +115,7 @@
 /// A value at the design size.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Estimate {
+    /// In the metric's unit.
     pub value: f64,
     /// Half the width of the fit's interval; none if the value was measured.
     pub margin: Option<f64>,
--- a/crates/tools/scale/src/watch.rs
+++ b/crates/tools/scale/src/watch.rs
@@ -12,11 +12,14 @@
 /// How late a measurement was, and how late it may be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lateness {
+    /// How late it was at most.
     pub greatest: Duration,
+    /// How late it may be.
     pub bound: Duration,
 }
 
 impl Lateness {
+    /// Whether the bound was passed.
     pub fn disturbed(&self) -> bool {
         self.greatest > self.bound
     }
@@ -48,7 +51,7 @@
         Watch { stop, thread, bound }
     }
 
-    /// Ends the watch. A watch that can't tell counts as disturbed.
+    /// Ends the watch. A watch whose thread failed counts as disturbed.
     pub fn finish(self) -> Lateness {
         self.stop.store(true, Ordering::Relaxed);
         let greatest = self.thread.join().unwrap_or(Duration::MAX);
@@ -56,6 +59,15 @@
     }
 }
 
+/// What a [`Preemption`] has shown.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct PreemptionResult {
+    /// Processor time that the thread spent.
+    pub processor: Duration,
+    /// The time off its core, against its bound.
+    pub lateness: Lateness,
+}
+
 /// The time for which a computing thread was kept off its core. For measurements in virtual time, which never wait.
 #[derive(Debug)]
 pub struct Preemption {
@@ -70,10 +82,11 @@
         Preemption { wall: Instant::now(), processor: thread_time(), share }
     }
 
-    /// Ends the watch; to be called by the same thread. Yields the processor time spent, too.
-    pub fn finish(self) -> (Duration, Lateness) {
+    /// Ends the watch; to be called by the same thread. Includes the processor time spent.
+    pub fn finish(self) -> PreemptionResult {
         let wall = self.wall.elapsed();
         let spent = thread_time().saturating_sub(self.processor);
-        (spent, Lateness { greatest: wall.saturating_sub(spent), bound: wall.mul_f64(self.share) })
+        let lateness = Lateness { greatest: wall.saturating_sub(spent), bound: wall.mul_f64(self.share) };
+        PreemptionResult { processor: spent, lateness }
     }
 }
--- a/crates/tools/scale/tests/proof_scale/lateness.rs
+++ b/crates/tools/scale/tests/proof_scale/lateness.rs
@@ -1,7 +1,7 @@
 //! A measurement knows its own lateness, and is marked as disturbed past a stated bound.
 
 use lemonusher_scale::Watch;
-use lemonusher_scale::watch::Preemption;
+use lemonusher_scale::watch::{Preemption, PreemptionResult};
 use std::thread;
 use std::time::Duration;
 
@@ -28,9 +28,9 @@
 fn a_computing_thread_that_was_off_its_core_is_marked() {
     let slept = Preemption::start(0.5);
     thread::sleep(SPAN);
-    let (spent, lateness) = slept.finish();
+    let PreemptionResult { processor: spent, lateness } = slept.finish();
     assert!(spent < SPAN && lateness.disturbed() && lateness.greatest >= SPAN - spent);
     let never = Preemption::start(2.0);
     thread::sleep(SPAN);
-    assert!(!never.finish().1.disturbed());
+    assert!(!never.finish().lateness.disturbed());
 }
