--- a/crates/tools/scale/tests/proof_scale/fits.rs
+++ b/crates/tools/scale/tests/proof_scale/fits.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_fit_leaves_out_what_was_disturbed_and_refuses_if_too_little_is_left() {
+fn fit_leaves_out_disturbed_points_and_fails_on_too_few_sizes() {
     let mut wild = points();
     wild.push(Point { size: 1040.0, value: 1e6, disturbed: true });
     let left = fit(&wild).expect("three good sizes");
--- a/crates/tools/scale/tests/proof_scale/limits.rs
+++ b/crates/tools/scale/tests/proof_scale/limits.rs
@@ -6,7 +6,7 @@
 const MB: u64 = 1 << 20;
 
 #[test]
-fn limits_hold_what_stays_within_each_of_them() {
+fn limits_hold_needs_within_each_of_them() {
     let limits = Limits { memory_bytes: 64 * MB, descriptors: 100, processes: 4 };
     let fits = Need { memory_bytes: 64 * MB, descriptors: 100, processes: 4 };
     assert!(limits.check(1, &fits).is_ok());
@@ -16,7 +16,7 @@
         Need { processes: 5, ..fits },
     ] {
         let refused = limits.check(7, &need).expect_err("it needs too much");
-        assert!(matches!(refused, MeasureError::DoesNotFit { size: 7, need: told } if told == need));
+        assert!(matches!(refused, MeasureError::DoesNotFit { size: 7, need: stated } if stated == need));
     }
 }
 
--- a/crates/tools/scale/tests/proof_scale/page.rs
+++ b/crates/tools/scale/tests/proof_scale/page.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_page_changes_with_its_files_and_what_has_none_is_not_measured() {
+fn page_follows_its_files_and_shows_missing_ones_as_not_measured() {
     let folder = tempfile::tempdir().expect("a folder");
     let page = "a\n<!-- figures:decision -->\nold\n<!-- end -->\nb\n<!-- figures:leases -->\n<!-- end -->\n";
     let none = regenerate(page, folder.path()).expect("no file is no fault");
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn samples_survive_a_file_and_what_is_no_number_is_refused() {
+fn samples_survive_a_file_and_non_finite_values_are_rejected() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("decision.csv");
     let samples = vec![decision(20, 1.25, false), decision(80, 0.1 + 0.2, true)];
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_disturbed_run_moves_no_figure_and_the_budget_is_passed_where_the_medians_cross_it() {
+fn disturbed_run_moves_no_figure_and_budget_is_crossed_between_medians() {
     let mut samples =
         vec![decision(20, 2.0, false), decision(320, 50.0, false), decision(1_300, 150.0, false)];
     samples.push(decision(1_300, 9_000.0, true));
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_budget_is_passed_where_a_line_reaches_it_and_nowhere_if_that_is_far_away() {
+fn budget_is_crossed_where_the_fit_reaches_it_within_bounded_extrapolation() {
     let budget_crossing = |values: [f64; 3]| {
         let sizes = [100, 200, 400].into_iter().zip(values);
         let samples: Vec<Sample> = sizes.map(|(size, value)| decision(size, value, false)).collect();
--- a/crates/tools/scale/tests/proof_scale/roles.rs
+++ b/crates/tools/scale/tests/proof_scale/roles.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn decisions_of_small_lists_hold_what_they_are_to_hold() {
+fn decisions_on_small_lists_queue_the_requests_aimed_at() {
     for engines in [20, 40] {
         let samples = measured(Role::Decision, engines);
         let held = Metric::new("held", "requests");
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn resting_connections_are_held_up_to_what_the_descriptors_allow() {
+fn idle_connections_are_kept_up_to_the_descriptor_limit() {
     let held = Metric::new("held", "connections");
     for size in [20, 400] {
         let samples = measured(Role::Connections, size);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_front_acts_upon_a_list_and_on_the_replacement_of_a_zone() {
+fn front_applies_a_list_and_the_replacement_of_a_zone() {
     for engines in [14, 70] {
         let samples = measured(Role::Discovery, engines);
         let bytes = |name| max(&samples, &Metric::new(name, "B"));
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_lost_zone_is_planned_and_a_request_for_maintenance_is_worked_off() {
+fn lost_zone_is_planned_and_maintenance_request_is_completed() {
     for machines in [70, 140] {
         let samples = measured(Role::Maintenance, machines);
         let planned = max(&samples, &Metric::new("planned_after", "s"));
--- a/crates/tools/scale/tests/proof_scale_fleet/roles.rs
+++ b/crates/tools/scale/tests/proof_scale_fleet/roles.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_failure_detector_sees_all_and_pays_for_loss() {
+fn failure_detector_sees_all_fronts_and_sends_more_under_loss() {
     let samples = measured(Role::FailureDetector, FRONTS);
     for loss in ["loss=0", "loss=1", "loss=20"] {
         assert!(proof(&samples, loss, "bytes_control") > 0.0);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn leases_go_on_where_the_majority_is() {
+fn leases_continue_on_the_majority_side_of_a_partition() {
     let samples = measured(Role::Leases, FRONTS);
     let partitioned = "event=regions-cut-an-hour,loss=0";
     assert_eq!(proof(&samples, partitioned, "task_holders_with_majority"), 1.0);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn two_voters_gone_leave_a_majority_of_five_and_seven_and_none_of_three() {
+fn two_lost_voters_leave_a_majority_of_five_and_seven_but_not_of_three() {
     let samples = measured(Role::ControlMachines, FRONTS);
     for (voters, holders) in [(3, 0.0), (5, 1.0), (7, 1.0)] {
         assert_eq!(proof(&samples, &format!("voters={voters},gone=2"), "task_holders"), holders);
