--- a/crates/core/model/src/statement.rs
+++ b/crates/core/model/src/statement.rs
@@ -4,33 +4,40 @@
 use std::iter::Peekable;
 use std::str::Chars;
 
-const DEEPEST: usize = 32;
+/// The deepest nesting of statements.
+const MAX_DEPTH: usize = 32;
 
 /// One statement with all that stands in it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Statement {
+    /// The keyword.
     pub keyword: String,
+    /// The argument, with its strings joined.
     pub argument: Option<String>,
-    /// From 1.
+    /// The line of the keyword, from 1.
     pub line: usize,
-    pub subs: Vec<Statement>,
+    /// The statements in it, in order.
+    pub substatements: Vec<Statement>,
 }
 
-/// What can't be read or is not known, and on which line.
+/// What of a model can't be read or is not known, and on which line.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Wrong {
+pub struct ModelError {
+    /// The line, from 1.
     pub line: usize,
+    /// What is wrong there, in words.
     pub what: String,
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for ModelError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "line {}: {}", self.line, self.what)
     }
 }
 
 impl Statement {
-    pub fn parse(text: &str) -> Result<Statement, Wrong> {
+    /// Reads one statement, behind which nothing else may stand.
+    pub fn parse(text: &str) -> Result<Statement, ModelError> {
         let mut reader = Reader { rest: text.chars().peekable(), line: 1 };
         let statement = reader.statement(0)?;
         match reader.token()? {
@@ -40,26 +47,28 @@
     }
 
     /// The argument, which must be there.
-    pub fn arg(&self) -> Result<&str, Wrong> {
+    pub fn arg(&self) -> Result<&str, ModelError> {
         self.argument.as_deref().ok_or_else(|| self.wrong(format!("'{}' needs an argument", self.keyword)))
     }
 
     /// The first statement in it with this keyword.
-    pub fn sub(&self, keyword: &str) -> Option<&Statement> {
-        self.subs.iter().find(|sub| sub.keyword == keyword)
+    pub fn substatement(&self, keyword: &str) -> Option<&Statement> {
+        self.substatements.iter().find(|sub| sub.keyword == keyword)
     }
 
-    pub fn sub_arg(&self, keyword: &str) -> Result<Option<&str>, Wrong> {
-        self.sub(keyword).map(Statement::arg).transpose()
+    /// The argument of the first statement in it with this keyword.
+    pub fn substatement_arg(&self, keyword: &str) -> Result<Option<&str>, ModelError> {
+        self.substatement(keyword).map(Statement::arg).transpose()
     }
 
-    pub fn wrong(&self, what: impl Into<String>) -> Wrong {
-        Wrong { line: self.line, what: what.into() }
+    /// An error at this statement.
+    pub fn wrong(&self, what: impl Into<String>) -> ModelError {
+        ModelError { line: self.line, what: what.into() }
     }
 }
 
 enum Token {
-    Word(String),
+    Unquoted(String),
     Quoted(String),
     Open,
     Close,
@@ -69,12 +78,13 @@
 
 struct Reader<'a> {
     rest: Peekable<Chars<'a>>,
+    /// The line of the next character, from 1.
     line: usize,
 }
 
 impl Reader<'_> {
-    fn wrong(&self, what: &str) -> Wrong {
-        Wrong { line: self.line, what: what.to_owned() }
+    fn wrong(&self, what: &str) -> ModelError {
+        ModelError { line: self.line, what: what.to_owned() }
     }
 
     fn next(&mut self) -> Option<char> {
@@ -83,34 +93,34 @@
         next
     }
 
-    fn statement(&mut self, depth: usize) -> Result<Statement, Wrong> {
-        if depth > DEEPEST {
+    fn statement(&mut self, depth: usize) -> Result<Statement, ModelError> {
+        if depth > MAX_DEPTH {
             return Err(self.wrong("statements are nested too deeply"));
         }
         let keyword = match self.token()? {
-            Some(Token::Word(word)) => word,
+            Some(Token::Unquoted(keyword)) => keyword,
             _ => return Err(self.wrong("a keyword should stand here")),
         };
         let line = self.line;
-        let mut statement = Statement { keyword, argument: None, line, subs: Vec::new() };
+        let mut statement = Statement { keyword, argument: None, line, substatements: Vec::new() };
         let mut token = self.token()?;
-        if let Some(Token::Word(text) | Token::Quoted(text)) = token {
-            let mut whole = text;
+        if let Some(Token::Unquoted(text) | Token::Quoted(text)) = token {
+            let mut argument = text;
             token = self.token()?;
             while let Some(Token::Plus) = token {
                 let Some(Token::Quoted(more)) = self.token()? else {
                     return Err(self.wrong("a quoted string should follow '+'"));
                 };
-                whole.push_str(&more);
+                argument.push_str(&more);
                 token = self.token()?;
             }
-            statement.argument = Some(whole);
+            statement.argument = Some(argument);
         }
         match token {
             Some(Token::End) => Ok(statement),
             Some(Token::Open) => {
                 while !self.closes()? {
-                    statement.subs.push(self.statement(depth + 1)?);
+                    statement.substatements.push(self.statement(depth + 1)?);
                 }
                 Ok(statement)
             }
@@ -118,7 +128,8 @@
         }
     }
 
-    fn closes(&mut self) -> Result<bool, Wrong> {
+    /// Whether a closing brace follows, which is consumed.
+    fn closes(&mut self) -> Result<bool, ModelError> {
         self.skip()?;
         let closes = self.rest.peek() == Some(&'}');
         if closes {
@@ -127,8 +138,8 @@
         Ok(closes)
     }
 
-    /// Passes over white space and comments.
-    fn skip(&mut self) -> Result<(), Wrong> {
+    /// Skips white space and comments.
+    fn skip(&mut self) -> Result<(), ModelError> {
         loop {
             match self.rest.peek() {
                 Some(c) if c.is_whitespace() => drop(self.next()),
@@ -146,7 +157,8 @@
         }
     }
 
-    fn comment(&mut self) -> Result<(), Wrong> {
+    /// Skips a comment `/* */`.
+    fn comment(&mut self) -> Result<(), ModelError> {
         self.next();
         self.next();
         let mut last = ' ';
@@ -159,7 +171,7 @@
         }
     }
 
-    fn token(&mut self) -> Result<Option<Token>, Wrong> {
+    fn token(&mut self) -> Result<Option<Token>, ModelError> {
         self.skip()?;
         let Some(first) = self.rest.peek().copied() else { return Ok(None) };
         let token = match first {
@@ -175,40 +187,43 @@
                 self.next();
                 return self.double().map(Some);
             }
-            _ => {
-                let mut word = String::new();
-                while let Some(c) = self.rest.peek() {
-                    if c.is_whitespace() || matches!(c, '{' | '}' | ';' | '"' | '\'') {
-                        break;
-                    }
-                    word.extend(self.next());
-                }
-                return Ok(Some(Token::Word(word)));
-            }
+            _ => return Ok(Some(self.unquoted())),
         };
         self.next();
         Ok(Some(token))
     }
 
-    fn single(&mut self) -> Result<Token, Wrong> {
+    fn unquoted(&mut self) -> Token {
+        let mut text = String::new();
+        while let Some(c) = self.rest.peek() {
+            if c.is_whitespace() || matches!(c, '{' | '}' | ';' | '"' | '\'') {
+                break;
+            }
+            text.extend(self.next());
+        }
+        Token::Unquoted(text)
+    }
+
+    /// A string in single quotes.
+    fn single(&mut self) -> Result<Token, ModelError> {
         let from = self.line;
         let mut text = String::new();
         loop {
             match self.next() {
-                None => return Err(Wrong { line: from, what: "a string does not end".to_owned() }),
+                None => return Err(ModelError { line: from, what: "a string does not end".to_owned() }),
                 Some('\'') => return Ok(Token::Quoted(text)),
                 Some(c) => text.push(c),
             }
         }
     }
 
-    /// White space round a line break counts as the break alone.
-    fn double(&mut self) -> Result<Token, Wrong> {
+    /// A string in double quotes. White space around a line break counts as the break alone.
+    fn double(&mut self) -> Result<Token, ModelError> {
         let from = self.line;
         let mut text = String::new();
         loop {
             match self.next() {
-                None => return Err(Wrong { line: from, what: "a string does not end".to_owned() }),
+                None => return Err(ModelError { line: from, what: "a string does not end".to_owned() }),
                 Some('"') => return Ok(Token::Quoted(text)),
                 Some('\\') => match self.next() {
                     Some('n') => text.push('\n'),
@@ -228,30 +243,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn strings_join_and_comments_do_not_count() {
-        let text = "module /* a\n */ m { // b\n description \"x\" + 'y\\' ;\n leaf a; }";
-        let module = Statement::parse(text).unwrap();
-        assert_eq!(module.sub_arg("description"), Ok(Some("xy\\")));
-        assert_eq!((module.subs[1].line, module.subs[1].keyword.as_str()), (4, "leaf"));
-    }
-
-    #[test]
-    fn what_is_broken_is_told_by_line() {
-        for (text, line) in [
-            ("module m {\n leaf a", 2),
-            ("module m {\n\n leaf \"a", 3),
-            ("module m;\nmore;", 2),
-            ("module m { /* ", 1),
-            ("module m { a \"\\x\"; }", 1),
-            ("", 1),
-        ] {
-            assert_eq!(Statement::parse(text).unwrap_err().line, line, "{text}");
-        }
-        let deep = "a {".repeat(1000);
-        assert!(Statement::parse(&deep).unwrap_err().what.contains("deeply"));
-    }
-}
+#[path = "../tests/unit/statement.rs"]
+mod tests;
--- a/crates/core/registers/src/acceptor.rs
+++ b/crates/core/registers/src/acceptor.rs
@@ -1,40 +1,46 @@
-//! A voter's part of the registers: it promises, accepts, and, where its memory is lost, gets it back from the others
-//! before it says anything.
+//! A voter's part of the registers: it promises and accepts, and recovers its state from the other voters where it has
+//! none. Events are requests and copies of other voters' state; outputs are the returned replies and messages.
+
+mod pages;
+mod recovery;
 
 use crate::{
-    Accepted, ChangedRegister, Changes, Entry, MAX_REGISTERS, NOBODY, Name, OutboundMessage, PAGE, ROW,
-    RegisterReply, RegisterRequest, RegisterState, majority,
+    AcceptedEntry, Entry, MAX_REGISTERS, MAX_VALUE_BYTES, NOBODY, Name, OutboundMessage, RegisterReply,
+    RegisterRequest, RegisterState,
 };
 use lemonusher_leases::{Ballot, LeaseConfig, MAX_NAME_BYTES};
+use recovery::Recovery;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
 
-const AGAIN: u32 = 8; // Who copies asks again after this part of a lease.
-
-/// What an acceptor must never forget, as a folder keeps it.
+/// What an acceptor must never forget, as it is stored in a folder (postcard).
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct PersistentState {
+    /// The acceptor's epoch.
     pub epoch: u64,
+    /// All registers, in the order of their names.
     pub registers: Vec<RegisterState>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 struct Slot {
+    /// No ballot below this is accepted.
     promised: Ballot,
-    accepted: Accepted,
+    accepted: Option<AcceptedEntry>,
     /// The acceptor's revision when this was accepted, from 1 on; 0 while nothing is.
     revision: u64,
 }
 
-/// How an acceptor stands.
+/// Whether an acceptor votes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum AcceptorState {
-    /// Attempts that it may have answered before it lost its memory can still be under way.
+    /// Attempts that it may have replied to before it lost its memory can still be running.
     Silent,
-    /// It copies what the others know.
+    /// It copies the state of the other voters.
     Recovering,
+    /// It promises and accepts.
     Voting,
 }
 
@@ -49,360 +55,165 @@
     }
 }
 
-/// What one of the others has said in a round of copying.
-#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Told {
-    born: u64,
-    blank: bool,
-    /// All its rows have been taken in, or the last name of those that have.
-    whole: bool,
-    after: Name,
-}
-
-#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Copying {
-    from: Duration,
-    next: Duration,
-    round: u64,
-    told: BTreeMap<usize, Told>,
-    /// Who was blank in the round before, and in which incarnation.
-    blank_before: BTreeMap<usize, u64>,
-}
-
-/// A voter's registers. `born` is a number drawn at its start; `place` its own in the list.
+/// A voter's registers.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Acceptor {
+    /// How many voters there are.
     voters: usize,
+    /// Its own index among them.
     index: usize,
     incarnation: u64,
     epoch: u64,
-    /// An epoch begins at this at least, where no voter remembers one: by the date, where there is no folder.
+    /// The lowest epoch that may be begun where no voter remembers one.
     first_epoch: u64,
     slots: BTreeMap<Name, Slot>,
-    /// Counts what has been accepted in this incarnation.
+    /// Counts what has been accepted in this incarnation; no two slots have the same revision above 0.
     revision: u64,
-    recovery: Option<Copying>,
+    /// None once it votes.
+    recovery: Option<Recovery>,
 }
 
 impl Acceptor {
-    /// One that knows nothing. It says nothing for as long as an attempt that it answered in an earlier incarnation may last;
-    /// then it copies.
+    /// An acceptor without memory: silent for [`LeaseConfig::voter_hold_time`], then recovering. `index`: its own among
+    /// the voters; `incarnation`: drawn at its start; `first_epoch`: the lowest epoch that it may begin, by the date.
     pub fn without_memory(
         now: Duration,
-        terms: &LeaseConfig,
+        config: &LeaseConfig,
         voters: usize,
-        place: usize,
-        born: u64,
-        founding: u64,
+        index: usize,
+        incarnation: u64,
+        first_epoch: u64,
     ) -> Acceptor {
-        let from = now + terms.voter_hold_time();
-        let copying =
-            Copying { from, next: from, round: 0, told: BTreeMap::new(), blank_before: BTreeMap::new() };
-        let slots = BTreeMap::new();
         Acceptor {
             voters,
-            index: place,
-            incarnation: born,
+            index,
+            incarnation,
             epoch: 0,
-            first_epoch: founding,
-            slots,
+            first_epoch,
+            slots: BTreeMap::new(),
             revision: 0,
-            recovery: Some(copying),
+            recovery: Some(Recovery::new(now + config.voter_hold_time())),
         }
     }
 
-    /// One whose folder has kept all that it ever said.
-    pub fn restored(voters: usize, place: usize, born: u64, kept: PersistentState) -> Acceptor {
+    /// An acceptor whose folder has all that it ever promised and accepted; it votes at once.
+    pub fn restored(voters: usize, index: usize, incarnation: u64, stored: PersistentState) -> Acceptor {
         let mut revision = 0;
         let mut slots = BTreeMap::new();
-        for RegisterState { name, promised, accepted } in kept.registers {
+        for RegisterState { name, promised, accepted } in stored.registers {
             revision += u64::from(accepted.is_some());
-            let at = if accepted.is_some() { revision } else { 0 };
-            slots.insert(name, Slot { promised, accepted, revision: at });
-        }
-        Acceptor {
-            voters,
-            index: place,
-            incarnation: born,
-            epoch: kept.epoch,
-            first_epoch: 0,
-            slots,
-            revision,
-            recovery: None,
+            let slot_revision = if accepted.is_some() { revision } else { 0 };
+            slots.insert(name, Slot { promised, accepted, revision: slot_revision });
         }
+        let epoch = stored.epoch;
+        Acceptor { voters, index, incarnation, epoch, first_epoch: 0, slots, revision, recovery: None }
     }
 
+    /// What is to be stored before any reply is sent, where there is a folder.
     pub fn persistent_state(&self) -> PersistentState {
-        let rows = self.slots.iter().map(|(name, slot)| row(name, slot));
-        PersistentState { epoch: self.epoch, registers: rows.collect() }
+        let registers = self.slots.iter().map(|(name, slot)| slot.state(name));
+        PersistentState { epoch: self.epoch, registers: registers.collect() }
     }
 
+    /// Whether it votes.
     pub fn state(&self, now: Duration) -> AcceptorState {
         match &self.recovery {
             None => AcceptorState::Voting,
-            Some(copying) if now < copying.from => AcceptorState::Silent,
+            Some(recovery) if recovery.is_silent(now) => AcceptorState::Silent,
             Some(_) => AcceptorState::Recovering,
         }
     }
 
-    pub fn era(&self) -> u64 {
+    /// The highest epoch that it knows.
+    pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// What it has accepted; that alone does not make it settled.
+    /// What it has accepted; that alone does not make it committed.
     pub fn accepted(&self) -> impl Iterator<Item = (&Name, &Entry)> {
-        self.slots.iter().filter_map(|(name, slot)| Some((name, &slot.accepted.as_ref()?.1)))
+        self.slots.iter().filter_map(|(name, slot)| Some((name, &slot.accepted.as_ref()?.entry)))
     }
 
-    /// When `turn` has something to do again.
+    /// When [`Acceptor::poll`] has something to do next.
     pub fn next_timeout(&self) -> Option<Duration> {
-        self.recovery.as_ref().map(|copying| copying.next)
-    }
-
-    /// Asks for what is missing of the copy.
-    pub fn poll(&mut self, now: Duration, terms: &LeaseConfig) -> Vec<OutboundMessage> {
-        let (voters, place) = (self.voters, self.index);
-        let Some(copying) = self.recovery.as_mut().filter(|copying| copying.next <= now) else {
-            return Vec::new();
-        };
-        copying.next = now + terms.duration / AGAIN;
-        let others = (0..voters).filter(|voter| *voter != place);
-        let missing =
-            others.filter(|voter| copying.told.get(voter).is_none_or(|told| !told.whole && !told.blank));
-        let asks = missing.map(|voter| {
-            let after = copying.told.get(&voter).map(|told| told.after.clone()).unwrap_or_default();
-            OutboundMessage { voter, request: RegisterRequest::CopyState { round: copying.round, after } }
-        });
-        asks.collect()
-    }
-
-    /// Takes in what another voter says when asked for a copy.
-    pub fn handle_copy(&mut self, now: Duration, from: usize, reply: RegisterReply) -> Vec<OutboundMessage> {
-        let RegisterReply::StateCopy {
-            round,
-            incarnation: born,
-            without_memory: blank,
-            epoch: era,
-            registers: rows,
-            more,
-        } = reply
-        else {
-            return Vec::new();
-        };
-        let Some(copying) = self.recovery.as_mut().filter(|copying| copying.round == round) else {
-            return Vec::new();
-        };
-        if from == self.index || from >= self.voters || now < copying.from {
-            return Vec::new();
-        }
-        let fresh = Told { born, blank, whole: false, after: Name::new() };
-        let told = copying.told.entry(from).or_insert_with(|| fresh.clone());
-        if told.born != born || told.blank != blank {
-            *told = fresh; // It has started anew, or got its memory back: what it said before is void.
-        }
-        if blank {
-            return self.settle(now);
-        }
-        self.epoch = self.epoch.max(era);
-        if rows.first().is_some_and(|row| row.name <= told.after) {
-            return Vec::new(); // A repeat of a page that is in already.
-        }
-        if let Some(last) = rows.last() {
-            told.after = last.name.clone();
-        }
-        told.whole = !more;
-        for row in rows {
-            let slot = self.slots.entry(row.name).or_default();
-            slot.promised = slot.promised.max(row.promised);
-            if row.accepted.as_ref().map(|(ballot, _)| ballot)
-                > slot.accepted.as_ref().map(|(ballot, _)| ballot)
-            {
-                self.revision += 1;
-                (slot.accepted, slot.revision) = (row.accepted, self.revision);
-            }
-        }
-        if more {
-            let after = told.after.clone();
-            return vec![OutboundMessage {
-                voter: from,
-                request: RegisterRequest::CopyState { round, after },
-            }];
-        }
-        self.settle(now)
+        self.recovery.as_ref().map(Recovery::next_request)
     }
 
-    /// It votes again once a majority of voters, itself not counted, has given it all that they know: whatever a
-    /// majority with this acceptor in it has settled, one of those knows too.
-    ///
-    /// Where a majority has lost its memory there is no such majority any more. Only if **all** voters have been heard
-    /// from, and the same incarnations of a majority were blank in two rounds on end, so that they were so all at once at the
-    /// time between, is a new epoch begun with what is left. Values may have gone back then, and the epoch shows it.
-    fn settle(&mut self, now: Duration) -> Vec<OutboundMessage> {
-        let Some(copying) = &mut self.recovery else { return Vec::new() };
-        let whole = copying.told.values().filter(|told| told.whole).count();
-        if whole >= majority(self.voters) {
-            self.recovery = None;
-            return Vec::new();
-        }
-        let all = copying.told.len() + 1 == self.voters;
-        if !all || copying.told.values().any(|told| !told.whole && !told.blank) {
-            return Vec::new();
-        }
-        let blank: BTreeMap<usize, u64> = (copying.told.iter())
-            .filter(|(_, told)| told.blank)
-            .map(|(voter, told)| (*voter, told.born))
-            .collect();
-        let both = blank.iter().filter(|(voter, born)| copying.blank_before.get(voter) == Some(born));
-        if both.count() + 1 >= majority(self.voters) {
-            self.recovery = None;
-            self.begin_era();
-            return Vec::new();
-        }
-        copying.blank_before = blank;
-        copying.round += 1;
-        copying.told.clear();
-        copying.next = now;
-        let round = copying.round;
-        let others = (0..self.voters).filter(|voter| *voter != self.index);
-        others
-            .map(|voter| OutboundMessage {
-                voter,
-                request: RegisterRequest::CopyState { round, after: Name::new() },
-            })
-            .collect()
-    }
-
-    /// What is left gets stamps of the new epoch, as another value may have been settled under the stamp that it had, and
-    /// a ballot of nobody above the one it had, so that it is not taken for settled where it is copied on.
-    fn begin_era(&mut self) {
-        self.epoch = (self.epoch + 1).max(self.first_epoch);
-        for slot in self.slots.values_mut() {
-            let Some((ballot, entry)) = &mut slot.accepted else { continue };
-            *ballot = Ballot { round: ballot.round + 1, proposer: NOBODY };
-            entry.version.epoch = self.epoch;
-            slot.promised = slot.promised.max(*ballot);
-        }
+    /// While it recovers: asks for what is missing of the copy.
+    pub fn poll(&mut self, now: Duration, config: &LeaseConfig) -> Vec<OutboundMessage> {
+        let (voters, index) = (self.voters, self.index);
+        self.recovery.as_mut().map(|recovery| recovery.poll(now, config, voters, index)).unwrap_or_default()
     }
 
-    /// A register that a new epoch has begun with and that nobody has proposed since; somebody must, if only by reading it.
+    /// A register that a new epoch has begun with and that nobody has proposed since. Somebody must, if only by reading
+    /// it, before it can be committed.
     pub fn unproposed_register(&self, now: Duration) -> Option<&Name> {
-        let unproposed =
-            |slot: &Slot| matches!(&slot.accepted, Some((ballot, _)) if ballot.proposer == NOBODY);
-        let left = self.slots.iter().find(|(_, slot)| unproposed(slot)).map(|(name, _)| name);
-        left.filter(|_| self.state(now) == AcceptorState::Voting)
-    }
-
-    /// Answers an ask. What it says must last, where there is a folder, before the answer goes out.
-    pub fn handle_request(&mut self, now: Duration, ask: RegisterRequest) -> Option<RegisterReply> {
-        if let RegisterRequest::CopyState { round, after } = ask {
-            return Some(self.copy(round, &after));
-        }
-        let voting = self.state(now) == AcceptorState::Voting;
-        let (name, ballot) = match &ask {
-            RegisterRequest::Prepare { name, ballot } | RegisterRequest::Accept { name, ballot, .. } => {
-                (name.clone(), *ballot)
+        let is_unproposed =
+            |slot: &Slot| slot.accepted.as_ref().is_some_and(|accepted| accepted.ballot.proposer == NOBODY);
+        let unproposed = self.slots.iter().find(|(_, slot)| is_unproposed(slot)).map(|(name, _)| name);
+        unproposed.filter(|_| self.state(now) == AcceptorState::Voting)
+    }
+
+    /// Takes in a request and returns the reply. Where there is a folder, [`Acceptor::persistent_state`] must be stored
+    /// before the reply is sent.
+    pub fn handle_request(&mut self, now: Duration, request: RegisterRequest) -> Option<RegisterReply> {
+        let is_voting = self.state(now) == AcceptorState::Voting;
+        match request {
+            RegisterRequest::CopyState { round, after } => Some(self.copy_state(round, &after)),
+            RegisterRequest::Read { name, known } => is_voting.then(|| self.read(&name, known)),
+            RegisterRequest::ChangesSince { incarnation, revision } => {
+                is_voting.then(|| self.changes_since(incarnation, revision))
             }
-            RegisterRequest::Read { name, known } => return Some(self.peek(name, *known)).filter(|_| voting),
-            RegisterRequest::ChangesSince { incarnation: born, revision: since } => {
-                return Some(self.changes(*born, *since)).filter(|_| voting);
+            RegisterRequest::Prepare { name, ballot } => {
+                if !is_voting || !self.is_within_limits(&name, ballot) {
+                    return Some(RegisterReply::Silent { name, ballot });
+                }
+                Some(self.handle_prepare(name, ballot))
             }
-            RegisterRequest::CopyState { .. } => return None,
-        };
-        let room = self.slots.contains_key(&name) || self.slots.len() < MAX_REGISTERS;
-        let fits = !name.is_empty() && name.len() <= MAX_NAME_BYTES && ballot > Ballot::default();
-        let small = !matches!(&ask, RegisterRequest::Accept { entry, .. } if entry.value.len() > crate::MAX_VALUE_BYTES);
-        if !voting || !room || !fits || !small {
-            return Some(RegisterReply::Silent { name, ballot });
-        }
-        let era = self.epoch;
-        let slot = self.slots.entry(name.clone()).or_default();
-        // Guards against what was asked before a majority forgot and comes only now: nobody counts it any more but who
-        // follows, and another value may have stood under its stamp.
-        let older = matches!(&ask, RegisterRequest::Accept { entry, .. } if entry.version.epoch < era);
-        if ballot < slot.promised || older {
-            return Some(RegisterReply::StaleBallot { name, ballot, round: slot.promised.round });
-        }
-        slot.promised = ballot;
-        match ask {
-            RegisterRequest::Accept { entry, .. } => {
-                self.epoch = era.max(entry.version.epoch);
-                self.revision += 1;
-                (slot.accepted, slot.revision) = (Some((ballot, entry)), self.revision);
-                Some(RegisterReply::Accepted { name, ballot })
+            RegisterRequest::Accept { name, ballot, entry } => {
+                let fits = entry.value.len() <= MAX_VALUE_BYTES;
+                if !is_voting || !fits || !self.is_within_limits(&name, ballot) {
+                    return Some(RegisterReply::Silent { name, ballot });
+                }
+                Some(self.handle_accept(name, ballot, entry))
             }
-            _ => Some(RegisterReply::Promise { name, ballot, epoch: era, accepted: slot.accepted.clone() }),
         }
     }
 
-    fn peek(&self, name: &Name, known: Option<crate::EntryVersion>) -> RegisterReply {
-        let Some((ballot, entry)) = self.slots.get(name).and_then(|slot| slot.accepted.as_ref()) else {
-            return RegisterReply::NotFound { name: name.clone() };
-        };
-        let stamp = entry.version;
-        let entry = (known != Some(stamp)).then(|| entry.clone());
-        RegisterReply::Value { name: name.clone(), ballot: *ballot, version: stamp, entry }
+    fn is_within_limits(&self, name: &str, ballot: Ballot) -> bool {
+        let has_room = self.slots.contains_key(name) || self.slots.len() < MAX_REGISTERS;
+        has_room && !name.is_empty() && name.len() <= MAX_NAME_BYTES && ballot > Ballot::default()
     }
 
-    /// What was accepted since a revision, in the order of revisions, as much as fits one page.
-    fn changes(&self, born: u64, since: u64) -> RegisterReply {
-        let since = if born == self.incarnation { since.min(self.revision) } else { 0 };
-        let mut changed: Vec<(&Name, &Slot)> =
-            self.slots.iter().filter(|(_, slot)| slot.revision > since).collect();
-        changed.sort_by_key(|(_, slot)| slot.revision);
-        let (mut rows, mut bytes, mut revision) = (Vec::new(), 0, self.revision);
-        let mut shown_up_to = since;
-        for (name, slot) in &changed {
-            let Some((ballot, entry)) = &slot.accepted else { continue };
-            bytes += name.len() + entry.value.len() + ROW;
-            if !rows.is_empty() && bytes > PAGE {
-                revision = shown_up_to;
-                break;
-            }
-            shown_up_to = slot.revision;
-            rows.push(ChangedRegister { name: (*name).clone(), ballot: *ballot, entry: entry.clone() });
+    fn handle_prepare(&mut self, name: Name, ballot: Ballot) -> RegisterReply {
+        let epoch = self.epoch;
+        let slot = self.slots.entry(name.clone()).or_default();
+        if ballot < slot.promised {
+            return RegisterReply::StaleBallot { name, ballot, round: slot.promised.round };
         }
-        let more = revision < self.revision;
-        RegisterReply::Changes(Changes {
-            incarnation: self.incarnation,
-            since,
-            revision,
-            registers: rows,
-            more,
-        })
+        slot.promised = ballot;
+        RegisterReply::Promise { name, ballot, epoch, accepted: slot.accepted.clone() }
     }
 
-    fn copy(&self, round: u64, after: &Name) -> RegisterReply {
-        let (born, era, blank) = (self.incarnation, self.epoch, self.recovery.is_some());
-        if blank {
-            return RegisterReply::StateCopy {
-                round,
-                incarnation: born,
-                without_memory: blank,
-                epoch: era,
-                registers: Vec::new(),
-                more: false,
-            };
-        }
-        let (mut rows, mut bytes, mut more) = (Vec::new(), 0, false);
-        for (name, slot) in self.slots.iter().filter(|(name, _)| *name > after) {
-            bytes += name.len() + slot.accepted.as_ref().map_or(0, |(_, entry)| entry.value.len()) + ROW;
-            if !rows.is_empty() && bytes > PAGE {
-                more = true;
-                break;
-            }
-            rows.push(row(name, slot));
-        }
-        RegisterReply::StateCopy {
-            round,
-            incarnation: born,
-            without_memory: blank,
-            epoch: era,
-            registers: rows,
-            more,
+    fn handle_accept(&mut self, name: Name, ballot: Ballot, entry: Entry) -> RegisterReply {
+        let slot = self.slots.entry(name.clone()).or_default();
+        // A request of an earlier epoch was sent before a majority lost its memory. No proposer counts it any more, but
+        // learners would, and another value may have had its version.
+        let is_older_epoch = entry.version.epoch < self.epoch;
+        if ballot < slot.promised || is_older_epoch {
+            return RegisterReply::StaleBallot { name, ballot, round: slot.promised.round };
         }
+        slot.promised = ballot;
+        self.epoch = self.epoch.max(entry.version.epoch);
+        self.revision += 1;
+        slot.revision = self.revision;
+        slot.accepted = Some(AcceptedEntry { ballot, entry });
+        RegisterReply::Accepted { name, ballot }
     }
 }
 
-fn row(name: &Name, slot: &Slot) -> RegisterState {
-    RegisterState { name: name.clone(), promised: slot.promised, accepted: slot.accepted.clone() }
+impl Slot {
+    fn state(&self, name: &Name) -> RegisterState {
+        RegisterState { name: name.clone(), promised: self.promised, accepted: self.accepted.clone() }
+    }
 }
--- a/crates/core/registers/tests/exhaustive.rs
+++ b/crates/core/registers/tests/exhaustive.rs
@@ -1,6 +1,6 @@
 //! Every interleaving of a small fleet, on the code that runs: three voters, of which one may lose its memory, and two
-//! proposers that each want one change; what is
-//! asked is lost, delayed without bound, and overtaken; an answer comes at once or never.
+//! proposers that each want one change; requests
+//! are lost, delayed without bound, and overtaken; a reply comes at once or never.
 
 use lemonusher_leases::{Incarnation, LeaseConfig};
 use lemonusher_registers::*;
@@ -13,7 +13,7 @@
 const NAME: &str = "r";
 
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Spoilt {
+enum Mutation {
     Nothing,
     /// A voter that has lost its memory votes at once.
     ForgetfulVoter,
@@ -21,11 +21,11 @@
     CopiesFromOne,
 }
 
-struct Small {
-    spoilt: Spoilt,
+struct SmallFleet {
+    mutation: Mutation,
 }
 
-/// A message on its way, for as long as it likes; what is never delivered is lost.
+/// A message on its way, without bound; what is never delivered is lost.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Sent {
     RegisterRequest(usize, usize, RegisterRequest),
@@ -35,14 +35,14 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    keepers: Vec<Acceptor>,
-    lives: Vec<u64>,
+    acceptors: Vec<Acceptor>,
+    incarnations: Vec<u64>,
     proposers: Vec<Proposer>,
     begun: Vec<bool>,
     forgot: bool,
     past: bool,
-    /// What proposers were told as settled.
-    settled: BTreeMap<EntryVersion, BTreeSet<Vec<u8>>>,
+    /// What proposers reported as committed.
+    committed: BTreeMap<EntryVersion, BTreeSet<Vec<u8>>>,
     sent: BTreeSet<Sent>,
 }
 
@@ -51,70 +51,96 @@
     Begin(usize),
     Deliver(Sent),
     Forget,
-    /// The span passes in which a voter without memory is mute; what was attempted before it is over.
+    /// The time passes in which a voter without memory is silent; attempts of before have ended.
     Pass,
 }
 
 const NOW: Duration = Duration::from_millis(10);
 const LATER: Duration = Duration::from_secs(100);
 
-fn terms() -> LeaseConfig {
+fn config() -> LeaseConfig {
     LeaseConfig { duration: Duration::from_secs(6), clock_drift_permille: 0, max_action_time: Duration::ZERO }
 }
 
-impl Small {
+impl SmallFleet {
     fn now(&self, state: &State) -> Duration {
         if state.past { LATER } else { NOW }
     }
 
-    fn post(&self, state: &mut State, from: usize, posts: Vec<OutboundMessage>) {
-        for OutboundMessage { voter, request: ask } in posts {
-            state.sent.insert(Sent::RegisterRequest(from, voter, ask));
+    fn send_messages(&self, state: &mut State, from: usize, messages: Vec<OutboundMessage>) {
+        for OutboundMessage { voter, request } in messages {
+            state.sent.insert(Sent::RegisterRequest(from, voter, request));
         }
     }
 
-    fn copies(&self, state: &mut State, from: usize, posts: Vec<OutboundMessage>) {
-        for OutboundMessage { voter, request: ask } in posts {
-            state.sent.insert(Sent::Copy(from, state.lives[from], voter, ask));
+    fn send_copy_requests(&self, state: &mut State, from: usize, messages: Vec<OutboundMessage>) {
+        for OutboundMessage { voter, request } in messages {
+            state.sent.insert(Sent::Copy(from, state.incarnations[from], voter, request));
         }
     }
 
-    fn note(&self, state: &mut State, who: usize) {
-        for outcome in state.proposers[who].outcomes() {
+    fn check_outcomes(&self, state: &mut State, front: usize) {
+        for outcome in state.proposers[front].take_outcomes() {
             let entry = match outcome {
                 ProposalOutcome::Committed { entry, .. } | ProposalOutcome::Conflict { entry, .. } => entry,
                 ProposalOutcome::Unknown { .. } => continue,
             };
             if let Some(entry) = entry {
-                state.settled.entry(entry.version).or_default().insert(entry.value);
+                state.committed.entry(entry.version).or_default().insert(entry.value);
             }
         }
     }
+
+    fn deliver(&self, state: &mut State, now: Duration, sent: Sent) -> Option<()> {
+        match sent {
+            Sent::RegisterRequest(front, voter, request) => {
+                let reply = state.acceptors[voter].handle_request(now, request)?;
+                let messages = state.proposers[front].handle_reply(now, &config(), voter, reply, &mut || 0.0);
+                self.send_messages(state, front, messages);
+                self.check_outcomes(state, front);
+            }
+            Sent::Copy(from, incarnation, to, request) => {
+                let reply = state.acceptors[to].handle_request(now, request)?;
+                if state.incarnations[from] != incarnation {
+                    return None;
+                }
+                if self.mutation == Mutation::CopiesFromOne
+                    && let RegisterReply::StateCopy { registers: rows, .. } = &reply
+                {
+                    let stored = PersistentState { epoch: 0, registers: rows.clone() };
+                    state.acceptors[from] = Acceptor::restored(VOTERS, from, incarnation, stored);
+                }
+                let messages = state.acceptors[from].handle_copy(now, to, reply);
+                self.send_copy_requests(state, from, messages);
+            }
+        }
+        Some(())
+    }
 }
 
-impl Model for Small {
+impl Model for SmallFleet {
     type State = State;
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let keeper = |place| Acceptor::restored(VOTERS, place, 1, PersistentState::default());
+        let acceptor = |index| Acceptor::restored(VOTERS, index, 1, PersistentState::default());
         vec![State {
-            keepers: (0..VOTERS).map(keeper).collect(),
-            lives: vec![1; VOTERS],
+            acceptors: (0..VOTERS).map(acceptor).collect(),
+            incarnations: vec![1; VOTERS],
             proposers: (0..PROPOSERS)
                 .map(|n| Proposer::new(Incarnation { name: format!("{n}"), id: n as u64 + 1 }, VOTERS))
                 .collect(),
             begun: vec![false; PROPOSERS],
             forgot: false,
             past: false,
-            settled: BTreeMap::new(),
+            committed: BTreeMap::new(),
             sent: BTreeSet::new(),
         }]
     }
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
         steps.extend(state.sent.iter().cloned().map(Step::Deliver));
-        steps.extend((0..PROPOSERS).filter(|who| !state.begun[*who]).map(Step::Begin));
+        steps.extend((0..PROPOSERS).filter(|front| !state.begun[*front]).map(Step::Begin));
         if !state.forgot {
             steps.push(Step::Forget);
         } else if !state.past {
@@ -126,52 +152,30 @@
         let mut state = last.clone();
         let now = self.now(last);
         match step {
-            Step::Begin(who) => {
-                state.begun[who] = true;
-                let known = last.settled.last_key_value().map(|(stamp, _)| *stamp);
+            Step::Begin(front) => {
+                state.begun[front] = true;
+                let known = last.committed.last_key_value().map(|(version, _)| *version);
                 let change =
-                    Operation::CompareAndSet { expected: known, fencing_token: 1, value: vec![who as u8] };
-                let posts = state.proposers[who].propose(now, NAME, change);
-                self.post(&mut state, who, posts);
+                    Operation::CompareAndSet { expected: known, fencing_token: 1, value: vec![front as u8] };
+                let messages = state.proposers[front].propose(now, NAME, change);
+                self.send_messages(&mut state, front, messages);
             }
             Step::Forget => {
                 state.forgot = true;
-                state.lives[0] = 2;
-                state.keepers[0] = match self.spoilt {
-                    Spoilt::ForgetfulVoter => Acceptor::restored(VOTERS, 0, 2, PersistentState::default()),
-                    _ => Acceptor::without_memory(NOW, &terms(), VOTERS, 0, 2, 9),
+                state.incarnations[0] = 2;
+                state.acceptors[0] = match self.mutation {
+                    Mutation::ForgetfulVoter => Acceptor::restored(VOTERS, 0, 2, PersistentState::default()),
+                    _ => Acceptor::without_memory(NOW, &config(), VOTERS, 0, 2, 9),
                 };
             }
             Step::Pass => {
                 state.past = true;
-                let posts = state.keepers[0].poll(LATER, &terms());
-                self.copies(&mut state, 0, posts);
+                let messages = state.acceptors[0].poll(LATER, &config());
+                self.send_copy_requests(&mut state, 0, messages);
             }
             Step::Deliver(sent) => {
                 state.sent.remove(&sent);
-                match sent {
-                    Sent::RegisterRequest(who, voter, ask) => {
-                        let reply = state.keepers[voter].handle_request(now, ask)?;
-                        let posts =
-                            state.proposers[who].handle_reply(now, &terms(), voter, reply, &mut || 0.0);
-                        self.post(&mut state, who, posts);
-                        self.note(&mut state, who);
-                    }
-                    Sent::Copy(from, life, to, ask) => {
-                        let reply = state.keepers[to].handle_request(now, ask)?;
-                        if state.lives[from] != life {
-                            return None;
-                        }
-                        if self.spoilt == Spoilt::CopiesFromOne
-                            && let RegisterReply::StateCopy { registers: rows, .. } = &reply
-                        {
-                            let kept = PersistentState { epoch: 0, registers: rows.clone() };
-                            state.keepers[from] = Acceptor::restored(VOTERS, from, life, kept);
-                        }
-                        let posts = state.keepers[from].handle_copy(now, to, reply);
-                        self.copies(&mut state, from, posts);
-                    }
-                }
+                self.deliver(&mut state, now, sent)?;
             }
         }
         (state != *last).then_some(state)
@@ -180,30 +184,30 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("a stamp has one value", |_, state: &State| {
-                state.settled.values().all(|values| values.len() == 1)
+                state.committed.values().all(|values| values.len() == 1)
             }),
             Property::sometimes("both changes settle, one after the other", |_, state: &State| {
-                state.settled.len() == 2
+                state.committed.len() == 2
             }),
         ]
     }
 }
 
-fn check(spoilt: Spoilt) -> (usize, bool, bool) {
-    let checker = Small { spoilt }.checker().threads(4).spawn_dfs().join();
+fn check(mutation: Mutation) -> (usize, bool, bool) {
+    let checker = SmallFleet { mutation }.checker().threads(4).spawn_dfs().join();
     let found = checker.discovery("a stamp has one value").is_some();
     let both = checker.discovery("both changes settle, one after the other").is_some();
     (checker.unique_state_count(), found, both)
 }
 
 #[test]
-fn no_stamp_ever_has_two_values_and_each_spoilt_rule_is_caught() {
-    let (states, broken, both) = check(Spoilt::Nothing);
+fn no_version_has_two_values_and_each_broken_rule_is_detected() {
+    let (states, broken, both) = check(Mutation::Nothing);
     println!("proof: registers_states {states}");
     assert!(!broken && both);
-    for spoilt in [Spoilt::ForgetfulVoter, Spoilt::CopiesFromOne] {
-        let (states, broken, _) = check(spoilt);
-        println!("proof: registers_mutant_{spoilt:?}_caught {broken} after {states} states");
-        assert!(broken, "{spoilt:?}");
+    for mutation in [Mutation::ForgetfulVoter, Mutation::CopiesFromOne] {
+        let (states, broken, _) = check(mutation);
+        println!("proof: registers_mutant_{mutation:?}_caught {broken} after {states} states");
+        assert!(broken, "{mutation:?}");
     }
 }
--- a/crates/edges/front/src/protocol/statement.rs
+++ b/crates/edges/front/src/protocol/statement.rs
@@ -1,7 +1,7 @@
-//! Finds the group of tables that a statement reads or writes: the number behind the last underscore in the
-//! name of a schema, as 17 in `sales_17.orders`.
+//! Finds the table group that a statement reads or writes: the number behind the last underscore in the name of a
+//! schema, as 17 in `sales_17.orders`.
 
-/// Words of a statement that matter here.
+/// Parts of a statement that matter here.
 #[derive(Debug, Clone, PartialEq)]
 enum Token {
     /// A name or keyword, in lower case; quoted or not.
@@ -15,76 +15,96 @@
 /// `staging` and names of columns, whatever stands before their dot.
 pub fn table_group(statement: &str) -> Option<u64> {
     let tokens = tokens(statement);
-    let mut levels = vec![Level::default()];
-    let mut at = 0;
-    while at < tokens.len() {
-        let level = levels.len() - 1;
-        let before = at.checked_sub(1).map(|b| &tokens[b]);
-        match &tokens[at] {
-            Token::Mark('(') => {
-                // `FROM (a JOIN b)` names tables inside; a function's `FROM` does not.
-                let here = levels[level].expects;
-                levels[level].expects = false;
-                levels.push(Level { expects: here, reads: here, lists: false });
-            }
-            Token::Mark(')') if level > 0 => drop(levels.pop()),
-            Token::Mark(',') => levels[level].expects = levels[level].lists,
-            Token::Mark(';') => levels = vec![Level::default()],
-            Token::Mark(_) => levels[level].expects = false,
-            Token::Word(word) => {
-                let words = |token: Option<&Token>, wanted: &str| token == Some(&Token::Word(wanted.into()));
-                let state = &mut levels[level];
-                match word.as_str() {
-                    "select" | "delete" | "with" => (state.reads, state.lists) = (true, false),
-                    "update" if words(before, "for") || words(before, "do") || words(before, "on") => {}
-                    "update" | "into" | "table" | "copy" | "truncate" | "merge" => {
-                        (state.reads, state.expects) = (true, true);
-                    }
-                    "from" if !state.reads || words(before, "distinct") => {}
-                    "from" | "using" => (state.expects, state.lists) = (state.reads, state.reads),
-                    "join" => state.expects = true,
-                    "only" | "lateral" | "if" | "not" | "exists" | "low_priority" | "ignore" => {}
-                    "where" | "group" | "order" | "having" | "set" | "values" | "limit" | "on" | "union"
-                    | "returning" | "window" | "intersect" | "except" => {
-                        (state.expects, state.lists) = (false, false);
-                    }
-                    _ => {
-                        if state.expects
-                            && let Some(group) = named(&tokens[at..])
-                        {
-                            return Some(group);
-                        }
-                        state.expects = false;
-                    }
-                }
-            }
-            Token::Quoted(_) => {
-                if levels[level].expects
-                    && let Some(group) = named(&tokens[at..])
-                {
-                    return Some(group);
-                }
-                levels[level].expects = false;
+    let mut scopes = vec![Scope::default()];
+    for (position, token) in tokens.iter().enumerate() {
+        let before = position.checked_sub(1).map(|before| &tokens[before]);
+        let is_name = match token {
+            Token::Mark(mark) => {
+                apply_mark(&mut scopes, *mark);
+                false
             }
+            Token::Word(word) => !innermost(&mut scopes).apply_keyword(word, before),
+            Token::Quoted(_) => true,
+        };
+        if !is_name {
+            continue;
+        }
+        let scope = innermost(&mut scopes);
+        if scope.expects_table
+            && let Some(group) = group_of_table(&tokens[position..])
+        {
+            return Some(group);
         }
-        at += 1;
+        scope.expects_table = false;
     }
     None
 }
 
+/// Opens or closes a scope, or applies a mark to the innermost one.
+fn apply_mark(scopes: &mut Vec<Scope>, mark: char) {
+    let depth = scopes.len();
+    let scope = innermost(scopes);
+    match mark {
+        '(' => {
+            // `FROM (a JOIN b)` names tables inside; a function's `FROM` does not.
+            let names_tables = std::mem::replace(&mut scope.expects_table, false);
+            scopes.push(Scope {
+                expects_table: names_tables,
+                reads_tables: names_tables,
+                lists_tables: false,
+            });
+        }
+        ')' if depth > 1 => drop(scopes.pop()),
+        ',' => scope.expects_table = scope.lists_tables,
+        ';' => *scopes = vec![Scope::default()],
+        _ => scope.expects_table = false,
+    }
+}
+
+fn innermost(scopes: &mut [Scope]) -> &mut Scope {
+    scopes.last_mut().expect("the outermost scope is never closed")
+}
+
 /// One pair of brackets.
 #[derive(Default, Clone, Copy)]
-struct Level {
+struct Scope {
     /// The next name is a table's.
-    expects: bool,
+    expects_table: bool,
     /// It holds a SELECT or the like, so that its FROM names tables.
-    reads: bool,
+    reads_tables: bool,
     /// A comma is followed by a further table.
-    lists: bool,
+    lists_tables: bool,
+}
+
+impl Scope {
+    /// Applies a keyword; false if the word is none that matters here, and so may be a name.
+    fn apply_keyword(&mut self, word: &str, before: Option<&Token>) -> bool {
+        let follows =
+            |wanted: &[&str]| matches!(before, Some(Token::Word(word)) if wanted.contains(&word.as_str()));
+        match word {
+            "select" | "delete" | "with" => (self.reads_tables, self.lists_tables) = (true, false),
+            "update" if follows(&["for", "do", "on"]) => {}
+            "update" | "into" | "table" | "copy" | "truncate" | "merge" => {
+                (self.reads_tables, self.expects_table) = (true, true);
+            }
+            "from" if !self.reads_tables || follows(&["distinct"]) => {}
+            "from" | "using" => {
+                (self.expects_table, self.lists_tables) = (self.reads_tables, self.reads_tables);
+            }
+            "join" => self.expects_table = true,
+            "only" | "lateral" | "if" | "not" | "exists" | "low_priority" | "ignore" => {}
+            "where" | "group" | "order" | "having" | "set" | "values" | "limit" | "on" | "union"
+            | "returning" | "window" | "intersect" | "except" => {
+                (self.expects_table, self.lists_tables) = (false, false);
+            }
+            _ => return false,
+        }
+        true
+    }
 }
 
 /// The group of a table's full name, `schema.table` or `catalog.schema.table`.
-fn named(tokens: &[Token]) -> Option<u64> {
+fn group_of_table(tokens: &[Token]) -> Option<u64> {
     let mut parts = Vec::new();
     for (place, token) in tokens.iter().enumerate() {
         match token {
@@ -175,33 +195,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::table_group;
-
-    #[test]
-    fn finds_the_group() {
-        for (statement, group) in [
-            ("select * from sales_17.orders", Some(17)),
-            ("SELECT a_5.x FROM\n\tSales_17.orders AS a_5 where a_5.y = 'from x_3.t'", Some(17)),
-            ("select 'it''s from b_2.t', \"q_9.z\".c from \"my_sales_4\".\"t\"\"x\"", Some(4)),
-            ("-- from b_2.t\nselect /* from c_3.t /* d */ from e_1.f */ 1 from g_6.h", Some(6)),
-            ("insert into sales_8.orders select * from staging.new_3", Some(8)),
-            ("insert into staging.x select * from sales_8.orders", Some(8)),
-            ("select * from staging_7.x, b_2.y", Some(2)),
-            ("select extract(year from a_5.d), b_6.x from sales_17.orders a_5, c_17.d b_6", Some(17)),
-            ("select * from (select * from a_3.t) x join b_3.u on x.a is distinct from c_9.d", Some(3)),
-            ("with a_1 as (select y_2.z from s_12.t y_2) select a_1.z from a_1", Some(12)),
-            ("update s_5.t set x = 1 from staging.y", Some(5)),
-            ("delete from only s_5.t", Some(5)),
-            ("merge into db_1.s_5.t using staging.y on a_2.b = y.c", Some(5)),
-            ("copy s_5.t from stdin", Some(5)),
-            ("select 1 from t for update of a_5.x", None),
-            ("select a_5.x", None),
-            ("select $q$ from a_1.b $q$ from c_2.d", Some(2)),
-            ("'", None),
-            ("", None),
-        ] {
-            assert_eq!(table_group(statement), group, "{statement}");
-        }
-    }
-}
+#[path = "../../tests/unit/statement.rs"]
+mod tests;
--- a/crates/edges/managed/tests/parts.rs
+++ b/crates/edges/managed/tests/parts.rs
@@ -1,9 +1,9 @@
 //! Parts that decline, panic or fall silent at each step of applying: the old state stands whole, or the new one.
 
-use lemonusher_managed::{Names, Part, PartFuture, Started, Terms, Users, start};
+use lemonusher_managed::{ManagementConfig, Names, Part, PartFuture, Started, Users, start};
 use lemonusher_model::{Node, Op, parse_path};
 use lemonusher_routing::ManagementCall;
-use lemonusher_store::{Commit, Edit, Protocol, Refused, Version};
+use lemonusher_store::{CommitOptions, Edit, Protocol, StoreError, Version};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -42,7 +42,7 @@
         })
     }
 
-    fn switch(&self, number: u64) -> PartFuture {
+    fn activate(&self, number: u64) -> PartFuture {
         let fault = *self.fault.lock().unwrap();
         assert!(fault != Fault::PanicAtSwitch, "as told");
         self.switched.store(number, Ordering::SeqCst);
@@ -52,7 +52,7 @@
         })
     }
 
-    fn abandon(&self, number: u64) -> PartFuture {
+    fn discard(&self, number: u64) -> PartFuture {
         self.abandoned.store(number, Ordering::SeqCst);
         Box::pin(async { Ok(()) })
     }
@@ -81,7 +81,7 @@
 }
 
 fn managed(part: Arc<Failing>) -> Started {
-    let terms = Terms {
+    let terms = ManagementConfig {
         folder: None,
         history: 10,
         sessions: 10,
@@ -92,7 +92,7 @@
         netconf: None,
         users: Users::default(),
     };
-    let names = Names { zones: vec!["east".into()], machine_kinds: Vec::new(), service_groups: Vec::new() };
+    let names = Names { zones: vec!["east".into()], machine_kinds: Vec::new(), request_classes: Vec::new() };
     start(terms, names, "n0".into(), Arc::new(|_| {}), vec![part]).map_err(|unfit| unfit.to_string()).unwrap()
 }
 
@@ -108,7 +108,7 @@
     let in_force = Arc::new(AtomicU64::new(0));
     owner(started.requests.clone(), in_force.clone());
     let hub = started.hub;
-    let session = hub.with_store(|store| store.open("x", Protocol::Local)).unwrap();
+    let session = hub.with_store(|store| store.open_session("x", Protocol::Local)).unwrap();
     let path = parse_path("/front/pool[name=a]/cell").unwrap();
     let mut cell = 0;
     for fault in [
@@ -127,12 +127,15 @@
         let mut place = hub.schema().place(&path).unwrap();
         place.last_mut().unwrap().keys = Some(vec![cell.to_string().into()]);
         let edit = Edit { op: Op::Merge, place, value: Some(Node::Leaf(cell.to_string().into())) };
-        let done =
-            hub.commit(move |store, now, at| store.set(session, &[edit], &Commit::default(), now, at)).await;
+        let done = hub
+            .commit(move |store, now, at| {
+                store.edit_running(session, &[edit], &CommitOptions::default(), now, at)
+            })
+            .await;
         let after = hub.with_store(|store| store.running().clone());
         let fails = matches!(fault, Fault::DeclineAtPrepare | Fault::PanicAtPrepare | Fault::PanicInPrepare);
         if fails {
-            assert!(matches!(done, Err(Refused::Failed(_))), "{fault:?} {done:?}");
+            assert!(matches!(done, Err(StoreError::Failed(_))), "{fault:?} {done:?}");
             assert!(after.number == before.number && after.tree == before.tree, "{fault:?}");
             // The owner, which was ready, has not moved; and the next commit is not in its way.
             assert_eq!(in_force.load(Ordering::SeqCst), before.number);
@@ -159,18 +162,22 @@
     let started = managed(part);
     owner(started.requests.clone(), Arc::default());
     let hub = started.hub;
-    let session = hub.with_store(|store| store.open("x", Protocol::Local)).unwrap();
+    let session = hub.with_store(|store| store.open_session("x", Protocol::Local)).unwrap();
     let path = parse_path("/front/log-level").unwrap();
     let place = hub.schema().place(&path).unwrap();
     for level in ["warn", "debug", "error", "trace"] {
         let edit = Edit { op: Op::Merge, place: place.clone(), value: Some(Node::Leaf(level.into())) };
-        let commit =
-            hub.commit(move |store, now, at| store.set(session, &[edit], &Commit::default(), now, at));
+        let commit = hub.commit(move |store, now, at| {
+            store.edit_running(session, &[edit], &CommitOptions::default(), now, at)
+        });
         // Polled once, then dropped.
         let _ = tokio::time::timeout(Duration::ZERO, commit).await;
     }
     let level = Edit { op: Op::Merge, place, value: Some(Node::Leaf("info".into())) };
-    let last =
-        hub.commit(move |store, now, at| store.set(session, &[level], &Commit::default(), now, at)).await;
+    let last = hub
+        .commit(move |store, now, at| {
+            store.edit_running(session, &[level], &CommitOptions::default(), now, at)
+        })
+        .await;
     assert_eq!(last.unwrap().unwrap().number, 5);
 }
--- a/crates/edges/netconf/src/rpc.rs
+++ b/crates/edges/netconf/src/rpc.rs
@@ -3,12 +3,12 @@
 use crate::error::RpcError;
 use crate::xml::{Element, escape, parse};
 use crate::{BASE, MONITORING, NOTIFICATION};
-use lemonusher_store::{Datastore, OnError};
+use lemonusher_store::{Datastore, ErrorOption};
 use std::fmt::Write;
 use std::time::Duration;
 
 /// Unless the manager says otherwise, so long a commit waits to be confirmed (RFC 6241, section 8.4).
-const CONFIRM_WITHIN: Duration = Duration::from_secs(600);
+const DEFAULT_CONFIRM_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// Namespace, name and value of each.
 pub type Attributes = Vec<(String, String, String)>;
@@ -21,7 +21,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DefaultOp {
+pub enum DefaultOperation {
     Merge,
     Replace,
     None,
@@ -35,31 +35,65 @@
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct CommitTerms {
-    pub confirmed: Option<Duration>,
+pub struct CommitParameters {
+    pub confirm_timeout: Option<Duration>,
     pub persist: Option<String>,
     pub persist_id: Option<String>,
     /// The version that the manager has seen, in this program's own namespace.
-    pub expect: Option<u64>,
+    pub expected_version: Option<u64>,
+}
+
+/// Where a config is read from.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum ConfigSource {
+    /// A datastore.
+    Datastore(Datastore),
+    /// A `config` element within the operation.
+    Inline(Box<Element>),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Operation {
-    Get { filter: Option<Element> },
-    GetConfig { source: Datastore, filter: Option<Element> },
-    EditConfig { target: Datastore, default: DefaultOp, test: TestOption, on_error: OnError, config: Element },
-    CopyConfig { target: Datastore, source: Result<Datastore, Box<Element>> },
-    DeleteConfig { target: Datastore },
+    Get {
+        filter: Option<Element>,
+    },
+    GetConfig {
+        source: Datastore,
+        filter: Option<Element>,
+    },
+    EditConfig {
+        target: Datastore,
+        default: DefaultOperation,
+        test: TestOption,
+        on_error: ErrorOption,
+        config: Element,
+    },
+    CopyConfig {
+        target: Datastore,
+        source: ConfigSource,
+    },
+    DeleteConfig {
+        target: Datastore,
+    },
     Lock(Datastore),
     Unlock(Datastore),
-    Validate(Result<Datastore, Box<Element>>),
-    Commit(CommitTerms),
-    CancelCommit { persist_id: Option<String> },
+    Validate(ConfigSource),
+    Commit(CommitParameters),
+    CancelCommit {
+        persist_id: Option<String>,
+    },
     DiscardChanges,
     CloseSession,
     KillSession(u32),
-    GetSchema { identifier: String, version: Option<String>, format: Option<String> },
-    CreateSubscription { stream: Option<String>, filter: Option<Element> },
+    GetSchema {
+        identifier: String,
+        version: Option<String>,
+        format: Option<String>,
+    },
+    CreateSubscription {
+        stream: Option<String>,
+        filter: Option<Element>,
+    },
 }
 
 /// Reads a message: an `rpc`, or why it is none, with the attributes that the reply must repeat.
@@ -119,9 +153,9 @@
         "edit-config" => Operation::EditConfig {
             target: datastore(need("target")?)?,
             default: match text("default-operation").as_deref() {
-                None | Some("merge") => DefaultOp::Merge,
-                Some("replace") => DefaultOp::Replace,
-                Some("none") => DefaultOp::None,
+                None | Some("merge") => DefaultOperation::Merge,
+                Some("replace") => DefaultOperation::Replace,
+                Some("none") => DefaultOperation::None,
                 Some(_) => return Err(bad("default-operation")),
             },
             test: match text("test-option").as_deref() {
@@ -131,9 +165,9 @@
                 Some(_) => return Err(bad("test-option")),
             },
             on_error: match text("error-option").as_deref() {
-                None | Some("stop-on-error") => OnError::Stop,
-                Some("continue-on-error") => OnError::Continue,
-                Some("rollback-on-error") => OnError::Rollback,
+                None | Some("stop-on-error") => ErrorOption::Stop,
+                Some("continue-on-error") => ErrorOption::Continue,
+                Some("rollback-on-error") => ErrorOption::Rollback,
                 Some(_) => return Err(bad("error-option")),
             },
             config: need("config")?.clone(),
@@ -147,18 +181,18 @@
         "validate" => Operation::Validate(source(need("source")?)?),
         "commit" => {
             let within = match text("confirm-timeout") {
-                None => CONFIRM_WITHIN,
+                None => DEFAULT_CONFIRM_TIMEOUT,
                 Some(text) => {
                     let seconds = text.parse::<u32>().ok().filter(|seconds| *seconds > 0);
                     Duration::from_secs(u64::from(seconds.ok_or_else(|| bad("confirm-timeout"))?))
                 }
             };
             let confirmed = element.child("confirmed").is_some();
-            Operation::Commit(CommitTerms {
-                confirmed: confirmed.then_some(within),
+            Operation::Commit(CommitParameters {
+                confirm_timeout: confirmed.then_some(within),
                 persist: text("persist"),
                 persist_id: text("persist-id"),
-                expect: match text("expect") {
+                expected_version: match text("expect") {
                     None => None,
                     Some(text) => Some(text.parse().map_err(|_| bad("expect"))?),
                 },
@@ -208,11 +242,10 @@
     }
 }
 
-/// A datastore, or a whole config written out.
-fn source(holder: &Element) -> Result<Result<Datastore, Box<Element>>, RpcError> {
+fn source(holder: &Element) -> Result<ConfigSource, RpcError> {
     match holder.child("config") {
-        Some(config) => Ok(Err(Box::new(config.clone()))),
-        None => datastore(holder).map(Ok),
+        Some(config) => Ok(ConfigSource::Inline(Box::new(config.clone()))),
+        None => datastore(holder).map(ConfigSource::Datastore),
     }
 }
 
@@ -251,13 +284,13 @@
 
 /// What has happened: the notification's name and its leaves.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Notified {
+pub struct NotificationContent {
     pub name: &'static str,
     pub leaves: Vec<(&'static str, String)>,
 }
 
 /// A notification of RFC 5277. `date` is in the form of RFC 3339.
-pub fn notification(namespace: &str, date: &str, notified: &Notified) -> String {
+pub fn notification(namespace: &str, date: &str, notified: &NotificationContent) -> String {
     let mut text = format!(
         "<?xml version=\"1.0\" encoding=\"UTF-8\"?><notification xmlns=\"{NOTIFICATION}\"><eventTime>{date}</eventTime><{} xmlns=\"{}\">",
         notified.name,
--- a/crates/edges/routing/src/counters.rs
+++ b/crates/edges/routing/src/counters.rs
@@ -1,74 +1,153 @@
+//! Counters since the start, and the log line that prints them. The wording of the line is read by operators: it stays.
+
 use lemonusher::AttemptOutcome;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
 
-/// What is counted.
+/// What is counted, in the order of the log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Counter {
+    /// Requests received.
     Received,
+    /// Attempts sent.
     Attempts,
+    /// Requests answered with a result.
     Returned,
+    /// Requests rejected without effect.
     Rejected,
+    /// Requests answered as failed.
     Failed,
+    /// Requests whose client stopped waiting.
     ClientGone,
+    /// Attempts cancelled.
     Cancels,
+    /// Attempts after the first of their request.
     Retries,
-    AttemptOutcome(&'static str),
+    /// Attempts that ended in this way.
+    AttemptEnded(OutcomeLabel),
+    /// Probes answered.
     Probes,
+    /// Probes that failed.
     ProbeFailures,
+    /// Client connections accepted.
     ClientConnections,
+    /// Client lines that are no message.
     FaultyLines,
+    /// Client lines for which there was no memory.
     LinesWithoutRoom,
+    /// Connections to engines opened.
     EngineConnections,
+    /// Answers of engines that belong to nothing in flight.
     StrayAnswers,
+    /// Connections to engines that broke the protocol.
     SpoiltConnections,
+    /// Updates of the endpoint list.
     ChannelEvents,
+    /// Panics caught.
     Panics,
 }
 
-/// Counts since the start, by request class where that applies.
+/// An attempt's outcome as counters and log lines name it. The variants are in the alphabetical order of their labels,
+/// which is their order in the log line.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum OutcomeLabel {
+    /// `cancelled`
+    Cancelled,
+    /// `errored`
+    Errored,
+    /// `full`
+    Rejected,
+    /// `no connection`
+    ConnectFailed,
+    /// `not sent`
+    NotSent,
+    /// `reset`
+    Reset,
+    /// `returned`
+    Returned,
+    /// `timed out`
+    TimedOut,
+}
+
+/// All counters, by request class where that applies.
 #[derive(Default)]
 pub struct Counters {
-    names: Vec<String>,
-    counts: RefCell<BTreeMap<(Counter, Option<usize>), u64>>,
-    /// Time that the gateway has taken to decide.
-    gateway: Cell<Duration>,
-    /// Requests, attempts and engines in the tables now.
-    held: Cell<[usize; 3]>,
+    request_classes: Vec<String>,
+    values: RefCell<BTreeMap<CounterKey, u64>>,
+    decision_time: Cell<Duration>,
+    table_sizes: Cell<TableSizes>,
+}
+
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct CounterKey {
+    counter: Counter,
+    request_class: Option<usize>,
+}
+
+/// How much the router's tables hold.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct TableSizes {
+    /// Requests that are owed a response.
+    pub requests: usize,
+    /// Attempts in flight.
+    pub attempts: usize,
+    /// Engines in the endpoint table.
+    pub engines: usize,
+}
+
+/// One counter's value.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct CounterValue {
+    /// What is counted.
+    pub counter: Counter,
+    /// The number of the request class, where the counter has one.
+    pub request_class: Option<usize>,
+    /// The count since the start.
+    pub value: u64,
 }
 
 impl Counters {
-    pub fn new(service_groups: Vec<String>) -> Self {
-        Counters { names: service_groups, ..Counters::default() }
+    /// Counters of a deployment with request classes of these names.
+    pub fn new(request_classes: Vec<String>) -> Self {
+        Counters { request_classes, ..Counters::default() }
     }
 
-    pub fn add(&self, kind: Counter, service_group: Option<usize>) {
-        *self.counts.borrow_mut().entry((kind, service_group)).or_default() += 1;
+    /// Adds one to a counter, of a request class where that applies.
+    pub fn add(&self, counter: Counter, request_class: Option<usize>) {
+        *self.values.borrow_mut().entry(CounterKey { counter, request_class }).or_default() += 1;
     }
 
-    pub fn holds(&self, sizes: [usize; 3]) {
-        self.held.set(sizes);
+    /// States how much the router's tables hold now.
+    pub fn set_table_sizes(&self, sizes: TableSizes) {
+        self.table_sizes.set(sizes);
     }
 
-    /// Every count, in the order of the line.
-    pub fn all(&self) -> Vec<(Counter, Option<usize>, u64)> {
-        self.counts.borrow().iter().map(|((kind, group), count)| (*kind, *group, *count)).collect()
+    /// Every count, in the order of the log line.
+    pub fn values(&self) -> Vec<CounterValue> {
+        let values = self.values.borrow();
+        let entry = |(key, value): (&CounterKey, &u64)| CounterValue {
+            counter: key.counter,
+            request_class: key.request_class,
+            value: *value,
+        };
+        values.iter().map(entry).collect()
     }
 
-    /// The request classes' names.
-    pub fn names(&self) -> &[String] {
-        &self.names
+    /// The request classes' names, by number.
+    pub fn request_classes(&self) -> &[String] {
+        &self.request_classes
     }
 
-    /// Time that the gateway has taken to decide.
-    pub fn gateway(&self) -> Duration {
-        self.gateway.get()
+    /// Time that the gateway has taken to decide since the start.
+    pub fn decision_time(&self) -> Duration {
+        self.decision_time.get()
     }
 
-    pub fn gateway_took(&self, span: Duration) {
-        self.gateway.set(self.gateway.get() + span);
+    /// Adds the time of one decision.
+    pub fn add_decision_time(&self, elapsed: Duration) {
+        self.decision_time.set(self.decision_time.get() + elapsed);
     }
 }
 
@@ -76,20 +155,20 @@
     /// One line: `taken look-up=12 report=3; ...`.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let mut last = None;
-        for ((kind, group), count) in &*self.counts.borrow() {
-            if last != Some(*kind) {
-                let gap = if last.is_some() { "; " } else { "" };
-                write!(f, "{gap}{kind}")?;
-                last = Some(*kind);
+        for (CounterKey { counter, request_class }, count) in &*self.values.borrow() {
+            if last != Some(*counter) {
+                let separator = if last.is_some() { "; " } else { "" };
+                write!(f, "{separator}{counter}")?;
+                last = Some(*counter);
             }
-            match group.and_then(|g| self.names.get(g)) {
+            match request_class.and_then(|class| self.request_classes.get(class)) {
                 Some(name) => write!(f, " {name}={count}")?,
                 None => write!(f, " {count}")?,
             }
         }
-        let [requests, attempts, engines] = self.held.get();
+        let TableSizes { requests, attempts, engines } = self.table_sizes.get();
         write!(f, "; holds {requests} batches, {attempts} dispatches, {engines} engines")?;
-        write!(f, "; gateway decided for {} ms", self.gateway.get().as_millis())
+        write!(f, "; gateway decided for {} ms", self.decision_time.get().as_millis())
     }
 }
 
@@ -104,7 +183,7 @@
             Counter::ClientGone => "left",
             Counter::Cancels => "cancels",
             Counter::Retries => "further dispatches",
-            Counter::AttemptOutcome(name) => return write!(f, "dispatch ended {name}"),
+            Counter::AttemptEnded(outcome) => return write!(f, "dispatch ended {outcome}"),
             Counter::Probes => "probes",
             Counter::ProbeFailures => "probes failed",
             Counter::ClientConnections => "client connections",
@@ -119,16 +198,32 @@
     }
 }
 
-/// An outcome's name in counts and log lines.
-pub fn name(outcome: AttemptOutcome) -> &'static str {
-    match outcome {
-        AttemptOutcome::Returned => "returned",
-        AttemptOutcome::Errored => "errored",
-        AttemptOutcome::Rejected => "full",
-        AttemptOutcome::TimedOut => "timed out",
-        AttemptOutcome::ConnectFailed => "no connection",
-        AttemptOutcome::Reset => "reset",
-        AttemptOutcome::Cancelled => "cancelled",
-        AttemptOutcome::NotSent => "not sent",
+impl fmt::Display for OutcomeLabel {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            OutcomeLabel::Cancelled => "cancelled",
+            OutcomeLabel::Errored => "errored",
+            OutcomeLabel::Rejected => "full",
+            OutcomeLabel::ConnectFailed => "no connection",
+            OutcomeLabel::NotSent => "not sent",
+            OutcomeLabel::Reset => "reset",
+            OutcomeLabel::Returned => "returned",
+            OutcomeLabel::TimedOut => "timed out",
+        })
+    }
+}
+
+impl From<AttemptOutcome> for OutcomeLabel {
+    fn from(outcome: AttemptOutcome) -> Self {
+        match outcome {
+            AttemptOutcome::Returned => OutcomeLabel::Returned,
+            AttemptOutcome::Errored => OutcomeLabel::Errored,
+            AttemptOutcome::Rejected => OutcomeLabel::Rejected,
+            AttemptOutcome::TimedOut => OutcomeLabel::TimedOut,
+            AttemptOutcome::ConnectFailed => OutcomeLabel::ConnectFailed,
+            AttemptOutcome::Reset => OutcomeLabel::Reset,
+            AttemptOutcome::Cancelled => OutcomeLabel::Cancelled,
+            AttemptOutcome::NotSent => OutcomeLabel::NotSent,
+        }
     }
 }
--- a/crates/tools/scale/src/fleet/hollow.rs
+++ b/crates/tools/scale/src/fleet/hollow.rs
@@ -4,7 +4,7 @@
 use super::traffic::Traffic;
 use crate::process::thread_time;
 use async_channel::Sender;
-use lemonusher_fleet::{Birth, Census, Counts, Message, Node};
+use lemonusher_fleet::{ClusterStats, Message, Node, StartParameters, TrafficCounters};
 use lemonusher_routing::ZoneObservation;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,7 +31,7 @@
     pub traffic: Traffic,
     /// What all calls into the state machine took.
     pub processor: Duration,
-    counts: Arc<Counts>,
+    counts: Arc<TrafficCounters>,
 }
 
 /// Where and when an incarnation begins.
@@ -53,10 +53,14 @@
         let Start { setup, front, address, voters, location, now, incarnation, seed } = start;
         let terms = setup.terms(front, address, voters, location, receiver);
         let date_ms = ORIGIN_UNIX_MS + now.as_millis() as u64;
-        let counts = Arc::new(Counts::default());
+        let counts = Arc::new(TrafficCounters::default());
         let from = thread_time();
-        let node =
-            Node::new(terms, Birth { address, life: incarnation, date_ms, seed }, None, counts.clone());
+        let node = Node::new(
+            terms,
+            StartParameters { address, incarnation, unix_time_ms: date_ms, seed },
+            None,
+            counts.clone(),
+        );
         Hollow {
             node,
             address,
@@ -76,7 +80,7 @@
     }
 
     /// The counters of its state machine.
-    pub fn counts(&self) -> &Counts {
+    pub fn counts(&self) -> &TrafficCounters {
         &self.counts
     }
 
@@ -88,15 +92,15 @@
     /// Handles a datagram, and does what is due then, as a front's thread does.
     pub fn handle_datagram(&mut self, now: Duration, from: SocketAddr, bytes: &[u8]) -> Vec<Message> {
         let (local, began) = (self.local(now), thread_time());
-        self.node.hear(local, from, bytes);
-        self.node.wake(local);
+        self.node.handle_datagram(local, from, bytes);
+        self.node.poll(local);
         self.sent(began)
     }
 
     /// Does what is due now; returns what it sends.
     pub fn poll(&mut self, now: Duration) -> Vec<Message> {
         let (local, began) = (self.local(now), thread_time());
-        self.node.wake(local);
+        self.node.poll(local);
         self.sent(began)
     }
 
@@ -109,7 +113,7 @@
 
     fn sent(&mut self, began: Duration) -> Vec<Message> {
         let sent = self.node.take_outgoing();
-        drop((self.node.take_words(), self.node.take_acts()));
+        drop((self.node.take_control_updates(), self.node.take_actions()));
         self.processor += thread_time().saturating_sub(began);
         for message in &sent {
             self.traffic.count_sent(message.kind, message.datagram.bytes.len());
@@ -126,13 +130,13 @@
 
     /// When it wants to be polled, on the rig's clock.
     pub fn next_timeout(&self, now: Duration) -> Duration {
-        let next_timeout = self.node.due().unwrap_or(Duration::MAX).saturating_sub(self.local(now));
+        let next_timeout = self.node.next_timeout().unwrap_or(Duration::MAX).saturating_sub(self.local(now));
         now + next_timeout.clamp(MIN_POLL_INTERVAL, MAX_POLL_INTERVAL)
     }
 
     /// What it sees of the fleet.
-    pub fn census(&self, now: Duration) -> Census {
-        self.node.census(self.local(now))
+    pub fn census(&self, now: Duration) -> ClusterStats {
+        self.node.stats(self.local(now))
     }
 
     /// Leases that it holds.
@@ -142,11 +146,11 @@
 
     /// Other fronts that it sees.
     pub fn members(&self) -> usize {
-        self.node.members()
+        self.node.member_count()
     }
 
     /// Whether it holds the task's lease and may act now.
     pub fn may_act(&self, now: Duration, task: &str) -> bool {
-        self.node.may_act(self.local(now), task).is_some()
+        self.node.fencing_token(self.local(now), task).is_some()
     }
 }
--- a/crates/tools/scale/src/fleet/setup.rs
+++ b/crates/tools/scale/src/fleet/setup.rs
@@ -3,8 +3,8 @@
 use super::network::Delays;
 use crate::budget;
 use async_channel::Receiver;
-use lemonusher_fleet::{Key, SitesTerms, Task, Terms, WorksTerms};
-use lemonusher_leases::LeaseConfig as LeaseTerms;
+use lemonusher_fleet::{FleetConfig, FleetKey, MaintenanceSettings, TaskConfig, ZoneFailoverSettings};
+use lemonusher_leases::LeaseConfig;
 use lemonusher_routing::ZoneObservation;
 use lemonusher_zone_failover as zones;
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
     /// The first so many fronts vote.
     pub voters: usize,
     /// The terms of leases.
-    pub leases: LeaseTerms,
+    pub leases: LeaseConfig,
     /// Each front wants a quota slot of its own.
     pub quota_slots: bool,
     /// Each front is willing to hold [`TASK`].
@@ -55,7 +55,7 @@
         Setup {
             fronts,
             voters: 3,
-            leases: LeaseTerms {
+            leases: LeaseConfig {
                 duration: Duration::from_secs(3),
                 clock_drift_permille: 20,
                 max_action_time: Duration::from_secs(1),
@@ -77,29 +77,29 @@
         voters: Vec<SocketAddr>,
         location: u32,
         seen: Receiver<ZoneObservation>,
-    ) -> Terms {
+    ) -> FleetConfig {
         let votes = front < self.voters;
-        Terms {
+        FleetConfig {
             name: front_name(front),
             listen,
             key: key(),
             leases: self.leases,
             voters,
-            votes,
-            place: votes.then_some(front),
-            known_as: None,
-            location,
-            folder: None,
+            is_voter: votes,
+            voter_index: votes.then_some(front),
+            advertised_address: None,
+            zone: location,
+            state_folder: None,
             tasks: if self.task { vec![task()] } else { Vec::new() },
-            seats: if self.quota_slots { self.fronts as u32 } else { 0 },
-            wants: 1,
-            number: front as u32,
-            sites: (self.registers != Registers::None).then(|| sites(seen)),
-            works: (self.registers == Registers::ZonesAndWorks).then(|| self.works()),
+            quota_slots: if self.quota_slots { self.fronts as u32 } else { 0 },
+            wanted_slots: 1,
+            first_slot: front as u32,
+            zone_failover: (self.registers != Registers::None).then(|| sites(seen)),
+            maintenance: (self.registers == Registers::ZonesAndWorks).then(|| self.works()),
         }
     }
 
-    fn works(&self) -> WorksTerms {
+    fn works(&self) -> MaintenanceSettings {
         let terms = lemonusher_maintenance::MaintenanceConfig {
             poll_interval: zone_terms().report_interval,
             required_fronts: (0..self.fronts).map(front_name).collect(),
@@ -107,25 +107,31 @@
             demand_margin: 0.1,
             probation: Duration::from_secs(10),
         };
-        WorksTerms { terms, tell: None }
+        MaintenanceSettings { config: terms, notify: None }
     }
 }
 
 /// The key of every hollow fleet.
-pub fn key() -> Key {
-    Key::new(b"a key of the scale rig")
+pub fn key() -> FleetKey {
+    FleetKey::new(b"a key of the scale rig")
 }
 
 pub fn front_name(front: usize) -> String {
     format!("front-{front:04}")
 }
 
-fn task() -> Task {
+fn task() -> TaskConfig {
     let every = Duration::from_secs(1);
-    Task { name: TASK.to_owned(), tell: None, every, takes: Duration::from_millis(100), fenced: true }
+    TaskConfig {
+        name: TASK.to_owned(),
+        notify: None,
+        interval: every,
+        action_time: Duration::from_millis(100),
+        fenced: true,
+    }
 }
 
-fn sites(seen: Receiver<ZoneObservation>) -> SitesTerms {
+fn sites(seen: Receiver<ZoneObservation>) -> ZoneFailoverSettings {
     let group = zones::ClassLoad {
         priority_weight: 1.0,
         work: 0.01,
@@ -135,7 +141,7 @@
         floor: zone_terms().admission_floor,
         allowed_zones: None,
     };
-    SitesTerms { terms: zone_terms(), groups: vec![group; REQUEST_CLASSES], seen }
+    ZoneFailoverSettings { config: zone_terms(), classes: vec![group; REQUEST_CLASSES], observations: seen }
 }
 
 /// The defaults of an operator's file.
@@ -178,7 +184,7 @@
     ZoneObservation {
         report,
         local: zones::LocalView::default(),
-        closed_by: 0,
+        maintenance_version: 0,
         in_flight: Default::default(),
         engines: (0..budget::ENGINES).map(engine).collect(),
     }
--- a/crates/tools/scale/src/fleet/simulation.rs
+++ b/crates/tools/scale/src/fleet/simulation.rs
@@ -5,7 +5,7 @@
 use super::setup::{Registers, Setup, zone_terms};
 use super::traffic::Traffic;
 use fastrand::Rng;
-use lemonusher_fleet::{Census, Kind, Message};
+use lemonusher_fleet::{ClusterStats, Message, MessageKind};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
     },
     Deliver {
         from: SocketAddr,
-        kind: Kind,
+        kind: MessageKind,
         bytes: Vec<u8>,
     },
     Start,
@@ -145,7 +145,7 @@
     }
 
     /// What a front sees of the fleet.
-    pub fn census(&self, front: usize) -> Census {
+    pub fn census(&self, front: usize) -> ClusterStats {
         self.front(front).map(|hollow| hollow.census(self.now)).unwrap_or_default()
     }
 
@@ -264,7 +264,7 @@
         self.push(self.now + zone_terms().report_interval, front, EventKind::Observe { incarnation });
     }
 
-    fn deliver(&mut self, front: usize, from: SocketAddr, kind: Kind, bytes: &[u8]) {
+    fn deliver(&mut self, front: usize, from: SocketAddr, kind: MessageKind, bytes: &[u8]) {
         let Some(hollow) = &mut self.slots[front].front else { return };
         hollow.traffic.count_received(kind, bytes.len());
         let sent = hollow.handle_datagram(self.now, from, bytes);
--- a/crates/tools/scale/src/fleet/traffic.rs
+++ b/crates/tools/scale/src/fleet/traffic.rs
@@ -1,6 +1,6 @@
 //! Messages and bytes of one front, by the part that they belong to.
 
-use lemonusher_fleet::Kind;
+use lemonusher_fleet::MessageKind;
 use std::collections::BTreeMap;
 use std::ops::{Add, Sub};
 
@@ -40,32 +40,32 @@
 /// What one front has sent and received so far.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Traffic {
-    received: BTreeMap<Kind, Flow>,
-    sent: BTreeMap<Kind, Flow>,
+    received: BTreeMap<MessageKind, Flow>,
+    sent: BTreeMap<MessageKind, Flow>,
 }
 
 impl Traffic {
     /// Counts a message received.
-    pub fn count_received(&mut self, kind: Kind, bytes: usize) {
+    pub fn count_received(&mut self, kind: MessageKind, bytes: usize) {
         self.received.entry(kind).or_default().count(bytes);
     }
 
     /// Counts a message sent.
-    pub fn count_sent(&mut self, kind: Kind, bytes: usize) {
+    pub fn count_sent(&mut self, kind: MessageKind, bytes: usize) {
         self.sent.entry(kind).or_default().count(bytes);
     }
 
     /// What was received of these kinds.
-    pub fn received(&self, kinds: &[Kind]) -> Flow {
+    pub fn received(&self, kinds: &[MessageKind]) -> Flow {
         sum(&self.received, kinds)
     }
 
     /// What was sent of these kinds.
-    pub fn sent(&self, kinds: &[Kind]) -> Flow {
+    pub fn sent(&self, kinds: &[MessageKind]) -> Flow {
         sum(&self.sent, kinds)
     }
 }
 
-fn sum(flows: &BTreeMap<Kind, Flow>, kinds: &[Kind]) -> Flow {
+fn sum(flows: &BTreeMap<MessageKind, Flow>, kinds: &[MessageKind]) -> Flow {
     kinds.iter().filter_map(|kind| flows.get(kind)).fold(Flow::default(), |sum, flow| sum + *flow)
 }
