--- a/crates/tools/scale/src/fleet/loopback.rs
+++ b/crates/tools/scale/src/fleet/loopback.rs
@@ -12,14 +12,15 @@
 
 /// All sockets are looked at this often.
 const SWEEP: Duration = Duration::from_millis(1);
-const LARGEST: usize = 2048;
+const MAX_DATAGRAM_BYTES: usize = 2048;
 
 struct Member {
     hollow: Hollow,
     socket: UdpSocket,
-    due: Duration,
+    next_timeout: Duration,
 }
 
+/// Hollow fronts with sockets on loopback.
 pub struct Loopback {
     members: Vec<Member>,
     clock: Instant,
@@ -44,10 +45,10 @@
                 voters: voters.clone(),
                 location: Place::of(front).zone,
                 now: Duration::ZERO,
-                life: fastrand::u64(1..),
+                incarnation: fastrand::u64(1..),
                 seed: fastrand::u64(..),
             };
-            members.push(Member { hollow: Hollow::new(start), socket, due: Duration::ZERO });
+            members.push(Member { hollow: Hollow::new(start), socket, next_timeout: Duration::ZERO });
         }
         Ok(Loopback { members, clock: Instant::now(), key: key() })
     }
@@ -73,15 +74,17 @@
         latest
     }
 
+    /// How many hollow fronts there are.
     pub fn fronts(&self) -> usize {
         self.members.len()
     }
 
-    /// Tells all fronts what requests would have shown.
-    pub fn see(&self) {
-        self.members.iter().for_each(|member| member.hollow.see());
+    /// Hands all fronts what requests would have shown.
+    pub fn observe_zones(&self) {
+        self.members.iter().for_each(|member| member.hollow.observe_zones());
     }
 
+    /// What a front has sent and received.
     pub fn traffic(&self, front: usize) -> &Traffic {
         &self.members[front].hollow.traffic
     }
@@ -91,10 +94,12 @@
         self.members[front].hollow.may_act(self.clock.elapsed(), task)
     }
 
+    /// Processor time of a front's state machine.
     pub fn processor(&self, front: usize) -> Duration {
         self.members[front].hollow.processor
     }
 
+    /// What a front sees of the fleet.
     pub fn census(&self, front: usize) -> ClusterStats {
         self.members[front].hollow.census(self.clock.elapsed())
     }
@@ -102,21 +107,21 @@
 
 impl Member {
     fn turn(&mut self, clock: Instant, key: &FleetKey) {
-        let mut bytes = [0; LARGEST];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES];
         while let Ok((long, from)) = self.socket.recv_from(&mut bytes) {
-            let heard = &bytes[..long];
-            if let Ok(frame) = Frame::open(heard, key) {
-                self.hollow.traffic.count_heard(frame.body.kind(), long);
+            let received = &bytes[..long];
+            if let Ok(frame) = Frame::open(received, key) {
+                self.hollow.traffic.count_received(frame.body.kind(), long);
             }
-            let sent = self.hollow.hear(clock.elapsed(), from, heard);
+            let sent = self.hollow.handle_datagram(clock.elapsed(), from, received);
             self.send(sent);
-            self.due = self.hollow.due(clock.elapsed());
+            self.next_timeout = self.hollow.next_timeout(clock.elapsed());
         }
         let now = clock.elapsed();
-        if self.due <= now {
-            let sent = self.hollow.wake(now);
+        if self.next_timeout <= now {
+            let sent = self.hollow.poll(now);
             self.send(sent);
-            self.due = self.hollow.due(now);
+            self.next_timeout = self.hollow.next_timeout(now);
         }
     }
 
--- a/crates/tools/scale/src/fleet/setup.rs
+++ b/crates/tools/scale/src/fleet/setup.rs
@@ -13,32 +13,39 @@
 /// A task that every front is willing to hold.
 pub const TASK: &str = "account";
 /// Request classes of the plan for lost zones.
-const SERVICE_GROUPS: usize = 4;
+const REQUEST_CLASSES: usize = 4;
 
 /// Which registers fronts follow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Registers {
+    /// None.
     None,
-    /// The plan for lost zones, and operators' wishes.
+    /// The plan for lost zones, and operators' overrides.
     Zones,
-    /// These, and one register for each work on machines.
+    /// These, and one register for each maintenance request.
     ZonesAndWorks,
 }
 
 /// A fleet, alike at all its fronts.
 #[derive(Debug, Clone)]
 pub struct Setup {
+    /// All fronts, voters among them.
     pub fronts: usize,
     /// The first so many fronts vote.
     pub voters: usize,
+    /// The terms of leases.
     pub leases: LeaseConfig,
-    /// Each front wants a seat of its own.
-    pub seats: bool,
+    /// Each front wants a quota slot of its own.
+    pub quota_slots: bool,
     /// Each front is willing to hold [`TASK`].
     pub task: bool,
+    /// The registers that are followed.
     pub registers: Registers,
+    /// Of the network.
     pub delays: Delays,
+    /// The share of datagrams that is lost, from 0 to 1.
     pub loss: f64,
+    /// Of everything random.
     pub seed: u64,
 }
 
@@ -53,7 +60,7 @@
                 clock_drift_permille: 20,
                 max_action_time: Duration::from_secs(1),
             },
-            seats: false,
+            quota_slots: false,
             task: false,
             registers: Registers::None,
             delays: Delays::STATED,
@@ -84,7 +91,7 @@
             zone: location,
             state_folder: None,
             tasks: if self.task { vec![task()] } else { Vec::new() },
-            quota_slots: if self.seats { self.fronts as u32 } else { 0 },
+            quota_slots: if self.quota_slots { self.fronts as u32 } else { 0 },
             wanted_slots: 1,
             first_slot: front as u32,
             zone_failover: (self.registers != Registers::None).then(|| sites(seen)),
@@ -134,7 +141,7 @@
         floor: zone_terms().admission_floor,
         allowed_zones: None,
     };
-    ZoneFailoverSettings { config: zone_terms(), classes: vec![group; SERVICE_GROUPS], observations: seen }
+    ZoneFailoverSettings { config: zone_terms(), classes: vec![group; REQUEST_CLASSES], observations: seen }
 }
 
 /// The defaults of an operator's file.
@@ -154,19 +161,19 @@
 
 /// What a front sees in a period in which all is well: each zone's engines answer.
 pub fn seen(location: u32) -> ZoneObservation {
-    let engines_a_zone = budget::ENGINES / budget::ZONES;
+    let engines_per_zone = budget::ENGINES / budget::ZONES;
     let sights = (0..budget::ZONES).map(|site| zones::ZoneStats {
         zone: site,
-        listed: engines_a_zone as u16,
-        cores: engines_a_zone * CORES,
-        answering: engines_a_zone as u16,
+        listed: engines_per_zone as u16,
+        cores: engines_per_zone * CORES,
+        answering: engines_per_zone as u16,
         silent: 0,
-        returned: budget::REQUESTS_A_SECOND / 2 / budget::ZONES,
+        returned: budget::REQUESTS_PER_SECOND / 2 / budget::ZONES,
         slow: 0,
         failed: 0,
     });
-    let rate = budget::REQUESTS_A_SECOND as f32 / SERVICE_GROUPS as f32;
-    let demand = vec![zones::Demand { rate, work: 0.01 }; SERVICE_GROUPS];
+    let rate = budget::REQUESTS_PER_SECOND as f32 / REQUEST_CLASSES as f32;
+    let demand = vec![zones::Demand { rate, work: 0.01 }; REQUEST_CLASSES];
     let report = zones::FrontReport { zone: location, zones: sights.collect(), demand };
     let engine = |id: u32| zones::EngineObservation {
         engine: id,
--- a/crates/tools/scale/src/fleet/side_by_side.rs
+++ b/crates/tools/scale/src/fleet/side_by_side.rs
@@ -1,4 +1,4 @@
-//! One real front and hollow ones in one fleet over loopback: what each sends, hears and holds.
+//! One real front and hollow ones in one fleet over loopback: what each sends, receives and holds.
 
 use super::loopback::Loopback;
 use super::network::Place;
@@ -21,18 +21,23 @@
 const KINDS: [MessageKind; 4] =
     [MessageKind::FailureDetector, MessageKind::Leases, MessageKind::Registers, MessageKind::Reports];
 
-/// What one front sent and heard over a span, and the state that it held at its end.
+/// What one front sent and received over a span, and the state that it held at its end.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Account {
+    /// What it sent.
     pub sent: Flow,
-    pub heard: Flow,
+    /// What it received.
+    pub received: Flow,
+    /// Bytes of its state.
     pub state_bytes: usize,
     /// Processor time; a real one's has the time for its socket, too.
     pub processor: Duration,
 }
 
+/// A real front and hollow ones over the same span.
 #[derive(Debug, Clone)]
 pub struct SideBySide {
+    /// Of the real front.
     pub real: Account,
     /// Of each hollow front that does not vote, as the real one doesn't.
     pub hollow: Vec<Account>,
@@ -49,22 +54,22 @@
 
 /// Runs a fleet of which the last front is a real one, on a thread of its own with its own socket and clock; accounts
 /// for `span` once it has run for `settled`. The task is held by a hollow front from the start, as its holder renews a
-/// lease more than others: of one real front among many hollow ones, holding it or not would be told as a difference.
+/// lease more than others: of one real front among many hollow ones, holding it or not would show as a difference.
 pub fn side_by_side(setup: &Setup, settled: Duration, span: Duration) -> io::Result<SideBySide> {
     let last = setup.fronts - 1;
     let mut hollow = Loopback::start(setup, last)?;
     if setup.task {
         hold_task(&mut hollow)?;
     }
-    let (sees, seen) = async_channel::bounded(1);
+    let (observations, seen) = async_channel::bounded(1);
     let location = Place::of(last).zone;
     let listen = SocketAddr::from(([127, 0, 0, 1], 0));
     let terms = setup.terms(last, listen, hollow.voters(setup.voters), location, seen);
     let real = lemonusher_fleet::start(terms)?;
-    run(&mut hollow, &sees, location, settled);
+    run(&mut hollow, &observations, location, settled);
     let (real_before, hollow_before) = (real_account(&real), hollow_accounts(&hollow, setup));
     let watch = Watch::start(Duration::MAX);
-    let lateness = run(&mut hollow, &sees, location, span).max(watch.finish().greatest);
+    let lateness = run(&mut hollow, &observations, location, span).max(watch.finish().greatest);
     let (real_after, hollow_after) = (real_account(&real), hollow_accounts(&hollow, setup));
     let hollow = hollow_after.iter().zip(&hollow_before).map(|(after, before)| after.since(before));
     Ok(SideBySide { real: real_after.since(&real_before), hollow: hollow.collect(), lateness })
@@ -74,7 +79,7 @@
     fn since(&self, before: &Account) -> Account {
         Account {
             sent: self.sent - before.sent,
-            heard: self.heard - before.heard,
+            received: self.received - before.received,
             state_bytes: self.state_bytes,
             processor: self.processor.saturating_sub(before.processor),
         }
@@ -87,20 +92,25 @@
         if waited >= TASK_HELD {
             return Err(io::Error::new(io::ErrorKind::TimedOut, "no hollow front got hold of the task"));
         }
-        hollow.see();
+        hollow.observe_zones();
         hollow.run_for(zone_terms().report_interval);
         waited += zone_terms().report_interval;
     }
     Ok(())
 }
 
-/// Lets all fronts run, and tells them once a period what requests would have shown.
-fn run(hollow: &mut Loopback, sees: &Sender<ZoneObservation>, location: u32, span: Duration) -> Duration {
+/// Runs all fronts, and hands them once a period what requests would have shown.
+fn run(
+    hollow: &mut Loopback,
+    observations: &Sender<ZoneObservation>,
+    location: u32,
+    span: Duration,
+) -> Duration {
     let period = zone_terms().report_interval;
     let mut lateness = Duration::ZERO;
     for _ in 0..span.as_nanos().div_ceil(period.as_nanos()) {
-        let _ = sees.force_send(seen(location));
-        hollow.see();
+        let _ = observations.force_send(seen(location));
+        hollow.observe_zones();
         lateness = lateness.max(hollow.run_for(period));
     }
     lateness
@@ -114,7 +124,7 @@
     };
     Account {
         sent: flow(&counts.sent, &counts.sent_bytes),
-        heard: flow(&counts.received, &counts.received_bytes),
+        received: flow(&counts.received, &counts.received_bytes),
         state_bytes: real.stats().bytes,
         processor: thread_time_of(THREAD),
     }
@@ -123,7 +133,7 @@
 fn hollow_accounts(hollow: &Loopback, setup: &Setup) -> Vec<Account> {
     let account = |front: usize| Account {
         sent: hollow.traffic(front).sent(&KINDS),
-        heard: hollow.traffic(front).heard(&KINDS),
+        received: hollow.traffic(front).received(&KINDS),
         state_bytes: hollow.census(front).bytes,
         processor: hollow.processor(front),
     };
--- a/crates/tools/scale/src/roles/connections.rs
+++ b/crates/tools/scale/src/roles/connections.rs
@@ -1,4 +1,4 @@
-//! Client connections: what each takes of a real front process while it rests, and while it only says that it lives.
+//! Client connections: what each takes of a real front process while it is idle, and while it only sends heartbeats.
 //!
 //! A front closes a connection on which nothing was said for six seconds, so the windows are shorter, and a connection
 //! that is to stay must speak. Memory is the process's resident size; buffers inside the system's kernel are not in it.
@@ -6,14 +6,14 @@
 use crate::budget;
 use crate::channel::Channel;
 use crate::error::MeasureError;
-use crate::front::{self, Front, Told, io};
+use crate::front::{self, Front, FrontOptions, io};
 use crate::limits::Limits;
 use crate::measurement::{Measurement, Options};
 use crate::need::Need;
 use crate::process::{self, Figures};
 use crate::progress::Progress;
 use crate::role::Role;
-use crate::sample::{Metric, Sample, metric};
+use crate::sample::{Metric, MetricValue, Sample, metric};
 use crate::watch::Watch;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -35,23 +35,23 @@
 const STEP: Duration = Duration::from_millis(10);
 /// A front that has just started settles for so long.
 const SETTLE: Duration = Duration::from_millis(500);
-const LONGEST_ANSWER: Duration = Duration::from_secs(10);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 /// How late the rig's own timers may be.
 const LATENESS: Duration = Duration::from_millis(50);
-/// Descriptors that a front is told for each connection wanted: clients hold a third of them.
+/// Descriptors that a front is given for each connection wanted: clients may use a third of them.
 const DESCRIPTORS_EACH: u32 = 3;
 /// Bytes that a connection takes of both processes and the kernel at most.
 const BYTES_AT_MOST: u64 = 64 * 1024;
 /// Descriptors that either process needs beside its connections.
 const SPARE: u64 = 64;
-const SPEAK: &[u8] = b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"heartbeat\"}\n";
+const HEARTBEAT_LINE: &[u8] = b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"heartbeat\"}\n";
 
 /// What the connections do, and what the front is given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Case {
     /// Each has spoken once and says nothing more.
     Resting,
-    /// Each says that it lives, in time to stay.
+    /// Each sends heartbeats, often enough to stay open.
     Heartbeat,
     /// Resting, at a front that has the platform's 1,024 descriptors.
     Platform,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Opens connections to a real front and lets them rest.
+/// Opens connections to a real front and leaves them idle.
 pub struct Connections {
     options: Options,
 }
@@ -91,12 +91,12 @@
 
     fn run(&self, size: u32, case: Case) -> Result<Run, MeasureError> {
         let channel = Channel::start().map_err(io("the command channel"))?;
-        let told = Told {
+        let front_options = FrontOptions {
             channel: channel.address,
             descriptors: case.descriptors(size),
             memory_mb: budget::FRONT_MEMORY_MB as u32,
         };
-        let front = Front::start(&front::program(self.options.front.as_deref())?, &told)?;
+        let front = Front::start(&front::program(self.options.front.as_deref())?, &front_options)?;
         std::thread::sleep(SETTLE);
         let before = process::of(front.pid())?;
         let mut clients = Clients::open(front.address, size)?;
@@ -104,7 +104,7 @@
         let begun = (Instant::now(), process::of(front.pid())?);
         let window = self.window();
         match case {
-            Case::Heartbeat => clients.speak_for(window),
+            Case::Heartbeat => clients.heartbeat_for(window),
             Case::Resting | Case::Platform => std::thread::sleep(window),
         }
         let after = process::of(front.pid())?;
@@ -127,23 +127,23 @@
 }
 
 impl Run {
-    fn values(&self) -> [(Metric, f64); 6] {
+    fn values(&self) -> [MetricValue; 6] {
         let seconds = self.span.as_secs_f64();
         let processor = self.after.processor.saturating_sub(self.begun.processor).as_secs_f64();
         let wakeups = self.after.wakeups.saturating_sub(self.begun.wakeups) as f64;
         let grown = self.after.resident_bytes.saturating_sub(self.before.resident_bytes) as f64;
         [
-            (metric::MEMORY, self.after.resident_bytes as f64 / f64::from(1 << 20)),
-            (BYTES_EACH, grown / self.held.max(1) as f64),
-            (metric::DESCRIPTORS, self.after.descriptors as f64),
-            (metric::PROCESSOR, processor / seconds * 100.0),
-            (WAKEUPS, wakeups / seconds),
-            (HELD, self.held as f64),
+            metric::MEMORY.of(self.after.resident_bytes as f64 / f64::from(1 << 20)),
+            BYTES_EACH.of(grown / self.held.max(1) as f64),
+            metric::DESCRIPTORS.of(self.after.descriptors as f64),
+            metric::PROCESSOR.of(processor / seconds * 100.0),
+            WAKEUPS.of(wakeups / seconds),
+            HELD.of(self.held as f64),
         ]
     }
 
     fn samples(&self, case: Case) -> impl Iterator<Item = Sample> {
-        self.values().into_iter().map(move |(metric, value)| Sample {
+        self.values().into_iter().map(move |MetricValue { metric, value }| Sample {
             role: Role::Connections,
             case: case.name().to_string(),
             size: self.size,
@@ -165,7 +165,7 @@
         let mut lines = Vec::new();
         for _ in 0..count {
             let wire = TcpStream::connect(address).map_err(io("a connection to the front"))?;
-            wire.set_read_timeout(Some(LONGEST_ANSWER)).map_err(io("a connection to the front"))?;
+            wire.set_read_timeout(Some(RESPONSE_TIMEOUT)).map_err(io("a connection to the front"))?;
             let mut line = BufReader::with_capacity(256, wire);
             speak(&mut line); // One that was closed is counted at the end.
             lines.push(line);
@@ -174,7 +174,7 @@
     }
 
     /// Each speaks once in a period, one after the other.
-    fn speak_for(&mut self, window: Duration) {
+    fn heartbeat_for(&mut self, window: Duration) {
         let begun = Instant::now();
         let mut spoken = 0u64;
         while begun.elapsed() < window {
@@ -194,10 +194,10 @@
     }
 }
 
-/// Says that it lives, and reads the answer; false if the connection is over.
+/// Sends a heartbeat, and reads the answer; false if the connection is over.
 fn speak(line: &mut BufReader<TcpStream>) -> bool {
     let mut answer = String::new();
-    let written = line.get_mut().write_all(SPEAK);
+    let written = line.get_mut().write_all(HEARTBEAT_LINE);
     written.is_ok() && line.read_line(&mut answer).is_ok_and(|read| read > 0)
 }
 
@@ -222,7 +222,7 @@
     }
 
     fn default_sizes(&self) -> Vec<u32> {
-        vec![100, 1_000, 5_000, budget::CONNECTIONS_A_FRONT]
+        vec![100, 1_000, 5_000, budget::CONNECTIONS_PER_FRONT]
     }
 
     fn measure(&mut self, size: u32, progress: &mut Progress) -> Result<Vec<Sample>, MeasureError> {
