--- a/crates/edges/front/src/program/config.rs
+++ b/crates/edges/front/src/program/config.rs
@@ -42,12 +42,27 @@
 pub enum StartError {
     /// This environment variable is not set.
     Missing(&'static str),
-    /// This file can't be read.
-    Unreadable(String, io::Error),
-    /// This file can't be used, for this reason.
-    Malformed(String, String),
-    /// The front can't listen on this address.
-    Listen(SocketAddr, io::Error),
+    /// The configuration file can't be read.
+    Unreadable {
+        /// The file.
+        path: String,
+        /// Why.
+        error: io::Error,
+    },
+    /// The configuration file can't be used.
+    Malformed {
+        /// The file.
+        path: String,
+        /// What is wrong with it.
+        reason: String,
+    },
+    /// The front can't listen for clients.
+    Listen {
+        /// Where it was to listen.
+        address: SocketAddr,
+        /// Why.
+        error: io::Error,
+    },
     /// The front can't watch for signals.
     Signals(io::Error),
 }
@@ -56,18 +71,21 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             StartError::Missing(name) => write!(f, "the variable {name} is not set"),
-            StartError::Unreadable(path, error) => write!(f, "can't read {path}: {error}"),
-            StartError::Malformed(path, reason) => write!(f, "can't use {path}: {reason}"),
-            StartError::Listen(address, error) => write!(f, "can't listen on {address}: {error}"),
+            StartError::Unreadable { path, error } => write!(f, "can't read {path}: {error}"),
+            StartError::Malformed { path, reason } => write!(f, "can't use {path}: {reason}"),
+            StartError::Listen { address, error } => write!(f, "can't listen on {address}: {error}"),
             StartError::Signals(error) => write!(f, "can't watch for signals: {error}"),
         }
     }
 }
 
+impl std::error::Error for StartError {}
+
 impl FrontConfig {
     /// Reads a configuration file.
     pub fn read(path: &str) -> Result<FrontConfig, StartError> {
-        let text = std::fs::read_to_string(path).map_err(|e| StartError::Unreadable(path.to_owned(), e))?;
+        let text = std::fs::read_to_string(path)
+            .map_err(|error| StartError::Unreadable { path: path.to_owned(), error })?;
         serde_json::from_str(&text).map_err(|e| malformed(path, e))
     }
 
@@ -101,7 +119,7 @@
 }
 
 fn malformed(path: &str, reason: impl fmt::Display) -> StartError {
-    StartError::Malformed(path.to_owned(), reason.to_string())
+    StartError::Malformed { path: path.to_owned(), reason: reason.to_string() }
 }
 
 /// The names that the deployment gives its zones, machine kinds and request classes, each in the order of the numbers.
--- a/crates/edges/front/src/program/start.rs
+++ b/crates/edges/front/src/program/start.rs
@@ -91,7 +91,7 @@
 }
 
 fn listen(address: SocketAddr) -> Result<Async<TcpListener>, StartError> {
-    transport::listen(address, LISTEN_BACKLOG).map_err(|e| StartError::Listen(address, e))
+    transport::listen(address, LISTEN_BACKLOG).map_err(|error| StartError::Listen { address, error })
 }
 
 /// The clock's origin lies before the start of every engine that is in slow start, and no earlier: the gateway's initial
@@ -157,7 +157,7 @@
     match listener {
         Some(listener) => {
             let address = listener.get_ref().local_addr();
-            let address = address.map_err(|e| StartError::Listen(config.listen, e))?;
+            let address = address.map_err(|error| StartError::Listen { address: config.listen, error })?;
             log::info!("front {} listens on {address}, {known} engine events known", config.name);
         }
         None => log::info!("front {} serves proxies, {known} engine events known", config.name),
--- a/crates/edges/front/tests/crossings.rs
+++ b/crates/edges/front/tests/crossings.rs
@@ -1,6 +1,6 @@
-//! More of what comes in the very moment in which something else happens: a word that takes back what came with it,
-//! lists that name an engine no longer, a system that takes only a part, a signal during the start. Each crossing is
-//! forced by the order of events; `docs/races.md` lists them with those of `races.rs`.
+//! More crossings: a revoke read together with its request, lists that no longer name an engine, a system that takes only
+//! a part of a message, a signal during the start. Each is forced by the order of events; `docs/races.md` lists them with
+//! those of `races.rs`.
 
 use lemonusher_fakes::*;
 use serde_json::{Value, json};
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 const FRONT: &str = env!("CARGO_BIN_EXE_lemonusher-front");
-/// Within this a front does what it does at once, on however busy a machine.
+/// A front does within this what it does at once, on however busy a machine.
 const PROMPT: Duration = Duration::from_secs(3);
 
 fn one() -> (Front, Engine, Commands) {
@@ -74,7 +74,7 @@
     assert_eq!(again.id, call);
     let held = front.descriptors();
     let engine = late.come_up();
-    // An empty change now and then, so that discovery does not fall silent and is not asked anew.
+    // An empty change now and then, so that the discovery channel does not count as silent.
     let mut speaks = || wire.write_all(&changes(2, &[])).unwrap();
     let mut came_up = || {
         speaks();
@@ -93,7 +93,7 @@
     drop(front);
 }
 
-/// A whole list that comes late, its number far on, names one engine no longer and another as draining.
+/// A full list that comes late, with a much higher number, lacks one engine and names another as draining.
 #[test]
 fn a_full_list_that_crosses_an_attempt_moves_it_from_an_engine_it_does_not_name() {
     let (front, mut client, call, late, commands) = waits_for_a_connection(|_| {});
@@ -104,7 +104,7 @@
     assert_eq!(again.id, call);
     again.answer("HIT", "fetches=1", b"a\tb\tc\n");
     client.returned(1, b"a\tb\tc\n");
-    // Asked for again after a loss: from the list on, which says the same once more and changes nothing.
+    // After a loss the events are requested again from the list on; the same list once more changes nothing.
     drop(wire);
     let (last, mut wire) = commands.next();
     assert_eq!(last, 9);
@@ -137,7 +137,7 @@
     assert!(engine.quiet(PROMPT));
 }
 
-/// Work that may run once only goes elsewhere as well: nothing of it was sent.
+/// A non-idempotent request is retried elsewhere as well: nothing of it was sent.
 #[test]
 fn an_attempt_whose_connection_never_comes_up_is_retried_elsewhere() {
     let (late, other, commands) = (LateEngine::start(), Engine::start(), Commands::start());
@@ -156,14 +156,14 @@
     drop(late);
 }
 
-/// The file that it is told by is a pipe, so that it stands in the middle of its start until the test writes.
+/// Its configuration file is a pipe, so that it stays in the middle of its start until the test writes.
 #[test]
 fn a_signal_during_start_up_shuts_the_front_down_gracefully() {
     let pipe = place("told");
     assert!(Command::new("mkfifo").arg(&pipe).status().unwrap().success());
     let commands = Commands::start();
     let mut child: Child = Command::new(FRONT).env("PROXY_CONFIG", &pipe).spawn().unwrap();
-    // Comes back once the front has opened its side, and waits for what it is told.
+    // Returns once the front has opened its side and waits for the configuration.
     let mut told_by = std::fs::OpenOptions::new().write(true).open(&pipe).unwrap();
     let id = child.id().to_string();
     assert!(Command::new("kill").args(["-s", "TERM", &id]).status().unwrap().success());
@@ -181,7 +181,7 @@
     assert_eq!(status.code(), Some(0), "{status}");
 }
 
-/// Bytes that the system holds on connections to this port, of one side or the other, as its table tells.
+/// Bytes that the system holds on connections to this port, on either side, by its own table.
 fn held_by_the_system(port: u16) -> usize {
     const LISTENS: &str = "0A";
     let ends = format!(":{port:04X}");
@@ -200,8 +200,8 @@
     held.sum()
 }
 
-/// The engine does not read until the test says so. Once the system has taken only a part of a message, what comes next
-/// waits where it can be taken back.
+/// The engine does not read until the test lets it. Once the system has taken only a part of a message, the next ones wait
+/// where they can be withdrawn.
 #[test]
 fn an_attempt_behind_a_partly_written_message_can_be_withdrawn() {
     const LARGE: usize = 100_000;
@@ -239,7 +239,7 @@
     );
     last.write(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":1}}"#);
     assert!((0..1000).any(|_| counts(&front, "left look-up=1")), "not heard");
-    // All that was asked before comes whole, and nothing of what was taken back.
+    // All requests that were sent before arrive complete, and nothing of the withdrawn one.
     wire.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
     let mut all = Vec::new();
     let _ = (&wire).read_to_end(&mut all);
--- a/crates/edges/front/tests/fleet.rs
+++ b/crates/edges/front/tests/fleet.rs
@@ -11,7 +11,7 @@
 const FRONT: &str = env!("CARGO_BIN_EXE_lemonusher-front");
 /// Each of these tests takes all the machine.
 static ALONE: Mutex<()> = Mutex::new(());
-/// Work of a request, as answers tell it.
+/// Work of a request in milliseconds, as replies report it.
 const WORK_MS: u32 = 200;
 
 fn one_of(fronts: usize, number: usize, address: SocketAddr, engines: &Value, channel: SocketAddr) -> Value {
@@ -21,7 +21,7 @@
     config["settings"]["balancers"] = json!(fronts);
     config["settings"]["my_number"] = json!(number);
     config["settings"]["ceilings"]["probes"] = json!(false);
-    // Longer than any of these tests, however busy the machine: what comes later is bound by nothing.
+    // Longer than any of these tests, however busy the machine: what comes after slow start is not bounded.
     config["settings"]["obligations"]["cold_us"] = json!(600_000_000);
     config["known"]["cmds"][0]["nodes"]["members"] = engines.clone();
     config
@@ -33,7 +33,7 @@
     held.iter().map(|listener| listener.local_addr().unwrap()).collect()
 }
 
-/// Asks a front for small work without pause, whoever runs at its address, until told to stop.
+/// Sends small requests to the front at this address without pause, until stopped.
 fn press(address: SocketAddr, number: usize, stop: &AtomicBool) {
     let mut call = 0u64;
     while !stop.load(Ordering::Relaxed) {
@@ -113,7 +113,7 @@
     let most = tally.iter().map(in_window).max().unwrap_or(0);
     println!("{} sent in all, {most} at most in a window that allows {allowed:.0}", tally.len());
     assert!(most as f64 <= bound, "{most} of {allowed:.0}");
-    // An engine that gets nothing is kept standing for nothing.
+    // An engine that gets nothing in slow start would be no use.
     assert!(
         tally.len() as f64 > 0.5 * allowed,
         "only {} in all, where a window allows {allowed:.0}",
--- a/crates/edges/front/tests/limits.rs
+++ b/crates/edges/front/tests/limits.rs
@@ -12,7 +12,7 @@
 const ENGINES: u32 = 1024;
 /// Engines that share a listener, so that one machine holds them all.
 const LISTENERS: u32 = 8;
-/// What a front at hand may use.
+/// Descriptors and memory of these fronts.
 const DESCRIPTORS: u64 = 256;
 const MEMORY_MB: u64 = 32;
 /// Records in the longest frame that is read.
@@ -32,7 +32,7 @@
     }
 }
 
-/// One of 350 fronts on little.
+/// One of 350 fronts with few descriptors and little memory.
 fn little(engines: &[(u32, SocketAddr)], channel: SocketAddr) -> Value {
     let mut config = told(engines, channel);
     config["limits"] = json!({"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": DESCRIPTORS});
@@ -47,7 +47,7 @@
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
-/// Asks for work on so many groups of tables, some at once, as a front of many sees it; how many were served.
+/// Sends requests on so many table groups, some at once, as one of many fronts gets them; yields how many were served.
 fn press(front: &Front, groups: u64, at_once: usize) -> u64 {
     let mut clients: Vec<Client> = (0..at_once).map(|_| front.client()).collect();
     let (mut group, mut served) = (0, 0);
@@ -66,7 +66,7 @@
 #[test]
 fn a_front_with_few_descriptors_serves_1024_engines_and_logs_the_shortage() {
     for (shape, handshake) in [("probes", 0.0), ("blind", 0.0), ("blind", 1.0)] {
-        // Told as more work than it takes, so that a busy machine is not taken for slow engines.
+        // Reported as more work than it takes, so that a busy machine is not taken for slow engines.
         let (crowd, commands) = (Crowd::start(|_| Answers::HitOf(200)), Commands::start());
         let mut config = little(&crowd.engines(ENGINES), commands.address);
         config["settings"]["prices"] = json!({"handshake": handshake});
@@ -94,8 +94,8 @@
     }
 }
 
-/// The crossing: all descriptors for engines are held by idle connections whose other side never ends, and others are
-/// wanted. The fake keeps its ends of the old ones, and what is wanted must not wait for them.
+/// The crossing: all descriptors for engines are held by idle connections whose other side never closes, and others are
+/// wanted. The fake holds its ends of the old ones open, and the wanted ones must not wait for them.
 #[test]
 fn connections_that_an_engine_does_not_close_make_room_for_wanted_ones() {
     const HELD: u32 = 16; // Descriptors for engines of a front with 64.
@@ -141,8 +141,8 @@
     drop(unanswered);
 }
 
-/// A list as long as a frame holds is followed. One that is longer is refused with a word in the log, and the front goes
-/// on with what it has.
+/// A list as long as a frame holds is applied. A longer one is refused with a log line, and the front goes on with what it
+/// has.
 #[test]
 fn the_longest_list_is_applied_and_a_longer_one_changes_nothing() {
     for (records, followed) in [(ENGINES, true), (FRAME, true), (FRAME + 1, false)] {
--- a/crates/edges/front/tests/races.rs
+++ b/crates/edges/front/tests/races.rs
@@ -1,5 +1,5 @@
-//! What comes in the very moment in which something else happens. Each crossing is forced: the fake holds back a
-//! connection, a byte, an answer or the front itself until the test lets go. `docs/races.md` lists them all.
+//! Crossings: two events at the same moment. Each is forced: the fake holds back a connection, a byte, a reply or the front
+//! itself until the test releases it. `docs/races.md` lists them all.
 
 use lemonusher_fakes::*;
 use serde_json::{Value, json};
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 const FRONT: &str = env!("CARGO_BIN_EXE_lemonusher-front");
-/// Within this a front does what it does at once, on however busy a machine, and far less than what it waits for.
+/// A front does within this what it does at once, on however busy a machine; far less than its timeouts.
 const PROMPT: Duration = Duration::from_secs(3);
 const REVOKE: &str = r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":1}}"#;
 
@@ -35,7 +35,7 @@
     (Front::start(FRONT, &config), late, other, commands)
 }
 
-/// What an engine is sent first is not the request of this call, though it was sent to that engine before.
+/// The first request that the engine gets is not the one of this id, though that was assigned to the engine before.
 fn first_is_not(front: &Front, engine: &Engine, call: &str) {
     let mut client = front.client();
     let ours = client.ask(1, "look-up");
@@ -44,7 +44,7 @@
     assert_eq!(said.id, ours);
 }
 
-/// Waits until a first look-up has been sent on its way, of which its engine may know nothing yet.
+/// Waits until the front has counted a first attempt, of which its engine may know nothing yet.
 fn on_its_way(front: &Front) {
     let on_its_way = || {
         front.signal("USR1");
@@ -80,7 +80,7 @@
         if leaves_by == "revoke" || leaves_by == "half" {
             idle_client = Some(front.client());
         }
-        std::thread::sleep(Duration::from_millis(100)); // What the terms allow it to hear of that.
+        std::thread::sleep(Duration::from_millis(100)); // Time for the front to notice.
         first_is_not(&front, &late.come_up(), &call);
         drop(idle_client);
     }
@@ -95,7 +95,7 @@
     on_its_way(&front);
     let drains = changes(2, &[(home(), late.address, 1)]);
     wire.write_all(&drains).unwrap();
-    // It goes elsewhere at once, though the connection may still come up.
+    // It is retried elsewhere at once, though the connection may still come up.
     let again = other.next_within("serve", PROMPT).expect("not sent elsewhere");
     assert_eq!(again.id, call);
     let engine = late.come_up();
@@ -134,7 +134,7 @@
     let call = client.ask(1, "look-up");
     engine.next("serve").answer("FAULT", "-", b""); // It may have run.
     assert!(client.fit());
-    // Neither sent again nor rejected: who is told that trying again is safe would come when it no longer is.
+    // Neither retried nor rejected: a client that tries again because that was safe would do so when it no longer is.
     let code = client.error(Some(1));
     assert!(code != -32002 && code != 0, "{code}");
     let late = late.come_up();
@@ -144,7 +144,7 @@
     assert!(sent != call && ours.contains(&sent), "{sent}");
 }
 
-/// Much is sent at once by a client that has gone before the front runs.
+/// A client sends many requests at once and disconnects before the front runs.
 #[test]
 fn requests_of_a_client_that_disconnected_before_they_are_read_are_not_forwarded() {
     for leaves_by in ["close", "half", "reset"] {
@@ -172,7 +172,7 @@
     }
 }
 
-/// The results that it has not read stand in the way of nothing but themselves.
+/// The results that it has not read delay nothing else.
 #[test]
 fn a_client_that_reads_nothing_and_closes_its_side_counts_as_disconnected_at_once() {
     let (front, engine, _commands) = one(|_| {});
@@ -190,8 +190,8 @@
     assert_eq!(cancel.id, call);
 }
 
-/// Such a client sees the end of a connection in order; what it sends after that is not sent on, and not reset,
-/// as a reset would take with it what the client has not read yet.
+/// The client sees a graceful close; what it sends after that is not forwarded, and not reset, as a reset would discard
+/// what the client has not read yet.
 #[test]
 fn an_idle_connection_is_closed_gracefully_and_what_crosses_that_is_not_forwarded() {
     for end in ["idle", "never spoke", "told to end"] {
@@ -223,7 +223,7 @@
     let params = r#""params":{"call":"9b1f03aa5c7e2d41","ttl":9000,"data":"c2VsZWN0IDE="}}"#;
     half.wire.write_all(br#"{"jsonrpc":"2.0","id":1,"method":"look-up","#).unwrap();
     assert!(front.client().fit()); // The first half has been read.
-    // Others press for its place.
+    // New connections need its descriptor.
     let others: Vec<TcpStream> = (0..80).map(|_| TcpStream::connect(front.address).unwrap()).collect();
     assert!(front.client().fit());
     half.wire.write_all(format!("{params}\n").as_bytes()).unwrap();
@@ -294,12 +294,12 @@
     answered.sort_unstable();
     assert_eq!(answered, (1..=16).collect::<Vec<u64>>());
     assert!(client.ends_in_order());
-    client.ask(17, "look-up"); // After the end of the connection: nobody's.
+    client.ask(17, "look-up"); // After the end of the connection: it is dropped.
     assert!(engine.quiet(Duration::from_millis(200)));
     assert_eq!(front.ends_within(PROMPT), Some(0));
 }
 
-/// Connections wait in the system's queue, with requests on them, when the front is told to end.
+/// Connections wait in the system's accept queue, with requests on them, when the front gets the signal.
 #[test]
 fn connections_in_the_accept_queue_at_the_signal_are_answered() {
     let (mut front, engine, _commands) = one(|_| {});
@@ -325,7 +325,7 @@
         let (commands, engines) = (Commands::start(), (0..60).map(|_| Engine::start()).collect::<Vec<_>>());
         let mut config = told(&[], commands.address);
         config["limits"]["sockets"] = json!(sockets);
-        // However busy the machine, none is given up for the time it takes.
+        // However busy the machine, no request times out.
         config["settings"]["ceilings"]["connect_timeout_us"] = json!(5_000_000);
         config["settings"]["classes"][0]["aim_us"] = json!(20_000_000);
         let front = Front::start_within(FRONT, &config, sockets);
@@ -338,7 +338,7 @@
         wire.write_all(&changes(2, &listed)).unwrap();
         front.logged("engine 0000003c is Active");
         let mut most = 0;
-        // Each of many groups of tables has another home: every engine is wanted in turn.
+        // Many table groups are placed on different engines: every engine is wanted in turn.
         for group in 0..150u64 {
             let mut client = front.client();
             client.ask_of(1, "look-up", group);
@@ -355,7 +355,8 @@
     }
 }
 
-/// An event has come in part when the file is read anew: it is asked for again at the new place, and told once.
+/// A part of an event has come when the configuration is reloaded: it is requested again at the new address, and published
+/// once.
 #[test]
 fn a_reload_in_the_middle_of_an_event_loses_and_repeats_nothing() {
     let (front, engine, commands) = one(|_| {});
@@ -374,8 +375,8 @@
     assert!(front.logged("counts:").contains("channel events 3;"));
 }
 
-/// The watch is silent while an engine begins to drain; the next one, asked for anew, tells of it, and what comes
-/// on the silent one after all counts for nothing.
+/// The watch is silent while an engine begins to drain; the next connection names it as draining, and what still comes on
+/// the silent one is ignored.
 #[test]
 fn an_engine_that_drains_while_the_watch_is_silent_gets_nothing_once_the_watch_is_back() {
     let (front, engine, commands) = one(|_| {});
@@ -391,7 +392,7 @@
     assert!(engine.quiet(Duration::from_millis(100)));
 }
 
-/// Half a line from an engine stands unread when its connection is closed as idle.
+/// Half a line from an engine is unread when its connection is closed as idle.
 #[test]
 fn an_engine_in_the_middle_of_a_line_sees_a_graceful_close() {
     let (front, engine, _commands) = one(|config| {
--- a/crates/edges/front/tests/sockets.rs
+++ b/crates/edges/front/tests/sockets.rs
@@ -143,7 +143,7 @@
     assert_eq!(engine.next("cancel").id, call);
 }
 
-/// Each of the ends of an attempt that may cross another: the first counts, and the second harms nothing.
+/// Two ends of an attempt cross: the first counts, and the second is ignored.
 #[test]
 fn a_reset_that_crosses_a_cancel_ends_the_attempt() {
     let (front, engine, _commands) = one();
@@ -153,7 +153,7 @@
     std::thread::sleep(PAUSE);
     serve.answer("INFO", "detail=advance,figure=0.001", b"");
     serve.hang_up();
-    let code = client.error(Some(1)); // The engine rests; the request is pushed back once it starts too late.
+    let code = client.error(Some(1)); // The engine is ejected; the request is rejected once it would start too late.
     assert_eq!(code, -32002);
     assert!(client.fit());
 }
@@ -171,7 +171,7 @@
     assert_eq!(engine.next("release").id, call);
     client.ask(2, "look-up");
     let again = engine.next("serve");
-    assert_eq!(again.from(), serve.from()); // The connection has stood it.
+    assert_eq!(again.from(), serve.from()); // The connection is still in use.
     again.answer("HIT", "fetches=1", b"");
     client.returned(2, b"");
 }
@@ -300,14 +300,14 @@
     assert!(budget.parse::<u128>().unwrap() <= 20_000 - (PAUSE * 3).as_millis(), "{budget}");
 }
 
-/// The engine is told twice over different connections, and the second may overtake the cancel of the first.
+/// The engine gets the request twice over different connections, and the second may overtake the cancel of the first.
 #[test]
 fn a_request_is_not_sent_again_before_its_engine_has_read_the_cancel() {
     let (front, engine, _commands) = one();
     let mut client = front.client();
     client.ask(1, "look-up");
     let serve = engine.next("serve");
-    std::thread::sleep(PAUSE); // It has been out for long against the share done.
+    std::thread::sleep(PAUSE); // It has been in flight for long compared with the share done.
     serve.answer("INFO", "detail=advance,figure=0.001", b"");
     engine.next("cancel");
     let behind = engine.next("read behind cancel");
@@ -333,7 +333,7 @@
     serve.answer("HIT", "fetches=1", b"a\tb\tc\n");
     client.returned(1, b"a\tb\tc\n");
     engine.next("read behind cancel").answer("FAULT", "-", b"");
-    client.ask(2, "look-up"); // The connection has stood it.
+    client.ask(2, "look-up"); // The connection is still in use.
     engine.next("serve").answer("HIT", "fetches=1", b"");
     client.returned(2, b"");
 }
@@ -371,7 +371,7 @@
     client.ask(1, "look-up");
     other.next("serve").answer("HIT", "fetches=1", b"");
     client.returned(1, b"");
-    // Lost and back, from the last event on; what it has is passed over, what is missing asked for again.
+    // Lost and back, from the last event on; known events are skipped, missing ones requested again.
     drop(wire);
     let (last, mut wire) = commands.next();
     assert_eq!(last, 2);
@@ -379,7 +379,7 @@
     wire.write_all(&changes(4, &[(second, other.address, 1)])).unwrap();
     let (last, mut wire) = commands.next();
     assert_eq!(last, 2);
-    // An engine of a kind that nobody has stated is left out, and a bad frame ends the connection.
+    // An engine of an unknown kind is skipped, and a malformed frame ends the connection.
     let mut strange = changes(3, &[(first, home.address, 0), (9, home.address, 0)]);
     strange[13 + 27 + 12] = 7;
     wire.write_all(&strange).unwrap();
@@ -444,7 +444,7 @@
     client.ask(2, "look-up");
     let new = engine.next("serve");
     assert_ne!(new.from(), old.from());
-    old.answer("HIT", "fetches=1", b"old\t\t\n"); // What was out there may still end well.
+    old.answer("HIT", "fetches=1", b"old\t\t\n"); // What was in flight there may still complete.
     client.returned(1, b"old\t\t\n");
     new.answer("HIT", "fetches=1", b"");
     client.returned(2, b"");
@@ -495,14 +495,14 @@
     let serve = engine.next("serve");
     send_faulty_lines(&mut bad);
     assert!(bad.fit());
-    // An id that is open, and a call that is open elsewhere: neither ends what came first.
+    // An id that is open, and a request id that is open elsewhere: neither ends the first request.
     good.ask(1, "look-up");
     assert_eq!(good.error(None), -32600);
     let data = base64(b"select 1");
     let params = json!({"call": serve.id, "ttl": 1500, "data": data});
     bad.write(&json!({"jsonrpc": "2.0", "id": 8, "method": "look-up", "params": params}).to_string());
     bad.error(Some(8));
-    // Told once, as all that is wrong with a line; and the connection ends.
+    // One error, as for each faulty line; and the connection ends.
     let _ = bad.wire.write_all(&[b'x'; 400_000]);
     assert_eq!(bad.error(None), -32600);
     assert_eq!(bad.next(), None);
@@ -548,14 +548,14 @@
 fn unusable_lines_get_errors_up_to_a_limit() {
     let (front, engine, _commands) = one();
     let mut bad = front.client();
-    bad.write(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":4}}"#); // Nothing was asked.
+    bad.write(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":4}}"#); // No such request was sent.
     assert_eq!(bad.error(None), -32602);
     for ttl in ["0", "-5", "1e400", "9e15", "NaN", "\"1500\""] {
         let params = format!(r#"{{"call":"9b1f03aa5c7e2d41","ttl":{ttl},"data":""}}"#);
         bad.write(&format!(r#"{{"jsonrpc":"2.0","id":4,"method":"look-up","params":{params}}}"#));
         assert!(bad.next().unwrap()["error"]["code"].as_i64().unwrap() < -32002, "{ttl}");
     }
-    // Revoked after its answer: nothing is said.
+    // Revoked after its response: ignored.
     bad.write(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":3}}"#);
     assert!(bad.fit());
     // Its end may overtake the last errors, as it goes on sending.
@@ -637,7 +637,7 @@
     let answered = engine.next("serve");
     answered.answer("HIT", "fetches=1", b"a\tb\tc\n");
     late.returned(3, b"a\tb\tc\n");
-    let code = client.error(Some(2)); // It may have run: errored, not pushed back.
+    let code = client.error(Some(2)); // It may have run: failed, not rejected.
     assert_ne!(code, -32002);
     assert_eq!(engine.next("cancel").id, running.id);
     let counts = front.logged("counts");
