--- a/crates/edges/front/src/program/config.rs
+++ b/crates/edges/front/src/program/config.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::discovery::{InitialEvents, parse_initial_list};
 use lemonusher::RequestClassConfig;
-use lemonusher_deployment::{Settled, deployment};
+use lemonusher_deployment::{Settings, deployment};
 use serde::Deserialize;
 use serde_json::Value;
 use serde_json::value::RawValue;
@@ -90,8 +90,8 @@
     }
 
     /// The deployment's settings.
-    pub fn settings(&self, path: &str) -> Result<Settled, StartError> {
-        Settled::deserialize(&self.settings).map_err(|e| malformed(path, e))
+    pub fn settings(&self, path: &str) -> Result<Settings, StartError> {
+        Settings::deserialize(&self.settings).map_err(|e| malformed(path, e))
     }
 
     /// The seed of the gateway's random draws.
@@ -100,8 +100,8 @@
     }
 
     /// The events of the discovery channel that are known at the start.
-    pub fn initial_events(&self, path: &str, settings: &Settled) -> Result<InitialEvents, StartError> {
-        let initial = parse_initial_list(self.known.get(), &settings.areas, &settings.kinds);
+    pub fn initial_events(&self, path: &str, settings: &Settings) -> Result<InitialEvents, StartError> {
+        let initial = parse_initial_list(self.known.get(), &settings.zones, &settings.machine_kinds);
         initial.map_err(|e| malformed(path, e))
     }
 
@@ -147,8 +147,8 @@
         class_configs: deployment(&settings).request_classes,
         front: config.name,
         zone: settings.zone,
-        zones: settings.areas,
-        machine_kinds: settings.kinds,
-        request_classes: settings.classes.into_iter().map(|class| class.name).collect(),
+        zones: settings.zones,
+        machine_kinds: settings.machine_kinds,
+        request_classes: settings.request_classes.into_iter().map(|class| class.name).collect(),
     })
 }
--- a/crates/edges/front/src/program/engines/endpoints.rs
+++ b/crates/edges/front/src/program/engines/endpoints.rs
@@ -43,7 +43,7 @@
                 (endpoint.address, endpoint.state, endpoint.started_at);
             // Where handshakes cost, hundreds of fronts that all open a connection to each engine at once are more than
             // engines that hold few can bear: each is opened when it is first wanted.
-            let opens_ahead = self.shared.settings.prices.handshake == 0.0;
+            let opens_ahead = self.shared.settings.costs.handshake == 0.0;
             if opens_ahead && endpoint.state == EngineState::Active && pool.all_retired() {
                 to_open.push(endpoint.engine);
             }
--- a/crates/edges/front/src/program/engines/replies.rs
+++ b/crates/edges/front/src/program/engines/replies.rs
@@ -56,7 +56,7 @@
         self.last_used.set(Instant::now());
         self.awaiting_since.set(None);
         let load = reply.load.map(|fields| {
-            self.shared.load_fields.named(fields.iter().map(|field| (field.name.as_str(), field.value)))
+            self.shared.load_fields.read_named(fields.iter().map(|field| (field.name.as_str(), field.value)))
         });
         let mut all = self.in_flight.borrow_mut();
         let Some(in_flight) = all.get_mut(reply.id.as_str()) else {
--- a/crates/edges/front/src/program/start.rs
+++ b/crates/edges/front/src/program/start.rs
@@ -15,7 +15,7 @@
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
 use lemonusher::Deployment;
-use lemonusher_deployment::{LoadFields, Settled, deployment, span};
+use lemonusher_deployment::{LoadReportFields, Settings, deployment};
 use lemonusher_routing::{Clock, Counters, EngineCommand, Limits, RequestRouter, RouterEvent};
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener};
@@ -113,9 +113,9 @@
 }
 
 /// What the router may hold. `memory` in bytes.
-fn router_limits(settings: &Settled, deployment: &Deployment, memory: usize) -> Limits {
+fn router_limits(settings: &Settings, deployment: &Deployment, memory: usize) -> Limits {
     Limits {
-        max_requests: settings.ceilings.open_cap.max(1),
+        max_requests: settings.capabilities.max_open_requests.max(1),
         max_statement_bytes: memory / STATEMENT_MEMORY_DIVISOR,
         probe_timeout: deployment.capabilities.connect_timeout,
     }
@@ -123,15 +123,15 @@
 
 /// What the tasks share. `memory` in bytes; a recovery is a start after a crash.
 fn shared(
-    settings: Settled,
+    settings: Settings,
     events: Sender<RouterEvent>,
     memory: usize,
     descriptor_limits: DescriptorLimits,
     is_recovery: bool,
 ) -> Shared {
-    let class_names = settings.classes.iter().map(|class| class.name.clone()).collect();
+    let class_names = settings.request_classes.iter().map(|class| class.name.clone()).collect();
     Shared {
-        load_fields: LoadFields::of(&settings),
+        load_fields: LoadReportFields::new(&settings),
         counters: Rc::new(Counters::new(class_names)),
         events,
         executor: Rc::new(LocalExecutor::new()),
@@ -142,7 +142,7 @@
         reply_memory: MemoryBudget::new(memory / PARTIAL_MEMORY_DIVISOR),
         descriptor_limits,
         stall_detector: StallDetector::new(STALL_DETECTOR_PERIOD),
-        connect_timeout: span(settings.ceilings.connect_timeout_us),
+        connect_timeout: Duration::from_micros(settings.capabilities.connect_timeout_us),
         slow_start_since: is_recovery
             .then(|| SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()),
         settings,
--- a/crates/edges/netconf/src/data.rs
+++ b/crates/edges/netconf/src/data.rs
@@ -1,9 +1,11 @@
 //! Data as XML: trees out, configs and edits in, and subtree filters.
 
 use crate::BASE;
-use crate::rpc::DefaultOp;
+use crate::rpc::DefaultOperation;
 use crate::xml::{Element, escape};
-use lemonusher_model::{Fault, FaultKind, Fields, Kind, Node, NodeId, Op, Place, Schema, Seg, Text, Tree};
+use lemonusher_model::{
+    Fault, FaultKind, Fields, Node, NodeId, NodeKind, Op, Place, Schema, Segment, Text, Tree,
+};
 use lemonusher_store::Edit;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -34,7 +36,7 @@
 }
 
 fn path(schema: &Schema, id: NodeId) -> String {
-    schema.line_of(id).into_iter().map(|id| format!("/{}", schema.node(id).name)).collect()
+    schema.ancestry(id).into_iter().map(|id| format!("/{}", schema.node(id).name)).collect()
 }
 
 fn child_of(schema: &Schema, holder: Option<NodeId>, element: &Element) -> Result<NodeId, Fault> {
@@ -54,7 +56,7 @@
         return Err(Fault::new(FaultKind::BadElement, path(schema, id), "a leaf holds no elements"));
     }
     let value = schema.canonical(id, element.value());
-    value.map_err(|what| Fault::new(FaultKind::InvalidValue, path(schema, id), what))
+    value.map_err(|error| Fault::new(FaultKind::InvalidValue, path(schema, id), error.to_string()))
 }
 
 /// The keys of a list's entry.
@@ -79,25 +81,25 @@
         let id = child_of(schema, holder, child)?;
         let twice = || Fault::new(FaultKind::BadElement, path(schema, id), "stands twice");
         match &schema.node(id).kind {
-            Kind::Leaf { .. } => {
+            NodeKind::Leaf { .. } => {
                 let value = leaf(schema, id, child)?;
                 if fields.insert(id, Node::Leaf(value)).is_some() {
                     return Err(twice());
                 }
             }
-            Kind::LeafList { .. } => {
+            NodeKind::LeafList { .. } => {
                 if !members.entry(id).or_default().insert(leaf(schema, id, child)?) {
                     return Err(twice());
                 }
             }
-            Kind::List { .. } => {
+            NodeKind::List { .. } => {
                 let keys = keys(schema, id, child)?;
                 let entry = from_xml(schema, Some(id), child)?;
                 if lists.entry(id).or_default().insert(keys, entry).is_some() {
                     return Err(twice());
                 }
             }
-            Kind::Container | Kind::Notification => {
+            NodeKind::Container | NodeKind::Notification => {
                 let inner = from_xml(schema, Some(id), child)?;
                 if fields.insert(id, Node::Container(inner)).is_some() {
                     return Err(twice());
@@ -122,16 +124,21 @@
 }
 
 /// The edits that a `config` element asks for, in order.
-pub fn edits(schema: &Schema, tree: &Tree, config: &Element, default: DefaultOp) -> Result<Vec<Edit>, Fault> {
+pub fn edits(
+    schema: &Schema,
+    tree: &Tree,
+    config: &Element,
+    default: DefaultOperation,
+) -> Result<Vec<Edit>, Fault> {
     let mut found = Vec::new();
     let mut walk = Walk { schema, tree, edits: &mut found };
     let op = match default {
-        DefaultOp::Merge => Some(Op::Merge),
-        DefaultOp::Replace => Some(Op::Replace),
-        DefaultOp::None => None,
+        DefaultOperation::Merge => Some(Op::Merge),
+        DefaultOperation::Replace => Some(Op::Replace),
+        DefaultOperation::None => None,
     };
     walk.children(&mut Place::new(), config, op)?;
-    if default == DefaultOp::Replace {
+    if default == DefaultOperation::Replace {
         // What the config does not name goes too.
         let value = Some(Node::Container(from_xml(schema, None, config)?));
         let whole = Edit { op: Op::Replace, place: Place::new(), value };
@@ -153,7 +160,7 @@
         for child in &element.children {
             let holder = place.last().map(|seg| seg.node);
             let id = child_of(self.schema, holder, child)?;
-            place.push(Seg { node: id, keys: None });
+            place.push(Segment { node: id, keys: None });
             self.node(place, id, child, op)?;
             place.pop();
         }
@@ -182,17 +189,17 @@
         };
         let below = matches!(op, None | Some(Op::Merge));
         match &schema.node(id).kind {
-            Kind::Leaf { .. } => {
+            NodeKind::Leaf { .. } => {
                 let gone = matches!(op, Some(Op::Delete | Op::Remove));
                 let value = if gone { None } else { Some(Node::Leaf(leaf(schema, id, element)?)) };
                 self.push(op, place, value)
             }
-            Kind::LeafList { .. } => {
+            NodeKind::LeafList { .. } => {
                 let value = leaf(schema, id, element)?;
                 keyed(place, vec![value.clone()]);
                 self.push(op, place, Some(Node::Leaf(value)))
             }
-            Kind::List { .. } => {
+            NodeKind::List { .. } => {
                 keyed(place, keys(schema, id, element)?);
                 if !below {
                     let value = match op {
@@ -210,8 +217,8 @@
                 };
                 self.children(place, &rest, op)
             }
-            Kind::Container | Kind::Notification if below => self.children(place, element, op),
-            Kind::Container | Kind::Notification => {
+            NodeKind::Container | NodeKind::Notification if below => self.children(place, element, op),
+            NodeKind::Container | NodeKind::Notification => {
                 let value = match op {
                     Some(Op::Delete | Op::Remove) => None,
                     _ => Some(Node::Container(from_xml(schema, Some(id), element)?)),
