--- a/crates/edges/front/src/program/clients/reading.rs
+++ b/crates/edges/front/src/program/clients/reading.rs
@@ -77,7 +77,7 @@
                 pass.end = Some(ReadEnd::ClientClosed);
             }
             if matches!(pass.end, Some(ReadEnd::ClientClosed | ReadEnd::Broken)) {
-                // The router has not seen them, and nobody waits for them.
+                // The router has not seen these requests, and their client has disconnected.
                 let mut open_requests = self.open_requests.borrow_mut();
                 pass.accepted.iter().for_each(|incoming| drop(open_requests.remove(&incoming.ticket)));
             } else {
--- a/crates/edges/front/src/program/clients/session.rs
+++ b/crates/edges/front/src/program/clients/session.rs
@@ -152,7 +152,7 @@
         transport::with_timeout(LINGER_TIMEOUT, end.or(close_requested)).await;
     }
 
-    /// The one place that reports that the client has disconnected: nobody waits for what is open any more.
+    /// Reports that the client has disconnected and abandons its open requests. Nothing else reports it.
     async fn abandon_requests(self: &Rc<Self>, answer_failed: bool) {
         let open_requests = std::mem::take(&mut *self.open_requests.borrow_mut());
         for (ticket, request) in open_requests {
--- a/crates/edges/routing/src/messages.rs
+++ b/crates/edges/routing/src/messages.rs
@@ -123,7 +123,7 @@
     ShutDown(Duration),
 }
 
-/// What the fleet of fronts, where there is one, tells this front.
+/// What the fleet of fronts, where there is one, sends to this front.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ControlUpdate {
     /// This front's share, from 0 to 1, of what all fronts together may send to an engine in slow start.
--- a/crates/edges/routing/src/router/attempts.rs
+++ b/crates/edges/routing/src/router/attempts.rs
@@ -104,7 +104,7 @@
         self.gateway.handle_event(now, Event::AttemptEnded(end));
     }
 
-    /// Tells the zone monitor what the end of an attempt shows of its engine.
+    /// Reports to the zone monitor what the end of an attempt shows of its engine.
     fn observe_attempt_ended(
         &mut self,
         now: Duration,
--- a/crates/edges/routing/src/router/mod.rs
+++ b/crates/edges/routing/src/router/mod.rs
@@ -1,4 +1,4 @@
-//! The request router: its state, and how it is put together. What it does stands in the modules below, by concern.
+//! The request router: its state, and how it is put together. Each module below handles one concern.
 
 mod actions;
 mod admission;
