--- a/crates/core/store/tests/datastores.rs
+++ b/crates/core/store/tests/datastores.rs
@@ -142,8 +142,8 @@
     assert_eq!(leaf(&store, &store.running().tree, LEVEL).as_deref(), Some("debug"));
     let a = store.open_session("a", Protocol::Netconf).unwrap();
     store.edit_candidate(a, &level("error"), ErrorOption::Rollback).unwrap();
-    let kept = CommitOptions { persist: Some("night".into()), ..confirmed(10) };
-    commit(&mut store, a, kept, secs(40)).unwrap();
+    let persisted = CommitOptions { persist: Some("night".into()), ..confirmed(10) };
+    commit(&mut store, a, persisted, secs(40)).unwrap();
     store.close_session(a);
     assert!(store.poll_timeout(secs(45), 0).is_none());
     let named = |id: &str| CommitOptions { persist_id: Some(id.into()), ..CommitOptions::default() };
--- a/crates/edges/managed/src/gnmi/mod.rs
+++ b/crates/edges/managed/src/gnmi/mod.rs
@@ -1,5 +1,5 @@
 //! gNMI 0.10, on tonic. Paths, values and status codes are translated here; what they mean is the store's and the watch's
-//! to say. Imports go one way: `service` dispatches to `get`, `set` and `subscribe`, which use `paths`, `values` and
+//! to say. Imports go one way: `service` forwards to `get`, `set` and `subscribe`, which use `paths`, `values` and
 //! `status`.
 
 mod get;
--- a/crates/edges/managed/tests/parts.rs
+++ b/crates/edges/managed/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Parts that decline, panic or fall silent at each step of applying: the old state stands whole, or the new one.
+//! Parts that decline or panic at each step of a commit, and callers that do not wait for it.
 
 use lemonusher_managed::{ManagementConfig, Names, Part, PartFuture, Started, Users, start};
 use lemonusher_model::{Node, Op, parse_path};
@@ -14,17 +14,17 @@
     DeclineAtPrepare,
     PanicAtPrepare,
     PanicInPrepare,
-    PanicAtSwitch,
-    PanicInSwitch,
-    DeclineAtSwitch,
+    PanicAtActivate,
+    PanicInActivate,
+    DeclineAtActivate,
 }
 
-/// A part that fails as it is told, and remembers what it was asked.
+/// A part that fails as it is set to, and records its calls.
 struct Failing {
     fault: Mutex<Fault>,
     prepared: AtomicU64,
-    switched: AtomicU64,
-    abandoned: AtomicU64,
+    activated: AtomicU64,
+    discarded: AtomicU64,
 }
 
 impl Part for Failing {
@@ -44,44 +44,46 @@
 
     fn activate(&self, number: u64) -> PartFuture {
         let fault = *self.fault.lock().unwrap();
-        assert!(fault != Fault::PanicAtSwitch, "as told");
-        self.switched.store(number, Ordering::SeqCst);
+        assert!(fault != Fault::PanicAtActivate, "as told");
+        self.activated.store(number, Ordering::SeqCst);
         Box::pin(async move {
-            assert!(fault != Fault::PanicInSwitch, "as told");
-            if fault == Fault::DeclineAtSwitch { Err("as told".to_owned()) } else { Ok(()) }
+            assert!(fault != Fault::PanicInActivate, "as told");
+            if fault == Fault::DeclineAtActivate { Err("as told".to_owned()) } else { Ok(()) }
         })
     }
 
     fn discard(&self, number: u64) -> PartFuture {
-        self.abandoned.store(number, Ordering::SeqCst);
+        self.discarded.store(number, Ordering::SeqCst);
         Box::pin(async { Ok(()) })
     }
 }
 
-/// An owner that does what it is asked, and tells which version it last took up.
-fn owner(requests: async_channel::Receiver<ManagementCall>, in_force: Arc<AtomicU64>) {
+/// A router that follows every commit, and records the version that is in force.
+fn router(requests: async_channel::Receiver<ManagementCall>, in_force: Arc<AtomicU64>) {
     std::thread::spawn(move || {
-        let mut ready = None;
+        let mut prepared_version = None;
         while let Ok(request) = requests.recv_blocking() {
             match request {
                 ManagementCall::Prepare { number, reply, .. } => {
-                    ready = Some(number);
+                    prepared_version = Some(number);
                     let _ = reply.try_send(Ok(()));
                 }
                 ManagementCall::Activate { number, reply } => {
-                    assert_eq!(ready.take(), Some(number));
+                    assert_eq!(prepared_version.take(), Some(number));
                     in_force.store(number, Ordering::SeqCst);
                     let _ = reply.try_send(Ok(()));
                 }
-                ManagementCall::Discard { number } => drop(ready.take_if(|held| *held == number)),
+                ManagementCall::Discard { number } => {
+                    drop(prepared_version.take_if(|prepared| *prepared == number))
+                }
                 ManagementCall::Read { .. } => {}
             }
         }
     });
 }
 
-fn managed(part: Arc<Failing>) -> Started {
-    let terms = ManagementConfig {
+fn start_managed(part: Arc<Failing>) -> Started {
+    let config = ManagementConfig {
         folder: None,
         history: 10,
         sessions: 10,
@@ -93,20 +95,22 @@
         users: Users::default(),
     };
     let names = Names { zones: vec!["east".into()], machine_kinds: Vec::new(), request_classes: Vec::new() };
-    start(terms, names, "n0".into(), Arc::new(|_| {}), vec![part]).map_err(|unfit| unfit.to_string()).unwrap()
+    start(config, names, "n0".into(), Arc::new(|_| {}), vec![part])
+        .map_err(|error| error.to_string())
+        .unwrap()
 }
 
 #[tokio::test]
-async fn a_part_that_fails_at_any_step_leaves_one_state_whole() {
+async fn part_that_fails_at_any_step_leaves_the_old_state_or_the_new_one() {
     let part = Arc::new(Failing {
         fault: Mutex::new(Fault::None),
         prepared: AtomicU64::new(0),
-        switched: AtomicU64::new(0),
-        abandoned: AtomicU64::new(0),
+        activated: AtomicU64::new(0),
+        discarded: AtomicU64::new(0),
     });
-    let started = managed(part.clone());
+    let started = start_managed(part.clone());
     let in_force = Arc::new(AtomicU64::new(0));
-    owner(started.requests.clone(), in_force.clone());
+    router(started.requests.clone(), in_force.clone());
     let hub = started.hub;
     let session = hub.with_store(|store| store.open_session("x", Protocol::Local)).unwrap();
     let path = parse_path("/front/pool[name=a]/cell").unwrap();
@@ -116,9 +120,9 @@
         Fault::None,
         Fault::PanicAtPrepare,
         Fault::PanicInPrepare,
-        Fault::PanicAtSwitch,
-        Fault::PanicInSwitch,
-        Fault::DeclineAtSwitch,
+        Fault::PanicAtActivate,
+        Fault::PanicInActivate,
+        Fault::DeclineAtActivate,
         Fault::None,
     ] {
         *part.fault.lock().unwrap() = fault;
@@ -127,7 +131,7 @@
         let mut place = hub.schema().place(&path).unwrap();
         place.last_mut().unwrap().keys = Some(vec![cell.to_string().into()]);
         let edit = Edit { op: Op::Merge, place, value: Some(Node::Leaf(cell.to_string().into())) };
-        let done = hub
+        let committed = hub
             .commit(move |store, now, at| {
                 store.edit_running(session, &[edit], &CommitOptions::default(), now, at)
             })
@@ -135,14 +139,14 @@
         let after = hub.with_store(|store| store.running().clone());
         let fails = matches!(fault, Fault::DeclineAtPrepare | Fault::PanicAtPrepare | Fault::PanicInPrepare);
         if fails {
-            assert!(matches!(done, Err(StoreError::Failed(_))), "{fault:?} {done:?}");
+            assert!(matches!(committed, Err(StoreError::Failed(_))), "{fault:?} {committed:?}");
             assert!(after.number == before.number && after.tree == before.tree, "{fault:?}");
-            // The owner, which was ready, has not moved; and the next commit is not in its way.
+            // The router, which had prepared, has not activated; and the next commit is not blocked.
             assert_eq!(in_force.load(Ordering::SeqCst), before.number);
-            assert_ne!(part.switched.load(Ordering::SeqCst), before.number + 1);
+            assert_ne!(part.activated.load(Ordering::SeqCst), before.number + 1);
         } else {
-            // Once kept, it stands: what failed then takes up the new state, never the old one.
-            assert!(done.is_ok(), "{fault:?} {done:?}");
+            // Once logged, it stands: what failed then follows the new state, never the old one.
+            assert!(committed.is_ok(), "{fault:?} {committed:?}");
             assert_eq!(after.number, before.number + 1);
             assert_eq!(in_force.load(Ordering::SeqCst), after.number, "{fault:?}");
         }
@@ -150,17 +154,17 @@
     assert_eq!(hub.with_store(|store| store.running().number), 5);
 }
 
-/// Who asked may go at any moment: what was planned comes to its end, and the order of commits goes on.
+/// A caller may be dropped at any moment: what was planned is completed, and further commits follow.
 #[tokio::test]
-async fn a_commit_whose_asker_has_gone_comes_to_its_end() {
+async fn commit_completes_when_its_caller_is_dropped() {
     let part = Arc::new(Failing {
         fault: Mutex::new(Fault::None),
         prepared: AtomicU64::new(0),
-        switched: AtomicU64::new(0),
-        abandoned: AtomicU64::new(0),
+        activated: AtomicU64::new(0),
+        discarded: AtomicU64::new(0),
     });
-    let started = managed(part);
-    owner(started.requests.clone(), Arc::default());
+    let started = start_managed(part);
+    router(started.requests.clone(), Arc::default());
     let hub = started.hub;
     let session = hub.with_store(|store| store.open_session("x", Protocol::Local)).unwrap();
     let path = parse_path("/front/log-level").unwrap();
--- a/crates/edges/managed/tests/unit/disk.rs
+++ b/crates/edges/managed/tests/unit/disk.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn commits_come_back_also_from_a_shortened_log() {
+fn commits_are_recovered_also_from_a_compacted_log() {
     let folder = folder("back");
     let (mut disk, mut store) = open(&folder).unwrap();
     assert!(matches!(open(&folder), Err(DiskError::InUse(_))));
@@ -50,7 +50,7 @@
 
 /// The folder as it stands at each step of shortening brings the same state back.
 #[test]
-fn a_crash_at_any_step_of_shortening_loses_nothing() {
+fn crash_at_any_step_of_compaction_loses_nothing() {
     let folder = folder("steps");
     let (mut disk, mut store) = open(&folder).unwrap();
     (0..4).for_each(|cell| put(&mut disk, &mut store, cell));
@@ -74,7 +74,7 @@
 
 /// The log is a fixture of the store's tests, written at commit ad164c9.
 #[test]
-fn a_folder_of_an_earlier_version_is_opened_and_written_further() {
+fn folder_of_an_earlier_version_is_opened_and_appended_to() {
     let log = include_bytes!("../../../../core/store/tests/fixtures/state.log");
     let folder = folder("earlier");
     std::fs::create_dir_all(&folder).unwrap();
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_spoilt_log_is_left_as_it_is() {
+fn corrupt_log_is_left_as_it_is() {
     let folder = folder("spoilt");
     let (mut disk, mut store) = open(&folder).unwrap();
     (0..3).for_each(|cell| put(&mut disk, &mut store, cell));
--- a/crates/edges/managed/tests/unit/users.rs
+++ b/crates/edges/managed/tests/unit/users.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn users_come_in_by_what_is_theirs_alone() {
+fn users_authenticate_by_their_own_credentials_only() {
     let user = |name: &str, password: Option<&str>, key: Option<&str>| User {
         name: name.to_owned(),
         may_write: name == "a",
