--- a/crates/edges/cli/src/fleet/leases.rs
+++ b/crates/edges/cli/src/fleet/leases.rs
@@ -75,7 +75,7 @@
     fn members(&mut self, front: SocketAddr) -> Result<Option<Vec<MemberRow>>, CommandError> {
         let mut all: Vec<MemberRow> = Vec::new();
         loop {
-            let after = all.last().map(|row| (row.name.clone(), row.incarnation)).unwrap_or_default();
+            let after = all.last().map(MemberRow::cursor).unwrap_or_default();
             match self.ask(front, &Body::ShowMembers { after })? {
                 Some(Body::Members { rows, more }) => {
                     all.extend(rows);
--- a/crates/testing/cluster/src/fake_zones.rs
+++ b/crates/testing/cluster/src/fake_zones.rs
@@ -3,7 +3,7 @@
 //! can be cut. Every engine keeps a tally by which a test judges.
 
 use lemonusher_emulator::{Engine as Model, Work};
-use lemonusher_fakes::{settings, told};
+use lemonusher_fakes::{settings, start_config};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -166,7 +166,7 @@
         rules["cold_us"] = json!(terms.warm_up.as_micros() as u64);
         rules["fall_multiple"] = json!(terms.overload_multiple);
         rules["tip_after_us"] = json!(terms.overload_window.as_micros() as u64);
-        let mut tells = told(&[], channel);
+        let mut tells = start_config(&[], channel);
         let members = (0..self.doors.len()).map(|engine| {
             json!({"id": format!("s-{:08x}", engine + 1), "host_port": self.doors[engine][site].to_string(),
                 "locality": name(engine / terms.engines_per_zone), "flavor": "std", "cell": 0, "phase": "Ready",
--- a/crates/testing/cluster/src/lib.rs
+++ b/crates/testing/cluster/src/lib.rs
@@ -11,7 +11,7 @@
 pub use relays::{Faults, Relays};
 pub use task_service::{FakeTaskService, TaskStep};
 
-use lemonusher_fakes::{Commands, Front, file, place, told};
+use lemonusher_fakes::{DiscoveryServer, Front, start_config, temp_file, temp_path};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -54,12 +54,12 @@
     pub fronts: Vec<Option<Front>>,
     pub paused: Vec<bool>,
     folder: PathBuf,
-    commands: Commands,
+    commands: DiscoveryServer,
 }
 
 impl Rig {
     pub fn start(plan: RigConfig) -> Rig {
-        let folder = place("rig");
+        let folder = temp_path("rig");
         std::fs::create_dir_all(&folder).unwrap();
         std::fs::write(folder.join("key"), format!("the rig's key of seed {}", plan.seed)).unwrap();
         let mut rig = Rig {
@@ -67,7 +67,7 @@
             task_service: FakeTaskService::start(plan.rejects_stale),
             fronts: (0..plan.fronts).map(|_| None).collect(),
             paused: vec![false; plan.fronts],
-            commands: Commands::start(),
+            commands: DiscoveryServer::start(),
             folder,
             config: plan,
         };
@@ -84,10 +84,10 @@
     pub fn start_front(&mut self, front: usize) {
         let mut tells = match &self.config.front_start {
             Some(told) => told(front, self.commands.address),
-            None => told(&[], self.commands.address),
+            None => start_config(&[], self.commands.address),
         };
         tells["name"] = format!("n{front}").into();
-        let told_file = file("json", &tells.to_string());
+        let told_file = temp_file("json", &tells.to_string());
         let plan = &self.config;
         let voters: Vec<String> =
             (0..plan.voters).map(|voter| format!("'{}'", self.relays.address(front, voter))).collect();
@@ -118,7 +118,7 @@
         let started = Front::spawn(command, told_file);
         if front < plan.voters {
             self.relays
-                .set_voter_address(front, started.said_at_start("fleet at ").unwrap().parse().unwrap());
+                .set_voter_address(front, started.startup_log_value("fleet at ").unwrap().parse().unwrap());
         }
         self.fronts[front] = Some(started);
         self.paused[front] = false;
