--- a/crates/edges/managed/tests/parts.rs
+++ b/crates/edges/managed/tests/parts.rs
@@ -61,21 +61,19 @@
 /// A router that follows every commit, and records the version that is in force.
 fn router(requests: async_channel::Receiver<ManagementCall>, in_force: Arc<AtomicU64>) {
     std::thread::spawn(move || {
-        let mut prepared_version = None;
+        let mut prepared = None;
         while let Ok(request) = requests.recv_blocking() {
             match request {
                 ManagementCall::Prepare { number, reply, .. } => {
-                    prepared_version = Some(number);
+                    prepared = Some(number);
                     let _ = reply.try_send(Ok(()));
                 }
                 ManagementCall::Activate { number, reply } => {
-                    assert_eq!(prepared_version.take(), Some(number));
+                    assert_eq!(prepared.take(), Some(number));
                     in_force.store(number, Ordering::SeqCst);
                     let _ = reply.try_send(Ok(()));
                 }
-                ManagementCall::Discard { number } => {
-                    drop(prepared_version.take_if(|prepared| *prepared == number))
-                }
+                ManagementCall::Discard { number } => drop(prepared.take_if(|version| *version == number)),
                 ManagementCall::Read { .. } => {}
             }
         }
