--- a/src/admission.rs
+++ b/src/admission.rs
@@ -2,15 +2,15 @@
 //!
 //! The probability falls linearly from one at the first threshold to zero at the second. Inputs and units:
 //! - **Few fronts**: this front's own threads at the engine, as the request's priority feels them, over the adaptive
-//!   concurrency limit there; thresholds 1 and [`ADMIT_NONE_FROM`].
+//!   concurrency limit there; thresholds 1 and [`ADMIT_NONE_AT_LIMIT_MULTIPLE`], no unit.
 //! - **Many fronts**: the estimated threads per core with what the request adds; thresholds
-//!   [`ADMIT_ALL_UP_TO_MANY_FRONTS`] and [`ADMIT_NONE_FROM_MANY_FRONTS`]. A request's threads count [`OWN_THREADS_WEIGHT`]-fold, and
+//!   [`ADMIT_ALL_UP_TO_THREADS_PER_CORE`] and [`ADMIT_NONE_AT_THREADS_PER_CORE`]. A request's threads count [`OWN_THREADS_WEIGHT`]-fold, and
 //!   more the more attempts are slow, above all against requests of many threads.
 //! - A bulk load, in many-front mode, is admitted less by an engine that looks far idler than usual: it may stand still.
 //! - An engine whose memory is needed beyond a threshold admits nothing.
 //!
 //! Before an engine is asked, many-front mode probes its load if it may (`probing`). A request refused by all engines
-//! draws again after [`REDRAW_INTERVAL`](crate::scan). After [`FORCE_ADMISSION_AFTER`] of its deadline it passes without a draw.
+//! draws again after a while (`scan`). After [`FORCE_ADMISSION_AFTER`] of its deadline it passes without a draw.
 
 use crate::endpoint::EngineId;
 use crate::engine::Engine;
@@ -19,13 +19,14 @@
 use crate::placement::Choice;
 use std::time::Duration;
 
-/// Threads per core up to which an engine takes whatever it is offered,
+/// Threads per core up to which an engine counts as not loaded. An engine's first concurrency limits come to as many.
 pub(crate) const ADMIT_ALL_UP_TO: f64 = 1.0;
-/// and how many times that many it takes nothing from.
-pub(crate) const ADMIT_NONE_FROM: f64 = 3.0;
-/// The same in many-front mode, both in threads per core as estimated.
-const ADMIT_ALL_UP_TO_MANY_FRONTS: f64 = 2.0;
-pub(crate) const ADMIT_NONE_FROM_MANY_FRONTS: f64 = 2.8;
+/// Few fronts: at this multiple of the concurrency limit nothing is admitted.
+pub(crate) const ADMIT_NONE_AT_LIMIT_MULTIPLE: f64 = 3.0;
+/// Many fronts: estimated threads per core up to which all is admitted,
+const ADMIT_ALL_UP_TO_THREADS_PER_CORE: f64 = 2.0;
+/// and at which nothing is.
+pub(crate) const ADMIT_NONE_AT_THREADS_PER_CORE: f64 = 2.8;
 /// How many times a request's own threads count in many-front mode while no attempt is slow,
 const OWN_THREADS_WEIGHT: f64 = 1.25;
 /// and from the slow share on at which load shedding begins.
@@ -48,7 +49,7 @@
 
 /// Threads that one front may run at an engine at most.
 pub(crate) fn max_own_threads(cores: f64) -> f64 {
-    cores * ADMIT_ALL_UP_TO * ADMIT_NONE_FROM
+    cores * ADMIT_ALL_UP_TO * ADMIT_NONE_AT_LIMIT_MULTIPLE
 }
 
 /// What a request asks of an engine.
@@ -63,7 +64,12 @@
 
 impl Gateway {
     /// The first of the choices that admits the request; `None` if none does, or if a probe is awaited first.
-    pub(crate) fn admit(&mut self, now: Duration, sequence: u64, choices: &[Choice]) -> Option<EngineId> {
+    pub(crate) fn first_admitting_engine(
+        &mut self,
+        now: Duration,
+        sequence: u64,
+        choices: &[Choice],
+    ) -> Option<EngineId> {
         self.set_admission_refused(sequence, true);
         let probe_reserve = self.probe_reserve(sequence);
         let demand = self.demand(now, sequence);
@@ -121,11 +127,11 @@
     fn admission_probability(&self, engine: &Engine, load: f64, demand: &Demand) -> f64 {
         if !self.many_fronts() {
             let used = engine.contending_threads(demand.priority) / engine.concurrency_limit;
-            return (ADMIT_NONE_FROM - used) / (ADMIT_NONE_FROM - 1.0);
+            return (ADMIT_NONE_AT_LIMIT_MULTIPLE - used) / (ADMIT_NONE_AT_LIMIT_MULTIPLE - 1.0);
         }
         let after = load + demand.threads / self.deployment.cores(&engine.entry);
-        let probability = (ADMIT_NONE_FROM_MANY_FRONTS - after)
-            / (ADMIT_NONE_FROM_MANY_FRONTS - ADMIT_ALL_UP_TO_MANY_FRONTS);
+        let probability = (ADMIT_NONE_AT_THREADS_PER_CORE - after)
+            / (ADMIT_NONE_AT_THREADS_PER_CORE - ADMIT_ALL_UP_TO_THREADS_PER_CORE);
         if !demand.bulk_load {
             return probability;
         }
--- a/src/attempt_end.rs
+++ b/src/attempt_end.rs
@@ -4,7 +4,7 @@
 use crate::engine::AttemptEdge;
 use crate::event::{AttemptEnd, AttemptOutcome};
 use crate::gateway::Gateway;
-use crate::request::{DesiredState, PossibleRun};
+use crate::request::{PossibleRun, RequestGoal};
 use std::time::Duration;
 
 /// The least work that is told apart, in seconds on one thread.
@@ -30,8 +30,8 @@
         }
     }
 
-    /// What the outcome tells of the engine. In many-front mode a rejection also counts as a slow attempt: where all that
-    /// engines hold ends too late, nothing returns that could tell. One full engine does so as well.
+    /// What the outcome tells of the engine. In many-front mode a rejection also counts as a slow attempt, as in a full
+    /// overload nothing returns from which slowness could be learned. A single full engine raises the slow share, too.
     fn record_engine_outcome(&mut self, now: Duration, end: &AttemptEnd) {
         if end.outcome == AttemptOutcome::Rejected && self.many_fronts() {
             self.slow_share.record(now, true);
@@ -50,8 +50,7 @@
         }
     }
 
-    /// Ends the attempt in flight of a request. Yields after how many times the span after which an attempt is slow it
-    /// ended, where that is known.
+    /// Ends the attempt in flight of a request. Returns its duration as a multiple of the class's slow threshold, if known.
     fn end_attempt(&mut self, now: Duration, sequence: u64, end: &AttemptEnd) -> Option<f64> {
         self.attempt_ended = true;
         self.release_engine(now, sequence, end);
@@ -61,7 +60,9 @@
             AttemptOutcome::TimedOut => Some(end.elapsed.as_secs_f64() / class.slow_after(class.work.mean())),
             _ => None,
         };
-        self.queue_again(now, sequence, end);
+        self.record_possible_run(now, sequence, end);
+        self.block_key_if_unknown(now, sequence, end.outcome);
+        self.clear_attempt(now, sequence, end);
         slowness
     }
 
@@ -101,26 +102,34 @@
         slowness
     }
 
-    /// Queues the request for another attempt, unless something else is to become of it.
-    fn queue_again(&mut self, now: Duration, sequence: u64, end: &AttemptEnd) {
+    fn record_possible_run(&mut self, now: Duration, sequence: u64, end: &AttemptEnd) {
         let Some(request) = self.requests.get_mut(sequence) else { return };
         if !end.outcome.never_ran() && request.first_possible_run.is_none() {
             let sent_at = now.saturating_sub(end.elapsed);
             request.first_possible_run = Some(PossibleRun { sent_at, engine: end.engine });
         }
-        if let Some(key) = request.key
-            && leaves_outcome_unknown(end.outcome)
+    }
+
+    /// Blocks the request's key while the attempt may still run.
+    fn block_key_if_unknown(&mut self, now: Duration, sequence: u64, outcome: AttemptOutcome) {
+        if let Some(key) = self.requests[sequence].key
+            && leaves_outcome_unknown(outcome)
         {
             self.key_queues.block(key, now + self.deployment.safety_rules.unknown_outcome_delay);
         }
+    }
+
+    /// Queues the request for another attempt, unless something else is to become of it.
+    fn clear_attempt(&mut self, now: Duration, sequence: u64, end: &AttemptEnd) {
+        let Some(request) = self.requests.get_mut(sequence) else { return };
         request.in_flight = None;
         request.last_failed_engine = Some(end.engine);
         request.next_admission_draw = now;
         request.last_attempt_ended = now;
         request.counted_slow = false;
         request.admission_refused = false;
-        if request.desired == DesiredState::SentTo(end.engine) {
-            request.desired = DesiredState::Queued;
+        if request.goal == RequestGoal::SentTo(end.engine) {
+            request.goal = RequestGoal::Queued;
         }
     }
 }
--- a/src/candidate.rs
+++ b/src/candidate.rs
@@ -7,8 +7,8 @@
 pub(crate) struct Candidate {
     /// Which engine.
     pub(crate) engine: EngineId,
-    /// Whether placement, safety rules and the engine's health let such a request go there.
-    pub(crate) usable: bool,
+    /// Whether such a request may go there (`eligibility`).
+    pub(crate) eligible: bool,
     /// Whether it has started so lately that it still warms up.
     pub(crate) warming_up: bool,
     /// Threads per core that it is estimated to run.
--- a/src/ejection.rs
+++ b/src/ejection.rs
@@ -1,8 +1,9 @@
 //! Outlier ejection: after a failure nothing is sent to an engine for a while.
 //!
-//! Inputs: attempts that could not connect, were reset or rejected, and probes that were not answered. The base ejection time is
-//! [`BASE_EJECTION_TIME`] connect timeouts and doubles with each consecutive failure. One response ends the ejection. After it,
-//! and until a response has come, one attempt at a time is sent there. This guards against engines that are dead, cut
+//! Inputs: attempts that could not connect, were reset or rejected, and probes that were not answered. The ejection time is
+//! [`BASE_EJECTION_TIME`] connect timeouts, doubled with each further counted failure up to [`MAX_COUNTED_FAILURES`]; in many-front
+//! mode a failure counts [`FAILURE_WEIGHT_MANY_FRONTS`]. It ends by time, by a response to an attempt, or when the engine restarts; an
+//! answered probe does not end it, and timeouts do not eject. After it, and until a response has come, one attempt at a time is sent there. This guards against engines that are dead, cut
 //! off, draining or out of connections, whatever the cause; a passing fault costs one ejection.
 
 use crate::endpoint::EngineId;
@@ -14,7 +15,7 @@
 const BASE_EJECTION_TIME: f64 = 2.0;
 /// Consecutive failures that are counted at most.
 const MAX_COUNTED_FAILURES: u32 = 5;
-/// A failure counts for so many in many-front mode, as a front then comes by an engine but seldom.
+/// Failures that one counts for in many-front mode, as a front then rarely sends to the same engine.
 const FAILURE_WEIGHT_MANY_FRONTS: u32 = 3;
 
 impl Gateway {
--- a/src/eligibility.rs
+++ b/src/eligibility.rs
@@ -11,7 +11,7 @@
 
 impl Gateway {
     /// Whether the rules and the engine's health let the request go there now.
-    pub(crate) fn is_usable(&self, now: Duration, request: &Request, engine: &Engine) -> bool {
+    pub(crate) fn is_eligible(&self, now: Duration, request: &Request, engine: &Engine) -> bool {
         let entry = &engine.entry;
         entry.state == EngineState::Active
             && !entry.blocks(request.class)
--- a/src/event.rs
+++ b/src/event.rs
@@ -52,7 +52,7 @@
     Rejected,
     /// No response came in time; it may have run.
     TimedOut,
-    /// There was no connection; nothing was sent.
+    /// There was no connection, or it ended before the whole request was written; it did not run.
     ConnectFailed,
     /// The connection ended before the response did; it may have run.
     Reset,
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -34,7 +34,7 @@
 use std::time::Duration;
 
 /// With more fronts than this, a front runs so little of all that its own counters say little of an engine: it goes by
-/// reports, probes and outcomes instead ("many-front mode").
+/// reports, probes and outcomes instead ("many-front mode", docs/design.md).
 const MANY_FRONTS_ABOVE: f64 = 16.0;
 /// Time constant of what is learned, in longest deadlines.
 const ESTIMATE_SPAN: f64 = 1.0;
--- a/src/give_up.rs
+++ b/src/give_up.rs
@@ -2,7 +2,7 @@
 //!
 //! A request is given up
 //! - two ticks before its deadline, or before this front shuts down, whatever is in flight of it;
-//! - while queued, at [`START_BY_SHARE`] of its latency objective, as later it would be late anyway; all of the objective if it
+//! - while queued, at [`START_BY_SHARE`] of its objective (latency objective plus the part for its work), as later it would be late anyway; all of it if it
 //!   waits for others of its key;
 //! - while queued, once repeats of it are no longer dropped for sure (`idempotency`);
 //! - when an attempt has failed and it may have no other.
@@ -15,7 +15,7 @@
 
 use crate::gateway::Gateway;
 use crate::overload::SlowAttempt;
-use crate::request::{DesiredState, Request};
+use crate::request::{Request, RequestGoal};
 use std::time::Duration;
 
 /// The share of the latency objective within which an attempt has to begin.
@@ -24,7 +24,7 @@
 const RETRY_SPARE_FACTOR: f64 = 3.0;
 /// and only while the share of slow attempts is below this.
 const MAX_SLOW_SHARE_FOR_RETRIES: f64 = 0.2;
-/// The time to come back that goes with a rejection, as a share of the latency objective.
+/// The time to come back that goes with a rejection, as a share of the latency objective without the part for work.
 const RETRY_AFTER_SHARE: f64 = 0.5;
 /// Ticks before the deadline at which a request is answered.
 const ANSWER_MARGIN_TICKS: u32 = 2;
@@ -91,7 +91,7 @@
         let Some(request) = self.requests.get(sequence) else { return };
         let spent = self.may_not_be_sent_again(now, request)
             || request.attempts >= self.deployment.capabilities.max_attempts.max(1);
-        if spent && request.in_flight.is_none() && request.desired == DesiredState::Queued {
+        if spent && request.in_flight.is_none() && request.goal == RequestGoal::Queued {
             self.give_up(now, sequence);
         }
     }
@@ -102,9 +102,9 @@
         // The client may come back as late as it is told to.
         let again = now + self.retry_after(request.class).unwrap_or_default();
         let safe = self.client_may_retry(request, again);
-        let desired = if safe { DesiredState::Rejected } else { DesiredState::Failed };
+        let goal = if safe { RequestGoal::Rejected } else { RequestGoal::Failed };
         if let Some(request) = self.requests.get_mut(sequence) {
-            request.desired = desired;
+            request.goal = goal;
         }
         self.changed.insert(sequence);
     }
--- a/src/load_estimate.rs
+++ b/src/load_estimate.rs
@@ -13,7 +13,7 @@
 //! Memory: what this front's requests there need, times the fleet multiple, or what the engine reports as granted, as a
 //! share of its memory. This guards against paging and spilling. A front of little traffic knows its part badly.
 
-use crate::admission::{ADMIT_ALL_UP_TO, ADMIT_NONE_FROM, ADMIT_NONE_FROM_MANY_FRONTS};
+use crate::admission::{ADMIT_ALL_UP_TO, ADMIT_NONE_AT_LIMIT_MULTIPLE, ADMIT_NONE_AT_THREADS_PER_CORE};
 use crate::decaying_mean::DecayingMean;
 use crate::endpoint::EngineId;
 use crate::engine::{Engine, Report};
@@ -28,8 +28,8 @@
 const CPU_SATURATED: f64 = 0.9;
 /// Threads per core that many-front mode adds where reports count requests.
 const UNREPORTED_THREADS: f64 = 0.4;
-/// Reports whose weight pulls the usual load back to `ADMIT_ALL_UP_TO` as those taken in decay: a front that sends nothing as it knows of
-/// full engines hears nothing else.
+/// Weight, in reports, of the prior `ADMIT_ALL_UP_TO`. As reports decay the usual load returns to it; else a front that
+/// takes all engines for full would send nothing and get no new report.
 const USUAL_LOAD_PRIOR_WEIGHT: f64 = 5.0;
 /// The time constant of work sent, in requests sent for each engine that this front spreads its requests over.
 const SENT_WORK_SPAN: f64 = 2.0;
@@ -101,7 +101,7 @@
     }
 
     fn record_reported_load(&mut self, now: Duration, threads_per_core: f64) {
-        self.usual_load.add(now, threads_per_core.min(ADMIT_NONE_FROM_MANY_FRONTS), 1.0);
+        self.usual_load.add(now, threads_per_core.min(ADMIT_NONE_AT_THREADS_PER_CORE), 1.0);
     }
 
     /// Counts a request of so much work as sent to an engine. `spread` is over how many engines this front spreads its requests.
@@ -160,7 +160,7 @@
         let busy = report.load.cores_busy?;
         if self.many_fronts() {
             let by_cores = busy / CPU_SHARE_OF_THREAD;
-            let by_probe = ADMIT_NONE_FROM * (report.probe_slowdown - 1.0);
+            let by_probe = ADMIT_NONE_AT_LIMIT_MULTIPLE * (report.probe_slowdown - 1.0);
             return Some(by_cores.max(by_probe) * cores + (engine.own_threads - report.own_threads).max(0.0));
         }
         let reported = (busy * cores + engine.own_threads - report.own_threads).max(engine.own_threads);
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -8,8 +8,8 @@
 //!   rotated by the front's index.
 //! - Bulk loads go by the order from its far end, off the homes of the group's readers, and each front begins at another place of
 //!   its tail ([`BULK_LOAD_TAIL`]), or bulk loads of one group would all line up.
-//! - An engine that warms up is passed over at random, less often the warmer it is. In many-front mode a turn at one that is not loaded comes
-//!   first, wherever the order has it, as it is used or lost.
+//! - An engine that warms up is passed over at random, less often the warmer it is. In many-front mode one
+//!   that has room and little load is offered first, as an unused turn is lost.
 //! - The engine at which the last attempt failed is avoided if there is another.
 //! - Where engines report no load and capacity is missing, requests are shed by the share that load shedding admits
 //!   (`lemonusher-load-shedding`); engines that warm up are spared, as slow start bounds what they get.
@@ -88,7 +88,7 @@
         let order = self.preference_order(sequence);
         let candidates = self.candidates(now, sequence);
         let reserved = self.reserved_engine(sequence);
-        if reserved.is_some_and(|engine| !self.is_engine_usable(now, sequence, engine)) {
+        if reserved.is_some_and(|engine| !self.is_engine_eligible(now, sequence, engine)) {
             self.starvation_header = None;
             return None;
         }
@@ -107,7 +107,7 @@
         if self.many_fronts() {
             choices.sort_by_key(|choice| !(choice.warming_up && choice.load < ADMIT_ALL_UP_TO));
         }
-        self.admit(now, sequence, &choices)
+        self.first_admitting_engine(now, sequence, &choices)
     }
 
     /// The order in which a request's table group prefers the engines, as this front goes by it.
@@ -136,7 +136,7 @@
         let fleet = self.fleet_means(now);
         let candidate = |engine: &Engine| Candidate {
             engine: engine.entry.engine,
-            usable: self.is_usable(now, request, engine),
+            eligible: self.is_eligible(now, request, engine),
             warming_up: self.is_warming_up(now, engine),
             load: self.threads_per_core(now, engine, &fleet),
         };
@@ -147,12 +147,12 @@
         candidates
     }
 
-    fn is_engine_usable(&self, now: Duration, sequence: u64, engine: EngineId) -> bool {
+    fn is_engine_eligible(&self, now: Duration, sequence: u64, engine: EngineId) -> bool {
         let request = &self.requests[sequence];
-        self.engines.get(&engine).is_some_and(|engine| self.is_usable(now, request, engine))
+        self.engines.get(&engine).is_some_and(|engine| self.is_eligible(now, request, engine))
     }
 
-    /// The engines that are usable and where the request conflicts with nothing, in the order of preference.
+    /// The engines that are eligible and where the request conflicts with nothing, in the order of preference.
     fn choices(
         &mut self,
         now: Duration,
@@ -166,7 +166,7 @@
         let mut choices = Vec::with_capacity(candidates.len());
         for slot in order.slots() {
             let candidate = &candidates[slot];
-            if !candidate.usable || reserved.is_some_and(|engine| engine != candidate.engine) {
+            if !candidate.eligible || reserved.is_some_and(|engine| engine != candidate.engine) {
                 continue;
             }
             if may_conflict && self.conflicts_at(now, sequence, slot) {
--- a/src/probing.rs
+++ b/src/probing.rs
@@ -24,8 +24,8 @@
 const LARGE_REQUEST_SHARE: f64 = 0.7;
 /// Other requests leave as many probes as a third of the engines, but no more than this.
 const MAX_PROBE_RESERVE: f64 = 8.0;
-/// The share of the engines that the reserve covers.
-const PROBE_RESERVE_SHARE: f64 = 3.0;
+/// The reserve is the number of engines divided by this.
+const PROBE_RESERVE_DIVISOR: f64 = 3.0;
 /// A report is fresh for this share of the shortest latency objective.
 const FRESH_REPORT_AGE: f64 = 0.4;
 
@@ -89,7 +89,7 @@
         if class.work.mean() > self.mean_class_work() * LARGE_REQUEST_SHARE {
             return 1.0;
         }
-        (self.engines.len() as f64 / PROBE_RESERVE_SHARE).clamp(1.0, MAX_PROBE_RESERVE)
+        (self.engines.len() as f64 / PROBE_RESERVE_DIVISOR).clamp(1.0, MAX_PROBE_RESERVE)
     }
 
     /// Whether a report of the engine is to be awaited before a request goes there; sends the probe if none is under way.
--- a/src/reconcile.rs
+++ b/src/reconcile.rs
@@ -4,7 +4,7 @@
 use crate::endpoint::EngineId;
 use crate::engine::AttemptEdge;
 use crate::gateway::Gateway;
-use crate::request::{DesiredState, InFlight};
+use crate::request::{InFlight, RequestGoal};
 use std::time::Duration;
 
 impl Gateway {
@@ -33,11 +33,11 @@
     /// Cancels the attempt in flight if something else is desired.
     fn cancel_undesired(&mut self, sequence: u64, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(sequence) else { return };
-        let (desired, finished) = (request.desired, request.finished);
+        let (goal, finished) = (request.goal, request.finished);
         let Some(in_flight) = request.in_flight.as_mut().filter(|in_flight| !in_flight.cancelled) else {
             return;
         };
-        if !finished && desired == DesiredState::SentTo(in_flight.engine) {
+        if !finished && goal == RequestGoal::SentTo(in_flight.engine) {
             return;
         }
         in_flight.cancelled = true;
@@ -49,17 +49,17 @@
     fn reconcile_request(&mut self, now: Duration, sequence: u64, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(sequence).filter(|request| !request.finished) else { return };
         let id = request.id.clone();
-        match request.desired {
-            DesiredState::SentTo(engine) if request.in_flight.is_none() => {
+        match request.goal {
+            RequestGoal::SentTo(engine) if request.in_flight.is_none() => {
                 self.send(now, sequence, engine, actions);
             }
-            DesiredState::SentTo(_) | DesiredState::Queued => {}
-            DesiredState::Rejected => {
+            RequestGoal::SentTo(_) | RequestGoal::Queued => {}
+            RequestGoal::Rejected => {
                 let retry_after = self.retry_after(request.class);
                 actions.push(Action::Reject { request: id, retry_after });
                 self.finish(sequence);
             }
-            DesiredState::Failed => {
+            RequestGoal::Failed => {
                 actions.push(Action::Fail { request: id });
                 self.finish(sequence);
             }
--- a/src/request.rs
+++ b/src/request.rs
@@ -7,7 +7,7 @@
 
 /// What is to become of a request. [`Gateway::reconcile`](crate::Gateway) turns the difference from what is into actions.
 #[derive(Clone, Copy, PartialEq, Default)]
-pub(crate) enum DesiredState {
+pub(crate) enum RequestGoal {
     /// It waits for an attempt.
     #[default]
     Queued,
@@ -55,7 +55,7 @@
     pub(crate) attempts: u32,
     pub(crate) first_possible_run: Option<PossibleRun>,
     pub(crate) in_flight: Option<InFlight>,
-    pub(crate) desired: DesiredState,
+    pub(crate) goal: RequestGoal,
     /// The priority that the engines were last given.
     pub(crate) priority: u8,
     /// The engine at which its last attempt ended without a response.
@@ -75,7 +75,7 @@
 impl Request {
     /// Whether it waits for an attempt.
     pub(crate) fn is_queued(&self) -> bool {
-        !self.finished && self.in_flight.is_none() && self.desired == DesiredState::Queued
+        !self.finished && self.in_flight.is_none() && self.goal == RequestGoal::Queued
     }
 
     /// Whether it is another try than the client's first, or its attempt has failed before.
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -6,21 +6,21 @@
 //!
 //! **Migration.** An attempt is given up and the request sent elsewhere, if the rules allow another attempt, when its engine reports
 //! that it waits for another front's bulk load, or that at its pace the rest would take [`MIGRATE_FACTOR`] times the usual latency
-//! of its class. This guards against bad plans, slow engines and work that stands still; the work done so far is lost. After
-//! [`MAX_MIGRATIONS`] attempts the request is taken to be truly large and stays. An idempotent request that was migrated
+//! of its class. This guards against bad plans, slow engines and work that stands still; the work done so far is lost. From
+//! [`FIRST_ATTEMPT_THAT_STAYS`] on a slow attempt stays, as the request is taken to be truly large; one that waits for a bulk load is still migrated. An idempotent request that was migrated
 //! and will not end before its client's deadline is given up.
 
 use crate::deployment::{Idempotency, RetryBudget};
 use crate::endpoint::EngineId;
 use crate::event::{AttemptProgress, RequestId};
 use crate::gateway::Gateway;
-use crate::request::{DesiredState, InFlight};
+use crate::request::{InFlight, RequestGoal};
 use std::time::Duration;
 
 /// An attempt that needs so many usual latencies from now on is migrated.
 const MIGRATE_FACTOR: f64 = 6.0;
-/// An attempt of this number, from 1, is not migrated any more.
-const MAX_MIGRATIONS: u32 = 3;
+/// From this attempt on, counted from 1, one that is slow is not migrated; one that waits for a bulk load still is.
+const FIRST_ATTEMPT_THAT_STAYS: u32 = 3;
 /// The least share done that is told apart.
 const MIN_SHARE_DONE: f64 = 1e-3;
 /// The longest time to the end that is told apart, in seconds.
@@ -108,7 +108,7 @@
         let too_late = end > request.deadline && request.deadline != Duration::MAX;
         if request.attempts > 1 && too_late && class.config.idempotency == Idempotency::Idempotent {
             self.give_up(now, sequence);
-        } else if request.attempts < MAX_MIGRATIONS {
+        } else if request.attempts < FIRST_ATTEMPT_THAT_STAYS {
             self.migrate(sequence);
         }
     }
@@ -122,7 +122,7 @@
         }
         let non_idempotent = self.classes[request.class].config.idempotency == Idempotency::NonIdempotent;
         if capabilities.cancel && !non_idempotent && request.attempts < capabilities.max_attempts.max(1) {
-            request.desired = DesiredState::Queued;
+            request.goal = RequestGoal::Queued;
             self.changed.insert(sequence);
         }
     }
--- a/src/scan.rs
+++ b/src/scan.rs
@@ -6,7 +6,7 @@
 
 use crate::action::Action;
 use crate::gateway::Gateway;
-use crate::request::DesiredState;
+use crate::request::RequestGoal;
 use std::time::Duration;
 
 /// The time between two admission draws of a request, as a share of its latency objective.
@@ -46,7 +46,7 @@
         let Some(request) = self.requests.get_mut(sequence) else { return };
         match engine {
             Some(engine) => {
-                request.desired = DesiredState::SentTo(engine);
+                request.goal = RequestGoal::SentTo(engine);
                 self.changed.insert(sequence);
                 self.reconcile(now, actions);
             }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -1,8 +1,12 @@
 //! Slow start: an engine that warms up gets little at first, shared out among the fronts (rule 4).
 //!
 //! An engine that warms up does `slow_start_share` of its work and fails at `overload_factor` times that within
-//! `overload_window`. All fronts together send at most [`SAFE_OVERLOAD_SHARE`] of what it bears, in seconds of work within a window; a front
-//! sends its quota of that. The engine idles for a while.
+//! `overload_window`. All fronts together send at most [`SAFE_OVERLOAD_SHARE`] of that, each its part:
+//!
+//! quota = overload_factor × slow_start_share × cores × overload_window × [`SAFE_OVERLOAD_SHARE`] × this front's part,
+//!
+//! in seconds of work on one thread. The part is the quota that the fronts have agreed on, or one over their number. A request whose
+//! class's mean work would exceed the quota finds the engine ineligible: it goes elsewhere or stays queued.
 //!
 //! Where the quota is less than one small request, small requests go by turns of one request each: turns begin one after the other
 //! at equal distances from the engine's start on, one front's after the other's in an order that the engine's id offsets, so that no
@@ -27,8 +31,8 @@
 const TURN_LENGTH: f64 = 0.25;
 /// Requests of work up to this share of all that the engine bears are small.
 const SMALL_REQUEST_SHARE: f64 = 0.05;
-/// The range of the offset at which an engine's turns begin, in fronts.
-const TURN_OFFSETS: u64 = 0x1_0000_0000;
+/// Modulus of the hash of an engine's id; the result says by how many turns its rotation is shifted.
+const TURN_OFFSET_MODULUS: u64 = 0x1_0000_0000;
 
 impl Gateway {
     /// Whether an engine that warms up has room for a request by this front; true for one that is warm.
@@ -102,7 +106,7 @@
     fn has_turn(&self, now: Duration, engine: &Engine, turns: f64) -> bool {
         let age = now.saturating_sub(engine.entry.started_at).as_secs_f64();
         let begun = age / self.deployment.safety_rules.overload_window.as_secs_f64() * turns;
-        let offset = (mix(u64::from(engine.entry.engine)) % TURN_OFFSETS) as f64;
+        let offset = (mix(u64::from(engine.entry.engine)) % TURN_OFFSET_MODULUS) as f64;
         let since = (begun - offset - f64::from(self.deployment.front_index)).rem_euclid(self.fronts());
         since < TURN_LENGTH * turns
     }
--- a/src/starvation_header.rs
+++ b/src/starvation_header.rs
@@ -1,9 +1,9 @@
 //! The starvation header: an engine is kept free for the request that has been queued longest.
 //!
 //! Input: the oldest queued request, once it has been queued for [`RESERVE_ENGINE_AFTER`] of the longest deadline, while there
-//! is no other header. It is tied to the first engine of its preference order that is usable and where it conflicts with
-//! nothing, or else to the first usable one. Requests that arrived later and conflict with it are not sent there, so what it conflicts
-//! with runs out. It goes nowhere else; if its engine is not usable any more, the tie ends. The term is the source's own
+//! is no other header. It is tied to the first engine of its preference order that is eligible and where it conflicts with
+//! nothing, or else to the first eligible one. Requests that arrived later and conflict with it are not sent there, so what it conflicts
+//! with runs out. It goes nowhere else; if its engine is not eligible any more, the tie ends. The term is the source's own
 //! (docs/design.md).
 
 use crate::endpoint::EngineId;
@@ -34,9 +34,9 @@
         let order = self.preference_order(sequence);
         let request = &self.requests[sequence];
         let engines = order.slots().filter_map(|slot| self.engines.at(slot));
-        let mut usable = engines.filter(|engine| self.is_usable(now, request, engine)).peekable();
-        let first = usable.peek().copied();
-        let engine = usable.find(|engine| !self.conflicts(now, request, engine)).or(first)?;
+        let mut eligible = engines.filter(|engine| self.is_eligible(now, request, engine)).peekable();
+        let first = eligible.peek().copied();
+        let engine = eligible.find(|engine| !self.conflicts(now, request, engine)).or(first)?;
         Some(StarvationHeader { sequence, engine: engine.entry.engine })
     }
 
