--- a/crates/tools/scale/src/fleet/setup.rs
+++ b/crates/tools/scale/src/fleet/setup.rs
@@ -116,6 +116,7 @@
     FleetKey::new(b"a key of the scale rig")
 }
 
+/// A front's name, by its index.
 pub fn front_name(front: usize) -> String {
     format!("front-{front:04}")
 }
--- a/crates/tools/scale/src/roles/configuration.rs
+++ b/crates/tools/scale/src/roles/configuration.rs
@@ -46,6 +46,7 @@
 /// Fronts at which the later of two opposed changes is another than at most.
 const DIFFERENT: Metric = Metric::new("fronts_that_differ", "1");
 
+/// Commits changes at many fronts' management servers.
 pub struct Configuration {
     options: Options,
     runtime: Runtime,
@@ -68,6 +69,7 @@
 }
 
 impl Configuration {
+    /// A measurement with these options.
     pub fn new(options: &Options) -> Result<Self, MeasureError> {
         let resident = resident_bytes()?;
         let runtime = tokio::runtime::Builder::new_multi_thread()
--- a/crates/tools/scale/src/roles/connections.rs
+++ b/crates/tools/scale/src/roles/connections.rs
@@ -81,6 +81,7 @@
 }
 
 impl Connections {
+    /// A measurement with these options.
     pub fn new(options: &Options) -> Self {
         Connections { options: options.clone() }
     }
--- a/crates/tools/scale/src/roles/control_machines.rs
+++ b/crates/tools/scale/src/roles/control_machines.rs
@@ -30,12 +30,14 @@
 const HELD: Metric = Metric::new("seats_held", "%");
 const HOLDERS: Metric = Metric::new("task_holders", "1");
 
+/// Simulates fleets with 3, 5 and 7 voters.
 pub struct ControlMachines {
     options: Options,
     resident: f64,
 }
 
 impl ControlMachines {
+    /// A measurement with these options.
     pub fn new(options: &Options) -> Result<Self, MeasureError> {
         Ok(ControlMachines { options: options.clone(), resident: resident_bytes()? })
     }
--- a/crates/tools/scale/src/roles/decision.rs
+++ b/crates/tools/scale/src/roles/decision.rs
@@ -64,6 +64,7 @@
 }
 
 impl Decision {
+    /// A measurement with these options.
     pub fn new(options: &Options) -> Self {
         Decision { options: options.clone() }
     }
--- a/crates/tools/scale/src/roles/decision/real.rs
+++ b/crates/tools/scale/src/roles/decision/real.rs
@@ -18,6 +18,7 @@
 /// Requests a second that were answered with a result.
 pub const SERVED: Metric = Metric::new("served", "1/s");
 
+/// The name of the case.
 pub const CASE: &str = "real front, reports=when-probed";
 /// So many clients that pause for so long offer 2,885 requests a second if each is answered within 2 ms.
 const CLIENTS: u64 = 64;
--- a/crates/tools/scale/src/roles/discovery.rs
+++ b/crates/tools/scale/src/roles/discovery.rs
@@ -23,9 +23,11 @@
 
 /// Bytes on the wire to one front.
 pub const LIST_BYTES: Metric = Metric::new("whole_list", "B");
+/// The same for the replacement of a zone.
 pub const ZONE_BYTES: Metric = Metric::new("zone_replaced", "B");
 /// Processor time of the front for it.
 pub const LIST_PROCESSOR: Metric = Metric::new("whole_list_processor", "ms");
+/// The same for the replacement of a zone.
 pub const ZONE_PROCESSOR: Metric = Metric::new("zone_replaced_processor", "ms");
 /// From the writing of the frame until a request has reached an engine of the list.
 pub const LIST_USED: Metric = Metric::new("whole_list_used", "ms");
@@ -111,6 +113,7 @@
 }
 
 impl Discovery {
+    /// A measurement with these options.
     pub fn new(options: &Options) -> Self {
         Discovery { options: options.clone() }
     }
--- a/crates/tools/scale/src/roles/failure_detector.rs
+++ b/crates/tools/scale/src/roles/failure_detector.rs
@@ -31,6 +31,7 @@
 /// Of the front that sent and received the most.
 const BYTES_MOST: Metric = Metric::new("bytes_busiest_front", "B/s");
 
+/// Simulates fleets whose fronts watch each other.
 pub struct FailureDetector {
     options: Options,
     /// What this process held before any fleet ran in it.
@@ -38,6 +39,7 @@
 }
 
 impl FailureDetector {
+    /// A measurement with these options.
     pub fn new(options: &Options) -> Result<Self, MeasureError> {
         Ok(FailureDetector { options: options.clone(), resident: resident_bytes()? })
     }
--- a/crates/tools/scale/src/roles/leases.rs
+++ b/crates/tools/scale/src/roles/leases.rs
@@ -62,6 +62,7 @@
     Metric::new("voter_processor", "% of a core"),
 ];
 
+/// Simulates fleets with leases and registers.
 pub struct Leases {
     options: Options,
     resident: f64,
@@ -85,6 +86,7 @@
 }
 
 impl Leases {
+    /// A measurement with these options.
     pub fn new(options: &Options) -> Result<Self, MeasureError> {
         Ok(Leases { options: options.clone(), resident: resident_bytes()? })
     }
@@ -187,6 +189,7 @@
     }
 }
 
+/// The longest span, in seconds; zero for none.
 pub fn max_seconds(spans: &[Duration]) -> f64 {
     spans.iter().max().map_or(0.0, Duration::as_secs_f64)
 }
--- a/crates/tools/scale/src/roles/maintenance.rs
+++ b/crates/tools/scale/src/roles/maintenance.rs
@@ -113,6 +113,7 @@
 }
 
 impl Maintenance {
+    /// A measurement with these options.
     pub fn new(options: &Options) -> Self {
         Maintenance { options: options.clone() }
     }
--- a/crates/tools/scale/src/roles/maintenance/zones.rs
+++ b/crates/tools/scale/src/roles/maintenance/zones.rs
@@ -24,6 +24,7 @@
 const WORK_S: [f64; 4] = [0.01, 0.05, 0.5, 4.0];
 const ELAPSED_S: f64 = 0.02;
 
+/// Zone failover as it is measured.
 pub fn config() -> FailoverConfig {
     FailoverConfig {
         report_interval: PERIOD,
