--- a/crates/edges/cli/src/fleet/maintenance.rs
+++ b/crates/edges/cli/src/fleet/maintenance.rs
@@ -284,8 +284,10 @@
         if foreman {
             blocked = why;
         }
-        let shown =
-            work.and_then(|(version, bytes)| Some((version, MaintenanceRequest::from_bytes(&bytes)?)));
+        let shown = work.and_then(|stored| {
+            let version = (stored.version.epoch, stored.version.counter);
+            Some((version, MaintenanceRequest::from_bytes(&stored.value)?))
+        });
         if shown.as_ref().map(|(version, _)| *version) > latest.as_ref().map(|(version, _)| *version) {
             latest = shown;
         }
--- a/crates/edges/front/tests/fleet.rs
+++ b/crates/edges/front/tests/fleet.rs
@@ -15,7 +15,7 @@
 const WORK_MS: u32 = 200;
 
 fn one_of(fronts: usize, number: usize, address: SocketAddr, engines: &Value, channel: SocketAddr) -> Value {
-    let mut config = told(&[], channel);
+    let mut config = start_config(&[], channel);
     config["listen"] = json!(address.to_string());
     config["seed"] = json!(format!("{:016x}", 0x9e37_79b9_7f4a_7c15u64.wrapping_mul(number as u64 + 1)));
     config["settings"]["balancers"] = json!(fronts);
@@ -48,13 +48,13 @@
             let params = json!({"call": format!("{number:04x}{call:012x}"), "ttl": 2000,
                 "data": base64(format!("select * from sales_{call}.orders").as_bytes())});
             let line = json!({"jsonrpc": "2.0", "id": id, "method": "look-up", "params": params}).to_string();
-            if stop.load(Ordering::Relaxed) || !client.try_write(&line) {
+            if stop.load(Ordering::Relaxed) || !client.try_send_line(&line) {
                 break;
             }
             sent = id;
             thread::sleep(Duration::from_millis(5));
         }
-        (1..=sent).all(|_| client.try_next().is_some());
+        (1..=sent).all(|_| client.try_next_response().is_some());
     }
 }
 
@@ -76,7 +76,8 @@
 #[test]
 fn twenty_fronts_stay_within_the_slow_start_limit_through_their_restarts() {
     const FRONTS: usize = 20;
-    let (engine, commands) = (Tallying::start(|_| Answers::HitOf(WORK_MS)), Commands::start());
+    let (engine, commands) =
+        (CountingEngine::start(|_| EngineBehavior::ResultAfterWork(WORK_MS)), DiscoveryServer::start());
     let addresses = addresses(FRONTS);
     let _alone = ALONE.lock().unwrap_or_else(|broken| broken.into_inner());
     let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
@@ -106,7 +107,7 @@
     // Three times 0.34 of 8 cores for 1.5 s, in requests of 200 ms.
     let allowed = 3.0 * 0.34 * 8.0 * 1.5 / (f64::from(WORK_MS) / 1e3);
     let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
-    let tally: Vec<Instant> = engine.tally().into_iter().map(|(at, _)| at).collect();
+    let tally: Vec<Instant> = engine.requests().into_iter().map(|request| request.at).collect();
     let window = Duration::from_millis(1500);
     let in_window =
         |at: &Instant| tally.iter().filter(|other| **other >= *at && **other < *at + window).count();
@@ -143,7 +144,7 @@
             thread::spawn(move || {
                 let any = SocketAddr::from(([127, 0, 0, 1], 0));
                 let front = Front::start(FRONT, &one_of(30, number, any, &json!([]), nobody));
-                let fit = front.client().fit();
+                let fit = front.client().is_ready();
                 (fit, from.elapsed())
             })
         })
--- a/crates/testing/cluster/src/fake_zones.rs
+++ b/crates/testing/cluster/src/fake_zones.rs
@@ -3,7 +3,7 @@
 
 use crate::ReceivedRequest;
 use crate::fake_engine::{FakeEngine, serve_connection};
-use lemonusher_fakes::{settings, told};
+use lemonusher_fakes::{settings, start_config};
 use serde_json::{Value, json};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -139,7 +139,7 @@
 
     /// The start configuration of a front in this zone; `channel` is the address of its command channel.
     pub fn front_start(&self, front: usize, zone: usize, fronts: usize, channel: SocketAddr) -> Value {
-        let mut start = told(&[], channel);
+        let mut start = start_config(&[], channel);
         let members = (0..self.addresses.len()).map(|engine| self.member(engine, zone));
         start["known"]["cmds"][0]["nodes"]["members"] = members.collect();
         start["name"] = format!("n{front}").into();
--- a/crates/testing/cluster/src/rig.rs
+++ b/crates/testing/cluster/src/rig.rs
@@ -1,7 +1,7 @@
 //! The processes of a cluster: starts, pauses and kills them.
 
 use crate::{FakeTaskService, Relays, RigConfig};
-use lemonusher_fakes::{Commands, Front, file, place, told};
+use lemonusher_fakes::{DiscoveryServer, Front, start_config, temp_file, temp_path};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::Command;
@@ -19,13 +19,13 @@
     /// By index: whether the process is paused.
     pub paused: Vec<bool>,
     folder: PathBuf,
-    commands: Commands,
+    discovery: DiscoveryServer,
 }
 
 impl Rig {
     /// Starts all processes.
     pub fn start(config: RigConfig) -> Rig {
-        let folder = place("rig");
+        let folder = temp_path("rig");
         std::fs::create_dir_all(&folder).unwrap();
         std::fs::write(folder.join("key"), format!("the rig's key of seed {}", config.seed)).unwrap();
         let mut rig = Rig {
@@ -33,7 +33,7 @@
             task_service: FakeTaskService::start(config.rejects_stale),
             fronts: (0..config.fronts).map(|_| None).collect(),
             paused: vec![false; config.fronts],
-            commands: Commands::start(),
+            discovery: DiscoveryServer::start(),
             folder,
             config,
         };
@@ -56,7 +56,7 @@
         command.arg("run").arg(&config_file).env("LEMONUSHER_TEST_CLOCK", clock_rate);
         let process = Front::spawn(command, start_file);
         if front < self.config.voters {
-            let address: SocketAddr = process.said_at_start("fleet at ").unwrap().parse().unwrap();
+            let address: SocketAddr = process.startup_log_value("fleet at ").unwrap().parse().unwrap();
             self.relays.set_voter_address(front, address);
         }
         self.fronts[front] = Some(process);
@@ -93,11 +93,11 @@
     /// Writes the front's start configuration; returns its file.
     fn write_start_file(&self, front: usize) -> PathBuf {
         let mut start = match &self.config.front_start {
-            Some(front_start) => front_start(front, self.commands.address),
-            None => told(&[], self.commands.address),
+            Some(front_start) => front_start(front, self.discovery.address),
+            None => start_config(&[], self.discovery.address),
         };
         start["name"] = format!("n{front}").into();
-        file("json", &start.to_string())
+        temp_file("json", &start.to_string())
     }
 
     /// The operator's file, with the relays' addresses in place of the voters'.
