--- a/crates/testing/cluster/src/fake_zones.rs
+++ b/crates/testing/cluster/src/fake_zones.rs
@@ -272,7 +272,7 @@
                     self.serve(engine, from, id, group, &wire);
                 }
                 "gauges" => {
-                    let busy = self.hosted[engine].lock().unwrap().model.strain().min(1.0);
+                    let busy = self.hosted[engine].lock().unwrap().model.threads_per_core().min(1.0);
                     let _ = (&wire).write_all(format!("{id} PONG use=busy:{busy:.2} 0\r\n\r\n").as_bytes());
                 }
                 "cancel" => {
@@ -324,7 +324,7 @@
             waits_for_loads: false,
         };
         one.model.put(number, work);
-        let strain = one.model.strain();
+        let strain = one.model.threads_per_core();
         one.most_strain = one.most_strain.max(strain);
     }
 
--- a/crates/testing/emulator/src/engine.rs
+++ b/crates/testing/emulator/src/engine.rs
@@ -109,7 +109,7 @@
 
     /// Share of its cores that are busy.
     pub fn cores_busy(&self) -> f64 {
-        (self.strain().min(self.knee) * self.on_cores).min(1.0)
+        (self.threads_per_core().min(self.knee) * self.on_cores).min(1.0)
     }
 
     /// Share of its memory that requests have been granted.
@@ -118,7 +118,7 @@
     }
 
     /// Threads that want to run, over the cores.
-    pub fn strain(&self) -> f64 {
+    pub fn threads_per_core(&self) -> f64 {
         self.running.values().map(|work| work.threads).sum::<f64>() / self.cores
     }
 
@@ -131,9 +131,13 @@
         if threads <= 0.0 {
             return Vec::new();
         }
-        let strain = threads / (self.cores * self.knee);
+        let threads_per_core = threads / (self.cores * self.knee);
         // Past the knee, each shares, and part of the work is lost.
-        let share = if strain > 1.0 { 1.0 / (strain * (1.0 + self.loss * (strain - 1.0))) } else { 1.0 };
+        let share = if threads_per_core > 1.0 {
+            1.0 / (threads_per_core * (1.0 + self.loss * (threads_per_core - 1.0)))
+        } else {
+            1.0
+        };
         let wanted: f64 = self.running.values().map(|work| work.memory_mb).sum();
         let paging = if wanted > self.memory_mb { (self.memory_mb / wanted).powi(2) } else { 1.0 };
         let speed = share * paging * warmth / self.slow.max(1e-9);
--- a/crates/testing/emulator/src/lib.rs
+++ b/crates/testing/emulator/src/lib.rs
@@ -3,23 +3,27 @@
 //! one seed makes a run, the same each time to the last event. A checker sees both sides and reports any of the seven
 //! rules that is broken, with what broke it.
 
+mod attempts;
 mod check;
 mod clients;
 mod engine;
 mod failures;
-mod flights;
 mod host;
 mod run;
 mod settings;
 mod tally;
 mod world;
 
-pub use check::{Broken, Checker, Seen};
+pub use check::{Checker, Observation, Violation};
 pub use engine::{Engine, Finished, Work};
 pub use run::{Fault, Report, play};
-pub use settings::{Between, Clients, Probes, ReportField, ReportedWith, Reports, Runaways, Watch};
-pub use tally::{ClassCount, SPAN_SECONDS, SpanCount, Tally};
-pub use world::{EngineKind, Failure, Group, Manner, What, World, WorldError};
+pub use settings::{
+    ClientBehavior, DiscoveryDelays, LoadReports, Probes, Range, ReportField, ReportTransport, Runaways,
+};
+pub use tally::{ClassCounts, INTERVAL_SECONDS, IntervalCounts, Statistics};
+pub use world::{
+    DeploymentError, EngineKind, Failure, FailureKind, ReplacementManner, RequestClass, SimulatedDeployment,
+};
 
 /// A small generator of its own, so that a seed means the same everywhere.
 #[derive(Debug, Clone)]
@@ -43,7 +47,7 @@
         (self.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    pub fn between(&mut self, [least, most]: Between) -> f64 {
+    pub fn between(&mut self, [least, most]: Range) -> f64 {
         least + (most - least) * self.share()
     }
 
--- a/crates/testing/emulator/src/run.rs
+++ b/crates/testing/emulator/src/run.rs
@@ -1,13 +1,13 @@
 //! Plays a world in virtual time: steps of one tick, events in one order, chance from one seed.
 
 use crate::Dice;
-use crate::check::{Broken, Checker, Seen, Terms};
-use crate::clients::{Request, running_sums};
+use crate::attempts::{Connection, InFlightAttempt, Probe};
+use crate::check::{Checker, Observation, RuleConfig, Violation};
+use crate::clients::{ClientRequest, running_sums};
 use crate::failures::Replacement;
-use crate::flights::{Connection, Flight, Probe};
-use crate::host::Host;
-use crate::tally::{SpanCount, Tally};
-use crate::world::{Failure, World, span};
+use crate::host::EngineHost;
+use crate::tally::{IntervalCounts, Statistics};
+use crate::world::{Failure, SimulatedDeployment, span};
 use lemonusher::{
     Action, AttemptOutcome, EndpointUpdateKind, EngineEntry, EngineState, Event, Gateway, RequestId,
 };
@@ -42,48 +42,48 @@
 /// What a run came to.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Report {
-    pub asked: u64,
+    pub tries: u64,
     pub returned: u64,
-    pub in_goal: u64,
-    pub pushed_back: u64,
-    pub errored: u64,
+    pub in_objective: u64,
+    pub rejected: u64,
+    pub failed: u64,
     pub attempts: u64,
     /// How often a cold engine fell over.
-    pub fallen: u64,
-    pub tally: Tally,
-    pub broken: Vec<Broken>,
+    pub overloaded: u64,
+    pub statistics: Statistics,
+    pub violations: Vec<Violation>,
     /// The same for the same world and seed.
     pub digest: u64,
 }
 
 /// A try that a front holds.
 #[derive(Clone)]
-pub(crate) struct Held {
+pub(crate) struct OpenRequest {
     pub id: u64,
     pub request: u64,
     pub group: usize,
-    pub asked: Duration,
+    pub arrived: Duration,
     pub limit: Duration,
     pub attempts: u32,
 }
 
 pub(crate) struct Front {
     gateway: Gateway,
-    pub held: BTreeMap<RequestId, Held>,
-    wakes: BTreeSet<Duration>,
+    pub open_requests: BTreeMap<RequestId, OpenRequest>,
+    timers: BTreeSet<Duration>,
     pub events: VecDeque<Event>,
     /// From when to when its watch is silent.
-    pub silence: (Duration, Duration),
+    pub outage: (Duration, Duration),
 }
 
 /// What a front will hear of an engine.
-pub(crate) struct News {
+pub(crate) struct EndpointUpdate {
     pub front: usize,
     pub entry: EngineEntry,
 }
 
-pub(crate) struct Run<'a> {
-    pub world: &'a World,
+pub(crate) struct Simulation<'a> {
+    pub world: &'a SimulatedDeployment,
     pub seed: u64,
     pub fault: Fault,
     pub dice: Dice,
@@ -93,59 +93,58 @@
     pub traffic: Vec<f64>,
     /// By class, how much of it asks for each table group and those before it.
     pub tables: Vec<Vec<f64>>,
-    pub engines: Vec<Host>,
-    pub flights: BTreeMap<u64, Flight>,
+    pub engines: Vec<EngineHost>,
+    pub in_flight: BTreeMap<u64, InFlightAttempt>,
     pub connecting: BTreeMap<(Duration, u64), Connection>,
     pub probes: BTreeMap<u64, Probe>,
     pub next: u64,
-    pub next_news: u64,
-    pub news: BTreeMap<(Duration, u64), News>,
+    pub next_update: u64,
+    pub updates: BTreeMap<(Duration, u64), EndpointUpdate>,
     /// When each front was last told of each engine.
-    pub told: BTreeMap<(usize, usize), Duration>,
+    pub notified: BTreeMap<(usize, usize), Duration>,
     pub replacements: Vec<Replacement>,
-    pub requests: BTreeMap<u64, Request>,
+    pub requests: BTreeMap<u64, ClientRequest>,
     /// The next first try, and how many there have been.
     pub next_arrival: Duration,
-    pub asked: u64,
+    pub requests_started: u64,
     /// Requests to be asked again, and tries whose clients leave, by when.
-    pub again: BTreeSet<(Duration, u64)>,
-    pub leaving: BTreeMap<(Duration, u64), (usize, RequestId)>,
+    pub retries: BTreeSet<(Duration, u64)>,
+    pub departures: BTreeMap<(Duration, u64), (usize, RequestId)>,
     checker: Checker,
     pub report: Report,
 }
 
 /// Plays a world from a seed.
-pub fn play(world: &World, seed: u64, fault: Fault) -> Report {
+pub fn play(world: &SimulatedDeployment, seed: u64, fault: Fault) -> Report {
     let mut dice = Dice::new(seed);
     let mut engines = Vec::new();
     for (kind, machine) in world.engines.iter().enumerate() {
         for _ in 0..machine.count {
-            let draw = if machine.spread > 0.0 { dice.share() } else { 0.0 };
-            engines.push(Host::new(world, kind as u32, draw));
+            let draw = if machine.speed_spread > 0.0 { dice.share() } else { 0.0 };
+            engines.push(EngineHost::new(world, kind as u32, draw));
         }
     }
-    let terms = Terms {
-        drain_grace: span(world.drain_grace),
-        cold_for: span(world.cold_for),
-        cold_from: world.cold_from,
-        fall_multiple: world.fall_multiple,
-        fall_after: span(world.fall_after),
-        once_only: world.groups.iter().map(|group| group.once_only).collect(),
-        locations: world.groups.iter().map(|group| group.locations.clone()).collect(),
+    let terms = RuleConfig {
+        drain_grace: span(world.drain_grace_s),
+        cold_for: span(world.slow_start_s),
+        cold_from: world.slow_start_share,
+        fall_multiple: world.overload_factor,
+        fall_after: span(world.overload_window_s),
+        once_only: world.request_classes.iter().map(|group| group.is_non_idempotent).collect(),
+        locations: world.request_classes.iter().map(|group| group.allowed_zones.clone()).collect(),
         places: engines.iter().map(|host| host.location).collect(),
-        budget: world.budget,
+        budget: world.retry_budget,
         slack: SLACK,
     };
     let traffic = (0..world.fronts).map(|_| {
-        let drawn = if world.uneven > 0.0 { dice.wait(1.0) } else { 1.0 };
-        (1.0 - world.uneven) + world.uneven * drawn
+        let drawn = if world.traffic_spread > 0.0 { dice.wait(1.0) } else { 1.0 };
+        (1.0 - world.traffic_spread) + world.traffic_spread * drawn
     });
     let traffic = running_sums(traffic);
-    let tables = world
-        .groups
-        .iter()
-        .map(|group| running_sums((1..=group.tables.max(1)).map(|rank| (rank as f64).powf(-group.zipf))));
-    let mut run = Run {
+    let tables = world.request_classes.iter().map(|group| {
+        running_sums((1..=group.table_groups.max(1)).map(|rank| (rank as f64).powf(-group.zipf_exponent)))
+    });
+    let mut run = Simulation {
         world,
         seed,
         fault,
@@ -155,34 +154,34 @@
         traffic,
         tables: tables.collect(),
         engines,
-        flights: BTreeMap::new(),
+        in_flight: BTreeMap::new(),
         connecting: BTreeMap::new(),
         probes: BTreeMap::new(),
         next: 0,
-        next_news: 0,
-        news: BTreeMap::new(),
-        told: BTreeMap::new(),
+        next_update: 0,
+        updates: BTreeMap::new(),
+        notified: BTreeMap::new(),
         replacements: Vec::new(),
         requests: BTreeMap::new(),
         next_arrival: BEGIN,
-        asked: 0,
-        again: BTreeSet::new(),
-        leaving: BTreeMap::new(),
+        requests_started: 0,
+        retries: BTreeSet::new(),
+        departures: BTreeMap::new(),
         checker: Checker::new(terms),
-        report: Report { tally: Tally::new(world.groups.len()), ..Report::default() },
+        report: Report { statistics: Statistics::new(world.request_classes.len()), ..Report::default() },
     };
     for number in 0..world.fronts {
-        let silence = run.draw_silence();
+        let outage = run.draw_outage();
         let mut front = run.front(number, seed);
-        front.silence = silence;
+        front.outage = outage;
         run.fronts.push(front);
     }
     run.play(seed);
-    run.report.broken = std::mem::take(&mut run.checker.broken);
+    run.report.violations = std::mem::take(&mut run.checker.violations);
     run.report
 }
 
-impl Run<'_> {
+impl Simulation<'_> {
     pub(crate) fn front(&self, number: u32, seed: u64) -> Front {
         let mut stated = self.world.deployment(number);
         match self.fault {
@@ -197,10 +196,10 @@
         gateway.handle_event(self.now, Event::Endpoints(EndpointUpdateKind::Full, all.collect()));
         Front {
             gateway,
-            held: BTreeMap::new(),
-            wakes: BTreeSet::new(),
+            open_requests: BTreeMap::new(),
+            timers: BTreeSet::new(),
             events: VecDeque::new(),
-            silence: Default::default(),
+            outage: Default::default(),
         }
     }
 
@@ -217,18 +216,18 @@
         }
     }
 
-    pub(crate) fn see(&mut self, seen: Seen) {
+    pub(crate) fn observe(&mut self, seen: Observation) {
         // FNV over the words of what was seen: any difference shows.
         for byte in format!("{:?}{seen:?}", self.now).bytes() {
             self.report.digest = (self.report.digest ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
         }
-        self.checker.see(self.now, seen);
+        self.checker.observe(self.now, seen);
     }
 
     fn play(&mut self, seed: u64) {
         let begin = BEGIN;
-        let end = begin + span(self.world.seconds);
-        let longest = self.world.groups.iter().map(|group| group.limit).fold(0.0, f64::max);
+        let end = begin + span(self.world.duration_s);
+        let longest = self.world.request_classes.iter().map(|group| group.deadline_s).fold(0.0, f64::max);
         let mut failures: VecDeque<Failure> = {
             let mut all = self.world.failures.clone();
             all.sort_by(|a, b| a.at.total_cmp(&b.at));
@@ -238,41 +237,41 @@
             self.now += TICK;
             while failures.front().is_some_and(|failure| begin + span(failure.at) <= self.now) {
                 if let Some(failure) = failures.pop_front() {
-                    self.fail(failure.what, seed);
+                    self.apply_failure(failure.what, seed);
                 }
             }
-            self.tend();
-            self.arrive(begin, end);
-            self.leave();
-            self.connect_due();
-            self.sample();
-            self.work();
-            self.note();
-            self.time_out();
-            self.probes_lost();
+            self.update_engines();
+            self.handle_arrivals(begin, end);
+            self.handle_departures();
+            self.handle_connections();
+            self.sample_loads();
+            self.run_engines();
+            self.report_progress();
+            self.handle_timeouts();
+            self.handle_lost_probes();
             for front in 0..self.fronts.len() {
                 self.decide(front);
             }
         }
-        self.checker.end(self.now);
+        self.checker.finish(self.now);
     }
 
     /// Counts of the span that it is now.
-    pub(crate) fn span(&mut self) -> &mut SpanCount {
-        self.report.tally.at((self.now - BEGIN).as_secs_f64())
+    pub(crate) fn interval(&mut self) -> &mut IntervalCounts {
+        self.report.statistics.at((self.now - BEGIN).as_secs_f64())
     }
 
-    pub(crate) fn answered(&mut self, id: u64) {
-        self.see(Seen::Answered { id });
+    pub(crate) fn answer(&mut self, id: u64) {
+        self.observe(Observation::TryAnswered { id });
         if self.fault == Fault::AnswersTwice && id.is_multiple_of(50) {
-            self.see(Seen::Answered { id });
+            self.observe(Observation::TryAnswered { id });
         }
     }
 
     fn decide(&mut self, number: usize) {
         let now = self.now;
         let front = &mut self.fronts[number];
-        let woken = front.wakes.first().is_some_and(|at| *at <= now);
+        let woken = front.timers.first().is_some_and(|at| *at <= now);
         if front.events.is_empty() && !woken {
             return;
         }
@@ -280,7 +279,7 @@
             front.gateway.handle_event(now, event);
         }
         if woken {
-            front.wakes = front.wakes.split_off(&(now + Duration::from_nanos(1)));
+            front.timers = front.timers.split_off(&(now + Duration::from_nanos(1)));
             front.gateway.handle_event(now, Event::TimerFired);
         }
         for action in front.gateway.decide(now) {
@@ -290,24 +289,24 @@
                 }
                 Action::Cancel { request, attempt } => {
                     let found = self
-                        .flights
+                        .in_flight
                         .iter()
                         .find(|(_, f)| f.front == number && f.name == request && f.attempt == attempt);
-                    if let Some((flight, engine)) = found.map(|(n, f)| (*n, f.engine)) {
-                        self.engines[engine].engine.cancel(flight);
-                        self.over(flight, AttemptOutcome::Cancelled);
+                    if let Some((attempt, engine)) = found.map(|(n, f)| (*n, f.engine)) {
+                        self.engines[engine].engine.cancel(attempt);
+                        self.end_attempt(attempt, AttemptOutcome::Cancelled);
                     }
                 }
                 Action::Reject { request, retry_after: come_back } => {
-                    let Some(held) = self.fronts[number].held.remove(&request) else { continue };
-                    self.rejected(&held, come_back);
+                    let Some(held) = self.fronts[number].open_requests.remove(&request) else { continue };
+                    self.reject(&held, come_back);
                 }
                 Action::Fail { request } => {
-                    let Some(held) = self.fronts[number].held.remove(&request) else { continue };
-                    self.report.errored += 1;
-                    self.answered(held.id);
+                    let Some(held) = self.fronts[number].open_requests.remove(&request) else { continue };
+                    self.report.failed += 1;
+                    self.answer(held.id);
                 }
-                Action::SetTimer { at } => drop(self.fronts[number].wakes.insert(at)),
+                Action::SetTimer { at } => drop(self.fronts[number].timers.insert(at)),
                 Action::Probe { engine } => self.probe(number, engine as usize),
                 Action::SetPriority { .. } | Action::WatchEndpoints => {}
             }
--- a/crates/testing/emulator/src/settings.rs
+++ b/crates/testing/emulator/src/settings.rs
@@ -3,18 +3,18 @@
 use serde::Deserialize;
 
 /// A figure drawn evenly between these two, in the unit of its key.
-pub type Between = [f64; 2];
+pub type Range = [f64; 2];
 
 /// How engines report their load.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Reports {
-    pub how: ReportedWith,
+pub struct LoadReports {
+    pub how: ReportTransport,
     pub fields: Vec<ReportField>,
     /// Seconds between two samples of an engine's load.
     pub period: f64,
     /// Seconds from a sample until it can be told.
-    pub delay: Between,
+    pub delay: Range,
     /// Each figure is off by up to this share of itself.
     #[serde(default)]
     pub noise: f64,
@@ -22,7 +22,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum ReportedWith {
+pub enum ReportTransport {
     Nothing,
     Answers,
     Probes,
@@ -33,7 +33,8 @@
 pub enum ReportField {
     CoresBusy,
     MemoryGranted,
-    Held,
+    #[serde(rename = "held")]
+    InFlight,
 }
 
 /// Fronts may probe engines, and each probe costs the engine this work.
@@ -49,13 +50,13 @@
 /// Clients that stay within one deadline over several tries.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Clients {
+pub struct ClientBehavior {
     /// Tries of a request at most, the first among them.
     pub tries: u32,
     /// A try is given this share of the deadline, or what is left of it.
     pub try_share: f64,
     /// Seconds to the first repeat; doubled with each further.
-    pub back_off: Between,
+    pub back_off: Range,
     /// Share that waits as long as it was told to instead.
     pub honour: f64,
     /// Share that gives up early, within half of the deadline.
@@ -68,14 +69,16 @@
 /// How fronts hear of engines; each front hears of each change after a time of its own.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Watch {
+pub struct DiscoveryDelays {
     /// Seconds until a new engine is known.
-    pub told: Between,
+    #[serde(rename = "told")]
+    pub join_delay: Range,
     /// Seconds until it is known that an engine has gone or drains.
-    pub gone: Between,
+    #[serde(rename = "gone")]
+    pub leave_delay: Range,
     /// Each front's watch falls silent once for so many seconds; what it missed is told at the end.
     #[serde(default)]
-    pub silent_for: Option<Between>,
+    pub silent_for: Option<Range>,
     /// Seconds that a front's connection to a new engine takes at most, from when it is told of it.
     #[serde(default)]
     pub connect_late: f64,
@@ -86,5 +89,5 @@
 #[serde(deny_unknown_fields)]
 pub struct Runaways {
     pub share: f64,
-    pub times: Between,
+    pub times: Range,
 }
--- a/crates/testing/emulator/src/tally.rs
+++ b/crates/testing/emulator/src/tally.rs
@@ -2,18 +2,18 @@
 
 /// What became of the requests of one class that were first asked in one span.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ClassCount {
-    pub asked: u64,
+pub struct ClassCounts {
+    pub requests: u64,
     pub served: u64,
     /// Served within the latency objective, counted from the first try.
-    pub in_goal: u64,
+    pub in_objective: u64,
 }
 
 /// One span of the run.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct SpanCount {
+pub struct IntervalCounts {
     /// By class, in the order of the world.
-    pub classes: Vec<ClassCount>,
+    pub classes: Vec<ClassCounts>,
     /// Tries that came, tries that were rejected, attempts sent and attempts refused by full engines.
     pub tries: u64,
     pub rejected: u64,
@@ -26,9 +26,9 @@
     pub work: f64,
 }
 
-impl SpanCount {
-    pub fn asked(&self) -> u64 {
-        self.classes.iter().map(|class| class.asked).sum()
+impl IntervalCounts {
+    pub fn requests(&self) -> u64 {
+        self.classes.iter().map(|class| class.requests).sum()
     }
 
     pub fn served(&self) -> u64 {
@@ -38,37 +38,37 @@
 
 /// The spans of a run, each of the same length.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Tally {
-    pub spans: Vec<SpanCount>,
+pub struct Statistics {
+    pub intervals: Vec<IntervalCounts>,
     classes: usize,
 }
 
 /// Length of a span, in seconds.
-pub const SPAN_SECONDS: f64 = 5.0;
+pub const INTERVAL_SECONDS: f64 = 5.0;
 
-impl Tally {
-    pub fn new(classes: usize) -> Tally {
-        Tally { spans: Vec::new(), classes }
+impl Statistics {
+    pub fn new(classes: usize) -> Statistics {
+        Statistics { intervals: Vec::new(), classes }
     }
 
     /// The span that holds this second of the run.
-    pub fn at(&mut self, second: f64) -> &mut SpanCount {
-        let number = (second.max(0.0) / SPAN_SECONDS) as usize;
-        while self.spans.len() <= number {
-            self.spans.push(SpanCount {
-                classes: vec![ClassCount::default(); self.classes],
-                ..SpanCount::default()
+    pub fn at(&mut self, second: f64) -> &mut IntervalCounts {
+        let number = (second.max(0.0) / INTERVAL_SECONDS) as usize;
+        while self.intervals.len() <= number {
+            self.intervals.push(IntervalCounts {
+                classes: vec![ClassCounts::default(); self.classes],
+                ..IntervalCounts::default()
             });
         }
-        &mut self.spans[number]
+        &mut self.intervals[number]
     }
 
     /// Share of a class's requests that were served, of those first asked from one second to another.
     pub fn served_share(&self, class: usize, from: f64, to: f64) -> f64 {
-        let (first, last) = ((from / SPAN_SECONDS) as usize, (to / SPAN_SECONDS) as usize);
-        let counts = self.spans.iter().take(last).skip(first).map(|span| span.classes[class]);
-        let (asked, served) =
-            counts.fold((0, 0), |(asked, served), count| (asked + count.asked, served + count.served));
-        served as f64 / (asked as f64).max(1.0)
+        let (first, last) = ((from / INTERVAL_SECONDS) as usize, (to / INTERVAL_SECONDS) as usize);
+        let counts = self.intervals.iter().take(last).skip(first).map(|span| span.classes[class]);
+        let (requests, served) = counts
+            .fold((0, 0), |(requests, served), count| (requests + count.requests, served + count.served));
+        served as f64 / (requests as f64).max(1.0)
     }
 }
--- a/crates/testing/emulator/src/world.rs
+++ b/crates/testing/emulator/src/world.rs
@@ -1,4 +1,4 @@
-use crate::settings::{Clients, Probes, ReportedWith, Reports, Runaways, Watch};
+use crate::settings::{ClientBehavior, DiscoveryDelays, LoadReports, Probes, ReportTransport, Runaways};
 use lemonusher::{
     Capabilities, Deployment, Idempotency, MachineKind, RequestClassConfig, RetryBudget, SafetyRules,
 };
@@ -9,61 +9,64 @@
 /// What one file states.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct World {
-    pub seconds: f64,
+pub struct SimulatedDeployment {
+    #[serde(rename = "seconds")]
+    pub duration_s: f64,
     pub fronts: u32,
     /// Requests a second, over all fronts.
-    pub per_second: f64,
+    #[serde(rename = "per_second")]
+    pub requests_per_second: f64,
     /// Share of clients that ask again after they were pushed back.
-    #[serde(default)]
-    pub ask_again: f64,
+    #[serde(rename = "ask_again", default)]
+    pub retry_share: f64,
     /// Times the load between these seconds.
     #[serde(default)]
     pub surge: Option<Surge>,
-    #[serde(default = "World::drain_grace")]
-    pub drain_grace: f64,
-    #[serde(default = "World::cold_for")]
-    pub cold_for: f64,
-    #[serde(default = "World::cold_from")]
-    pub cold_from: f64,
+    #[serde(rename = "drain_grace", default = "SimulatedDeployment::drain_grace")]
+    pub drain_grace_s: f64,
+    #[serde(rename = "cold_for", default = "SimulatedDeployment::cold_for")]
+    pub slow_start_s: f64,
+    #[serde(rename = "cold_from", default = "SimulatedDeployment::cold_from")]
+    pub slow_start_share: f64,
     /// A cold engine that is sent more than so many times what its cores do cold, in any window of so many
     /// seconds, falls over.
-    #[serde(default = "World::fall_multiple")]
-    pub fall_multiple: f64,
-    #[serde(default = "World::fall_after")]
-    pub fall_after: f64,
+    #[serde(rename = "fall_multiple", default = "SimulatedDeployment::fall_multiple")]
+    pub overload_factor: f64,
+    #[serde(rename = "fall_after", default = "SimulatedDeployment::fall_after")]
+    pub overload_window_s: f64,
     /// Seconds until what fell over has started again; without it, nothing falls over.
-    #[serde(default)]
-    pub fallen_for: Option<f64>,
+    #[serde(rename = "fallen_for", default)]
+    pub overload_restart_s: Option<f64>,
     /// Whether fronts may cancel what is out, and engines drop what has expired by themselves.
-    #[serde(default = "World::yes")]
+    #[serde(default = "SimulatedDeployment::yes")]
     pub cancel: bool,
-    #[serde(default = "World::yes")]
-    pub drops_expired: bool,
+    #[serde(rename = "drops_expired", default = "SimulatedDeployment::yes")]
+    pub engines_drop_expired: bool,
     /// Seconds until a connection to an engine that has gone is known to have failed.
-    #[serde(default)]
-    pub refused_after: f64,
+    #[serde(rename = "refused_after", default)]
+    pub refusal_delay_s: f64,
     /// How unevenly fronts draw traffic: zero for all alike, one for an exponential spread.
-    #[serde(default)]
-    pub uneven: f64,
+    #[serde(rename = "uneven", default)]
+    pub traffic_spread: f64,
     /// Seconds between the progress notes of a running request; without it, none are sent.
-    #[serde(default)]
-    pub notes: Option<f64>,
-    #[serde(default)]
-    pub reports: Option<Reports>,
+    #[serde(rename = "notes", default)]
+    pub progress_interval_s: Option<f64>,
+    #[serde(rename = "reports", default)]
+    pub load_reports: Option<LoadReports>,
     #[serde(default)]
     pub probes: Option<Probes>,
     #[serde(default)]
-    pub clients: Option<Clients>,
-    #[serde(default)]
-    pub watch: Option<Watch>,
+    pub clients: Option<ClientBehavior>,
+    #[serde(rename = "watch", default)]
+    pub discovery: Option<DiscoveryDelays>,
     #[serde(default)]
     pub runaways: Option<Runaways>,
     /// Further attempts allowed: so many, and so many a request, in ten seconds.
-    #[serde(default)]
-    pub budget: Option<(f64, f64)>,
+    #[serde(rename = "budget", default)]
+    pub retry_budget: Option<(f64, f64)>,
     pub engines: Vec<EngineKind>,
-    pub groups: Vec<Group>,
+    #[serde(rename = "groups")]
+    pub request_classes: Vec<RequestClass>,
     #[serde(default)]
     pub failures: Vec<Failure>,
 }
@@ -80,73 +83,77 @@
 #[serde(deny_unknown_fields)]
 pub struct EngineKind {
     pub count: u32,
-    #[serde(default)]
-    pub location: u32,
+    #[serde(rename = "location", default)]
+    pub zone: u32,
     pub cores: f64,
     pub memory_mb: f64,
     /// Part of the work that is lost for each time over that threads outnumber cores.
-    #[serde(default = "EngineKind::loss")]
-    pub loss: f64,
+    #[serde(rename = "loss", default = "EngineKind::loss")]
+    pub thrashing_loss: f64,
     /// Threads per core up to which nothing slows down.
-    #[serde(default = "EngineKind::one")]
-    pub knee: f64,
+    #[serde(rename = "knee", default = "EngineKind::one")]
+    pub max_threads_per_core: f64,
     /// Part of its time that a running thread is on a core.
-    #[serde(default = "EngineKind::one")]
-    pub on_cores: f64,
+    #[serde(rename = "on_cores", default = "EngineKind::one")]
+    pub cpu_share: f64,
     /// Requests that run at once, and that wait for a slot; beyond, the engine is full.
     #[serde(default)]
     pub slots: Option<usize>,
-    #[serde(default)]
-    pub queue: Option<usize>,
+    #[serde(rename = "queue", default)]
+    pub queue_length: Option<usize>,
     /// An engine keeps so many table groups warm, those used last, and reads them faster.
-    #[serde(default)]
-    pub warm_groups: usize,
+    #[serde(rename = "warm_groups", default)]
+    pub cached_table_groups: usize,
     /// Part of the time for reading that is saved on a warm table group.
-    #[serde(default)]
-    pub warm_gain: f64,
+    #[serde(rename = "warm_gain", default)]
+    pub cached_read_gain: f64,
     /// Each engine's speed is off by up to this share.
-    #[serde(default)]
-    pub spread: f64,
+    #[serde(rename = "spread", default)]
+    pub speed_spread: f64,
 }
 
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Group {
+pub struct RequestClass {
     pub name: String,
     /// Part of the requests.
     pub share: f64,
     /// Work of all threads, in seconds: the mean of an exponential.
-    pub work: f64,
+    #[serde(rename = "work")]
+    pub mean_work_s: f64,
     pub threads: f64,
     pub memory_mb: f64,
-    pub goal: f64,
-    pub limit: f64,
-    #[serde(default)]
-    pub once_only: bool,
-    #[serde(default)]
-    pub load: bool,
+    #[serde(rename = "goal")]
+    pub latency_objective_s: f64,
+    #[serde(rename = "limit")]
+    pub deadline_s: f64,
+    #[serde(rename = "once_only", default)]
+    pub is_non_idempotent: bool,
+    #[serde(rename = "load", default)]
+    pub is_bulk_load: bool,
     /// Requests of one key run in turn; so many keys.
     #[serde(default)]
     pub keys: u64,
-    pub tables: u64,
+    #[serde(rename = "tables")]
+    pub table_groups: u64,
     /// How much more the first table groups are asked for than later ones: the exponent of a Zipf law.
-    #[serde(default)]
-    pub zipf: f64,
-    #[serde(default)]
-    pub locations: Option<Vec<u32>>,
+    #[serde(rename = "zipf", default)]
+    pub zipf_exponent: f64,
+    #[serde(rename = "locations", default)]
+    pub allowed_zones: Option<Vec<u32>>,
 }
 
 #[derive(Debug, Clone, Deserialize)]
 pub struct Failure {
     pub at: f64,
     #[serde(flatten)]
-    pub what: What,
+    pub what: FailureKind,
 }
 
 /// What is done to an engine or a front, by number from zero.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "what", deny_unknown_fields)]
-pub enum What {
+pub enum FailureKind {
     /// The engine dies with all that it runs, and starts cold after this time.
     Kill { engine: usize, back: f64 },
     /// It answers nothing for a while; what it runs goes on.
@@ -156,9 +163,10 @@
     /// It is told to go, and is gone after the grace; a new one starts cold after this time.
     Drain { engine: usize, back: f64 },
     /// All engines of a zone die.
-    Hall { location: u32, back: f64 },
+    #[serde(rename = "hall")]
+    KillZone { location: u32, back: f64 },
     /// A share of the engines goes, spread over so many seconds; for each, a new one joins at once, cold.
-    Replace { share: f64, over: f64, manner: Manner },
+    Replace { share: f64, over: f64, manner: ReplacementManner },
     /// The front starts over and knows nothing but the list.
     Restart { front: usize },
 }
@@ -166,7 +174,7 @@
 /// How an engine that is replaced goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Manner {
+pub enum ReplacementManner {
     /// At once, with all that it runs.
     Vanish,
     /// It is told to go and ends what it runs within twice the grace.
@@ -175,16 +183,16 @@
 
 /// Why a file is no world.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WorldError {
+pub struct DeploymentError {
     pub line: Option<usize>,
-    pub what: String,
+    pub message: String,
 }
 
-impl fmt::Display for WorldError {
+impl fmt::Display for DeploymentError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self.line {
-            Some(line) => write!(f, "line {line}: {}", self.what),
-            None => f.write_str(&self.what),
+            Some(line) => write!(f, "line {line}: {}", self.message),
+            None => f.write_str(&self.message),
         }
     }
 }
@@ -201,7 +209,7 @@
     /// Part of a request's work that is saved on a warm table group: only reading is faster, and what a running thread
     /// does off the cores is taken to be reading.
     pub(crate) fn warm_saves(&self) -> f64 {
-        self.warm_gain * (1.0 - self.on_cores)
+        self.cached_read_gain * (1.0 - self.cpu_share)
     }
 }
 
@@ -209,7 +217,7 @@
     Duration::from_secs_f64(seconds.max(0.0))
 }
 
-impl World {
+impl SimulatedDeployment {
     fn drain_grace() -> f64 {
         2.0
     }
@@ -234,33 +242,38 @@
         true
     }
 
-    pub fn parse(text: &str) -> Result<World, WorldError> {
-        let world: World = toml::from_str(text).map_err(|error| WorldError {
+    pub fn parse(text: &str) -> Result<SimulatedDeployment, DeploymentError> {
+        let world: SimulatedDeployment = toml::from_str(text).map_err(|error| DeploymentError {
             line: error.span().map(|span| text[..span.start].matches('\n').count() + 1),
-            what: error.message().split_whitespace().collect::<Vec<_>>().join(" "),
+            message: error.message().split_whitespace().collect::<Vec<_>>().join(" "),
         })?;
-        let wrong = |what: &str| Err(WorldError { line: None, what: what.to_owned() });
+        let wrong = |what: &str| Err(DeploymentError { line: None, message: what.to_owned() });
         let engines: u32 = world.engines.iter().map(|kind| kind.count).sum();
-        if world.groups.is_empty() || engines == 0 || world.fronts == 0 {
+        if world.request_classes.is_empty() || engines == 0 || world.fronts == 0 {
             return wrong("a world has a front, an engine and a service group at least");
         }
-        let shares: f64 = world.groups.iter().map(|group| group.share).sum();
+        let shares: f64 = world.request_classes.iter().map(|group| group.share).sum();
         if (shares - 1.0).abs() > 1e-6 {
             return wrong("the shares of the service groups come to 1");
         }
-        let positive = world.groups.iter().all(|g| g.work > 0.0 && g.threads > 0.0 && g.limit > 0.0);
-        if !(positive && world.seconds > 0.0 && world.per_second > 0.0) {
+        let positive = world
+            .request_classes
+            .iter()
+            .all(|g| g.mean_work_s > 0.0 && g.threads > 0.0 && g.deadline_s > 0.0);
+        if !(positive && world.duration_s > 0.0 && world.requests_per_second > 0.0) {
             return wrong("times, work, threads and rates are above zero");
         }
         for failure in &world.failures {
             let fits = match failure.what {
-                What::Kill { engine, .. }
-                | What::Silent { engine, .. }
-                | What::Slow { engine, .. }
-                | What::Drain { engine, .. } => engine < engines as usize,
-                What::Hall { location, .. } => world.engines.iter().any(|kind| kind.location == location),
-                What::Replace { share, over, .. } => (0.0..=1.0).contains(&share) && over > 0.0,
-                What::Restart { front } => front < world.fronts as usize,
+                FailureKind::Kill { engine, .. }
+                | FailureKind::Silent { engine, .. }
+                | FailureKind::Slow { engine, .. }
+                | FailureKind::Drain { engine, .. } => engine < engines as usize,
+                FailureKind::KillZone { location, .. } => {
+                    world.engines.iter().any(|kind| kind.zone == location)
+                }
+                FailureKind::Replace { share, over, .. } => (0.0..=1.0).contains(&share) && over > 0.0,
+                FailureKind::Restart { front } => front < world.fronts as usize,
             };
             if !fits {
                 return wrong("a failure names an engine, location or front that there is not");
@@ -271,30 +284,34 @@
 
     /// Seconds of work that all engines can do in a second when warm, without loss.
     pub fn capacity(&self) -> f64 {
-        self.engines.iter().map(|kind| f64::from(kind.count) * kind.cores * kind.knee).sum()
+        self.engines.iter().map(|kind| f64::from(kind.count) * kind.cores * kind.max_threads_per_core).sum()
     }
 
     /// What the fronts are told.
     pub fn deployment(&self, number: u32) -> Deployment {
-        let terms = |group: &Group| RequestClassConfig {
-            latency_objective: span(group.goal),
+        let terms = |group: &RequestClass| RequestClassConfig {
+            latency_objective: span(group.latency_objective_s),
             objective_work_factor: 1.5,
-            deadline: span(group.limit),
+            deadline: span(group.deadline_s),
             priority_weight: 1.0,
             late_value_share: 0.5,
-            idempotency: if group.once_only { Idempotency::NonIdempotent } else { Idempotency::Idempotent },
+            idempotency: if group.is_non_idempotent {
+                Idempotency::NonIdempotent
+            } else {
+                Idempotency::Idempotent
+            },
             ordered: group.keys > 0,
-            allowed_zones: group.locations.clone(),
+            allowed_zones: group.allowed_zones.clone(),
             threads: group.threads,
-            bulk_load: group.load,
-            waits_for_bulk_loads: !group.load,
+            bulk_load: group.is_bulk_load,
+            waits_for_bulk_loads: !group.is_bulk_load,
             ..RequestClassConfig::default()
         };
         let machine = |kind: &EngineKind| MachineKind { cores: kind.cores, memory_mb: kind.memory_mb };
         Deployment {
             fronts: self.fronts,
             front_index: number,
-            request_classes: self.groups.iter().map(terms).collect(),
+            request_classes: self.request_classes.iter().map(terms).collect(),
             machine_kinds: self.engines.iter().map(machine).collect(),
             tick: Duration::from_millis(5),
             capabilities: Capabilities {
@@ -307,28 +324,28 @@
                 ..Capabilities::default()
             },
             safety_rules: SafetyRules {
-                drain_grace: span(self.drain_grace),
-                slow_start_share: self.cold_from,
-                slow_start_window: span(self.cold_for),
-                overload_factor: self.fall_multiple,
-                overload_window: span(self.fall_after),
+                drain_grace: span(self.drain_grace_s),
+                slow_start_share: self.slow_start_share,
+                slow_start_window: span(self.slow_start_s),
+                overload_factor: self.overload_factor,
+                overload_window: span(self.overload_window_s),
                 unknown_outcome_delay: Duration::from_millis(700),
                 discovery_poll_deadline: Duration::from_secs(10),
-                retry_budget: self.budget.map(|(free, share)| RetryBudget {
+                retry_budget: self.retry_budget.map(|(free, share)| RetryBudget {
                     free_retries: free,
                     retry_ratio: share,
                     window: Duration::from_secs(10),
                 }),
             },
             probe_cost: self.probes.map_or(0.0, |probes| probes.price),
-            load_reporting: self.reports.as_ref().map_or(lemonusher::LoadReporting::None, |reports| {
+            load_reporting: self.load_reports.as_ref().map_or(lemonusher::LoadReporting::None, |reports| {
                 match reports.how {
-                    ReportedWith::Nothing => lemonusher::LoadReporting::None,
-                    ReportedWith::Answers => lemonusher::LoadReporting::WithResponses,
-                    ReportedWith::Probes => lemonusher::LoadReporting::WithProbes,
+                    ReportTransport::Nothing => lemonusher::LoadReporting::None,
+                    ReportTransport::Answers => lemonusher::LoadReporting::WithResponses,
+                    ReportTransport::Probes => lemonusher::LoadReporting::WithProbes,
                 }
             }),
-            progress_interval: span(self.notes.unwrap_or(1.0)),
+            progress_interval: span(self.progress_interval_s.unwrap_or(1.0)),
             retries_marked: self.clients.is_none_or(|clients| clients.marked),
             ..Deployment::default()
         }
--- a/crates/testing/emulator/tests/abilities.rs
+++ b/crates/testing/emulator/tests/abilities.rs
@@ -1,6 +1,6 @@
 //! What a world may state beyond the plain one: each part changes the run as it says, and unknown keys are refused.
 
-use lemonusher_emulator::{Engine, Fault, Finished, Report, Work, World, play};
+use lemonusher_emulator::{Engine, Fault, Finished, Report, SimulatedDeployment, Work, play};
 
 /// Few fronts and engines, with every optional part.
 const SMALL: &str = r#"
@@ -74,7 +74,7 @@
 "#;
 
 fn run(text: &str) -> Report {
-    play(&World::parse(text).unwrap(), 3, Fault::None)
+    play(&SimulatedDeployment::parse(text).unwrap(), 3, Fault::None)
 }
 
 fn work(left: f64) -> Work {
@@ -105,27 +105,27 @@
     let tame = SMALL.replace("share = 0.01", "share = 0");
     for (manner, seed) in ["vanish", "drain"].into_iter().flat_map(|manner| [1, 2, 3, 4].map(|s| (manner, s)))
     {
-        let world = World::parse(&tame.replace("vanish", manner)).unwrap();
+        let world = SimulatedDeployment::parse(&tame.replace("vanish", manner)).unwrap();
         let (first, again) = (play(&world, seed, Fault::None), play(&world, seed, Fault::None));
         assert_eq!(first, again);
-        assert!(first.broken.is_empty(), "{manner} seed {seed}: {:?}", first.broken.first());
-        let served = first.tally.served_share(0, 15.0, 20.0);
+        assert!(first.violations.is_empty(), "{manner} seed {seed}: {:?}", first.violations.first());
+        let served = first.statistics.served_share(0, 15.0, 20.0);
         assert!(served > 0.8, "{manner} seed {seed}: {served}");
-        assert_eq!(first.fallen, 0);
+        assert_eq!(first.overloaded, 0);
     }
 }
 
 #[test]
 fn a_cold_engine_falls_over_when_its_coldness_is_not_told() {
-    let world = World::parse(&SMALL.replace("fall_after = 1", "fall_after = 0.2")).unwrap();
-    let fallen: u64 = (1..=3).map(|seed| play(&world, seed, Fault::HidesColds).fallen).sum();
+    let world = SimulatedDeployment::parse(&SMALL.replace("fall_after = 1", "fall_after = 0.2")).unwrap();
+    let fallen: u64 = (1..=3).map(|seed| play(&world, seed, Fault::HidesColds).overloaded).sum();
     assert!(fallen > 0);
 }
 
 #[test]
 fn work_that_is_not_dropped_goes_on_at_the_cost_of_other_work() {
     let crowded = SMALL.replace("per_second = 60", "per_second = 220");
-    let served = |text: &str| run(text).tally.spans.iter().map(|span| span.served()).sum::<u64>();
+    let served = |text: &str| run(text).statistics.intervals.iter().map(|span| span.served()).sum::<u64>();
     let (dropped, kept) =
         (served(&crowded), served(&crowded.replace("drops_expired = true", "drops_expired = false")));
     assert!(kept < dropped, "{kept} {dropped}");
@@ -136,8 +136,8 @@
     let crowded = SMALL.replace("per_second = 60", "per_second = 300");
     let (once, thrice) = (run(&crowded.replace("tries = 3", "tries = 1")), run(&crowded));
     let counts = |report: &Report| {
-        let spans = &report.tally.spans;
-        (spans.iter().map(|s| s.asked()).sum::<u64>(), spans.iter().map(|s| s.tries).sum::<u64>())
+        let spans = &report.statistics.intervals;
+        (spans.iter().map(|s| s.requests()).sum::<u64>(), spans.iter().map(|s| s.tries).sum::<u64>())
     };
     let ((asked, tries), (asked_thrice, tries_thrice)) = (counts(&once), counts(&thrice));
     assert_eq!(asked, tries);
@@ -146,7 +146,7 @@
 
 #[test]
 fn runaways_and_costly_probes_are_work_for_the_engines() {
-    let taken = |text: &str| run(text).tally.spans.iter().map(|span| span.work).sum::<f64>();
+    let taken = |text: &str| run(text).statistics.intervals.iter().map(|span| span.work).sum::<f64>();
     let (few, many) = (taken(SMALL), taken(&SMALL.replace("share = 0.01", "share = 0.1")));
     assert!(many > few * 1.5, "{few} {many}");
     let probed = SMALL.replace("\"answers\"", "\"probes\"");
@@ -167,7 +167,7 @@
 fn unknown_keys_are_refused_in_every_part() {
     for key in ["told", "tries", "noise", "price", "knee", "zipf", "over", "uneven"] {
         let wrong = SMALL.replacen(&format!("\n{key} = "), &format!("\n{key}x = "), 1);
-        let error = World::parse(&wrong).unwrap_err();
-        assert!(error.what.contains(&format!("`{key}x`")), "{key}: {error}");
+        let error = SimulatedDeployment::parse(&wrong).unwrap_err();
+        assert!(error.message.contains(&format!("`{key}x`")), "{key}: {error}");
     }
 }
--- a/crates/testing/emulator/tests/collapse.rs
+++ b/crates/testing/emulator/tests/collapse.rs
@@ -1,7 +1,7 @@
 //! Six in ten engines of a fleet with 300 fronts are replaced within seconds. Once the new engines are warm, each
 //! request class must be served as before: a fleet that rejects ever more for no present cause has collapsed.
 
-use lemonusher_emulator::{Fault, Report, SPAN_SECONDS, World, play};
+use lemonusher_emulator::{Fault, INTERVAL_SECONDS, Report, SimulatedDeployment, play};
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Instant;
@@ -34,20 +34,21 @@
 }
 
 /// Served of each request class in each span, and what was rejected, in hundredths.
-fn proof(name: &str, seed: u64, world: &World, report: &Report, seconds: f64) -> String {
-    let spans = (world.seconds / SPAN_SECONDS) as usize;
-    let spans = &report.tally.spans[..spans.min(report.tally.spans.len())];
+fn proof(name: &str, seed: u64, world: &SimulatedDeployment, report: &Report, seconds: f64) -> String {
+    let spans = (world.duration_s / INTERVAL_SECONDS) as usize;
+    let spans = &report.statistics.intervals[..spans.min(report.statistics.intervals.len())];
     let percent = |part: u64, whole: u64| (100 * part).checked_div(whole).unwrap_or(0).to_string();
-    let served = world.groups.iter().enumerate().map(|(class, group)| {
-        let shares = spans.iter().map(|span| percent(span.classes[class].served, span.classes[class].asked));
+    let served = world.request_classes.iter().enumerate().map(|(class, group)| {
+        let shares =
+            spans.iter().map(|span| percent(span.classes[class].served, span.classes[class].requests));
         format!("{} {}", group.name, shares.collect::<Vec<_>>().join(","))
     });
-    let lost = spans.iter().map(|span| percent(span.asked() - span.served(), span.asked()));
+    let lost = spans.iter().map(|span| percent(span.requests() - span.served(), span.requests()));
     let rejected = spans.iter().map(|span| percent(span.rejected, span.tries));
-    let attempts = spans.iter().map(|span| format!("{:.1}", span.attempts as f64 / span.asked() as f64));
+    let attempts = spans.iter().map(|span| format!("{:.1}", span.attempts as f64 / span.requests() as f64));
     let full = spans.iter().map(|span| percent(span.refused_full, span.attempts));
     let slowdown = spans.iter().map(|span| format!("{:.1}", span.slowdown / span.returned as f64));
-    let capacity = world.capacity() * SPAN_SECONDS;
+    let capacity = world.capacity() * INTERVAL_SECONDS;
     let load = spans.iter().map(|span| format!("{:.0}", 100.0 * span.work / capacity));
     format!(
         "proof: collapse {name} seed {seed}: served {}; lost {}; tries rejected {}; attempts a request {}; full {}; \
@@ -59,18 +60,18 @@
         full.collect::<Vec<_>>().join(","),
         slowdown.collect::<Vec<_>>().join(","),
         load.collect::<Vec<_>>().join(","),
-        report.fallen,
-        report.broken.len(),
+        report.overloaded,
+        report.violations.len(),
     )
 }
 
 /// Why a run fails, if it does.
-fn faults(trial: &Trial, seed: u64, world: &World, report: &Report) -> Vec<String> {
+fn faults(trial: &Trial, seed: u64, world: &SimulatedDeployment, report: &Report) -> Vec<String> {
     let name = trial.name;
     let mut found = Vec::new();
-    for (class, group) in world.groups.iter().enumerate() {
-        let before = report.tally.served_share(class, BEFORE.0, BEFORE.1);
-        let after = report.tally.served_share(class, RECOVERED_BY, RECOVERED_BY + JUDGED_FOR);
+    for (class, group) in world.request_classes.iter().enumerate() {
+        let before = report.statistics.served_share(class, BEFORE.0, BEFORE.1);
+        let after = report.statistics.served_share(class, RECOVERED_BY, RECOVERED_BY + JUDGED_FOR);
         if after < RECOVERED * before {
             found.push(format!(
                 "{name} seed {seed}: {} served {before:.3} before, {after:.3} after",
@@ -78,16 +79,16 @@
             ));
         }
     }
-    if let Some(broken) = report.broken.first() {
-        found.push(format!("{name} seed {seed}: {} rules broken, first {broken:?}", report.broken.len()));
+    if let Some(broken) = report.violations.first() {
+        found.push(format!("{name} seed {seed}: {} rules broken, first {broken:?}", report.violations.len()));
     }
     found
 }
 
 /// Plays every seed of a deployment, on threads.
 fn recovers(trial: &Trial) {
-    let world = World::parse(trial.world).unwrap();
-    assert!(RECOVERED_BY + JUDGED_FOR <= world.seconds);
+    let world = SimulatedDeployment::parse(trial.world).unwrap();
+    assert!(RECOVERED_BY + JUDGED_FOR <= world.duration_s);
     let (seeds, next, found) = (seeds(), AtomicUsize::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..THREADS {
--- a/crates/testing/emulator/tests/emulator.rs
+++ b/crates/testing/emulator/tests/emulator.rs
@@ -1,6 +1,6 @@
 //! The model holds its own invariants; the checker finds nothing in honest fronts and each fault in faulty ones.
 
-use lemonusher_emulator::{Engine, Fault, Finished, Work, World, play};
+use lemonusher_emulator::{Engine, Fault, Finished, SimulatedDeployment, Work, play};
 
 const MORNING: &str = include_str!("../worlds/morning.toml");
 
@@ -31,21 +31,25 @@
 
 #[test]
 fn the_same_seed_gives_the_same_run_to_the_last_event() {
-    let world = World::parse(MORNING).unwrap();
+    let world = SimulatedDeployment::parse(MORNING).unwrap();
     let (a, b, c) =
         (play(&world, 7, Fault::None), play(&world, 7, Fault::None), play(&world, 8, Fault::None));
     assert_eq!(a, b);
     assert_ne!(a.digest, c.digest);
-    assert!(a.asked > 1500 && a.returned * 10 > a.asked * 7, "{} of {}", a.returned, a.asked);
-    assert!(a.attempts > a.returned && a.errored > 0 && a.pushed_back > 0);
+    assert!(a.tries > 1500 && a.returned * 10 > a.tries * 7, "{} of {}", a.returned, a.tries);
+    assert!(a.attempts > a.returned && a.failed > 0 && a.rejected > 0);
 }
 
 #[test]
 fn honest_fronts_break_no_rule_and_each_fault_is_seen() {
-    let world = World::parse(MORNING).unwrap();
+    let world = SimulatedDeployment::parse(MORNING).unwrap();
     for seed in 1..=5 {
         let report = play(&world, seed, Fault::None);
-        assert!(report.broken.is_empty(), "seed {seed}: {:?}", &report.broken[..report.broken.len().min(5)]);
+        assert!(
+            report.violations.is_empty(),
+            "seed {seed}: {:?}",
+            &report.violations[..report.violations.len().min(5)]
+        );
     }
     for (fault, rule) in [
         (Fault::AnswersTwice, 1),
@@ -57,17 +61,17 @@
         (Fault::ForgetsBudget, 7),
     ] {
         let seen =
-            (1..=5).any(|seed| play(&world, seed, fault).broken.iter().any(|broken| broken.rule == rule));
+            (1..=5).any(|seed| play(&world, seed, fault).violations.iter().any(|broken| broken.rule == rule));
         assert!(seen, "{fault:?} is not seen");
     }
 }
 
 #[test]
 fn a_file_that_is_no_world_says_where() {
-    let error = World::parse("seconds = 1\nfronts = 1\nper_secnd = 3\n").unwrap_err();
-    assert!(error.line == Some(3) && error.what.contains("per_second"), "{error}");
-    let error = World::parse(&MORNING.replace("share = 0.75", "share = 0.7")).unwrap_err();
-    assert!(error.what.contains("come to 1"));
-    let error = World::parse(&MORNING.replace("engine = 1", "engine = 77")).unwrap_err();
-    assert!(error.what.contains("there is not"), "{error}");
+    let error = SimulatedDeployment::parse("seconds = 1\nfronts = 1\nper_secnd = 3\n").unwrap_err();
+    assert!(error.line == Some(3) && error.message.contains("per_second"), "{error}");
+    let error = SimulatedDeployment::parse(&MORNING.replace("share = 0.75", "share = 0.7")).unwrap_err();
+    assert!(error.message.contains("come to 1"));
+    let error = SimulatedDeployment::parse(&MORNING.replace("engine = 1", "engine = 77")).unwrap_err();
+    assert!(error.message.contains("there is not"), "{error}");
 }
--- a/crates/testing/emulator/tests/slow_engines.rs
+++ b/crates/testing/emulator/tests/slow_engines.rs
@@ -1,7 +1,7 @@
 //! Some engines of a fleet with 300 fronts become several times slower, and nothing tells their load. Each front has to
 //! find out alone: those that keep to a few engines each do so at once, and keep the slow ones from filling up for good.
 
-use lemonusher_emulator::{Fault, World, play};
+use lemonusher_emulator::{Fault, SimulatedDeployment, play};
 
 const BOX_OFFICE: &str = include_str!("../worlds/box-office-join.toml");
 /// Where the failures of that world begin.
@@ -20,7 +20,7 @@
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=5;
 
 /// The box office with slow engines in place of its replacement.
-fn world() -> World {
+fn world() -> SimulatedDeployment {
     let (before, _) = BOX_OFFICE.split_once(FAILURES).expect("failures at the end");
     let mut text = before
         .replace("seconds = 55", &format!("seconds = {END}"))
@@ -31,7 +31,7 @@
             engine * 9
         );
     }
-    World::parse(&text).unwrap()
+    SimulatedDeployment::parse(&text).unwrap()
 }
 
 #[test]
@@ -39,11 +39,12 @@
     let world = world();
     for seed in SEEDS {
         let report = play(&world, seed, Fault::None);
-        let classes = 0..world.groups.len();
-        let served: Vec<f64> = classes.map(|class| report.tally.served_share(class, SLOW_AT, END)).collect();
+        let classes = 0..world.request_classes.len();
+        let served: Vec<f64> =
+            classes.map(|class| report.statistics.served_share(class, SLOW_AT, END)).collect();
         let shown: Vec<String> = served.iter().map(|share| format!("{share:.3}")).collect();
         println!("proof: slow engines, seed {seed}: served by class {}", shown.join(", "));
-        assert_eq!(report.broken.len(), 0, "seed {seed}: {:?}", report.broken);
+        assert_eq!(report.violations.len(), 0, "seed {seed}: {:?}", report.violations);
         let least = served.iter().copied().fold(f64::MAX, f64::min);
         assert!(least >= WANTED, "seed {seed}: {least:.3} of a class served, {WANTED} wanted");
     }
