--- a/crates/testing/cluster/src/fake_engine.rs
+++ b/crates/testing/cluster/src/fake_engine.rs
@@ -155,7 +155,7 @@
             waits_for_loads: false,
         };
         self.model.put(self.last_number, work);
-        self.max_load = self.max_load.max(self.model.strain());
+        self.max_load = self.max_load.max(self.model.threads_per_core());
     }
 
     /// Notes work that is sent to the engine, and tells whether it overloads it: only a cold engine can be.
@@ -181,7 +181,7 @@
 
     /// The share of the engine that is busy, up to 1.
     fn busy_share(&self) -> f64 {
-        self.model.strain().min(1.0)
+        self.model.threads_per_core().min(1.0)
     }
 }
 
