--- a/crates/core/store/src/recover.rs
+++ b/crates/core/store/src/recover.rs
@@ -1,7 +1,8 @@
 //! From a log back to the store, and from a store to the shortest log with the same content.
 //!
 //! The rule: every record must follow from those before it and fit the model; else nothing of the log is used. A commit
-//! that waited to be confirmed has lost its session and is reverted at once, whether or not its time had run out.
+//! that waits to be confirmed is marked orphaned, also one with a persist id, whether or not its time had run out; the store's
+//! first poll reverts it.
 
 use crate::log::{
     HEADER, LeafChange, LogCorruption, PendingMeta, Record, RecordError, VersionMeta, encode_record, read_log,
--- a/crates/core/store/src/store/commit.rs
+++ b/crates/core/store/src/store/commit.rs
@@ -20,7 +20,7 @@
 pub struct CommitOptions {
     /// Set for a confirmed commit: it is reverted after this span unless it is confirmed.
     pub confirm_timeout: Option<Duration>,
-    /// The id under which a confirmed commit outlives its session.
+    /// The id under which a confirmed commit outlives its session, but not a restart of the front.
     pub persist: Option<String>,
     /// The id of the pending commit that this one confirms or follows.
     pub persist_id: Option<String>,
--- a/crates/core/store/src/store/confirmed.rs
+++ b/crates/core/store/src/store/confirmed.rs
@@ -16,7 +16,7 @@
 pub struct PendingConfirmation {
     /// The session that committed it.
     pub session: SessionId,
-    /// The id under which it outlives its session.
+    /// The id under which it outlives its session, but not a restart of the front.
     pub persist: Option<String>,
     /// The version that it is reverted to.
     pub revert_to: Arc<Version>,
--- a/crates/core/zone-failover/src/config.rs
+++ b/crates/core/zone-failover/src/config.rs
@@ -14,7 +14,8 @@
 pub struct FailoverConfig {
     /// How often a front reports what it observes.
     pub report_interval: Duration,
-    /// How long the evidence must last before a zone counts as lost.
+    /// How long an engine must leave requests unanswered to count as silent, and then how long a zone's health must stay bad
+    /// before the zone counts as lost. A zone that falls silent without errors needs both.
     pub confirmation_time: Duration,
     /// How long a probed zone must answer before it recovers.
     pub probation: Duration,
--- a/crates/core/zone-failover/src/lib.rs
+++ b/crates/core/zone-failover/src/lib.rs
@@ -1,4 +1,4 @@
-//! The fleet's plan for the loss of a whole zone (docs/zone-loss.md); pure: time is an argument, nothing is random.
+//! The fleet's plan for the loss of a whole zone (docs/site-loss.md); pure: time is an argument, nothing is random.
 //!
 //! 1. Every front observes the zones by its ordinary attempts and probes ([`Observer`]) and sends a [`FrontReport`] to
 //!    the voters each report interval.
--- a/crates/core/zone-failover/src/report.rs
+++ b/crates/core/zone-failover/src/report.rs
@@ -61,6 +61,7 @@
     pub zones: Vec<LocalZone>,
     /// The demand at this front, by request class.
     pub classes: Vec<ClassLoad>,
-    /// This front's share of what all fronts share, from 0 to 1.
+    /// This front's share of the zones where it is isolated, from 0 to 1: one over the number of fronts stated, and not the
+    /// quota of leases.
     pub quota: f64,
 }
--- a/crates/core/zone-failover/src/state_machine.rs
+++ b/crates/core/zone-failover/src/state_machine.rs
@@ -2,7 +2,7 @@
 //!
 //! One transition at most a poll; within a state the first condition that holds decides. *Lost* stands for
 //! [`ZoneState::Lost`] where no front reaches the zone, and for [`ZoneState::Partitioned`] where only its own do;
-//! *confirmed* means that the health has been the same for the confirmation time. A new coordinator takes the states
+//! *confirmed* means that the health has been the same for the confirmation time, counted anew in each state. A new coordinator takes the states
 //! from the register and counts all times anew, which can lengthen a wait by itself once, and never shortens one.
 //!
 //! | state | condition | next state | reason |
--- a/crates/edges/routing/src/router/admission.rs
+++ b/crates/edges/routing/src/router/admission.rs
@@ -41,7 +41,7 @@
                 request: incoming.request,
                 request_class: incoming.request_class,
                 table_group: incoming.table_group,
-                key: None,
+                key: None, // No client protocol carries an ordering key.
                 client_timeout: incoming.client_timeout,
                 work: None,
                 memory_mb: 0.0,
--- a/crates/edges/routing/src/router/commands.rs
+++ b/crates/edges/routing/src/router/commands.rs
@@ -1,5 +1,5 @@
-//! Commands to the engines' side, in order. Its queue is bounded; what it has no room for waits in a backlog, bounded
-//! too.
+//! Commands to the engines' side, in order. Its queue is bounded; what it has no room for waits in a backlog. From
+//! [`MAX_COMMAND_BACKLOG`] on, attempts and probes fail at once; other commands still enter it.
 
 use super::RequestRouter;
 use crate::messages::{EngineCommand, RouterEvent};
@@ -9,8 +9,8 @@
 const MAX_COMMAND_BACKLOG: usize = 4096;
 
 impl RequestRouter {
-    /// Hands a command to the engines' side, in order. An attempt or probe for which there is no room at all is over at
-    /// once: nothing was sent.
+    /// Hands a command to the engines' side, in order. An attempt for which there is no room ends at once as one that could
+    /// not connect, and a probe as not answered; the gateway ejects an engine for either.
     pub(super) fn queue_command(&mut self, command: EngineCommand) {
         let is_full = self.command_backlog.len() >= MAX_COMMAND_BACKLOG;
         match command {
