--- a/crates/testing/emulator/src/attempts.rs
+++ b/crates/testing/emulator/src/attempts.rs
@@ -1,45 +1,16 @@
 //! Attempts on their way to engines, at work there and back at their fronts; load reports, probes and notes.
 
-use crate::Dice;
 use crate::check::Observation;
+use crate::dice::Dice;
 use crate::engine::{Finished, Work};
-use crate::run::{Fault, Simulation, TICK};
 use crate::settings::{LoadReports, ReportField, ReportTransport};
+use crate::simulation::{Connection, Fault, InFlightAttempt, Probe, Simulation, TICK};
 use crate::world::span;
 use lemonusher::{
     AttemptEnd, AttemptOutcome, AttemptProgress, EngineState, Event, LoadReport, RequestId, ResourceUsage,
 };
 use std::time::Duration;
 
-/// An attempt that is out.
-pub(crate) struct InFlightAttempt {
-    pub front: usize,
-    pub name: RequestId,
-    pub attempt: u32,
-    pub engine: usize,
-    pub at: Duration,
-    pub until: Duration,
-    pub work: f64,
-    pub group: usize,
-    pub id: u64,
-    pub request: u64,
-    pub next_note: Duration,
-}
-
-/// A probe that is out.
-pub(crate) struct Probe {
-    front: usize,
-    engine: usize,
-    at: Duration,
-}
-
-/// What becomes of an attempt once its connection is made or has failed.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Connection {
-    Made,
-    Failed,
-}
-
 /// Bounds of a request's work, in means of its class.
 const MIN_WORK_FACTOR: f64 = 0.02;
 const MAX_WORK_FACTOR: f64 = 8.0;
--- a/crates/testing/emulator/src/check.rs
+++ b/crates/testing/emulator/src/check.rs
@@ -71,222 +71,302 @@
 /// A rule that was broken, and what broke it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
+    /// Number of the rule, from 1 to 7.
     pub rule: u8,
+    /// When, on the simulation's clock.
     pub at: Duration,
+    /// What broke it.
     pub message: String,
 }
 
+/// How many retries a front may send within the budget's window.
+#[derive(Debug, Clone, Copy)]
+pub struct RetryAllowance {
+    /// So many in any case.
+    pub free: f64,
+    /// And so many a request that arrived.
+    pub share: f64,
+}
+
 /// What the rules depend on.
 #[derive(Debug, Clone, Default)]
 pub struct RuleConfig {
+    /// Attempts may begin at a draining engine for so long.
     pub drain_grace: Duration,
-    pub cold_for: Duration,
-    pub cold_from: f64,
-    pub fall_multiple: f64,
-    pub fall_after: Duration,
-    pub once_only: Vec<bool>,
-    /// Locations that a request class may go to, and where each engine stands.
-    pub locations: Vec<Option<Vec<u32>>>,
-    pub places: Vec<u32>,
-    pub budget: Option<(f64, f64)>,
+    /// An engine warms up for so long.
+    pub slow_start_window: Duration,
+    /// What an engine can do at its start, as a share of what it can do when warm.
+    pub slow_start_share: f64,
+    /// An engine that warms up bears so many times what it can do within the overload window.
+    pub overload_factor: f64,
+    /// The time over which the work sent to an engine that warms up is added.
+    pub overload_window: Duration,
+    /// By request class: whether a request must not run twice.
+    pub non_idempotent: Vec<bool>,
+    /// By request class: the only zones that it may go to; `None` for all.
+    pub allowed_zones: Vec<Option<Vec<u32>>>,
+    /// By engine: its zone.
+    pub engine_zones: Vec<u32>,
+    /// `None` for no budget.
+    pub retry_budget: Option<RetryAllowance>,
+    /// By how much an event may be late.
     pub slack: Duration,
 }
 
 #[derive(Debug)]
 struct Try {
     front: usize,
-    group: usize,
+    class: usize,
     key: Option<u64>,
     limit: Duration,
     answered: bool,
-    out: u32,
+    /// Attempts in flight.
+    in_flight: u32,
     may_have_run: bool,
 }
 
-/// When an engine started, its cores, and work sent there lately.
-type SlowStart = (Duration, f64, VecDeque<(Duration, f64)>);
+#[derive(Debug)]
+struct SentWork {
+    at: Duration,
+    /// In seconds on one thread.
+    work: f64,
+}
+
+/// An engine that has started, and the work that it was sent lately.
+#[derive(Debug)]
+struct SlowStart {
+    started: Duration,
+    cores: f64,
+    sent: VecDeque<SentWork>,
+}
+
+/// A front's arrivals and retries within the budget's window.
+#[derive(Debug, Default)]
+struct Budget {
+    arrivals: VecDeque<Duration>,
+    retries: VecDeque<Duration>,
+}
 
-/// Hears everything, in order, and keeps what is broken.
+/// Checks the rules on all that happens, in order.
 #[derive(Debug, Default)]
 pub struct Checker {
-    terms: RuleConfig,
+    config: RuleConfig,
     tries: BTreeMap<u64, Try>,
-    /// By request: its request class, and how often it was run.
-    groups: BTreeMap<u64, usize>,
-    ran: BTreeMap<u64, u32>,
-    /// Since when an engine drains, by the front that was told or for all.
+    /// Request class of each request.
+    classes: BTreeMap<u64, usize>,
+    /// How often each request was run.
+    runs: BTreeMap<u64, u32>,
+    /// Since when an engine drains, for a front that has been notified or for all.
     draining: BTreeMap<(usize, Option<usize>), Duration>,
-    cold: BTreeMap<usize, SlowStart>,
-    /// By front: arrivals and retries lately.
-    budgets: BTreeMap<usize, (VecDeque<Duration>, VecDeque<Duration>)>,
-    /// By front and key: tries in the order taken.
+    slow_starts: BTreeMap<usize, SlowStart>,
+    budgets: BTreeMap<usize, Budget>,
+    /// By front and key: tries in the order in which they arrived.
     key_queues: BTreeMap<(usize, u64), VecDeque<u64>>,
+    /// What has been broken; the first hundred.
     pub violations: Vec<Violation>,
 }
 
+/// Most violations that are recorded.
+const MAX_VIOLATIONS: usize = 100;
+/// The window of the retry budget.
 const BUDGET_WINDOW: Duration = Duration::from_secs(10);
 
 impl Checker {
-    pub fn new(terms: RuleConfig) -> Checker {
-        Checker { terms, ..Checker::default() }
+    /// Begins with nothing known.
+    pub fn new(config: RuleConfig) -> Checker {
+        Checker { config, ..Checker::default() }
     }
 
     fn report(&mut self, rule: u8, at: Duration, what: String) {
-        if self.violations.len() < 100 {
+        if self.violations.len() < MAX_VIOLATIONS {
             self.violations.push(Violation { rule, at, message: what });
         }
     }
 
-    pub fn observe(&mut self, now: Duration, seen: Observation) {
-        match seen {
+    /// Takes the next thing that happens.
+    pub fn observe(&mut self, now: Duration, observation: Observation) {
+        match observation {
             Observation::TryArrived { front, id, request, group, key, limit } => {
-                self.budgets.entry(front).or_default().0.push_back(now);
+                self.budgets.entry(front).or_default().arrivals.push_back(now);
                 if let Some(key) = key {
                     self.key_queues.entry((front, key)).or_default().push_back(id);
                 }
-                self.groups.insert(request, group);
-                let held = Try { front, group, key, limit, answered: false, out: 0, may_have_run: false };
-                self.tries.insert(id, held);
-            }
-            Observation::TryAnswered { id } => {
-                let Some(held) = self.tries.get_mut(&id) else {
-                    return self.report(1, now, format!("an answer to nothing asked, {id}"));
+                self.classes.insert(request, group);
+                let arrived = Try {
+                    front,
+                    class: group,
+                    key,
+                    limit,
+                    answered: false,
+                    in_flight: 0,
+                    may_have_run: false,
                 };
-                let (again, late) =
-                    (std::mem::replace(&mut held.answered, true), now > held.limit + self.terms.slack);
-                if again {
-                    self.report(1, now, format!("try {id} is answered again"));
-                } else if late {
-                    self.report(1, now, format!("try {id} is answered late"));
-                }
-                self.leave_key_queue(id);
+                self.tries.insert(id, arrived);
             }
+            Observation::TryAnswered { id } => self.check_answer(now, id),
             Observation::ClientGone { id } => {
-                if let Some(held) = self.tries.get_mut(&id) {
-                    held.answered = true;
+                if let Some(known) = self.tries.get_mut(&id) {
+                    known.answered = true;
                 }
                 self.leave_key_queue(id);
             }
             Observation::AttemptSent { front, id, number, engine, work } => {
-                self.check_sent(now, front, id, number, engine, work)
+                self.check_attempt(now, front, id, number, engine, work);
             }
             Observation::AttemptEnded { id, may_have_run } => {
-                if let Some(held) = self.tries.get_mut(&id) {
-                    held.out = held.out.saturating_sub(1);
-                    held.may_have_run |= may_have_run;
+                if let Some(known) = self.tries.get_mut(&id) {
+                    known.in_flight = known.in_flight.saturating_sub(1);
+                    known.may_have_run |= may_have_run;
                 }
             }
-            Observation::RequestRan { request } => {
-                let count = self.ran.entry(request).or_default();
-                *count += 1;
-                let again = *count > 1;
-                if again && self.groups.get(&request).is_some_and(|group| self.terms.once_only[*group]) {
-                    self.report(2, now, format!("batch {request} runs again"));
-                }
+            Observation::RequestRan { request } => self.check_run(now, request),
+            Observation::EngineDraining { engine, front } => {
+                self.draining.insert((engine, front), now);
             }
-            Observation::EngineDraining { engine, front } => drop(self.draining.insert((engine, front), now)),
             Observation::EngineStarted { engine, cores, location } => {
-                if self.terms.places.len() <= engine {
-                    self.terms.places.resize(engine + 1, location);
-                }
-                self.terms.places[engine] = location;
-                self.draining.retain(|(drains, _), _| *drains != engine);
-                self.cold.insert(engine, (now, cores, VecDeque::new()));
+                self.start_engine(now, engine, cores, location);
             }
             Observation::FrontRestarted { front } => {
-                self.key_queues.retain(|(held, _), _| *held != front);
-                self.tries
-                    .values_mut()
-                    .filter(|held| held.front == front)
-                    .for_each(|held| held.answered = true);
+                self.key_queues.retain(|(of, _), _| *of != front);
+                let of_front = self.tries.values_mut().filter(|known| known.front == front);
+                of_front.for_each(|known| known.answered = true);
             }
         }
     }
 
+    fn check_answer(&mut self, now: Duration, id: u64) {
+        let Some(known) = self.tries.get_mut(&id) else {
+            return self.report(1, now, format!("an answer to nothing asked, {id}"));
+        };
+        let again = std::mem::replace(&mut known.answered, true);
+        let late = now > known.limit + self.config.slack;
+        if again {
+            self.report(1, now, format!("try {id} is answered again"));
+        } else if late {
+            self.report(1, now, format!("try {id} is answered late"));
+        }
+        self.leave_key_queue(id);
+    }
+
+    fn check_run(&mut self, now: Duration, request: u64) {
+        let count = self.runs.entry(request).or_default();
+        *count += 1;
+        let again = *count > 1;
+        let class = self.classes.get(&request);
+        if again && class.is_some_and(|class| self.config.non_idempotent[*class]) {
+            self.report(2, now, format!("batch {request} runs again"));
+        }
+    }
+
+    fn start_engine(&mut self, now: Duration, engine: usize, cores: f64, zone: u32) {
+        if self.config.engine_zones.len() <= engine {
+            self.config.engine_zones.resize(engine + 1, zone);
+        }
+        self.config.engine_zones[engine] = zone;
+        self.draining.retain(|(draining, _), _| *draining != engine);
+        self.slow_starts.insert(engine, SlowStart { started: now, cores, sent: VecDeque::new() });
+    }
+
     fn leave_key_queue(&mut self, id: u64) {
-        let Some(held) = self.tries.get(&id) else { return };
-        if let Some(key_queue) = held.key.and_then(|key| self.key_queues.get_mut(&(held.front, key))) {
-            key_queue.retain(|other| *other != id);
+        let Some(known) = self.tries.get(&id) else { return };
+        if let Some(queue) = known.key.and_then(|key| self.key_queues.get_mut(&(known.front, key))) {
+            queue.retain(|other| *other != id);
         }
     }
 
-    fn check_sent(&mut self, now: Duration, front: usize, id: u64, number: u32, engine: usize, work: f64) {
-        let Some(held) = self.tries.get_mut(&id) else {
+    fn check_attempt(&mut self, now: Duration, front: usize, id: u64, number: u32, engine: usize, work: f64) {
+        let Some(known) = self.tries.get_mut(&id) else {
             return self.report(1, now, format!("{id} is sent and was not asked"));
         };
-        let mut found: Vec<(u8, String)> = Vec::new();
-        if held.answered {
-            found.push((1, format!("try {id} is sent after its answer")));
+        let was_answered = known.answered;
+        let in_flight = known.in_flight;
+        let must_not_run =
+            self.config.non_idempotent[known.class] && (known.may_have_run || known.in_flight > 0);
+        known.in_flight += 1;
+        let (class, key) = (known.class, known.key);
+        if was_answered {
+            self.report(1, now, format!("try {id} is sent after its answer"));
         }
-        if self.terms.once_only[held.group] && (held.may_have_run || held.out > 0) {
-            found.push((2, format!("try {id} must run once and is sent again")));
+        if must_not_run {
+            self.report(2, now, format!("try {id} must run once and is sent again"));
         }
-        if held.out > 0 {
-            found.push((2, format!("try {id} is out twice at once")));
+        if in_flight > 0 {
+            self.report(2, now, format!("try {id} is out twice at once"));
         }
-        held.out += 1;
-        let (group, key) = (held.group, held.key);
-        let notified = self.draining.get(&(engine, Some(front)));
-        if let Some(at) = self.draining.get(&(engine, None)).or(notified)
-            && now > *at + self.terms.drain_grace + self.terms.slack
-        {
-            found.push((3, format!("engine {engine} drains and is sent {id}")));
+        self.check_draining(now, front, id, engine);
+        self.check_slow_start(now, engine, work);
+        if let Some(key) = key {
+            self.check_key_order(now, front, id, key);
         }
-        if let Some((started, cores, sent)) = self.cold.get_mut(&engine)
-            && now < *started + self.terms.cold_for
-        {
-            {
-                while sent.front().is_some_and(|(at, _)| *at + self.terms.fall_after <= now) {
-                    sent.pop_front();
-                }
-                sent.push_back((now, work));
-                let bears = self.terms.fall_multiple
-                    * self.terms.cold_from
-                    * *cores
-                    * self.terms.fall_after.as_secs_f64();
-                let all: f64 = sent.iter().map(|(_, work)| work).sum();
-                // One request alone may be more than it bears; that is nobody's doing.
-                if all > bears && sent.len() > 1 {
-                    found
-                        .push((4, format!("engine {engine} is cold, bears {bears:.1} and is sent {all:.1}")));
-                }
-            }
+        self.check_placement(now, id, engine, class);
+        if number > 0 {
+            self.check_retry_budget(now, front);
         }
-        if let Some(key) = key
-            && let Some(first) = self.key_queues.get(&(front, key)).and_then(|key_queue| key_queue.front())
-            && *first != id
-        {
-            found.push((5, format!("{id} of key {key} overtakes {first}")));
+    }
+
+    fn check_draining(&mut self, now: Duration, front: usize, id: u64, engine: usize) {
+        let since = self.draining.get(&(engine, None)).or_else(|| self.draining.get(&(engine, Some(front))));
+        let grace = self.config.drain_grace + self.config.slack;
+        if since.is_some_and(|since| now > *since + grace) {
+            self.report(3, now, format!("engine {engine} drains and is sent {id}"));
         }
-        let place = self.terms.places[engine];
-        if self.terms.locations[group].as_ref().is_some_and(|allowed| !allowed.contains(&place)) {
-            found.push((6, format!("{id} goes to location {place}")));
+    }
+
+    fn check_slow_start(&mut self, now: Duration, engine: usize, work: f64) {
+        let Some(start) = self.slow_starts.get_mut(&engine) else { return };
+        let config = &self.config;
+        if now >= start.started + config.slow_start_window {
+            return;
         }
-        if number > 0
-            && let Some((free, share)) = self.terms.budget
-        {
-            let (arrivals, further) = self.budgets.entry(front).or_default();
-            for dates in [&mut *arrivals, &mut *further] {
-                while dates.front().is_some_and(|at| *at + BUDGET_WINDOW < now) {
-                    dates.pop_front();
-                }
-            }
-            further.push_back(now);
-            let allowed = free + share * arrivals.len() as f64;
-            let count = further.len() as f64;
-            if count > allowed + 1.0 {
-                found.push((7, format!("front {front} sends {count} further ones of {allowed:.1}")));
+        while start.sent.front().is_some_and(|sent| sent.at + config.overload_window <= now) {
+            start.sent.pop_front();
+        }
+        start.sent.push_back(SentWork { at: now, work });
+        let bears = config.overload_factor
+            * config.slow_start_share
+            * start.cores
+            * config.overload_window.as_secs_f64();
+        let all: f64 = start.sent.iter().map(|sent| sent.work).sum();
+        // One request alone may be more than the engine bears; no front can help that.
+        if all > bears && start.sent.len() > 1 {
+            self.report(4, now, format!("engine {engine} is cold, bears {bears:.1} and is sent {all:.1}"));
+        }
+    }
+
+    fn check_key_order(&mut self, now: Duration, front: usize, id: u64, key: u64) {
+        let first = self.key_queues.get(&(front, key)).and_then(|queue| queue.front()).copied();
+        if let Some(first) = first.filter(|first| *first != id) {
+            self.report(5, now, format!("{id} of key {key} overtakes {first}"));
+        }
+    }
+
+    fn check_placement(&mut self, now: Duration, id: u64, engine: usize, class: usize) {
+        let zone = self.config.engine_zones[engine];
+        if self.config.allowed_zones[class].as_ref().is_some_and(|allowed| !allowed.contains(&zone)) {
+            self.report(6, now, format!("{id} goes to location {zone}"));
+        }
+    }
+
+    fn check_retry_budget(&mut self, now: Duration, front: usize) {
+        let Some(RetryAllowance { free, share }) = self.config.retry_budget else { return };
+        let Budget { arrivals, retries } = self.budgets.entry(front).or_default();
+        for times in [&mut *arrivals, &mut *retries] {
+            while times.front().is_some_and(|at| *at + BUDGET_WINDOW < now) {
+                times.pop_front();
             }
         }
-        for (rule, what) in found {
-            self.report(rule, now, what);
+        retries.push_back(now);
+        let allowed = free + share * arrivals.len() as f64;
+        let count = retries.len() as f64;
+        if count > allowed + 1.0 {
+            self.report(7, now, format!("front {front} sends {count} further ones of {allowed:.1}"));
         }
     }
 
-    /// All is over: every try had its answer.
+    /// Checks at the end that every try had its answer.
     pub fn finish(&mut self, now: Duration) {
         let open: Vec<u64> = (self.tries.iter())
-            .filter(|(_, held)| !held.answered && held.limit + self.terms.slack < now)
+            .filter(|(_, known)| !known.answered && known.limit + self.config.slack < now)
             .map(|(id, _)| *id)
             .collect();
         for id in open {
--- a/crates/testing/emulator/src/clients.rs
+++ b/crates/testing/emulator/src/clients.rs
@@ -1,36 +1,13 @@
 //! Clients: what they ask for, where, how long they wait, and when they leave or ask again.
 
-use crate::Dice;
 use crate::check::Observation;
-use crate::run::{BEGIN, Fault, OpenRequest, Simulation};
+use crate::dice::Dice;
+use crate::shares::falls_on;
+use crate::simulation::{BEGIN, ClientRequest, Fault, OpenRequest, Simulation};
 use crate::world::span;
 use lemonusher::{Arrival, Event, RequestId};
 use std::time::Duration;
 
-/// A client's request, over all its tries.
-#[derive(Clone, Copy)]
-pub(crate) struct ClientRequest {
-    pub group: usize,
-    pub first: Duration,
-    pub tries: u32,
-}
-
-/// Running sums, of which the last is the whole.
-pub(crate) fn running_sums(parts: impl Iterator<Item = f64>) -> Vec<f64> {
-    parts
-        .scan(0.0, |sum, part| {
-            *sum += part;
-            Some(*sum)
-        })
-        .collect()
-}
-
-/// Where a share of the whole falls.
-fn falls_on(sums: &[f64], share: f64) -> usize {
-    let whole = sums.last().copied().unwrap_or(0.0);
-    sums.partition_point(|sum| *sum <= share * whole).min(sums.len().saturating_sub(1))
-}
-
 impl Simulation<'_> {
     /// First tries and repeats that are due.
     pub(crate) fn handle_arrivals(&mut self, begin: Duration, end: Duration) {
--- /dev/null
+++ b/crates/testing/emulator/src/dice.rs
@@ -0,0 +1,42 @@
+//! Random numbers that mean the same everywhere for one seed.
+
+use crate::settings::Range;
+
+/// A small generator of its own, so that a seed means the same everywhere.
+#[derive(Debug, Clone)]
+pub struct Dice(u64);
+
+impl Dice {
+    /// Begins with a seed.
+    pub fn new(seed: u64) -> Dice {
+        Dice(seed ^ 0x9e37_79b9_7f4a_7c15)
+    }
+
+    fn next(&mut self) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut x = self.0;
+        x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        x ^ (x >> 31)
+    }
+
+    /// From 0 up to 1.
+    pub fn share(&mut self) -> f64 {
+        (self.next() >> 11) as f64 / (1u64 << 53) as f64
+    }
+
+    /// Evenly within a range.
+    pub fn between(&mut self, [least, most]: Range) -> f64 {
+        least + (most - least) * self.share()
+    }
+
+    /// A whole number below this one.
+    pub fn below(&mut self, most: usize) -> usize {
+        (self.next() % most.max(1) as u64) as usize
+    }
+
+    /// Exponential, of this mean.
+    pub fn wait(&mut self, mean: f64) -> f64 {
+        -mean * (1.0 - self.share()).ln()
+    }
+}
--- a/crates/testing/emulator/src/engine.rs
+++ b/crates/testing/emulator/src/engine.rs
@@ -7,9 +7,13 @@
 pub struct Work {
     /// Work of all its threads that is left, in seconds.
     pub left: f64,
+    /// Threads that it runs on.
     pub threads: f64,
+    /// Memory in megabytes that it takes.
     pub memory_mb: f64,
+    /// Number of its table group.
     pub tables: u64,
+    /// Whether it is a bulk load, which holds its table group.
     pub load: bool,
     /// It stands still while a load holds its table group.
     pub waits_for_loads: bool,
@@ -19,10 +23,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finished(pub u64);
 
+/// An engine.
 #[derive(Debug, Clone)]
 pub struct Engine {
+    /// Its cores.
     pub cores: f64,
+    /// Its memory in megabytes.
     pub memory_mb: f64,
+    /// Share of the work that is lost for each time over that threads outnumber the cores.
     pub loss: f64,
     /// How many times slower it works for now.
     pub slow: f64,
@@ -32,12 +40,14 @@
     pub on_cores: f64,
     /// Requests that run at once, and that wait for a slot.
     pub slots: usize,
+    /// Requests that wait for a slot at most.
     pub queue: usize,
     running: BTreeMap<u64, Work>,
     waiting: VecDeque<(u64, Work)>,
 }
 
 impl Engine {
+    /// An engine without limits but its cores and memory.
     pub fn new(cores: f64, memory_mb: f64, loss: f64) -> Engine {
         Engine {
             cores,
@@ -72,6 +82,7 @@
         self.running.insert(number, work);
     }
 
+    /// Drops a request; whether it ran or waited.
     pub fn cancel(&mut self, number: u64) -> bool {
         let waited = self.waiting.len();
         self.waiting.retain(|(other, _)| *other != number);
@@ -98,10 +109,12 @@
         self.running.len() + self.waiting.len()
     }
 
+    /// Whether nothing runs or waits.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
+    /// Drops all that runs or waits.
     pub fn clear(&mut self) {
         self.running.clear();
         self.waiting.clear();
--- a/crates/testing/emulator/src/failures.rs
+++ b/crates/testing/emulator/src/failures.rs
@@ -2,8 +2,8 @@
 
 use crate::check::Observation;
 use crate::host::EngineHost;
-use crate::run::{EndpointUpdate, Simulation};
 use crate::settings::Range;
+use crate::simulation::{EndpointUpdate, Replacement, Simulation};
 use crate::world::{FailureKind, ReplacementManner, span};
 use lemonusher::{AttemptOutcome, EndpointUpdateKind, EngineState, Event};
 use std::time::Duration;
@@ -11,14 +11,6 @@
 /// A list's news reaches the fronts so late, where the world states no watch.
 const NOTIFICATION_DELAY: Duration = Duration::from_millis(200);
 
-/// An engine that will be replaced.
-#[derive(Debug, Clone, Copy)]
-pub(crate) struct Replacement {
-    at: Duration,
-    engine: usize,
-    manner: ReplacementManner,
-}
-
 impl Simulation<'_> {
     pub(crate) fn apply_failure(&mut self, what: FailureKind, seed: u64) {
         let now = self.now;
--- a/crates/testing/emulator/src/settings.rs
+++ b/crates/testing/emulator/src/settings.rs
@@ -9,7 +9,9 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadReports {
+    /// What reports come with.
     pub how: ReportTransport,
+    /// The values that they have.
     pub fields: Vec<ReportField>,
     /// Seconds between two samples of an engine's load.
     pub period: f64,
@@ -20,19 +22,27 @@
     pub noise: f64,
 }
 
+/// What load reports come with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReportTransport {
+    /// There are none.
     Nothing,
+    /// Responses of engines.
     Answers,
+    /// Responses to probes.
     Probes,
 }
 
+/// A value of a load report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReportField {
+    /// Share of the cores that are busy.
     CoresBusy,
+    /// Share of the memory that requests have been granted.
     MemoryGranted,
+    /// Requests that run or wait.
     #[serde(rename = "held")]
     InFlight,
 }
@@ -88,6 +98,8 @@
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Runaways {
+    /// Share of the requests.
     pub share: f64,
+    /// How many times the usual work they take.
     pub times: Range,
 }
--- /dev/null
+++ b/crates/testing/emulator/src/simulation.rs
@@ -0,0 +1,220 @@
+//! The state of a simulation, which the modules above change: clients, attempts and failures, each its part.
+
+use crate::check::{Checker, Observation, Violation};
+use crate::dice::Dice;
+use crate::host::EngineHost;
+use crate::tally::{IntervalCounts, Statistics};
+use crate::world::{ReplacementManner, SimulatedDeployment};
+use lemonusher::{EndpointUpdateKind, EngineEntry, EngineState, Event, Gateway, RequestId};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::time::Duration;
+
+pub(crate) const TICK: Duration = Duration::from_millis(5);
+
+/// Where the run's clock begins: zero stands for long ago.
+pub(crate) const BEGIN: Duration = Duration::from_secs(60);
+
+/// A way in which the fronts' owners are made faulty on purpose: each breaks one rule, and the checker must see it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Fault {
+    /// No fault.
+    None,
+    /// Rule 1: some answers are given twice.
+    AnswersTwice,
+    /// Rule 2: what must run once is sent again after a reset.
+    SendsAgain,
+    /// Rule 3: that an engine drains is not told.
+    HidesDrains,
+    /// Rule 4: fresh engines are told as warm.
+    HidesColds,
+    /// Rule 5: keys are not told.
+    ForgetsKeys,
+    /// Rule 6: placement is not told.
+    ForgetsPlaces,
+    /// Rule 7: the budget is not told.
+    ForgetsBudget,
+}
+
+/// What a run came to.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct Report {
+    /// Tries that arrived.
+    pub tries: u64,
+    /// Tries with a result.
+    pub returned: u64,
+    /// Of these, those within the latency objective.
+    pub in_objective: u64,
+    /// Tries that were rejected.
+    pub rejected: u64,
+    /// Tries that failed.
+    pub failed: u64,
+    /// Attempts that were sent.
+    pub attempts: u64,
+    /// How often a cold engine fell over.
+    pub overloaded: u64,
+    /// Counts by class and time.
+    pub statistics: Statistics,
+    /// Rules that were broken; the first hundred.
+    pub violations: Vec<Violation>,
+    /// The same for the same world and seed.
+    pub digest: u64,
+}
+
+/// A try that a front holds.
+#[derive(Clone)]
+pub(crate) struct OpenRequest {
+    pub id: u64,
+    pub request: u64,
+    pub group: usize,
+    pub arrived: Duration,
+    pub limit: Duration,
+    pub attempts: u32,
+}
+
+pub(crate) struct Front {
+    pub gateway: Gateway,
+    pub open_requests: BTreeMap<RequestId, OpenRequest>,
+    pub timers: BTreeSet<Duration>,
+    pub events: VecDeque<Event>,
+    /// From when to when its watch is silent.
+    pub outage: (Duration, Duration),
+}
+
+/// What a front will hear of an engine.
+pub(crate) struct EndpointUpdate {
+    pub front: usize,
+    pub entry: EngineEntry,
+}
+
+/// An attempt that is out.
+pub(crate) struct InFlightAttempt {
+    pub front: usize,
+    pub name: RequestId,
+    pub attempt: u32,
+    pub engine: usize,
+    pub at: Duration,
+    pub until: Duration,
+    pub work: f64,
+    pub group: usize,
+    pub id: u64,
+    pub request: u64,
+    pub next_note: Duration,
+}
+
+/// A probe that is out.
+pub(crate) struct Probe {
+    pub front: usize,
+    pub engine: usize,
+    pub at: Duration,
+}
+
+/// What becomes of an attempt once its connection is made or has failed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum Connection {
+    Made,
+    Failed,
+}
+
+/// An engine that will be replaced.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct Replacement {
+    pub at: Duration,
+    pub engine: usize,
+    pub manner: ReplacementManner,
+}
+
+/// A client's request, over all its tries.
+#[derive(Clone, Copy)]
+pub(crate) struct ClientRequest {
+    pub group: usize,
+    pub first: Duration,
+    pub tries: u32,
+}
+
+pub(crate) struct Simulation<'a> {
+    pub world: &'a SimulatedDeployment,
+    pub seed: u64,
+    pub fault: Fault,
+    pub dice: Dice,
+    pub now: Duration,
+    pub fronts: Vec<Front>,
+    /// How much of the traffic comes to each front and those before it.
+    pub traffic: Vec<f64>,
+    /// By class, how much of it asks for each table group and those before it.
+    pub tables: Vec<Vec<f64>>,
+    pub engines: Vec<EngineHost>,
+    pub in_flight: BTreeMap<u64, InFlightAttempt>,
+    pub connecting: BTreeMap<(Duration, u64), Connection>,
+    pub probes: BTreeMap<u64, Probe>,
+    pub next: u64,
+    pub next_update: u64,
+    pub updates: BTreeMap<(Duration, u64), EndpointUpdate>,
+    /// When each front was last told of each engine.
+    pub notified: BTreeMap<(usize, usize), Duration>,
+    pub replacements: Vec<Replacement>,
+    pub requests: BTreeMap<u64, ClientRequest>,
+    /// The next first try, and how many there have been.
+    pub next_arrival: Duration,
+    pub requests_started: u64,
+    /// Requests to be asked again, and tries whose clients leave, by when.
+    pub retries: BTreeSet<(Duration, u64)>,
+    pub departures: BTreeMap<(Duration, u64), (usize, RequestId)>,
+    pub checker: Checker,
+    pub report: Report,
+}
+
+impl Simulation<'_> {
+    pub(crate) fn front(&self, number: u32, seed: u64) -> Front {
+        let mut stated = self.world.deployment(number);
+        match self.fault {
+            Fault::ForgetsPlaces => {
+                stated.request_classes.iter_mut().for_each(|terms| terms.allowed_zones = None)
+            }
+            Fault::ForgetsBudget => stated.safety_rules.retry_budget = None,
+            _ => {}
+        }
+        let mut gateway = Gateway::new(stated, seed ^ u64::from(number) << 32);
+        let all = (0..self.engines.len()).map(|n| self.entry(n)).filter(|e| e.state != EngineState::Removed);
+        gateway.handle_event(self.now, Event::Endpoints(EndpointUpdateKind::Full, all.collect()));
+        Front {
+            gateway,
+            open_requests: BTreeMap::new(),
+            timers: BTreeSet::new(),
+            events: VecDeque::new(),
+            outage: Default::default(),
+        }
+    }
+
+    pub(crate) fn entry(&self, number: usize) -> EngineEntry {
+        let host = &self.engines[number];
+        let hidden = self.fault == Fault::HidesDrains && host.state == EngineState::Draining;
+        EngineEntry {
+            engine: number as u32,
+            zone: host.location,
+            machine_kind: host.kind,
+            state: if hidden { EngineState::Active } else { host.state },
+            started_at: if self.fault == Fault::HidesColds { Duration::ZERO } else { host.started },
+            ..EngineEntry::default()
+        }
+    }
+
+    pub(crate) fn observe(&mut self, seen: Observation) {
+        // FNV over the words of what was seen: any difference shows.
+        for byte in format!("{:?}{seen:?}", self.now).bytes() {
+            self.report.digest = (self.report.digest ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
+        }
+        self.checker.observe(self.now, seen);
+    }
+
+    /// Counts of the span that it is now.
+    pub(crate) fn interval(&mut self) -> &mut IntervalCounts {
+        self.report.statistics.at((self.now - BEGIN).as_secs_f64())
+    }
+
+    pub(crate) fn answer(&mut self, id: u64) {
+        self.observe(Observation::TryAnswered { id });
+        if self.fault == Fault::AnswersTwice && id.is_multiple_of(50) {
+            self.observe(Observation::TryAnswered { id });
+        }
+    }
+}
--- a/crates/testing/emulator/src/tally.rs
+++ b/crates/testing/emulator/src/tally.rs
@@ -3,7 +3,9 @@
 /// What became of the requests of one class that were first asked in one span.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ClassCounts {
+    /// Requests that came.
     pub requests: u64,
+    /// Those that were served.
     pub served: u64,
     /// Served within the latency objective, counted from the first try.
     pub in_objective: u64,
@@ -16,21 +18,27 @@
     pub classes: Vec<ClassCounts>,
     /// Tries that came, tries that were rejected, attempts sent and attempts refused by full engines.
     pub tries: u64,
+    /// Tries that were rejected.
     pub rejected: u64,
+    /// Attempts that were sent.
     pub attempts: u64,
+    /// Attempts that full engines rejected.
     pub refused_full: u64,
     /// Attempts that returned, and how many times the time that an idle engine takes they took, summed.
     pub returned: u64,
+    /// How many times longer than on an idle engine they took, summed.
     pub slowdown: f64,
     /// Work that engines took in, in seconds on one thread.
     pub work: f64,
 }
 
 impl IntervalCounts {
+    /// Requests of all classes.
     pub fn requests(&self) -> u64 {
         self.classes.iter().map(|class| class.requests).sum()
     }
 
+    /// Served requests of all classes.
     pub fn served(&self) -> u64 {
         self.classes.iter().map(|class| class.served).sum()
     }
@@ -39,6 +47,7 @@
 /// The spans of a run, each of the same length.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Statistics {
+    /// The intervals, in order.
     pub intervals: Vec<IntervalCounts>,
     classes: usize,
 }
@@ -47,6 +56,7 @@
 pub const INTERVAL_SECONDS: f64 = 5.0;
 
 impl Statistics {
+    /// Begins empty, for this number of classes.
     pub fn new(classes: usize) -> Statistics {
         Statistics { intervals: Vec::new(), classes }
     }
--- a/crates/testing/emulator/src/world.rs
+++ b/crates/testing/emulator/src/world.rs
@@ -1,6 +1,10 @@
+//! A simulated deployment, as a TOML file states it. Keys are mapped to the code's names by `rename` attributes; fields
+//! that end in `_s` are in seconds.
+
 use crate::settings::{ClientBehavior, DiscoveryDelays, LoadReports, Probes, ReportTransport, Runaways};
 use lemonusher::{
-    Capabilities, Deployment, Idempotency, MachineKind, RequestClassConfig, RetryBudget, SafetyRules,
+    Capabilities, Deployment, Idempotency, LoadReporting, MachineKind, RequestClassConfig, RetryBudget,
+    SafetyRules,
 };
 use serde::Deserialize;
 use std::fmt;
@@ -10,8 +14,10 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SimulatedDeployment {
+    /// For how long requests arrive.
     #[serde(rename = "seconds")]
     pub duration_s: f64,
+    /// Number of fronts.
     pub fronts: u32,
     /// Requests a second, over all fronts.
     #[serde(rename = "per_second")]
@@ -22,16 +28,20 @@
     /// Times the load between these seconds.
     #[serde(default)]
     pub surge: Option<Surge>,
+    /// Attempts may begin at a draining engine for so long.
     #[serde(rename = "drain_grace", default = "SimulatedDeployment::drain_grace")]
     pub drain_grace_s: f64,
+    /// A started engine warms up for so long.
     #[serde(rename = "cold_for", default = "SimulatedDeployment::cold_for")]
     pub slow_start_s: f64,
+    /// What an engine can do at its start, as a share of what it can do when warm.
     #[serde(rename = "cold_from", default = "SimulatedDeployment::cold_from")]
     pub slow_start_share: f64,
     /// A cold engine that is sent more than so many times what its cores do cold, in any window of so many
     /// seconds, falls over.
     #[serde(rename = "fall_multiple", default = "SimulatedDeployment::fall_multiple")]
     pub overload_factor: f64,
+    /// The window of the overload.
     #[serde(rename = "fall_after", default = "SimulatedDeployment::fall_after")]
     pub overload_window_s: f64,
     /// Seconds until what fell over has started again; without it, nothing falls over.
@@ -40,6 +50,7 @@
     /// Whether fronts may cancel what is out, and engines drop what has expired by themselves.
     #[serde(default = "SimulatedDeployment::yes")]
     pub cancel: bool,
+    /// Whether engines drop what has expired by themselves.
     #[serde(rename = "drops_expired", default = "SimulatedDeployment::yes")]
     pub engines_drop_expired: bool,
     /// Seconds until a connection to an engine that has gone is known to have failed.
@@ -51,41 +62,58 @@
     /// Seconds between the progress notes of a running request; without it, none are sent.
     #[serde(rename = "notes", default)]
     pub progress_interval_s: Option<f64>,
+    /// Load reports of engines, if there are any.
     #[serde(rename = "reports", default)]
     pub load_reports: Option<LoadReports>,
+    /// Probes, if fronts may send them.
     #[serde(default)]
     pub probes: Option<Probes>,
+    /// How clients behave, beyond `retry_share`.
     #[serde(default)]
     pub clients: Option<ClientBehavior>,
+    /// Delays of discovery; without it all fronts learn of a change at once.
     #[serde(rename = "watch", default)]
     pub discovery: Option<DiscoveryDelays>,
+    /// Requests of much work.
     #[serde(default)]
     pub runaways: Option<Runaways>,
     /// Further attempts allowed: so many, and so many a request, in ten seconds.
     #[serde(rename = "budget", default)]
     pub retry_budget: Option<(f64, f64)>,
+    /// Engines, by kind.
     pub engines: Vec<EngineKind>,
+    /// Request classes.
     #[serde(rename = "groups")]
     pub request_classes: Vec<RequestClass>,
+    /// Failures, in any order.
     #[serde(default)]
     pub failures: Vec<Failure>,
 }
 
+/// A time of higher load.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Surge {
+    /// Second at which it begins.
     pub from: f64,
+    /// Second at which it ends.
     pub to: f64,
+    /// How many times the usual rate requests arrive at.
     pub times: f64,
 }
 
+/// A kind of engine.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineKind {
+    /// Number of engines of this kind.
     pub count: u32,
+    /// Index of their zone.
     #[serde(rename = "location", default)]
     pub zone: u32,
+    /// Cores of each.
     pub cores: f64,
+    /// Memory of each, in megabytes.
     pub memory_mb: f64,
     /// Part of the work that is lost for each time over that threads outnumber cores.
     #[serde(rename = "loss", default = "EngineKind::loss")]
@@ -99,6 +127,7 @@
     /// Requests that run at once, and that wait for a slot; beyond, the engine is full.
     #[serde(default)]
     pub slots: Option<usize>,
+    /// Requests that wait for a slot at most.
     #[serde(rename = "queue", default)]
     pub queue_length: Option<usize>,
     /// An engine keeps so many table groups warm, those used last, and reads them faster.
@@ -112,40 +141,53 @@
     pub speed_spread: f64,
 }
 
+/// A request class.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestClass {
+    /// Its name.
     pub name: String,
     /// Part of the requests.
     pub share: f64,
     /// Work of all threads, in seconds: the mean of an exponential.
     #[serde(rename = "work")]
     pub mean_work_s: f64,
+    /// Threads that a request runs on.
     pub threads: f64,
+    /// Memory in megabytes that a request takes.
     pub memory_mb: f64,
+    /// Latency objective, without the work.
     #[serde(rename = "goal")]
     pub latency_objective_s: f64,
+    /// The longest that a client waits, over all its tries.
     #[serde(rename = "limit")]
     pub deadline_s: f64,
+    /// Whether a request must not run twice.
     #[serde(rename = "once_only", default)]
     pub is_non_idempotent: bool,
+    /// Whether it is a bulk load, which holds its table group.
     #[serde(rename = "load", default)]
     pub is_bulk_load: bool,
     /// Requests of one key run in turn; so many keys.
     #[serde(default)]
     pub keys: u64,
+    /// Number of table groups.
     #[serde(rename = "tables")]
     pub table_groups: u64,
     /// How much more the first table groups are asked for than later ones: the exponent of a Zipf law.
     #[serde(rename = "zipf", default)]
     pub zipf_exponent: f64,
+    /// The only zones that it may go to; `None` for all.
     #[serde(rename = "locations", default)]
     pub allowed_zones: Option<Vec<u32>>,
 }
 
+/// A failure of an engine or a front.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Failure {
+    /// Second at which it begins.
     pub at: f64,
+    /// What fails.
     #[serde(flatten)]
     pub what: FailureKind,
 }
@@ -155,20 +197,57 @@
 #[serde(rename_all = "kebab-case", tag = "what", deny_unknown_fields)]
 pub enum FailureKind {
     /// The engine dies with all that it runs, and starts cold after this time.
-    Kill { engine: usize, back: f64 },
+    Kill {
+        /// The engine.
+        engine: usize,
+        /// Seconds until it is over.
+        back: f64,
+    },
     /// It answers nothing for a while; what it runs goes on.
-    Silent { engine: usize, back: f64 },
+    Silent {
+        /// The engine.
+        engine: usize,
+        /// Seconds until it is over.
+        back: f64,
+    },
     /// It works so many times slower for a while.
-    Slow { engine: usize, times: f64, back: f64 },
+    Slow {
+        /// The engine.
+        engine: usize,
+        /// How many times slower.
+        times: f64,
+        /// Seconds until it is over.
+        back: f64,
+    },
     /// It is told to go, and is gone after the grace; a new one starts cold after this time.
-    Drain { engine: usize, back: f64 },
+    Drain {
+        /// The engine.
+        engine: usize,
+        /// Seconds until it is over.
+        back: f64,
+    },
     /// All engines of a zone die.
     #[serde(rename = "hall")]
-    KillZone { location: u32, back: f64 },
+    KillZone {
+        /// Index of the zone.
+        location: u32,
+        /// Seconds until it is over.
+        back: f64,
+    },
     /// A share of the engines goes, spread over so many seconds; for each, a new one joins at once, cold.
-    Replace { share: f64, over: f64, manner: ReplacementManner },
+    Replace {
+        /// Share of the engines, from 0 to 1.
+        share: f64,
+        /// Seconds over which they are spread.
+        over: f64,
+        /// How they leave.
+        manner: ReplacementManner,
+    },
     /// The front starts over and knows nothing but the list.
-    Restart { front: usize },
+    Restart {
+        /// The front.
+        front: usize,
+    },
 }
 
 /// How an engine that is replaced goes.
@@ -184,7 +263,9 @@
 /// Why a file is no world.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DeploymentError {
+    /// Line of the file, if it is known.
     pub line: Option<usize>,
+    /// What is wrong.
     pub message: String,
 }
 
@@ -242,6 +323,7 @@
         true
     }
 
+    /// Reads a TOML file's text, and checks it.
     pub fn parse(text: &str) -> Result<SimulatedDeployment, DeploymentError> {
         let world: SimulatedDeployment = toml::from_str(text).map_err(|error| DeploymentError {
             line: error.span().map(|span| text[..span.start].matches('\n').count() + 1),
@@ -287,67 +369,82 @@
         self.engines.iter().map(|kind| f64::from(kind.count) * kind.cores * kind.max_threads_per_core).sum()
     }
 
-    /// What the fronts are told.
+    /// What the fronts are configured with; `number` is the front's index.
     pub fn deployment(&self, number: u32) -> Deployment {
-        let terms = |group: &RequestClass| RequestClassConfig {
-            latency_objective: span(group.latency_objective_s),
-            objective_work_factor: 1.5,
-            deadline: span(group.deadline_s),
-            priority_weight: 1.0,
-            late_value_share: 0.5,
-            idempotency: if group.is_non_idempotent {
-                Idempotency::NonIdempotent
-            } else {
-                Idempotency::Idempotent
-            },
-            ordered: group.keys > 0,
-            allowed_zones: group.allowed_zones.clone(),
-            threads: group.threads,
-            bulk_load: group.is_bulk_load,
-            waits_for_bulk_loads: !group.is_bulk_load,
-            ..RequestClassConfig::default()
-        };
         let machine = |kind: &EngineKind| MachineKind { cores: kind.cores, memory_mb: kind.memory_mb };
         Deployment {
             fronts: self.fronts,
             front_index: number,
-            request_classes: self.request_classes.iter().map(terms).collect(),
+            request_classes: self.request_classes.iter().map(RequestClass::config).collect(),
             machine_kinds: self.engines.iter().map(machine).collect(),
             tick: Duration::from_millis(5),
-            capabilities: Capabilities {
-                cancel: self.cancel,
-                probes: self.probes.is_some(),
-                retry_after: true,
-                max_retry_after: Duration::from_secs(2),
-                max_attempts: 4,
-                connect_timeout: Duration::from_millis(250),
-                ..Capabilities::default()
-            },
-            safety_rules: SafetyRules {
-                drain_grace: span(self.drain_grace_s),
-                slow_start_share: self.slow_start_share,
-                slow_start_window: span(self.slow_start_s),
-                overload_factor: self.overload_factor,
-                overload_window: span(self.overload_window_s),
-                unknown_outcome_delay: Duration::from_millis(700),
-                discovery_poll_deadline: Duration::from_secs(10),
-                retry_budget: self.retry_budget.map(|(free, share)| RetryBudget {
-                    free_retries: free,
-                    retry_ratio: share,
-                    window: Duration::from_secs(10),
-                }),
-            },
+            capabilities: self.capabilities(),
+            safety_rules: self.safety_rules(),
             probe_cost: self.probes.map_or(0.0, |probes| probes.price),
-            load_reporting: self.load_reports.as_ref().map_or(lemonusher::LoadReporting::None, |reports| {
-                match reports.how {
-                    ReportTransport::Nothing => lemonusher::LoadReporting::None,
-                    ReportTransport::Answers => lemonusher::LoadReporting::WithResponses,
-                    ReportTransport::Probes => lemonusher::LoadReporting::WithProbes,
-                }
-            }),
+            load_reporting: self.load_reporting(),
             progress_interval: span(self.progress_interval_s.unwrap_or(1.0)),
             retries_marked: self.clients.is_none_or(|clients| clients.marked),
             ..Deployment::default()
         }
     }
+
+    fn capabilities(&self) -> Capabilities {
+        Capabilities {
+            cancel: self.cancel,
+            probes: self.probes.is_some(),
+            retry_after: true,
+            max_retry_after: Duration::from_secs(2),
+            max_attempts: 4,
+            connect_timeout: Duration::from_millis(250),
+            ..Capabilities::default()
+        }
+    }
+
+    fn safety_rules(&self) -> SafetyRules {
+        SafetyRules {
+            drain_grace: span(self.drain_grace_s),
+            slow_start_share: self.slow_start_share,
+            slow_start_window: span(self.slow_start_s),
+            overload_factor: self.overload_factor,
+            overload_window: span(self.overload_window_s),
+            unknown_outcome_delay: Duration::from_millis(700),
+            discovery_poll_deadline: Duration::from_secs(10),
+            retry_budget: self.retry_budget.map(|(free_retries, retry_ratio)| RetryBudget {
+                free_retries,
+                retry_ratio,
+                window: Duration::from_secs(10),
+            }),
+        }
+    }
+
+    fn load_reporting(&self) -> LoadReporting {
+        match self.load_reports.as_ref().map(|reports| reports.how) {
+            None | Some(ReportTransport::Nothing) => LoadReporting::None,
+            Some(ReportTransport::Answers) => LoadReporting::WithResponses,
+            Some(ReportTransport::Probes) => LoadReporting::WithProbes,
+        }
+    }
+}
+
+impl RequestClass {
+    fn config(&self) -> RequestClassConfig {
+        let idempotency = match self.is_non_idempotent {
+            true => Idempotency::NonIdempotent,
+            false => Idempotency::Idempotent,
+        };
+        RequestClassConfig {
+            latency_objective: span(self.latency_objective_s),
+            objective_work_factor: 1.5,
+            deadline: span(self.deadline_s),
+            priority_weight: 1.0,
+            late_value_share: 0.5,
+            idempotency,
+            ordered: self.keys > 0,
+            allowed_zones: self.allowed_zones.clone(),
+            threads: self.threads,
+            bulk_load: self.is_bulk_load,
+            waits_for_bulk_loads: !self.is_bulk_load,
+            ..RequestClassConfig::default()
+        }
+    }
 }
