--- a/crates/testing/emulator/src/attempts.rs
+++ b/crates/testing/emulator/src/attempts.rs
@@ -20,8 +20,8 @@
 
 impl Simulation<'_> {
     /// Work of a request: the same for each attempt at it.
-    fn work_of(&self, request: u64, group: usize) -> f64 {
-        let mean = self.world.request_classes[group].mean_work_s;
+    fn work_of(&self, request: u64, request_class: usize) -> f64 {
+        let mean = self.world.request_classes[request_class].mean_work_s;
         let mut dice = Dice::new(self.seed.wrapping_mul(0x2545_f491_4f6c_dd1d) ^ request);
         let work = dice.wait(mean).clamp(mean * MIN_WORK_FACTOR, mean * MAX_WORK_FACTOR);
         match self.world.runaways {
@@ -31,18 +31,19 @@
     }
 
     pub(crate) fn attempt(&mut self, front: usize, name: RequestId, engine: usize, time_out: Duration) {
-        let Some(held) = self.fronts[front].open_requests.get_mut(&name) else { return };
-        let number = held.attempts;
-        held.attempts += 1;
-        let held = held.clone();
-        let work = self.work_of(held.request, held.group);
+        let Some(open_request) = self.fronts[front].open_requests.get_mut(&name) else { return };
+        let number = open_request.attempts;
+        open_request.attempts += 1;
+        let open_request = open_request.clone();
+        let work = self.work_of(open_request.request, open_request.request_class);
         self.next += 1;
         let attempt_number = self.next;
         self.report.attempts += 1;
         self.interval().attempts += 1;
-        let mean = self.world.request_classes[held.group].mean_work_s;
-        self.observe(Observation::AttemptSent { front, id: held.id, number, engine, work: mean });
-        let until = if time_out.is_zero() { held.limit } else { held.limit.min(self.now + time_out) };
+        let mean = self.world.request_classes[open_request.request_class].mean_work_s;
+        self.observe(Observation::AttemptSent { front, id: open_request.id, number, engine, work: mean });
+        let until =
+            if time_out.is_zero() { open_request.limit } else { open_request.limit.min(self.now + time_out) };
         let attempt = InFlightAttempt {
             front,
             name,
@@ -51,9 +52,9 @@
             at: self.now,
             until,
             work,
-            group: held.group,
-            id: held.id,
-            request: held.request,
+            request_class: open_request.request_class,
+            id: open_request.id,
+            request: open_request.request,
             next_note: self.now + span(self.world.progress_interval_s.unwrap_or(0.0)),
         };
         self.in_flight.insert(attempt_number, attempt);
@@ -75,7 +76,7 @@
         if host.started.is_zero() || late <= 0.0 {
             return (Duration::ZERO, Connection::Made);
         }
-        // A front begins to connect when it is told of the engine.
+        // A front begins to connect when it is notified of the engine.
         let notified = self.notified.get(&(front, engine)).copied().unwrap_or(self.now);
         let delay = span(self.dice.share() * late);
         let ready = *host.connected.entry(front).or_insert(notified + delay);
@@ -100,8 +101,10 @@
             self.interval().refused_full += 1;
             return self.end_attempt(number, AttemptOutcome::Rejected);
         }
-        let (group, tables) =
-            (&self.world.request_classes[attempt.group], self.table_group(request, attempt.group));
+        let (request_class, tables) = (
+            &self.world.request_classes[attempt.request_class],
+            self.table_group(request, attempt.request_class),
+        );
         let host = &mut self.engines[engine];
         let kind = &self.world.engines[host.kind as usize];
         let saved =
@@ -112,11 +115,11 @@
         }
         let work = Work {
             left,
-            threads: group.threads,
-            memory_mb: group.memory_mb,
+            threads: request_class.threads,
+            memory_mb: request_class.memory_mb,
             tables,
-            load: group.is_bulk_load,
-            waits_for_loads: !group.is_bulk_load,
+            load: request_class.is_bulk_load,
+            waits_for_loads: !request_class.is_bulk_load,
         };
         self.engines[engine].engine.offer(number, work);
         self.interval().work += left;
@@ -124,7 +127,7 @@
         self.overload(engine, left);
     }
 
-    /// A cold engine that was sent more work than it bears falls over.
+    /// An engine that warms up fails when it is sent more work than it bears.
     fn overload(&mut self, engine: usize, work: f64) {
         let (now, world) = (self.now, self.world);
         let host = &mut self.engines[engine];
@@ -186,26 +189,31 @@
         let Some(attempt) = self.in_flight.remove(&number) else { return };
         self.observe(Observation::AttemptEnded { id: attempt.id, may_have_run: !outcome.never_ran() });
         let front = &self.fronts[attempt.front];
-        let held = front.open_requests.get(&attempt.name).filter(|held| held.id == attempt.id).cloned();
+        let open_request = front
+            .open_requests
+            .get(&attempt.name)
+            .filter(|open_request| open_request.id == attempt.id)
+            .cloned();
         if outcome == AttemptOutcome::Returned {
-            let idle =
-                (attempt.work / self.world.request_classes[attempt.group].threads).max(TICK.as_secs_f64());
+            let idle = (attempt.work / self.world.request_classes[attempt.request_class].threads)
+                .max(TICK.as_secs_f64());
             let slowdown = (self.now - attempt.at).as_secs_f64() / idle;
             let span = self.interval();
             span.returned += 1;
             span.slowdown += slowdown;
         }
-        if let Some(held) = held.filter(|_| outcome == AttemptOutcome::Returned) {
+        if let Some(open_request) = open_request.filter(|_| outcome == AttemptOutcome::Returned) {
             self.fronts[attempt.front].open_requests.remove(&attempt.name);
             self.report.returned += 1;
-            self.count_served(&held, attempt.work);
-            self.answer(held.id);
+            self.count_served(&open_request, attempt.work);
+            self.answer(open_request.id);
         }
         let front = &self.fronts[attempt.front];
-        let over = front.open_requests.get(&attempt.name).is_none_or(|held| held.id != attempt.id);
+        let over =
+            front.open_requests.get(&attempt.name).is_none_or(|open_request| open_request.id != attempt.id);
         let cost = ResourceUsage {
             work: span(attempt.work),
-            memory_mb: self.world.request_classes[attempt.group].memory_mb,
+            memory_mb: self.world.request_classes[attempt.request_class].memory_mb,
         };
         let has_report = matches!(outcome, AttemptOutcome::Returned | AttemptOutcome::Rejected);
         let reported = has_report && self.reported_with(ReportTransport::Answers);
@@ -220,7 +228,7 @@
             usage: (outcome == AttemptOutcome::Returned).then_some(cost),
             load,
         }));
-        let once = self.world.request_classes[attempt.group].is_non_idempotent;
+        let once = self.world.request_classes[attempt.request_class].is_non_idempotent;
         if self.fault == Fault::SendsAgain && once && outcome == AttemptOutcome::Reset && !over {
             let other = (attempt.engine + 1) % self.engines.len();
             self.attempt(attempt.front, attempt.name, other, Duration::ZERO);
@@ -252,7 +260,7 @@
         self.fronts[front].events.push_back(event);
     }
 
-    /// Probes without an answer in time.
+    /// Ends probes that got no response in time.
     pub(crate) fn handle_lost_probes(&mut self) {
         let lost = self.probes.iter().filter(|(_, probe)| probe.at + CONNECT_TIMEOUT <= self.now);
         let lost: Vec<u64> = lost.map(|(number, _)| *number).collect();
--- a/crates/testing/emulator/src/check.rs
+++ b/crates/testing/emulator/src/check.rs
@@ -4,11 +4,18 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What happens, as the checker is told.
+/// What happens in a simulation, as the checker observes it.
 #[derive(Clone)]
 pub enum Observation {
     /// A client asks a front: a try, of a request.
-    TryArrived { front: usize, id: u64, request: u64, group: usize, key: Option<u64>, limit: Duration },
+    TryArrived {
+        front: usize,
+        id: u64,
+        request: u64,
+        request_class: usize,
+        key: Option<u64>,
+        limit: Duration,
+    },
     /// The one answer to a try.
     TryAnswered { id: u64 },
     /// The client left before its answer.
@@ -19,10 +26,10 @@
     AttemptEnded { id: u64, may_have_run: bool },
     /// The engine really began to run it.
     RequestRan { request: u64 },
-    /// An engine drains, as one front has been told, or as all have to know.
+    /// An engine drains: one front has been notified, or all have to know.
     EngineDraining { engine: usize, front: Option<usize> },
-    /// An engine started, cold, with so many cores.
-    EngineStarted { engine: usize, cores: f64, location: u32 },
+    /// An engine has started, with so many cores.
+    EngineStarted { engine: usize, cores: f64, zone: u32 },
     /// A front knows nothing any more of what it had.
     FrontRestarted { front: usize },
 }
@@ -31,12 +38,12 @@
 impl fmt::Debug for Observation {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Observation::TryArrived { front, id, request, group, key, limit } => f
+            Observation::TryArrived { front, id, request, request_class, key, limit } => f
                 .debug_struct("Asked")
                 .field("front", front)
                 .field("id", id)
                 .field("request", request)
-                .field("group", group)
+                .field("group", request_class)
                 .field("key", key)
                 .field("limit", limit)
                 .finish(),
@@ -57,11 +64,11 @@
             Observation::EngineDraining { engine, front } => {
                 f.debug_struct("Draining").field("engine", engine).field("front", front).finish()
             }
-            Observation::EngineStarted { engine, cores, location } => f
+            Observation::EngineStarted { engine, cores, zone } => f
                 .debug_struct("Started")
                 .field("engine", engine)
                 .field("cores", cores)
-                .field("location", location)
+                .field("location", zone)
                 .finish(),
             Observation::FrontRestarted { front } => f.debug_struct("Forgot").field("front", front).finish(),
         }
@@ -186,15 +193,15 @@
     /// Takes the next thing that happens.
     pub fn observe(&mut self, now: Duration, observation: Observation) {
         match observation {
-            Observation::TryArrived { front, id, request, group, key, limit } => {
+            Observation::TryArrived { front, id, request, request_class, key, limit } => {
                 self.budgets.entry(front).or_default().arrivals.push_back(now);
                 if let Some(key) = key {
                     self.key_queues.entry((front, key)).or_default().push_back(id);
                 }
-                self.classes.insert(request, group);
+                self.classes.insert(request, request_class);
                 let arrived = Try {
                     front,
-                    class: group,
+                    class: request_class,
                     key,
                     limit,
                     answered: false,
@@ -223,8 +230,8 @@
             Observation::EngineDraining { engine, front } => {
                 self.draining.insert((engine, front), now);
             }
-            Observation::EngineStarted { engine, cores, location } => {
-                self.start_engine(now, engine, cores, location);
+            Observation::EngineStarted { engine, cores, zone } => {
+                self.start_engine(now, engine, cores, zone);
             }
             Observation::FrontRestarted { front } => {
                 self.key_queues.retain(|(of, _), _| *of != front);
--- a/crates/testing/emulator/src/engine.rs
+++ b/crates/testing/emulator/src/engine.rs
@@ -19,7 +19,7 @@
     pub waits_for_loads: bool,
 }
 
-/// What has come to its end, by the number it was put under.
+/// A request that has finished, by its number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finished(pub u64);
 
--- a/crates/testing/emulator/src/failures.rs
+++ b/crates/testing/emulator/src/failures.rs
@@ -1,4 +1,4 @@
-//! Failures of engines and fronts, engines that go and come, and how fronts hear of them.
+//! Failures of engines and fronts, engines that leave and join, and how fronts are notified.
 
 use crate::check::Observation;
 use crate::host::EngineHost;
@@ -8,7 +8,7 @@
 use lemonusher::{AttemptOutcome, EndpointUpdateKind, EngineState, Event};
 use std::time::Duration;
 
-/// A list's news reaches the fronts so late, where the world states no watch.
+/// Delay of endpoint updates, if the deployment states no discovery delays.
 const NOTIFICATION_DELAY: Duration = Duration::from_millis(200);
 
 impl Simulation<'_> {
@@ -16,9 +16,9 @@
         let now = self.now;
         match what {
             FailureKind::Kill { engine, back } => self.kill(engine, Some(back)),
-            FailureKind::KillZone { location, back } => {
+            FailureKind::KillZone { location: zone, back } => {
                 let there: Vec<usize> =
-                    (0..self.engines.len()).filter(|n| self.engines[*n].location == location).collect();
+                    (0..self.engines.len()).filter(|n| self.engines[*n].zone == zone).collect();
                 there.into_iter().for_each(|engine| self.kill(engine, Some(back)));
             }
             FailureKind::Silent { engine, back } => self.engines[engine].silent_until = now + span(back),
@@ -73,7 +73,7 @@
         host.state = EngineState::Draining;
         host.removed_at = Some(self.now + grace);
         host.restarts_at = back.map(|back| self.now + grace + span(back));
-        // Where each front is told in its own time, it is held to the rule from then on.
+        // With discovery delays, each front must keep the rule from when it is notified.
         if self.world.discovery.is_none() {
             self.observe(Observation::EngineDraining { engine, front: None });
         }
@@ -93,17 +93,17 @@
         lost.into_iter().for_each(|number| self.end_attempt(number, AttemptOutcome::Reset));
     }
 
-    /// The engine starts, cold.
+    /// The engine starts, and warms up.
     fn start(&mut self, engine: usize) {
         let host = &mut self.engines[engine];
         (host.state, host.started, host.restarts_at) = (EngineState::Active, self.now, None);
         host.slow_start_work.clear();
-        let (cores, location) = (host.engine.cores, host.location);
-        self.observe(Observation::EngineStarted { engine, cores, location });
+        let (cores, zone) = (host.engine.cores, host.zone);
+        self.observe(Observation::EngineStarted { engine, cores, zone });
         self.notify_fronts(engine);
     }
 
-    /// Engines that go and come, and news that has arrived.
+    /// Engines that leave and return, and endpoint updates that arrive.
     pub(crate) fn update_engines(&mut self) {
         self.handle_replacements();
         for engine in 0..self.engines.len() {
@@ -139,7 +139,7 @@
         let entry = self.entry(engine);
         for front in 0..self.fronts.len() {
             let at = self.now + self.notification_delay(front, entry.state);
-            // What is told later is never heard earlier.
+            // Updates arrive in the order in which they were sent.
             let last = self.notified.entry((front, engine)).or_default();
             *last = at.max(*last);
             let key = (*last, self.next_update);
--- a/crates/testing/emulator/src/host.rs
+++ b/crates/testing/emulator/src/host.rs
@@ -1,4 +1,4 @@
-//! An engine of the run: the model with its state, news of its load and its connections.
+//! An engine of the run: the model with its state, its load reports and its connections.
 
 use crate::engine::Engine;
 use crate::world::SimulatedDeployment;
@@ -9,7 +9,7 @@
 pub(crate) struct EngineHost {
     pub engine: Engine,
     pub kind: u32,
-    pub location: u32,
+    pub zone: u32,
     pub state: EngineState,
     pub started: Duration,
     pub silent_until: Duration,
@@ -20,7 +20,7 @@
     pub removed_at: Option<Duration>,
     /// Finished while it was silent.
     pub unreported: Vec<u64>,
-    /// Load samples that can't be told yet, and the last that can.
+    /// Load samples that are not reported yet.
     pub samples: VecDeque<(Duration, LoadReport)>,
     pub report: Option<LoadReport>,
     pub next_sample: Duration,
@@ -28,7 +28,7 @@
     pub connected: BTreeMap<usize, Duration>,
     /// Table groups that are warm, the one used last at the end.
     pub warm: VecDeque<u64>,
-    /// Work that it was sent lately while cold.
+    /// Work that it was sent lately while it warms up.
     pub slow_start_work: VecDeque<(Duration, f64)>,
 }
 
@@ -45,7 +45,7 @@
         EngineHost {
             engine,
             kind,
-            location: machine.zone,
+            zone: machine.zone,
             state: EngineState::Active,
             started: Duration::ZERO,
             silent_until: Duration::ZERO,
--- a/crates/testing/emulator/src/play.rs
+++ b/crates/testing/emulator/src/play.rs
@@ -59,7 +59,7 @@
         overload_window: span(world.overload_window_s),
         non_idempotent: classes.iter().map(|class| class.is_non_idempotent).collect(),
         allowed_zones: classes.iter().map(|class| class.allowed_zones.clone()).collect(),
-        engine_zones: engines.iter().map(|host| host.location).collect(),
+        engine_zones: engines.iter().map(|host| host.zone).collect(),
         retry_budget: world.retry_budget.map(|(free, share)| RetryAllowance { free, share }),
         slack: SLACK,
     }
@@ -108,7 +108,12 @@
     fn play(&mut self, seed: u64) {
         let begin = BEGIN;
         let end = begin + span(self.world.duration_s);
-        let longest = self.world.request_classes.iter().map(|group| group.deadline_s).fold(0.0, f64::max);
+        let longest = self
+            .world
+            .request_classes
+            .iter()
+            .map(|request_class| request_class.deadline_s)
+            .fold(0.0, f64::max);
         let mut failures: VecDeque<Failure> = {
             let mut all = self.world.failures.clone();
             all.sort_by(|a, b| a.at.total_cmp(&b.at));
@@ -167,13 +172,17 @@
                     }
                 }
                 Action::Reject { request, retry_after: come_back } => {
-                    let Some(held) = self.fronts[number].open_requests.remove(&request) else { continue };
-                    self.reject(&held, come_back);
+                    let Some(open_request) = self.fronts[number].open_requests.remove(&request) else {
+                        continue;
+                    };
+                    self.reject(&open_request, come_back);
                 }
                 Action::Fail { request } => {
-                    let Some(held) = self.fronts[number].open_requests.remove(&request) else { continue };
+                    let Some(open_request) = self.fronts[number].open_requests.remove(&request) else {
+                        continue;
+                    };
                     self.report.failed += 1;
-                    self.answer(held.id);
+                    self.answer(open_request.id);
                 }
                 Action::SetTimer { at } => drop(self.fronts[number].timers.insert(at)),
                 Action::Probe { engine } => self.probe(number, engine as usize),
--- a/crates/testing/emulator/src/settings.rs
+++ b/crates/testing/emulator/src/settings.rs
@@ -15,7 +15,7 @@
     pub fields: Vec<ReportField>,
     /// Seconds between two samples of an engine's load.
     pub period: f64,
-    /// Seconds from a sample until it can be told.
+    /// Seconds from a sample until it can be reported.
     pub delay: Range,
     /// Each figure is off by up to this share of itself.
     #[serde(default)]
@@ -53,7 +53,7 @@
 pub struct Probes {
     /// Seconds on one thread.
     pub work: f64,
-    /// What one probe a request costs, as a share of the priority weight asked for.
+    /// What one probe a request costs, as a share of the priority weight.
     pub price: f64,
 }
 
@@ -67,7 +67,7 @@
     pub try_share: f64,
     /// Seconds to the first repeat; doubled with each further.
     pub back_off: Range,
-    /// Share that waits as long as it was told to instead.
+    /// Share that waits for the time that a rejection states instead.
     pub honour: f64,
     /// Share that gives up early, within half of the deadline.
     #[serde(default)]
@@ -76,20 +76,20 @@
     pub marked: bool,
 }
 
-/// How fronts hear of engines; each front hears of each change after a time of its own.
+/// How fronts learn of engines; each front learns of each change after a time of its own.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DiscoveryDelays {
     /// Seconds until a new engine is known.
     #[serde(rename = "told")]
     pub join_delay: Range,
-    /// Seconds until it is known that an engine has gone or drains.
+    /// Seconds until it is known that an engine was removed or drains.
     #[serde(rename = "gone")]
     pub leave_delay: Range,
-    /// Each front's watch falls silent once for so many seconds; what it missed is told at the end.
+    /// Each front's watch is silent once for so many seconds; missed changes arrive at the end.
     #[serde(default)]
     pub silent_for: Option<Range>,
-    /// Seconds that a front's connection to a new engine takes at most, from when it is told of it.
+    /// Seconds that a front's connection to a new engine takes at most, from when it is notified.
     #[serde(default)]
     pub connect_late: f64,
 }
--- a/crates/testing/emulator/src/simulation.rs
+++ b/crates/testing/emulator/src/simulation.rs
@@ -23,15 +23,15 @@
     AnswersTwice,
     /// Rule 2: what must run once is sent again after a reset.
     SendsAgain,
-    /// Rule 3: that an engine drains is not told.
+    /// Rule 3: that an engine drains is hidden.
     HidesDrains,
-    /// Rule 4: fresh engines are told as warm.
+    /// Rule 4: started engines are shown as warm.
     HidesColds,
-    /// Rule 5: keys are not told.
+    /// Rule 5: keys are hidden.
     ForgetsKeys,
-    /// Rule 6: placement is not told.
+    /// Rule 6: placement is hidden.
     ForgetsPlaces,
-    /// Rule 7: the budget is not told.
+    /// Rule 7: the budget is hidden.
     ForgetsBudget,
 }
 
@@ -50,7 +50,7 @@
     pub failed: u64,
     /// Attempts that were sent.
     pub attempts: u64,
-    /// How often a cold engine fell over.
+    /// How often an engine that warmed up failed under its load.
     pub overloaded: u64,
     /// Counts by class and time.
     pub statistics: Statistics,
@@ -65,7 +65,7 @@
 pub(crate) struct OpenRequest {
     pub id: u64,
     pub request: u64,
-    pub group: usize,
+    pub request_class: usize,
     pub arrived: Duration,
     pub limit: Duration,
     pub attempts: u32,
@@ -80,13 +80,13 @@
     pub outage: (Duration, Duration),
 }
 
-/// What a front will hear of an engine.
+/// An endpoint update on its way to a front.
 pub(crate) struct EndpointUpdate {
     pub front: usize,
     pub entry: EngineEntry,
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 pub(crate) struct InFlightAttempt {
     pub front: usize,
     pub name: RequestId,
@@ -95,13 +95,13 @@
     pub at: Duration,
     pub until: Duration,
     pub work: f64,
-    pub group: usize,
+    pub request_class: usize,
     pub id: u64,
     pub request: u64,
     pub next_note: Duration,
 }
 
-/// A probe that is out.
+/// A probe in flight.
 pub(crate) struct Probe {
     pub front: usize,
     pub engine: usize,
@@ -126,7 +126,7 @@
 /// A client's request, over all its tries.
 #[derive(Clone, Copy)]
 pub(crate) struct ClientRequest {
-    pub group: usize,
+    pub request_class: usize,
     pub first: Duration,
     pub tries: u32,
 }
@@ -149,14 +149,14 @@
     pub next: u64,
     pub next_update: u64,
     pub updates: BTreeMap<(Duration, u64), EndpointUpdate>,
-    /// When each front was last told of each engine.
+    /// When the last update on each engine arrives at each front.
     pub notified: BTreeMap<(usize, usize), Duration>,
     pub replacements: Vec<Replacement>,
     pub requests: BTreeMap<u64, ClientRequest>,
     /// The next first try, and how many there have been.
     pub next_arrival: Duration,
     pub requests_started: u64,
-    /// Requests to be asked again, and tries whose clients leave, by when.
+    /// Requests that are retried, and tries whose clients leave, by when.
     pub retries: BTreeSet<(Duration, u64)>,
     pub departures: BTreeMap<(Duration, u64), (usize, RequestId)>,
     pub checker: Checker,
@@ -190,7 +190,7 @@
         let hidden = self.fault == Fault::HidesDrains && host.state == EngineState::Draining;
         EngineEntry {
             engine: number as u32,
-            zone: host.location,
+            zone: host.zone,
             machine_kind: host.kind,
             state: if hidden { EngineState::Active } else { host.state },
             started_at: if self.fault == Fault::HidesColds { Duration::ZERO } else { host.started },
@@ -199,7 +199,7 @@
     }
 
     pub(crate) fn observe(&mut self, seen: Observation) {
-        // FNV over the words of what was seen: any difference shows.
+        // FNV over the text of what was observed: any difference shows.
         for byte in format!("{:?}{seen:?}", self.now).bytes() {
             self.report.digest = (self.report.digest ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
         }
--- a/crates/testing/emulator/src/tally.rs
+++ b/crates/testing/emulator/src/tally.rs
@@ -1,6 +1,6 @@
-//! Counts what became of requests, by class and by the span in which they were first asked.
+//! Counts what became of requests, by class and by the interval in which they first arrived.
 
-/// What became of the requests of one class that were first asked in one span.
+/// What became of the requests of one class that first arrived in one interval.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ClassCounts {
     /// Requests that came.
@@ -73,7 +73,7 @@
         &mut self.intervals[number]
     }
 
-    /// Share of a class's requests that were served, of those first asked from one second to another.
+    /// Share of a class's requests that were served, of those that first arrived between these seconds.
     pub fn served_share(&self, class: usize, from: f64, to: f64) -> f64 {
         let (first, last) = ((from / INTERVAL_SECONDS) as usize, (to / INTERVAL_SECONDS) as usize);
         let counts = self.intervals.iter().take(last).skip(first).map(|span| span.classes[class]);
--- a/crates/testing/emulator/src/world.rs
+++ b/crates/testing/emulator/src/world.rs
@@ -37,29 +37,29 @@
     /// What an engine can do at its start, as a share of what it can do when warm.
     #[serde(rename = "cold_from", default = "SimulatedDeployment::cold_from")]
     pub slow_start_share: f64,
-    /// A cold engine that is sent more than so many times what its cores do cold, in any window of so many
-    /// seconds, falls over.
+    /// An engine that warms up fails when it is sent so many times what its cores do at their start, in any
+    /// overload window.
     #[serde(rename = "fall_multiple", default = "SimulatedDeployment::fall_multiple")]
     pub overload_factor: f64,
     /// The window of the overload.
     #[serde(rename = "fall_after", default = "SimulatedDeployment::fall_after")]
     pub overload_window_s: f64,
-    /// Seconds until what fell over has started again; without it, nothing falls over.
+    /// Seconds until an overloaded engine has started again; without it, none fails so.
     #[serde(rename = "fallen_for", default)]
     pub overload_restart_s: Option<f64>,
-    /// Whether fronts may cancel what is out, and engines drop what has expired by themselves.
+    /// Whether fronts may cancel attempts in flight.
     #[serde(default = "SimulatedDeployment::yes")]
     pub cancel: bool,
     /// Whether engines drop what has expired by themselves.
     #[serde(rename = "drops_expired", default = "SimulatedDeployment::yes")]
     pub engines_drop_expired: bool,
-    /// Seconds until a connection to an engine that has gone is known to have failed.
+    /// Seconds until a connection to a removed engine is known to have failed.
     #[serde(rename = "refused_after", default)]
     pub refusal_delay_s: f64,
     /// How unevenly fronts draw traffic: zero for all alike, one for an exponential spread.
     #[serde(rename = "uneven", default)]
     pub traffic_spread: f64,
-    /// Seconds between the progress notes of a running request; without it, none are sent.
+    /// Seconds between the progress reports of a running request; without it, none are sent.
     #[serde(rename = "notes", default)]
     pub progress_interval_s: Option<f64>,
     /// Load reports of engines, if there are any.
@@ -174,7 +174,7 @@
     /// Number of table groups.
     #[serde(rename = "tables")]
     pub table_groups: u64,
-    /// How much more the first table groups are asked for than later ones: the exponent of a Zipf law.
+    /// How much more the first table groups are used than later ones: the exponent of a Zipf law.
     #[serde(rename = "zipf", default)]
     pub zipf_exponent: f64,
     /// The only zones that it may go to; `None` for all.
@@ -196,14 +196,14 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "what", deny_unknown_fields)]
 pub enum FailureKind {
-    /// The engine dies with all that it runs, and starts cold after this time.
+    /// The engine dies with all that it runs, and starts again after this time.
     Kill {
         /// The engine.
         engine: usize,
         /// Seconds until it is over.
         back: f64,
     },
-    /// It answers nothing for a while; what it runs goes on.
+    /// It answers nothing for a while, but runs on.
     Silent {
         /// The engine.
         engine: usize,
@@ -219,7 +219,7 @@
         /// Seconds until it is over.
         back: f64,
     },
-    /// It is told to go, and is gone after the grace; a new one starts cold after this time.
+    /// It is told to go, and is gone after the grace; a new one starts again after this time.
     Drain {
         /// The engine.
         engine: usize,
@@ -234,7 +234,7 @@
         /// Seconds until it is over.
         back: f64,
     },
-    /// A share of the engines goes, spread over so many seconds; for each, a new one joins at once, cold.
+    /// A share of the engines is replaced, spread over so many seconds; for each, a new one starts at once.
     Replace {
         /// Share of the engines, from 0 to 1.
         share: f64,
@@ -250,13 +250,13 @@
     },
 }
 
-/// How an engine that is replaced goes.
+/// How an engine that is replaced leaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReplacementManner {
     /// At once, with all that it runs.
     Vanish,
-    /// It is told to go and ends what it runs within twice the grace.
+    /// It drains, and finishes what it runs within twice the grace.
     Drain,
 }
 
--- a/crates/testing/emulator/tests/abilities.rs
+++ b/crates/testing/emulator/tests/abilities.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn an_engine_runs_its_slots_queues_the_next_and_is_full_beyond() {
+fn engine_runs_its_slots_queues_the_next_and_rejects_beyond() {
     let mut engine = Engine::new(4.0, 1000.0, 0.2);
     (engine.slots, engine.queue, engine.knee, engine.on_cores) = (2, 1, 2.0, 0.5);
     (1..=3).for_each(|number| engine.offer(number, work(0.1 * number as f64)));
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn replaced_engines_are_told_under_new_ids_and_no_rule_is_broken() {
+fn replaced_engines_join_under_new_ids_and_no_rule_is_broken() {
     // A runaway alone may be more than a cold engine bears, which is no front's doing.
     let tame = SMALL.replace("share = 0.01", "share = 0");
     for (manner, seed) in ["vanish", "drain"].into_iter().flat_map(|manner| [1, 2, 3, 4].map(|s| (manner, s)))
@@ -116,14 +116,14 @@
 }
 
 #[test]
-fn a_cold_engine_falls_over_when_its_coldness_is_not_told() {
+fn started_engine_fails_when_its_start_is_hidden() {
     let world = SimulatedDeployment::parse(&SMALL.replace("fall_after = 1", "fall_after = 0.2")).unwrap();
     let fallen: u64 = (1..=3).map(|seed| play(&world, seed, Fault::HidesColds).overloaded).sum();
     assert!(fallen > 0);
 }
 
 #[test]
-fn work_that_is_not_dropped_goes_on_at_the_cost_of_other_work() {
+fn expired_work_that_is_not_dropped_slows_other_work() {
     let crowded = SMALL.replace("per_second = 60", "per_second = 220");
     let served = |text: &str| run(text).statistics.intervals.iter().map(|span| span.served()).sum::<u64>();
     let (dropped, kept) =
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn rejected_clients_ask_again_at_most_as_often_as_stated() {
+fn rejected_clients_retry_at_most_as_often_as_configured() {
     let crowded = SMALL.replace("per_second = 60", "per_second = 300");
     let (once, thrice) = (run(&crowded.replace("tries = 3", "tries = 1")), run(&crowded));
     let counts = |report: &Report| {
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn runaways_and_costly_probes_are_work_for_the_engines() {
+fn runaways_and_probes_are_work_for_the_engines() {
     let taken = |text: &str| run(text).statistics.intervals.iter().map(|span| span.work).sum::<f64>();
     let (few, many) = (taken(SMALL), taken(&SMALL.replace("share = 0.01", "share = 0.1")));
     assert!(many > few * 1.5, "{few} {many}");
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn load_reports_reach_the_fronts_as_stated() {
+fn load_reports_reach_the_fronts_as_configured() {
     let digests = ["nothing", "answers", "probes"].map(|how| {
         let stated = format!("how = \"{how}\"");
         run(&SMALL.replace("how = \"answers\"", &stated)).digest
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn unknown_keys_are_refused_in_every_part() {
+fn unknown_keys_are_refused_in_every_section() {
     for key in ["told", "tries", "noise", "price", "knee", "zipf", "over", "uneven"] {
         let wrong = SMALL.replacen(&format!("\n{key} = "), &format!("\n{key}x = "), 1);
         let error = SimulatedDeployment::parse(&wrong).unwrap_err();
--- a/crates/testing/emulator/tests/emulator.rs
+++ b/crates/testing/emulator/tests/emulator.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn engines_share_cores_lose_work_past_the_knee_and_page_past_their_memory() {
+fn engine_shares_cores_thrashes_and_pages() {
     let until = |engine: &mut Engine, number: u64| {
         (1..).find(|_| engine.run(0.01, 1.0).contains(&Finished(number))).unwrap() as f64 * 0.01
     };
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_run_to_the_last_event() {
+fn same_seed_gives_the_same_run() {
     let world = SimulatedDeployment::parse(MORNING).unwrap();
     let (a, b, c) =
         (play(&world, 7, Fault::None), play(&world, 7, Fault::None), play(&world, 8, Fault::None));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn honest_fronts_break_no_rule_and_each_fault_is_seen() {
+fn correct_fronts_break_no_rule_and_each_fault_is_detected() {
     let world = SimulatedDeployment::parse(MORNING).unwrap();
     for seed in 1..=5 {
         let report = play(&world, seed, Fault::None);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_file_that_is_no_world_says_where() {
+fn invalid_file_names_its_line() {
     let error = SimulatedDeployment::parse("seconds = 1\nfronts = 1\nper_secnd = 3\n").unwrap_err();
     assert!(error.line == Some(3) && error.message.contains("per_second"), "{error}");
     let error = SimulatedDeployment::parse(&MORNING.replace("share = 0.75", "share = 0.7")).unwrap_err();
--- a/crates/testing/emulator/tests/slow_engines.rs
+++ b/crates/testing/emulator/tests/slow_engines.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_fleet_that_is_told_nothing_serves_on_beside_slow_engines() {
+fn fleet_without_load_reports_serves_beside_slow_engines() {
     let world = world();
     for seed in SEEDS {
         let report = play(&world, seed, Fault::None);
