--- a/crates/edges/cli/src/fleet/zones.rs
+++ b/crates/edges/cli/src/fleet/zones.rs
@@ -63,15 +63,13 @@
     let mut operator = Operator::connect(path)?;
     for voter in operator.config.voters.clone() {
         let shown = operator.ask(voter, &Body::ShowPlan { without: without.clone() })?;
-        let Some(Body::PlanShown {
-            version: epoch,
-            zones: sites,
-            classes: groups,
-            shed_order: refused_first,
-        }) = shown
+        let Some(Body::PlanShown { version, zones: sites, classes: groups, shed_order: refused_first }) =
+            shown
         else {
             continue;
         };
+        // The command prints the version as two numbers.
+        let epoch = version.map(|version| (version.epoch, version.counter));
         let plan = ShownPlan { epoch, zones: sites, classes: groups, refused_first };
         if json {
             plan.print_json(&names)
--- a/crates/tools/scale/src/page.rs
+++ b/crates/tools/scale/src/page.rs
@@ -4,7 +4,7 @@
 use crate::budget;
 use crate::role::Role;
 use crate::sample::{self, FileError, Sample};
-use crate::series::{Breaks, Series, group};
+use crate::series::{BudgetCrossing, Series, group};
 use std::path::Path;
 
 const BEGIN: &str = "<!-- figures:";
@@ -12,14 +12,16 @@
 const END: &str = "<!-- end -->";
 /// The block that holds every role against its budgets.
 const SUMMARY: &str = "summary";
-/// What stands for figures that there are not.
+/// In place of figures that were not measured.
 const NOT_MEASURED: &str = "Not measured.";
 
 /// Why a page can't be generated.
 #[derive(Debug, thiserror::Error)]
 pub enum PageError {
+    /// A block is not closed.
     #[error("the block {0} has no end")]
     NoEnd(String),
+    /// A CSV file can't be used.
     #[error(transparent)]
     File(#[from] FileError),
 }
@@ -115,11 +117,11 @@
 
 /// The size at which the budget is passed.
 fn passed_at(series: &Series) -> String {
-    match series.breaks() {
+    match series.budget_crossing() {
         None => "–".into(),
-        Some(Breaks::Below(size)) => format!("at most {}", figure(size)),
-        Some(Breaks::At(size)) => figure(size),
-        Some(Breaks::Beyond(size)) => format!("not up to {}", figure(size)),
+        Some(BudgetCrossing::Below(size)) => format!("at most {}", figure(size)),
+        Some(BudgetCrossing::At(size)) => figure(size),
+        Some(BudgetCrossing::Beyond(size)) => format!("not up to {}", figure(size)),
     }
 }
 
@@ -147,15 +149,15 @@
     let worst = of_metric
         .filter_map(|series| Some((series, series.at_design()?)))
         .max_by(|a, b| a.1.value.total_cmp(&b.1.value));
-    let most = bound(budget.most);
+    let max = bound(budget.max);
     let metric = budget.metric.title();
     let Some((series, estimate)) = worst else {
-        return format!("| {role} | {metric} | – | not measured | {most} | – | – |\n");
+        return format!("| {role} | {metric} | – | not measured | {max} | – | – |\n");
     };
-    let verdict = if estimate.value > budget.most { "**past**" } else { "within" };
-    let breaks = format!("{} {}", passed_at(series), series.role.axis().name());
+    let verdict = if estimate.value > budget.max { "**past**" } else { "within" };
+    let crossing = format!("{} {}", passed_at(series), series.role.axis().name());
     let case = if series.case.is_empty() { "–" } else { &series.case };
-    format!("| {role} | {metric} | {case} | {} | {most} | {verdict} | {breaks} |\n", at_design(series))
+    format!("| {role} | {metric} | {case} | {} | {max} | {verdict} | {crossing} |\n", at_design(series))
 }
 
 /// A budget as it is stated, thousands parted by commas.
@@ -181,7 +183,7 @@
     parted(&format!("{:.0}", (value / scale).round() * scale))
 }
 
-/// Parts the thousands of a whole number.
+/// Separates the thousands of a whole number by commas.
 fn parted(whole: &str) -> String {
     let (sign, number) = whole.strip_prefix('-').map_or(("", whole), |number| ("-", number));
     let mut parted = String::new();
