--- a/crates/testing/emulator/src/lib.rs
+++ b/crates/testing/emulator/src/lib.rs
@@ -11,6 +11,7 @@
 mod dice;
 mod engine;
 mod failures;
+mod front_config;
 mod host;
 mod play;
 mod settings;
--- a/crates/testing/emulator/src/world.rs
+++ b/crates/testing/emulator/src/world.rs
@@ -1,11 +1,7 @@
 //! A simulated deployment, as a TOML file states it. Keys are mapped to the code's names by `rename` attributes; fields
 //! that end in `_s` are in seconds.
 
-use crate::settings::{ClientBehavior, DiscoveryDelays, LoadReports, Probes, ReportTransport, Runaways};
-use lemonusher::{
-    Capabilities, Deployment, Idempotency, LoadReporting, MachineKind, RequestClassConfig, RetryBudget,
-    SafetyRules,
-};
+use crate::settings::{ClientBehavior, DiscoveryDelays, LoadReports, Probes, Runaways};
 use serde::Deserialize;
 use std::fmt;
 use std::time::Duration;
@@ -368,83 +364,4 @@
     pub fn capacity(&self) -> f64 {
         self.engines.iter().map(|kind| f64::from(kind.count) * kind.cores * kind.max_threads_per_core).sum()
     }
-
-    /// What the fronts are configured with; `number` is the front's index.
-    pub fn deployment(&self, number: u32) -> Deployment {
-        let machine = |kind: &EngineKind| MachineKind { cores: kind.cores, memory_mb: kind.memory_mb };
-        Deployment {
-            fronts: self.fronts,
-            front_index: number,
-            request_classes: self.request_classes.iter().map(RequestClass::config).collect(),
-            machine_kinds: self.engines.iter().map(machine).collect(),
-            tick: Duration::from_millis(5),
-            capabilities: self.capabilities(),
-            safety_rules: self.safety_rules(),
-            probe_cost: self.probes.map_or(0.0, |probes| probes.price),
-            load_reporting: self.load_reporting(),
-            progress_interval: span(self.progress_interval_s.unwrap_or(1.0)),
-            retries_marked: self.clients.is_none_or(|clients| clients.marked),
-            ..Deployment::default()
-        }
-    }
-
-    fn capabilities(&self) -> Capabilities {
-        Capabilities {
-            cancel: self.cancel,
-            probes: self.probes.is_some(),
-            retry_after: true,
-            max_retry_after: Duration::from_secs(2),
-            max_attempts: 4,
-            connect_timeout: Duration::from_millis(250),
-            ..Capabilities::default()
-        }
-    }
-
-    fn safety_rules(&self) -> SafetyRules {
-        SafetyRules {
-            drain_grace: span(self.drain_grace_s),
-            slow_start_share: self.slow_start_share,
-            slow_start_window: span(self.slow_start_s),
-            overload_factor: self.overload_factor,
-            overload_window: span(self.overload_window_s),
-            unknown_outcome_delay: Duration::from_millis(700),
-            discovery_poll_deadline: Duration::from_secs(10),
-            retry_budget: self.retry_budget.map(|(free_retries, retry_ratio)| RetryBudget {
-                free_retries,
-                retry_ratio,
-                window: Duration::from_secs(10),
-            }),
-        }
-    }
-
-    fn load_reporting(&self) -> LoadReporting {
-        match self.load_reports.as_ref().map(|reports| reports.how) {
-            None | Some(ReportTransport::Nothing) => LoadReporting::None,
-            Some(ReportTransport::Answers) => LoadReporting::WithResponses,
-            Some(ReportTransport::Probes) => LoadReporting::WithProbes,
-        }
-    }
-}
-
-impl RequestClass {
-    fn config(&self) -> RequestClassConfig {
-        let idempotency = match self.is_non_idempotent {
-            true => Idempotency::NonIdempotent,
-            false => Idempotency::Idempotent,
-        };
-        RequestClassConfig {
-            latency_objective: span(self.latency_objective_s),
-            objective_work_factor: 1.5,
-            deadline: span(self.deadline_s),
-            priority_weight: 1.0,
-            late_value_share: 0.5,
-            idempotency,
-            ordered: self.keys > 0,
-            allowed_zones: self.allowed_zones.clone(),
-            threads: self.threads,
-            bulk_load: self.is_bulk_load,
-            waits_for_bulk_loads: !self.is_bulk_load,
-            ..RequestClassConfig::default()
-        }
-    }
 }
