--- a/crates/testing/cluster/src/rig.rs
+++ b/crates/testing/cluster/src/rig.rs
@@ -19,7 +19,7 @@
     /// By index: whether the process is paused.
     pub paused: Vec<bool>,
     folder: PathBuf,
-    commands: DiscoveryServer,
+    discovery: DiscoveryServer,
 }
 
 impl Rig {
@@ -33,7 +33,7 @@
             task_service: FakeTaskService::start(config.rejects_stale),
             fronts: (0..config.fronts).map(|_| None).collect(),
             paused: vec![false; config.fronts],
-            commands: DiscoveryServer::start(),
+            discovery: DiscoveryServer::start(),
             folder,
             config,
         };
@@ -93,8 +93,8 @@
     /// Writes the front's start configuration; returns its file.
     fn write_start_file(&self, front: usize) -> PathBuf {
         let mut start = match &self.config.front_start {
-            Some(front_start) => front_start(front, self.commands.address),
-            None => start_config(&[], self.commands.address),
+            Some(front_start) => front_start(front, self.discovery.address),
+            None => start_config(&[], self.discovery.address),
         };
         start["name"] = format!("n{front}").into();
         temp_file("json", &start.to_string())
