--- a/crates/edges/cli/tests/proof_leases.rs
+++ b/crates/edges/cli/tests/proof_leases.rs
@@ -102,15 +102,16 @@
                 rig.start_front(1);
             }
             4 => {
-                let cut = Faults { blocked: true, ..Faults::default() };
+                let partition = Faults { blocked: true, ..Faults::default() };
                 let one_way = chance.bool();
-                let (to, back) = if one_way { (cut, Faults::default()) } else { (Faults::default(), cut) };
+                let (to, back) =
+                    if one_way { (partition, Faults::default()) } else { (Faults::default(), partition) };
                 rig.relays.set_faults(|from, _| from == front, to, back);
             }
             5 => {
                 let side: Vec<bool> = (0..7).map(|_| chance.bool()).collect();
-                let cut = Faults { blocked: true, ..Faults::default() };
-                rig.relays.set_faults(|from, voter| side[from] != side[voter], cut, cut);
+                let partition = Faults { blocked: true, ..Faults::default() };
+                rig.relays.set_faults(|from, voter| side[from] != side[voter], partition, partition);
             }
             6 => {
                 let bad = Faults { blocked: false, loss: 0.3, duplication: 0.2, delay: LEASE * 2 };
@@ -181,7 +182,7 @@
 }
 
 #[test]
-fn a_holder_woken_long_after_its_end_is_refused_and_asks_anew() {
+fn a_holder_resumed_long_after_its_lease_ended_is_rejected_and_acquires_anew() {
     let mut rig = Rig::start(plan(2));
     let first = rig.task_service.wait_for_begin(0, LEASE * 10).unwrap();
     rig.pause_front(first.front(), true);
@@ -217,8 +218,8 @@
         let before = rig.task_service.steps().len();
         let first = rig.task_service.wait_for_begin(before, LEASE * 10).unwrap();
         rig.pause_front(first.front(), true); // With an act half done, for less than the bound that is stated.
-        let cut = Faults { blocked: true, ..Faults::default() };
-        rig.relays.set_faults(|from, _| from == first.front(), cut, cut); // Woken, it can't just go on holding.
+        let partition = Faults { blocked: true, ..Faults::default() };
+        rig.relays.set_faults(|from, _| from == first.front(), partition, partition); // Woken, it can't just go on holding.
         std::thread::sleep(LEASE + ms(200));
         rig.pause_front(first.front(), false);
         std::thread::sleep(LEASE * 4);
@@ -239,8 +240,8 @@
     slow.clock_rates[..3].fill(1.0);
     slow.quota_slots = 0;
     let rig = Rig::start(slow);
-    let cut = Faults { blocked: true, ..Faults::default() };
-    rig.relays.set_faults(|from, _| from < 3, cut, cut); // Only slow ones ask at first,
+    let partition = Faults { blocked: true, ..Faults::default() };
+    rig.relays.set_faults(|from, _| from < 3, partition, partition); // Only slow ones ask at first,
     let first = loop {
         let before = rig.task_service.steps().len();
         let noted = rig.task_service.wait_for_begin(before, LEASE * 60).expect("no slow one holds it");
@@ -248,7 +249,7 @@
             break noted;
         }
     };
-    rig.relays.set_faults(|_, _| true, cut, cut);
+    rig.relays.set_faults(|_, _| true, partition, partition);
     rig.relays.set_faults(|from, _| from < 3, Faults::default(), Faults::default()); // and then only the others are heard.
     let until = Instant::now() + LEASE * 8;
     let mut caught = false;
--- a/crates/edges/cli/tests/proof_sites.rs
+++ b/crates/edges/cli/tests/proof_sites.rs
@@ -46,8 +46,8 @@
 struct Fleet {
     _turn: MutexGuard<'static, ()>,
     rig: Rig,
-    halls: Arc<FakeZones>,
-    desks: Vec<LoadClient>,
+    fake_zones: Arc<FakeZones>,
+    load_clients: Vec<LoadClient>,
     stands: fn(usize) -> usize,
     said: BTreeMap<usize, Vec<(Instant, String)>>,
     began: Instant,
@@ -57,7 +57,7 @@
     /// `rates`: requests a second of each of the nine clients, by request class.
     fn start(stands: fn(usize) -> usize, rates: [f64; 3], groups: Vec<FakeClass>, seed: u64) -> Fleet {
         let turn = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
-        let halls = Arc::new(FakeZones::start(FakeZonesConfig {
+        let fake_zones = Arc::new(FakeZones::start(FakeZonesConfig {
             zones: SITES,
             engines_per_zone: 2,
             cores: 4.0,
@@ -67,7 +67,7 @@
             overload_multiple: 3.0,
             overload_window: ms(1000),
         }));
-        let told = halls.clone();
+        let told = fake_zones.clone();
         let plan = RigConfig {
             program: PROGRAM,
             fronts: FRONTS,
@@ -91,21 +91,24 @@
             ),
         };
         let rig = Rig::start(plan);
-        let desks = (0..FRONTS).map(|desk| LoadClient::start(desk as u32, groups.clone(), &rates)).collect();
+        let load_clients = (0..FRONTS)
+            .map(|load_client| LoadClient::start(load_client as u32, groups.clone(), &rates))
+            .collect();
         let said = BTreeMap::new();
-        let mut fleet = Fleet { _turn: turn, rig, halls, desks, stands, said, began: Instant::now() };
+        let mut fleet =
+            Fleet { _turn: turn, rig, fake_zones, load_clients, stands, said, began: Instant::now() };
         fleet.reach(|_, _| true);
         fleet
     }
 
     /// Clients reach the fronts for which this holds (client's site, front's site), their own site's first.
     fn reach(&mut self, holds: impl Fn(usize, usize) -> bool) {
-        for (number, desk) in self.desks.iter().enumerate() {
+        for (number, load_client) in self.load_clients.iter().enumerate() {
             let site = (self.stands)(number);
             let mut fronts: Vec<usize> = (0..FRONTS).collect();
             fronts.sort_by_key(|front| ((self.stands)(*front) != site, (front + FRONTS - number) % FRONTS));
             let reached = fronts.into_iter().filter(|front| holds(site, (self.stands)(*front)));
-            desk.set_fronts(
+            load_client.set_fronts(
                 reached.map(|front| self.rig.fronts[front].as_ref().map(|one| one.address)).collect(),
             );
         }
@@ -131,8 +134,8 @@
 
     fn tallies(&self) -> Vec<RequestCounts> {
         let mut sum = vec![RequestCounts::default(); 3];
-        for desk in &self.desks {
-            for (all, one) in sum.iter_mut().zip(desk.take_counts()) {
+        for load_client in &self.load_clients {
+            for (all, one) in sum.iter_mut().zip(load_client.take_counts()) {
                 all.sent += one.sent;
                 all.returned += one.returned;
                 all.on_time += one.on_time;
@@ -194,7 +197,7 @@
 
     /// A whole site goes: its fronts, its engines, its links.
     fn lose(&mut self, site: usize) {
-        self.halls.stop(site);
+        self.fake_zones.stop(site);
         for front in (0..FRONTS).filter(|front| (self.stands)(*front) == site) {
             self.rig.kill_front(front);
         }
@@ -202,7 +205,7 @@
     }
 
     fn back(&mut self, site: usize) {
-        self.halls.restart(site);
+        self.fake_zones.restart(site);
         for front in (0..FRONTS).filter(|front| (self.stands)(*front) == site) {
             self.rig.start_front(front);
         }
@@ -215,8 +218,10 @@
         assert_eq!(tallies.iter().flatten().map(|tally| tally.duplicates).sum::<u32>(), 0, "answered twice");
         let mut runs: BTreeMap<String, usize> = BTreeMap::new();
         for site in 0..SITES {
-            for came in self.halls.received(site).into_iter().flatten().filter(|came| came.class == 2) {
-                *runs.entry(came.id).or_default() += 1;
+            for received in
+                self.fake_zones.received(site).into_iter().flatten().filter(|received| received.class == 2)
+            {
+                *runs.entry(received.id).or_default() += 1;
             }
         }
         let again = runs.values().filter(|times| **times > 1).count();
@@ -248,7 +253,7 @@
 }
 
 #[test]
-fn the_site_of_the_plans_holder_is_lost_and_returns_cold() {
+fn the_zone_of_the_plans_coordinator_is_lost_and_recovers_cold() {
     // Nine clients ask for 9 x (10 x 0.02 + 4 x 0.25 + 3 x 0.1) = 13.5 cores of the 14.4 that a plan fills; 9.6 are left.
     let mut fleet = Fleet::start(in_turn, [10.0, 4.0, 3.0], groups(), 1);
     let ready = fleet.until(ms(20_000), |fleet| {
@@ -268,9 +273,9 @@
         agreed.as_secs_f64() / LEASE.as_secs_f64()
     );
     fleet.run(ms(2000)); // What was let in before has ended.
-    (0..SITES).for_each(|site| _ = fleet.halls.take_max_load(site));
+    (0..SITES).for_each(|site| _ = fleet.fake_zones.take_max_load(site));
     let lost = fleet.run(ms(5000));
-    let strain = (0..SITES).filter(|other| *other != site).map(|other| fleet.halls.take_max_load(other));
+    let strain = (0..SITES).filter(|other| *other != site).map(|other| fleet.fake_zones.take_max_load(other));
     let strain = strain.fold(0.0, f64::max);
     println!(
         "proof: sites_returned_in_a_loss look-up {:.2} load {:.2} report {:.2}",
@@ -296,7 +301,7 @@
         fleet.live().iter().all(open)
     });
     let up = up.unwrap_or_else(|| panic!("it never returned: {:?}", fleet.said));
-    let tipped = fleet.halls.is_overloaded(site);
+    let tipped = fleet.fake_zones.is_overloaded(site);
     println!("proof: sites_return_took {:.1} s, tipped {tipped}", up.as_secs_f64());
     assert!(!tipped, "the returning site was pushed over");
     let steps: Vec<usize> = [125, 250, 500, 750]
@@ -312,17 +317,21 @@
 }
 
 #[test]
-fn a_cut_between_sites_leaves_both_sides_serving() {
+fn a_partition_between_zones_leaves_both_sides_serving() {
     let mut fleet = Fleet::start(in_turn, [10.0, 1.0, 1.0], groups(), 2);
     let ready =
         fleet.until(ms(20_000), |fleet| fleet.live().iter().all(|front| fleet.follows(*front).is_some()));
     assert!(ready.is_some());
     let before = fleet.run(ms(2000));
     // Site 2 is cut off from the others: engines, talk and clients.
-    fleet.halls.set_partitioned(2, 0, true);
-    fleet.halls.set_partitioned(2, 1, true);
-    let cut = Faults { blocked: true, ..Faults::default() };
-    fleet.rig.relays.set_faults(|front, voter| (in_turn(front) == 2) != (in_turn(voter) == 2), cut, cut);
+    fleet.fake_zones.set_partitioned(2, 0, true);
+    fleet.fake_zones.set_partitioned(2, 1, true);
+    let partition = Faults { blocked: true, ..Faults::default() };
+    fleet.rig.relays.set_faults(
+        |front, voter| (in_turn(front) == 2) != (in_turn(voter) == 2),
+        partition,
+        partition,
+    );
     fleet.reach(|client, front| (client == 2) == (front == 2));
     let agreed = fleet.until(AGREED_WITHIN, |fleet| {
         fleet.live().iter().filter(|front| in_turn(**front) != 2).all(|front| fleet.closed(*front, 2))
@@ -330,16 +339,16 @@
     let agreed = agreed.unwrap_or_else(|| panic!("no agreement: {:?}", fleet.said));
     println!("proof: sites_agreed_on_a_cut_in {:.1} leases", agreed.as_secs_f64() / LEASE.as_secs_f64());
     let alone = fleet.until(ms(12_000), |fleet| {
-        let solitary =
+        let isolated =
             |front: &usize| fleet.follows(*front).is_some_and(|line| line.contains("goes by itself"));
-        fleet.live().iter().filter(|front| in_turn(**front) == 2).all(solitary)
+        fleet.live().iter().filter(|front| in_turn(**front) == 2).all(isolated)
     });
     assert!(alone.is_some(), "the side without a majority goes by itself: {:?}", fleet.said);
     let apart = fleet.run(ms(4000));
     println!("proof: sites_look_ups_returned_in_a_cut {:.2}", part(&apart, 0));
     assert!(part(&apart, 0) > 0.85, "{apart:?}");
-    fleet.halls.set_partitioned(2, 0, false);
-    fleet.halls.set_partitioned(2, 1, false);
+    fleet.fake_zones.set_partitioned(2, 0, false);
+    fleet.fake_zones.set_partitioned(2, 1, false);
     fleet.rig.relays.clear_faults();
     fleet.reach(|_, _| true);
     let healed = fleet.until(ms(40_000), |fleet| {
@@ -354,7 +363,7 @@
 }
 
 #[test]
-fn the_site_with_most_voters_is_lost_and_the_rest_goes_by_itself_within_bounds() {
+fn the_zone_with_most_voters_is_lost_and_the_rest_is_isolated_within_bounds() {
     let mut fleet = Fleet::start(crowded, [10.0, 4.0, 3.0], groups(), 3);
     let ready =
         fleet.until(ms(20_000), |fleet| fleet.live().iter().all(|front| fleet.follows(*front).is_some()));
@@ -371,18 +380,18 @@
     let alone = alone.unwrap_or_else(|| panic!("not all go by themselves: {:?}", fleet.said));
     println!("proof: sites_alone_after_the_voters_are_lost {:.1} s", alone.as_secs_f64());
     fleet.run(ms(2000));
-    (0..SITES).for_each(|site| _ = fleet.halls.take_max_load(site));
+    (0..SITES).for_each(|site| _ = fleet.fake_zones.take_max_load(site));
     let lost = fleet.run(ms(5000));
-    let came: usize =
-        (1..SITES).map(|site| fleet.halls.received(site).iter().map(Vec::len).sum::<usize>()).sum();
-    let strain = (1..SITES).map(|site| fleet.halls.take_max_load(site)).fold(0.0, f64::max);
+    let received: usize =
+        (1..SITES).map(|site| fleet.fake_zones.received(site).iter().map(Vec::len).sum::<usize>()).sum();
+    let strain = (1..SITES).map(|site| fleet.fake_zones.take_max_load(site)).fold(0.0, f64::max);
     println!(
         "proof: sites_returned_without_a_majority look-up {:.2} load {:.2} report {:.2}, threads a core {strain:.1}",
         part(&lost, 0),
         part(&lost, 2),
         part(&lost, 1)
     );
-    assert!(came > 0 && part(&lost, 0) > 0.5, "{lost:?}");
+    assert!(received > 0 && part(&lost, 0) > 0.5, "{lost:?}");
     fleet.said.values_mut().for_each(Vec::clear);
     fleet.back(0);
     let up = fleet.until(ms(60_000), |fleet| {
@@ -391,13 +400,13 @@
         fleet.live().iter().all(open)
     });
     assert!(up.is_some(), "it never returned: {:?}", fleet.said);
-    assert!(!fleet.halls.is_overloaded(0), "the returning site was pushed over");
+    assert!(!fleet.fake_zones.is_overloaded(0), "the returning site was pushed over");
     let after = fleet.run(ms(2000));
     fleet.judge(&[before, lost, after]);
 }
 
 #[test]
-fn operators_see_the_plan_before_a_loss_and_take_a_site_out_and_back() {
+fn operators_see_the_plan_before_a_loss_and_disable_and_enable_a_zone() {
     let mut fleet = Fleet::start(in_turn, [10.0, 4.0, 3.0], groups(), 4);
     let ready =
         fleet.until(ms(20_000), |fleet| fleet.live().iter().all(|front| fleet.follows(*front).is_some()));
@@ -427,10 +436,10 @@
     let out = fleet.until(ms(25_000), |fleet| fleet.live().iter().all(|front| fleet.closed(*front, 1)));
     assert!(out.is_some(), "it was not taken out: {:?}", fleet.said);
     fleet.run(ms(1500)); // What was out there has ended.
-    let counts = |fleet: &Fleet| fleet.halls.received(1).iter().map(Vec::len).sum::<usize>();
-    let (came, taken) = (counts(&fleet), fleet.run(ms(2500)));
-    println!("proof: sites_batches_sent_to_a_site_that_is_out {}", counts(&fleet) - came);
-    assert_eq!(counts(&fleet), came);
+    let counts = |fleet: &Fleet| fleet.fake_zones.received(1).iter().map(Vec::len).sum::<usize>();
+    let (received, taken) = (counts(&fleet), fleet.run(ms(2500)));
+    println!("proof: sites_batches_sent_to_a_site_that_is_out {}", counts(&fleet) - received);
+    assert_eq!(counts(&fleet), received);
     assert!(part(&taken, 0) > 0.9, "{taken:?}");
     fleet.rig.pause_front(8, true);
     let (code, text) = say(&fleet, &["site", "hall-1", "auto"]);
--- a/crates/edges/cli/tests/proof_works.rs
+++ b/crates/edges/cli/tests/proof_works.rs
@@ -24,13 +24,13 @@
 
 struct Night {
     rig: Rig,
-    halls: Arc<FakeZones>,
-    desks: Vec<LoadClient>,
-    yard: UdpSocket,
+    fake_zones: Arc<FakeZones>,
+    load_clients: Vec<LoadClient>,
+    task_service: UdpSocket,
     /// By machine: when it was released and, once told, back.
     out: BTreeMap<u32, Vec<(Instant, Option<Instant>)>>,
     numbers: BTreeMap<u32, u64>,
-    asked: Instant,
+    requested: Instant,
 }
 
 impl Night {
@@ -49,7 +49,7 @@
             }
         };
         let groups = vec![group("look-up", 1.0, 0.02, false), group("load", 1.0, 0.1, true)];
-        let halls = Arc::new(FakeZones::start(FakeZonesConfig {
+        let fake_zones = Arc::new(FakeZones::start(FakeZonesConfig {
             zones: SITES,
             engines_per_zone: EACH,
             cores: 4.0,
@@ -59,10 +59,10 @@
             overload_multiple: 3.0,
             overload_window: ms(1000),
         }));
-        let yard = UdpSocket::bind("127.0.0.1:0").unwrap();
-        yard.set_read_timeout(Some(ms(20))).unwrap();
+        let task_service = UdpSocket::bind("127.0.0.1:0").unwrap();
+        task_service.set_read_timeout(Some(ms(20))).unwrap();
         let (told, names) =
-            (halls.clone(), (0..FRONTS).map(|n| format!("'n{n}'")).collect::<Vec<_>>().join(", "));
+            (fake_zones.clone(), (0..FRONTS).map(|n| format!("'n{n}'")).collect::<Vec<_>>().join(", "));
         let plan = RigConfig {
             program: PROGRAM,
             fronts: FRONTS,
@@ -83,22 +83,24 @@
             extra_toml: format!(
                 "[fleet.sites]\nperiod_ms = 250\nconfirm_ms = 2500\nsteady_ms = 1000\npace_ms = 1000\nwait_ms = 1500\n\
                  stale_ms = 60000\nsafe_part = 0.6\n[fleet.works]\nfronts = [{names}]\ntell = '{}'\nsteady_ms = 500\n",
-                yard.local_addr().unwrap()
+                task_service.local_addr().unwrap()
             ),
         };
         let rig = Rig::start(plan);
-        let desks =
-            (0..FRONTS).map(|desk| LoadClient::start(desk as u32, groups.clone(), &[10.0, 6.0])).collect();
+        let load_clients = (0..FRONTS)
+            .map(|load_client| LoadClient::start(load_client as u32, groups.clone(), &[10.0, 6.0]))
+            .collect();
         let (out, numbers) = (BTreeMap::new(), BTreeMap::new());
-        let night = Night { rig, halls, desks, yard, out, numbers, asked: Instant::now() };
+        let night =
+            Night { rig, fake_zones, load_clients, task_service, out, numbers, requested: Instant::now() };
         night.reach();
         night
     }
 
     fn reach(&self) {
-        for (number, desk) in self.desks.iter().enumerate() {
+        for (number, load_client) in self.load_clients.iter().enumerate() {
             let fronts = (0..FRONTS).map(|n| (number + n) % FRONTS);
-            desk.set_fronts(
+            load_client.set_fronts(
                 fronts.map(|front| self.rig.fronts[front].as_ref().map(|one| one.address)).collect(),
             );
         }
@@ -123,7 +125,7 @@
         let until = Instant::now() + span;
         while Instant::now() < until {
             let mut bytes = [0; 512];
-            if let Ok((long, _)) = self.yard.recv_from(&mut bytes) {
+            if let Ok((long, _)) = self.task_service.recv_from(&mut bytes) {
                 let said: Value = serde_json::from_slice(&bytes[..long]).unwrap();
                 let machine = u32::from_str_radix(said["machine"].as_str().unwrap(), 16).unwrap();
                 let number = said["number"].as_u64().unwrap();
@@ -164,11 +166,11 @@
     fn disturbed(&self) -> usize {
         let mut all = 0;
         for site in 0..SITES {
-            for (at, came) in self.halls.received(site).into_iter().enumerate() {
+            for (at, received) in self.fake_zones.received(site).into_iter().enumerate() {
                 let machine = (site * EACH + at + 1) as u32;
                 for (from, to) in self.out.get(&machine).into_iter().flatten() {
                     let to = to.unwrap_or_else(Instant::now);
-                    all += came.iter().filter(|came| came.at > *from && came.at < to).count();
+                    all += received.iter().filter(|received| received.at > *from && received.at < to).count();
                 }
             }
         }
@@ -188,8 +190,10 @@
     fn twice_run(&self) -> usize {
         let mut runs: BTreeMap<String, usize> = BTreeMap::new();
         for site in 0..SITES {
-            for came in self.halls.received(site).into_iter().flatten().filter(|came| came.class == 1) {
-                *runs.entry(came.id).or_default() += 1;
+            for received in
+                self.fake_zones.received(site).into_iter().flatten().filter(|received| received.class == 1)
+            {
+                *runs.entry(received.id).or_default() += 1;
             }
         }
         runs.values().filter(|times| **times > 1).count()
@@ -197,16 +201,16 @@
 }
 
 #[test]
-fn a_night_of_works_with_its_foreman_killed_fronts_restarted_and_links_cut() {
+fn a_night_of_maintenance_with_its_coordinator_killed_fronts_restarted_and_links_partitioned() {
     let mut night = Night::start(1);
     night.work(ms(5000), ms(500));
     let (code, text) = night.say(&["ask", "1", "2", "5", "6", "9", "--who", "ann", "--at-once", "3"]);
     assert!(code == 0 && text.contains("request 0"), "{code} {text}");
     let (code, text) = night.say(&["ask", "6", "a", "--who", "bob", "--urgency", "5"]);
     assert!(code == 0 && text.contains("request 1"), "{code} {text}");
-    night.asked = Instant::now();
+    night.requested = Instant::now();
     let mut chance = fastrand::Rng::with_seed(9);
-    let cut = Faults { blocked: true, ..Faults::default() };
+    let partition = Faults { blocked: true, ..Faults::default() };
     let mut over = false;
     for turn in 0..40 {
         over = night.work(ms(1200), ms(600));
@@ -225,7 +229,7 @@
                 night.rig.kill_front(front);
                 night.rig.start_front(front);
             }
-            5 => night.rig.relays.set_faults(|front, _| front == 4, cut, cut),
+            5 => night.rig.relays.set_faults(|front, _| front == 4, partition, partition),
             7 => night.rig.relays.clear_faults(),
             8 => {
                 night.rig.pause_front(1, true);
@@ -256,20 +260,23 @@
 }
 
 #[test]
-fn a_front_that_was_cut_off_before_the_drain_and_still_sends_holds_the_release() {
+fn a_front_partitioned_before_the_drain_that_still_sends_blocks_the_release() {
     let mut night = Night::start(2);
     night.work(ms(5000), ms(500));
-    let cut = Faults { blocked: true, ..Faults::default() };
-    night.rig.relays.set_faults(|front, _| front == 4, cut, cut);
+    let partition = Faults { blocked: true, ..Faults::default() };
+    night.rig.relays.set_faults(|front, _| front == 4, partition, partition);
     let (code, text) = night.say(&["ask", "3", "--who", "ann"]);
     assert_eq!(code, 0, "{text}");
     night.work(ms(4000), ms(500));
     assert!(night.out.is_empty(), "released though a front still sends");
     let (_, text) = night.say(&["list"]);
     assert!(text.contains("n4"), "{text}");
-    let before = night.halls.received(0)[2].len();
+    let before = night.fake_zones.received(0)[2].len();
     night.work(ms(1500), ms(500));
-    println!("proof: works_batches_by_a_front_that_is_cut_off {}", night.halls.received(0)[2].len() - before);
+    println!(
+        "proof: works_batches_by_a_front_that_is_cut_off {}",
+        night.fake_zones.received(0)[2].len() - before
+    );
     // The operator knows that it is dead, as he has killed it.
     night.rig.kill_front(4);
     let (code, text) = night.say(&["without", "0", "n4"]);
