--- a/crates/edges/cli/src/file/management.rs
+++ b/crates/edges/cli/src/file/management.rs
@@ -118,6 +118,7 @@
         Spanned::new(0..0, 50)
     }
 
+    /// The greatest age of counters that managers read.
     pub fn max_counter_age(&self) -> Duration {
         Duration::from_millis(*self.max_counter_age_ms.get_ref())
     }
--- a/crates/edges/fleet/src/body.rs
+++ b/crates/edges/fleet/src/body.rs
@@ -170,7 +170,7 @@
     },
     /// A page of members, by name and incarnation.
     Members {
-        /// At most [`MAX_ROWS`].
+        /// At most `MAX_ROWS`.
         rows: Vec<MemberRow>,
         /// There are more after these.
         more: bool,
@@ -186,7 +186,7 @@
         is_voting: bool,
         /// The voter's epoch.
         epoch: u64,
-        /// At most [`MAX_ROWS`].
+        /// At most `MAX_ROWS`.
         rows: Vec<RegisterRow>,
         /// There are more after these.
         more: bool,
@@ -200,7 +200,7 @@
     Leases {
         /// The voter started lately and does not vote yet.
         is_silent: bool,
-        /// At most [`MAX_ROWS`].
+        /// At most `MAX_ROWS`.
         rows: Vec<LeaseRow>,
         /// There are more after these.
         more: bool,
--- a/crates/edges/fleet/src/frame.rs
+++ b/crates/edges/fleet/src/frame.rs
@@ -68,7 +68,7 @@
 impl std::error::Error for OpenError {}
 
 impl Frame {
-    /// The datagram; none if it is longer than [`MAX_DATAGRAM_BYTES`], which nothing that is sent here ever is.
+    /// The datagram; none if it is longer than `MAX_DATAGRAM_BYTES`, which nothing that is sent here ever is.
     pub fn seal(&self, key: &FleetKey) -> Option<Vec<u8>> {
         let mut bytes = postcard::to_allocvec(self).ok()?;
         let tag = key.tag(&bytes);
--- a/crates/edges/managed/src/state.rs
+++ b/crates/edges/managed/src/state.rs
@@ -31,6 +31,7 @@
 }
 
 impl StateSelection {
+    /// The parts of the state that match any of the patterns.
     pub fn for_patterns(schema: &Schema, patterns: &[Pattern]) -> StateSelection {
         let mut selection = StateSelection::default();
         for pattern in patterns {
--- a/crates/tools/scale/src/fleet/events.rs
+++ b/crates/tools/scale/src/fleet/events.rs
@@ -14,7 +14,7 @@
 /// Between two losses of a holder.
 const SETTLE_TIME: Duration = Duration::from_secs(10);
 
-/// How long a task was without a working holder, by loss; at most [`MAX_WAIT`].
+/// How long a task was without a working holder, by loss; at most `MAX_WAIT`.
 #[derive(Debug, Clone, Default)]
 pub struct Replacement {
     /// The holder was killed.
@@ -47,7 +47,7 @@
 /// What follows when all voters lose their memory at once.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ThunderingHerd {
-    /// Until nine in ten quota slots were held again; at most [`MAX_WAIT`].
+    /// Until nine in ten quota slots were held again; at most `MAX_WAIT`.
     pub nine_tenths: Duration,
     /// Until 99 of 100 were.
     pub nearly_all: Duration,
--- a/crates/tools/simhost/src/translate.rs
+++ b/crates/tools/simhost/src/translate.rs
@@ -23,6 +23,7 @@
 }
 
 impl ReportReader {
+    /// A translator for one front with these settings.
     pub fn new(settings: &Settings) -> Self {
         ReportReader {
             fields: LoadReportFields::new(settings),
@@ -30,10 +31,12 @@
         }
     }
 
+    /// A load report from the values on the wire, in the order that the settings state.
     pub fn load(&self, values: Option<Vec<f64>>) -> Option<LoadReport> {
         values.map(|values| self.fields.read_ordered(&values))
     }
 
+    /// The end of an attempt, as the gateway's event.
     pub fn attempt_ended(&self, ended: AttemptEnded) -> Event {
         let has_usage =
             self.reports_usage && ended.outcome == AttemptCode::Returned && ended.packed_usage > 0;
@@ -70,6 +73,7 @@
     }
 }
 
+/// An engine of the endpoint list.
 pub fn engine_entry(entry: &EndpointEntry) -> EngineEntry {
     EngineEntry {
         engine: entry.engine,
@@ -86,6 +90,7 @@
     }
 }
 
+/// A request that has arrived.
 pub fn arrival(arrived: RequestArrived) -> Event {
     Event::Arrived(Arrival {
         request: arrived.request.into(),
@@ -110,6 +115,7 @@
     }
 }
 
+/// What the gateway wants done, as a command of the wire for one front.
 pub fn command(front: u32, action: Action) -> Command {
     match action {
         Action::SetPriority { request, priority, memory_mb } => {
