--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,16 +1,23 @@
-//! Admission control: whether an engine takes a request that placement offers it.
+//! Admission control: decides whether an engine is sent a request that placement offers it.
 //!
-//! The probability falls linearly from one at the first threshold to zero at the second. Inputs and units:
-//! - **Few fronts**: this front's own threads at the engine, as the request's priority feels them, over the adaptive
-//!   concurrency limit there; thresholds 1 and [`ADMIT_NONE_AT_LIMIT_MULTIPLE`], no unit.
-//! - **Many fronts**: the estimated threads per core with what the request adds; thresholds
-//!   [`ADMIT_ALL_UP_TO_THREADS_PER_CORE`] and [`ADMIT_NONE_AT_THREADS_PER_CORE`]. A request's threads count [`OWN_THREADS_WEIGHT`]-fold, and
-//!   more the more attempts are slow, above all against requests of many threads.
-//! - A bulk load, in many-front mode, is admitted less by an engine that looks far idler than usual: it may stand still.
-//! - An engine whose memory is needed beyond a threshold admits nothing.
+//! The admission probability falls linearly from 1 at a first threshold to 0 at a second one. Inputs and
+//! units:
+//! - **Few fronts**: this front's own threads at the engine, weighted by how they compete with the request's
+//!   priority, divided by the adaptive concurrency limit there. Thresholds: 1 and
+//!   [`ADMIT_NONE_AT_LIMIT_MULTIPLE`], no unit.
+//! - **Many fronts**: the estimated threads per core, including those that the request adds. Thresholds:
+//!   [`ADMIT_ALL_UP_TO_THREADS_PER_CORE`] and [`ADMIT_NONE_AT_THREADS_PER_CORE`]. The request's own threads
+//!   are multiplied by [`OWN_THREADS_WEIGHT`], and by more the more attempts are slow. This refuses requests
+//!   of many threads first.
+//! - In many-front mode a bulk load is admitted with a lower probability by an engine whose load is far
+//!   below the usual one, as such an engine may hang while its cores are idle.
+//! - An engine admits nothing while the needed share of its memory is above a threshold.
 //!
-//! Before an engine is asked, many-front mode probes its load if it may (`probing`). A request refused by all engines
-//! draws again after a while (`scan`). After [`FORCE_ADMISSION_AFTER`] of its deadline it passes without a draw.
+//! In many-front mode an engine's load is probed before the draw, if the probe credit allows it (`probing`).
+//! A request that every engine refuses draws again after an interval (`scan`). After
+//! [`FORCE_ADMISSION_AFTER`] of its deadline it is admitted without a draw.
+//!
+//! This guards against engines that are sent more requests than they can run in time.
 
 use crate::endpoint::EngineId;
 use crate::engine::Engine;
@@ -19,43 +26,46 @@
 use crate::placement::Choice;
 use std::time::Duration;
 
-/// Threads per core up to which an engine counts as not loaded. An engine's first concurrency limits come to as many.
+/// Threads per core up to which an engine counts as not loaded. The initial concurrency limits of all fronts
+/// at an engine add up to this many threads per core.
 pub(crate) const ADMIT_ALL_UP_TO: f64 = 1.0;
-/// Few fronts: at this multiple of the concurrency limit nothing is admitted.
+/// Few fronts: from this multiple of the concurrency limit on, nothing is admitted.
 pub(crate) const ADMIT_NONE_AT_LIMIT_MULTIPLE: f64 = 3.0;
-/// Many fronts: estimated threads per core up to which all is admitted,
+/// Many fronts: estimated threads per core up to which everything is admitted.
 const ADMIT_ALL_UP_TO_THREADS_PER_CORE: f64 = 2.0;
-/// and at which nothing is.
+/// Many fronts: estimated threads per core from which on nothing is admitted.
 pub(crate) const ADMIT_NONE_AT_THREADS_PER_CORE: f64 = 2.8;
-/// How many times a request's own threads count in many-front mode while no attempt is slow,
+/// Weight of a request's own threads in many-front mode while no attempt is slow.
 const OWN_THREADS_WEIGHT: f64 = 1.25;
-/// and from the slow share on at which load shedding begins.
+/// Weight of a request's own threads once the slow share has reached the value at which load shedding
+/// begins.
 const OWN_THREADS_WEIGHT_OVERLOADED: f64 = 2.5;
-/// An engine under this share of the usual load may stand still with idle cores.
+/// An engine whose load is below this share of the usual load may hang while its cores are idle.
 const SUSPICIOUSLY_IDLE: f64 = 0.6;
-/// The power of the share of that load by which a bulk load is admitted.
+/// Exponent of the relative load (1 at the threshold above) that a bulk load's admission probability is
+/// multiplied by.
 const IDLE_EXPONENT: i32 = 4;
-/// Share of an engine's memory that may be needed for one more request to be admitted,
+/// One more request is admitted while the needed share of the engine's memory is at most this.
 const MEMORY_ADMIT_BELOW: f64 = 0.55;
-/// and while this front feels pressure there.
+/// The same threshold while this front's responses from the engine show pressure.
 const MEMORY_ADMIT_BELOW_PRESSURED: f64 = 0.4;
 /// Past this share of its deadline a request is admitted without a draw.
 const FORCE_ADMISSION_AFTER: f64 = 1.0 / 3.0;
 
-/// Threads that one of so many fronts may run at an engine at first.
+/// The initial concurrency limit of one front at one engine, in threads.
 pub(crate) fn initial_concurrency_limit(cores: f64, fronts: f64) -> f64 {
     cores * ADMIT_ALL_UP_TO / fronts
 }
 
-/// Threads that one front may run at an engine at most.
+/// The highest concurrency limit of one front at one engine, in threads.
 pub(crate) fn max_own_threads(cores: f64) -> f64 {
     cores * ADMIT_ALL_UP_TO * ADMIT_NONE_AT_LIMIT_MULTIPLE
 }
 
-/// What a request asks of an engine.
+/// What admission control needs to know of a request.
 struct Demand {
     priority: u8,
-    /// Threads that it counts for in many-front mode.
+    /// The request's threads times their weight; used in many-front mode.
     threads: f64,
     bulk_load: bool,
     /// Threads per core that engines usually report.
@@ -123,7 +133,7 @@
         }
     }
 
-    /// `load` in threads per core. May exceed one or be negative.
+    /// `load` is in threads per core. The result may exceed 1 or be negative.
     fn admission_probability(&self, engine: &Engine, load: f64, demand: &Demand) -> f64 {
         if !self.many_fronts() {
             let used = engine.contending_threads(demand.priority) / engine.concurrency_limit;
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,14 +1,17 @@
-//! One front's state, what it learns from events, and the order of one decision.
+//! The state of one front, its updates by events, and the steps of one decision.
 //!
-//! [`Gateway::handle_event`] only takes note. [`Gateway::decide`], called once after the last event of a tick,
+//! [`Gateway::handle_event`] only updates the state. [`Gateway::decide`], called once after the last event
+//! of a tick,
 //!
-//! 1. gives up requests that can't be answered in time any more (`give_up`),
-//! 2. schedules load probes and refreshes the engine subset (`probing`, `subsets`),
-//! 3. scans the queued requests, oldest first, and chooses an engine for each (`scan`, `placement`, `admission`),
-//! 4. turns the difference between the desired state of each request and what is into actions (`reconcile`).
+//! 1. gives up requests that can no longer be answered in time (`give_up`),
+//! 2. schedules load probes and refreshes the engine subsets (`probing`, `subsets`),
+//! 3. scans the queued requests, oldest first, and chooses an engine for each (`scan`, `placement`,
+//!    `admission`),
+//! 4. turns the difference between the desired and the actual state of each request into actions
+//!    (`reconcile`).
 //!
-//! Each rule stands in the module named for it, with its inputs, units, reason and constants. docs/design.md tells which
-//! rules stem from the paper.
+//! Each rule has a module of its own that documents its inputs, units, reason and constants. docs/design.md
+//! states which rules stem from the paper.
 
 use crate::action::Action;
 use crate::candidate::Candidate;
@@ -33,21 +36,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// With more fronts than this, a front runs so little of all that its own counters say little of an engine: it goes by
-/// reports, probes and outcomes instead ("many-front mode", docs/design.md).
+/// Many-front mode applies if there are more fronts than this: one front then runs so small a share of all
+/// requests that its own counters say little about an engine. It uses reports, probes and outcomes instead
+/// (docs/design.md).
 const MANY_FRONTS_ABOVE: f64 = 16.0;
-/// Time constant of what is learned, in longest deadlines.
+/// Time constant of learned means, as a multiple of the longest deadline.
 const ESTIMATE_SPAN: f64 = 1.0;
-/// The shortest time constant of what is learned, in seconds.
+/// The shortest time constant of learned means, in seconds.
 const MIN_TIME_CONSTANT: f64 = 1.0;
-/// A load report older than this share of the longest deadline is not used.
+/// The maximum age of a load report, as a share of the longest deadline. Also the ratio between the time
+/// constant of means over reports and the one of other means.
 const MAX_REPORT_AGE: f64 = 0.15;
-/// After a failed call, discovery is polled again within this share of the poll deadline,
+/// The shortest delay before discovery is polled again after a failed call, as a share of the poll deadline.
 const REPOLL_AFTER: f64 = 0.1;
-/// and at random up to so much later.
+/// The longest random delay that is added to it, as a share of the poll deadline.
 const REPOLL_JITTER: f64 = 0.1;
 
-/// One front's decisions: events in, actions out. It does no I/O and reads no clock.
+/// The decisions of one front: takes events, returns actions. It does no I/O and reads no clock.
 #[derive(Default)]
 pub struct Gateway {
     pub(crate) deployment: Deployment,
@@ -58,7 +63,8 @@
     pub(crate) starvation_header: Option<StarvationHeader>,
     pub(crate) engines: EngineTable<Engine>,
     pub(crate) preference_orders: PreferenceOrders,
-    /// By request class: the engines by slot, as they are to a request that may go anywhere, in this scan.
+    /// By request class: all engines by slot, as seen in this scan by a request that may be sent to any
+    /// engine.
     pub(crate) candidate_cache: BTreeMap<usize, Arc<[Candidate]>>,
     pub(crate) estimates: LoadEstimates,
     pub(crate) traffic: TableGroupTraffic,
@@ -67,35 +73,37 @@
     pub(crate) probes: ProbeScheduler,
     pub(crate) retries: RetryWindow,
     pub(crate) random: RandomSource,
-    /// Requests whose desired state may differ from what is.
+    /// Sequence numbers of requests whose desired state may differ from the actual one.
     pub(crate) changed: BTreeSet<u64>,
-    /// An attempt has ended since the last scan: what admission has not refused is looked at again.
+    /// An attempt has ended or a probe was answered since the last scan: queued requests that admission
+    /// control has not refused are considered again at once.
     pub(crate) attempt_ended: bool,
-    /// When it first heard anything. What it sent before a restart is not known.
+    /// Time of the first event. Attempts that this front sent before a restart are unknown to it.
     pub(crate) started_at: Option<Duration>,
-    /// This front's part of what all may send to an engine that warms up, where the fronts agree on one.
+    /// This front's share of the work that all fronts may send to an engine that warms up, from 0 to 1;
+    /// `None` if the fronts have not agreed on one.
     pub(crate) quota: Option<f64>,
-    /// By then all is answered, however far deadlines lie.
+    /// All requests are answered by this time, even those with a later deadline.
     pub(crate) shutdown_deadline: Option<Duration>,
-    /// When discovery is polled next.
+    /// When discovery is polled next; `None` if no poll is scheduled.
     pub(crate) poll_at: Option<Duration>,
     pub(crate) poll_now: bool,
     /// When the timer that was set last fires.
     pub(crate) timer_at: Duration,
-    /// When the next decision is due, whatever happens before.
+    /// When the next decision is due if no event arrives before.
     pub(crate) decision_due: Option<Duration>,
 }
 
-/// Spans that the deployment's request classes set.
+/// Times that are derived from the deployment's request classes.
 #[derive(Default)]
 pub(crate) struct Spans {
     /// The longest deadline of all classes.
     pub(crate) max_deadline: Duration,
     /// The shortest latency objective of all classes.
     pub(crate) min_objective: Duration,
-    /// A load report that is older is not used.
+    /// The maximum age of a load report that is used.
     pub(crate) max_report_age: Duration,
-    /// Time constant of what is learned, in seconds.
+    /// Time constant of learned means, in seconds.
     pub(crate) time_constant: f64,
 }
 
@@ -111,14 +119,14 @@
         }
     }
 
-    /// Time constant of what reports and outcomes tell, in seconds.
+    /// Time constant of means over reports and outcomes, in seconds.
     fn report_time_constant(&self) -> f64 {
         self.time_constant * MAX_REPORT_AGE
     }
 }
 
 impl Gateway {
-    /// A gateway that knows nothing but what the deployment states. The same seed gives the same random draws.
+    /// Creates a gateway that knows only the deployment. The same seed gives the same random draws.
     pub fn new(deployment: Deployment, seed: u64) -> Self {
         let spans = Spans::of(&deployment);
         Gateway {
@@ -140,7 +148,7 @@
         }
     }
 
-    /// Takes note of one event. `now` is the time since the clock's origin and never goes back.
+    /// Updates the state by one event. `now` is the time since the clock's origin and never goes back.
     pub fn handle_event(&mut self, now: Duration, event: Event) {
         self.started_at.get_or_insert(now);
         match event {
@@ -164,7 +172,8 @@
         }
     }
 
-    /// Decides, once after the last event of a tick, and yields what is to be done, in order.
+    /// Makes the decisions of one tick, after its last event. Returns the actions in the order in which they
+    /// have to be carried out.
     pub fn decide(&mut self, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         self.poll_now = self.poll_at.take_if(|at| *at <= now).is_some();
@@ -177,7 +186,8 @@
         actions
     }
 
-    /// Whether this front is one of so many that its own counters say little of an engine.
+    /// Whether many-front mode applies: there are so many fronts that the counters of one say little about
+    /// an engine.
     pub(crate) fn many_fronts(&self) -> bool {
         f64::from(self.deployment.fronts) > MANY_FRONTS_ABOVE
     }
@@ -187,18 +197,19 @@
         f64::from(self.deployment.fronts.max(1))
     }
 
-    /// The mean work of the request classes, each counted alike, in seconds on one thread.
+    /// The unweighted mean of the work of the request classes, in seconds on one thread.
     pub(crate) fn mean_class_work(&self) -> f64 {
         self.classes.iter().map(|class| class.work.mean()).sum::<f64>() / self.classes.len() as f64
     }
 
-    /// Polls well within the span after which this front counts as notified, and not at the same time as others.
+    /// Schedules the next poll well before the poll deadline, at which this front would count as notified,
+    /// and at a random time, so that not all fronts poll at once.
     fn repoll_discovery(&mut self, now: Duration) {
         let share = REPOLL_AFTER + REPOLL_JITTER * self.random.draw();
         self.poll_at = Some(now + self.deployment.safety_rules.discovery_poll_deadline.mul_f64(share));
     }
 
-    /// From here on it is the client's to give up.
+    /// Removes the deadline: once the response has started, only the client may give up.
     fn handle_response_started(&mut self, id: &RequestId) {
         let sequence = self.requests.sequence_of(id);
         if let Some(request) = sequence.and_then(|sequence| self.requests.get_mut(sequence)) {
@@ -206,7 +217,7 @@
         }
     }
 
-    /// Whatever is in flight of the request works for nobody and is cancelled.
+    /// Finishes the request of a client that has disconnected; an attempt in flight is cancelled.
     fn handle_client_gone(&mut self, id: &RequestId) {
         if let Some(sequence) = self.requests.sequence_of(id) {
             self.finish(sequence);
@@ -214,7 +225,7 @@
         }
     }
 
-    /// The request has its final response. It stays known while an attempt is in flight.
+    /// Marks a request as having its final response. It is kept while an attempt is in flight.
     pub(crate) fn finish(&mut self, sequence: u64) {
         if let Some(request) = self.requests.get_mut(sequence) {
             request.finished = true;
@@ -232,7 +243,7 @@
         }
     }
 
-    /// Whether nothing is sent to an engine for now, after failures.
+    /// Whether an engine is ejected after failures, so that nothing is sent to it.
     pub fn is_ejected(&self, now: Duration, engine: EngineId) -> bool {
         self.engines.get(&engine).is_some_and(|engine| engine.ejected_until > now)
     }
--- a/src/give_up.rs
+++ b/src/give_up.rs
@@ -1,37 +1,41 @@
-//! Give-up: when a request gets no further attempt, and which answer it gets.
+//! Give-up: decides when a request gets no further attempt, and how its client is answered.
 //!
 //! A request is given up
-//! - two ticks before its deadline, or before this front shuts down, whatever is in flight of it;
-//! - while queued, at [`START_BY_SHARE`] of its objective (latency objective plus the part for its work), as later it would be late anyway; all of it if it
-//!   waits for others of its key;
-//! - while queued, once repeats of it are no longer dropped for sure (`idempotency`);
-//! - when an attempt has failed and it may have no other.
+//! - [`ANSWER_MARGIN_TICKS`] ticks before its deadline or before the shutdown of this front, even if it is
+//!   in flight;
+//! - while queued, once [`START_BY_SHARE`] of its objective has passed, as it would be late anyway (all of
+//!   the objective if it has an ordering key, as it may have to wait for other requests of the key). The
+//!   objective is the latency objective plus the part for the request's work;
+//! - while queued, once repeats of it are no longer sure to be dropped (`idempotency`);
+//! - when an attempt has failed and no other attempt is allowed.
 //!
-//! A request that was sent, or asked for, before is given as much of what is left of its objective, counted from the end of its last
-//! attempt, or else migration would only ever reject. That holds in many-front mode with load probes, while few attempts are slow
-//! and [`RETRY_SPARE_FACTOR`] usual latencies are left.
+//! A request that was sent before, or that is a retry of its client, may be queued for the same share of
+//! what is left of its objective, counted from the end of its last attempt. Otherwise nearly every migrated
+//! request would be rejected. This applies only in many-front mode with load probes, while the slow share is
+//! below [`MAX_SLOW_SHARE_FOR_RETRIES`] and more than [`RETRY_SPARE_FACTOR`] usual latencies are left.
 //!
-//! The answer is a rejection with a time to come back where the client may safely retry, else a failure.
+//! The client gets a rejection with a retry-after time if it may safely retry, or else a failure.
 
 use crate::gateway::Gateway;
 use crate::overload::SlowAttempt;
 use crate::request::{Request, RequestGoal};
 use std::time::Duration;
 
-/// The share of the latency objective within which an attempt has to begin.
+/// The share of the objective within which an attempt has to begin.
 const START_BY_SHARE: f64 = 0.25;
-/// A retry is queued for what is left of its objective only if so many usual latencies are left,
+/// A retry is queued for longer only if more than this many usual latencies of its class are left of its
+/// objective.
 const RETRY_SPARE_FACTOR: f64 = 3.0;
-/// and only while the share of slow attempts is below this.
+/// A retry is queued for longer only while the slow share is below this.
 const MAX_SLOW_SHARE_FOR_RETRIES: f64 = 0.2;
-/// The time to come back that goes with a rejection, as a share of the latency objective without the part for work.
+/// The retry-after time of a rejection, as a share of the latency objective without the part for work.
 const RETRY_AFTER_SHARE: f64 = 0.5;
-/// Ticks before the deadline at which a request is answered.
+/// Number of ticks before its deadline at which a request is answered.
 const ANSWER_MARGIN_TICKS: u32 = 2;
 
 impl Gateway {
-    /// Gives up what can no longer be answered, or no longer in time, and counts attempts that have become slow. Yields when the
-    /// next request will be given up.
+    /// Gives up requests that can no longer be answered at all or in time, and counts attempts that have
+    /// become slow. Returns the time at which the next request has to be given up.
     pub(crate) fn give_up_late_requests(&mut self, now: Duration) -> Duration {
         let retries_wait = self.retries_may_wait();
         let mut due = Duration::MAX;
@@ -55,7 +59,7 @@
         due
     }
 
-    /// Whether retries may wait for what is left of their objective.
+    /// Whether retries may be queued for a share of what is left of their objective.
     fn retries_may_wait(&self) -> bool {
         self.many_fronts() && self.can_probe_load() && self.slow_share.value() < MAX_SLOW_SHARE_FOR_RETRIES
     }
@@ -71,7 +75,7 @@
         answer_by.min(self.start_by(request, retries_wait)).min(deduplicated_until)
     }
 
-    /// By when a queued request has to begin an attempt.
+    /// The time by which a queued request has to begin an attempt.
     fn start_by(&self, request: &Request, retries_wait: bool) -> Duration {
         let class = &self.classes[request.class];
         let share = if request.key.is_some() { 1.0 } else { START_BY_SHARE };
@@ -86,7 +90,7 @@
         }
     }
 
-    /// An attempt has ended without a response: the request stays queued, or is given up if it may have no other.
+    /// Gives up a request whose attempt has ended without a response, if it may have no other attempt.
     pub(crate) fn give_up_if_spent(&mut self, now: Duration, sequence: u64) {
         let Some(request) = self.requests.get(sequence) else { return };
         let spent = self.may_not_be_sent_again(now, request)
@@ -96,10 +100,10 @@
         }
     }
 
-    /// Answers a request for good: rejected where its client may safely come back, else failed.
+    /// Gives up a request: it is rejected if its client may safely retry, or else it fails.
     pub(crate) fn give_up(&mut self, now: Duration, sequence: u64) {
         let Some(request) = self.requests.get(sequence) else { return };
-        // The client may come back as late as it is told to.
+        // The client may retry as late as the retry-after time allows.
         let again = now + self.retry_after(request.class).unwrap_or_default();
         let safe = self.client_may_retry(request, again);
         let goal = if safe { RequestGoal::Rejected } else { RequestGoal::Failed };
@@ -109,7 +113,7 @@
         self.changed.insert(sequence);
     }
 
-    /// The time to come back that goes with a rejection, where the deployment allows one.
+    /// The retry-after time of a rejection; `None` if the deployment does not allow one.
     pub(crate) fn retry_after(&self, class: usize) -> Option<Duration> {
         let capabilities = &self.deployment.capabilities;
         let objective = self.classes[class].config.latency_objective;
--- a/src/idempotency.rs
+++ b/src/idempotency.rs
@@ -1,9 +1,16 @@
-//! No effect twice (rule 2): whether a request may be sent again, where, and until when.
+//! Idempotency: decides whether, where and until when a request may be sent again without a double effect
+//! (safety rule 2).
 //!
-//! Inputs: the class's idempotency, when and where the first attempt that may have run was sent. An idempotent request may be
-//! sent anywhere at any time. A non-idempotent one is never sent again once an attempt may have run. One with an idempotency key is sent
-//! again only to engines within the deduplication scope of that first attempt, and only while they are sure to drop the repeat:
-//! until the retention time has passed since that attempt was sent, less the time that the repeat may need to get there.
+//! Inputs: the idempotency of the class; the time and engine of the first attempt that may have run.
+//! - An idempotent request may be sent to any engine at any time.
+//! - A non-idempotent request is never sent again once an attempt may have run.
+//! - A request with an idempotency key is sent again only to engines within the deduplication scope of that
+//!   first attempt, and only before
+//!
+//! deduplicated until = sent time of the first attempt + retention - transit time
+//!
+//! The transit time is the connect timeout, at most [`MAX_TRANSIT_SHARE`] of the retention. Until then the
+//! engines are sure to drop a repeat. This guards against executing a request twice.
 
 use crate::deployment::{DeduplicationScope, Idempotency};
 use crate::endpoint::EngineEntry;
@@ -11,11 +18,12 @@
 use crate::request::Request;
 use std::time::Duration;
 
-/// The time that a repeat may need to get to the engine is at most this share of the retention time.
+/// Upper limit of the transit time of a repeat, as a share of the retention time.
 const MAX_TRANSIT_SHARE: f64 = 0.25;
 
 impl Gateway {
-    /// Until when repeats of a request with an idempotency key are dropped for sure; `None` where nothing limits it.
+    /// The time until which repeats of a request are sure to be dropped; `None` for requests without an
+    /// idempotency key and for those that were never sent.
     pub(crate) fn deduplicated_until(&self, request: &Request) -> Option<Duration> {
         let Idempotency::IdempotencyKeyed { retention, .. } = self.classes[request.class].config.idempotency
         else {
@@ -27,7 +35,7 @@
         Some(first + retention - transit)
     }
 
-    /// Whether a request may be sent to an engine without having its effect twice.
+    /// Whether a request may be sent to an engine without the risk of a double effect.
     pub(crate) fn may_run_at(&self, now: Duration, request: &Request, entry: &EngineEntry) -> bool {
         let Some(first) = request.first_possible_run else { return true };
         match self.classes[request.class].config.idempotency {
@@ -45,14 +53,15 @@
         }
     }
 
-    /// Whether a request may never be sent again: it may have run, and a repeat could have its effect twice.
+    /// Whether a request may never be sent again, because it may have run and a repeat could have a double
+    /// effect.
     pub(crate) fn may_not_be_sent_again(&self, now: Duration, request: &Request) -> bool {
         let non_idempotent = self.classes[request.class].config.idempotency == Idempotency::NonIdempotent;
         (non_idempotent && request.first_possible_run.is_some())
             || self.deduplicated_until(request).is_some_and(|until| now >= until)
     }
 
-    /// Whether a client that is told to come back at `again` can do no harm by it.
+    /// Whether a retry of the client at `again` can't have a double effect.
     pub(crate) fn client_may_retry(&self, request: &Request, again: Duration) -> bool {
         let may_have_run = request.first_possible_run.is_some() || request.in_flight.is_some();
         match self.classes[request.class].config.idempotency {
--- a/src/load_estimate.rs
+++ b/src/load_estimate.rs
@@ -1,17 +1,23 @@
-//! Load estimation: how many threads per core an engine is taken to run, and how much of its memory is needed.
+//! Load estimation: the threads per core that an engine is estimated to run, and the needed share of its
+//! memory.
 //!
-//! By what is known, in this order:
-//! 1. A report no older than the longest that is used. Where it counts requests, each of those of other fronts counts for
-//!    as many threads as a request of this front usually has. Where it tells busy cores, these count with what this front has changed
-//!    since; in many-front mode a probe that was slow counts as load, too. Above [`CPU_SATURATED`] busy cores a report does not tell how many
-//!    threads run, so what all fronts run is estimated from this front's own.
-//! 2. In many-front mode without a report: the load that engines usually report, times how much more than the mean this front has
-//!    sent there (all fronts hash alike, so each is a sample of all), or the engine's congestion if that is higher, and this
-//!    front's own threads.
-//! 3. Else this front's own threads times the number of fronts.
+//! The estimate in threads uses the first of these sources that is available:
+//! 1. A load report that is not older than the maximum report age. If the report counts requests, each
+//!    request of another front counts for as many threads as a typical request of this front. If it states
+//!    the busy share of the cores, the busy cores are corrected by the change of this front's own threads
+//!    since the report; in many-front mode a slow probe raises the estimate, too. From [`CPU_SATURATED`] on,
+//!    the busy share no longer shows how many threads run, so the total is estimated as this front's own
+//!    threads times the fleet multiple.
+//! 2. In many-front mode without such a report: the usual load of all engines × the traffic bias of this
+//!    engine, or the engine's congestion if that is higher, plus this front's own threads. The traffic bias
+//!    is the work that this front has sent to the engine lately, relative to the mean over its engines. All
+//!    fronts use the same hash, so the traffic of one front is a sample of the traffic of all.
+//! 3. Otherwise this front's own threads × the number of fronts.
 //!
-//! Memory: what this front's requests there need, times the fleet multiple, or what the engine reports as granted, as a
-//! share of its memory. This guards against paging and spilling. A front of little traffic knows its part badly.
+//! Needed memory, as a share of the engine's memory: the memory that this front's requests there need × the
+//! fleet multiple (few fronts), or the granted memory that the engine reports × [`NEEDED_SHARE_OF_GRANT`],
+//! whichever is higher. This guards against paging and spilling to disk. A front with little traffic knows
+//! the fleet multiple only roughly.
 
 use crate::admission::{ADMIT_ALL_UP_TO, ADMIT_NONE_AT_LIMIT_MULTIPLE, ADMIT_NONE_AT_THREADS_PER_CORE};
 use crate::decaying_mean::DecayingMean;
@@ -24,51 +30,54 @@
 
 /// The share of its time that a running thread spends on a core.
 const CPU_SHARE_OF_THREAD: f64 = 0.3;
-/// Above this share of busy cores a report does not tell how many threads run.
+/// From this busy share of the cores on, a report does not show how many threads run.
 const CPU_SATURATED: f64 = 0.9;
-/// Threads per core that many-front mode adds where reports count requests.
+/// Threads per core that many-front mode adds to the estimate if reports count requests.
 const UNREPORTED_THREADS: f64 = 0.4;
-/// Weight, in reports, of the prior `ADMIT_ALL_UP_TO`. As reports decay the usual load returns to it; else a front that
-/// takes all engines for full would send nothing and get no new report.
+/// Weight of the prior `ADMIT_ALL_UP_TO` in the usual load, in reports. The usual load returns to the prior
+/// as reports decay. Without the prior a front that takes all engines for full would send nothing and would
+/// never get a new report.
 const USUAL_LOAD_PRIOR_WEIGHT: f64 = 5.0;
-/// The time constant of work sent, in requests sent for each engine that this front spreads its requests over.
+/// Time constant of the sent work, in requests sent per engine that this front uses.
 const SENT_WORK_SPAN: f64 = 2.0;
-/// The share of granted memory that requests need.
+/// The share of its granted memory that a request needs.
 const NEEDED_SHARE_OF_GRANT: f64 = 0.36;
-/// The shortest probe that is told apart, in seconds.
+/// Lower limit of the fastest probe's duration, in seconds; avoids a division by zero.
 const MIN_PROBE: f64 = 1e-6;
 
-/// What is learned of all engines and fronts together.
+/// Estimates over all engines and fronts.
 #[derive(Default)]
 pub(crate) struct LoadEstimates {
-    /// What all fronts together run, as a multiple of what this front runs.
+    /// Threads that all fronts together run, as a multiple of this front's own threads.
     pub(crate) fleet_multiple: DecayingMean,
-    /// Threads per core that engines usually report.
+    /// Threads per core that engines report; decays towards no reports.
     usual_load: DecayingMean,
-    /// Threads of a request, weighted by the time that requests are in flight.
+    /// Mean threads of a request, weighted by the time that requests are in flight.
     pub(crate) typical_threads: DecayingMean,
-    /// Mean cores of an engine.
+    /// Mean number of cores of an engine.
     pub(crate) mean_cores: f64,
-    /// Work sent to all engines, in seconds, decaying with each request sent.
+    /// Work sent to all engines, in seconds on one thread; decays by the number of requests sent.
     sent_work: DecayingMean,
     /// Requests sent so far.
     sent_requests: u64,
 }
 
-/// What an engine is compared with: the same for all engines within one decision.
+/// Means over all engines, to which an engine is compared. They are the same for all engines within one
+/// decision.
 pub(crate) struct FleetMeans {
-    /// Cores of an engine.
+    /// Mean number of cores of an engine.
     cores: f64,
-    /// Work sent lately to an engine, in seconds.
+    /// Mean work sent lately to an engine, in seconds on one thread.
     sent_work: f64,
-    /// The mean work of a request sent lately, in seconds.
+    /// Mean work of a request sent lately, in seconds on one thread.
     request_work: f64,
-    /// Threads per core that engines usually report.
+    /// The usual load of all engines, in threads per core.
     usual_load: f64,
 }
 
 impl FleetMeans {
-    /// How much more than the mean this front has sent lately to an engine of so many cores; chance counts a little, too.
+    /// The work that this front has sent lately to an engine of `cores`, relative to the mean. One mean
+    /// request is added to both, so that chance has less influence while few requests have been sent.
     fn traffic_bias(&self, sent_work: f64, cores: f64) -> f64 {
         let (speed, prior) = (cores / self.cores, self.request_work);
         (sent_work / speed + prior) / (self.sent_work + prior).max(f64::MIN_POSITIVE)
@@ -76,7 +85,7 @@
 }
 
 impl LoadEstimates {
-    /// Time constants in seconds.
+    /// Time constants are in seconds.
     pub(crate) fn new(fronts: u32, time_constant: f64, report_time_constant: f64) -> LoadEstimates {
         LoadEstimates {
             fleet_multiple: DecayingMean::new(time_constant, f64::from(fronts.max(1))),
@@ -88,12 +97,12 @@
         }
     }
 
-    /// The clock by which work sent decays: one second for each request sent.
+    /// The clock by which sent work decays: one second for each request sent.
     fn sent_clock(&self) -> Duration {
         Duration::from_secs(self.sent_requests)
     }
 
-    /// Threads per core that engines usually report, falling back to `ADMIT_ALL_UP_TO` as reports decay.
+    /// Threads per core that engines usually report. Returns to `ADMIT_ALL_UP_TO` as reports decay.
     pub(crate) fn usual_load(&self, now: Duration) -> f64 {
         let reported = self.usual_load.decayed_to(now);
         (reported.sum + USUAL_LOAD_PRIOR_WEIGHT * ADMIT_ALL_UP_TO)
@@ -104,7 +113,8 @@
         self.usual_load.add(now, threads_per_core.min(ADMIT_NONE_AT_THREADS_PER_CORE), 1.0);
     }
 
-    /// Counts a request of so much work as sent to an engine. `spread` is over how many engines this front spreads its requests.
+    /// Counts a request as sent to an engine. `work` is in seconds on one thread; `spread` is the number of
+    /// engines that this front uses.
     pub(crate) fn record_sent(&mut self, engine: &mut Engine, work: f64, spread: f64) {
         self.sent_requests += 1;
         let clock = self.sent_clock();
@@ -116,7 +126,8 @@
 }
 
 impl Gateway {
-    /// Takes in a load report. `probe` is how long the probe took that brought it, if one did.
+    /// Handles a load report. `probe` is the duration of the probe that returned it; `None` if the report
+    /// came with a response.
     pub(crate) fn handle_load_report(
         &mut self,
         now: Duration,
@@ -141,7 +152,7 @@
         self.record_congestion(now, id, threads_per_core, true);
     }
 
-    /// Threads per core that an engine is estimated to run.
+    /// Estimated threads per core of an engine.
     pub(crate) fn threads_per_core(&self, now: Duration, engine: &Engine, fleet: &FleetMeans) -> f64 {
         let cores = self.deployment.cores(&engine.entry);
         let fresh = |report: &&Report| report.at + self.spans.max_report_age > now;
@@ -152,7 +163,7 @@
         threads.unwrap_or_else(|| self.unreported_threads(now, engine, fleet, cores)) / cores
     }
 
-    /// Threads by a report; `None` if it tells nothing of them.
+    /// Estimated threads according to a report; `None` if the report states neither requests nor busy cores.
     fn reported_threads(&self, engine: &Engine, report: &Report, cores: f64) -> Option<f64> {
         if let Some(in_flight) = report.load.in_flight {
             return Some(self.threads_by_requests(engine, report, in_flight, cores));
@@ -174,7 +185,8 @@
     fn threads_by_requests(&self, engine: &Engine, report: &Report, in_flight: f64, cores: f64) -> f64 {
         let many_fronts = self.many_fronts();
         let own = if engine.in_flight > 0 { engine.own_threads / f64::from(engine.in_flight) } else { 1.0 };
-        // In many-front mode what this front has there says nothing of the threads of what others have.
+        // In many-front mode this front's own requests at the engine don't represent the threads of other
+        // fronts' requests.
         let each = if many_fronts { self.estimates.typical_threads.mean() } else { own.max(1.0) };
         let others = (in_flight - f64::from(report.own_in_flight)).max(0.0) * each;
         engine.own_threads + others + f64::from(u8::from(many_fronts)) * UNREPORTED_THREADS * cores
@@ -201,7 +213,7 @@
         }
     }
 
-    /// The share of an engine's memory that is needed.
+    /// The needed share of an engine's memory; may exceed 1.
     pub(crate) fn memory_share(&self, engine: &Engine) -> f64 {
         let kind = self.deployment.machine_kinds.get(engine.entry.machine_kind as usize);
         let memory_mb = kind.map_or(0.0, |kind| kind.memory_mb);
--- a/src/overload.rs
+++ b/src/overload.rs
@@ -1,11 +1,21 @@
-//! Overload: how slowed down this front's requests are, and which requests are shed for it.
+//! Overload: measures how slow this front's attempts are, and sheds requests in many-front mode while many
+//! are slow.
 //!
-//! An attempt is slow once it has taken [`SLOW_FACTOR`] times its work spread over its threads; one that the engine rejects counts as
-//! slow in many-front mode. The slow share is the decaying mean over all engines. In many-front mode each
-//! request draws once, on arrival, a number from 0 to 1. It is shed while that number is above the part of requests that the slow
-//! share admits: all up to [`SHED_NONE_UP_TO`], none from [`SHED_ALL_FROM`], linear in between. Requests of less work than the
-//! mean are shed less, as they relieve less. This guards a fleet that stands still, whatever the cause: short memory, dead or
-//! slow engines, too many requests. Where requests are slow of their own, some are shed for nothing.
+//! An attempt is slow once it has taken [`SLOW_FACTOR`] × work / threads, with the work in seconds on one
+//! thread. In many-front mode a rejected attempt counts as slow, too. The slow share is the exponentially
+//! decaying mean over this front's attempts at all engines, from 0 to 1.
+//!
+//! Each request draws one number from 0 to 1 on arrival. In many-front mode it is shed while draw × relief
+//! exceeds
+//!
+//! admitted share = ([`SHED_ALL_FROM`] - slow share) / ([`SHED_ALL_FROM`] - [`SHED_NONE_UP_TO`])
+//!
+//! Relief is the class's mean work over that of all classes, at most 1: shedding a small request relieves
+//! the engines less.
+//!
+//! This guards a fleet that hangs, whatever the cause: lack of memory, dead or slow engines, too many
+//! requests. Requests that are slow without an overload raise the slow share as well, and then others are
+//! shed needlessly.
 
 use crate::decaying_mean::DecayingMean;
 use crate::endpoint::EngineId;
@@ -14,21 +24,21 @@
 use crate::request_class::RequestClass;
 use std::time::Duration;
 
-/// An attempt is slow after so many times its work over its threads.
+/// An attempt is slow after this multiple of its work divided by its threads.
 const SLOW_FACTOR: f64 = 3.5;
-/// Slow share up to which nothing is shed,
+/// Slow share up to which nothing is shed.
 pub(crate) const SHED_NONE_UP_TO: f64 = 0.1;
-/// and from which all is.
+/// Slow share from which on everything is shed.
 const SHED_ALL_FROM: f64 = 0.5;
-/// Attempts in time that the slow share begins with.
+/// Weight of the prior, in attempts that were not slow.
 const PRIOR_WEIGHT: f64 = 1.0;
 
-/// The share of this front's attempts that are slow, over all engines, decaying.
+/// The exponentially decaying share of this front's attempts that are slow, over all engines.
 #[derive(Default)]
 pub(crate) struct SlowShare(DecayingMean);
 
 impl SlowShare {
-    /// The time constant is in seconds.
+    /// `time_constant` is in seconds.
     pub(crate) fn new(time_constant: f64) -> SlowShare {
         SlowShare(DecayingMean::new(time_constant, 1.0))
     }
@@ -41,14 +51,14 @@
         self.0.add(now, 0.0, 0.0);
     }
 
-    /// From 0 to 1, as of the last record or decay.
+    /// From 0 to 1, as of the last call of `record` or `decay_to`.
     pub(crate) fn value(&self) -> f64 {
         self.0.sum / (self.0.weight + PRIOR_WEIGHT)
     }
 }
 
 impl RequestClass {
-    /// After how many seconds an attempt of so much work, in seconds on one thread, is slow.
+    /// Seconds after which an attempt is slow. `work` is in seconds on one thread.
     pub(crate) fn slow_after(&self, work: f64) -> f64 {
         work / self.config.threads.max(1.0) * SLOW_FACTOR
     }
@@ -58,12 +68,12 @@
 pub(crate) struct SlowAttempt {
     pub(crate) sequence: u64,
     pub(crate) engine: EngineId,
-    /// The engine has given a sign of life since the attempt was sent.
+    /// The engine has sent a response or a report since the attempt was sent.
     pub(crate) engine_alive: bool,
 }
 
 impl Gateway {
-    /// Whether a request is shed for the fleet's slowness.
+    /// Whether a request is shed because many attempts are slow.
     pub(crate) fn is_shed_for_overload(&mut self, now: Duration, sequence: u64) -> bool {
         self.slow_share.decay_to(now);
         let request = &self.requests[sequence];
@@ -72,7 +82,7 @@
         self.many_fronts() && request.shed_draw * relief > admitted
     }
 
-    /// The request's attempt, if it is slow and not counted yet.
+    /// The request's attempt in flight, if it is slow and has not been counted as such.
     pub(crate) fn newly_slow_attempt(
         &self,
         now: Duration,
@@ -90,8 +100,9 @@
         Some(SlowAttempt { sequence, engine: attempt.engine, engine_alive })
     }
 
-    /// Counts an attempt that has become slow. An engine that has been silent since is cut off or dead, which tells
-    /// nothing of the others.
+    /// Counts an attempt that has become slow. If the engine has been silent since the attempt was sent, the
+    /// engine is taken for dead or unreachable: that says nothing about the other engines, so the slow share
+    /// stays as it is.
     pub(crate) fn record_slow_attempt(&mut self, now: Duration, slow: &SlowAttempt) {
         self.record_silence(now, slow.engine, slow.engine_alive);
         if slow.engine_alive {
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,18 +1,25 @@
-//! Placement: which engines a request is offered to, and in which order.
+//! Placement: selects the engines that a request is offered to, and their order.
 //!
-//! Every table group prefers the engines in an order of its own, by rendezvous hashing, the same at every front, so that requests of a
-//! group meet where its tables are warm. The first engine of the order ("home") is offered the request unless its load, in threads per
-//! core, exceeds that of the least loaded by more than a margin; then the next, and so on.
+//! Each table group ranks all engines by rendezvous hashing. The order is the same at every front, so that
+//! requests of a group reach the engines that have its tables cached. The first engine of the order is the
+//! home engine. The request is offered to the engines in this order until one admits it. Engines are left
+//! out if their load, in threads per core, exceeds the lowest load by more than a margin.
 //!
-//! - A group that draws more than one engine's part of the traffic has several homes in many-front mode: the first places of its order are
-//!   rotated by the front's index.
-//! - Bulk loads go by the order from its far end, off the homes of the group's readers, and each front begins at another place of
-//!   its tail ([`BULK_LOAD_TAIL`]), or bulk loads of one group would all line up.
-//! - An engine that warms up is passed over at random, less often the warmer it is. In many-front mode one
-//!   that has room and little load is offered first, as an unused turn is lost.
-//! - The engine at which the last attempt failed is avoided if there is another.
-//! - Where engines report no load and capacity is missing, requests are shed by the share that load shedding admits
-//!   (`lemonusher-load-shedding`); engines that warm up are spared, as slow start bounds what they get.
+//! - In many-front mode a group that receives more traffic than one engine's share has several home engines:
+//!   each front rotates the first places of the order by its own index.
+//! - A bulk load follows the order from its end, away from the home engines of the group's readers. Each
+//!   front starts at another place within [`BULK_LOAD_TAIL`] of the order, as otherwise all bulk loads of a
+//!   group would be sent to the same engine.
+//! - An engine that warms up is skipped at random, less often the higher its slow-start factor. In
+//!   many-front mode an engine that warms up and has little load comes first, as an unused slow-start time
+//!   slot is lost.
+//! - The engine at which the last attempt failed is avoided if there is another one.
+//! - If engines report no load and capacity is missing, requests are shed by the share that load shedding
+//!   admits (`lemonusher-load-shedding`). Engines that warm up are exempt, as slow start already limits what
+//!   they receive.
+//!
+//! This guards against cold caches, against hot spots on the home engines, and against losing time on a
+//! failed engine.
 
 use crate::admission::ADMIT_ALL_UP_TO;
 use crate::candidate::Candidate;
@@ -26,16 +33,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Threads per core by which an engine may exceed the least loaded one,
+/// An engine is offered a request if its load, in threads per core, exceeds the lowest load by at most this.
 const PLACEMENT_MARGIN: f64 = 0.8;
-/// and in many-front mode.
+/// The same margin in many-front mode.
 const PLACEMENT_MARGIN_MANY_FRONTS: f64 = 2.0;
-/// The share of the order, from its far end, over which the fronts' bulk loads begin.
+/// The share of the order, counted from its end, within which the fronts' bulk loads start.
 const BULK_LOAD_TAIL: f64 = 0.5;
-/// Arrivals before which a table group's share of the traffic is not trusted.
+/// Arrivals that are added to the total when a group's share of the traffic is computed, so that the share
+/// stays low while few requests have arrived.
 const ARRIVALS_PRIOR: f64 = 10.0;
 
-/// Arrivals at this front, by table group and in all, decaying.
+/// Exponentially decaying counts of arrivals at this front, by table group and in total.
 #[derive(Default)]
 pub(crate) struct TableGroupTraffic {
     by_group: BTreeMap<u64, DecayingMean>,
@@ -43,12 +51,12 @@
 }
 
 impl TableGroupTraffic {
-    /// The time constant is in seconds.
+    /// `time_constant` is in seconds.
     pub(crate) fn new(time_constant: f64) -> TableGroupTraffic {
         TableGroupTraffic { by_group: BTreeMap::new(), total: DecayingMean::new(time_constant, 0.0) }
     }
 
-    /// Counts an arrival, and forgets groups of which none came for `max_age`.
+    /// Counts an arrival, and removes groups without an arrival for `max_age`.
     pub(crate) fn record(&mut self, now: Duration, table_group: u64, max_age: Duration) {
         self.total.add(now, 1.0, 1.0);
         let none = DecayingMean::new(self.total.time_constant, 0.0);
@@ -56,7 +64,7 @@
         self.by_group.retain(|_, arrivals| arrivals.at + max_age > now);
     }
 
-    /// How many of so many engines a table group's traffic calls for.
+    /// The number of home engines for a table group's share of the traffic, at most `engines`.
     fn homes(&self, table_group: u64, engines: f64) -> usize {
         let arrivals = self.by_group.get(&table_group).map_or(0.0, |arrivals| arrivals.sum);
         let share = arrivals / (self.total.sum + ARRIVALS_PRIOR);
@@ -67,10 +75,10 @@
 /// An engine that a request may be offered to.
 #[derive(Clone, Copy)]
 pub(crate) struct Choice {
-    /// Its slot in the engine table.
+    /// Index in the engine table.
     pub(crate) slot: usize,
     pub(crate) engine: EngineId,
-    /// Threads per core that it is estimated to run.
+    /// Estimated threads per core.
     pub(crate) load: f64,
     pub(crate) warming_up: bool,
 }
@@ -83,7 +91,7 @@
 }
 
 impl Gateway {
-    /// The engine that a queued request is to be sent to now, if any.
+    /// The engine that a queued request is sent to now; `None` if it stays queued.
     pub(crate) fn choose_engine(&mut self, now: Duration, sequence: u64) -> Option<EngineId> {
         let order = self.preference_order(sequence);
         let candidates = self.candidates(now, sequence);
@@ -110,7 +118,7 @@
         self.first_admitting_engine(now, sequence, &choices)
     }
 
-    /// The order in which a request's table group prefers the engines, as this front goes by it.
+    /// The order in which this front offers a request to the engines.
     pub(crate) fn preference_order(&mut self, sequence: u64) -> PreferenceOrder {
         let request = &self.requests[sequence];
         let order = self.preference_orders.of(request.table_group, self.engines.ids());
@@ -126,7 +134,8 @@
         PreferenceOrder::new(order, false).rotate_prefix(homes, index)
     }
 
-    /// All engines by slot, as they are to a request; worked out once for all requests of a class that may go anywhere.
+    /// All engines by slot, as seen by a request. Cached by class for requests that may be sent to any
+    /// engine.
     fn candidates(&mut self, now: Duration, sequence: u64) -> Arc<[Candidate]> {
         let request = &self.requests[sequence];
         let free = request.first_possible_run.is_none();
@@ -152,7 +161,7 @@
         self.engines.get(&engine).is_some_and(|engine| self.is_eligible(now, request, engine))
     }
 
-    /// The engines that are eligible and where the request conflicts with nothing, in the order of preference.
+    /// The eligible engines at which the request conflicts with no other, in the order of preference.
     fn choices(
         &mut self,
         now: Duration,
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,14 +1,19 @@
-//! Retries: how many are allowed (rule 7), and when a running attempt is migrated to another engine.
+//! Retries: the retry budget (safety rule 7), and the migration of an attempt in flight to another engine.
 //!
-//! **Retry budget.** Within any window of the stated length at most `free_retries + retry_ratio * arrivals` attempts are
-//! retries. Inputs: times of arrivals and retries. Arrivals count one tick less, retries one tick more than the window,
-//! so that the budget holds whichever moment within a tick a window begins.
+//! **Retry budget.** Within any window of the configured length at most `free_retries + retry_ratio ×
+//! arrivals` attempts are retries. Inputs: the times of arrivals and of retries at this front. Arrivals are
+//! counted over the window less one tick, retries over the window plus one tick, so that the budget holds
+//! wherever within a tick the window starts.
 //!
-//! **Migration.** An attempt is given up and the request sent elsewhere, if the rules allow another attempt, when its engine reports
-//! that it waits for another front's bulk load, or that at its pace the rest would take [`MIGRATE_FACTOR`] times the usual latency
-//! of its class. This guards against bad plans, slow engines and work that stands still; the work done so far is lost. From
-//! [`FIRST_ATTEMPT_THAT_STAYS`] on a slow attempt stays, as the request is taken to be truly large; one that waits for a bulk load is still migrated. An idempotent request that was migrated
-//! and will not end before its client's deadline is given up.
+//! **Migration.** An attempt in flight is cancelled and its request queued again, provided that another
+//! attempt is allowed, if
+//! - its engine reports that it waits for a bulk load and the request is not a bulk load itself, or
+//! - at its current pace the rest would take more than [`MIGRATE_FACTOR`] × the usual latency of its class.
+//!
+//! This guards against bad query plans, slow engines and hung requests. The work done so far is lost. From
+//! attempt [`FIRST_ATTEMPT_THAT_STAYS`] on a slow attempt is not migrated, as the request is then taken to
+//! be really large; an attempt that waits for a bulk load still is. An idempotent request that was migrated
+//! before and will not end before its client's deadline is given up.
 
 use crate::deployment::{Idempotency, RetryBudget};
 use crate::endpoint::EngineId;
@@ -17,16 +22,17 @@
 use crate::request::{InFlight, RequestGoal};
 use std::time::Duration;
 
-/// An attempt that needs so many usual latencies from now on is migrated.
+/// An attempt is migrated if the rest of it would take more than this multiple of the class's usual latency.
 const MIGRATE_FACTOR: f64 = 6.0;
-/// From this attempt on, counted from 1, one that is slow is not migrated; one that waits for a bulk load still is.
+/// From this attempt on, counted from 1, a slow attempt is not migrated. One that waits for a bulk load
+/// still is.
 const FIRST_ATTEMPT_THAT_STAYS: u32 = 3;
-/// The least share done that is told apart.
+/// Lower limit of the reported share of work done; avoids a division by zero.
 const MIN_SHARE_DONE: f64 = 1e-3;
-/// The longest time to the end that is told apart, in seconds.
+/// Upper limit of the estimated time to the end of an attempt, in seconds.
 const MAX_REMAINING: f64 = 1e6;
 
-/// Arrivals and retries within the retry budget's window.
+/// Times of arrivals and retries within the retry budget's window.
 #[derive(Default)]
 pub(crate) struct RetryWindow {
     arrivals: Vec<Duration>,
@@ -42,7 +48,7 @@
         self.retries.push(now);
     }
 
-    /// Whether the budget has room for one more retry now.
+    /// Whether the budget allows one more retry now.
     fn has_room(&mut self, now: Duration, budget: &RetryBudget, tick: Duration) -> bool {
         self.arrivals.retain(|at| *at + budget.window > now + tick);
         self.retries.retain(|at| *at + budget.window + tick >= now);
@@ -58,7 +64,7 @@
         self.retries.has_room(now, &budget, self.deployment.tick)
     }
 
-    /// Takes note of what an engine reports of an attempt.
+    /// Handles a progress report of an attempt.
     pub(crate) fn handle_progress(
         &mut self,
         now: Duration,
@@ -81,7 +87,8 @@
         }
     }
 
-    /// A bulk load holds the table group there; unless it is this front's own, it is another front's.
+    /// Handles a report that an attempt waits for a bulk load of its table group. If this front runs none
+    /// there, the bulk load is another front's.
     fn handle_blocked_attempt(&mut self, now: Duration, sequence: u64, engine: EngineId) {
         let (table_group, class) = (self.requests[sequence].table_group, self.requests[sequence].class);
         let until = now + self.deployment.progress_interval;
@@ -113,7 +120,8 @@
         }
     }
 
-    /// Queues a request whose attempt is in flight for another attempt, if it may have one: what is in flight is cancelled.
+    /// Queues a request in flight for another attempt, if it may have one. `reconcile` then cancels the
+    /// attempt in flight.
     fn migrate(&mut self, sequence: u64) {
         let capabilities = &self.deployment.capabilities;
         let Some(request) = self.requests.get_mut(sequence) else { return };
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -1,21 +1,34 @@
-//! Slow start: an engine that warms up gets little at first, shared out among the fronts (rule 4).
+//! Slow start: limits the work that all fronts together send to an engine that has started recently (safety
+//! rule 4).
 //!
-//! An engine that warms up does `slow_start_share` of its work and fails at `overload_factor` times that within
-//! `overload_window`. All fronts together send at most [`SAFE_OVERLOAD_SHARE`] of that, each its part:
+//! An engine that warms up runs `slow_start_share` of its usual work. It fails if it is sent
+//! `overload_factor` times that work within `overload_window`. This is its overload limit, in seconds of
+//! work on one thread:
 //!
-//! quota = overload_factor × slow_start_share × cores × overload_window × [`SAFE_OVERLOAD_SHARE`] × this front's part,
+//! overload limit = overload_factor × slow_start_share × cores × overload_window
 //!
-//! in seconds of work on one thread. The part is the quota that the fronts have agreed on, or one over their number. A request whose
-//! class's mean work would exceed the quota finds the engine ineligible: it goes elsewhere or stays queued.
+//! All fronts together send at most [`SAFE_OVERLOAD_SHARE`] of the overload limit; each front has a quota:
 //!
-//! Where the quota is less than one small request, small requests go by turns of one request each: turns begin one after the other
-//! at equal distances from the engine's start on, one front's after the other's in an order that the engine's id offsets, so that no
-//! chance is left in who has one. Requests whose turn begins within a window, and those whose turn is open when it begins, together are
-//! what the engine bears.
+//! quota = overload limit × [`SAFE_OVERLOAD_SHARE`] × share of this front
 //!
-//! A front that has started after the engine may have sent all of its quota before, and forgotten it: it sends nothing there for a window.
+//! The share of this front is the one that the fronts have agreed on, or else 1 / number of fronts. The
+//! engine is not eligible for a request if the mean work of the request's class exceeds what is left of the
+//! quota. Such a request is sent to another engine or stays queued.
 //!
-//! Besides, placement passes an engine that warms up over at random, less often the warmer it is (the paper's carry-over).
+//! If the quota is less than the mean work of a small request, the fronts take turns by time slots instead,
+//! and each front sends one small request in its slot. Slots start at equal distances, counted from the
+//! start of the engine. Their order is that of the fronts' indices, shifted by a hash of the engine's id. So
+//! nothing is left to chance: at most a known number of requests is sent within any window. That number
+//! counts the slots that start within the window and those that are open when it starts.
+//!
+//! slots per overload window = floor(fronts × quota / (1 + [`TURN_LENGTH`]) / mean work of small requests)
+//!
+//! A front that has started after the engine may have sent its whole quota before its own restart, and has
+//! no record of it. It sends nothing to that engine for one window.
+//!
+//! In addition, placement skips an engine that warms up at random. The probability of a skip falls as the
+//! slow-start factor rises from `slow_start_share` to 1. This is the carry-over rule of the paper
+//! (docs/design.md).
 
 use crate::endpoint::EngineId;
 use crate::engine::{Engine, SentWork};
@@ -24,18 +37,20 @@
 use crate::request::Request;
 use std::time::Duration;
 
-/// Share of what an engine that warms up is stated to bear that all fronts together may send there: it may be slower than
-/// others, and counts as full before all of its cores are busy.
+/// The share of an engine's overload limit that all fronts together may send. It is below 1 because the
+/// engine may be slower than others, and because it counts as full before all of its cores are busy.
 const SAFE_OVERLOAD_SHARE: f64 = 0.6;
-/// How long a turn is open, as a share of the overload window.
+/// How long a slow-start time slot is open, as a share of the overload window.
 const TURN_LENGTH: f64 = 0.25;
-/// Requests of work up to this share of all that the engine bears are small.
+/// A request is small if its work is at most this share of the overload limit.
 const SMALL_REQUEST_SHARE: f64 = 0.05;
-/// Modulus of the hash of an engine's id; the result says by how many turns its rotation is shifted.
+/// Modulus of the hash of an engine's id. The result is the number of slots by which the engine's slot order
+/// is shifted.
 const TURN_OFFSET_MODULUS: u64 = 0x1_0000_0000;
 
 impl Gateway {
-    /// Whether an engine that warms up has room for a request by this front; true for one that is warm.
+    /// Whether this front may send a request to an engine within slow start; always true for an engine that
+    /// is warmed up.
     pub(crate) fn has_slow_start_room(&self, now: Duration, request: &Request, engine: &Engine) -> bool {
         if !self.is_warming_up(now, engine) {
             return true;
@@ -59,12 +74,13 @@
         sent + work <= quota
     }
 
-    /// Whether an engine warms up.
+    /// Whether an engine is within the slow-start window after its start.
     pub(crate) fn is_warming_up(&self, now: Duration, engine: &Engine) -> bool {
         engine.is_warming_up(now, self.deployment.safety_rules.slow_start_window)
     }
 
-    /// How warm an engine that warms up is, from the stated share at its start to 1.
+    /// The slow-start factor of an engine that warms up: `slow_start_share` at its start, then linear in
+    /// time up to 1.
     pub(crate) fn warmth(&self, now: Duration, engine: &Engine) -> f64 {
         let rules = &self.deployment.safety_rules;
         let age = now.saturating_sub(engine.entry.started_at).as_secs_f64();
@@ -72,7 +88,7 @@
         initial + (1.0 - initial) * age / rules.slow_start_window.as_secs_f64()
     }
 
-    /// Counts work that was sent to an engine.
+    /// Counts work that was sent to an engine. `work` is in seconds on one thread.
     pub(crate) fn record_slow_start_work(&mut self, now: Duration, engine: EngineId, work: f64) {
         let window = self.slow_start_memory();
         if let Some(engine) = self.engines.get_mut(&engine) {
@@ -81,12 +97,13 @@
         }
     }
 
-    /// For how long work that was sent counts.
+    /// How long sent work counts against the quota: the overload window and one tick.
     fn slow_start_memory(&self) -> Duration {
         self.deployment.safety_rules.overload_window + self.deployment.tick
     }
 
-    /// Seconds of work within the overload window from which on an engine that has just started fails.
+    /// The overload limit of an engine that has just started: it fails if it is sent this many seconds of
+    /// work, on one thread, within the overload window.
     fn bearable_work(&self, engine: &Engine) -> f64 {
         let rules = &self.deployment.safety_rules;
         rules.overload_factor
@@ -95,14 +112,15 @@
             * rules.overload_window.as_secs_f64()
     }
 
-    /// The mean work of small requests, in seconds; no number where there are none.
+    /// The mean work of small requests, in seconds on one thread; NaN if no class has small requests.
     fn mean_small_work(&self, bears: f64) -> f64 {
         let works = || self.classes.iter().map(|class| class.work);
         let small = || works().filter(|work| work.mean() <= bears * SMALL_REQUEST_SHARE);
         small().map(|work| work.sum).sum::<f64>() / small().map(|work| work.weight).sum::<f64>()
     }
 
-    /// Whether it is this front's turn, where so many turns begin within the overload window.
+    /// Whether this front's time slot is open. `slots` is the number of slots that start within one overload
+    /// window.
     fn has_turn(&self, now: Duration, engine: &Engine, turns: f64) -> bool {
         let age = now.saturating_sub(engine.entry.started_at).as_secs_f64();
         let begun = age / self.deployment.safety_rules.overload_window.as_secs_f64() * turns;
