--- a/src/action.rs
+++ b/src/action.rs
@@ -1,13 +1,14 @@
-//! What the gateway wants done. Nothing here decides.
+//! The actions that the gateway returns. This module holds data only.
 
 use crate::endpoint::EngineId;
 use crate::event::RequestId;
 use std::time::Duration;
 
-/// What the gateway wants done, in the order given.
+/// An action that the gateway's caller has to carry out. Actions are carried out in the order in which they
+/// are returned.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Sets the priority and memory of a request, also of an attempt in flight.
+    /// Sets the priority and memory grant of a request, including its attempt in flight.
     SetPriority {
         /// The request.
         request: RequestId,
@@ -20,11 +21,12 @@
     Send {
         /// The request.
         request: RequestId,
-        /// Where to send it.
+        /// The engine that it is sent to.
         engine: EngineId,
-        /// After this time the attempt has timed out; zero leaves it to the client's timeout.
+        /// The attempt times out after this duration; if zero, it has no timeout but the client's.
         timeout: Duration,
-        /// If none of it has been written by then, since the clock's origin, it must not be written any more.
+        /// Time since the clock's origin by which the attempt has to start: if nothing of it has been
+        /// written by then, it must not be written. `None` for no limit.
         start_by: Option<Duration>,
     },
     /// Cancels an attempt in flight.
@@ -34,28 +36,29 @@
         /// The attempt's number, from 0.
         attempt: u32,
     },
-    /// Answers that the request was rejected without effect, and when to come back.
+    /// Answers the client that the request was rejected without any effect.
     Reject {
         /// The request.
         request: RequestId,
-        /// Time after which the client may come back.
+        /// Time after which the client may retry; `None` if none is given.
         retry_after: Option<Duration>,
     },
-    /// Answers that the request failed; it may have had its effect.
+    /// Answers the client that the request failed. It may have had its effect.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Asks for [`Event::TimerFired`](crate::Event::TimerFired) at this time; timers that were asked for before stay.
+    /// Requests an [`Event::TimerFired`](crate::Event::TimerFired) at this time. Timers that were set before
+    /// stay.
     SetTimer {
-        /// When it is to fire, since the clock's origin.
+        /// When it fires, since the clock's origin.
         at: Duration,
     },
-    /// Probes an engine's load.
+    /// Sends a load probe to an engine.
     Probe {
         /// The engine.
         engine: EngineId,
     },
-    /// Asks discovery for changes from now on.
+    /// Requests the changes of the endpoint list from discovery, from now on.
     WatchEndpoints,
 }
--- a/src/arrival.rs
+++ b/src/arrival.rs
@@ -1,9 +1,13 @@
-//! A request arrives: it is queued, and it is worked out when its client first asked.
+//! Arrivals: a request is queued, and the time at which its client first sent it is estimated.
 //!
-//! A client that retries gives each try what is left of its deadline. A retry is told by its mark where clients mark them, or else by a
-//! timeout that differs from the usual one of first tries by more than [`TIMEOUT_TOLERANCE`] of the deadline. A retry is as
-//! old as its timeout is shorter than the deadline, so that it is not served when it comes too late to count. A timeout under
-//! [`HURRIED_TIMEOUT`] of the deadline is a first try's in a hurry.
+//! A client that retries gives each try only what is left of its deadline. The age of a retry is the class's
+//! deadline minus the client timeout. It counts against the request's objective, so that no work is spent on
+//! a response that comes too late.
+//!
+//! A retry is recognized by the client's mark, if the deployment's clients mark retries. Otherwise it is
+//! recognized by a client timeout that differs from the usual one of first tries by at least
+//! [`TIMEOUT_TOLERANCE`] of the deadline. In either case a request with a short client timeout, of at most
+//! [`HURRIED_TIMEOUT`] of the deadline, is taken for a first try.
 
 use crate::event::Arrival;
 use crate::gateway::Gateway;
@@ -11,13 +15,13 @@
 use crate::request_class::UsualTimeout;
 use std::time::Duration;
 
-/// Timeouts are alike within this share of the deadline.
+/// Two client timeouts are taken for equal if they differ by less than this share of the deadline.
 const TIMEOUT_TOLERANCE: f64 = 0.005;
-/// What a timeout that is not alike counts against the usual one; one that is alike counts 1 for it.
+/// Weight of a vote against the usual timeout. A vote for it has weight 1.
 const TIMEOUT_VOTE_AGAINST: f64 = 0.25;
-/// A timeout under this share of the deadline is not taken for a retry's.
+/// A client timeout of at most this share of the deadline is not taken for that of a retry.
 const HURRIED_TIMEOUT: f64 = 0.25;
-/// The priority that engines take a request to have before they are given one.
+/// The priority that engines assume for a request before one is set.
 const INITIAL_PRIORITY: u8 = 1;
 
 impl Gateway {
@@ -56,7 +60,7 @@
         self.requests.insert(sequence, request);
     }
 
-    /// How long ago the client first asked.
+    /// The time since the client first sent the request.
     fn age_of(&mut self, class: usize, arrival: &Arrival) -> Duration {
         let class = &mut self.classes[class];
         let deadline = class.config.deadline;
@@ -79,7 +83,7 @@
         self.timeout.abs_diff(timeout) < deadline.mul_f64(TIMEOUT_TOLERANCE)
     }
 
-    /// Votes for the usual timeout or against it; one without votes left is replaced.
+    /// Counts one vote for or against the usual timeout. Without votes left, it is replaced by `timeout`.
     fn vote(&mut self, timeout: Duration, deadline: Duration) {
         self.votes += if self.is_alike(timeout, deadline) { 1.0 } else { -TIMEOUT_VOTE_AGAINST };
         if self.votes <= 0.0 {
--- a/src/attempt_end.rs
+++ b/src/attempt_end.rs
@@ -1,4 +1,8 @@
-//! What the end of an attempt teaches, and what becomes of its request.
+//! The end of an attempt: updates the state of its engine, its class and its request.
+//!
+//! Inputs: outcome, duration and, if reported, resource usage and load. The engine's health, congestion and
+//! concurrency limit change by the outcome; the class's means of work, memory and latency change by a
+//! response. The request is finished, queued for another attempt, or given up.
 
 use crate::concurrency_limit::{LimitBounds, shows_pressure};
 use crate::engine::AttemptEdge;
@@ -7,11 +11,12 @@
 use crate::request::{PossibleRun, RequestGoal};
 use std::time::Duration;
 
-/// The least work that is told apart, in seconds on one thread.
+/// Lower limit of a request's reported work, in seconds on one thread.
 const MIN_WORK: f64 = 1e-3;
 
 impl Gateway {
-    /// Takes note of an attempt's end: of the engine's health, of the class's needs, and of what becomes of the request.
+    /// Handles the end of an attempt: updates the engine's health and the class's means, and decides what
+    /// follows for the request.
     pub(crate) fn handle_attempt_end(&mut self, now: Duration, end: AttemptEnd) {
         self.handle_load_report(now, end.engine, end.load, None);
         self.record_engine_outcome(now, &end);
@@ -30,8 +35,9 @@
         }
     }
 
-    /// What the outcome tells of the engine. In many-front mode a rejection also counts as a slow attempt, as in a full
-    /// overload nothing returns from which slowness could be learned. A single full engine raises the slow share, too.
+    /// Updates the health of the engine. In many-front mode a rejection also counts as a slow attempt, as
+    /// during a full overload no response arrives from which slowness could be learned. The drawback is that
+    /// a single full engine also raises the slow share.
     fn record_engine_outcome(&mut self, now: Duration, end: &AttemptEnd) {
         if end.outcome == AttemptOutcome::Rejected && self.many_fronts() {
             self.slow_share.record(now, true);
@@ -50,7 +56,8 @@
         }
     }
 
-    /// Ends the attempt in flight of a request. Returns its duration as a multiple of the class's slow threshold, if known.
+    /// Ends the attempt in flight of a request. Returns its duration as a multiple of the time after which
+    /// it is slow; `None` if that is unknown.
     fn end_attempt(&mut self, now: Duration, sequence: u64, end: &AttemptEnd) -> Option<f64> {
         self.attempt_ended = true;
         self.release_engine(now, sequence, end);
@@ -66,7 +73,7 @@
         slowness
     }
 
-    /// Counts the attempt out at its engine, and moves the concurrency limit there if it returned.
+    /// Removes the attempt from the engine's counters. If it returned, adjusts the concurrency limit there.
     fn release_engine(&mut self, now: Duration, sequence: u64, end: &AttemptEnd) {
         let request = &self.requests[sequence];
         let class = &self.classes[request.class];
@@ -84,7 +91,8 @@
         }
     }
 
-    /// Updates what is known of the class by a response.
+    /// Updates the class's means by a response. Returns the attempt's slowness if the response reports the
+    /// work.
     fn learn_from_response(&mut self, now: Duration, sequence: u64, end: &AttemptEnd) -> Option<f64> {
         let request = &self.requests[sequence];
         let class = &mut self.classes[request.class];
@@ -110,7 +118,7 @@
         }
     }
 
-    /// Blocks the request's key while the attempt may still run.
+    /// Blocks the request's ordering key while the attempt may still be running.
     fn block_key_if_unknown(&mut self, now: Duration, sequence: u64, outcome: AttemptOutcome) {
         if let Some(key) = self.requests[sequence].key
             && leaves_outcome_unknown(outcome)
@@ -119,7 +127,7 @@
         }
     }
 
-    /// Queues the request for another attempt, unless something else is to become of it.
+    /// Clears the attempt in flight, and queues the request again unless it has another goal by now.
     fn clear_attempt(&mut self, now: Duration, sequence: u64, end: &AttemptEnd) {
         let Some(request) = self.requests.get_mut(sequence) else { return };
         request.in_flight = None;
@@ -134,7 +142,7 @@
     }
 }
 
-/// Whether the attempt may still run after its end.
+/// Whether the attempt may still be running after its end.
 fn leaves_outcome_unknown(outcome: AttemptOutcome) -> bool {
     matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled)
 }
--- a/src/candidate.rs
+++ b/src/candidate.rs
@@ -1,16 +1,17 @@
-//! An engine as the requests of one class see it within one scan.
+//! An engine as seen by the requests of one class within one scan.
 
 use crate::endpoint::EngineId;
 
-/// What an engine is to the requests of one class. None of it changes within a scan until an attempt begins.
+/// An engine as seen by the requests of one class. The fields stay valid within a scan until an attempt
+/// begins.
 #[derive(Clone, Copy)]
 pub(crate) struct Candidate {
-    /// Which engine.
+    /// The engine's id.
     pub(crate) engine: EngineId,
-    /// Whether such a request may go there (`eligibility`).
+    /// Whether a request of the class may be sent there (`eligibility`).
     pub(crate) eligible: bool,
-    /// Whether it has started so lately that it still warms up.
+    /// Whether the engine is within its slow-start window.
     pub(crate) warming_up: bool,
-    /// Threads per core that it is estimated to run.
+    /// Estimated threads per core.
     pub(crate) load: f64,
 }
--- a/src/concurrency_limit.rs
+++ b/src/concurrency_limit.rs
@@ -1,29 +1,36 @@
 //! Adaptive concurrency limit of one front at one engine: additive increase, multiplicative decrease.
 //!
-//! Inputs: the latency of each attempt that returned against its latency objective. A response that takes more than
-//! [`PRESSURE_SHARE`] of the objective shows pressure, from other fronts, other programs, slow cores or short memory
-//! alike: the limit, in threads, is multiplied by [`DECREASE_FACTOR`], at most once in [`DECREASE_INTERVAL`]. A response
-//! without pressure, while the limit is used, raises it by [`INCREASE_STEP`] threads for each limit's worth of
-//! responses. The limit begins at this front's share of the threads that admit all (`admission`). Requests that
-//! are slow of their own lower it for a while.
+//! Inputs: the latency of each attempt that returned, and its latency objective. A response that takes more
+//! than [`PRESSURE_SHARE`] of the objective shows pressure, whatever the cause: other fronts, other
+//! programs, slow cores or lack of memory.
+//!
+//! - With pressure, the limit (in threads) is multiplied by [`DECREASE_FACTOR`], at most once in
+//!   [`DECREASE_INTERVAL`].
+//! - Without pressure, if the limit is in use, it grows by [`INCREASE_STEP`] threads per limit's worth of
+//!   responses.
+//!
+//! The limit starts at this front's share of the threads that admit everything (`admission`). This guards
+//! against an overload by other fronts that this front can't see otherwise. Requests that are slow without
+//! any pressure lower the limit for some time as well.
 
 use crate::engine::{Engine, PRIORITIES};
 use std::time::Duration;
 
-/// A response after more than this share of the latency objective shows pressure.
+/// A response that takes more than this share of the latency objective shows pressure.
 const PRESSURE_SHARE: f64 = 0.4;
-/// What a decrease leaves of the limit.
+/// The limit is multiplied by this when it is decreased.
 const DECREASE_FACTOR: f64 = 0.6;
-/// The least time between two decreases, as a share of the shortest latency objective.
+/// The shortest time between two decreases, as a share of the shortest latency objective.
 const DECREASE_INTERVAL: f64 = 0.5;
-/// Threads by which the limit grows for each limit's worth of responses without pressure.
+/// Threads by which the limit grows per limit's worth of responses without pressure.
 const INCREASE_STEP: f64 = 0.5;
 /// The lowest limit, in threads.
 const MIN_LIMIT: f64 = 0.5;
-/// How priorities share cores and disks that are short: the share of each, against the lowest.
+/// Weights by which engines divide cores and disks that are short among the priorities, relative to the
+/// lowest one.
 const PRIORITY_SHARES: [f64; PRIORITIES] = [1.0, 4.0, 8.0, 16.0];
 
-/// The bounds within which an engine's limit moves.
+/// Parameters of a limit's adjustment.
 pub(crate) struct LimitBounds {
     /// The highest limit, in threads.
     pub(crate) max_threads: f64,
@@ -31,13 +38,13 @@
     pub(crate) min_objective: Duration,
 }
 
-/// Whether a response shows pressure. `latency` and `objective` in seconds.
+/// Whether a response shows pressure. `latency` and `objective` are in seconds.
 pub(crate) fn shows_pressure(latency: f64, objective: f64) -> bool {
     latency > objective * PRESSURE_SHARE
 }
 
 impl Engine {
-    /// Moves the limit after a response to a request of so many threads.
+    /// Adjusts the limit after a response to a request that runs on `threads` threads.
     pub(crate) fn adjust_concurrency_limit(
         &mut self,
         now: Duration,
@@ -55,12 +62,13 @@
         }
     }
 
-    /// Whether this front has seen no pressure there for a report's age.
+    /// Whether the limit has not been decreased within the maximum age of a report.
     pub(crate) fn is_unpressured(&self, now: Duration, max_report_age: Duration) -> bool {
         now >= self.limit_decreased_at + max_report_age
     }
 
-    /// This front's threads there as a request of a priority feels them: those of lower priority by their share of the cores.
+    /// This front's threads at the engine that compete with a request of a priority. Threads of a lower
+    /// priority are weighted by their share of the cores.
     pub(crate) fn contending_threads(&self, priority: u8) -> f64 {
         let own = PRIORITY_SHARES[usize::from(priority)];
         let weighted = |(threads, share): (&f64, f64)| threads * (share / own).min(1.0);
--- a/src/conflicts.rs
+++ b/src/conflicts.rs
@@ -1,8 +1,10 @@
-//! Conflict ordering, the paper's test: which requests must not run on the same engine at once.
+//! Conflicts: decides which requests must not run on the same engine at once (the conflict ordering of the
+//! paper).
 //!
-//! A bulk load holds its table group on its engine: other bulk loads of the group, and requests that wait for bulk loads,
-//! would stand still there. Inputs: this front's attempts on the engine, bulk loads of other fronts that progress
-//! reports have shown (for one progress interval), and the starvation header if it is tied to the engine.
+//! A bulk load locks its table group on its engine: other bulk loads of the group, and requests that wait
+//! for bulk loads, would hang there. Inputs: this front's attempts on the engine, bulk loads of other fronts
+//! that progress reports have shown (each for one progress interval), and the starvation header if its
+//! engine is this one.
 
 use crate::deployment::RequestClassConfig;
 use crate::engine::Engine;
@@ -11,7 +13,8 @@
 use std::time::Duration;
 
 impl Gateway {
-    /// Whether a request would stand still on an engine, hold up others there, or hold up the starvation header.
+    /// Whether a request would hang on an engine, would block others there, or would delay the starvation
+    /// header.
     pub(crate) fn conflicts(&self, now: Duration, request: &Request, engine: &Engine) -> bool {
         let config = &self.classes[request.class].config;
         let bulk_loading = engine.bulk_loads.contains_key(&request.table_group)
--- a/src/congestion.rs
+++ b/src/congestion.rs
@@ -1,10 +1,19 @@
-//! Congestion: the last sign of how much an engine has to do, for fronts to which it reports no load.
+//! Congestion: an estimate of an engine's load for fronts to which it reports none, from the last sign of
+//! overload.
 //!
-//! Signs, in threads per core: an attempt's slowness as it ends (times [`ADMIT_NONE_AT_THREADS_PER_CORE`]), its silence, a
-//! rejection ([`REJECTED_LOAD`] times that), a load report. The highest sign counts and decays; a lower one is passed over until the
-//! higher has decayed that far. The time constant is the time in which the engine's cores could finish one smallest
-//! request from every front. This guards a front in many-front mode, which sends to an engine only every few seconds, against
-//! sending to one that stands still because all fronts do. An engine that is well again idles until the sign has decayed.
+//! Signs and their values in threads per core, where full = [`ADMIT_NONE_AT_THREADS_PER_CORE`]:
+//! - an attempt that ended slow: slowness × full;
+//! - an attempt in flight that has become slow: full;
+//! - a rejection: [`REJECTED_LOAD`] × full;
+//! - a load report: the load estimated from it, which replaces any earlier sign.
+//!
+//! The highest sign is kept and decays exponentially. A lower sign is ignored until the kept one has decayed
+//! below it. The time constant is the time in which the engine's cores could finish one request of the
+//! smallest class from every front.
+//!
+//! In many-front mode a front sends to an engine only every few seconds. This guards it against sending
+//! requests to an engine that hangs because all fronts do so. The drawback: an engine that has recovered
+//! stays idle until the sign has decayed.
 
 use crate::admission::ADMIT_NONE_AT_THREADS_PER_CORE;
 use crate::endpoint::EngineId;
@@ -12,13 +21,14 @@
 use crate::gateway::Gateway;
 use std::time::Duration;
 
-/// An engine that rejects counts as loaded by so many times the load from which nothing is admitted.
+/// The load of an engine that rejects, as a multiple of the load at which nothing is admitted.
 const REJECTED_LOAD: f64 = 4.0;
-/// No sign counts for more than so many times the load from which nothing is admitted.
+/// The highest load that a sign counts for, as a multiple of the load at which nothing is admitted.
 const MAX_CONGESTION: f64 = 6.0;
 
 impl Gateway {
-    /// Takes in a sign of congestion. `observed`: an outcome or a report showed it, and not only silence.
+    /// Records a sign of congestion. `observed` is true if an outcome or a report showed it, and false if
+    /// the engine was only silent.
     pub(crate) fn record_congestion(
         &mut self,
         now: Duration,
@@ -35,18 +45,18 @@
         }
     }
 
-    /// An engine has rejected an attempt.
+    /// Records that an engine has rejected an attempt.
     pub(crate) fn record_rejection(&mut self, now: Duration, id: EngineId) {
         self.record_congestion(now, id, REJECTED_LOAD * ADMIT_NONE_AT_THREADS_PER_CORE, true);
     }
 
-    /// An attempt has become slow while in flight.
+    /// Records that an attempt has become slow while in flight.
     pub(crate) fn record_silence(&mut self, now: Duration, id: EngineId, engine_alive: bool) {
         self.record_congestion(now, id, ADMIT_NONE_AT_THREADS_PER_CORE, engine_alive);
     }
 
-    /// An attempt ended after so many times the span after which it is slow. One in time clears the sign, unless the
-    /// engine reports its load itself.
+    /// Records the end of an attempt. `times` is its duration as a multiple of the time after which it is
+    /// slow. An attempt that was not slow clears the sign, unless the engine reports its load.
     pub(crate) fn record_slowness(&mut self, now: Duration, id: EngineId, times: f64, reported: bool) {
         if times > 1.0 {
             self.record_congestion(now, id, times * ADMIT_NONE_AT_THREADS_PER_CORE, true);
@@ -55,7 +65,7 @@
         }
     }
 
-    /// Threads per core by the last sign of congestion, decayed up to now.
+    /// Threads per core according to the kept sign of congestion, decayed to `now`.
     pub(crate) fn congestion(&self, now: Duration, engine: &Engine) -> f64 {
         let smallest = self.classes.iter().map(|class| class.work.mean()).fold(f64::MAX, f64::min);
         let time_constant =
--- a/src/decaying_mean.rs
+++ b/src/decaying_mean.rs
@@ -1,27 +1,27 @@
-//! Sums and means whose past decays exponentially.
+//! Exponentially decaying sums and means.
 
 use std::time::Duration;
 
-/// A weighted mean whose past decays; brought up to date when it is read or added to.
+/// An exponentially decaying weighted mean. It is brought up to date when it is read or added to.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct DecayingMean {
-    /// What was added, each value decayed since.
+    /// Sum of the values added, each decayed since.
     pub(crate) sum: f64,
-    /// The weight of what was added, decayed alike.
+    /// Sum of the weights added, each decayed since.
     pub(crate) weight: f64,
     /// When it was last brought up to date.
     pub(crate) at: Duration,
-    /// In how many seconds a value decays to a share of 1/e.
+    /// Seconds in which a value decays to a share of 1/e.
     pub(crate) time_constant: f64,
 }
 
 impl DecayingMean {
-    /// Begins with one value of weight one. The time constant is in seconds.
+    /// Creates a mean with one value of weight 1. `time_constant` is in seconds.
     pub(crate) fn new(time_constant: f64, first: f64) -> Self {
         DecayingMean { sum: first, weight: 1.0, at: Duration::ZERO, time_constant }
     }
 
-    /// Adds a value that already carries its weight.
+    /// Adds a value that is already multiplied by its weight.
     pub(crate) fn add(&mut self, now: Duration, value: f64, weight: f64) {
         let remaining = (-now.saturating_sub(self.at).as_secs_f64() / self.time_constant).exp();
         self.sum = self.sum * remaining + value;
@@ -29,13 +29,13 @@
         self.at = now;
     }
 
-    /// The same, decayed up to now.
+    /// The mean decayed to `now`.
     pub(crate) fn decayed_to(mut self, now: Duration) -> Self {
         self.add(now, 0.0, 0.0);
         self
     }
 
-    /// The mean of what was added.
+    /// The weighted mean of the values added.
     pub(crate) fn mean(&self) -> f64 {
         self.sum / self.weight.max(f64::MIN_POSITIVE)
     }
--- a/src/ejection.rs
+++ b/src/ejection.rs
@@ -1,25 +1,33 @@
-//! Outlier ejection: after a failure nothing is sent to an engine for a while.
+//! Outlier ejection: nothing is sent to an engine for some time after a failure.
 //!
-//! Inputs: attempts that could not connect, were reset or rejected, and probes that were not answered. The ejection time is
-//! [`BASE_EJECTION_TIME`] connect timeouts, doubled with each further counted failure up to [`MAX_COUNTED_FAILURES`]; in many-front
-//! mode a failure counts [`FAILURE_WEIGHT_MANY_FRONTS`]. It ends by time, by a response to an attempt, or when the engine restarts; an
-//! answered probe does not end it, and timeouts do not eject. After it, and until a response has come, one attempt at a time is sent there. This guards against engines that are dead, cut
-//! off, draining or out of connections, whatever the cause; a passing fault costs one ejection.
+//! Inputs: attempts that could not connect, were reset or were rejected, and probes that were not answered.
+//! Timeouts do not eject.
+//!
+//! ejection time = [`BASE_EJECTION_TIME`] × connect timeout × 2^(counted failures - 1)
+//!
+//! Failures are counted up to [`MAX_COUNTED_FAILURES`]; in many-front mode one counts for
+//! [`FAILURE_WEIGHT_MANY_FRONTS`]. The ejection ends after that time, with a response to an attempt, or with
+//! a restart of the engine. An answered probe does not end it. After the ejection time and until a response,
+//! one attempt at a time is sent to the engine.
+//!
+//! This guards against engines that are dead, unreachable, draining or out of connections, whatever the
+//! cause. A transient fault costs one ejection.
 
 use crate::endpoint::EngineId;
 use crate::engine::Engine;
 use crate::gateway::Gateway;
 use std::time::Duration;
 
-/// Time without attempts after the first failure, in connect timeouts.
+/// The ejection time after the first failure, in connect timeouts.
 const BASE_EJECTION_TIME: f64 = 2.0;
-/// Consecutive failures that are counted at most.
+/// The maximum number of consecutive failures that are counted.
 const MAX_COUNTED_FAILURES: u32 = 5;
-/// Failures that one counts for in many-front mode, as a front then rarely sends to the same engine.
+/// Number of failures that one counts for in many-front mode, as a front then rarely sends to the same
+/// engine twice.
 const FAILURE_WEIGHT_MANY_FRONTS: u32 = 3;
 
 impl Gateway {
-    /// Ejects an engine after a failure; one that comes while it is ejected changes nothing.
+    /// Ejects an engine after a failure. A failure while it is ejected changes nothing.
     pub(crate) fn record_failure(&mut self, now: Duration, engine: EngineId) {
         let weight = if self.many_fronts() { FAILURE_WEIGHT_MANY_FRONTS } else { 1 };
         let connect_timeout = self.deployment.capabilities.connect_timeout;
@@ -39,12 +47,13 @@
         self.last_seen = now;
     }
 
-    /// Whether it is not ejected, and not already tried after an ejection.
+    /// Whether an attempt may be sent: the engine is not ejected, and after an ejection no other attempt is
+    /// in flight.
     pub(crate) fn may_be_tried(&self, now: Duration) -> bool {
         self.ejected_until <= now && (self.consecutive_failures == 0 || self.in_flight == 0)
     }
 
-    /// Whether it is not ejected and has not failed since its last response.
+    /// Whether the engine is not ejected and has not failed since its last response.
     pub(crate) fn has_no_failure(&self, now: Duration) -> bool {
         self.ejected_until <= now && self.consecutive_failures == 0
     }
--- a/src/eligibility.rs
+++ b/src/eligibility.rs
@@ -1,7 +1,11 @@
-//! Eligibility: whether placement may consider an engine for a request at all.
+//! Eligibility: decides whether placement may consider an engine for a request.
 //!
-//! It may if discovery lists the engine as active, it is not blocked for the class, its zone and kind of machine are allowed, it
-//! is not ejected, it is in this front's subset, it has room if it warms up, and the request can't have its effect twice there.
+//! An engine is eligible if
+//! - discovery lists it as active, and it is not blocked for the class;
+//! - its zone and kind of machine are allowed;
+//! - it is not ejected, and it is in this front's subset;
+//! - slow start allows the request, if the engine warms up;
+//! - the request can't have a double effect there.
 
 use crate::endpoint::EngineState;
 use crate::engine::Engine;
@@ -10,7 +14,7 @@
 use std::time::Duration;
 
 impl Gateway {
-    /// Whether the rules and the engine's health let the request go there now.
+    /// Whether a request may be sent to an engine now.
     pub(crate) fn is_eligible(&self, now: Duration, request: &Request, engine: &Engine) -> bool {
         let entry = &engine.entry;
         entry.state == EngineState::Active
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -1,39 +1,41 @@
-//! Engines as discovery lists them. Nothing here decides.
+//! Engines as listed by discovery. This module holds data only.
 
 use std::time::Duration;
 
 /// An engine's id, the same at every front.
 pub type EngineId = u32;
 
-/// Whether an engine may get new attempts, as discovery lists it.
+/// Whether an engine may receive new attempts, as listed by discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum EngineState {
-    /// It may get new attempts.
+    /// It may receive new attempts.
     #[default]
     Active,
-    /// It gets nothing new; what is in flight goes to its end.
+    /// It receives no new attempts. Those in flight run to their end.
     Draining,
-    /// It is not in the list any more.
+    /// It is no longer in the endpoint list.
     Removed,
 }
 
 /// An engine in the endpoint list.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EngineEntry {
-    /// The engine.
+    /// The engine's id.
     pub engine: EngineId,
-    /// Its zone, by the deployment's number.
+    /// The number of its zone in the deployment.
     pub zone: u32,
-    /// Its cell, by the deployment's number: engines that share what they remember of idempotency keys.
+    /// The number of its cell in the deployment. The engines of a cell share their record of idempotency
+    /// keys.
     pub cell: u32,
     /// Its kind of machine, as an index into [`Deployment::machine_kinds`](crate::Deployment::machine_kinds).
     pub machine_kind: u32,
-    /// Whether it may get new attempts.
+    /// Whether it may receive new attempts.
     pub state: EngineState,
-    /// When it last started, since the clock's origin; zero for long ago.
+    /// Time of its last start, since the clock's origin; zero if it started long ago.
     pub started_at: Duration,
-    /// A bit for each request class that may not be sent there, whatever else holds. An engine that is blocked for all
-    /// classes stays known: what it was sent while it warmed up still counts once it is open again.
+    /// One bit for each request class, by its index: if set, the class may not be sent there. An engine that
+    /// is blocked for all classes is still known, so that the work sent to it while it warmed up still
+    /// counts after it is unblocked.
     pub blocked_classes: u64,
 }
 
@@ -44,13 +46,13 @@
     }
 }
 
-/// How an update of the endpoint list is to be read.
+/// The kind of an update of the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointUpdateKind {
-    /// It holds only the engines that changed.
+    /// It holds only the engines that have changed.
     Delta,
-    /// It holds all engines: one that is missing was removed.
+    /// It holds all engines. An engine that is missing was removed.
     Full,
-    /// It holds all engines that were known when this front last ran, and may be stale.
+    /// It holds all engines that were known when this front last ran. It may be stale.
     Restored,
 }
--- a/src/endpoint_updates.rs
+++ b/src/endpoint_updates.rs
@@ -1,8 +1,8 @@
-//! The endpoint list changes: engines come, go, start anew or are blocked.
+//! Updates of the endpoint list: engines are added, removed, restarted or blocked.
 //!
-//! An engine that has started anew is another one: its health and reports are forgotten, and what this front sent there since that
-//! start counts as sent while it warms up, also what was sent before the update came. A removed or draining engine stays
-//! known as long as an attempt is in flight there.
+//! An engine that has restarted is treated as a new one: its health and reports are discarded. The work that
+//! this front has sent since the restart counts for slow start, including work sent before the update
+//! arrived. An engine that drains or was removed is kept while an attempt is in flight there.
 
 use crate::admission::initial_concurrency_limit;
 use crate::endpoint::{EndpointUpdateKind, EngineEntry, EngineId, EngineState};
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 impl Gateway {
-    /// Takes in an update of the endpoint list.
+    /// Applies an update of the endpoint list.
     pub(crate) fn handle_endpoints(&mut self, kind: EndpointUpdateKind, entries: Vec<EngineEntry>) {
         let before: Vec<EngineId> = self.engines.ids().collect();
         if kind != EndpointUpdateKind::Delta {
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -1,4 +1,4 @@
-//! What the gateway knows of each engine, and what this front has in flight there. Nothing here decides.
+//! The state of each engine, and this front's attempts in flight there. No decisions are made here.
 
 use crate::decaying_mean::DecayingMean;
 use crate::endpoint::EngineEntry;
@@ -7,50 +7,52 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Priorities that an attempt may have, from 0.
+/// The number of priorities; they are numbered from 0.
 pub(crate) const PRIORITIES: usize = 4;
 
-/// What is known of one engine, and what this front has there.
+/// The state of one engine as known to this front.
 #[derive(Default)]
 pub(crate) struct Engine {
     pub(crate) entry: EngineEntry,
-    /// Threads of this front's attempts there.
+    /// Threads of this front's attempts in flight there.
     pub(crate) own_threads: f64,
-    /// The same, by priority.
+    /// Threads of this front's attempts in flight there, by priority.
     pub(crate) threads_by_priority: [f64; PRIORITIES],
-    /// Attempts of this front there, by request class.
+    /// This front's attempts in flight there, by request class.
     pub(crate) attempts_by_class: Vec<u32>,
-    /// Attempts of this front there.
+    /// This front's attempts in flight there.
     pub(crate) in_flight: u32,
-    /// Bulk loads of this front there, by table group.
+    /// This front's bulk loads in flight there, by table group.
     pub(crate) bulk_loads: BTreeMap<u64, u32>,
-    /// Requests of this front there that stand still while a bulk load holds their table group, by table group.
+    /// This front's requests in flight there that wait while a bulk load holds their table group, by table
+    /// group.
     pub(crate) readers: BTreeMap<u64, u32>,
-    /// Until when a bulk load of another front is taken to hold a table group.
+    /// The time until which another front's bulk load is assumed to hold a table group, by table group.
     pub(crate) foreign_bulk_loads: BTreeMap<u64, Duration>,
-    /// What this front has sent there while it warmed up.
+    /// Work that this front has sent there while it warmed up.
     pub(crate) sent_while_warming_up: Vec<SentWork>,
-    /// Work of this front sent there, in seconds, decaying with the requests that the front sends anywhere.
+    /// Work that this front has sent there, in seconds on one thread; decays by the number of requests that
+    /// the front sends to any engine. `None` before the first one.
     pub(crate) sent_work: Option<DecayingMean>,
-    /// When it last gave a sign of life.
+    /// Time of its last response or report.
     pub(crate) last_seen: Duration,
     pub(crate) report: Option<Report>,
     pub(crate) congestion: Option<Congestion>,
     /// When it was last probed.
     pub(crate) last_probe: Duration,
-    /// The shortest time that a probe has taken there.
+    /// The duration of the fastest probe.
     pub(crate) fastest_probe: Duration,
-    /// Failures without a response between them, counted up to a bound.
+    /// Consecutive failures without a response, up to the counted maximum (`ejection`).
     pub(crate) consecutive_failures: u32,
     /// Nothing is sent there before this time.
     pub(crate) ejected_until: Duration,
-    /// Threads that this front may run there before admission control begins to refuse.
+    /// Threads that this front may run there before admission control starts to refuse requests.
     pub(crate) concurrency_limit: f64,
     /// When the concurrency limit was last decreased.
     pub(crate) limit_decreased_at: Duration,
 }
 
-/// Work sent to an engine at a time.
+/// Work sent to an engine, with its time.
 #[derive(Clone, Copy)]
 pub(crate) struct SentWork {
     pub(crate) at: Duration,
@@ -58,22 +60,22 @@
     pub(crate) work: f64,
 }
 
-/// The last sign of how congested an engine is.
+/// A sign of congestion (`congestion`).
 #[derive(Clone, Copy)]
 pub(crate) struct Congestion {
     pub(crate) at: Duration,
     pub(crate) threads_per_core: f64,
-    /// Whether an outcome or a report showed it, and not only silence.
+    /// Whether an outcome or a report showed it; false if the engine was only silent.
     pub(crate) observed: bool,
 }
 
-/// An engine's load as last reported, and what this front had there then.
+/// An engine's last load report, and this front's attempts there at that time.
 pub(crate) struct Report {
     pub(crate) at: Duration,
     pub(crate) load: LoadReport,
     pub(crate) own_threads: f64,
     pub(crate) own_in_flight: u32,
-    /// How many times the fastest probe the probe took that brought it; one without a probe.
+    /// Duration of the probe that returned the report, as a multiple of the fastest one; 1 without a probe.
     pub(crate) probe_slowdown: f64,
 }
 
@@ -85,18 +87,18 @@
 }
 
 impl Engine {
-    /// Whether it started less than the stated time ago.
+    /// Whether it started less than `slow_start_window` ago.
     pub(crate) fn is_warming_up(&self, now: Duration, slow_start_window: Duration) -> bool {
         let started = self.entry.started_at;
         started > Duration::ZERO && now < started + slow_start_window
     }
 
-    /// Whether the last sign of congestion was more than silence.
+    /// Whether an outcome or a report showed the kept sign of congestion.
     pub(crate) fn congestion_was_observed(&self) -> bool {
         self.congestion.is_some_and(|congestion| congestion.observed)
     }
 
-    /// Counts an attempt in when it begins and out when it ends. `index` is that of its class.
+    /// Updates the counters when an attempt begins or ends. `index` is that of its class.
     pub(crate) fn count_attempt(
         &mut self,
         index: usize,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,22 +1,22 @@
-//! The decisions of lemonusher, a gateway that keeps short and long queries apart on shared engines.
+//! The decision module of lemonusher, a gateway that keeps short and long queries apart on shared engines.
 //!
-//! [`Gateway`] is a pure state machine. It is told events one by one with the time; after the last event of a tick it
-//! decides once and yields its [`Action`]s. It does no input or output, reads no clock and names no protocol: time and
-//! the seed of random draws are arguments.
+//! [`Gateway`] is a pure state machine. It receives events one by one, each with the current time. After the
+//! last event of a tick it decides once and returns [`Action`]s. It does no input or output, reads no clock
+//! and depends on no protocol: time and the seed of random draws are arguments.
 //!
 //! ```
-//! use lemonusher::{Deployment, Gateway};
-//! use std::time::Duration;
+//! use lemonusher::{Deployment, Gateway}; use std::time::Duration;
 //!
 //! let mut gateway = Gateway::new(Deployment::default(), 7);
 //! assert!(gateway.decide(Duration::from_secs(1)).is_empty());
 //! ```
 //!
-//! What goes in and comes out: `deployment`, `endpoint`, `event`, `action`. What is known: `request`, `request_class`,
-//! `engine`, `engine_table`, `key_queue`, `candidate`, `preference_order`, `decaying_mean`, `random`. The rules, one a module: `admission`,
-//! `arrival`, `attempt_end`, `concurrency_limit`, `conflicts`, `congestion`, `ejection`, `eligibility`, `endpoint_updates`,
-//! `give_up`, `idempotency`, `load_estimate`, `overload`, `placement`, `probing`, `retry`, `scan`, `slow_start`,
-//! `starvation_header`, `subsets`. `gateway` puts them in order and `reconcile` turns their results into actions.
+//! Inputs and outputs: `deployment`, `endpoint`, `event`, `action`. State: `request`, `request_class`,
+//! `engine`, `engine_table`, `key_queue`, `candidate`, `preference_order`, `decaying_mean`, `random`. Rules,
+//! one per module: `admission`, `arrival`, `attempt_end`, `concurrency_limit`, `conflicts`, `congestion`,
+//! `ejection`, `eligibility`, `endpoint_updates`, `give_up`, `idempotency`, `load_estimate`, `overload`,
+//! `placement`, `probing`, `retry`, `scan`, `slow_start`, `starvation_header`, `subsets`. `gateway` calls
+//! them in order, and `reconcile` turns their results into actions.
 
 #![warn(missing_docs)]
 
--- a/src/load_estimate.rs
+++ b/src/load_estimate.rs
@@ -6,8 +6,8 @@
 //!    request of another front counts for as many threads as a typical request of this front. If it states
 //!    the busy share of the cores, the busy cores are corrected by the change of this front's own threads
 //!    since the report; in many-front mode a slow probe raises the estimate, too. From [`CPU_SATURATED`] on,
-//!    the busy share no longer shows how many threads run, so the total is estimated as this front's own
-//!    threads times the fleet multiple.
+//!    the busy share no longer shows how many threads run. With few fronts the estimate is then at least
+//!    this front's own threads times the fleet multiple.
 //! 2. In many-front mode without such a report: the usual load of all engines × the traffic bias of this
 //!    engine, or the engine's congestion if that is higher, plus this front's own threads. The traffic bias
 //!    is the work that this front has sent to the engine lately, relative to the mean over its engines. All
@@ -50,7 +50,7 @@
 pub(crate) struct LoadEstimates {
     /// Threads that all fronts together run, as a multiple of this front's own threads.
     pub(crate) fleet_multiple: DecayingMean,
-    /// Threads per core that engines report; decays towards no reports.
+    /// Mean threads per core that engines report, before the prior is added.
     usual_load: DecayingMean,
     /// Mean threads of a request, weighted by the time that requests are in flight.
     pub(crate) typical_threads: DecayingMean,
@@ -76,8 +76,9 @@
 }
 
 impl FleetMeans {
-    /// The work that this front has sent lately to an engine of `cores`, relative to the mean. One mean
-    /// request is added to both, so that chance has less influence while few requests have been sent.
+    /// The work that this front has sent lately to an engine, scaled by its `cores` and relative to the mean.
+    /// One mean request is added to both, so that chance has less influence while few requests have been
+    /// sent.
     fn traffic_bias(&self, sent_work: f64, cores: f64) -> f64 {
         let (speed, prior) = (cores / self.cores, self.request_work);
         (sent_work / speed + prior) / (self.sent_work + prior).max(f64::MIN_POSITIVE)
