--- a/src/engine_table.rs
+++ b/src/engine_table.rs
@@ -1,11 +1,11 @@
-//! Engines by id, each at a dense slot that stays the same until the list changes. Nothing here decides.
+//! Engines by id, each at a dense index (slot) that stays the same until the endpoint list changes.
 
 use crate::endpoint::EngineId;
 use std::ops::Index;
 
-/// A map from engine ids, in their order, whose entries are also found by slot.
+/// A map from engine ids, sorted by id, whose entries are also found by slot.
 pub(crate) struct EngineTable<T> {
-    /// Sorted by id. What is kept of an engine is large, and stays where it is when others come.
+    /// Sorted by id. The values are large; they are boxed so that an insertion does not move them.
     entries: Vec<(EngineId, Box<T>)>,
 }
 
@@ -20,7 +20,7 @@
         self.entries.len()
     }
 
-    /// Every id; its place in this sequence is its slot.
+    /// All ids, in the order of their slots.
     pub(crate) fn ids(&self) -> impl Iterator<Item = EngineId> + '_ {
         self.entries.iter().map(|(id, _)| *id)
     }
@@ -33,7 +33,7 @@
         self.entries.iter_mut().map(|(_, engine)| &mut **engine)
     }
 
-    /// The engine at a slot, if there are so many.
+    /// The engine at a slot; `None` past the last one.
     pub(crate) fn at(&self, slot: usize) -> Option<&T> {
         self.entries.get(slot).map(|(_, engine)| &**engine)
     }
@@ -47,7 +47,7 @@
         self.entries.get_mut(slot).map(|(_, engine)| &mut **engine)
     }
 
-    /// The engine of an id, which is put in if it is not known. Slots change.
+    /// The engine of an id, which is inserted if the id is unknown. An insertion changes slots.
     pub(crate) fn get_or_insert(&mut self, id: EngineId, fresh: T) -> &mut T {
         let slot = self.slot(id).unwrap_or_else(|slot| {
             self.entries.insert(slot, (id, Box::new(fresh)));
@@ -56,12 +56,12 @@
         &mut self.entries[slot].1
     }
 
-    /// Keeps only some engines. Slots change.
+    /// Removes the engines for which `keep` is false. This changes slots.
     pub(crate) fn retain(&mut self, mut keep: impl FnMut(&T) -> bool) {
         self.entries.retain(|(_, engine)| keep(engine));
     }
 
-    /// The slot of an id, or the one where it would be put in.
+    /// The slot of an id, or else the slot at which it has to be inserted.
     fn slot(&self, id: EngineId) -> Result<usize, usize> {
         self.entries.binary_search_by_key(&id, |(id, _)| *id)
     }
@@ -70,7 +70,7 @@
 impl<T> Index<&EngineId> for EngineTable<T> {
     type Output = T;
 
-    /// Panics if the engine is not known, like any map.
+    /// Panics if the engine is unknown, like any map.
     fn index(&self, id: &EngineId) -> &T {
         self.get(id).expect("a known engine")
     }
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,60 +1,60 @@
-//! What the gateway is told. Nothing here decides.
+//! The events that the gateway receives. This module holds data only.
 
 use crate::endpoint::{EndpointUpdateKind, EngineEntry, EngineId};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A request's id, as the client gave it.
+/// A request's id, as sent by the client.
 pub type RequestId = Arc<str>;
 
 /// A request that has arrived from a client.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// Its id, not that of any other request that is still open.
+    /// Its id, which no other open request has.
     pub request: RequestId,
     /// Index of its request class.
     pub request_class: usize,
-    /// The table group that it reads or loads: requests of one group are best served by the same engines.
+    /// The table group that it reads or loads. Requests of one group are best sent to the same engines.
     pub table_group: u64,
-    /// Its ordering key, where its class is ordered.
+    /// Its ordering key, if its class is ordered.
     pub key: Option<u64>,
-    /// Time until the client gives up on this try.
+    /// The time after which the client gives up this try.
     pub client_timeout: Duration,
-    /// Stated work of all its threads, in time on one thread; rough.
+    /// Its work over all threads as estimated by the client, in time on one thread; imprecise.
     pub work: Option<Duration>,
-    /// Stated need of memory, in MB.
+    /// Its memory need as estimated by the client, in MB.
     pub memory_mb: f64,
-    /// Whether the client marked it as a retry of its own.
+    /// Whether the client marked it as a retry.
     pub client_retry: bool,
 }
 
-/// What an engine reports of an attempt that runs.
+/// A progress report of an attempt in flight.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AttemptProgress {
     /// Share of the work that is done, from 0 to 1.
     Done(f64),
-    /// It spills to disk for want of so much memory, in MB.
+    /// It spills to disk, as it lacks this much memory, in MB.
     Spilling(f64),
-    /// It stands still until memory is free.
+    /// It waits for memory.
     WaitingForMemory,
-    /// It stands still until a bulk load of its table group has ended.
+    /// It waits for a bulk load of its table group to end.
     WaitingForBulkLoad,
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// A response came.
+    /// The engine returned a response.
     Returned,
-    /// The engine answered with an error.
+    /// The engine returned an error.
     Errored,
-    /// The engine turned it away before it ran.
+    /// The engine rejected it before running it.
     Rejected,
-    /// No response came in time; it may have run.
+    /// No response arrived in time; it may have run.
     TimedOut,
-    /// There was no connection, or it ended before the whole request was written; it did not run.
+    /// No connection was established, or it was closed before the whole request was written; it did not run.
     ConnectFailed,
-    /// The connection ended before the response did; it may have run.
+    /// The connection was closed before the response was complete; it may have run.
     Reset,
     /// It was cancelled; it may have run.
     Cancelled,
@@ -69,21 +69,21 @@
     }
 }
 
-/// What a response tells of the request's need.
+/// The resources that a request used, as reported with its response.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ResourceUsage {
-    /// Work of all its threads, in time on one thread.
+    /// Its work over all threads, in time on one thread.
     pub work: Duration,
     /// Memory that it used, in MB.
     pub memory_mb: f64,
 }
 
-/// An engine's load as it reports it; late and noisy.
+/// An engine's load as reported by the engine; delayed and noisy.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LoadReport {
-    /// Share of its cores that are busy.
+    /// Share of its cores that is busy, from 0 to 1.
     pub cores_busy: Option<f64>,
-    /// Share of its disks that are busy.
+    /// Share of its disks that is busy, from 0 to 1.
     pub disks_busy: Option<f64>,
     /// Share of its memory that is granted.
     pub memory_granted: Option<f64>,
@@ -93,28 +93,28 @@
     pub waiting_for_memory: Option<f64>,
 }
 
-/// The one end of an attempt.
+/// The end of an attempt. Each attempt has exactly one.
 #[derive(Debug, Clone)]
 pub struct AttemptEnd {
-    /// The request that it was an attempt of.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
     /// Its number among the request's attempts, from 0.
     pub attempt: u32,
-    /// Where it was sent.
+    /// The engine that it was sent to.
     pub engine: EngineId,
     /// Time since it was sent.
     pub elapsed: Duration,
     /// How it ended.
     pub outcome: AttemptOutcome,
-    /// The request has its final response and is owed no other.
+    /// Whether the request has its final response and needs no other.
     pub request_finished: bool,
-    /// What the response tells of the request's need.
+    /// The resources used, if the response reports them.
     pub usage: Option<ResourceUsage>,
-    /// The engine's load, where responses report it.
+    /// The engine's load, if the response reports it.
     pub load: Option<LoadReport>,
 }
 
-/// What the gateway is told.
+/// An event that the gateway receives.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// The endpoint list has changed.
@@ -123,32 +123,32 @@
     DiscoveryUnavailable,
     /// A client has sent a request.
     Arrived(Arrival),
-    /// The response has begun to flow to the client.
+    /// The first part of the response has been forwarded to the client.
     ResponseStarted(RequestId),
-    /// An engine reports on an attempt that runs.
+    /// An engine has sent a progress report of an attempt in flight.
     Progress {
         /// The request.
         request: RequestId,
         /// The attempt's number, from 0.
         attempt: u32,
-        /// Where it runs.
+        /// The engine that runs it.
         engine: EngineId,
-        /// What is reported.
+        /// The progress.
         progress: AttemptProgress,
     },
     /// An attempt has ended.
     AttemptEnded(AttemptEnd),
-    /// The client has gone; it is owed nothing more.
+    /// The client has disconnected or has cancelled the request; it needs no response.
     ClientGone(RequestId),
     /// A probe has ended.
     ProbeEnded {
         /// The engine that was probed.
         engine: EngineId,
-        /// Whether it answered.
+        /// Whether the engine replied.
         answered: bool,
         /// Time since the probe was sent.
         elapsed: Duration,
-        /// The load that it reported.
+        /// The load that the reply reported.
         load: Option<LoadReport>,
     },
     /// Another front has sent a message.
@@ -158,13 +158,13 @@
         /// The message.
         data: String,
     },
-    /// This front is to end; what it has not answered by the deadline is lost.
+    /// This front shuts down. Requests that are not answered by the deadline are lost.
     ShuttingDown {
-        /// When it ends, since the clock's origin.
+        /// Time of the shutdown, since the clock's origin.
         deadline: Duration,
     },
-    /// This front's part of what all fronts may send to an engine that warms up, from 0 to 1, where the fronts agree on
-    /// one. Without it the part is one over the number of fronts.
+    /// This front's share of the work that all fronts may send to an engine that warms up, from 0 to 1, if
+    /// the fronts have agreed on one. Without this event the share is 1 / number of fronts.
     Quota(f64),
     /// A timer that was set has fired.
     TimerFired,
--- a/src/key_queue.rs
+++ b/src/key_queue.rs
@@ -1,7 +1,8 @@
-//! Per-key queues: requests of one ordering key run one at a time, in the order of arrival (rule 5).
+//! Per-key queues: requests of one ordering key run one at a time, in the order of arrival (safety rule 5).
 //!
-//! Only the first of a key's queue may be sent. After an attempt whose outcome is unknown, the next one waits until that
-//! attempt can't be running any more (`SafetyRules::unknown_outcome_delay`).
+//! Only the first request of a key's queue may be sent. After an attempt with an unknown outcome the key is
+//! blocked for `SafetyRules::unknown_outcome_delay`, until that attempt can no longer be running. This
+//! guards against two requests of a key running at once.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -15,7 +16,7 @@
     blocked_until: Duration,
 }
 
-/// The queues of all keys that have requests, or had some lately.
+/// The queues of all keys that have requests or are blocked.
 #[derive(Default)]
 pub(crate) struct KeyQueues(BTreeMap<u64, KeyQueue>);
 
@@ -38,14 +39,14 @@
             .is_none_or(|queue| queue.sequences.front() == Some(&sequence) && queue.blocked_until <= now)
     }
 
-    /// Sends nothing of the key before a time.
+    /// Blocks the key until a time, or longer if it is blocked longer already.
     pub(crate) fn block(&mut self, key: u64, until: Duration) {
         if let Some(queue) = self.0.get_mut(&key) {
             queue.blocked_until = queue.blocked_until.max(until);
         }
     }
 
-    /// Drops queues that are empty and not blocked.
+    /// Removes queues that are empty and not blocked.
     pub(crate) fn drop_idle(&mut self, now: Duration) {
         self.0.retain(|_, queue| !queue.sequences.is_empty() || queue.blocked_until > now);
     }
--- a/src/preference_order.rs
+++ b/src/preference_order.rs
@@ -1,5 +1,5 @@
-//! The order in which a table group prefers the engines: by rendezvous hashing, the same at every front, cached for the
-//! groups used last.
+//! Preference order: each table group ranks the engines by rendezvous hashing. The order is the same at
+//! every front. Recently used orders are cached.
 
 use crate::endpoint::EngineId;
 use crate::random::mix;
@@ -7,17 +7,17 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Orders that are cached at most; each takes four bytes an engine.
+/// The maximum number of cached orders. Each takes four bytes per engine.
 pub(crate) const MAX_TABLE_GROUPS: usize = 4_096;
 
-/// Slots of engines, in some order.
+/// Slots of engines, in the order of a table group's preference.
 type Slots = Arc<[u32]>;
 
 /// A cache of orders; the least recently used is evicted first.
 #[derive(Default)]
 pub(crate) struct PreferenceOrders {
     cached: BTreeMap<u64, CachedOrder>,
-    /// The table group of each use that is the last of its group.
+    /// The table group by the number of its last use; the first entry is the least recently used one.
     last_uses: BTreeMap<u64, u64>,
     uses: u64,
 }
@@ -28,12 +28,12 @@
 }
 
 impl PreferenceOrders {
-    /// Empties the cache, as must be done whenever the slots of engines change.
+    /// Empties the cache. Required whenever the slots of engines change.
     pub(crate) fn clear(&mut self) {
         (self.cached, self.last_uses) = (BTreeMap::new(), BTreeMap::new());
     }
 
-    /// The order of a table group; `ids` are those of the slots, from the first on.
+    /// The order of a table group. `ids` are the ids of all engines in the order of their slots.
     pub(crate) fn of(&mut self, table_group: u64, ids: impl Iterator<Item = EngineId>) -> Slots {
         self.uses += 1;
         let last_use = self.uses;
@@ -54,16 +54,16 @@
     }
 }
 
-/// Slots by falling hash of table group and engine.
+/// Slots in the descending order of a hash of table group and engine id.
 fn rendezvous_order(table_group: u64, ids: impl Iterator<Item = EngineId>) -> Slots {
     let mut order: Vec<(u64, u32)> =
         ids.zip(0..).map(|(id, slot)| (mix(table_group ^ mix(u64::from(id) + 1)), slot)).collect();
-    // Engines that hash alike stay in the order of their ids.
+    // Engines with equal hashes are ordered by id.
     order.sort_unstable_by_key(|(hash, slot)| (Reverse(*hash), *slot));
     order.into_iter().map(|(_, slot)| slot).collect()
 }
 
-/// An order as one request sees it: from its end if it is reversed, and then with a prefix rotated.
+/// A preference order as used by one request: reversed if required, and then with a prefix rotated.
 pub(crate) struct PreferenceOrder {
     order: Slots,
     reversed: bool,
--- a/src/probing.rs
+++ b/src/probing.rs
@@ -1,35 +1,41 @@
-//! Load probes: when an engine's load is asked for, at a price.
+//! Load probes: decides which engines are probed, and when.
 //!
-//! Probes are paid from a credit that each arriving request adds to, bounded by the number of engines.
+//! Each probe costs one unit of a credit. Each arriving request adds to the credit, which is limited to the
+//! number of engines.
 //!
-//! - **Few fronts**: [`ROUND_PROBES_PER_REQUEST`] probes a request go round the engines, the one probed longest ago first, at most one probe
-//!   of an engine in a connect timeout.
-//! - **Many fronts**: an engine is probed before a request goes there, unless it has reported within [`FRESH_REPORT_AGE`] of the shortest
-//!   latency objective. A request adds [`MAX_LOAD_PROBES_PER_REQUEST`] probes, or as many as cost [`MAX_PROBE_COST_SHARE`] of its priority
-//!   weight. Requests of much work may spend all of the credit; others leave a reserve for them. This guards
-//!   against engines that others have filled; it costs the probe, and a tick or two.
+//! - **Few fronts**: a request adds [`ROUND_PROBES_PER_REQUEST`] probes. The engine whose last probe is
+//!   oldest is probed next, each engine at most once per connect timeout.
+//! - **Many fronts**: an engine is probed before a request is sent there, unless its last report is younger
+//!   than [`FRESH_REPORT_AGE`] × the shortest latency objective. A request adds
+//!   [`MAX_LOAD_PROBES_PER_REQUEST`] probes, or as many as cost [`MAX_PROBE_COST_SHARE`] of its priority
+//!   weight if that is less. Requests of much work may spend the whole credit; others leave a reserve for
+//!   them.
+//!
+//! This guards against sending to engines that other fronts have filled. It costs the probe and a delay of
+//! one or two ticks.
 
 use crate::deployment::LoadReporting;
 use crate::endpoint::{EngineId, EngineState};
 use crate::gateway::Gateway;
 use std::time::Duration;
 
-/// Probes for each arriving request, with few fronts.
+/// Few fronts: credit per arriving request, in probes.
 const ROUND_PROBES_PER_REQUEST: f64 = 0.2;
-/// Probes for each arriving request at most, with many fronts,
+/// Many fronts: the highest credit per arriving request, in probes.
 const MAX_LOAD_PROBES_PER_REQUEST: f64 = 1.2;
-/// and the share of the request's priority weight that they may cost.
+/// Many fronts: the highest cost of the probes per request, as a share of its priority weight.
 const MAX_PROBE_COST_SHARE: f64 = 0.0135;
-/// Requests of more than this share of the mean work of all classes may spend all of the credit.
+/// A request may spend the whole credit if its class's mean work is above this share of the mean over all
+/// classes.
 const LARGE_REQUEST_SHARE: f64 = 0.7;
-/// Other requests leave as many probes as a third of the engines, but no more than this.
+/// Upper limit of the reserve, in probes.
 const MAX_PROBE_RESERVE: f64 = 8.0;
 /// The reserve is the number of engines divided by this.
 const PROBE_RESERVE_DIVISOR: f64 = 3.0;
 /// A report is fresh for this share of the shortest latency objective.
 const FRESH_REPORT_AGE: f64 = 0.4;
 
-/// Probes that may be sent, and those that are to be sent now.
+/// The probe credit, and the probes that are due.
 #[derive(Default)]
 pub(crate) struct ProbeScheduler {
     credit: f64,
@@ -37,7 +43,7 @@
 }
 
 impl ProbeScheduler {
-    /// The probes to be sent now, in order.
+    /// Takes the probes that are due, in order.
     pub(crate) fn take_due(&mut self) -> Vec<EngineId> {
         std::mem::take(&mut self.due)
     }
@@ -49,24 +55,24 @@
 }
 
 impl Gateway {
-    /// A request has arrived: it pays for probes.
+    /// Adds the credit of an arriving request.
     pub(crate) fn earn_probe_credit(&mut self) {
         let earned = if self.many_fronts() { self.probes_per_request() } else { ROUND_PROBES_PER_REQUEST };
         self.probes.credit = (self.probes.credit + earned).min(self.engines.len() as f64);
     }
 
-    /// Probes for each arriving request in many-front mode.
+    /// The credit per arriving request in many-front mode, in probes.
     fn probes_per_request(&self) -> f64 {
         let cost = self.deployment.probe_cost.max(f64::MIN_POSITIVE);
         MAX_LOAD_PROBES_PER_REQUEST.min(MAX_PROBE_COST_SHARE / cost)
     }
 
-    /// Whether engines tell their load when they are probed.
+    /// Whether engines report their load in reply to probes.
     pub(crate) fn can_probe_load(&self) -> bool {
         self.deployment.capabilities.probes && self.deployment.load_reporting == LoadReporting::WithProbes
     }
 
-    /// Spends the credit on the round, with few fronts.
+    /// Few fronts: spends the credit on the engines whose last probe is oldest.
     pub(crate) fn schedule_probes(&mut self, now: Duration) {
         if !self.can_probe_load() || self.many_fronts() {
             return;
@@ -83,7 +89,7 @@
         }
     }
 
-    /// Credit that has to be there for a probe on behalf of a request.
+    /// The credit that is required for a probe on behalf of a request.
     pub(crate) fn probe_reserve(&self, sequence: u64) -> f64 {
         let class = &self.classes[self.requests[sequence].class];
         if class.work.mean() > self.mean_class_work() * LARGE_REQUEST_SHARE {
@@ -92,8 +98,8 @@
         (self.engines.len() as f64 / PROBE_RESERVE_DIVISOR).clamp(1.0, MAX_PROBE_RESERVE)
     }
 
-    /// Whether a report of the engine is to be awaited before a request goes there; sends the probe if none is under way.
-    /// False if what is known must do.
+    /// Whether a request has to wait for a report of the engine. Sends the probe if none is in flight.
+    /// Returns false if the known state has to suffice.
     pub(crate) fn probe_first(&mut self, now: Duration, id: EngineId, reserve: f64) -> bool {
         let can_probe = self.can_probe_load();
         let Some(engine) = self.engines.get_mut(&id).filter(|_| can_probe) else { return false };
--- a/src/reconcile.rs
+++ b/src/reconcile.rs
@@ -1,4 +1,5 @@
-//! Reconciliation: turns the difference between the desired state and what is into actions. Nothing else does.
+//! Reconciliation: turns the difference between the desired and the actual state into actions. No other
+//! module creates actions.
 
 use crate::action::Action;
 use crate::endpoint::EngineId;
@@ -8,7 +9,7 @@
 use std::time::Duration;
 
 impl Gateway {
-    /// Appends the actions that lead from what is to what is desired.
+    /// Appends the actions that lead from the actual to the desired state.
     pub(crate) fn reconcile(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if std::mem::take(&mut self.poll_now) {
             actions.push(Action::WatchEndpoints);
@@ -21,7 +22,7 @@
         }
     }
 
-    /// Sets the timer for the next decision, unless one that is set already fires before.
+    /// Sets a timer for the next decision, unless a timer that is already set fires before.
     fn set_timer(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let Some(due) = self.decision_due.take() else { return };
         if self.timer_at <= now || due < self.timer_at {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Cancels the attempt in flight if something else is desired.
+    /// Cancels the attempt in flight if it is no longer desired.
     fn cancel_undesired(&mut self, sequence: u64, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(sequence) else { return };
         let (goal, finished) = (request.goal, request.finished);
@@ -87,7 +88,7 @@
         self.starvation_header.take_if(|header| header.sequence == sequence);
     }
 
-    /// Counts an attempt in at its engine. Candidates are to be worked out anew.
+    /// Adds an attempt to its engine's counters and discards the cached candidates.
     fn count_sent(&mut self, now: Duration, sequence: u64, id: EngineId) {
         let spread = self.spread();
         let request = &self.requests[sequence];
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,25 +1,26 @@
-//! What the gateway knows of each request, and the table of them. Nothing here decides.
+//! The state of each open request, and the table of all of them. No decisions are made here.
 
 use crate::endpoint::EngineId;
 use crate::event::RequestId;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What is to become of a request. [`Gateway::reconcile`](crate::Gateway) turns the difference from what is into actions.
+/// The desired state of a request. [`Gateway::reconcile`](crate::Gateway) turns the difference from the
+/// actual state into actions.
 #[derive(Clone, Copy, PartialEq, Default)]
 pub(crate) enum RequestGoal {
     /// It waits for an attempt.
     #[default]
     Queued,
-    /// An attempt at this engine.
+    /// It is sent to this engine.
     SentTo(EngineId),
-    /// Answered as rejected.
+    /// Its client gets a rejection.
     Rejected,
-    /// Answered as failed.
+    /// Its client gets a failure.
     Failed,
 }
 
-/// An attempt whose outcome is not known yet.
+/// An attempt without an outcome yet.
 pub(crate) struct InFlight {
     /// Its number among the request's attempts, from 0.
     pub(crate) attempt: u32,
@@ -28,14 +29,14 @@
     pub(crate) cancelled: bool,
 }
 
-/// The first attempt that may have run: how long repeats are dropped counts from it.
+/// The first attempt that may have run. The retention time of idempotency keys counts from it.
 #[derive(Clone, Copy)]
 pub(crate) struct PossibleRun {
     pub(crate) sent_at: Duration,
     pub(crate) engine: EngineId,
 }
 
-/// What is known of a request.
+/// The state of an open request.
 #[derive(Default)]
 pub(crate) struct Request {
     pub(crate) id: RequestId,
@@ -43,32 +44,33 @@
     pub(crate) class: usize,
     pub(crate) table_group: u64,
     pub(crate) key: Option<u64>,
-    /// When the client first sent it, as far as its timeout tells.
+    /// When the client first sent it, as estimated from its client timeout (`arrival`).
     pub(crate) first_arrival: Duration,
     /// When this try of the client arrived.
     pub(crate) arrived_at: Duration,
-    /// When its last attempt ended; its arrival before any has.
+    /// When its last attempt ended; the time of its arrival before that.
     pub(crate) last_attempt_ended: Duration,
-    /// When the client gives up; `Duration::MAX` once the response has begun to flow.
+    /// When the client gives up; `Duration::MAX` once the response has started.
     pub(crate) deadline: Duration,
     /// Attempts begun so far.
     pub(crate) attempts: u32,
     pub(crate) first_possible_run: Option<PossibleRun>,
     pub(crate) in_flight: Option<InFlight>,
     pub(crate) goal: RequestGoal,
-    /// The priority that the engines were last given.
+    /// The priority that was last set at the engines.
     pub(crate) priority: u8,
     /// The engine at which its last attempt ended without a response.
     pub(crate) last_failed_engine: Option<EngineId>,
-    /// When admission is drawn for next.
+    /// Time of the next admission draw.
     pub(crate) next_admission_draw: Duration,
-    /// Admission control refused its last draw: it draws again at `next_admission_draw` and no sooner.
+    /// Whether admission control refused its last draw. If so, it does not draw again before
+    /// `next_admission_draw`.
     pub(crate) admission_refused: bool,
-    /// Drawn once, from 0 to 1: the higher, the sooner load shedding refuses it.
+    /// Drawn on arrival, from 0 to 1. Requests with a higher draw are shed first.
     pub(crate) shed_draw: f64,
-    /// Its attempt has been counted in the share of slow attempts.
+    /// Whether its attempt in flight has been counted in the slow share.
     pub(crate) counted_slow: bool,
-    /// It has its final response; only the outcome of an attempt is awaited.
+    /// Whether it has its final response. It is then kept until the outcome of its attempt is known.
     pub(crate) finished: bool,
 }
 
@@ -78,13 +80,13 @@
         !self.finished && self.in_flight.is_none() && self.goal == RequestGoal::Queued
     }
 
-    /// Whether it is another try than the client's first, or its attempt has failed before.
+    /// Whether it is a retry of its client, or has had an attempt before.
     pub(crate) fn is_retried(&self) -> bool {
         self.attempts > 0 || self.first_arrival < self.arrived_at
     }
 }
 
-/// All open requests, by a sequence number in the order of arrival.
+/// All open requests, by sequence number. The numbers ascend in the order of arrival.
 #[derive(Default)]
 pub(crate) struct RequestTable {
     by_sequence: BTreeMap<u64, Request>,
@@ -93,7 +95,7 @@
 }
 
 impl RequestTable {
-    /// The sequence number of the next request that arrives.
+    /// Allocates the sequence number of a request that has just arrived.
     pub(crate) fn allocate(&mut self) -> u64 {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -129,7 +131,7 @@
         self.by_sequence.iter().map(|(sequence, request)| (*sequence, request))
     }
 
-    /// The sequence numbers of all requests that wait for an attempt, in the order of arrival.
+    /// The sequence numbers of all queued requests, in the order of arrival.
     pub(crate) fn queued(&self) -> Vec<u64> {
         self.iter().filter(|(_, request)| request.is_queued()).map(|(sequence, _)| sequence).collect()
     }
--- a/src/request_class.rs
+++ b/src/request_class.rs
@@ -1,8 +1,9 @@
-//! What is stated and learned of one request class, and the priority that its attempts are given.
+//! Request classes: their configuration, learned means, and the priority of their attempts.
 //!
-//! Priority: engines that are short of cores share them by priority. The shorter a class's latency objective, the higher
-//! its priority, from 3 down to 0, one step for each distinct objective. A bulk load gets the highest, as all requests that read
-//! its table group stand still until it has ended. Where engines don't heed priorities, all get 1.
+//! Priority: engines that are short of cores divide them by priority. The class with the shortest latency
+//! objective has the highest priority, 3; each longer distinct objective is one step lower, down to 0. A
+//! bulk load has the highest priority, as all requests that read its table group wait until it has ended. If
+//! engines ignore priorities, all classes have priority 1.
 
 use crate::decaying_mean::DecayingMean;
 use crate::deployment::{Deployment, RequestClassConfig};
@@ -11,29 +12,31 @@
 
 /// The highest priority.
 const MAX_PRIORITY: u8 = 3;
-/// The priority of all where engines don't heed it.
+/// The priority of all classes if engines ignore priorities.
 const UNIFORM_PRIORITY: u8 = 1;
-/// Until responses tell, a request's work is taken for this share of its latency objective times its threads.
+/// The initial mean work of a class, as a share of its latency objective × threads; used until responses
+/// report work.
 const INITIAL_WORK_SHARE: f64 = 0.5;
-/// The shortest latency that is told apart, in seconds.
+/// Lower limit of a latency, in seconds; avoids the logarithm of zero.
 const MIN_LATENCY: f64 = 1e-3;
 
-/// What is stated and learned of one request class.
+/// The configuration and the learned means of one request class.
 pub(crate) struct RequestClass {
     pub(crate) config: RequestClassConfig,
-    /// The priority its attempts are given: 0 is the lowest.
+    /// The priority of its attempts: 0 is the lowest.
     pub(crate) priority: u8,
-    /// Work of a request, in seconds on one thread.
+    /// Mean work of a request, in seconds on one thread.
     pub(crate) work: DecayingMean,
-    /// Natural logarithm of the seconds from an attempt to its response.
+    /// Mean natural logarithm of an attempt's latency in seconds.
     log_latency: DecayingMean,
-    /// Memory that a request needs, in MB, as responses tell.
+    /// Mean memory that a request uses, in MB, as reported with responses.
     pub(crate) memory: DecayingMean,
-    /// The timeout that clients usually give a first try.
+    /// The usual client timeout of first tries.
     pub(crate) first_try_timeout: UsualTimeout,
 }
 
-/// The timeout that clients usually give, found by a majority vote (Boyer and Moore) whose votes against count less.
+/// The usual client timeout, found by a majority vote (Boyer and Moore) in which votes against it have less
+/// weight.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct UsualTimeout {
     pub(crate) timeout: Duration,
@@ -41,7 +44,7 @@
 }
 
 impl RequestClass {
-    /// All classes of a deployment. `time_constant` is that of what is learned, in seconds.
+    /// All classes of a deployment. `time_constant` is that of learned means, in seconds.
     pub(crate) fn all(deployment: &Deployment, time_constant: f64) -> Vec<RequestClass> {
         let objectives: BTreeSet<Duration> =
             deployment.request_classes.iter().map(|config| config.latency_objective).collect();
@@ -66,7 +69,8 @@
         }
     }
 
-    /// How far the latency objective lies after arrival, for so much work; all in seconds.
+    /// The objective of a request with this much work, counted from its arrival. Work and result are in
+    /// seconds.
     pub(crate) fn objective(&self, work: f64) -> f64 {
         self.config.latency_objective.as_secs_f64()
             + self.config.objective_work_factor * work / self.config.threads.max(1.0)
@@ -77,7 +81,7 @@
         self.log_latency.mean().exp()
     }
 
-    /// Takes in the latency of an attempt that returned, in seconds.
+    /// Records the latency of an attempt that returned, in seconds.
     pub(crate) fn record_latency(&mut self, now: Duration, latency: f64) {
         self.log_latency.add(now, latency.max(MIN_LATENCY).ln(), 1.0);
     }
--- a/src/scan.rs
+++ b/src/scan.rs
@@ -1,8 +1,12 @@
-//! The scan: one pass over the queued requests, oldest first.
+//! The scan: one pass over the queued requests, oldest first, that chooses an engine for each.
 //!
-//! A request is looked at if it is first in its key's queue, its next admission draw is due (or an attempt has ended since the last
-//! scan and admission has not refused it), and, if it was sent before, the retry budget has room. One that finds no engine draws again
-//! after [`REDRAW_INTERVAL`] of its latency objective.
+//! A request is considered if
+//! - it is the first in its key's queue;
+//! - its next admission draw is due, or an attempt has ended since the last scan and admission control has
+//!   not refused it;
+//! - it was never sent, or the retry budget allows a retry.
+//!
+//! A request for which no engine is found draws again after [`REDRAW_INTERVAL`] of its latency objective.
 
 use crate::action::Action;
 use crate::gateway::Gateway;
@@ -13,7 +17,7 @@
 pub(crate) const REDRAW_INTERVAL: f64 = 0.05;
 
 impl Gateway {
-    /// Sends what can be sent, and yields when the next scan is due.
+    /// Sends the requests for which an engine is found. Returns the time at which the next scan is due.
     pub(crate) fn scan(&mut self, now: Duration, actions: &mut Vec<Action>) -> Duration {
         let attempt_ended = std::mem::take(&mut self.attempt_ended);
         self.candidate_cache.clear();
--- a/src/starvation_header.rs
+++ b/src/starvation_header.rs
@@ -1,19 +1,22 @@
 //! The starvation header: an engine is kept free for the request that has been queued longest.
 //!
-//! Input: the oldest queued request, once it has been queued for [`RESERVE_ENGINE_AFTER`] of the longest deadline, while there
-//! is no other header. It is tied to the first engine of its preference order that is eligible and where it conflicts with
-//! nothing, or else to the first eligible one. Requests that arrived later and conflict with it are not sent there, so what it conflicts
-//! with runs out. It goes nowhere else; if its engine is not eligible any more, the tie ends. The term is the source's own
+//! Inputs: the oldest queued request, once it has been queued for [`RESERVE_ENGINE_AFTER`] × the longest
+//! deadline, if there is no other header. Its engine is the first in its preference order that is eligible
+//! and where it conflicts with no other request, or else the first eligible one. Later requests that
+//! conflict with the header are not sent to that engine, so that those it conflicts with run out there. The
+//! header is sent to no other engine. If its engine is no longer eligible, the reservation ends.
+//!
+//! This guards a request against waiting for ever behind later ones. The term is that of the paper
 //! (docs/design.md).
 
 use crate::endpoint::EngineId;
 use crate::gateway::Gateway;
 use std::time::Duration;
 
-/// A request queued for this share of the longest deadline becomes the header.
+/// A request becomes the header after it has been queued for this share of the longest deadline.
 const RESERVE_ENGINE_AFTER: f64 = 0.1;
 
-/// The longest queued request, and the engine that is kept free for it.
+/// The longest queued request, and the engine that is reserved for it.
 #[derive(Clone, Copy)]
 pub(crate) struct StarvationHeader {
     pub(crate) sequence: u64,
@@ -21,7 +24,7 @@
 }
 
 impl Gateway {
-    /// Makes the oldest of the queued requests the header, if it is time and there is none.
+    /// Makes the oldest queued request the header, if it has been queued long enough and there is no header.
     pub(crate) fn reserve_for_oldest(&mut self, now: Duration, queued: &[u64]) {
         let Some(&oldest) = queued.first().filter(|_| self.starvation_header.is_none()) else { return };
         let reserve_after = self.spans.max_deadline.mul_f64(RESERVE_ENGINE_AFTER);
@@ -40,7 +43,7 @@
         Some(StarvationHeader { sequence, engine: engine.entry.engine })
     }
 
-    /// The engine that a request is tied to, if it is the header.
+    /// The engine that is reserved for a request; `None` if the request is not the header.
     pub(crate) fn reserved_engine(&self, sequence: u64) -> Option<EngineId> {
         self.starvation_header.filter(|header| header.sequence == sequence).map(|header| header.engine)
     }
--- a/src/subsets.rs
+++ b/src/subsets.rs
@@ -1,12 +1,16 @@
-//! Subsets: in many-front mode a front keeps to a few of the engines of each class (`lemonusher-subset`).
+//! Subsets: in many-front mode a front sends to only a few of the engines of each class
+//! (`lemonusher-subset`).
 //!
-//! A front that met each of all engines once in seconds would go by stale estimates, and engines that stand still would get requests
-//! from all fronts. Inputs: the engines that a class may go to and that are warm, and which of these have neither failed nor are
-//! congested. A table group is home in each subset. Engines that warm up are shared out by slow start instead, and a repeat of a
-//! request that may have run has no choice, so both may leave the subset.
+//! If a front used all engines, it would send to each only once in several seconds. Its estimates would be
+//! stale, and a hung engine would be sent requests by all fronts. Inputs: the engines that a class may be
+//! sent to and that are warmed up, and which of these have neither failed nor are congested. A table group
+//! has its home engine within each subset.
 //!
-//! The subset of the first class is also a sample of all engines for load shedding: the part of it that is healthy is taken for the
-//! part of all warm engines that is.
+//! Two kinds of requests may leave the subset: those sent to engines that warm up, which slow start divides
+//! among the fronts, and repeats of a request that may have run, which are limited to a deduplication scope.
+//!
+//! The subset of the first class also serves as a sample of all engines for load shedding: the healthy share
+//! of the subset is the estimate for all engines that are warmed up.
 
 use crate::admission::ADMIT_ALL_UP_TO;
 use crate::endpoint::EngineState;
@@ -19,32 +23,33 @@
 use std::num::NonZeroU32;
 use std::time::Duration;
 
-/// Subsets are worked out anew after this share of the shortest latency objective.
+/// The refresh interval of subsets, as a share of the shortest latency objective.
 const SUBSET_REFRESH: f64 = 0.2;
 
-/// The engines that this front keeps to, and what they show of the capacity of all.
+/// The engines that this front uses, and the load shedding that estimates the capacity of all engines from
+/// them.
 #[derive(Default)]
 pub(crate) struct EngineSubsets {
-    /// By request class; empty before many-front mode has worked them out.
+    /// By request class; empty before the first refresh in many-front mode.
     by_class: Vec<Subset>,
     refresh_at: Duration,
     pub(crate) shedding: LoadShedding,
 }
 
 impl EngineSubsets {
-    /// `span` is that over which load shedding averages arrivals.
+    /// `span` is the time constant over which load shedding averages arrivals.
     pub(crate) fn new(span: Duration) -> EngineSubsets {
         EngineSubsets { shedding: LoadShedding::new(span), ..EngineSubsets::default() }
     }
 
-    /// The endpoint list has changed.
+    /// Makes a refresh due, as the endpoint list has changed.
     pub(crate) fn invalidate(&mut self) {
         self.refresh_at = Duration::ZERO;
     }
 }
 
 impl Gateway {
-    /// Works the subsets out anew if it is time, and tells load shedding the capacity.
+    /// Recomputes the subsets if that is due, and reports the capacity to load shedding.
     pub(crate) fn refresh_subsets(&mut self, now: Duration) {
         let due = self.many_fronts() && now >= self.subsets.refresh_at;
         let Some(fronts) = NonZeroU32::new(self.deployment.fronts).filter(|_| due) else { return };
@@ -71,8 +76,8 @@
         subset(place, members.iter().copied(), size(members.len(), fronts))
     }
 
-    /// Cores of all active engines; of warm ones the part that the subset shows to be healthy, of those that warm up the
-    /// part that they are stated to do.
+    /// The available capacity in cores: of all active engines that are warmed up the share that is healthy
+    /// in the subset, of those that warm up the share `slow_start_share`.
     fn capacity(&self, now: Duration) -> f64 {
         let bears_load = |engine: &Engine| {
             let congested =
@@ -92,7 +97,7 @@
         active.map(|engine| part(engine) * self.deployment.cores(&engine.entry)).sum()
     }
 
-    /// Whether this front may send a request to an engine as far as its subset goes.
+    /// Whether this front's subset allows a request to be sent to an engine.
     pub(crate) fn is_in_subset(&self, now: Duration, request: &Request, engine: &Engine) -> bool {
         let subset = self.subsets.by_class.get(request.class);
         subset.is_none_or(|subset| subset.contains(engine.entry.engine))
@@ -100,7 +105,7 @@
             || (self.deduplicated_until(request).is_some() && request.first_possible_run.is_some())
     }
 
-    /// How many engines this front spreads its requests over.
+    /// The number of engines that this front uses.
     pub(crate) fn spread(&self) -> f64 {
         let largest = self.subsets.by_class.iter().map(Subset::len).max().filter(|largest| *largest > 0);
         largest.unwrap_or(self.engines.len()).max(1) as f64
