--- a/crates/core/load-shedding/src/lib.rs
+++ b/crates/core/load-shedding/src/lib.rs
@@ -1,29 +1,33 @@
-//! Load shedding by capacity: which part of the requests a front admits while engines are missing.
+//! Load shedding by capacity: the share of the requests that a front admits while engines are missing.
 //!
-//! Where engines do not tell their load, a front learns that they are overloaded only when they have stopped returning
-//! anything, and an engine that far gone needs many seconds without new requests to come back. That engines are
-//! missing, or have just started, is known much earlier: the list says so. A front therefore compares the capacity that
-//! the list shows with the capacity that it usually showed, and the requests that arrive with those that usually
-//! arrived, and admits only as many as load the engines that are left as usual.
+//! If engines report no load, a front detects their overload only when they have stopped sending responses.
+//! An engine in that state needs many seconds without new requests to recover. Missing or just started
+//! engines are known much earlier, from the endpoint list. A front therefore compares the current with the
+//! usual capacity according to the list, and the current with the usual arrivals. It admits only as many
+//! requests as load the remaining engines as usual:
 //!
-//! Only ratios of a front's own figures count, so fronts that see much and little traffic shed alike. While no capacity
-//! is missing nothing is shed, however many requests arrive: how much the engines bear is not known here.
+//! admitted share = (capacity / usual capacity) / max(1, arrivals / usual arrivals)
 //!
-//! Nothing here does input or output, reads a clock or draws by chance.
+//! Inputs: the capacity in cores, and arrivals at this front. Only ratios of a front's own figures are used,
+//! so fronts with much and with little traffic shed the same share. While no capacity is missing nothing is
+//! shed, however many requests arrive, as the overload limit of the engines is unknown here.
+//!
+//! This crate does no input or output, reads no clock and draws no random numbers.
 
 #![warn(missing_docs)]
 
 use std::time::Duration;
 
-/// The part of the usual capacity that may be missing before anything is shed: a front judges the health of all engines by
-/// the ten or so of its subset, and one of these is no loss.
+/// The share of the usual capacity that may be missing before anything is shed. A front estimates the health
+/// of all engines from the ten or so of its subset, and one failed engine among these is no relevant loss.
 const MAX_UNNOTICED_LOSS: f64 = 0.15;
-/// The part by which time counts towards the usual while capacity is missing: a loss is not soon taken for usual.
+/// The weight of time in the usual capacity while capacity is missing, so that a loss is not soon taken for
+/// usual.
 const LEARNING_RATE_WHILE_MISSING: f64 = 0.1;
-/// The time constant of the usual, as a multiple of the span over which the present is averaged.
+/// The time constant of the usual capacity and arrivals, as a multiple of that of the current arrivals.
 const USUAL_WINDOW_SPANS: f64 = 10.0;
 
-/// An exponentially weighted average: a decaying sum and the decaying time over which it was gathered.
+/// An exponentially weighted average: a decaying sum, and the decaying time over which it was accumulated.
 #[derive(Debug, Clone, Copy)]
 struct Average {
     sum: f64,
@@ -37,7 +41,7 @@
         Average { sum: 0.0, seconds: 0.0, time_constant_seconds }
     }
 
-    /// Lets a span pass in which a value held.
+    /// Advances by `seconds`, during which `value` applied.
     fn advance(&mut self, seconds: f64, value: f64) {
         let decay = (-seconds / self.time_constant_seconds).exp();
         let gained = self.time_constant_seconds * (1.0 - decay);
@@ -45,19 +49,20 @@
         self.seconds = self.seconds * decay + gained;
     }
 
-    /// The mean value, or events a second where events were added to the sum; none before any time has passed.
+    /// The mean value, or events per second if events were added to the sum; `None` before any time has
+    /// passed.
     fn mean(&self) -> Option<f64> {
         (self.seconds > 0.0).then(|| self.sum / self.seconds)
     }
 }
 
-/// One front's view of capacity and arrivals, now and usually.
+/// The current and the usual capacity and arrivals, as seen by one front.
 #[derive(Debug, Clone)]
 pub struct LoadShedding {
     arrivals: Average,
     usual_arrivals: Average,
     usual_capacity: Average,
-    /// Cores that the list shows now, those of engines that warm up in part.
+    /// Current capacity in cores, according to the endpoint list. Engines that warm up count in part.
     capacity_cores: f64,
     /// Requests that have arrived since `observed_at`.
     arrived: f64,
@@ -71,7 +76,7 @@
 }
 
 impl LoadShedding {
-    /// Begins without any observation. `span` is the time constant over which arrivals are averaged.
+    /// Starts without any observation. `span` is the time constant over which arrivals are averaged.
     pub fn new(span: Duration) -> Self {
         let span = span.as_secs_f64().max(f64::MIN_POSITIVE);
         LoadShedding {
@@ -84,13 +89,13 @@
         }
     }
 
-    /// Takes note of a request that arrived, first tries and retries alike.
+    /// Counts an arriving request; first tries and retries count the same.
     pub fn arrived(&mut self) {
         self.arrivals.sum += 1.0;
         self.arrived += 1.0;
     }
 
-    /// Takes note of the capacity from now on, in cores. Times must not go backwards; one that does counts as the last.
+    /// Sets the capacity from now on, in cores. If `now` is before the last call's time, that time is used.
     pub fn observe(&mut self, now: Duration, capacity: f64) {
         let seconds = self.observed_at.map_or(0.0, |at| now.saturating_sub(at).as_secs_f64());
         self.arrivals.advance(seconds, 0.0);
@@ -106,7 +111,7 @@
         self.observed_at = Some(self.observed_at.map_or(now, |at| at.max(now)));
     }
 
-    /// Capacity now, as a part of the usual.
+    /// The current capacity, as a share of the usual one.
     fn capacity_left(&self) -> f64 {
         match self.usual_capacity.mean() {
             Some(usual) if usual > 0.0 => self.capacity_cores / usual,
@@ -114,7 +119,7 @@
         }
     }
 
-    /// The part of all requests that is to be admitted, from 0 to 1.
+    /// The share of all requests that is to be admitted, from 0 to 1.
     pub fn admitted(&self) -> f64 {
         let left = self.capacity_left();
         if left >= 1.0 - MAX_UNNOTICED_LOSS {
--- a/crates/core/load-shedding/tests/load_shedding.rs
+++ b/crates/core/load-shedding/tests/load_shedding.rs
@@ -1,4 +1,4 @@
-//! What is admitted, by what capacity and arrivals were and are.
+//! The admitted share by the current and the usual capacity and arrivals.
 
 use lemonusher_load_shedding::LoadShedding;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 const STEP: Duration = Duration::from_millis(100);
 const SPAN: Duration = Duration::from_secs(5);
 
-/// A front with its clock.
+/// The load shedding of one front, with its clock.
 struct Front {
     shedding: LoadShedding,
     now: Duration,
@@ -17,7 +17,7 @@
         Front { shedding: LoadShedding::new(SPAN), now: Duration::ZERO }
     }
 
-    /// Lets seconds pass with so many cores, and so many requests in each step.
+    /// Advances the clock in steps, with a constant capacity and `requests` arrivals per step.
     fn pass(&mut self, seconds: u64, cores: f64, requests: u32) {
         for _ in 0..seconds * 10 {
             (0..requests).for_each(|_| self.shedding.arrived());
--- a/crates/core/subset/src/lib.rs
+++ b/crates/core/subset/src/lib.rs
@@ -1,52 +1,54 @@
-//! Deterministic subsetting: which of many engines one front of many keeps to.
+//! Deterministic subsetting: selects the engines that one of many fronts sends to.
 //!
-//! Where hundreds of fronts spread their requests over all engines, each front sends to one engine only once in many
-//! seconds. What it learns of that engine is stale before it sends there again, and while an engine stands still every
-//! front loses requests to it one by one, and all of them together keep it full. A front that keeps to a small subset
-//! sends to each of its engines about once a second: it learns at once, and few fronts have to.
+//! If hundreds of fronts spread their requests over all engines, each front sends to one engine only once in
+//! many seconds. Its knowledge of that engine is stale before it sends there again. While an engine hangs,
+//! every front loses requests to it one by one, and all of them together keep it full. A front with a small
+//! subset sends to each of its engines about once a second: it detects a hung engine at once, and only few
+//! fronts have to.
 //!
-//! The fronts do not talk about it. Each works its subset out from its own number, the number of fronts and the ids of
-//! the engines, so that every engine is in about as many subsets as every other one. Engines stand on several rings, on
-//! each in another order; a front begins at its own place on one of the rings and takes the engines that follow. An
-//! engine that it knows to be unhealthy stays in its subset, to be tried again, and one more is taken in its stead. As
-//! the neighbours of an engine differ from ring to ring, the load of one that fails is spread over many others.
+//! Inputs: the index of the front, the number of fronts, and the ids of the engines. The fronts do not
+//! communicate, and yet every engine is in about as many subsets as any other. For this, the engines are
+//! placed on [`RINGS`] rings, in a different order on each. A front starts at its own position on one of the
+//! rings and takes the engines that follow. An engine that it knows to be unhealthy stays in the subset, so
+//! that it is retried, and one more engine is added for it. As an engine has different neighbours on each
+//! ring, the load of a failed engine is spread over many others.
 //!
-//! Nothing here does input or output, reads a clock or draws by chance.
+//! This crate does no input or output, reads no clock and draws no random numbers.
 
 #![warn(missing_docs)]
 
 use std::num::NonZeroU32;
 
-/// The fewest fronts that should share an engine: the traffic of fronts differs several times over, and the sum of so many
-/// differs little from one engine to the next.
+/// The minimum number of fronts per engine. The traffic of single fronts differs by several times; the sum
+/// over this many differs little between engines.
 const MIN_FRONTS_PER_ENGINE: usize = 32;
-/// The fewest engines in a subset, so that there is a choice, and another one to retry on.
+/// The minimum number of engines in a subset, so that there is a choice and another engine for a retry.
 const MIN_SIZE: usize = 8;
-/// How many times its size a subset may have with its unhealthy members: where nearly all engines are unhealthy, the others
-/// can't bear the load of all fronts.
+/// The maximum number of engines in a subset including unhealthy ones, as a multiple of its size. If nearly
+/// all engines are unhealthy, the others can't take the load of all fronts.
 const MAX_GROWTH: usize = 3;
-/// Rings on which the engines stand in another order each.
+/// The number of rings. Each has the engines in a different order.
 const RINGS: u32 = 16;
 
 /// A front's position among all fronts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Place {
-    /// The front's number, from 0; taken modulo the number of fronts.
+    /// The index of the front, from 0; taken modulo the number of fronts.
     pub number: u32,
-    /// How many fronts there are.
+    /// The number of fronts.
     pub fronts: NonZeroU32,
 }
 
-/// An engine that may be sent to.
+/// An engine that requests may be sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Member {
     /// The engine's id, the same at every front.
     pub engine: u32,
-    /// Whether this front knows of nothing that speaks against sending to it.
+    /// Whether this front has seen no failure and no congestion of the engine.
     pub healthy: bool,
 }
 
-/// The engines that a front keeps to.
+/// The engines that a front uses.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Subset {
     /// Ids in ascending order.
@@ -54,38 +56,39 @@
 }
 
 impl Subset {
-    /// Whether the front keeps to this engine, among others.
+    /// Whether an engine is in the subset.
     pub fn contains(&self, engine: u32) -> bool {
         self.engines.binary_search(&engine).is_ok()
     }
 
-    /// The part of its engines of which something holds: a sample of all engines. One where there are none.
+    /// The share of the subset's engines for which `holds` is true, as an estimate of the share of all
+    /// engines; 1 if the subset is empty.
     pub fn share(&self, holds: impl Fn(u32) -> bool) -> f64 {
         let found = self.engines.iter().filter(|engine| holds(**engine)).count();
         if self.is_empty() { 1.0 } else { found as f64 / self.len() as f64 }
     }
 
-    /// How many engines the front keeps to.
+    /// The number of engines in the subset.
     pub fn len(&self) -> usize {
         self.engines.len()
     }
 
-    /// Whether there is no engine to keep to.
+    /// Whether the subset has no engines.
     pub fn is_empty(&self) -> bool {
         self.engines.is_empty()
     }
 }
 
-/// Healthy engines that a front of so many should keep to, out of so many engines. All of them where that is not fewer.
+/// The number of healthy engines in a subset, for a number of engines and of fronts; at most all engines.
 pub fn size(engines: usize, fronts: NonZeroU32) -> usize {
     let shared = (engines * MIN_FRONTS_PER_ENGINE).div_ceil(fronts.get() as usize);
     shared.max(MIN_SIZE).min(engines)
 }
 
-/// The subset of one front: `size` healthy engines, and the unhealthy ones that stand between them.
+/// The subset of one front: `size` healthy engines, and the unhealthy ones between them on the ring.
 ///
-/// The members may come in any order; fronts that are told of the same engines and find them healthy work out subsets
-/// that hold each engine equally often, up to rounding.
+/// The order of the members does not matter. If all fronts have the same engines and find the same ones
+/// healthy, each engine is in equally many subsets, up to rounding.
 pub fn subset(place: Place, members: impl Iterator<Item = Member>, size: usize) -> Subset {
     let number = place.number % place.fronts;
     let ring = number % RINGS;
@@ -104,14 +107,14 @@
     Subset { engines }
 }
 
-/// Where on its ring of so many engines a front begins. The fronts of one ring begin at equal distances.
+/// The position at which a front starts on its ring. The fronts of one ring start at equal distances.
 fn first_position(number: u32, fronts: u32, engines: usize) -> usize {
     let (ring, rank) = (number % RINGS, number / RINGS);
     let on_this_ring = (fronts - ring).div_ceil(RINGS);
     (u64::from(rank) * engines as u64 / u64::from(on_this_ring)) as usize
 }
 
-/// Spreads an engine's id over all bits, on each ring otherwise (the finalizer of MurmurHash3).
+/// Hashes an engine's id, differently on each ring (the finalizer of MurmurHash3).
 fn hash(engine: u32, ring: u32) -> u64 {
     let mut bits = (u64::from(ring) << u32::BITS | u64::from(engine)) + 1;
     bits = (bits ^ (bits >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
--- a/crates/core/subset/tests/subset.rs
+++ b/crates/core/subset/tests/subset.rs
@@ -1,29 +1,30 @@
-//! What all fronts' subsets are together: even, spread out when engines fail, and small.
+//! The subsets of all fronts together: they are even and small, and the load of failed engines is spread
+//! over many.
 
 use lemonusher_subset::{Member, Place, Subset, size, subset};
 use std::collections::BTreeMap;
 use std::num::NonZeroU32;
 
-/// Fronts and engines of fleets that lemonusher is run as, or is to be run as.
+/// Numbers of fronts and engines of fleets that lemonusher is used or planned for.
 const FLEETS: [(u32, usize); 5] = [(300, 80), (300, 52), (130, 325), (520, 1_300), (40, 60)];
 
 fn fronts(number: u32) -> NonZeroU32 {
     NonZeroU32::new(number).unwrap()
 }
 
-/// Ids as deployments give them: spread over all numbers.
+/// Engine ids as in deployments: spread over the whole range.
 fn engines(count: usize) -> Vec<u32> {
     (1..=count as u32).map(|n| n.wrapping_mul(2_654_435_761)).collect()
 }
 
-/// The subsets of all fronts, where all know the same engines to be unhealthy.
+/// The subsets of all fronts, if all know the same engines to be unhealthy.
 fn subsets(fleet: u32, engines: &[u32], unhealthy: &[u32]) -> Vec<Subset> {
     let size = size(engines.len(), fronts(fleet));
     let members = || engines.iter().map(|&engine| Member { engine, healthy: !unhealthy.contains(&engine) });
     (0..fleet).map(|number| subset(Place { number, fronts: fronts(fleet) }, members(), size)).collect()
 }
 
-/// In how many subsets each engine is.
+/// The number of subsets that contain each engine.
 fn shares(engines: &[u32], subsets: &[Subset]) -> BTreeMap<u32, usize> {
     let share = |engine| subsets.iter().filter(|subset| subset.contains(engine)).count();
     engines.iter().map(|&engine| (engine, share(engine))).collect()
--- a/src/starvation_header.rs
+++ b/src/starvation_header.rs
@@ -6,7 +6,7 @@
 //! conflict with the header are not sent to that engine, so that those it conflicts with run out there. The
 //! header is sent to no other engine. If its engine is no longer eligible, the reservation ends.
 //!
-//! This guards a request against waiting for ever behind later ones. The term is that of the paper
+//! This guards a request against waiting for ever behind later ones. The term is that of the source
 //! (docs/design.md).
 
 use crate::endpoint::EngineId;
