--- a/crates/core/subset/src/lib.rs
+++ b/crates/core/subset/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! Inputs: the index of the front, the number of fronts, and the ids of the engines. The fronts do not
 //! communicate, and yet every engine is in about as many subsets as any other. For this, the engines are
-//! placed on [`RINGS`] rings, in a different order on each. A front starts at its own position on one of the
+//! placed on `RINGS` rings, in a different order on each. A front starts at its own position on one of the
 //! rings and takes the engines that follow. An engine that it knows to be unhealthy stays in the subset, so
 //! that it is retried, and one more engine is added for it. As an engine has different neighbours on each
 //! ring, the load of a failed engine is spread over many others.
