--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,5 +1,6 @@
-//! What all fronts together send to an engine that has just started: never more than the settings let it bear, through
-//! restarts, and yet not nothing. In virtual time; each front has a clock, a seed and beliefs of its own.
+//! Slow start of one engine across all fronts: together they never exceed the engine's overload limit, even
+//! when fronts restart, and they still use the engine. Runs in virtual time; each front has its own clock,
+//! seed and endpoint list.
 
 #[allow(dead_code)]
 mod host;
@@ -9,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The work, in seconds, that a request really takes.
+/// The actual work of a request by class, in seconds on one thread.
 const WORK: [f64; 3] = [0.2, 2.4, 6.0];
 const STEP: u64 = 50;
 const STEPS: u64 = 120;
@@ -23,7 +24,7 @@
     }
 }
 
-/// One fleet before one cold engine, and nothing else to go to: how much was sent at each step, in seconds of work.
+/// The result of a run in which a fleet has only one engine, which warms up.
 struct Story {
     sent: Vec<f64>,
     requests: usize,
@@ -38,13 +39,15 @@
         * safety_rules.slow_start_share
         * 8.0
         * safety_rules.overload_window.as_secs_f64();
-    // The clocks of the fronts have nothing in common but that they go on alike; the engine starts at zero of ours.
+    // The fronts' clocks run at the same rate from different origins. The engine starts at time zero of the
+    // simulation.
     let origins: Vec<u64> = (0..fronts).map(|_| 60_000 + chance.draw() % 50_000).collect();
     let engine = |number: usize| EngineEntry { started_at: ms(origins[number]), ..entry(9) };
     let start = |number: usize, at: u64, seed| {
         Host::starting(terms(number as u32), seed, ms(origins[number] + at), vec![engine(number)])
     };
-    // Some have run for long and hear of the engine when it starts, some start after it did.
+    // These fronts have run for a second when the engine starts; those that restart later start after the
+    // engine.
     let mut hosts: Vec<Host> = (0..fronts as usize)
         .map(|number| {
             let mut host = Host::starting(terms(number as u32), seed, ms(origins[number] - 1000), vec![]);
@@ -53,7 +56,7 @@
             host
         })
         .collect();
-    // Most of them are restarted within half a second, and again later, each at a moment of its own.
+    // Most fronts restart within the first second, and again later, each at a random step.
     let mut restarts: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
     for number in 0..fronts as usize {
         for (from, most) in [(10, 10), (60, 20)] {
@@ -76,10 +79,11 @@
                 let group = [SHORT, SHORT, SHORT, REPORT][chance.draw() as usize % 4];
                 let actions = host.ask(&format!("{group}-{step}-{ask}"), group, chance.draw() % 40);
                 for (request, engine) in sent(&actions).collect::<Vec<_>>() {
-                    let group = usize::from(request.as_bytes()[0] - b'0'); // It may be one that had been held.
+                    let group = usize::from(request.as_bytes()[0] - b'0'); // It may be a request that was queued.
                     story.sent[step as usize] += WORK[group];
                     story.requests += 1;
-                    // Where answers tell what work there was, the fronts learn it; else from how long it took.
+                    // With `work_reported`, responses report the work; otherwise the fronts learn it from
+                    // the latency.
                     let work = Duration::from_secs_f64(WORK[group]);
                     host.end_with(&request, 0, engine, AttemptOutcome::Returned, |ending| {
                         ending.usage = knows.then_some(ResourceUsage { work, memory_mb: 1.0 });
@@ -119,8 +123,9 @@
     }
 }
 
-/// The crossing that makes all fronts forget: each is killed once it may have spent its share, and again and again before
-/// the window is over in which that counts.
+/// Guards against a quota that is spent twice because a restart discards the record of sent work. All fronts
+/// are restarted once they may have spent their quotas, and repeatedly before the window has passed in which
+/// that work counts.
 #[test]
 fn fronts_that_restart_again_and_again_do_not_spend_their_quota_twice() {
     for (fronts, seed) in [(2, 1), (5, 2), (20, 3), (30, 4), (300, 5)] {
@@ -132,7 +137,7 @@
     }
 }
 
-/// What went to an engine between its start and the word of it is not forgotten with that word.
+/// Work that was sent after an engine's restart but before the endpoint update counts towards the quota.
 #[test]
 fn work_sent_before_a_start_was_listed_counts() {
     let mut host = Host::of(1);
@@ -145,7 +150,7 @@
         EndpointUpdateKind::Delta,
         vec![EngineEntry { started_at: started, ..entry(1) }],
     ));
-    // Six requests of half a second are all of this front's share.
+    // The quota of this front allows six requests of half a second.
     let after = host.flood(40, SHORT, 3).len();
     assert!(after + before <= 10, "{before} and {after}");
 }
--- a/tests/decision_equality.rs
+++ b/tests/decision_equality.rs
@@ -1,9 +1,9 @@
-//! A change that is to make the decision cheaper must not change it: every action in several hundred random histories
+//! Guards against a change of decisions by an optimization: every action in several hundred random histories
 //! is the same, in the same order and at the same time, as when `tests/histories/digests.txt` was written.
 //!
-//! The digests may be written anew only by a commit that means to change what the gateway decides, or by one that adds
-//! to the histories and leaves the decision alone; its message says which. The command is
-//! `cargo run --example decision_digests > tests/histories/digests.txt`.
+//! The digests may be rewritten only by a commit that intends to change decisions, or by one that extends
+//! the histories and leaves the decisions alone; its message says which. The command is `cargo run --example
+//! decision_digests > tests/histories/digests.txt`.
 
 mod histories;
 
--- a/tests/engine_table.rs
+++ b/tests/engine_table.rs
@@ -1,4 +1,4 @@
-//! Engines by id and by slot: sorted, whatever the order they came in.
+//! The engine table: engines are found by id and by slot, sorted by id whatever the order of insertion.
 
 #[path = "../src/endpoint.rs"]
 #[allow(dead_code)]
--- a/tests/histories/deployment.rs
+++ b/tests/histories/deployment.rs
@@ -1,4 +1,4 @@
-//! What a random deployment states.
+//! Random deployments.
 
 use super::TICK;
 use super::random::Random;
@@ -7,7 +7,7 @@
 
 const FRONT_COUNTS: [u64; 5] = [1, 5, 16, 17, 300];
 
-/// A deployment whose way of reports follows from the seed.
+/// A random deployment; its kind of load reporting is determined by the seed.
 pub fn deployment(random: &mut Random, seed: u64) -> Deployment {
     let fronts = random.pick(&FRONT_COUNTS) as u32;
     Deployment {
--- a/tests/histories/mod.rs
+++ b/tests/histories/mod.rs
@@ -1,5 +1,5 @@
-//! Random histories of one gateway, and a digest of every action that it takes in them. The same seed gives the same
-//! history for as long as the gateway takes the same actions, so that two versions of the decision can be compared.
+//! Random histories of one gateway, and a digest of all its actions. The same seed gives the same history as
+//! long as the gateway takes the same actions, so that the decisions of two versions can be compared.
 
 mod deployment;
 mod random;
@@ -12,17 +12,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The seeds that are played: from zero up to, but not including, this.
+/// The number of seeds; they are numbered from 0.
 pub const SEEDS: u64 = 400;
 pub const TICK: Duration = Duration::from_millis(20);
 const TICKS: u32 = 300;
 const MOST_ARRIVALS_A_TICK: u64 = 5;
-/// Lists of engines: mostly short, at times so long that loads, readers and homes differ.
+/// Numbers of engines: mostly small, some large enough that bulk loads, readers and home engines differ.
 const ENGINE_COUNTS: [u64; 5] = [2, 6, 16, 40, 130];
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// What a history came to.
+/// The digest of a history, and counts of its actions.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Outline {
     /// Hash of the time and the recorded form of every action.
@@ -50,14 +50,14 @@
     }
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 struct Sent {
     engine: EngineId,
     at: Duration,
     cost: Duration,
 }
 
-/// The world around one gateway: what it is told, and when.
+/// The environment of one gateway: generates its events and carries out its actions.
 struct World {
     random: Random,
     deployment: Deployment,
@@ -65,7 +65,7 @@
     engines: BTreeMap<EngineId, EngineEntry>,
     out: BTreeMap<(RequestId, u32), Sent>,
     sent: BTreeMap<RequestId, u32>,
-    /// What comes later, in order of time and then of planning.
+    /// Later events, in the order of time and then of planning.
     planned: BTreeMap<(Duration, u64), Planned>,
     plans: u64,
     arrived: u64,
@@ -79,7 +79,7 @@
     End(RequestId, u32, AttemptOutcome),
 }
 
-/// Plays the history of one seed.
+/// Runs the history of one seed.
 pub fn play(seed: u64) -> Outline {
     let mut world = World::new(seed);
     for tick in 1..=TICKS {
@@ -133,7 +133,8 @@
         self.planned.insert((at, self.plans), planned);
     }
 
-    /// The whole list at first; later restarts, drains, bars, and engines that come, go or are missing.
+    /// Sends the full endpoint list at first; later restarts, drains, blocks, additions and removals of
+    /// engines.
     fn change_list(&mut self, now: Duration) {
         if self.engines.is_empty() {
             let count = self.random.pick(&ENGINE_COUNTS) as u32;
@@ -193,7 +194,7 @@
         let service_group = self.random.below(self.deployment.request_classes.len() as u64) as usize;
         let limit = self.deployment.request_classes[service_group].deadline;
         let repeat = self.random.one_in(8);
-        // One table group draws most of the traffic, so that it has several homes.
+        // One table group receives most of the traffic, so that it has several home engines.
         let table_group = if self.random.one_in(2) { 0 } else { self.random.below(40) };
         Arrival {
             request: format!("batch-{}", self.arrived).into(),
@@ -285,7 +286,7 @@
         }
     }
 
-    /// Tells the gateway all that is due by now.
+    /// Sends the gateway all events that are due.
     fn happen(&mut self, now: Duration) {
         while let Some(first) = self.planned.first_entry().filter(|first| first.key().0 <= now) {
             match first.remove() {
--- a/tests/histories/random.rs
+++ b/tests/histories/random.rs
@@ -1,4 +1,4 @@
-//! Numbers by chance.
+//! Reproducible random numbers.
 
 use std::time::Duration;
 
--- a/tests/histories/recorded_form.rs
+++ b/tests/histories/recorded_form.rs
@@ -1,11 +1,12 @@
-//! Actions in the wording in which the digests were recorded.
+//! Actions in the text form from which the digests were recorded.
 //!
-//! The digests were taken of the actions' debug text. A rename of a variant or field must not change them, a change of
-//! any value must. So each variant stands here with the names of that time, and no field is left out.
+//! The digests were computed from the actions' debug text. A renamed variant or field must not change them,
+//! a change of any value must. So each variant is written here with its names of that time, and no field is
+//! left out.
 
 use lemonusher::Action;
 
-/// The text of an action that its digest is taken of.
+/// The text of an action from which its digest is computed.
 pub fn recorded_form(action: &Action) -> String {
     match action {
         Action::SetPriority { request, priority, memory_mb } => {
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -1,4 +1,4 @@
-//! A tiny host: it tells one gateway events and remembers what it did.
+//! A test host of one gateway: sends it events in virtual time and returns its actions.
 
 use lemonusher::*;
 use std::time::Duration;
@@ -83,7 +83,7 @@
         Host::starting(deployment, 7, ms(60_000), entries)
     }
 
-    /// A front that starts at this time of its own clock.
+    /// A front that starts at `now` of its own clock.
     pub fn starting(deployment: Deployment, seed: u64, now: Duration, entries: Vec<EngineEntry>) -> Host {
         let mut host = Host { gateway: Gateway::new(deployment, seed), now, count: 0 };
         host.tell(Event::Endpoints(EndpointUpdateKind::Restored, entries));
@@ -104,7 +104,7 @@
         self.tell(Event::TimerFired)
     }
 
-    /// A request arrives; what is done at once.
+    /// Sends an arrival; returns the actions of the decision that follows at once.
     pub fn ask(&mut self, id: &str, group: usize, tables: u64) -> Vec<Action> {
         let patience = [5000, 20_000, 20_000][group];
         self.ask_with(id, group, tables, |arrival| arrival.client_timeout = ms(patience))
@@ -131,7 +131,7 @@
         self.tell(Event::Arrived(arrival))
     }
 
-    /// `count` requests arrive; how many were dispatched, and where.
+    /// Sends `count` arrivals; returns the engine of each request that was sent at once.
     pub fn flood(&mut self, count: u32, group: usize, tables: u64) -> Vec<EngineId> {
         let mut engines = Vec::new();
         for _ in 0..count {
@@ -183,7 +183,7 @@
     })
 }
 
-/// The engine that the request went to.
+/// The engine that the request was sent to.
 pub fn engine_of(actions: &[Action], id: &str) -> Option<EngineId> {
     sent(actions).find(|(request, _)| request == id).map(|(_, engine)| engine)
 }
--- a/tests/preference_order.rs
+++ b/tests/preference_order.rs
@@ -1,4 +1,4 @@
-//! The orders that table groups walk the engines in: hashed, bounded in number, and turned without a copy.
+//! Preference orders of table groups: hashed, cached up to a limit, and reversed or rotated without a copy.
 
 #[path = "../src/endpoint.rs"]
 #[allow(dead_code)]
@@ -16,7 +16,7 @@
 
 const ENGINES: u32 = 37;
 
-/// What the order is by its definition.
+/// The order according to its definition.
 fn sorted(table_group: u64) -> Vec<usize> {
     let mut slots: Vec<usize> = (0..ENGINES as usize).collect();
     slots.sort_by_key(|slot| Reverse(mix(table_group ^ mix(*slot as u64 * 3 + 1))));
@@ -63,7 +63,7 @@
     }
     order(&mut orders, 0);
     order(&mut orders, 1 << 40);
-    // What was used last needs no ids, for it is kept; what was used longest ago is worked out anew.
+    // A cached order needs no ids; an evicted one is computed again from the (empty) ids.
     let kept = |orders: &mut PreferenceOrders, table_group| orders.of(table_group, std::iter::empty()).len();
     assert_eq!(kept(&mut orders, 0), ENGINES as usize);
     assert_eq!(kept(&mut orders, 1 << 40), ENGINES as usize);
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -1,4 +1,5 @@
-//! Short stories, one for each failure met or rule kept.
+//! Tests of the gateway's rules, each with a short sequence of events and one rule or one failure to guard
+//! against.
 
 mod host;
 
@@ -127,7 +128,7 @@
     assert!(host.flood(6, SHORT, 3).iter().all(|e| *e == 2));
     assert!(host.flood(6, REPORT, 3).contains(&1));
 
-    // Barred to all and opened again within the window, a cold engine takes no second share.
+    // An engine that is blocked for all classes and unblocked within the window gets no second quota.
     let mut host = Host::of(0);
     let started = host.now;
     host.tell(Event::Endpoints(EndpointUpdateKind::Delta, vec![barred(0, started)]));
@@ -151,7 +152,8 @@
         early += host.flood(20, SHORT, 3).len();
         host.wait(ms(100));
     }
-    // Three times 0.3 of 8 cores for 1.5 s bears 10.8 s of work, of which half is ours; a request weighs 0.5 s.
+    // The overload limit is 3 × 0.3 × 8 cores × 1.5 s = 10.8 s of work. Half of it is this front's; a
+    // request counts for 0.5 s.
     assert!((1..=10).contains(&early), "{early} went to the cold engine");
 }
 
@@ -338,7 +340,7 @@
     assert_eq!(play(), play());
 }
 
-/// A deployment of so many fronts that each sees a sliver of the traffic.
+/// A deployment of so many fronts that each receives a small share of the traffic.
 fn many_probing_fronts() -> Deployment {
     let capabilities = Capabilities { probes: true, ..deployment().capabilities };
     Deployment { fronts: 50, capabilities, load_reporting: LoadReporting::WithProbes, ..deployment() }
@@ -430,7 +432,7 @@
             sends.extend(host.flood(1, [SHORT, SHORT, REPORT][step as usize % 3], 9).iter().map(|_| step));
         }
     }
-    // Before answers tell, a short request counts as half a second of work.
+    // Before responses report the work, a short request counts for half a second.
     let worst = (0..100).map(|from| sends.iter().filter(|at| (from..from + 15).contains(*at)).count()).max();
     assert!(sends.len() > 20, "{}", sends.len());
     assert!(worst.unwrap() as f64 * 0.5 <= bears, "{worst:?} against {bears}");
@@ -478,7 +480,7 @@
     host.end("a", 0, engine, AttemptOutcome::Cancelled);
     host.ask("b", REPORT, 9);
     host.wait(ms(19_995));
-    host.tell(Event::ClientGone("b".into())); // It has its answer, and gets no second one.
+    host.tell(Event::ClientGone("b".into())); // It has its final response already.
     assert!(!rejected(&host.wait(ms(50)), "b"));
 }
 
@@ -494,11 +496,11 @@
     let late = host.ask("late", SHORT, 7);
     assert!(engine_of(&late, "late").is_some());
     let last = host.wait(ms(95));
-    // A load may have run: it is errored. What may run again is pushed back.
+    // The bulk load may have run, so it fails. The requests that may run again are rejected.
     assert!(failed(&last, "load") && rejected(&last, "report") && rejected(&last, "late"));
 }
 
-/// A deployment of hundreds of fronts, one of which this is.
+/// A deployment of hundreds of fronts.
 fn many_fronts() -> Deployment {
     Deployment { fronts: 300, ..deployment() }
 }
@@ -506,7 +508,7 @@
 #[test]
 fn one_of_many_fronts_probes_no_more_than_the_stated_cost_allows() {
     let probes = |probe_price| {
-        // So few fronts keep to all of the engines; where a front keeps to fewer, it has fewer to ask.
+        // With this few fronts each front uses all engines. A subset would have fewer engines to probe.
         let mut terms = Deployment {
             fronts: 20,
             probe_cost: probe_price,
@@ -535,7 +537,7 @@
         for (id, engine) in out.iter().filter(|_| alive) {
             host.note(id, 0, *engine, AttemptProgress::Done(0.9));
         }
-        host.wait(ms(900)); // By now all of it is slowed down, or lost.
+        host.wait(ms(900)); // By now all attempts are slow or lost.
         (20..40)
             .filter(|n| engine_of(&host.ask(&format!("b{n}"), SHORT, *n), &format!("b{n}")).is_some())
             .count()
@@ -561,12 +563,12 @@
     assert!(none == 0 && usual > 0 && all > usual, "{none} {usual} {all}");
 }
 
-/// One of many, who may ask engines but never does, as a probe costs too much.
+/// A front in many-front mode that may probe engines but never does, as a probe costs too much.
 fn costly_probes() -> Deployment {
     Deployment { probe_cost: 1e9, retries_marked: true, ..many_probing_fronts() }
 }
 
-/// Lets a front learn that short requests take a tenth of a second.
+/// Returns responses from which the front learns that short requests take 0.1 s of work.
 fn with_known_work(deployment: Deployment, engines: u32) -> Host {
     let mut host = Host::with(deployment, (1..=engines).map(entry).collect());
     for n in 0..9 {
@@ -609,7 +611,7 @@
     host.note("a", 0, first, AttemptProgress::Done(0.01));
     let second = engine_of(&host.end("a", 0, first, AttemptOutcome::Cancelled), "a").unwrap();
     host.now += ms(500);
-    let given_up = host.note("a", 1, second, AttemptProgress::Done(0.01)); // 50 s in all; the client waits 20.
+    let given_up = host.note("a", 1, second, AttemptProgress::Done(0.01)); // 50 s in total, past the deadline of 20 s.
     assert!(rejected(&given_up, "a"));
     assert!(given_up.contains(&Action::Cancel { request: "a".into(), attempt: 1 }));
 }
@@ -624,7 +626,7 @@
     assert_eq!(same.len(), 30);
     let mut host = with_known_work(costly_probes(), 10);
     (1..=10).for_each(|engine| _ = answer(&mut host, engine, 0.45, 2));
-    host.wait(ms(4000)); // The reports are too old to be used; what is usual is known.
+    host.wait(ms(4000)); // The reports are too old; the usual load is known.
     let sent: Vec<Option<EngineId>> = (0..240)
         .map(|n| {
             let id = format!("b{n}");
@@ -663,7 +665,7 @@
     let play = |retention, elapsed, reach| {
         let mut terms = deployment();
         terms.request_classes[SHORT].idempotency = Idempotency::IdempotencyKeyed { scope: reach, retention };
-        terms.request_classes[SHORT].latency_objective = ms(20_000); // It is worth another attempt for long.
+        terms.request_classes[SHORT].latency_objective = ms(20_000); // Leaves time for another attempt.
         let mut host = Host::with(terms, vec![entry(1), entry(2)]);
         let first = engine_of(&host.ask("a", SHORT, 1), "a").unwrap();
         host.now += elapsed;
@@ -672,11 +674,13 @@
     let start_by = |actions: &[Action]| {
         actions.iter().find_map(|a| if let Action::Send { start_by, .. } = a { *start_by } else { None })
     };
-    // Well within it is sent again, and told by when that has to begin.
+    // Well within the retention time the request is sent again, with a time by which the attempt has to
+    // start.
     let again = play(ms(1000), ms(300), DeduplicationScope::Everywhere);
     let by = start_by(&again).expect("not sent again");
     assert!(by > ms(60_300) && by < ms(61_000), "{by:?}");
-    // Near its end the way there may take all that is left; who came back would come too late, too.
+    // Near the end of the retention time the transit may take all that is left. A retry by the client would
+    // come too late, too.
     for reach in [DeduplicationScope::Everywhere, DeduplicationScope::Zone] {
         let over = play(ms(1000), ms(900), reach);
         assert!(failed(&over, "a") && sent(&over).count() == 0, "{reach:?}");
@@ -690,7 +694,7 @@
     assert!(rejected(&host.end("a", 0, 1, AttemptOutcome::Errored), "a"));
 }
 
-/// One of many, told with each answer how many requests its engine holds, and nothing else.
+/// A front in many-front mode whose engines report only the number of their requests, with each response.
 fn reports_requests_with_responses() -> Deployment {
     let capabilities = Capabilities { probes: false, cancel: false, ..deployment().capabilities };
     Deployment { fronts: 300, capabilities, load_reporting: LoadReporting::WithResponses, ..deployment() }
@@ -712,7 +716,7 @@
     let sent = |held: f64| {
         let mut host = Host::with(reports_requests_with_responses(), (1..=3).map(entry).collect());
         (0..40).for_each(|_| returned(&mut host, SHORT, held));
-        // Of a fourth nothing was ever told.
+        // The fourth engine has never sent a report.
         host.tell(Event::Endpoints(EndpointUpdateKind::Delta, vec![entry(4)]));
         (0..40).filter(|n| !host.flood(1, SHORT, 100 + n).is_empty()).count()
     };
@@ -729,11 +733,12 @@
         }
         (0..6).filter(|n| !host.flood(1, SHORT, 100 + n).is_empty()).count()
     };
-    // Eight requests of one thread each on eight cores leave room; eight of four threads do not.
+    // Eight requests of one thread each leave capacity on eight cores; eight requests of four threads each
+    // do not.
     assert_eq!((sent(SHORT), sent(REPORT)), (6, 0));
 }
 
-/// One of many, told nothing of any engine's load.
+/// A front in many-front mode whose engines report no load.
 fn without_load_reports() -> Deployment {
     let capabilities = Capabilities { probes: false, cancel: false, ..deployment().capabilities };
     Deployment { fronts: 300, capabilities, load_reporting: LoadReporting::None, ..deployment() }
@@ -750,7 +755,7 @@
             }
             host.wait(ms(20));
         }
-        // Engines that have turned nothing away.
+        // Adds engines that have rejected nothing.
         host.tell(Event::Endpoints(EndpointUpdateKind::Delta, (100..140).map(entry).collect()));
         (0..60).filter(|n| !host.flood(1, SHORT, 1000 + n).is_empty()).count()
     };
