--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -79,7 +79,8 @@
                 let group = [SHORT, SHORT, SHORT, REPORT][chance.draw() as usize % 4];
                 let actions = host.ask(&format!("{group}-{step}-{ask}"), group, chance.draw() % 40);
                 for (request, engine) in sent(&actions).collect::<Vec<_>>() {
-                    let group = usize::from(request.as_bytes()[0] - b'0'); // It may be a request that was queued.
+                    // The request that is sent may be one that was queued before.
+                    let group = usize::from(request.as_bytes()[0] - b'0');
                     story.sent[step as usize] += WORK[group];
                     story.requests += 1;
                     // With `work_reported`, responses report the work; otherwise the fronts learn it from
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -611,7 +611,8 @@
     host.note("a", 0, first, AttemptProgress::Done(0.01));
     let second = engine_of(&host.end("a", 0, first, AttemptOutcome::Cancelled), "a").unwrap();
     host.now += ms(500);
-    let given_up = host.note("a", 1, second, AttemptProgress::Done(0.01)); // 50 s in total, past the deadline of 20 s.
+    // The attempt would take 50 s in total; the deadline is at 20 s.
+    let given_up = host.note("a", 1, second, AttemptProgress::Done(0.01));
     assert!(rejected(&given_up, "a"));
     assert!(given_up.contains(&Action::Cancel { request: "a".into(), attempt: 1 }));
 }
