--- a/src/eligibility.rs
+++ b/src/eligibility.rs
@@ -23,6 +23,6 @@
             && self.may_run_at(now, request, entry)
             && engine.may_be_tried(now)
             && self.is_in_subset(now, request, engine)
-            && self.has_slow_start_room(now, request, engine)
+            && self.has_slow_start_capacity(now, request, engine)
     }
 }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -181,7 +181,7 @@
             if may_conflict && self.conflicts_at(now, sequence, slot) {
                 continue;
             }
-            if candidate.warming_up && !self.draws_warm_enough(now, candidate.engine) {
+            if candidate.warming_up && !self.passes_slow_start_draw(now, candidate.engine) {
                 continue;
             }
             choices.push(Choice::new(slot, candidate));
@@ -194,9 +194,9 @@
         self.engines.at(slot).is_some_and(|engine| self.conflicts(now, request, engine))
     }
 
-    fn draws_warm_enough(&mut self, now: Duration, engine: EngineId) -> bool {
-        let warmth = self.warmth(now, &self.engines[&engine]);
-        self.random.draw() <= warmth
+    fn passes_slow_start_draw(&mut self, now: Duration, engine: EngineId) -> bool {
+        let slow_start_factor = self.slow_start_factor(now, &self.engines[&engine]);
+        self.random.draw() <= slow_start_factor
     }
 
     fn avoid_last_failed(&self, sequence: u64, choices: &mut Vec<Choice>) {
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -21,7 +21,7 @@
 //! nothing is left to chance: at most a known number of requests is sent within any window. That number
 //! counts the slots that start within the window and those that are open when it starts.
 //!
-//! slots per overload window = floor(fronts × quota / (1 + [`TURN_LENGTH`]) / mean work of small requests)
+//! slots per overload window = floor(fronts × quota / (1 + [`SLOT_LENGTH_SHARE`]) / mean small work)
 //!
 //! A front that has started after the engine may have sent its whole quota before its own restart, and has
 //! no record of it. It sends nothing to that engine for one window.
@@ -41,35 +41,35 @@
 /// engine may be slower than others, and because it counts as full before all of its cores are busy.
 const SAFE_OVERLOAD_SHARE: f64 = 0.6;
 /// How long a slow-start time slot is open, as a share of the overload window.
-const TURN_LENGTH: f64 = 0.25;
+const SLOT_LENGTH_SHARE: f64 = 0.25;
 /// A request is small if its work is at most this share of the overload limit.
 const SMALL_REQUEST_SHARE: f64 = 0.05;
 /// Modulus of the hash of an engine's id. The result is the number of slots by which the engine's slot order
 /// is shifted.
-const TURN_OFFSET_MODULUS: u64 = 0x1_0000_0000;
+const SLOT_OFFSET_MODULUS: u64 = 0x1_0000_0000;
 
 impl Gateway {
     /// Whether this front may send a request to an engine within slow start; always true for an engine that
     /// is warmed up.
-    pub(crate) fn has_slow_start_room(&self, now: Duration, request: &Request, engine: &Engine) -> bool {
+    pub(crate) fn has_slow_start_capacity(&self, now: Duration, request: &Request, engine: &Engine) -> bool {
         if !self.is_warming_up(now, engine) {
             return true;
         }
-        let window = self.slow_start_memory();
+        let window = self.sent_work_window();
         let started = engine.entry.started_at;
         if self.started_at.is_some_and(|own_start| started < own_start && now < own_start + window) {
             return false;
         }
-        let bears = self.bearable_work(engine);
-        let quota = bears * SAFE_OVERLOAD_SHARE * self.quota.unwrap_or(1.0 / self.fronts());
+        let overload_limit = self.overload_limit(engine);
+        let quota = overload_limit * SAFE_OVERLOAD_SHARE * self.quota.unwrap_or(1.0 / self.fronts());
         let recent = engine.sent_while_warming_up.iter().filter(|sent| sent.at + window > now);
         let sent: f64 = recent.map(|sent| sent.work).sum();
         let work = self.classes[request.class].work.mean();
-        let mean_small = self.mean_small_work(bears);
+        let mean_small = self.mean_small_work(overload_limit);
         if mean_small > quota {
-            let small = work <= bears * SMALL_REQUEST_SHARE;
-            let turns = (self.fronts() * quota / (1.0 + TURN_LENGTH) / mean_small).floor();
-            return self.has_turn(now, engine, turns) && sent == 0.0 && small;
+            let small = work <= overload_limit * SMALL_REQUEST_SHARE;
+            let slots = (self.fronts() * quota / (1.0 + SLOT_LENGTH_SHARE) / mean_small).floor();
+            return self.has_slow_start_slot(now, engine, slots) && sent == 0.0 && small;
         }
         sent + work <= quota
     }
@@ -81,7 +81,7 @@
 
     /// The slow-start factor of an engine that warms up: `slow_start_share` at its start, then linear in
     /// time up to 1.
-    pub(crate) fn warmth(&self, now: Duration, engine: &Engine) -> f64 {
+    pub(crate) fn slow_start_factor(&self, now: Duration, engine: &Engine) -> f64 {
         let rules = &self.deployment.safety_rules;
         let age = now.saturating_sub(engine.entry.started_at).as_secs_f64();
         let initial = rules.slow_start_share;
@@ -90,7 +90,7 @@
 
     /// Counts work that was sent to an engine. `work` is in seconds on one thread.
     pub(crate) fn record_slow_start_work(&mut self, now: Duration, engine: EngineId, work: f64) {
-        let window = self.slow_start_memory();
+        let window = self.sent_work_window();
         if let Some(engine) = self.engines.get_mut(&engine) {
             engine.sent_while_warming_up.retain(|sent| sent.at + window > now);
             engine.sent_while_warming_up.push(SentWork { at: now, work });
@@ -98,13 +98,13 @@
     }
 
     /// How long sent work counts against the quota: the overload window and one tick.
-    fn slow_start_memory(&self) -> Duration {
+    fn sent_work_window(&self) -> Duration {
         self.deployment.safety_rules.overload_window + self.deployment.tick
     }
 
     /// The overload limit of an engine that has just started: it fails if it is sent this many seconds of
     /// work, on one thread, within the overload window.
-    fn bearable_work(&self, engine: &Engine) -> f64 {
+    fn overload_limit(&self, engine: &Engine) -> f64 {
         let rules = &self.deployment.safety_rules;
         rules.overload_factor
             * rules.slow_start_share
@@ -113,19 +113,20 @@
     }
 
     /// The mean work of small requests, in seconds on one thread; NaN if no class has small requests.
-    fn mean_small_work(&self, bears: f64) -> f64 {
+    fn mean_small_work(&self, overload_limit: f64) -> f64 {
         let works = || self.classes.iter().map(|class| class.work);
-        let small = || works().filter(|work| work.mean() <= bears * SMALL_REQUEST_SHARE);
+        let small = || works().filter(|work| work.mean() <= overload_limit * SMALL_REQUEST_SHARE);
         small().map(|work| work.sum).sum::<f64>() / small().map(|work| work.weight).sum::<f64>()
     }
 
     /// Whether this front's time slot is open. `slots` is the number of slots that start within one overload
     /// window.
-    fn has_turn(&self, now: Duration, engine: &Engine, turns: f64) -> bool {
+    fn has_slow_start_slot(&self, now: Duration, engine: &Engine, slots: f64) -> bool {
         let age = now.saturating_sub(engine.entry.started_at).as_secs_f64();
-        let begun = age / self.deployment.safety_rules.overload_window.as_secs_f64() * turns;
-        let offset = (mix(u64::from(engine.entry.engine)) % TURN_OFFSET_MODULUS) as f64;
-        let since = (begun - offset - f64::from(self.deployment.front_index)).rem_euclid(self.fronts());
-        since < TURN_LENGTH * turns
+        let slots_started = age / self.deployment.safety_rules.overload_window.as_secs_f64() * slots;
+        let offset = (mix(u64::from(engine.entry.engine)) % SLOT_OFFSET_MODULUS) as f64;
+        let slots_since_own =
+            (slots_started - offset - f64::from(self.deployment.front_index)).rem_euclid(self.fronts());
+        slots_since_own < SLOT_LENGTH_SHARE * slots
     }
 }
