--- a/src/admission.rs
+++ b/src/admission.rs
@@ -126,7 +126,7 @@
     }
 
     fn memory_threshold(&self, now: Duration, engine: &Engine) -> f64 {
-        if engine.is_unpressured(now, self.spans.max_report_age) {
+        if engine.is_unpressured(now, self.derived_times.max_report_age) {
             MEMORY_ADMIT_BELOW
         } else {
             MEMORY_ADMIT_BELOW_PRESSURED
--- a/src/arrival.rs
+++ b/src/arrival.rs
@@ -41,7 +41,7 @@
             self.key_queues.push(key, sequence);
         }
         self.subsets.shedding.arrived();
-        self.traffic.record(now, arrival.table_group, self.spans.max_deadline);
+        self.traffic.record(now, arrival.table_group, self.derived_times.max_deadline);
         let age = self.age_of(class, &arrival);
         let request = Request {
             first_arrival: now.saturating_sub(age),
--- a/src/attempt_end.rs
+++ b/src/attempt_end.rs
@@ -85,7 +85,7 @@
             let pressure = shows_pressure(end.elapsed.as_secs_f64(), objective);
             let bounds = LimitBounds {
                 max_threads: crate::admission::max_own_threads(self.deployment.cores(&engine.entry)),
-                min_objective: self.spans.min_objective,
+                min_objective: self.derived_times.min_objective,
             };
             engine.adjust_concurrency_limit(now, pressure, class.config.threads, &bounds);
         }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -41,7 +41,7 @@
 /// (docs/design.md).
 const MANY_FRONTS_ABOVE: f64 = 16.0;
 /// Time constant of learned means, as a multiple of the longest deadline.
-const ESTIMATE_SPAN: f64 = 1.0;
+const ESTIMATE_TIME_CONSTANT: f64 = 1.0;
 /// The shortest time constant of learned means, in seconds.
 const MIN_TIME_CONSTANT: f64 = 1.0;
 /// The maximum age of a load report, as a share of the longest deadline. Also the ratio between the time
@@ -56,7 +56,7 @@
 #[derive(Default)]
 pub struct Gateway {
     pub(crate) deployment: Deployment,
-    pub(crate) spans: Spans,
+    pub(crate) derived_times: DerivedTimes,
     pub(crate) classes: Vec<RequestClass>,
     pub(crate) requests: RequestTable,
     pub(crate) key_queues: KeyQueues,
@@ -96,7 +96,7 @@
 
 /// Times that are derived from the deployment's request classes.
 #[derive(Default)]
-pub(crate) struct Spans {
+pub(crate) struct DerivedTimes {
     /// The longest deadline of all classes.
     pub(crate) max_deadline: Duration,
     /// The shortest latency objective of all classes.
@@ -107,15 +107,15 @@
     pub(crate) time_constant: f64,
 }
 
-impl Spans {
-    fn of(deployment: &Deployment) -> Spans {
+impl DerivedTimes {
+    fn of(deployment: &Deployment) -> DerivedTimes {
         let classes = || deployment.request_classes.iter();
         let max_deadline = classes().map(|class| class.deadline).max().unwrap_or_default();
-        Spans {
+        DerivedTimes {
             max_deadline,
             min_objective: classes().map(|class| class.latency_objective).min().unwrap_or_default(),
             max_report_age: max_deadline.mul_f64(MAX_REPORT_AGE),
-            time_constant: (max_deadline.as_secs_f64() * ESTIMATE_SPAN).max(MIN_TIME_CONSTANT),
+            time_constant: (max_deadline.as_secs_f64() * ESTIMATE_TIME_CONSTANT).max(MIN_TIME_CONSTANT),
         }
     }
 
@@ -128,21 +128,21 @@
 impl Gateway {
     /// Creates a gateway that knows only the deployment. The same seed gives the same random draws.
     pub fn new(deployment: Deployment, seed: u64) -> Self {
-        let spans = Spans::of(&deployment);
+        let derived_times = DerivedTimes::of(&deployment);
         Gateway {
-            classes: RequestClass::all(&deployment, spans.time_constant),
+            classes: RequestClass::all(&deployment, derived_times.time_constant),
             estimates: LoadEstimates::new(
                 deployment.fronts,
-                spans.time_constant,
-                spans.report_time_constant(),
+                derived_times.time_constant,
+                derived_times.report_time_constant(),
             ),
-            traffic: TableGroupTraffic::new(spans.time_constant),
-            slow_share: SlowShare::new(spans.report_time_constant()),
-            subsets: EngineSubsets::new(spans.max_deadline),
+            traffic: TableGroupTraffic::new(derived_times.time_constant),
+            slow_share: SlowShare::new(derived_times.report_time_constant()),
+            subsets: EngineSubsets::new(derived_times.max_deadline),
             random: RandomSource::new(seed),
             poll_at: (deployment.discovery == Discovery::Polled).then_some(Duration::ZERO),
             timer_at: Duration::MAX,
-            spans,
+            derived_times,
             deployment,
             ..Gateway::default()
         }
--- a/src/load_estimate.rs
+++ b/src/load_estimate.rs
@@ -39,7 +39,7 @@
 /// never get a new report.
 const USUAL_LOAD_PRIOR_WEIGHT: f64 = 5.0;
 /// Time constant of the sent work, in requests sent per engine that this front uses.
-const SENT_WORK_SPAN: f64 = 2.0;
+const SENT_WORK_TIME_CONSTANT: f64 = 2.0;
 /// The share of its granted memory that a request needs.
 const NEEDED_SHARE_OF_GRANT: f64 = 0.36;
 /// Lower limit of the fastest probe's duration, in seconds; avoids a division by zero.
@@ -114,12 +114,12 @@
         self.usual_load.add(now, threads_per_core.min(ADMIT_NONE_AT_THREADS_PER_CORE), 1.0);
     }
 
-    /// Counts a request as sent to an engine. `work` is in seconds on one thread; `spread` is the number of
-    /// engines that this front uses.
-    pub(crate) fn record_sent(&mut self, engine: &mut Engine, work: f64, spread: f64) {
+    /// Counts a request as sent to an engine. `work` is in seconds on one thread; `engines_used` is the
+    /// number of engines that this front uses.
+    pub(crate) fn record_sent(&mut self, engine: &mut Engine, work: f64, engines_used: f64) {
         self.sent_requests += 1;
         let clock = self.sent_clock();
-        self.sent_work.time_constant = SENT_WORK_SPAN * spread;
+        self.sent_work.time_constant = SENT_WORK_TIME_CONSTANT * engines_used;
         let none = DecayingMean::new(self.sent_work.time_constant, 0.0);
         engine.sent_work.get_or_insert(none).add(clock, work, 1.0);
         self.sent_work.add(clock, work, 1.0);
@@ -140,7 +140,7 @@
         let cores = self.deployment.cores(&engine.entry);
         if let Some(busy) = load.cores_busy {
             self.estimates.record_reported_load(now, busy / CPU_SHARE_OF_THREAD);
-            if engine.is_unpressured(now, self.spans.max_report_age) && busy < CPU_SATURATED {
+            if engine.is_unpressured(now, self.derived_times.max_report_age) && busy < CPU_SATURATED {
                 let own = engine.own_threads * CPU_SHARE_OF_THREAD;
                 self.estimates.fleet_multiple.add(now, busy * cores, own);
             }
@@ -156,7 +156,7 @@
     /// Estimated threads per core of an engine.
     pub(crate) fn threads_per_core(&self, now: Duration, engine: &Engine, fleet: &FleetMeans) -> f64 {
         let cores = self.deployment.cores(&engine.entry);
-        let fresh = |report: &&Report| report.at + self.spans.max_report_age > now;
+        let fresh = |report: &&Report| report.at + self.derived_times.max_report_age > now;
         let threads = match engine.report.as_ref().filter(fresh) {
             Some(report) => self.reported_threads(engine, report, cores),
             None => None,
@@ -208,7 +208,7 @@
         let sent_work = estimates.sent_work.decayed_to(estimates.sent_clock()).sum;
         FleetMeans {
             cores: estimates.mean_cores,
-            sent_work: sent_work / self.spread(),
+            sent_work: sent_work / self.engines_used(),
             request_work: estimates.sent_work.mean(),
             usual_load: estimates.usual_load(now),
         }
--- a/src/probing.rs
+++ b/src/probing.rs
@@ -103,7 +103,7 @@
     pub(crate) fn probe_first(&mut self, now: Duration, id: EngineId, reserve: f64) -> bool {
         let can_probe = self.can_probe_load();
         let Some(engine) = self.engines.get_mut(&id).filter(|_| can_probe) else { return false };
-        let fresh_for = self.spans.min_objective.mul_f64(FRESH_REPORT_AGE);
+        let fresh_for = self.derived_times.min_objective.mul_f64(FRESH_REPORT_AGE);
         let fresh = engine.report.as_ref().is_some_and(|report| report.at + fresh_for > now);
         let probed = engine.last_probe + self.deployment.capabilities.connect_timeout > now;
         if fresh || probed || self.probes.credit < reserve {
--- a/src/reconcile.rs
+++ b/src/reconcile.rs
@@ -90,14 +90,14 @@
 
     /// Adds an attempt to its engine's counters and discards the cached candidates.
     fn count_sent(&mut self, now: Duration, sequence: u64, id: EngineId) {
-        let spread = self.spread();
+        let engines_used = self.engines_used();
         let request = &self.requests[sequence];
         let class = &self.classes[request.class];
         let work = class.work.mean();
         let Some(engine) = self.engines.get_mut(&id) else { return };
         self.candidate_cache.clear();
         engine.count_attempt(request.class, class, request.table_group, AttemptEdge::Begins);
-        self.estimates.record_sent(engine, work, spread);
+        self.estimates.record_sent(engine, work, engines_used);
         self.record_slow_start_work(now, id, work);
     }
 }
--- a/src/starvation_header.rs
+++ b/src/starvation_header.rs
@@ -27,7 +27,7 @@
     /// Makes the oldest queued request the header, if it has been queued long enough and there is no header.
     pub(crate) fn reserve_for_oldest(&mut self, now: Duration, queued: &[u64]) {
         let Some(&oldest) = queued.first().filter(|_| self.starvation_header.is_none()) else { return };
-        let reserve_after = self.spans.max_deadline.mul_f64(RESERVE_ENGINE_AFTER);
+        let reserve_after = self.derived_times.max_deadline.mul_f64(RESERVE_ENGINE_AFTER);
         if now >= self.requests[oldest].arrived_at + reserve_after {
             self.starvation_header = self.reserve_engine(now, oldest);
         }
--- a/src/subsets.rs
+++ b/src/subsets.rs
@@ -53,7 +53,7 @@
     pub(crate) fn refresh_subsets(&mut self, now: Duration) {
         let due = self.many_fronts() && now >= self.subsets.refresh_at;
         let Some(fronts) = NonZeroU32::new(self.deployment.fronts).filter(|_| due) else { return };
-        self.subsets.refresh_at = now + self.spans.min_objective.mul_f64(SUBSET_REFRESH);
+        self.subsets.refresh_at = now + self.derived_times.min_objective.mul_f64(SUBSET_REFRESH);
         let classes = self.classes.iter().enumerate();
         self.subsets.by_class =
             classes.map(|(index, class)| self.subset_of(now, index, class, fronts)).collect();
@@ -106,7 +106,7 @@
     }
 
     /// The number of engines that this front uses.
-    pub(crate) fn spread(&self) -> f64 {
+    pub(crate) fn engines_used(&self) -> f64 {
         let largest = self.subsets.by_class.iter().map(Subset::len).max().filter(|largest| *largest > 0);
         largest.unwrap_or(self.engines.len()).max(1) as f64
     }
