--- a/src/admission.rs
+++ b/src/admission.rs
@@ -28,7 +28,7 @@
 
 /// Threads per core up to which an engine counts as not loaded. The initial concurrency limits of all fronts
 /// at an engine add up to this many threads per core.
-pub(crate) const ADMIT_ALL_UP_TO: f64 = 1.0;
+pub(crate) const UNLOADED_THREADS_PER_CORE: f64 = 1.0;
 /// Few fronts: from this multiple of the concurrency limit on, nothing is admitted.
 pub(crate) const ADMIT_NONE_AT_LIMIT_MULTIPLE: f64 = 3.0;
 /// Many fronts: estimated threads per core up to which everything is admitted.
@@ -41,10 +41,10 @@
 /// begins.
 const OWN_THREADS_WEIGHT_OVERLOADED: f64 = 2.5;
 /// An engine whose load is below this share of the usual load may hang while its cores are idle.
-const SUSPICIOUSLY_IDLE: f64 = 0.6;
+const SUSPICIOUS_LOAD_SHARE: f64 = 0.6;
 /// Exponent of the relative load (1 at the threshold above) that a bulk load's admission probability is
 /// multiplied by.
-const IDLE_EXPONENT: i32 = 4;
+const SUSPICIOUS_LOAD_EXPONENT: i32 = 4;
 /// One more request is admitted while the needed share of the engine's memory is at most this.
 const MEMORY_ADMIT_BELOW: f64 = 0.55;
 /// The same threshold while this front's responses from the engine show pressure.
@@ -54,12 +54,12 @@
 
 /// The initial concurrency limit of one front at one engine, in threads.
 pub(crate) fn initial_concurrency_limit(cores: f64, fronts: f64) -> f64 {
-    cores * ADMIT_ALL_UP_TO / fronts
+    cores * UNLOADED_THREADS_PER_CORE / fronts
 }
 
 /// The highest concurrency limit of one front at one engine, in threads.
 pub(crate) fn max_own_threads(cores: f64) -> f64 {
-    cores * ADMIT_ALL_UP_TO * ADMIT_NONE_AT_LIMIT_MULTIPLE
+    cores * UNLOADED_THREADS_PER_CORE * ADMIT_NONE_AT_LIMIT_MULTIPLE
 }
 
 /// What admission control needs to know of a request.
@@ -145,7 +145,7 @@
         if !demand.bulk_load {
             return probability;
         }
-        let idle = load / (SUSPICIOUSLY_IDLE * demand.usual_load).max(f64::MIN_POSITIVE);
-        probability.min(1.0) * idle.powi(IDLE_EXPONENT).min(1.0)
+        let idle = load / (SUSPICIOUS_LOAD_SHARE * demand.usual_load).max(f64::MIN_POSITIVE);
+        probability.min(1.0) * idle.powi(SUSPICIOUS_LOAD_EXPONENT).min(1.0)
     }
 }
--- a/src/load_estimate.rs
+++ b/src/load_estimate.rs
@@ -19,7 +19,9 @@
 //! whichever is higher. This guards against paging and spilling to disk. A front with little traffic knows
 //! the fleet multiple only roughly.
 
-use crate::admission::{ADMIT_ALL_UP_TO, ADMIT_NONE_AT_LIMIT_MULTIPLE, ADMIT_NONE_AT_THREADS_PER_CORE};
+use crate::admission::{
+    ADMIT_NONE_AT_LIMIT_MULTIPLE, ADMIT_NONE_AT_THREADS_PER_CORE, UNLOADED_THREADS_PER_CORE,
+};
 use crate::decaying_mean::DecayingMean;
 use crate::endpoint::EngineId;
 use crate::engine::{Engine, Report};
@@ -34,7 +36,7 @@
 const CPU_SATURATED: f64 = 0.9;
 /// Threads per core that many-front mode adds to the estimate if reports count requests.
 const UNREPORTED_THREADS: f64 = 0.4;
-/// Weight of the prior `ADMIT_ALL_UP_TO` in the usual load, in reports. The usual load returns to the prior
+/// Weight of the prior `UNLOADED_THREADS_PER_CORE` in the usual load, in reports. The usual load returns to the prior
 /// as reports decay. Without the prior a front that takes all engines for full would send nothing and would
 /// never get a new report.
 const USUAL_LOAD_PRIOR_WEIGHT: f64 = 5.0;
@@ -103,10 +105,10 @@
         Duration::from_secs(self.sent_requests)
     }
 
-    /// Threads per core that engines usually report. Returns to `ADMIT_ALL_UP_TO` as reports decay.
+    /// Threads per core that engines usually report. Returns to `UNLOADED_THREADS_PER_CORE` as reports decay.
     pub(crate) fn usual_load(&self, now: Duration) -> f64 {
         let reported = self.usual_load.decayed_to(now);
-        (reported.sum + USUAL_LOAD_PRIOR_WEIGHT * ADMIT_ALL_UP_TO)
+        (reported.sum + USUAL_LOAD_PRIOR_WEIGHT * UNLOADED_THREADS_PER_CORE)
             / (reported.weight + USUAL_LOAD_PRIOR_WEIGHT)
     }
 
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -8,7 +8,7 @@
 //! - In many-front mode a group that receives more traffic than one engine's share has several home engines:
 //!   each front rotates the first places of the order by its own index.
 //! - A bulk load follows the order from its end, away from the home engines of the group's readers. Each
-//!   front starts at another place within [`BULK_LOAD_TAIL`] of the order, as otherwise all bulk loads of a
+//!   front starts at another place within [`BULK_LOAD_TAIL_SHARE`] of the order, as otherwise all bulk loads of a
 //!   group would be sent to the same engine.
 //! - An engine that warms up is skipped at random, less often the higher its slow-start factor. In
 //!   many-front mode an engine that warms up and has little load comes first, as an unused slow-start time
@@ -21,7 +21,7 @@
 //! This guards against cold caches, against hot spots on the home engines, and against losing time on a
 //! failed engine.
 
-use crate::admission::ADMIT_ALL_UP_TO;
+use crate::admission::UNLOADED_THREADS_PER_CORE;
 use crate::candidate::Candidate;
 use crate::decaying_mean::DecayingMean;
 use crate::deployment::LoadReporting;
@@ -34,14 +34,14 @@
 use std::time::Duration;
 
 /// An engine is offered a request if its load, in threads per core, exceeds the lowest load by at most this.
-const PLACEMENT_MARGIN: f64 = 0.8;
+const MAX_LOAD_ABOVE_LOWEST: f64 = 0.8;
 /// The same margin in many-front mode.
-const PLACEMENT_MARGIN_MANY_FRONTS: f64 = 2.0;
+const MAX_LOAD_ABOVE_LOWEST_MANY_FRONTS: f64 = 2.0;
 /// The share of the order, counted from its end, within which the fronts' bulk loads start.
-const BULK_LOAD_TAIL: f64 = 0.5;
+const BULK_LOAD_TAIL_SHARE: f64 = 0.5;
 /// Arrivals that are added to the total when a group's share of the traffic is computed, so that the share
 /// stays low while few requests have arrived.
-const ARRIVALS_PRIOR: f64 = 10.0;
+const TRAFFIC_PRIOR_ARRIVALS: f64 = 10.0;
 
 /// Exponentially decaying counts of arrivals at this front, by table group and in total.
 #[derive(Default)]
@@ -67,7 +67,7 @@
     /// The number of home engines for a table group's share of the traffic, at most `engines`.
     fn homes(&self, table_group: u64, engines: f64) -> usize {
         let arrivals = self.by_group.get(&table_group).map_or(0.0, |arrivals| arrivals.sum);
-        let share = arrivals / (self.total.sum + ARRIVALS_PRIOR);
+        let share = arrivals / (self.total.sum + TRAFFIC_PRIOR_ARRIVALS);
         (share * engines).ceil().min(engines) as usize
     }
 }
@@ -110,10 +110,11 @@
         if self.is_admission_forced(now, sequence) {
             return Some(least.engine);
         }
-        let margin = if self.many_fronts() { PLACEMENT_MARGIN_MANY_FRONTS } else { PLACEMENT_MARGIN };
-        choices.retain(|choice| choice.load <= least.load + margin);
+        let max_above_lowest =
+            if self.many_fronts() { MAX_LOAD_ABOVE_LOWEST_MANY_FRONTS } else { MAX_LOAD_ABOVE_LOWEST };
+        choices.retain(|choice| choice.load <= least.load + max_above_lowest);
         if self.many_fronts() {
-            choices.sort_by_key(|choice| !(choice.warming_up && choice.load < ADMIT_ALL_UP_TO));
+            choices.sort_by_key(|choice| !(choice.warming_up && choice.load < UNLOADED_THREADS_PER_CORE));
         }
         self.first_admitting_engine(now, sequence, &choices)
     }
@@ -124,7 +125,7 @@
         let order = self.preference_orders.of(request.table_group, self.engines.ids());
         let (engines, index) = (order.len() as f64, self.deployment.front_index as usize);
         if self.classes[request.class].config.bulk_load {
-            let tail = (engines * BULK_LOAD_TAIL).ceil() as usize;
+            let tail = (engines * BULK_LOAD_TAIL_SHARE).ceil() as usize;
             return PreferenceOrder::new(order, true).rotate_prefix(tail, index);
         }
         if !self.many_fronts() {
--- a/src/subsets.rs
+++ b/src/subsets.rs
@@ -12,7 +12,7 @@
 //! The subset of the first class also serves as a sample of all engines for load shedding: the healthy share
 //! of the subset is the estimate for all engines that are warmed up.
 
-use crate::admission::ADMIT_ALL_UP_TO;
+use crate::admission::UNLOADED_THREADS_PER_CORE;
 use crate::endpoint::EngineState;
 use crate::engine::Engine;
 use crate::gateway::Gateway;
@@ -37,9 +37,9 @@
 }
 
 impl EngineSubsets {
-    /// `span` is the time constant over which load shedding averages arrivals.
-    pub(crate) fn new(span: Duration) -> EngineSubsets {
-        EngineSubsets { shedding: LoadShedding::new(span), ..EngineSubsets::default() }
+    /// `time_constant` is the time constant over which load shedding averages arrivals.
+    pub(crate) fn new(time_constant: Duration) -> EngineSubsets {
+        EngineSubsets { shedding: LoadShedding::new(time_constant), ..EngineSubsets::default() }
     }
 
     /// Makes a refresh due, as the endpoint list has changed.
@@ -69,7 +69,7 @@
         };
         let member = |engine: &Engine| Member {
             engine: engine.entry.engine,
-            healthy: engine.has_no_failure(now) && self.congestion(now, engine) < ADMIT_ALL_UP_TO,
+            healthy: engine.has_no_failure(now) && self.congestion(now, engine) < UNLOADED_THREADS_PER_CORE,
         };
         let members: Vec<Member> = self.engines.values().filter(allowed).map(member).collect();
         let place = Place { number: self.deployment.front_index, fronts };
@@ -81,7 +81,7 @@
     fn capacity(&self, now: Duration) -> f64 {
         let bears_load = |engine: &Engine| {
             let congested =
-                engine.congestion_was_observed() && self.congestion(now, engine) >= ADMIT_ALL_UP_TO;
+                engine.congestion_was_observed() && self.congestion(now, engine) >= UNLOADED_THREADS_PER_CORE;
             engine.consecutive_failures == 0 && !congested
         };
         let sample = self.subsets.by_class.first().cloned().unwrap_or_default();
