--- a/src/attempt_end.rs
+++ b/src/attempt_end.rs
@@ -31,7 +31,7 @@
         } else if self.requests.get(sequence).is_some_and(|request| request.finished) {
             self.remove(sequence);
         } else {
-            self.give_up_if_spent(now, sequence);
+            self.give_up_if_no_attempt_left(now, sequence);
         }
     }
 
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -11,7 +11,7 @@
 //! - at its current pace the rest would take more than [`MIGRATE_FACTOR`] × the usual latency of its class.
 //!
 //! This guards against bad query plans, slow engines and hung requests. The work done so far is lost. From
-//! attempt [`FIRST_ATTEMPT_THAT_STAYS`] on a slow attempt is not migrated, as the request is then taken to
+//! attempt [`FIRST_ATTEMPT_NOT_MIGRATED`] on a slow attempt is not migrated, as the request is then taken to
 //! be really large; an attempt that waits for a bulk load still is. An idempotent request that was migrated
 //! before and will not end before its client's deadline is given up.
 
@@ -26,11 +26,11 @@
 const MIGRATE_FACTOR: f64 = 6.0;
 /// From this attempt on, counted from 1, a slow attempt is not migrated. One that waits for a bulk load
 /// still is.
-const FIRST_ATTEMPT_THAT_STAYS: u32 = 3;
+const FIRST_ATTEMPT_NOT_MIGRATED: u32 = 3;
 /// Lower limit of the reported share of work done; avoids a division by zero.
 const MIN_SHARE_DONE: f64 = 1e-3;
 /// Upper limit of the estimated time to the end of an attempt, in seconds.
-const MAX_REMAINING: f64 = 1e6;
+const MAX_REMAINING_SECONDS: f64 = 1e6;
 
 /// Times of arrivals and retries within the retry budget's window.
 #[derive(Default)]
@@ -49,7 +49,7 @@
     }
 
     /// Whether the budget allows one more retry now.
-    fn has_room(&mut self, now: Duration, budget: &RetryBudget, tick: Duration) -> bool {
+    fn allows_retry(&mut self, now: Duration, budget: &RetryBudget, tick: Duration) -> bool {
         self.arrivals.retain(|at| *at + budget.window > now + tick);
         self.retries.retain(|at| *at + budget.window + tick >= now);
         let allowed = budget.free_retries + budget.retry_ratio * self.arrivals.len() as f64;
@@ -61,7 +61,7 @@
     /// Whether a retry may begin now.
     pub(crate) fn has_retry_budget(&mut self, now: Duration) -> bool {
         let Some(budget) = self.deployment.safety_rules.retry_budget else { return true };
-        self.retries.has_room(now, &budget, self.deployment.tick)
+        self.retries.allows_retry(now, &budget, self.deployment.tick)
     }
 
     /// Handles a progress report of an attempt.
@@ -111,11 +111,11 @@
         if !far_behind {
             return;
         }
-        let end = now + Duration::from_secs_f64((total - age).min(MAX_REMAINING));
+        let end = now + Duration::from_secs_f64((total - age).min(MAX_REMAINING_SECONDS));
         let too_late = end > request.deadline && request.deadline != Duration::MAX;
         if request.attempts > 1 && too_late && class.config.idempotency == Idempotency::Idempotent {
             self.give_up(now, sequence);
-        } else if request.attempts < FIRST_ATTEMPT_THAT_STAYS {
+        } else if request.attempts < FIRST_ATTEMPT_NOT_MIGRATED {
             self.migrate(sequence);
         }
     }
--- a/src/scan.rs
+++ b/src/scan.rs
@@ -25,7 +25,7 @@
         let queued = self.requests.queued();
         self.reserve_for_oldest(now, &queued);
         for sequence in queued {
-            if self.is_looked_at(now, sequence, attempt_ended) {
+            if self.is_considered(now, sequence, attempt_ended) {
                 self.place(now, sequence, actions);
             }
         }
@@ -35,7 +35,7 @@
         next_draws.map(|request| request.next_admission_draw.max(next_scan)).min().unwrap_or(Duration::MAX)
     }
 
-    fn is_looked_at(&mut self, now: Duration, sequence: u64, attempt_ended: bool) -> bool {
+    fn is_considered(&mut self, now: Duration, sequence: u64, attempt_ended: bool) -> bool {
         let request = &self.requests[sequence];
         let is_next = request.key.is_none_or(|key| self.key_queues.is_next(now, key, sequence));
         let draws = request.next_admission_draw <= now || (attempt_ended && !request.admission_refused);
