--- a/src/arrival.rs
+++ b/src/arrival.rs
@@ -7,7 +7,7 @@
 //! A retry is recognized by the client's mark, if the deployment's clients mark retries. Otherwise it is
 //! recognized by a client timeout that differs from the usual one of first tries by at least
 //! [`TIMEOUT_TOLERANCE`] of the deadline. In either case a request with a short client timeout, of at most
-//! [`HURRIED_TIMEOUT`] of the deadline, is taken for a first try.
+//! [`SHORT_CLIENT_TIMEOUT`] of the deadline, is taken for a first try.
 
 use crate::event::Arrival;
 use crate::gateway::Gateway;
@@ -18,9 +18,9 @@
 /// Two client timeouts are taken for equal if they differ by less than this share of the deadline.
 const TIMEOUT_TOLERANCE: f64 = 0.005;
 /// Weight of a vote against the usual timeout. A vote for it has weight 1.
-const TIMEOUT_VOTE_AGAINST: f64 = 0.25;
+const VOTE_WEIGHT_AGAINST: f64 = 0.25;
 /// A client timeout of at most this share of the deadline is not taken for that of a retry.
-const HURRIED_TIMEOUT: f64 = 0.25;
+const SHORT_CLIENT_TIMEOUT: f64 = 0.25;
 /// The priority that engines assume for a request before one is set.
 const INITIAL_PRIORITY: u8 = 1;
 
@@ -68,9 +68,9 @@
         let retry = if self.deployment.retries_marked {
             arrival.client_retry
         } else {
-            !class.first_try_timeout.is_alike(arrival.client_timeout, deadline)
+            !class.first_try_timeout.is_usual(arrival.client_timeout, deadline)
         };
-        if retry && arrival.client_timeout > deadline.mul_f64(HURRIED_TIMEOUT) {
+        if retry && arrival.client_timeout > deadline.mul_f64(SHORT_CLIENT_TIMEOUT) {
             deadline.saturating_sub(arrival.client_timeout)
         } else {
             Duration::ZERO
@@ -79,13 +79,13 @@
 }
 
 impl UsualTimeout {
-    fn is_alike(&self, timeout: Duration, deadline: Duration) -> bool {
+    fn is_usual(&self, timeout: Duration, deadline: Duration) -> bool {
         self.timeout.abs_diff(timeout) < deadline.mul_f64(TIMEOUT_TOLERANCE)
     }
 
     /// Counts one vote for or against the usual timeout. Without votes left, it is replaced by `timeout`.
     fn vote(&mut self, timeout: Duration, deadline: Duration) {
-        self.votes += if self.is_alike(timeout, deadline) { 1.0 } else { -TIMEOUT_VOTE_AGAINST };
+        self.votes += if self.is_usual(timeout, deadline) { 1.0 } else { -VOTE_WEIGHT_AGAINST };
         if self.votes <= 0.0 {
             *self = UsualTimeout { timeout, votes: 1.0 };
         }
--- a/src/attempt_end.rs
+++ b/src/attempt_end.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Lower limit of a request's reported work, in seconds on one thread.
-const MIN_WORK: f64 = 1e-3;
+const MIN_WORK_SECONDS: f64 = 1e-3;
 
 impl Gateway {
     /// Handles the end of an attempt: updates the engine's health and the class's means, and decides what
@@ -100,7 +100,7 @@
         let work = end.usage.map(|usage| usage.work.as_secs_f64());
         let (memory_mb, weight) = end.usage.map_or((0.0, 0.0), |usage| (usage.memory_mb, 1.0));
         class.memory.add(now, memory_mb, weight);
-        let slowness = work.map(|work| latency / class.slow_after(work.max(MIN_WORK)));
+        let slowness = work.map(|work| latency / class.slow_after(work.max(MIN_WORK_SECONDS)));
         if !request.counted_slow {
             self.slow_share.record(now, slowness.is_some_and(|times| times > 1.0));
         }
--- a/src/load_estimate.rs
+++ b/src/load_estimate.rs
@@ -35,7 +35,7 @@
 /// From this busy share of the cores on, a report does not show how many threads run.
 const CPU_SATURATED: f64 = 0.9;
 /// Threads per core that many-front mode adds to the estimate if reports count requests.
-const UNREPORTED_THREADS: f64 = 0.4;
+const UNREPORTED_THREADS_PER_CORE: f64 = 0.4;
 /// Weight of the prior `UNLOADED_THREADS_PER_CORE` in the usual load, in reports. The usual load returns to the prior
 /// as reports decay. Without the prior a front that takes all engines for full would send nothing and would
 /// never get a new report.
@@ -45,7 +45,7 @@
 /// The share of its granted memory that a request needs.
 const NEEDED_SHARE_OF_GRANT: f64 = 0.36;
 /// Lower limit of the fastest probe's duration, in seconds; avoids a division by zero.
-const MIN_PROBE: f64 = 1e-6;
+const MIN_PROBE_SECONDS: f64 = 1e-6;
 
 /// Estimates over all engines and fronts.
 #[derive(Default)]
@@ -192,7 +192,7 @@
         // fronts' requests.
         let each = if many_fronts { self.estimates.typical_threads.mean() } else { own.max(1.0) };
         let others = (in_flight - f64::from(report.own_in_flight)).max(0.0) * each;
-        engine.own_threads + others + f64::from(u8::from(many_fronts)) * UNREPORTED_THREADS * cores
+        engine.own_threads + others + f64::from(u8::from(many_fronts)) * UNREPORTED_THREADS_PER_CORE * cores
     }
 
     fn unreported_threads(&self, now: Duration, engine: &Engine, fleet: &FleetMeans, cores: f64) -> f64 {
@@ -236,7 +236,7 @@
     fn record_report(&mut self, now: Duration, load: LoadReport, probe: Option<Duration>) {
         self.last_seen = now;
         self.fastest_probe = probe.map_or(self.fastest_probe, |probe| self.fastest_probe.min(probe));
-        let fastest = self.fastest_probe.as_secs_f64().max(MIN_PROBE);
+        let fastest = self.fastest_probe.as_secs_f64().max(MIN_PROBE_SECONDS);
         self.report = Some(Report {
             at: now,
             load,
--- a/src/request_class.rs
+++ b/src/request_class.rs
@@ -18,7 +18,7 @@
 /// report work.
 const INITIAL_WORK_SHARE: f64 = 0.5;
 /// Lower limit of a latency, in seconds; avoids the logarithm of zero.
-const MIN_LATENCY: f64 = 1e-3;
+const MIN_LATENCY_SECONDS: f64 = 1e-3;
 
 /// The configuration and the learned means of one request class.
 pub(crate) struct RequestClass {
@@ -58,7 +58,7 @@
     fn new(config: &RequestClassConfig, priority: u8, time_constant: f64) -> RequestClass {
         let objective = config.latency_objective.as_secs_f64();
         let work = objective * config.threads * INITIAL_WORK_SHARE;
-        let latency = (objective * INITIAL_WORK_SHARE).max(MIN_LATENCY);
+        let latency = (objective * INITIAL_WORK_SHARE).max(MIN_LATENCY_SECONDS);
         RequestClass {
             config: config.clone(),
             priority,
@@ -83,7 +83,7 @@
 
     /// Records the latency of an attempt that returned, in seconds.
     pub(crate) fn record_latency(&mut self, now: Duration, latency: f64) {
-        self.log_latency.add(now, latency.max(MIN_LATENCY).ln(), 1.0);
+        self.log_latency.add(now, latency.max(MIN_LATENCY_SECONDS).ln(), 1.0);
     }
 }
 
