--- a/src/arrival.rs
+++ b/src/arrival.rs
@@ -33,7 +33,7 @@
         if self.deployment.safety_rules.retry_budget.is_some() {
             self.retries.record_arrival(now);
         }
-        self.earn_probe_credit();
+        self.add_probe_credit();
         let class = arrival.request_class.min(self.classes.len().saturating_sub(1));
         let sequence = self.requests.allocate();
         let key = arrival.key.filter(|_| self.classes[class].config.ordered);
--- a/src/attempt_end.rs
+++ b/src/attempt_end.rs
@@ -4,8 +4,8 @@
 //! concurrency limit change by the outcome; the class's means of work, memory and latency change by a
 //! response. The request is finished, queued for another attempt, or given up.
 
-use crate::concurrency_limit::{LimitBounds, shows_pressure};
-use crate::engine::AttemptEdge;
+use crate::concurrency_limit::{LimitParameters, shows_pressure};
+use crate::engine::AttemptTransition;
 use crate::event::{AttemptEnd, AttemptOutcome};
 use crate::gateway::Gateway;
 use crate::request::{PossibleRun, RequestGoal};
@@ -78,12 +78,12 @@
         let request = &self.requests[sequence];
         let class = &self.classes[request.class];
         let Some(engine) = self.engines.get_mut(&end.engine) else { return };
-        engine.count_attempt(request.class, class, request.table_group, AttemptEdge::Ends);
+        engine.count_attempt(request.class, class, request.table_group, AttemptTransition::Ends);
         if end.outcome == AttemptOutcome::Returned {
             let work = end.usage.map(|usage| usage.work.as_secs_f64());
             let objective = class.objective(work.unwrap_or(class.work.mean()));
             let pressure = shows_pressure(end.elapsed.as_secs_f64(), objective);
-            let bounds = LimitBounds {
+            let bounds = LimitParameters {
                 max_threads: crate::admission::max_own_threads(self.deployment.cores(&engine.entry)),
                 min_objective: self.derived_times.min_objective,
             };
--- a/src/concurrency_limit.rs
+++ b/src/concurrency_limit.rs
@@ -31,7 +31,7 @@
 const PRIORITY_SHARES: [f64; PRIORITIES] = [1.0, 4.0, 8.0, 16.0];
 
 /// Parameters of a limit's adjustment.
-pub(crate) struct LimitBounds {
+pub(crate) struct LimitParameters {
     /// The highest limit, in threads.
     pub(crate) max_threads: f64,
     /// The shortest latency objective of all classes.
@@ -50,7 +50,7 @@
         now: Duration,
         pressure: bool,
         threads: f64,
-        bounds: &LimitBounds,
+        bounds: &LimitParameters,
     ) {
         let interval = bounds.min_objective.mul_f64(DECREASE_INTERVAL);
         if pressure && now >= self.limit_decreased_at + interval {
--- a/src/conflicts.rs
+++ b/src/conflicts.rs
@@ -18,7 +18,7 @@
     pub(crate) fn conflicts(&self, now: Duration, request: &Request, engine: &Engine) -> bool {
         let config = &self.classes[request.class].config;
         let bulk_loading = engine.bulk_loads.contains_key(&request.table_group)
-            || engine.foreign_bulk_loads.get(&request.table_group).is_some_and(|until| *until > now);
+            || engine.other_fronts_bulk_loads.get(&request.table_group).is_some_and(|until| *until > now);
         self.conflicts_with_header(request, engine)
             || (config.bulk_load && (bulk_loading || engine.readers.contains_key(&request.table_group)))
             || (config.waits_for_bulk_loads && bulk_loading)
--- a/src/congestion.rs
+++ b/src/congestion.rs
@@ -4,7 +4,7 @@
 //! Signs and their values in threads per core, where full = [`ADMIT_NONE_AT_THREADS_PER_CORE`]:
 //! - an attempt that ended slow: slowness × full;
 //! - an attempt in flight that has become slow: full;
-//! - a rejection: [`REJECTED_LOAD`] × full;
+//! - a rejection: [`REJECTION_LOAD_FACTOR`] × full;
 //! - a load report: the load estimated from it, which replaces any earlier sign.
 //!
 //! The highest sign is kept and decays exponentially. A lower sign is ignored until the kept one has decayed
@@ -22,9 +22,9 @@
 use std::time::Duration;
 
 /// The load of an engine that rejects, as a multiple of the load at which nothing is admitted.
-const REJECTED_LOAD: f64 = 4.0;
+const REJECTION_LOAD_FACTOR: f64 = 4.0;
 /// The highest load that a sign counts for, as a multiple of the load at which nothing is admitted.
-const MAX_CONGESTION: f64 = 6.0;
+const MAX_CONGESTION_FACTOR: f64 = 6.0;
 
 impl Gateway {
     /// Records a sign of congestion. `observed` is true if an outcome or a report showed it, and false if
@@ -36,7 +36,7 @@
         threads_per_core: f64,
         observed: bool,
     ) {
-        let threads_per_core = threads_per_core.min(MAX_CONGESTION * ADMIT_NONE_AT_THREADS_PER_CORE);
+        let threads_per_core = threads_per_core.min(MAX_CONGESTION_FACTOR * ADMIT_NONE_AT_THREADS_PER_CORE);
         let known = self.engines.get(&id).map_or(f64::MAX, |engine| self.congestion(now, engine));
         if threads_per_core > known
             && let Some(engine) = self.engines.get_mut(&id)
@@ -47,11 +47,11 @@
 
     /// Records that an engine has rejected an attempt.
     pub(crate) fn record_rejection(&mut self, now: Duration, id: EngineId) {
-        self.record_congestion(now, id, REJECTED_LOAD * ADMIT_NONE_AT_THREADS_PER_CORE, true);
+        self.record_congestion(now, id, REJECTION_LOAD_FACTOR * ADMIT_NONE_AT_THREADS_PER_CORE, true);
     }
 
     /// Records that an attempt has become slow while in flight.
-    pub(crate) fn record_silence(&mut self, now: Duration, id: EngineId, engine_alive: bool) {
+    pub(crate) fn record_slow_in_flight(&mut self, now: Duration, id: EngineId, engine_alive: bool) {
         self.record_congestion(now, id, ADMIT_NONE_AT_THREADS_PER_CORE, engine_alive);
     }
 
--- a/src/ejection.rs
+++ b/src/ejection.rs
@@ -49,7 +49,7 @@
 
     /// Whether an attempt may be sent: the engine is not ejected, and after an ejection no other attempt is
     /// in flight.
-    pub(crate) fn may_be_tried(&self, now: Duration) -> bool {
+    pub(crate) fn may_receive_attempt(&self, now: Duration) -> bool {
         self.ejected_until <= now && (self.consecutive_failures == 0 || self.in_flight == 0)
     }
 
--- a/src/eligibility.rs
+++ b/src/eligibility.rs
@@ -21,7 +21,7 @@
             && !entry.blocks(request.class)
             && self.classes[request.class].config.allows(entry)
             && self.may_run_at(now, request, entry)
-            && engine.may_be_tried(now)
+            && engine.may_receive_attempt(now)
             && self.is_in_subset(now, request, engine)
             && self.has_slow_start_capacity(now, request, engine)
     }
--- a/src/endpoint_updates.rs
+++ b/src/endpoint_updates.rs
@@ -49,8 +49,8 @@
             self.ejected_until = Duration::ZERO;
             self.report = None;
             self.congestion = None;
-            self.foreign_bulk_loads.clear();
-            self.sent_while_warming_up.retain(|sent| sent.at >= entry.started_at);
+            self.other_fronts_bulk_loads.clear();
+            self.slow_start_work.retain(|sent| sent.at >= entry.started_at);
         }
         self.entry = entry;
     }
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -28,9 +28,9 @@
     /// group.
     pub(crate) readers: BTreeMap<u64, u32>,
     /// The time until which another front's bulk load is assumed to hold a table group, by table group.
-    pub(crate) foreign_bulk_loads: BTreeMap<u64, Duration>,
+    pub(crate) other_fronts_bulk_loads: BTreeMap<u64, Duration>,
     /// Work that this front has sent there while it warmed up.
-    pub(crate) sent_while_warming_up: Vec<SentWork>,
+    pub(crate) slow_start_work: Vec<SentWork>,
     /// Work that this front has sent there, in seconds on one thread; decays by the number of requests that
     /// the front sends to any engine. `None` before the first one.
     pub(crate) sent_work: Option<DecayingMean>,
@@ -81,7 +81,7 @@
 
 /// Whether an attempt begins or ends.
 #[derive(Clone, Copy, PartialEq)]
-pub(crate) enum AttemptEdge {
+pub(crate) enum AttemptTransition {
     Begins,
     Ends,
 }
@@ -104,9 +104,9 @@
         index: usize,
         class: &RequestClass,
         table_group: u64,
-        edge: AttemptEdge,
+        transition: AttemptTransition,
     ) {
-        let begins = edge == AttemptEdge::Begins;
+        let begins = transition == AttemptTransition::Begins;
         let threads = if begins { class.config.threads } else { -class.config.threads };
         self.own_threads += threads;
         self.threads_by_priority[usize::from(class.priority)] += threads;
--- a/src/overload.rs
+++ b/src/overload.rs
@@ -104,7 +104,7 @@
     /// engine is taken for dead or unreachable: that says nothing about the other engines, so the slow share
     /// stays as it is.
     pub(crate) fn record_slow_attempt(&mut self, now: Duration, slow: &SlowAttempt) {
-        self.record_silence(now, slow.engine, slow.engine_alive);
+        self.record_slow_in_flight(now, slow.engine, slow.engine_alive);
         if slow.engine_alive {
             self.slow_share.record(now, true);
             if let Some(request) = self.requests.get_mut(slow.sequence) {
--- a/src/probing.rs
+++ b/src/probing.rs
@@ -3,7 +3,7 @@
 //! Each probe costs one unit of a credit. Each arriving request adds to the credit, which is limited to the
 //! number of engines.
 //!
-//! - **Few fronts**: a request adds [`ROUND_PROBES_PER_REQUEST`] probes. The engine whose last probe is
+//! - **Few fronts**: a request adds [`ROUND_ROBIN_PROBES_PER_REQUEST`] probes. The engine whose last probe is
 //!   oldest is probed next, each engine at most once per connect timeout.
 //! - **Many fronts**: an engine is probed before a request is sent there, unless its last report is younger
 //!   than [`FRESH_REPORT_AGE`] × the shortest latency objective. A request adds
@@ -20,7 +20,7 @@
 use std::time::Duration;
 
 /// Few fronts: credit per arriving request, in probes.
-const ROUND_PROBES_PER_REQUEST: f64 = 0.2;
+const ROUND_ROBIN_PROBES_PER_REQUEST: f64 = 0.2;
 /// Many fronts: the highest credit per arriving request, in probes.
 const MAX_LOAD_PROBES_PER_REQUEST: f64 = 1.2;
 /// Many fronts: the highest cost of the probes per request, as a share of its priority weight.
@@ -56,8 +56,9 @@
 
 impl Gateway {
     /// Adds the credit of an arriving request.
-    pub(crate) fn earn_probe_credit(&mut self) {
-        let earned = if self.many_fronts() { self.probes_per_request() } else { ROUND_PROBES_PER_REQUEST };
+    pub(crate) fn add_probe_credit(&mut self) {
+        let earned =
+            if self.many_fronts() { self.probes_per_request() } else { ROUND_ROBIN_PROBES_PER_REQUEST };
         self.probes.credit = (self.probes.credit + earned).min(self.engines.len() as f64);
     }
 
--- a/src/reconcile.rs
+++ b/src/reconcile.rs
@@ -3,7 +3,7 @@
 
 use crate::action::Action;
 use crate::endpoint::EngineId;
-use crate::engine::AttemptEdge;
+use crate::engine::AttemptTransition;
 use crate::gateway::Gateway;
 use crate::request::{InFlight, RequestGoal};
 use std::time::Duration;
@@ -96,7 +96,7 @@
         let work = class.work.mean();
         let Some(engine) = self.engines.get_mut(&id) else { return };
         self.candidate_cache.clear();
-        engine.count_attempt(request.class, class, request.table_group, AttemptEdge::Begins);
+        engine.count_attempt(request.class, class, request.table_group, AttemptTransition::Begins);
         self.estimates.record_sent(engine, work, engines_used);
         self.record_slow_start_work(now, id, work);
     }
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -95,7 +95,7 @@
         if let Some(engine) = self.engines.get_mut(&engine)
             && !engine.bulk_loads.contains_key(&table_group)
         {
-            engine.foreign_bulk_loads.insert(table_group, until);
+            engine.other_fronts_bulk_loads.insert(table_group, until);
         }
         if !self.classes[class].config.bulk_load {
             self.migrate(sequence);
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -62,7 +62,7 @@
         }
         let overload_limit = self.overload_limit(engine);
         let quota = overload_limit * SAFE_OVERLOAD_SHARE * self.quota.unwrap_or(1.0 / self.fronts());
-        let recent = engine.sent_while_warming_up.iter().filter(|sent| sent.at + window > now);
+        let recent = engine.slow_start_work.iter().filter(|sent| sent.at + window > now);
         let sent: f64 = recent.map(|sent| sent.work).sum();
         let work = self.classes[request.class].work.mean();
         let mean_small = self.mean_small_work(overload_limit);
@@ -92,8 +92,8 @@
     pub(crate) fn record_slow_start_work(&mut self, now: Duration, engine: EngineId, work: f64) {
         let window = self.sent_work_window();
         if let Some(engine) = self.engines.get_mut(&engine) {
-            engine.sent_while_warming_up.retain(|sent| sent.at + window > now);
-            engine.sent_while_warming_up.push(SentWork { at: now, work });
+            engine.slow_start_work.retain(|sent| sent.at + window > now);
+            engine.slow_start_work.push(SentWork { at: now, work });
         }
     }
 
