--- a/src/attempt_end.rs
+++ b/src/attempt_end.rs
@@ -83,11 +83,11 @@
             let work = end.usage.map(|usage| usage.work.as_secs_f64());
             let objective = class.objective(work.unwrap_or(class.work.mean()));
             let pressure = shows_pressure(end.elapsed.as_secs_f64(), objective);
-            let bounds = LimitParameters {
+            let parameters = LimitParameters {
                 max_threads: crate::admission::max_own_threads(self.deployment.cores(&engine.entry)),
                 min_objective: self.derived_times.min_objective,
             };
-            engine.adjust_concurrency_limit(now, pressure, class.config.threads, &bounds);
+            engine.adjust_concurrency_limit(now, pressure, class.config.threads, &parameters);
         }
     }
 
--- a/src/concurrency_limit.rs
+++ b/src/concurrency_limit.rs
@@ -50,15 +50,15 @@
         now: Duration,
         pressure: bool,
         threads: f64,
-        bounds: &LimitParameters,
+        parameters: &LimitParameters,
     ) {
-        let interval = bounds.min_objective.mul_f64(DECREASE_INTERVAL);
+        let interval = parameters.min_objective.mul_f64(DECREASE_INTERVAL);
         if pressure && now >= self.limit_decreased_at + interval {
             self.concurrency_limit = (self.concurrency_limit * DECREASE_FACTOR).max(MIN_LIMIT);
             self.limit_decreased_at = now;
         } else if !pressure && self.own_threads + threads > self.concurrency_limit {
             let step = INCREASE_STEP * threads / self.concurrency_limit;
-            self.concurrency_limit = (self.concurrency_limit + step).min(bounds.max_threads);
+            self.concurrency_limit = (self.concurrency_limit + step).min(parameters.max_threads);
         }
     }
 
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -29,7 +29,7 @@
     pub(crate) readers: BTreeMap<u64, u32>,
     /// The time until which another front's bulk load is assumed to hold a table group, by table group.
     pub(crate) other_fronts_bulk_loads: BTreeMap<u64, Duration>,
-    /// Work that this front has sent there while it warmed up.
+    /// Work that this front has sent there lately, counted against the slow-start quota.
     pub(crate) slow_start_work: Vec<SentWork>,
     /// Work that this front has sent there, in seconds on one thread; decays by the number of requests that
     /// the front sends to any engine. `None` before the first one.
--- a/src/subsets.rs
+++ b/src/subsets.rs
@@ -37,7 +37,7 @@
 }
 
 impl EngineSubsets {
-    /// `time_constant` is the time constant over which load shedding averages arrivals.
+    /// `time_constant` is that of the mean of arrivals in load shedding.
     pub(crate) fn new(time_constant: Duration) -> EngineSubsets {
         EngineSubsets { shedding: LoadShedding::new(time_constant), ..EngineSubsets::default() }
     }
