--- a/crates/core/load-shedding/src/lib.rs
+++ b/crates/core/load-shedding/src/lib.rs
@@ -23,9 +23,9 @@
 const MAX_UNNOTICED_LOSS: f64 = 0.15;
 /// The weight of time in the usual capacity while capacity is missing, so that a loss is not soon taken for
 /// usual.
-const LEARNING_RATE_WHILE_MISSING: f64 = 0.1;
+const TIME_WEIGHT_WHILE_MISSING: f64 = 0.1;
 /// The time constant of the usual capacity and arrivals, as a multiple of that of the current arrivals.
-const USUAL_WINDOW_SPANS: f64 = 10.0;
+const USUAL_TIME_CONSTANT_FACTOR: f64 = 10.0;
 
 /// An exponentially weighted average: a decaying sum, and the decaying time over which it was accumulated.
 #[derive(Debug, Clone, Copy)]
@@ -65,7 +65,7 @@
     /// Current capacity in cores, according to the endpoint list. Engines that warm up count in part.
     capacity_cores: f64,
     /// Requests that have arrived since `observed_at`.
-    arrived: f64,
+    arrivals_since_observation: f64,
     observed_at: Option<Duration>,
 }
 
@@ -76,23 +76,23 @@
 }
 
 impl LoadShedding {
-    /// Starts without any observation. `span` is the time constant over which arrivals are averaged.
-    pub fn new(span: Duration) -> Self {
-        let span = span.as_secs_f64().max(f64::MIN_POSITIVE);
+    /// Starts without any observation. `time_constant` is the time constant over which arrivals are averaged.
+    pub fn new(time_constant: Duration) -> Self {
+        let time_constant = time_constant.as_secs_f64().max(f64::MIN_POSITIVE);
         LoadShedding {
-            arrivals: Average::new(span),
-            usual_arrivals: Average::new(span * USUAL_WINDOW_SPANS),
-            usual_capacity: Average::new(span * USUAL_WINDOW_SPANS),
+            arrivals: Average::new(time_constant),
+            usual_arrivals: Average::new(time_constant * USUAL_TIME_CONSTANT_FACTOR),
+            usual_capacity: Average::new(time_constant * USUAL_TIME_CONSTANT_FACTOR),
             capacity_cores: 0.0,
-            arrived: 0.0,
+            arrivals_since_observation: 0.0,
             observed_at: None,
         }
     }
 
     /// Counts an arriving request; first tries and retries count the same.
-    pub fn arrived(&mut self) {
+    pub fn record_arrival(&mut self) {
         self.arrivals.sum += 1.0;
-        self.arrived += 1.0;
+        self.arrivals_since_observation += 1.0;
     }
 
     /// Sets the capacity from now on, in cores. If `now` is before the last call's time, that time is used.
@@ -100,13 +100,13 @@
         let seconds = self.observed_at.map_or(0.0, |at| now.saturating_sub(at).as_secs_f64());
         self.arrivals.advance(seconds, 0.0);
         if self.capacity_left() >= 1.0 - MAX_UNNOTICED_LOSS {
-            self.usual_arrivals.sum += self.arrived;
+            self.usual_arrivals.sum += self.arrivals_since_observation;
             self.usual_arrivals.advance(seconds, 0.0);
             self.usual_capacity.advance(seconds, self.capacity_cores);
         } else {
-            self.usual_capacity.advance(seconds * LEARNING_RATE_WHILE_MISSING, self.capacity_cores);
+            self.usual_capacity.advance(seconds * TIME_WEIGHT_WHILE_MISSING, self.capacity_cores);
         }
-        self.arrived = 0.0;
+        self.arrivals_since_observation = 0.0;
         self.capacity_cores = capacity;
         self.observed_at = Some(self.observed_at.map_or(now, |at| at.max(now)));
     }
@@ -120,7 +120,7 @@
     }
 
     /// The share of all requests that is to be admitted, from 0 to 1.
-    pub fn admitted(&self) -> f64 {
+    pub fn admitted_share(&self) -> f64 {
         let left = self.capacity_left();
         if left >= 1.0 - MAX_UNNOTICED_LOSS {
             return 1.0;
--- a/src/arrival.rs
+++ b/src/arrival.rs
@@ -40,7 +40,7 @@
         if let Some(key) = key {
             self.key_queues.push(key, sequence);
         }
-        self.subsets.shedding.arrived();
+        self.subsets.shedding.record_arrival();
         self.traffic.record(now, arrival.table_group, self.derived_times.max_deadline);
         let age = self.age_of(class, &arrival);
         let request = Request {
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -210,7 +210,7 @@
     fn shed_for_missing_capacity(&self, sequence: u64, choices: &mut Vec<Choice>) {
         let shed_draw = self.requests[sequence].shed_draw;
         if self.deployment.load_reporting == LoadReporting::None
-            && shed_draw > self.subsets.shedding.admitted()
+            && shed_draw > self.subsets.shedding.admitted_share()
         {
             choices.retain(|choice| choice.warming_up);
         }
