--- a/crates/core/subset/src/lib.rs
+++ b/crates/core/subset/src/lib.rs
@@ -23,18 +23,18 @@
 /// over this many differs little between engines.
 const MIN_FRONTS_PER_ENGINE: usize = 32;
 /// The minimum number of engines in a subset, so that there is a choice and another engine for a retry.
-const MIN_SIZE: usize = 8;
+const MIN_SUBSET_SIZE: usize = 8;
 /// The maximum number of engines in a subset including unhealthy ones, as a multiple of its size. If nearly
 /// all engines are unhealthy, the others can't take the load of all fronts.
-const MAX_GROWTH: usize = 3;
+const MAX_GROWTH_FACTOR: usize = 3;
 /// The number of rings. Each has the engines in a different order.
 const RINGS: u32 = 16;
 
 /// A front's position among all fronts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
+pub struct FrontPosition {
     /// The index of the front, from 0; taken modulo the number of fronts.
-    pub number: u32,
+    pub index: u32,
     /// The number of fronts.
     pub fronts: NonZeroU32,
 }
@@ -82,22 +82,22 @@
 /// The number of healthy engines in a subset, for a number of engines and of fronts; at most all engines.
 pub fn size(engines: usize, fronts: NonZeroU32) -> usize {
     let shared = (engines * MIN_FRONTS_PER_ENGINE).div_ceil(fronts.get() as usize);
-    shared.max(MIN_SIZE).min(engines)
+    shared.max(MIN_SUBSET_SIZE).min(engines)
 }
 
 /// The subset of one front: `size` healthy engines, and the unhealthy ones between them on the ring.
 ///
 /// The order of the members does not matter. If all fronts have the same engines and find the same ones
 /// healthy, each engine is in equally many subsets, up to rounding.
-pub fn subset(place: Place, members: impl Iterator<Item = Member>, size: usize) -> Subset {
-    let number = place.number % place.fronts;
-    let ring = number % RINGS;
+pub fn subset(position: FrontPosition, members: impl Iterator<Item = Member>, size: usize) -> Subset {
+    let index = position.index % position.fronts;
+    let ring = index % RINGS;
     let mut order: Vec<(u64, Member)> = members.map(|member| (hash(member.engine, ring), member)).collect();
     order.sort_unstable_by_key(|(hash, member)| (*hash, member.engine));
-    let first = first_position(number, place.fronts.get(), order.len());
+    let first = first_position(index, position.fronts.get(), order.len());
     let (mut engines, mut healthy) = (Vec::new(), 0);
     for (_, member) in order[first..].iter().chain(&order[..first]) {
-        if healthy >= size || engines.len() >= size * MAX_GROWTH {
+        if healthy >= size || engines.len() >= size * MAX_GROWTH_FACTOR {
             break;
         }
         healthy += usize::from(member.healthy);
@@ -108,8 +108,8 @@
 }
 
 /// The position at which a front starts on its ring. The fronts of one ring start at equal distances.
-fn first_position(number: u32, fronts: u32, engines: usize) -> usize {
-    let (ring, rank) = (number % RINGS, number / RINGS);
+fn first_position(index: u32, fronts: u32, engines: usize) -> usize {
+    let (ring, rank) = (index % RINGS, index / RINGS);
     let on_this_ring = (fronts - ring).div_ceil(RINGS);
     (u64::from(rank) * engines as u64 / u64::from(on_this_ring)) as usize
 }
--- a/crates/core/subset/tests/subset.rs
+++ b/crates/core/subset/tests/subset.rs
@@ -1,7 +1,7 @@
 //! The subsets of all fronts together: they are even and small, and the load of failed engines is spread
 //! over many.
 
-use lemonusher_subset::{Member, Place, Subset, size, subset};
+use lemonusher_subset::{FrontPosition, Member, Subset, size, subset};
 use std::collections::BTreeMap;
 use std::num::NonZeroU32;
 
@@ -21,7 +21,7 @@
 fn subsets(fleet: u32, engines: &[u32], unhealthy: &[u32]) -> Vec<Subset> {
     let size = size(engines.len(), fronts(fleet));
     let members = || engines.iter().map(|&engine| Member { engine, healthy: !unhealthy.contains(&engine) });
-    (0..fleet).map(|number| subset(Place { number, fronts: fronts(fleet) }, members(), size)).collect()
+    (0..fleet).map(|index| subset(FrontPosition { index, fronts: fronts(fleet) }, members(), size)).collect()
 }
 
 /// The number of subsets that contain each engine.
@@ -136,8 +136,8 @@
 
 #[test]
 fn no_engines_and_a_number_past_the_last_front_are_accepted() {
-    let place = |number| Place { number, fronts: fronts(300) };
-    assert!(subset(place(5), std::iter::empty(), 8).is_empty());
+    let position = |index| FrontPosition { index, fronts: fronts(300) };
+    assert!(subset(position(5), std::iter::empty(), 8).is_empty());
     let member = || engines(20).into_iter().map(|engine| Member { engine, healthy: true });
-    assert_eq!(subset(place(301), member(), 8), subset(place(1), member(), 8));
+    assert_eq!(subset(position(301), member(), 8), subset(position(1), member(), 8));
 }
--- a/src/subsets.rs
+++ b/src/subsets.rs
@@ -19,7 +19,7 @@
 use crate::request::Request;
 use crate::request_class::RequestClass;
 use lemonusher_load_shedding::LoadShedding;
-use lemonusher_subset::{Member, Place, Subset, size, subset};
+use lemonusher_subset::{FrontPosition, Member, Subset, size, subset};
 use std::num::NonZeroU32;
 use std::time::Duration;
 
@@ -72,8 +72,8 @@
             healthy: engine.has_no_failure(now) && self.congestion(now, engine) < UNLOADED_THREADS_PER_CORE,
         };
         let members: Vec<Member> = self.engines.values().filter(allowed).map(member).collect();
-        let place = Place { number: self.deployment.front_index, fronts };
-        subset(place, members.iter().copied(), size(members.len(), fronts))
+        let position = FrontPosition { index: self.deployment.front_index, fronts };
+        subset(position, members.iter().copied(), size(members.len(), fronts))
     }
 
     /// The available capacity in cores: of all active engines that are warmed up the share that is healthy
