--- a/crates/core/load-shedding/src/lib.rs
+++ b/crates/core/load-shedding/src/lib.rs
@@ -76,7 +76,7 @@
 }
 
 impl LoadShedding {
-    /// Starts without any observation. `time_constant` is the time constant over which arrivals are averaged.
+    /// Starts without any observation. `time_constant` is that of the current arrivals.
     pub fn new(time_constant: Duration) -> Self {
         let time_constant = time_constant.as_secs_f64().max(f64::MIN_POSITIVE);
         LoadShedding {
--- a/crates/core/subset/tests/subset.rs
+++ b/crates/core/subset/tests/subset.rs
@@ -25,9 +25,9 @@
 }
 
 /// The number of subsets that contain each engine.
-fn shares(engines: &[u32], subsets: &[Subset]) -> BTreeMap<u32, usize> {
-    let share = |engine| subsets.iter().filter(|subset| subset.contains(engine)).count();
-    engines.iter().map(|&engine| (engine, share(engine))).collect()
+fn subset_counts(engines: &[u32], subsets: &[Subset]) -> BTreeMap<u32, usize> {
+    let count = |engine| subsets.iter().filter(|subset| subset.contains(engine)).count();
+    engines.iter().map(|&engine| (engine, count(engine))).collect()
 }
 
 #[test]
@@ -35,9 +35,9 @@
     for (fleet, count) in FLEETS {
         let engines = engines(count);
         let subsets = subsets(fleet, &engines, &[]);
-        let shares = shares(&engines, &subsets);
-        let mean = shares.values().sum::<usize>() as f64 / count as f64;
-        let (least, most) = (shares.values().min().unwrap(), shares.values().max().unwrap());
+        let counts = subset_counts(&engines, &subsets);
+        let mean = counts.values().sum::<usize>() as f64 / count as f64;
+        let (least, most) = (counts.values().min().unwrap(), counts.values().max().unwrap());
         println!(
             "{fleet} fronts, {count} engines: subsets of {}, each engine in {least} to {most}",
             subsets[0].len()
@@ -67,9 +67,9 @@
 #[test]
 fn load_of_failed_engines_is_spread_over_many_others() {
     let engines = engines(80);
-    let before = shares(&engines, &subsets(300, &engines, &[]));
+    let before = subset_counts(&engines, &subsets(300, &engines, &[]));
     let failed = &engines[..20];
-    let after = shares(&engines, &subsets(300, &engines, failed));
+    let after = subset_counts(&engines, &subsets(300, &engines, failed));
     let healthy = &engines[20..];
     let mean = healthy.iter().map(|engine| after[engine]).sum::<usize>() as f64 / healthy.len() as f64;
     let most = healthy.iter().map(|engine| after[engine]).max().unwrap();
--- a/src/load_estimate.rs
+++ b/src/load_estimate.rs
@@ -36,9 +36,9 @@
 const CPU_SATURATED: f64 = 0.9;
 /// Threads per core that many-front mode adds to the estimate if reports count requests.
 const UNREPORTED_THREADS_PER_CORE: f64 = 0.4;
-/// Weight of the prior `UNLOADED_THREADS_PER_CORE` in the usual load, in reports. The usual load returns to the prior
-/// as reports decay. Without the prior a front that takes all engines for full would send nothing and would
-/// never get a new report.
+/// Weight of the prior `UNLOADED_THREADS_PER_CORE` in the usual load, in reports. The usual load returns to
+/// the prior as reports decay. Without the prior a front that takes all engines for full would send nothing
+/// and would never get a new report.
 const USUAL_LOAD_PRIOR_WEIGHT: f64 = 5.0;
 /// Time constant of the sent work, in requests sent per engine that this front uses.
 const SENT_WORK_TIME_CONSTANT: f64 = 2.0;
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -8,8 +8,8 @@
 //! - In many-front mode a group that receives more traffic than one engine's share has several home engines:
 //!   each front rotates the first places of the order by its own index.
 //! - A bulk load follows the order from its end, away from the home engines of the group's readers. Each
-//!   front starts at another place within [`BULK_LOAD_TAIL_SHARE`] of the order, as otherwise all bulk loads of a
-//!   group would be sent to the same engine.
+//!   front starts at another place within [`BULK_LOAD_TAIL_SHARE`] of the order, as otherwise all bulk loads
+//!   of a group would be sent to the same engine.
 //! - An engine that warms up is skipped at random, less often the higher its slow-start factor. In
 //!   many-front mode an engine that warms up and has little load comes first, as an unused slow-start time
 //!   slot is lost.
