--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -86,7 +86,7 @@
     /// A front that starts at `now` of its own clock.
     pub fn starting(deployment: Deployment, seed: u64, now: Duration, entries: Vec<EngineEntry>) -> Host {
         let mut host = Host { gateway: Gateway::new(deployment, seed), now, count: 0 };
-        host.tell(Event::Endpoints(EndpointUpdateKind::Restored, entries));
+        host.handle(Event::Endpoints(EndpointUpdateKind::Restored, entries));
         host
     }
 
@@ -94,85 +94,97 @@
         Host::with(deployment(), (1..=engines).map(entry).collect())
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         self.gateway.handle_event(self.now, event);
         self.gateway.decide(self.now)
     }
 
-    pub fn wait(&mut self, span: Duration) -> Vec<Action> {
-        self.now += span;
-        self.tell(Event::TimerFired)
+    pub fn advance(&mut self, duration: Duration) -> Vec<Action> {
+        self.now += duration;
+        self.handle(Event::TimerFired)
     }
 
     /// Sends an arrival; returns the actions of the decision that follows at once.
-    pub fn ask(&mut self, id: &str, group: usize, tables: u64) -> Vec<Action> {
-        let patience = [5000, 20_000, 20_000][group];
-        self.ask_with(id, group, tables, |arrival| arrival.client_timeout = ms(patience))
+    pub fn arrive(&mut self, id: &str, class: usize, table_group: u64) -> Vec<Action> {
+        let client_timeout = [5000, 20_000, 20_000][class];
+        self.arrive_with(id, class, table_group, |arrival| arrival.client_timeout = ms(client_timeout))
     }
 
-    pub fn ask_with(
+    pub fn arrive_with(
         &mut self,
         id: &str,
-        group: usize,
-        tables: u64,
-        shape: impl Fn(&mut Arrival),
+        class: usize,
+        table_group: u64,
+        modify: impl Fn(&mut Arrival),
     ) -> Vec<Action> {
         let mut arrival = Arrival {
             request: id.into(),
-            request_class: group,
-            table_group: tables,
+            request_class: class,
+            table_group,
             key: None,
             client_timeout: ms(4000),
             work: None,
             memory_mb: 0.0,
             client_retry: false,
         };
-        shape(&mut arrival);
-        self.tell(Event::Arrived(arrival))
+        modify(&mut arrival);
+        self.handle(Event::Arrived(arrival))
     }
 
     /// Sends `count` arrivals; returns the engine of each request that was sent at once.
-    pub fn flood(&mut self, count: u32, group: usize, tables: u64) -> Vec<EngineId> {
+    pub fn arrive_many(&mut self, count: u32, class: usize, table_group: u64) -> Vec<EngineId> {
         let mut engines = Vec::new();
         for _ in 0..count {
             self.count += 1;
             let id = format!("flood-{}", self.count);
-            engines.extend(sent(&self.ask(&id, group, tables)).map(|(_, engine)| engine));
+            engines.extend(sent(&self.arrive(&id, class, table_group)).map(|(_, engine)| engine));
         }
         engines
     }
 
-    pub fn end(&mut self, id: &str, attempt: u32, engine: EngineId, outcome: AttemptOutcome) -> Vec<Action> {
-        self.end_with(id, attempt, engine, outcome, |_| {})
+    pub fn end_attempt(
+        &mut self,
+        id: &str,
+        attempt: u32,
+        engine: EngineId,
+        outcome: AttemptOutcome,
+    ) -> Vec<Action> {
+        self.end_attempt_with(id, attempt, engine, outcome, |_| {})
     }
 
-    pub fn end_with(
+    pub fn end_attempt_with(
         &mut self,
         id: &str,
         attempt: u32,
         engine: EngineId,
         outcome: AttemptOutcome,
-        shape: impl Fn(&mut AttemptEnd),
+        modify: impl Fn(&mut AttemptEnd),
     ) -> Vec<Action> {
-        let over = outcome == AttemptOutcome::Returned;
+        let request_finished = outcome == AttemptOutcome::Returned;
         let request: RequestId = id.into();
-        let after = ms(100);
-        let mut ending = AttemptEnd {
+        let elapsed = ms(100);
+        let mut end = AttemptEnd {
             request,
             attempt,
             engine,
-            elapsed: after,
+            elapsed,
             outcome,
-            request_finished: over,
+            request_finished,
             usage: None,
             load: None,
         };
-        shape(&mut ending);
-        self.tell(Event::AttemptEnded(ending))
+        modify(&mut end);
+        self.handle(Event::AttemptEnded(end))
     }
 
-    pub fn note(&mut self, id: &str, attempt: u32, engine: EngineId, note: AttemptProgress) -> Vec<Action> {
-        self.tell(Event::Progress { request: id.into(), attempt, engine, progress: note })
+    pub fn report_progress(
+        &mut self,
+        id: &str,
+        attempt: u32,
+        engine: EngineId,
+        progress: AttemptProgress,
+    ) -> Vec<Action> {
+        self.handle(Event::Progress { request: id.into(), attempt, engine, progress })
     }
 }
 
