--- a/examples/decision_digests.rs
+++ b/examples/decision_digests.rs
@@ -6,6 +6,6 @@
 
 fn main() {
     for seed in 0..histories::SEEDS {
-        println!("{:016x}", histories::play(seed).digest);
+        println!("{:016x}", histories::run_history(seed).digest);
     }
 }
--- a/tests/decision_equality.rs
+++ b/tests/decision_equality.rs
@@ -7,7 +7,7 @@
 
 mod histories;
 
-use histories::{Outline, SEEDS, play};
+use histories::{HistorySummary, SEEDS, run_history};
 
 const DIGESTS: &str = include_str!("histories/digests.txt");
 
@@ -17,24 +17,25 @@
     assert_eq!(recorded.len() as u64, SEEDS, "one digest a seed");
     let differing: Vec<u64> = (0..SEEDS)
         .zip(recorded)
-        .filter(|(seed, recorded)| format!("{:016x}", play(*seed).digest) != *recorded)
+        .filter(|(seed, recorded)| format!("{:016x}", run_history(*seed).digest) != *recorded)
         .map(|(seed, _)| seed)
         .collect();
-    println!("seeds 0 to {} played", SEEDS - 1);
+    println!("seeds 0 to {} run", SEEDS - 1);
     assert!(differing.is_empty(), "{} of {SEEDS} seeds differ: {differing:?}", differing.len());
 }
 
 #[test]
-fn a_history_can_be_played_again() {
-    assert_eq!(play(1), play(1));
-    assert_ne!(play(1), play(2));
+fn a_history_is_reproducible() {
+    assert_eq!(run_history(1), run_history(1));
+    assert_ne!(run_history(1), run_history(2));
 }
 
 #[test]
 fn the_histories_hold_every_kind_of_action() {
-    let outlines: Vec<Outline> = (0..SEEDS).map(play).collect();
-    let seeds_with = |count: fn(&Outline) -> u32| outlines.iter().filter(|o| count(o) > 0).count() as u64;
-    println!("seed 0: {:?}", outlines[0]);
+    let summaries: Vec<HistorySummary> = (0..SEEDS).map(run_history).collect();
+    let seeds_with =
+        |count: fn(&HistorySummary) -> u32| summaries.iter().filter(|o| count(o) > 0).count() as u64;
+    println!("seed 0: {:?}", summaries[0]);
     assert!(seeds_with(|o| o.attempts) > SEEDS * 9 / 10);
     assert!(seeds_with(|o| o.rejections) > SEEDS / 2);
     assert!(seeds_with(|o| o.failures) > SEEDS / 4);
--- a/tests/histories/deployment.rs
+++ b/tests/histories/deployment.rs
@@ -35,32 +35,37 @@
 }
 
 fn request_classes(random: &mut Random) -> Vec<RequestClassConfig> {
-    let mut short = terms(random, 600, 3_000, 1.0);
+    let mut short = request_class(random, 600, 3_000, 1.0);
     short.ordered = random.one_in(2);
-    let mut long = terms(random, 4_000, 12_000, 4.0);
+    let mut long = request_class(random, 4_000, 12_000, 4.0);
     long.waits_for_bulk_loads = true;
     long.allowed_zones = random.one_in(3).then(|| vec![0]);
-    let mut load = terms(random, 3_000, 9_000, 3.0);
+    let mut load = request_class(random, 3_000, 9_000, 3.0);
     load.bulk_load = true;
     load.allowed_machine_kinds = random.one_in(3).then(|| vec![0, 2]);
     vec![short, long, load]
 }
 
-fn terms(random: &mut Random, goal: u64, limit: u64, threads: f64) -> RequestClassConfig {
-    let reach =
+fn request_class(
+    random: &mut Random,
+    latency_objective: u64,
+    deadline: u64,
+    threads: f64,
+) -> RequestClassConfig {
+    let scope =
         random.pick(&[DeduplicationScope::Everywhere, DeduplicationScope::Zone, DeduplicationScope::Cell]);
     let retention = random.millis(300, 5_000);
-    let referenced = Idempotency::IdempotencyKeyed { scope: reach, retention };
+    let keyed = Idempotency::IdempotencyKeyed { scope, retention };
     RequestClassConfig {
-        latency_objective: Duration::from_millis(goal),
+        latency_objective: Duration::from_millis(latency_objective),
         objective_work_factor: random.pick(&[0.0, 2.0]),
-        deadline: Duration::from_millis(limit),
+        deadline: Duration::from_millis(deadline),
         priority_weight: 1.0,
         idempotency: random.pick(&[
             Idempotency::Idempotent,
             Idempotency::Idempotent,
             Idempotency::NonIdempotent,
-            referenced,
+            keyed,
         ]),
         threads,
         ..RequestClassConfig::default()
--- a/tests/histories/mod.rs
+++ b/tests/histories/mod.rs
@@ -16,7 +16,7 @@
 pub const SEEDS: u64 = 400;
 pub const TICK: Duration = Duration::from_millis(20);
 const TICKS: u32 = 300;
-const MOST_ARRIVALS_A_TICK: u64 = 5;
+const MAX_ARRIVALS_PER_TICK: u64 = 5;
 /// Numbers of engines: mostly small, some large enough that bulk loads, readers and home engines differ.
 const ENGINE_COUNTS: [u64; 5] = [2, 6, 16, 40, 130];
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
@@ -24,7 +24,7 @@
 
 /// The digest of a history, and counts of its actions.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Outline {
+pub struct HistorySummary {
     /// Hash of the time and the recorded form of every action.
     pub digest: u64,
     pub attempts: u32,
@@ -34,8 +34,8 @@
     pub failures: u32,
 }
 
-impl Outline {
-    fn note(&mut self, now: Duration, action: &Action) {
+impl HistorySummary {
+    fn record(&mut self, now: Duration, action: &Action) {
         for byte in format!("{now:?} {}\n", recorded_form(action)).bytes() {
             self.digest = (self.digest ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
         }
@@ -51,26 +51,26 @@
 }
 
 /// An attempt in flight.
-struct Sent {
+struct InFlight {
     engine: EngineId,
     at: Duration,
-    cost: Duration,
+    work: Duration,
 }
 
 /// The environment of one gateway: generates its events and carries out its actions.
-struct World {
+struct Environment {
     random: Random,
     deployment: Deployment,
     gateway: Gateway,
     engines: BTreeMap<EngineId, EngineEntry>,
-    out: BTreeMap<(RequestId, u32), Sent>,
+    in_flight: BTreeMap<(RequestId, u32), InFlight>,
     sent: BTreeMap<RequestId, u32>,
     /// Later events, in the order of time and then of planning.
     planned: BTreeMap<(Duration, u64), Planned>,
     plans: u64,
     arrived: u64,
     slowness: u64,
-    outline: Outline,
+    summary: HistorySummary,
 }
 
 enum Planned {
@@ -80,37 +80,37 @@
 }
 
 /// Runs the history of one seed.
-pub fn play(seed: u64) -> Outline {
-    let mut world = World::new(seed);
+pub fn run_history(seed: u64) -> HistorySummary {
+    let mut environment = Environment::new(seed);
     for tick in 1..=TICKS {
-        world.step(TICK * tick);
+        environment.step(TICK * tick);
     }
-    world.outline
+    environment.summary
 }
 
-impl World {
+impl Environment {
     fn new(seed: u64) -> Self {
         let mut random = Random(seed);
         let deployment = deployment(&mut random, seed);
         let gateway = Gateway::new(deployment.clone(), seed);
-        World {
+        Environment {
             slowness: random.pick(&[1, 1, 4]),
             random,
             deployment,
             gateway,
             engines: BTreeMap::new(),
-            out: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sent: BTreeMap::new(),
             planned: BTreeMap::new(),
             plans: 0,
             arrived: 0,
-            outline: Outline { digest: FNV_OFFSET, ..Outline::default() },
+            summary: HistorySummary { digest: FNV_OFFSET, ..HistorySummary::default() },
         }
     }
 
     fn step(&mut self, now: Duration) {
-        self.change_list(now);
-        self.happen(now);
+        self.update_endpoints(now);
+        self.send_due_events(now);
         if self.random.one_in(200) {
             let part = self.random.share() / 10.0;
             self.gateway.handle_event(now, Event::Quota(part));
@@ -118,13 +118,13 @@
         if now == TICK * (TICKS - 40) && self.random.one_in(5) {
             self.gateway.handle_event(now, Event::ShuttingDown { deadline: now + TICK * 30 });
         }
-        for _ in 0..self.random.below(MOST_ARRIVALS_A_TICK + 1) {
+        for _ in 0..self.random.below(MAX_ARRIVALS_PER_TICK + 1) {
             let arrival = self.arrival();
             self.gateway.handle_event(now, Event::Arrived(arrival));
         }
         for action in self.gateway.decide(now) {
-            self.outline.note(now, &action);
-            self.act(now, action);
+            self.summary.record(now, &action);
+            self.carry_out(now, action);
         }
     }
 
@@ -135,7 +135,7 @@
 
     /// Sends the full endpoint list at first; later restarts, drains, blocks, additions and removals of
     /// engines.
-    fn change_list(&mut self, now: Duration) {
+    fn update_endpoints(&mut self, now: Duration) {
         if self.engines.is_empty() {
             let count = self.random.pick(&ENGINE_COUNTS) as u32;
             self.engines = (0..count).map(|number| (number * 3, self.entry(number * 3, now))).collect();
@@ -144,7 +144,7 @@
             self.gateway.handle_event(now, Event::Endpoints(kind, entries));
         } else if self.random.one_in(25) {
             let changed: Vec<EngineEntry> =
-                (0..1 + self.random.below(3)).map(|_| self.changed(now)).collect();
+                (0..1 + self.random.below(3)).map(|_| self.changed_entry(now)).collect();
             self.engines.extend(changed.iter().map(|entry| (entry.engine, entry.clone())));
             self.gateway.handle_event(now, Event::Endpoints(EndpointUpdateKind::Delta, changed));
             self.engines.retain(|_, entry| entry.state != EngineState::Removed);
@@ -158,8 +158,9 @@
     }
 
     fn entry(&mut self, engine: EngineId, now: Duration) -> EngineEntry {
-        let cold = self.random.one_in(6);
-        let started = if cold { now.saturating_sub(self.random.millis(0, 3_000)) } else { Duration::ZERO };
+        let warming_up = self.random.one_in(6);
+        let started =
+            if warming_up { now.saturating_sub(self.random.millis(0, 3_000)) } else { Duration::ZERO };
         EngineEntry {
             engine,
             zone: self.random.below(2) as u32,
@@ -171,7 +172,7 @@
         }
     }
 
-    fn changed(&mut self, now: Duration) -> EngineEntry {
+    fn changed_entry(&mut self, now: Duration) -> EngineEntry {
         let known: Vec<EngineId> = self.engines.keys().copied().collect();
         if known.is_empty() || self.random.one_in(3) {
             let engine = 1_000 + self.random.below(1_000) as u32;
@@ -191,24 +192,28 @@
 
     fn arrival(&mut self) -> Arrival {
         self.arrived += 1;
-        let service_group = self.random.below(self.deployment.request_classes.len() as u64) as usize;
-        let limit = self.deployment.request_classes[service_group].deadline;
-        let repeat = self.random.one_in(8);
+        let class = self.random.below(self.deployment.request_classes.len() as u64) as usize;
+        let deadline = self.deployment.request_classes[class].deadline;
+        let client_retry = self.random.one_in(8);
         // One table group receives most of the traffic, so that it has several home engines.
         let table_group = if self.random.one_in(2) { 0 } else { self.random.below(40) };
         Arrival {
             request: format!("batch-{}", self.arrived).into(),
-            request_class: service_group,
+            request_class: class,
             table_group,
             key: self.random.one_in(3).then(|| self.random.below(6)),
-            client_timeout: if repeat { limit.mul_f64(0.2 + 0.7 * self.random.share()) } else { limit },
+            client_timeout: if client_retry {
+                deadline.mul_f64(0.2 + 0.7 * self.random.share())
+            } else {
+                deadline
+            },
             work: None,
             memory_mb: 0.0,
-            client_retry: repeat,
+            client_retry,
         }
     }
 
-    fn act(&mut self, now: Duration, action: Action) {
+    fn carry_out(&mut self, now: Duration, action: Action) {
         match action {
             Action::Send { request, engine, .. } => self.attempt(now, request, engine),
             Action::Cancel { request, attempt } => {
@@ -240,8 +245,8 @@
         let count = self.sent.entry(request.clone()).or_default();
         let number = *count;
         *count += 1;
-        let cost = self.random.millis(5, 1_500);
-        self.out.insert((request.clone(), number), Sent { engine, at: now, cost });
+        let work = self.random.millis(5, 1_500);
+        self.in_flight.insert((request.clone(), number), InFlight { engine, at: now, work });
         let outcome = match self.random.below(24) {
             0 => AttemptOutcome::Rejected,
             1 => AttemptOutcome::ConnectFailed,
@@ -251,16 +256,17 @@
             5 => AttemptOutcome::NotSent,
             _ => AttemptOutcome::Returned,
         };
-        let after = if outcome.never_ran() { self.random.millis(1, 80) } else { cost.mul_f64(self.slowed()) };
+        let after =
+            if outcome.never_ran() { self.random.millis(1, 80) } else { work.mul_f64(self.latency_factor()) };
         self.plan(now + after, Planned::End(request.clone(), number, outcome));
         if self.random.one_in(4) {
-            let note = match self.random.below(4) {
+            let progress = match self.random.below(4) {
                 0 => AttemptProgress::WaitingForBulkLoad,
                 1 => AttemptProgress::WaitingForMemory,
                 _ => AttemptProgress::Done(self.random.share() * 0.5),
             };
             let at = now + after.mul_f64(self.random.share());
-            self.plan(at, Planned::AttemptProgress(request.clone(), number, note));
+            self.plan(at, Planned::AttemptProgress(request.clone(), number, progress));
         }
         if self.random.one_in(20) {
             let event = if self.random.one_in(2) {
@@ -272,7 +278,7 @@
         }
     }
 
-    fn slowed(&mut self) -> f64 {
+    fn latency_factor(&mut self) -> f64 {
         0.5 + self.slowness as f64 * self.random.share()
     }
 
@@ -287,38 +293,39 @@
     }
 
     /// Sends the gateway all events that are due.
-    fn happen(&mut self, now: Duration) {
+    fn send_due_events(&mut self, now: Duration) {
         while let Some(first) = self.planned.first_entry().filter(|first| first.key().0 <= now) {
             match first.remove() {
                 Planned::Event(event) => self.gateway.handle_event(now, event),
-                Planned::AttemptProgress(request, attempt, note) => {
-                    if let Some(out) = self.out.get(&(request.clone(), attempt)) {
-                        let engine = out.engine;
+                Planned::AttemptProgress(request, attempt, progress) => {
+                    if let Some(attempt_sent) = self.in_flight.get(&(request.clone(), attempt)) {
+                        let engine = attempt_sent.engine;
                         self.gateway
-                            .handle_event(now, Event::Progress { request, attempt, engine, progress: note });
+                            .handle_event(now, Event::Progress { request, attempt, engine, progress });
                     }
                 }
-                Planned::End(request, attempt, outcome) => self.end(now, request, attempt, outcome),
+                Planned::End(request, attempt, outcome) => self.end_attempt(now, request, attempt, outcome),
             }
         }
     }
 
-    fn end(&mut self, now: Duration, request: RequestId, attempt: u32, outcome: AttemptOutcome) {
-        let Some(out) = self.out.remove(&(request.clone(), attempt)) else { return };
+    fn end_attempt(&mut self, now: Duration, request: RequestId, attempt: u32, outcome: AttemptOutcome) {
+        let Some(attempt_sent) = self.in_flight.remove(&(request.clone(), attempt)) else { return };
         let returned = outcome == AttemptOutcome::Returned;
-        let told = self.deployment.load_reporting == LoadReporting::WithResponses && !outcome.never_ran();
-        let cost = (returned && !self.random.one_in(3))
-            .then(|| ResourceUsage { work: out.cost, memory_mb: self.random.share() * 900.0 });
-        let ending = AttemptEnd {
+        let reports_load =
+            self.deployment.load_reporting == LoadReporting::WithResponses && !outcome.never_ran();
+        let usage = (returned && !self.random.one_in(3))
+            .then(|| ResourceUsage { work: attempt_sent.work, memory_mb: self.random.share() * 900.0 });
+        let end = AttemptEnd {
             request,
             attempt,
-            engine: out.engine,
-            elapsed: now.saturating_sub(out.at),
+            engine: attempt_sent.engine,
+            elapsed: now.saturating_sub(attempt_sent.at),
             outcome,
             request_finished: outcome == AttemptOutcome::Errored && self.random.one_in(2),
-            usage: cost,
-            load: told.then(|| self.load()),
+            usage,
+            load: reports_load.then(|| self.load()),
         };
-        self.gateway.handle_event(now, Event::AttemptEnded(ending));
+        self.gateway.handle_event(now, Event::AttemptEnded(end));
     }
 }
