--- a/src/engine_table.rs
+++ b/src/engine_table.rs
@@ -72,6 +72,6 @@
 
     /// Panics if the engine is unknown, like any map.
     fn index(&self, id: &EngineId) -> &T {
-        self.get(id).expect("a known engine")
+        self.get(id).expect("unknown engine id")
     }
 }
