--- a/src/congestion.rs
+++ b/src/congestion.rs
@@ -12,8 +12,8 @@
 //! smallest class from every front.
 //!
 //! In many-front mode a front sends to an engine only every few seconds. This guards it against sending
-//! requests to an engine that hangs because all fronts do so. The drawback: an engine that has recovered
-//! stays idle until the sign has decayed.
+//! requests to an engine that hangs because all fronts send to it. The drawback: an engine that has
+//! recovered stays idle until the sign has decayed.
 
 use crate::admission::ADMIT_NONE_AT_THREADS_PER_CORE;
 use crate::endpoint::EngineId;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,7 +5,8 @@
 //! and depends on no protocol: time and the seed of random draws are arguments.
 //!
 //! ```
-//! use lemonusher::{Deployment, Gateway}; use std::time::Duration;
+//! use lemonusher::{Deployment, Gateway};
+//! use std::time::Duration;
 //!
 //! let mut gateway = Gateway::new(Deployment::default(), 7);
 //! assert!(gateway.decide(Duration::from_secs(1)).is_empty());
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,9 +1,13 @@
 //! Retries: the retry budget (safety rule 7), and the migration of an attempt in flight to another engine.
 //!
-//! **Retry budget.** Within any window of the configured length at most `free_retries + retry_ratio ×
-//! arrivals` attempts are retries. Inputs: the times of arrivals and of retries at this front. Arrivals are
-//! counted over the window less one tick, retries over the window plus one tick, so that the budget holds
-//! wherever within a tick the window starts.
+//! **Retry budget.** Within any window of the configured length the number of attempts that are retries is
+//! at most
+//!
+//! free_retries + retry_ratio × arrivals
+//!
+//! Inputs: the times of arrivals and of retries at this front. Arrivals are counted over the window less one
+//! tick, retries over the window plus one tick, so that the budget holds wherever within a tick the window
+//! starts.
 //!
 //! **Migration.** An attempt in flight is cancelled and its request queued again, provided that another
 //! attempt is allowed, if
--- a/tests/decision_equality.rs
+++ b/tests/decision_equality.rs
@@ -2,8 +2,8 @@
 //! is the same, in the same order and at the same time, as when `tests/histories/digests.txt` was written.
 //!
 //! The digests may be rewritten only by a commit that intends to change decisions, or by one that extends
-//! the histories and leaves the decisions alone; its message says which. The command is `cargo run --example
-//! decision_digests > tests/histories/digests.txt`.
+//! the histories and leaves the decisions alone; its message says which. The command is
+//! `cargo run --example decision_digests > tests/histories/digests.txt`.
 
 mod histories;
 
