--- a/src/attempt_end.rs
+++ b/src/attempt_end.rs
@@ -102,7 +102,7 @@
         class.memory.add(now, memory_mb, weight);
         let slowness = work.map(|work| latency / class.slow_after(work.max(MIN_WORK_SECONDS)));
         if !request.counted_slow {
-            self.slow_share.record(now, slowness.is_some_and(|times| times > 1.0));
+            self.slow_share.record(now, slowness.is_some_and(|slowness| slowness > 1.0));
         }
         self.estimates.typical_threads.add(now, latency * class.config.threads, latency);
         class.record_latency(now, latency);
--- a/src/congestion.rs
+++ b/src/congestion.rs
@@ -37,8 +37,8 @@
         observed: bool,
     ) {
         let threads_per_core = threads_per_core.min(MAX_CONGESTION_FACTOR * ADMIT_NONE_AT_THREADS_PER_CORE);
-        let known = self.engines.get(&id).map_or(f64::MAX, |engine| self.congestion(now, engine));
-        if threads_per_core > known
+        let current = self.engines.get(&id).map_or(f64::MAX, |engine| self.congestion(now, engine));
+        if threads_per_core > current
             && let Some(engine) = self.engines.get_mut(&id)
         {
             engine.congestion = Some(Congestion { at: now, threads_per_core, observed });
@@ -55,11 +55,11 @@
         self.record_congestion(now, id, ADMIT_NONE_AT_THREADS_PER_CORE, engine_alive);
     }
 
-    /// Records the end of an attempt. `times` is its duration as a multiple of the time after which it is
+    /// Records the end of an attempt. `slowness` is its duration as a multiple of the time after which it is
     /// slow. An attempt that was not slow clears the sign, unless the engine reports its load.
-    pub(crate) fn record_slowness(&mut self, now: Duration, id: EngineId, times: f64, reported: bool) {
-        if times > 1.0 {
-            self.record_congestion(now, id, times * ADMIT_NONE_AT_THREADS_PER_CORE, true);
+    pub(crate) fn record_slowness(&mut self, now: Duration, id: EngineId, slowness: f64, reported: bool) {
+        if slowness > 1.0 {
+            self.record_congestion(now, id, slowness * ADMIT_NONE_AT_THREADS_PER_CORE, true);
         } else if !reported && let Some(engine) = self.engines.get_mut(&id) {
             engine.congestion = None;
         }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -166,7 +166,7 @@
                 self.handle_load_report(now, engine, load, Some(elapsed));
             }
             Event::ProbeEnded { engine, .. } => self.record_failure(now, engine),
-            Event::Quota(part) => self.quota = Some(part.clamp(0.0, 1.0)),
+            Event::Quota(share) => self.quota = Some(share.clamp(0.0, 1.0)),
             Event::ShuttingDown { deadline } => self.shutdown_deadline = Some(deadline),
             Event::PeerMessage { .. } | Event::TimerFired => {}
         }
--- a/src/give_up.rs
+++ b/src/give_up.rs
@@ -104,8 +104,8 @@
     pub(crate) fn give_up(&mut self, now: Duration, sequence: u64) {
         let Some(request) = self.requests.get(sequence) else { return };
         // The client may retry as late as the retry-after time allows.
-        let again = now + self.retry_after(request.class).unwrap_or_default();
-        let safe = self.client_may_retry(request, again);
+        let retry_at = now + self.retry_after(request.class).unwrap_or_default();
+        let safe = self.client_may_retry(request, retry_at);
         let goal = if safe { RequestGoal::Rejected } else { RequestGoal::Failed };
         if let Some(request) = self.requests.get_mut(sequence) {
             request.goal = goal;
--- a/src/idempotency.rs
+++ b/src/idempotency.rs
@@ -61,14 +61,14 @@
             || self.deduplicated_until(request).is_some_and(|until| now >= until)
     }
 
-    /// Whether a retry of the client at `again` can't have a double effect.
-    pub(crate) fn client_may_retry(&self, request: &Request, again: Duration) -> bool {
+    /// Whether a retry of the client at `retry_at` can't have a double effect.
+    pub(crate) fn client_may_retry(&self, request: &Request, retry_at: Duration) -> bool {
         let may_have_run = request.first_possible_run.is_some() || request.in_flight.is_some();
         match self.classes[request.class].config.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => !may_have_run,
             Idempotency::IdempotencyKeyed { scope, .. } => {
-                let dropped = self.deduplicated_until(request).is_none_or(|until| again < until);
+                let dropped = self.deduplicated_until(request).is_none_or(|until| retry_at < until);
                 !may_have_run || (scope == DeduplicationScope::Everywhere && dropped)
             }
         }
--- a/src/load_estimate.rs
+++ b/src/load_estimate.rs
@@ -82,8 +82,8 @@
     /// One mean request is added to both, so that chance has less influence while few requests have been
     /// sent.
     fn traffic_bias(&self, sent_work: f64, cores: f64) -> f64 {
-        let (speed, prior) = (cores / self.cores, self.request_work);
-        (sent_work / speed + prior) / (self.sent_work + prior).max(f64::MIN_POSITIVE)
+        let (relative_cores, prior) = (cores / self.cores, self.request_work);
+        (sent_work / relative_cores + prior) / (self.sent_work + prior).max(f64::MIN_POSITIVE)
     }
 }
 
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -103,16 +103,16 @@
         let mut choices = self.choices(now, sequence, &order, &candidates, reserved);
         self.avoid_last_failed(sequence, &mut choices);
         self.shed_for_missing_capacity(sequence, &mut choices);
-        let least = choices.iter().copied().min_by(|a, b| a.load.total_cmp(&b.load))?;
+        let least_loaded = choices.iter().copied().min_by(|a, b| a.load.total_cmp(&b.load))?;
         if self.is_shed_for_overload(now, sequence) {
             return None;
         }
         if self.is_admission_forced(now, sequence) {
-            return Some(least.engine);
+            return Some(least_loaded.engine);
         }
         let max_above_lowest =
             if self.many_fronts() { MAX_LOAD_ABOVE_LOWEST_MANY_FRONTS } else { MAX_LOAD_ABOVE_LOWEST };
-        choices.retain(|choice| choice.load <= least.load + max_above_lowest);
+        choices.retain(|choice| choice.load <= least_loaded.load + max_above_lowest);
         if self.many_fronts() {
             choices.sort_by_key(|choice| !(choice.warming_up && choice.load < UNLOADED_THREADS_PER_CORE));
         }
@@ -139,8 +139,8 @@
     /// engine.
     fn candidates(&mut self, now: Duration, sequence: u64) -> Arc<[Candidate]> {
         let request = &self.requests[sequence];
-        let free = request.first_possible_run.is_none();
-        if let Some(cached) = self.candidate_cache.get(&request.class).filter(|_| free) {
+        let any_engine = request.first_possible_run.is_none();
+        if let Some(cached) = self.candidate_cache.get(&request.class).filter(|_| any_engine) {
             return Arc::clone(cached);
         }
         let fleet = self.fleet_means(now);
@@ -151,7 +151,7 @@
             load: self.threads_per_core(now, engine, &fleet),
         };
         let candidates: Arc<[Candidate]> = self.engines.values().map(candidate).collect();
-        if free {
+        if any_engine {
             self.candidate_cache.insert(request.class, Arc::clone(&candidates));
         }
         candidates
--- a/src/subsets.rs
+++ b/src/subsets.rs
@@ -64,8 +64,8 @@
     fn subset_of(&self, now: Duration, index: usize, class: &RequestClass, fronts: NonZeroU32) -> Subset {
         let allowed = |engine: &&Engine| {
             let entry = &engine.entry;
-            let open = entry.state == EngineState::Active && !entry.blocks(index);
-            open && class.config.allows(entry) && !self.is_warming_up(now, engine)
+            let accepts_class = entry.state == EngineState::Active && !entry.blocks(index);
+            accepts_class && class.config.allows(entry) && !self.is_warming_up(now, engine)
         };
         let member = |engine: &Engine| Member {
             engine: engine.entry.engine,
@@ -79,14 +79,14 @@
     /// The available capacity in cores: of all active engines that are warmed up the share that is healthy
     /// in the subset, of those that warm up the share `slow_start_share`.
     fn capacity(&self, now: Duration) -> f64 {
-        let bears_load = |engine: &Engine| {
+        let is_healthy = |engine: &Engine| {
             let congested =
                 engine.congestion_was_observed() && self.congestion(now, engine) >= UNLOADED_THREADS_PER_CORE;
             engine.consecutive_failures == 0 && !congested
         };
         let sample = self.subsets.by_class.first().cloned().unwrap_or_default();
-        let healthy = sample.share(|id| self.engines.get(&id).is_none_or(bears_load));
-        let part = |engine: &Engine| {
+        let healthy = sample.share(|id| self.engines.get(&id).is_none_or(is_healthy));
+        let available_share = |engine: &Engine| {
             if self.is_warming_up(now, engine) {
                 self.deployment.safety_rules.slow_start_share
             } else {
@@ -94,7 +94,7 @@
             }
         };
         let active = self.engines.values().filter(|engine| engine.entry.state == EngineState::Active);
-        active.map(|engine| part(engine) * self.deployment.cores(&engine.entry)).sum()
+        active.map(|engine| available_share(engine) * self.deployment.cores(&engine.entry)).sum()
     }
 
     /// Whether this front's subset allows a request to be sent to an engine.
