--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -491,7 +491,7 @@
 }
 
 #[test]
-fn a_front_that_shuts_down_answers_all_by_then_however_far_the_deadlines_lie() {
+fn a_front_that_shuts_down_answers_all_requests_before_its_shutdown_deadline() {
     let mut host = Host::of(1);
     host.arrive("report", REPORT, 9);
     host.arrive("load", LOAD, 8);
@@ -599,7 +599,7 @@
 }
 
 #[test]
-fn a_migrated_request_of_one_of_many_fronts_goes_elsewhere_and_not_back() {
+fn a_migrated_request_of_one_of_many_fronts_is_sent_to_another_engine() {
     let mut host = with_known_work(costly_probes(), 4);
     let first = engine_of(&host.arrive("a", SHORT, 3), "a").unwrap();
     host.now += ms(500);
