--- a/crates/core/subset/tests/subset.rs
+++ b/crates/core/subset/tests/subset.rs
@@ -1,32 +1,33 @@
-//! What all fronts' subsets are together: even, spread out when engines fail, and small.
+//! The subsets of all fronts together: they are even and small, and the load of failed engines is spread
+//! over many.
 
-use lemonusher_subset::{Member, Place, Subset, size, subset};
+use lemonusher_subset::{FrontPosition, Member, Subset, size, subset};
 use std::collections::BTreeMap;
 use std::num::NonZeroU32;
 
-/// Fronts and engines of fleets that lemonusher is run as, or is to be run as.
+/// Numbers of fronts and engines of fleets that lemonusher is used or planned for.
 const FLEETS: [(u32, usize); 5] = [(300, 80), (300, 52), (130, 325), (520, 1_300), (40, 60)];
 
 fn fronts(number: u32) -> NonZeroU32 {
     NonZeroU32::new(number).unwrap()
 }
 
-/// Ids as deployments give them: spread over all numbers.
+/// Engine ids as in deployments: spread over the whole range.
 fn engines(count: usize) -> Vec<u32> {
     (1..=count as u32).map(|n| n.wrapping_mul(2_654_435_761)).collect()
 }
 
-/// The subsets of all fronts, where all know the same engines to be unhealthy.
+/// The subsets of all fronts, if all know the same engines to be unhealthy.
 fn subsets(fleet: u32, engines: &[u32], unhealthy: &[u32]) -> Vec<Subset> {
     let size = size(engines.len(), fronts(fleet));
     let members = || engines.iter().map(|&engine| Member { engine, healthy: !unhealthy.contains(&engine) });
-    (0..fleet).map(|number| subset(Place { number, fronts: fronts(fleet) }, members(), size)).collect()
+    (0..fleet).map(|index| subset(FrontPosition { index, fronts: fronts(fleet) }, members(), size)).collect()
 }
 
-/// In how many subsets each engine is.
-fn shares(engines: &[u32], subsets: &[Subset]) -> BTreeMap<u32, usize> {
-    let share = |engine| subsets.iter().filter(|subset| subset.contains(engine)).count();
-    engines.iter().map(|&engine| (engine, share(engine))).collect()
+/// The number of subsets that contain each engine.
+fn subset_counts(engines: &[u32], subsets: &[Subset]) -> BTreeMap<u32, usize> {
+    let count = |engine| subsets.iter().filter(|subset| subset.contains(engine)).count();
+    engines.iter().map(|&engine| (engine, count(engine))).collect()
 }
 
 #[test]
@@ -34,9 +35,9 @@
     for (fleet, count) in FLEETS {
         let engines = engines(count);
         let subsets = subsets(fleet, &engines, &[]);
-        let shares = shares(&engines, &subsets);
-        let mean = shares.values().sum::<usize>() as f64 / count as f64;
-        let (least, most) = (shares.values().min().unwrap(), shares.values().max().unwrap());
+        let counts = subset_counts(&engines, &subsets);
+        let mean = counts.values().sum::<usize>() as f64 / count as f64;
+        let (least, most) = (counts.values().min().unwrap(), counts.values().max().unwrap());
         println!(
             "{fleet} fronts, {count} engines: subsets of {}, each engine in {least} to {most}",
             subsets[0].len()
@@ -66,9 +67,9 @@
 #[test]
 fn load_of_failed_engines_is_spread_over_many_others() {
     let engines = engines(80);
-    let before = shares(&engines, &subsets(300, &engines, &[]));
+    let before = subset_counts(&engines, &subsets(300, &engines, &[]));
     let failed = &engines[..20];
-    let after = shares(&engines, &subsets(300, &engines, failed));
+    let after = subset_counts(&engines, &subsets(300, &engines, failed));
     let healthy = &engines[20..];
     let mean = healthy.iter().map(|engine| after[engine]).sum::<usize>() as f64 / healthy.len() as f64;
     let most = healthy.iter().map(|engine| after[engine]).max().unwrap();
@@ -135,8 +136,8 @@
 
 #[test]
 fn no_engines_and_a_number_past_the_last_front_are_accepted() {
-    let place = |number| Place { number, fronts: fronts(300) };
-    assert!(subset(place(5), std::iter::empty(), 8).is_empty());
+    let position = |index| FrontPosition { index, fronts: fronts(300) };
+    assert!(subset(position(5), std::iter::empty(), 8).is_empty());
     let member = || engines(20).into_iter().map(|engine| Member { engine, healthy: true });
-    assert_eq!(subset(place(301), member(), 8), subset(place(1), member(), 8));
+    assert_eq!(subset(position(301), member(), 8), subset(position(1), member(), 8));
 }
--- a/src/arrival.rs
+++ b/src/arrival.rs
@@ -1,9 +1,13 @@
-//! A request arrives: it is queued, and it is worked out when its client first asked.
+//! Arrivals: a request is queued, and the time at which its client first sent it is estimated.
 //!
-//! A client that retries gives each try what is left of its deadline. A retry is told by its mark where clients mark them, or else by a
-//! timeout that differs from the usual one of first tries by more than [`TIMEOUT_TOLERANCE`] of the deadline. A retry is as
-//! old as its timeout is shorter than the deadline, so that it is not served when it comes too late to count. A timeout under
-//! [`HURRIED_TIMEOUT`] of the deadline is a first try's in a hurry.
+//! A client that retries gives each try only what is left of its deadline. The age of a retry is the class's
+//! deadline minus the client timeout. It counts against the request's objective, so that no work is spent on
+//! a response that comes too late.
+//!
+//! A retry is recognized by the client's mark, if the deployment's clients mark retries. Otherwise it is
+//! recognized by a client timeout that differs from the usual one of first tries by at least
+//! [`TIMEOUT_TOLERANCE`] of the deadline. In either case a request with a short client timeout, of at most
+//! [`SHORT_CLIENT_TIMEOUT`] of the deadline, is taken for a first try.
 
 use crate::event::Arrival;
 use crate::gateway::Gateway;
@@ -11,13 +15,13 @@
 use crate::request_class::UsualTimeout;
 use std::time::Duration;
 
-/// Timeouts are alike within this share of the deadline.
+/// Two client timeouts are taken for equal if they differ by less than this share of the deadline.
 const TIMEOUT_TOLERANCE: f64 = 0.005;
-/// What a timeout that is not alike counts against the usual one; one that is alike counts 1 for it.
-const TIMEOUT_VOTE_AGAINST: f64 = 0.25;
-/// A timeout under this share of the deadline is not taken for a retry's.
-const HURRIED_TIMEOUT: f64 = 0.25;
-/// The priority that engines take a request to have before they are given one.
+/// Weight of a vote against the usual timeout. A vote for it has weight 1.
+const VOTE_WEIGHT_AGAINST: f64 = 0.25;
+/// A client timeout of at most this share of the deadline is not taken for that of a retry.
+const SHORT_CLIENT_TIMEOUT: f64 = 0.25;
+/// The priority that engines assume for a request before one is set.
 const INITIAL_PRIORITY: u8 = 1;
 
 impl Gateway {
@@ -29,15 +33,15 @@
         if self.deployment.safety_rules.retry_budget.is_some() {
             self.retries.record_arrival(now);
         }
-        self.earn_probe_credit();
+        self.add_probe_credit();
         let class = arrival.request_class.min(self.classes.len().saturating_sub(1));
         let sequence = self.requests.allocate();
         let key = arrival.key.filter(|_| self.classes[class].config.ordered);
         if let Some(key) = key {
             self.key_queues.push(key, sequence);
         }
-        self.subsets.shedding.arrived();
-        self.traffic.record(now, arrival.table_group, self.spans.max_deadline);
+        self.subsets.shedding.record_arrival();
+        self.traffic.record(now, arrival.table_group, self.derived_times.max_deadline);
         let age = self.age_of(class, &arrival);
         let request = Request {
             first_arrival: now.saturating_sub(age),
@@ -56,7 +60,7 @@
         self.requests.insert(sequence, request);
     }
 
-    /// How long ago the client first asked.
+    /// The time since the client first sent the request.
     fn age_of(&mut self, class: usize, arrival: &Arrival) -> Duration {
         let class = &mut self.classes[class];
         let deadline = class.config.deadline;
@@ -64,9 +68,9 @@
         let retry = if self.deployment.retries_marked {
             arrival.client_retry
         } else {
-            !class.first_try_timeout.is_alike(arrival.client_timeout, deadline)
+            !class.first_try_timeout.is_usual(arrival.client_timeout, deadline)
         };
-        if retry && arrival.client_timeout > deadline.mul_f64(HURRIED_TIMEOUT) {
+        if retry && arrival.client_timeout > deadline.mul_f64(SHORT_CLIENT_TIMEOUT) {
             deadline.saturating_sub(arrival.client_timeout)
         } else {
             Duration::ZERO
@@ -75,13 +79,13 @@
 }
 
 impl UsualTimeout {
-    fn is_alike(&self, timeout: Duration, deadline: Duration) -> bool {
+    fn is_usual(&self, timeout: Duration, deadline: Duration) -> bool {
         self.timeout.abs_diff(timeout) < deadline.mul_f64(TIMEOUT_TOLERANCE)
     }
 
-    /// Votes for the usual timeout or against it; one without votes left is replaced.
+    /// Counts one vote for or against the usual timeout. Without votes left, it is replaced by `timeout`.
     fn vote(&mut self, timeout: Duration, deadline: Duration) {
-        self.votes += if self.is_alike(timeout, deadline) { 1.0 } else { -TIMEOUT_VOTE_AGAINST };
+        self.votes += if self.is_usual(timeout, deadline) { 1.0 } else { -VOTE_WEIGHT_AGAINST };
         if self.votes <= 0.0 {
             *self = UsualTimeout { timeout, votes: 1.0 };
         }
--- a/src/attempt_end.rs
+++ b/src/attempt_end.rs
@@ -1,17 +1,22 @@
-//! What the end of an attempt teaches, and what becomes of its request.
+//! The end of an attempt: updates the state of its engine, its class and its request.
+//!
+//! Inputs: outcome, duration and, if reported, resource usage and load. The engine's health, congestion and
+//! concurrency limit change by the outcome; the class's means of work, memory and latency change by a
+//! response. The request is finished, queued for another attempt, or given up.
 
-use crate::concurrency_limit::{LimitBounds, shows_pressure};
-use crate::engine::AttemptEdge;
+use crate::concurrency_limit::{LimitParameters, shows_pressure};
+use crate::engine::AttemptTransition;
 use crate::event::{AttemptEnd, AttemptOutcome};
 use crate::gateway::Gateway;
 use crate::request::{PossibleRun, RequestGoal};
 use std::time::Duration;
 
-/// The least work that is told apart, in seconds on one thread.
-const MIN_WORK: f64 = 1e-3;
+/// Lower limit of a request's reported work, in seconds on one thread.
+const MIN_WORK_SECONDS: f64 = 1e-3;
 
 impl Gateway {
-    /// Takes note of an attempt's end: of the engine's health, of the class's needs, and of what becomes of the request.
+    /// Handles the end of an attempt: updates the engine's health and the class's means, and decides what
+    /// follows for the request.
     pub(crate) fn handle_attempt_end(&mut self, now: Duration, end: AttemptEnd) {
         self.handle_load_report(now, end.engine, end.load, None);
         self.record_engine_outcome(now, &end);
@@ -26,12 +31,13 @@
         } else if self.requests.get(sequence).is_some_and(|request| request.finished) {
             self.remove(sequence);
         } else {
-            self.give_up_if_spent(now, sequence);
+            self.give_up_if_no_attempt_left(now, sequence);
         }
     }
 
-    /// What the outcome tells of the engine. In many-front mode a rejection also counts as a slow attempt, as in a full
-    /// overload nothing returns from which slowness could be learned. A single full engine raises the slow share, too.
+    /// Updates the health of the engine. In many-front mode a rejection also counts as a slow attempt, as
+    /// during a full overload no response arrives from which slowness could be learned. The drawback is that
+    /// a single full engine also raises the slow share.
     fn record_engine_outcome(&mut self, now: Duration, end: &AttemptEnd) {
         if end.outcome == AttemptOutcome::Rejected && self.many_fronts() {
             self.slow_share.record(now, true);
@@ -50,7 +56,8 @@
         }
     }
 
-    /// Ends the attempt in flight of a request. Returns its duration as a multiple of the class's slow threshold, if known.
+    /// Ends the attempt in flight of a request. Returns its duration as a multiple of the time after which
+    /// it is slow; `None` if that is unknown.
     fn end_attempt(&mut self, now: Duration, sequence: u64, end: &AttemptEnd) -> Option<f64> {
         self.attempt_ended = true;
         self.release_engine(now, sequence, end);
@@ -66,25 +73,26 @@
         slowness
     }
 
-    /// Counts the attempt out at its engine, and moves the concurrency limit there if it returned.
+    /// Removes the attempt from the engine's counters. If it returned, adjusts the concurrency limit there.
     fn release_engine(&mut self, now: Duration, sequence: u64, end: &AttemptEnd) {
         let request = &self.requests[sequence];
         let class = &self.classes[request.class];
         let Some(engine) = self.engines.get_mut(&end.engine) else { return };
-        engine.count_attempt(request.class, class, request.table_group, AttemptEdge::Ends);
+        engine.count_attempt(request.class, class, request.table_group, AttemptTransition::Ends);
         if end.outcome == AttemptOutcome::Returned {
             let work = end.usage.map(|usage| usage.work.as_secs_f64());
             let objective = class.objective(work.unwrap_or(class.work.mean()));
             let pressure = shows_pressure(end.elapsed.as_secs_f64(), objective);
-            let bounds = LimitBounds {
+            let parameters = LimitParameters {
                 max_threads: crate::admission::max_own_threads(self.deployment.cores(&engine.entry)),
-                min_objective: self.spans.min_objective,
+                min_objective: self.derived_times.min_objective,
             };
-            engine.adjust_concurrency_limit(now, pressure, class.config.threads, &bounds);
+            engine.adjust_concurrency_limit(now, pressure, class.config.threads, &parameters);
         }
     }
 
-    /// Updates what is known of the class by a response.
+    /// Updates the class's means by a response. Returns the attempt's slowness if the response reports the
+    /// work.
     fn learn_from_response(&mut self, now: Duration, sequence: u64, end: &AttemptEnd) -> Option<f64> {
         let request = &self.requests[sequence];
         let class = &mut self.classes[request.class];
@@ -92,9 +100,9 @@
         let work = end.usage.map(|usage| usage.work.as_secs_f64());
         let (memory_mb, weight) = end.usage.map_or((0.0, 0.0), |usage| (usage.memory_mb, 1.0));
         class.memory.add(now, memory_mb, weight);
-        let slowness = work.map(|work| latency / class.slow_after(work.max(MIN_WORK)));
+        let slowness = work.map(|work| latency / class.slow_after(work.max(MIN_WORK_SECONDS)));
         if !request.counted_slow {
-            self.slow_share.record(now, slowness.is_some_and(|times| times > 1.0));
+            self.slow_share.record(now, slowness.is_some_and(|slowness| slowness > 1.0));
         }
         self.estimates.typical_threads.add(now, latency * class.config.threads, latency);
         class.record_latency(now, latency);
@@ -110,7 +118,7 @@
         }
     }
 
-    /// Blocks the request's key while the attempt may still run.
+    /// Blocks the request's ordering key while the attempt may still be running.
     fn block_key_if_unknown(&mut self, now: Duration, sequence: u64, outcome: AttemptOutcome) {
         if let Some(key) = self.requests[sequence].key
             && leaves_outcome_unknown(outcome)
@@ -119,7 +127,7 @@
         }
     }
 
-    /// Queues the request for another attempt, unless something else is to become of it.
+    /// Clears the attempt in flight, and queues the request again unless it has another goal by now.
     fn clear_attempt(&mut self, now: Duration, sequence: u64, end: &AttemptEnd) {
         let Some(request) = self.requests.get_mut(sequence) else { return };
         request.in_flight = None;
@@ -134,7 +142,7 @@
     }
 }
 
-/// Whether the attempt may still run after its end.
+/// Whether the attempt may still be running after its end.
 fn leaves_outcome_unknown(outcome: AttemptOutcome) -> bool {
     matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled)
 }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,20 +1,27 @@
-//! Placement: which engines a request is offered to, and in which order.
+//! Placement: selects the engines that a request is offered to, and their order.
 //!
-//! Every table group prefers the engines in an order of its own, by rendezvous hashing, the same at every front, so that requests of a
-//! group meet where its tables are warm. The first engine of the order ("home") is offered the request unless its load, in threads per
-//! core, exceeds that of the least loaded by more than a margin; then the next, and so on.
+//! Each table group ranks all engines by rendezvous hashing. The order is the same at every front, so that
+//! requests of a group reach the engines that have its tables cached. The first engine of the order is the
+//! home engine. The request is offered to the engines in this order until one admits it. Engines are left
+//! out if their load, in threads per core, exceeds the lowest load by more than a margin.
 //!
-//! - A group that draws more than one engine's part of the traffic has several homes in many-front mode: the first places of its order are
-//!   rotated by the front's index.
-//! - Bulk loads go by the order from its far end, off the homes of the group's readers, and each front begins at another place of
-//!   its tail ([`BULK_LOAD_TAIL`]), or bulk loads of one group would all line up.
-//! - An engine that warms up is passed over at random, less often the warmer it is. In many-front mode one
-//!   that has room and little load is offered first, as an unused turn is lost.
-//! - The engine at which the last attempt failed is avoided if there is another.
-//! - Where engines report no load and capacity is missing, requests are shed by the share that load shedding admits
-//!   (`lemonusher-load-shedding`); engines that warm up are spared, as slow start bounds what they get.
-
-use crate::admission::ADMIT_ALL_UP_TO;
+//! - In many-front mode a group that receives more traffic than one engine's share has several home engines:
+//!   each front rotates the first places of the order by its own index.
+//! - A bulk load follows the order from its end, away from the home engines of the group's readers. Each
+//!   front starts at another place within [`BULK_LOAD_TAIL_SHARE`] of the order, as otherwise all bulk loads
+//!   of a group would be sent to the same engine.
+//! - An engine that warms up is skipped at random, less often the higher its slow-start factor. In
+//!   many-front mode an engine that warms up and has little load comes first, as an unused slow-start time
+//!   slot is lost.
+//! - The engine at which the last attempt failed is avoided if there is another one.
+//! - If engines report no load and capacity is missing, requests are shed by the share that load shedding
+//!   admits (`lemonusher-load-shedding`). Engines that warm up are exempt, as slow start already limits what
+//!   they receive.
+//!
+//! This guards against cold caches, against hot spots on the home engines, and against losing time on a
+//! failed engine.
+
+use crate::admission::UNLOADED_THREADS_PER_CORE;
 use crate::candidate::Candidate;
 use crate::decaying_mean::DecayingMean;
 use crate::deployment::LoadReporting;
@@ -26,16 +33,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Threads per core by which an engine may exceed the least loaded one,
-const PLACEMENT_MARGIN: f64 = 0.8;
-/// and in many-front mode.
-const PLACEMENT_MARGIN_MANY_FRONTS: f64 = 2.0;
-/// The share of the order, from its far end, over which the fronts' bulk loads begin.
-const BULK_LOAD_TAIL: f64 = 0.5;
-/// Arrivals before which a table group's share of the traffic is not trusted.
-const ARRIVALS_PRIOR: f64 = 10.0;
-
-/// Arrivals at this front, by table group and in all, decaying.
+/// An engine is offered a request if its load, in threads per core, exceeds the lowest load by at most this.
+const MAX_LOAD_ABOVE_LOWEST: f64 = 0.8;
+/// The same margin in many-front mode.
+const MAX_LOAD_ABOVE_LOWEST_MANY_FRONTS: f64 = 2.0;
+/// The share of the order, counted from its end, within which the fronts' bulk loads start.
+const BULK_LOAD_TAIL_SHARE: f64 = 0.5;
+/// Arrivals that are added to the total when a group's share of the traffic is computed, so that the share
+/// stays low while few requests have arrived.
+const TRAFFIC_PRIOR_ARRIVALS: f64 = 10.0;
+
+/// Exponentially decaying counts of arrivals at this front, by table group and in total.
 #[derive(Default)]
 pub(crate) struct TableGroupTraffic {
     by_group: BTreeMap<u64, DecayingMean>,
@@ -43,12 +51,12 @@
 }
 
 impl TableGroupTraffic {
-    /// The time constant is in seconds.
+    /// `time_constant` is in seconds.
     pub(crate) fn new(time_constant: f64) -> TableGroupTraffic {
         TableGroupTraffic { by_group: BTreeMap::new(), total: DecayingMean::new(time_constant, 0.0) }
     }
 
-    /// Counts an arrival, and forgets groups of which none came for `max_age`.
+    /// Counts an arrival, and removes groups without an arrival for `max_age`.
     pub(crate) fn record(&mut self, now: Duration, table_group: u64, max_age: Duration) {
         self.total.add(now, 1.0, 1.0);
         let none = DecayingMean::new(self.total.time_constant, 0.0);
@@ -56,10 +64,10 @@
         self.by_group.retain(|_, arrivals| arrivals.at + max_age > now);
     }
 
-    /// How many of so many engines a table group's traffic calls for.
+    /// The number of home engines for a table group's share of the traffic, at most `engines`.
     fn homes(&self, table_group: u64, engines: f64) -> usize {
         let arrivals = self.by_group.get(&table_group).map_or(0.0, |arrivals| arrivals.sum);
-        let share = arrivals / (self.total.sum + ARRIVALS_PRIOR);
+        let share = arrivals / (self.total.sum + TRAFFIC_PRIOR_ARRIVALS);
         (share * engines).ceil().min(engines) as usize
     }
 }
@@ -67,10 +75,10 @@
 /// An engine that a request may be offered to.
 #[derive(Clone, Copy)]
 pub(crate) struct Choice {
-    /// Its slot in the engine table.
+    /// Index in the engine table.
     pub(crate) slot: usize,
     pub(crate) engine: EngineId,
-    /// Threads per core that it is estimated to run.
+    /// Estimated threads per core.
     pub(crate) load: f64,
     pub(crate) warming_up: bool,
 }
@@ -83,7 +91,7 @@
 }
 
 impl Gateway {
-    /// The engine that a queued request is to be sent to now, if any.
+    /// The engine that a queued request is sent to now; `None` if it stays queued.
     pub(crate) fn choose_engine(&mut self, now: Duration, sequence: u64) -> Option<EngineId> {
         let order = self.preference_order(sequence);
         let candidates = self.candidates(now, sequence);
@@ -95,28 +103,29 @@
         let mut choices = self.choices(now, sequence, &order, &candidates, reserved);
         self.avoid_last_failed(sequence, &mut choices);
         self.shed_for_missing_capacity(sequence, &mut choices);
-        let least = choices.iter().copied().min_by(|a, b| a.load.total_cmp(&b.load))?;
+        let least_loaded = choices.iter().copied().min_by(|a, b| a.load.total_cmp(&b.load))?;
         if self.is_shed_for_overload(now, sequence) {
             return None;
         }
         if self.is_admission_forced(now, sequence) {
-            return Some(least.engine);
+            return Some(least_loaded.engine);
         }
-        let margin = if self.many_fronts() { PLACEMENT_MARGIN_MANY_FRONTS } else { PLACEMENT_MARGIN };
-        choices.retain(|choice| choice.load <= least.load + margin);
+        let max_above_lowest =
+            if self.many_fronts() { MAX_LOAD_ABOVE_LOWEST_MANY_FRONTS } else { MAX_LOAD_ABOVE_LOWEST };
+        choices.retain(|choice| choice.load <= least_loaded.load + max_above_lowest);
         if self.many_fronts() {
-            choices.sort_by_key(|choice| !(choice.warming_up && choice.load < ADMIT_ALL_UP_TO));
+            choices.sort_by_key(|choice| !(choice.warming_up && choice.load < UNLOADED_THREADS_PER_CORE));
         }
         self.first_admitting_engine(now, sequence, &choices)
     }
 
-    /// The order in which a request's table group prefers the engines, as this front goes by it.
+    /// The order in which this front offers a request to the engines.
     pub(crate) fn preference_order(&mut self, sequence: u64) -> PreferenceOrder {
         let request = &self.requests[sequence];
         let order = self.preference_orders.of(request.table_group, self.engines.ids());
         let (engines, index) = (order.len() as f64, self.deployment.front_index as usize);
         if self.classes[request.class].config.bulk_load {
-            let tail = (engines * BULK_LOAD_TAIL).ceil() as usize;
+            let tail = (engines * BULK_LOAD_TAIL_SHARE).ceil() as usize;
             return PreferenceOrder::new(order, true).rotate_prefix(tail, index);
         }
         if !self.many_fronts() {
@@ -126,11 +135,12 @@
         PreferenceOrder::new(order, false).rotate_prefix(homes, index)
     }
 
-    /// All engines by slot, as they are to a request; worked out once for all requests of a class that may go anywhere.
+    /// All engines by slot, as seen by a request. Cached by class for requests that may be sent to any
+    /// engine.
     fn candidates(&mut self, now: Duration, sequence: u64) -> Arc<[Candidate]> {
         let request = &self.requests[sequence];
-        let free = request.first_possible_run.is_none();
-        if let Some(cached) = self.candidate_cache.get(&request.class).filter(|_| free) {
+        let any_engine = request.first_possible_run.is_none();
+        if let Some(cached) = self.candidate_cache.get(&request.class).filter(|_| any_engine) {
             return Arc::clone(cached);
         }
         let fleet = self.fleet_means(now);
@@ -141,7 +151,7 @@
             load: self.threads_per_core(now, engine, &fleet),
         };
         let candidates: Arc<[Candidate]> = self.engines.values().map(candidate).collect();
-        if free {
+        if any_engine {
             self.candidate_cache.insert(request.class, Arc::clone(&candidates));
         }
         candidates
@@ -152,7 +162,7 @@
         self.engines.get(&engine).is_some_and(|engine| self.is_eligible(now, request, engine))
     }
 
-    /// The engines that are eligible and where the request conflicts with nothing, in the order of preference.
+    /// The eligible engines at which the request conflicts with no other, in the order of preference.
     fn choices(
         &mut self,
         now: Duration,
@@ -172,7 +182,7 @@
             if may_conflict && self.conflicts_at(now, sequence, slot) {
                 continue;
             }
-            if candidate.warming_up && !self.draws_warm_enough(now, candidate.engine) {
+            if candidate.warming_up && !self.passes_slow_start_draw(now, candidate.engine) {
                 continue;
             }
             choices.push(Choice::new(slot, candidate));
@@ -185,9 +195,9 @@
         self.engines.at(slot).is_some_and(|engine| self.conflicts(now, request, engine))
     }
 
-    fn draws_warm_enough(&mut self, now: Duration, engine: EngineId) -> bool {
-        let warmth = self.warmth(now, &self.engines[&engine]);
-        self.random.draw() <= warmth
+    fn passes_slow_start_draw(&mut self, now: Duration, engine: EngineId) -> bool {
+        let slow_start_factor = self.slow_start_factor(now, &self.engines[&engine]);
+        self.random.draw() <= slow_start_factor
     }
 
     fn avoid_last_failed(&self, sequence: u64, choices: &mut Vec<Choice>) {
@@ -200,7 +210,7 @@
     fn shed_for_missing_capacity(&self, sequence: u64, choices: &mut Vec<Choice>) {
         let shed_draw = self.requests[sequence].shed_draw;
         if self.deployment.load_reporting == LoadReporting::None
-            && shed_draw > self.subsets.shedding.admitted()
+            && shed_draw > self.subsets.shedding.admitted_share()
         {
             choices.retain(|choice| choice.warming_up);
         }
--- a/src/scan.rs
+++ b/src/scan.rs
@@ -1,8 +1,12 @@
-//! The scan: one pass over the queued requests, oldest first.
+//! The scan: one pass over the queued requests, oldest first, that chooses an engine for each.
 //!
-//! A request is looked at if it is first in its key's queue, its next admission draw is due (or an attempt has ended since the last
-//! scan and admission has not refused it), and, if it was sent before, the retry budget has room. One that finds no engine draws again
-//! after [`REDRAW_INTERVAL`] of its latency objective.
+//! A request is considered if
+//! - it is the first in its key's queue;
+//! - its next admission draw is due, or an attempt has ended since the last scan and admission control has
+//!   not refused it;
+//! - it was never sent, or the retry budget allows a retry.
+//!
+//! A request for which no engine is found draws again after [`REDRAW_INTERVAL`] of its latency objective.
 
 use crate::action::Action;
 use crate::gateway::Gateway;
@@ -13,7 +17,7 @@
 pub(crate) const REDRAW_INTERVAL: f64 = 0.05;
 
 impl Gateway {
-    /// Sends what can be sent, and yields when the next scan is due.
+    /// Sends the requests for which an engine is found. Returns the time at which the next scan is due.
     pub(crate) fn scan(&mut self, now: Duration, actions: &mut Vec<Action>) -> Duration {
         let attempt_ended = std::mem::take(&mut self.attempt_ended);
         self.candidate_cache.clear();
@@ -21,7 +25,7 @@
         let queued = self.requests.queued();
         self.reserve_for_oldest(now, &queued);
         for sequence in queued {
-            if self.is_looked_at(now, sequence, attempt_ended) {
+            if self.is_considered(now, sequence, attempt_ended) {
                 self.place(now, sequence, actions);
             }
         }
@@ -31,7 +35,7 @@
         next_draws.map(|request| request.next_admission_draw.max(next_scan)).min().unwrap_or(Duration::MAX)
     }
 
-    fn is_looked_at(&mut self, now: Duration, sequence: u64, attempt_ended: bool) -> bool {
+    fn is_considered(&mut self, now: Duration, sequence: u64, attempt_ended: bool) -> bool {
         let request = &self.requests[sequence];
         let is_next = request.key.is_none_or(|key| self.key_queues.is_next(now, key, sequence));
         let draws = request.next_admission_draw <= now || (attempt_ended && !request.admission_refused);
