--- a/crates/core/leases/src/client.rs
+++ b/crates/core/leases/src/client.rs
@@ -1,6 +1,7 @@
-//! A lease client: asks for leases, holds, renews and releases them. Whether it holds a task is decided by its own clock
-//! alone. Events are [`LeaseClient::acquire`], [`LeaseClient::release`], replies and [`LeaseClient::poll`]; outputs are
-//! the returned messages and [`LeaseClient::take_changes`].
+//! A lease client: acquires, renews and releases leases. Only its own clock decides whether it still holds a task.
+//!
+//! Events are [`LeaseClient::acquire`], [`LeaseClient::release`], replies and [`LeaseClient::poll`]; outputs are the
+//! returned messages and [`LeaseClient::take_changes`].
 
 mod attempt;
 mod reply;
@@ -10,81 +11,81 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// An attempt is given up after the lease's duration divided by this.
+/// The timeout of an attempt is the lease duration divided by this.
 const ATTEMPT_TIMEOUT_DIVISOR: u32 = 6;
-/// After a release nothing is asked for during so many lease durations, so that others can acquire the task.
+/// Lease durations after a release during which no attempt begins, so that other fronts can acquire the task.
 const RELEASE_BACKOFF_LEASES: u32 = 2;
 
-/// A request and the voter, by its index in the configured list, that it is for.
+/// A request to one voter.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OutboundMessage {
-    /// Index of the voter.
+    /// Index of the receiving voter in the configured list of voters.
     pub voter: usize,
-    /// What it is asked.
+    /// The request to send.
     pub request: LeaseRequest,
 }
 
 /// Another front that holds a task, as a voter reported it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ObservedHolder {
-    /// Who holds it.
+    /// The incarnation of the front that holds the task.
     pub holder: Incarnation,
-    /// Its token.
+    /// The fencing token under which it holds the task.
     pub fencing_token: u64,
 }
 
 /// A lease under which an action may begin now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ActiveLease {
-    /// Goes with each action, so that the resource can refuse an older one.
+    /// Sent with each action, so that the resource can refuse actions under an older token.
     pub fencing_token: u64,
-    /// An action must have ended by then.
+    /// Time at which the lease ends. Each action must have ended by then.
     pub until: Duration,
 }
 
 /// The state of a task at this front.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseState {
-    /// It is neither asked for nor held.
+    /// The front neither holds the task nor tries to acquire it.
     Unwanted,
-    /// It is asked for.
+    /// The front tries to acquire the task.
     Wanted {
-        /// The holder that a voter last reported.
+        /// The holder that a voter last reported, if any.
         other: Option<ObservedHolder>,
     },
-    /// It is held.
+    /// The front holds the task.
     Held {
         /// The token under which this front acts.
         fencing_token: u64,
-        /// No action may begin before.
+        /// Time before which no action may begin.
         from: Duration,
-        /// No action may go on after.
+        /// Time by which each action must have ended.
         until: Duration,
     },
 }
 
-/// What has changed at this front.
+/// A change of a lease at this front.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LeaseChange {
     /// The lease was granted.
     Acquired {
-        /// The task.
+        /// The task that this front now holds.
         task: Task,
-        /// Under this token.
+        /// The token of the new lease.
         fencing_token: u64,
     },
     /// The lease was not renewed in time.
     Expired {
-        /// The task.
+        /// The task that this front no longer holds.
         task: Task,
-        /// The token that it had.
+        /// The token of the expired lease.
         fencing_token: u64,
     },
-    /// The lease was given up by [`LeaseClient::release`].
+    /// The lease, or an attempt that might still be granted, was ended by [`LeaseClient::release`].
     Released {
-        /// The task.
+        /// The task that this front no longer holds.
         task: Task,
-        /// The token that it had.
+        /// The highest token that was released.
         fencing_token: u64,
     },
 }
@@ -92,9 +93,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct HeldLease {
     fencing_token: u64,
-    /// No action begins before: the last holder's action may still be running.
+    /// No action begins before this time, because an action of the previous holder may still be running.
     from: Duration,
-    /// On this front's clock, counted from before the granted attempt began, so it is before the end at any voter.
+    /// End of the lease on this front's clock. It is counted from the start of the granted attempt, before any
+    /// message was sent, so the lease ends here before it ends at any voter.
     until: Duration,
 }
 
@@ -104,39 +106,39 @@
     fenced: bool,
     lease: Option<HeldLease>,
     attempt: Option<Attempt>,
-    /// No attempt begins before.
+    /// Time before which no attempt begins.
     next_attempt: Duration,
     /// The holder that a voter last reported; none while this front holds the task.
     other: Option<ObservedHolder>,
-    /// The highest token that is known of; a new grant is above it.
+    /// The highest known token of the task; the token of a new lease is above it.
     highest_token: u64,
     /// The round of the latest ballot used or reported; the next attempt uses a higher one.
     round: u64,
 }
 
-/// The leases that one front asks for and holds.
+/// The leases that one front holds or tries to acquire.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseClient {
     incarnation: Incarnation,
-    /// How many voters there are.
+    /// The number of voters in the fleet.
     voters: usize,
     tasks: BTreeMap<Task, TaskState>,
     changes: Vec<LeaseChange>,
 }
 
 impl LeaseClient {
-    /// A client that asks for nothing yet, of a fleet with so many voters.
+    /// Creates a client that acquires no task yet, for a fleet with `voters` voters.
     pub fn new(incarnation: Incarnation, voters: usize) -> LeaseClient {
         LeaseClient { incarnation, voters, tasks: BTreeMap::new(), changes: Vec::new() }
     }
 
-    /// Which incarnation asks.
+    /// The incarnation under which this client acquires leases.
     pub fn incarnation(&self) -> &Incarnation {
         &self.incarnation
     }
 
-    /// Asks for a task from now on. `fenced`: the resource refuses an older token, so an action of the last holder need
-    /// not be waited for.
+    /// Tries to acquire a task from now on. `fenced` means that the resource refuses an older token, so a new
+    /// lease need not wait for the end of an action of the previous holder.
     pub fn acquire(&mut self, now: Duration, task: &str, fenced: bool) {
         let state = self.tasks.entry(task.to_owned()).or_default();
         if !state.wanted {
@@ -146,15 +148,17 @@
         }
     }
 
-    /// A resource, or anybody else, has reported a token of this task; what is granted next is above it.
+    /// Records a token of a task that a resource, or any other source, has reported. The token of the next lease
+    /// is above it. Has no effect on a task that is not tracked.
     pub fn observe_token(&mut self, task: &str, fencing_token: u64) {
         if let Some(state) = self.tasks.get_mut(task) {
             state.highest_token = state.highest_token.max(fencing_token);
         }
     }
 
-    /// Releases a task: at once for this front, for others when the voters receive it. With `keep_wanted` it asks for
-    /// the task again, but only after others had time to acquire it.
+    /// Releases a task. It takes effect at once at this front, and for other fronts when the voters receive the
+    /// message. With `keep_wanted` the front tries to acquire the task again, but only after other fronts have
+    /// had time to acquire it.
     pub fn release(
         &mut self,
         now: Duration,
@@ -174,14 +178,14 @@
         to_all(self.voters, &LeaseRequest::Release { task: task.to_owned(), client, fencing_token })
     }
 
-    /// The lease under which an action may begin now, if the task is held.
+    /// The lease under which an action may begin now, if there is one.
     pub fn active_lease(&self, now: Duration, task: &str) -> Option<ActiveLease> {
         let lease = self.tasks.get(task)?.lease.as_ref()?;
         let is_active = lease.from <= now && now < lease.until;
         is_active.then_some(ActiveLease { fencing_token: lease.fencing_token, until: lease.until })
     }
 
-    /// The state of a task.
+    /// The state of a task at this front.
     pub fn state(&self, now: Duration, task: &str) -> LeaseState {
         let Some(state) = self.tasks.get(task).filter(|state| state.wanted || state.lease.is_some()) else {
             return LeaseState::Unwanted;
@@ -194,12 +198,12 @@
         }
     }
 
-    /// Whether it asks for this task, holds it, or did so lately.
+    /// Whether the client holds this task or tries to acquire it, or did so recently.
     pub fn is_tracking(&self, task: &str) -> bool {
         self.tasks.contains_key(task)
     }
 
-    /// The tasks that it asks for, holds, or did so lately.
+    /// The tasks that the client holds or tries to acquire, or did so recently.
     pub fn tasks(&self) -> impl Iterator<Item = &Task> {
         self.tasks.keys()
     }
@@ -209,7 +213,7 @@
         std::mem::take(&mut self.changes)
     }
 
-    /// When [`LeaseClient::poll`] has something to do next.
+    /// The next time at which [`LeaseClient::poll`] has something to do.
     pub fn next_timeout(&self, config: &LeaseConfig) -> Option<Duration> {
         let timeouts = self.tasks.values().flat_map(|state| {
             let attempt = state.attempt.as_ref().map(|attempt| attempt.started + attempt_timeout(config));
@@ -219,8 +223,8 @@
         timeouts.flatten().min()
     }
 
-    /// Ends expired leases and attempts, and begins attempts that are due. `chance` yields numbers from 0 up to 1; each
-    /// ended attempt draws one, to be tried again at another time than by other fronts.
+    /// Ends expired leases and attempts, and begins attempts that are due. `chance` returns random numbers from 0
+    /// to 1. Each attempt that ends draws one for its retry time, so that fronts retry at different times.
     pub fn poll(
         &mut self,
         now: Duration,
@@ -245,7 +249,7 @@
     }
 }
 
-/// How long an attempt may take.
+/// Timeout of an attempt, from its start to the acceptance by a majority.
 fn attempt_timeout(config: &LeaseConfig) -> Duration {
     config.duration / ATTEMPT_TIMEOUT_DIVISOR
 }
--- a/crates/core/leases/src/client/attempt.rs
+++ b/crates/core/leases/src/client/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to acquire or renew a lease: how it begins, what it has received, and how it ends without a grant.
+//! One attempt to acquire or renew a lease: its start, the replies received, and its end without a grant.
 
 use super::{TaskState, attempt_timeout};
 use crate::{Ballot, Incarnation, LeaseConfig, LeaseRequest, Task};
@@ -8,17 +8,17 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Attempt {
     pub(super) ballot: Ballot,
-    /// Before any message of it was sent: a lease is counted from here.
+    /// Start of the attempt, before its first message was sent. The duration of the lease is counted from here.
     pub(super) started: Duration,
-    /// Voters by index, as in the two sets below.
+    /// Indices of the voters that promised; the next two sets also hold indices of voters.
     pub(super) promises: BTreeSet<usize>,
     pub(super) acceptances: BTreeSet<usize>,
     pub(super) rejections: BTreeSet<usize>,
-    /// The highest token among the promises and what was known before.
+    /// The highest token among the promises received and the tokens known when the attempt began.
     pub(super) highest_promised_token: u64,
-    /// The token asked for, once a majority has promised.
+    /// The token of the accept request: that of the held lease in a renewal, else set once a majority has promised.
     pub(super) fencing_token: Option<u64>,
-    /// It renews a lease that is held, without a prepare.
+    /// Whether the attempt renews a held lease, without a prepare.
     pub(super) is_renewal: bool,
 }
 
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Ends a lease that has run out, with the attempt to renew it; its token.
+    /// Ends an expired lease and the attempt to renew it, and returns the token of that lease.
     pub(super) fn expire_lease(
         &mut self,
         now: Duration,
@@ -60,7 +60,7 @@
         Some(lease.fencing_token)
     }
 
-    /// Gives up an attempt that takes too long.
+    /// Gives up an attempt that has timed out, and schedules its retry.
     pub(super) fn expire_attempt(
         &mut self,
         now: Duration,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The next attempt begins after `delay` and a random part of the attempt timeout.
+    /// Schedules the next attempt after `delay` and a random share, from 0 to 1, of the attempt timeout.
     pub(super) fn retry_after(
         &mut self,
         now: Duration,
--- a/crates/core/leases/src/client/reply.rs
+++ b/crates/core/leases/src/client/reply.rs
@@ -1,19 +1,21 @@
-//! What a lease client does with each kind of reply. A reply that belongs to no running attempt changes nothing.
+//! Handles the replies of voters at a lease client. A reply that belongs to no running attempt changes nothing.
 
 use super::{HeldLease, LeaseChange, LeaseClient, ObservedHolder, OutboundMessage, TaskState, to_all};
 use crate::{Ballot, LeaseConfig, LeaseReply, LeaseRequest, Task};
 use std::time::Duration;
 
-/// A lease is renewed once its duration divided by this has passed.
+/// A renewal begins once the lease duration divided by this has passed since the lease was granted or renewed.
 const RENEWAL_DIVISOR: u32 = 3;
-/// Clients that wait for the end of another's lease try again at random times within so many lease durations after it.
+/// Clients that wait for the end of another client's lease retry at random times within this many lease durations
+/// after that end.
 const RETRY_SPREAD_LEASES: u32 = 1;
-/// Later by this part of a lease duration for each lease that the client holds, so that tasks spread over fronts.
+/// Additional retry delay for each lease that the client holds, in lease durations, so that tasks spread over the
+/// fronts.
 const RETRY_DELAY_PER_HELD_LEASE: f64 = 0.25;
 
 impl LeaseClient {
-    /// Takes in a voter's reply, and returns the requests that follow from it. `voter` is its index; `chance` yields
-    /// numbers from 0 up to 1, and an attempt that ends by a rejection draws one.
+    /// Handles a reply and returns the requests that follow from it. `voter` is the index of the voter that sent it.
+    /// `chance` returns random numbers from 0 to 1; an attempt that ends by a rejection draws one for its retry time.
     pub fn handle_reply(
         &mut self,
         now: Duration,
@@ -60,7 +62,8 @@
         self.tasks.values().filter(|state| state.lease.is_some()).count()
     }
 
-    /// Once a majority has promised, asks all voters for the lease, under a token above all that the majority knows.
+    /// Counts a promise. Once a majority has promised, returns an accept request to all voters, under a token
+    /// above every token that the majority reported.
     fn handle_promise(
         &mut self,
         task: Task,
@@ -85,7 +88,7 @@
         to_all(self.voters, &LeaseRequest::Accept { task, ballot, client, fencing_token })
     }
 
-    /// Once a majority has accepted, the lease is held or renewed.
+    /// Counts an acceptance. Once a majority has accepted, the lease is acquired or renewed.
     fn handle_accepted(&mut self, now: Duration, config: &LeaseConfig, task: Task, voter: usize) {
         let needed = majority(self.voters);
         let Some(state) = self.tasks.get_mut(&task) else { return };
@@ -95,7 +98,8 @@
         else {
             return;
         };
-        // The lease to be renewed has expired meanwhile, so others may hold the task under a higher token.
+        // If the lease expired before its renewal was accepted, another client may hold the task under a higher
+        // token.
         let is_held = state.lease.as_ref().is_some_and(|lease| now < lease.until);
         if attempt.is_renewal && !is_held {
             return;
@@ -114,14 +118,14 @@
 }
 
 impl TaskState {
-    /// Holds or extends the lease until then; whether it is a new lease.
+    /// Records a granted lease or extends the held one to `until`. Returns whether the lease is new.
     fn hold(&mut self, now: Duration, config: &LeaseConfig, fencing_token: u64, until: Duration) -> bool {
         self.other = None;
         if let Some(lease) = self.lease.as_mut().filter(|lease| lease.fencing_token == fencing_token) {
             lease.until = lease.until.max(until);
             return false;
         }
-        // An action of the last holder may go on for so long where the resource can't refuse it.
+        // If the resource can't refuse an older token, an action of the previous holder may still run for this long.
         let wait = if self.fenced { Duration::ZERO } else { config.with_drift(config.max_action_time) };
         self.lease = Some(HeldLease { fencing_token, from: now + wait, until });
         true
@@ -134,7 +138,7 @@
         }
     }
 
-    /// Counts a rejection; whether the attempt has ended by it, as no majority is left.
+    /// Counts a rejection. Ends the attempt if the remaining voters are no majority, and returns whether it did.
     fn handle_rejection(&mut self, voter: usize, voters: usize) -> bool {
         let Some(attempt) = self.attempt.as_mut() else { return false };
         attempt.rejections.insert(voter);
@@ -146,7 +150,7 @@
     }
 }
 
-/// How many voters are a majority.
+/// The number of voters that form a majority.
 fn majority(voters: usize) -> usize {
     voters / 2 + 1
 }
--- a/crates/core/leases/src/config.rs
+++ b/crates/core/leases/src/config.rs
@@ -1,27 +1,27 @@
-//! What all fronts and voters of a fleet must be configured with alike.
+//! The lease settings, which must be the same at all fronts and voters of a fleet.
 
 use std::fmt;
 use std::time::Duration;
 
-/// The shortest lease that may be configured.
+/// Shortest lease duration that may be configured.
 const MIN_DURATION: Duration = Duration::from_millis(100);
-/// The longest lease that may be configured.
+/// Longest lease duration that may be configured.
 const MAX_DURATION: Duration = Duration::from_secs(600);
-/// Clock drift must be below this many thousandths.
+/// The configured clock drift must be below this many thousandths.
 const DRIFT_LIMIT_PERMILLE: u32 = 500;
 
-/// Durations of leases and bounds on clocks. All fronts and voters of a fleet must have the same.
+/// Lease duration and limits on clock drift and actions. They must be the same at all fronts and voters of a fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct LeaseConfig {
-    /// For how long a lease is granted.
+    /// How long a lease lasts on its holder's clock; 100 ms to 10 minutes.
     pub duration: Duration,
-    /// By how many thousandths a clock may run fast or slow against true time; below 500.
+    /// Maximum deviation of a clock's rate from true time, fast or slow, in thousandths; below 500.
     pub clock_drift_permille: u32,
-    /// The longest time that one action takes where the resource can't refuse an older fencing token.
+    /// Longest time that one action takes. It matters for resources that can't refuse an older fencing token.
     pub max_action_time: Duration,
 }
 
-/// Why a [`LeaseConfig`] is not valid.
+/// A setting of a [`LeaseConfig`] that is out of range.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum LeaseConfigError {
     /// The duration is shorter than 100 ms or longer than 10 minutes.
@@ -42,13 +42,14 @@
 impl std::error::Error for LeaseConfigError {}
 
 impl LeaseConfig {
-    /// For how long a voter counts a grant as held, on its own clock. However fast that clock runs, and however slow the
-    /// holder's, the holder's lease has ended by then.
+    /// How long a voter counts a grant as held, on its own clock. The holder's lease has ended by then, even if the
+    /// voter's clock is as fast and the holder's as slow as the drift allows.
     pub fn voter_hold_time(&self) -> Duration {
         self.with_drift(self.duration)
     }
 
-    /// A time span on one clock that is at least as long as `span` on any other clock within the drift.
+    /// Extends a duration by the clock drift: the result on one clock takes at least as long as `span` on any
+    /// other clock within the drift.
     pub fn with_drift(&self, span: Duration) -> Duration {
         span * (1000 + self.clock_drift_permille) / (1000 - self.clock_drift_permille).max(1)
     }
--- a/crates/core/leases/src/message.rs
+++ b/crates/core/leases/src/message.rs
@@ -5,16 +5,17 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A task of the fleet, such as `account` or `seat.17`; at most [`MAX_NAME_BYTES`](crate::MAX_NAME_BYTES) bytes.
+/// The name of a task of the fleet, such as `account` or `seat.17`; at most
+/// [`MAX_NAME_BYTES`](crate::MAX_NAME_BYTES) bytes.
 pub type Task = String;
 
-/// One run of one front. A front that has restarted is another incarnation, so it never takes over what it held before
-/// without waiting as all others do.
+/// One incarnation of one front. A front that restarts is another incarnation, so it has to wait for the leases
+/// that it held before to expire, as all other fronts do.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
     /// The front's name.
     pub name: String,
-    /// Drawn at random at each start; `born` in what commands print.
+    /// A random number, drawn at each start. Commands print it under the key `born`.
     #[serde(rename = "born")]
     pub id: u64,
 }
@@ -25,51 +26,51 @@
     }
 }
 
-/// Orders attempts: by round, then by proposer.
+/// The ballot number of an attempt. Ballots are ordered by round, then by proposer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Counted up by each proposer.
+    /// A number that each proposer raises with each attempt.
     pub round: u64,
-    /// The [`Incarnation::id`] of the proposer.
+    /// The [`Incarnation::id`] of the proposer. It makes the ballots of different proposers distinct.
     pub proposer: u64,
 }
 
-/// From a lease client to a voter.
+/// A request from a lease client to a voter.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LeaseRequest {
-    /// Asks for a promise to accept no older ballot. Changes nothing while another client holds the task.
+    /// Asks for a promise to accept no lower ballot. Changes nothing while another client holds the task.
     Prepare {
-        /// The task.
+        /// The task to acquire.
         task: Task,
-        /// The attempt.
+        /// The ballot of the attempt.
         ballot: Ballot,
-        /// Who asks.
+        /// The client that would hold the task.
         client: Incarnation,
     },
-    /// Asks for the lease.
+    /// Asks the voter to grant the lease.
     Accept {
-        /// The task.
+        /// The task to acquire or renew.
         task: Task,
-        /// The attempt.
+        /// The ballot of the attempt.
         ballot: Ballot,
-        /// Who asks.
+        /// The client that would hold the task.
         client: Incarnation,
-        /// The token under which the client would act.
+        /// The fencing token under which the client would act.
         fencing_token: u64,
     },
-    /// The client no longer acts on the task. Has no reply.
+    /// Releases the grants of a client that no longer acts on the task. Has no reply.
     Release {
-        /// The task.
+        /// The task to release.
         task: Task,
-        /// Who held it.
+        /// The client that held the task.
         client: Incarnation,
-        /// Grants up to this token are released.
+        /// The highest token to release; a grant under a higher one stays.
         fencing_token: u64,
     },
 }
 
 impl LeaseRequest {
-    /// The task that is asked for.
+    /// The task that the request is about.
     pub fn task(&self) -> &Task {
         match self {
             LeaseRequest::Prepare { task, .. }
@@ -79,60 +80,61 @@
     }
 }
 
-/// From a voter to a lease client.
+/// A reply from a voter to a lease client.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LeaseReply {
-    /// No older ballot is accepted from here on.
+    /// The voter accepts no lower ballot from now on.
     Promise {
-        /// The task.
+        /// The task of the request.
         task: Task,
-        /// The attempt.
+        /// The ballot of the request.
         ballot: Ballot,
-        /// The highest token of the task that this voter knows.
+        /// The highest fencing token of the task that this voter knows.
         fencing_token: u64,
     },
     /// The voter has granted the lease.
     Accepted {
-        /// The task.
+        /// The task of the request.
         task: Task,
-        /// The attempt.
+        /// The ballot of the request.
         ballot: Ballot,
     },
     /// Another client holds the task.
     Held {
-        /// The task.
+        /// The task of the request.
         task: Task,
-        /// The attempt.
+        /// The ballot of the request.
         ballot: Ballot,
-        /// Who holds it.
+        /// The client that holds the task.
         holder: Incarnation,
-        /// The holder's token.
+        /// The holder's fencing token.
         fencing_token: u64,
-        /// How much longer, on the voter's clock.
+        /// Time until the grant expires, on the voter's clock.
         remaining: Duration,
     },
-    /// A later ballot has been promised.
+    /// The voter has promised a higher ballot.
     StaleBallot {
-        /// The task.
+        /// The task of the request.
         task: Task,
-        /// The attempt.
+        /// The ballot of the request.
         ballot: Ballot,
-        /// The round of the later ballot.
+        /// The round of the promised ballot.
         round: u64,
     },
-    /// The voter started lately and does not vote yet, or has no capacity for another task.
+    /// The voter does not vote: it has started recently, has no capacity for another task, or the task's name is
+    /// empty or too long.
     Silent {
-        /// The task.
+        /// The task of the request.
         task: Task,
-        /// The attempt.
+        /// The ballot of the request.
         ballot: Ballot,
-        /// When to try again at the earliest, on the voter's clock.
+        /// Time after which the client may retry, on the voter's clock.
         remaining: Duration,
     },
 }
 
 impl LeaseReply {
-    /// The task that was asked for.
+    /// The task of the request that this replies to.
     pub fn task(&self) -> &Task {
         match self {
             LeaseReply::Promise { task, .. }
@@ -143,7 +145,7 @@
         }
     }
 
-    /// The ballot of the request that this answers.
+    /// The ballot of the request that this replies to.
     pub fn ballot(&self) -> Ballot {
         match self {
             LeaseReply::Promise { ballot, .. }
--- a/crates/core/leases/src/quota.rs
+++ b/crates/core/leases/src/quota.rs
@@ -1,10 +1,10 @@
-//! Quota slots: equal shares of a fleet-wide quota. Each slot is a lease, so no two fronts count on the same share. A
-//! front without a slot has no share, and a slot that nobody holds is used by nobody.
+//! Quota slots: equal shares of a fleet-wide quota. Each slot is a lease, so no two fronts use the same share. A
+//! front without a slot has no share, and the share of a slot that no front holds is not used.
 
 use crate::{LeaseClient, LeaseConfig, LeaseState, OutboundMessage, Task};
 use std::time::Duration;
 
-/// What the name of each slot's task begins with.
+/// Prefix of the name of each slot's task; the slot's number follows.
 const TASK_PREFIX: &str = "seat.";
 
 /// The share of the quota, from 0 to 1, that a front may use with `held` of `total` slots.
@@ -12,7 +12,7 @@
     held as f64 / f64::from(total.max(1))
 }
 
-/// Which quota slots a front asks for. It goes on to the next slot when it finds one held by another.
+/// Chooses the quota slots that a front tries to acquire. If another front holds a slot, it tries the next one.
 #[derive(Debug, Clone)]
 pub struct QuotaSlots {
     total: u32,
@@ -21,25 +21,27 @@
 }
 
 impl QuotaSlots {
-    /// A front that wants `wanted` of `total` slots and asks for `first_slot` first: its own number, where it has one, so
-    /// that few fronts ask for the same slot.
+    /// Creates the slots of a front that wants `wanted` of `total` slots and tries `first_slot` first.
+    /// `first_slot` should be the front's own number, if it has one, so that few fronts try the same slot.
     pub fn new(total: u32, wanted: usize, first_slot: u32) -> QuotaSlots {
         QuotaSlots { total, wanted: wanted.min(total as usize), next: first_slot % total.max(1) }
     }
 
-    /// The name of the task that stands for a slot.
+    /// The name of the task that represents a slot.
     pub fn task_name(slot: u32) -> Task {
         format!("{TASK_PREFIX}{slot}")
     }
 
-    /// The slots whose shares this front may use now. A slot counts only after [`LeaseConfig::max_action_time`], which
-    /// must cover the time for which the last holder's use of the share still has effect.
+    /// The slots whose shares this front may use now. A newly acquired slot counts only after
+    /// [`LeaseConfig::max_action_time`], which must cover the time for which the previous holder's use of the
+    /// share still has an effect.
     pub fn held(&self, now: Duration, client: &LeaseClient) -> Vec<u32> {
         let is_held = |slot: &u32| client.active_lease(now, &Self::task_name(*slot)).is_some();
         tracked_slots(client).filter(is_held).collect()
     }
 
-    /// Asks for as many slots as are wanted, and gives up those that others hold.
+    /// Acquires slots until the wanted number is held or being acquired, and stops asking for slots that other fronts
+    /// hold. Returns the messages to send.
     pub fn poll(
         &mut self,
         now: Duration,
@@ -73,7 +75,7 @@
     }
 }
 
-/// The slots that a client asks for, holds, or asked for lately.
+/// The slots that a client holds or tries to acquire, or did so recently.
 fn tracked_slots(client: &LeaseClient) -> impl Iterator<Item = u32> + '_ {
     client.tasks().filter_map(|task| task.strip_prefix(TASK_PREFIX)?.parse().ok())
 }
--- a/crates/core/leases/src/voter.rs
+++ b/crates/core/leases/src/voter.rs
@@ -1,67 +1,68 @@
-//! A voter: promises ballots and grants leases, in memory only. A grant means nothing once it has expired, so after a
-//! restart the voter is silent until all that it granted before must have expired.
+//! A voter: promises ballots and grants leases, in memory only. A grant has no effect once it has expired, so after a
+//! restart the voter does not vote until everything that it may have granted before has expired.
 
 use crate::{Ballot, Incarnation, LeaseConfig, LeaseReply, LeaseRequest, MAX_NAME_BYTES, MAX_TASKS, Task};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A lease as this voter has granted it.
+/// A lease that this voter has granted.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Grant {
-    /// Who holds it.
+    /// The incarnation of the front that holds the task.
     pub holder: Incarnation,
     /// The token under which the holder acts.
     pub fencing_token: u64,
-    /// Until then, on the voter's clock, it counts as held.
+    /// Time on the voter's clock until which the task counts as held.
     pub until: Duration,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 struct TaskState {
-    /// No ballot below this is accepted.
+    /// The highest promised ballot; lower ones are rejected.
     promised: Ballot,
     granted: Option<Grant>,
-    /// The highest token that was granted here, at least the floor of when this was created.
+    /// The highest token that this voter granted for the task; initially the token floor.
     highest_token: u64,
     last_request: Duration,
 }
 
-/// A voter's state. Events go in by [`Voter::handle_request`], which returns the reply.
+/// A voter's state. Its events are the requests given to [`Voter::handle_request`], which returns the replies.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Voter {
-    /// What it granted and promised in an earlier incarnation is unknown, and has expired by then.
+    /// Time by which all grants and promises of an earlier incarnation, which this one does not know, have expired.
     silent_until: Duration,
-    /// At least the highest token of every task that is not in `tasks`.
+    /// A lower limit of the tokens of new leases: at least the highest token of every task that is not in `tasks`.
     token_floor: u64,
     tasks: BTreeMap<Task, TaskState>,
 }
 
 impl Voter {
-    /// A voter that starts without memory, silent for [`LeaseConfig::voter_hold_time`]. `token_floor`: tokens above
-    /// this are granted, from stored state or a clock; at least the highest token granted before.
+    /// Creates a voter without memory, which does not vote for [`LeaseConfig::voter_hold_time`]. Tokens of new
+    /// leases are above `token_floor`, which comes from stored state or a clock and must be at least the highest
+    /// token granted before.
     pub fn new(now: Duration, config: &LeaseConfig, token_floor: u64) -> Voter {
         Voter { silent_until: now + config.voter_hold_time(), token_floor, tasks: BTreeMap::new() }
     }
 
-    /// Whether it does not vote yet.
+    /// Whether the voter does not vote yet after its start.
     pub fn is_silent(&self, now: Duration) -> bool {
         now < self.silent_until
     }
 
-    /// The highest token of all tasks, to be stored where the front has a folder.
+    /// The highest token of all tasks. A front with a state folder stores it there.
     pub fn highest_token(&self) -> u64 {
         let highest = self.tasks.values().map(|state| state.highest_token).max();
         highest.unwrap_or_default().max(self.token_floor)
     }
 
-    /// The leases that are held now, as far as this voter knows.
+    /// The leases granted by this voter that have not expired.
     pub fn grants(&self, now: Duration) -> impl Iterator<Item = (&Task, &Grant)> {
         self.tasks.iter().filter_map(move |(task, state)| {
             state.granted.as_ref().filter(|grant| grant.until > now).map(|grant| (task, grant))
         })
     }
 
-    /// Takes in a request and returns the reply; a release has none.
+    /// Handles a request and returns the reply; a release has none.
     pub fn handle_request(
         &mut self,
         now: Duration,
@@ -101,7 +102,8 @@
         }
     }
 
-    /// The state of a task, with the ballot promised, if this voter may promise or accept it; or the rejection.
+    /// Checks whether this voter may promise or accept a ballot. If so, records the ballot as promised and
+    /// returns the state of the task; else returns the rejection.
     fn admit(
         &mut self,
         now: Duration,
@@ -124,8 +126,8 @@
         let state = self.tasks.entry(task.clone()).or_insert_with(new_state);
         state.last_request = now;
         state.granted.take_if(|grant| grant.until <= now);
-        // A prepare that can't succeed must not raise the promised ballot, or many waiting clients would keep the holder
-        // from renewing.
+        // A prepare that can't succeed must not raise the promised ballot, or the prepares of many waiting
+        // clients would prevent the holder from renewing its lease.
         if let Some(grant) = state.granted.as_ref().filter(|grant| grant.holder != *client) {
             return Err(LeaseReply::Held {
                 task: task_name(),
@@ -142,8 +144,8 @@
         Ok(state)
     }
 
-    /// Whether another task fits. Drops the least recently requested one for it, once no grant or promise of it can
-    /// still be in effect.
+    /// Ensures that another task can be tracked, and returns whether it can. At the limit, drops the least recently
+    /// requested task if none of its grants and promises can still be in effect.
     fn make_room(&mut self, now: Duration, config: &LeaseConfig) -> bool {
         if self.tasks.len() < MAX_TASKS {
             return true;
