--- a/crates/core/leases/src/config.rs
+++ b/crates/core/leases/src/config.rs
@@ -33,8 +33,8 @@
 impl fmt::Display for LeaseConfigError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            LeaseConfigError::Duration => "a lease lasts from 100 ms to 10 minutes",
-            LeaseConfigError::ClockDrift => "a clock's drift is under 500 thousandths",
+            LeaseConfigError::Duration => "lease duration must be from 100 ms to 10 minutes",
+            LeaseConfigError::ClockDrift => "clock drift must be less than 500 thousandths",
         })
     }
 }
