--- a/crates/core/leases/tests/exhaustive.rs
+++ b/crates/core/leases/tests/exhaustive.rs
@@ -1,5 +1,6 @@
-//! Every interleaving of a small fleet, on the code that runs: three voters, two lease clients, messages lost, repeated and
-//! delayed without bound, voters and lease clients that lose all memory, clocks at the ends of the stated drift.
+//! Model check of every interleaving of a small fleet, on the production code: three voters and two lease
+//! clients. Messages are lost, repeated and delayed without limit, voters lose their memory, and the clocks run
+//! at the limits of the configured drift.
 
 use lemonusher_leases::*;
 use stateright::{Checker, Model, Property};
@@ -10,13 +11,13 @@
 const CLIENTS: usize = 2;
 const TASK: &str = "t";
 
-/// A rule that is broken on purpose, to see that the check detects it.
+/// A rule that is broken on purpose, to verify that the check detects it.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Mutation {
     Nothing,
-    /// Voters that have lost their memory are believed at once.
+    /// Voters that have lost their memory vote at once, without the voter hold time.
     ForgetfulVoters,
-    /// Clocks are taken to run alike.
+    /// The voter hold time has no margin for clock drift.
     NoDriftMargin,
 }
 
@@ -27,7 +28,8 @@
     attempts: u32,
 }
 
-/// A message on its way; it stays there for good, as a network may repeat it and deliver it at any time.
+/// A message in flight, with the sender's and the receiver's index. It is never removed on delivery, because a
+/// network may repeat a message and deliver it at any time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Sent {
     LeaseRequest(usize, usize, LeaseRequest),
@@ -41,7 +43,7 @@
     attempts_begun: u32,
     voters: Vec<Voter>,
     clients: Vec<LeaseClient>,
-    /// The number under which each lease client may act now.
+    /// The fencing token under which each lease client may act now.
     acts: Vec<Option<u64>>,
     sent: BTreeSet<Sent>,
 }
@@ -49,7 +51,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Tick,
-    /// A lease client begins what is due, its first attempt or a renewal.
+    /// A lease client begins the attempt that is due, its first one or a renewal.
     Begin(usize),
     Deliver(Sent),
     Forget(usize),
@@ -57,7 +59,8 @@
 
 impl SmallFleet {
     fn config(&self) -> LeaseConfig {
-        // Drift of a third: the lease clients' clocks are slow, one unit a tick; the voters' fast, two.
+        // A drift of one third: the lease clients' clocks are slow and advance by one unit (200 ms) per tick, the
+        // voters' clocks are fast and advance by two.
         let drift = if self.mutation == Mutation::NoDriftMargin { 0 } else { 333 };
         LeaseConfig {
             duration: Duration::from_millis(400),
@@ -93,7 +96,7 @@
         state.acts[client] = state.clients[client].active_lease(now, TASK).map(|lease| lease.fencing_token);
     }
 
-    /// Begins what is due; none if that is nothing.
+    /// Begins the attempt that is due; returns none if there is none.
     fn begin_attempt(&self, state: &mut State, client: usize) -> Option<()> {
         let before = state.sent.len();
         self.poll(state, client);
@@ -101,8 +104,8 @@
             return None;
         }
         state.attempts_begun += 1;
-        // What belongs to an attempt that was given up changes nothing at its lease client, and a prepare of one only
-        // bars others: both count as lost. Its accepts may still come, at any time.
+        // Replies to an abandoned attempt change nothing at its lease client, and prepares of one only block other
+        // clients, so both count as lost. Its accept requests may still arrive at any time.
         let latest = state.sent.iter().filter_map(|sent| match sent {
             Sent::LeaseRequest(from, _, LeaseRequest::Prepare { ballot, .. }) if *from == client => {
                 Some(*ballot)
@@ -123,8 +126,8 @@
     fn deliver_request(&self, state: &mut State, client: usize, voter: usize, request: LeaseRequest) {
         let now = self.voter_now(state.tick);
         if let Some(reply) = state.voters[voter].handle_request(now, &self.config(), request) {
-            // A refusal only keeps a lease client from going on, which losing it does as well.
-            // A promise that is late is as good as accepts that are late, so it comes at once or never.
+            // A rejection only stops an attempt, as a lost message does, so rejections are not delivered. A delayed
+            // promise has the same effect as delayed accept requests, so a promise arrives at once or never.
             match &reply {
                 LeaseReply::Promise { .. } => {
                     let now = self.client_now(state.tick);
@@ -152,7 +155,7 @@
             tick: 0,
             memory_losses: 0,
             attempts_begun: 0,
-            // They have been up for long.
+            // A hold time of zero: the voters have been running for long and vote at once.
             voters: (0..VOTERS).map(|_| Voter::new(Duration::ZERO, &ready, 0)).collect(),
             clients: (0..CLIENTS)
                 .map(|n| LeaseClient::new(Incarnation { name: format!("{n}"), id: n as u64 + 1 }, VOTERS))
--- a/crates/core/leases/tests/limits.rs
+++ b/crates/core/leases/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Quota slots for 1,024 fronts, as many tasks as a voter keeps, and one more.
+//! Voters with the quota slots of 1,024 fronts, with the maximum number of tasks, and with one task more.
 
 use lemonusher_leases::*;
 use std::time::Duration;
@@ -8,7 +8,7 @@
     clock_drift_permille: 100,
     max_action_time: Duration::from_millis(500),
 };
-/// Long after what any voter without memory may have granted.
+/// Long after the end of the hold time in which a voter that has just started does not vote.
 const NOW: Duration = Duration::from_secs(60);
 
 #[test]
--- a/crates/core/leases/tests/scenarios.rs
+++ b/crates/core/leases/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Voters and lease clients over a network with partitions, restarts and loss of memory.
+//! Voters and lease clients on a simulated network with partitions, restarts and loss of memory.
 
 use lemonusher_leases::*;
 use std::time::Duration;
@@ -14,12 +14,12 @@
     Duration::from_millis(ms)
 }
 
-/// Voters and lease clients on one clock; links can be partitioned.
+/// Voters and lease clients that share one clock and whose links can be partitioned.
 struct Fleet {
     now: Duration,
     voters: Vec<Voter>,
     clients: Vec<LeaseClient>,
-    partitioned: Vec<(usize, usize)>, // From lease client to voter, both ways.
+    partitioned: Vec<(usize, usize)>, // Pairs of lease client and voter; no message passes in either direction.
     chance: fastrand::Rng,
     messages: usize,
 }
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Lets time pass; at every step no two may act.
+    /// Advances the clock in steps of 50 ms, and checks after each step that at most one client may act.
     fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
@@ -118,7 +118,7 @@
     let mut fleet = Fleet::new(3, 2);
     fleet.acquire(0, true);
     fleet.advance(CONFIG.duration * 3);
-    fleet.partitioned = (0..3).map(|voter| (0, voter)).collect(); // The holder does not notice.
+    fleet.partitioned = (0..3).map(|voter| (0, voter)).collect(); // The holder still counts its lease as held.
     let (now, restarted) = (fleet.now, fleet.now);
     (0..2).for_each(|voter| fleet.voters[voter] = Voter::new(now, &CONFIG, 0));
     fleet.acquire(1, true);
@@ -126,8 +126,8 @@
         fleet.advance(ms(50));
     }
     assert!(fleet.now >= restarted + CONFIG.voter_hold_time());
-    // The third voter still knows the token, but a majority without it does not, and only what is
-    // acted upon, a folder, or whoever has observed the token, reports it again.
+    // The third voter still knows the token. A majority without that voter does not: only the resource, stored
+    // state, or a client that has observed the token can report it.
     let token = fleet.holders(TASK)[0].1;
     assert!(token == 1 || token == 2);
     fleet.clients[1].observe_token(TASK, 7);
@@ -195,7 +195,8 @@
         Some(LeaseReply::StaleBallot { round: 2, .. })
     ));
     assert!(matches!(voter.handle_request(at, &CONFIG, accept(&b, 2, 1)), Some(LeaseReply::Accepted { .. })));
-    // The same again, long after: it would hold b's lease longer, which b does not count on; others only wait.
+    // The same request arrives again much later. It extends the grant at the voter, which client b does not rely on;
+    // other clients only wait longer.
     let late = at + CONFIG.voter_hold_time() * 2;
     assert!(matches!(
         voter.handle_request(late, &CONFIG, accept(&b, 2, 1)),
@@ -212,7 +213,7 @@
     assert_eq!(voter.grants(late).count(), 0);
 }
 
-/// A lease client that holds the task at time zero, by two of three voters.
+/// A lease client that holds the task at time zero, granted by two of three voters.
 fn holding() -> LeaseClient {
     let mut client = LeaseClient::new(Incarnation { name: "a".into(), id: 1 }, 3);
     client.acquire(ms(0), TASK, true);
@@ -238,7 +239,7 @@
     client
 }
 
-/// The ballot under which the client renews with all voters at this time.
+/// Has the client begin a renewal at `now`, with accept requests to all three voters; returns the ballot of it.
 fn renewal(client: &mut LeaseClient, now: Duration) -> Ballot {
     let messages = client.poll(now, &CONFIG, &mut || 0.0);
     assert_eq!(messages.len(), 3);
@@ -297,7 +298,7 @@
 #[test]
 fn quota_slots_have_one_holder_each_and_their_shares_sum_to_at_most_one() {
     let mut fleet = Fleet::new(3, 40);
-    let mut slots: Vec<QuotaSlots> = (0..40).map(|n| QuotaSlots::new(30, 1, n / 2)).collect(); // Two begin at each number.
+    let mut slots: Vec<QuotaSlots> = (0..40).map(|n| QuotaSlots::new(30, 1, n / 2)).collect(); // Two fronts a slot.
     let mut worst: f64 = 0.0;
     let mut random = fastrand::Rng::with_seed(3);
     for step in 0..600 {
@@ -353,7 +354,7 @@
         let rate = (fleet.messages - before) as f64 / (fleet.now - from).as_secs_f64() / fronts as f64;
         println!("proof: leases_messages_a_second_a_front_of_{fronts} {rate:.1}");
         assert!(rate < 24.0, "{rate}");
-        // All fronts and all voters start over at once, and know nothing.
+        // All fronts and all voters restart at once, without memory.
         let now = fleet.now;
         fleet.voters.iter_mut().for_each(|voter| *voter = Voter::new(now, &CONFIG, 0));
         for n in 0..fronts {
