--- a/crates/core/registers/src/acceptor.rs
+++ b/crates/core/registers/src/acceptor.rs
@@ -1,5 +1,6 @@
-//! A voter's part of the registers: it promises and accepts, and recovers its state from the other voters where it has
-//! none. Events are requests and copies of other voters' state; outputs are the returned replies and messages.
+//! The acceptor of a voter: it promises ballots and accepts values. An acceptor without memory first recovers its
+//! state from the other voters. Events are requests and copies of other voters' state; outputs are the returned
+//! replies and messages.
 
 mod pages;
 mod recovery;
@@ -15,7 +16,7 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What an acceptor must never forget, as it is stored in a folder (postcard).
+/// The state that an acceptor must never lose. A voter with a state folder stores it there, encoded with postcard.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct PersistentState {
     /// The acceptor's epoch.
@@ -26,26 +27,27 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 struct Slot {
-    /// No ballot below this is accepted.
+    /// The highest promised ballot; lower ones are rejected.
     promised: Ballot,
     accepted: Option<AcceptedEntry>,
-    /// The acceptor's revision when this was accepted, from 1 on; 0 while nothing is.
+    /// The acceptor's revision when `accepted` was set, from 1; 0 while nothing is accepted.
     revision: u64,
 }
 
-/// Whether an acceptor votes.
+/// The stages of an acceptor from its start until it votes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum AcceptorState {
-    /// Attempts that it may have replied to before it lost its memory can still be running.
+    /// It does not vote, because attempts that it may have replied to before it lost its memory can still be running.
     Silent,
-    /// It copies the state of the other voters.
+    /// It does not vote yet and copies the state of the other voters.
     Recovering,
-    /// It promises and accepts.
+    /// It promises ballots and accepts values.
     Voting,
 }
 
 impl fmt::Display for AcceptorState {
-    /// The name in logs.
+    /// Writes the name of the state in logs: `Mute` is [`AcceptorState::Silent`], `Copying` is
+    /// [`AcceptorState::Recovering`].
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
             AcceptorState::Silent => "Mute",
@@ -55,27 +57,28 @@
     }
 }
 
-/// A voter's registers.
+/// The registers of a voter.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Acceptor {
-    /// How many voters there are.
+    /// The number of voters in the fleet.
     voters: usize,
-    /// Its own index among them.
+    /// Index of this voter among them.
     index: usize,
     incarnation: u64,
     epoch: u64,
-    /// The lowest epoch that may be begun where no voter remembers one.
+    /// The lowest epoch that this acceptor may begin, also if no voter remembers an epoch.
     first_epoch: u64,
     slots: BTreeMap<Name, Slot>,
-    /// Counts what has been accepted in this incarnation; no two slots have the same revision above 0.
+    /// Incremented with each accepted entry in this incarnation; no two slots have the same revision above 0.
     revision: u64,
-    /// None once it votes.
+    /// None once the acceptor votes.
     recovery: Option<Recovery>,
 }
 
 impl Acceptor {
-    /// An acceptor without memory: silent for [`LeaseConfig::voter_hold_time`], then recovering. `index`: its own among
-    /// the voters; `incarnation`: drawn at its start; `first_epoch`: the lowest epoch that it may begin, by the date.
+    /// Creates an acceptor without memory. It does not vote for [`LeaseConfig::voter_hold_time`] and then
+    /// recovers its state. `index` is its own index among the voters, `incarnation` a random number drawn at the
+    /// start, and `first_epoch` the lowest epoch that it may begin, derived from the date.
     pub fn without_memory(
         now: Duration,
         config: &LeaseConfig,
@@ -96,7 +99,7 @@
         }
     }
 
-    /// An acceptor whose folder has all that it ever promised and accepted; it votes at once.
+    /// Creates an acceptor from a state folder with everything that it ever promised and accepted. It votes at once.
     pub fn restored(voters: usize, index: usize, incarnation: u64, stored: PersistentState) -> Acceptor {
         let mut revision = 0;
         let mut slots = BTreeMap::new();
@@ -109,13 +112,13 @@
         Acceptor { voters, index, incarnation, epoch, first_epoch: 0, slots, revision, recovery: None }
     }
 
-    /// What is to be stored before any reply is sent, where there is a folder.
+    /// The state that a voter with a state folder must store before it sends any reply.
     pub fn persistent_state(&self) -> PersistentState {
         let registers = self.slots.iter().map(|(name, slot)| slot.state(name));
         PersistentState { epoch: self.epoch, registers: registers.collect() }
     }
 
-    /// Whether it votes.
+    /// Whether the acceptor votes, recovers or is silent.
     pub fn state(&self, now: Duration) -> AcceptorState {
         match &self.recovery {
             None => AcceptorState::Voting,
@@ -124,29 +127,29 @@
         }
     }
 
-    /// The highest epoch that it knows.
+    /// The highest epoch that the acceptor knows.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// What it has accepted; that alone does not make it committed.
+    /// The entries that this acceptor has accepted; they need not be committed.
     pub fn accepted(&self) -> impl Iterator<Item = (&Name, &Entry)> {
         self.slots.iter().filter_map(|(name, slot)| Some((name, &slot.accepted.as_ref()?.entry)))
     }
 
-    /// When [`Acceptor::poll`] has something to do next.
+    /// The next time at which [`Acceptor::poll`] has something to do.
     pub fn next_timeout(&self) -> Option<Duration> {
         self.recovery.as_ref().map(Recovery::next_request)
     }
 
-    /// While it recovers: asks for what is missing of the copy.
+    /// During recovery, returns requests for the missing parts of the other voters' state.
     pub fn poll(&mut self, now: Duration, config: &LeaseConfig) -> Vec<OutboundMessage> {
         let (voters, index) = (self.voters, self.index);
         self.recovery.as_mut().map(|recovery| recovery.poll(now, config, voters, index)).unwrap_or_default()
     }
 
-    /// A register that a new epoch has begun with and that nobody has proposed since. Somebody must, if only by reading
-    /// it, before it can be committed.
+    /// A register that a new epoch began with and that no proposer has proposed since. It can be committed only
+    /// after a proposal, for which an [`Operation::Read`](crate::Operation::Read) is enough.
     pub fn unproposed_register(&self, now: Duration) -> Option<&Name> {
         let is_unproposed =
             |slot: &Slot| slot.accepted.as_ref().is_some_and(|accepted| accepted.ballot.proposer == NOBODY);
@@ -154,8 +157,8 @@
         unproposed.filter(|_| self.state(now) == AcceptorState::Voting)
     }
 
-    /// Takes in a request and returns the reply. Where there is a folder, [`Acceptor::persistent_state`] must be stored
-    /// before the reply is sent.
+    /// Handles a request and returns the reply. A voter with a state folder must store [`Acceptor::persistent_state`]
+    /// before it sends the reply.
     pub fn handle_request(&mut self, now: Duration, request: RegisterRequest) -> Option<RegisterReply> {
         let is_voting = self.state(now) == AcceptorState::Voting;
         match request {
@@ -197,8 +200,9 @@
 
     fn handle_accept(&mut self, name: Name, ballot: Ballot, entry: Entry) -> RegisterReply {
         let slot = self.slots.entry(name.clone()).or_default();
-        // A request of an earlier epoch was sent before a majority lost its memory. No proposer counts it any more, but
-        // learners would, and another value may have had its version.
+        // A request of an earlier epoch was sent before a majority lost its memory. No proposer counts a reply to
+        // it any more, but learners would count the accepted entry, and another value may have been committed
+        // under its version.
         let is_older_epoch = entry.version.epoch < self.epoch;
         if ballot < slot.promised || is_older_epoch {
             return RegisterReply::StaleBallot { name, ballot, round: slot.promised.round };
--- a/crates/core/registers/src/acceptor/pages.rs
+++ b/crates/core/registers/src/acceptor/pages.rs
@@ -1,4 +1,4 @@
-//! What an acceptor shows of its state: one register, a page of changes, or a page of a copy.
+//! Replies that show an acceptor's state: one register, a page of changes, or a page of a copy.
 
 use super::{Acceptor, Slot};
 use crate::{
@@ -17,7 +17,7 @@
         RegisterReply::Value { name: name.clone(), ballot: *ballot, version, entry }
     }
 
-    /// What was accepted since a revision, in the order of revisions, as much as fits one page.
+    /// The entries accepted since a revision, in the order of revisions, as many as fit one page.
     pub(super) fn changes_since(&self, incarnation: u64, since: u64) -> RegisterReply {
         let since = if incarnation == self.incarnation { since.min(self.revision) } else { 0 };
         let mut changed: Vec<(&Name, &Slot)> =
@@ -42,7 +42,7 @@
         RegisterReply::Changes(Changes { incarnation, since, revision, registers, more })
     }
 
-    /// All registers after a name, as many as fit one page; none where this acceptor has no memory itself.
+    /// The registers after a name, as many as fit one page; none if this acceptor has no memory itself.
     pub(super) fn copy_state(&self, round: u64, after: &Name) -> RegisterReply {
         let without_memory = self.recovery.is_some();
         let mut registers = Vec::new();
@@ -63,7 +63,7 @@
 }
 
 impl Slot {
-    /// Bytes of a register in a page, at most.
+    /// Maximum encoded size of a register in a page, in bytes.
     fn bytes(&self, name: &Name) -> usize {
         let value_bytes = self.accepted.as_ref().map_or(0, |accepted| accepted.entry.value.len());
         name.len() + value_bytes + MAX_REGISTER_OVERHEAD_BYTES
--- a/crates/core/registers/src/acceptor/recovery.rs
+++ b/crates/core/registers/src/acceptor/recovery.rs
@@ -1,4 +1,5 @@
-//! How an acceptor without memory gets its state from the other voters, by the rule at the top of this package.
+//! Recovery of an acceptor without memory: it copies the state of the other voters by the rule in this crate's
+//! documentation.
 
 use super::Acceptor;
 use crate::{
@@ -8,29 +9,29 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A voter that has not replied is asked again after the lease's duration divided by this.
+/// A copy request without a reply is sent again after the lease duration divided by this.
 const COPY_RETRY_DIVISOR: u32 = 8;
 
-/// What another voter has sent in this round.
+/// The progress of copying another voter's state in this round.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct PeerCopy {
     incarnation: u64,
     without_memory: bool,
-    /// All its registers have been merged.
+    /// Whether all of that voter's registers have been merged.
     complete: bool,
-    /// The last name of those that have been merged.
+    /// The name of the last register that has been merged; the next page begins after it.
     after: Name,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Recovery {
-    /// Until then attempts of before the loss of memory may be running.
+    /// Time by which all attempts from before the loss of memory have ended.
     silent_until: Duration,
     next_request: Duration,
     round: u64,
-    /// By the voter's index; never its own.
+    /// By the index of the other voter.
     copies: BTreeMap<usize, PeerCopy>,
-    /// Voters that were without memory in the round before, and their incarnations.
+    /// Index and incarnation of the voters that were without memory in the previous round.
     without_memory_before: BTreeMap<usize, u64>,
 }
 
@@ -53,7 +54,7 @@
         self.next_request
     }
 
-    /// Asks the voters whose copies are missing or incomplete, once that is due.
+    /// Once the next requests are due, returns a request to each voter whose copy is missing or incomplete.
     pub(super) fn poll(
         &mut self,
         now: Duration,
@@ -80,19 +81,19 @@
         self.copies.values().filter(|copy| copy.complete).count() >= majority(voters)
     }
 
-    /// Whether every other voter has sent all that it has.
+    /// Whether every other voter has sent all of its state or reported that it has no memory.
     fn all_replied(&self, voters: usize) -> bool {
         self.copies.len() + 1 == voters
             && self.copies.values().all(|copy| copy.complete || copy.without_memory)
     }
 
-    /// The voters without memory in this round, and their incarnations.
+    /// Index and incarnation of the voters without memory in this round.
     fn without_memory(&self) -> BTreeMap<usize, u64> {
         let copies = self.copies.iter().filter(|(_, copy)| copy.without_memory);
         copies.map(|(voter, copy)| (*voter, copy.incarnation)).collect()
     }
 
-    /// Whether a majority, this voter counted, was without memory in this round and the one before.
+    /// Whether a majority, this voter included, was without memory in this round and in the previous one.
     fn majority_lost_memory(&self, without_memory: &BTreeMap<usize, u64>, voters: usize) -> bool {
         let in_both_rounds = without_memory
             .iter()
@@ -100,7 +101,8 @@
         in_both_rounds.count() + 1 >= majority(voters)
     }
 
-    /// Asks all other voters anew, to see whether the same ones are without memory again.
+    /// Begins another round of requests to all other voters, to find out whether the same ones are still without
+    /// memory.
     fn begin_round(
         &mut self,
         now: Duration,
@@ -118,8 +120,8 @@
 }
 
 impl Acceptor {
-    /// While it recovers: takes in a page of another voter's state, and returns the requests that follow from it. `from`
-    /// is that voter's index. Any other reply changes nothing.
+    /// During recovery, handles a page of another voter's state and returns the requests that follow from it.
+    /// `from` is the index of that voter. Any other reply changes nothing.
     pub fn handle_copy(&mut self, now: Duration, from: usize, reply: RegisterReply) -> Vec<OutboundMessage> {
         let RegisterReply::StateCopy { round, incarnation, without_memory, epoch, registers, more } = reply
         else {
@@ -134,7 +136,7 @@
         let new_copy = PeerCopy { incarnation, without_memory, complete: false, after: Name::new() };
         let copy = recovery.copies.entry(from).or_insert_with(|| new_copy.clone());
         if copy.incarnation != incarnation || copy.without_memory != without_memory {
-            *copy = new_copy; // It has restarted or recovered: what it sent before does not count.
+            *copy = new_copy; // The other voter has restarted or recovered, so its earlier pages do not count.
         }
         if without_memory {
             return self.try_finish_recovery(now);
@@ -156,7 +158,7 @@
         }
     }
 
-    /// Takes over a promise or accepted value that is later than its own.
+    /// Adopts a promise and an accepted entry of another voter if their ballots are higher than this acceptor's.
     fn merge(&mut self, register: RegisterState) {
         let slot = self.slots.entry(register.name).or_default();
         slot.promised = slot.promised.max(register.promised);
@@ -168,8 +170,8 @@
         }
     }
 
-    /// Votes from now on if a majority of the others is copied, or if a majority has lost its memory; else asks for what
-    /// is needed to decide that.
+    /// Ends the recovery if the copies of a majority are complete, or if a majority has lost its memory, in which
+    /// case a new epoch begins. If all voters have replied and neither holds, begins another round.
     fn try_finish_recovery(&mut self, now: Duration) -> Vec<OutboundMessage> {
         let Some(recovery) = &mut self.recovery else { return Vec::new() };
         if recovery.is_complete(self.voters) {
@@ -188,8 +190,9 @@
         recovery.begin_round(now, without_memory, self.voters, self.index)
     }
 
-    /// Gives what is left versions of the new epoch, as another value may have been committed under the version that it
-    /// had, and a ballot of nobody above the one that it had, so that it does not count as committed where it is copied.
+    /// Begins a new epoch with the entries that are left. Each gets a version of the new epoch, because another
+    /// value may have been committed under its old version. Each also gets a higher ballot without a proposer, so
+    /// that learners do not count its copies as committed.
     fn begin_epoch(&mut self) {
         self.epoch = (self.epoch + 1).max(self.first_epoch);
         for slot in self.slots.values_mut() {
--- a/crates/core/registers/src/learner.rs
+++ b/crates/core/registers/src/learner.rs
@@ -1,6 +1,6 @@
-//! Learns which values are committed: it believes a value once a majority of voters reports the same ballot, and never
-//! goes back to an older one. The package's documentation says why that is safe. Events are replies and
-//! [`Learner::poll`]; outputs are the returned requests.
+//! The learner, which polls the voters for changes. A value counts as committed once a majority of voters reports
+//! it in the same ballot, and is never replaced by an older one. The crate's documentation says why that is safe.
+//! Events are replies and [`Learner::poll`]; outputs are the returned requests.
 
 use crate::{
     ChangedRegister, Changes, Entry, EntryVersion, NOBODY, Name, OutboundMessage, RegisterReply,
@@ -10,26 +10,25 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What a voter reports of a register counts for so many poll intervals.
+/// Poll intervals for which a voter's report of a register counts.
 const REPORT_LIFETIME_POLLS: u32 = 2;
-/// A voter that has replied to one kind of request is taken to support it for so many poll intervals.
+/// Poll intervals after a reply for which a voter is assumed to support that kind of request.
 const CAPABILITY_LIFETIME_POLLS: u32 = 8;
-/// A poll follows the last one after at least this part of the poll interval, and a random part of up to
-/// [`POLL_JITTER`] more.
+/// Minimum time between two polls, as a share of the poll interval. A random share of up to [`POLL_JITTER`] is added.
 const MIN_POLL_INTERVAL_PART: f64 = 0.75;
-/// The random part of the poll interval.
+/// Maximum random time added between two polls, as a share of the poll interval.
 const POLL_JITTER: f64 = 0.5;
 
-/// A value that is known to be committed.
+/// A committed value of a register, as a learner knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CommittedEntry<'a> {
-    /// The value.
+    /// The committed entry.
     pub entry: &'a Entry,
-    /// When a majority last confirmed that it is the newest.
+    /// Time at which a majority last confirmed that the entry is the newest.
     pub confirmed_at: Duration,
 }
 
-/// What one voter last reported of a register.
+/// The last report of one voter about a register.
 #[derive(Debug, Clone, Copy)]
 struct Report {
     ballot: Ballot,
@@ -40,26 +39,27 @@
 #[derive(Debug, Clone, Default)]
 struct WatchedRegister {
     committed: Option<Entry>,
-    /// When a majority last confirmed `committed`; set whenever that is.
+    /// Time at which a majority last confirmed `committed`; set whenever `committed` is.
     confirmed_at: Option<Duration>,
-    /// By the voter's index.
+    /// By the index of the voter.
     reports: BTreeMap<usize, Report>,
-    /// Reported entries newer than `committed`, by ballot: until one is committed, two of a version may differ.
+    /// Reported entries newer than `committed`, by ballot. Two of them may have the same version and different values
+    /// until one is committed.
     candidates: BTreeMap<Ballot, Entry>,
-    /// Voters that have reported that nothing was accepted.
+    /// Indices of the voters that have reported that nothing was accepted.
     empty: BTreeSet<usize>,
 }
 
-/// How far the changes of one voter are known, and which requests it supports.
+/// The last known revision of one voter, and the kinds of requests that it supports.
 #[derive(Debug, Clone, Copy, Default)]
 struct Source {
-    /// The voter's incarnation; 0 before any is known.
+    /// The voter's incarnation; 0 while unknown.
     incarnation: u64,
-    /// The last revision of that incarnation that is known.
+    /// The last known revision of that incarnation.
     revision: u64,
-    /// When it last replied with changes.
+    /// Time at which the voter last replied with changes.
     last_changes_reply: Option<Duration>,
-    /// When it last replied to a read of one register.
+    /// Time at which the voter last replied to a read of one register.
     last_read_reply: Option<Duration>,
 }
 
@@ -68,19 +68,20 @@
 pub struct Learner {
     poll_interval: Duration,
     registers: BTreeMap<Name, WatchedRegister>,
-    /// By the voter's index.
+    /// By the index of the voter.
     sources: Vec<Source>,
     next_poll: Duration,
 }
 
 impl Learner {
-    /// A learner that watches nothing yet, of a fleet with so many voters.
+    /// Creates a learner that watches no register yet, for a fleet with `voters` voters.
     pub fn new(voters: usize, poll_interval: Duration) -> Learner {
         let sources = vec![Source::default(); voters];
         Learner { poll_interval, registers: BTreeMap::new(), sources, next_poll: Duration::ZERO }
     }
 
-    /// Watches a register from now on. Voters report a change once, so all registers are asked for anew.
+    /// Watches a register from now on. Voters report each change only once, so the learner requests all registers
+    /// again from the first revision.
     pub fn watch(&mut self, name: &str) {
         self.registers.entry(name.to_owned()).or_default();
         for source in &mut self.sources {
@@ -90,34 +91,34 @@
         self.next_poll = Duration::ZERO;
     }
 
-    /// The newest value known to be committed.
+    /// The newest value of a register that is known to be committed.
     pub fn committed(&self, name: &str) -> Option<CommittedEntry<'_>> {
         let register = self.registers.get(name)?;
         let (entry, confirmed_at) = register.committed.as_ref().zip(register.confirmed_at)?;
         Some(CommittedEntry { entry, confirmed_at })
     }
 
-    /// All values that are known to be committed.
+    /// The newest committed values of all watched registers that have one.
     pub fn all_committed(&self) -> impl Iterator<Item = (&Name, &Entry)> {
         self.registers.iter().filter_map(|(name, register)| Some((name, register.committed.as_ref()?)))
     }
 
-    /// Whether a majority has reported that nothing was accepted there when this learner began to ask.
+    /// Whether a majority has reported, at some time since this learner began to poll, that the register was empty.
     pub fn is_known_empty(&self, name: &str) -> bool {
         let is_empty = |register: &WatchedRegister| register.empty.len() >= majority(self.sources.len());
         self.registers.get(name).is_some_and(is_empty)
     }
 
-    /// When [`Learner::poll`] has something to do next.
+    /// The next time at which [`Learner::poll`] has something to do.
     pub fn next_timeout(&self) -> Option<Duration> {
         (!self.registers.is_empty()).then_some(self.next_poll)
     }
 
-    /// Asks all voters for changes once that is due. `chance` yields numbers from 0 up to 1; each poll draws one, so that
-    /// fronts poll at different times.
+    /// Once a poll is due, returns requests for changes to all voters. `chance` returns random numbers from 0 to
+    /// 1; each poll draws one, so that fronts poll at different times.
     ///
-    /// A voter of an earlier version does not support requests for changes. A voter that does not reply to them is also
-    /// sent a read of one register, and once it has replied to that, a read of each.
+    /// A voter of an earlier software version does not support requests for changes. A voter that does not reply
+    /// to them is also sent a read of one register and, once it has replied to that, a read of each register.
     pub fn poll(&mut self, now: Duration, chance: &mut impl FnMut() -> f64) -> Vec<OutboundMessage> {
         let mut messages = Vec::new();
         if now < self.next_poll || self.registers.is_empty() {
@@ -142,14 +143,15 @@
         messages
     }
 
-    /// This front has itself committed a value, or read it, and need not ask for it.
+    /// Records a value that this front has committed or read itself, so that the learner need not poll for it.
     pub fn observe_committed(&mut self, now: Duration, name: &str, entry: &Entry) {
         if let Some(register) = self.registers.get_mut(name) {
             register.commit(now, entry);
         }
     }
 
-    /// Takes in a voter's reply, and returns the request for the next page, if there is one. `voter` is its index.
+    /// Handles a reply and returns the request for the next page, if there is one. `voter` is the index of the
+    /// voter that sent the reply.
     pub fn handle_reply(
         &mut self,
         now: Duration,
@@ -186,7 +188,7 @@
         let is_new_incarnation = incarnation != source.incarnation;
         let known_revision = if is_new_incarnation { 0 } else { source.revision };
         if since != known_revision {
-            return Vec::new(); // Late or repeated.
+            return Vec::new(); // A delayed or repeated reply.
         }
         source.incarnation = incarnation;
         source.revision = revision;
@@ -205,7 +207,8 @@
         Vec::new()
     }
 
-    /// All of a voter's registers are known as they are now: those without a change are reported anew.
+    /// Handles the end of a voter's changes. All of its registers are known as of now, so the reports of unchanged
+    /// registers are renewed, and a register without a report is empty at that voter.
     fn handle_last_page(&mut self, now: Duration, voter: usize) {
         for register in self.registers.values_mut() {
             match register.reports.get_mut(&voter) {
@@ -216,7 +219,7 @@
         self.confirm(now, voter);
     }
 
-    /// A voter may have lost what it reported in an earlier incarnation.
+    /// Drops a voter's reports of an earlier incarnation, because it may have lost that state.
     fn forget_reports(&mut self, voter: usize) {
         for register in self.registers.values_mut() {
             register.reports.remove(&voter);
@@ -234,7 +237,8 @@
         register.candidates.retain(|ballot, _| reported.contains(ballot));
     }
 
-    /// Commits or confirms what a voter has just reported, where a majority reports the same ballot.
+    /// Records the entries that a voter has just reported as committed, or confirms them, if a majority reports the same
+    /// ballot.
     fn confirm(&mut self, now: Duration, voter: usize) {
         let needed = majority(self.sources.len());
         let lifetime = self.poll_interval * REPORT_LIFETIME_POLLS;
@@ -253,7 +257,8 @@
 }
 
 impl WatchedRegister {
-    /// `needed`: how many voters must report the same ballot within `lifetime`.
+    /// Records the entry that `voter` has just reported as committed, or confirms it. `needed` is the number of voters
+    /// that must report the same ballot within `lifetime`.
     fn confirm(&mut self, now: Duration, voter: usize, needed: usize, lifetime: Duration) {
         let is_proposed = |report: &Report| report.reported_at == now && report.ballot.proposer != NOBODY;
         let Some(report) = self.reports.get(&voter).copied().filter(is_proposed) else { return };
@@ -272,7 +277,7 @@
         }
     }
 
-    /// Takes a committed value. An older one that arrives late changes nothing.
+    /// Records a committed value. An older one that arrives late changes nothing.
     fn commit(&mut self, now: Duration, entry: &Entry) {
         let known = self.committed.as_ref().map(|entry| entry.version);
         if Some(entry.version) < known {
--- a/crates/core/registers/src/message.rs
+++ b/crates/core/registers/src/message.rs
@@ -7,21 +7,22 @@
 /// A register's name, such as `sites`; at most [`MAX_NAME_BYTES`](lemonusher_leases::MAX_NAME_BYTES) bytes.
 pub type Name = String;
 
-/// Which of a register's values is the newer. Commands print it under the earlier names, which stand beside the fields.
+/// The version of a register's value; a higher one is newer. Commands print it under the keys `era` and `version`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct EntryVersion {
-    /// Grows whenever a majority of the voters has lost its memory, and values may have gone back.
+    /// Increases whenever a majority of the voters has lost its memory, so that values may have reverted to older
+    /// ones.
     #[serde(rename = "era")]
     pub epoch: u64,
-    /// Counts up by one with each value of an epoch.
+    /// Increases by one with each value of an epoch.
     #[serde(rename = "version")]
     pub counter: u64,
 }
 
-/// A register's value.
+/// A register's value, with its version and the fencing token of its writer.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its version.
+    /// The version of this value.
     pub version: EntryVersion,
     /// The fencing token of the lease under which it was written.
     pub fencing_token: u64,
@@ -29,141 +30,143 @@
     pub value: Vec<u8>,
 }
 
-/// What a voter has accepted of a register.
+/// The entry of a register that a voter has accepted last.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AcceptedEntry {
-    /// In which ballot.
+    /// The ballot in which the entry was accepted.
     pub ballot: Ballot,
-    /// What.
+    /// The accepted entry.
     pub entry: Entry,
 }
 
-/// A register as a voter has promised and accepted it.
+/// A voter's promise and accepted entry for one register.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RegisterState {
-    /// The register.
+    /// The name of the register.
     pub name: Name,
-    /// No ballot below this is accepted.
+    /// The highest promised ballot; lower ones are rejected.
     pub promised: Ballot,
-    /// None if only a promise was given.
+    /// The entry accepted last; none if the voter has only given a promise.
     pub accepted: Option<AcceptedEntry>,
 }
 
-/// To a voter.
+/// A request to a voter.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RegisterRequest {
-    /// Asks for a promise to accept no older ballot, and for what was accepted last.
+    /// Asks for a promise to accept no lower ballot, and for the entry accepted last.
     Prepare {
-        /// The register.
+        /// The name of the register.
         name: Name,
-        /// The attempt.
+        /// The ballot of the attempt.
         ballot: Ballot,
     },
-    /// Asks to accept a value.
+    /// Asks the voter to accept an entry.
     Accept {
-        /// The register.
+        /// The name of the register.
         name: Name,
-        /// The attempt.
+        /// The ballot of the attempt.
         ballot: Ballot,
-        /// What to accept.
+        /// The entry to accept.
         entry: Entry,
     },
-    /// Asks for what is accepted.
+    /// Asks for the accepted entry of one register.
     Read {
-        /// The register.
+        /// The name of the register.
         name: Name,
-        /// The value is left out of the reply if this is its version.
+        /// The version that the sender knows; the reply leaves the entry out if it has this version.
         known: Option<EntryVersion>,
     },
-    /// From a voter without memory: asks for a page of all that is promised and accepted.
+    /// Asks for a page of all promises and accepted entries; sent by a voter that recovers its state.
     CopyState {
-        /// The round of the recovery.
+        /// The round of the sender's recovery; the reply repeats it.
         round: u64,
-        /// The page begins after this name.
+        /// The page begins after the register with this name; empty for the first page.
         after: Name,
     },
-    /// Asks for what has been accepted since a revision.
+    /// Asks for the entries accepted since a revision.
     ChangesSince {
-        /// The voter's incarnation that the revision belongs to; of another one, everything is returned.
+        /// The voter's incarnation that the revision belongs to. If the voter has another one, it returns all
+        /// entries.
         incarnation: u64,
-        /// The last revision that is known.
+        /// The last revision that the sender knows.
         revision: u64,
     },
 }
 
-/// From a voter.
+/// A reply from a voter.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RegisterReply {
-    /// No older ballot is accepted from here on.
+    /// The voter accepts no lower ballot from now on.
     Promise {
-        /// The register.
+        /// The name of the register.
         name: Name,
-        /// The attempt.
+        /// The ballot of the request.
         ballot: Ballot,
-        /// The voter's epoch.
+        /// The highest epoch that the voter knows.
         epoch: u64,
-        /// What it accepted last.
+        /// The entry that the voter accepted last.
         accepted: Option<AcceptedEntry>,
     },
-    /// The value has been accepted.
+    /// The voter has accepted the entry.
     Accepted {
-        /// The register.
+        /// The name of the register.
         name: Name,
-        /// The attempt.
+        /// The ballot of the request.
         ballot: Ballot,
     },
-    /// A later ballot has been promised.
+    /// The request was rejected: the voter has promised a higher ballot, or is in a later epoch than the entry.
     StaleBallot {
-        /// The register.
+        /// The name of the register.
         name: Name,
-        /// The attempt.
+        /// The ballot of the request.
         ballot: Ballot,
-        /// The round of the later ballot.
+        /// The round of the promised ballot.
         round: u64,
     },
-    /// The voter has no memory and does not vote, has no capacity, or the request exceeds a limit.
+    /// The voter has no memory and does not vote, has no capacity for another register, or the request violates a
+    /// limit.
     Silent {
-        /// The register.
+        /// The name of the register.
         name: Name,
-        /// The attempt.
+        /// The ballot of the request.
         ballot: Ballot,
     },
-    /// What is accepted.
+    /// The accepted entry of a register.
     Value {
-        /// The register.
+        /// The name of the register.
         name: Name,
-        /// The ballot in which it was accepted.
+        /// The ballot in which the entry was accepted.
         ballot: Ballot,
-        /// Its version.
+        /// The version of the entry.
         version: EntryVersion,
-        /// The value, where it is not known yet.
+        /// The entry; none if the sender of the request knows its version.
         entry: Option<Entry>,
     },
-    /// Nothing was ever accepted.
+    /// The voter has accepted nothing for this register.
     NotFound {
-        /// The register.
+        /// The name of the register.
         name: Name,
     },
-    /// A page of a voter's state.
+    /// A page of a voter's state, for a voter that recovers.
     StateCopy {
         /// The round of the request.
         round: u64,
-        /// The incarnation of the voter that replies, so that a restart between pages is noticed.
+        /// The incarnation of the replying voter, so that a restart between pages is detected.
         incarnation: u64,
-        /// It has no memory itself.
+        /// The replying voter has no memory itself.
         without_memory: bool,
-        /// Its epoch.
+        /// The highest epoch that the replying voter knows.
         epoch: u64,
         /// The registers of this page, in the order of their names.
         registers: Vec<RegisterState>,
-        /// There are more after these.
+        /// There are more registers after this page.
         more: bool,
     },
     /// A page of changes.
     Changes(Changes),
 }
 
-/// What a voter accepted after the revision `since` and up to `revision`.
+/// The entries that a voter accepted after the revision `since` and up to `revision`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Changes {
     /// The voter's incarnation, to which both revisions belong.
@@ -174,26 +177,26 @@
     pub revision: u64,
     /// The registers that changed, in the order of their revisions.
     pub registers: Vec<ChangedRegister>,
-    /// There is more after `revision`.
+    /// There are more changes after `revision`.
     pub more: bool,
 }
 
-/// A register as a voter last accepted it.
+/// The entry of a changed register that a voter accepted last.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ChangedRegister {
-    /// The register.
+    /// The name of the register.
     pub name: Name,
-    /// The ballot in which it was accepted.
+    /// The ballot in which the entry was accepted.
     pub ballot: Ballot,
-    /// What was accepted.
+    /// The accepted entry.
     pub entry: Entry,
 }
 
-/// A request and the voter, by its index in the configured list, that it is for.
+/// A request to one voter.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OutboundMessage {
-    /// Index of the voter.
+    /// Index of the receiving voter in the configured list of voters.
     pub voter: usize,
-    /// What it is asked.
+    /// The request to send.
     pub request: RegisterRequest,
 }
--- a/crates/core/registers/src/proposer.rs
+++ b/crates/core/registers/src/proposer.rs
@@ -1,6 +1,8 @@
-//! Changes registers. Each change is a whole round of prepare and accept, so it is based on the value committed last,
-//! whoever committed it. Events are [`Proposer::propose`], replies and [`Proposer::poll`]; outputs are the returned
-//! messages and [`Proposer::take_outcomes`].
+//! The proposer, which changes registers. Each change is a full round of prepare and accept, so it is based on
+//! the value committed last, by any proposer.
+//!
+//! Events are [`Proposer::propose`], replies and [`Proposer::poll`]; outputs are the returned messages and
+//! [`Proposer::take_outcomes`].
 
 mod decision;
 mod reply;
@@ -11,53 +13,55 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// An attempt is given up after the lease's duration divided by this.
+/// The timeout of an attempt is the lease duration divided by this.
 const ATTEMPT_TIMEOUT_DIVISOR: u32 = 6;
-/// A change is given up after so many attempts.
+/// Maximum number of attempts per change; then its outcome is unknown.
 const MAX_TRIES: u32 = 8;
 
-/// What to do with a register.
+/// An operation on a register.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Operation {
-    /// Commits the value that is there, and returns it.
+    /// Commits the current value again, and returns it.
     Read,
     /// Commits a new value.
     CompareAndSet {
-        /// The change is made only if this is the version that is there; none: if nothing is.
+        /// The current version that the change requires; none requires that the register is empty.
         expected: Option<EntryVersion>,
-        /// The change is made only if the value that is there was written under no higher token.
+        /// The fencing token of the change. It must be at least that of the current value.
         fencing_token: u64,
         /// The new value.
         value: Vec<u8>,
     },
 }
 
-/// How a change has ended.
+/// The outcome of a change.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ProposalOutcome {
-    /// A majority has accepted it.
+    /// A majority has accepted the change.
     Committed {
-        /// The register.
+        /// The name of the register.
         name: Name,
-        /// Its value; none after a read of an empty register.
+        /// The committed value; none after a read of an empty register.
         entry: Option<Entry>,
     },
-    /// Another version is there, or one under a higher token, or the value was too long; nothing was changed.
+    /// The change was not made: the current value has another version or a higher token, or the new value was too
+    /// long.
     Conflict {
-        /// The register.
+        /// The name of the register.
         name: Name,
-        /// The value that is there.
+        /// The current value; none if the register is empty or the new value was too long.
         entry: Option<Entry>,
     },
-    /// Too few voters replied in time. The change may have been committed, or may yet be.
+    /// Too few voters replied in time, or another change of the register has begun. The change may have been
+    /// committed or may still be.
     Unknown {
-        /// The register.
+        /// The name of the register.
         name: Name,
     },
 }
 
 impl ProposalOutcome {
-    /// The register that was to be changed.
+    /// The name of the register that the operation was for.
     pub fn name(&self) -> &Name {
         let (ProposalOutcome::Committed { name, .. }
         | ProposalOutcome::Conflict { name, .. }
@@ -71,27 +75,27 @@
     operation: Operation,
     ballot: Ballot,
     started: Duration,
-    /// Which attempt of the change this is, from 1 on.
+    /// The number of this attempt within the change, from 1.
     tries: u32,
-    /// Voters by index, as in the two sets below.
+    /// Indices of the voters that promised; the next two sets also hold indices of voters.
     promises: BTreeSet<usize>,
     acceptances: BTreeSet<usize>,
     rejections: BTreeSet<usize>,
     /// The highest epoch among the promises.
     epoch: u64,
-    /// What was accepted in the latest ballot among the promises.
+    /// The entry accepted in the highest ballot among the promises.
     last_accepted: Option<AcceptedEntry>,
-    /// What was sent to be accepted, once a majority has promised.
+    /// The entry that the voters are asked to accept; set once a majority has promised.
     decision: Option<Decision>,
-    /// When it is tried again; set once it has failed.
+    /// Time of the next attempt; set once this one has failed.
     retry_at: Option<Duration>,
 }
 
-/// The changes that one front has running; one a register at most.
+/// The running changes of one front; at most one per register.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Proposer {
     incarnation: Incarnation,
-    /// How many voters there are.
+    /// The number of voters in the fleet.
     voters: usize,
     /// The round of the latest ballot used or reported.
     round: u64,
@@ -100,7 +104,7 @@
 }
 
 impl Proposer {
-    /// A proposer of a fleet with so many voters.
+    /// Creates a proposer for a fleet with `voters` voters.
     pub fn new(incarnation: Incarnation, voters: usize) -> Proposer {
         Proposer { incarnation, voters, round: 0, attempts: BTreeMap::new(), outcomes: Vec::new() }
     }
@@ -110,7 +114,7 @@
         self.attempts.contains_key(name)
     }
 
-    /// Begins a change. A running change of the same register ends as unknown.
+    /// Begins a change. A running change of the same register ends as [`ProposalOutcome::Unknown`].
     pub fn propose(&mut self, now: Duration, name: &str, operation: Operation) -> Vec<OutboundMessage> {
         if matches!(&operation, Operation::CompareAndSet { value, .. } if value.len() > MAX_VALUE_BYTES) {
             self.outcomes.push(ProposalOutcome::Conflict { name: name.to_owned(), entry: None });
@@ -127,15 +131,16 @@
         std::mem::take(&mut self.outcomes)
     }
 
-    /// When [`Proposer::poll`] has something to do next.
+    /// The next time at which [`Proposer::poll`] has something to do.
     pub fn next_timeout(&self, config: &LeaseConfig) -> Option<Duration> {
         let timeout = attempt_timeout(config);
         let due = |attempt: &Attempt| attempt.retry_at.unwrap_or(attempt.started + timeout);
         self.attempts.values().map(due).min()
     }
 
-    /// Gives up attempts that take too long, and tries again. `chance` yields numbers from 0 up to 1; each attempt that
-    /// is given up draws one, to be tried again at another time than by other fronts.
+    /// Gives up attempts that have timed out, and begins retries that are due. `chance` returns random numbers
+    /// between 0 and 1. Each attempt that times out draws one for its retry time, so that fronts retry at different
+    /// times.
     pub fn poll(
         &mut self,
         now: Duration,
@@ -192,7 +197,7 @@
     }
 }
 
-/// How long an attempt may take.
+/// Timeout of an attempt, from its start to the acceptance by a majority.
 fn attempt_timeout(config: &LeaseConfig) -> Duration {
     config.duration / ATTEMPT_TIMEOUT_DIVISOR
 }
--- a/crates/core/registers/src/proposer/decision.rs
+++ b/crates/core/registers/src/proposer/decision.rs
@@ -1,20 +1,23 @@
-//! What an attempt proposes, given what a majority of voters has accepted before.
+//! Chooses the entry that an attempt proposes, from the operation and the entry that a majority of voters
+//! accepted last.
 
 use super::Operation;
 use crate::{Entry, EntryVersion};
 
-/// What is proposed, and what that means for the change.
+/// The entry that an attempt proposes, and the outcome of the change once it is committed.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Decision {
-    /// None where nothing is there and nothing is to be written.
+    /// None if the register is empty and nothing is to be written.
     pub(super) entry: Option<Entry>,
-    /// The change has been made once this is committed; else another value is in its way.
+    /// Whether the operation has succeeded once `entry` is committed. If not, `entry` is a conflicting value.
     pub(super) is_success: bool,
 }
 
-/// `last`: what was accepted in the latest ballot that a majority knows; `epoch`: the highest that it knows.
+/// `last` is the entry accepted in the highest ballot that a majority reported; `epoch` is the highest reported
+/// epoch.
 pub(super) fn decide(operation: &Operation, last: Option<Entry>, epoch: u64) -> Decision {
-    // After a majority has lost its memory an older value may be there: it must show the new epoch.
+    // After a majority has lost its memory, the current value may be an older one, so its version must have the
+    // new epoch.
     let last = last.map(|mut entry| {
         entry.version.epoch = entry.version.epoch.max(epoch);
         entry
@@ -32,7 +35,7 @@
         let entry = Entry { version, fencing_token: *fencing_token, value: value.clone() };
         return Decision { entry: Some(entry), is_success: true };
     }
-    // An earlier attempt of this change may have been committed although too few replies arrived.
+    // An earlier attempt of the same change may have been committed although too few replies arrived.
     let next_counter = expected.map_or(0, |version| version.counter) + 1;
     let is_own = last.as_ref().is_some_and(|entry| {
         entry.version.counter == next_counter
--- a/crates/core/registers/src/proposer/reply.rs
+++ b/crates/core/registers/src/proposer/reply.rs
@@ -1,4 +1,4 @@
-//! What a proposer does with each kind of reply. A reply that belongs to no running attempt changes nothing.
+//! Handles the replies of voters at a proposer. A reply that belongs to no running attempt changes nothing.
 
 use super::decision::decide;
 use super::{Attempt, Proposer, attempt_timeout, to_all};
@@ -9,8 +9,9 @@
 use std::time::Duration;
 
 impl Proposer {
-    /// Takes in a voter's reply, and returns the requests that follow from it. `voter` is its index; `chance` yields
-    /// numbers from 0 up to 1, and an attempt that fails by a rejection draws one.
+    /// Handles a reply and returns the requests that follow from it. `voter` is the index of the voter that sent
+    /// it. `chance` returns random numbers from 0 to 1; an attempt that fails by a rejection draws one for its
+    /// retry time.
     pub fn handle_reply(
         &mut self,
         now: Duration,
@@ -49,8 +50,8 @@
         Vec::new()
     }
 
-    /// Whether a reply belongs to a running attempt. One that arrives after the attempt's timeout must not count: the
-    /// rule for voters without memory depends on that bound.
+    /// Whether a reply belongs to a running attempt. A reply that arrives after the attempt's timeout must not count,
+    /// because the time for which a voter without memory does not vote is derived from that limit.
     fn is_current(
         &self,
         now: Duration,
@@ -64,7 +65,8 @@
         attempt.ballot == ballot && !is_over && voter < self.voters
     }
 
-    /// Once a majority has promised, asks all voters to accept what follows from what they had accepted.
+    /// Counts a promise. Once a majority has promised, chooses the entry to propose from the entries accepted
+    /// before, and returns an accept request to all voters.
     fn handle_promise(
         &mut self,
         name: Name,
@@ -91,7 +93,7 @@
         let decision = decide(&attempt.operation, last, attempt.epoch);
         let entry = decision.entry.clone();
         attempt.decision = Some(decision);
-        // A value that was there before is also committed before anybody is notified of it.
+        // A value that was accepted before is also proposed again, so it is committed before the outcome reports it.
         match entry {
             Some(entry) => to_all(voters, &RegisterRequest::Accept { name, ballot, entry }),
             None => {
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Once a majority has accepted, the change has ended.
+    /// Counts an acceptance. Once a majority has accepted, the change has ended.
     fn handle_accepted(&mut self, voter: usize, name: &Name) {
         let Some(attempt) = self.attempts.get_mut(name) else { return };
         attempt.acceptances.insert(voter);
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Once no majority is left, the attempt has failed and waits for its retry.
+    /// Counts a rejection. Once the remaining voters are no majority, the attempt has failed and waits for its retry.
     fn handle_rejection(
         &mut self,
         now: Duration,
