--- a/crates/core/registers/tests/exhaustive.rs
+++ b/crates/core/registers/tests/exhaustive.rs
@@ -1,6 +1,6 @@
-//! Every interleaving of a small fleet, on the code that runs: three voters, of which one may lose its memory, and two
-//! proposers that each want one change; requests
-//! are lost, delayed without bound, and overtaken; a reply comes at once or never.
+//! Model check of every interleaving of a small fleet, on the production code: three voters, one of which may
+//! lose its memory, and two proposers that each propose one change. Requests are lost, delayed without limit and
+//! reordered; a reply arrives at once or never.
 
 use lemonusher_leases::{Incarnation, LeaseConfig};
 use lemonusher_registers::*;
@@ -12,12 +12,13 @@
 const PROPOSERS: usize = 2;
 const NAME: &str = "r";
 
+/// A rule that is broken on purpose, to verify that the check detects it.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Mutation {
     Nothing,
     /// A voter that has lost its memory votes at once.
     ForgetfulVoter,
-    /// It copies from one other voter, not from a majority.
+    /// A voter that has lost its memory copies from one other voter instead of from a majority.
     CopiesFromOne,
 }
 
@@ -25,11 +26,11 @@
     mutation: Mutation,
 }
 
-/// A message on its way, without bound; what is never delivered is lost.
+/// A message in flight, for any time. A message that is never delivered counts as lost.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Sent {
     RegisterRequest(usize, usize, RegisterRequest),
-    /// Between voters: from, in which incarnation, to.
+    /// Between voters: index and incarnation of the sender, index of the receiver.
     Copy(usize, u64, usize, RegisterRequest),
 }
 
@@ -41,7 +42,7 @@
     begun: Vec<bool>,
     forgot: bool,
     past: bool,
-    /// What proposers reported as committed.
+    /// The values that proposers reported as committed, by version.
     committed: BTreeMap<EntryVersion, BTreeSet<Vec<u8>>>,
     sent: BTreeSet<Sent>,
 }
@@ -51,7 +52,7 @@
     Begin(usize),
     Deliver(Sent),
     Forget,
-    /// The time passes in which a voter without memory is silent; attempts of before have ended.
+    /// The voter hold time ends, in which a voter without memory does not vote. Earlier attempts have ended by then.
     Pass,
 }
 
--- a/crates/core/registers/tests/learner.rs
+++ b/crates/core/registers/tests/learner.rs
@@ -1,4 +1,5 @@
-//! Watching registers by their changes: what is reported once, page by page, after restarts, and by earlier versions.
+//! A learner that polls voters for changes: pages of changes, restarted voters, and voters of an earlier software
+//! version.
 
 use lemonusher_leases::Ballot;
 use lemonusher_registers::*;
@@ -20,14 +21,14 @@
     }
 }
 
-/// Three voters with memory, and a learner.
+/// Three voters with memory and one learner.
 struct World {
     acceptors: Vec<Acceptor>,
     learner: Learner,
     now: Duration,
-    /// Requests that were replied to since the last poll.
+    /// Requests that the voters have handled since the last poll.
     requests: Vec<RegisterRequest>,
-    /// Voters of an earlier version, which do not support requests for changes.
+    /// Voters of an earlier software version, which do not support requests for changes.
     earlier: Vec<usize>,
     round: u64,
     incarnations: u64,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Has these voters accept a value.
+    /// Has these voters accept an entry in a new ballot.
     fn accept(&mut self, voters: &[usize], name: &str, entry: &Entry) {
         self.round += 1;
         let ballot = Ballot { round: self.round, proposer: 9 };
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Begins a new incarnation of a voter, which has kept its state.
+    /// Restarts a voter as a new incarnation that has kept its state.
     fn restart(&mut self, voter: usize) {
         self.incarnations += 1;
         let stored = self.acceptors[voter].persistent_state();
@@ -78,7 +79,7 @@
         self.acceptors[message.voter].handle_request(self.now, message.request)
     }
 
-    /// One poll of the learner with all replies; the requests that were sent.
+    /// Runs one poll of the learner, delivers all replies, and returns the requests that the voters handled.
     fn poll(&mut self) -> Vec<RegisterRequest> {
         self.now += EVERY * 2;
         let mut messages = self.learner.poll(self.now, &mut || 0.5);
@@ -176,7 +177,9 @@
     assert_eq!(world.poll().len(), VOTERS, "once changes are reported, no register is read by name");
 }
 
-/// Against all that was accepted by a majority: changes, restarts, and replies that are lost, late and repeated.
+/// Compares the learner with the entries that a majority accepted, while voters restart and replies are lost,
+/// delayed and repeated. The learner must not report an entry too early, and must know all of them once replies
+/// arrive again.
 #[test]
 fn all_committed_values_are_known_once_replies_arrive_again() {
     for seed in 0..200 {
--- a/crates/core/registers/tests/scenarios.rs
+++ b/crates/core/registers/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! Registers under chance: messages lost, repeated, held up and overtaken, voters that lose their memory, proposers
-//! that compete, clocks at the ends of the drift. Everything comes from one seed.
+//! Randomized simulation of registers: messages are lost, repeated, delayed and reordered, voters lose their memory,
+//! proposers compete, and clocks run at the limits of the drift. Each run is determined by its seed.
 
 use lemonusher_leases::{Incarnation, LeaseConfig};
 use lemonusher_registers::*;
@@ -24,7 +24,7 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum From {
-    Acceptor(usize, u64), // Place and incarnation.
+    Acceptor(usize, u64), // Index and incarnation.
     Front(usize),
 }
 
@@ -43,12 +43,12 @@
     fronts: Vec<Front>,
     in_flight: Vec<(Duration, Sent)>,
     chance: fastrand::Rng,
-    /// Voters that have lost their memory vote at once.
+    /// Whether voters that have lost their memory vote at once, which breaks the protocol.
     forgetful: bool,
     next: u64,
     loss: f64,
     committed: BTreeMap<EntryVersion, Vec<u8>>,
-    /// The highest committed so far with the time at which its proposer was notified of it.
+    /// Committed versions, each with the time at which its proposer received the outcome.
     highest: Vec<(Duration, EntryVersion)>,
     violations: Vec<String>,
 }
@@ -190,7 +190,7 @@
             self.fronts[n].known = entry.as_ref().map(|entry| entry.version);
             let Some(entry) = entry else { continue };
             self.record_committed(&entry);
-            // What was committed before this attempt began must show in it.
+            // The outcome must not be older than a version whose commit was reported before this change began.
             let before = self.highest.iter().filter(|(at, _)| *at < begun).map(|(_, version)| *version).max();
             if Some(entry.version) < before || (own && Some(entry.version) == before) {
                 self.violations.push(format!("{:?} after {before:?} at {now:?}", entry.version));
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Restarts voters without memory, never so many at once that a majority is without memory.
+    /// Restarts random voters without memory, but never so many that a majority is without memory at the same time.
     fn restart_minorities(&mut self) {
         let most_blank = self.acceptors.len() - majority(self.acceptors.len());
         for _ in 0..25 {
@@ -252,7 +252,7 @@
     let (mut committed, mut epochs) = (0, BTreeSet::new());
     for seed in 0..900 {
         let mut world = World::new(seed, [3, 5][seed as usize % 2], false);
-        world.run(ms(3000)); // At the first start all are without memory, and begin an epoch.
+        world.run(ms(3000)); // At the first start all voters are without memory and begin an epoch.
         world.restart_minorities();
         world.run(ms(500));
         assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
@@ -298,8 +298,9 @@
     assert!(matches!(accept(7), Some(RegisterReply::StaleBallot { .. })));
 }
 
-/// A value that one voter alone had accepted is all that is left: copied to the others it looks as if a majority had
-/// accepted it, while another one had been committed under its version.
+/// After a majority has lost its memory, the only value left is one that a single voter had accepted. Once it is
+/// copied to the others, all voters report it as if a majority had accepted it, although another value may have
+/// been committed under its version.
 #[test]
 fn values_carried_into_a_new_epoch_are_committed_only_once_proposed() {
     let mut acceptors: Vec<Acceptor> =
@@ -357,7 +358,7 @@
     world.run(ms(3000));
     world.start(0);
     world.start(1);
-    world.acceptors[2] = None; // It alone may know what was committed.
+    world.acceptors[2] = None; // Only this voter may still know the committed values.
     let before = world.highest.len();
     world.run(ms(6000));
     assert_eq!(world.highest.len(), before, "values were settled without a memory");
