--- a/crates/core/failure-detector/src/config.rs
+++ b/crates/core/failure-detector/src/config.rs
@@ -1,35 +1,35 @@
-//! The timing of the failure detector; all periods are multiples of the probe interval.
+//! The settings of the failure detector. All periods are derived from the probe interval.
 
 use crate::MAX_MESSAGE_BYTES;
 use foca::{Config, PeriodicParams};
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Probe intervals below this are raised to it.
+/// Minimum probe interval; shorter configured ones are raised to it.
 const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(20);
-/// Members that are asked to probe one that does not reply.
+/// Number of other members that are asked to probe a member that has not replied to a direct probe.
 const INDIRECT_PROBES: usize = 3;
-/// A probe must be replied to within the probe interval divided by this, or others probe too.
+/// The timeout of a direct probe, after which indirect probes are sent, is the probe interval divided by this.
 const PROBE_TIMEOUT_DIVISOR: u32 = 3;
-/// Probe intervals for which a suspected member may refute.
+/// Suspicion timeout in probe intervals: the time that a suspected member has to refute the suspicion.
 const SUSPICION_PERIODS: u32 = 6;
-/// Probe intervals after which a member that has left is forgotten.
+/// Probe intervals after which a member that was declared down or has left is forgotten.
 const FORGET_PERIODS: u32 = 60;
-/// How many times an update is sent on with other messages.
+/// Maximum number of times that an update is forwarded with other messages.
 const MAX_TRANSMISSIONS: u8 = 10;
 /// Probe intervals between announcements to a random member.
 const ANNOUNCE_PERIODS: u32 = 20;
-/// Probe intervals between announcements to a member that has left.
+/// Probe intervals between announcements to a member that was declared down or has left.
 const ANNOUNCE_TO_DOWN_PERIODS: u32 = 30;
-/// Gossip is sent each probe interval divided by this.
+/// The interval between gossip messages is the probe interval divided by this.
 const GOSSIP_DIVISOR: u32 = 3;
-/// Members that gossip is sent to each time.
+/// Number of members that receive a gossip message in each gossip interval.
 const GOSSIP_FANOUT: usize = 2;
 
-/// The timing of the failure detector. All fronts of a fleet must have the same.
+/// The settings of the failure detector. They must be the same at all fronts of a fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DetectorConfig {
-    /// Each member probes one other in this time.
+    /// Interval in which each member probes one other member; at least 20 ms, shorter ones are raised to it.
     pub probe_interval: Duration,
 }
 
--- a/crates/core/failure-detector/src/detector.rs
+++ b/crates/core/failure-detector/src/detector.rs
@@ -1,5 +1,6 @@
-//! Drives `foca` as a state machine. Events are datagrams, [`FailureDetector::poll`] and the calls of this front; outputs
-//! are [`FailureDetector::take_outgoing`] and [`FailureDetector::take_changes`].
+//! The failure detector as a state machine on top of the crate `foca`. Events are datagrams,
+//! [`FailureDetector::poll`] and the calls of this front; outputs are [`FailureDetector::take_outgoing`] and
+//! [`FailureDetector::take_changes`].
 
 use crate::gossip::{self, GossipRecords};
 use crate::{
@@ -12,56 +13,57 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Probe intervals between announcements to a seed address at which no member is known.
+/// Probe intervals between two announcements to seed addresses. Each time, the next seed address gets one if no
+/// member is known there.
 const SEED_ANNOUNCE_PERIODS: u32 = 4;
-/// Seed addresses at most; further ones are announced to once only.
+/// Maximum number of seed addresses; an announcement to a further one is sent only once.
 const MAX_SEEDS: usize = MAX_MEMBERS;
-/// Timers of `foca` at most; further ones are dropped.
+/// Maximum number of pending timers of `foca`; further ones are dropped.
 const MAX_TIMERS: usize = MAX_MEMBERS * 4;
 
 type Swim = Foca<Member, PostcardCodec, StdRng, GossipRecords>;
 
-/// Bytes for another member.
+/// A datagram to another member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Datagram {
-    /// Where to send them.
+    /// The address of the receiver.
     pub to: SocketAddr,
-    /// At most [`MAX_MESSAGE_BYTES`].
+    /// The payload, of at most [`MAX_MESSAGE_BYTES`] bytes.
     pub bytes: Vec<u8>,
 }
 
-/// Orders timers by time, then by when they were set.
+/// Orders timers by due time, then by the order in which they were set.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
     due: Duration,
     sequence: u64,
 }
 
-/// The members as one front sees them.
+/// The membership of the fleet as one front sees it.
 pub struct FailureDetector {
-    /// This front.
+    /// The identity of this front.
     local: Member,
     swim: Swim,
     records: GossipRecords,
     timers: BTreeMap<TimerKey, Timer<Member>>,
-    /// The sequence of the latest timer.
+    /// The sequence number of the timer set last.
     timer_sequence: u64,
     outgoing: Vec<Datagram>,
     changes: Vec<MembershipChange>,
     /// The other members, by incarnation.
     members: BTreeMap<u64, Member>,
-    /// The sequence of the latest record that this front has published.
+    /// The sequence number of the record that this front published last.
     record_sequence: u32,
-    /// Set by [`FailureDetector::leave`]; nothing is sent any more.
+    /// Set by [`FailureDetector::leave`]. After that, events are ignored and no more datagrams are created.
     has_left: bool,
     probe_interval: Duration,
-    /// Addresses at which members should be found, the next one to announce to first.
+    /// Addresses at which members are expected, in the order of the next announcements.
     seeds: VecDeque<SocketAddr>,
     next_announce: Duration,
 }
 
 impl FailureDetector {
-    /// A detector that knows no other member. `seed` is that of its random choices.
+    /// Creates a detector that knows no other member. `seed` initializes its random number generator.
     pub fn new(local: Member, config: DetectorConfig, seed: u64) -> FailureDetector {
         let records = GossipRecords::default();
         let random = StdRng::seed_from_u64(seed);
@@ -85,18 +87,18 @@
         }
     }
 
-    /// The other members, as far as is known.
+    /// The other members that this front knows.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// The latest record of the member with this incarnation.
+    /// The latest gossip record of the member with this incarnation.
     pub fn gossip_of(&self, incarnation: u64) -> Option<GossipRecord> {
         self.records.of(incarnation)
     }
 
-    /// Announces this front to an address, now and whenever no member is known there, so that parts of a fleet that were
-    /// partitioned find each other again.
+    /// Announces this front to an address, now and periodically while no member is known there, so that parts of
+    /// a fleet find each other again after a partition.
     pub fn add_seed(&mut self, now: Duration, address: SocketAddr) {
         if address != self.local.address && self.seeds.len() < MAX_SEEDS && !self.seeds.contains(&address) {
             self.seeds.push_back(address);
@@ -104,7 +106,7 @@
         self.announce(now, address);
     }
 
-    /// Sends a record to all other members; it replaces the one before.
+    /// Disseminates a gossip record to all other members. It replaces this front's previous record.
     pub fn publish(&mut self, record: GossipRecord) {
         self.record_sequence += 1;
         if let Some(bytes) = gossip::encode(self.local.incarnation, self.record_sequence, record) {
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Takes in what another member has sent. Bytes that can't be read, or are for another incarnation, change nothing.
+    /// Handles a datagram from another member. One that is malformed or for another incarnation changes nothing.
     pub fn handle_datagram(&mut self, now: Duration, bytes: &[u8]) {
         if bytes.len() <= MAX_MESSAGE_BYTES {
             self.run(now, |swim, runtime| swim.handle_data(bytes, runtime));
@@ -131,20 +133,20 @@
         }
     }
 
-    /// When [`FailureDetector::poll`] has something to do next.
+    /// The next time at which [`FailureDetector::poll`] has something to do.
     pub fn next_timeout(&self) -> Option<Duration> {
         let timer = self.timers.first_key_value().map(|(key, _)| key.due);
         timer.into_iter().chain((!self.seeds.is_empty()).then_some(self.next_announce)).min()
     }
 
-    /// Reports to some members that this front leaves. Nothing is sent after that.
+    /// Notifies some members that this front leaves. After that, the detector ignores all events.
     pub fn leave(&mut self, now: Duration) {
         self.run(now, |swim, runtime| swim.leave_cluster(runtime));
         self.has_left = true;
         self.timers.clear();
     }
 
-    /// What is to be sent since the last call, in order.
+    /// The datagrams to send since the last call, in order.
     pub fn take_outgoing(&mut self) -> Vec<Datagram> {
         std::mem::take(&mut self.outgoing)
     }
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Runs one step of `foca` and takes over its outputs.
+    /// Runs one step of `foca` and collects its outputs: datagrams, timers and notifications.
     fn run(
         &mut self,
         now: Duration,
@@ -180,7 +182,7 @@
             return;
         }
         let mut runtime = AccumulatingRuntime::new();
-        // What can't be read, or is for an earlier incarnation, counts as lost.
+        // A malformed datagram, or one for an earlier incarnation, counts as lost.
         let _ = step(&mut self.swim, &mut runtime);
         while let Some((to, bytes)) = runtime.to_send() {
             self.outgoing.push(Datagram { to: to.address, bytes: bytes.to_vec() });
@@ -223,7 +225,7 @@
         }
     }
 
-    /// Bounds the number of members and the length of their names.
+    /// Checks the limits on the number of members and the length of their names.
     fn is_admissible(&self, member: &Member) -> bool {
         let has_room = self.members.len() < MAX_MEMBERS || self.members.contains_key(&member.incarnation);
         member.name.len() <= MAX_NAME_BYTES && has_room
--- a/crates/core/failure-detector/src/gossip.rs
+++ b/crates/core/failure-detector/src/gossip.rs
@@ -1,4 +1,5 @@
-//! Gossip records: small facts, one a member, that are sent along with the detector's messages. The latest one counts.
+//! Gossip records: one small record per member, piggybacked on the detector's messages. The latest record
+//! replaces the earlier ones.
 
 use crate::MAX_MEMBERS;
 use foca::{BroadcastHandler, Invalidates};
@@ -7,23 +8,25 @@
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Ejected engines that a record names at most.
+/// Maximum number of ejected engines in a record.
 pub const MAX_EJECTED_ENGINES: usize = 8;
-/// Bytes of an encoded record at most.
+/// Maximum size of an encoded record, in bytes.
 const MAX_RECORD_BYTES: usize = 128;
 
-/// What a front tells all others of itself. Encoded with postcard: the order of fields is part of the protocol.
+/// The state of a front that all other fronts receive. Encoded with postcard: the order of fields is part of the
+/// protocol.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipRecord {
-    /// Requests that it takes per second.
+    /// Requests per second that the front receives.
     pub requests_per_second: u32,
-    /// Engines that it sends nothing to after faults, the lowest ids first.
+    /// Ids of the engines that the front has ejected after failures, lowest first.
     pub ejected_engines: Vec<u32>,
-    /// The version of the desired state that it follows.
+    /// The version of the desired state that the front follows.
     pub desired_state_version: u64,
 }
 
-/// A record with its member's incarnation and its place in that member's records.
+/// A record on the wire, with the incarnation of its member and a sequence number that increases with each of that
+/// member's records.
 #[derive(Serialize, Deserialize)]
 struct EncodedRecord {
     incarnation: u64,
@@ -31,7 +34,7 @@
     record: GossipRecord,
 }
 
-/// The bytes of a record; it names no more than [`MAX_EJECTED_ENGINES`].
+/// Encodes a record, of which it keeps the first [`MAX_EJECTED_ENGINES`] ejected engines.
 pub(crate) fn encode(incarnation: u64, sequence: u32, mut record: GossipRecord) -> Option<Vec<u8>> {
     record.ejected_engines.truncate(MAX_EJECTED_ENGINES);
     postcard::to_allocvec(&EncodedRecord { incarnation, sequence, record }).ok()
@@ -42,7 +45,7 @@
     record: GossipRecord,
 }
 
-/// The latest record of each member, by its incarnation; shared with `foca`, which sends them on.
+/// The latest record of each member, by its incarnation; shared with `foca`, which disseminates them.
 #[derive(Clone, Default)]
 pub(crate) struct GossipRecords(Arc<Mutex<BTreeMap<u64, StoredRecord>>>);
 
@@ -60,7 +63,8 @@
     }
 }
 
-/// A later record of the same member replaces an earlier one that is still to be sent on.
+/// Identifies a record for dissemination. A record invalidates an earlier one of the same member that `foca`
+/// would still forward.
 pub(crate) struct RecordKey {
     incarnation: u64,
     sequence: u32,
@@ -87,7 +91,8 @@
     type Key = RecordKey;
     type Error = UnreadableRecord;
 
-    /// Stores a record and has it sent on, if it is newer than what is known of its member.
+    /// Stores a record, and returns its key so that `foca` forwards it, if it is newer than the known record of its
+    /// member. A record beyond the limits is ignored.
     fn receive_item(&mut self, data: &[u8], _: Option<&T>) -> Result<Option<RecordKey>, UnreadableRecord> {
         if data.len() > MAX_RECORD_BYTES {
             return Err(UnreadableRecord);
--- a/crates/core/failure-detector/src/lib.rs
+++ b/crates/core/failure-detector/src/lib.rs
@@ -1,14 +1,17 @@
 //! Failure detector: which fronts are members of the fleet.
 //!
-//! The protocol is SWIM (A. Das, I. Gupta, A. Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
-//! Membership Protocol", 2002) with suspicion and piggybacked gossip, by the crate `foca`. Each member probes one other
-//! per [`DetectorConfig::probe_interval`]; one that does not reply is probed through others, then suspected, and declared
-//! as left unless it refutes that in time. An incarnation counts as another member, so a restart needs no clock.
+//! The protocol is SWIM (A. Das, I. Gupta, A. Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process
+//! Group Membership Protocol", 2002) with suspicion and piggybacked gossip, by the crate `foca`. Each member
+//! probes one other per [`DetectorConfig::probe_interval`]. A member that does not reply is probed indirectly
+//! through other members, then suspected, and declared as left unless it refutes the suspicion in time. Each
+//! incarnation of a front counts as a separate member, so a restart is detected without comparing clocks.
 //!
-//! **Its result is a hint.** A member reported as left may still act, and one reported as present may be dead. Safety
-//! rests on leases and registers; the detector only says whom to count, whom to ask, and what to show an operator.
+//! **Its result is a hint.** A member reported as left may still act, and one reported as present may have
+//! failed. Safety depends on leases and registers. The detector only determines which fronts are counted, which
+//! are sent requests, and which are shown to an operator.
 //!
-//! [`FailureDetector`] is pure: no sockets and no clocks; time is a span since any origin, chance comes from a seed.
+//! [`FailureDetector`] is pure: no sockets and no clocks. A time is a duration since an arbitrary origin, and random
+//! numbers come from a generator with a given seed.
 
 #![warn(missing_docs)]
 
@@ -22,9 +25,9 @@
 pub use gossip::{GossipRecord, MAX_EJECTED_ENGINES};
 pub use member::{Member, MemberAddress, MembershipChange};
 
-/// Members at most; further ones are ignored.
+/// Maximum number of other members; further ones are ignored.
 pub const MAX_MEMBERS: usize = 4096;
-/// Bytes of a message at most, so that it fits a datagram with its envelope.
+/// Maximum size of a message in bytes, so that it fits a datagram with its envelope.
 pub const MAX_MESSAGE_BYTES: usize = 900;
-/// Bytes of a member's name at most.
+/// Maximum length of a member's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
--- a/crates/core/failure-detector/src/member.rs
+++ b/crates/core/failure-detector/src/member.rs
@@ -1,34 +1,35 @@
-//! The identity of a member, and what changes among the members.
+//! The identity of a member, and the changes of the membership.
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// One incarnation of one front. A front that has restarted, also under the same name and address, is another member: the
-/// old incarnation is found to have left without a comparison of clocks. Encoded with postcard: the order of fields is
-/// part of the protocol.
+/// One incarnation of one front. A front that has restarted is another member, even under the same name and
+/// address, and its old incarnation is detected as having left without comparing clocks. Encoded with postcard:
+/// the order of fields is part of the protocol.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
     /// The front's name; at most [`MAX_NAME_BYTES`](crate::MAX_NAME_BYTES) bytes.
     pub name: String,
-    /// Where other members reach it.
+    /// The address to which other members send datagrams.
     pub address: SocketAddr,
-    /// Drawn at random at each start; never 0, which means any incarnation at the address.
+    /// A random number, drawn at each start. Never 0, which stands for any incarnation at the address.
     pub incarnation: u64,
     /// The zone in which it runs.
     pub zone: u32,
-    /// Counts up each time that it refutes a report that it has left.
+    /// Incremented each time that this incarnation refutes a report that it has left.
     pub refutations: u16,
 }
 
-/// Whom a message is for: an incarnation, or, where that is not known, whoever receives it.
+/// The receiver of a message: an incarnation, or, if the incarnation is unknown (0), any member that receives it.
 #[derive(Debug, Clone, Copy)]
 pub struct MemberAddress {
     incarnation: u64,
 }
 
 impl PartialEq for MemberAddress {
-    /// An announcement to an unknown incarnation is for whoever receives it, at whichever address: relays hide addresses.
+    /// An announcement to an unknown incarnation matches any receiver. Addresses are not compared, because relays
+    /// hide them.
     fn eq(&self, other: &MemberAddress) -> bool {
         self.incarnation == other.incarnation || self.incarnation == 0 || other.incarnation == 0
     }
@@ -50,12 +51,12 @@
     }
 }
 
-/// What has changed among the members.
+/// A change of the membership, as this front sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// A member was seen for the first time, or again.
+    /// A member was seen for the first time, or again after it was reported as left.
     Joined(Member),
-    /// A member has not replied for long, or said that it leaves.
+    /// A member did not refute a suspicion in time, or announced that it leaves.
     Left(Member),
     /// Other members reported this front as left, and it has refuted that.
     Refuted,
--- a/crates/core/failure-detector/tests/limits.rs
+++ b/crates/core/failure-detector/tests/limits.rs
@@ -1,4 +1,4 @@
-//! 1,024 members, as many as are stored, and one more.
+//! The failure detector with 1,024 members or seed addresses, with the maximum number, and with one more.
 
 use lemonusher_failure_detector::{DetectorConfig, FailureDetector, MAX_MEMBERS, Member};
 use std::collections::BTreeSet;
--- a/crates/core/failure-detector/tests/scenarios.rs
+++ b/crates/core/failure-detector/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! The failure detector in virtual time: losses, crashes, restarts, leaving, and false positives.
+//! The failure detector in virtual time: lost messages, crashes, restarts, leaving members, and false positives.
 
 use lemonusher_failure_detector::{
     Datagram, DetectorConfig, FailureDetector, GossipRecord, MAX_MESSAGE_BYTES, Member, MembershipChange,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// How many each knows.
+    /// The number of other members that each detector knows.
     fn known(&self) -> Vec<usize> {
         self.detectors.values().map(|detector| detector.members().count()).collect()
     }
@@ -114,7 +114,7 @@
     world.detectors.remove(&at(4));
     assert_eq!(world.known(), [7; 8]);
     let before = world.left.len();
-    world.start(5); // A new incarnation before anybody has missed the old one.
+    world.start(5); // A new incarnation starts before any member has suspected the old one.
     world.run(PERIOD * 40);
     assert_eq!(world.known(), [7; 8]);
     assert!(
@@ -164,7 +164,8 @@
     assert_eq!(world.known(), [9; 10]);
 }
 
-/// False positives under losses, and what the protocol costs. Prints, and bounds it widely.
+/// Measures false positives with lost messages, and the messages and bytes that the protocol sends. Prints them, and
+/// checks them against wide limits.
 #[test]
 fn false_positives_and_cost_are_bounded() {
     for (fronts, loss) in [(40, 0.0), (40, 0.2), (120, 0.2)] {
