--- a/crates/core/failure-detector/src/gossip.rs
+++ b/crates/core/failure-detector/src/gossip.rs
@@ -81,7 +81,7 @@
 
 impl fmt::Display for UnreadableRecord {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("a fact can't be read")
+        f.write_str("gossip record is malformed")
     }
 }
 
