--- a/crates/core/failure-detector/src/gossip.rs
+++ b/crates/core/failure-detector/src/gossip.rs
@@ -92,7 +92,8 @@
     type Error = UnreadableRecord;
 
     /// Stores a record, and returns its key so that `foca` forwards it, if it is newer than the known record of its
-    /// member. A record beyond the limits is ignored.
+    /// member. A record that is too long or malformed is an error. A record with too many engines, or of a member beyond
+    /// [`MAX_MEMBERS`], is ignored.
     fn receive_item(&mut self, data: &[u8], _: Option<&T>) -> Result<Option<RecordKey>, UnreadableRecord> {
         if data.len() > MAX_RECORD_BYTES {
             return Err(UnreadableRecord);
