--- a/crates/core/failure-detector/src/detector.rs
+++ b/crates/core/failure-detector/src/detector.rs
@@ -94,7 +94,7 @@
 
     /// The latest gossip record of the member with this incarnation.
     pub fn gossip_of(&self, incarnation: u64) -> Option<GossipRecord> {
-        self.records.of(incarnation)
+        self.records.get(incarnation)
     }
 
     /// Announces this front to an address, now and periodically while no member is known there, so that parts of
@@ -227,7 +227,7 @@
 
     /// Checks the limits on the number of members and the length of their names.
     fn is_admissible(&self, member: &Member) -> bool {
-        let has_room = self.members.len() < MAX_MEMBERS || self.members.contains_key(&member.incarnation);
-        member.name.len() <= MAX_NAME_BYTES && has_room
+        let has_capacity = self.members.len() < MAX_MEMBERS || self.members.contains_key(&member.incarnation);
+        member.name.len() <= MAX_NAME_BYTES && has_capacity
     }
 }
--- a/crates/core/failure-detector/src/gossip.rs
+++ b/crates/core/failure-detector/src/gossip.rs
@@ -50,16 +50,16 @@
 pub(crate) struct GossipRecords(Arc<Mutex<BTreeMap<u64, StoredRecord>>>);
 
 impl GossipRecords {
-    fn table(&self) -> MutexGuard<'_, BTreeMap<u64, StoredRecord>> {
+    fn records(&self) -> MutexGuard<'_, BTreeMap<u64, StoredRecord>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn of(&self, incarnation: u64) -> Option<GossipRecord> {
-        self.table().get(&incarnation).map(|stored| stored.record.clone())
+    pub(crate) fn get(&self, incarnation: u64) -> Option<GossipRecord> {
+        self.records().get(&incarnation).map(|stored| stored.record.clone())
     }
 
     pub(crate) fn forget(&self, incarnation: u64) {
-        self.table().remove(&incarnation);
+        self.records().remove(&incarnation);
     }
 }
 
@@ -77,37 +77,37 @@
 }
 
 #[derive(Debug)]
-pub(crate) struct UnreadableRecord;
+pub(crate) struct MalformedRecord;
 
-impl fmt::Display for UnreadableRecord {
+impl fmt::Display for MalformedRecord {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str("gossip record is malformed")
     }
 }
 
-impl std::error::Error for UnreadableRecord {}
+impl std::error::Error for MalformedRecord {}
 
 impl<T> BroadcastHandler<T> for GossipRecords {
     type Key = RecordKey;
-    type Error = UnreadableRecord;
+    type Error = MalformedRecord;
 
-    /// Stores a record, and returns its key so that `foca` forwards it, if it is newer than the known record of its
-    /// member. A record that is too long or malformed is an error. A record with too many engines, or of a member beyond
-    /// [`MAX_MEMBERS`], is ignored.
-    fn receive_item(&mut self, data: &[u8], _: Option<&T>) -> Result<Option<RecordKey>, UnreadableRecord> {
+    /// Stores a record, and returns its key so that `foca` forwards it, if it is newer than the known record of
+    /// its member. A record that is too long or malformed is an error. A record with too many engines, or of a
+    /// member beyond [`MAX_MEMBERS`], is ignored.
+    fn receive_item(&mut self, data: &[u8], _: Option<&T>) -> Result<Option<RecordKey>, MalformedRecord> {
         if data.len() > MAX_RECORD_BYTES {
-            return Err(UnreadableRecord);
+            return Err(MalformedRecord);
         }
         let EncodedRecord { incarnation, sequence, record } =
-            postcard::from_bytes(data).map_err(|_| UnreadableRecord)?;
-        let mut table = self.table();
-        let known = table.get(&incarnation).map(|stored| stored.sequence);
+            postcard::from_bytes(data).map_err(|_| MalformedRecord)?;
+        let mut records = self.records();
+        let known = records.get(&incarnation).map(|stored| stored.sequence);
         let is_admissible = record.ejected_engines.len() <= MAX_EJECTED_ENGINES
-            && (known.is_some() || table.len() < MAX_MEMBERS);
+            && (known.is_some() || records.len() < MAX_MEMBERS);
         if known >= Some(sequence) || !is_admissible {
             return Ok(None);
         }
-        table.insert(incarnation, StoredRecord { sequence, record });
+        records.insert(incarnation, StoredRecord { sequence, record });
         Ok(Some(RecordKey { incarnation, sequence }))
     }
 }
