--- a/crates/core/failure-detector/tests/limits.rs
+++ b/crates/core/failure-detector/tests/limits.rs
@@ -5,12 +5,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const PERIOD: Duration = Duration::from_millis(500);
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
 fn detector(n: usize) -> FailureDetector {
-    let me =
+    let local =
         Member { name: format!("n{n}"), address: at(n), incarnation: n as u64 + 1, zone: 0, refutations: 0 };
-    FailureDetector::new(me, DetectorConfig { probe_interval: PERIOD }, n as u64)
+    FailureDetector::new(local, DetectorConfig { probe_interval: PROBE_INTERVAL }, n as u64)
 }
 
 fn at(n: usize) -> SocketAddr {
@@ -38,15 +38,15 @@
 
 #[test]
 fn each_seed_without_a_member_is_announced_to_again() {
-    for (addresses, greeted) in [(1024, 1024), (MAX_MEMBERS, MAX_MEMBERS), (MAX_MEMBERS + 1, MAX_MEMBERS)] {
+    for (addresses, expected) in [(1024, 1024), (MAX_MEMBERS, MAX_MEMBERS), (MAX_MEMBERS + 1, MAX_MEMBERS)] {
         let mut one = detector(0);
         (1..=addresses).for_each(|n| one.add_seed(Duration::ZERO, at(n)));
         let _ = one.take_outgoing();
-        let mut again = BTreeSet::new();
+        let mut announced_to = BTreeSet::new();
         for poll in 1..=addresses as u32 {
-            one.poll(PERIOD * 4 * poll);
-            again.extend(one.take_outgoing().into_iter().map(|datagram| datagram.to));
+            one.poll(PROBE_INTERVAL * 4 * poll);
+            announced_to.extend(one.take_outgoing().into_iter().map(|datagram| datagram.to));
         }
-        assert_eq!(again.len(), greeted, "of {addresses}");
+        assert_eq!(announced_to.len(), expected, "of {addresses}");
     }
 }
--- a/crates/core/failure-detector/tests/scenarios.rs
+++ b/crates/core/failure-detector/tests/scenarios.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const PERIOD: Duration = Duration::from_millis(500);
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
 struct World {
     now: Duration,
@@ -45,13 +45,13 @@
         let local =
             Member { name: format!("n{n}"), address: at(n), incarnation, zone: n as u32 % 3, refutations: 0 };
         let mut detector =
-            FailureDetector::new(local, DetectorConfig { probe_interval: PERIOD }, incarnation);
+            FailureDetector::new(local, DetectorConfig { probe_interval: PROBE_INTERVAL }, incarnation);
         (0..3).for_each(|known| detector.add_seed(self.now, at(known)));
         self.detectors.insert(at(n), detector);
     }
 
-    fn run(&mut self, span: Duration) {
-        let until = self.now + span;
+    fn run(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while self.now < until {
             self.now += Duration::from_millis(10);
             let now = self.now;
@@ -68,8 +68,8 @@
                     self.sent += 1;
                     self.bytes += bytes.len();
                     if self.chance.f64() >= self.loss {
-                        let late = Duration::from_millis(self.chance.u64(1..30));
-                        self.in_flight.push((now + late, to, bytes));
+                        let delay = Duration::from_millis(self.chance.u64(1..30));
+                        self.in_flight.push((now + delay, to, bytes));
                     }
                 }
                 for change in detector.take_changes() {
@@ -90,13 +90,13 @@
 #[test]
 fn members_are_discovered_a_crash_is_detected_and_a_restart_is_a_new_incarnation() {
     let mut world = World::new(1, 12, 0.05);
-    world.run(PERIOD * 20);
+    world.run(PROBE_INTERVAL * 20);
     assert_eq!(world.known(), [11; 12]);
     world.detectors.remove(&at(7));
-    world.run(PERIOD * 30);
+    world.run(PROBE_INTERVAL * 30);
     assert_eq!(world.known(), [10; 11]);
     world.start(7);
-    world.run(PERIOD * 30);
+    world.run(PROBE_INTERVAL * 30);
     assert_eq!(world.known(), [11; 12]);
     let one = |detector: &FailureDetector| detector.members().filter(|member| member.name == "n7").count();
     assert!(
@@ -107,15 +107,15 @@
 #[test]
 fn a_leave_is_known_at_once_and_a_quick_restart_is_noticed() {
     let mut world = World::new(2, 9, 0.0);
-    world.run(PERIOD * 20);
+    world.run(PROBE_INTERVAL * 20);
     let now = world.now;
     world.detectors.get_mut(&at(4)).unwrap().leave(now);
-    world.run(PERIOD * 4);
+    world.run(PROBE_INTERVAL * 4);
     world.detectors.remove(&at(4));
     assert_eq!(world.known(), [7; 8]);
     let before = world.left.len();
     world.start(5); // A new incarnation starts before any member has suspected the old one.
-    world.run(PERIOD * 40);
+    world.run(PROBE_INTERVAL * 40);
     assert_eq!(world.known(), [7; 8]);
     assert!(
         world.left[before..].iter().any(|(_, member)| member.name == "n5"),
@@ -126,7 +126,7 @@
 #[test]
 fn gossip_records_reach_all_members_and_the_latest_counts() {
     let mut world = World::new(3, 20, 0.2);
-    world.run(PERIOD * 20);
+    world.run(PROBE_INTERVAL * 20);
     for requests_per_second in [5, 9] {
         let record = GossipRecord {
             requests_per_second,
@@ -134,7 +134,7 @@
             desired_state_version: 3,
         };
         world.detectors.get_mut(&at(2)).unwrap().publish(record);
-        world.run(PERIOD * 12);
+        world.run(PROBE_INTERVAL * 12);
     }
     let incarnation =
         world.detectors[&at(3)].members().find(|member| member.name == "n2").unwrap().incarnation;
@@ -155,12 +155,12 @@
 #[test]
 fn a_partition_of_some_periods_heals_by_itself() {
     let mut world = World::new(4, 10, 0.0);
-    world.run(PERIOD * 20);
+    world.run(PROBE_INTERVAL * 20);
     world.loss = 1.0;
-    world.run(PERIOD * 30);
+    world.run(PROBE_INTERVAL * 30);
     assert!(world.known().iter().all(|known| *known < 9));
     world.loss = 0.0;
-    world.run(PERIOD * 200);
+    world.run(PROBE_INTERVAL * 200);
     assert_eq!(world.known(), [9; 10]);
 }
 
@@ -170,13 +170,13 @@
 fn false_positives_and_cost_are_bounded() {
     for (fronts, loss) in [(40, 0.0), (40, 0.2), (120, 0.2)] {
         let mut world = World::new(5, fronts, loss);
-        world.run(PERIOD * 40);
+        world.run(PROBE_INTERVAL * 40);
         let (sent, bytes, left) = (world.sent, world.bytes, world.left.len());
-        let span = PERIOD * 120;
-        world.run(span);
-        let each = fronts as f64 * span.as_secs_f64();
+        let duration = PROBE_INTERVAL * 120;
+        world.run(duration);
+        let each = fronts as f64 * duration.as_secs_f64();
         let false_positives =
-            (world.left.len() - left) as f64 / (fronts * fronts) as f64 / span.as_secs_f64() * 3600.0;
+            (world.left.len() - left) as f64 / (fronts * fronts) as f64 / duration.as_secs_f64() * 3600.0;
         let messages = (world.sent - sent) as f64 / each;
         let known_share = world.known().iter().sum::<usize>() as f64 / (fronts * (fronts - 1)) as f64;
         println!(
@@ -192,7 +192,7 @@
 #[test]
 fn corrupt_datagrams_change_nothing() {
     let mut world = World::new(6, 3, 0.0);
-    world.run(PERIOD * 10);
+    world.run(PROBE_INTERVAL * 10);
     let mut chance = fastrand::Rng::with_seed(6);
     let now = world.now;
     let detector = world.detectors.get_mut(&at(0)).unwrap();
