--- a/crates/core/registers/src/acceptor.rs
+++ b/crates/core/registers/src/acceptor.rs
@@ -6,7 +6,7 @@
 mod recovery;
 
 use crate::{
-    AcceptedEntry, Entry, MAX_REGISTERS, MAX_VALUE_BYTES, NOBODY, Name, OutboundMessage, RegisterReply,
+    AcceptedEntry, Entry, MAX_REGISTERS, MAX_VALUE_BYTES, NO_PROPOSER, Name, OutboundMessage, RegisterReply,
     RegisterRequest, RegisterState,
 };
 use lemonusher_leases::{Ballot, LeaseConfig, MAX_NAME_BYTES};
@@ -26,7 +26,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-struct Slot {
+struct StoredRegister {
     /// The highest promised ballot; lower ones are rejected.
     promised: Ballot,
     accepted: Option<AcceptedEntry>,
@@ -68,8 +68,8 @@
     epoch: u64,
     /// The lowest epoch that this acceptor may begin, also if no voter remembers an epoch.
     first_epoch: u64,
-    slots: BTreeMap<Name, Slot>,
-    /// Incremented with each accepted entry in this incarnation; no two slots have the same revision above 0.
+    registers: BTreeMap<Name, StoredRegister>,
+    /// Incremented with each accepted entry in this incarnation; no two registers have the same revision above 0.
     revision: u64,
     /// None once the acceptor votes.
     recovery: Option<Recovery>,
@@ -93,7 +93,7 @@
             incarnation,
             epoch: 0,
             first_epoch,
-            slots: BTreeMap::new(),
+            registers: BTreeMap::new(),
             revision: 0,
             recovery: Some(Recovery::new(now + config.voter_hold_time())),
         }
@@ -102,19 +102,19 @@
     /// Creates an acceptor from a state folder with everything that it ever promised and accepted. It votes at once.
     pub fn restored(voters: usize, index: usize, incarnation: u64, stored: PersistentState) -> Acceptor {
         let mut revision = 0;
-        let mut slots = BTreeMap::new();
+        let mut registers = BTreeMap::new();
         for RegisterState { name, promised, accepted } in stored.registers {
             revision += u64::from(accepted.is_some());
-            let slot_revision = if accepted.is_some() { revision } else { 0 };
-            slots.insert(name, Slot { promised, accepted, revision: slot_revision });
+            let register_revision = if accepted.is_some() { revision } else { 0 };
+            registers.insert(name, StoredRegister { promised, accepted, revision: register_revision });
         }
         let epoch = stored.epoch;
-        Acceptor { voters, index, incarnation, epoch, first_epoch: 0, slots, revision, recovery: None }
+        Acceptor { voters, index, incarnation, epoch, first_epoch: 0, registers, revision, recovery: None }
     }
 
     /// The state that a voter with a state folder must store before it sends any reply.
     pub fn persistent_state(&self) -> PersistentState {
-        let registers = self.slots.iter().map(|(name, slot)| slot.state(name));
+        let registers = self.registers.iter().map(|(name, register)| register.state(name));
         PersistentState { epoch: self.epoch, registers: registers.collect() }
     }
 
@@ -134,7 +134,7 @@
 
     /// The entries that this acceptor has accepted; they need not be committed.
     pub fn accepted(&self) -> impl Iterator<Item = (&Name, &Entry)> {
-        self.slots.iter().filter_map(|(name, slot)| Some((name, &slot.accepted.as_ref()?.entry)))
+        self.registers.iter().filter_map(|(name, register)| Some((name, &register.accepted.as_ref()?.entry)))
     }
 
     /// The next time at which [`Acceptor::poll`] has something to do.
@@ -151,9 +151,11 @@
     /// A register that a new epoch began with and that no proposer has proposed since. It can be committed only
     /// after a proposal, for which an [`Operation::Read`](crate::Operation::Read) is enough.
     pub fn unproposed_register(&self, now: Duration) -> Option<&Name> {
-        let is_unproposed =
-            |slot: &Slot| slot.accepted.as_ref().is_some_and(|accepted| accepted.ballot.proposer == NOBODY);
-        let unproposed = self.slots.iter().find(|(_, slot)| is_unproposed(slot)).map(|(name, _)| name);
+        let is_unproposed = |register: &StoredRegister| {
+            register.accepted.as_ref().is_some_and(|accepted| accepted.ballot.proposer == NO_PROPOSER)
+        };
+        let unproposed =
+            self.registers.iter().find(|(_, register)| is_unproposed(register)).map(|(name, _)| name);
         unproposed.filter(|_| self.state(now) == AcceptorState::Voting)
     }
 
@@ -184,39 +186,39 @@
     }
 
     fn is_within_limits(&self, name: &str, ballot: Ballot) -> bool {
-        let has_room = self.slots.contains_key(name) || self.slots.len() < MAX_REGISTERS;
-        has_room && !name.is_empty() && name.len() <= MAX_NAME_BYTES && ballot > Ballot::default()
+        let has_capacity = self.registers.contains_key(name) || self.registers.len() < MAX_REGISTERS;
+        has_capacity && !name.is_empty() && name.len() <= MAX_NAME_BYTES && ballot > Ballot::default()
     }
 
     fn handle_prepare(&mut self, name: Name, ballot: Ballot) -> RegisterReply {
         let epoch = self.epoch;
-        let slot = self.slots.entry(name.clone()).or_default();
-        if ballot < slot.promised {
-            return RegisterReply::StaleBallot { name, ballot, round: slot.promised.round };
+        let register = self.registers.entry(name.clone()).or_default();
+        if ballot < register.promised {
+            return RegisterReply::StaleBallot { name, ballot, round: register.promised.round };
         }
-        slot.promised = ballot;
-        RegisterReply::Promise { name, ballot, epoch, accepted: slot.accepted.clone() }
+        register.promised = ballot;
+        RegisterReply::Promise { name, ballot, epoch, accepted: register.accepted.clone() }
     }
 
     fn handle_accept(&mut self, name: Name, ballot: Ballot, entry: Entry) -> RegisterReply {
-        let slot = self.slots.entry(name.clone()).or_default();
+        let register = self.registers.entry(name.clone()).or_default();
         // A request of an earlier epoch was sent before a majority lost its memory. No proposer counts a reply to
         // it any more, but learners would count the accepted entry, and another value may have been committed
         // under its version.
         let is_older_epoch = entry.version.epoch < self.epoch;
-        if ballot < slot.promised || is_older_epoch {
-            return RegisterReply::StaleBallot { name, ballot, round: slot.promised.round };
+        if ballot < register.promised || is_older_epoch {
+            return RegisterReply::StaleBallot { name, ballot, round: register.promised.round };
         }
-        slot.promised = ballot;
+        register.promised = ballot;
         self.epoch = self.epoch.max(entry.version.epoch);
         self.revision += 1;
-        slot.revision = self.revision;
-        slot.accepted = Some(AcceptedEntry { ballot, entry });
+        register.revision = self.revision;
+        register.accepted = Some(AcceptedEntry { ballot, entry });
         RegisterReply::Accepted { name, ballot }
     }
 }
 
-impl Slot {
+impl StoredRegister {
     fn state(&self, name: &Name) -> RegisterState {
         RegisterState { name: name.clone(), promised: self.promised, accepted: self.accepted.clone() }
     }
--- a/crates/core/registers/src/acceptor/pages.rs
+++ b/crates/core/registers/src/acceptor/pages.rs
@@ -1,6 +1,6 @@
 //! Replies that show an acceptor's state: one register, a page of changes, or a page of a copy.
 
-use super::{Acceptor, Slot};
+use super::{Acceptor, StoredRegister};
 use crate::{
     AcceptedEntry, ChangedRegister, Changes, EntryVersion, MAX_PAGE_BYTES, MAX_REGISTER_OVERHEAD_BYTES, Name,
     RegisterReply,
@@ -8,7 +8,7 @@
 
 impl Acceptor {
     pub(super) fn read(&self, name: &Name, known: Option<EntryVersion>) -> RegisterReply {
-        let accepted = self.slots.get(name).and_then(|slot| slot.accepted.as_ref());
+        let accepted = self.registers.get(name).and_then(|register| register.accepted.as_ref());
         let Some(AcceptedEntry { ballot, entry }) = accepted else {
             return RegisterReply::NotFound { name: name.clone() };
         };
@@ -20,21 +20,21 @@
     /// The entries accepted since a revision, in the order of revisions, as many as fit one page.
     pub(super) fn changes_since(&self, incarnation: u64, since: u64) -> RegisterReply {
         let since = if incarnation == self.incarnation { since.min(self.revision) } else { 0 };
-        let mut changed: Vec<(&Name, &Slot)> =
-            self.slots.iter().filter(|(_, slot)| slot.revision > since).collect();
-        changed.sort_by_key(|(_, slot)| slot.revision);
+        let mut changed: Vec<(&Name, &StoredRegister)> =
+            self.registers.iter().filter(|(_, register)| register.revision > since).collect();
+        changed.sort_by_key(|(_, register)| register.revision);
         let mut registers = Vec::new();
         let mut page_bytes = 0;
         let mut revision = self.revision;
         let mut last_revision = since;
-        for (name, slot) in &changed {
-            let Some(AcceptedEntry { ballot, entry }) = &slot.accepted else { continue };
-            page_bytes += slot.bytes(name);
+        for (name, register) in &changed {
+            let Some(AcceptedEntry { ballot, entry }) = &register.accepted else { continue };
+            page_bytes += register.bytes(name);
             if !registers.is_empty() && page_bytes > MAX_PAGE_BYTES {
                 revision = last_revision;
                 break;
             }
-            last_revision = slot.revision;
+            last_revision = register.revision;
             registers.push(ChangedRegister { name: (*name).clone(), ballot: *ballot, entry: entry.clone() });
         }
         let more = revision < self.revision;
@@ -48,21 +48,21 @@
         let mut registers = Vec::new();
         let mut page_bytes = 0;
         let mut more = false;
-        let later = self.slots.iter().filter(|(name, _)| *name > after && !without_memory);
-        for (name, slot) in later {
-            page_bytes += slot.bytes(name);
+        let later = self.registers.iter().filter(|(name, _)| *name > after && !without_memory);
+        for (name, register) in later {
+            page_bytes += register.bytes(name);
             if !registers.is_empty() && page_bytes > MAX_PAGE_BYTES {
                 more = true;
                 break;
             }
-            registers.push(slot.state(name));
+            registers.push(register.state(name));
         }
         let (incarnation, epoch) = (self.incarnation, self.epoch);
         RegisterReply::StateCopy { round, incarnation, without_memory, epoch, registers, more }
     }
 }
 
-impl Slot {
+impl StoredRegister {
     /// Maximum encoded size of a register in a page, in bytes.
     fn bytes(&self, name: &Name) -> usize {
         let value_bytes = self.accepted.as_ref().map_or(0, |accepted| accepted.entry.value.len());
--- a/crates/core/registers/src/acceptor/recovery.rs
+++ b/crates/core/registers/src/acceptor/recovery.rs
@@ -3,7 +3,8 @@
 
 use super::Acceptor;
 use crate::{
-    AcceptedEntry, NOBODY, Name, OutboundMessage, RegisterReply, RegisterRequest, RegisterState, majority,
+    AcceptedEntry, NO_PROPOSER, Name, OutboundMessage, RegisterReply, RegisterRequest, RegisterState,
+    majority,
 };
 use lemonusher_leases::{Ballot, LeaseConfig};
 use std::collections::BTreeMap;
@@ -159,14 +160,14 @@
     }
 
     /// Adopts a promise and an accepted entry of another voter if their ballots are higher than this acceptor's.
-    fn merge(&mut self, register: RegisterState) {
-        let slot = self.slots.entry(register.name).or_default();
-        slot.promised = slot.promised.max(register.promised);
+    fn merge(&mut self, copied: RegisterState) {
+        let register = self.registers.entry(copied.name).or_default();
+        register.promised = register.promised.max(copied.promised);
         let ballot = |accepted: &Option<AcceptedEntry>| accepted.as_ref().map(|accepted| accepted.ballot);
-        if ballot(&register.accepted) > ballot(&slot.accepted) {
+        if ballot(&copied.accepted) > ballot(&register.accepted) {
             self.revision += 1;
-            slot.revision = self.revision;
-            slot.accepted = register.accepted;
+            register.revision = self.revision;
+            register.accepted = copied.accepted;
         }
     }
 
@@ -195,11 +196,11 @@
     /// that learners do not count its copies as committed.
     fn begin_epoch(&mut self) {
         self.epoch = (self.epoch + 1).max(self.first_epoch);
-        for slot in self.slots.values_mut() {
-            let Some(AcceptedEntry { ballot, entry }) = &mut slot.accepted else { continue };
-            *ballot = Ballot { round: ballot.round + 1, proposer: NOBODY };
+        for register in self.registers.values_mut() {
+            let Some(AcceptedEntry { ballot, entry }) = &mut register.accepted else { continue };
+            *ballot = Ballot { round: ballot.round + 1, proposer: NO_PROPOSER };
             entry.version.epoch = self.epoch;
-            slot.promised = slot.promised.max(*ballot);
+            register.promised = register.promised.max(*ballot);
         }
     }
 }
--- a/crates/core/registers/src/learner.rs
+++ b/crates/core/registers/src/learner.rs
@@ -3,7 +3,7 @@
 //! Events are replies and [`Learner::poll`]; outputs are the returned requests.
 
 use crate::{
-    ChangedRegister, Changes, Entry, EntryVersion, NOBODY, Name, OutboundMessage, RegisterReply,
+    ChangedRegister, Changes, Entry, EntryVersion, NO_PROPOSER, Name, OutboundMessage, RegisterReply,
     RegisterRequest, majority,
 };
 use lemonusher_leases::Ballot;
@@ -14,10 +14,11 @@
 const REPORT_LIFETIME_POLLS: u32 = 2;
 /// Poll intervals after a reply for which a voter is assumed to support that kind of request.
 const CAPABILITY_LIFETIME_POLLS: u32 = 8;
-/// Minimum time between two polls, as a share of the poll interval. A random share of up to [`POLL_JITTER`] is added.
-const MIN_POLL_INTERVAL_PART: f64 = 0.75;
+/// Minimum time between two polls, as a share of the poll interval. A random share of up to [`POLL_JITTER_SHARE`]
+/// is added.
+const MIN_POLL_INTERVAL_SHARE: f64 = 0.75;
 /// Maximum random time added between two polls, as a share of the poll interval.
-const POLL_JITTER: f64 = 0.5;
+const POLL_JITTER_SHARE: f64 = 0.5;
 
 /// A committed value of a register, as a learner knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -52,7 +53,7 @@
 
 /// The last known revision of one voter, and the kinds of requests that it supports.
 #[derive(Debug, Clone, Copy, Default)]
-struct Source {
+struct VoterCursor {
     /// The voter's incarnation; 0 while unknown.
     incarnation: u64,
     /// The last known revision of that incarnation.
@@ -69,24 +70,24 @@
     poll_interval: Duration,
     registers: BTreeMap<Name, WatchedRegister>,
     /// By the index of the voter.
-    sources: Vec<Source>,
+    cursors: Vec<VoterCursor>,
     next_poll: Duration,
 }
 
 impl Learner {
     /// Creates a learner that watches no register yet, for a fleet with `voters` voters.
     pub fn new(voters: usize, poll_interval: Duration) -> Learner {
-        let sources = vec![Source::default(); voters];
-        Learner { poll_interval, registers: BTreeMap::new(), sources, next_poll: Duration::ZERO }
+        let cursors = vec![VoterCursor::default(); voters];
+        Learner { poll_interval, registers: BTreeMap::new(), cursors, next_poll: Duration::ZERO }
     }
 
     /// Watches a register from now on. Voters report each change only once, so the learner requests all registers
     /// again from the first revision.
     pub fn watch(&mut self, name: &str) {
         self.registers.entry(name.to_owned()).or_default();
-        for source in &mut self.sources {
-            source.incarnation = 0;
-            source.revision = 0;
+        for cursor in &mut self.cursors {
+            cursor.incarnation = 0;
+            cursor.revision = 0;
         }
         self.next_poll = Duration::ZERO;
     }
@@ -105,7 +106,7 @@
 
     /// Whether a majority has reported, at some time since this learner began to poll, that the register was empty.
     pub fn is_known_empty(&self, name: &str) -> bool {
-        let is_empty = |register: &WatchedRegister| register.empty.len() >= majority(self.sources.len());
+        let is_empty = |register: &WatchedRegister| register.empty.len() >= majority(self.cursors.len());
         self.registers.get(name).is_some_and(is_empty)
     }
 
@@ -124,12 +125,13 @@
         if now < self.next_poll || self.registers.is_empty() {
             return messages;
         }
-        self.next_poll = now + self.poll_interval.mul_f64(MIN_POLL_INTERVAL_PART + POLL_JITTER * chance());
+        self.next_poll =
+            now + self.poll_interval.mul_f64(MIN_POLL_INTERVAL_SHARE + POLL_JITTER_SHARE * chance());
         let lifetime = self.poll_interval * CAPABILITY_LIFETIME_POLLS;
         let is_recent = |at: Option<Duration>| at.is_some_and(|at| at + lifetime > now);
-        for (voter, source) in self.sources.iter().enumerate() {
-            messages.push(source.changes_request(voter));
-            let reads = match (is_recent(source.last_changes_reply), is_recent(source.last_read_reply)) {
+        for (voter, cursor) in self.cursors.iter().enumerate() {
+            messages.push(cursor.changes_request(voter));
+            let reads = match (is_recent(cursor.last_changes_reply), is_recent(cursor.last_read_reply)) {
                 (true, _) => 0,
                 (false, true) => self.registers.len(),
                 (false, false) => 1,
@@ -146,7 +148,7 @@
     /// Records a value that this front has committed or read itself, so that the learner need not poll for it.
     pub fn observe_committed(&mut self, now: Duration, name: &str, entry: &Entry) {
         if let Some(register) = self.registers.get_mut(name) {
-            register.commit(now, entry);
+            register.record_committed(now, entry);
         }
     }
 
@@ -158,13 +160,13 @@
         voter: usize,
         reply: RegisterReply,
     ) -> Vec<OutboundMessage> {
-        if voter >= self.sources.len() {
+        if voter >= self.cursors.len() {
             return Vec::new();
         }
         match reply {
             RegisterReply::NotFound { name } => self.handle_not_found(now, voter, &name),
             RegisterReply::Value { name, ballot, version, entry } => {
-                self.sources[voter].last_read_reply = Some(now);
+                self.cursors[voter].last_read_reply = Some(now);
                 self.record_report(voter, &name, Report { ballot, version, reported_at: now }, entry);
                 self.confirm(now, voter);
             }
@@ -175,7 +177,7 @@
     }
 
     fn handle_not_found(&mut self, now: Duration, voter: usize, name: &str) {
-        self.sources[voter].last_read_reply = Some(now);
+        self.cursors[voter].last_read_reply = Some(now);
         if let Some(register) = self.registers.get_mut(name) {
             register.empty.insert(voter);
         }
@@ -183,16 +185,16 @@
 
     fn handle_changes(&mut self, now: Duration, voter: usize, changes: Changes) -> Vec<OutboundMessage> {
         let Changes { incarnation, since, revision, registers, more } = changes;
-        let source = &mut self.sources[voter];
-        source.last_changes_reply = Some(now);
-        let is_new_incarnation = incarnation != source.incarnation;
-        let known_revision = if is_new_incarnation { 0 } else { source.revision };
+        let cursor = &mut self.cursors[voter];
+        cursor.last_changes_reply = Some(now);
+        let is_new_incarnation = incarnation != cursor.incarnation;
+        let known_revision = if is_new_incarnation { 0 } else { cursor.revision };
         if since != known_revision {
             return Vec::new(); // A delayed or repeated reply.
         }
-        source.incarnation = incarnation;
-        source.revision = revision;
-        let next_page = source.changes_request(voter);
+        cursor.incarnation = incarnation;
+        cursor.revision = revision;
+        let next_page = cursor.changes_request(voter);
         if is_new_incarnation {
             self.forget_reports(voter);
         }
@@ -240,7 +242,7 @@
     /// Records the entries that a voter has just reported as committed, or confirms them, if a majority reports the same
     /// ballot.
     fn confirm(&mut self, now: Duration, voter: usize) {
-        let needed = majority(self.sources.len());
+        let needed = majority(self.cursors.len());
         let lifetime = self.poll_interval * REPORT_LIFETIME_POLLS;
         for register in self.registers.values_mut() {
             register.confirm(now, voter, needed, lifetime);
@@ -248,7 +250,7 @@
     }
 }
 
-impl Source {
+impl VoterCursor {
     fn changes_request(&self, voter: usize) -> OutboundMessage {
         let request =
             RegisterRequest::ChangesSince { incarnation: self.incarnation, revision: self.revision };
@@ -260,7 +262,8 @@
     /// Records the entry that `voter` has just reported as committed, or confirms it. `needed` is the number of voters
     /// that must report the same ballot within `lifetime`.
     fn confirm(&mut self, now: Duration, voter: usize, needed: usize, lifetime: Duration) {
-        let is_proposed = |report: &Report| report.reported_at == now && report.ballot.proposer != NOBODY;
+        let is_proposed =
+            |report: &Report| report.reported_at == now && report.ballot.proposer != NO_PROPOSER;
         let Some(report) = self.reports.get(&voter).copied().filter(is_proposed) else { return };
         let agrees = |other: &&Report| {
             other.ballot == report.ballot
@@ -273,12 +276,12 @@
         if self.committed.as_ref().is_some_and(|entry| entry.version == report.version) {
             self.confirmed_at = Some(now);
         } else if let Some(entry) = self.candidates.get(&report.ballot).cloned() {
-            self.commit(now, &entry);
+            self.record_committed(now, &entry);
         }
     }
 
     /// Records a committed value. An older one that arrives late changes nothing.
-    fn commit(&mut self, now: Duration, entry: &Entry) {
+    fn record_committed(&mut self, now: Duration, entry: &Entry) {
         let known = self.committed.as_ref().map(|entry| entry.version);
         if Some(entry.version) < known {
             return;
--- a/crates/core/registers/src/lib.rs
+++ b/crates/core/registers/src/lib.rs
@@ -55,7 +55,7 @@
 const MAX_REGISTER_OVERHEAD_BYTES: usize = 48;
 /// The proposer in the ballots of the values that a new epoch begins with. Such a value was copied from fewer than a
 /// majority and may never have been committed, so it is not committed when a majority reports it.
-const NOBODY: u64 = 0;
+const NO_PROPOSER: u64 = 0;
 
 /// The number of voters that form a majority of `voters`.
 pub fn majority(voters: usize) -> usize {
--- a/crates/core/registers/src/proposer.rs
+++ b/crates/core/registers/src/proposer.rs
@@ -16,7 +16,7 @@
 /// The timeout of an attempt is the lease duration divided by this.
 const ATTEMPT_TIMEOUT_DIVISOR: u32 = 6;
 /// Maximum number of attempts per change; then its outcome is unknown.
-const MAX_TRIES: u32 = 8;
+const MAX_ATTEMPTS: u32 = 8;
 
 /// An operation on a register.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -76,7 +76,7 @@
     ballot: Ballot,
     started: Duration,
     /// The number of this attempt within the change, from 1.
-    tries: u32,
+    attempt_number: u32,
     /// Indices of the voters that promised; the next two sets also hold indices of voters.
     promises: BTreeSet<usize>,
     acceptances: BTreeSet<usize>,
@@ -163,11 +163,11 @@
 
     fn retry(&mut self, now: Duration, name: Name) -> Vec<OutboundMessage> {
         let Some(attempt) = self.attempts.remove(&name) else { return Vec::new() };
-        if attempt.tries >= MAX_TRIES {
+        if attempt.attempt_number >= MAX_ATTEMPTS {
             self.outcomes.push(ProposalOutcome::Unknown { name });
             return Vec::new();
         }
-        self.begin_attempt(now, &name, attempt.operation, attempt.tries + 1)
+        self.begin_attempt(now, &name, attempt.operation, attempt.attempt_number + 1)
     }
 
     fn begin_attempt(
@@ -175,7 +175,7 @@
         now: Duration,
         name: &str,
         operation: Operation,
-        tries: u32,
+        attempt_number: u32,
     ) -> Vec<OutboundMessage> {
         self.round += 1;
         let ballot = Ballot { round: self.round, proposer: self.incarnation.id };
@@ -183,7 +183,7 @@
             operation,
             ballot,
             started: now,
-            tries,
+            attempt_number,
             promises: BTreeSet::new(),
             acceptances: BTreeSet::new(),
             rejections: BTreeSet::new(),
