--- a/crates/core/registers/tests/exhaustive.rs
+++ b/crates/core/registers/tests/exhaustive.rs
@@ -28,8 +28,8 @@
 
 /// A message in flight, for any time. A message that is never delivered counts as lost.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Sent {
-    RegisterRequest(usize, usize, RegisterRequest),
+enum InFlight {
+    Request(usize, usize, RegisterRequest),
     /// Between voters: index and incarnation of the sender, index of the receiver.
     Copy(usize, u64, usize, RegisterRequest),
 }
@@ -40,20 +40,20 @@
     incarnations: Vec<u64>,
     proposers: Vec<Proposer>,
     begun: Vec<bool>,
-    forgot: bool,
-    past: bool,
+    has_lost_memory: bool,
+    silence_ended: bool,
     /// The values that proposers reported as committed, by version.
     committed: BTreeMap<EntryVersion, BTreeSet<Vec<u8>>>,
-    sent: BTreeSet<Sent>,
+    sent: BTreeSet<InFlight>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Begin(usize),
-    Deliver(Sent),
-    Forget,
+    Deliver(InFlight),
+    LoseMemory,
     /// The voter hold time ends, in which a voter without memory does not vote. Earlier attempts have ended by then.
-    Pass,
+    EndSilence,
 }
 
 const NOW: Duration = Duration::from_millis(10);
@@ -65,18 +65,18 @@
 
 impl SmallFleet {
     fn now(&self, state: &State) -> Duration {
-        if state.past { LATER } else { NOW }
+        if state.silence_ended { LATER } else { NOW }
     }
 
     fn send_messages(&self, state: &mut State, from: usize, messages: Vec<OutboundMessage>) {
         for OutboundMessage { voter, request } in messages {
-            state.sent.insert(Sent::RegisterRequest(from, voter, request));
+            state.sent.insert(InFlight::Request(from, voter, request));
         }
     }
 
     fn send_copy_requests(&self, state: &mut State, from: usize, messages: Vec<OutboundMessage>) {
         for OutboundMessage { voter, request } in messages {
-            state.sent.insert(Sent::Copy(from, state.incarnations[from], voter, request));
+            state.sent.insert(InFlight::Copy(from, state.incarnations[from], voter, request));
         }
     }
 
@@ -92,23 +92,23 @@
         }
     }
 
-    fn deliver(&self, state: &mut State, now: Duration, sent: Sent) -> Option<()> {
+    fn deliver(&self, state: &mut State, now: Duration, sent: InFlight) -> Option<()> {
         match sent {
-            Sent::RegisterRequest(front, voter, request) => {
+            InFlight::Request(front, voter, request) => {
                 let reply = state.acceptors[voter].handle_request(now, request)?;
                 let messages = state.proposers[front].handle_reply(now, &config(), voter, reply, &mut || 0.0);
                 self.send_messages(state, front, messages);
                 self.check_outcomes(state, front);
             }
-            Sent::Copy(from, incarnation, to, request) => {
+            InFlight::Copy(from, incarnation, to, request) => {
                 let reply = state.acceptors[to].handle_request(now, request)?;
                 if state.incarnations[from] != incarnation {
                     return None;
                 }
                 if self.mutation == Mutation::CopiesFromOne
-                    && let RegisterReply::StateCopy { registers: rows, .. } = &reply
+                    && let RegisterReply::StateCopy { registers, .. } = &reply
                 {
-                    let stored = PersistentState { epoch: 0, registers: rows.clone() };
+                    let stored = PersistentState { epoch: 0, registers: registers.clone() };
                     state.acceptors[from] = Acceptor::restored(VOTERS, from, incarnation, stored);
                 }
                 let messages = state.acceptors[from].handle_copy(now, to, reply);
@@ -132,8 +132,8 @@
                 .map(|n| Proposer::new(Incarnation { name: format!("{n}"), id: n as u64 + 1 }, VOTERS))
                 .collect(),
             begun: vec![false; PROPOSERS],
-            forgot: false,
-            past: false,
+            has_lost_memory: false,
+            silence_ended: false,
             committed: BTreeMap::new(),
             sent: BTreeSet::new(),
         }]
@@ -142,10 +142,10 @@
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
         steps.extend(state.sent.iter().cloned().map(Step::Deliver));
         steps.extend((0..PROPOSERS).filter(|front| !state.begun[*front]).map(Step::Begin));
-        if !state.forgot {
-            steps.push(Step::Forget);
-        } else if !state.past {
-            steps.push(Step::Pass);
+        if !state.has_lost_memory {
+            steps.push(Step::LoseMemory);
+        } else if !state.silence_ended {
+            steps.push(Step::EndSilence);
         }
     }
 
@@ -161,16 +161,16 @@
                 let messages = state.proposers[front].propose(now, NAME, change);
                 self.send_messages(&mut state, front, messages);
             }
-            Step::Forget => {
-                state.forgot = true;
+            Step::LoseMemory => {
+                state.has_lost_memory = true;
                 state.incarnations[0] = 2;
                 state.acceptors[0] = match self.mutation {
                     Mutation::ForgetfulVoter => Acceptor::restored(VOTERS, 0, 2, PersistentState::default()),
                     _ => Acceptor::without_memory(NOW, &config(), VOTERS, 0, 2, 9),
                 };
             }
-            Step::Pass => {
-                state.past = true;
+            Step::EndSilence => {
+                state.silence_ended = true;
                 let messages = state.acceptors[0].poll(LATER, &config());
                 self.send_copy_requests(&mut state, 0, messages);
             }
--- a/crates/core/registers/tests/learner.rs
+++ b/crates/core/registers/tests/learner.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 const VOTERS: usize = 3;
-const EVERY: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 fn name(n: usize) -> String {
     format!("r{n:03}")
@@ -29,7 +29,7 @@
     /// Requests that the voters have handled since the last poll.
     requests: Vec<RegisterRequest>,
     /// Voters of an earlier software version, which do not support requests for changes.
-    earlier: Vec<usize>,
+    earlier_version: Vec<usize>,
     round: u64,
     incarnations: u64,
 }
@@ -38,14 +38,14 @@
     fn new(registers: usize) -> World {
         let acceptor =
             |index: usize| Acceptor::restored(VOTERS, index, index as u64 + 1, PersistentState::default());
-        let mut learner = Learner::new(VOTERS, EVERY);
+        let mut learner = Learner::new(VOTERS, POLL_INTERVAL);
         (0..registers).for_each(|n| learner.watch(&name(n)));
         World {
             acceptors: (0..VOTERS).map(acceptor).collect(),
             learner,
             now: Duration::ZERO,
             requests: Vec::new(),
-            earlier: Vec::new(),
+            earlier_version: Vec::new(),
             round: 0,
             incarnations: 100,
         }
@@ -70,7 +70,7 @@
     }
 
     fn handle_message(&mut self, message: OutboundMessage) -> Option<RegisterReply> {
-        if self.earlier.contains(&message.voter)
+        if self.earlier_version.contains(&message.voter)
             && matches!(message.request, RegisterRequest::ChangesSince { .. })
         {
             return None;
@@ -81,7 +81,7 @@
 
     /// Runs one poll of the learner, delivers all replies, and returns the requests that the voters handled.
     fn poll(&mut self) -> Vec<RegisterRequest> {
-        self.now += EVERY * 2;
+        self.now += POLL_INTERVAL * 2;
         let mut messages = self.learner.poll(self.now, &mut || 0.5);
         while let Some(message) = messages.pop() {
             let voter = message.voter;
@@ -110,8 +110,8 @@
         assert_eq!(requests.len(), VOTERS, "{requests:?}");
         assert!(requests.iter().all(|request| matches!(request, RegisterRequest::ChangesSince { .. })));
     }
-    let sure = world.learner.committed(&name(0)).unwrap().confirmed_at;
-    assert_eq!(sure, world.now, "an unchanged value was made sure of");
+    let confirmed_at = world.learner.committed(&name(0)).unwrap().confirmed_at;
+    assert_eq!(confirmed_at, world.now, "an unchanged value was made sure of");
 }
 
 #[test]
@@ -164,14 +164,14 @@
 #[test]
 fn voters_of_an_earlier_version_are_sent_reads_once_they_have_replied_to_one() {
     let mut world = World::new(64);
-    world.earlier = vec![0, 1, 2];
+    world.earlier_version = vec![0, 1, 2];
     for n in 0..64 {
         world.accept(&[0, 1, 2], &name(n), &entry(1, 20));
     }
     assert_eq!(world.poll().len(), VOTERS, "one register each, to see whether names are read");
     assert_eq!(world.poll().len(), VOTERS * 64);
     assert!((0..64).all(|n| world.committed(n) == Some(entry(1, 20))));
-    world.earlier.clear();
+    world.earlier_version.clear();
     world.poll();
     world.poll();
     assert_eq!(world.poll().len(), VOTERS, "once changes are reported, no register is read by name");
@@ -184,41 +184,41 @@
 fn all_committed_values_are_known_once_replies_arrive_again() {
     for seed in 0..200 {
         let mut chance = fastrand::Rng::with_seed(seed);
-        let (mut world, mut truth) = (World::new(20), BTreeMap::new());
-        let mut delay_ms: Vec<(usize, RegisterReply)> = Vec::new();
+        let (mut world, mut accepted) = (World::new(20), BTreeMap::new());
+        let mut delayed: Vec<(usize, RegisterReply)> = Vec::new();
         for version in 1..150 {
             let register = chance.usize(..20);
             let left_out = chance.usize(..VOTERS * 2);
             let voters: Vec<usize> = (0..VOTERS).filter(|voter| *voter != left_out).collect();
             let value = entry(version, chance.usize(..MAX_VALUE_BYTES));
             world.accept(&voters, &name(register), &value);
-            truth.insert(register, value);
+            accepted.insert(register, value);
             if chance.u8(..) < 20 {
                 world.restart(chance.usize(..VOTERS));
             }
-            world.now += EVERY;
+            world.now += POLL_INTERVAL;
             let now = world.now;
             let mut messages = world.learner.poll(now, &mut || chance.f64());
             while let Some(message) = messages.pop() {
                 let voter = message.voter;
                 let Some(reply) = world.handle_message(message) else { continue };
                 if chance.u8(..) < 100 {
-                    delay_ms.push((voter, reply.clone()));
+                    delayed.push((voter, reply.clone()));
                 }
                 if chance.u8(..) < 180 {
                     messages.extend(world.learner.handle_reply(now, voter, reply));
                 }
-                if chance.bool() && !delay_ms.is_empty() {
-                    let (voter, reply) = delay_ms.swap_remove(chance.usize(..delay_ms.len()));
+                if chance.bool() && !delayed.is_empty() {
+                    let (voter, reply) = delayed.swap_remove(chance.usize(..delayed.len()));
                     messages.extend(world.learner.handle_reply(now, voter, reply));
                 }
             }
             for (register, committed) in (0..20).filter_map(|n| Some((n, world.committed(n)?))) {
-                assert!(committed.version <= truth[&register].version, "seed {seed}: not settled yet");
+                assert!(committed.version <= accepted[&register].version, "seed {seed}: not settled yet");
             }
         }
         (0..4).for_each(|_| drop(world.poll()));
-        for (register, value) in &truth {
+        for (register, value) in &accepted {
             assert_eq!(world.committed(*register).as_ref(), Some(value), "seed {seed}, register {register}");
         }
         assert_eq!(world.poll().len(), VOTERS, "seed {seed}");
--- a/crates/core/registers/tests/scenarios.rs
+++ b/crates/core/registers/tests/scenarios.rs
@@ -17,13 +17,13 @@
 }
 
 #[derive(Clone)]
-enum Sent {
-    RegisterRequest { from: From, to: usize, request: RegisterRequest },
-    RegisterReply { to: From, from: usize, reply: RegisterReply },
+enum InFlight {
+    Request { from: Node, to: usize, request: RegisterRequest },
+    Reply { to: Node, from: usize, reply: RegisterReply },
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum From {
+enum Node {
     Acceptor(usize, u64), // Index and incarnation.
     Front(usize),
 }
@@ -41,11 +41,11 @@
     acceptors: Vec<Option<(Acceptor, u64)>>,
     rates: Vec<f64>,
     fronts: Vec<Front>,
-    in_flight: Vec<(Duration, Sent)>,
+    in_flight: Vec<(Duration, InFlight)>,
     chance: fastrand::Rng,
     /// Whether voters that have lost their memory vote at once, which breaks the protocol.
-    forgetful: bool,
-    next: u64,
+    votes_without_memory: bool,
+    last_number: u64,
     loss: f64,
     committed: BTreeMap<EntryVersion, Vec<u8>>,
     /// Committed versions, each with the time at which its proposer received the outcome.
@@ -54,7 +54,7 @@
 }
 
 impl World {
-    fn new(seed: u64, voters: usize, forgetful: bool) -> World {
+    fn new(seed: u64, voters: usize, votes_without_memory: bool) -> World {
         let mut chance = fastrand::Rng::with_seed(seed);
         let front = |n: usize| Front {
             proposer: Proposer::new(Incarnation { name: format!("n{n}"), id: n as u64 + 1 }, voters),
@@ -73,8 +73,8 @@
             fronts,
             in_flight: Vec::new(),
             chance,
-            forgetful,
-            next: 100,
+            votes_without_memory,
+            last_number: 100,
             loss: 0.1,
             committed: BTreeMap::new(),
             highest: Vec::new(),
@@ -89,9 +89,10 @@
     }
 
     fn start(&mut self, index: usize) {
-        self.next += 1;
-        let (incarnation, voters, first_epoch) = (self.next, self.acceptors.len(), 1000 + self.next);
-        let acceptor = if self.forgetful {
+        self.last_number += 1;
+        let (incarnation, voters, first_epoch) =
+            (self.last_number, self.acceptors.len(), 1000 + self.last_number);
+        let acceptor = if self.votes_without_memory {
             Acceptor::restored(voters, index, incarnation, PersistentState::default())
         } else {
             Acceptor::without_memory(self.clock(index), &config(), voters, index, incarnation, first_epoch)
@@ -99,7 +100,7 @@
         self.acceptors[index] = Some((acceptor, incarnation));
     }
 
-    fn send(&mut self, sent: Sent) {
+    fn send(&mut self, sent: InFlight) {
         for _ in 0..1 + usize::from(self.chance.f64() < 0.1) {
             if self.chance.f64() >= self.loss {
                 let delay_ms = if self.chance.f64() < 0.05 { 2000 } else { 30 };
@@ -108,9 +109,9 @@
         }
     }
 
-    fn send_messages(&mut self, from: From, messages: Vec<OutboundMessage>) {
+    fn send_messages(&mut self, from: Node, messages: Vec<OutboundMessage>) {
         messages.into_iter().for_each(|OutboundMessage { voter, request }| {
-            self.send(Sent::RegisterRequest { from, to: voter, request })
+            self.send(InFlight::Request { from, to: voter, request })
         });
     }
 
@@ -120,7 +121,7 @@
             let clock = self.clock(index);
             if let Some((acceptor, incarnation)) = &mut self.acceptors[index] {
                 let (messages, incarnation) = (acceptor.poll(clock, &config()), *incarnation);
-                self.send_messages(From::Acceptor(index, incarnation), messages);
+                self.send_messages(Node::Acceptor(index, incarnation), messages);
             }
         }
         for n in 0..self.fronts.len() {
@@ -130,49 +131,49 @@
             let mut messages = front.proposer.poll(now, &config(), &mut || chance.f64());
             messages.extend(front.learner.poll(now, &mut || chance.f64()));
             if !front.proposer.is_busy(NAME) && chance.f64() < 0.03 {
-                self.next += 1;
+                self.last_number += 1;
                 front.begun = now;
-                let value = self.next.to_le_bytes().to_vec();
+                let value = self.last_number.to_le_bytes().to_vec();
                 let change = Operation::CompareAndSet { expected: front.known, fencing_token: 1, value };
                 messages.extend(front.proposer.propose(now, NAME, change));
             }
             self.chance = chance;
-            self.send_messages(From::Front(n), messages);
+            self.send_messages(Node::Front(n), messages);
             self.check_outcomes(n);
         }
         let now = self.now;
-        let due: Vec<Sent> =
+        let due: Vec<InFlight> =
             self.in_flight.extract_if(.., |(at, _)| *at <= now).map(|(_, sent)| sent).collect();
         for sent in due {
             self.deliver(sent);
         }
     }
 
-    fn deliver(&mut self, sent: Sent) {
+    fn deliver(&mut self, sent: InFlight) {
         match sent {
-            Sent::RegisterRequest { from, to, request } => {
+            InFlight::Request { from, to, request } => {
                 let clock = self.clock(to);
                 let Some((acceptor, _)) = &mut self.acceptors[to] else { return };
                 if let Some(reply) = acceptor.handle_request(clock, request) {
-                    self.send(Sent::RegisterReply { to: from, from: to, reply });
+                    self.send(InFlight::Reply { to: from, from: to, reply });
                 }
             }
-            Sent::RegisterReply { to: From::Acceptor(index, incarnation), from, reply } => {
+            InFlight::Reply { to: Node::Acceptor(index, incarnation), from, reply } => {
                 let clock = self.clock(index);
                 let Some((acceptor, current)) = &mut self.acceptors[index] else { return };
                 if *current == incarnation {
                     let messages = acceptor.handle_copy(clock, from, reply);
-                    self.send_messages(From::Acceptor(index, incarnation), messages);
+                    self.send_messages(Node::Acceptor(index, incarnation), messages);
                 }
             }
-            Sent::RegisterReply { to: From::Front(n), from, reply } => {
+            InFlight::Reply { to: Node::Front(n), from, reply } => {
                 let mut chance = self.chance.clone();
                 let front = &mut self.fronts[n];
                 front.learner.handle_reply(self.now, from, reply.clone());
                 let messages =
                     front.proposer.handle_reply(self.now, &config(), from, reply, &mut || chance.f64());
                 self.chance = chance;
-                self.send_messages(From::Front(n), messages);
+                self.send_messages(Node::Front(n), messages);
                 self.check_outcomes(n);
             }
         }
@@ -217,8 +218,8 @@
         }
     }
 
-    fn run(&mut self, span: Duration) {
-        let until = self.now + span;
+    fn run(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while self.now < until {
             self.step();
         }
@@ -226,10 +227,10 @@
 
     /// Restarts random voters without memory, but never so many that a majority is without memory at the same time.
     fn restart_minorities(&mut self) {
-        let most_blank = self.acceptors.len() - majority(self.acceptors.len());
+        let max_without_memory = self.acceptors.len() - majority(self.acceptors.len());
         for _ in 0..25 {
-            let span = self.chance.u64(20..500);
-            self.run(ms(span));
+            let pause_ms = self.chance.u64(20..500);
+            self.run(ms(pause_ms));
             let now = self.now;
             let without_memory = |index: usize, world: &World| {
                 let clock = now.mul_f64(world.rates[index]);
@@ -240,7 +241,7 @@
             let index = self.chance.usize(..self.acceptors.len());
             let others =
                 (0..self.acceptors.len()).filter(|p| *p != index && without_memory(*p, self)).count();
-            if others < most_blank {
+            if others < max_without_memory {
                 self.start(index);
             }
         }
@@ -274,8 +275,8 @@
         world.run(ms(3000));
         let before = world.highest.last().expect("nothing was settled").1;
         let index = world.chance.usize(..voters);
-        let forget = majority(voters) + usize::from(world.chance.bool());
-        (0..forget).for_each(|next| world.start((index + next) % voters));
+        let memory_losses = majority(voters) + usize::from(world.chance.bool());
+        (0..memory_losses).for_each(|next| world.start((index + next) % voters));
         world.run(ms(4000));
         let after = world.highest.last().unwrap().1;
         assert!(after.epoch > before.epoch, "seed {seed}: {before:?} {after:?}");
@@ -385,10 +386,9 @@
 fn an_older_fencing_token_changes_nothing() {
     let mut acceptors: Vec<Acceptor> =
         (0..3).map(|p| Acceptor::restored(3, p, 1, PersistentState::default())).collect();
-    let mut propose = |front: u64, after: Option<EntryVersion>, number: u64, value: &[u8]| {
+    let mut propose = |front: u64, expected: Option<EntryVersion>, fencing_token: u64, value: &[u8]| {
         let mut proposer = Proposer::new(Incarnation { name: "n".into(), id: front }, 3);
-        let change =
-            Operation::CompareAndSet { expected: after, fencing_token: number, value: value.to_vec() };
+        let change = Operation::CompareAndSet { expected, fencing_token, value: value.to_vec() };
         let mut now = ms(1);
         let mut messages = proposer.propose(now, NAME, change);
         for _ in 0..60 {
@@ -403,8 +403,8 @@
         proposer.take_outcomes().remove(0)
     };
     let ProposalOutcome::Committed { entry: Some(first), .. } = propose(1, None, 5, b"a") else { panic!() };
-    let delay_ms = propose(2, Some(first.version), 4, b"b");
-    assert!(matches!(delay_ms, ProposalOutcome::Conflict { entry: Some(entry), .. } if entry == first));
+    let fenced = propose(2, Some(first.version), 4, b"b");
+    assert!(matches!(fenced, ProposalOutcome::Conflict { entry: Some(entry), .. } if entry == first));
     let stale = propose(3, None, 6, b"c");
     assert!(matches!(stale, ProposalOutcome::Conflict { .. }));
     let ProposalOutcome::Committed { entry: Some(second), .. } = propose(4, Some(first.version), 6, b"d")
