--- a/crates/core/leases/src/client.rs
+++ b/crates/core/leases/src/client.rs
@@ -51,7 +51,7 @@
     /// The front tries to acquire the task.
     Wanted {
         /// The holder that a voter last reported, if any.
-        other: Option<ObservedHolder>,
+        observed_holder: Option<ObservedHolder>,
     },
     /// The front holds the task.
     Held {
@@ -109,7 +109,7 @@
     /// Time before which no attempt begins.
     next_attempt: Duration,
     /// The holder that a voter last reported; none while this front holds the task.
-    other: Option<ObservedHolder>,
+    observed_holder: Option<ObservedHolder>,
     /// The highest known token of the task; the token of a new lease is above it.
     highest_token: u64,
     /// The round of the latest ballot used or reported; the next attempt uses a higher one.
@@ -194,7 +194,7 @@
             Some(lease) if now < lease.until => {
                 LeaseState::Held { fencing_token: lease.fencing_token, from: lease.from, until: lease.until }
             }
-            _ => LeaseState::Wanted { other: state.other.clone() },
+            _ => LeaseState::Wanted { observed_holder: state.observed_holder.clone() },
         }
     }
 
--- a/crates/core/leases/src/client/reply.rs
+++ b/crates/core/leases/src/client/reply.rs
@@ -120,7 +120,7 @@
 impl TaskState {
     /// Records a granted lease or extends the held one to `until`. Returns whether the lease is new.
     fn hold(&mut self, now: Duration, config: &LeaseConfig, fencing_token: u64, until: Duration) -> bool {
-        self.other = None;
+        self.observed_holder = None;
         if let Some(lease) = self.lease.as_mut().filter(|lease| lease.fencing_token == fencing_token) {
             lease.until = lease.until.max(until);
             return false;
@@ -134,7 +134,7 @@
     fn observe_holder(&mut self, observed: ObservedHolder) {
         self.highest_token = self.highest_token.max(observed.fencing_token);
         if self.lease.is_none() {
-            self.other = Some(observed);
+            self.observed_holder = Some(observed);
         }
     }
 
--- a/crates/core/leases/src/config.rs
+++ b/crates/core/leases/src/config.rs
@@ -48,10 +48,10 @@
         self.with_drift(self.duration)
     }
 
-    /// Extends a duration by the clock drift: the result on one clock takes at least as long as `span` on any
+    /// Extends a duration by the clock drift: the result on one clock takes at least as long as `duration` on any
     /// other clock within the drift.
-    pub fn with_drift(&self, span: Duration) -> Duration {
-        span * (1000 + self.clock_drift_permille) / (1000 - self.clock_drift_permille).max(1)
+    pub fn with_drift(&self, duration: Duration) -> Duration {
+        duration * (1000 + self.clock_drift_permille) / (1000 - self.clock_drift_permille).max(1)
     }
 
     /// Checks the duration and the clock drift against their limits.
--- a/crates/core/leases/src/quota.rs
+++ b/crates/core/leases/src/quota.rs
@@ -17,14 +17,15 @@
 pub struct QuotaSlots {
     total: u32,
     wanted: usize,
-    next: u32,
+    /// The slot to try next.
+    next_slot: u32,
 }
 
 impl QuotaSlots {
     /// Creates the slots of a front that wants `wanted` of `total` slots and tries `first_slot` first.
     /// `first_slot` should be the front's own number, if it has one, so that few fronts try the same slot.
     pub fn new(total: u32, wanted: usize, first_slot: u32) -> QuotaSlots {
-        QuotaSlots { total, wanted: wanted.min(total as usize), next: first_slot % total.max(1) }
+        QuotaSlots { total, wanted: wanted.min(total as usize), next_slot: first_slot % total.max(1) }
     }
 
     /// The name of the task that represents a slot.
@@ -53,23 +54,23 @@
         let mut active = 0;
         for slot in tracked {
             match client.state(now, &Self::task_name(slot)) {
-                LeaseState::Wanted { other: Some(_) } => {
+                LeaseState::Wanted { observed_holder: Some(_) } => {
                     messages.extend(client.release(now, config, &Self::task_name(slot), false));
                 }
                 LeaseState::Unwanted => {}
-                LeaseState::Wanted { other: None } | LeaseState::Held { .. } => active += 1,
+                LeaseState::Wanted { observed_holder: None } | LeaseState::Held { .. } => active += 1,
             }
         }
         for _ in 0..self.total {
             if active >= self.wanted {
                 break;
             }
-            let task = Self::task_name(self.next);
+            let task = Self::task_name(self.next_slot);
             if !client.is_tracking(&task) {
                 client.acquire(now, &task, false);
                 active += 1;
             }
-            self.next = (self.next + 1) % self.total;
+            self.next_slot = (self.next_slot + 1) % self.total;
         }
         messages
     }
--- a/crates/core/leases/src/voter.rs
+++ b/crates/core/leases/src/voter.rs
@@ -117,7 +117,7 @@
         if !silent_for.is_zero() || task.is_empty() || task.len() > MAX_NAME_BYTES {
             return Err(LeaseReply::Silent { task: task_name(), ballot, remaining: silent_for });
         }
-        if !self.tasks.contains_key(task) && !self.make_room(now, config) {
+        if !self.tasks.contains_key(task) && !self.ensure_capacity(now, config) {
             let remaining = config.voter_hold_time();
             return Err(LeaseReply::Silent { task: task_name(), ballot, remaining });
         }
@@ -146,7 +146,7 @@
 
     /// Ensures that another task can be tracked, and returns whether it can. At the limit, drops the least recently
     /// requested task if none of its grants and promises can still be in effect.
-    fn make_room(&mut self, now: Duration, config: &LeaseConfig) -> bool {
+    fn ensure_capacity(&mut self, now: Duration, config: &LeaseConfig) -> bool {
         if self.tasks.len() < MAX_TASKS {
             return true;
         }
