--- a/crates/core/failure-detector/src/member.rs
+++ b/crates/core/failure-detector/src/member.rs
@@ -13,7 +13,7 @@
     pub name: String,
     /// The address to which other members send datagrams.
     pub address: SocketAddr,
-    /// A random number, drawn at each start. Never 0, which stands for any incarnation at the address.
+    /// A random number, drawn at each start. Never 0, which stands for an unknown incarnation.
     pub incarnation: u64,
     /// The zone in which it runs.
     pub zone: u32,
