--- a/crates/core/leases/tests/scenarios.rs
+++ b/crates/core/leases/tests/scenarios.rs
@@ -298,7 +298,8 @@
 #[test]
 fn quota_slots_have_one_holder_each_and_their_shares_sum_to_at_most_one() {
     let mut fleet = Fleet::new(3, 40);
-    let mut slots: Vec<QuotaSlots> = (0..40).map(|n| QuotaSlots::new(30, 1, n / 2)).collect(); // Two fronts per first slot.
+    // Two fronts have the same first slot.
+    let mut slots: Vec<QuotaSlots> = (0..40).map(|n| QuotaSlots::new(30, 1, n / 2)).collect();
     let mut max_share: f64 = 0.0;
     let mut random = fastrand::Rng::with_seed(3);
     for step in 0..600 {
--- a/crates/core/registers/src/learner.rs
+++ b/crates/core/registers/src/learner.rs
@@ -239,8 +239,8 @@
         register.candidates.retain(|ballot, _| reported.contains(ballot));
     }
 
-    /// Records the entries that a voter has just reported as committed, or confirms them, if a majority reports the same
-    /// ballot.
+    /// Records the entries that a voter has just reported as committed, or confirms them, if a majority reports the
+    /// same ballot.
     fn confirm(&mut self, now: Duration, voter: usize) {
         let needed = majority(self.cursors.len());
         let lifetime = self.poll_interval * REPORT_LIFETIME_POLLS;
