--- a/crates/core/registers/src/learner.rs
+++ b/crates/core/registers/src/learner.rs
@@ -239,7 +239,7 @@
         register.candidates.retain(|ballot, _| reported.contains(ballot));
     }
 
-    /// Records the entries that a voter has just reported as committed, or confirms them, if a majority reports the
+    /// Marks as committed, or confirms, each entry that a voter has just reported and that a majority reports in the
     /// same ballot.
     fn confirm(&mut self, now: Duration, voter: usize) {
         let needed = majority(self.cursors.len());
@@ -259,8 +259,8 @@
 }
 
 impl WatchedRegister {
-    /// Records the entry that `voter` has just reported as committed, or confirms it. `needed` is the number of voters
-    /// that must report the same ballot within `lifetime`.
+    /// Marks as committed, or confirms, the entry that `voter` has just reported. `needed` is the number of voters that
+    /// must report the same ballot within `lifetime`.
     fn confirm(&mut self, now: Duration, voter: usize, needed: usize, lifetime: Duration) {
         let is_proposed =
             |report: &Report| report.reported_at == now && report.ballot.proposer != NO_PROPOSER;
