--- a/crates/core/leases/tests/exhaustive.rs
+++ b/crates/core/leases/tests/exhaustive.rs
@@ -1,5 +1,6 @@
-//! Every interleaving of a small fleet, on the code that runs: three voters, two lease clients, messages lost, repeated and
-//! delayed without bound, voters and lease clients that lose all memory, clocks at the ends of the stated drift.
+//! Model check of every interleaving of a small fleet, on the production code: three voters and two lease
+//! clients. Messages are lost, repeated and delayed without limit, voters lose their memory, and the clocks run
+//! at the limits of the configured drift.
 
 use lemonusher_leases::*;
 use stateright::{Checker, Model, Property};
@@ -10,13 +11,13 @@
 const CLIENTS: usize = 2;
 const TASK: &str = "t";
 
-/// A rule that is broken on purpose, to see that the check detects it.
+/// A rule that is broken on purpose, to verify that the check detects it.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Mutation {
     Nothing,
-    /// Voters that have lost their memory are believed at once.
+    /// Voters that have lost their memory vote at once, without the voter hold time.
     ForgetfulVoters,
-    /// Clocks are taken to run alike.
+    /// The voter hold time has no margin for clock drift.
     NoDriftMargin,
 }
 
@@ -27,11 +28,12 @@
     attempts: u32,
 }
 
-/// A message on its way; it stays there for good, as a network may repeat it and deliver it at any time.
+/// A message in flight, with the sender's and the receiver's index. It is never removed on delivery, because a
+/// network may repeat a message and deliver it at any time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Sent {
-    LeaseRequest(usize, usize, LeaseRequest),
-    LeaseReply(usize, usize, LeaseReply),
+enum InFlight {
+    Request(usize, usize, LeaseRequest),
+    Reply(usize, usize, LeaseReply),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -41,23 +43,24 @@
     attempts_begun: u32,
     voters: Vec<Voter>,
     clients: Vec<LeaseClient>,
-    /// The number under which each lease client may act now.
-    acts: Vec<Option<u64>>,
-    sent: BTreeSet<Sent>,
+    /// The fencing token under which each lease client may act now.
+    acting_tokens: Vec<Option<u64>>,
+    sent: BTreeSet<InFlight>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Tick,
-    /// A lease client begins what is due, its first attempt or a renewal.
+    /// A lease client begins the attempt that is due, its first one or a renewal.
     Begin(usize),
-    Deliver(Sent),
-    Forget(usize),
+    Deliver(InFlight),
+    LoseMemory(usize),
 }
 
 impl SmallFleet {
     fn config(&self) -> LeaseConfig {
-        // Drift of a third: the lease clients' clocks are slow, one unit a tick; the voters' fast, two.
+        // A drift of one third: the lease clients' clocks are slow and advance by one unit (200 ms) per tick, the
+        // voters' clocks are fast and advance by two.
         let drift = if self.mutation == Mutation::NoDriftMargin { 0 } else { 333 };
         LeaseConfig {
             duration: Duration::from_millis(400),
@@ -78,22 +81,23 @@
         let now = self.client_now(state.tick);
         let messages = state.clients[client].poll(now, &self.config(), &mut || 0.0);
         self.send(state, client, messages);
-        self.record(state, client);
+        self.update_acting_token(state, client);
     }
 
     fn send(&self, state: &mut State, client: usize, messages: Vec<OutboundMessage>) {
         for OutboundMessage { voter, request } in messages {
-            state.sent.insert(Sent::LeaseRequest(client, voter, request));
+            state.sent.insert(InFlight::Request(client, voter, request));
         }
     }
 
-    fn record(&self, state: &mut State, client: usize) {
+    fn update_acting_token(&self, state: &mut State, client: usize) {
         let now = self.client_now(state.tick);
         state.clients[client].take_changes();
-        state.acts[client] = state.clients[client].active_lease(now, TASK).map(|lease| lease.fencing_token);
+        state.acting_tokens[client] =
+            state.clients[client].active_lease(now, TASK).map(|lease| lease.fencing_token);
     }
 
-    /// Begins what is due; none if that is nothing.
+    /// Begins the attempt that is due; returns none if there is none.
     fn begin_attempt(&self, state: &mut State, client: usize) -> Option<()> {
         let before = state.sent.len();
         self.poll(state, client);
@@ -101,20 +105,20 @@
             return None;
         }
         state.attempts_begun += 1;
-        // What belongs to an attempt that was given up changes nothing at its lease client, and a prepare of one only
-        // bars others: both count as lost. Its accepts may still come, at any time.
+        // Replies to an abandoned attempt change nothing at its lease client, and prepares of one only block other
+        // clients, so both count as lost. Its accept requests may still arrive at any time.
         let latest = state.sent.iter().filter_map(|sent| match sent {
-            Sent::LeaseRequest(from, _, LeaseRequest::Prepare { ballot, .. }) if *from == client => {
+            InFlight::Request(from, _, LeaseRequest::Prepare { ballot, .. }) if *from == client => {
                 Some(*ballot)
             }
             _ => None,
         });
         let latest = latest.max();
         state.sent.retain(|sent| match sent {
-            Sent::LeaseRequest(from, _, LeaseRequest::Prepare { ballot, .. }) => {
+            InFlight::Request(from, _, LeaseRequest::Prepare { ballot, .. }) => {
                 *from != client || Some(*ballot) == latest
             }
-            Sent::LeaseReply(_, to, reply) => *to != client || Some(reply.ballot()) == latest,
+            InFlight::Reply(_, to, reply) => *to != client || Some(reply.ballot()) == latest,
             _ => true,
         });
         Some(())
@@ -123,8 +127,8 @@
     fn deliver_request(&self, state: &mut State, client: usize, voter: usize, request: LeaseRequest) {
         let now = self.voter_now(state.tick);
         if let Some(reply) = state.voters[voter].handle_request(now, &self.config(), request) {
-            // A refusal only keeps a lease client from going on, which losing it does as well.
-            // A promise that is late is as good as accepts that are late, so it comes at once or never.
+            // A rejection only stops an attempt, as a lost message does, so rejections are not delivered. A delayed
+            // promise has the same effect as delayed accept requests, so a promise arrives at once or never.
             match &reply {
                 LeaseReply::Promise { .. } => {
                     let now = self.client_now(state.tick);
@@ -133,7 +137,7 @@
                     self.send(state, client, messages);
                 }
                 LeaseReply::Accepted { .. } => {
-                    state.sent.insert(Sent::LeaseReply(voter, client, reply));
+                    state.sent.insert(InFlight::Reply(voter, client, reply));
                 }
                 _ => {}
             }
@@ -152,12 +156,12 @@
             tick: 0,
             memory_losses: 0,
             attempts_begun: 0,
-            // They have been up for long.
+            // A hold time of zero: the voters have been running for long and vote at once.
             voters: (0..VOTERS).map(|_| Voter::new(Duration::ZERO, &ready, 0)).collect(),
             clients: (0..CLIENTS)
                 .map(|n| LeaseClient::new(Incarnation { name: format!("{n}"), id: n as u64 + 1 }, VOTERS))
                 .collect(),
-            acts: vec![None; CLIENTS],
+            acting_tokens: vec![None; CLIENTS],
             sent: BTreeSet::new(),
         };
         for client in 0..CLIENTS {
@@ -175,7 +179,7 @@
             steps.extend((0..CLIENTS).map(Step::Begin));
         }
         if state.memory_losses < self.memory_losses {
-            steps.extend((0..VOTERS).map(Step::Forget));
+            steps.extend((0..VOTERS).map(Step::LoseMemory));
         }
     }
 
@@ -184,26 +188,26 @@
         match step {
             Step::Tick => {
                 state.tick += 1;
-                (0..CLIENTS).for_each(|client| self.record(&mut state, client));
+                (0..CLIENTS).for_each(|client| self.update_acting_token(&mut state, client));
             }
             Step::Begin(client) => self.begin_attempt(&mut state, client)?,
-            Step::Forget(voter) => {
+            Step::LoseMemory(voter) => {
                 state.memory_losses += 1;
-                let counted = if self.mutation == Mutation::ForgetfulVoters {
+                let hold_config = if self.mutation == Mutation::ForgetfulVoters {
                     LeaseConfig { duration: Duration::ZERO, ..config }
                 } else {
                     config
                 };
-                state.voters[voter] = Voter::new(self.voter_now(state.tick), &counted, 0);
+                state.voters[voter] = Voter::new(self.voter_now(state.tick), &hold_config, 0);
             }
-            Step::Deliver(Sent::LeaseRequest(client, voter, request)) => {
+            Step::Deliver(InFlight::Request(client, voter, request)) => {
                 self.deliver_request(&mut state, client, voter, request);
             }
-            Step::Deliver(Sent::LeaseReply(voter, client, reply)) => {
+            Step::Deliver(InFlight::Reply(voter, client, reply)) => {
                 let now = self.client_now(state.tick);
                 let messages = state.clients[client].handle_reply(now, &config, voter, reply, &mut || 0.0);
                 self.send(&mut state, client, messages);
-                self.record(&mut state, client);
+                self.update_acting_token(&mut state, client);
             }
         }
         (state != *last).then_some(state)
@@ -212,9 +216,11 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("no two act at once", |_, state: &State| {
-                state.acts.iter().flatten().count() <= 1
+                state.acting_tokens.iter().flatten().count() <= 1
+            }),
+            Property::sometimes("somebody acts", |_, state: &State| {
+                state.acting_tokens.iter().flatten().count() == 1
             }),
-            Property::sometimes("somebody acts", |_, state: &State| state.acts.iter().flatten().count() == 1),
         ]
     }
 }
--- a/crates/core/leases/tests/scenarios.rs
+++ b/crates/core/leases/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Voters and lease clients over a network with partitions, restarts and loss of memory.
+//! Voters and lease clients on a simulated network with partitions, restarts and loss of memory.
 
 use lemonusher_leases::*;
 use std::time::Duration;
@@ -14,12 +14,12 @@
     Duration::from_millis(ms)
 }
 
-/// Voters and lease clients on one clock; links can be partitioned.
+/// Voters and lease clients that share one clock and whose links can be partitioned.
 struct Fleet {
     now: Duration,
     voters: Vec<Voter>,
     clients: Vec<LeaseClient>,
-    partitioned: Vec<(usize, usize)>, // From lease client to voter, both ways.
+    partitioned: Vec<(usize, usize)>, // Pairs of lease client and voter; no message passes in either direction.
     chance: fastrand::Rng,
     messages: usize,
 }
@@ -53,9 +53,9 @@
         }
     }
 
-    /// Lets time pass; at every step no two may act.
-    fn advance(&mut self, span: Duration) {
-        let end = self.now + span;
+    /// Advances the clock in steps of 50 ms, and checks after each step that at most one client may act.
+    fn advance(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while self.now < end {
             self.now += ms(50);
             for client in 0..self.clients.len() {
@@ -68,8 +68,8 @@
     }
 
     fn holders(&self, task: &str) -> Vec<(usize, u64)> {
-        let acts = |(n, a): (usize, &LeaseClient)| Some((n, a.active_lease(self.now, task)?.fencing_token));
-        self.clients.iter().enumerate().filter_map(acts).collect()
+        let acting = |(n, a): (usize, &LeaseClient)| Some((n, a.active_lease(self.now, task)?.fencing_token));
+        self.clients.iter().enumerate().filter_map(acting).collect()
     }
 
     fn acquire(&mut self, client: usize, fenced: bool) {
@@ -118,7 +118,7 @@
     let mut fleet = Fleet::new(3, 2);
     fleet.acquire(0, true);
     fleet.advance(CONFIG.duration * 3);
-    fleet.partitioned = (0..3).map(|voter| (0, voter)).collect(); // The holder does not notice.
+    fleet.partitioned = (0..3).map(|voter| (0, voter)).collect(); // The holder still counts its lease as held.
     let (now, restarted) = (fleet.now, fleet.now);
     (0..2).for_each(|voter| fleet.voters[voter] = Voter::new(now, &CONFIG, 0));
     fleet.acquire(1, true);
@@ -126,8 +126,8 @@
         fleet.advance(ms(50));
     }
     assert!(fleet.now >= restarted + CONFIG.voter_hold_time());
-    // The third voter still knows the token, but a majority without it does not, and only what is
-    // acted upon, a folder, or whoever has observed the token, reports it again.
+    // The third voter still knows the token. A majority without that voter does not: only the resource, stored
+    // state, or a client that has observed the token can report it.
     let token = fleet.holders(TASK)[0].1;
     assert!(token == 1 || token == 2);
     fleet.clients[1].observe_token(TASK, 7);
@@ -147,9 +147,9 @@
     fleet.clients[0].observe_token(TASK, 41);
     fleet.advance(CONFIG.duration * 3);
     assert_eq!(fleet.holders(TASK), [(0, 42)]);
-    let folder = fleet.voters.iter().map(Voter::highest_token).max().unwrap();
+    let stored_token = fleet.voters.iter().map(Voter::highest_token).max().unwrap();
     let now = fleet.now;
-    fleet.voters.iter_mut().for_each(|voter| *voter = Voter::new(now, &CONFIG, folder));
+    fleet.voters.iter_mut().for_each(|voter| *voter = Voter::new(now, &CONFIG, stored_token));
     fleet.clients[0] = LeaseClient::new(Incarnation { name: "n0".into(), id: 99 }, 3);
     fleet.acquire(0, true);
     fleet.advance(CONFIG.duration * 3);
@@ -181,11 +181,11 @@
     let mut voter = Voter::new(ms(0), &CONFIG, 0);
     let (a, b) = (Incarnation { name: "a".into(), id: 1 }, Incarnation { name: "b".into(), id: 2 });
     let ballot = |round, proposer| Ballot { round, proposer };
-    let accept = |incarnation: &Incarnation, round, number| LeaseRequest::Accept {
+    let accept = |incarnation: &Incarnation, round, fencing_token| LeaseRequest::Accept {
         task: TASK.into(),
         ballot: ballot(round, incarnation.id),
         client: incarnation.clone(),
-        fencing_token: number,
+        fencing_token,
     };
     let at = CONFIG.voter_hold_time();
     let prepare = LeaseRequest::Prepare { task: TASK.into(), ballot: ballot(2, 2), client: b.clone() };
@@ -195,16 +195,17 @@
         Some(LeaseReply::StaleBallot { round: 2, .. })
     ));
     assert!(matches!(voter.handle_request(at, &CONFIG, accept(&b, 2, 1)), Some(LeaseReply::Accepted { .. })));
-    // The same again, long after: it would hold b's lease longer, which b does not count on; others only wait.
+    // The same request arrives again much later. It extends the grant at the voter, which client b does not rely on;
+    // other clients only wait longer.
     let late = at + CONFIG.voter_hold_time() * 2;
     assert!(matches!(
         voter.handle_request(late, &CONFIG, accept(&b, 2, 1)),
         Some(LeaseReply::Accepted { .. })
     ));
-    let release = |incarnation: &Incarnation, number| LeaseRequest::Release {
+    let release = |incarnation: &Incarnation, fencing_token| LeaseRequest::Release {
         task: TASK.into(),
         client: incarnation.clone(),
-        fencing_token: number,
+        fencing_token,
     };
     assert_eq!(voter.handle_request(late, &CONFIG, release(&a, 9)), None);
     assert_eq!(voter.grants(late).count(), 1, "no client releases the lease of another");
@@ -212,8 +213,8 @@
     assert_eq!(voter.grants(late).count(), 0);
 }
 
-/// A lease client that holds the task at time zero, by two of three voters.
-fn holding() -> LeaseClient {
+/// A lease client that holds the task at time zero, granted by two of three voters.
+fn holding_client() -> LeaseClient {
     let mut client = LeaseClient::new(Incarnation { name: "a".into(), id: 1 }, 3);
     client.acquire(ms(0), TASK, true);
     let prepared = client.poll(ms(0), &CONFIG, &mut || 0.0);
@@ -238,8 +239,8 @@
     client
 }
 
-/// The ballot under which the client renews with all voters at this time.
-fn renewal(client: &mut LeaseClient, now: Duration) -> Ballot {
+/// Has the client begin a renewal at `now`, with accept requests to all three voters; returns the ballot of it.
+fn begin_renewal(client: &mut LeaseClient, now: Duration) -> Ballot {
     let messages = client.poll(now, &CONFIG, &mut || 0.0);
     assert_eq!(messages.len(), 3);
     let ballot = |send: &OutboundMessage| match send.request {
@@ -251,9 +252,9 @@
 
 #[test]
 fn a_lease_is_renewed_in_one_round() {
-    let mut client = holding();
+    let mut client = holding_client();
     let now = CONFIG.duration / 2;
-    let ballot = renewal(&mut client, now);
+    let ballot = begin_renewal(&mut client, now);
     for voter in 1..3 {
         client.handle_reply(
             now,
@@ -272,8 +273,8 @@
 #[test]
 fn a_renewal_accepted_after_expiry_renews_nothing() {
     for polled in [false, true] {
-        let mut client = holding();
-        let ballot = renewal(&mut client, CONFIG.duration - ms(1));
+        let mut client = holding_client();
+        let ballot = begin_renewal(&mut client, CONFIG.duration - ms(1));
         let late = CONFIG.duration;
         if polled {
             client.poll(late, &CONFIG, &mut || 0.5);
@@ -297,8 +298,9 @@
 #[test]
 fn quota_slots_have_one_holder_each_and_their_shares_sum_to_at_most_one() {
     let mut fleet = Fleet::new(3, 40);
-    let mut slots: Vec<QuotaSlots> = (0..40).map(|n| QuotaSlots::new(30, 1, n / 2)).collect(); // Two begin at each number.
-    let mut worst: f64 = 0.0;
+    // Two fronts have the same first slot.
+    let mut slots: Vec<QuotaSlots> = (0..40).map(|n| QuotaSlots::new(30, 1, n / 2)).collect();
+    let mut max_share: f64 = 0.0;
     let mut random = fastrand::Rng::with_seed(3);
     for step in 0..600 {
         if step % 60 == 30 {
@@ -316,11 +318,11 @@
         fleet.advance(ms(100));
         let mut held_slots: Vec<u32> =
             (0..40).flat_map(|n| slots[n].held(fleet.now, &fleet.clients[n])).collect();
-        worst = worst.max(quota_share(held_slots.len(), 30));
+        max_share = max_share.max(quota_share(held_slots.len(), 30));
         held_slots.sort();
         assert!(held_slots.windows(2).all(|pair| pair[0] != pair[1]), "{held_slots:?}");
     }
-    assert!(worst <= 1.0 && worst > 0.9, "{worst}");
+    assert!(max_share <= 1.0 && max_share > 0.9, "{max_share}");
 }
 
 #[test]
@@ -330,8 +332,8 @@
         let mut slots: Vec<QuotaSlots> =
             (0..fronts).map(|n| QuotaSlots::new(fronts as u32, 1, n as u32 / 2)).collect();
         (0..fronts).for_each(|n| fleet.acquire(n, true));
-        let run = |fleet: &mut Fleet, slots: &mut [QuotaSlots], span: Duration| {
-            let end = fleet.now + span;
+        let run = |fleet: &mut Fleet, slots: &mut [QuotaSlots], duration: Duration| {
+            let end = fleet.now + duration;
             while fleet.now < end {
                 for (n, slot) in slots.iter_mut().enumerate() {
                     let messages = slot.poll(fleet.now, &CONFIG, &mut fleet.clients[n]);
@@ -353,7 +355,7 @@
         let rate = (fleet.messages - before) as f64 / (fleet.now - from).as_secs_f64() / fronts as f64;
         println!("proof: leases_messages_a_second_a_front_of_{fronts} {rate:.1}");
         assert!(rate < 24.0, "{rate}");
-        // All fronts and all voters start over at once, and know nothing.
+        // All fronts and all voters restart at once, without memory.
         let now = fleet.now;
         fleet.voters.iter_mut().for_each(|voter| *voter = Voter::new(now, &CONFIG, 0));
         for n in 0..fronts {
--- a/crates/core/registers/src/acceptor.rs
+++ b/crates/core/registers/src/acceptor.rs
@@ -1,11 +1,12 @@
-//! A voter's part of the registers: it promises and accepts, and recovers its state from the other voters where it has
-//! none. Events are requests and copies of other voters' state; outputs are the returned replies and messages.
+//! The acceptor of a voter: it promises ballots and accepts values. An acceptor without memory first recovers its
+//! state from the other voters. Events are requests and copies of other voters' state; outputs are the returned
+//! replies and messages.
 
 mod pages;
 mod recovery;
 
 use crate::{
-    AcceptedEntry, Entry, MAX_REGISTERS, MAX_VALUE_BYTES, NOBODY, Name, OutboundMessage, RegisterReply,
+    AcceptedEntry, Entry, MAX_REGISTERS, MAX_VALUE_BYTES, NO_PROPOSER, Name, OutboundMessage, RegisterReply,
     RegisterRequest, RegisterState,
 };
 use lemonusher_leases::{Ballot, LeaseConfig, MAX_NAME_BYTES};
@@ -15,7 +16,7 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What an acceptor must never forget, as it is stored in a folder (postcard).
+/// The state that an acceptor must never lose. A voter with a state folder stores it there, encoded with postcard.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct PersistentState {
     /// The acceptor's epoch.
@@ -25,27 +26,28 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-struct Slot {
-    /// No ballot below this is accepted.
+struct StoredRegister {
+    /// The highest promised ballot; lower ones are rejected.
     promised: Ballot,
     accepted: Option<AcceptedEntry>,
-    /// The acceptor's revision when this was accepted, from 1 on; 0 while nothing is.
+    /// The acceptor's revision when `accepted` was set, from 1; 0 while nothing is accepted.
     revision: u64,
 }
 
-/// Whether an acceptor votes.
+/// The stages of an acceptor from its start until it votes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum AcceptorState {
-    /// Attempts that it may have replied to before it lost its memory can still be running.
+    /// It does not vote, because attempts that it may have replied to before it lost its memory can still be running.
     Silent,
-    /// It copies the state of the other voters.
+    /// It does not vote yet and copies the state of the other voters.
     Recovering,
-    /// It promises and accepts.
+    /// It promises ballots and accepts values.
     Voting,
 }
 
 impl fmt::Display for AcceptorState {
-    /// The name in logs.
+    /// Writes the name of the state in logs: `Mute` is [`AcceptorState::Silent`], `Copying` is
+    /// [`AcceptorState::Recovering`].
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
             AcceptorState::Silent => "Mute",
@@ -55,27 +57,28 @@
     }
 }
 
-/// A voter's registers.
+/// The registers of a voter.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Acceptor {
-    /// How many voters there are.
+    /// The number of voters in the fleet.
     voters: usize,
-    /// Its own index among them.
+    /// Index of this voter among them.
     index: usize,
     incarnation: u64,
     epoch: u64,
-    /// The lowest epoch that may be begun where no voter remembers one.
+    /// The lowest epoch that this acceptor may begin, also if no voter remembers an epoch.
     first_epoch: u64,
-    slots: BTreeMap<Name, Slot>,
-    /// Counts what has been accepted in this incarnation; no two slots have the same revision above 0.
+    registers: BTreeMap<Name, StoredRegister>,
+    /// Incremented with each accepted entry in this incarnation; no two registers have the same revision above 0.
     revision: u64,
-    /// None once it votes.
+    /// None once the acceptor votes.
     recovery: Option<Recovery>,
 }
 
 impl Acceptor {
-    /// An acceptor without memory: silent for [`LeaseConfig::voter_hold_time`], then recovering. `index`: its own among
-    /// the voters; `incarnation`: drawn at its start; `first_epoch`: the lowest epoch that it may begin, by the date.
+    /// Creates an acceptor without memory. It does not vote for [`LeaseConfig::voter_hold_time`] and then
+    /// recovers its state. `index` is its own index among the voters, `incarnation` a random number drawn at the
+    /// start, and `first_epoch` the lowest epoch that it may begin, derived from the date.
     pub fn without_memory(
         now: Duration,
         config: &LeaseConfig,
@@ -90,32 +93,32 @@
             incarnation,
             epoch: 0,
             first_epoch,
-            slots: BTreeMap::new(),
+            registers: BTreeMap::new(),
             revision: 0,
             recovery: Some(Recovery::new(now + config.voter_hold_time())),
         }
     }
 
-    /// An acceptor whose folder has all that it ever promised and accepted; it votes at once.
+    /// Creates an acceptor from a state folder with everything that it ever promised and accepted. It votes at once.
     pub fn restored(voters: usize, index: usize, incarnation: u64, stored: PersistentState) -> Acceptor {
         let mut revision = 0;
-        let mut slots = BTreeMap::new();
+        let mut registers = BTreeMap::new();
         for RegisterState { name, promised, accepted } in stored.registers {
             revision += u64::from(accepted.is_some());
-            let slot_revision = if accepted.is_some() { revision } else { 0 };
-            slots.insert(name, Slot { promised, accepted, revision: slot_revision });
+            let register_revision = if accepted.is_some() { revision } else { 0 };
+            registers.insert(name, StoredRegister { promised, accepted, revision: register_revision });
         }
         let epoch = stored.epoch;
-        Acceptor { voters, index, incarnation, epoch, first_epoch: 0, slots, revision, recovery: None }
+        Acceptor { voters, index, incarnation, epoch, first_epoch: 0, registers, revision, recovery: None }
     }
 
-    /// What is to be stored before any reply is sent, where there is a folder.
+    /// The state that a voter with a state folder must store before it sends any reply.
     pub fn persistent_state(&self) -> PersistentState {
-        let registers = self.slots.iter().map(|(name, slot)| slot.state(name));
+        let registers = self.registers.iter().map(|(name, register)| register.state(name));
         PersistentState { epoch: self.epoch, registers: registers.collect() }
     }
 
-    /// Whether it votes.
+    /// Whether the acceptor votes, recovers or is silent.
     pub fn state(&self, now: Duration) -> AcceptorState {
         match &self.recovery {
             None => AcceptorState::Voting,
@@ -124,38 +127,40 @@
         }
     }
 
-    /// The highest epoch that it knows.
+    /// The highest epoch that the acceptor knows.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// What it has accepted; that alone does not make it committed.
+    /// The entries that this acceptor has accepted; they need not be committed.
     pub fn accepted(&self) -> impl Iterator<Item = (&Name, &Entry)> {
-        self.slots.iter().filter_map(|(name, slot)| Some((name, &slot.accepted.as_ref()?.entry)))
+        self.registers.iter().filter_map(|(name, register)| Some((name, &register.accepted.as_ref()?.entry)))
     }
 
-    /// When [`Acceptor::poll`] has something to do next.
+    /// The next time at which [`Acceptor::poll`] has something to do.
     pub fn next_timeout(&self) -> Option<Duration> {
         self.recovery.as_ref().map(Recovery::next_request)
     }
 
-    /// While it recovers: asks for what is missing of the copy.
+    /// During recovery, returns requests for the missing parts of the other voters' state.
     pub fn poll(&mut self, now: Duration, config: &LeaseConfig) -> Vec<OutboundMessage> {
         let (voters, index) = (self.voters, self.index);
         self.recovery.as_mut().map(|recovery| recovery.poll(now, config, voters, index)).unwrap_or_default()
     }
 
-    /// A register that a new epoch has begun with and that nobody has proposed since. Somebody must, if only by reading
-    /// it, before it can be committed.
+    /// A register that a new epoch began with and that no proposer has proposed since. It can be committed only
+    /// after a proposal, for which an [`Operation::Read`](crate::Operation::Read) is enough.
     pub fn unproposed_register(&self, now: Duration) -> Option<&Name> {
-        let is_unproposed =
-            |slot: &Slot| slot.accepted.as_ref().is_some_and(|accepted| accepted.ballot.proposer == NOBODY);
-        let unproposed = self.slots.iter().find(|(_, slot)| is_unproposed(slot)).map(|(name, _)| name);
+        let is_unproposed = |register: &StoredRegister| {
+            register.accepted.as_ref().is_some_and(|accepted| accepted.ballot.proposer == NO_PROPOSER)
+        };
+        let unproposed =
+            self.registers.iter().find(|(_, register)| is_unproposed(register)).map(|(name, _)| name);
         unproposed.filter(|_| self.state(now) == AcceptorState::Voting)
     }
 
-    /// Takes in a request and returns the reply. Where there is a folder, [`Acceptor::persistent_state`] must be stored
-    /// before the reply is sent.
+    /// Handles a request and returns the reply. A voter with a state folder must store [`Acceptor::persistent_state`]
+    /// before it sends the reply.
     pub fn handle_request(&mut self, now: Duration, request: RegisterRequest) -> Option<RegisterReply> {
         let is_voting = self.state(now) == AcceptorState::Voting;
         match request {
@@ -181,38 +186,39 @@
     }
 
     fn is_within_limits(&self, name: &str, ballot: Ballot) -> bool {
-        let has_room = self.slots.contains_key(name) || self.slots.len() < MAX_REGISTERS;
-        has_room && !name.is_empty() && name.len() <= MAX_NAME_BYTES && ballot > Ballot::default()
+        let has_capacity = self.registers.contains_key(name) || self.registers.len() < MAX_REGISTERS;
+        has_capacity && !name.is_empty() && name.len() <= MAX_NAME_BYTES && ballot > Ballot::default()
     }
 
     fn handle_prepare(&mut self, name: Name, ballot: Ballot) -> RegisterReply {
         let epoch = self.epoch;
-        let slot = self.slots.entry(name.clone()).or_default();
-        if ballot < slot.promised {
-            return RegisterReply::StaleBallot { name, ballot, round: slot.promised.round };
+        let register = self.registers.entry(name.clone()).or_default();
+        if ballot < register.promised {
+            return RegisterReply::StaleBallot { name, ballot, round: register.promised.round };
         }
-        slot.promised = ballot;
-        RegisterReply::Promise { name, ballot, epoch, accepted: slot.accepted.clone() }
+        register.promised = ballot;
+        RegisterReply::Promise { name, ballot, epoch, accepted: register.accepted.clone() }
     }
 
     fn handle_accept(&mut self, name: Name, ballot: Ballot, entry: Entry) -> RegisterReply {
-        let slot = self.slots.entry(name.clone()).or_default();
-        // A request of an earlier epoch was sent before a majority lost its memory. No proposer counts it any more, but
-        // learners would, and another value may have had its version.
+        let register = self.registers.entry(name.clone()).or_default();
+        // A request of an earlier epoch was sent before a majority lost its memory. No proposer counts a reply to
+        // it any more, but learners would count the accepted entry, and another value may have been committed
+        // under its version.
         let is_older_epoch = entry.version.epoch < self.epoch;
-        if ballot < slot.promised || is_older_epoch {
-            return RegisterReply::StaleBallot { name, ballot, round: slot.promised.round };
+        if ballot < register.promised || is_older_epoch {
+            return RegisterReply::StaleBallot { name, ballot, round: register.promised.round };
         }
-        slot.promised = ballot;
+        register.promised = ballot;
         self.epoch = self.epoch.max(entry.version.epoch);
         self.revision += 1;
-        slot.revision = self.revision;
-        slot.accepted = Some(AcceptedEntry { ballot, entry });
+        register.revision = self.revision;
+        register.accepted = Some(AcceptedEntry { ballot, entry });
         RegisterReply::Accepted { name, ballot }
     }
 }
 
-impl Slot {
+impl StoredRegister {
     fn state(&self, name: &Name) -> RegisterState {
         RegisterState { name: name.clone(), promised: self.promised, accepted: self.accepted.clone() }
     }
