--- a/crates/edges/routing/src/counters.rs
+++ b/crates/edges/routing/src/counters.rs
@@ -1,4 +1,5 @@
-//! Counters since the start, and the log line that prints them. The wording of the line is read by operators: it stays.
+//! Counters since the start of the process, and the log line that prints them. Operators' tools parse this
+//! line, so its labels stay as they are when names in the code change.
 
 use lemonusher::AttemptOutcome;
 use std::cell::{Cell, RefCell};
@@ -6,51 +7,51 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What is counted, in the order of the log line.
+/// A counted event. The variants are in the order of the log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Counter {
     /// Requests received.
     Received,
     /// Attempts sent.
     Attempts,
-    /// Requests answered with a result.
+    /// Requests that got a result.
     Returned,
     /// Requests rejected without effect.
     Rejected,
-    /// Requests answered as failed.
+    /// Requests that got a response stating failure.
     Failed,
-    /// Requests whose client stopped waiting.
+    /// Requests whose client disconnected or cancelled before a response.
     ClientGone,
     /// Attempts cancelled.
     Cancels,
     /// Attempts after the first of their request.
     Retries,
-    /// Attempts that ended in this way.
+    /// Attempts that ended with this outcome.
     AttemptEnded(OutcomeLabel),
-    /// Probes answered.
+    /// Probes that got a reply stating that the engine is healthy.
     Probes,
     /// Probes that failed.
     ProbeFailures,
     /// Client connections accepted.
     ClientConnections,
-    /// Client lines that are no message.
+    /// Lines from clients that are not a valid message.
     FaultyLines,
-    /// Client lines for which there was no memory.
+    /// Lines from clients that exceeded the memory limit.
     LinesWithoutRoom,
     /// Connections to engines opened.
     EngineConnections,
-    /// Answers of engines that belong to nothing in flight.
+    /// Replies of engines that match no attempt or probe in flight.
     StrayAnswers,
-    /// Connections to engines that broke the protocol.
+    /// Connections to engines that ended because a reply was malformed, too long, too slow or over the memory limit.
     SpoiltConnections,
-    /// Updates of the endpoint list.
+    /// Endpoint updates received from discovery.
     ChannelEvents,
-    /// Panics caught.
+    /// Panics that were caught.
     Panics,
 }
 
-/// An attempt's outcome as counters and log lines name it. The variants are in the alphabetical order of their labels,
-/// which is their order in the log line.
+/// An attempt's outcome under its label in counters and log lines. The variants are in the alphabetical order
+/// of their labels, which is their order in the counters' log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum OutcomeLabel {
     /// `cancelled`
@@ -71,7 +72,7 @@
     TimedOut,
 }
 
-/// All counters, by request class where that applies.
+/// All counters; some are kept per request class.
 #[derive(Default)]
 pub struct Counters {
     request_classes: Vec<String>,
@@ -86,10 +87,10 @@
     request_class: Option<usize>,
 }
 
-/// How much the router's tables hold.
+/// Numbers of entries in the router's tables.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TableSizes {
-    /// Requests that are owed a response.
+    /// Open requests: admitted, and without a final response so far.
     pub requests: usize,
     /// Attempts in flight.
     pub attempts: usize,
@@ -100,31 +101,31 @@
 /// One counter's value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CounterValue {
-    /// What is counted.
+    /// The counter.
     pub counter: Counter,
-    /// The number of the request class, where the counter has one.
+    /// Index of the request class, for a counter that is kept per class.
     pub request_class: Option<usize>,
-    /// The count since the start.
+    /// The count since the start of the process.
     pub value: u64,
 }
 
 impl Counters {
-    /// Counters of a deployment with request classes of these names.
+    /// Creates counters for request classes with these names, in the order of the deployment.
     pub fn new(request_classes: Vec<String>) -> Self {
         Counters { request_classes, ..Counters::default() }
     }
 
-    /// Adds one to a counter, of a request class where that applies.
+    /// Adds one to a counter. `request_class` is the index of the class, for a counter that is kept per class.
     pub fn add(&self, counter: Counter, request_class: Option<usize>) {
         *self.values.borrow_mut().entry(CounterKey { counter, request_class }).or_default() += 1;
     }
 
-    /// States how much the router's tables hold now.
+    /// Sets the current sizes of the router's tables.
     pub fn set_table_sizes(&self, sizes: TableSizes) {
         self.table_sizes.set(sizes);
     }
 
-    /// Every count, in the order of the log line.
+    /// All counter values, in the order of the log line.
     pub fn values(&self) -> Vec<CounterValue> {
         let values = self.values.borrow();
         let entry = |(key, value): (&CounterKey, &u64)| CounterValue {
@@ -135,24 +136,24 @@
         values.iter().map(entry).collect()
     }
 
-    /// The request classes' names, by number.
+    /// Names of the request classes, by index.
     pub fn request_classes(&self) -> &[String] {
         &self.request_classes
     }
 
-    /// Time that the gateway has taken to decide since the start.
+    /// Total time that the gateway has spent on decisions since the start of the process.
     pub fn decision_time(&self) -> Duration {
         self.decision_time.get()
     }
 
-    /// Adds the time of one decision.
+    /// Adds the time spent on one decision.
     pub fn add_decision_time(&self, elapsed: Duration) {
         self.decision_time.set(self.decision_time.get() + elapsed);
     }
 }
 
 impl fmt::Display for Counters {
-    /// One line: `taken look-up=12 report=3; ...`.
+    /// Formats all counters as one line, such as `taken look-up=12 report=3; ...`.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let mut last = None;
         for (CounterKey { counter, request_class }, count) in &*self.values.borrow() {
--- a/crates/edges/routing/src/lib.rs
+++ b/crates/edges/routing/src/lib.rs
@@ -1,8 +1,9 @@
-//! The request router: the one task that owns the gateway.
+//! The request router: the single task that owns the gateway state machine.
 //!
-//! Events reach it by one bounded queue. It hands them to the gateway, lets the gateway decide, and executes the
-//! actions: responses go to the sinks of the requests, commands to the engines' side. The router decides nothing itself
-//! and names no wire protocol. Times are spans since the origin of its [`Clock`] unless a type says otherwise.
+//! The router receives events through one queue of limited length, passes them to the gateway, asks the
+//! gateway for a decision and executes the resulting actions. Responses go to the sinks of the requests,
+//! commands to the engine driver. The router makes no routing decisions itself and depends on no wire
+//! protocol. Times are `Duration`s since the origin of its [`Clock`] unless a type says otherwise.
 
 #![warn(missing_docs)]
 
--- a/crates/edges/routing/src/log_text.rs
+++ b/crates/edges/routing/src/log_text.rs
@@ -1,9 +1,10 @@
-//! Values as log lines name them. Operators' tools read these lines, so the wording stays when names in the code change.
+//! Formats values for log lines. Operators' tools parse these lines, so their labels stay as they are when
+//! names in the code change.
 
 use lemonusher_zone_failover::ZoneRestriction;
 use std::fmt;
 
-/// Restrictions of zones, as a log line lists them.
+/// Formats the zones' restrictions as a list in a log line.
 pub(crate) struct LoggedRestrictions<'a>(pub(crate) &'a [ZoneRestriction]);
 
 impl fmt::Debug for LoggedRestrictions<'_> {
--- a/crates/edges/routing/src/management.rs
+++ b/crates/edges/routing/src/management.rs
@@ -1,4 +1,5 @@
-//! Calls of the managers' side and what it is notified of. All of it may cross threads.
+//! Calls of management clients to the router, and notifications to them. All of these types may be sent
+//! between threads.
 
 use crate::CounterValue;
 use async_channel::Sender;
@@ -9,47 +10,47 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A manager's call. A desired state takes effect in two steps: it is prepared, then activated.
+/// A call of a management client. A desired state is applied in two steps: it is prepared, then activated.
 pub enum ManagementCall {
-    /// Checks a desired state and holds it ready.
+    /// Validates a desired state and keeps it for activation.
     Prepare {
-        /// The number of the commit.
+        /// Number of the commit.
         number: u64,
         /// The desired state.
         desired_state: Arc<DesiredState>,
-        /// Where the outcome goes.
+        /// Channel that receives the result.
         reply: Sender<Result<(), ManagementError>>,
     },
-    /// Puts the prepared desired state into effect, all at once.
+    /// Applies the prepared desired state atomically.
     Activate {
-        /// The number of the commit.
+        /// Number of the commit.
         number: u64,
-        /// Where the outcome goes.
+        /// Channel that receives the result.
         reply: Sender<Result<(), ManagementError>>,
     },
     /// Drops the prepared desired state.
     Discard {
-        /// The number of the commit.
+        /// Number of the commit.
         number: u64,
     },
     /// Reads the operational state.
     Read {
-        /// Where the snapshot goes.
+        /// Channel that receives the snapshot.
         reply: Sender<Snapshot>,
     },
 }
 
-/// Why a call has no effect.
+/// The reason why a call had no effect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ManagementError {
-    /// The desired state has limits for more request classes than the deployment states.
+    /// The desired state has limits for more request classes than the deployment defines.
     UnknownRequestClasses {
-        /// How many classes the deployment states.
+        /// Number of request classes that the deployment defines.
         stated: usize,
     },
     /// No desired state was prepared under this number.
     NotPrepared {
-        /// The number of the commit.
+        /// Number of the commit.
         number: u64,
     },
 }
@@ -67,16 +68,16 @@
 
 impl std::error::Error for ManagementError {}
 
-/// An engine's state has changed.
+/// Notification that an engine's state has changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineNotification {
     /// The engine.
     pub engine: EngineId,
     /// Its state in the endpoint list.
     pub state: EngineState,
-    /// Its state as managers want it.
+    /// Its administrative state, as set by management clients.
     pub admin: AdminState,
-    /// A bit for each request class that may not be sent there.
+    /// Bit set of the request classes that may not be sent to the engine; bit 0 is class 0.
     pub blocked_classes: u64,
 }
 
@@ -85,33 +86,33 @@
 pub struct EngineStatus {
     /// Its entry in the endpoint table.
     pub endpoint: EndpointStatus,
-    /// Where it listens.
+    /// Address that it listens on; none if unknown.
     pub address: Option<SocketAddr>,
-    /// Attempts of this front that are in flight there.
+    /// Number of this front's attempts in flight on the engine.
     pub in_flight: u32,
-    /// Nothing is sent there for now, after failures.
+    /// Whether outlier ejection excludes the engine at present.
     pub ejected: bool,
 }
 
-/// The operational state between two events.
+/// The router's operational state, taken between two events.
 #[derive(Debug, Clone)]
 pub struct Snapshot {
-    /// The time of the snapshot, since the clock's origin.
+    /// Time of the snapshot, since the origin of the router's clock.
     pub now: Duration,
-    /// Every counter, in the order of the counters' log line.
+    /// All counters, in the order of their log line.
     pub counters: Vec<CounterValue>,
-    /// Names of the request classes, by number.
+    /// Names of the request classes, by index.
     pub request_classes: Vec<String>,
-    /// Requests that are owed a response.
+    /// Number of open requests.
     pub requests: usize,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub attempts: usize,
-    /// Bytes of the open requests' statements.
+    /// Total size of the open requests' statements, in bytes.
     pub statement_bytes: usize,
-    /// Time that the gateway has taken to decide since the start.
+    /// Total time that the gateway has spent on decisions since the start of the process.
     pub decision_time: Duration,
-    /// Notifications lost because their queue was full.
+    /// Number of notifications dropped because their queue was full.
     pub dropped_notifications: u64,
-    /// The engines.
+    /// Operational state of each engine in the endpoint table.
     pub engines: Vec<EngineStatus>,
 }
--- a/crates/edges/routing/src/messages.rs
+++ b/crates/edges/routing/src/messages.rs
@@ -1,4 +1,4 @@
-//! What the router receives and sends: events in, responses and engine commands out.
+//! The router's inputs and outputs: events in, responses and engine commands out.
 
 use crate::management::ManagementCall;
 use lemonusher::{
@@ -12,192 +12,193 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Number of an attempt or probe, new for each.
+/// Number that identifies one attempt or probe; never reused by this process.
 pub type Token = u64;
 
-/// Where the response to a request goes.
+/// Receives the responses to requests.
 pub trait ResponseSink {
-    /// Gives the one final response to the request that came under this ticket.
+    /// Delivers the final response to the request with this ticket. Called once per request at most.
     fn respond(&self, ticket: u64, response: Response);
 }
 
-/// The final answer to a request.
+/// The final response to a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Response {
-    /// The result's rows, as the engine wrote them.
+    /// The result's rows, in the engine's encoding.
     Returned(Vec<u8>),
-    /// Rejected without effect; after this span it may be tried again, where one is stated.
+    /// Rejected without effect. The duration, if there is one, is how long the client should wait before a retry.
     Rejected(Option<Duration>),
-    /// Failed; this promises nothing about effects.
+    /// Failed; the statement may or may not have run.
     Failed,
 }
 
-/// A request as its client sent it.
+/// A request as received from a client.
 pub struct IncomingRequest {
-    /// Where the response goes.
+    /// Receives the response.
     pub sink: Rc<dyn ResponseSink>,
-    /// The sink's number for the request.
+    /// The sink's own number for the request.
     pub ticket: u64,
     /// The request's id.
     pub request: RequestId,
-    /// The number of its request class.
+    /// Index of its request class in the deployment.
     pub request_class: usize,
     /// The table group that its statement names; 0 if it names none.
     pub table_group: u64,
-    /// How long its client waits from now on.
+    /// Client timeout, measured from when the router handles the request.
     pub client_timeout: Duration,
-    /// Whether the client says that it tries again.
+    /// Whether the client marked the request as a retry.
     pub client_retry: bool,
     /// The statement's bytes.
     pub statement: Rc<[u8]>,
 }
 
-/// An engine as the endpoint list names it.
+/// An engine's entry in the endpoint list.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
     /// The engine's id.
     pub engine: EngineId,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// The number of its zone.
+    /// Index of its zone.
     pub zone: u32,
-    /// The number of its machine kind.
+    /// Index of its machine kind in the deployment.
     pub machine_kind: u32,
-    /// The number of its cell.
+    /// Number of its cell.
     pub cell: u32,
-    /// Its state.
+    /// Its state in the endpoint list.
     pub state: EngineState,
-    /// Unix time of a late start.
+    /// Unix time of its start; none if it started long ago.
     pub started_at: Option<Duration>,
 }
 
-/// What the router is notified of.
+/// An event that the router handles.
 pub enum RouterEvent {
     /// A request arrived.
     Request(IncomingRequest),
-    /// The client of a request no longer waits.
+    /// The client of a request disconnected or cancelled it.
     ClientGone {
-        /// The sink that the request came with.
+        /// The sink of the request.
         sink: Rc<dyn ResponseSink>,
-        /// The ticket that it came under.
+        /// The request's ticket.
         ticket: u64,
         /// The request's id.
         request: RequestId,
     },
-    /// A whole endpoint list, or its changes.
+    /// A full endpoint list or a change to it.
     Endpoints(EndpointUpdateKind, Vec<Endpoint>),
-    /// The one outcome of an attempt.
+    /// An attempt ended.
     AttemptEnded {
-        /// The attempt's number.
+        /// The attempt's token.
         token: Token,
         /// How it ended.
         outcome: AttemptOutcome,
-        /// What the engine says that it used.
+        /// Resources used, as the engine reports them.
         usage: Option<ResourceUsage>,
-        /// The engine's load report, where one came with the answer.
+        /// The engine's load report, if the reply had one.
         load: Option<LoadReport>,
-        /// The result's rows; empty unless it returned.
+        /// The result's rows; empty unless the outcome is `Returned`.
         body: Vec<u8>,
     },
     /// A running attempt reported progress.
     Progress {
-        /// The attempt's number.
+        /// The attempt's token.
         token: Token,
-        /// What the engine says of it.
+        /// The progress, as the engine reports it.
         progress: AttemptProgress,
     },
-    /// The one outcome of a probe.
+    /// A probe ended.
     ProbeEnded {
-        /// The probe's number.
+        /// The probe's token.
         token: Token,
-        /// Whether the engine answered that it is healthy.
+        /// Whether the engine replied that it is healthy.
         answered: bool,
-        /// The engine's load report, where one came.
+        /// The engine's load report, if the reply had one.
         load: Option<LoadReport>,
     },
-    /// The fleet of fronts has an update.
+    /// An update from the fleet of fronts.
     Control(ControlUpdate),
-    /// A manager calls.
+    /// A call of a management client.
     Management(ManagementCall),
-    /// The front shuts down: every request is to be answered within this span.
+    /// The front shuts down; every open request must get its response within this duration.
     ShutDown(Duration),
 }
 
-/// What the fleet of fronts, where there is one, sends to this front.
+/// An update from the fleet of fronts to this front. Not used by a front that runs alone.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ControlUpdate {
-    /// This front's share, from 0 to 1, of what all fronts together may send to an engine in slow start.
+    /// This front's share, from 0 to 1, of the requests that all fronts together may send to an engine in
+    /// slow start.
     Quota(f64),
-    /// The zone failover plan as it applies here from now on.
+    /// The part of the zone failover plan that applies to this front from now on.
     ZonePlan(Arc<PlanEffect>),
-    /// The engines that are out of service for maintenance.
+    /// The set of engines that are out of service for maintenance.
     Maintenance {
-        /// The version of the maintenance requests that this is up to.
+        /// Version of the maintenance requests on which this set is based.
         version: u64,
-        /// Whether all requests are known; if not, every engine counts as out of service.
+        /// Whether all maintenance requests are known. If not, every engine is treated as out of service.
         complete: bool,
-        /// The engines.
+        /// The engines that are out of service.
         closed: Arc<BTreeSet<EngineId>>,
     },
 }
 
-/// What the router wants of the engines' side.
+/// A command from the router to the engine driver.
 #[derive(Debug, Clone)]
 pub enum EngineCommand {
-    /// The endpoint list, or its changes.
+    /// A full endpoint list or a change to it.
     Endpoints(EndpointUpdateKind, Vec<Endpoint>),
     /// Sends an attempt.
     Send {
-        /// The attempt's number.
+        /// The attempt's token.
         token: Token,
-        /// Where it goes.
+        /// The engine that it goes to.
         engine: EngineId,
         /// The request's id.
         request: RequestId,
-        /// The number of the request's class.
+        /// Index of the request's class.
         request_class: usize,
         /// The statement's bytes.
         statement: Rc<[u8]>,
-        /// What has to hold at the moment of writing.
+        /// Conditions that must hold when the attempt is written to the connection.
         conditions: WriteConditions,
-        /// The priority that the engine runs it with.
+        /// Priority with which the engine runs it.
         priority: u8,
-        /// Memory for it in MB; 0 leaves that to the engine.
+        /// Memory limit in MB; 0 leaves it to the engine.
         memory_mb: f64,
     },
-    /// Withdraws an attempt that has not been written yet; one that has been goes on.
+    /// Withdraws an attempt that has not been written yet. Has no effect on one that has been written.
     Withdraw(Token),
     /// Changes the priority of a running attempt.
     SetPriority {
-        /// The attempt's number.
+        /// The attempt's token.
         token: Token,
         /// The new priority.
         priority: u8,
     },
     /// Cancels an attempt or probe.
     Cancel(Token),
-    /// Asks an engine for its health and load.
+    /// Requests an engine's health and load.
     Probe {
-        /// The probe's number.
+        /// The probe's token.
         token: Token,
         /// The engine.
         engine: EngineId,
     },
 }
 
-/// What has to hold at the very moment in which an attempt is written: it may have waited for a connection.
+/// Conditions that are checked just before an attempt is written, because it may have waited for a connection.
 #[derive(Debug, Clone)]
 pub struct WriteConditions {
-    /// The request's deadline, or the attempt's if that is earlier.
+    /// The attempt is not written at this time or later: the earlier of the request's and the attempt's deadline.
     pub until: Instant,
-    /// The attempt may not start at this time or later.
+    /// The attempt may not start at this time or later; none sets no such limit.
     pub start_by: Option<Instant>,
-    /// Alive for as long as somebody waits for the request.
+    /// Upgradable for as long as the request is open.
     pub(crate) request_open: Weak<()>,
 }
 
 impl WriteConditions {
-    /// Whether the attempt may still be written.
+    /// Returns whether the attempt may be written at `now`.
     pub fn hold(&self, now: Instant) -> bool {
         self.request_open.strong_count() > 0
             && now < self.until
@@ -206,14 +207,14 @@
 }
 
 impl RouterEvent {
-    /// An attempt that ended without a result.
+    /// Creates the event for an attempt that ended without a result.
     pub fn attempt_ended(token: Token, outcome: AttemptOutcome) -> Self {
         RouterEvent::AttemptEnded { token, outcome, usage: None, load: None, body: Vec::new() }
     }
 }
 
 impl EngineCommand {
-    /// The number of the attempt or probe that this sends.
+    /// Returns the token of the attempt or probe that this command sends.
     pub fn token(&self) -> Option<Token> {
         match self {
             EngineCommand::Send { token, .. } | EngineCommand::Probe { token, .. } => Some(*token),
@@ -221,7 +222,7 @@
         }
     }
 
-    /// The request's id, under which an earlier attempt may have been sent already.
+    /// Returns the id of the request if this command sends an attempt. Earlier attempts have the same id.
     pub fn request(&self) -> Option<&RequestId> {
         if let EngineCommand::Send { request, .. } = self { Some(request) } else { None }
     }
--- a/crates/edges/routing/src/router/actions.rs
+++ b/crates/edges/routing/src/router/actions.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Sets what further attempts of the request are sent with, and the priority of those in flight.
+    /// Sets the priority and memory of the request's further attempts, and the priority of its attempts in flight.
     fn set_priority(&mut self, request: &RequestId, priority: u8, memory_mb: f64) {
         let Some(open_request) = self.requests.get_mut(request) else { return };
         (open_request.priority, open_request.memory_mb) = (priority, memory_mb);
--- a/crates/edges/routing/src/router/admission.rs
+++ b/crates/edges/routing/src/router/admission.rs
@@ -1,7 +1,8 @@
 //! Admission of requests, and their responses.
 //!
-//! A request passes, in this order: the router's own limits, the zone failover plan, the managers' limits, and the check
-//! that nothing under its id is open or in flight. The gateway gets only requests that pass.
+//! A request is checked, in this order, against the router's own limits, the zone failover plan, the limits
+//! set by management clients, and the requests and attempts that are already open or in flight under its id.
+//! Only a request that passes all checks reaches the gateway.
 
 use super::{OpenRequest, RequestRouter};
 use crate::counters::Counter;
@@ -11,7 +12,7 @@
 use std::time::Duration;
 
 impl RequestRouter {
-    /// Admits a request and hands it to the gateway, or responds at once.
+    /// Admits a request and passes it to the gateway, or responds to it at once.
     pub(super) fn handle_request(&mut self, now: Duration, incoming: IncomingRequest) {
         self.counters.add(Counter::Received, Some(incoming.request_class));
         if let Err(response) = self.admit(now, &incoming) {
@@ -50,7 +51,7 @@
         );
     }
 
-    /// Admits a request, or gives the response that it gets in place of a decision.
+    /// Checks whether a request is admitted. The error is the response to send if it is not.
     fn admit(&mut self, now: Duration, incoming: &IncomingRequest) -> Result<(), Response> {
         let capabilities = &self.deployment.capabilities;
         let retry_after = |wait: Duration| Some(wait).filter(|_| capabilities.retry_after);
@@ -76,7 +77,8 @@
         Ok(())
     }
 
-    /// The client of a request no longer waits, if it is still the same client that sent it.
+    /// Closes a request whose client disconnected or cancelled. Ignored unless the open request with this id
+    /// has the same sink and ticket: another client may have sent the same id since.
     pub(super) fn handle_client_gone(
         &mut self,
         now: Duration,
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Gives the response, if the request is still open.
+    /// Sends the final response, if the request is still open.
     pub(super) fn respond(&mut self, request: &RequestId, response: Response) {
         let Some(open_request) = self.finish_request(request) else { return };
         let counter = match &response {
@@ -105,8 +107,8 @@
         open_request.sink.respond(open_request.ticket, response);
     }
 
-    /// The request is owed nothing more. Its attempts in flight still have their outcomes; those that wait to be written
-    /// are withdrawn.
+    /// Removes an open request; no response is sent for it after this. Attempts that are not written yet are
+    /// withdrawn. Each attempt still ends with an outcome.
     fn finish_request(&mut self, request: &RequestId) -> Option<OpenRequest> {
         let open_request = self.requests.remove(request)?;
         if open_request.attempts_sent > 0 {
--- a/crates/edges/routing/src/router/attempts.rs
+++ b/crates/edges/routing/src/router/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts and probes: their start, their progress and their one outcome each.
+//! Attempts and probes: start, progress and end. Each ends with exactly one outcome.
 
 use super::{InFlightAttempt, InFlightProbe, RequestRouter, TokenTimer};
 use crate::counters::{Counter, OutcomeLabel};
@@ -10,7 +10,8 @@
 use std::time::Duration;
 
 impl RequestRouter {
-    /// Sends an attempt of an open request. A timeout of zero leaves the request's deadline alone.
+    /// Sends an attempt of an open request. It ends at the request's deadline or after `timeout`, whichever
+    /// is earlier; a timeout of zero adds no limit to the deadline.
     pub(super) fn send_attempt(
         &mut self,
         now: Duration,
@@ -55,7 +56,7 @@
         self.queue_command(command);
     }
 
-    /// Enters an attempt into the tables and timers.
+    /// Adds an attempt to the table of attempts and sets its timers.
     fn track_attempt(&mut self, token: Token, attempt: InFlightAttempt, start_by: Option<Duration>) {
         if let Some(zone_monitor) = &mut self.zone_monitor {
             zone_monitor.handle_sent(attempt.sent_at, attempt.engine);
@@ -65,7 +66,7 @@
         self.attempts.insert(token, attempt);
     }
 
-    /// The one outcome of an attempt; a further one finds nothing in flight.
+    /// Handles the end of an attempt. Ignored if the attempt is not in flight, so only its first outcome counts.
     pub(super) fn handle_attempt_ended(
         &mut self,
         now: Duration,
@@ -104,7 +105,7 @@
         self.gateway.handle_event(now, Event::AttemptEnded(end));
     }
 
-    /// Reports to the zone monitor what the end of an attempt shows of its engine.
+    /// Reports the end of an attempt to the zone monitor.
     fn observe_attempt_ended(
         &mut self,
         now: Duration,
@@ -120,7 +121,7 @@
         zone_monitor.handle_attempt_ended(now, attempt.engine, attempt.request_class, outcome, result);
     }
 
-    /// A running attempt reported progress.
+    /// Handles a progress report of a running attempt.
     pub(super) fn handle_progress(&mut self, now: Duration, token: Token, progress: AttemptProgress) {
         let Some(attempt) = self.attempts.get(&token) else { return };
         if let Some(zone_monitor) = &mut self.zone_monitor {
@@ -135,7 +136,7 @@
         self.gateway.handle_event(now, event);
     }
 
-    /// Asks an engine for its health and load, unless there is no room for the command.
+    /// Sends a probe to an engine, unless the command backlog is full.
     pub(super) fn send_probe(&mut self, now: Duration, engine: EngineId) {
         if self.backlog_is_full() {
             return;
@@ -149,7 +150,7 @@
         self.queue_command(EngineCommand::Probe { token, engine });
     }
 
-    /// The one outcome of a probe; a further one finds nothing in flight.
+    /// Handles the end of a probe. Ignored if the probe is not in flight, so only its first outcome counts.
     pub(super) fn handle_probe_ended(
         &mut self,
         now: Duration,
--- a/crates/edges/routing/src/router/endpoints.rs
+++ b/crates/edges/routing/src/router/endpoints.rs
@@ -1,5 +1,5 @@
-//! Updates of the endpoints: the discovery channel's list, the zone failover plan and maintenance. The endpoint table
-//! merges them; the gateway gets what changes by that.
+//! Endpoint updates from three sources: the endpoint list of the discovery channel, the zone failover plan,
+//! and maintenance. The endpoint table merges them, and the gateway receives the resulting changes.
 
 use super::RequestRouter;
 use crate::counters::Counter;
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 impl RequestRouter {
-    /// The discovery channel sent a list, or its changes.
+    /// Handles a full endpoint list, or a change to it, from the discovery channel.
     pub(super) fn handle_endpoints(
         &mut self,
         now: Duration,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The zone failover plan applies here as stated from now on.
+    /// Applies the part of the zone failover plan that concerns this front.
     pub(super) fn handle_zone_plan(&mut self, now: Duration, effect: &PlanEffect) {
         let Some(zone_monitor) = &mut self.zone_monitor else { return };
         zone_monitor.handle_plan(effect);
@@ -85,7 +85,8 @@
         self.apply_endpoint_change(now, EndpointUpdateKind::Delta, change);
     }
 
-    /// These engines are out of service for maintenance from now on.
+    /// Sets the engines that are out of service for maintenance. If `complete` is false, every engine is
+    /// treated as out of service.
     pub(super) fn handle_maintenance(
         &mut self,
         now: Duration,
@@ -103,7 +104,7 @@
         self.apply_endpoint_change(now, EndpointUpdateKind::Delta, change);
     }
 
-    /// Hands what has changed to managers and to the gateway, and cancels what has to be recalled.
+    /// Notifies management clients and the gateway of a change, and cancels the attempts that the change recalls.
     pub(super) fn apply_endpoint_change(
         &mut self,
         now: Duration,
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Cancels the attempts on an engine that its administrative state recalls.
+    /// Cancels those attempts on an engine that its administrative state recalls.
     fn recall_attempts(&mut self, engine: EngineId) {
         let admin = self.endpoints.get(engine).map(|status| status.admin).unwrap_or_default();
         let recalled = |class: usize| {
@@ -153,7 +154,7 @@
     }
 }
 
-/// An engine's state as log lines name it.
+/// Label of an engine's state in log lines.
 fn state_label(state: EngineState) -> &'static str {
     match state {
         EngineState::Active => "Active",
--- a/crates/edges/routing/src/router/event_loop.rs
+++ b/crates/edges/routing/src/router/event_loop.rs
@@ -1,7 +1,7 @@
-//! The event loop: takes events in turns, fires timers, and asks the gateway for decisions.
+//! The event loop: handles events, fires timers and asks the gateway for decisions.
 //!
-//! The gateway decides once a tick at most, as events that come together are better decided together; the actions of a
-//! decision are executed at once.
+//! The gateway decides at most once per tick, because deciding on events that arrive close together in one
+//! batch gives better decisions. The actions of a decision are executed at once.
 
 use super::RequestRouter;
 use crate::counters::TableSizes;
@@ -14,19 +14,19 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::{Duration, Instant};
 
-/// Events handled in one turn before the gateway decides.
+/// Maximum number of events taken from the queue in one iteration, before the gateway decides.
 const MAX_EVENTS_PER_TURN: usize = 1024;
 
-/// What ended a wait of the event loop.
+/// The reason why the event loop wakes up.
 enum Wakeup {
     Event(RouterEvent),
     Timer,
-    /// The queue of events is closed.
+    /// The event queue is closed.
     Closed,
 }
 
 impl RequestRouter {
-    /// Runs until the queue is closed.
+    /// Runs the event loop until the queue is closed.
     pub async fn run(mut self, queue: Receiver<RouterEvent>) {
         loop {
             let mut first = None;
@@ -60,10 +60,11 @@
         });
     }
 
-    /// Waits for the next event or the next timer, whichever is first.
+    /// Waits for the next event or the next timer, whichever comes first.
     async fn wait_for_event(&mut self, queue: &Receiver<RouterEvent>) -> Wakeup {
         let next_timeout = self.next_timeout();
-        // One timer, set anew only when the time changes: each setting may cost a turn of the reactor.
+        // The timer is reused and set only when the time changes, because each change may cost an iteration
+        // of the I/O reactor.
         if next_timeout != self.armed_at {
             self.armed_at = next_timeout;
             match next_timeout {
@@ -83,7 +84,7 @@
         wakeup
     }
 
-    /// The earliest of all timers and of the next decision.
+    /// Returns the earliest of all timers and of the next decision; none if there is nothing to wait for.
     fn next_timeout(&self) -> Option<Duration> {
         let decision = self.decision_pending.then_some(self.last_decision + self.deployment.tick);
         let wakeup = self.wakeups.first().copied();
@@ -92,7 +93,7 @@
         [decision, wakeup, timeout, start_deadline].into_iter().flatten().min()
     }
 
-    /// One turn: the events, then the timers that are due, then a decision if one is due.
+    /// Runs one iteration: handles the events, fires the timers that are due, and decides if a decision is due.
     fn process_turn(&mut self, now: Duration, events: Vec<RouterEvent>) {
         self.flush_commands();
         self.decision_pending |= !events.is_empty();
@@ -146,7 +147,7 @@
                 continue;
             }
             self.queue_command(EngineCommand::Cancel(token));
-            // The token is one of an attempt or of a probe; for the other there is nothing in flight.
+            // The token belongs either to an attempt or to a probe; the event of the other kind is ignored.
             self.handle_event(now, RouterEvent::attempt_ended(token, AttemptOutcome::TimedOut));
             self.handle_event(now, RouterEvent::ProbeEnded { token, answered: false, load: None });
         }
--- a/crates/edges/routing/src/router/management.rs
+++ b/crates/edges/routing/src/router/management.rs
@@ -1,4 +1,5 @@
-//! Managers' calls. A desired state is checked first and takes effect when it is activated, all in one event.
+//! Calls of management clients. A desired state is validated first; activating it applies all of it within
+//! one event.
 
 use super::{PreparedState, RequestRouter};
 use crate::management::{EngineStatus, ManagementCall, ManagementError, Snapshot};
@@ -9,7 +10,7 @@
 use std::time::Duration;
 
 impl RequestRouter {
-    /// Answers a manager's call.
+    /// Handles a call of a management client and sends the result to its reply channel.
     pub(super) fn handle_management(&mut self, now: Duration, call: ManagementCall) {
         match call {
             ManagementCall::Prepare { number, desired_state, reply } => {
--- a/crates/edges/routing/src/router/mod.rs
+++ b/crates/edges/routing/src/router/mod.rs
@@ -1,4 +1,4 @@
-//! The request router: its state, and how it is put together. Each module below handles one concern.
+//! The request router's state and constructors. Each submodule handles one concern.
 
 mod actions;
 mod admission;
@@ -26,18 +26,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the router may hold, and how long a probe may take.
+/// The router's limits.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Requests open at once; further ones are rejected unseen.
+    /// Maximum number of open requests; further requests are rejected without a decision of the gateway.
     pub max_requests: usize,
-    /// Bytes of the open requests' statements.
+    /// Maximum total size of the open requests' statements, in bytes; a request beyond it is rejected likewise.
     pub max_statement_bytes: usize,
-    /// A probe without an answer in this time has failed.
+    /// A probe without a reply after this time has failed.
     pub probe_timeout: Duration,
 }
 
-/// A request that is owed a response.
+/// A request that was admitted and has no final response yet.
 struct OpenRequest {
     sink: Rc<dyn ResponseSink>,
     ticket: u64,
@@ -47,15 +47,16 @@
     priority: u8,
     memory_mb: f64,
     attempts_sent: u32,
-    /// Dropped with the request: an attempt that has not been written by then is not written any more.
+    /// Its only strong reference. It is dropped with the request, after which attempts that are not written
+    /// yet are never written.
     open_guard: Rc<()>,
 }
 
-/// An attempt that has been handed to the engines' side and has not ended.
+/// An attempt that was passed to the engine driver, or waits in its backlog, and has not ended.
 struct InFlightAttempt {
     request: RequestId,
     request_class: usize,
-    /// Its number among the request's attempts, from 0.
+    /// Index among the request's attempts, from 0.
     number: u32,
     engine: EngineId,
     sent_at: Duration,
@@ -63,26 +64,26 @@
     priority: u8,
 }
 
-/// A probe that has been handed to the engines' side and has not ended.
+/// A probe that was passed to the engine driver, or waits in its backlog, and has not ended.
 struct InFlightProbe {
     engine: EngineId,
     sent_at: Duration,
 }
 
-/// When something is due for an attempt or probe; ordered by time.
+/// A timer of an attempt or probe. Ordered by time, then by token.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct TokenTimer {
     at: Duration,
     token: Token,
 }
 
-/// A desired state that was checked and waits to be activated.
+/// A desired state that was validated and is not activated yet.
 struct PreparedState {
     number: u64,
     desired_state: Arc<DesiredState>,
 }
 
-/// Owns the gateway, the clock and the tables of requests and attempts.
+/// The request router. Owns the gateway, the clock and the tables of requests and attempts.
 pub struct RequestRouter {
     deployment: Deployment,
     gateway: Gateway,
@@ -90,17 +91,18 @@
     limits: Limits,
     commands: Sender<EngineCommand>,
     counters: Rc<Counters>,
-    /// How many requests are owed a response, shared with the shutdown, which waits for them.
+    /// Number of open requests, updated after each iteration. Shared with the shutdown, which waits for zero.
     open_count: Rc<Cell<usize>>,
     requests: BTreeMap<RequestId, OpenRequest>,
     statement_bytes: usize,
     attempts: BTreeMap<Token, InFlightAttempt>,
     probes: BTreeMap<Token, InFlightProbe>,
-    /// When attempts and probes time out.
+    /// Timeouts of attempts and probes.
     timeouts: BTreeSet<TokenTimer>,
-    /// When attempts may start at the latest, where that is bounded.
+    /// Latest start times of the attempts that have one.
     start_deadlines: BTreeSet<TokenTimer>,
-    /// When the gateway wants to be asked again.
+    /// Times at which the event loop has to run: the gateway's timers, retries of the command backlog and
+    /// reports of the zone monitor.
     wakeups: BTreeSet<Duration>,
     next_token: Token,
     endpoints: EndpointTable,
@@ -109,22 +111,22 @@
     prepared: Option<PreparedState>,
     notifications: Option<Sender<EngineNotification>>,
     zone_monitor: Option<ZoneMonitor>,
-    /// Notifications for which there was no room.
+    /// Number of notifications dropped because their queue was full.
     dropped_notifications: u64,
-    /// Events that executing actions has caused; handled in the next turn.
+    /// Events caused by executing actions; handled in the next iteration.
     pending_events: VecDeque<RouterEvent>,
-    /// Commands that the engines' side has no room for yet, in order.
+    /// Commands that did not fit into the engine driver's queue yet, in order.
     command_backlog: VecDeque<EngineCommand>,
     last_decision: Duration,
-    /// Whether anything has happened since the last decision.
+    /// Whether an event was handled or a timer fired since the last decision.
     decision_pending: bool,
     timer: Timer,
-    /// What the timer is set to.
+    /// Time that `timer` is set to; none if it is not set or has fired.
     armed_at: Option<Duration>,
 }
 
 impl RequestRouter {
-    /// A router with no engines yet. `seed` seeds the gateway's random draws.
+    /// Creates a router without engines. `seed` seeds the gateway's random number generator.
     pub fn new(
         deployment: Deployment,
         seed: u64,
@@ -140,7 +142,8 @@
         };
         let admission_limiter = AdmissionLimiter::new(deployment.request_classes.len(), max_retry_after);
         let mut gateway = Gateway::new(deployment.clone(), seed);
-        // What an engine was sent by a process before this one is not known here.
+        // Sets the gateway's start time. The gateway needs it because attempts that a previous process sent
+        // to the engines are unknown.
         gateway.handle_event(clock.process_start(), Event::TimerFired);
         RequestRouter {
             gateway,
@@ -174,7 +177,8 @@
         }
     }
 
-    /// Puts the desired state of the front's last run into effect, before any event; engines' changes are notified.
+    /// Applies the desired state stored by the front's previous run, before any event. Changes of engines are
+    /// sent to `notifications`.
     pub fn with_desired_state(
         mut self,
         desired_state: Arc<DesiredState>,
@@ -186,7 +190,7 @@
         self
     }
 
-    /// Reports what this front observes of the zones, and follows the failover plan.
+    /// Enables zone failover: the router reports its observations of the zones and applies the failover plan.
     pub fn with_zone_monitor(
         mut self,
         config: FailoverConfig,
@@ -198,7 +202,7 @@
         self
     }
 
-    /// How many requests are owed a response, as of the last turn.
+    /// Returns the shared number of open requests, which is updated after each iteration.
     pub fn open_requests(&self) -> Rc<Cell<usize>> {
         self.open_count.clone()
     }
--- a/crates/edges/routing/src/router/recovery.rs
+++ b/crates/edges/routing/src/router/recovery.rs
@@ -1,4 +1,4 @@
-//! Restart after a panic in the gateway.
+//! Restarts the gateway after a panic.
 
 use super::RequestRouter;
 use crate::counters::Counter;
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 impl RequestRouter {
-    /// Answers every open request as failed, which promises nothing, cancels what is in flight, and starts a new gateway
-    /// with the endpoints that are known.
+    /// Fails every open request, which leaves open whether it ran, cancels all attempts and probes in flight,
+    /// and creates a new gateway with the known endpoints.
     pub(super) fn restart_after_panic(&mut self, now: Duration) {
         self.counters.add(Counter::Panics, None);
         log::error!("the gateway panicked: {} batches are errored, and it starts over", self.requests.len());
--- a/crates/edges/routing/src/zone_monitor.rs
+++ b/crates/edges/routing/src/zone_monitor.rs
@@ -1,5 +1,5 @@
-//! What zone failover needs of the router: it reports what this front observes of the zones, and admits what the plan
-//! allows. How that is evaluated is decided in `lemonusher-zone-failover`.
+//! Connects the router to zone failover: reports this front's observations of the zones, and admits requests
+//! as the failover plan allows. The evaluation of both is in `lemonusher-zone-failover`.
 
 use async_channel::Sender;
 use lemonusher::{
@@ -13,25 +13,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The work of a request, as a share of its latency objective on its threads, until answers report it.
+/// Work assumed for a request until replies report it, as a share of latency objective times threads.
 const ASSUMED_WORK_SHARE: f64 = 0.5;
 
-/// What a front observed, sent once a report interval.
+/// A front's observations of the zones, sent once per report interval.
 #[derive(Debug, Clone)]
 pub struct ZoneObservation {
-    /// What goes to the other fronts.
+    /// The report for the other fronts.
     pub report: FrontReport,
-    /// What this front knows by itself.
+    /// This front's own view, used while it is isolated.
     pub local: LocalView,
-    /// The version of the maintenance requests up to which engines are out of service.
+    /// Version of the maintenance requests on which this front's set of engines out of service is based.
     pub maintenance_version: u64,
-    /// Attempts that run, or may still run, on engines that are out of service.
+    /// Number of attempts that run, or may still run, on each engine that is out of service.
     pub in_flight: BTreeMap<EngineId, u32>,
-    /// Each engine with its zone, its cores, and whether it answers, as far as it was tried lately.
+    /// Each engine's zone, number of cores, and whether it replies, if anything was sent to it recently.
     pub engines: Vec<EngineObservation>,
 }
 
-/// The request classes as the planner wants them, with no demand yet. `floor` is the least admitted share.
+/// Converts the request classes for the failover planner, with a request rate of zero. `floor` is the minimum
+/// admitted share of each class, from 0 to 1.
 pub fn class_loads(classes: &[RequestClassConfig], floor: f64) -> Vec<ClassLoad> {
     let class_load = |config: &RequestClassConfig| ClassLoad {
         priority_weight: config.priority_weight,
@@ -45,25 +46,26 @@
     classes.iter().map(class_load).collect()
 }
 
-/// Observes the zones by the front's ordinary work, and admits requests by the failover plan.
+/// Observes the zones through the front's attempts and probes, and admits requests by the failover plan.
 pub struct ZoneMonitor {
     config: FailoverConfig,
     observer: Observer,
     plan_admission: PlanAdmission,
     observations: Sender<ZoneObservation>,
-    /// This front's share of all requests where it is isolated: one over the number of fronts that is configured.
+    /// This front's share of all requests while it is isolated, from 0 to 1: one over the configured number
+    /// of fronts.
     share: f64,
     next_report: Duration,
     /// The engines that are out of service for maintenance, as of `maintenance_version`.
     out_of_service: Arc<BTreeSet<EngineId>>,
     maintenance_version: u64,
-    /// Until when an attempt of unknown outcome may still run on an engine.
+    /// Time until which an attempt of unknown outcome may still run, by engine.
     unknown_until: BTreeMap<EngineId, Duration>,
     unknown_outcome_delay: Duration,
 }
 
 impl ZoneMonitor {
-    /// A monitor that reports for the first time an interval from now.
+    /// Creates a monitor whose first report is due one report interval from now.
     pub fn new(
         now: Duration,
         deployment: &Deployment,
@@ -86,12 +88,13 @@
         }
     }
 
-    /// When `poll` is due next.
+    /// Returns when `poll` is due next.
     pub fn next_timeout(&self) -> Duration {
         self.next_report
     }
 
-    /// Reports once an interval; a report takes the place of one that has not been read yet.
+    /// Sends an observation if the report interval has passed. If the channel is full, it replaces an unread
+    /// one. `in_flight` returns the number of attempts in flight by engine.
     pub fn poll(&mut self, now: Duration, in_flight: impl Fn() -> BTreeMap<EngineId, u32>) {
         if now < self.next_report {
             return;
@@ -112,28 +115,29 @@
         });
     }
 
-    /// Counts a request and admits it, or states how long its client should wait.
+    /// Counts a request and admits it, or returns how long its client should wait before a retry.
     pub fn admit(&mut self, request_class: usize) -> Result<(), Duration> {
         self.observer.request_arrived(request_class);
         self.plan_admission.admit(request_class)
     }
 
-    /// Admits by this plan from now on.
+    /// Applies the failover plan to the admission of requests.
     pub fn handle_plan(&mut self, effect: &PlanEffect) {
         self.plan_admission.apply(effect);
     }
 
-    /// These engines are out of service for maintenance from now on.
+    /// Sets the engines that are out of service for maintenance, as of this version of the maintenance requests.
     pub fn set_out_of_service(&mut self, version: u64, engines: Arc<BTreeSet<EngineId>>) {
         (self.out_of_service, self.maintenance_version) = (engines, version);
     }
 
-    /// An attempt or probe was sent.
+    /// Records that an attempt or probe was sent.
     pub fn handle_sent(&mut self, now: Duration, engine: EngineId) {
         self.observer.attempt_sent(now, engine);
     }
 
-    /// An attempt ended; where its outcome is unknown, the engine may still run it for a while.
+    /// Records the end of an attempt. If its outcome is unknown, the engine may still run it for
+    /// `unknown_outcome_delay`.
     pub fn handle_attempt_ended(
         &mut self,
         now: Duration,
@@ -148,12 +152,12 @@
         }
     }
 
-    /// An engine reported progress, so it answers.
+    /// Records that an engine reported progress, which shows that it replies.
     pub fn handle_progress(&mut self, now: Duration, engine: EngineId) {
         self.observer.engine_answered(now, engine);
     }
 
-    /// A probe ended.
+    /// Records the end of a probe.
     pub fn handle_probe_ended(&mut self, now: Duration, engine: EngineId, answered: bool) {
         match answered {
             true => self.observer.engine_answered(now, engine),
@@ -161,7 +165,7 @@
         }
     }
 
-    /// The endpoint list, or its changes.
+    /// Handles a full endpoint list or a change to it.
     pub fn handle_endpoints(
         &mut self,
         deployment: &Deployment,
@@ -183,7 +187,8 @@
     }
 }
 
-/// What an outcome shows of the engine, given its work on one thread and the threads of its class.
+/// Converts an attempt's outcome for the zone observer. `work` is the reported work on one thread; `threads`
+/// is the number of threads of the request's class.
 pub fn attempt_result(
     outcome: AttemptOutcome,
     elapsed: Duration,
--- a/crates/edges/routing/tests/unit/clock.rs
+++ b/crates/edges/routing/tests/unit/clock.rs
@@ -7,6 +7,6 @@
     let clock = Clock::with_history(seconds(2));
     let start = |age: u64| clock.engine_start(unix - seconds(age), clock.now(), seconds(14));
     assert!(clock.now() - start(1) < seconds(2) && !start(1).is_zero());
-    assert!(!start(10).is_zero() && start(10) < start(1)); // Before the origin, and in slow start.
+    assert!(!start(10).is_zero() && start(10) < start(1)); // It started before the origin and is still in slow start.
     assert!(start(20).is_zero());
 }
--- a/crates/edges/routing/tests/unit/commands.rs
+++ b/crates/edges/routing/tests/unit/commands.rs
@@ -17,7 +17,8 @@
     fn respond(&self, _: u64, _: Response) {}
 }
 
-/// A router with one engine, whose engines' side takes no command; so many wait in the backlog.
+/// Creates a router with one engine. The engine driver's queue stays full, and `backlog` commands wait in the
+/// backlog.
 fn router(backlog: usize) -> (RequestRouter, Receiver<EngineCommand>) {
     let settings: lemonusher_deployment::Settings =
         serde_json::from_value(lemonusher_fakes::settings()).unwrap();
@@ -59,7 +60,7 @@
     );
 }
 
-/// Guards against healthy engines that are ejected because of our own overload.
+/// Guards against a healthy engine being ejected because this front is overloaded and its commands were never sent.
 #[test]
 fn engine_is_not_ejected_for_what_was_not_sent_to_it() {
     for (case, backlog) in [("no room", MAX_COMMAND_BACKLOG), ("waits until its time is over", 3)] {
@@ -82,7 +83,7 @@
     }
 }
 
-/// What has been handed over may have been sent, so its silence counts.
+/// A probe that was passed to the engine driver may have been sent, so a missing reply counts against the engine.
 #[test]
 fn engine_that_does_not_answer_a_probe_is_ejected() {
     let (mut router, received) = router(0);
