--- a/crates/edges/routing/src/router/attempts.rs
+++ b/crates/edges/routing/src/router/attempts.rs
@@ -84,7 +84,7 @@
         self.counters.add(Counter::AttemptEnded(label), Some(attempt.request_class));
         log::debug!(
             "batch" = &*attempt.request, engine = attempt.engine;
-            "batch {} dispatch {} on engine {:08x} ended {label} after {elapsed:?}",
+            "request {} attempt {} on engine {:08x} ended {label} after {elapsed:?}",
             attempt.request,
             attempt.number,
             attempt.engine,
--- a/crates/edges/routing/src/router/endpoints.rs
+++ b/crates/edges/routing/src/router/endpoints.rs
@@ -30,7 +30,7 @@
         for (entry, endpoint) in entries.iter().zip(&listed) {
             log::info!(
                 engine = entry.engine;
-                "engine {:08x} is {} in location {}, started {:?} ago",
+                "engine {:08x} is {} in zone {}, started {:?} ago",
                 entry.engine,
                 state_label(entry.state),
                 entry.zone,
@@ -96,8 +96,8 @@
     ) {
         let Some(zone_monitor) = &mut self.zone_monitor else { return };
         log::info!(
-            "works: version {version}, {}out: {closed:x?}",
-            if complete { "" } else { "not sure yet, " }
+            "maintenance: version {version}, {}engines out of service: {closed:x?}",
+            if complete { "" } else { "incomplete, " }
         );
         zone_monitor.set_out_of_service(version, closed.clone());
         let change = self.endpoints.set_out_of_service(closed, !complete);
--- a/crates/edges/routing/src/router/event_loop.rs
+++ b/crates/edges/routing/src/router/event_loop.rs
@@ -132,7 +132,7 @@
                 self.handle_maintenance(now, version, complete, closed);
             }
             RouterEvent::ShutDown(within) => {
-                log::info!("closing: {} batches are to be answered within {within:?}", self.requests.len());
+                log::info!("closing: {} open requests must end within {within:?}", self.requests.len());
                 self.gateway.handle_event(now, Event::ShuttingDown { deadline: now + within });
             }
         }
--- a/crates/edges/routing/src/router/recovery.rs
+++ b/crates/edges/routing/src/router/recovery.rs
@@ -11,7 +11,7 @@
     /// and creates a new gateway with the known endpoints.
     pub(super) fn restart_after_panic(&mut self, now: Duration) {
         self.counters.add(Counter::Panics, None);
-        log::error!("the gateway panicked: {} batches are errored, and it starts over", self.requests.len());
+        log::error!("gateway panicked; failing {} open requests and restarting it", self.requests.len());
         let open: Vec<RequestId> = self.requests.keys().cloned().collect();
         for request in open {
             self.respond(&request, Response::Failed);
