--- a/crates/core/external-call/src/calls.rs
+++ b/crates/core/external-call/src/calls.rs
@@ -1,4 +1,4 @@
-//! The state machine of all calls of one processor.
+//! The state machine of all external processing calls of one processor.
 
 use crate::config::CallConfig;
 use crate::finished::{FinishedCalls, FinishedOutcome};
@@ -9,13 +9,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// All calls of one processor. Each handler takes an event and returns what has to be done; times are `Duration`s
-/// since one origin and never go back.
+/// All calls of one processor. Each handler takes an event and returns the actions to execute. Times are
+/// `Duration`s since one origin and never decrease.
 #[derive(Debug)]
 pub struct ExternalCalls {
     config: CallConfig,
     calls: BTreeMap<RequestId, Call>,
-    /// The call of each open stream.
+    /// The request of each open stream; finished calls have none.
     streams: BTreeMap<StreamId, RequestId>,
     timeouts: BTreeSet<Timeout>,
     finished: FinishedCalls,
@@ -23,7 +23,7 @@
 }
 
 impl ExternalCalls {
-    /// Begins without any call.
+    /// Creates the state machine without any calls.
     pub fn new(config: CallConfig) -> ExternalCalls {
         ExternalCalls {
             calls: BTreeMap::new(),
@@ -35,27 +35,28 @@
         }
     }
 
-    /// Number of calls that are not finished.
+    /// Returns the number of calls that are not finished.
     pub fn open_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// When `poll` has to be called next.
+    /// Returns the time at which `poll` must be called next; none if no timeout is set.
     pub fn next_timeout(&self) -> Option<Duration> {
         self.timeouts.first().map(|timeout| timeout.at)
     }
 
-    /// How long before the end of the message timeout a response is sent at the latest, so that it is read in time.
+    /// Returns how long before the end of the message timeout a response is sent at the latest, so that the
+    /// proxy reads it in time.
     pub fn response_margin(&self) -> Duration {
         self.round_trip.margin(self.config.message_timeout)
     }
 
-    /// Takes the measured time of a message to a proxy and back.
+    /// Records a measured round-trip time to a proxy.
     pub fn record_round_trip(&mut self, now: Duration, round_trip: Duration) {
         self.round_trip.record(now, round_trip);
     }
 
-    /// A proxy asks about a request: its first attempt, or a retry.
+    /// Handles a proxy's call about a request: its first attempt or a retry.
     pub fn handle_request(&mut self, now: Duration, call_request: CallRequest) -> Vec<CallAction> {
         self.finished.remove_expired(now);
         let respond_by = self.respond_by(now.saturating_sub(call_request.queued));
@@ -65,18 +66,18 @@
         self.handle_new_request(now, call_request, respond_by)
     }
 
-    /// The latest time at which the response to a message is sent that was received then: the proxy waits from when it
-    /// sent the message, not from when the call began here.
+    /// Returns the latest time to send the response to a message received at `received`. It does not count
+    /// from when the front handles the message, because the proxy's timeout runs from when it sent it.
     fn respond_by(&self, received: Duration) -> Duration {
         (received + self.config.message_timeout).saturating_sub(self.response_margin())
     }
 
-    /// A retry of an open call takes the attempt that the router has granted or will grant.
+    /// Handles a retry of an open call. It uses the attempt that the router has granted or will grant.
     fn handle_known_request(&mut self, call_request: CallRequest, respond_by: Duration) -> Vec<CallAction> {
         let CallRequest { stream, request, .. } = call_request;
         let Some(call) = self.calls.get_mut(&request) else { return Vec::new() };
         let CallState::AwaitingRetry { granted, until } = call.state else {
-            // The earlier attempt is still with the proxy; two are never forwarded at once.
+            // The proxy's earlier attempt has not ended, and two are never forwarded at the same time.
             return vec![respond(stream, CallResponse::Fail)];
         };
         call.state = CallState::AwaitingResponse { stream, respond_by, extended: Duration::ZERO };
@@ -118,13 +119,13 @@
         vec![CallAction::Submit(CallRequest { client_retry, ..call_request })]
     }
 
-    /// What is not stated is taken as what must never run twice.
+    /// Returns the idempotency of a request class. A class without a configured value is treated as non-idempotent.
     fn idempotency(&self, request_class: usize) -> Idempotency {
         self.config.idempotency.get(request_class).copied().unwrap_or(Idempotency::NonIdempotent)
     }
 
-    /// The request router grants a request an attempt. It is forwarded at once, is there for the proxy's retry, or
-    /// ends as not sent.
+    /// Handles an attempt that the request router grants to a request. It is forwarded at once if the proxy
+    /// waits for a response, kept if the proxy's retry is expected, and ends as not sent otherwise.
     pub fn handle_attempt(
         &mut self,
         request: &RequestId,
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Tells the proxy that waits to forward the request.
+    /// Responds to the waiting proxy that it is to forward the request.
     fn forward(&mut self, request: &RequestId, granted: GrantedAttempt) -> Vec<CallAction> {
         let Some(call) = self.calls.get_mut(request) else { return Vec::new() };
         let CallState::AwaitingResponse { stream, respond_by, .. } = call.state else { return Vec::new() };
@@ -157,7 +158,7 @@
         vec![respond(stream, CallResponse::Forward { engine, upstream_timeout, attempt })]
     }
 
-    /// The request router gives a request its final response.
+    /// Handles the request router's final response to a request.
     pub fn handle_final_response(
         &mut self,
         now: Duration,
@@ -177,12 +178,12 @@
                 actions
             }
             CallState::AwaitingRetry { .. } => self.finish(now, request, outcome),
-            // The proxy can't be called back. Its stream's end closes the call.
+            // The proxy already forwards the request and can't be stopped. The call ends with its stream.
             CallState::InFlight { .. } | CallState::Responding { .. } => Vec::new(),
         }
     }
 
-    /// The engine's response has begun, with the outcome that the server read from its headers.
+    /// Handles the headers of the engine's response; `outcome` was derived from them.
     pub fn handle_response_headers(&mut self, stream: StreamId, outcome: AttemptOutcome) -> Vec<CallAction> {
         let Some(call) = self.streams.get(&stream).and_then(|request| self.calls.get_mut(request)) else {
             return Vec::new();
@@ -193,12 +194,13 @@
         Vec::new()
     }
 
-    /// A stream has ended: complete, or reset.
+    /// Handles the end of a stream, which was either complete or reset.
     pub fn handle_stream_end(&mut self, now: Duration, stream: StreamId, complete: bool) -> Vec<CallAction> {
         let Some(request) = self.streams.remove(&stream) else { return Vec::new() };
         let Some(call) = self.calls.get_mut(&request) else { return Vec::new() };
         match call.state {
-            // No response was given. With `failure_mode_allow` the proxy may have forwarded the request by itself.
+            // The stream got no response. With `failure_mode_allow` the proxy may have forwarded the request
+            // without one.
             CallState::AwaitingResponse { stream: current, .. } if current == stream => {
                 let may_have_run = call.may_have_run || self.config.failure_mode_allow;
                 let mut actions = self.finish(now, &request, FinishedOutcome::of(may_have_run));
@@ -206,13 +208,14 @@
                 actions
             }
             CallState::Responding { stream: current, granted, outcome } if current == stream => {
-                // A response that broke off is no response.
+                // A response that was cut off does not count as a result.
                 let broke_off = !complete && outcome == AttemptOutcome::Returned;
                 let outcome = if broke_off { AttemptOutcome::Reset } else { outcome };
                 self.end_attempt(now, request, granted, outcome)
             }
-            // The response came after the timeout, the client left, or the proxy lost the engine. Nothing tells these
-            // apart: the proxy may have read the response at the last moment, so the attempt may have run.
+            // Either the proxy timed out before it read our response, or the client disconnected, or the
+            // proxy lost the connection to the engine. These cases can't be told apart. The proxy may have
+            // read the response just in time, so the attempt may have run.
             CallState::InFlight { stream: current, granted } if current == stream => {
                 self.end_attempt(now, request, granted, AttemptOutcome::Reset)
             }
@@ -220,7 +223,7 @@
         }
     }
 
-    /// An attempt has ended: the call is finished, or waits for the proxy's retry.
+    /// Ends an attempt. A call whose attempt returned is finished; any other waits for the proxy's retry.
     fn end_attempt(
         &mut self,
         now: Duration,
@@ -242,7 +245,8 @@
         actions
     }
 
-    /// Handles all timeouts up to now: responses that can't be waited for any longer, retries that did not come.
+    /// Handles all timeouts up to `now`: responses that are due to the proxy, and retries that did not arrive
+    /// in the retry window.
     pub fn poll(&mut self, now: Duration) -> Vec<CallAction> {
         self.finished.remove_expired(now);
         let mut actions = Vec::new();
@@ -263,7 +267,8 @@
         actions
     }
 
-    /// The router has granted nothing in time: the proxy is asked for more time, or the call ends.
+    /// Handles a response that is due while the router has granted no attempt. The proxy's timeout is
+    /// extended if possible; otherwise the call ends.
     fn handle_response_timeout(
         &mut self,
         now: Duration,
@@ -276,14 +281,14 @@
         let margin = self.response_margin();
         let Some(call) = self.calls.get_mut(&request) else { return Vec::new() };
         if !extension.is_zero() {
-            // The proxy's timer starts anew with the message that extends it.
+            // The extension restarts the proxy's timer.
             let respond_by = (now + extension).saturating_sub(margin).max(now + extension / 2);
             let extended = extended + extension;
             call.state = CallState::AwaitingResponse { stream, respond_by, extended };
             self.add_timeout(respond_by, &request);
             return vec![respond(stream, CallResponse::ExtendTimeout(extension))];
         }
-        // Nothing of this attempt ran, as no response was given.
+        // This attempt never ran, because the proxy was not told to forward it. Earlier attempts may have run.
         let outcome = FinishedOutcome::of(call.may_have_run);
         let retry_is_safe = !call.may_have_run || call.idempotency == Idempotency::Idempotent;
         let response = match retry_is_safe {
@@ -296,7 +301,7 @@
         actions
     }
 
-    /// Removes a call and remembers its outcome. An attempt that was granted but not forwarded ends as not sent.
+    /// Removes a call and stores its outcome. An attempt that was granted but not forwarded ends as not sent.
     fn finish(&mut self, now: Duration, request: &RequestId, outcome: FinishedOutcome) -> Vec<CallAction> {
         let Some(call) = self.calls.remove(request) else { return Vec::new() };
         let mut actions = Vec::new();
--- a/crates/core/external-call/src/finished.rs
+++ b/crates/core/external-call/src/finished.rs
@@ -1,10 +1,11 @@
-//! Remembers for a while whether a finished call may have run, so that a late retry is judged rightly.
+//! Stores for a limited time whether a finished call's request may have run, so that a late retry of a
+//! non-idempotent request is not forwarded again.
 
 use lemonusher::RequestId;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// What is known of a finished call.
+/// Whether the request of a finished call may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FinishedOutcome {
     /// No attempt ran.
@@ -31,13 +32,13 @@
     request: RequestId,
 }
 
-/// Finished calls, bounded in number and age.
+/// Finished calls, limited in number and age.
 #[derive(Debug)]
 pub(crate) struct FinishedCalls {
     retention: Duration,
     max_entries: usize,
     by_request: BTreeMap<RequestId, FinishedCall>,
-    /// In order of expiry. An entry whose call has finished again since is out of date and stands for nothing.
+    /// Expiry times in ascending order. An entry is obsolete if its request's call has finished again since.
     expiries: VecDeque<Expiry>,
 }
 
--- a/crates/core/external-call/src/lib.rs
+++ b/crates/core/external-call/src/lib.rs
@@ -1,18 +1,18 @@
-//! The states of external processing calls: requests that a proxy such as Envoy forwards itself, after it has asked
-//! this gateway which engine to use. Messages of proxies and attempts of the request router go in; responses to
-//! proxies and events for the router come out. No I/O: time is an argument (a `Duration` since the caller's origin),
-//! and the key that signs continuation tokens is handed in.
+//! State machine of external processing calls: requests that a proxy such as Envoy forwards itself, after it has
+//! called this gateway to select the engine. Inputs are the proxies' messages and the request router's attempts;
+//! outputs are responses to the proxies and events for the router. It does no I/O: times are passed as arguments (a
+//! `Duration` since the caller's origin), as is the key that signs continuation tokens.
 //!
-//! The rule decided here is when a request may be given another attempt. The gateway does not carry out the attempts
-//! itself, so it claims no more than it can know:
+//! The state machine decides when a request may be given another attempt. The gateway does not send the attempts
+//! itself, so it assumes only what it can know:
 //!
-//! - Before a response that forwards the request is written, nothing ran.
-//! - Once it is written, the attempt may have run until the proxy reports how it ended.
-//! - A stream that ends without a response from the engine leaves the outcome unknown, however late the forwarding
-//!   response was: the proxy may have read it at the last moment. With `failure_mode_allow` a proxy may have forwarded
-//!   the request without any response of ours.
-//! - A request that must not run twice is not forwarded again while an outcome is unknown, whether that is remembered
-//!   here, is stated by a continuation token, or follows from the proxy's count of attempts.
+//! - Before a response that tells the proxy to forward the request is written, no attempt ran.
+//! - After that, the attempt may have run, until the proxy reports how it ended.
+//! - If a stream ends without a response from the engine, the outcome is unknown, however late the forward response
+//!   was sent: the proxy may have read it just in time. With `failure_mode_allow` a proxy may have forwarded the
+//!   request without any response from this gateway.
+//! - A non-idempotent request is not forwarded again while an outcome of it is unknown. That is the case if a stored
+//!   outcome, a continuation token or the proxy's attempt count shows an earlier attempt that may have run.
 
 #![warn(missing_docs)]
 
--- a/crates/core/external-call/src/messages.rs
+++ b/crates/core/external-call/src/messages.rs
@@ -1,56 +1,56 @@
-//! What proxies and the request router exchange with the calls.
+//! Messages that the call state machine exchanges with proxies and with the request router.
 
 use lemonusher::{AttemptOutcome, EngineId, RequestId};
 use std::time::Duration;
 
-/// Number of a gRPC stream between a proxy and this processor, new for each.
+/// Number that identifies one gRPC stream between a proxy and this processor.
 pub type StreamId = u64;
-/// Number of an attempt, as the request router gives it.
+/// Number that identifies one attempt, assigned by the request router.
 pub type AttemptToken = u64;
 
-/// A request about which a proxy asks: the first message of a stream.
+/// A proxy's call about a request: the first message of a stream.
 #[derive(Debug, Clone)]
 pub struct CallRequest {
-    /// The stream on which it came, and on which the response goes.
+    /// The stream of the call, on which the response is sent.
     pub stream: StreamId,
     /// The request's id, the same for all its attempts.
     pub request: RequestId,
     /// Index of its class in the deployment.
     pub request_class: usize,
-    /// Number of the group of tables that it reads.
+    /// Number of the table group that it reads.
     pub table_group: u64,
-    /// How long the client waits.
+    /// Client timeout.
     pub client_timeout: Duration,
-    /// Whether the client says that it has sent the request before.
+    /// Whether the client marked the request as a retry.
     pub client_retry: bool,
-    /// The proxy's number for this attempt, from one.
+    /// The proxy's attempt count, from 1 for the first attempt.
     pub attempt: u32,
-    /// Whether it carries a valid continuation token: it has been forwarded before.
+    /// Whether it has a valid continuation token, which proves that it was forwarded before.
     pub has_valid_token: bool,
-    /// How long ago its message was received.
+    /// Time that its message has waited in the queue since it was received.
     pub queued: Duration,
 }
 
-/// What the proxy is to do with a request.
+/// A response to the proxy: what it is to do with the request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallResponse {
-    /// Forward it to an engine.
+    /// Forward the request to an engine.
     Forward {
         /// The engine.
         engine: EngineId,
         /// How long the proxy waits for the engine's response.
         upstream_timeout: Duration,
-        /// Number of this attempt among those that this processor granted for the request, from zero.
+        /// Index among the attempts that the proxy was told to forward in this call, from 0.
         attempt: u32,
     },
-    /// Answer the client that nothing ran and trying again is safe.
+    /// Respond to the client that the request did not run and a retry is safe.
     Reject {
-        /// When the client should try again, if that is known.
+        /// How long the client should wait before a retry, if known.
         retry_after: Option<Duration>,
     },
-    /// Answer the client that the request failed; it may have run.
+    /// Respond to the client that the request failed; it may have run.
     Fail,
-    /// Wait this much longer for the response.
+    /// Wait for the response for this duration from now on.
     ExtendTimeout(Duration),
 }
 
@@ -59,21 +59,21 @@
 pub enum FinalResponse {
     /// Rejected without effect.
     Rejected {
-        /// When the client should try again, if that is known.
+        /// How long the client should wait before a retry, if known.
         retry_after: Option<Duration>,
     },
     /// Failed; it may have run.
     Failed,
 }
 
-/// What the caller has to carry out, in the order given.
+/// An action for the caller. Actions must be executed in the order given.
 #[derive(Debug, Clone)]
 pub enum CallAction {
-    /// Hand the request to the request router.
+    /// Submit the request to the request router.
     Submit(CallRequest),
-    /// Tell the request router that no client waits for the request any more.
+    /// Cancel the request at the request router: no client waits for it any more.
     Cancel(RequestId),
-    /// Report the outcome of an attempt to the request router; once for each attempt.
+    /// Report the outcome of an attempt to the request router. Issued once for each attempt.
     EndAttempt {
         /// The attempt.
         token: AttemptToken,
@@ -82,7 +82,7 @@
     },
     /// Send a response to the proxy.
     Respond {
-        /// The stream that it goes to.
+        /// The stream on which it is sent.
         stream: StreamId,
         /// The response.
         response: CallResponse,
--- a/crates/core/external-call/src/round_trip.rs
+++ b/crates/core/external-call/src/round_trip.rs
@@ -1,27 +1,28 @@
 //! Estimates how long a response takes to reach the proxy, so that it is sent early enough to be read in time.
 //!
-//! Rule: the margin is the mean round trip plus four mean deviations, or one and a half times the longest round trip of
-//! the last two windows if that is more, within shares of the message timeout. The longest counts because requests that
-//! wait together are answered together, and the last of them waits for the others; the half on top stands for the way
-//! between the sockets and the proxy, which is not measured. Until enough has been measured the margin is the largest.
-//! Inputs are measured round trips and when they were measured.
+//! The response margin is the mean round-trip time plus four mean deviations, or 1.5 times the longest round
+//! trip of the last two windows if that is more. It is limited to a range of shares of the message timeout.
+//! The longest round trip matters because requests that wait together get their responses together, and the
+//! last response waits for the others. The factor 1.5 allows for the path between the sockets and the proxy,
+//! which is not measured. Until there are enough samples, the margin is the largest. The inputs are measured
+//! round trips and the times of measurement.
 
 use std::time::Duration;
 
-/// Round trips that have to be measured before the estimate counts.
+/// Number of samples before the estimate is used.
 const MIN_SAMPLES: u32 = 32;
-/// Smallest margin, as a share of the message timeout.
+/// Minimum margin, as a share of the message timeout.
 const MIN_MARGIN_SHARE: f64 = 0.05;
-/// Largest margin, as a share of the message timeout.
+/// Maximum margin, as a share of the message timeout; also used until there are enough samples.
 const MAX_MARGIN_SHARE: f64 = 0.5;
-/// Share of a new sample in the decaying mean and deviation.
+/// Weight of a new sample in the exponentially weighted mean and deviation, from 0 to 1.
 const NEW_SAMPLE_WEIGHT: f64 = 0.1;
-/// The margin as a multiple of the longest round trip.
+/// Minimum ratio of the margin to the longest round trip.
 const LONGEST_FACTOR: f64 = 1.5;
-/// A longest round trip counts for one to two windows.
+/// Length of a window of the maximum. A longest round trip counts for one to two windows.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// The longest round trip of late.
+/// The longest round trip of the current and the previous window.
 #[derive(Debug, Default)]
 struct WindowedMaximum {
     window_start: Duration,
@@ -43,7 +44,7 @@
     }
 }
 
-/// Mean, deviation and maximum of the time to a proxy and back.
+/// Mean, deviation and recent maximum of the round-trip time to the proxies.
 #[derive(Debug, Default)]
 pub(crate) struct RoundTripEstimate {
     samples: u32,
--- a/crates/core/external-call/src/state.rs
+++ b/crates/core/external-call/src/state.rs
@@ -4,7 +4,7 @@
 use lemonusher::{AttemptOutcome, EngineId, Idempotency, RequestId};
 use std::time::Duration;
 
-/// An attempt that the request router has granted.
+/// An attempt granted by the request router.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct GrantedAttempt {
     pub token: AttemptToken,
@@ -14,40 +14,40 @@
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum CallState {
-    /// The proxy waits for a response.
+    /// The proxy waits for our response.
     AwaitingResponse {
         stream: StreamId,
-        /// When the response has to be sent at the latest.
+        /// Latest time to send the response.
         respond_by: Duration,
-        /// By how much the proxy's timeout has been extended already.
+        /// Total extension of the proxy's timeout so far.
         extended: Duration,
     },
-    /// The proxy has been told to forward the request; the engine's response has not begun.
+    /// The proxy was told to forward the request; no headers of the engine's response were received so far.
     InFlight { stream: StreamId, granted: GrantedAttempt },
-    /// The engine's response has begun, with this outcome; the stream has not ended.
+    /// The headers of the engine's response were received and state this outcome; the stream has not ended.
     Responding { stream: StreamId, granted: GrantedAttempt, outcome: AttemptOutcome },
-    /// An attempt has failed, and the proxy may retry.
+    /// The last attempt failed, and the proxy may retry.
     AwaitingRetry {
-        /// The attempt that the retry will be given, if one has been granted already.
+        /// The attempt for the retry, if one has been granted already.
         granted: Option<GrantedAttempt>,
-        /// When the retry is no longer waited for.
+        /// Time at which the call ends if no retry has arrived.
         until: Duration,
     },
 }
 
-/// A request that is not finished.
+/// A call that is not finished.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub state: CallState,
     pub idempotency: Idempotency,
-    /// Attempts that the proxy was told to forward.
+    /// Number of attempts that the proxy was told to forward.
     pub forwarded: u32,
-    /// Whether an attempt may have run. Once true, it stays so.
+    /// Whether an earlier attempt may have run, in this call or before it. Never reset to false.
     pub may_have_run: bool,
 }
 
-/// The time at which a call's state has to change without an event. A call in `AwaitingResponse` or `AwaitingRetry`
-/// has exactly one, in another state none.
+/// The timeout of a call's state. A call in `AwaitingResponse` or `AwaitingRetry` has exactly one; a call in
+/// another state has none.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Timeout {
     pub at: Duration,
--- a/crates/core/external-call/src/token.rs
+++ b/crates/core/external-call/src/token.rs
@@ -1,5 +1,6 @@
-//! Continuation tokens: what a forwarded request carries in a header, so that a retry which reaches a processor that
-//! knows nothing of it states what it was part of. Signed, so that nobody else makes one; valid for a limited time.
+//! Continuation tokens. A forwarded request has one in a header, so that a processor that has no record of
+//! the request, such as after a restart, recognizes a retry. Tokens are signed against forgery and valid for
+//! a limited time.
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -9,14 +10,14 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Longest encoded token that is read, in bytes.
+/// Maximum length of an encoded token, in bytes; a longer one is treated as forged.
 const MAX_TOKEN_BYTES: usize = 512;
-/// Bytes of the HMAC that a token carries.
+/// Length of a token's signature in bytes: the HMAC is truncated to it.
 const SIGNATURE_BYTES: usize = 16;
-/// The first part of an encoded token.
+/// First field of an encoded token.
 const FORMAT_VERSION: &str = "1";
 
-/// The key that all processors of a deployment share. Its `Debug` form does not show it.
+/// The signing key, shared by all processors of a deployment. Its `Debug` output does not contain the key.
 #[derive(Clone)]
 pub struct SigningKey(Vec<u8>);
 
@@ -27,13 +28,13 @@
 }
 
 impl SigningKey {
-    /// A key of any length.
+    /// Creates a key from bytes of any length.
     pub fn new(bytes: &[u8]) -> SigningKey {
         SigningKey(bytes.to_vec())
     }
 
     fn sign(&self, text: &str) -> Vec<u8> {
-        // HMAC takes any length of key, so this can't fail.
+        // HMAC accepts keys of any length, so this can't fail.
         let Ok(mut mac) = Hmac::<Sha256>::new_from_slice(&self.0) else { return Vec::new() };
         mac.update(text.as_bytes());
         let mut bytes = mac.finalize().into_bytes().to_vec();
@@ -41,7 +42,7 @@
         bytes
     }
 
-    /// Compares in constant time.
+    /// Verifies a signature, in constant time.
     fn verifies(&self, text: &str, signature: &[u8]) -> bool {
         let expected = self.sign(text);
         let difference = expected.iter().zip(signature).fold(0, |all, (a, b)| all | (a ^ b));
@@ -49,32 +50,32 @@
     }
 }
 
-/// States that a request has been forwarded.
+/// A signed statement that a request was forwarded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ContinuationToken {
     /// The request's id.
     pub request: String,
     /// The engine that it was forwarded to.
     pub engine: EngineId,
-    /// Number of that attempt, from zero.
+    /// Index of that attempt within its call, from 0.
     pub attempt: u32,
-    /// Unix time in milliseconds after which the token is not valid.
+    /// Unix time in milliseconds after which the token is expired.
     pub valid_until_ms: u64,
 }
 
-/// Why a token is not valid.
+/// The reason why a token is not valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TokenError {
-    /// Not signed with this key, or changed.
+    /// The token is malformed, was changed, or was not signed with this key.
     Forged,
-    /// Its time is over.
+    /// The token has expired.
     Expired,
-    /// Made for another request.
+    /// The token belongs to another request.
     OtherRequest,
 }
 
 impl ContinuationToken {
-    /// The token as it stands in a header.
+    /// Encodes and signs the token for use as a header value.
     pub fn encode(&self, key: &SigningKey) -> String {
         let request = URL_SAFE_NO_PAD.encode(self.request.as_bytes());
         let text = format!(
@@ -85,7 +86,7 @@
         format!("{text}.{signature}")
     }
 
-    /// Reads the header of a request with this id, at this Unix time in milliseconds.
+    /// Decodes and verifies a header value of the request with this id. `now_ms` is the Unix time in milliseconds.
     pub fn decode(
         text: &str,
         key: &SigningKey,
@@ -126,7 +127,7 @@
         })
     }
 
-    /// Unix time in milliseconds until which a token that is made now is valid.
+    /// Returns the Unix time in milliseconds until which a token issued at `now_ms` is valid.
     pub fn valid_until_ms(now_ms: u64, validity: Duration) -> u64 {
         now_ms.saturating_add(validity.as_millis() as u64)
     }
--- a/crates/core/external-call/tests/calls.rs
+++ b/crates/core/external-call/tests/calls.rs
@@ -1,4 +1,4 @@
-//! One call after another: what a proxy is told in each state, and how attempts end.
+//! Single calls: the response to the proxy in each state, and the outcome of each attempt.
 
 mod common;
 
@@ -40,7 +40,7 @@
     calls.handle_response_headers(1, AttemptOutcome::Returned);
     assert_eq!(outcomes(&calls.handle_stream_end(ms(50), 1, true)), [(10, AttemptOutcome::Returned)]);
     assert_eq!((calls.open_calls(), calls.next_timeout()), (0, None));
-    // What ran is not forwarded again, whatever the proxy states.
+    // A non-idempotent request that ran is not forwarded again, even if the proxy counts it as a first attempt.
     assert_eq!(
         responses(&calls.handle_request(ms(60), call_request(2, "b", NON_IDEMPOTENT))),
         [(2, CallResponse::Fail)]
@@ -60,11 +60,11 @@
     let actions = calls.poll(timeout);
     assert!(matches!(actions[0], CallAction::Cancel(_)));
     assert_eq!(responses(&actions), [(1, CallResponse::Reject { retry_after: None })]);
-    // The owner's dispatch comes behind it: it was not sent, and the request may be asked for again.
+    // An attempt granted after this ends as not sent, and the proxy may call again for the request.
     assert_eq!(outcomes(&calls.handle_attempt(&"b".into(), 10, 7, ms(900))), [(10, AttemptOutcome::NotSent)]);
     let again = CallRequest { attempt: 2, ..call_request(2, "b", NON_IDEMPOTENT) };
     assert!(matches!(calls.handle_request(ms(300), again).as_slice(), [CallAction::Submit(_)]));
-    // A proxy that allows it is asked for more time first.
+    // If the proxy allows extensions, its timeout is extended first.
     let mut calls = ExternalCalls::new(config(false, 300));
     calls.handle_request(ms(0), call_request(1, "b", NON_IDEMPOTENT));
     let mut sent = Vec::new();
@@ -87,21 +87,21 @@
     let request: RequestId = "b".into();
     calls.handle_request(ms(0), call_request(1, "b", IDEMPOTENT));
     calls.handle_attempt(&request, 10, 7, ms(900));
-    // While the first is in flight, a second is never forwarded.
+    // While the first attempt is in flight, a second one is never forwarded.
     assert_eq!(
         responses(&calls.handle_request(ms(5), call_request(9, "b", IDEMPOTENT))),
         [(9, CallResponse::Fail)]
     );
     calls.handle_response_headers(1, AttemptOutcome::Rejected);
     assert_eq!(outcomes(&calls.handle_stream_end(ms(10), 1, true)), [(10, AttemptOutcome::Rejected)]);
-    // Granted before the retry comes, the attempt waits for it.
+    // An attempt granted before the retry arrives is kept for it.
     assert!(calls.handle_attempt(&request, 11, 8, ms(900)).is_empty());
     let retry =
         |stream| CallRequest { attempt: 2, has_valid_token: true, ..call_request(stream, "b", IDEMPOTENT) };
     assert_eq!(responses(&calls.handle_request(ms(20), retry(2))), forward(2, 8, 1));
     calls.handle_response_headers(2, AttemptOutcome::Errored);
     calls.handle_stream_end(ms(30), 2, true);
-    // Without an attempt, the retry is answered by the router's final response.
+    // If no attempt is granted, the retry gets the router's final response.
     assert!(calls.handle_request(ms(40), retry(3)).is_empty());
     assert_eq!(
         responses(&calls.handle_final_response(
@@ -111,7 +111,7 @@
         )),
         [(3, CallResponse::Reject { retry_after: Some(ms(500)) })]
     );
-    // Granted, but no retry comes: it was not sent.
+    // An attempt that is granted without a retry arriving ends as not sent.
     calls.handle_request(ms(50), call_request(4, "d", IDEMPOTENT));
     calls.handle_attempt(&"d".into(), 12, 7, ms(900));
     calls.handle_response_headers(4, AttemptOutcome::ConnectFailed);
@@ -152,7 +152,7 @@
         calls.handle_request(ms(0), call_request(n, &format!("b{n}"), NON_IDEMPOTENT));
     }
     assert_eq!(calls.open_calls(), 10);
-    // Rejected for want of capacity, it may come again.
+    // A request that was rejected for lack of capacity may be retried.
     calls.poll(ms(1000));
     assert!(matches!(
         calls.handle_request(ms(1001), call_request(5000, "b999", NON_IDEMPOTENT)).as_slice(),
@@ -164,14 +164,14 @@
 fn response_margin_follows_round_trips() {
     let mut calls = ExternalCalls::new(config(false, 0));
     (0..200).for_each(|_| calls.record_round_trip(ms(0), ms(1)));
-    assert_eq!(calls.response_margin(), ms(10)); // The least.
+    assert_eq!(calls.response_margin(), ms(10)); // The minimum.
     (0..200).for_each(|_| calls.record_round_trip(ms(0), ms(30)));
     assert!(calls.response_margin() >= ms(30) && calls.response_margin() < ms(60));
     (0..200).for_each(|_| calls.record_round_trip(ms(0), ms(5000)));
-    assert_eq!(calls.response_margin(), ms(100)); // The most.
+    assert_eq!(calls.response_margin(), ms(100)); // The maximum.
 }
 
-/// Guards against responses that come after the proxy's timeout because its message had waited in a queue.
+/// Guards against responses sent after the proxy's timeout because the proxy's message had waited in a queue.
 #[test]
 fn response_is_due_by_when_the_message_was_received() {
     let mut calls = ExternalCalls::new(config(false, 0));
@@ -182,7 +182,7 @@
     assert_eq!(calls.next_timeout(), Some(unqueued - ms(70)));
 }
 
-/// Guards against responses that come after the proxy's timeout because many are due at once.
+/// Guards against responses that arrive after the proxy's timeout because many are due at the same time.
 #[test]
 fn response_margin_covers_the_longest_round_trip_of_late() {
     let mut calls = ExternalCalls::new(config(false, 0));
@@ -192,7 +192,7 @@
     calls.record_round_trip(ms(100), ms(60));
     (0..1000).for_each(|n| calls.record_round_trip(ms(101 + n), ms(1)));
     assert!(calls.response_margin() >= ms(60), "{:?}", calls.response_margin());
-    // It fades.
+    // The longest round trip is dropped after two windows.
     [12_000, 24_000].into_iter().for_each(|at| calls.record_round_trip(ms(at), ms(1)));
     assert_eq!(calls.response_margin(), ms(10));
 }
--- a/crates/core/external-call/tests/common/mod.rs
+++ b/crates/core/external-call/tests/common/mod.rs
@@ -1,12 +1,12 @@
-//! What the tests of external calls share.
+//! Helpers shared by the tests of external calls.
 
 use lemonusher::{Idempotency, RequestId};
 use lemonusher_external_call::{CallConfig, CallRequest};
 use std::time::Duration;
 
-/// Request class that must not run twice.
+/// Index of a request class whose requests must not run twice.
 pub const NON_IDEMPOTENT: usize = 0;
-/// Request class that may run again.
+/// Index of a request class whose requests may run again.
 pub const IDEMPOTENT: usize = 1;
 
 pub fn ms(ms: u64) -> Duration {
--- a/crates/core/external-call/tests/random_failures.rs
+++ b/crates/core/external-call/tests/random_failures.rs
@@ -1,5 +1,5 @@
-//! Proxies, engines and processors that fail in any order: no non-idempotent request runs twice, every stream has one
-//! response, every attempt one outcome.
+//! Random sequences of failures of proxies, engines and processors. Non-idempotent requests never run twice,
+//! every stream gets at most one final response, and every attempt ends with one outcome.
 
 mod common;
 
@@ -10,9 +10,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A proxy sends no more attempts of one request.
+/// Maximum number of attempts that a proxy sends for one request.
 const MAX_ATTEMPTS: u32 = 5;
-/// The attempts of a request that is done with.
+/// Value of `attempts` for a finished request, above [`MAX_ATTEMPTS`], so that no further attempt is sent.
 const DONE: u32 = 99;
 
 #[derive(Debug, Clone)]
@@ -21,12 +21,13 @@
     SendHeaders(u8),
     /// The router grants a request an attempt.
     Grant(u8),
-    /// The oldest response reaches its proxy.
+    /// The oldest response is delivered to its proxy.
     DeliverResponse,
-    /// The engine answers a request, in one of four ways.
+    /// The engine responds to a request. The second value, from 0 to 3, selects the outcome.
     EngineResponds(u8, u8),
     ResetStream(u8),
-    /// The router gives a request its final response; rejects it, if told so and allowed.
+    /// The router sends a request's final response. It rejects the request if the flag is set and a retry is
+    /// safe, and fails it otherwise.
     GiveUp(u8, bool),
     /// Time passes, in milliseconds.
     Wait(u16),
@@ -46,7 +47,7 @@
     ]
 }
 
-/// What the proxy does with one request.
+/// The proxy's state of one request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum ProxyState {
     Idle,
@@ -59,11 +60,11 @@
     state: ProxyState,
     attempts: u32,
     has_token: bool,
-    /// How often it has run or may have run.
+    /// Number of times that it ran or may have run.
     runs: u32,
 }
 
-/// What the router knows of a request that was submitted.
+/// The router's state of a submitted request.
 #[derive(Default, Clone)]
 struct Submitted {
     in_flight: Option<u64>,
@@ -80,7 +81,7 @@
     requests: Vec<Request>,
     submitted: BTreeMap<RequestId, Submitted>,
     attempts: BTreeMap<u64, Attempt>,
-    /// Responses on their way to the proxies.
+    /// Responses that were sent and are not delivered to the proxies yet, by stream.
     responses: Vec<(u64, CallResponse)>,
     answered_streams: BTreeSet<u64>,
     next_number: u64,
@@ -180,7 +181,7 @@
 
     fn grant(&mut self, number: usize) {
         let id = self.requests[number].id.clone();
-        // The gateway's rule: no retry of a non-idempotent request that may have run.
+        // Same rule as the gateway's: a non-idempotent request that may have run is not retried.
         let Some(submitted) = self.submitted.get_mut(&id) else { return };
         let must_not_run = submitted.may_have_run && Simulation::request_class(number) == NON_IDEMPOTENT;
         if submitted.in_flight.is_some() || must_not_run {
@@ -206,8 +207,8 @@
             CallResponse::Forward { .. } => {
                 request.state = ProxyState::Upstream { stream };
                 request.has_token = true;
-                // With `failure_mode_allow` a proxy may forward a retry by itself, whatever the response would have
-                // been; but no response of ours forwards what may have run.
+                // With `failure_mode_allow` a proxy may forward a retry without a response. But no response
+                // of the processor forwards a non-idempotent request that may have run.
                 assert!(
                     Simulation::request_class(number) == IDEMPOTENT || request.runs == 0,
                     "{} may have run",
@@ -231,7 +232,7 @@
         let outcome = match how {
             0 | 1 => AttemptOutcome::Returned,
             2 => AttemptOutcome::Errored,
-            // The engine proves that it never ran.
+            // The engine's rejection proves that the attempt never ran.
             _ => {
                 self.requests[number].runs -= 1;
                 AttemptOutcome::Rejected
@@ -288,7 +289,8 @@
         }
     }
 
-    /// A proxy that got no response in time gives up, or forwards the request by itself.
+    /// Times out proxies that got no response in time: each gives up or, with `failure_mode_allow`, forwards
+    /// the request.
     fn time_out_proxies(&mut self) {
         for number in 0..self.requests.len() {
             let ProxyState::AwaitingResponse { stream, until } = self.requests[number].state else {
@@ -306,7 +308,7 @@
         }
     }
 
-    /// All streams are reset; the new processor knows nothing of what is in flight.
+    /// Restarts the processor: all streams are reset, and the new processor has no record of the calls in flight.
     fn restart_processor(&mut self) {
         self.calls = ExternalCalls::new(config(self.failure_mode_allow, 0));
         self.submitted.clear();
@@ -322,7 +324,7 @@
         }
     }
 
-    /// Delivers what is on its way, resets what is open and waits for all timeouts.
+    /// Delivers all pending responses, resets all open streams and waits for all timeouts.
     fn run_to_the_end(&mut self) {
         for _ in 0..40 {
             self.step(Step::DeliverResponse);
--- a/crates/core/external-call/tests/same_decisions.rs
+++ b/crates/core/external-call/tests/same_decisions.rs
@@ -1,5 +1,6 @@
-//! The same arrivals and outcomes, once to the gateway alone and once through external calls, give the same decisions
-//! one for one: in virtual time, over seeds, with failures of all kinds.
+//! Runs the same arrivals and attempt outcomes through the gateway alone and through external calls, in
+//! virtual time, for several seeds and with failures of all kinds. Both runs must make the same decisions in
+//! the same order.
 
 use lemonusher::*;
 use lemonusher_external_call::{
@@ -61,7 +62,7 @@
     }
 }
 
-/// How this attempt of a request ends, and after how long: the same in both runs.
+/// Outcome and duration of this attempt of a request, the same in both runs.
 fn attempt_result(seed: u64, request: usize, attempt: u32) -> (AttemptOutcome, Duration) {
     let mut dice = Dice(seed ^ ((request as u64) << 20) ^ u64::from(attempt) << 50 | 1);
     dice.below(10);
@@ -91,7 +92,7 @@
     EngineState(u32, EngineState),
 }
 
-/// An attempt that is in flight, or whose end is being reported.
+/// An attempt whose end is being reported.
 struct Attempt {
     request: usize,
     number: u32,
@@ -128,17 +129,17 @@
     }
 }
 
-/// One run: the gateway, and the calls through which it is used if they are external.
+/// One run of the gateway, with or without external calls in front of it.
 struct Run {
     seed: u64,
     gateway: Gateway,
-    /// None in the run of the gateway alone.
+    /// Present only in the run through external calls.
     calls: Option<ExternalCalls>,
     schedule: BTreeMap<(Duration, u64), Scheduled>,
     next_scheduled: u64,
     decisions: Vec<Decision>,
     open: BTreeSet<usize>,
-    /// Attempts so far, by request.
+    /// Number of attempts sent, by request.
     sent: BTreeMap<usize, u32>,
     /// The latest stream of each request.
     streams: BTreeMap<usize, u64>,
@@ -170,7 +171,7 @@
             at += ms(dice.below(30));
             run.schedule(at, Scheduled::Arrival(request));
         }
-        // An engine drains and returns meanwhile.
+        // Engine 2 drains and becomes active again during the arrivals.
         run.schedule(ms(2500), Scheduled::EngineState(2, EngineState::Draining));
         run.schedule(ms(4500), Scheduled::EngineState(2, EngineState::Active));
         let all = (1..=3).map(|engine| engine_entry(engine, EngineState::Active)).collect();
@@ -226,7 +227,7 @@
         }
     }
 
-    /// A request under a new stream.
+    /// Creates the call of a request, on a new stream.
     fn call_request(&mut self, request: usize, attempt: CallRequest) -> CallRequest {
         self.next_stream += 1;
         self.streams.insert(request, self.next_stream);
@@ -239,7 +240,7 @@
         }
     }
 
-    /// Carries out what the calls ask for; returns the requests of which an attempt failed.
+    /// Executes the actions of the calls and returns the requests of which an attempt failed.
     fn carry_out(&mut self, now: Duration, actions: Vec<CallAction>) -> Vec<usize> {
         let mut failed = Vec::new();
         for action in actions {
@@ -290,7 +291,7 @@
         self.gateway.handle_event(now, Event::AttemptEnded(end));
     }
 
-    /// The proxy tries again at once, under a new stream.
+    /// The proxy retries the failed requests at once, each on a new stream.
     fn retry(&mut self, now: Duration, failed: Vec<usize>) -> Vec<CallAction> {
         let mut actions = Vec::new();
         if self.calls.is_none() {
@@ -335,7 +336,8 @@
         }
     }
 
-    /// The gateway sends a request to an engine; `actions` are those of the retries just before.
+    /// Handles the gateway's action to send a request to an engine. `actions` are those of the retries just
+    /// before it.
     fn send(&mut self, now: Duration, request: &RequestId, engine: EngineId, mut actions: Vec<CallAction>) {
         let number = request_number(request);
         self.next_token += 1;
--- a/crates/core/external-call/tests/token.rs
+++ b/crates/core/external-call/tests/token.rs
@@ -1,4 +1,4 @@
-//! Continuation tokens: who can read them, when, and for which request.
+//! Continuation tokens are valid only with the key that signed them, until they expire, and for their request.
 
 use lemonusher_external_call::{ContinuationToken, SigningKey, TokenError};
 
