--- a/crates/edges/processor/src/headers.rs
+++ b/crates/edges/processor/src/headers.rs
@@ -1,4 +1,4 @@
-//! Reads a request's headers: what it is, by names that the operator may set.
+//! Reads a request's parameters from its headers, whose names are configurable.
 
 use crate::wire;
 use envoy_types::pb::envoy::config::core::v3::HeaderMap;
@@ -7,72 +7,75 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// Most headers of one request.
+/// Maximum number of headers of one message.
 const MAX_HEADERS: usize = 256;
-/// Most bytes of one request's headers, names and values.
+/// Maximum total size of one message's headers in bytes, names and values.
 const MAX_HEADER_BYTES: usize = 64 * 1024;
-/// Longest request id, in bytes.
+/// Maximum length of a request id, in bytes.
 const MAX_REQUEST_ID_BYTES: usize = 128;
 
-/// A request class that the deployment states.
+/// A request class of the deployment.
 #[derive(Debug, Clone)]
 pub struct RequestClass {
-    /// The name by which requests state it.
+    /// The name that requests use for it.
     pub name: String,
-    /// A longer client timeout is cut to this.
+    /// Upper limit of the client timeout; a longer one is reduced to it.
     pub max_client_timeout: Duration,
 }
 
-/// A path prefix that stands for a request class.
+/// Assigns a request class to the paths with a prefix.
 #[derive(Debug, Clone)]
 pub struct PathClass {
-    /// What the path begins with.
+    /// The path prefix.
     pub prefix: String,
     /// Name of the request class.
     pub request_class: String,
 }
 
-/// Names of the headers, in lower case. The usual ones stand in `wire.rs`.
+/// Names of the headers, in lower case. The defaults are in `wire.rs`. Request headers are set by the client
+/// or the proxy and read here. Output headers are set on the forwarded request or on the response to the
+/// client.
 #[derive(Debug, Clone)]
 pub struct HeaderNames {
-    /// In: the request's id, the same for all its attempts.
+    /// Request header: the request's id, the same for all its attempts.
     pub request_id: String,
-    /// In: the name of its request class.
+    /// Request header: name of the request class.
     pub request_class: String,
-    /// In: the group of tables that it reads, any text.
+    /// Request header: the table group that the request reads, as any text.
     pub table_group: String,
-    /// In: how long the client waits, in milliseconds.
+    /// Request header: client timeout, in milliseconds.
     pub client_timeout: String,
-    /// In: whether the client has sent the request before.
+    /// Request header: whether the client has sent the request before.
     pub client_retry: String,
-    /// In: the proxy's number of this attempt, from one.
+    /// Request header: the proxy's attempt count, from 1.
     pub attempt_count: String,
-    /// In and out: the continuation token.
+    /// Request and output header: the continuation token.
     pub continuation_token: String,
-    /// Out: the address of the engine.
+    /// Output header: address of the engine.
     pub engine_address: String,
-    /// Out: how long the proxy waits for the engine, in milliseconds.
+    /// Output header: how long the proxy waits for the engine's response, in milliseconds.
     pub upstream_timeout: String,
-    /// Out, and in engines' responses: how the request ended.
+    /// Output header, also read from engines' responses: the outcome of the request.
     pub outcome: String,
-    /// The request class by path, where no header names one. The first prefix that fits counts.
+    /// Request classes by path prefix, used if the request class header is missing. The first matching prefix
+    /// counts.
     pub paths: Vec<PathClass>,
-    /// The client timeout of a request that states none.
+    /// Client timeout of a request without that header.
     pub default_client_timeout: Duration,
 }
 
-/// Why a request is refused before anything is decided about it.
+/// The reason why a request is refused before the front handles it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestError {
-    /// More headers than are read, or longer ones.
+    /// The headers exceed the maximum number or size.
     TooManyHeaders,
-    /// No header or path names a request class that the deployment states.
+    /// Neither a header nor the path names a request class of the deployment.
     NoRequestClass,
     /// The request's id is empty or too long.
     InvalidRequestId,
 }
 
-/// Headers by their lower-case names; of several with one name, the first.
+/// Headers by lower-case name. If a name occurs more than once, the first header counts.
 pub(crate) struct Headers(BTreeMap<String, String>);
 
 impl Headers {
@@ -103,7 +106,7 @@
 }
 
 impl HeaderNames {
-    /// Reads the request that opened a stream, at this Unix time in milliseconds.
+    /// Reads the request that opened a stream. `unix_ms` is the current Unix time in milliseconds.
     pub(crate) fn read_request(
         &self,
         stream: StreamId,
@@ -121,7 +124,7 @@
         let has_valid_token =
             token.is_some_and(|text| ContinuationToken::decode(text, key, &request, unix_ms).is_ok());
         let attempt = headers.number(&self.attempt_count).unwrap_or(1).clamp(1, u32::MAX.into()) as u32;
-        // A token that is not valid states nothing, but that there is one means that the request was tried before.
+        // The content of an invalid token is ignored, but its presence shows that the request was tried before.
         let attempt = if token.is_some() && !has_valid_token { attempt.max(2) } else { attempt };
         Ok(CallRequest {
             stream,
@@ -136,7 +139,7 @@
         })
     }
 
-    /// The index of the class that a header names, or else the path.
+    /// Returns the index of the request class named by the header, or by the path if there is no such header.
     fn read_class(&self, headers: &Headers, classes: &[RequestClass]) -> Result<usize, RequestError> {
         let by_path = || {
             let path = headers.get(wire::PATH_HEADER)?;
@@ -147,7 +150,7 @@
         classes.iter().position(|class| class.name == name).ok_or(RequestError::NoRequestClass)
     }
 
-    /// A request that states no id is known by its stream alone.
+    /// Returns the request's id. A request without one gets an id derived from its stream.
     fn read_request_id(&self, stream: StreamId, headers: &Headers) -> Result<String, RequestError> {
         match headers.get(&self.request_id) {
             Some(id) if id.is_empty() || id.len() > MAX_REQUEST_ID_BYTES => {
@@ -159,7 +162,7 @@
     }
 }
 
-/// The same number for the same text at every processor.
+/// Hashes a table group's text. The result is the same at every processor.
 fn hash(text: &str) -> u64 {
     let mut hasher = std::hash::DefaultHasher::new();
     text.hash(&mut hasher);
--- a/crates/edges/processor/src/lib.rs
+++ b/crates/edges/processor/src/lib.rs
@@ -1,8 +1,9 @@
-//! The external processor: a gRPC server of Envoy's `ext_proc` v3. Messages and headers are translated here; what a
-//! call may do is decided by `lemonusher-external-call`, and which engine it goes to by the decision module. The
-//! server runs on a thread of its own and reaches the front through one bounded queue; each stream has a bounded queue
-//! for the responses to it. Inputs are the streams of proxies and the front's responses; outputs are `ProxyEvent`s and
-//! the messages to proxies. The names of the wire stand in `wire.rs`.
+//! The external processor: a gRPC server for Envoy's `ext_proc` v3 protocol. This crate translates messages
+//! and headers. `lemonusher-external-call` decides which transitions a call may make, and the gateway selects
+//! the engine. The server runs on its own thread and sends events to the front through one queue of limited
+//! length; each stream has a queue of limited length for the responses to it. Inputs are the proxies' streams
+//! and the front's responses; outputs are `ProxyEvent`s and the messages to the proxies. Names and values of
+//! the protocol are in `wire.rs`.
 
 #![warn(missing_docs)]
 
--- a/crates/edges/processor/src/messages.rs
+++ b/crates/edges/processor/src/messages.rs
@@ -1,4 +1,4 @@
-//! The messages that proxies are sent.
+//! Creates the messages to proxies, and reads attributes from theirs.
 
 use crate::events::ProxyResponse;
 use crate::headers::RequestError;
@@ -18,10 +18,10 @@
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Longest response code details that are read, in characters.
+/// Maximum length of the response code details that are read, in characters; the rest is cut off.
 const MAX_DETAILS_CHARS: usize = 256;
 
-/// Which of the proxy's messages a response answers.
+/// The message of the proxy that a response belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AnsweredMessage {
     RequestHeaders,
@@ -36,7 +36,7 @@
     ProcessingResponse { response: Some(response), ..ProcessingResponse::default() }
 }
 
-/// The message for the front's response to a request.
+/// Converts the front's response to a request into a message to the proxy.
 pub(crate) fn response_message(
     config: &ServerConfig,
     request_id: &str,
@@ -108,7 +108,7 @@
     ProcessingResponse { override_message_timeout: Some(timeout), ..ProcessingResponse::default() }
 }
 
-/// Leaves the headers as they are, and asks for the whole body.
+/// Creates the response to request headers that leaves them unchanged and requests the whole body.
 pub(crate) fn body_request() -> ProcessingResponse {
     let mode = ProcessingMode {
         request_body_mode: wire::BODY_BUFFERED,
@@ -122,12 +122,12 @@
     }
 }
 
-/// Answers a request that can't be read.
+/// Creates the response to a request whose headers can't be read.
 pub(crate) fn refusal(error: RequestError) -> ProcessingResponse {
     immediate(error.status(), Vec::new(), error.details())
 }
 
-/// A response that the proxy sends to the client at once.
+/// Creates a response that the proxy sends to the client at once.
 fn immediate(code: i32, set_headers: Vec<HeaderValueOption>, details: &str) -> ProcessingResponse {
     with_response(Response::ImmediateResponse(ImmediateResponse {
         status: Some(HttpStatus { code }),
@@ -149,7 +149,7 @@
     }
 }
 
-/// The proxy's reason for a response that it made itself.
+/// Reads the response code details: the proxy's reason if it generated the response itself.
 pub(crate) fn response_code_details(request: &ProcessingRequest) -> Option<String> {
     let attributes = request.attributes.get(wire::ATTRIBUTES_NAMESPACE)?;
     let value = attributes.fields.get(wire::RESPONSE_CODE_DETAILS)?;
--- a/crates/edges/processor/src/outcome.rs
+++ b/crates/edges/processor/src/outcome.rs
@@ -1,12 +1,12 @@
-//! Reads the outcome of an attempt off the engine's response, as far as it tells. Inputs: the status, the engine's
-//! outcome header and the proxy's response code details. Only a connection that never came up, or the engine's own
-//! statement, proves that nothing ran.
+//! Derives the outcome of an attempt from the response: its HTTP status, the engine's outcome header and the
+//! proxy's response code details. Only a connection that was never established, or the engine's own statement
+//! in its outcome header, proves that the attempt did not run.
 
 use crate::wire;
 use lemonusher::AttemptOutcome;
 
-/// How an attempt ended. `engine_outcome` is the engine's outcome header; `details` are the proxy's response code
-/// details, present where it answered in the engine's place.
+/// Returns the outcome of an attempt. `engine_outcome` is the engine's outcome header. `details` are the
+/// proxy's response code details, present if the proxy generated the response itself.
 pub fn attempt_outcome(status: u32, engine_outcome: Option<&str>, details: Option<&str>) -> AttemptOutcome {
     match engine_outcome {
         Some(wire::ENGINE_REJECTED) => return AttemptOutcome::Rejected,
--- a/crates/edges/processor/src/server.rs
+++ b/crates/edges/processor/src/server.rs
@@ -1,4 +1,4 @@
-//! The gRPC server, on a thread of its own.
+//! The gRPC server, which runs on its own thread.
 
 use crate::events::ProxyEvent;
 use crate::headers::{HeaderNames, RequestClass};
@@ -21,39 +21,40 @@
 use tonic::transport::Server;
 use tonic::{Request, Response, Status, Streaming};
 
-/// Events of proxies that may wait for the front.
+/// Maximum number of proxies' events queued for the front.
 const EVENT_QUEUE_LENGTH: usize = 4096;
-/// Messages that may wait for one proxy: one response and a few timeout extensions.
+/// Maximum number of messages queued for one stream: one response and a few timeout extensions.
 const RESPONSE_QUEUE_LENGTH: usize = 8;
 const MAX_MESSAGE_BYTES: usize = 1024 * 1024;
 const MAX_STREAMS_PER_CONNECTION: u32 = 4096;
-/// Between keepalive pings of a connection, and until one that got no answer ends it.
+/// Interval between keepalive pings of a connection, and timeout after which a missing reply closes it.
 const KEEPALIVE: Duration = Duration::from_secs(10);
 
 /// Configuration of the server.
 #[derive(Debug, Clone)]
 pub struct ServerConfig {
-    /// Address to listen at.
+    /// Address to listen on.
     pub listen: SocketAddr,
     /// Names of the headers.
     pub header_names: HeaderNames,
     /// The deployment's request classes, by index.
     pub request_classes: Vec<RequestClass>,
-    /// Signs continuation tokens.
+    /// Key that signs continuation tokens.
     pub signing_key: SigningKey,
     /// How long a continuation token is valid.
     pub token_validity: Duration,
     /// Maximum number of open streams, over all proxies.
     pub max_streams: usize,
-    /// Reads the table group off a statement. If set, the request's body is asked for, which holds the statement.
+    /// Reads the table group from a statement. If set, the server requests the bodies of requests, which
+    /// contain the statements.
     pub read_table_group: Option<fn(&str) -> Option<u64>>,
 }
 
-/// A server that runs.
+/// A running server.
 pub struct StartedServer {
-    /// The address it listens at.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// What proxies send. The server waits when this queue is full.
+    /// Events of the proxies' streams. The server waits while this queue is full.
     pub events: async_channel::Receiver<ProxyEvent>,
 }
 
@@ -64,7 +65,7 @@
     stream_permits: Arc<Semaphore>,
 }
 
-/// Starts the server on a thread of its own. Fails if the address can't be used, or no thread can be started.
+/// Starts the server on its own thread. Fails if the address can't be bound or the thread can't be started.
 pub fn start(config: ServerConfig) -> io::Result<StartedServer> {
     let listener = TcpListener::bind(config.listen)?;
     listener.set_nonblocking(true)?;
@@ -75,7 +76,8 @@
         stream_permits: Arc::new(Semaphore::new(config.max_streams)),
         config,
         events: sender,
-        // Stream numbers start from the clock, so that requests without an id differ between two processes.
+        // Stream numbers start from the Unix time, so that the generated ids of requests without an id differ
+        // between two runs of the process.
         next_stream: AtomicU64::new(unix_ms() << 20),
     };
     let run = move || {
--- a/crates/edges/processor/src/stream.rs
+++ b/crates/edges/processor/src/stream.rs
@@ -1,5 +1,6 @@
-//! One stream of a proxy: one attempt of one request, from its headers to its end. Messages of the proxy and
-//! responses of the front go in; events for the front and messages for the proxy come out.
+//! Handles one stream of a proxy, which is one attempt of one request from its headers to its end. Inputs are
+//! the proxy's messages and the front's responses; outputs are events for the front and messages to the
+//! proxy.
 
 use crate::events::{ProxyEvent, ProxyResponse};
 use crate::headers::{Headers, RequestError};
@@ -22,20 +23,20 @@
 use tokio::sync::mpsc;
 use tonic::{Code, Status, Streaming};
 
-/// Responses of the front that may wait for one stream.
+/// Maximum number of the front's responses queued for one stream.
 const CALL_RESPONSE_QUEUE_LENGTH: usize = 8;
 
-/// Whether the stream goes on.
+/// Whether the stream continues or is closed.
 type Flow = ControlFlow<()>;
 const CONTINUE: Flow = ControlFlow::Continue(());
 const CLOSE: Flow = ControlFlow::Break(());
 
-/// Reports the end of a stream to the front when it is dropped, if the front knows of the stream.
+/// When dropped, reports the end of the stream to the front, if the stream's request was sent to the front.
 pub(crate) struct StreamGuard {
     stream: StreamId,
     events: async_channel::Sender<ProxyEvent>,
     is_known: bool,
-    /// What the end will be reported as.
+    /// Whether the end will be reported as complete.
     is_complete: bool,
 }
 
@@ -52,20 +53,20 @@
         }
         let ended = ProxyEvent::StreamEnded { stream: self.stream, complete: self.is_complete };
         if let Err(async_channel::TrySendError::Full(ended)) = self.events.try_send(ended) {
-            // The queue is full for now, but the end has to be reported.
+            // The queue is full at present, but the end must be reported.
             let events = self.events.clone();
             tokio::spawn(async move { events.send(ended).await });
         }
     }
 }
 
-// One at a time, and handled at once: its size costs nothing.
+// Only one value exists at a time and it is handled at once, so its size does not matter.
 #[allow(clippy::large_enum_variant)]
 enum Input {
-    /// None: the front has given the stream up.
+    /// `None` means that the front closed its side of the stream's channel.
     FrontResponse(Option<ProxyResponse>),
     Message(Result<Option<ProcessingRequest>, Status>),
-    /// The proxy takes no more messages.
+    /// The proxy receives no more messages.
     Closed,
 }
 
@@ -73,17 +74,17 @@
     config: ServerConfig,
     sender: mpsc::Sender<Result<ProcessingResponse, Status>>,
     request_id: Option<RequestId>,
-    /// Where the front's responses come from, once it has been asked.
+    /// Receives the front's responses; set once the request was sent to the front.
     front_responses: Option<async_channel::Receiver<ProxyResponse>>,
-    /// Whether the proxy has been told what to do with the request.
+    /// Whether the front has decided about the request. Timeout extensions do not count.
     has_decision: bool,
-    /// A request whose body has been asked for.
+    /// The request, while its body has been requested and not received.
     awaiting_body: Option<CallRequest>,
-    /// The message that the decision answers.
+    /// The proxy's message that the response belongs to.
     answered: AnsweredMessage,
-    /// When that message was received.
+    /// Time at which that message was received.
     received: Instant,
-    /// Dropped last: the stream's end is reported once nothing more is sent.
+    /// The last field, so that it is dropped last: the stream's end is reported after everything else is closed.
     guard: StreamGuard,
 }
 
@@ -120,8 +121,8 @@
                     CLOSE
                 }
                 Input::Message(Err(status)) => {
-                    // Proxies reset the stream of a request that is finished. Before the engine's response, or if the
-                    // connection is lost, a reset does not mean that.
+                    // Proxies reset the stream of a finished request, so a reset after the engine's response
+                    // counts as complete. A reset before that, or a lost connection, does not.
                     self.guard.is_complete &= status.code() == Code::Cancelled;
                     CLOSE
                 }
@@ -159,14 +160,14 @@
             return CLOSE;
         }
         if is_last {
-            // The proxy has the client's response, and sends nothing more.
+            // The proxy now has the response to the client and sends no more messages.
             self.guard.is_complete = true;
             return CLOSE;
         }
         CONTINUE
     }
 
-    /// Where the time of a response went, for those who look for late ones.
+    /// Logs the delays of a response, to help find the cause of late ones.
     fn log_response_time(&self, response: &ProxyResponse) {
         let (received, sent_at) = (self.received, response.sent_at);
         tracing::debug!(
@@ -190,7 +191,7 @@
             Some(Request::ResponseHeaders(headers)) if self.has_decision => {
                 self.handle_response_headers(headers, details.as_deref()).await
             }
-            // Messages that were not asked for are answered, so that a proxy that is set to send them works.
+            // Messages that were not requested get an empty response, so that proxies configured to send them work.
             Some(Request::RequestBody(_)) if self.has_decision => {
                 self.send(with_response(Response::RequestBody(BodyResponse::default()))).await
             }
@@ -245,7 +246,7 @@
         self.ask_front(call_request, received).await
     }
 
-    /// Hands the request to the front, and waits if its queue is full.
+    /// Sends the request to the front; waits while the front's queue is full.
     async fn ask_front(&mut self, call_request: CallRequest, received: Instant) -> Flow {
         let (responses, receiver) = async_channel::bounded(CALL_RESPONSE_QUEUE_LENGTH);
         self.front_responses = Some(receiver);
@@ -258,7 +259,7 @@
         let Ok(headers) = Headers::read(headers.headers) else { return CLOSE };
         let status = headers.get(wire::STATUS_HEADER).and_then(|text| text.parse().ok()).unwrap_or(0);
         let outcome = attempt_outcome(status, headers.get(&self.config.header_names.outcome), details);
-        // The engine has responded, so a reset by the proxy from now on means that the request is finished.
+        // The engine has responded, so from now on a reset by the proxy means that the request is finished.
         self.guard.is_complete = true;
         let event = ProxyEvent::ResponseHeaders { stream: self.guard.stream, outcome };
         if self.report(event).await.is_break() {
@@ -267,12 +268,12 @@
         self.send(with_response(Response::ResponseHeaders(HeadersResponse::default()))).await
     }
 
-    /// Sends an event to the front; closes the stream if there is no front any more.
+    /// Sends an event to the front. Closes the stream if the front no longer receives events.
     async fn report(&self, event: ProxyEvent) -> Flow {
         if self.guard.events.send(event).await.is_ok() { CONTINUE } else { CLOSE }
     }
 
-    /// Sends a message to the proxy; closes the stream if the proxy takes none any more.
+    /// Sends a message to the proxy. Closes the stream if the proxy no longer receives messages.
     async fn send(&self, message: ProcessingResponse) -> Flow {
         if self.sender.send(Ok(message)).await.is_ok() { CONTINUE } else { CLOSE }
     }
--- a/crates/edges/processor/src/wire.rs
+++ b/crates/edges/processor/src/wire.rs
@@ -1,9 +1,9 @@
-//! Names and numbers of the wire: headers, statuses and texts that proxies, clients and engines see.
+//! Names and values of the protocol: headers, statuses and texts that proxies, clients and engines receive or send.
 
 use crate::headers::{HeaderNames, RequestError};
 use std::time::Duration;
 
-// Values of Envoy's enumerations.
+// Values of enumerations in Envoy's API.
 /// `ProcessingMode.BodySendMode.BUFFERED`.
 pub(crate) const BODY_BUFFERED: i32 = 2;
 /// `ProcessingMode.HeaderSendMode.SEND`.
@@ -13,40 +13,40 @@
 
 /// Namespace of the attributes that Envoy sends to this filter.
 pub(crate) const ATTRIBUTES_NAMESPACE: &str = "envoy.filters.http.ext_proc";
-/// Attribute: why the proxy answered a request itself.
+/// Attribute: the reason why the proxy generated a response itself.
 pub(crate) const RESPONSE_CODE_DETAILS: &str = "response.code_details";
 
 pub(crate) const STATUS_HEADER: &str = ":status";
 pub(crate) const PATH_HEADER: &str = ":path";
-/// In whole seconds, rounded up.
+/// Time until a retry, in whole seconds, rounded up.
 pub(crate) const RETRY_AFTER_HEADER: &str = "retry-after";
-/// The same in milliseconds.
+/// Time until a retry, in milliseconds.
 pub(crate) const RETRY_AFTER_MS_HEADER: &str = "x-lemonusher-come-back-ms";
 
-/// Status and outcome header of a request that was rejected.
+/// HTTP status, outcome header and response code details of the response to a rejected request.
 pub(crate) const REJECTED_STATUS: i32 = 503;
 pub(crate) const REJECTED_OUTCOME: &str = "pushed-back";
 pub(crate) const REJECTED_DETAILS: &str = "pushed_back";
-/// Status and outcome header of a request that failed.
+/// HTTP status, outcome header and response code details of the response to a failed request.
 pub(crate) const FAILED_STATUS: i32 = 502;
 pub(crate) const FAILED_OUTCOME: &str = "errored";
 pub(crate) const FAILED_DETAILS: &str = "errored";
 
 // Values of the outcome header in engines' responses.
-/// The engine turned the attempt away unseen.
+/// The engine rejected the attempt before it ran.
 pub(crate) const ENGINE_REJECTED: &str = "full";
-/// The engine dropped the attempt, as its time was over, before it ran.
+/// The engine dropped the attempt before it ran, because its time limit had passed.
 pub(crate) const ENGINE_EXPIRED: &str = "late";
 /// The attempt failed at the engine.
 pub(crate) const ENGINE_FAILED: &str = "errored";
 
-// Parts of Envoy's response code details.
+// Substrings of Envoy's response code details.
 pub(crate) const DETAILS_CONNECTION_FAILURE: &str = "connection_failure";
 pub(crate) const DETAILS_NO_HEALTHY_UPSTREAM: &str = "no_healthy_upstream";
 pub(crate) const DETAILS_TIMEOUT: &str = "timeout";
 pub(crate) const DETAILS_UPSTREAM_RESET: &str = "upstream_reset";
 
-/// Values of the client-retry header that stand for no.
+/// Values of the client retry header that mean that the request is not a retry.
 pub(crate) const NO_RETRY: [&str; 3] = ["", "0", "false"];
 
 impl Default for HeaderNames {
@@ -70,7 +70,7 @@
 }
 
 impl RequestError {
-    /// Status of the response to the client.
+    /// HTTP status of the response to the client.
     pub(crate) fn status(self) -> i32 {
         match self {
             RequestError::TooManyHeaders => 431,
--- a/crates/edges/processor/tests/outcome.rs
+++ b/crates/edges/processor/tests/outcome.rs
@@ -1,4 +1,4 @@
-//! Outcomes of attempts read off responses.
+//! Outcomes of attempts, derived from responses.
 
 use lemonusher::AttemptOutcome;
 use lemonusher_processor::attempt_outcome;
--- a/crates/edges/processor/tests/unit/headers.rs
+++ b/crates/edges/processor/tests/unit/headers.rs
@@ -1,4 +1,4 @@
-//! Requests read off headers.
+//! Reading requests from headers.
 
 use super::*;
 use envoy_types::pb::envoy::config::core::v3::HeaderValue;
@@ -38,7 +38,7 @@
         read(&[("x-service-group", "report"), ("x-request-id", &long)]).unwrap_err(),
         RequestError::InvalidRequestId
     );
-    // A forged token states nothing, and counts as an earlier attempt.
+    // The content of a forged token is ignored; its presence counts as an earlier attempt.
     let forged = read(&[("x-service-group", "report"), ("x-lemonusher-ticket", "1.x.1.1.1")]).unwrap();
     assert!(!forged.has_valid_token && forged.attempt == 2);
     let many: Vec<(&str, &str)> = vec![("a", "b"); 1000];
