--- a/crates/edges/processor/src/server.rs
+++ b/crates/edges/processor/src/server.rs
@@ -82,7 +82,7 @@
     };
     let run = move || {
         if let Err(error) = runtime.block_on(serve(listener, service)) {
-            tracing::error!("the external processor ends: {error}");
+            tracing::error!("external processor server failed: {error}");
         }
     };
     std::thread::Builder::new().name("processor".to_owned()).spawn(run)?;
--- a/crates/edges/processor/src/stream.rs
+++ b/crates/edges/processor/src/stream.rs
@@ -172,7 +172,7 @@
         let (received, sent_at) = (self.received, response.sent_at);
         tracing::debug!(
             request = self.request_id.as_deref().unwrap_or_default(),
-            "a proxy is answered {:?} after its message: {:?} until the front took it up, {:?} until it was decided",
+            "response to proxy {:?} after its message was received: queued {:?}, decided after {:?}",
             received.elapsed(),
             response.queued,
             sent_at.saturating_duration_since(received),
