--- a/crates/edges/routing/src/counters.rs
+++ b/crates/edges/routing/src/counters.rs
@@ -40,7 +40,7 @@
     LinesWithoutRoom,
     /// Connections to engines opened.
     EngineConnections,
-    /// Replies of engines that match no attempt or probe in flight.
+    /// Unmatched replies: no attempt or probe in flight expects them.
     StrayAnswers,
     /// Connections to engines that ended because a reply was malformed, too long, too slow or over the memory limit.
     SpoiltConnections,
