--- a/crates/edges/routing/src/router/admission.rs
+++ b/crates/edges/routing/src/router/admission.rs
@@ -68,9 +68,9 @@
         self.admission_limiter
             .admit(now, incoming.request_class)
             .map_err(|wait| Response::Rejected(retry_after(wait)))?;
-        let is_known = self.requests.contains_key(&incoming.request)
+        let is_duplicate = self.requests.contains_key(&incoming.request)
             || self.attempts.values().any(|attempt| attempt.request == incoming.request);
-        if is_known {
+        if is_duplicate {
             self.admission_limiter.release(now, incoming.request_class);
             return Err(Response::Failed);
         }
--- a/crates/edges/routing/src/router/event_loop.rs
+++ b/crates/edges/routing/src/router/event_loop.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 /// Maximum number of events taken from the queue in one iteration, before the gateway decides.
-const MAX_EVENTS_PER_TURN: usize = 1024;
+const MAX_EVENTS_PER_ITERATION: usize = 1024;
 
 /// The reason why the event loop wakes up.
 enum Wakeup {
@@ -38,13 +38,13 @@
                 }
             }
             let mut events: Vec<RouterEvent> = self.pending_events.drain(..).chain(first).collect();
-            while events.len() < MAX_EVENTS_PER_TURN
+            while events.len() < MAX_EVENTS_PER_ITERATION
                 && let Ok(event) = queue.try_recv()
             {
                 events.push(event);
             }
             let now = self.clock.now();
-            if catch_unwind(AssertUnwindSafe(|| self.process_turn(now, events))).is_err() {
+            if catch_unwind(AssertUnwindSafe(|| self.run_iteration(now, events))).is_err() {
                 self.restart_after_panic(now);
             }
             self.publish_table_sizes();
@@ -94,7 +94,7 @@
     }
 
     /// Runs one iteration: handles the events, fires the timers that are due, and decides if a decision is due.
-    fn process_turn(&mut self, now: Duration, events: Vec<RouterEvent>) {
+    fn run_iteration(&mut self, now: Duration, events: Vec<RouterEvent>) {
         self.flush_commands();
         self.decision_pending |= !events.is_empty();
         for event in events {
--- a/crates/edges/routing/src/zone_monitor.rs
+++ b/crates/edges/routing/src/zone_monitor.rs
@@ -54,7 +54,7 @@
     observations: Sender<ZoneObservation>,
     /// This front's share of all requests while it is isolated, from 0 to 1: one over the configured number
     /// of fronts.
-    share: f64,
+    isolated_share: f64,
     next_report: Duration,
     /// The engines that are out of service for maintenance, as of `maintenance_version`.
     out_of_service: Arc<BTreeSet<EngineId>>,
@@ -78,7 +78,7 @@
             observer: Observer::new(now, deployment.zone, classes),
             plan_admission: PlanAdmission::new(deployment.request_classes.len()),
             observations,
-            share: 1.0 / f64::from(deployment.fronts.max(1)),
+            isolated_share: 1.0 / f64::from(deployment.fronts.max(1)),
             next_report: now + config.report_interval,
             config,
             out_of_service: Arc::default(),
@@ -104,7 +104,7 @@
         let mut in_flight = in_flight();
         self.unknown_until.keys().for_each(|engine| *in_flight.entry(*engine).or_default() += 1);
         in_flight.retain(|engine, _| self.out_of_service.contains(engine));
-        let Observation { report, local } = self.observer.report(now, &self.config, self.share);
+        let Observation { report, local } = self.observer.report(now, &self.config, self.isolated_share);
         let engines = self.observer.engines(now, &self.config);
         let _ = self.observations.force_send(ZoneObservation {
             report,
--- a/crates/edges/routing/tests/unit/commands.rs
+++ b/crates/edges/routing/tests/unit/commands.rs
@@ -11,9 +11,9 @@
 const ENGINE: EngineId = 1;
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-struct NoSink;
+struct DiscardingSink;
 
-impl ResponseSink for NoSink {
+impl ResponseSink for DiscardingSink {
     fn respond(&self, _: u64, _: Response) {}
 }
 
@@ -44,11 +44,11 @@
     (router, received)
 }
 
-fn request(router: &mut RequestRouter, now: Duration) {
+fn handle_request(router: &mut RequestRouter, now: Duration) {
     router.handle_request(
         now,
         IncomingRequest {
-            sink: Rc::new(NoSink),
+            sink: Rc::new(DiscardingSink),
             ticket: 1,
             request: "a".into(),
             request_class: 0,
@@ -71,7 +71,7 @@
         assert!(!router.gateway.is_ejected(now + PROBE_TIMEOUT * 2, ENGINE), "probe: {case}");
         assert!(router.probes.is_empty() && router.timeouts.is_empty(), "probe: {case}");
 
-        request(&mut router, now);
+        handle_request(&mut router, now);
         router.send_attempt(now, "a".into(), ENGINE, PROBE_TIMEOUT, None);
         let events: Vec<RouterEvent> = router.pending_events.drain(..).collect();
         events.into_iter().for_each(|event| router.handle_event(now, event));
