--- a/crates/core/external-call/src/calls.rs
+++ b/crates/core/external-call/src/calls.rs
@@ -80,7 +80,7 @@
             // The proxy's earlier attempt has not ended, and two are never forwarded at the same time.
             return vec![respond(stream, CallResponse::Fail)];
         };
-        call.state = CallState::AwaitingResponse { stream, respond_by, extended: Duration::ZERO };
+        call.state = CallState::AwaitingResponse { stream, respond_by, total_extension: Duration::ZERO };
         self.streams.insert(stream, request.clone());
         self.remove_timeout(until, &request);
         self.add_timeout(respond_by, &request);
@@ -111,8 +111,8 @@
             self.finished.insert(now, request, FinishedOutcome::of(may_have_run));
             return vec![respond(stream, CallResponse::Reject { retry_after: None })];
         }
-        let state = CallState::AwaitingResponse { stream, respond_by, extended: Duration::ZERO };
-        self.calls.insert(request.clone(), Call { state, idempotency, forwarded: 0, may_have_run });
+        let state = CallState::AwaitingResponse { stream, respond_by, total_extension: Duration::ZERO };
+        self.calls.insert(request.clone(), Call { state, idempotency, forwarded_attempts: 0, may_have_run });
         self.add_timeout(respond_by, &request);
         self.streams.insert(stream, request);
         let client_retry = call_request.client_retry || was_tried;
@@ -151,8 +151,8 @@
         let Some(call) = self.calls.get_mut(request) else { return Vec::new() };
         let CallState::AwaitingResponse { stream, respond_by, .. } = call.state else { return Vec::new() };
         call.state = CallState::InFlight { stream, granted };
-        let attempt = call.forwarded;
-        call.forwarded += 1;
+        let attempt = call.forwarded_attempts;
+        call.forwarded_attempts += 1;
         self.remove_timeout(respond_by, request);
         let GrantedAttempt { engine, upstream_timeout, .. } = granted;
         vec![respond(stream, CallResponse::Forward { engine, upstream_timeout, attempt })]
@@ -253,8 +253,8 @@
         while let Some(Timeout { request, .. }) = self.pop_timeout(now) {
             let Some(call) = self.calls.get(&request) else { continue };
             match call.state {
-                CallState::AwaitingResponse { stream, extended, .. } => {
-                    actions.extend(self.handle_response_timeout(now, request, stream, extended));
+                CallState::AwaitingResponse { stream, total_extension, .. } => {
+                    actions.extend(self.handle_response_timeout(now, request, stream, total_extension));
                 }
                 CallState::AwaitingRetry { .. } => {
                     let outcome = FinishedOutcome::of(call.may_have_run);
@@ -274,17 +274,17 @@
         now: Duration,
         request: RequestId,
         stream: StreamId,
-        extended: Duration,
+        total_extension: Duration,
     ) -> Vec<CallAction> {
-        let remaining = self.config.max_timeout_extension.saturating_sub(extended);
+        let remaining = self.config.max_timeout_extension.saturating_sub(total_extension);
         let extension = self.config.message_timeout.min(remaining);
         let margin = self.response_margin();
         let Some(call) = self.calls.get_mut(&request) else { return Vec::new() };
         if !extension.is_zero() {
             // The extension restarts the proxy's timer.
             let respond_by = (now + extension).saturating_sub(margin).max(now + extension / 2);
-            let extended = extended + extension;
-            call.state = CallState::AwaitingResponse { stream, respond_by, extended };
+            let total_extension = total_extension + extension;
+            call.state = CallState::AwaitingResponse { stream, respond_by, total_extension };
             self.add_timeout(respond_by, &request);
             return vec![respond(stream, CallResponse::ExtendTimeout(extension))];
         }
--- a/crates/core/external-call/src/state.rs
+++ b/crates/core/external-call/src/state.rs
@@ -20,7 +20,7 @@
         /// Latest time to send the response.
         respond_by: Duration,
         /// Total extension of the proxy's timeout so far.
-        extended: Duration,
+        total_extension: Duration,
     },
     /// The proxy was told to forward the request; no headers of the engine's response were received so far.
     InFlight { stream: StreamId, granted: GrantedAttempt },
@@ -41,7 +41,7 @@
     pub state: CallState,
     pub idempotency: Idempotency,
     /// Number of attempts that the proxy was told to forward.
-    pub forwarded: u32,
+    pub forwarded_attempts: u32,
     /// Whether an earlier attempt may have run, in this call or before it. Never reset to false.
     pub may_have_run: bool,
 }
--- a/crates/core/external-call/tests/random_failures.rs
+++ b/crates/core/external-call/tests/random_failures.rs
@@ -13,7 +13,7 @@
 /// Maximum number of attempts that a proxy sends for one request.
 const MAX_ATTEMPTS: u32 = 5;
 /// Value of `attempts` for a finished request, above [`MAX_ATTEMPTS`], so that no further attempt is sent.
-const DONE: u32 = 99;
+const FINISHED: u32 = 99;
 
 #[derive(Debug, Clone)]
 enum Step {
@@ -39,7 +39,7 @@
         4 => (0..4u8).prop_map(Step::SendHeaders),
         4 => (0..4u8).prop_map(Step::Grant),
         4 => Just(Step::DeliverResponse),
-        3 => (0..4u8, 0..4u8).prop_map(|(request, how)| Step::EngineResponds(request, how)),
+        3 => (0..4u8, 0..4u8).prop_map(|(request, choice)| Step::EngineResponds(request, choice)),
         1 => (0..4u8).prop_map(Step::ResetStream),
         1 => (0..4u8, any::<bool>()).prop_map(|(request, reject)| Step::GiveUp(request, reject)),
         2 => (0..250u16).prop_map(Step::Wait),
@@ -115,7 +115,7 @@
         if number < 2 { NON_IDEMPOTENT } else { IDEMPOTENT }
     }
 
-    fn carry_out(&mut self, actions: Vec<CallAction>) {
+    fn execute(&mut self, actions: Vec<CallAction>) {
         for action in actions {
             match action {
                 CallAction::Submit(call) => {
@@ -153,10 +153,10 @@
             Step::SendHeaders(number) => self.send_headers(number.into()),
             Step::Grant(number) => self.grant(number.into()),
             Step::DeliverResponse => self.deliver_response(),
-            Step::EngineResponds(number, how) => self.engine_responds(number.into(), how),
+            Step::EngineResponds(number, choice) => self.engine_responds(number.into(), choice),
             Step::ResetStream(number) => self.reset_stream(number.into()),
             Step::GiveUp(number, reject) => self.give_up(number.into(), reject),
-            Step::Wait(span_ms) => self.wait(ms(span_ms.into())),
+            Step::Wait(duration_ms) => self.wait(ms(duration_ms.into())),
             Step::RestartProcessor => self.restart_processor(),
         }
     }
@@ -176,7 +176,7 @@
             ..call_request(stream, &request.id, Simulation::request_class(number))
         };
         let actions = self.calls.handle_request(self.now, headers);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
     fn grant(&mut self, number: usize) {
@@ -192,7 +192,7 @@
         submitted.in_flight = Some(token);
         self.attempts.insert(token, Attempt { request: id.clone(), has_ended: false });
         let actions = self.calls.handle_attempt(&id, token, 7, ms(900));
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
     fn deliver_response(&mut self) {
@@ -222,14 +222,14 @@
             CallResponse::Reject { .. } | CallResponse::Fail => {
                 request.state = ProxyState::Idle;
                 let actions = self.calls.handle_stream_end(self.now, stream, true);
-                self.carry_out(actions);
+                self.execute(actions);
             }
         }
     }
 
-    fn engine_responds(&mut self, number: usize, how: u8) {
+    fn engine_responds(&mut self, number: usize, choice: u8) {
         let ProxyState::Upstream { stream } = self.requests[number].state else { return };
-        let outcome = match how {
+        let outcome = match choice {
             0 | 1 => AttemptOutcome::Returned,
             2 => AttemptOutcome::Errored,
             // The engine's rejection proves that the attempt never ran.
@@ -239,12 +239,12 @@
             }
         };
         let actions = self.calls.handle_response_headers(stream, outcome);
-        self.carry_out(actions);
+        self.execute(actions);
         self.requests[number].state = ProxyState::Idle;
         let actions = self.calls.handle_stream_end(self.now, stream, true);
-        self.carry_out(actions);
+        self.execute(actions);
         if outcome == AttemptOutcome::Returned {
-            self.requests[number].attempts = DONE;
+            self.requests[number].attempts = FINISHED;
         }
     }
 
@@ -252,7 +252,7 @@
         let ProxyState::Upstream { stream } = self.requests[number].state else { return };
         self.requests[number].state = ProxyState::Idle;
         let actions = self.calls.handle_stream_end(self.now, stream, false);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
     fn give_up(&mut self, number: usize, reject: bool) {
@@ -268,11 +268,11 @@
             false => FinalResponse::Failed,
         };
         let actions = self.calls.handle_final_response(self.now, &id, response);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
-    fn wait(&mut self, span: Duration) {
-        let until = self.now + span;
+    fn wait(&mut self, duration: Duration) {
+        let until = self.now + duration;
         loop {
             let timeouts = self.requests.iter().filter_map(|request| match request.state {
                 ProxyState::AwaitingResponse { until, .. } => Some(until),
@@ -281,7 +281,7 @@
             let next = timeouts.chain(self.calls.next_timeout()).min().filter(|at| *at <= until);
             self.now = next.unwrap_or(until).max(self.now);
             let actions = self.calls.poll(self.now);
-            self.carry_out(actions);
+            self.execute(actions);
             self.time_out_proxies();
             if next.is_none() {
                 return;
@@ -300,10 +300,10 @@
                 self.requests[number].state = ProxyState::Idle;
                 if self.failure_mode_allow {
                     self.requests[number].runs += 1;
-                    self.requests[number].attempts = DONE;
+                    self.requests[number].attempts = FINISHED;
                 }
                 let actions = self.calls.handle_stream_end(self.now, stream, false);
-                self.carry_out(actions);
+                self.execute(actions);
             }
         }
     }
@@ -315,17 +315,17 @@
         self.attempts.clear();
         self.responses.clear();
         for request in &mut self.requests {
-            let awaited = matches!(request.state, ProxyState::AwaitingResponse { .. });
-            if awaited && self.failure_mode_allow {
+            let is_waiting = matches!(request.state, ProxyState::AwaitingResponse { .. });
+            if is_waiting && self.failure_mode_allow {
                 request.runs += 1;
-                request.attempts = DONE;
+                request.attempts = FINISHED;
             }
             request.state = ProxyState::Idle;
         }
     }
 
     /// Delivers all pending responses, resets all open streams and waits for all timeouts.
-    fn run_to_the_end(&mut self) {
+    fn run_to_completion(&mut self) {
         for _ in 0..40 {
             self.step(Step::DeliverResponse);
         }
@@ -352,7 +352,7 @@
                 prop_assert!(may_repeat || request.runs <= 1, "{} ran {}", request.id, request.runs);
             }
         }
-        simulation.run_to_the_end();
+        simulation.run_to_completion();
         prop_assert_eq!(simulation.calls.open_calls(), 0);
         prop_assert_eq!(simulation.calls.next_timeout(), None);
         prop_assert!(simulation.attempts.values().all(|attempt| attempt.has_ended));
--- a/crates/core/external-call/tests/same_decisions.rs
+++ b/crates/core/external-call/tests/same_decisions.rs
@@ -13,12 +13,12 @@
     Duration::from_millis(ms)
 }
 
-struct Dice(u64);
+struct Rng(u64);
 
-impl Dice {
-    fn below(&mut self, most: u64) -> u64 {
+impl Rng {
+    fn below(&mut self, limit: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (self.0 >> 33) % most
+        (self.0 >> 33) % limit
     }
 }
 
@@ -64,9 +64,9 @@
 
 /// Outcome and duration of this attempt of a request, the same in both runs.
 fn attempt_result(seed: u64, request: usize, attempt: u32) -> (AttemptOutcome, Duration) {
-    let mut dice = Dice(seed ^ ((request as u64) << 20) ^ u64::from(attempt) << 50 | 1);
-    dice.below(10);
-    let outcome = match dice.below(20) {
+    let mut rng = Rng(seed ^ ((request as u64) << 20) ^ u64::from(attempt) << 50 | 1);
+    rng.below(10);
+    let outcome = match rng.below(20) {
         0 => AttemptOutcome::Errored,
         1 => AttemptOutcome::Rejected,
         2 => AttemptOutcome::ConnectFailed,
@@ -74,7 +74,7 @@
         4 => AttemptOutcome::TimedOut,
         _ => AttemptOutcome::Returned,
     };
-    (outcome, ms(5 + dice.below(400)))
+    (outcome, ms(5 + rng.below(400)))
 }
 
 #[derive(Debug, Clone, PartialEq)]
@@ -165,10 +165,10 @@
             next_token: 0,
             ending: BTreeMap::new(),
         };
-        let mut dice = Dice(seed);
+        let mut rng = Rng(seed);
         let mut at = ms(1000);
         for request in 0..400 {
-            at += ms(dice.below(30));
+            at += ms(rng.below(30));
             run.schedule(at, Scheduled::Arrival(request));
         }
         // Engine 2 drains and becomes active again during the arrivals.
@@ -184,10 +184,10 @@
         self.schedule.insert((at, self.next_scheduled), scheduled);
     }
 
-    fn play(mut self) -> Vec<Decision> {
+    fn run(mut self) -> Vec<Decision> {
         while let Some(((now, _), scheduled)) = self.schedule.pop_first() {
             let actions = self.handle_scheduled(now, scheduled);
-            let failed = self.carry_out(now, actions);
+            let failed = self.execute(now, actions);
             let actions = self.retry(now, failed);
             self.decide(now, actions);
         }
@@ -241,7 +241,7 @@
     }
 
     /// Executes the actions of the calls and returns the requests of which an attempt failed.
-    fn carry_out(&mut self, now: Duration, actions: Vec<CallAction>) -> Vec<usize> {
+    fn execute(&mut self, now: Duration, actions: Vec<CallAction>) -> Vec<usize> {
         let mut failed = Vec::new();
         for action in actions {
             match action {
@@ -318,8 +318,9 @@
                     if let Some(calls) = &mut self.calls {
                         let response = FinalResponse::Rejected { retry_after };
                         let given = calls.handle_final_response(now, &request, response);
-                        let is_told = given.iter().any(|action| matches!(action, CallAction::Respond { .. }));
-                        assert!(is_told, "{given:?}");
+                        let is_response_sent =
+                            given.iter().any(|action| matches!(action, CallAction::Respond { .. }));
+                        assert!(is_response_sent, "{given:?}");
                     }
                     self.decisions.push(Decision::Rejected(now, request_number(&request), retry_after));
                 }
@@ -376,7 +377,7 @@
 fn external_calls_get_the_decisions_that_the_gateway_gives_alone() {
     let (mut compared, mut retries, mut refused) = (0, 0, 0);
     for seed in 1..=24 {
-        let (alone, external) = (Run::new(seed, false).play(), Run::new(seed, true).play());
+        let (alone, external) = (Run::new(seed, false).run(), Run::new(seed, true).run());
         assert_eq!(alone.len(), external.len(), "seed {seed}");
         for (a, b) in alone.iter().zip(&external) {
             assert_eq!(a, b, "seed {seed}");
