--- a/crates/edges/processor/src/headers.rs
+++ b/crates/edges/processor/src/headers.rs
@@ -130,9 +130,11 @@
             stream,
             request: request.into(),
             request_class,
-            table_group: headers.get(&self.table_group).map(hash).unwrap_or_default(),
+            table_group: headers.get(&self.table_group).map(hash_table_group).unwrap_or_default(),
             client_timeout: client_timeout.min(classes[request_class].max_client_timeout),
-            client_retry: headers.get(&self.client_retry).is_some_and(|text| !wire::NO_RETRY.contains(&text)),
+            client_retry: headers
+                .get(&self.client_retry)
+                .is_some_and(|text| !wire::NOT_A_RETRY.contains(&text)),
             attempt,
             has_valid_token,
             queued: Duration::ZERO,
@@ -163,7 +165,7 @@
 }
 
 /// Hashes a table group's text. The result is the same at every processor.
-fn hash(text: &str) -> u64 {
+fn hash_table_group(text: &str) -> u64 {
     let mut hasher = std::hash::DefaultHasher::new();
     text.hash(&mut hasher);
     hasher.finish()
--- a/crates/edges/processor/src/messages.rs
+++ b/crates/edges/processor/src/messages.rs
@@ -41,15 +41,15 @@
     config: &ServerConfig,
     request_id: &str,
     response: ProxyResponse,
-    answered: AnsweredMessage,
+    answered_message: AnsweredMessage,
 ) -> ProcessingResponse {
     let names = &config.header_names;
     match response.response {
         CallResponse::Forward { engine, upstream_timeout, attempt } => {
-            let token = token(config, request_id, engine, attempt);
-            forward(config, token, upstream_timeout, response.engine_address, answered)
+            let token = continuation_token(config, request_id, engine, attempt);
+            forward_response(config, token, upstream_timeout, response.engine_address, answered_message)
         }
-        CallResponse::ExtendTimeout(extension) => extend_timeout(extension),
+        CallResponse::ExtendTimeout(extension) => timeout_extension_response(extension),
         CallResponse::Reject { retry_after } => {
             let mut headers = vec![header(&names.outcome, wire::REJECTED_OUTCOME.to_owned())];
             if let Some(wait) = retry_after {
@@ -57,16 +57,21 @@
                 headers.push(header(wire::RETRY_AFTER_HEADER, seconds.to_string()));
                 headers.push(header(wire::RETRY_AFTER_MS_HEADER, wait.as_millis().to_string()));
             }
-            immediate(wire::REJECTED_STATUS, headers, wire::REJECTED_DETAILS)
+            immediate_response(wire::REJECTED_STATUS, headers, wire::REJECTED_DETAILS)
         }
         CallResponse::Fail => {
             let headers = vec![header(&names.outcome, wire::FAILED_OUTCOME.to_owned())];
-            immediate(wire::FAILED_STATUS, headers, wire::FAILED_DETAILS)
+            immediate_response(wire::FAILED_STATUS, headers, wire::FAILED_DETAILS)
         }
     }
 }
 
-fn token(config: &ServerConfig, request_id: &str, engine: EngineId, attempt: u32) -> ContinuationToken {
+fn continuation_token(
+    config: &ServerConfig,
+    request_id: &str,
+    engine: EngineId,
+    attempt: u32,
+) -> ContinuationToken {
     ContinuationToken {
         request: request_id.to_owned(),
         engine,
@@ -75,12 +80,12 @@
     }
 }
 
-fn forward(
+fn forward_response(
     config: &ServerConfig,
     token: ContinuationToken,
     upstream_timeout: Duration,
     engine_address: Option<SocketAddr>,
-    answered: AnsweredMessage,
+    answered_message: AnsweredMessage,
 ) -> ProcessingResponse {
     let names = &config.header_names;
     let timeout_ms = (upstream_timeout.as_millis() as u64).max(1);
@@ -94,7 +99,7 @@
         clear_route_cache: true,
         ..CommonResponse::default()
     };
-    with_response(match answered {
+    with_response(match answered_message {
         AnsweredMessage::RequestBody => Response::RequestBody(BodyResponse { response: Some(common) }),
         AnsweredMessage::RequestHeaders => {
             Response::RequestHeaders(HeadersResponse { response: Some(common) })
@@ -102,14 +107,14 @@
     })
 }
 
-fn extend_timeout(extension: Duration) -> ProcessingResponse {
+fn timeout_extension_response(extension: Duration) -> ProcessingResponse {
     let timeout =
         protobuf::Duration { seconds: extension.as_secs() as i64, nanos: extension.subsec_nanos() as i32 };
     ProcessingResponse { override_message_timeout: Some(timeout), ..ProcessingResponse::default() }
 }
 
 /// Creates the response to request headers that leaves them unchanged and requests the whole body.
-pub(crate) fn body_request() -> ProcessingResponse {
+pub(crate) fn body_request_response() -> ProcessingResponse {
     let mode = ProcessingMode {
         request_body_mode: wire::BODY_BUFFERED,
         response_header_mode: wire::HEADERS_SENT,
@@ -123,12 +128,12 @@
 }
 
 /// Creates the response to a request whose headers can't be read.
-pub(crate) fn refusal(error: RequestError) -> ProcessingResponse {
-    immediate(error.status(), Vec::new(), error.details())
+pub(crate) fn error_response(error: RequestError) -> ProcessingResponse {
+    immediate_response(error.status(), Vec::new(), error.details())
 }
 
 /// Creates a response that the proxy sends to the client at once.
-fn immediate(code: i32, set_headers: Vec<HeaderValueOption>, details: &str) -> ProcessingResponse {
+fn immediate_response(code: i32, set_headers: Vec<HeaderValueOption>, details: &str) -> ProcessingResponse {
     with_response(Response::ImmediateResponse(ImmediateResponse {
         status: Some(HttpStatus { code }),
         headers: Some(HeaderMutation { set_headers, ..HeaderMutation::default() }),
--- a/crates/edges/processor/src/stream.rs
+++ b/crates/edges/processor/src/stream.rs
@@ -5,7 +5,8 @@
 use crate::events::{ProxyEvent, ProxyResponse};
 use crate::headers::{Headers, RequestError};
 use crate::messages::{
-    AnsweredMessage, body_request, refusal, response_code_details, response_message, unix_ms, with_response,
+    AnsweredMessage, body_request_response, error_response, response_code_details, response_message, unix_ms,
+    with_response,
 };
 use crate::outcome::attempt_outcome;
 use crate::server::ServerConfig;
@@ -35,20 +36,20 @@
 pub(crate) struct StreamGuard {
     stream: StreamId,
     events: async_channel::Sender<ProxyEvent>,
-    is_known: bool,
+    is_reported: bool,
     /// Whether the end will be reported as complete.
     is_complete: bool,
 }
 
 impl StreamGuard {
     pub(crate) fn new(stream: StreamId, events: async_channel::Sender<ProxyEvent>) -> StreamGuard {
-        StreamGuard { stream, events, is_known: false, is_complete: false }
+        StreamGuard { stream, events, is_reported: false, is_complete: false }
     }
 }
 
 impl Drop for StreamGuard {
     fn drop(&mut self) {
-        if !self.is_known {
+        if !self.is_reported {
             return;
         }
         let ended = ProxyEvent::StreamEnded { stream: self.stream, complete: self.is_complete };
@@ -81,7 +82,7 @@
     /// The request, while its body has been requested and not received.
     awaiting_body: Option<CallRequest>,
     /// The proxy's message that the response belongs to.
-    answered: AnsweredMessage,
+    answered_message: AnsweredMessage,
     /// Time at which that message was received.
     received: Instant,
     /// The last field, so that it is dropped last: the stream's end is reported after everything else is closed.
@@ -102,7 +103,7 @@
             front_responses: None,
             has_decision: false,
             awaiting_body: None,
-            answered: AnsweredMessage::RequestHeaders,
+            answered_message: AnsweredMessage::RequestHeaders,
             received: Instant::now(),
         }
     }
@@ -154,7 +155,7 @@
         let is_last = matches!(response.response, CallResponse::Reject { .. } | CallResponse::Fail);
         self.has_decision |= !matches!(response.response, CallResponse::ExtendTimeout(_));
         let request_id = self.request_id.as_deref().unwrap_or_default();
-        let message = response_message(&self.config, request_id, response, self.answered);
+        let message = response_message(&self.config, request_id, response, self.answered_message);
         let _ = self.guard.events.try_send(ProxyEvent::RoundTrip(round_trip));
         if self.send(message).await.is_break() {
             return CLOSE;
@@ -217,16 +218,16 @@
         let call_request = match self.read_request(headers) {
             Ok(call_request) => call_request,
             Err(error) => {
-                let _ = self.send(refusal(error)).await;
+                let _ = self.send(error_response(error)).await;
                 return CLOSE;
             }
         };
         self.request_id = Some(call_request.request.clone());
         if self.config.read_table_group.is_some() && has_body {
             self.awaiting_body = Some(call_request);
-            return self.send(body_request()).await;
+            return self.send(body_request_response()).await;
         }
-        self.ask_front(call_request, received).await
+        self.send_to_front(call_request, received).await
     }
 
     fn read_request(&self, headers: HttpHeaders) -> Result<CallRequest, RequestError> {
@@ -242,16 +243,16 @@
         if let Some(group) = self.config.read_table_group.and_then(|read| read(&statement)) {
             call_request.table_group = group;
         }
-        self.answered = AnsweredMessage::RequestBody;
-        self.ask_front(call_request, received).await
+        self.answered_message = AnsweredMessage::RequestBody;
+        self.send_to_front(call_request, received).await
     }
 
     /// Sends the request to the front; waits while the front's queue is full.
-    async fn ask_front(&mut self, call_request: CallRequest, received: Instant) -> Flow {
+    async fn send_to_front(&mut self, call_request: CallRequest, received: Instant) -> Flow {
         let (responses, receiver) = async_channel::bounded(CALL_RESPONSE_QUEUE_LENGTH);
         self.front_responses = Some(receiver);
         self.received = received;
-        self.guard.is_known = true;
+        self.guard.is_reported = true;
         self.report(ProxyEvent::Request { call_request, responses, received }).await
     }
 
--- a/crates/edges/processor/src/wire.rs
+++ b/crates/edges/processor/src/wire.rs
@@ -47,7 +47,7 @@
 pub(crate) const DETAILS_UPSTREAM_RESET: &str = "upstream_reset";
 
 /// Values of the client retry header that mean that the request is not a retry.
-pub(crate) const NO_RETRY: [&str; 3] = ["", "0", "false"];
+pub(crate) const NOT_A_RETRY: [&str; 3] = ["", "0", "false"];
 
 impl Default for HeaderNames {
     fn default() -> HeaderNames {
