--- a/crates/core/external-call/src/state.rs
+++ b/crates/core/external-call/src/state.rs
@@ -14,7 +14,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum CallState {
-    /// The proxy waits for our response.
+    /// The proxy waits for a response from this processor.
     AwaitingResponse {
         stream: StreamId,
         /// Latest time to send the response.
--- a/crates/edges/routing/src/router/attempts.rs
+++ b/crates/edges/routing/src/router/attempts.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 impl RequestRouter {
-    /// Sends an attempt of an open request. It ends at the request's deadline or after `timeout`, whichever
-    /// is earlier; a timeout of zero adds no limit to the deadline.
+    /// Sends an attempt of an open request. It times out at the request's deadline or after `timeout`,
+    /// whichever is earlier; a timeout of zero adds no limit to the deadline.
     pub(super) fn send_attempt(
         &mut self,
         now: Duration,
--- a/crates/edges/routing/src/router/commands.rs
+++ b/crates/edges/routing/src/router/commands.rs
@@ -11,7 +11,7 @@
 use lemonusher::AttemptOutcome;
 use std::time::Duration;
 
-/// Number of waiting commands from which on attempts and probes are not sent.
+/// Length of the backlog from which on attempts and probes are not sent.
 const MAX_COMMAND_BACKLOG: usize = 4096;
 
 impl RequestRouter {
--- a/crates/edges/routing/src/router/event_loop.rs
+++ b/crates/edges/routing/src/router/event_loop.rs
@@ -1,7 +1,7 @@
 //! The event loop: handles events, fires timers and asks the gateway for decisions.
 //!
-//! The gateway decides at most once per tick, because deciding on events that arrive close together in one
-//! batch gives better decisions. The actions of a decision are executed at once.
+//! The gateway decides at most once per tick, because one decision on all events that arrive close together
+//! is better than a separate decision on each. The actions of a decision are executed at once.
 
 use super::RequestRouter;
 use crate::counters::TableSizes;
@@ -14,7 +14,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::{Duration, Instant};
 
-/// Maximum number of events taken from the queue in one iteration, before the gateway decides.
+/// Number of events in one iteration from which on no more are taken from the queue before the gateway decides.
 const MAX_EVENTS_PER_ITERATION: usize = 1024;
 
 /// The reason why the event loop wakes up.
--- a/crates/edges/routing/src/router/mod.rs
+++ b/crates/edges/routing/src/router/mod.rs
@@ -47,12 +47,12 @@
     priority: u8,
     memory_mb: f64,
     attempts_sent: u32,
-    /// Its only strong reference. It is dropped with the request, after which attempts that are not written
-    /// yet are never written.
+    /// The write conditions of the request's attempts hold weak references to this value. It is dropped with
+    /// the request, after which attempts that are not written yet are never written.
     open_guard: Rc<()>,
 }
 
-/// An attempt that was passed to the engine driver, or waits in its backlog, and has not ended.
+/// An attempt that was passed to the engine driver, or waits in the command backlog, and has not ended.
 struct InFlightAttempt {
     request: RequestId,
     request_class: usize,
@@ -64,7 +64,7 @@
     priority: u8,
 }
 
-/// A probe that was passed to the engine driver, or waits in its backlog, and has not ended.
+/// A probe that was passed to the engine driver, or waits in the command backlog, and has not ended.
 struct InFlightProbe {
     engine: EngineId,
     sent_at: Duration,
--- a/crates/edges/routing/src/zone_monitor.rs
+++ b/crates/edges/routing/src/zone_monitor.rs
@@ -21,7 +21,7 @@
 pub struct ZoneObservation {
     /// The report for the other fronts.
     pub report: FrontReport,
-    /// This front's own view, used while it is isolated.
+    /// This front's own view of the zones and of its demand.
     pub local: LocalView,
     /// Version of the maintenance requests on which this front's set of engines out of service is based.
     pub maintenance_version: u64,
