--- a/crates/core/external-call/src/calls.rs
+++ b/crates/core/external-call/src/calls.rs
@@ -29,7 +29,7 @@
             calls: BTreeMap::new(),
             streams: BTreeMap::new(),
             timeouts: BTreeSet::new(),
-            finished: FinishedCalls::new(config.unknown_outcome_retention, config.max_remembered),
+            finished: FinishedCalls::new(config.unknown_outcome_retention, config.max_finished_calls),
             round_trip: RoundTripEstimate::default(),
             config,
         }
--- a/crates/core/external-call/src/config.rs
+++ b/crates/core/external-call/src/config.rs
@@ -23,5 +23,5 @@
     /// Maximum number of open calls; further requests are rejected.
     pub max_calls: usize,
     /// Maximum number of finished calls whose outcome is kept; the oldest is dropped first.
-    pub max_remembered: usize,
+    pub max_finished_calls: usize,
 }
--- a/crates/core/external-call/tests/calls.rs
+++ b/crates/core/external-call/tests/calls.rs
@@ -147,7 +147,8 @@
 
 #[test]
 fn open_and_remembered_calls_are_bounded() {
-    let mut calls = ExternalCalls::new(CallConfig { max_calls: 10, max_remembered: 50, ..config(false, 0) });
+    let mut calls =
+        ExternalCalls::new(CallConfig { max_calls: 10, max_finished_calls: 50, ..config(false, 0) });
     for n in 0..1000 {
         calls.handle_request(ms(0), call_request(n, &format!("b{n}"), NON_IDEMPOTENT));
     }
--- a/crates/core/external-call/tests/common/mod.rs
+++ b/crates/core/external-call/tests/common/mod.rs
@@ -22,7 +22,7 @@
         unknown_outcome_retention: ms(60_000),
         idempotency: vec![Idempotency::NonIdempotent, Idempotency::Idempotent],
         max_calls: 100,
-        max_remembered: 1000,
+        max_finished_calls: 1000,
     }
 }
 
--- a/crates/core/external-call/tests/same_decisions.rs
+++ b/crates/core/external-call/tests/same_decisions.rs
@@ -125,7 +125,7 @@
         unknown_outcome_retention: ms(60_000),
         idempotency: vec![Idempotency::Idempotent, Idempotency::NonIdempotent],
         max_calls: 10_000,
-        max_remembered: 10_000,
+        max_finished_calls: 10_000,
     }
 }
 
--- a/crates/edges/cli/src/run/processor.rs
+++ b/crates/edges/cli/src/run/processor.rs
@@ -51,7 +51,7 @@
         unknown_outcome_retention: max_deadline * 2,
         idempotency: names.class_configs.iter().map(|config| config.idempotency).collect(),
         max_calls: *section.max_streams.get_ref(),
-        max_remembered: section.max_remembered,
+        max_finished_calls: section.max_remembered,
     };
     let tick = Duration::from_micros(*section.tick_us.get_ref());
     Ok(ProcessorConfig { server, calls, recovers: section.recovers, tick })
