--- a/crates/edges/cli/src/file/processor.rs
+++ b/crates/edges/cli/src/file/processor.rs
@@ -128,8 +128,8 @@
             prefix: prefix.clone(),
             request_class: class.clone(),
         };
-        names.paths = self.class_by_path.iter().map(class).collect();
-        names.paths.sort_by_key(|class| std::cmp::Reverse(class.prefix.len()));
+        names.path_classes = self.class_by_path.iter().map(class).collect();
+        names.path_classes.sort_by_key(|class| std::cmp::Reverse(class.prefix.len()));
         names.default_client_timeout = Duration::from_millis(self.client_timeout_ms.max(1));
         names
     }
--- a/crates/edges/processor/src/headers.rs
+++ b/crates/edges/processor/src/headers.rs
@@ -59,7 +59,7 @@
     pub outcome: String,
     /// Request classes by path prefix, used if the request class header is missing. The first matching prefix
     /// counts.
-    pub paths: Vec<PathClass>,
+    pub path_classes: Vec<PathClass>,
     /// Client timeout of a request without that header.
     pub default_client_timeout: Duration,
 }
@@ -145,7 +145,7 @@
     fn read_class(&self, headers: &Headers, classes: &[RequestClass]) -> Result<usize, RequestError> {
         let by_path = || {
             let path = headers.get(wire::PATH_HEADER)?;
-            let found = self.paths.iter().find(|class| path.starts_with(class.prefix.as_str()))?;
+            let found = self.path_classes.iter().find(|class| path.starts_with(class.prefix.as_str()))?;
             Some(found.request_class.as_str())
         };
         let name = headers.get(&self.request_class).or_else(by_path).ok_or(RequestError::NoRequestClass)?;
--- a/crates/edges/processor/src/wire.rs
+++ b/crates/edges/processor/src/wire.rs
@@ -63,7 +63,7 @@
             engine_address: name("x-envoy-original-dst-host"),
             upstream_timeout: name("x-envoy-upstream-rq-timeout-ms"),
             outcome: name("x-lemonusher-outcome"),
-            paths: Vec::new(),
+            path_classes: Vec::new(),
             default_client_timeout: Duration::from_secs(5),
         }
     }
--- a/crates/edges/processor/tests/unit/headers.rs
+++ b/crates/edges/processor/tests/unit/headers.rs
@@ -16,7 +16,7 @@
 #[test]
 fn request_is_read_by_its_headers_or_path() {
     let names = HeaderNames {
-        paths: vec![PathClass { prefix: "/report".into(), request_class: "report".into() }],
+        path_classes: vec![PathClass { prefix: "/report".into(), request_class: "report".into() }],
         ..HeaderNames::default()
     };
     let class = |name: &str| RequestClass { name: name.into(), max_client_timeout: Duration::from_secs(10) };
