--- a/crates/core/external-call/tests/random_failures.rs
+++ b/crates/core/external-call/tests/random_failures.rs
@@ -1,5 +1,5 @@
-//! Proxies, engines and processors that fail in any order: no non-idempotent request runs twice, every stream has one
-//! response, every attempt one outcome.
+//! Random sequences of failures of proxies, engines and processors. Non-idempotent requests never run twice,
+//! every stream gets at most one final response, and every attempt ends with one outcome.
 
 mod common;
 
@@ -10,10 +10,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A proxy sends no more attempts of one request.
+/// Maximum number of attempts that a proxy sends for one request.
 const MAX_ATTEMPTS: u32 = 5;
-/// The attempts of a request that is done with.
-const DONE: u32 = 99;
+/// Value of `attempts` for a finished request, above [`MAX_ATTEMPTS`], so that no further attempt is sent.
+const FINISHED: u32 = 99;
 
 #[derive(Debug, Clone)]
 enum Step {
@@ -21,12 +21,13 @@
     SendHeaders(u8),
     /// The router grants a request an attempt.
     Grant(u8),
-    /// The oldest response reaches its proxy.
+    /// The oldest response is delivered to its proxy.
     DeliverResponse,
-    /// The engine answers a request, in one of four ways.
+    /// The engine responds to a request. The second value, from 0 to 3, selects the outcome.
     EngineResponds(u8, u8),
     ResetStream(u8),
-    /// The router gives a request its final response; rejects it, if told so and allowed.
+    /// The router sends a request's final response. It rejects the request if the flag is set and a retry is
+    /// safe, and fails it otherwise.
     GiveUp(u8, bool),
     /// Time passes, in milliseconds.
     Wait(u16),
@@ -38,7 +39,7 @@
         4 => (0..4u8).prop_map(Step::SendHeaders),
         4 => (0..4u8).prop_map(Step::Grant),
         4 => Just(Step::DeliverResponse),
-        3 => (0..4u8, 0..4u8).prop_map(|(request, how)| Step::EngineResponds(request, how)),
+        3 => (0..4u8, 0..4u8).prop_map(|(request, choice)| Step::EngineResponds(request, choice)),
         1 => (0..4u8).prop_map(Step::ResetStream),
         1 => (0..4u8, any::<bool>()).prop_map(|(request, reject)| Step::GiveUp(request, reject)),
         2 => (0..250u16).prop_map(Step::Wait),
@@ -46,7 +47,7 @@
     ]
 }
 
-/// What the proxy does with one request.
+/// The proxy's state of one request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum ProxyState {
     Idle,
@@ -59,11 +60,11 @@
     state: ProxyState,
     attempts: u32,
     has_token: bool,
-    /// How often it has run or may have run.
+    /// Number of times that it ran or may have run.
     runs: u32,
 }
 
-/// What the router knows of a request that was submitted.
+/// The router's state of a submitted request.
 #[derive(Default, Clone)]
 struct Submitted {
     in_flight: Option<u64>,
@@ -80,7 +81,7 @@
     requests: Vec<Request>,
     submitted: BTreeMap<RequestId, Submitted>,
     attempts: BTreeMap<u64, Attempt>,
-    /// Responses on their way to the proxies.
+    /// Responses that were sent and are not delivered to the proxies yet, by stream.
     responses: Vec<(u64, CallResponse)>,
     answered_streams: BTreeSet<u64>,
     next_number: u64,
@@ -114,7 +115,7 @@
         if number < 2 { NON_IDEMPOTENT } else { IDEMPOTENT }
     }
 
-    fn carry_out(&mut self, actions: Vec<CallAction>) {
+    fn execute(&mut self, actions: Vec<CallAction>) {
         for action in actions {
             match action {
                 CallAction::Submit(call) => {
@@ -152,10 +153,10 @@
             Step::SendHeaders(number) => self.send_headers(number.into()),
             Step::Grant(number) => self.grant(number.into()),
             Step::DeliverResponse => self.deliver_response(),
-            Step::EngineResponds(number, how) => self.engine_responds(number.into(), how),
+            Step::EngineResponds(number, choice) => self.engine_responds(number.into(), choice),
             Step::ResetStream(number) => self.reset_stream(number.into()),
             Step::GiveUp(number, reject) => self.give_up(number.into(), reject),
-            Step::Wait(span_ms) => self.wait(ms(span_ms.into())),
+            Step::Wait(duration_ms) => self.wait(ms(duration_ms.into())),
             Step::RestartProcessor => self.restart_processor(),
         }
     }
@@ -175,12 +176,12 @@
             ..call_request(stream, &request.id, Simulation::request_class(number))
         };
         let actions = self.calls.handle_request(self.now, headers);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
     fn grant(&mut self, number: usize) {
         let id = self.requests[number].id.clone();
-        // The gateway's rule: no retry of a non-idempotent request that may have run.
+        // Same rule as the gateway's: a non-idempotent request that may have run is not retried.
         let Some(submitted) = self.submitted.get_mut(&id) else { return };
         let must_not_run = submitted.may_have_run && Simulation::request_class(number) == NON_IDEMPOTENT;
         if submitted.in_flight.is_some() || must_not_run {
@@ -191,7 +192,7 @@
         submitted.in_flight = Some(token);
         self.attempts.insert(token, Attempt { request: id.clone(), has_ended: false });
         let actions = self.calls.handle_attempt(&id, token, 7, ms(900));
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
     fn deliver_response(&mut self) {
@@ -206,8 +207,8 @@
             CallResponse::Forward { .. } => {
                 request.state = ProxyState::Upstream { stream };
                 request.has_token = true;
-                // With `failure_mode_allow` a proxy may forward a retry by itself, whatever the response would have
-                // been; but no response of ours forwards what may have run.
+                // With `failure_mode_allow` a proxy may forward a retry without a response. But no response
+                // of the processor forwards a non-idempotent request that may have run.
                 assert!(
                     Simulation::request_class(number) == IDEMPOTENT || request.runs == 0,
                     "{} may have run",
@@ -221,29 +222,29 @@
             CallResponse::Reject { .. } | CallResponse::Fail => {
                 request.state = ProxyState::Idle;
                 let actions = self.calls.handle_stream_end(self.now, stream, true);
-                self.carry_out(actions);
+                self.execute(actions);
             }
         }
     }
 
-    fn engine_responds(&mut self, number: usize, how: u8) {
+    fn engine_responds(&mut self, number: usize, choice: u8) {
         let ProxyState::Upstream { stream } = self.requests[number].state else { return };
-        let outcome = match how {
+        let outcome = match choice {
             0 | 1 => AttemptOutcome::Returned,
             2 => AttemptOutcome::Errored,
-            // The engine proves that it never ran.
+            // The engine's rejection proves that the attempt never ran.
             _ => {
                 self.requests[number].runs -= 1;
                 AttemptOutcome::Rejected
             }
         };
         let actions = self.calls.handle_response_headers(stream, outcome);
-        self.carry_out(actions);
+        self.execute(actions);
         self.requests[number].state = ProxyState::Idle;
         let actions = self.calls.handle_stream_end(self.now, stream, true);
-        self.carry_out(actions);
+        self.execute(actions);
         if outcome == AttemptOutcome::Returned {
-            self.requests[number].attempts = DONE;
+            self.requests[number].attempts = FINISHED;
         }
     }
 
@@ -251,7 +252,7 @@
         let ProxyState::Upstream { stream } = self.requests[number].state else { return };
         self.requests[number].state = ProxyState::Idle;
         let actions = self.calls.handle_stream_end(self.now, stream, false);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
     fn give_up(&mut self, number: usize, reject: bool) {
@@ -267,11 +268,11 @@
             false => FinalResponse::Failed,
         };
         let actions = self.calls.handle_final_response(self.now, &id, response);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
-    fn wait(&mut self, span: Duration) {
-        let until = self.now + span;
+    fn wait(&mut self, duration: Duration) {
+        let until = self.now + duration;
         loop {
             let timeouts = self.requests.iter().filter_map(|request| match request.state {
                 ProxyState::AwaitingResponse { until, .. } => Some(until),
@@ -280,7 +281,7 @@
             let next = timeouts.chain(self.calls.next_timeout()).min().filter(|at| *at <= until);
             self.now = next.unwrap_or(until).max(self.now);
             let actions = self.calls.poll(self.now);
-            self.carry_out(actions);
+            self.execute(actions);
             self.time_out_proxies();
             if next.is_none() {
                 return;
@@ -288,7 +289,8 @@
         }
     }
 
-    /// A proxy that got no response in time gives up, or forwards the request by itself.
+    /// Times out proxies that got no response in time: each gives up or, with `failure_mode_allow`, forwards
+    /// the request.
     fn time_out_proxies(&mut self) {
         for number in 0..self.requests.len() {
             let ProxyState::AwaitingResponse { stream, until } = self.requests[number].state else {
@@ -298,32 +300,32 @@
                 self.requests[number].state = ProxyState::Idle;
                 if self.failure_mode_allow {
                     self.requests[number].runs += 1;
-                    self.requests[number].attempts = DONE;
+                    self.requests[number].attempts = FINISHED;
                 }
                 let actions = self.calls.handle_stream_end(self.now, stream, false);
-                self.carry_out(actions);
+                self.execute(actions);
             }
         }
     }
 
-    /// All streams are reset; the new processor knows nothing of what is in flight.
+    /// Restarts the processor: all streams are reset, and the new processor has no record of the calls in flight.
     fn restart_processor(&mut self) {
         self.calls = ExternalCalls::new(config(self.failure_mode_allow, 0));
         self.submitted.clear();
         self.attempts.clear();
         self.responses.clear();
         for request in &mut self.requests {
-            let awaited = matches!(request.state, ProxyState::AwaitingResponse { .. });
-            if awaited && self.failure_mode_allow {
+            let is_waiting = matches!(request.state, ProxyState::AwaitingResponse { .. });
+            if is_waiting && self.failure_mode_allow {
                 request.runs += 1;
-                request.attempts = DONE;
+                request.attempts = FINISHED;
             }
             request.state = ProxyState::Idle;
         }
     }
 
-    /// Delivers what is on its way, resets what is open and waits for all timeouts.
-    fn run_to_the_end(&mut self) {
+    /// Delivers all pending responses, resets all open streams and waits for all timeouts.
+    fn run_to_completion(&mut self) {
         for _ in 0..40 {
             self.step(Step::DeliverResponse);
         }
@@ -350,7 +352,7 @@
                 prop_assert!(may_repeat || request.runs <= 1, "{} ran {}", request.id, request.runs);
             }
         }
-        simulation.run_to_the_end();
+        simulation.run_to_completion();
         prop_assert_eq!(simulation.calls.open_calls(), 0);
         prop_assert_eq!(simulation.calls.next_timeout(), None);
         prop_assert!(simulation.attempts.values().all(|attempt| attempt.has_ended));
--- a/crates/core/external-call/tests/same_decisions.rs
+++ b/crates/core/external-call/tests/same_decisions.rs
@@ -1,5 +1,6 @@
-//! The same arrivals and outcomes, once to the gateway alone and once through external calls, give the same decisions
-//! one for one: in virtual time, over seeds, with failures of all kinds.
+//! Runs the same arrivals and attempt outcomes through the gateway alone and through external calls, in
+//! virtual time, for several seeds and with failures of all kinds. Both runs must make the same decisions in
+//! the same order.
 
 use lemonusher::*;
 use lemonusher_external_call::{
@@ -12,12 +13,12 @@
     Duration::from_millis(ms)
 }
 
-struct Dice(u64);
+struct Rng(u64);
 
-impl Dice {
-    fn below(&mut self, most: u64) -> u64 {
+impl Rng {
+    fn below(&mut self, limit: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (self.0 >> 33) % most
+        (self.0 >> 33) % limit
     }
 }
 
@@ -61,11 +62,11 @@
     }
 }
 
-/// How this attempt of a request ends, and after how long: the same in both runs.
+/// Outcome and duration of this attempt of a request, the same in both runs.
 fn attempt_result(seed: u64, request: usize, attempt: u32) -> (AttemptOutcome, Duration) {
-    let mut dice = Dice(seed ^ ((request as u64) << 20) ^ u64::from(attempt) << 50 | 1);
-    dice.below(10);
-    let outcome = match dice.below(20) {
+    let mut rng = Rng(seed ^ ((request as u64) << 20) ^ u64::from(attempt) << 50 | 1);
+    rng.below(10);
+    let outcome = match rng.below(20) {
         0 => AttemptOutcome::Errored,
         1 => AttemptOutcome::Rejected,
         2 => AttemptOutcome::ConnectFailed,
@@ -73,7 +74,7 @@
         4 => AttemptOutcome::TimedOut,
         _ => AttemptOutcome::Returned,
     };
-    (outcome, ms(5 + dice.below(400)))
+    (outcome, ms(5 + rng.below(400)))
 }
 
 #[derive(Debug, Clone, PartialEq)]
@@ -91,7 +92,7 @@
     EngineState(u32, EngineState),
 }
 
-/// An attempt that is in flight, or whose end is being reported.
+/// An attempt whose end is being reported.
 struct Attempt {
     request: usize,
     number: u32,
@@ -124,21 +125,21 @@
         unknown_outcome_retention: ms(60_000),
         idempotency: vec![Idempotency::Idempotent, Idempotency::NonIdempotent],
         max_calls: 10_000,
-        max_remembered: 10_000,
+        max_finished_calls: 10_000,
     }
 }
 
-/// One run: the gateway, and the calls through which it is used if they are external.
+/// One run of the gateway, with or without external calls in front of it.
 struct Run {
     seed: u64,
     gateway: Gateway,
-    /// None in the run of the gateway alone.
+    /// Present only in the run through external calls.
     calls: Option<ExternalCalls>,
     schedule: BTreeMap<(Duration, u64), Scheduled>,
     next_scheduled: u64,
     decisions: Vec<Decision>,
     open: BTreeSet<usize>,
-    /// Attempts so far, by request.
+    /// Number of attempts sent, by request.
     sent: BTreeMap<usize, u32>,
     /// The latest stream of each request.
     streams: BTreeMap<usize, u64>,
@@ -164,13 +165,13 @@
             next_token: 0,
             ending: BTreeMap::new(),
         };
-        let mut dice = Dice(seed);
+        let mut rng = Rng(seed);
         let mut at = ms(1000);
         for request in 0..400 {
-            at += ms(dice.below(30));
+            at += ms(rng.below(30));
             run.schedule(at, Scheduled::Arrival(request));
         }
-        // An engine drains and returns meanwhile.
+        // Engine 2 drains and becomes active again during the arrivals.
         run.schedule(ms(2500), Scheduled::EngineState(2, EngineState::Draining));
         run.schedule(ms(4500), Scheduled::EngineState(2, EngineState::Active));
         let all = (1..=3).map(|engine| engine_entry(engine, EngineState::Active)).collect();
@@ -183,10 +184,10 @@
         self.schedule.insert((at, self.next_scheduled), scheduled);
     }
 
-    fn play(mut self) -> Vec<Decision> {
+    fn run(mut self) -> Vec<Decision> {
         while let Some(((now, _), scheduled)) = self.schedule.pop_first() {
             let actions = self.handle_scheduled(now, scheduled);
-            let failed = self.carry_out(now, actions);
+            let failed = self.execute(now, actions);
             let actions = self.retry(now, failed);
             self.decide(now, actions);
         }
@@ -226,7 +227,7 @@
         }
     }
 
-    /// A request under a new stream.
+    /// Creates the call of a request, on a new stream.
     fn call_request(&mut self, request: usize, attempt: CallRequest) -> CallRequest {
         self.next_stream += 1;
         self.streams.insert(request, self.next_stream);
@@ -239,8 +240,8 @@
         }
     }
 
-    /// Carries out what the calls ask for; returns the requests of which an attempt failed.
-    fn carry_out(&mut self, now: Duration, actions: Vec<CallAction>) -> Vec<usize> {
+    /// Executes the actions of the calls and returns the requests of which an attempt failed.
+    fn execute(&mut self, now: Duration, actions: Vec<CallAction>) -> Vec<usize> {
         let mut failed = Vec::new();
         for action in actions {
             match action {
@@ -290,7 +291,7 @@
         self.gateway.handle_event(now, Event::AttemptEnded(end));
     }
 
-    /// The proxy tries again at once, under a new stream.
+    /// The proxy retries the failed requests at once, each on a new stream.
     fn retry(&mut self, now: Duration, failed: Vec<usize>) -> Vec<CallAction> {
         let mut actions = Vec::new();
         if self.calls.is_none() {
@@ -317,8 +318,9 @@
                     if let Some(calls) = &mut self.calls {
                         let response = FinalResponse::Rejected { retry_after };
                         let given = calls.handle_final_response(now, &request, response);
-                        let is_told = given.iter().any(|action| matches!(action, CallAction::Respond { .. }));
-                        assert!(is_told, "{given:?}");
+                        let is_response_sent =
+                            given.iter().any(|action| matches!(action, CallAction::Respond { .. }));
+                        assert!(is_response_sent, "{given:?}");
                     }
                     self.decisions.push(Decision::Rejected(now, request_number(&request), retry_after));
                 }
@@ -335,7 +337,8 @@
         }
     }
 
-    /// The gateway sends a request to an engine; `actions` are those of the retries just before.
+    /// Handles the gateway's action to send a request to an engine. `actions` are those of the retries just
+    /// before it.
     fn send(&mut self, now: Duration, request: &RequestId, engine: EngineId, mut actions: Vec<CallAction>) {
         let number = request_number(request);
         self.next_token += 1;
@@ -374,7 +377,7 @@
 fn external_calls_get_the_decisions_that_the_gateway_gives_alone() {
     let (mut compared, mut retries, mut refused) = (0, 0, 0);
     for seed in 1..=24 {
-        let (alone, external) = (Run::new(seed, false).play(), Run::new(seed, true).play());
+        let (alone, external) = (Run::new(seed, false).run(), Run::new(seed, true).run());
         assert_eq!(alone.len(), external.len(), "seed {seed}");
         for (a, b) in alone.iter().zip(&external) {
             assert_eq!(a, b, "seed {seed}");
--- a/crates/edges/routing/src/router/recovery.rs
+++ b/crates/edges/routing/src/router/recovery.rs
@@ -1,4 +1,4 @@
-//! Restart after a panic in the gateway.
+//! Restarts the gateway after a panic.
 
 use super::RequestRouter;
 use crate::counters::Counter;
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 impl RequestRouter {
-    /// Answers every open request as failed, which promises nothing, cancels what is in flight, and starts a new gateway
-    /// with the endpoints that are known.
+    /// Responds to every open request with a failure, which does not tell whether it ran, cancels all
+    /// attempts and probes in flight, and creates a new gateway with the known endpoints.
     pub(super) fn restart_after_panic(&mut self, now: Duration) {
         self.counters.add(Counter::Panics, None);
-        log::error!("the gateway panicked: {} batches are errored, and it starts over", self.requests.len());
+        log::error!("gateway panicked; failing {} open requests and restarting it", self.requests.len());
         let open: Vec<RequestId> = self.requests.keys().cloned().collect();
         for request in open {
             self.respond(&request, Response::Failed);
