--- a/crates/edges/front/src/program/engines/connecting.rs
+++ b/crates/edges/front/src/program/engines/connecting.rs
@@ -1,4 +1,4 @@
-//! Opens connections to engines, and serves each from when it is up to its end.
+//! Opens connections to engines and runs each from its establishment to its close.
 
 use super::EnginePools;
 use super::connection::{EngineConnection, FailureStage, TokenEvent};
@@ -14,12 +14,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Delay before it is tried again to get a descriptor.
+/// Delay before another attempt to get a descriptor. Also the limit of a graceful close while no descriptor is free.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 impl EnginePools {
-    /// Opens a further connection to an engine, in a task of its own, if there is a descriptor for it. Where there is none
-    /// and the connection is wanted, the one that has been idle longest makes room, and it is tried again soon.
+    /// Opens a further connection to an engine, in a task of its own, if a descriptor is free. If none is free
+    /// and the connection is needed now rather than opened ahead, the longest idle connection is retired and a
+    /// retry is scheduled.
     pub(super) fn open_connection(self: &Rc<Self>, engine: EngineId, wanted: bool) {
         let Some(address) = self.reserve_descriptor(engine, wanted) else { return };
         let engines = self.clone();
@@ -39,11 +40,12 @@
         self.shared.executor.spawn(connect).detach();
     }
 
-    /// Counts a connection as coming up, and gives the engine's address; none where there is no descriptor.
+    /// Reserves a descriptor by counting one more connection as being established, and returns the engine's address;
+    /// `None` if no descriptor is free.
     fn reserve_descriptor(self: &Rc<Self>, engine: EngineId, wanted: bool) -> Option<SocketAddr> {
         let is_full = self.is_full();
         let mut pools = self.pools.borrow_mut();
-        // A connection that ends already makes room by itself.
+        // A connection that is already closing will free its descriptor.
         if is_full && wanted && pools.values().all(|pool| pool.ending == 0) {
             let connections = pools.values().flat_map(|pool| &pool.connections);
             let idle = connections
@@ -64,7 +66,7 @@
         Some(pool.address)
     }
 
-    /// Whether all descriptors for connections to engines are taken.
+    /// Whether all descriptors for connections to engines are in use.
     fn is_full(&self) -> bool {
         let held: usize = self.pools.borrow().values().map(EnginePool::descriptors_held).sum();
         held >= self.shared.descriptor_limits.engines
@@ -81,7 +83,7 @@
         }
     }
 
-    /// No connection came up: what waits for one, with none left to wait for, is over.
+    /// Fails the engine's queued commands if it has no usable connection and none is being established.
     async fn handle_no_connection(&self, engine: EngineId) {
         let queued = match self.pools.borrow_mut().get_mut(&engine) {
             Some(pool) if pool.connecting == 0 && pool.all_retired() => pool.take_queued().collect(),
@@ -92,19 +94,20 @@
         }
     }
 
-    /// One connection, from when it is up to its end.
+    /// Runs an established connection until it is closed and its descriptor is released.
     async fn serve_connection(self: &Rc<Self>, engine: EngineId, address: SocketAddr, socket: Socket) {
         self.shared.counters.add(Counter::EngineConnections, None);
         let connection = Rc::new(EngineConnection::new(self.shared.clone(), engine, socket));
         if !self.add_connection(&connection, address) {
-            // What waits is for the engine that is there now.
+            // Queued commands are meant for the engine's current address: connect to that one.
             self.shared.executor.spawn(self.clone().retry_open(engine)).detach();
             return;
         }
         self.send_queued(engine).await;
         let end = AssertUnwindSafe(self.run_connection(&connection)).catch_unwind().await;
         let ended = connection.end();
-        // A connection with nothing in flight is closed gracefully; one that failed, or that has, is just closed.
+        // A connection that ended without an error and with nothing in flight is closed gracefully; any other at
+        // once.
         let is_graceful = matches!(end, Ok(None)) && ended.is_empty();
         match end {
             Ok(Some(error)) => log::debug!("engine {engine:08x}: a connection ends: {error}"),
@@ -124,7 +127,7 @@
             let _ = self.shared.events.send(event).await;
         }
         if is_graceful {
-            // An engine that does not end it in turn takes no descriptor from connections that are wanted.
+            // An engine that does not close its side must not keep a descriptor from a connection that is needed.
             let timeout = if self.is_full() { RETRY_INTERVAL } else { self.shared.connect_timeout };
             transport::close_gracefully(&connection.write_queue.socket(), timeout).await;
         }
@@ -132,7 +135,8 @@
         self.release_descriptor(engine);
     }
 
-    /// Adds a connection that came up to its pool; false if the engine at this address was removed meanwhile.
+    /// Adds an established connection to its pool. Returns false if the engine was removed or changed its address
+    /// meanwhile.
     fn add_connection(&self, connection: &Rc<EngineConnection>, address: SocketAddr) -> bool {
         match self.pools.borrow_mut().get_mut(&connection.engine) {
             Some(pool) if pool.state != EngineState::Removed && pool.address == address => {
@@ -143,7 +147,8 @@
         }
     }
 
-    /// A connection has been closed; the pool of a removed engine goes with its last.
+    /// Releases the descriptor of a closed connection. The pool of a removed engine is dropped with its last
+    /// descriptor.
     fn release_descriptor(&self, engine: EngineId) {
         let mut pools = self.pools.borrow_mut();
         if let Some(pool) = pools.get_mut(&engine) {
@@ -154,12 +159,12 @@
         }
     }
 
-    /// Reads and writes until the connection ends; yields the error, if it was one.
+    /// Reads and writes until the connection ends; returns the error if one ended it.
     async fn run_connection(self: &Rc<Self>, connection: &Rc<EngineConnection>) -> Option<String> {
         let read = async { self.read_replies(connection).await.err().map(|error| error.to_string()) };
         let write = async {
             let on_progress = || {
-                // What waits for this connection goes on once all before it has been taken by the system.
+                // Queued commands are sent once the kernel has accepted all bytes written before them.
                 if connection.write_queue.waiting() == 0 {
                     let (engines, engine) = (self.clone(), connection.engine);
                     let send = async move { engines.send_queued(engine).await };
@@ -176,7 +181,8 @@
         self: &Rc<Self>,
         connection: &Rc<EngineConnection>,
     ) -> Result<(), ReadError<ReplyError>> {
-        // An engine writes a reply in one go: one that stops short keeps all else from this connection.
+        // An engine writes each reply in one piece. A partial reply blocks all replies behind it on this
+        // connection, so the time for its rest is limited.
         let time = self.shared.connect_timeout * 2;
         let limits = ReadLimits { bytes: MAX_REPLY_BYTES, time, memory: self.shared.reply_memory.clone() };
         let mut replies =
--- a/crates/edges/front/src/program/engines/connection.rs
+++ b/crates/edges/front/src/program/engines/connection.rs
@@ -1,4 +1,5 @@
-//! One connection to an engine: what is in flight on it, and how far it has come.
+//! One connection to an engine: the attempts and probes in flight on it, and how much of each was written or
+//! received.
 
 use crate::program::shared::Shared;
 use crate::protocol::engine;
@@ -11,26 +12,27 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Bytes that may wait to be written, and one message that is longer by itself.
+/// Limit of the write queue in bytes. A single longer message is accepted if the queue is empty.
 const WRITE_QUEUE_BYTES: usize = 128 * 1024;
-/// Ids that one connection carries before it takes no further ones.
+/// Number of request and probe ids sent on a connection after which it is retired. This limits `used_ids`.
 const MAX_REQUEST_IDS: usize = 1024;
 
-/// How far an attempt had come when its connection failed.
+/// How far an attempt had progressed when its connection failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureStage {
-    /// No connection came up.
+    /// No connection was established.
     NotConnected,
-    /// The system has not taken all of its message.
+    /// The kernel has not accepted all bytes of the message.
     PartlySent,
-    /// The system has taken all of its message.
+    /// The kernel has accepted the whole message; no part of the result was received.
     Sent,
-    /// A part of its result has come.
+    /// A part of the result was received.
     ReplyBegun,
 }
 
 impl FailureStage {
-    /// What is known of the attempt, and no more.
+    /// The outcome that this stage proves: an attempt whose message was not sent whole did not run; any other may
+    /// have.
     pub fn outcome(self) -> AttemptOutcome {
         match self {
             FailureStage::NotConnected | FailureStage::PartlySent => AttemptOutcome::ConnectFailed,
@@ -41,70 +43,73 @@
 
 /// An attempt or probe that is in flight on a connection.
 pub(super) struct InFlight {
-    /// The router's number of it.
+    /// The router's number for the attempt or probe.
     pub token: Token,
-    /// Where its message ends among all bytes that were written.
+    /// Byte offset of the message's end in the connection's output. The kernel has accepted the whole message once
+    /// [`WriteQueue::written`] reaches it.
     message_end: u64,
-    /// What it is, and how far it has come.
+    /// Whether it is a probe or an attempt, and the state of the attempt.
     pub kind: InFlightKind,
 }
 
-/// What is in flight.
+/// Kind and state of an entry that is in flight.
 pub enum InFlightKind {
     /// A probe.
     Probe,
-    /// An attempt, with its result if a part of that has come.
+    /// An attempt; with its result if that has several pages and the first was received.
     Request(Option<PagedResult>),
-    /// An attempt that was cancelled at this time; it is in flight until the engine is known to have read the cancel.
+    /// An attempt that was cancelled at this time. It stays in flight until the engine has confirmed that it read
+    /// the cancel.
     Cancelled(Instant),
 }
 
-/// A result of several pages of which a part has come.
+/// A result of several pages that has been received in part.
 pub struct PagedResult {
-    /// The pages, by number; none for those that have not come.
+    /// The pages by number; `None` for those not yet received.
     pub(super) pages: Vec<Option<Vec<u8>>>,
-    /// Pages that have not come.
+    /// Number of pages not yet received.
     pub(super) missing: usize,
-    /// Bytes of the pages that have come.
+    /// Total size of the received pages in bytes.
     pub(super) bytes: usize,
-    /// Memory for the pages.
+    /// Reservation of reply memory for the received pages.
     pub(super) reservation: Reservation,
-    /// What the attempt used, as the first page says.
+    /// The attempt's resource usage as reported with the first page.
     pub(super) usage: Option<ResourceUsage>,
-    /// The engine's load report that came with the first page.
+    /// The engine's load report received with the first page.
     pub(super) load: Option<LoadReport>,
 }
 
-/// An event of an attempt or probe.
+/// A router event together with the number of the attempt or probe that it concerns.
 pub struct TokenEvent {
     /// Number of the attempt or probe.
     pub token: Token,
-    /// What the router is notified of.
+    /// The event to send to the router.
     pub event: RouterEvent,
 }
 
 /// One connection to an engine.
 pub struct EngineConnection {
-    /// What the front's tasks share.
+    /// State shared by the front's tasks.
     pub(super) shared: Rc<Shared>,
-    /// The engine.
+    /// Id of the engine.
     pub engine: EngineId,
-    /// What waits to be written.
+    /// Bytes that wait to be written, and the socket.
     pub write_queue: WriteQueue,
-    /// What is in flight, by id.
+    /// The attempts and probes in flight, by id.
     pub(super) in_flight: RefCell<BTreeMap<Arc<str>, InFlight>>,
-    /// Ids that were ever sent here: none is sent twice, so that no reply is taken for another's.
+    /// All ids ever sent on this connection. None is sent twice, so that a late reply to an earlier attempt is not
+    /// matched to a later one.
     used_ids: RefCell<BTreeSet<Arc<str>>>,
-    /// It takes nothing new, and ends once nothing is in flight.
+    /// Whether the connection accepts no new attempts or probes; it closes once nothing is in flight.
     pub retired: Cell<bool>,
-    /// When a message was sent or came last.
+    /// When an attempt or probe was last sent, or a reply last received.
     pub(super) last_used: Cell<Instant>,
-    /// When the first message was sent since the engine replied last.
+    /// When the first attempt or probe since the engine's last reply was sent; `None` if no reply is awaited.
     pub(super) awaiting_since: Cell<Option<Instant>>,
 }
 
 impl EngineConnection {
-    /// A connection that has come up.
+    /// Wraps the socket of an established connection.
     pub fn new(shared: Rc<Shared>, engine: EngineId, socket: Socket) -> Self {
         EngineConnection {
             shared,
@@ -118,12 +123,13 @@
         }
     }
 
-    /// Whether this id was ever sent here.
+    /// Whether this id was ever sent on this connection.
     pub fn has_used(&self, id: &str) -> bool {
         self.used_ids.borrow().contains(id)
     }
 
-    /// Sends an attempt or probe; false if the connection takes no more.
+    /// Sends an attempt or probe. If the write queue does not accept the message, retires the connection and returns
+    /// false.
     pub fn send(&self, token: Token, id: Arc<str>, message: &[u8], kind: InFlightKind) -> bool {
         let Ok(message_end) = self.write_queue.push(message) else {
             self.retire();
@@ -139,22 +145,23 @@
         true
     }
 
-    /// Whether a reply has been awaited for longer than this.
+    /// Whether a reply has been awaited for longer than `max_silence`.
     pub fn is_silent(&self, max_silence: Duration) -> bool {
         self.awaiting_since.get().is_some_and(|since| since.elapsed() > max_silence)
     }
 
-    /// Whether it has been idle for longer than this.
+    /// Whether the connection has been idle for longer than `max_idle_time`.
     pub fn is_unused(&self, max_idle_time: Duration) -> bool {
         self.idle_time().is_some_and(|idle_time| idle_time > max_idle_time)
     }
 
-    /// For how long nothing has been in flight on it; none if something is.
+    /// How long the connection has been idle; `None` if something is in flight.
     pub fn idle_time(&self) -> Option<Duration> {
         self.in_flight.borrow().is_empty().then(|| self.last_used.get().elapsed())
     }
 
-    /// It has ended: all that was in flight on it is over, by how far it had come.
+    /// Closes the connection for good and returns the final event of each attempt and probe that was in flight. An
+    /// attempt's outcome follows from its [`FailureStage`].
     pub fn end(&self) -> Vec<TokenEvent> {
         self.retired.set(true);
         self.write_queue.close();
@@ -177,8 +184,8 @@
         in_flight.into_values().map(end_event).collect()
     }
 
-    /// Streams that are free, of so many. While the system takes no more bytes there are none: what would wait behind
-    /// those could not be withdrawn.
+    /// Number of free streams out of `streams`. There are none while the kernel accepts no more bytes, because a
+    /// message queued behind those bytes could not be withdrawn.
     pub fn free_streams(&self, streams: usize) -> usize {
         if self.retired.get() || self.write_queue.waiting() > 0 {
             0
@@ -187,30 +194,32 @@
         }
     }
 
-    /// It takes nothing new from now on.
+    /// Stops the connection from accepting new attempts and probes, and closes it if nothing is in flight.
     pub fn retire(&self) {
         self.retired.set(true);
         self.close_if_drained();
     }
 
-    /// Closes a retired connection on which nothing is in flight.
+    /// Closes the connection if it is retired and nothing is in flight on it.
     pub fn close_if_drained(&self) {
         if self.retired.get() && self.in_flight.borrow().is_empty() {
             self.write_queue.close();
         }
     }
 
-    /// Cancels an attempt, and asks for a page of its result: the engine replies that it knows of none once it has read
-    /// the cancel. Until then the request may not be in flight elsewhere, on whatever connection, as connections are not
-    /// all alike in speed. Yields an outcome that is known at once.
+    /// Cancels an attempt, or stops waiting for a probe. Returns the outcome if it is known at once.
+    ///
+    /// A cancel has no reply of its own, so a request for a page of the result follows it: once the engine has
+    /// read the cancel, it replies that it knows of no such result. Until then the request must not be in flight
+    /// on any other connection, because that one may be faster and deliver the new attempt before the cancel.
     pub fn cancel(&self, id: &Arc<str>) -> Option<AttemptOutcome> {
         let mut all = self.in_flight.borrow_mut();
         let in_flight = all.get_mut(id)?;
         let (message, next_kind) = match in_flight.kind {
             InFlightKind::Cancelled(_) => return None,
-            // Nothing is cancelled: only its reply is ignored.
+            // Nothing is sent for a probe; its reply is ignored.
             InFlightKind::Probe => (String::new(), None),
-            // The attempt has completed; only pages are left.
+            // The engine has completed the attempt; only the remaining pages are released.
             InFlightKind::Request(Some(_)) => (engine::encode_release(id), None),
             InFlightKind::Request(None) => (
                 engine::encode_cancel(id) + &engine::encode_read_page(id, 1),
@@ -218,7 +227,7 @@
             ),
         };
         if self.write_queue.push(message.as_bytes()).is_err() {
-            self.write_queue.close(); // What is in flight is over by how far it had come.
+            self.write_queue.close(); // Ends the connection; `end` then reports everything in flight.
             return None;
         }
         match next_kind {
@@ -230,8 +239,8 @@
         }
     }
 
-    /// Takes out the attempts that were cancelled longer ago than the timeout with no sign that the engine has read the
-    /// cancel: nothing more is known of them, and the connection takes nothing new.
+    /// Removes and returns the attempts whose cancel the engine has not confirmed within the timeout. If there
+    /// are any, the connection is retired.
     pub fn take_unconfirmed_cancels(&self, timeout: Duration) -> Vec<Token> {
         let is_unconfirmed = |in_flight: &InFlight| match in_flight.kind {
             InFlightKind::Cancelled(since) => since.elapsed() > timeout,
--- a/crates/edges/front/src/program/engines/endpoints.rs
+++ b/crates/edges/front/src/program/engines/endpoints.rs
@@ -1,4 +1,4 @@
-//! The pools follow the endpoint list.
+//! Applies endpoint updates to the engine pools.
 
 use super::EnginePools;
 use super::pool::EnginePool;
@@ -7,8 +7,9 @@
 use std::rc::Rc;
 
 impl EnginePools {
-    /// One pool is made for each new engine, and that of a removed one opens nothing further. What waits for a connection
-    /// to an engine that drains or was removed is not sent: it would start after that was known.
+    /// Applies an endpoint update: creates a pool for each new engine, and retires the connections of removed ones.
+    /// Commands queued for a draining or removed engine are reported as not sent, because an attempt must not start
+    /// on an engine that is known to be draining or removed.
     pub(super) async fn handle_endpoints(
         self: &Rc<Self>,
         kind: EndpointUpdateKind,
@@ -18,7 +19,8 @@
         for command in self.take_unsendable() {
             self.report_end(&command, AttemptOutcome::NotSent).await;
         }
-        // Where there are more engines than descriptors, connections opened ahead would only be in the way of wanted ones.
+        // With more engines than descriptors, connections opened ahead would take descriptors from those that are
+        // needed.
         if self.update_descriptor_shortage() {
             return;
         }
@@ -27,7 +29,7 @@
         }
     }
 
-    /// Updates the pools, and gives the engines to which a connection is to be opened ahead.
+    /// Updates the pools, and returns the engines to which a connection is to be opened ahead of use.
     fn update_pools(&self, kind: EndpointUpdateKind, endpoints: Vec<Endpoint>) -> Vec<EngineId> {
         let mut pools = self.pools.borrow_mut();
         if kind != EndpointUpdateKind::Delta {
@@ -41,8 +43,8 @@
             }
             (pool.address, pool.state, pool.started_at) =
                 (endpoint.address, endpoint.state, endpoint.started_at);
-            // Where handshakes cost, hundreds of fronts that all open a connection to each engine at once are more than
-            // engines that hold few can bear: each is opened when it is first wanted.
+            // Where handshakes have a cost, hundreds of fronts that open a connection to each engine at the same
+            // time overload engines that can hold few. Each connection is then opened when it is first needed.
             let opens_ahead = self.shared.settings.costs.handshake == 0.0;
             if opens_ahead && endpoint.state == EngineState::Active && pool.all_retired() {
                 to_open.push(endpoint.engine);
@@ -52,7 +54,8 @@
         to_open
     }
 
-    /// Takes out what waits for engines that take nothing new, and drops the pools that are over.
+    /// Removes and returns the commands queued for engines that are not active, and drops the pools of removed
+    /// engines that hold no descriptor.
     fn take_unsendable(&self) -> Vec<EngineCommand> {
         let mut pools = self.pools.borrow_mut();
         let mut unsendable = Vec::new();
@@ -63,7 +66,7 @@
         unsendable
     }
 
-    /// Whether there are more active engines than descriptors for connections to them; logs when that changes.
+    /// Whether there are more active engines than descriptors for connections to them. Logs each change of that.
     fn update_descriptor_shortage(&self) -> bool {
         let active = self.pools.borrow().values().filter(|pool| pool.state == EngineState::Active).count();
         let room = self.shared.descriptor_limits.engines;
--- a/crates/edges/front/src/program/engines/mod.rs
+++ b/crates/edges/front/src/program/engines/mod.rs
@@ -1,5 +1,8 @@
-//! Connections to engines. One task carries out the router's commands; each connection has a task of its own that reads
-//! the replies. A pool belongs to an engine's id: a new engine may have the address of one that was removed.
+//! Engine driver: the pools of connections to engines.
+//!
+//! One task executes the router's commands; each connection has a task of its own that reads replies and writes
+//! queued bytes. Pools are keyed by engine id, not by address, because a new engine may reuse the address of a
+//! removed one.
 
 mod connecting;
 mod connection;
@@ -23,28 +26,30 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An idle connection is closed after the time the engine gives it, divided by this.
+/// An idle connection is retired after the engine's idle timeout divided by this, so before the engine closes it.
 const IDLE_DIVISOR: u32 = 2;
-/// Progress periods without a byte after which a connection takes nothing new.
+/// Progress intervals, plus the connect timeout, for which a connection may go without a reply while one is awaited.
+/// After that it is retired.
 const MAX_SILENT_PERIODS: u32 = 3;
 
-/// Where an attempt or probe is in flight, and under what id.
+/// The connection on which an attempt or probe is in flight, and its id there.
 #[derive(Clone)]
 struct InFlightLocation {
     connection: Rc<EngineConnection>,
     id: Arc<str>,
 }
 
-/// All connections to engines.
+/// The connection pools of all engines, and the attempts and probes in flight on them.
 struct EnginePools {
     shared: Rc<Shared>,
     pools: RefCell<BTreeMap<EngineId, EnginePool>>,
     in_flight: RefCell<BTreeMap<Token, InFlightLocation>>,
-    /// Whether there are more engines than descriptors for connections to them, as it was logged last.
+    /// Whether the last endpoint update left more active engines than descriptors for connections to them. The log
+    /// reports only changes.
     lacks_descriptors: Cell<bool>,
 }
 
-/// Carries out the router's commands for as long as the front runs.
+/// Executes the router's commands until their channel closes.
 pub async fn run(shared: Rc<Shared>, commands: Receiver<EngineCommand>) {
     let engines = Rc::new(EnginePools {
         shared,
@@ -61,8 +66,9 @@
     }
 }
 
-/// Closes connections that have been idle, well before their engine does, retires silent ones, and ends commands that
-/// have waited for a connection too long.
+/// Runs once per connect timeout: reports cancelled attempts whose cancel was not confirmed in time, retires
+/// connections that are idle (well before their engine closes them) or no longer reply, and fails commands that
+/// have been queued for longer than the connect timeout.
 async fn maintain(engines: Rc<EnginePools>) {
     let settings = &engines.shared.settings;
     let connect_timeout = engines.shared.connect_timeout;
--- a/crates/edges/front/src/program/engines/pool.rs
+++ b/crates/edges/front/src/program/engines/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to one engine, and the commands that wait for one.
+//! The pool of connections to one engine, and the queue of commands that wait for a connection.
 
 use super::connection::EngineConnection;
 use lemonusher::EngineState;
@@ -9,34 +9,34 @@
 
 /// A command that waits for a connection.
 pub struct QueuedCommand {
-    /// Since when.
+    /// When it was queued.
     pub since: Instant,
     /// The attempt or probe.
     pub command: EngineCommand,
 }
 
-/// The connections to one engine.
+/// The pool of connections to one engine.
 pub struct EnginePool {
-    /// Where the engine listens.
+    /// Address on which the engine listens.
     pub address: SocketAddr,
-    /// The engine's state.
+    /// The engine's state in the endpoint list.
     pub state: EngineState,
-    /// Unix time of a late start.
+    /// Unix time at which the engine started; `None` if it started long ago.
     pub started_at: Option<Duration>,
-    /// Connections that are up.
+    /// Established connections.
     pub connections: Vec<Rc<EngineConnection>>,
-    /// Connections that come up.
+    /// Number of connections being established.
     pub connecting: usize,
-    /// Connections that have ended and wait for the engine's end.
+    /// Number of connections that have ended here but still hold a descriptor, such as during a graceful close.
     pub ending: usize,
-    /// Whether it will be tried again to get a descriptor for a connection.
+    /// Whether a retry to get a descriptor for a connection is scheduled.
     pub retry_scheduled: bool,
-    /// Attempts and probes that wait for a connection, in order.
+    /// Attempts and probes that wait for a connection, oldest first.
     pub queued: Vec<QueuedCommand>,
 }
 
 impl EnginePool {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     pub fn new(endpoint: &Endpoint) -> Self {
         EnginePool {
             address: endpoint.address,
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Descriptors that it holds.
+    /// Number of descriptors that the pool holds.
     pub fn descriptors_held(&self) -> usize {
         self.connections.len() + self.connecting + self.ending
     }
 
-    /// Whether every connection takes nothing new.
+    /// Whether every established connection is retired.
     pub fn all_retired(&self) -> bool {
         self.connections.iter().all(|connection| connection.retired.get())
     }
@@ -65,8 +65,8 @@
         self.connections.iter().for_each(|connection| connection.retire());
     }
 
-    /// The fullest connection that can take the command, so that others fall idle. `streams` is the number that a
-    /// connection carries.
+    /// The connection with the fewest free streams that can carry the command, so that the others become idle.
+    /// `streams` is the limit of streams per connection.
     pub fn connection_for(&self, command: &EngineCommand, streams: usize) -> Option<Rc<EngineConnection>> {
         let fits = |connection: &&Rc<EngineConnection>| {
             connection.free_streams(streams) > 0
@@ -76,17 +76,17 @@
         fitting.min_by_key(|connection| connection.free_streams(streams)).cloned()
     }
 
-    /// Streams that all connections still have.
+    /// Number of free streams over all connections. `streams` is the limit per connection.
     pub fn free_streams(&self, streams: usize) -> usize {
         self.connections.iter().map(|connection| connection.free_streams(streams)).sum()
     }
 
-    /// Takes out all commands that wait.
+    /// Removes and returns all queued commands.
     pub fn take_queued(&mut self) -> impl Iterator<Item = EngineCommand> + use<> {
         std::mem::take(&mut self.queued).into_iter().map(|queued| queued.command)
     }
 
-    /// Takes out the commands that have waited longer than the timeout.
+    /// Removes and returns the commands that have been queued for longer than the timeout.
     pub fn take_expired(&mut self, timeout: Duration) -> Vec<EngineCommand> {
         let expired = self.queued.extract_if(.., |queued| queued.since.elapsed() > timeout);
         expired.map(|queued| queued.command).collect()
--- a/crates/edges/front/src/program/engines/replies.rs
+++ b/crates/edges/front/src/program/engines/replies.rs
@@ -1,7 +1,7 @@
-//! What an engine's replies mean for what is in flight on a connection.
+//! Applies an engine's replies to the attempts and probes in flight on a connection.
 //!
-//! A reply that belongs to nothing in flight, or that what is in flight does not wait for, is counted and ignored: it
-//! does no harm, and all else on the connection goes on.
+//! An unmatched reply (its id is not in flight, or its kind does not fit the attempt or probe) is counted and
+//! ignored. It does no harm, and the connection stays in use.
 
 use super::connection::{EngineConnection, InFlightKind, PagedResult, TokenEvent};
 use crate::protocol::engine::{self, EngineReply, ProgressNote, ReplyError, ReplyKind, ReportedUsage};
@@ -10,24 +10,24 @@
 use lemonusher_routing::{Counter, RouterEvent, Token};
 use std::time::{Duration, Instant};
 
-/// Longest result of several pages, in bytes.
+/// Limit of a result of several pages, in bytes.
 const MAX_RESULT_BYTES: usize = 64 * 1024;
-/// Pages of the longest result.
+/// Limit of a result's pages.
 const MAX_PAGES: usize = 64;
-/// Longest work that is believed, in milliseconds.
+/// Upper limit of the work that an engine may report for an attempt, in milliseconds; more is cut to this.
 const MAX_WORK_MS: f64 = 1e9;
 
-/// What a reply means for the attempt or probe that it belongs to.
+/// Effect of a reply on its attempt or probe.
 enum ReplyEffect {
-    /// It is over.
+    /// It has ended, with this event for the router.
     Ended(RouterEvent),
-    /// It goes on, with an event for the router or none.
+    /// It stays in flight, with an event for the router if there is one.
     Continues(Option<RouterEvent>),
-    /// It does not wait for such a reply.
+    /// It expects no reply of this kind; the reply is ignored.
     Stray,
 }
 
-/// A reply without its id, for an attempt or probe that is in flight.
+/// A reply whose id is in flight, with the number of its attempt or probe.
 struct MatchedReply<'a> {
     token: Token,
     id: &'a str,
@@ -37,13 +37,13 @@
 }
 
 impl MatchedReply<'_> {
-    /// The attempt is over without a result.
+    /// Ends the attempt without a result.
     fn ended(&self, outcome: AttemptOutcome) -> ReplyEffect {
         let (token, load) = (self.token, self.load);
         ReplyEffect::Ended(RouterEvent::AttemptEnded { token, outcome, usage: None, load, body: Vec::new() })
     }
 
-    /// The attempt is over, with its whole result.
+    /// Ends the attempt with its whole result.
     fn returned(&mut self, usage: Option<ReportedUsage>) -> ReplyEffect {
         let body = std::mem::take(&mut self.body);
         returned(self.token, usage.map(resource_usage), self.load, body)
@@ -51,7 +51,7 @@
 }
 
 impl EngineConnection {
-    /// Applies a reply; yields the event that it causes. An error ends the connection.
+    /// Applies a reply and returns the event that it causes, if any. An error ends the connection.
     pub fn handle_reply(&self, reply: EngineReply) -> Result<Option<TokenEvent>, ReplyError> {
         self.last_used.set(Instant::now());
         self.awaiting_since.set(None);
@@ -88,7 +88,8 @@
         Ok(event.map(|event| TokenEvent { token, event }))
     }
 
-    /// A reply to nothing in flight. If its attempt was cancelled meanwhile, the pages that the engine holds are released.
+    /// Handles a reply whose id is not in flight. If it has further pages for an attempt sent on this connection,
+    /// which was cancelled meanwhile, the engine is told to release them.
     fn handle_unmatched(&self, id: &str, kind: ReplyKind) {
         if self.has_used(id) && matches!(kind, ReplyKind::Completed { pages, .. } if pages > 1) {
             self.release(id);
@@ -96,7 +97,7 @@
         self.shared.counters.add(Counter::StrayAnswers, None);
     }
 
-    /// Releases the pages that the engine holds.
+    /// Tells the engine to release the pages that it holds of a result.
     fn release(&self, id: &str) {
         let _ = self.write_queue.push(engine::encode_release(id).as_bytes());
     }
@@ -109,7 +110,7 @@
                 self.release(reply.id);
                 ReplyEffect::Continues(None)
             }
-            // The reply crossed the cancel: it counts.
+            // The engine sent the whole result before it read the cancel: the result counts.
             ReplyKind::Completed { usage, .. } => reply.returned(usage),
             ReplyKind::Rejected => reply.ended(AttemptOutcome::Rejected),
             ReplyKind::NotStarted => reply.ended(AttemptOutcome::NotSent),
@@ -139,7 +140,7 @@
         })
     }
 
-    /// The first page of a result. The others are asked for, if there are any.
+    /// Handles the first page of a result, and requests the other pages if there are any.
     fn begin_result(
         &self,
         paged: &mut Option<PagedResult>,
@@ -173,7 +174,7 @@
         Ok(ReplyEffect::Continues(None))
     }
 
-    /// A further page of a result; with the last one the attempt has returned.
+    /// Handles a further page of a result. The last missing page ends the attempt with the result.
     fn add_page(&self, paged: &mut PagedResult, reply: MatchedReply, page: usize) -> ReplyEffect {
         let Some(missing_page) = paged.pages.get_mut(page).filter(|page| page.is_none()) else {
             return ReplyEffect::Stray;
--- a/crates/edges/front/src/program/engines/sending.rs
+++ b/crates/edges/front/src/program/engines/sending.rs
@@ -1,4 +1,5 @@
-//! Carries out the router's commands: attempts and probes are sent on a connection, or wait for one, or are over.
+//! Executes the router's commands. An attempt or probe is sent on a connection, queued until there is one, or
+//! reported as ended.
 
 use super::connection::{EngineConnection, FailureStage, InFlightKind};
 use super::pool::QueuedCommand;
@@ -10,30 +11,31 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Commands that may wait for a connection to one engine.
+/// Limit of the queue of commands that wait for a connection to one engine.
 const MAX_QUEUED_COMMANDS: usize = 1024;
-/// A further connection is opened once less than one in so many of a connection's streams is free.
+/// A further connection is opened once the pool's free streams, with those of connections being established, are
+/// fewer than the streams of one connection divided by this.
 const SPARE_DIVISOR: usize = 4;
 
-/// What becomes of an attempt or probe.
+/// How an attempt or probe is handled.
 enum Assignment {
     /// It is sent on this connection.
     Connection(Rc<EngineConnection>),
-    /// It waits for a connection.
+    /// It is queued until a connection has a free stream.
     Queued,
-    /// There is no connection, and none to wait for.
+    /// The engine is unknown or removed, or its queue is full: the command fails as not connected.
     NoConnection,
-    /// Its engine takes nothing new.
+    /// The engine is draining and accepts no new commands.
     Draining,
 }
 
-/// What becomes of a command, and whether a further connection is wanted.
+/// How a command is handled, and whether a further connection to its engine is to be opened.
 struct Placement {
     assignment: Assignment,
     opens_connection: bool,
 }
 
-/// A message that is ready to be written.
+/// An encoded attempt or probe, ready to be written.
 struct OutgoingMessage {
     token: Token,
     id: Arc<str>,
@@ -42,7 +44,7 @@
 }
 
 impl EnginePools {
-    /// Carries out a command, as far as that can be done at once.
+    /// Executes a command. An attempt or probe that can't be sent at once is queued.
     pub(super) async fn handle_command(self: &Rc<Self>, command: EngineCommand) {
         match command {
             EngineCommand::Endpoints(kind, endpoints) => self.handle_endpoints(kind, endpoints).await,
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Finds a connection for a command or queues it.
+    /// Finds a connection for a command, or queues the command.
     fn place(&self, engine: EngineId, command: &EngineCommand) -> Placement {
         let mut pools = self.pools.borrow_mut();
         let Some(pool) = pools.get_mut(&engine).filter(|pool| pool.state != EngineState::Removed) else {
@@ -91,7 +93,8 @@
             }
             None => Assignment::NoConnection,
         };
-        // What waits may be barred from a connection that has free streams, as its id was used there before.
+        // Queued commands are compared only with the streams of connections being established: a connection with
+        // free streams can't carry a command whose id it has carried before.
         let coming = pool.connecting * streams;
         let lacks_streams =
             coming < pool.queued.len() || pool.free_streams(streams) + coming < streams / SPARE_DIVISOR;
@@ -103,7 +106,7 @@
         self.shared.settings.capabilities.max_streams_per_connection.max(1)
     }
 
-    /// Sends what waits for a connection to an engine, as far as there are free streams.
+    /// Sends an engine's queued commands for as long as there are free streams.
     pub(super) async fn send_queued(self: &Rc<Self>, engine: EngineId) {
         let streams = self.streams_per_connection();
         loop {
@@ -122,8 +125,8 @@
         }
     }
 
-    /// Writes a command on a connection that takes it at once, so that this is the moment in which it starts: its
-    /// conditions are checked again, as much may have happened while it waited.
+    /// Writes a command on a connection with a free stream. An attempt starts at this moment, so its conditions are
+    /// checked here: they may have ceased to hold while it was queued.
     async fn write(self: &Rc<Self>, connection: &Rc<EngineConnection>, command: EngineCommand) {
         let now = Instant::now();
         if let EngineCommand::Send { conditions, .. } = &command
@@ -140,7 +143,7 @@
         self.in_flight.borrow_mut().insert(token, location);
     }
 
-    /// The message of an attempt or probe.
+    /// Encodes an attempt or probe; `None` for any other command.
     fn encode(&self, command: &EngineCommand, now: Instant) -> Option<OutgoingMessage> {
         match command {
             EngineCommand::Send {
@@ -188,7 +191,7 @@
         connection.close_if_drained();
     }
 
-    /// A command that still waits for a connection is over, as nothing was sent; false if it does not wait.
+    /// Removes a command that is still queued and reports it as not sent. Returns false if it is not queued.
     async fn withdraw(&self, token: Token) -> bool {
         let withdrawn = self.pools.borrow_mut().values_mut().find_map(|pool| {
             let position = pool.queued.iter().position(|queued| queued.command.token() == Some(token))?;
@@ -200,12 +203,12 @@
         withdrawn.is_some()
     }
 
-    /// An attempt or probe whose connection failed at this stage is over.
+    /// Reports the end of an attempt or probe whose connection failed at this stage.
     pub(super) async fn report_failure(&self, command: EngineCommand, stage: FailureStage) {
         self.report_end(&command, stage.outcome()).await;
     }
 
-    /// An attempt or probe is over without a reply.
+    /// Reports the end of an attempt or probe that got no reply.
     pub(super) async fn report_end(&self, command: &EngineCommand, outcome: AttemptOutcome) {
         let event = match command {
             EngineCommand::Send { token, .. } => RouterEvent::attempt_ended(*token, outcome),
--- a/crates/edges/front/src/program/mod.rs
+++ b/crates/edges/front/src/program/mod.rs
@@ -1,4 +1,5 @@
-//! The front's tasks: start-up and shutdown, and the connections that stand between the protocols and the router.
+//! The front's tasks: start-up, shutdown, and the client, engine and discovery drivers between the protocols and the
+//! router.
 
 mod clients;
 pub mod config;
