--- a/crates/edges/front/src/program/clients/listener.rs
+++ b/crates/edges/front/src/program/clients/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections, and makes room for new ones by closing idle ones.
+//! Accepts client connections, and closes idle ones to free descriptors for new ones.
 
 use super::accept_delay::AcceptDelay;
 use super::session::ClientSession;
@@ -15,22 +15,22 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// An idle connection is closed after so long: past the time after which clients close idle connections.
+/// Idle time after which a connection is closed. Longer than the time after which clients close idle connections.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
-/// A connection on which no line has come yet is closed after so long.
+/// Idle time after which a connection without a complete line so far is closed.
 const FIRST_LINE_TIMEOUT: Duration = Duration::from_secs(2);
-/// So long the first line of a new connection counts as on its way.
+/// Time from the accept for which the first line of a new connection is assumed to be on its way.
 const FIRST_LINE_GRACE: Duration = Duration::from_millis(100);
-/// How often idle connections are looked for.
+/// Interval of the check for idle connections.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Least time between two warnings of one kind.
+/// Least time between two warnings about failed accepts.
 const WARNING_INTERVAL: Duration = Duration::from_secs(1);
-/// Delay before it is tried again to accept, where no descriptor is left.
+/// Delay before the next accept while no descriptor can be freed, and after a failed accept.
 const DESCRIPTOR_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// A connection that was requested to close has checked whether it may within this.
+/// Time within which a connection that was requested to close has checked whether it may.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// All client connections, and the listener that new ones come from.
+/// The listener for clients, and all connections accepted from it.
 pub struct ClientListener {
     shared: Rc<Shared>,
     listener: Async<TcpListener>,
@@ -40,7 +40,7 @@
 }
 
 impl ClientListener {
-    /// No connections yet; the system's queue holds so many.
+    /// Creates a listener without connections. `queue_length` is the length of the kernel's accept queue.
     pub fn new(shared: Rc<Shared>, listener: Async<TcpListener>, queue_length: usize) -> Self {
         ClientListener {
             shared,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Accepts for as long as the front runs.
+    /// Accepts connections and closes idle ones until the future is dropped.
     pub async fn run(&self) {
         self.close_idle().or(self.accept()).await
     }
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The next connection: one that waits already, or the first to come.
+    /// Accepts the next connection, at once if one is queued.
     async fn accept_next(&self) -> io::Result<Socket> {
         let socket = match self.listener.get_ref().accept() {
             Ok((socket, _)) => Async::new(socket)?,
@@ -87,7 +87,7 @@
         Ok(Socket::new(socket))
     }
 
-    /// Accepts nothing for a while.
+    /// Waits without accepting, and records that time as accept delay.
     async fn wait(&self, delay: Duration) {
         let from = Instant::now();
         Timer::after(delay).await;
@@ -115,8 +115,9 @@
         self.shared.executor.spawn(serve).detach();
     }
 
-    /// Waits until there is a descriptor for one more. Room is made by closing the connection that has been idle longest;
-    /// if all are busy, new ones wait in the system's queue.
+    /// Waits until there is a descriptor for one more connection. To free one, the connection that has been idle
+    /// or has lingered longest is requested to close. While all are busy, new connections wait in the kernel's
+    /// accept queue.
     async fn wait_for_descriptor(&self) {
         let limits = self.shared.descriptor_limits;
         loop {
@@ -136,12 +137,12 @@
         }
     }
 
-    /// Requests that the idlest connection closes: one on which no line has come in time, or else the one that has been
-    /// idle longest. False if none is idle.
+    /// Requests that one idle connection closes: preferably one without a first line in time, or else the one
+    /// that has been idle longest. Returns false if none is idle.
     fn close_idlest(&self) -> bool {
         let sessions = self.sessions.borrow();
         let idle = sessions.values().filter_map(|session| Some((session, session.idle_time()?)));
-        // A new connection is the last to close: its first line is on its way.
+        // A new connection is the last choice, because its first line is probably on its way.
         let rank = |session: &ClientSession, idle_time: Duration| match (
             session.has_sent_line(),
             idle_time < FIRST_LINE_GRACE,
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Requests that connections close which have been idle for too long.
+    /// Requests in each check interval that connections close which have been idle for too long.
     async fn close_idle(&self) {
         loop {
             Timer::after(IDLE_CHECK_INTERVAL).await;
@@ -177,8 +178,8 @@
         }
     }
 
-    /// Accepts the connections that wait already, and no further ones; each closes gracefully once nothing is open on it.
-    /// Ends when all have closed, or at this time.
+    /// Accepts the connections that are already queued, and no further ones. Each closes gracefully once no
+    /// request is open on it. Returns when all have closed, or at the time `until`.
     pub async fn shut_down(self, until: Instant) {
         while let Ok((socket, _)) = self.listener.get_ref().accept() {
             if let Ok(socket) = Async::new(socket) {
@@ -188,7 +189,7 @@
         drop(self.listener);
         while !self.sessions.borrow().is_empty() && Instant::now() < until {
             for session in self.sessions.borrow().values().filter(|session| !session.is_lingering()) {
-                // The first line of a new connection is on its way.
+                // The first line of a new connection is probably on its way.
                 let may_close = |idle_time| session.has_sent_line() || idle_time > FIRST_LINE_GRACE;
                 if session.idle_time().is_some_and(may_close) {
                     session.request_close();
--- a/crates/edges/front/src/program/clients/mod.rs
+++ b/crates/edges/front/src/program/clients/mod.rs
@@ -1,9 +1,8 @@
-//! Client connections: requests are read as they come and put into the router's queue; responses are written as the
-//! router gives them.
+//! Client driver: reads requests from client connections into the router's queue, and writes the router's responses.
 //!
-//! Each connection belongs to its own task, which alone decides when it closes: others only request that it checks
-//! whether it may. It reports once, by `abandon_requests`, that its client has disconnected, and nothing that is read
-//! after it stopped accepting is handed on.
+//! Each connection is owned by one task, which alone decides when to close it; other tasks can only request that
+//! it checks whether it may close. The task reports once, through `abandon_requests`, that its client has
+//! disconnected. It forwards nothing that it reads after the connection stopped accepting.
 
 mod accept_delay;
 mod listener;
--- a/crates/edges/front/src/program/clients/reading.rs
+++ b/crates/edges/front/src/program/clients/reading.rs
@@ -1,7 +1,8 @@
-//! What is read on a client connection.
+//! Reads the lines of a client connection and turns them into router events.
 //!
-//! All that has come is read before any of it is handed on: a client that sent much and disconnected has done so before
-//! its requests start, however long they waited to be read. The limit of open requests bounds what is held.
+//! All available lines are read before any request among them is forwarded. Requests of a client that has already
+//! disconnected are thus dropped before they start, however long they waited unread. The limit of open requests
+//! limits how many are held back.
 
 use super::session::{ClientSession, MAX_DISCARDED_BYTES, MAX_OPEN_REQUESTS};
 use crate::protocol::client::{
@@ -17,33 +18,34 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A line takes no longer to come.
+/// Longest time from a line's first byte to its last.
 const LINE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Lines read before other tasks have their turn.
+/// Limit of the lines read in one pass, after which the task yields to others.
 const MAX_LINES_AT_ONCE: usize = 2048;
-/// No client waits longer than so many times the request class's deadline.
+/// A client timeout longer than the request class's deadline times this is refused as invalid.
 const MAX_TIMEOUT_FACTOR: u64 = 2;
-/// Faulty lines without an id after which a connection accepts no more.
+/// Number of malformed lines without an id after which a connection accepts no more.
 const MAX_FAULTY_LINES: u32 = 16;
-/// Bytes that may wait for a client which goes on sending faulty lines.
+/// Limit of the unwritten bytes of a connection after a malformed line; above it the connection accepts no more.
 const MAX_UNREAD_FAULT_BYTES: usize = 64 * 1024;
 
 type LineReader = MessageReader<fn(&[u8]) -> Result<Option<ParsedLine>, Infallible>>;
 
-/// Why a connection accepts no more.
+/// Reason why a connection accepts no more lines.
 pub(super) enum ReadEnd {
-    /// Its client has closed its side.
+    /// The client has closed its side.
     ClientClosed,
-    /// It broke off.
+    /// The socket failed.
     Broken,
-    /// What came can't be read on; its client may still wait for responses.
+    /// The input exceeded a limit (of length, time, memory or malformed lines). The client may still wait for
+    /// responses.
     Faulty,
-    /// Nothing was open on it and nothing unread: its writing side has been shut.
+    /// A requested close: no request was open and no byte unread, and the writing side has been shut down.
     Idle,
 }
 
 impl fmt::Display for ReadEnd {
-    /// As the log names it.
+    /// The reason as it stands in the log.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
             ReadEnd::ClientClosed => "Gone",
@@ -54,7 +56,7 @@
     }
 }
 
-/// What was read in one pass.
+/// The result of one pass over the available lines.
 struct ReadPass {
     accepted: Vec<IncomingRequest>,
     lines_read: usize,
@@ -62,7 +64,7 @@
 }
 
 impl ClientSession {
-    /// Reads until nothing more is accepted.
+    /// Reads until the connection accepts no more lines, and returns the reason.
     pub(super) async fn read(self: &Rc<Self>) -> ReadEnd {
         let socket = self.socket();
         let limits =
@@ -77,7 +79,7 @@
                 pass.end = Some(ReadEnd::ClientClosed);
             }
             if matches!(pass.end, Some(ReadEnd::ClientClosed | ReadEnd::Broken)) {
-                // The router has not seen these requests, and their client has disconnected.
+                // The client has disconnected, and the router has not received these requests: they are dropped.
                 let mut open_requests = self.open_requests.borrow_mut();
                 pass.accepted.iter().for_each(|incoming| drop(open_requests.remove(&incoming.ticket)));
             } else {
@@ -89,7 +91,7 @@
                     continue;
                 }
             }
-            // What comes from here on has not waited for the connection to be accepted.
+            // Everything that arrived before the connection was accepted has been read.
             self.queued.set(Duration::ZERO);
             if pass.end.is_none() {
                 pass.end = self.wait_for_more(&mut lines).await;
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Reads the lines that have come. A revoke of a request that the router has seen is handed on at once.
+    /// Reads the available lines. A revoke of a request that the router has received is forwarded at once.
     async fn read_available(self: &Rc<Self>, lines: &mut LineReader) -> ReadPass {
         let mut pass = ReadPass { accepted: Vec::new(), lines_read: 0, end: None };
         while pass.lines_read < MAX_LINES_AT_ONCE {
@@ -127,7 +129,7 @@
         pass
     }
 
-    /// Waits until more has come, or the connection has closed because that was requested.
+    /// Waits until more bytes are available, or until the connection has closed on request.
     async fn wait_for_more(&self, lines: &mut LineReader) -> Option<ReadEnd> {
         let more = async { lines.wait_for_more().await.err().map(|error| self.handle_read_error(error)) };
         let close_requested = async {
@@ -137,7 +139,7 @@
         more.or(close_requested).await
     }
 
-    /// An error ends the reading; a line that is too long is answered once.
+    /// Maps a read error to the reason why reading ends. A line that is too long gets one error response.
     fn handle_read_error(&self, error: ReadError<Infallible>) -> ReadEnd {
         log::debug!("a client's connection can't be read on: {error}");
         match error {
@@ -156,7 +158,7 @@
         }
     }
 
-    /// A request joins those accepted; the event of a revoke, if there is one, is returned.
+    /// Handles one line. A request is added to `accepted`; a revoke may return an event for the router.
     fn handle_line(
         self: &Rc<Self>,
         line: Result<ClientMessage, Fault>,
@@ -170,7 +172,8 @@
             Ok(ClientMessage::Heartbeat(id)) => {
                 self.write(&client::encode_heartbeat(id, !self.shared.shutting_down.get()));
             }
-            // A revoke may cross the response; but no request has ever come under a higher ticket.
+            // A revoke of a finished request is valid, as it may be sent before the client receives the response.
+            // A ticket above the highest received belongs to no request.
             Ok(ClientMessage::Revoke(ticket)) if ticket > self.highest_ticket.get() => {
                 self.handle_fault(Fault { id: None, kind: FaultKind::InvalidParams });
             }
@@ -180,7 +183,8 @@
         None
     }
 
-    /// The client no longer waits for a request. The router needs to know only if it has seen the request.
+    /// Handles a client that no longer waits for a request. Returns an event only if the router has received the
+    /// request.
     fn revoke(self: &Rc<Self>, ticket: u64, accepted: &mut Vec<IncomingRequest>) -> Option<RouterEvent> {
         let revoked = self.open_requests.borrow_mut().remove(&ticket);
         log::debug!("ticket {ticket} revoked, batch {revoked:?}");
@@ -191,7 +195,7 @@
         Some(RouterEvent::ClientGone { sink: self.clone(), ticket, request })
     }
 
-    /// Opens a request, or says what is wrong with it.
+    /// Checks a request and registers it as open, or returns the fault to respond with.
     fn accept_request(self: &Rc<Self>, message: ClientRequest) -> Result<IncomingRequest, Fault> {
         let fault = |id, kind| Fault { id, kind };
         let classes = &self.shared.settings.request_classes;
@@ -215,7 +219,8 @@
             request,
             request_class,
             table_group: table_group(&String::from_utf8_lossy(&message.statement)).unwrap_or_default(),
-            // The client's time runs from its sending, also while this process does not, or does not accept.
+            // The client timeout counts from when the client sent the request. Time in which this process was
+            // stopped, or accepted no connections, is subtracted.
             client_timeout: Duration::from_millis(message.client_timeout_ms)
                 .saturating_sub(self.shared.stall_detector.delay(Instant::now()).max(self.queued.get())),
             client_retry: message.client_retry,
@@ -223,12 +228,12 @@
         })
     }
 
-    /// Whether one more request may be open under this id.
+    /// Checks that one more request may be open under this message id.
     fn check_open_requests(&self, id: u64) -> Result<(), Fault> {
         let open_requests = self.open_requests.borrow();
         let is_duplicate = open_requests.contains_key(&id);
         if is_duplicate || open_requests.len() >= MAX_OPEN_REQUESTS {
-            // An error under an id that is open would end the request that came under it first.
+            // The client would take an error under the id of an open request as the response to that request.
             return Err(Fault { id: (!is_duplicate).then_some(id), kind: FaultKind::InvalidRequest });
         }
         Ok(())
@@ -238,7 +243,7 @@
         self.shared.counters.add(Counter::FaultyLines, None);
         log::debug!("a client's line is faulty: {fault:?}");
         self.write(&client::encode_fault(&fault));
-        // Errors cost little, but they are bounded too.
+        // Error responses cost little, but they are limited too.
         self.faulty_lines.set(self.faulty_lines.get() + u32::from(fault.id.is_none()));
         if self.faulty_lines.get() >= MAX_FAULTY_LINES || self.write_queue.waiting() > MAX_UNREAD_FAULT_BYTES
         {
--- a/crates/edges/front/src/program/clients/session.rs
+++ b/crates/edges/front/src/program/clients/session.rs
@@ -1,4 +1,4 @@
-//! One client connection, from when it was accepted to its end, and what is written on it.
+//! One client connection from its accept to its close: its state, its writes, and when it may close.
 
 use super::reading::ReadEnd;
 use crate::program::shared::Shared;
@@ -13,49 +13,49 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Requests that one connection may have open.
+/// Limit of the open requests of one connection.
 pub(super) const MAX_OPEN_REQUESTS: usize = 32;
-/// Bytes that may wait to be written: a response to each open request fits, however large.
+/// Limit of the write queue in bytes. It holds the largest response to each open request.
 const WRITE_QUEUE_BYTES: usize = MAX_OPEN_REQUESTS * 96 * 1024;
-/// A client that reads nothing for so long counts as disconnected.
+/// Time without progress of a write after which a client counts as disconnected.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// A connection that has ended is read and discarded for so long at most.
+/// Longest time for which the input of an ended connection is read and discarded.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes discarded after a fault while open requests get their responses.
+/// Limit of the bytes that are read and discarded after a fault, while open requests get their responses.
 pub(super) const MAX_DISCARDED_BYTES: usize = 1024 * 1024;
 
-/// One client connection.
+/// State of one client connection, shared by its task, the listener and, as a [`ResponseSink`], the router.
 pub(super) struct ClientSession {
-    /// What the front's tasks share.
+    /// State shared by the front's tasks.
     pub(super) shared: Rc<Shared>,
-    /// What waits to be written.
+    /// Bytes that wait to be written, and the socket.
     pub(super) write_queue: WriteQueue,
-    /// Requests that were accepted here and are owed a response, by ticket.
+    /// Accepted requests without a response so far, by ticket (the id of the client's message).
     pub(super) open_requests: RefCell<BTreeMap<u64, RequestId>>,
     /// Whether lines are still accepted.
     pub(super) accepting: Cell<bool>,
-    /// Whether a partial line has come.
+    /// Whether a partial line has been read.
     pub(super) has_partial: Cell<bool>,
-    /// Since when it only waits for its client's end.
+    /// Since when the connection lingers, that is, only waits for its client to close; `None` if it does not.
     lingering_since: Cell<Option<Instant>>,
-    /// Requests that it checks whether it may close; where it lingers already, that it lingers no longer.
+    /// Signals the connection's task to check whether it may close, or to stop lingering if it does.
     pub(super) close_requested: Signal,
-    /// Its part of the shared sum of unwritten bytes.
+    /// Bytes of this connection that are included in [`Shared::unwritten_bytes`].
     counted_bytes: Cell<usize>,
-    /// When a line came or a response was given last.
+    /// When a line was last read or a response last given.
     pub(super) last_used: Cell<Instant>,
-    /// Whether a complete line has come.
+    /// Whether a complete line has been read.
     pub(super) has_sent_line: Cell<bool>,
-    /// The highest ticket that has come.
+    /// The highest ticket received.
     pub(super) highest_ticket: Cell<u64>,
-    /// Faulty lines without an id.
+    /// Number of malformed lines without an id.
     pub(super) faulty_lines: Cell<u32>,
-    /// How long what is read now may have waited before the connection was accepted.
+    /// How long the bytes that are read now may have waited for the connection to be accepted.
     pub(super) queued: Cell<Duration>,
 }
 
 impl ClientSession {
-    /// A connection that was accepted, and may have waited so long for that.
+    /// Wraps the socket of an accepted connection, which may have waited for the duration `queued` to be accepted.
     pub fn new(shared: Rc<Shared>, socket: Socket, queued: Duration) -> Self {
         let write_queue = WriteQueue::new(socket, WRITE_QUEUE_BYTES);
         ClientSession {
@@ -75,32 +75,32 @@
         }
     }
 
-    /// The connection's socket.
     pub fn socket(&self) -> Socket {
         self.write_queue.socket()
     }
 
-    /// Whether a complete line has come on it.
+    /// Whether a complete line has been read.
     pub fn has_sent_line(&self) -> bool {
         self.has_sent_line.get()
     }
 
-    /// Since when it only waits for its client's end, if it does.
+    /// Since when the connection lingers, if it does.
     pub fn lingering_since(&self) -> Option<Instant> {
         self.lingering_since.get()
     }
 
-    /// Whether it only waits for its client's end.
+    /// Whether the connection only waits for its client to close.
     pub fn is_lingering(&self) -> bool {
         self.lingering_since.get().is_some()
     }
 
-    /// Requests that it checks whether it may close.
+    /// Requests that the connection checks whether it may close.
     pub fn request_close(&self) {
         self.close_requested.notify();
     }
 
-    /// For how long nothing has been open on it, unwritten or read in part; none if something is.
+    /// How long the connection has been idle. `None` if a request is open, bytes are unwritten, a line is
+    /// partially read, or the connection accepts no more.
     pub fn idle_time(&self) -> Option<Duration> {
         let is_busy = !self.open_requests.borrow().is_empty()
             || self.write_queue.waiting() > 0
@@ -108,7 +108,7 @@
         (self.accepting.get() && !is_busy).then(|| self.last_used.get().elapsed())
     }
 
-    /// Reads and writes until it ends.
+    /// Reads and writes until the connection ends.
     pub async fn serve(self: &Rc<Self>) {
         let write = async {
             let written = self.write_queue.run(WRITE_STALL_TIMEOUT, || self.update_unwritten()).await;
@@ -119,14 +119,16 @@
         }
     }
 
-    /// Reads to the end. Yields false where there is nothing to write any more; else waits for the writing to end.
+    /// Reads until the connection accepts no more. Returns false if nothing is left to write; otherwise never
+    /// returns, so that the end of the writes decides.
     async fn serve_reads(self: &Rc<Self>) -> bool {
         let end = self.read().await;
         self.accepting.set(false);
         log::debug!("a client's connection takes no more: {end}");
         match end {
-            // No attempt of its open requests starts from here on, whether or not it reads their responses. It may have
-            // closed only its side: it gets a response that promises nothing.
+            // No further attempt starts for the client's open requests. The client may have closed only its
+            // writing side and still read, so each request gets the response "failed", which promises nothing
+            // about effects.
             ReadEnd::ClientClosed => {
                 self.abandon_requests(true).await;
                 self.write_queue.close();
@@ -147,7 +149,7 @@
         std::future::pending().await
     }
 
-    /// Waits for the other side to end, for a while, and no longer once that is requested.
+    /// Waits for the client to close its side, until the linger timeout or a close request.
     async fn linger(&self, end: impl Future<Output = ()>) {
         self.lingering_since.set(Some(Instant::now()));
         self.close_requested.clear();
@@ -155,7 +157,8 @@
         transport::with_timeout(LINGER_TIMEOUT, end.or(close_requested)).await;
     }
 
-    /// Reports that the client has disconnected and abandons its open requests. Nothing else reports it.
+    /// Reports to the router that the client of each open request has disconnected, and forgets the requests.
+    /// This is the only place that reports it.
     async fn abandon_requests(self: &Rc<Self>, answer_failed: bool) {
         let open_requests = std::mem::take(&mut *self.open_requests.borrow_mut());
         for (ticket, request) in open_requests {
@@ -167,7 +170,8 @@
         }
     }
 
-    /// The last that is done with it.
+    /// Closes the connection, abandons what is open, and removes its bytes from the shared count. Called once, at
+    /// the end.
     pub async fn end(self: &Rc<Self>) {
         self.accepting.set(false);
         self.write_queue.close();
@@ -176,14 +180,15 @@
         unwritten.set(unwritten.get() - self.counted_bytes.replace(0));
     }
 
-    /// Updates the shared sum of unwritten bytes.
+    /// Updates this connection's part of [`Shared::unwritten_bytes`].
     fn update_unwritten(&self) {
         let (unwritten, waiting) = (&self.shared.unwritten_bytes, self.write_queue.waiting());
         unwritten.set(unwritten.get() - self.counted_bytes.replace(waiting) + waiting);
     }
 
-    /// Closes if nothing is open, read in part or unread: its writing side is shut in the same step. What comes after that
-    /// is discarded; its client sees that it was not accepted.
+    /// Closes the connection if it is idle and no byte is unread, and returns whether it did. The writing side is
+    /// shut down in the same step. Later input is discarded, and the client sees from the close that it was not
+    /// accepted.
     pub(super) fn try_close(&self) -> bool {
         let socket = self.socket();
         let closes = self.idle_time().is_some() && !transport::has_unread(&socket);
@@ -194,7 +199,7 @@
         closes
     }
 
-    /// Writes a line.
+    /// Queues a line to be written. A client that reads too slowly for the write queue loses its connection.
     pub(super) fn write(&self, line: &str) {
         if self.write_queue.push(line.as_bytes()).is_err() {
             log::debug!("a client reads too slowly: its connection ends");
@@ -211,7 +216,7 @@
             return;
         }
         self.last_used.set(Instant::now());
-        // While clients read too slowly for the memory there is, results give way to errors.
+        // While clients read too slowly for the memory limit, an error is sent in place of a result.
         let is_full = self.shared.unwritten_bytes.get() > self.shared.max_unwritten_bytes;
         self.write(&match response {
             Response::Returned(_) if is_full => client::encode_failed(ticket),
@@ -221,7 +226,7 @@
             }
             Response::Failed => client::encode_failed(ticket),
         });
-        // A connection that accepts nothing more ends with its last response.
+        // A connection that accepts no more lines closes after its last response.
         if !self.accepting.get() && self.open_requests.borrow().is_empty() {
             self.write_queue.close();
         }
