--- a/crates/edges/front/src/lib.rs
+++ b/crates/edges/front/src/lib.rs
@@ -1,5 +1,7 @@
-//! The front on sockets. `transport` moves bytes, `protocol` reads and writes messages, `lemonusher-routing` owns the
-//! gateway, `program` connects them; each uses only those before it.
+//! The front's network I/O: client and engine connections, discovery and the start of the process.
+//!
+//! `transport` reads and writes bytes, `protocol` decodes and encodes messages, the crate `lemonusher-routing`
+//! owns the gateway, and `program` connects them. Each uses only those before it.
 
 #![warn(missing_docs)]
 
--- a/crates/edges/front/src/main.rs
+++ b/crates/edges/front/src/main.rs
@@ -1,4 +1,5 @@
-//! One front on the platform: configured by the file that `PROXY_CONFIG` names, with its log on standard error.
+//! Runs one front without management or a fleet, configured by the file that `PROXY_CONFIG` names. It logs to
+//! standard error.
 
 use std::process::ExitCode;
 
--- a/crates/edges/front/src/program/config.rs
+++ b/crates/edges/front/src/program/config.rs
@@ -1,4 +1,4 @@
-//! The front's configuration file, which `PROXY_CONFIG` names, and why a front can't start.
+//! The front's configuration file, which `PROXY_CONFIG` names, and the errors of a start.
 
 use crate::protocol::discovery::{InitialEvents, parse_initial_list};
 use lemonusher::RequestClassConfig;
@@ -15,52 +15,52 @@
 pub(super) struct FrontConfig {
     /// The front's name.
     pub name: String,
-    /// Where it listens for clients.
+    /// Address on which the front listens for clients.
     pub listen: SocketAddr,
     /// Seed of the gateway's random draws, in hexadecimal.
     seed: String,
-    /// What the process may use.
+    /// Limits of the process.
     pub limits: ProcessLimits,
-    /// Where the discovery channel is.
+    /// Address of the discovery channel.
     pub channel: SocketAddr,
-    /// The endpoints that are known at the start.
+    /// Endpoint list at the start, as JSON.
     known: Box<RawValue>,
     settings: Value,
 }
 
-/// What the process may use.
+/// Limits of the process.
 #[derive(Deserialize, PartialEq)]
 pub(super) struct ProcessLimits {
-    /// Memory in MB.
+    /// Memory limit in MB.
     pub memory_mb: usize,
-    /// Descriptors.
+    /// Limit of open file descriptors.
     pub sockets: usize,
 }
 
-/// Why the front can't start.
+/// Errors that keep a front from starting.
 #[derive(Debug)]
 pub enum StartError {
-    /// This environment variable is not set.
+    /// The named environment variable is not set.
     Missing(&'static str),
     /// The configuration file can't be read.
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// The system's error.
         error: io::Error,
     },
-    /// The configuration file can't be used.
+    /// The configuration file is malformed.
     Malformed {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong with it.
+        /// Description of the fault.
         reason: String,
     },
     /// The front can't listen for clients.
     Listen {
-        /// Where it was to listen.
+        /// The configured address.
         address: SocketAddr,
-        /// Why.
+        /// The system's error.
         error: io::Error,
     },
     /// The front can't watch for signals.
@@ -99,14 +99,14 @@
         u64::from_str_radix(&self.seed, 16).map_err(|_| malformed(path, "'seed' is no hex number"))
     }
 
-    /// The events of the discovery channel that are known at the start.
+    /// The endpoint updates that are known at the start, with the number of the last one.
     pub fn initial_events(&self, path: &str, settings: &Settings) -> Result<InitialEvents, StartError> {
         let initial = parse_initial_list(self.known.get(), &settings.zones, &settings.machine_kinds);
         initial.map_err(|e| malformed(path, e))
     }
 
-    /// The keys that differ in a newer file and take effect at the next start only. The list of engines is none of them:
-    /// the channel goes on from the last event.
+    /// Names of the keys that differ in a newer file and take effect only at the next start. The endpoint list
+    /// (`known`) is not among them, because the discovery channel continues from the last event.
     pub fn changes_at_restart(&self, newer: &FrontConfig) -> String {
         let changed = [
             (self.name != newer.name).then_some("name"),
@@ -122,10 +122,11 @@
     StartError::Malformed { path: path.to_owned(), reason: reason.to_string() }
 }
 
-/// The names that the deployment gives its zones, machine kinds and request classes, each in the order of the numbers.
+/// The deployment's names of zones, machine kinds and request classes. Each list is indexed by the number that
+/// stands for the name elsewhere.
 #[derive(Debug, Clone, Default)]
 pub struct DeploymentNames {
-    /// This front's name.
+    /// Name of this front.
     pub front: String,
     /// Names of the zones.
     pub zones: Vec<String>,
@@ -133,13 +134,13 @@
     pub machine_kinds: Vec<String>,
     /// Names of the request classes.
     pub request_classes: Vec<String>,
-    /// The number of this front's zone.
+    /// Number of this front's zone.
     pub zone: u32,
-    /// The configuration of each request class.
+    /// Configuration of each request class.
     pub class_configs: Vec<RequestClassConfig>,
 }
 
-/// Reads the names from a front's configuration file.
+/// Reads the deployment's names from a front's configuration file.
 pub fn read_names(path: &str) -> Result<DeploymentNames, StartError> {
     let config = FrontConfig::read(path)?;
     let settings = config.settings(path)?;
--- a/crates/edges/front/src/program/control_channels.rs
+++ b/crates/edges/front/src/program/control_channels.rs
@@ -1,4 +1,5 @@
-//! How managers and the fleet of fronts reach the router: their messages join its one queue of events.
+//! Channels from the management server and the fleet of fronts to the router. Their messages join its one event
+//! queue.
 
 use super::shared::Shared;
 use lemonusher_membership::DesiredState;
@@ -8,38 +9,40 @@
 use lemonusher_zone_failover::FailoverConfig;
 use std::sync::Arc;
 
-/// How managers reach the front. On the platform there are none.
+/// Channels between the management server and the front. A front started by [`run`](crate::run) has none.
 pub struct ManagementChannels {
-    /// Calls of the managers' side; they join the router's one queue.
+    /// Calls of management clients.
     pub calls: async_channel::Receiver<ManagementCall>,
-    /// The desired state when this front last ran.
+    /// The desired state at the end of this front's previous run.
     pub desired_state: Arc<DesiredState>,
-    /// Where changes of engines are notified.
+    /// Receives notifications of engine changes.
     pub notifications: async_channel::Sender<EngineNotification>,
 }
 
-/// How the fleet of fronts reaches this one.
+/// Channels between the fleet of fronts and this front.
 pub struct FleetChannels {
-    /// Control updates; they join the router's one queue.
+    /// Control updates from the fleet.
     pub control_updates: async_channel::Receiver<ControlUpdate>,
-    /// Whether the fronts share quotas by leases: then this front has none before it holds one.
+    /// Whether the fronts share the quota of engines in slow start by leases. If so, this front has none until it
+    /// holds a lease.
     pub shares_quota: bool,
-    /// Zone failover, where it is configured.
+    /// Zone failover, if it is configured.
     pub zone_failover: Option<ZoneFailover>,
-    /// Whether engines are taken out of service for maintenance: then none is used before it is known which.
+    /// Whether engines are taken out of service for maintenance. If so, no engine is used until it is known which
+    /// are.
     pub maintenance: bool,
 }
 
-/// What the router needs for zone failover.
+/// Configuration and channel of zone failover.
 pub struct ZoneFailover {
-    /// Its configuration.
+    /// Configuration of zone failover.
     pub config: FailoverConfig,
-    /// Where this front's observations go, one a report interval.
+    /// Receives this front's observations, one each report interval.
     pub observations: async_channel::Sender<ZoneObservation>,
 }
 
 impl ManagementChannels {
-    /// Connects the router with managers.
+    /// Connects the router with the management server.
     pub(super) fn attach(self, router: RequestRouter, shared: &Shared) -> RequestRouter {
         let router = router.with_desired_state(self.desired_state, self.notifications);
         shared.executor.spawn(forward(self.calls, shared.events.clone(), RouterEvent::Management)).detach();
@@ -48,7 +51,8 @@
 }
 
 impl FleetChannels {
-    /// Connects the router with the fleet. What the fleet has not granted yet is withheld before any other event.
+    /// Connects the router with the fleet. As the fleet has granted nothing yet, the router's first events set
+    /// the quota to zero and take every engine out of service, as far as the fleet controls these.
     pub(super) fn attach(self, mut router: RequestRouter, shared: &Shared) -> RequestRouter {
         if self.shares_quota {
             let _ = shared.events.try_send(RouterEvent::Control(ControlUpdate::Quota(0.0)));
@@ -67,7 +71,7 @@
     }
 }
 
-/// Puts messages into the router's queue, in order.
+/// Forwards messages to the router's event queue, in order, until either channel closes.
 async fn forward<T>(
     messages: async_channel::Receiver<T>,
     events: async_channel::Sender<RouterEvent>,
--- a/crates/edges/front/src/program/descriptor_limits.rs
+++ b/crates/edges/front/src/program/descriptor_limits.rs
@@ -1,32 +1,34 @@
-//! How the descriptors that a front may hold are shared out, so that no side takes what another needs.
+//! Divides the file descriptors that a front may hold among clients and engines, so that neither uses up those of
+//! the other.
 
-/// Limits of descriptors, by use; their sum stays below the limit of the process.
+/// Limits of descriptors by use. `clients`, `lingering` and `engines` together stay below the limit of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DescriptorLimits {
-    /// Client connections that are served.
+    /// Limit of client connections that are served.
     pub clients: usize,
-    /// Client connections that only wait for their client's end.
+    /// Limit of client connections that only wait for their client to close.
     pub lingering: usize,
-    /// Connections to all engines, also those that come up or end.
+    /// Limit of connections to all engines, including those being opened or closed.
     pub engines: usize,
-    /// Connections to one engine.
+    /// Limit of connections to one engine.
     pub per_engine: usize,
 }
 
-/// Descriptors for what the process itself holds, the listener, discovery (an old connection and a new one) and a file
-/// that is read again; a quarter of all where there are very few.
+/// Descriptors reserved for the process itself, the listener, discovery (an old and a new connection) and the
+/// configuration file during a reload.
 const RESERVED_DESCRIPTORS: usize = 20;
+/// With a very low limit, only the limit divided by this is reserved.
 const RESERVED_DIVISOR: usize = 4;
-/// Part of the engines' descriptors that goes to one engine: one in so many.
+/// One engine gets the descriptors for all engines divided by this, but at least one.
 const PER_ENGINE_DIVISOR: usize = 32;
 
 impl DescriptorLimits {
-    /// The limits for a process that may hold so many descriptors.
+    /// Divides a process limit of `limit` descriptors.
     pub fn of(limit: usize) -> DescriptorLimits {
         let rest = limit - RESERVED_DESCRIPTORS.min(limit / RESERVED_DIVISOR);
         let third = rest / 3;
         DescriptorLimits {
-            // Clients hold a third of the limit at most, as the platform states.
+            // The platform states that clients hold at most a third of the limit.
             clients: (limit / 3 + 1).max(1),
             lingering: (rest / 12).max(1),
             engines: third.max(1),
--- a/crates/edges/front/src/program/discovery.rs
+++ b/crates/edges/front/src/program/discovery.rs
@@ -1,9 +1,10 @@
-//! The discovery client: publishes the endpoints of the start, then follows the channel's changes, over a connection that
-//! is made anew whenever it fails.
+//! The discovery client: publishes the initial endpoint list, then follows the discovery channel and reconnects
+//! whenever the connection fails.
 //!
-//! A frame comes each second, if only an empty one. A channel without a frame for `SILENCE_TIMEOUT` counts as lost. Events
-//! are asked for again from the last one that was published; an event is counted only after it was published, as every
-//! wait here may be dropped.
+//! The channel sends a frame each second, an empty one if nothing has changed. A channel without a frame for
+//! `SILENCE_TIMEOUT` counts as lost. After a reconnect, events are requested again from the last one published.
+//! An event counts as published only after it was sent to the router, because the future may be dropped at every
+//! await.
 
 use super::shared::Shared;
 use crate::protocol::discovery::{
@@ -21,24 +22,24 @@
 use std::time::Duration;
 use std::{fmt, io};
 
-/// Time without a frame after which the channel counts as lost.
+/// Time without a complete frame after which the channel counts as lost.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1800);
-/// Mean delay before the first reconnect; doubles with each further one.
+/// Mean delay before the first reconnect. It doubles with each further one.
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(50);
 /// Longest mean delay before a reconnect.
 const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(200);
-/// Skipped engines that are logged, each once; further ones are skipped without a line.
+/// Limit of the skipped engines that are logged, each once. Further ones are skipped without a log line.
 const MAX_LOGGED_ENGINES: usize = 4096;
 
 struct DiscoveryClient {
     shared: Rc<Shared>,
-    /// Number of the last event that was published.
+    /// Number of the last published event.
     last_event: u64,
-    /// Engines that were skipped and logged.
+    /// Engines that were skipped and logged, up to [`MAX_LOGGED_ENGINES`].
     skipped_engines: BTreeSet<EngineId>,
 }
 
-/// Why a connection to the channel was given up.
+/// Reason why a connection to the discovery channel was closed.
 enum ChannelLoss {
     Io(io::Error),
     /// The request for events could not be written in time.
@@ -67,7 +68,7 @@
     }
 }
 
-/// Follows the channel at the latest of these addresses, on from the initial events.
+/// Publishes the initial events, then follows the channel at the latest address received.
 pub async fn run(shared: Rc<Shared>, addresses: Receiver<SocketAddr>, initial: InitialEvents) {
     let mut client =
         DiscoveryClient { shared, last_event: initial.last_event, skipped_engines: BTreeSet::new() };
@@ -76,11 +77,11 @@
     }
     let (mut address, mut reconnect_delay) = (None, MIN_RECONNECT_DELAY);
     loop {
-        // This may be dropped at any point where it waits.
+        // A change of the address drops this future at any await.
         let follow_current = async {
             let Some(address) = address else { return std::future::pending().await };
             let loss = client.follow(address, &mut reconnect_delay).await;
-            // A warning for each loss; while it lasts, each try only at debug.
+            // Each loss is logged as a warning; failed reconnects after it only at debug level.
             let level =
                 if reconnect_delay == MIN_RECONNECT_DELAY { log::Level::Warn } else { log::Level::Debug };
             log::log!(level, "command channel: {loss}; asking again from event {} on", client.last_event);
@@ -91,7 +92,7 @@
         let address_changed = async {
             match addresses.recv().await {
                 Ok(address) => Some(address),
-                Err(_) => std::future::pending().await, // The front ends.
+                Err(_) => std::future::pending().await, // The front is shutting down.
             }
         };
         let next = address_changed.or(follow_current).await;
@@ -102,7 +103,7 @@
 }
 
 impl DiscoveryClient {
-    /// Follows one connection until it fails, and says why.
+    /// Follows one connection until it fails, and returns the reason.
     async fn follow(&mut self, address: SocketAddr, reconnect_delay: &mut Duration) -> ChannelLoss {
         let timeout = self.shared.connect_timeout * 2;
         let socket = match transport::connect(address, timeout).await {
@@ -137,11 +138,11 @@
                 return ChannelLoss::MissingEvents { number: frame.number, last_event: self.last_event };
             }
             self.publish(frame.update, EndpointUpdateKind::Full).await;
-            self.last_event = frame.number; // Only now: this may be dropped while it waits.
+            self.last_event = frame.number; // After the publish, which may be dropped before it completes.
         }
     }
 
-    /// Hands an update to the router; a whole list as one of kind `full_kind`.
+    /// Sends an update to the router. A full list is sent as an update of kind `full_kind`.
     async fn publish(&mut self, update: EndpointUpdate, full_kind: EndpointUpdateKind) {
         let (kind, records) = match update {
             EndpointUpdate::Empty => return,
@@ -152,7 +153,8 @@
         let _ = self.shared.events.send(RouterEvent::Endpoints(kind, endpoints)).await;
     }
 
-    /// The endpoint of a record. An engine whose zone or machine kind the deployment does not state is skipped.
+    /// Converts a record to an endpoint. Returns `None` if the deployment does not state the engine's zone or
+    /// machine kind.
     fn endpoint_of(&mut self, record: EndpointRecord) -> Option<Endpoint> {
         let settings = &self.shared.settings;
         let stated = |number: Option<u32>, names: &[String]| number.filter(|n| (*n as usize) < names.len());
@@ -175,7 +177,7 @@
                 EndpointState::Draining => EngineState::Draining,
                 EndpointState::Removed => EngineState::Removed,
             },
-            // The later of both, as `None` stands for long ago.
+            // The later of both times; `None`, for an engine that started long ago, is the earliest.
             started_at: (record.started_ms > 0)
                 .then(|| Duration::from_millis(record.started_ms))
                 .max(self.shared.slow_start_since),
--- a/crates/edges/front/src/program/external_processing.rs
+++ b/crates/edges/front/src/program/external_processing.rs
@@ -1,6 +1,8 @@
-//! External processing: proxies that send attempts by themselves, in the place of clients and of connections to engines.
-//! Their events go into the router's queue, the router's commands and responses go to them. The state of a call is decided
-//! in `lemonusher-external-call`.
+//! External processing: serves proxies, which send the attempts themselves, in place of client and engine
+//! connections.
+//!
+//! Events of the proxies' streams go to the router's queue; the router's commands and responses go to the
+//! proxies. The state machine of a call is in `lemonusher-external-call`.
 
 use super::shared::Shared;
 use crate::transport::Signal;
@@ -19,21 +21,22 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What the front needs to serve proxies by external processing.
+/// Configuration and channel of external processing.
 pub struct ExternalProcessing {
     /// Configuration of the calls.
     pub config: CallConfig,
-    /// Events of the proxies' streams.
+    /// Receives the events of the proxies' streams.
     pub events: Receiver<ProxyEvent>,
-    /// A start after a crash: what proxies still have in flight is not known.
+    /// Whether this is a start after a crash, when the proxies' attempts in flight are unknown.
     pub recovers: bool,
-    /// Time between two decisions, in place of the deployment's: a response to a proxy waits for it.
+    /// Interval between two decisions of the gateway, in place of the deployment's. A response to a proxy waits
+    /// up to this long.
     pub tick: Duration,
 }
 
 impl ExternalProcessing {
-    /// Restricts a deployment to what external processing can do: engines are reached by proxies alone, so nothing is
-    /// probed and no load is reported.
+    /// Restricts a deployment to the capabilities of external processing. Only proxies connect to engines, so
+    /// there are no probes, no cancels and no load reports.
     pub(super) fn restrict(&self, deployment: &mut Deployment) {
         deployment.tick = self.tick;
         deployment.capabilities.probes = false;
@@ -42,7 +45,7 @@
     }
 }
 
-/// Collects the router's responses, which come in the middle of its turn, for later.
+/// Collects the router's responses, which it gives in the middle of an iteration, until the bridge handles them.
 struct ResponseInbox {
     requests: RefCell<BTreeMap<u64, RequestId>>,
     responses: RefCell<VecDeque<ReceivedResponse>>,
@@ -63,7 +66,7 @@
     }
 }
 
-/// What the bridge waits for.
+/// Events that the bridge waits for.
 enum BridgeEvent {
     Command(EngineCommand),
     Proxy(ProxyEvent),
@@ -75,7 +78,7 @@
 /// The sending side of a proxy's stream.
 struct ProxyStream {
     responses: Sender<ProxyResponse>,
-    /// How long its request was queued before it was read here.
+    /// How long the stream's request was queued before the bridge received it.
     queued: Duration,
 }
 
@@ -90,7 +93,7 @@
     started_at: Instant,
 }
 
-/// Serves for as long as the front runs.
+/// Runs the bridge between the proxies and the router until one of their channels closes.
 pub async fn run(shared: Rc<Shared>, commands: Receiver<EngineCommand>, external: ExternalProcessing) {
     let inbox = Rc::new(ResponseInbox {
         requests: RefCell::default(),
@@ -122,7 +125,8 @@
 }
 
 impl ProcessorBridge {
-    /// Waits for what comes first. The router's commands go first: a response to a proxy must not wait behind requests.
+    /// Waits for the next event. The router's commands take precedence, because a response to a proxy must not
+    /// wait behind new requests.
     async fn next_event(
         &self,
         commands: &Receiver<EngineCommand>,
@@ -149,7 +153,7 @@
         for ReceivedResponse { request, response } in responses {
             self.tickets.remove(&request);
             actions.extend(match response {
-                Response::Returned(_) => Vec::new(), // The proxy has passed it on already.
+                Response::Returned(_) => Vec::new(), // The proxy has forwarded the result itself.
                 Response::Rejected(retry_after) => {
                     self.calls.handle_final_response(now, &request, FinalResponse::Rejected { retry_after })
                 }
@@ -169,7 +173,7 @@
                 self.handle_endpoints(kind, endpoints);
                 Vec::new()
             }
-            // Nothing is probed, and what a proxy has sent can't be cancelled.
+            // There are no probes here, and an attempt that a proxy has sent can't be changed or cancelled.
             EngineCommand::Probe { .. }
             | EngineCommand::SetPriority { .. }
             | EngineCommand::Cancel(_)
@@ -234,7 +238,8 @@
     async fn submit(&mut self, call: CallRequest) {
         self.last_ticket += 1;
         let ticket = self.last_ticket;
-        // Seldom, a request of this id is still on its way out of the router's tables: the new one has its ticket.
+        // In rare cases the router still holds an earlier request with this id. The ticket is then the new
+        // request's.
         self.tickets.insert(call.request.clone(), ticket);
         self.inbox.requests.borrow_mut().insert(ticket, call.request.clone());
         let incoming = IncomingRequest {
@@ -256,7 +261,7 @@
             CallResponse::Forward { engine, .. } => self.addresses.get(engine).copied(),
             _ => None,
         };
-        // The queue has room for all responses of one call; that of a stream that has ended is closed.
+        // The channel has capacity for all responses of one call. It is closed if the stream has ended.
         let _ = responses.try_send(ProxyResponse {
             response,
             engine_address,
--- a/crates/edges/front/src/program/shared.rs
+++ b/crates/edges/front/src/program/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a front share.
+//! State shared by the tasks of a front.
 
 use super::descriptor_limits::DescriptorLimits;
 use crate::transport::{MemoryBudget, StallDetector};
@@ -9,34 +9,35 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What the tasks of a front share.
+/// State shared by the tasks of a front. All of them run on one thread.
 pub struct Shared {
     /// The deployment's settings.
     pub settings: Settings,
-    /// How load reports are read.
+    /// Maps the fields of engines' load reports.
     pub load_fields: LoadReportFields,
     /// The front's counters.
     pub counters: Rc<Counters>,
-    /// The router's queue of events.
+    /// Sends events to the router.
     pub events: async_channel::Sender<RouterEvent>,
-    /// Runs all tasks, on one thread.
+    /// Executor of all tasks.
     pub executor: Rc<LocalExecutor<'static>>,
-    /// Whether the front shuts down.
+    /// Whether the front is shutting down.
     pub shutting_down: Cell<bool>,
-    /// Bytes of responses that wait for clients to read them, over all connections.
+    /// Bytes of responses that wait to be written, over all client connections.
     pub unwritten_bytes: Cell<usize>,
-    /// Above so many unwritten bytes, results give way to errors.
+    /// Limit of `unwritten_bytes`, above which clients get an error in place of a result.
     pub max_unwritten_bytes: usize,
-    /// Memory for partial lines of clients.
+    /// Memory budget for partial lines of clients.
     pub line_memory: Rc<MemoryBudget>,
-    /// Memory for partial replies and results of engines.
+    /// Memory budget for partial replies and partial results of engines.
     pub reply_memory: Rc<MemoryBudget>,
-    /// How long what is read may have waited unread.
+    /// Estimates how long input may have waited unread while this process did not run.
     pub stall_detector: StallDetector,
-    /// How the descriptors are shared out.
+    /// Limits of descriptors for clients and engines.
     pub descriptor_limits: DescriptorLimits,
-    /// How long a connection may take to come up.
+    /// Timeout for establishing a connection. Other timeouts of connections are multiples of it.
     pub connect_timeout: Duration,
-    /// Unix time since when every engine counts as in slow start, where it is not known what they hold.
+    /// After a start that recovers from a crash, the Unix time from which every engine counts as in slow start,
+    /// because it is unknown which attempts are still in flight there.
     pub slow_start_since: Option<Duration>,
 }
--- a/crates/edges/front/src/program/shutdown.rs
+++ b/crates/edges/front/src/program/shutdown.rs
@@ -1,7 +1,7 @@
-//! Signals and the shutdown.
+//! Signal handling and shutdown.
 //!
-//! After the signal requests still come for a while. Then each connection ends once nothing is open on it. Every request
-//! is answered, and the process ends, before the platform kills it.
+//! For some time after the signal, requests still arrive and are accepted. Then each connection closes once no
+//! request is open on it. Every request gets a response, and the process exits, before the platform kills it.
 
 use super::clients::ClientListener;
 use super::config::FrontConfig;
@@ -16,31 +16,32 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The platform kills a front so long after the signal, or after the longest deadline if that is shorter,
+/// The platform kills a front [`SHUTDOWN_GRACE`] after this time from the signal, or, if the longest deadline of
+/// a request class is shorter, [`SHUTDOWN_GRACE`] after that.
 const MAX_SHUTDOWN: Duration = Duration::from_millis(3000);
-/// and this.
+/// See [`MAX_SHUTDOWN`].
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(700);
-/// So long after the signal requests still come, as the platform states.
+/// Time after the signal in which requests still arrive, as the platform states.
 const LATE_REQUEST_SPAN: Duration = Duration::from_millis(600);
-/// Responses are written so long before the kill.
+/// Time before the kill by which every request has a response.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(250);
-/// The process ends so long before the kill.
+/// Time before the kill by which the process exits.
 const EXIT_MARGIN: Duration = Duration::from_millis(100);
-/// How often it is checked whether everything has been answered; also the last wait before the end.
+/// Interval of the check whether every request has a response; also the last wait before the exit.
 const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The shutdown's times, from the signal on.
+/// The steps of the shutdown, as times after the signal.
 pub(super) struct ShutdownSchedule {
-    /// Connections are accepted for so long.
+    /// How long connections are accepted.
     accept_for: Duration,
-    /// Every request is answered within this.
+    /// Time within which every request gets a response.
     respond_within: Duration,
-    /// The process ends within this.
+    /// Time within which the process exits.
     exit_within: Duration,
 }
 
 impl ShutdownSchedule {
-    /// The schedule for request classes with this longest deadline.
+    /// Builds the schedule. `max_deadline` is the longest deadline of all request classes.
     pub fn new(max_deadline: Duration) -> Self {
         let killed_after = MAX_SHUTDOWN.min(max_deadline) + SHUTDOWN_GRACE;
         let respond_within = killed_after - RESPONSE_MARGIN;
@@ -53,13 +54,13 @@
 
 /// The listener for clients, and the task that accepts their connections.
 pub(super) struct AcceptingListener {
-    /// The listener, with the connections that it has accepted.
+    /// The listener and the connections accepted from it.
     pub listener: Rc<ClientListener>,
-    /// The task that accepts.
+    /// The task that accepts connections.
     pub task: Task<()>,
 }
 
-/// Shuts the front down. `clients` is none where proxies take the place of clients.
+/// Shuts the front down. `clients` is `None` if the front serves proxies in place of clients.
 pub(super) async fn shut_down(
     shared: &Shared,
     schedule: &ShutdownSchedule,
@@ -78,14 +79,15 @@
             listener.shut_down(exit_at).await;
         }
     }
-    // Requests of proxies have no connection here that could show that they are answered.
+    // Requests of proxies belong to no client connection whose close would show that they have a response.
     while (open_requests.get() > 0 || shared.unwritten_bytes.get() > 0) && Instant::now() < exit_at {
         Timer::after(EXIT_CHECK_INTERVAL).await;
     }
     Timer::after(EXIT_CHECK_INTERVAL).await;
 }
 
-/// Waits for a signal to end. Others reload the configuration, or print the counters.
+/// Waits for a signal that ends the front, and returns when it was received. SIGHUP reloads the configuration,
+/// SIGUSR1 logs the counters.
 pub(super) async fn wait_for_end(
     signals: &mut Signals,
     counters: &Counters,
@@ -102,7 +104,8 @@
     Instant::now()
 }
 
-/// Takes over the discovery channel's address of a newer file. A file that can't be used leaves all as it is.
+/// Reloads the configuration file, of which only the discovery channel's address takes effect. A file that can't
+/// be used changes nothing.
 pub(super) fn reload_config(path: &str, config: &mut FrontConfig, moved: &async_channel::Sender<SocketAddr>) {
     let newer = match FrontConfig::read(path) {
         Ok(newer) => newer,
--- a/crates/edges/front/src/program/start.rs
+++ b/crates/edges/front/src/program/start.rs
@@ -1,4 +1,4 @@
-//! Start-up: reads the configuration, builds the router and what the tasks share, and starts the tasks.
+//! Start-up: reads the configuration, builds the router and the shared state, and starts the tasks.
 
 use super::clients::ClientListener;
 use super::config::{FrontConfig, StartError};
@@ -22,33 +22,34 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How often the stall detector is polled.
+/// Interval between polls of the stall detector.
 const STALL_DETECTOR_PERIOD: Duration = Duration::from_millis(10);
-/// Events and engine commands that wait in their queues.
+/// Capacity of the router's event queue, and of the queue of engine commands.
 const QUEUE_LENGTH: usize = 4096;
-/// Connections that wait to be accepted.
+/// Length of the kernel's accept queue.
 const LISTEN_BACKLOG: i32 = 4096;
-/// Part of the memory that statements may take: one in so many.
+/// Statements may take the memory limit divided by this.
 const STATEMENT_MEMORY_DIVISOR: usize = 4;
-/// Part of the memory that responses may take which clients are slow to read: one in so many.
+/// Responses that clients are slow to read may take the memory limit divided by this.
 const RESPONSE_MEMORY_DIVISOR: usize = 4;
-/// Part of the memory that partial messages may take, of clients and of engines: one in so many each.
+/// Partial messages of clients, and those of engines, may each take the memory limit divided by this.
 const PARTIAL_MEMORY_DIVISOR: usize = 8;
 
-/// Serves by the file that `PROXY_CONFIG` names until a signal ends it.
+/// Runs a front, configured by the file that `PROXY_CONFIG` names, until a signal ends it.
 pub fn run() -> Result<(), StartError> {
     let path = std::env::var("PROXY_CONFIG").map_err(|_| StartError::Missing("PROXY_CONFIG"))?;
     serve(path, None, None, None)
 }
 
-/// Serves by this file until a signal ends it: clients and engines, or proxies that send attempts by themselves.
+/// Runs a front, configured by the file at `path`, until a signal ends it. It serves clients and connects to
+/// engines, or, with external processing, serves proxies that send the attempts themselves.
 pub fn serve(
     path: String,
     management: Option<ManagementChannels>,
     external_processing: Option<ExternalProcessing>,
     fleet: Option<FleetChannels>,
 ) -> Result<(), StartError> {
-    // Watched from the first on: a signal that comes during the start is handled after it.
+    // Signals are watched from the beginning, so that one received during the start is handled after it.
     let watched = [Signal::Term, Signal::Int, Signal::Usr1, Signal::Hup];
     let signals = Signals::new(watched).map_err(StartError::Signals)?;
     let config = FrontConfig::read(&path)?;
@@ -94,14 +95,14 @@
     transport::listen(address, LISTEN_BACKLOG).map_err(|error| StartError::Listen { address, error })
 }
 
-/// The clock's origin lies before the start of every engine that is in slow start, and no earlier: the gateway's initial
-/// values fade from the origin on.
+/// The clock's origin has to lie before the start of every engine that is in slow start, but no earlier than needed,
+/// because the gateway's initial values decay from the origin on.
 fn clock(initial: &InitialEvents, deployment: &Deployment) -> Clock {
     let window = deployment.safety_rules.slow_start_window;
     Clock::with_history(oldest_slow_start(&initial.updates, window) + deployment.tick)
 }
 
-/// How long ago the first of the engines started that are still in slow start.
+/// Age of the oldest engine that is still in slow start; zero if there is none.
 fn oldest_slow_start(updates: &[EndpointUpdate], window: Duration) -> Duration {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let records = updates.iter().flat_map(|update| match update {
@@ -112,7 +113,7 @@
     ages.filter(|age| *age < window).max().unwrap_or_default()
 }
 
-/// What the router may hold. `memory` in bytes.
+/// Limits of the router. `memory` is in bytes.
 fn router_limits(settings: &Settings, deployment: &Deployment, memory: usize) -> Limits {
     Limits {
         max_requests: settings.capabilities.max_open_requests.max(1),
@@ -121,7 +122,7 @@
     }
 }
 
-/// What the tasks share. `memory` in bytes; a recovery is a start after a crash.
+/// Builds the shared state. `memory` is in bytes; `is_recovery` marks a start after a crash.
 fn shared(
     settings: Settings,
     events: Sender<RouterEvent>,
@@ -174,7 +175,7 @@
     shared: Rc<Shared>,
 }
 
-/// What the front's tasks are started with.
+/// What the front's tasks are built from: the router, its queues and the inputs of the drivers.
 struct Tasks {
     router: RequestRouter,
     received_events: Receiver<RouterEvent>,
@@ -190,7 +191,7 @@
         let shared = self.shared.clone();
         let executor = &shared.executor;
         let open_requests: Rc<Cell<usize>> = tasks.router.open_requests();
-        let (moved, addresses) = async_channel::bounded(1); // Only the latest counts.
+        let (moved, addresses) = async_channel::bounded(1); // Holds only the latest address.
         let _ = moved.try_send(self.config.channel);
         executor.spawn(tasks.router.run(tasks.received_events)).detach();
         match tasks.external_processing {
