--- a/crates/edges/front/src/program/clients/listener.rs
+++ b/crates/edges/front/src/program/clients/listener.rs
@@ -64,7 +64,7 @@
                 Ok(socket) => self.serve(socket),
                 Err(error) => {
                     if warned_at.elapsed() > WARNING_INTERVAL {
-                        log::warn!("can't accept: {error}");
+                        log::warn!("accepting a client connection failed: {error}");
                         warned_at = Instant::now();
                     }
                     self.close_idlest();
@@ -107,7 +107,7 @@
         let serve = async move {
             if AssertUnwindSafe(session.serve()).catch_unwind().await.is_err() {
                 shared.counters.add(Counter::Panics, None);
-                log::error!("a client's connection panicked and ends");
+                log::error!("client connection dropped after its task panicked");
             }
             session.end().await;
             sessions.borrow_mut().remove(&number);
--- a/crates/edges/front/src/program/clients/reading.rs
+++ b/crates/edges/front/src/program/clients/reading.rs
@@ -48,10 +48,10 @@
     /// The reason as it stands in the log.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            ReadEnd::ClientClosed => "Gone",
-            ReadEnd::Broken => "Broken",
-            ReadEnd::Faulty => "Faulty",
-            ReadEnd::Idle => "Idle",
+            ReadEnd::ClientClosed => "closed by the client",
+            ReadEnd::Broken => "socket failed",
+            ReadEnd::Faulty => "input beyond a limit",
+            ReadEnd::Idle => "closed while idle",
         })
     }
 }
@@ -141,7 +141,7 @@
 
     /// Maps a read error to the reason why reading ends. A line that is too long gets one error response.
     fn handle_read_error(&self, error: ReadError<Infallible>) -> ReadEnd {
-        log::debug!("a client's connection can't be read on: {error}");
+        log::debug!("reading from a client connection failed: {error}");
         match error {
             ReadError::Io(_) => ReadEnd::Broken,
             ReadError::Truncated => ReadEnd::ClientClosed,
@@ -211,7 +211,11 @@
         }
         self.check_open_requests(message.id)?;
         let request: RequestId = message.request.into();
-        log::debug!("batch {request} taken: {} of {} ms", message.request_class, message.client_timeout_ms);
+        log::debug!(
+            "batch {request} accepted: class {}, client timeout {} ms",
+            message.request_class,
+            message.client_timeout_ms
+        );
         self.open_requests.borrow_mut().insert(message.id, request.clone());
         Ok(IncomingRequest {
             sink: self.clone(),
@@ -241,7 +245,7 @@
 
     fn handle_fault(&self, fault: Fault) {
         self.shared.counters.add(Counter::FaultyLines, None);
-        log::debug!("a client's line is faulty: {fault:?}");
+        log::debug!("invalid message from a client: {fault:?}");
         self.write(&client::encode_fault(&fault));
         // Error responses cost little, but they are limited too.
         self.faulty_lines.set(self.faulty_lines.get() + u32::from(fault.id.is_none()));
--- a/crates/edges/front/src/program/clients/session.rs
+++ b/crates/edges/front/src/program/clients/session.rs
@@ -112,7 +112,7 @@
     pub async fn serve(self: &Rc<Self>) {
         let write = async {
             let written = self.write_queue.run(WRITE_STALL_TIMEOUT, || self.update_unwritten()).await;
-            written.inspect_err(|error| log::debug!("a client's connection ends: {error}")).is_ok()
+            written.inspect_err(|error| log::debug!("writing to a client connection failed: {error}")).is_ok()
         };
         if self.serve_reads().or(write).await {
             self.linger(transport::close_gracefully(&self.socket(), LINGER_TIMEOUT)).await;
@@ -124,7 +124,7 @@
     async fn serve_reads(self: &Rc<Self>) -> bool {
         let end = self.read().await;
         self.accepting.set(false);
-        log::debug!("a client's connection takes no more: {end}");
+        log::debug!("client connection accepts no more requests: {end}");
         match end {
             // No further attempt starts for the client's open requests. The client may have closed only its
             // writing side and still read, so each request gets the response "failed", which promises nothing
@@ -202,7 +202,7 @@
     /// Queues a line to be written. A client that reads too slowly for the write queue loses its connection.
     pub(super) fn write(&self, line: &str) {
         if self.write_queue.push(line.as_bytes()).is_err() {
-            log::debug!("a client reads too slowly: its connection ends");
+            log::debug!("client connection dropped: the client reads too slowly");
             self.accepting.set(false);
             self.write_queue.close();
         }
--- a/crates/edges/front/src/program/config.rs
+++ b/crates/edges/front/src/program/config.rs
@@ -70,11 +70,11 @@
 impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            StartError::Missing(name) => write!(f, "the variable {name} is not set"),
+            StartError::Missing(name) => write!(f, "environment variable {name} is not set"),
             StartError::Unreadable { path, error } => write!(f, "can't read {path}: {error}"),
             StartError::Malformed { path, reason } => write!(f, "can't use {path}: {reason}"),
             StartError::Listen { address, error } => write!(f, "can't listen on {address}: {error}"),
-            StartError::Signals(error) => write!(f, "can't watch for signals: {error}"),
+            StartError::Signals(error) => write!(f, "can't register signal handlers: {error}"),
         }
     }
 }
@@ -96,7 +96,7 @@
 
     /// The seed of the gateway's random draws.
     pub fn seed(&self, path: &str) -> Result<u64, StartError> {
-        u64::from_str_radix(&self.seed, 16).map_err(|_| malformed(path, "'seed' is no hex number"))
+        u64::from_str_radix(&self.seed, 16).map_err(|_| malformed(path, "'seed' is not a hexadecimal number"))
     }
 
     /// The endpoint updates that are known at the start, with the number of the last one.
--- a/crates/edges/front/src/program/discovery.rs
+++ b/crates/edges/front/src/program/discovery.rs
@@ -57,12 +57,12 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             ChannelLoss::Io(error) => write!(f, "{error}"),
-            ChannelLoss::WriteTimeout => write!(f, "takes nothing"),
-            ChannelLoss::Silent => write!(f, "fell silent"),
-            ChannelLoss::Closed => write!(f, "closed"),
+            ChannelLoss::WriteTimeout => write!(f, "request for events not written in time"),
+            ChannelLoss::Silent => write!(f, "no frame in time"),
+            ChannelLoss::Closed => write!(f, "closed by the server"),
             ChannelLoss::Read(error) => write!(f, "{error}"),
             ChannelLoss::MissingEvents { number, last_event } => {
-                write!(f, "event {number} came after {last_event}")
+                write!(f, "event {number} follows event {last_event}: events are missing")
             }
         }
     }
@@ -84,7 +84,11 @@
             // Each loss is logged as a warning; failed reconnects after it only at debug level.
             let level =
                 if reconnect_delay == MIN_RECONNECT_DELAY { log::Level::Warn } else { log::Level::Debug };
-            log::log!(level, "command channel: {loss}; asking again from event {} on", client.last_event);
+            log::log!(
+                level,
+                "discovery channel lost: {loss}; reconnecting to resume after event {}",
+                client.last_event
+            );
             Timer::after(reconnect_delay.mul_f64(0.5 + fastrand::f64())).await;
             reconnect_delay = (reconnect_delay * 2).min(MAX_RECONNECT_DELAY);
             Some(address)
@@ -162,7 +166,7 @@
         let machine_kind = stated(record.machine_kind, &settings.machine_kinds);
         let (Some(zone), Some(machine_kind)) = (zone, machine_kind) else {
             if self.skipped_engines.len() < MAX_LOGGED_ENGINES && self.skipped_engines.insert(record.engine) {
-                log::warn!("engine {:08x} is left out: unknown location or kind", record.engine);
+                log::warn!("engine {:08x} is left out: unknown zone or machine kind", record.engine);
             }
             return None;
         };
--- a/crates/edges/front/src/program/engines/connecting.rs
+++ b/crates/edges/front/src/program/engines/connecting.rs
@@ -32,7 +32,7 @@
             match connected {
                 Ok(socket) => engines.serve_connection(engine, address, socket).await,
                 Err(error) => {
-                    log::debug!("engine {engine:08x}: no connection: {error}");
+                    log::debug!("engine {engine:08x}: connect failed: {error}");
                     engines.handle_no_connection(engine).await;
                 }
             }
@@ -110,11 +110,11 @@
         // once.
         let is_graceful = matches!(end, Ok(None)) && ended.is_empty();
         match end {
-            Ok(Some(error)) => log::debug!("engine {engine:08x}: a connection ends: {error}"),
+            Ok(Some(error)) => log::debug!("engine {engine:08x}: connection failed: {error}"),
             Ok(None) => {}
             Err(_) => {
                 self.shared.counters.add(Counter::Panics, None);
-                log::error!("engine {engine:08x}: a connection panicked and ends");
+                log::error!("engine {engine:08x}: connection dropped after its task panicked");
             }
         }
         if let Some(pool) = self.pools.borrow_mut().get_mut(&engine) {
--- a/crates/edges/front/src/program/engines/endpoints.rs
+++ b/crates/edges/front/src/program/engines/endpoints.rs
@@ -74,12 +74,12 @@
         if self.lacks_descriptors.replace(lacks_descriptors) != lacks_descriptors {
             if lacks_descriptors {
                 log::warn!(
-                    "{active} engines, and descriptors for {room} connections to them: none is opened ahead, the one \
-                     idle longest ends for each that is wanted"
+                    "{active} engines, but descriptors for {room} connections to them: connections are opened only on \
+                     demand, and each replaces the longest idle one"
                 );
             } else {
                 log::info!(
-                    "{active} engines, and descriptors for {room} connections to them: each can have one"
+                    "{active} engines, and descriptors for {room} connections to them: enough for each engine"
                 );
             }
         }
--- a/crates/edges/front/src/program/engines/mod.rs
+++ b/crates/edges/front/src/program/engines/mod.rs
@@ -61,7 +61,7 @@
     while let Ok(command) = commands.recv().await {
         if AssertUnwindSafe(engines.handle_command(command)).catch_unwind().await.is_err() {
             engines.shared.counters.add(Counter::Panics, None);
-            log::error!("an order for the engines panicked");
+            log::error!("engine command handler panicked");
         }
     }
 }
--- a/crates/edges/front/src/program/shutdown.rs
+++ b/crates/edges/front/src/program/shutdown.rs
@@ -98,7 +98,7 @@
             Ok(Signal::Usr1) => log::info!("counts: {counters}"),
             Ok(Signal::Hup) => reload(),
             Ok(_) => break,
-            Err(error) => log::warn!("signals: {error}"),
+            Err(error) => log::warn!("receiving a signal failed: {error}"),
         }
     }
     Instant::now()
@@ -109,13 +109,13 @@
 pub(super) fn reload_config(path: &str, config: &mut FrontConfig, moved: &async_channel::Sender<SocketAddr>) {
     let newer = match FrontConfig::read(path) {
         Ok(newer) => newer,
-        Err(error) => return log::warn!("reload: {error}; all stays as it is"),
+        Err(error) => return log::warn!("reload failed: {error}; the configuration stays unchanged"),
     };
     let changes = config.changes_at_restart(&newer);
     if !changes.is_empty() {
-        log::warn!("reload: taken up only at the next start: {changes}");
+        log::warn!("reload: these keys take effect only at the next start: {changes}");
     }
-    log::info!("reload: the command channel is at {}", newer.channel);
+    log::info!("reload: the discovery channel is at {}", newer.channel);
     if std::mem::replace(&mut config.channel, newer.channel) != newer.channel {
         let _ = moved.force_send(newer.channel);
     }
--- a/crates/edges/front/tests/sockets.rs
+++ b/crates/edges/front/tests/sockets.rs
@@ -405,7 +405,7 @@
     let serve = engine.next_message("serve");
     for config in ["{", "{}"] {
         front.reload(config);
-        front.wait_for_log("all stays as it is");
+        front.wait_for_log("the configuration stays unchanged");
     }
     let mut newer = start_config(&[(1, engine.address)], moved.address);
     newer["limits"]["sockets"] = json!(512);
