--- a/crates/edges/front/src/program/engines/connecting.rs
+++ b/crates/edges/front/src/program/engines/connecting.rs
@@ -21,8 +21,8 @@
     /// Opens a further connection to an engine, in a task of its own, if a descriptor is free. If none is free
     /// and the connection is needed now rather than opened ahead, the longest idle connection is retired and a
     /// retry is scheduled.
-    pub(super) fn open_connection(self: &Rc<Self>, engine: EngineId, wanted: bool) {
-        let Some(address) = self.reserve_descriptor(engine, wanted) else { return };
+    pub(super) fn open_connection(self: &Rc<Self>, engine: EngineId, on_demand: bool) {
+        let Some(address) = self.reserve_descriptor(engine, on_demand) else { return };
         let engines = self.clone();
         let connect = async move {
             let connected = transport::connect(address, engines.shared.connect_timeout).await;
@@ -42,22 +42,22 @@
 
     /// Reserves a descriptor by counting one more connection as being established, and returns the engine's address;
     /// `None` if no descriptor is free.
-    fn reserve_descriptor(self: &Rc<Self>, engine: EngineId, wanted: bool) -> Option<SocketAddr> {
+    fn reserve_descriptor(self: &Rc<Self>, engine: EngineId, on_demand: bool) -> Option<SocketAddr> {
         let is_full = self.is_full();
         let mut pools = self.pools.borrow_mut();
         // A connection that is already closing will free its descriptor.
-        if is_full && wanted && pools.values().all(|pool| pool.ending == 0) {
+        if is_full && on_demand && pools.values().all(|pool| pool.ending == 0) {
             let connections = pools.values().flat_map(|pool| &pool.connections);
             let idle = connections
                 .filter(|connection| !connection.retired.get())
                 .filter_map(|connection| Some((connection.idle_time()?, connection)));
-            if let Some((_, idlest)) = idle.max_by_key(|(idle_time, _)| *idle_time) {
-                idlest.retire();
+            if let Some((_, longest_idle)) = idle.max_by_key(|(idle_time, _)| *idle_time) {
+                longest_idle.retire();
             }
         }
         let pool = pools.get_mut(&engine)?;
         if is_full {
-            if wanted && !std::mem::replace(&mut pool.retry_scheduled, true) {
+            if on_demand && !std::mem::replace(&mut pool.retry_scheduled, true) {
                 self.shared.executor.spawn(self.clone().retry_open(engine)).detach();
             }
             return None;
@@ -74,11 +74,11 @@
 
     async fn retry_open(self: Rc<Self>, engine: EngineId) {
         Timer::after(RETRY_INTERVAL).await;
-        let wanted = self.pools.borrow_mut().get_mut(&engine).is_some_and(|pool| {
+        let is_needed = self.pools.borrow_mut().get_mut(&engine).is_some_and(|pool| {
             pool.retry_scheduled = false;
             !pool.queued.is_empty() && pool.connecting == 0 && pool.all_retired()
         });
-        if wanted {
+        if is_needed {
             self.open_connection(engine, true);
         }
     }
