--- a/crates/edges/front/src/program/engines/connecting.rs
+++ b/crates/edges/front/src/program/engines/connecting.rs
@@ -46,7 +46,7 @@
         let is_full = self.is_full();
         let mut pools = self.pools.borrow_mut();
         // A connection that is already closing will free its descriptor.
-        if is_full && on_demand && pools.values().all(|pool| pool.ending == 0) {
+        if is_full && on_demand && pools.values().all(|pool| pool.closing == 0) {
             let connections = pools.values().flat_map(|pool| &pool.connections);
             let idle = connections
                 .filter(|connection| !connection.retired.get())
@@ -119,7 +119,7 @@
         }
         if let Some(pool) = self.pools.borrow_mut().get_mut(&engine) {
             pool.connections.retain(|other| !Rc::ptr_eq(other, &connection));
-            pool.ending += 1;
+            pool.closing += 1;
         }
         self.handle_no_connection(engine).await;
         for TokenEvent { token, event } in ended {
@@ -152,7 +152,7 @@
     fn release_descriptor(&self, engine: EngineId) {
         let mut pools = self.pools.borrow_mut();
         if let Some(pool) = pools.get_mut(&engine) {
-            pool.ending -= 1;
+            pool.closing -= 1;
             if pool.state == EngineState::Removed && pool.descriptors_held() == 0 {
                 pools.remove(&engine);
             }
--- a/crates/edges/front/src/program/engines/pool.rs
+++ b/crates/edges/front/src/program/engines/pool.rs
@@ -28,7 +28,7 @@
     /// Number of connections being established.
     pub connecting: usize,
     /// Number of connections that have ended here but still hold a descriptor, such as during a graceful close.
-    pub ending: usize,
+    pub closing: usize,
     /// Whether a retry to get a descriptor for a connection is scheduled.
     pub retry_scheduled: bool,
     /// Attempts and probes that wait for a connection, oldest first.
@@ -44,7 +44,7 @@
             started_at: endpoint.started_at,
             connections: Vec::new(),
             connecting: 0,
-            ending: 0,
+            closing: 0,
             retry_scheduled: false,
             queued: Vec::new(),
         }
@@ -52,7 +52,7 @@
 
     /// Number of descriptors that the pool holds.
     pub fn descriptors_held(&self) -> usize {
-        self.connections.len() + self.connecting + self.ending
+        self.connections.len() + self.connecting + self.closing
     }
 
     /// Whether every established connection is retired.
