--- a/crates/edges/front/src/program/engines/mod.rs
+++ b/crates/edges/front/src/program/engines/mod.rs
@@ -27,7 +27,7 @@
 use std::time::Duration;
 
 /// An idle connection is retired after the engine's idle timeout divided by this, so before the engine closes it.
-const IDLE_DIVISOR: u32 = 2;
+const IDLE_TIMEOUT_DIVISOR: u32 = 2;
 /// Progress intervals, plus the connect timeout, for which a connection may go without a reply while one is awaited.
 /// After that it is retired.
 const MAX_SILENT_PERIODS: u32 = 3;
@@ -72,7 +72,7 @@
 async fn maintain(engines: Rc<EnginePools>) {
     let settings = &engines.shared.settings;
     let connect_timeout = engines.shared.connect_timeout;
-    let max_idle_time = Duration::from_micros(settings.capabilities.idle_timeout_us) / IDLE_DIVISOR;
+    let max_idle_time = Duration::from_micros(settings.capabilities.idle_timeout_us) / IDLE_TIMEOUT_DIVISOR;
     let progress_period = Duration::from_micros(settings.engines.progress_interval_us);
     let max_silence = progress_period * MAX_SILENT_PERIODS + connect_timeout;
     loop {
--- a/crates/edges/front/src/program/engines/sending.rs
+++ b/crates/edges/front/src/program/engines/sending.rs
@@ -15,7 +15,7 @@
 const MAX_QUEUED_COMMANDS: usize = 1024;
 /// A further connection is opened once the pool's free streams, with those of connections being established, are
 /// fewer than the streams of one connection divided by this.
-const SPARE_DIVISOR: usize = 4;
+const SPARE_STREAMS_DIVISOR: usize = 4;
 
 /// How an attempt or probe is handled.
 enum Assignment {
@@ -96,8 +96,8 @@
         // Queued commands are compared only with the streams of connections being established: a connection with
         // free streams can't carry a command whose id it has carried before.
         let coming = pool.connecting * streams;
-        let lacks_streams =
-            coming < pool.queued.len() || pool.free_streams(streams) + coming < streams / SPARE_DIVISOR;
+        let lacks_streams = coming < pool.queued.len()
+            || pool.free_streams(streams) + coming < streams / SPARE_STREAMS_DIVISOR;
         let has_room = pool.connections.len() + pool.connecting < self.shared.descriptor_limits.per_engine;
         Placement { assignment, opens_connection: lacks_streams && has_room }
     }
