--- a/crates/edges/front/src/program/engines/endpoints.rs
+++ b/crates/edges/front/src/program/engines/endpoints.rs
@@ -69,17 +69,18 @@
     /// Whether there are more active engines than descriptors for connections to them. Logs each change of that.
     fn update_descriptor_shortage(&self) -> bool {
         let active = self.pools.borrow().values().filter(|pool| pool.state == EngineState::Active).count();
-        let room = self.shared.descriptor_limits.engines;
-        let lacks_descriptors = active > room;
+        let max_connections = self.shared.descriptor_limits.engines;
+        let lacks_descriptors = active > max_connections;
         if self.lacks_descriptors.replace(lacks_descriptors) != lacks_descriptors {
             if lacks_descriptors {
                 log::warn!(
-                    "{active} engines, but descriptors for {room} connections to them: connections are opened only on \
-                     demand, and each replaces the longest idle one"
+                    "{active} engines, but descriptors for {max_connections} connections to them: connections are \
+                     opened only on demand, and each replaces the longest idle one"
                 );
             } else {
                 log::info!(
-                    "{active} engines, and descriptors for {room} connections to them: enough for each engine"
+                    "{active} engines, and descriptors for {max_connections} connections to them: enough for each \
+                     engine"
                 );
             }
         }
--- a/crates/edges/front/src/program/engines/pool.rs
+++ b/crates/edges/front/src/program/engines/pool.rs
@@ -68,12 +68,12 @@
     /// The connection with the fewest free streams that can carry the command, so that the others become idle.
     /// `streams` is the limit of streams per connection.
     pub fn connection_for(&self, command: &EngineCommand, streams: usize) -> Option<Rc<EngineConnection>> {
-        let fits = |connection: &&Rc<EngineConnection>| {
+        let can_carry = |connection: &&Rc<EngineConnection>| {
             connection.free_streams(streams) > 0
                 && command.request().is_none_or(|id| !connection.has_used(id))
         };
-        let fitting = self.connections.iter().filter(fits);
-        fitting.min_by_key(|connection| connection.free_streams(streams)).cloned()
+        let candidates = self.connections.iter().filter(can_carry);
+        candidates.min_by_key(|connection| connection.free_streams(streams)).cloned()
     }
 
     /// Number of free streams over all connections. `streams` is the limit per connection.
--- a/crates/edges/front/src/program/engines/sending.rs
+++ b/crates/edges/front/src/program/engines/sending.rs
@@ -95,11 +95,12 @@
         };
         // Queued commands are compared only with the streams of connections being established: a connection with
         // free streams can't carry a command whose id it has carried before.
-        let coming = pool.connecting * streams;
-        let lacks_streams = coming < pool.queued.len()
-            || pool.free_streams(streams) + coming < streams / SPARE_STREAMS_DIVISOR;
-        let has_room = pool.connections.len() + pool.connecting < self.shared.descriptor_limits.per_engine;
-        Placement { assignment, opens_connection: lacks_streams && has_room }
+        let connecting_streams = pool.connecting * streams;
+        let lacks_streams = connecting_streams < pool.queued.len()
+            || pool.free_streams(streams) + connecting_streams < streams / SPARE_STREAMS_DIVISOR;
+        let is_below_limit =
+            pool.connections.len() + pool.connecting < self.shared.descriptor_limits.per_engine;
+        Placement { assignment, opens_connection: lacks_streams && is_below_limit }
     }
 
     fn streams_per_connection(&self) -> usize {
