--- a/crates/edges/front/src/program/engines/replies.rs
+++ b/crates/edges/front/src/program/engines/replies.rs
@@ -24,7 +24,7 @@
     /// It stays in flight, with an event for the router if there is one.
     Continues(Option<RouterEvent>),
     /// It expects no reply of this kind; the reply is ignored.
-    Stray,
+    Unmatched,
 }
 
 /// A reply whose id is in flight, with the number of its attempt or probe.
@@ -80,7 +80,7 @@
                 Some(event)
             }
             ReplyEffect::Continues(event) => event,
-            ReplyEffect::Stray => {
+            ReplyEffect::Unmatched => {
                 self.shared.counters.add(Counter::StrayAnswers, None);
                 None
             }
@@ -114,7 +114,7 @@
             ReplyKind::Completed { usage, .. } => reply.returned(usage),
             ReplyKind::Rejected => reply.ended(AttemptOutcome::Rejected),
             ReplyKind::NotStarted => reply.ended(AttemptOutcome::NotSent),
-            ReplyKind::Healthy | ReplyKind::Unhealthy => ReplyEffect::Stray,
+            ReplyKind::Healthy | ReplyKind::Unhealthy => ReplyEffect::Unmatched,
         }
     }
 
@@ -136,7 +136,7 @@
                 return self.begin_result(paged, reply, pages, usage);
             }
             (ReplyKind::Page { page }, Some(paged)) => self.add_page(paged, reply, page),
-            _ => ReplyEffect::Stray,
+            _ => ReplyEffect::Unmatched,
         })
     }
 
@@ -177,7 +177,7 @@
     /// Handles a further page of a result. The last missing page ends the attempt with the result.
     fn add_page(&self, paged: &mut PagedResult, reply: MatchedReply, page: usize) -> ReplyEffect {
         let Some(missing_page) = paged.pages.get_mut(page).filter(|page| page.is_none()) else {
-            return ReplyEffect::Stray;
+            return ReplyEffect::Unmatched;
         };
         paged.bytes += reply.body.len();
         paged.missing -= 1;
@@ -199,7 +199,7 @@
     let answered = match reply.kind {
         ReplyKind::Healthy => true,
         ReplyKind::Unhealthy => false,
-        _ => return ReplyEffect::Stray,
+        _ => return ReplyEffect::Unmatched,
     };
     ReplyEffect::Ended(RouterEvent::ProbeEnded { token: reply.token, answered, load: reply.load })
 }
