--- a/crates/edges/front/src/program/clients/listener.rs
+++ b/crates/edges/front/src/program/clients/listener.rs
@@ -67,7 +67,7 @@
                         log::warn!("accepting a client connection failed: {error}");
                         warned_at = Instant::now();
                     }
-                    self.close_idlest();
+                    self.close_longest_idle();
                     self.wait(DESCRIPTOR_RETRY_DELAY).await;
                 }
             }
@@ -126,7 +126,8 @@
                 (sessions.len(), sessions.values().filter(|session| session.is_lingering()).count())
             };
             if all - lingering >= limits.clients {
-                let delay = if self.close_idlest() { CLOSE_CHECK_INTERVAL } else { DESCRIPTOR_RETRY_DELAY };
+                let delay =
+                    if self.close_longest_idle() { CLOSE_CHECK_INTERVAL } else { DESCRIPTOR_RETRY_DELAY };
                 self.wait(delay).await;
             } else if all >= limits.clients + limits.lingering {
                 self.close_longest_lingering();
@@ -139,7 +140,7 @@
 
     /// Requests that one idle connection closes: preferably one without a first line in time, or else the one
     /// that has been idle longest. Returns false if none is idle.
-    fn close_idlest(&self) -> bool {
+    fn close_longest_idle(&self) -> bool {
         let sessions = self.sessions.borrow();
         let idle = sessions.values().filter_map(|session| Some((session, session.idle_time()?)));
         // A new connection is the last choice, because its first line is probably on its way.
@@ -151,10 +152,10 @@
             (true, _) => 1,
             (false, true) => 0,
         };
-        let idlest = idle
+        let longest_idle = idle
             .filter(|(session, _)| !transport::has_unread(&session.socket()))
             .max_by_key(|(session, idle_time)| (rank(session, *idle_time), *idle_time));
-        idlest.inspect(|(session, _)| session.request_close()).is_some()
+        longest_idle.inspect(|(session, _)| session.request_close()).is_some()
     }
 
     fn close_longest_lingering(&self) {
