--- a/crates/edges/front/src/program/clients/listener.rs
+++ b/crates/edges/front/src/program/clients/listener.rs
@@ -145,7 +145,7 @@
         let idle = sessions.values().filter_map(|session| Some((session, session.idle_time()?)));
         // A new connection is the last choice, because its first line is probably on its way.
         let rank = |session: &ClientSession, idle_time: Duration| match (
-            session.has_sent_line(),
+            session.has_received_line(),
             idle_time < FIRST_LINE_GRACE,
         ) {
             (false, false) => 2,
@@ -171,7 +171,7 @@
         loop {
             Timer::after(IDLE_CHECK_INTERVAL).await;
             for session in self.sessions.borrow().values() {
-                let timeout = if session.has_sent_line() { IDLE_TIMEOUT } else { FIRST_LINE_TIMEOUT };
+                let timeout = if session.has_received_line() { IDLE_TIMEOUT } else { FIRST_LINE_TIMEOUT };
                 if session.idle_time().is_some_and(|idle_time| idle_time > timeout) {
                     session.request_close();
                 }
@@ -191,7 +191,7 @@
         while !self.sessions.borrow().is_empty() && Instant::now() < until {
             for session in self.sessions.borrow().values().filter(|session| !session.is_lingering()) {
                 // The first line of a new connection is probably on its way.
-                let may_close = |idle_time| session.has_sent_line() || idle_time > FIRST_LINE_GRACE;
+                let may_close = |idle_time| session.has_received_line() || idle_time > FIRST_LINE_GRACE;
                 if session.idle_time().is_some_and(may_close) {
                     session.request_close();
                 }
--- a/crates/edges/front/src/program/clients/reading.rs
+++ b/crates/edges/front/src/program/clients/reading.rs
@@ -72,7 +72,7 @@
         let mut lines: LineReader = transport::read_messages(socket.clone(), limits, client::parse_line);
         loop {
             let mut pass = self.read_available(&mut lines).await;
-            self.has_partial.set(lines.has_partial());
+            self.has_partial_line.set(lines.has_partial());
             if matches!(pass.end, Some(ReadEnd::Faulty))
                 && transport::discard_available(&socket, MAX_DISCARDED_BYTES)
             {
@@ -110,7 +110,7 @@
             match lines.try_next() {
                 ReadStatus::Message(line) => {
                     self.last_used.set(Instant::now());
-                    self.has_sent_line.set(true);
+                    self.has_received_line.set(true);
                     if let Some(event) = self.handle_line(line, &mut pass.accepted) {
                         let _ = self.shared.events.send(event).await;
                     }
--- a/crates/edges/front/src/program/clients/session.rs
+++ b/crates/edges/front/src/program/clients/session.rs
@@ -35,7 +35,7 @@
     /// Whether lines are still accepted.
     pub(super) accepting: Cell<bool>,
     /// Whether a partial line has been read.
-    pub(super) has_partial: Cell<bool>,
+    pub(super) has_partial_line: Cell<bool>,
     /// Since when the connection lingers, that is, only waits for its client to close; `None` if it does not.
     lingering_since: Cell<Option<Instant>>,
     /// Signals the connection's task to check whether it may close, or to stop lingering if it does.
@@ -45,7 +45,7 @@
     /// When a line was last read or a response last given.
     pub(super) last_used: Cell<Instant>,
     /// Whether a complete line has been read.
-    pub(super) has_sent_line: Cell<bool>,
+    pub(super) has_received_line: Cell<bool>,
     /// The highest ticket received.
     pub(super) highest_ticket: Cell<u64>,
     /// Number of malformed lines without an id.
@@ -63,12 +63,12 @@
             write_queue,
             open_requests: RefCell::default(),
             accepting: Cell::new(true),
-            has_partial: Cell::new(false),
+            has_partial_line: Cell::new(false),
             lingering_since: Cell::new(None),
             close_requested: Signal::new(),
             counted_bytes: Cell::new(0),
             last_used: Cell::new(Instant::now()),
-            has_sent_line: Cell::new(false),
+            has_received_line: Cell::new(false),
             highest_ticket: Cell::new(0),
             faulty_lines: Cell::new(0),
             queued: Cell::new(queued),
@@ -80,8 +80,8 @@
     }
 
     /// Whether a complete line has been read.
-    pub fn has_sent_line(&self) -> bool {
-        self.has_sent_line.get()
+    pub fn has_received_line(&self) -> bool {
+        self.has_received_line.get()
     }
 
     /// Since when the connection lingers, if it does.
@@ -104,7 +104,7 @@
     pub fn idle_time(&self) -> Option<Duration> {
         let is_busy = !self.open_requests.borrow().is_empty()
             || self.write_queue.waiting() > 0
-            || self.has_partial.get();
+            || self.has_partial_line.get();
         (self.accepting.get() && !is_busy).then(|| self.last_used.get().elapsed())
     }
 
