--- a/crates/edges/front/src/program/clients/accept_delay.rs
+++ b/crates/edges/front/src/program/clients/accept_delay.rs
@@ -23,8 +23,8 @@
     }
 
     /// Records that nothing was accepted for this long.
-    pub(super) fn handle_blocked(&self, span: Duration) {
-        self.blocked_for.set(self.blocked_for.get() + span);
+    pub(super) fn handle_blocked(&self, duration: Duration) {
+        self.blocked_for.set(self.blocked_for.get() + duration);
         self.accepted.set(0);
     }
 
--- a/crates/edges/front/src/program/clients/listener.rs
+++ b/crates/edges/front/src/program/clients/listener.rs
@@ -99,8 +99,8 @@
         let _ = socket.get_ref().set_nodelay(true);
         self.shared.counters.add(Counter::ClientConnections, None);
         let number = self.next_session.replace(self.next_session.get() + 1);
-        let queued = self.accept_delay.handle_accepted();
-        let session = Rc::new(ClientSession::new(self.shared.clone(), socket, queued));
+        let accept_wait = self.accept_delay.handle_accepted();
+        let session = Rc::new(ClientSession::new(self.shared.clone(), socket, accept_wait));
         self.sessions.borrow_mut().insert(number, session.clone());
         let sessions = self.sessions.clone();
         let shared = self.shared.clone();
--- a/crates/edges/front/src/program/clients/reading.rs
+++ b/crates/edges/front/src/program/clients/reading.rs
@@ -92,7 +92,7 @@
                 }
             }
             // Everything that arrived before the connection was accepted has been read.
-            self.queued.set(Duration::ZERO);
+            self.accept_wait.set(Duration::ZERO);
             if pass.end.is_none() {
                 pass.end = self.wait_for_more(&mut lines).await;
             }
@@ -226,7 +226,7 @@
             // The client timeout counts from when the client sent the request. Time in which this process was
             // stopped, or accepted no connections, is subtracted.
             client_timeout: Duration::from_millis(message.client_timeout_ms)
-                .saturating_sub(self.shared.stall_detector.delay(Instant::now()).max(self.queued.get())),
+                .saturating_sub(self.shared.stall_detector.delay(Instant::now()).max(self.accept_wait.get())),
             client_retry: message.client_retry,
             statement: message.statement.into(),
         })
--- a/crates/edges/front/src/program/clients/session.rs
+++ b/crates/edges/front/src/program/clients/session.rs
@@ -51,12 +51,12 @@
     /// Number of malformed lines without an id.
     pub(super) faulty_lines: Cell<u32>,
     /// How long the bytes that are read now may have waited for the connection to be accepted.
-    pub(super) queued: Cell<Duration>,
+    pub(super) accept_wait: Cell<Duration>,
 }
 
 impl ClientSession {
-    /// Wraps the socket of an accepted connection, which may have waited for the duration `queued` to be accepted.
-    pub fn new(shared: Rc<Shared>, socket: Socket, queued: Duration) -> Self {
+    /// Wraps the socket of an accepted connection, which may have waited for the duration `accept_wait` to be accepted.
+    pub fn new(shared: Rc<Shared>, socket: Socket, accept_wait: Duration) -> Self {
         let write_queue = WriteQueue::new(socket, WRITE_QUEUE_BYTES);
         ClientSession {
             shared,
@@ -71,7 +71,7 @@
             has_received_line: Cell::new(false),
             highest_ticket: Cell::new(0),
             faulty_lines: Cell::new(0),
-            queued: Cell::new(queued),
+            accept_wait: Cell::new(accept_wait),
         }
     }
 
