--- a/crates/edges/front/src/program/clients/reading.rs
+++ b/crates/edges/front/src/program/clients/reading.rs
@@ -21,7 +21,7 @@
 /// Longest time from a line's first byte to its last.
 const LINE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Limit of the lines read in one pass, after which the task yields to others.
-const MAX_LINES_AT_ONCE: usize = 2048;
+const MAX_LINES_PER_PASS: usize = 2048;
 /// A client timeout longer than the request class's deadline times this is refused as invalid.
 const MAX_TIMEOUT_FACTOR: u64 = 2;
 /// Number of malformed lines without an id after which a connection accepts no more.
@@ -86,7 +86,7 @@
                 for incoming in pass.accepted {
                     let _ = self.shared.events.send(RouterEvent::Request(incoming)).await;
                 }
-                if pass.lines_read == MAX_LINES_AT_ONCE {
+                if pass.lines_read == MAX_LINES_PER_PASS {
                     futures_lite::future::yield_now().await;
                     continue;
                 }
@@ -105,7 +105,7 @@
     /// Reads the available lines. A revoke of a request that the router has received is forwarded at once.
     async fn read_available(self: &Rc<Self>, lines: &mut LineReader) -> ReadPass {
         let mut pass = ReadPass { accepted: Vec::new(), lines_read: 0, end: None };
-        while pass.lines_read < MAX_LINES_AT_ONCE {
+        while pass.lines_read < MAX_LINES_PER_PASS {
             pass.lines_read += 1;
             match lines.try_next() {
                 ReadStatus::Message(line) => {
@@ -190,8 +190,8 @@
         log::debug!("ticket {ticket} revoked, batch {revoked:?}");
         let accepted_before = accepted.len();
         accepted.retain(|incoming| incoming.ticket != ticket);
-        let router_has_it = accepted_before == accepted.len();
-        let request = revoked.filter(|_| router_has_it)?;
+        let router_has_request = accepted_before == accepted.len();
+        let request = revoked.filter(|_| router_has_request)?;
         Some(RouterEvent::ClientGone { sink: self.clone(), ticket, request })
     }
 
--- a/crates/edges/front/src/program/clients/session.rs
+++ b/crates/edges/front/src/program/clients/session.rs
@@ -159,12 +159,12 @@
 
     /// Reports to the router that the client of each open request has disconnected, and forgets the requests.
     /// This is the only place that reports it.
-    async fn abandon_requests(self: &Rc<Self>, answer_failed: bool) {
+    async fn abandon_requests(self: &Rc<Self>, respond_failed: bool) {
         let open_requests = std::mem::take(&mut *self.open_requests.borrow_mut());
         for (ticket, request) in open_requests {
             let disconnected = RouterEvent::ClientGone { sink: self.clone(), ticket, request };
             let _ = self.shared.events.send(disconnected).await;
-            if answer_failed {
+            if respond_failed {
                 self.write(&client::encode_failed(ticket));
             }
         }
