--- a/crates/edges/front/src/program/config.rs
+++ b/crates/edges/front/src/program/config.rs
@@ -107,7 +107,7 @@
 
     /// Names of the keys that differ in a newer file and take effect only at the next start. The endpoint list
     /// (`known`) is not among them, because the discovery channel continues from the last event.
-    pub fn changes_at_restart(&self, newer: &FrontConfig) -> String {
+    pub fn changes_requiring_restart(&self, newer: &FrontConfig) -> String {
         let changed = [
             (self.name != newer.name).then_some("name"),
             (self.listen != newer.listen).then_some("listen"),
--- a/crates/edges/front/src/program/shutdown.rs
+++ b/crates/edges/front/src/program/shutdown.rs
@@ -22,7 +22,7 @@
 /// See [`MAX_SHUTDOWN`].
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(700);
 /// Time after the signal in which requests still arrive, as the platform states.
-const LATE_REQUEST_SPAN: Duration = Duration::from_millis(600);
+const LATE_REQUEST_WINDOW: Duration = Duration::from_millis(600);
 /// Time before the kill by which every request has a response.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(250);
 /// Time before the kill by which the process exits.
@@ -45,9 +45,9 @@
     pub fn new(max_deadline: Duration) -> Self {
         let killed_after = MAX_SHUTDOWN.min(max_deadline) + SHUTDOWN_GRACE;
         let respond_within = killed_after - RESPONSE_MARGIN;
-        let accept_for = (LATE_REQUEST_SPAN * 2)
+        let accept_for = (LATE_REQUEST_WINDOW * 2)
             .min(respond_within.saturating_sub(RESPONSE_MARGIN))
-            .max(LATE_REQUEST_SPAN);
+            .max(LATE_REQUEST_WINDOW);
         ShutdownSchedule { accept_for, respond_within, exit_within: killed_after - EXIT_MARGIN }
     }
 }
@@ -88,7 +88,7 @@
 
 /// Waits for a signal that ends the front, and returns when it was received. SIGHUP reloads the configuration,
 /// SIGUSR1 logs the counters.
-pub(super) async fn wait_for_end(
+pub(super) async fn wait_for_termination(
     signals: &mut Signals,
     counters: &Counters,
     mut reload: impl FnMut(),
@@ -106,17 +106,21 @@
 
 /// Reloads the configuration file, of which only the discovery channel's address takes effect. A file that can't
 /// be used changes nothing.
-pub(super) fn reload_config(path: &str, config: &mut FrontConfig, moved: &async_channel::Sender<SocketAddr>) {
+pub(super) fn reload_config(
+    path: &str,
+    config: &mut FrontConfig,
+    address_sender: &async_channel::Sender<SocketAddr>,
+) {
     let newer = match FrontConfig::read(path) {
         Ok(newer) => newer,
         Err(error) => return log::warn!("reload failed: {error}; the configuration stays unchanged"),
     };
-    let changes = config.changes_at_restart(&newer);
+    let changes = config.changes_requiring_restart(&newer);
     if !changes.is_empty() {
         log::warn!("reload: these keys take effect only at the next start: {changes}");
     }
     log::info!("reload: the discovery channel is at {}", newer.channel);
     if std::mem::replace(&mut config.channel, newer.channel) != newer.channel {
-        let _ = moved.force_send(newer.channel);
+        let _ = address_sender.force_send(newer.channel);
     }
 }
--- a/crates/edges/front/src/program/start.rs
+++ b/crates/edges/front/src/program/start.rs
@@ -153,15 +153,15 @@
 fn log_start(
     config: &FrontConfig,
     listener: Option<&Async<TcpListener>>,
-    known: usize,
+    event_count: usize,
 ) -> Result<(), StartError> {
     match listener {
         Some(listener) => {
             let address = listener.get_ref().local_addr();
             let address = address.map_err(|error| StartError::Listen { address: config.listen, error })?;
-            log::info!("front {} listens on {address}, {known} engine events known", config.name);
+            log::info!("front {} listens on {address}, {event_count} engine events known", config.name);
         }
-        None => log::info!("front {} serves proxies, {known} engine events known", config.name),
+        None => log::info!("front {} serves proxies, {event_count} engine events known", config.name),
     }
     Ok(())
 }
@@ -191,8 +191,8 @@
         let shared = self.shared.clone();
         let executor = &shared.executor;
         let open_requests: Rc<Cell<usize>> = tasks.router.open_requests();
-        let (moved, addresses) = async_channel::bounded(1); // Holds only the latest address.
-        let _ = moved.try_send(self.config.channel);
+        let (address_sender, addresses) = async_channel::bounded(1); // Holds only the latest address.
+        let _ = address_sender.try_send(self.config.channel);
         executor.spawn(tasks.router.run(tasks.received_events)).detach();
         match tasks.external_processing {
             Some(external) => executor
@@ -207,8 +207,8 @@
             AcceptingListener { listener, task: executor.spawn(async move { accepting.run().await }) }
         });
         executor.spawn(poll_stall_detector(shared.clone())).detach();
-        let reload = || shutdown::reload_config(&self.path, &mut self.config, &moved);
-        let signalled_at = shutdown::wait_for_end(&mut self.signals, &shared.counters, reload).await;
+        let reload = || shutdown::reload_config(&self.path, &mut self.config, &address_sender);
+        let signalled_at = shutdown::wait_for_termination(&mut self.signals, &shared.counters, reload).await;
         shutdown::shut_down(&shared, &self.schedule, signalled_at, clients, &open_requests).await;
     }
 }
