--- a/crates/edges/front/src/program/start.rs
+++ b/crates/edges/front/src/program/start.rs
@@ -85,8 +85,9 @@
     let executor = shared.executor.clone();
     let counters = shared.counters.clone();
     let front = Front { path, config, signals, schedule, shared };
-    let tasks = Tasks { router, received_events, received_commands, external_processing, initial, listener };
-    async_io::block_on(executor.run(front.run(tasks)));
+    let inputs =
+        TaskInputs { router, received_events, received_commands, external_processing, initial, listener };
+    async_io::block_on(executor.run(front.run(inputs)));
     log::info!("ends; counts: {counters}");
     Ok(())
 }
@@ -176,7 +177,7 @@
 }
 
 /// What the front's tasks are built from: the router, its queues and the inputs of the drivers.
-struct Tasks {
+struct TaskInputs {
     router: RequestRouter,
     received_events: Receiver<RouterEvent>,
     received_commands: Receiver<EngineCommand>,
@@ -187,21 +188,21 @@
 
 impl Front {
     /// Starts the tasks, waits for the signal that ends the front, and shuts down.
-    async fn run(mut self, tasks: Tasks) {
+    async fn run(mut self, inputs: TaskInputs) {
         let shared = self.shared.clone();
         let executor = &shared.executor;
-        let open_requests: Rc<Cell<usize>> = tasks.router.open_requests();
+        let open_requests: Rc<Cell<usize>> = inputs.router.open_requests();
         let (address_sender, addresses) = async_channel::bounded(1); // Holds only the latest address.
         let _ = address_sender.try_send(self.config.channel);
-        executor.spawn(tasks.router.run(tasks.received_events)).detach();
-        match tasks.external_processing {
+        executor.spawn(inputs.router.run(inputs.received_events)).detach();
+        match inputs.external_processing {
             Some(external) => executor
-                .spawn(external_processing::run(shared.clone(), tasks.received_commands, external))
+                .spawn(external_processing::run(shared.clone(), inputs.received_commands, external))
                 .detach(),
-            None => executor.spawn(engines::run(shared.clone(), tasks.received_commands)).detach(),
+            None => executor.spawn(engines::run(shared.clone(), inputs.received_commands)).detach(),
         }
-        executor.spawn(discovery::run(shared.clone(), addresses, tasks.initial)).detach();
-        let clients = tasks.listener.map(|listener| {
+        executor.spawn(discovery::run(shared.clone(), addresses, inputs.initial)).detach();
+        let clients = inputs.listener.map(|listener| {
             let listener = Rc::new(ClientListener::new(shared.clone(), listener, LISTEN_BACKLOG as usize));
             let accepting = listener.clone();
             AcceptingListener { listener, task: executor.spawn(async move { accepting.run().await }) }
