--- a/crates/edges/front/src/program/clients/reading.rs
+++ b/crates/edges/front/src/program/clients/reading.rs
@@ -1,7 +1,8 @@
-//! What is read on a client connection.
+//! Reads the lines of a client connection and turns them into router events.
 //!
-//! All that has come is read before any of it is handed on: a client that sent much and disconnected has done so before
-//! its requests start, however long they waited to be read. The limit of open requests bounds what is held.
+//! All available lines are read before any request among them is forwarded. Requests of a client that has already
+//! disconnected are thus dropped before they start, however long they waited unread. The limit of open requests
+//! limits how many are held back.
 
 use super::session::{ClientSession, MAX_DISCARDED_BYTES, MAX_OPEN_REQUESTS};
 use crate::protocol::client::{
@@ -17,44 +18,45 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A line takes no longer to come.
+/// Longest time from a line's first byte to its last.
 const LINE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Lines read before other tasks have their turn.
-const MAX_LINES_AT_ONCE: usize = 2048;
-/// No client waits longer than so many times the request class's deadline.
+/// Limit of the lines read in one pass, after which the task yields to others.
+const MAX_LINES_PER_PASS: usize = 2048;
+/// A client timeout longer than the request class's deadline times this is refused as invalid.
 const MAX_TIMEOUT_FACTOR: u64 = 2;
-/// Faulty lines without an id after which a connection accepts no more.
+/// Number of malformed lines without an id after which a connection accepts no more.
 const MAX_FAULTY_LINES: u32 = 16;
-/// Bytes that may wait for a client which goes on sending faulty lines.
+/// Limit of the unwritten bytes of a connection after a malformed line; above it the connection accepts no more.
 const MAX_UNREAD_FAULT_BYTES: usize = 64 * 1024;
 
 type LineReader = MessageReader<fn(&[u8]) -> Result<Option<ParsedLine>, Infallible>>;
 
-/// Why a connection accepts no more.
+/// Reason why a connection accepts no more lines.
 pub(super) enum ReadEnd {
-    /// Its client has closed its side.
+    /// The client has closed its side.
     ClientClosed,
-    /// It broke off.
+    /// The socket failed.
     Broken,
-    /// What came can't be read on; its client may still wait for responses.
+    /// The input exceeded a limit (of length, time, memory or malformed lines). The client may still wait for
+    /// responses.
     Faulty,
-    /// Nothing was open on it and nothing unread: its writing side has been shut.
+    /// A requested close: no request was open and no byte unread, and the writing side has been shut down.
     Idle,
 }
 
 impl fmt::Display for ReadEnd {
-    /// As the log names it.
+    /// The reason as it stands in the log.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            ReadEnd::ClientClosed => "Gone",
-            ReadEnd::Broken => "Broken",
-            ReadEnd::Faulty => "Faulty",
-            ReadEnd::Idle => "Idle",
+            ReadEnd::ClientClosed => "closed by the client",
+            ReadEnd::Broken => "socket failed",
+            ReadEnd::Faulty => "input beyond a limit",
+            ReadEnd::Idle => "closed while idle",
         })
     }
 }
 
-/// What was read in one pass.
+/// The result of one pass over the available lines.
 struct ReadPass {
     accepted: Vec<IncomingRequest>,
     lines_read: usize,
@@ -62,7 +64,7 @@
 }
 
 impl ClientSession {
-    /// Reads until nothing more is accepted.
+    /// Reads until the connection accepts no more lines, and returns the reason.
     pub(super) async fn read(self: &Rc<Self>) -> ReadEnd {
         let socket = self.socket();
         let limits =
@@ -70,27 +72,27 @@
         let mut lines: LineReader = transport::read_messages(socket.clone(), limits, client::parse_line);
         loop {
             let mut pass = self.read_available(&mut lines).await;
-            self.has_partial.set(lines.has_partial());
+            self.has_partial_line.set(lines.has_partial());
             if matches!(pass.end, Some(ReadEnd::Faulty))
                 && transport::discard_available(&socket, MAX_DISCARDED_BYTES)
             {
                 pass.end = Some(ReadEnd::ClientClosed);
             }
             if matches!(pass.end, Some(ReadEnd::ClientClosed | ReadEnd::Broken)) {
-                // The router has not seen these requests, and their client has disconnected.
+                // The client has disconnected, and the router has not received these requests: they are dropped.
                 let mut open_requests = self.open_requests.borrow_mut();
                 pass.accepted.iter().for_each(|incoming| drop(open_requests.remove(&incoming.ticket)));
             } else {
                 for incoming in pass.accepted {
                     let _ = self.shared.events.send(RouterEvent::Request(incoming)).await;
                 }
-                if pass.lines_read == MAX_LINES_AT_ONCE {
+                if pass.lines_read == MAX_LINES_PER_PASS {
                     futures_lite::future::yield_now().await;
                     continue;
                 }
             }
-            // What comes from here on has not waited for the connection to be accepted.
-            self.queued.set(Duration::ZERO);
+            // Everything that arrived before the connection was accepted has been read.
+            self.accept_wait.set(Duration::ZERO);
             if pass.end.is_none() {
                 pass.end = self.wait_for_more(&mut lines).await;
             }
@@ -100,15 +102,15 @@
         }
     }
 
-    /// Reads the lines that have come. A revoke of a request that the router has seen is handed on at once.
+    /// Reads the available lines. A revoke of a request that the router has received is forwarded at once.
     async fn read_available(self: &Rc<Self>, lines: &mut LineReader) -> ReadPass {
         let mut pass = ReadPass { accepted: Vec::new(), lines_read: 0, end: None };
-        while pass.lines_read < MAX_LINES_AT_ONCE {
+        while pass.lines_read < MAX_LINES_PER_PASS {
             pass.lines_read += 1;
             match lines.try_next() {
                 ReadStatus::Message(line) => {
                     self.last_used.set(Instant::now());
-                    self.has_sent_line.set(true);
+                    self.has_received_line.set(true);
                     if let Some(event) = self.handle_line(line, &mut pass.accepted) {
                         let _ = self.shared.events.send(event).await;
                     }
@@ -127,7 +129,7 @@
         pass
     }
 
-    /// Waits until more has come, or the connection has closed because that was requested.
+    /// Waits until more bytes are available, or until the connection has closed on request.
     async fn wait_for_more(&self, lines: &mut LineReader) -> Option<ReadEnd> {
         let more = async { lines.wait_for_more().await.err().map(|error| self.handle_read_error(error)) };
         let close_requested = async {
@@ -137,9 +139,9 @@
         more.or(close_requested).await
     }
 
-    /// An error ends the reading; a line that is too long is answered once.
+    /// Maps a read error to the reason why reading ends. A line that is too long gets one error response.
     fn handle_read_error(&self, error: ReadError<Infallible>) -> ReadEnd {
-        log::debug!("a client's connection can't be read on: {error}");
+        log::debug!("reading from a client connection failed: {error}");
         match error {
             ReadError::Io(_) => ReadEnd::Broken,
             ReadError::Truncated => ReadEnd::ClientClosed,
@@ -156,7 +158,7 @@
         }
     }
 
-    /// A request joins those accepted; the event of a revoke, if there is one, is returned.
+    /// Handles one line. A request is added to `accepted`; a revoke may return an event for the router.
     fn handle_line(
         self: &Rc<Self>,
         line: Result<ClientMessage, Fault>,
@@ -170,7 +172,8 @@
             Ok(ClientMessage::Heartbeat(id)) => {
                 self.write(&client::encode_heartbeat(id, !self.shared.shutting_down.get()));
             }
-            // A revoke may cross the response; but no request has ever come under a higher ticket.
+            // A revoke of a finished request is valid, as it may be sent before the client receives the response.
+            // A ticket above the highest received belongs to no request.
             Ok(ClientMessage::Revoke(ticket)) if ticket > self.highest_ticket.get() => {
                 self.handle_fault(Fault { id: None, kind: FaultKind::InvalidParams });
             }
@@ -180,18 +183,19 @@
         None
     }
 
-    /// The client no longer waits for a request. The router needs to know only if it has seen the request.
+    /// Handles a client that no longer waits for a request. Returns an event only if the router has received the
+    /// request.
     fn revoke(self: &Rc<Self>, ticket: u64, accepted: &mut Vec<IncomingRequest>) -> Option<RouterEvent> {
         let revoked = self.open_requests.borrow_mut().remove(&ticket);
         log::debug!("ticket {ticket} revoked, batch {revoked:?}");
         let accepted_before = accepted.len();
         accepted.retain(|incoming| incoming.ticket != ticket);
-        let router_has_it = accepted_before == accepted.len();
-        let request = revoked.filter(|_| router_has_it)?;
+        let router_has_request = accepted_before == accepted.len();
+        let request = revoked.filter(|_| router_has_request)?;
         Some(RouterEvent::ClientGone { sink: self.clone(), ticket, request })
     }
 
-    /// Opens a request, or says what is wrong with it.
+    /// Checks a request and registers it as open, or returns the fault to respond with.
     fn accept_request(self: &Rc<Self>, message: ClientRequest) -> Result<IncomingRequest, Fault> {
         let fault = |id, kind| Fault { id, kind };
         let classes = &self.shared.settings.request_classes;
@@ -207,7 +211,11 @@
         }
         self.check_open_requests(message.id)?;
         let request: RequestId = message.request.into();
-        log::debug!("batch {request} taken: {} of {} ms", message.request_class, message.client_timeout_ms);
+        log::debug!(
+            "batch {request} accepted: class {}, client timeout {} ms",
+            message.request_class,
+            message.client_timeout_ms
+        );
         self.open_requests.borrow_mut().insert(message.id, request.clone());
         Ok(IncomingRequest {
             sink: self.clone(),
@@ -215,20 +223,21 @@
             request,
             request_class,
             table_group: table_group(&String::from_utf8_lossy(&message.statement)).unwrap_or_default(),
-            // The client's time runs from its sending, also while this process does not, or does not accept.
+            // The client timeout counts from when the client sent the request. Time in which this process was
+            // stopped, or accepted no connections, is subtracted.
             client_timeout: Duration::from_millis(message.client_timeout_ms)
-                .saturating_sub(self.shared.stall_detector.delay(Instant::now()).max(self.queued.get())),
+                .saturating_sub(self.shared.stall_detector.delay(Instant::now()).max(self.accept_wait.get())),
             client_retry: message.client_retry,
             statement: message.statement.into(),
         })
     }
 
-    /// Whether one more request may be open under this id.
+    /// Checks that one more request may be open under this message id.
     fn check_open_requests(&self, id: u64) -> Result<(), Fault> {
         let open_requests = self.open_requests.borrow();
         let is_duplicate = open_requests.contains_key(&id);
         if is_duplicate || open_requests.len() >= MAX_OPEN_REQUESTS {
-            // An error under an id that is open would end the request that came under it first.
+            // The client would take an error under the id of an open request as the response to that request.
             return Err(Fault { id: (!is_duplicate).then_some(id), kind: FaultKind::InvalidRequest });
         }
         Ok(())
@@ -236,9 +245,9 @@
 
     fn handle_fault(&self, fault: Fault) {
         self.shared.counters.add(Counter::FaultyLines, None);
-        log::debug!("a client's line is faulty: {fault:?}");
+        log::debug!("invalid message from a client: {fault:?}");
         self.write(&client::encode_fault(&fault));
-        // Errors cost little, but they are bounded too.
+        // Error responses cost little, but they are limited too.
         self.faulty_lines.set(self.faulty_lines.get() + u32::from(fault.id.is_none()));
         if self.faulty_lines.get() >= MAX_FAULTY_LINES || self.write_queue.waiting() > MAX_UNREAD_FAULT_BYTES
         {
