--- a/crates/edges/front/src/protocol/discovery.rs
+++ b/crates/edges/front/src/protocol/discovery.rs
@@ -152,9 +152,11 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             DiscoveryError::Length(length) => write!(f, "a frame of {length} bytes"),
-            DiscoveryError::Kind(kind) => write!(f, "a frame of kind {kind}"),
-            DiscoveryError::State(state) => write!(f, "a record of state {state}"),
-            DiscoveryError::InitialList(key) => write!(f, "the list of the start has no usable '{key}'"),
+            DiscoveryError::Kind(kind) => write!(f, "a frame of unknown kind {kind}"),
+            DiscoveryError::State(state) => write!(f, "a record of unknown state {state}"),
+            DiscoveryError::InitialList(key) => {
+                write!(f, "missing or invalid '{key}' in the initial endpoint list")
+            }
         }
     }
 }
--- a/crates/edges/front/src/protocol/engine.rs
+++ b/crates/edges/front/src/protocol/engine.rs
@@ -228,11 +228,11 @@
 impl fmt::Display for ReplyError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            ReplyError::Line => "an answer's line is no line of four words",
+            ReplyError::Line => "an answer does not start with a line of four words",
             ReplyError::UnknownReply => "an answer has an unknown word",
-            ReplyError::Field => "an answer lacks a field or has one that can't be read",
+            ReplyError::Field => "an answer has a missing or malformed field",
             ReplyError::Length => "an answer has a wrong length",
-            ReplyError::Rows => "an answer's body is not of whole rows",
+            ReplyError::Rows => "an answer has a body with incomplete rows",
         })
     }
 }
--- a/crates/edges/front/src/protocol/json.rs
+++ b/crates/edges/front/src/protocol/json.rs
@@ -40,7 +40,7 @@
 
 impl fmt::Display for JsonError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "not JSON from byte {} on", self.at)
+        write!(f, "invalid JSON at byte {}", self.at)
     }
 }
 
--- a/crates/edges/front/src/transport/memory_budget.rs
+++ b/crates/edges/front/src/transport/memory_budget.rs
@@ -1,4 +1,4 @@
-//! A limit on the sum of the bytes that several connections reserve.
+//! A memory limit that several connections share.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/crates/edges/front/src/transport/message_reader.rs
+++ b/crates/edges/front/src/transport/message_reader.rs
@@ -31,10 +31,10 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             ReadError::Io(error) => write!(f, "{error}"),
-            ReadError::Truncated => write!(f, "ended in the middle of a message"),
-            ReadError::TooLong => write!(f, "message too long"),
-            ReadError::NoMemory => write!(f, "no room for a message as long as this one"),
-            ReadError::Slow => write!(f, "a message does not come to its end"),
+            ReadError::Truncated => write!(f, "connection closed in the middle of a message"),
+            ReadError::TooLong => write!(f, "message exceeds the length limit"),
+            ReadError::NoMemory => write!(f, "memory budget for partial messages exhausted"),
+            ReadError::Slow => write!(f, "timed out in the middle of a message"),
             ReadError::Malformed(error) => write!(f, "{error}"),
         }
     }
