--- a/crates/edges/front/tests/crossings.rs
+++ b/crates/edges/front/tests/crossings.rs
@@ -1,6 +1,6 @@
-//! More crossings: a revoke read together with its request, lists that no longer name an engine, a system that takes only
-//! a part of a message, a signal during the start. Each is forced by the order of events; `docs/races.md` lists them with
-//! those of `races.rs`.
+//! More races between two events: a revoke read together with its request, an endpoint list that no longer
+//! names an engine, a message that the kernel accepts only in part, a signal during start-up. Each test forces
+//! the order of the events. `docs/races.md` lists these races with those of `races.rs`.
 
 use lemonusher_fakes::*;
 use serde_json::{Value, json};
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 const FRONT: &str = env!("CARGO_BIN_EXE_lemonusher-front");
-/// A front does within this what it does at once, on however busy a machine.
+/// Time limit for what a front does without waiting, long enough for a busy machine.
 const PROMPT: Duration = Duration::from_secs(3);
 
 fn one() -> (Front, Engine, DiscoveryServer) {
@@ -18,21 +18,22 @@
     (Front::start(FRONT, &start_config(&[(1, engine.address)], commands.address)), engine, commands)
 }
 
-/// A frame of the whole list.
+/// Encodes a frame with the whole endpoint list.
 fn whole(number: u64, records: &[(u32, SocketAddr, u8)]) -> Vec<u8> {
     let mut frame = changes(number, records);
     frame[4 + 8] = 1;
     frame
 }
 
-/// Whether the front's counters say so by now.
+/// Returns whether the front's counters contain `what` by now.
 fn counts(front: &Front, what: &str) -> bool {
     std::thread::sleep(Duration::from_millis(5));
     front.signal("USR1");
     front.wait_for_log("counts:").contains(what)
 }
 
-/// A front of which engine 1, the only one at first, lets no connection come up yet; a look-up waits for it.
+/// Starts a front whose only engine, number 1, does not accept connections yet. A look-up waits for the
+/// connection.
 fn waits_for_a_connection(
     shape: impl Fn(&mut Value),
 ) -> (Front, Client, String, UnconnectableEngine, DiscoveryServer) {
@@ -52,7 +53,7 @@
     let (front, engine, _commands) = one();
     let mut client = front.client();
     assert!(client.is_ready());
-    client.stream.set_nodelay(true).unwrap(); // All of it stands at the front before it runs again.
+    client.stream.set_nodelay(true).unwrap(); // All of it reaches the front before the front runs again.
     front.freeze();
     let call = client.send_request(1, "look-up");
     client.send_line(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":1}}"#);
@@ -67,7 +68,8 @@
 
 #[test]
 fn a_connection_that_comes_up_for_a_removed_engine_is_dropped() {
-    // Nothing is opened ahead: one connection waits to come up, and one more is opened elsewhere.
+    // With a cost per handshake, no connection is opened ahead of need: one is pending, and one is opened to
+    // the other engine.
     let priced = |config: &mut Value| config["settings"]["prices"] = json!({"handshake": 1.0});
     let (front, mut client, call, late, commands) = waits_for_a_connection(priced);
     let (other, DiscoveryConnection { stream: mut wire, .. }) = (Engine::start(), commands.next_connection());
@@ -76,7 +78,7 @@
     assert_eq!(again.id, call);
     let held = front.open_descriptors();
     let engine = late.accept_connections();
-    // An empty change now and then, so that the discovery channel does not count as silent.
+    // Sends an empty change, so that the discovery channel does not count as silent.
     let mut speaks = || wire.write_all(&changes(2, &[])).unwrap();
     let mut came_up = || {
         speaks();
@@ -95,7 +97,8 @@
     drop(front);
 }
 
-/// A full list that comes late, with a much higher number, lacks one engine and names another as draining.
+/// A full list with a much higher event number lacks the engine of a pending attempt and names another engine
+/// as draining.
 #[test]
 fn a_full_list_that_crosses_an_attempt_moves_it_from_an_engine_it_does_not_name() {
     let (front, mut client, call, late, commands) = waits_for_a_connection(|_| {});
@@ -107,7 +110,8 @@
     assert_eq!(again.id, call);
     again.respond("HIT", "fetches=1", b"a\tb\tc\n");
     client.expect_result(1, b"a\tb\tc\n");
-    // After a loss the events are requested again from the list on; the same list once more changes nothing.
+    // After the loss of the channel, events are requested from that list on. A list with the same number
+    // changes nothing.
     drop(wire);
     let DiscoveryConnection { last_change: last, stream: mut wire } = commands.next_connection();
     assert_eq!(last, 9);
@@ -140,11 +144,11 @@
     assert!(engine.is_quiet(PROMPT));
 }
 
-/// A non-idempotent request is retried elsewhere as well: nothing of it was sent.
+/// Non-idempotent requests are retried as well, because nothing of them was sent.
 #[test]
 fn an_attempt_whose_connection_never_comes_up_is_retried_elsewhere() {
     let (late, other, commands) = (UnconnectableEngine::start(), Engine::start(), DiscoveryServer::start());
-    // Both are tried, whichever of them comes first.
+    // Two of the three ids have the unconnectable address, so that it is tried whatever the order of the engines.
     let known = [(1, late.address), (2, other.address), (3, late.address)];
     let front = Front::start(FRONT, &start_config(&known, commands.address));
     let mut client = front.client();
@@ -159,14 +163,14 @@
     drop(late);
 }
 
-/// Its configuration file is a pipe, so that it stays in the middle of its start until the test writes.
+/// The configuration file is a named pipe, so that start-up does not proceed until the test writes to it.
 #[test]
 fn a_signal_during_start_up_shuts_the_front_down_gracefully() {
     let pipe = temp_path("told");
     assert!(Command::new("mkfifo").arg(&pipe).status().unwrap().success());
     let commands = DiscoveryServer::start();
     let mut child: Child = Command::new(FRONT).env("PROXY_CONFIG", &pipe).spawn().unwrap();
-    // Returns once the front has opened its side and waits for the configuration.
+    // Blocks until the front has opened the pipe to read the configuration.
     let mut told_by = std::fs::OpenOptions::new().write(true).open(&pipe).unwrap();
     let id = child.id().to_string();
     assert!(Command::new("kill").args(["-s", "TERM", &id]).status().unwrap().success());
@@ -184,7 +188,8 @@
     assert_eq!(status.code(), Some(0), "{status}");
 }
 
-/// Bytes that the system holds on connections to this port, on either side, by its own table.
+/// Returns the bytes that the kernel buffers on connections to this port, on either side, according to
+/// `/proc/net/tcp`.
 fn held_by_the_system(port: u16) -> usize {
     const LISTENS: &str = "0A";
     let ends = format!(":{port:04X}");
@@ -203,8 +208,8 @@
     held.sum()
 }
 
-/// The engine does not read until the test lets it. Once the system has taken only a part of a message, the next ones wait
-/// where they can be withdrawn.
+/// The engine does not read at first. Once the kernel has accepted only a part of a message, later messages
+/// wait in the front's queue, from which a revoked request has to be removed.
 #[test]
 fn an_attempt_behind_a_partly_written_message_can_be_withdrawn() {
     const LARGE: usize = 100_000;
@@ -242,7 +247,7 @@
     );
     last.send_line(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":1}}"#);
     assert!((0..1000).any(|_| counts(&front, "left look-up=1")), "not heard");
-    // All requests that were sent before arrive complete, and nothing of the withdrawn one.
+    // All earlier requests arrive in full, and nothing of the revoked one.
     wire.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
     let mut all = Vec::new();
     let _ = (&wire).read_to_end(&mut all);
--- a/crates/edges/front/tests/fleet.rs
+++ b/crates/edges/front/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Many processes of the front at once: what they do together, and how they start.
+//! Many front processes at once: their combined load on an engine, and their start-up.
 
 use lemonusher_fakes::*;
 use serde_json::{Value, json};
@@ -9,9 +9,9 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const FRONT: &str = env!("CARGO_BIN_EXE_lemonusher-front");
-/// Each of these tests takes all the machine.
+/// Held by each of these tests, as each of them loads the whole machine.
 static ALONE: Mutex<()> = Mutex::new(());
-/// Work of a request in milliseconds, as replies report it.
+/// Work of a request that the engines report, in milliseconds.
 const WORK_MS: u32 = 200;
 
 fn one_of(fronts: usize, number: usize, address: SocketAddr, engines: &Value, channel: SocketAddr) -> Value {
@@ -21,19 +21,20 @@
     config["settings"]["balancers"] = json!(fronts);
     config["settings"]["my_number"] = json!(number);
     config["settings"]["ceilings"]["probes"] = json!(false);
-    // Longer than any of these tests, however busy the machine: what comes after slow start is not bounded.
+    // Longer than any of these tests, even on a busy machine, because the number of requests is unlimited after
+    // slow start.
     config["settings"]["obligations"]["cold_us"] = json!(600_000_000);
     config["known"]["cmds"][0]["nodes"]["members"] = engines.clone();
     config
 }
 
-/// Addresses that are free now, each for a front that may be started there more than once.
+/// Returns free addresses. A front can be restarted at its address.
 fn addresses(count: usize) -> Vec<SocketAddr> {
     let held: Vec<TcpListener> = (0..count).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
     held.iter().map(|listener| listener.local_addr().unwrap()).collect()
 }
 
-/// Sends small requests to the front at this address without pause, until stopped.
+/// Sends requests to the front at this address until `stop` is set, and reconnects when the front restarts.
 fn press(address: SocketAddr, number: usize, stop: &AtomicBool) {
     let mut call = 0u64;
     while !stop.load(Ordering::Relaxed) {
@@ -58,7 +59,7 @@
     }
 }
 
-/// Kills and starts again four of five fronts, all at once.
+/// Kills and restarts four of five fronts, all at once.
 fn restart_most(fronts: &[Mutex<Front>], start: &(impl Fn(usize) -> Front + Sync)) {
     thread::scope(|scope| {
         for number in (0..fronts.len()).filter(|number| number % 5 != 0) {
@@ -71,8 +72,9 @@
     });
 }
 
-/// Twenty fronts press on one engine that has just started, and most of them are killed and started again meanwhile: the
-/// engine counts what comes. The crossing is the restart, which makes a front forget what it has sent.
+/// Twenty fronts send requests to one engine in slow start, and most of them are killed and restarted
+/// meanwhile. A restart makes a front forget how much work it has sent; the sum over all fronts must stay
+/// within the limit all the same.
 #[test]
 fn twenty_fronts_stay_within_the_slow_start_limit_through_their_restarts() {
     const FRONTS: usize = 20;
@@ -104,7 +106,7 @@
     stop.store(true, Ordering::Relaxed);
     drop(fronts);
     clients.into_iter().for_each(|client| client.join().unwrap());
-    // Three times 0.34 of 8 cores for 1.5 s, in requests of 200 ms.
+    // Overload factor 3, slow-start share 0.34, 8 cores, overload window 1.5 s, in requests of 200 ms of work.
     let allowed = 3.0 * 0.34 * 8.0 * 1.5 / (f64::from(WORK_MS) / 1e3);
     let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
     let tally: Vec<Instant> = engine.requests().into_iter().map(|request| request.at).collect();
@@ -114,7 +116,7 @@
     let most = tally.iter().map(in_window).max().unwrap_or(0);
     println!("{} sent in all, {most} at most in a window that allows {allowed:.0}", tally.len());
     assert!(most as f64 <= bound, "{most} of {allowed:.0}");
-    // An engine that gets nothing in slow start would be no use.
+    // The engine has to get a fair amount of work in slow start.
     assert!(
         tally.len() as f64 > 0.5 * allowed,
         "only {} in all, where a window allows {allowed:.0}",
@@ -122,7 +124,7 @@
     );
 }
 
-/// Thirty start at once, on a machine whose cores are all busy, and nobody answers at the channel.
+/// Thirty fronts start at once on a machine with busy cores, and no discovery server listens.
 #[test]
 fn thirty_fronts_that_start_at_once_without_discovery_are_ready_in_time() {
     let _alone = ALONE.lock().unwrap_or_else(|broken| broken.into_inner());
--- a/crates/edges/front/tests/limits.rs
+++ b/crates/edges/front/tests/limits.rs
@@ -1,5 +1,5 @@
-//! 1,024 engines at one front: with few descriptors and little memory, in the lists that it is sent, and one more than
-//! a frame of the command channel holds.
+//! A front with 1,024 engines, few descriptors and little memory, and endpoint lists up to and over the length
+//! limit of a frame of the discovery channel.
 
 use lemonusher_fakes::*;
 use serde_json::{Value, json};
@@ -10,12 +10,12 @@
 
 const FRONT: &str = env!("CARGO_BIN_EXE_lemonusher-front");
 const ENGINES: u32 = 1024;
-/// Engines that share a listener, so that one machine holds them all.
+/// Listeners that the engines share, so that one machine can run all of them.
 const LISTENERS: u32 = 8;
-/// Descriptors and memory of these fronts.
+/// Limits of these fronts: open descriptors, and memory in MB.
 const DESCRIPTORS: u64 = 256;
 const MEMORY_MB: u64 = 32;
-/// Records in the longest frame that is read.
+/// Records in the longest frame that a front accepts.
 const FRAME: u32 = 4096;
 
 struct Crowd {
@@ -32,7 +32,7 @@
     }
 }
 
-/// One of 350 fronts with few descriptors and little memory.
+/// Start file of one of 350 fronts, with few descriptors and little memory.
 fn little(engines: &[(u32, SocketAddr)], channel: SocketAddr) -> Value {
     let mut config = start_config(engines, channel);
     config["limits"] = json!({"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": DESCRIPTORS});
@@ -40,14 +40,14 @@
     config
 }
 
-/// The most memory that a process has had resident, in kB.
+/// Peak resident memory of the front's process, in kB.
 fn most_memory(front: &Front) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", front.id())).unwrap();
     let line = status.lines().find(|line| line.starts_with("VmHWM:")).unwrap();
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
-/// Sends requests on so many table groups, some at once, as one of many fronts gets them; yields how many were served.
+/// Sends one request for each of `groups` table groups, `at_once` at a time. Returns how many got a result.
 fn press(front: &Front, groups: u64, at_once: usize) -> u64 {
     let mut clients: Vec<Client> = (0..at_once).map(|_| front.client()).collect();
     let (mut group, mut served) = (0, 0);
@@ -69,7 +69,8 @@
 #[test]
 fn a_front_with_few_descriptors_serves_1024_engines_and_logs_the_shortage() {
     for (shape, handshake) in [("probes", 0.0), ("blind", 0.0), ("blind", 1.0)] {
-        // Reported as more work than it takes, so that a busy machine is not taken for slow engines.
+        // The engines report more work than they do, so that the front does not take a busy machine for slow
+        // engines.
         let (crowd, commands) =
             (Crowd::start(|_| EngineBehavior::ResultAfterWork(200)), DiscoveryServer::start());
         let mut config = little(&crowd.engines(ENGINES), commands.address);
@@ -98,8 +99,8 @@
     }
 }
 
-/// The crossing: all descriptors for engines are held by idle connections whose other side never closes, and others are
-/// wanted. The fake holds its ends of the old ones open, and the wanted ones must not wait for them.
+/// Idle connections to engines that never close their side hold all descriptors for engines when connections to
+/// other engines are needed. The new connections must not wait for the old ones to close.
 #[test]
 fn connections_that_an_engine_does_not_close_make_room_for_wanted_ones() {
     const HELD: u32 = 16; // Descriptors for engines of a front with 64.
@@ -149,8 +150,8 @@
     drop(unanswered);
 }
 
-/// A list as long as a frame holds is applied. A longer one is refused with a log line, and the front goes on with what it
-/// has.
+/// A list of as many engines as a frame holds is applied. A longer one is rejected with a log line, and the
+/// front keeps the list that it has.
 #[test]
 fn the_longest_list_is_applied_and_a_longer_one_changes_nothing() {
     for (records, followed) in [(ENGINES, true), (FRAME, true), (FRAME + 1, false)] {
@@ -161,7 +162,7 @@
         let front = Front::start(FRONT, &config);
         let DiscoveryConnection { stream: mut wire, .. } = commands.next_connection();
         let listed: Vec<_> = (1..=records).map(|id| (id, engine.address, 0)).collect();
-        // A longer one is closed over, so not all of it may be taken.
+        // The front closes the connection in the middle of a frame that is too long, so the write may fail.
         let _ = wire.write_all(&changes(2, &listed));
         if followed {
             let lacks = front.wait_for_log("descriptors for");
--- a/crates/edges/front/tests/platform.rs
+++ b/crates/edges/front/tests/platform.rs
@@ -1,5 +1,5 @@
-//! What the platform wants of the program in `run`: one process, linked dynamically, that starts nothing and calls
-//! for none of what is refused there.
+//! Requirements of the platform on the front binary: one dynamically linked process that starts no other and
+//! makes no call that the platform refuses.
 
 use lemonusher_fakes::*;
 use object::{Object, ObjectSymbol};
@@ -7,7 +7,7 @@
 
 const FRONT: &str = env!("CARGO_BIN_EXE_lemonusher-front");
 
-/// Calls that the platform refuses, by the names under which the C library offers them.
+/// Calls that the platform refuses, by the names of their C library functions.
 const REFUSED: [&str; 7] =
     ["fork", "vfork", "posix_spawn", "posix_spawnp", "splice", "sendfile", "sendfile64"];
 
@@ -20,7 +20,7 @@
         .filter(|symbol| symbol.is_undefined())
         .filter_map(|symbol| symbol.name().ok().map(|name| name.split('@').next().unwrap_or(name).to_owned()))
         .collect();
-    // A library that is loaded before the C library can only stand in for what is asked of that.
+    // A library that is loaded before the C library can only interpose functions that the binary imports from it.
     for name in ["__libc_start_main", "clock_gettime", "read", "write"] {
         assert!(wanted.contains(name), "{name} is not asked of the C library");
     }
@@ -53,6 +53,6 @@
         open.iter().any(|what| what.contains("eventpoll"))
             && !open.iter().any(|what| what.contains("io_uring"))
     );
-    // The main thread and the reactor's: no more come with work.
+    // The main thread and the reactor's. Work starts no more threads.
     assert!(tasks.len() <= 2, "{tasks:?}");
 }
--- a/crates/edges/front/tests/races.rs
+++ b/crates/edges/front/tests/races.rs
@@ -1,5 +1,5 @@
-//! Crossings: two events at the same moment. Each is forced: the fake holds back a connection, a byte, a reply or the front
-//! itself until the test releases it. `docs/races.md` lists them all.
+//! Races between two events. Each test forces their order: a fake delays a connection, a byte or a reply, or
+//! the front process is stopped, until the test goes on. `docs/races.md` lists all of these races.
 
 use lemonusher_fakes::*;
 use serde_json::{Value, json};
@@ -8,11 +8,12 @@
 use std::time::{Duration, Instant};
 
 const FRONT: &str = env!("CARGO_BIN_EXE_lemonusher-front");
-/// A front does within this what it does at once, on however busy a machine; far less than its timeouts.
+/// Time limit for what a front does without waiting: long enough for a busy machine, and far below the front's
+/// timeouts.
 const PROMPT: Duration = Duration::from_secs(3);
 const REVOKE: &str = r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":1}}"#;
 
-/// The first of engines 1 and 2 to which look-ups of these tests go.
+/// Returns which of engines 1 and 2 is the home engine of the look-ups in these tests.
 fn home() -> u32 {
     let (engines, commands) = ([Engine::start(), Engine::start()], DiscoveryServer::start());
     let known = [(1, engines[0].address), (2, engines[1].address)];
@@ -24,7 +25,7 @@
     [1, 2].into_iter().cycle().take(200).find(sent).expect("sent nowhere")
 }
 
-/// A front whose look-ups go first to an engine to which no connection comes up yet, and then to another.
+/// Starts a front with two engines. The home engine of the look-ups does not accept connections yet.
 fn late(shape: impl Fn(&mut Value)) -> (Front, UnconnectableEngine, Engine, DiscoveryServer) {
     let (late, other, commands) = (UnconnectableEngine::start(), Engine::start(), DiscoveryServer::start());
     let first = home();
@@ -35,7 +36,8 @@
     (Front::start(FRONT, &config), late, other, commands)
 }
 
-/// The first request that the engine gets is not the one of this id, though that was assigned to the engine before.
+/// Asserts that the first request that reaches the engine is a new one, and not `call`, which was assigned to
+/// it earlier.
 fn first_is_not(front: &Front, engine: &Engine, call: &str) {
     let mut client = front.client();
     let ours = client.send_request(1, "look-up");
@@ -44,7 +46,7 @@
     assert_eq!(said.id, ours);
 }
 
-/// Waits until the front has counted a first attempt, of which its engine may know nothing yet.
+/// Waits until the front has counted its first attempt, which may not have reached the engine yet.
 fn on_its_way(front: &Front) {
     let on_its_way = || {
         front.signal("USR1");
@@ -80,7 +82,7 @@
         if leaves_by == "revoke" || leaves_by == "half" {
             idle_client = Some(front.client());
         }
-        std::thread::sleep(Duration::from_millis(100)); // Time for the front to notice.
+        std::thread::sleep(Duration::from_millis(100)); // The front needs time to notice.
         first_is_not(&front, &late.accept_connections(), &call);
         drop(idle_client);
     }
@@ -95,7 +97,7 @@
     on_its_way(&front);
     let drains = changes(2, &[(home(), late.address, 1)]);
     wire.write_all(&drains).unwrap();
-    // It is retried elsewhere at once, though the connection may still come up.
+    // The request is retried on the other engine at once, although the connection may still be established.
     let again = other.next_message_within("serve", PROMPT).expect("not sent elsewhere");
     assert_eq!(again.id, call);
     let engine = late.accept_connections();
@@ -119,7 +121,8 @@
     assert!(budget <= 20_000 - 300 && budget + waited <= 20_100, "{budget} after {waited}");
 }
 
-/// The engines drop repeats for a while after the first attempt; the second waits for its connection meanwhile.
+/// A request with an idempotency key must not be sent again once the engines no longer drop repeats of the key.
+/// The key's retention time expires while the second attempt waits for its connection.
 #[test]
 fn a_queued_attempt_is_not_sent_once_repeats_are_no_longer_dropped() {
     let (engine, late, commands) = (Engine::start(), UnconnectableEngine::start(), DiscoveryServer::start());
@@ -132,9 +135,9 @@
     let front = Front::start(FRONT, &config);
     let mut client = front.client();
     let call = client.send_request(1, "look-up");
-    engine.next_message("serve").respond("FAULT", "-", b""); // It may have run.
+    engine.next_message("serve").respond("FAULT", "-", b""); // The attempt may have run.
     assert!(client.is_ready());
-    // Neither retried nor rejected: a client that tries again because that was safe would do so when it no longer is.
+    // Neither retried nor rejected: a rejection invites the client to retry, which is no longer safe by then.
     let code = client.expect_error(Some(1));
     assert!(code != -32002 && code != 0, "{code}");
     let late = late.accept_connections();
@@ -144,7 +147,8 @@
     assert!(sent != call && ours.contains(&sent), "{sent}");
 }
 
-/// A client sends many requests at once and disconnects before the front runs.
+/// The client sends its requests and disconnects while the front is stopped, so that the front finds both at
+/// once.
 #[test]
 fn requests_of_a_client_that_disconnected_before_they_are_read_are_not_forwarded() {
     for leaves_by in ["close", "half", "reset"] {
@@ -172,13 +176,13 @@
     }
 }
 
-/// The results that it has not read delay nothing else.
+/// Results that the client has not read must not delay the cancellation of its open request.
 #[test]
 fn a_client_that_reads_nothing_and_closes_its_side_counts_as_disconnected_at_once() {
     let (front, engine, _commands) = one(|_| {});
     let mut slow = front.slow_reader();
     let rows = "r\t\t\n".repeat(11_750).into_bytes();
-    // More than the system holds for it, and less than the front does.
+    // More than the kernel buffers for the connection, and less than the limit of the front's write queue.
     for id in 1..=90 {
         slow.send_request(id, "look-up");
         engine.next_message("serve").respond("HIT", "fetches=1", &rows);
@@ -190,8 +194,9 @@
     assert_eq!(cancel.id, call);
 }
 
-/// The client sees a graceful close; what it sends after that is not forwarded, and not reset, as a reset would discard
-/// what the client has not read yet.
+/// A client sends a request while the front closes its idle connection. The client must see a graceful close.
+/// Its request is not forwarded, and does not cause a reset, which would discard responses that the client has
+/// not read yet.
 #[test]
 fn an_idle_connection_is_closed_gracefully_and_what_crosses_that_is_not_forwarded() {
     for end in ["idle", "never spoke", "told to end"] {
@@ -223,7 +228,7 @@
     let params = r#""params":{"call":"9b1f03aa5c7e2d41","ttl":9000,"data":"c2VsZWN0IDE="}}"#;
     half.stream.write_all(br#"{"jsonrpc":"2.0","id":1,"method":"look-up","#).unwrap();
     assert!(front.client().is_ready()); // The first half has been read.
-    // New connections need its descriptor.
+    // New connections need the descriptor of this one.
     let others: Vec<TcpStream> = (0..80).map(|_| TcpStream::connect(front.address).unwrap()).collect();
     assert!(front.client().is_ready());
     half.stream.write_all(format!("{params}\n").as_bytes()).unwrap();
@@ -256,7 +261,7 @@
     }
     let mut client = front.client();
     client.send_request(1, "load");
-    let load = engine.next_message("serve"); // It hangs.
+    let load = engine.next_message("serve"); // It never replies.
     client.send_request(2, "look-up");
     let endless = engine.next_message("serve");
     (&endless.stream).write_all(format!("{} HIT fetches=1 600\r\nr\t\t\n", endless.id).as_bytes()).unwrap();
@@ -269,12 +274,13 @@
     ends.sort_unstable();
     assert_eq!(ends, [1, 2]);
     assert!(client.is_closed_in_order());
-    // The kill comes no sooner than this after the signal.
+    // After the signal, a front has at least this long until it is killed.
     assert_eq!(front.exit_code_within(Duration::from_millis(3700).saturating_sub(config.elapsed())), Some(0));
     drop((deaf, half, load));
 }
 
-/// Requests that come on one connection while the front ends, each as soon as the one before has been answered.
+/// Requests arrive on one connection before and after the front starts to shut down. Each one is accepted and
+/// gets one response, or is not accepted at all.
 #[test]
 fn each_request_of_a_pipeline_that_meets_the_shutdown_gets_one_response_or_was_not_accepted() {
     let (mut front, engine, _commands) = one(|_| {});
@@ -295,12 +301,12 @@
     answered.sort_unstable();
     assert_eq!(answered, (1..=16).collect::<Vec<u64>>());
     assert!(client.is_closed_in_order());
-    client.send_request(17, "look-up"); // After the end of the connection: it is dropped.
+    client.send_request(17, "look-up"); // Dropped, since the connection is closed.
     assert!(engine.is_quiet(Duration::from_millis(200)));
     assert_eq!(front.exit_code_within(PROMPT), Some(0));
 }
 
-/// Connections wait in the system's accept queue, with requests on them, when the front gets the signal.
+/// When the front gets the signal, connections with requests on them are still in the kernel's accept queue.
 #[test]
 fn connections_in_the_accept_queue_at_the_signal_are_answered() {
     let (mut front, engine, _commands) = one(|_| {});
@@ -318,8 +324,8 @@
     assert_eq!(front.exit_code_within(PROMPT), Some(0));
 }
 
-/// Idle clients hold all that clients may hold, and the channel is lost and comes back; there are more engines than
-/// descriptors for them.
+/// Idle clients hold all descriptors for clients, the discovery channel is lost and reconnects, and there are
+/// more engines than descriptors for engine connections.
 #[test]
 fn idle_clients_and_many_engines_leave_descriptors_for_discovery_and_new_clients() {
     for sockets in [64u64, 96] {
@@ -327,11 +333,11 @@
             (DiscoveryServer::start(), (0..60).map(|_| Engine::start()).collect::<Vec<_>>());
         let mut config = start_config(&[], commands.address);
         config["limits"]["sockets"] = json!(sockets);
-        // However busy the machine, no request times out.
+        // No request times out, even on a busy machine.
         config["settings"]["ceilings"]["connect_timeout_us"] = json!(5_000_000);
         config["settings"]["classes"][0]["aim_us"] = json!(20_000_000);
         let front = Front::start_within(FRONT, &config, sockets);
-        drop(commands.next_connection()); // Lost at once.
+        drop(commands.next_connection()); // The channel is lost at once.
         let idle: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(front.address).unwrap()).collect();
         let DiscoveryConnection { last_change: from, stream: mut wire } = commands.next_connection();
         assert_eq!(from, 1);
@@ -340,7 +346,7 @@
         wire.write_all(&changes(2, &listed)).unwrap();
         front.wait_for_log("engine 0000003c is Active");
         let mut most = 0;
-        // Many table groups are placed on different engines: every engine is wanted in turn.
+        // The table groups have different home engines, so that each engine needs a connection at some time.
         for group in 0..150u64 {
             let mut client = front.client();
             client.send_request_for_table_group(1, "look-up", group);
@@ -357,8 +363,8 @@
     }
 }
 
-/// A part of an event has come when the configuration is reloaded: it is requested again at the new address, and published
-/// once.
+/// The configuration is reloaded when a part of an event has arrived. The event has to be requested again at
+/// the new address, and applied once.
 #[test]
 fn a_reload_in_the_middle_of_an_event_loses_and_repeats_nothing() {
     let (front, engine, commands) = one(|_| {});
@@ -370,15 +376,15 @@
     front.reload(&start_config(&[(1, engine.address)], moved.address).to_string());
     let DiscoveryConnection { last_change: from, stream: mut new } = moved.next_connection();
     assert_eq!(from, 1);
-    let _ = wire.write_all(&whole[20..]); // The rest comes after all, on a connection that nobody reads.
+    let _ = wire.write_all(&whole[20..]); // The rest arrives on the old connection, which is no longer read.
     new.write_all(&[whole.clone(), whole, changes(3, &[(3, engine.address, 1)])].concat()).unwrap();
     front.wait_for_log("engine 00000003 is Leaving");
     front.signal("USR1");
     assert!(front.wait_for_log("counts:").contains("channel events 3;"));
 }
 
-/// The watch is silent while an engine begins to drain; the next connection names it as draining, and what still comes on
-/// the silent one is ignored.
+/// The discovery channel is silent while an engine starts to drain. The next connection lists the engine as
+/// draining; an event that still arrives on the silent connection must be ignored.
 #[test]
 fn an_engine_that_drains_while_the_watch_is_silent_gets_nothing_once_the_watch_is_back() {
     let (front, engine, commands) = one(|_| {});
@@ -394,7 +400,7 @@
     assert!(engine.is_quiet(Duration::from_millis(100)));
 }
 
-/// Half a line from an engine is unread when its connection is closed as idle.
+/// Half a reply line of an engine arrives while the front closes the engine's idle connection.
 #[test]
 fn an_engine_in_the_middle_of_a_line_sees_a_graceful_close() {
     let (front, engine, _commands) = one(|config| {
@@ -405,7 +411,7 @@
     let serve = engine.next_message("serve");
     serve.respond("HIT", "fetches=1", b"a\tb\tc\n");
     client.expect_result(1, b"a\tb\tc\n");
-    // The front's end of the connection is shut, and only then comes half a line.
+    // The half line arrives after the front has shut down its side of the connection.
     let mut wire = serve.stream.try_clone().unwrap();
     assert_eq!(engine.next_closed(), serve.front_address());
     wire.write_all(format!("{} HI", serve.id).as_bytes()).unwrap();
--- a/crates/edges/front/tests/sockets.rs
+++ b/crates/edges/front/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Starts the built front and speaks to it over loopback.
+//! End-to-end tests of the front binary: clients, engines and the discovery server are fakes on loopback.
 
 use lemonusher_fakes::*;
 use serde_json::{Value, json};
@@ -9,14 +9,14 @@
 const FRONT: &str = env!("CARGO_BIN_EXE_lemonusher-front");
 const PAUSE: Duration = Duration::from_millis(150);
 
-/// A front with one engine.
+/// Starts a front with one engine.
 fn one() -> (Front, Engine, DiscoveryServer) {
     let (engine, commands) = (Engine::start(), DiscoveryServer::start());
     let front = Front::start(FRONT, &start_config(&[(1, engine.address)], commands.address));
     (front, engine, commands)
 }
 
-/// A front with two engines, the first of which a request of these tests goes to.
+/// Starts a front with two engines, and returns the home engine of the look-ups in these tests first.
 fn two() -> (Front, [(u32, Engine); 2], DiscoveryServer) {
     let (engines, commands) = ([(1, Engine::start()), (2, Engine::start())], DiscoveryServer::start());
     let known: Vec<(u32, SocketAddr)> = engines.iter().map(|(id, e)| (*id, e.address)).collect();
@@ -111,7 +111,7 @@
 fn a_refused_connection_proves_that_a_non_idempotent_request_never_ran() {
     let closed = ClosedPort::bind();
     let (engine, commands) = (Engine::start(), DiscoveryServer::start());
-    // Whichever of the two the order puts first, one of these goes to the closed one first.
+    // Whichever engine id is the home engine, one of the two requests is first sent to the closed port.
     for known in [[(1, closed.address), (2, engine.address)], [(1, engine.address), (2, closed.address)]] {
         let front = Front::start(FRONT, &start_config(&known, commands.address));
         let mut client = front.client();
@@ -130,7 +130,7 @@
     client.send_line(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":1}}"#);
     assert_eq!(engine.next_message("cancel").id, call);
     serve.respond("HIT", "fetches=1", b"late\t\t\n");
-    assert!(client.is_ready()); // The first thing to come.
+    assert!(client.is_ready()); // No response to the request precedes this one.
 }
 
 #[test]
@@ -143,7 +143,8 @@
     assert_eq!(engine.next_message("cancel").id, call);
 }
 
-/// Two ends of an attempt cross: the first counts, and the second is ignored.
+/// The engine resets the connection while the front cancels the attempt: the event that the front handles first
+/// counts, and the other one is ignored.
 #[test]
 fn a_reset_that_crosses_a_cancel_ends_the_attempt() {
     let (front, engine, _commands) = one();
@@ -153,7 +154,7 @@
     std::thread::sleep(PAUSE);
     serve.respond("INFO", "detail=advance,figure=0.001", b"");
     serve.close_connection();
-    let code = client.expect_error(Some(1)); // The engine is ejected; the request is rejected once it would start too late.
+    let code = client.expect_error(Some(1)); // The engine is ejected, and the request rejected once it would start too late.
     assert_eq!(code, -32002);
     assert!(client.is_ready());
 }
@@ -164,7 +165,7 @@
     let mut client = front.client();
     let call = client.send_request_with_timeout(1, "look-up", 300);
     let serve = engine.next_message("serve");
-    assert_eq!(client.expect_error(Some(1)), -32002); // In time, though the engine has said nothing.
+    assert_eq!(client.expect_error(Some(1)), -32002); // In time, although the engine has not replied.
     assert_eq!(engine.next_message("cancel").id, call);
     serve.respond("HIT", "fetches=3", b"late\t\t\n");
     engine.next_message("read behind cancel").respond("FAULT", "-", b"");
@@ -222,7 +223,7 @@
     serve.respond("PART", "fetch_no=1", b"too\tsoon\t\n");
     serve.respond("PONG", "-", b"");
     for _ in 0..2 {
-        serve.respond("HIT", "fetches=2", b"a\tb\tc\n"); // And a second copy while its page is awaited.
+        serve.respond("HIT", "fetches=2", b"a\tb\tc\n"); // The second one arrives while the front waits for the page.
     }
     engine.next_message("read");
     for page in [7, 0, 1, 1] {
@@ -243,7 +244,7 @@
         "ID HIT fetches=1 5\r\nnoise\r\n",
         "ID HIT fetches=1 3000000000\r\na\tb\tc\n",
         "ID HIT fetches=1 9\r\na\tb\tc\n\r\nID HIT",
-        "ID HIT fetches=1 600\r\na\tb\tc\n", // It goes on no further, and the connection stays open.
+        "ID HIT fetches=1 600\r\na\tb\tc\n", // The body is never completed, and the connection stays open.
         &"x".repeat(5000),
     ] {
         let (front, engine, _commands) = one();
@@ -260,7 +261,7 @@
     let (front, engine, _commands) = one();
     let (mut slow, mut quick) = (front.client(), front.client());
     let rows = "r\t\t\n".repeat(11_750).into_bytes();
-    // More than the system holds for a connection that is not read.
+    // More than the kernel buffers for a connection that is not read.
     for id in 1..=32 {
         slow.send_request(id, "look-up");
         let serve = engine.next_message("serve");
@@ -300,14 +301,14 @@
     assert!(budget.parse::<u128>().unwrap() <= 20_000 - (PAUSE * 3).as_millis(), "{budget}");
 }
 
-/// The engine gets the request twice over different connections, and the second may overtake the cancel of the first.
+/// If the request were sent again on another connection, that could overtake the cancel of the first attempt.
 #[test]
 fn a_request_is_not_sent_again_before_its_engine_has_read_the_cancel() {
     let (front, engine, _commands) = one();
     let mut client = front.client();
     client.send_request(1, "look-up");
     let serve = engine.next_message("serve");
-    std::thread::sleep(PAUSE); // It has been in flight for long compared with the share done.
+    std::thread::sleep(PAUSE); // Makes the reported progress look slow, so that the front cancels the attempt.
     serve.respond("INFO", "detail=advance,figure=0.001", b"");
     engine.next_message("cancel");
     let behind = engine.next_message("read behind cancel");
@@ -342,7 +343,7 @@
 fn a_silent_engine_does_not_hold_a_cancelled_request() {
     let (engine, commands) = (Engine::start(), DiscoveryServer::start());
     let mut config = start_config(&[(1, engine.address)], commands.address);
-    config["settings"]["classes"][0]["aim_us"] = json!(20_000_000); // It is worth a retry for long.
+    config["settings"]["classes"][0]["aim_us"] = json!(20_000_000); // A late retry still meets the latency objective.
     let front = Front::start(FRONT, &config);
     let mut client = front.client();
     client.send_request(1, "look-up");
@@ -350,7 +351,7 @@
     std::thread::sleep(PAUSE);
     serve.respond("INFO", "detail=advance,figure=0.001", b"");
     engine.next_message("cancel");
-    engine.next_message("read behind cancel"); // And no answer to it.
+    engine.next_message("read behind cancel"); // The engine does not reply to this.
     let again = engine.next_message("serve");
     again.respond("HIT", "fetches=1", b"a\tb\tc\n");
     client.expect_result(1, b"a\tb\tc\n");
@@ -371,7 +372,7 @@
     client.send_request(1, "look-up");
     other.next_message("serve").respond("HIT", "fetches=1", b"");
     client.expect_result(1, b"");
-    // Lost and back, from the last event on; known events are skipped, missing ones requested again.
+    // After a loss, the front resumes from the last event. It skips known events and requests missing ones again.
     drop(wire);
     let DiscoveryConnection { last_change: last, stream: mut wire } = commands.next_connection();
     assert_eq!(last, 2);
@@ -379,7 +380,7 @@
     wire.write_all(&changes(4, &[(second, other.address, 1)])).unwrap();
     let DiscoveryConnection { last_change: last, stream: mut wire } = commands.next_connection();
     assert_eq!(last, 2);
-    // An engine of an unknown kind is skipped, and a malformed frame ends the connection.
+    // An engine of an unknown machine kind is skipped. A malformed frame ends the connection.
     let mut strange = changes(3, &[(first, home.address, 0), (9, home.address, 0)]);
     strange[13 + 27 + 12] = 7;
     wire.write_all(&strange).unwrap();
@@ -417,7 +418,7 @@
     front.wait_for_log("engine 00000003 is Leaving");
     serve.respond("HIT", "fetches=1", b"a\tb\tc\n");
     client.expect_result(1, b"a\tb\tc\n");
-    // And back again, to where the first connection is still open.
+    // Moves back to the first address, where the first connection is still open.
     front.reload(&start_config(&[(1, engine.address)], commands.address).to_string());
     assert_eq!(commands.next_connection().last_change, 3);
     assert!(client.is_ready());
@@ -428,7 +429,7 @@
     let (_front, _engine, commands) = one();
     let DiscoveryConnection { last_change: from, stream: mut wire } = commands.next_connection();
     let frame = changes(2, &[(7, commands.address, 1)]);
-    wire.write_all(&frame[..20]).unwrap(); // It stops within an event.
+    wire.write_all(&frame[..20]).unwrap(); // The channel falls silent in the middle of an event.
     assert_eq!((from, commands.next_connection().last_change), (1, 1));
 }
 
@@ -444,13 +445,13 @@
     client.send_request(2, "look-up");
     let new = engine.next_message("serve");
     assert_ne!(new.front_address(), old.front_address());
-    old.respond("HIT", "fetches=1", b"old\t\t\n"); // What was in flight there may still complete.
+    old.respond("HIT", "fetches=1", b"old\t\t\n"); // The attempt in flight there may still complete.
     client.expect_result(1, b"old\t\t\n");
     new.respond("HIT", "fetches=1", b"");
     client.expect_result(2, b"");
 }
 
-/// Each faulty line gets the standard error for it, under the id that could be read.
+/// Sends invalid lines, and expects the standard error for each, with the message id if one could be parsed.
 fn send_faulty_lines(client: &mut Client) {
     let params = r#""call":"9b1f03aa5c7e2d41","ttl":1500"#;
     for (line, id, code) in [
@@ -495,14 +496,15 @@
     let serve = engine.next_message("serve");
     send_faulty_lines(&mut bad);
     assert!(bad.is_ready());
-    // An id that is open, and a request id that is open elsewhere: neither ends the first request.
+    // A message id that is already open, and a request id that is open on another connection: neither ends the
+    // first request.
     good.send_request(1, "look-up");
     assert_eq!(good.expect_error(None), -32600);
     let data = base64(b"select 1");
     let params = json!({"call": serve.id, "ttl": 1500, "data": data});
     bad.send_line(&json!({"jsonrpc": "2.0", "id": 8, "method": "look-up", "params": params}).to_string());
     bad.expect_error(Some(8));
-    // One error, as for each faulty line; and the connection ends.
+    // A line over the length limit gets one error, as other invalid lines do, and ends the connection.
     let _ = bad.stream.write_all(&[b'x'; 400_000]);
     assert_eq!(bad.expect_error(None), -32600);
     assert_eq!(bad.next_response(), None);
@@ -536,7 +538,7 @@
     assert!(clients.iter_mut().all(Client::is_ready));
     front.signal("STOP");
     clients.iter_mut().for_each(|client| drop(client.send_request(1, "look-up")));
-    std::thread::sleep(Duration::from_millis(6500)); // Longer than any may be idle.
+    std::thread::sleep(Duration::from_millis(6500)); // Longer than the idle timeout.
     front.signal("CONT");
     for _ in 0..8 {
         engine.next_message("serve").respond("HIT", "fetches=1", b"a\tb\tc\n");
@@ -548,17 +550,17 @@
 fn unusable_lines_get_errors_up_to_a_limit() {
     let (front, engine, _commands) = one();
     let mut bad = front.client();
-    bad.send_line(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":4}}"#); // No such request was sent.
+    bad.send_line(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":4}}"#); // No request has this id.
     assert_eq!(bad.expect_error(None), -32602);
     for ttl in ["0", "-5", "1e400", "9e15", "NaN", "\"1500\""] {
         let params = format!(r#"{{"call":"9b1f03aa5c7e2d41","ttl":{ttl},"data":""}}"#);
         bad.send_line(&format!(r#"{{"jsonrpc":"2.0","id":4,"method":"look-up","params":{params}}}"#));
         assert!(bad.next_response().unwrap()["error"]["code"].as_i64().unwrap() < -32002, "{ttl}");
     }
-    // Revoked after its response: ignored.
+    // A revoke after the response is ignored.
     bad.send_line(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":3}}"#);
     assert!(bad.is_ready());
-    // Its end may overtake the last errors, as it goes on sending.
+    // The client keeps sending, so the close may overtake the last errors.
     let _ = bad.stream.write_all("{\n".repeat(100).as_bytes());
     while let Some(answer) = bad.next_response() {
         assert_eq!(answer["error"]["code"], -32700);
@@ -627,9 +629,9 @@
     engine.next_message("serve").respond("HIT", "fetches=1", b"");
     client.expect_result(1, b"");
     client.send_request(2, "load");
-    let running = engine.next_message("serve"); // It never ends.
+    let running = engine.next_message("serve"); // It never completes.
     front.signal("TERM");
-    front.signal("HUP"); // Too late to matter, and no harm.
+    front.signal("HUP"); // Ignored during the shutdown.
     front.wait_for_log("closing");
     assert!(!client.is_ready());
     let mut late = front.client();
@@ -637,7 +639,7 @@
     let answered = engine.next_message("serve");
     answered.respond("HIT", "fetches=1", b"a\tb\tc\n");
     late.expect_result(3, b"a\tb\tc\n");
-    let code = client.expect_error(Some(2)); // It may have run: failed, not rejected.
+    let code = client.expect_error(Some(2)); // The attempt may have run: the request fails and is not rejected.
     assert_ne!(code, -32002);
     assert_eq!(engine.next_message("cancel").id, running.id);
     let counts = front.wait_for_log("counts");
--- a/crates/edges/front/tests/unit/accept_delay.rs
+++ b/crates/edges/front/tests/unit/accept_delay.rs
@@ -13,7 +13,7 @@
     assert_eq!(delay.handle_accepted(), ms(250));
     delay.handle_empty_queue();
     assert_eq!(delay.handle_accepted(), ms(0), "it came after the queue was empty");
-    // A queue that is never seen empty holds no more than so many that waited.
+    // At most as many connections as the queue holds (3) can have waited, although the queue was never seen empty.
     delay.handle_blocked(ms(100));
     let waits: Vec<Duration> = (0..5).map(|_| delay.handle_accepted()).collect();
     assert_eq!(waits, [ms(100), ms(100), ms(100), ms(0), ms(0)]);
--- a/crates/edges/front/tests/unit/stall_detector.rs
+++ b/crates/edges/front/tests/unit/stall_detector.rs
@@ -8,7 +8,7 @@
     let at = |poll| start + period * poll;
     stall_detector.poll(at(1));
     assert_eq!(stall_detector.delay(at(2)), Duration::ZERO);
-    assert_eq!(stall_detector.delay(at(101)), period * 99); // Read before the beat,
+    assert_eq!(stall_detector.delay(at(101)), period * 99); // Before the late poll,
     stall_detector.poll(at(101));
     assert_eq!(stall_detector.delay(at(101)), period * 99); // and after it.
     (102..120).for_each(|poll| stall_detector.poll(at(poll)));
