--- a/crates/edges/deployment/src/convert.rs
+++ b/crates/edges/deployment/src/convert.rs
@@ -1,4 +1,4 @@
-//! Settings as the decision module takes them.
+//! Conversion of the settings to the types of the `lemonusher` crate.
 
 use crate::settings::{
     CapabilitySettings, EngineSettings, IdempotencySetting, RequestClassSettings, SafetySettings,
@@ -10,7 +10,7 @@
 };
 use std::time::Duration;
 
-/// The deployment that these settings state.
+/// Converts the settings of a deployment.
 pub fn deployment(settings: &Settings) -> Deployment {
     Deployment {
         fronts: settings.fronts,
--- a/crates/edges/deployment/src/lib.rs
+++ b/crates/edges/deployment/src/lib.rs
@@ -1,9 +1,10 @@
-//! Reads a deployment's settings, as every host of the gateway is given them at its start, and engines' load reports.
-//! Input is the settings object (JSON); output is the decision module's `Deployment`. Nothing here decides.
+//! Parses the settings of a deployment, which every program that runs the gateway receives at start-up, and the
+//! load reports of engines. The input is a JSON object or the numbers of a report; the output is a
+//! [`lemonusher::Deployment`] or [`lemonusher::LoadReport`]. This crate makes no routing decisions.
 //!
-//! The settings' own names are mapped to the code's once, by the `rename` attributes of the structs in
-//! `settings.rs`; values that are names themselves (`on_request`, `inline`, `busy`, ...) are mapped in `convert.rs`
-//! and `load_report.rs`. `expecting` keeps the texts of errors as they were.
+//! The `rename` attributes in `settings.rs` map the names in the settings to the terms of the code. Values that
+//! are names themselves (`on_request`, `inline`, `busy`, ...) are mapped in `convert.rs` and `load_report.rs`.
+//! The `expecting` attributes keep the texts of parse errors independent of the names of the structs.
 
 #![warn(missing_docs)]
 
--- a/crates/edges/deployment/src/load_report.rs
+++ b/crates/edges/deployment/src/load_report.rs
@@ -1,18 +1,18 @@
-//! Load reports of engines: a list of numbers, or numbers with names.
+//! Load reports of engines: a list of numbers in a configured order, or numbers with names.
 
 use crate::settings::Settings;
 use lemonusher::LoadReport;
 
-/// The values of a load report, in the order in which the deployment names them.
+/// Names of the values in a load report, in the order of the deployment's settings.
 pub struct LoadReportFields(Vec<String>);
 
 impl LoadReportFields {
-    /// The fields that these settings name.
+    /// Takes the names from the settings.
     pub fn new(settings: &Settings) -> Self {
         LoadReportFields(settings.load_report.fields.clone())
     }
 
-    /// Reads values that come in the stated order.
+    /// Reads values in the order of the settings.
     pub fn read_ordered(&self, values: &[f64]) -> LoadReport {
         let mut load = LoadReport::default();
         for (field, value) in self.0.iter().zip(values) {
@@ -21,7 +21,7 @@
         load
     }
 
-    /// Reads values that come with their names. Names that are not known are passed over.
+    /// Reads values with their names. Unknown names are ignored.
     pub fn read_named<'a>(&self, values: impl IntoIterator<Item = (&'a str, f64)>) -> LoadReport {
         let mut load = LoadReport::default();
         for (field, value) in values {
@@ -31,7 +31,8 @@
     }
 }
 
-/// The names of the fields: the first is the simulator's, the second that on sockets.
+/// Sets the value with this name. Of two names for one value, the simulator uses the first and the wire the
+/// second.
 fn set_field(load: &mut LoadReport, field: &str, value: f64) {
     match field {
         "busy" | "util" => load.cores_busy = Some(value),
--- a/crates/edges/deployment/src/settings.rs
+++ b/crates/edges/deployment/src/settings.rs
@@ -1,9 +1,9 @@
-//! The settings object, and the one table that maps its names to the code's. Names that end in `_us` are times in
-//! microseconds. Keys that are not named here are passed over.
+//! The settings object. Its `rename` attributes are the only mapping from the names in the settings to those in
+//! the code. Names that end in `_us` are times in microseconds. Unknown keys are ignored.
 
 use serde::Deserialize;
 
-/// Settings of a deployment, the same for every front but for its index and zone.
+/// Settings of a deployment, the same for every front except for its index and zone.
 #[derive(Deserialize)]
 #[serde(expecting = "struct Settled")]
 pub struct Settings {
@@ -16,82 +16,84 @@
     /// Index of this front's zone, from 0.
     #[serde(default)]
     pub zone: u32,
-    /// Time between two decisions.
+    /// Interval between two decisions of the gateway.
     pub tick_us: u64,
-    /// What fronts may do.
+    /// Optional features that fronts may use, and their limits.
     #[serde(rename = "ceilings")]
     pub capabilities: CapabilitySettings,
-    /// What things cost.
+    /// Costs of operations.
     #[serde(rename = "prices", default)]
     pub costs: CostSettings,
     /// Request classes, in the order of their indices.
     #[serde(rename = "classes")]
     pub request_classes: Vec<RequestClassSettings>,
-    /// How clients behave.
+    /// Behavior of clients.
     #[serde(rename = "client_habits", default)]
     pub clients: ClientSettings,
-    /// How the endpoint list is followed: `on_request` for polled, all else for pushed.
+    /// How endpoint updates reach a front: `on_request` if it polls for them; with any other value they are
+    /// pushed.
     pub discovery: String,
-    /// What engines are and do.
+    /// Properties of engines.
     #[serde(rename = "family_info")]
     pub engines: EngineSettings,
-    /// Figures of the safety rules.
+    /// Parameters of the safety rules.
     #[serde(rename = "obligations")]
     pub safety_rules: SafetySettings,
-    /// Load reports of engines.
+    /// Form of the load reports of engines.
     #[serde(rename = "report", default)]
     pub load_report: LoadReportSettings,
     /// Names of the zones, in the order of their indices.
     #[serde(rename = "areas", default)]
     pub zones: Vec<String>,
-    /// Names of the kinds of machine, in the order of their indices.
+    /// Names of the machine kinds, in the order of their indices.
     #[serde(rename = "kinds", default)]
     pub machine_kinds: Vec<String>,
 }
 
-/// How clients behave.
+/// Behavior of clients.
 #[derive(Deserialize, Default)]
 #[serde(default, expecting = "struct Habits")]
 pub struct ClientSettings {
-    /// Whether they mark the requests that they send again.
+    /// Clients mark the requests that they retry.
     #[serde(rename = "marks_retry")]
     pub marks_retries: bool,
 }
 
-/// What fronts may do.
+/// Optional features that fronts may use, and their limits.
 #[derive(Deserialize, Default)]
 #[serde(default, expecting = "struct Ceilings")]
 pub struct CapabilitySettings {
-    /// They may cancel an attempt in flight.
+    /// Fronts may cancel an attempt in flight.
     pub cancel: bool,
-    /// After this time a connection attempt to an engine has failed.
+    /// Timeout of a connection attempt to an engine.
     pub connect_timeout_us: u64,
-    /// Attempts of one request at most, the first among them.
+    /// Maximum number of attempts per request, including the first.
     pub max_attempts: u32,
-    /// The longest time to come back that may be given with a rejection.
+    /// Longest retry-after time that a rejection may carry.
     pub max_retry_after_us: u64,
-    /// They may send messages to each other.
+    /// Fronts may send messages to each other.
     #[serde(rename = "peers")]
     pub peer_messages: bool,
-    /// They may probe an engine's load.
+    /// Fronts may probe the load of an engine.
     pub probes: bool,
-    /// They may give a time to come back with a rejection.
+    /// A rejection may carry a retry-after time.
     pub retry_after: bool,
-    /// Two attempts of one request may be in flight at once.
+    /// Two attempts of one request may be in flight at once (hedged requests).
     #[serde(rename = "second_copies")]
     pub hedging: bool,
-    /// Engines close a connection that has been idle for so long.
+    /// Engines close a connection that has been idle for this long.
     #[serde(rename = "conn_idle_us")]
     pub idle_timeout_us: u64,
-    /// Attempts on one connection to an engine at most.
+    /// Maximum number of concurrent attempts on one connection to an engine.
     #[serde(rename = "streams_per_conn")]
     pub max_streams_per_connection: usize,
-    /// Open requests of one front at most.
+    /// Maximum number of open requests of one front.
     #[serde(rename = "open_cap")]
     pub max_open_requests: usize,
 }
 
-/// What things cost, as shares of the priority weight of a request, if one comes with each request.
+/// Costs of operations. Each is what one operation per request costs, as a share of the request's priority
+/// weight.
 #[derive(Deserialize, Default)]
 #[serde(default, expecting = "struct Prices")]
 pub struct CostSettings {
@@ -101,78 +103,79 @@
     pub handshake: f64,
 }
 
-/// A request class.
+/// Settings of a request class.
 #[derive(Deserialize)]
 #[serde(expecting = "struct Class")]
 pub struct RequestClassSettings {
-    /// Its name, by which requests state their class.
+    /// Name of the class, which requests refer to.
     #[serde(default)]
     pub name: String,
-    /// How much of a request's own work, spread over its threads, is added to the latency objective; no unit.
+    /// Multiple of the request's own work, divided by its threads, that is added to the latency objective; no
+    /// unit.
     #[serde(rename = "aim_stretch", default)]
     pub objective_work_factor: f64,
-    /// A response is in time within this, plus the share of its work.
+    /// A response is in time within this, plus `objective_work_factor` times its work over its threads.
     #[serde(rename = "aim_us")]
     pub latency_objective_us: u64,
-    /// Whether a request may run again.
+    /// Whether a request may run more than once.
     #[serde(rename = "effect")]
     pub idempotency: IdempotencySetting,
-    /// The engines among which repeats with one idempotency key are dropped.
+    /// The engines among which requests with a repeated idempotency key are dropped.
     #[serde(rename = "group", default)]
     pub deduplication_scope: ScopeSetting,
-    /// The longest that a client waits, over all its tries.
+    /// Longest time that a client waits, over all its tries.
     #[serde(rename = "hard_limit_us")]
     pub deadline_us: u64,
-    /// How long repeats with one idempotency key are dropped.
+    /// How long after the first attempt requests with a repeated idempotency key are dropped.
     #[serde(rename = "key_ttl_us", default)]
     pub key_retention_us: u64,
-    /// Share of the priority weight that a late response still earns, from 0 to 1.
+    /// Value of a late response, as a share of the priority weight, from 0 to 1.
     #[serde(rename = "late_value", default)]
     pub late_value_share: f64,
-    /// What a response in time is worth, against other classes; no unit.
+    /// Value of a response in time, relative to other classes; no unit.
     #[serde(rename = "points")]
     pub priority_weight: f64,
-    /// Whether requests of one key run one at a time, in the order of arrival.
+    /// Whether requests with the same key run one at a time, in the order of arrival.
     #[serde(rename = "by_arrival", default)]
     pub ordered: bool,
-    /// Indices of the only zones that it may be sent to; `None` for all.
+    /// Indices of the zones that its requests may be sent to; `None` for all.
     #[serde(rename = "areas_open")]
     pub allowed_zones: Option<Vec<u32>>,
-    /// Indices of the only kinds of machine that it may be sent to; `None` for all.
+    /// Indices of the machine kinds that its requests may be sent to; `None` for all.
     #[serde(rename = "kinds_open")]
     pub allowed_machine_kinds: Option<Vec<u32>>,
 }
 
-/// Whether a request may run again.
+/// Whether a request may run more than once.
 #[derive(Deserialize, Clone, Copy)]
 pub enum IdempotencySetting {
-    /// It may.
+    /// It may run any number of times.
     #[serde(rename = "safe")]
     Idempotent,
-    /// It may while engines drop repeats of its key.
+    /// It carries an idempotency key, and may be sent again while engines drop repeats of that key.
     #[serde(rename = "keyed")]
     IdempotencyKeyed,
-    /// It must not.
+    /// It must never run twice.
     #[serde(rename = "unsafe")]
     NonIdempotent,
 }
 
-/// The engines among which repeats with one idempotency key are dropped.
+/// The engines among which requests with a repeated idempotency key are dropped.
 #[derive(Deserialize, Clone, Copy, Default)]
 pub enum ScopeSetting {
     /// All engines.
     #[default]
     #[serde(rename = "all")]
     Everywhere,
-    /// The engines of one zone.
+    /// The engines of the zone of the first attempt.
     #[serde(rename = "zone")]
     Zone,
-    /// The engines of one cell.
+    /// The engines of the cell of the first attempt.
     #[serde(rename = "cell")]
     Cell,
 }
 
-/// What engines are and do. Lists go by the index of the request class, or of the kind of machine.
+/// Properties of engines. Lists are indexed by request class or by machine kind.
 #[derive(Deserialize, Default)]
 #[serde(default, expecting = "struct Family")]
 pub struct EngineSettings {
@@ -182,56 +185,59 @@
     /// By request class: the threads that a request runs on.
     #[serde(rename = "class_threads")]
     pub threads_by_class: Vec<f64>,
-    /// By request class: whether it stands still while a bulk load holds its table group on the same engine.
+    /// By request class: whether a request waits while a bulk load holds its table group on the same engine.
     #[serde(rename = "yields_to_loads")]
     pub waits_for_bulk_loads_by_class: Vec<bool>,
-    /// By kind of machine: its cores.
+    /// By machine kind: cores of one machine.
     #[serde(rename = "cpu_of_kind")]
     pub cores_by_kind: Vec<f64>,
-    /// By kind of machine: its memory in megabytes.
+    /// By machine kind: memory of one machine, in MB.
     pub memory_by_kind_mb: Vec<f64>,
-    /// Whether engines heed the priority given with an attempt.
+    /// Whether engines apply the priority sent with an attempt.
     #[serde(rename = "lanes_count")]
     pub priorities: bool,
-    /// Whether engines heed the memory grant given with an attempt.
+    /// Whether engines apply the memory grant sent with an attempt.
     #[serde(rename = "takes_grants")]
     pub memory_grants: bool,
-    /// Time between two progress reports of an attempt; zero for none.
+    /// Interval between two progress reports of an attempt; zero if engines send none.
     #[serde(rename = "note_period_us")]
     pub progress_interval_us: u64,
-    /// Whether engines state with a response what the attempt used.
+    /// Whether engines report the resources that an attempt used.
     #[serde(rename = "says_cost")]
     pub reports_usage: bool,
 }
 
-/// Figures of the safety rules.
+/// Parameters of the safety rules.
 #[derive(Deserialize, Default)]
 #[serde(default, expecting = "struct Obligations")]
 pub struct SafetySettings {
-    /// Where discovery is polled, a front that has not asked for so long counts as notified of the list as it is.
+    /// If discovery is polled, a front that has not polled for this long counts as notified of the current
+    /// endpoint list.
     #[serde(rename = "ask_within_us")]
     pub discovery_poll_deadline_us: u64,
-    /// What an engine that has just started can do, as a share of what it does when warm, from 0 to 1.
+    /// Capacity of an engine that has just started, as a share of its capacity when warmed up, from 0 to 1.
     #[serde(rename = "cold_from")]
     pub slow_start_share: f64,
-    /// For how long after its start an engine warms up.
+    /// How long an engine is in slow start after it has started.
     #[serde(rename = "cold_us")]
     pub slow_start_window_us: u64,
-    /// After a front has been notified that an engine drains, an attempt may still begin there for so long.
+    /// How long after a front has been notified that an engine drains an attempt may still start there.
     pub drain_grace_us: u64,
-    /// An engine that warms up fails at so many times the work that it can do within the overload window; no unit.
+    /// An engine in slow start fails at this multiple of the work that it can do within the overload window; no
+    /// unit.
     #[serde(rename = "fall_multiple")]
     pub overload_factor: f64,
-    /// The time over which the work sent to an engine that warms up is added.
+    /// Window over which the work sent to an engine in slow start is summed.
     #[serde(rename = "tip_after_us")]
     pub overload_window_us: u64,
-    /// How long the next request of a key waits after an attempt that may still be running.
+    /// How long the next request with the same key waits after an attempt with an unknown outcome, which may
+    /// still run.
     #[serde(rename = "settle_after_doubt_us")]
     pub unknown_outcome_delay_us: u64,
-    /// Retries that are allowed in any window of the budget, however few requests there are.
+    /// Retries allowed in any window of the budget, independent of the number of requests. `None` counts as 0.
     #[serde(rename = "min_extra")]
     pub free_retries: Option<f64>,
-    /// Retries that are allowed besides, as a share of the window's requests.
+    /// Retries allowed in addition, as a share of the requests in the window. `None` counts as 0.
     #[serde(rename = "extra_ratio")]
     pub retry_ratio: Option<f64>,
     /// The window of the retry budget; `None` for no budget.
@@ -239,13 +245,14 @@
     pub retry_budget_window_us: Option<u64>,
 }
 
-/// Load reports of engines.
+/// Form of the load reports of engines.
 #[derive(Deserialize, Default)]
 #[serde(default, expecting = "struct Report")]
 pub struct LoadReportSettings {
     /// Names of the values, in the order in which reports hold them.
     pub fields: Vec<String>,
-    /// What they come with: `inline` for responses, `on_probe` for probes, all else for nothing.
+    /// When engines send a load report: `inline` with replies to attempts, `on_probe` with replies to probes;
+    /// with any other value never.
     #[serde(rename = "via")]
     pub sent_with: String,
 }
--- a/crates/testing/fakes/src/base64.rs
+++ b/crates/testing/fakes/src/base64.rs
@@ -1,8 +1,8 @@
-//! Base64 of a test, independent of the program's.
+//! Base64 encoding for tests, independent of the implementation under test.
 
 const DIGITS: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
-/// Encodes as base64, as results and statements are on the wire.
+/// Encodes bytes as base64, the form of results and statements on the wire.
 pub fn base64(bytes: &[u8]) -> String {
     let chunk = |three: &[u8]| {
         let bits = three.iter().fold(0u32, |sum, b| sum << 8 | u32::from(*b)) << (8 * (3 - three.len()));
--- a/crates/testing/fakes/src/closed_port.rs
+++ b/crates/testing/fakes/src/closed_port.rs
@@ -3,21 +3,22 @@
 use socket2::{Domain, Socket, Type};
 use std::net::SocketAddr;
 
-/// An address that refuses all connections for as long as this lives: the port is bound, so that no other socket can be
-/// given it, and nobody listens.
+/// An address that refuses connections until this value is dropped. The port is bound, so that the kernel
+/// assigns it to no other socket, and nothing listens on it.
 pub struct ClosedPort {
-    /// The address.
+    /// Address of the port.
     pub address: SocketAddr,
     _socket: Socket,
 }
 
 impl ClosedPort {
-    /// One on a free port.
+    /// Binds a free port.
     pub fn bind() -> ClosedPort {
         ClosedPort::bind_to(SocketAddr::from(([127, 0, 0, 1], 0)), false)
     }
 
-    /// One that a program which asks for this very address may listen at all the same, as one does that is restarted.
+    /// Reserves a free port on which a program that binds this exact address can still listen, also after a
+    /// restart.
     pub fn reserve(host: [u8; 4]) -> ClosedPort {
         ClosedPort::bind_to(SocketAddr::from((host, 0)), true)
     }
--- a/crates/testing/fakes/src/counting_engine.rs
+++ b/crates/testing/fakes/src/counting_engine.rs
@@ -1,4 +1,4 @@
-//! Engines that answer by themselves, and count what they are sent.
+//! Fake engines that reply by themselves, and record the requests that they receive.
 
 use crate::engine::Engine;
 use std::io::Write;
@@ -7,16 +7,16 @@
 use std::thread;
 use std::time::Instant;
 
-/// What a counting engine does with a request.
+/// Reaction of a counting engine to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineBehavior {
-    /// Answers with a result.
+    /// Replies with a result that reports 1 ms of work.
     Result,
-    /// The same, and states so many milliseconds of work.
+    /// Replies with a result that reports this many milliseconds of work.
     ResultAfterWork(u32),
-    /// Answers with a failure.
+    /// Replies with a failure.
     Fail,
-    /// Rejects it unseen.
+    /// Rejects the request without running it.
     Reject,
     /// Closes the connection.
     CloseConnection,
@@ -26,24 +26,24 @@
     format!("{id} HIT fetches=1,effort={work_ms},high=1 6\r\nx\ty\tz\n\r\n")
 }
 
-/// A request that a counting engine was sent.
+/// A request that a counting engine received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReceivedRequest {
-    /// When it came.
+    /// When it arrived.
     pub at: Instant,
-    /// Its id.
+    /// Id of the request.
     pub id: String,
 }
 
-/// An engine that answers by itself and records its requests.
+/// An engine that replies by itself and records its requests.
 pub struct CountingEngine {
-    /// Its address.
+    /// Address that it listens on.
     pub address: SocketAddr,
     requests: Arc<Mutex<Vec<ReceivedRequest>>>,
 }
 
 impl CountingEngine {
-    /// `behavior` is called with the number of each request, from zero.
+    /// Starts an engine on a free port. `behavior` is called with the number of each request, from 0.
     pub fn start(behavior: impl Fn(usize) -> EngineBehavior + Send + Sync + 'static) -> CountingEngine {
         let engine = Engine::start();
         let requests: Arc<Mutex<Vec<ReceivedRequest>>> = Arc::default();
@@ -58,7 +58,7 @@
                     recorded.push(ReceivedRequest { at: Instant::now(), id: message.id.clone() });
                     recorded.len() - 1
                 };
-                // Sending fails if the front has ended; that is fine.
+                // Ignores errors: the front may have exited.
                 let response = match behavior(number) {
                     EngineBehavior::Result => result(&message.id, 1),
                     EngineBehavior::ResultAfterWork(work_ms) => result(&message.id, work_ms),
@@ -75,7 +75,7 @@
         CountingEngine { address, requests }
     }
 
-    /// All requests that it was sent, in order.
+    /// All requests that were received, in order.
     pub fn requests(&self) -> Vec<ReceivedRequest> {
         self.requests.lock().unwrap().clone()
     }
--- a/crates/testing/fakes/src/discovery.rs
+++ b/crates/testing/fakes/src/discovery.rs
@@ -1,32 +1,32 @@
-//! Discovery: the server that fronts learn of engines from, and its frames.
+//! A fake discovery server, and the frames that it sends.
 
 use crate::TEST_TIMEOUT;
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// A connection of a front to discovery.
+/// A connection of a front to the discovery server.
 pub struct DiscoveryConnection {
-    /// Number of the last change that the front knows.
+    /// Number of the last event that the front has applied.
     pub last_change: u64,
     /// The connection.
     pub stream: TcpStream,
 }
 
-/// A discovery server, which the test answers for.
+/// A discovery server whose events are sent by the test.
 pub struct DiscoveryServer {
-    /// Its address.
+    /// Address that it listens on.
     pub address: SocketAddr,
     listener: TcpListener,
 }
 
 impl DiscoveryServer {
-    /// Starts one on a free port.
+    /// Starts a server on a free port.
     pub fn start() -> DiscoveryServer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         DiscoveryServer { address: listener.local_addr().unwrap(), listener }
     }
 
-    /// The next connection of a front.
+    /// Waits for the next connection of a front.
     pub fn next_connection(&self) -> DiscoveryConnection {
         let (mut stream, _) = self.listener.accept().unwrap();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -36,7 +36,8 @@
     }
 }
 
-/// A frame with the change of this number: engines with their addresses and states.
+/// Encodes an event with this number that updates the given engines: id, address and state (0 active, 1 draining,
+/// 2 removed).
 pub fn changes(number: u64, records: &[(u32, SocketAddr, u8)]) -> Vec<u8> {
     let mut frame = ((9 + 27 * records.len()) as u32).to_be_bytes().to_vec();
     frame.extend(number.to_be_bytes());
--- a/crates/testing/fakes/src/engine.rs
+++ b/crates/testing/fakes/src/engine.rs
@@ -1,4 +1,4 @@
-//! Engines that a test answers for.
+//! Fake engines whose replies are sent by the test.
 
 use crate::TEST_TIMEOUT;
 use std::collections::BTreeSet;
@@ -10,20 +10,21 @@
 
 /// A message of a front to an engine.
 pub struct EngineMessage {
-    /// First word: `serve`, `cancel`, `read`, ...
+    /// The command: `serve`, `cancel`, `read`, ... A `read` after a `cancel` of the same id is `read behind
+    /// cancel`.
     pub verb: String,
     /// Id of the request.
     pub id: String,
-    /// Fields, page number or priority.
+    /// Parameters of an attempt, page number or priority.
     pub arguments: String,
-    /// The statement of a request.
+    /// Statement of an attempt; empty for other commands.
     pub body: Vec<u8>,
-    /// The connection that it came on.
+    /// Connection that the message arrived on.
     pub stream: TcpStream,
 }
 
 impl EngineMessage {
-    /// Answers it.
+    /// Sends a reply of this kind.
     pub fn respond(&self, kind: &str, fields: &str, body: &[u8]) {
         let mut message = format!("{} {kind} {fields} {}\r\n", self.id, body.len()).into_bytes();
         message.extend_from_slice(body);
@@ -31,7 +32,7 @@
         (&self.stream).write_all(&message).unwrap();
     }
 
-    /// Closes the connection that it came on.
+    /// Closes the connection that the message arrived on.
     pub fn close_connection(&self) {
         self.stream.shutdown(Shutdown::Both).unwrap();
     }
@@ -42,16 +43,16 @@
     }
 }
 
-/// An engine that answers probes, and hands the test all other messages.
+/// An engine that replies to probes by itself, and passes all other messages to the test.
 pub struct Engine {
-    /// Its address.
+    /// Address that it listens on.
     pub address: SocketAddr,
     pub(crate) messages: Receiver<EngineMessage>,
     closed: Receiver<SocketAddr>,
 }
 
 impl Engine {
-    /// Starts one on a free port.
+    /// Starts an engine on a free port.
     pub fn start() -> Engine {
         Engine::on(TcpListener::bind("127.0.0.1:0").unwrap())
     }
@@ -72,46 +73,46 @@
         Engine { address, messages, closed }
     }
 
-    /// Address of the next connection that the front closes.
+    /// Waits until the front closes a connection. Returns the front's address of that connection.
     pub fn next_closed(&self) -> SocketAddr {
         self.closed.recv_timeout(TEST_TIMEOUT).expect("an end")
     }
 
-    /// The next message, which must be of this kind.
+    /// Waits for the next message, which must be this command.
     pub fn next_message(&self, verb: &str) -> EngineMessage {
         let message = self.messages.recv_timeout(TEST_TIMEOUT).expect(verb);
         assert_eq!(message.verb, verb, "{} {}", message.id, message.arguments);
         message
     }
 
-    /// The next message, which must be of this kind, if one comes within this time.
+    /// Waits for the next message, which must be this command. Returns `None` if none arrives within `span`.
     pub fn next_message_within(&self, verb: &str, span: Duration) -> Option<EngineMessage> {
         let message = self.messages.recv_timeout(span).ok()?;
         assert_eq!(message.verb, verb, "{} {}", message.id, message.arguments);
         Some(message)
     }
 
-    /// The next message, if one comes within this time and is a request.
+    /// Waits for the next message. Returns `None` if none arrives within `span`, or if it is not an attempt.
     pub fn try_next_request(&self, span: Duration) -> Option<EngineMessage> {
         self.messages.recv_timeout(span).ok().filter(|message| message.verb == "serve")
     }
 
-    /// Whether no message comes for this time.
+    /// Returns whether no message arrives for this long.
     pub fn is_quiet(&self, span: Duration) -> bool {
         matches!(self.messages.recv_timeout(span), Err(RecvTimeoutError::Timeout))
     }
 }
 
-/// An engine to which no connection can be made until the test says so: its backlog is full.
+/// An engine that no connection can be established to until the test allows it, because its accept queue is full.
 pub struct UnconnectableEngine {
-    /// Its address.
+    /// Address that it listens on.
     pub address: SocketAddr,
     listener: TcpListener,
     queued: Vec<TcpStream>,
 }
 
 impl UnconnectableEngine {
-    /// Starts one on a free port, and fills its backlog.
+    /// Starts an engine on a free port, and fills its accept queue.
     pub fn start() -> UnconnectableEngine {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -124,7 +125,8 @@
         UnconnectableEngine { address, listener, queued }
     }
 
-    /// Accepts connections from now on; those that were tried before are made within a second or two.
+    /// Accepts connections from now on. Earlier connection attempts succeed within a second or two, when the
+    /// kernel retries them.
     pub fn accept_connections(self) -> Engine {
         drop(self.queued);
         Engine::on(self.listener)
--- a/crates/testing/fakes/src/front.rs
+++ b/crates/testing/fakes/src/front.rs
@@ -1,4 +1,4 @@
-//! A front as built, run as a process.
+//! The built front binary, run as a process.
 
 use crate::client::Client;
 use crate::{TEST_TIMEOUT, temp_file};
@@ -12,19 +12,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A front that runs; killed when it is dropped.
+/// A running front. Dropping it kills the process.
 pub struct Front {
     child: Child,
-    /// Its start file, removed with it.
+    /// The start file, removed on drop.
     file: PathBuf,
-    /// The address that it listens at for clients.
+    /// Address that it listens on for clients.
     pub address: SocketAddr,
     log: Mutex<Receiver<String>>,
     startup_log: Vec<String>,
 }
 
 impl Front {
-    /// Starts it with this start file, and waits until it listens.
+    /// Starts a front with this start file, and waits until it listens.
     pub fn start(program: &str, config: &Value) -> Front {
         let file = temp_file("json", &config.to_string());
         let mut command = Command::new(program);
@@ -32,7 +32,7 @@
         Front::spawn(command, file)
     }
 
-    /// The same, with a limit on open file descriptors.
+    /// Starts a front with a limit on open file descriptors, and waits until it listens.
     pub fn start_within(program: &str, config: &Value, descriptors: u64) -> Front {
         let file = temp_file("json", &config.to_string());
         let mut command = Command::new("sh");
@@ -41,7 +41,7 @@
         Front::spawn(command, file)
     }
 
-    /// Runs a command, and waits until its log has this text.
+    /// Runs a command, and waits until its log contains this text.
     pub fn spawn_until(command: Command, file: PathBuf, said: &str) -> Front {
         Front::spawn_with(command, file, |line| {
             line.contains(said).then(|| SocketAddr::from(([127, 0, 0, 1], 0)))
@@ -73,28 +73,29 @@
         Front { child, file, address, log: Mutex::new(log), startup_log }
     }
 
-    /// What stands after this text in the log up to the start.
+    /// Returns the rest of the first start-up log line that contains this text.
     pub fn startup_log_value(&self, text: &str) -> Option<String> {
         self.startup_log.iter().find_map(|line| Some(line.split_once(text)?.1.trim().to_owned()))
     }
 
-    /// Its process id.
+    /// Process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Kills it, as a crash would end it.
+    /// Kills the process, without a graceful shutdown.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// A new client connection.
+    /// Opens a client connection.
     pub fn client(&self) -> Client {
         Client::new(TcpStream::connect(self.address).unwrap())
     }
 
-    /// A client with a receive buffer so small that next to nothing can be sent while it does not read.
+    /// Opens a client connection with a receive buffer so small that little can be sent to it while it does not
+    /// read.
     pub fn slow_reader(&self) -> Client {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(4096).unwrap();
@@ -102,13 +103,13 @@
         Client::new(socket.into())
     }
 
-    /// Sends it a signal, by name without `SIG`.
+    /// Sends a signal, named without `SIG`.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args(["-s", name, &id]).status().unwrap().success());
     }
 
-    /// Stops all its threads, and returns once they have stopped.
+    /// Sends `SIGSTOP`, and waits until all threads have stopped.
     pub fn freeze(&self) {
         self.signal("STOP");
         let is_stopped = |task: &std::fs::DirEntry| {
@@ -121,18 +122,18 @@
         }
     }
 
-    /// Replaces its start file, and signals that.
+    /// Replaces the start file, and sends `SIGHUP`.
     pub fn reload(&self, config: &str) {
         std::fs::write(&self.file, config).unwrap();
         self.signal("HUP");
     }
 
-    /// All lines of the log since it was last read.
+    /// Returns the log lines that have not been read yet.
     pub fn take_log_lines(&self) -> Vec<String> {
         self.log.lock().unwrap().try_iter().collect()
     }
 
-    /// Waits for the next line of the log that holds this text.
+    /// Waits for the next log line that contains this text. Earlier lines are dropped.
     pub fn wait_for_log(&self, text: &str) -> String {
         loop {
             let line = self.log.lock().unwrap().recv_timeout(TEST_TIMEOUT).expect(text);
@@ -142,12 +143,12 @@
         }
     }
 
-    /// Waits until it ends.
+    /// Waits for the process to exit. Returns its exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
         self.child.wait().unwrap().code()
     }
 
-    /// Its exit code, if it ends within this time.
+    /// Returns the exit code if the process exits with one within this time.
     pub fn exit_code_within(&mut self, span: Duration) -> Option<i32> {
         let started = Instant::now();
         loop {
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Number of its open file descriptors.
+    /// Number of open file descriptors.
     pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
@@ -172,15 +173,15 @@
     }
 }
 
-/// How a front ended that failed at its start.
+/// Result of a front that failed to start.
 pub struct FailedStart {
-    /// Its exit code; none if a signal ended it.
+    /// Exit code; `None` if a signal ended the process.
     pub exit_code: Option<i32>,
-    /// Its standard error.
+    /// Standard error of the process.
     pub stderr: String,
 }
 
-/// Runs a front that should fail at its start.
+/// Runs a front that is expected to fail at start-up. Without `config`, `PROXY_CONFIG` is unset.
 pub fn start_failure(program: &str, config: Option<&str>) -> FailedStart {
     let mut command = Command::new(program);
     command.env_remove("PROXY_CONFIG");
--- a/crates/testing/fakes/src/lib.rs
+++ b/crates/testing/fakes/src/lib.rs
@@ -1,5 +1,5 @@
-//! Fakes of all that a front speaks to, on loopback, and built programs as tests run them. They panic where a test
-//! should fail.
+//! Fakes of the clients, engines and discovery server of a front, on loopback, and built programs run as
+//! processes. They panic when a test should fail.
 
 #![warn(missing_docs)]
 
@@ -25,5 +25,5 @@
 
 use std::time::Duration;
 
-/// Longer than anything takes, even on a busy machine.
+/// Timeout of every wait, longer than any operation takes even on a busy machine.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/testing/fakes/src/settings.rs
+++ b/crates/testing/fakes/src/settings.rs
@@ -1,9 +1,9 @@
-//! Settings of a deployment, and the start file of a front.
+//! Settings of a deployment, and start file of a front, for tests.
 
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// Settings with two request classes (`look-up`, idempotent; `load`, bulk and not idempotent) and two zones.
+/// Settings with two zones and two request classes: `look-up` (idempotent) and `load` (non-idempotent bulk load).
 pub fn settings() -> Value {
     let class = |name, latency_objective_us, deadline_us, effect| {
         json!({"name": name, "aim_us": latency_objective_us, "aim_stretch": 1.5, "hard_limit_us": deadline_us, "effect": effect,
@@ -26,7 +26,7 @@
     })
 }
 
-/// The start file of a front, with these engines ready and discovery at this address.
+/// Start file of a front, with these engines as active and the discovery server at this address.
 pub fn start_config(engines: &[(u32, SocketAddr)], discovery: SocketAddr) -> Value {
     let member = |(id, address): &(u32, SocketAddr)| {
         json!({"id": format!("s-{id:08x}"), "host_port": address.to_string(), "locality": "east",
