--- a/crates/edges/front/src/protocol/statement.rs
+++ b/crates/edges/front/src/protocol/statement.rs
@@ -9,29 +9,29 @@
     /// A quoted identifier, in lower case and without its quotes.
     Quoted(String),
     /// Any other character.
-    Mark(char),
+    Punctuation(char),
 }
 
 /// Returns the table group of the first table in a position where tables are named: after FROM, JOIN, INTO,
 /// UPDATE, TABLE, TRUNCATE, MERGE, USING or COPY, or after a comma in a list of tables. Strings and comments
 /// are ignored, as are column names with any qualifier and tables of the schema `staging`.
 pub fn table_group(statement: &str) -> Option<u64> {
-    let tokens = tokens(statement);
+    let tokens = tokenize(statement);
     let mut scopes = vec![Scope::default()];
     for (position, token) in tokens.iter().enumerate() {
-        let before = position.checked_sub(1).map(|before| &tokens[before]);
+        let previous = position.checked_sub(1).map(|index| &tokens[index]);
         let is_name = match token {
-            Token::Mark(mark) => {
-                apply_mark(&mut scopes, *mark);
+            Token::Punctuation(punctuation) => {
+                apply_punctuation(&mut scopes, *punctuation);
                 false
             }
-            Token::Word(word) => !innermost(&mut scopes).apply_keyword(word, before),
+            Token::Word(word) => !innermost_scope(&mut scopes).apply_keyword(word, previous),
             Token::Quoted(_) => true,
         };
         if !is_name {
             continue;
         }
-        let scope = innermost(&mut scopes);
+        let scope = innermost_scope(&mut scopes);
         if scope.expects_table
             && let Some(group) = group_of_table(&tokens[position..])
         {
@@ -43,10 +43,10 @@
 }
 
 /// Opens or closes a scope, or applies a punctuation character to the innermost one.
-fn apply_mark(scopes: &mut Vec<Scope>, mark: char) {
+fn apply_punctuation(scopes: &mut Vec<Scope>, punctuation: char) {
     let depth = scopes.len();
-    let scope = innermost(scopes);
-    match mark {
+    let scope = innermost_scope(scopes);
+    match punctuation {
         '(' => {
             // The parentheses of `FROM (a JOIN b)` hold tables; those of a function such as `extract(year FROM
             // x)` don't.
@@ -64,7 +64,7 @@
     }
 }
 
-fn innermost(scopes: &mut [Scope]) -> &mut Scope {
+fn innermost_scope(scopes: &mut [Scope]) -> &mut Scope {
     scopes.last_mut().expect("the outermost scope is never closed")
 }
 
@@ -81,9 +81,9 @@
 
 impl Scope {
     /// Applies a keyword. Returns false for any other word, which may then be a name.
-    fn apply_keyword(&mut self, word: &str, before: Option<&Token>) -> bool {
+    fn apply_keyword(&mut self, word: &str, previous: Option<&Token>) -> bool {
         let follows =
-            |wanted: &[&str]| matches!(before, Some(Token::Word(word)) if wanted.contains(&word.as_str()));
+            |wanted: &[&str]| matches!(previous, Some(Token::Word(word)) if wanted.contains(&word.as_str()));
         match word {
             "select" | "delete" | "with" => (self.reads_tables, self.lists_tables) = (true, false),
             "update" if follows(&["for", "do", "on"]) => {}
@@ -109,14 +109,14 @@
 /// Returns the table group of a qualified table name, `schema.table` or `catalog.schema.table`.
 fn group_of_table(tokens: &[Token]) -> Option<u64> {
     let mut parts = Vec::new();
-    for (place, token) in tokens.iter().enumerate() {
+    for (index, token) in tokens.iter().enumerate() {
         match token {
-            Token::Word(name) | Token::Quoted(name) if place % 2 == 0 => parts.push(name.as_str()),
-            Token::Mark('.') if place % 2 == 1 => {}
+            Token::Word(name) | Token::Quoted(name) if index % 2 == 0 => parts.push(name.as_str()),
+            Token::Punctuation('.') if index % 2 == 1 => {}
             _ => break,
         }
     }
-    let schema = parts.len().checked_sub(2).map(|place| parts[place])?;
+    let schema = parts.len().checked_sub(2).map(|index| parts[index])?;
     let (name, digits) = schema.rsplit_once('_')?;
     if name.is_empty() || name == "staging" || !digits.bytes().all(|b| b.is_ascii_digit()) {
         return None;
@@ -124,21 +124,21 @@
     digits.parse().ok()
 }
 
-fn tokens(statement: &str) -> Vec<Token> {
+fn tokenize(statement: &str) -> Vec<Token> {
     let mut tokens = Vec::new();
     let mut rest = statement;
     while let Some(first) = rest.chars().next() {
         let length = match first {
-            '\'' => quoted(rest, '\''),
+            '\'' => quoted_length(rest, '\''),
             '"' | '`' => {
-                let length = quoted(rest, first);
+                let length = quoted_length(rest, first);
                 let inner = rest[..length].trim_matches(first);
                 tokens.push(Token::Quoted(inner.to_lowercase()));
                 length
             }
             '-' if rest.starts_with("--") => rest.find('\n').unwrap_or(rest.len()),
-            '/' if rest.starts_with("/*") => comment(rest),
-            '$' => dollars(rest),
+            '/' if rest.starts_with("/*") => comment_length(rest),
+            '$' => dollar_quoted_length(rest),
             c if c.is_alphanumeric() || c == '_' => {
                 let end = rest.find(|c: char| !(c.is_alphanumeric() || c == '_' || c == '$'));
                 let length = end.unwrap_or(rest.len());
@@ -147,7 +147,7 @@
             }
             c => {
                 if !c.is_whitespace() {
-                    tokens.push(Token::Mark(c));
+                    tokens.push(Token::Punctuation(c));
                 }
                 c.len_utf8()
             }
@@ -158,7 +158,7 @@
 }
 
 /// Length of a quoted string with its quotes. A doubled quote stands for one.
-fn quoted(text: &str, quote: char) -> usize {
+fn quoted_length(text: &str, quote: char) -> usize {
     let mut from = 1;
     while let Some(end) = text[from..].find(quote) {
         from += end + 1;
@@ -171,7 +171,7 @@
 }
 
 /// Length of a block comment, which may be nested.
-fn comment(text: &str) -> usize {
+fn comment_length(text: &str) -> usize {
     let (mut depth, mut at) = (0, 0);
     let bytes = text.as_bytes();
     while at + 1 < bytes.len() {
@@ -188,7 +188,7 @@
 }
 
 /// Length of a dollar-quoted string (`$tag$...$tag$`), or 1 if the dollar sign opens none.
-fn dollars(text: &str) -> usize {
+fn dollar_quoted_length(text: &str) -> usize {
     let Some(end) = text[1..].find('$').map(|end| end + 2) else { return 1 };
     let tag = &text[..end];
     if !tag[1..end - 1].chars().all(|c| c.is_alphanumeric() || c == '_') {
