--- a/crates/edges/front/src/protocol/json.rs
+++ b/crates/edges/front/src/protocol/json.rs
@@ -35,12 +35,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct JsonError {
     /// Offset of the first invalid byte.
-    pub at: usize,
+    pub position: usize,
 }
 
 impl fmt::Display for JsonError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "invalid JSON at byte {}", self.at)
+        write!(f, "invalid JSON at byte {}", self.position)
     }
 }
 
@@ -78,11 +78,11 @@
 
 /// Parses one value, with nothing but white space around it.
 pub fn parse(bytes: &[u8]) -> Result<Value, JsonError> {
-    let text = std::str::from_utf8(bytes).map_err(|e| JsonError { at: e.valid_up_to() })?;
-    let mut reader = Reader { text, at: 0 };
-    let value = reader.value(MAX_DEPTH)?;
-    reader.space();
-    if reader.at < text.len() { Err(reader.malformed()) } else { Ok(value) }
+    let text = std::str::from_utf8(bytes).map_err(|e| JsonError { position: e.valid_up_to() })?;
+    let mut parser = Parser { text, position: 0 };
+    let value = parser.value(MAX_DEPTH)?;
+    parser.skip_whitespace();
+    if parser.position < text.len() { Err(parser.error()) } else { Ok(value) }
 }
 
 /// Encodes the text as a JSON string, with its quotes.
@@ -100,57 +100,57 @@
     out
 }
 
-struct Reader<'a> {
+struct Parser<'a> {
     text: &'a str,
-    at: usize,
+    position: usize,
 }
 
-impl Reader<'_> {
-    fn malformed(&self) -> JsonError {
-        JsonError { at: self.at }
+impl Parser<'_> {
+    fn error(&self) -> JsonError {
+        JsonError { position: self.position }
     }
 
     fn peek(&self) -> Option<u8> {
-        self.text.as_bytes().get(self.at).copied()
+        self.text.as_bytes().get(self.position).copied()
     }
 
-    fn space(&mut self) {
+    fn skip_whitespace(&mut self) {
         while matches!(self.peek(), Some(b' ' | b'\t' | b'\n' | b'\r')) {
-            self.at += 1;
+            self.position += 1;
         }
     }
 
-    fn take(&mut self, wanted: &str) -> Result<(), JsonError> {
-        let found = self.text[self.at..].starts_with(wanted);
+    fn expect(&mut self, wanted: &str) -> Result<(), JsonError> {
+        let found = self.text[self.position..].starts_with(wanted);
         if found {
-            self.at += wanted.len();
+            self.position += wanted.len();
         }
-        found.then_some(()).ok_or(self.malformed())
+        found.then_some(()).ok_or(self.error())
     }
 
-    fn value(&mut self, deeper: usize) -> Result<Value, JsonError> {
-        self.space();
-        let deeper = deeper.checked_sub(1).ok_or(self.malformed())?;
+    fn value(&mut self, depth_left: usize) -> Result<Value, JsonError> {
+        self.skip_whitespace();
+        let depth_left = depth_left.checked_sub(1).ok_or(self.error())?;
         match self.peek() {
-            Some(b'n') => self.take("null").map(|()| Value::Null),
-            Some(b't') => self.take("true").map(|()| Value::Bool(true)),
-            Some(b'f') => self.take("false").map(|()| Value::Bool(false)),
+            Some(b'n') => self.expect("null").map(|()| Value::Null),
+            Some(b't') => self.expect("true").map(|()| Value::Bool(true)),
+            Some(b'f') => self.expect("false").map(|()| Value::Bool(false)),
             Some(b'"') => self.string().map(Value::Text),
             Some(b'[') => {
                 let mut list = Vec::new();
-                self.members(b']', |reader| {
-                    list.push(reader.value(deeper)?);
+                self.members(b']', |parser| {
+                    list.push(parser.value(depth_left)?);
                     Ok(())
                 })?;
                 Ok(Value::List(list))
             }
             Some(b'{') => {
                 let mut members = Vec::new();
-                self.members(b'}', |reader| {
-                    let name = reader.string()?;
-                    reader.space();
-                    reader.take(":")?;
-                    members.push(Member { name, value: reader.value(deeper)? });
+                self.members(b'}', |parser| {
+                    let name = parser.string()?;
+                    parser.skip_whitespace();
+                    parser.expect(":")?;
+                    members.push(Member { name, value: parser.value(depth_left)? });
                     Ok(())
                 })?;
                 Ok(Value::Object(members))
@@ -166,82 +166,82 @@
         end: u8,
         mut member: impl FnMut(&mut Self) -> Result<(), JsonError>,
     ) -> Result<(), JsonError> {
-        self.at += 1;
-        self.space();
+        self.position += 1;
+        self.skip_whitespace();
         if self.peek() == Some(end) {
-            self.at += 1;
+            self.position += 1;
             return Ok(());
         }
         loop {
-            self.space();
+            self.skip_whitespace();
             member(self)?;
-            self.space();
+            self.skip_whitespace();
             match self.peek() {
-                Some(b',') => self.at += 1,
+                Some(b',') => self.position += 1,
                 Some(c) if c == end => {
-                    self.at += 1;
+                    self.position += 1;
                     return Ok(());
                 }
-                _ => return Err(self.malformed()),
+                _ => return Err(self.error()),
             }
         }
     }
 
     fn number(&mut self) -> Result<Value, JsonError> {
-        let start = self.at;
-        let digits = |reader: &mut Self| {
-            let from = reader.at;
-            while matches!(reader.peek(), Some(b'0'..=b'9')) {
-                reader.at += 1;
+        let start = self.position;
+        let digits = |parser: &mut Self| {
+            let from = parser.position;
+            while matches!(parser.peek(), Some(b'0'..=b'9')) {
+                parser.position += 1;
             }
-            if reader.at == from { Err(reader.malformed()) } else { Ok(()) }
+            if parser.position == from { Err(parser.error()) } else { Ok(()) }
         };
         if self.peek() == Some(b'-') {
-            self.at += 1;
+            self.position += 1;
         }
         if self.peek() == Some(b'0') {
-            self.at += 1;
+            self.position += 1;
         } else {
             digits(self)?;
         }
         if self.peek() == Some(b'.') {
-            self.at += 1;
+            self.position += 1;
             digits(self)?;
         }
         if matches!(self.peek(), Some(b'e' | b'E')) {
-            self.at += 1;
+            self.position += 1;
             if matches!(self.peek(), Some(b'+' | b'-')) {
-                self.at += 1;
+                self.position += 1;
             }
             digits(self)?;
         }
-        self.text[start..self.at].parse().map(Value::Number).map_err(|_| JsonError { at: start })
+        self.text[start..self.position].parse().map(Value::Number).map_err(|_| JsonError { position: start })
     }
 
     fn string(&mut self) -> Result<String, JsonError> {
-        self.take("\"")?;
+        self.expect("\"")?;
         let mut out = String::new();
         loop {
-            let rest = &self.text[self.at..];
-            let plain = rest.find(|c| c == '"' || c == '\\' || c < ' ').ok_or(self.malformed())?;
+            let rest = &self.text[self.position..];
+            let plain = rest.find(|c| c == '"' || c == '\\' || c < ' ').ok_or(self.error())?;
             out.push_str(&rest[..plain]);
-            self.at += plain;
+            self.position += plain;
             match self.peek() {
                 Some(b'"') => {
-                    self.at += 1;
+                    self.position += 1;
                     return Ok(out);
                 }
                 Some(b'\\') => {
-                    self.at += 1;
+                    self.position += 1;
                     out.push(self.escape()?);
                 }
-                _ => return Err(self.malformed()),
+                _ => return Err(self.error()),
             }
         }
     }
 
     fn escape(&mut self) -> Result<char, JsonError> {
-        let c = self.peek().ok_or(self.malformed())?;
+        let c = self.peek().ok_or(self.error())?;
         let plain = match c {
             b'"' | b'\\' | b'/' => char::from(c),
             b'b' => '\u{8}',
@@ -249,37 +249,37 @@
             b'n' => '\n',
             b'r' => '\r',
             b't' => '\t',
-            b'u' => return self.unicode(),
-            _ => return Err(self.malformed()),
+            b'u' => return self.unicode_escape(),
+            _ => return Err(self.error()),
         };
-        self.at += 1;
+        self.position += 1;
         Ok(plain)
     }
 
-    fn unicode(&mut self) -> Result<char, JsonError> {
-        let first = self.unit()?;
+    fn unicode_escape(&mut self) -> Result<char, JsonError> {
+        let first = self.utf16_unit()?;
         let code = if (0xd800..0xdc00).contains(&first) {
-            self.take("\\")?;
-            let second = self.unit()?;
+            self.expect("\\")?;
+            let second = self.utf16_unit()?;
             if !(0xdc00..0xe000).contains(&second) {
-                return Err(self.malformed());
+                return Err(self.error());
             }
             0x10000 + ((first - 0xd800) << 10) + (second - 0xdc00)
         } else {
             first
         };
-        char::from_u32(code).ok_or(self.malformed())
+        char::from_u32(code).ok_or(self.error())
     }
 
     /// Parses `uXXXX`, one UTF-16 code unit.
-    fn unit(&mut self) -> Result<u32, JsonError> {
-        self.take("u")?;
-        let digits = self.text.get(self.at..self.at + 4).ok_or(self.malformed())?;
+    fn utf16_unit(&mut self) -> Result<u32, JsonError> {
+        self.expect("u")?;
+        let digits = self.text.get(self.position..self.position + 4).ok_or(self.error())?;
         if !digits.bytes().all(|b| b.is_ascii_hexdigit()) {
-            return Err(self.malformed());
+            return Err(self.error());
         }
-        self.at += 4;
-        u32::from_str_radix(digits, 16).map_err(|_| self.malformed())
+        self.position += 4;
+        u32::from_str_radix(digits, 16).map_err(|_| self.error())
     }
 }
 
