--- a/crates/edges/front/src/protocol/discovery.rs
+++ b/crates/edges/front/src/protocol/discovery.rs
@@ -32,7 +32,7 @@
     }
 
     /// Decodes the state of an engine in the JSON of the initial events.
-    pub fn phase(name: &str) -> Option<EndpointState> {
+    pub fn json_state(name: &str) -> Option<EndpointState> {
         match name {
             "Ready" => Some(EndpointState::Active),
             "Terminating" => Some(EndpointState::Draining),
@@ -252,13 +252,14 @@
         .ok_or(DiscoveryError::InitialList(wire::ENGINE))?;
     let address =
         text(record, wire::ADDRESS)?.parse().map_err(|_| DiscoveryError::InitialList(wire::ADDRESS))?;
-    let state = wire::phase(text(record, wire::STATE)?).ok_or(DiscoveryError::InitialList(wire::STATE))?;
+    let state =
+        wire::json_state(text(record, wire::STATE)?).ok_or(DiscoveryError::InitialList(wire::STATE))?;
     Ok(EndpointRecord {
         engine,
         address,
         state,
-        zone: position(zones, record, wire::ZONE),
-        machine_kind: position(machine_kinds, record, wire::MACHINE_KIND),
+        zone: index_of_name(zones, record, wire::ZONE),
+        machine_kind: index_of_name(machine_kinds, record, wire::MACHINE_KIND),
         cell: integer(record, wire::CELL)? as u32,
         started_ms: integer(record, wire::STARTED_MS).unwrap_or(0),
     })
@@ -277,9 +278,9 @@
 }
 
 /// Index of the name under this key among `names`; `None` if it is missing or not listed.
-fn position(names: &[String], record: &Value, key: &str) -> Option<u32> {
+fn index_of_name(names: &[String], record: &Value, key: &str) -> Option<u32> {
     let wanted = record.get(key).and_then(Value::text)?;
-    names.iter().position(|name| name == wanted).map(|position| position as u32)
+    names.iter().position(|name| name == wanted).map(|index| index as u32)
 }
 
 #[cfg(test)]
--- a/crates/edges/front/src/protocol/engine.rs
+++ b/crates/edges/front/src/protocol/engine.rs
@@ -239,7 +239,7 @@
 
 /// Parses the first reply in `bytes`; `None` while it is incomplete.
 pub fn parse_reply(bytes: &[u8]) -> Result<Option<Parsed<EngineReply>>, ReplyError> {
-    let Some(end) = bytes.windows(2).take(MAX_LINE_BYTES).position(|two| two == b"\r\n") else {
+    let Some(end) = bytes.windows(2).take(MAX_LINE_BYTES).position(|pair| pair == b"\r\n") else {
         return if bytes.len() > MAX_LINE_BYTES { Err(ReplyError::Line) } else { Ok(None) };
     };
     let line = std::str::from_utf8(&bytes[..end]).map_err(|_| ReplyError::Line)?;
