--- a/crates/edges/front/src/transport/graceful_close.rs
+++ b/crates/edges/front/src/transport/graceful_close.rs
@@ -23,11 +23,11 @@
 /// Reads and drops at most `max_bytes`. Returns true once the peer has closed its side or the connection has
 /// failed, and false at the limit.
 pub async fn discard(socket: &Socket, max_bytes: usize) -> bool {
-    let mut left = max_bytes;
-    while left > 0 {
-        match discard_some(socket, left) {
+    let mut remaining = max_bytes;
+    while remaining > 0 {
+        match discard_some(socket, remaining) {
             Ok(0) => return true,
-            Ok(length) => left -= length,
+            Ok(length) => remaining -= length,
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                 if socket.readable().await.is_err() {
@@ -43,11 +43,11 @@
 /// Does the same as [`discard`] with the bytes that have already arrived. Returns false if the connection is
 /// still open.
 pub fn discard_available(socket: &Socket, max_bytes: usize) -> bool {
-    let mut left = max_bytes;
-    while left > 0 {
-        match discard_some(socket, left) {
+    let mut remaining = max_bytes;
+    while remaining > 0 {
+        match discard_some(socket, remaining) {
             Ok(0) => return true,
-            Ok(length) => left -= length,
+            Ok(length) => remaining -= length,
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             Err(error) => return error.kind() != io::ErrorKind::WouldBlock,
         }
@@ -56,6 +56,6 @@
 }
 
 fn discard_some(socket: &Socket, max_bytes: usize) -> io::Result<usize> {
-    let mut piece = [0; DISCARD_BUFFER_BYTES];
-    socket.get_ref().read(&mut piece[..DISCARD_BUFFER_BYTES.min(max_bytes)])
+    let mut buffer = [0; DISCARD_BUFFER_BYTES];
+    socket.get_ref().read(&mut buffer[..DISCARD_BUFFER_BYTES.min(max_bytes)])
 }
--- a/crates/edges/front/src/transport/message_reader.rs
+++ b/crates/edges/front/src/transport/message_reader.rs
@@ -60,15 +60,15 @@
 }
 
 /// Reads the messages of one connection. Cancel-safe: dropping a future that waits for a message loses no bytes.
-pub struct MessageReader<C> {
+pub struct MessageReader<P> {
     socket: Socket,
     bytes: Vec<u8>,
     start: usize,
     limits: ReadLimits,
     reservation: Reservation,
     /// When the reader started to wait for the rest of the partial message.
-    message_began: Option<Instant>,
-    parse: C,
+    message_started_at: Option<Instant>,
+    parse: P,
     ended: bool,
 }
 
@@ -87,9 +87,9 @@
 /// Reads messages from a connection. `parse` receives the unparsed bytes and returns the first message with its
 /// length, or `None` while that message is incomplete. After an error, a message that exceeds its limits
 /// included, the reader returns no more messages.
-pub fn read_messages<T, E, C>(socket: Socket, limits: ReadLimits, parse: C) -> MessageReader<C>
+pub fn read_messages<T, E, P>(socket: Socket, limits: ReadLimits, parse: P) -> MessageReader<P>
 where
-    C: FnMut(&[u8]) -> Result<Option<Parsed<T>>, E>,
+    P: FnMut(&[u8]) -> Result<Option<Parsed<T>>, E>,
 {
     let reservation = Reservation::new(limits.memory.clone());
     MessageReader {
@@ -98,17 +98,17 @@
         start: 0,
         limits,
         reservation,
-        message_began: None,
+        message_started_at: None,
         parse,
         ended: false,
     }
 }
 
-impl<C> MessageReader<C> {
+impl<P> MessageReader<P> {
     /// Waits for the next message. Returns `None` at the end of the connection, and after an error.
     pub async fn next<T, E>(&mut self) -> Option<Result<T, ReadError<E>>>
     where
-        C: FnMut(&[u8]) -> Result<Option<Parsed<T>>, E>,
+        P: FnMut(&[u8]) -> Result<Option<Parsed<T>>, E>,
     {
         loop {
             match self.try_next() {
@@ -127,14 +127,14 @@
     /// Returns the next message if it is complete, without waiting.
     pub fn try_next<T, E>(&mut self) -> ReadStatus<T, E>
     where
-        C: FnMut(&[u8]) -> Result<Option<Parsed<T>>, E>,
+        P: FnMut(&[u8]) -> Result<Option<Parsed<T>>, E>,
     {
         if self.ended {
             return ReadStatus::End;
         }
-        let try_next = self.read_next();
-        self.ended = matches!(try_next, ReadStatus::End | ReadStatus::Failed(_));
-        try_next
+        let status = self.read_next();
+        self.ended = matches!(status, ReadStatus::End | ReadStatus::Failed(_));
+        status
     }
 
     /// Returns whether unparsed bytes have been read.
@@ -144,7 +144,7 @@
 
     fn read_next<T, E>(&mut self) -> ReadStatus<T, E>
     where
-        C: FnMut(&[u8]) -> Result<Option<Parsed<T>>, E>,
+        P: FnMut(&[u8]) -> Result<Option<Parsed<T>>, E>,
     {
         loop {
             let unparsed = &self.bytes[self.start..];
@@ -152,7 +152,7 @@
                 match (self.parse)(unparsed) {
                     Ok(Some(Parsed { length, message })) => {
                         self.start += length;
-                        self.message_began = None;
+                        self.message_started_at = None;
                         return ReadStatus::Message(message);
                     }
                     Ok(None) => {}
@@ -167,12 +167,12 @@
             if self.bytes.is_empty() {
                 self.bytes = Vec::new(); // An idle connection keeps no buffer.
             }
-            let mut read = [0; READ_BUFFER_BYTES];
-            let most = READ_BUFFER_BYTES.min(self.limits.bytes - self.bytes.len());
-            match self.socket.get_ref().read(&mut read[..most]) {
+            let mut buffer = [0; READ_BUFFER_BYTES];
+            let max_length = READ_BUFFER_BYTES.min(self.limits.bytes - self.bytes.len());
+            match self.socket.get_ref().read(&mut buffer[..max_length]) {
                 Ok(0) if self.bytes.is_empty() => return ReadStatus::End,
                 Ok(0) => return ReadStatus::Failed(ReadError::Truncated),
-                Ok(length) => self.bytes.extend_from_slice(&read[..length]),
+                Ok(length) => self.bytes.extend_from_slice(&buffer[..length]),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return ReadStatus::Pending,
                 Err(error) => return ReadStatus::Failed(ReadError::Io(error)),
@@ -188,8 +188,8 @@
         if !self.has_partial() {
             return self.socket.readable().await.map_err(ReadError::Io);
         }
-        let message_began = *self.message_began.get_or_insert_with(Instant::now);
-        let left = self.limits.time.saturating_sub(message_began.elapsed());
-        with_timeout(left, self.socket.readable()).await.ok_or(ReadError::Slow)?.map_err(ReadError::Io)
+        let message_started_at = *self.message_started_at.get_or_insert_with(Instant::now);
+        let remaining = self.limits.time.saturating_sub(message_started_at.elapsed());
+        with_timeout(remaining, self.socket.readable()).await.ok_or(ReadError::Slow)?.map_err(ReadError::Io)
     }
 }
--- a/crates/edges/front/src/transport/socket.rs
+++ b/crates/edges/front/src/transport/socket.rs
@@ -36,9 +36,9 @@
 
 /// Waits for the future. Returns `None` if the timeout expires first.
 pub async fn with_timeout<T>(timeout: Duration, future: impl Future<Output = T>) -> Option<T> {
-    let late = async {
+    let timed_out = async {
         Timer::after(timeout).await;
         None
     };
-    async { Some(future.await) }.or(late).await
+    async { Some(future.await) }.or(timed_out).await
 }
--- a/crates/edges/front/src/transport/stall_detector.rs
+++ b/crates/edges/front/src/transport/stall_detector.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 /// A delay of up to this many periods is ordinary and does not count as a stall.
-const ORDINARY_PERIODS: u32 = 4;
+const TOLERATED_PERIODS: u32 = 4;
 
 /// Estimates how long incoming bytes may have waited unread because this process did not run.
 pub struct StallDetector {
@@ -29,8 +29,8 @@
     pub fn poll(&self, now: Instant) {
         let delay = self.current_delay(now);
         // Reading the backlog after a stall takes time, so its delay fades instead of ending at once.
-        let faded = self.significant(self.last_delay.get() / 2);
-        self.last_delay.set(if delay.is_zero() { faded } else { delay });
+        let faded_delay = self.zero_if_ordinary(self.last_delay.get() / 2);
+        self.last_delay.set(if delay.is_zero() { faded_delay } else { delay });
         self.last_poll.set(now);
     }
 
@@ -42,12 +42,12 @@
     /// How late the next poll is by now; zero unless that is a stall.
     fn current_delay(&self, now: Instant) -> Duration {
         let since_poll = now.saturating_duration_since(self.last_poll.get());
-        self.significant(since_poll.saturating_sub(self.period))
+        self.zero_if_ordinary(since_poll.saturating_sub(self.period))
     }
 
     /// Returns the delay, or zero if it is ordinary.
-    fn significant(&self, delay: Duration) -> Duration {
-        if delay > self.period * ORDINARY_PERIODS { delay } else { Duration::ZERO }
+    fn zero_if_ordinary(&self, delay: Duration) -> Duration {
+        if delay > self.period * TOLERATED_PERIODS { delay } else { Duration::ZERO }
     }
 }
 
