--- a/crates/edges/front/src/transport/write_queue.rs
+++ b/crates/edges/front/src/transport/write_queue.rs
@@ -21,13 +21,13 @@
 
 #[derive(Default)]
 struct State {
-    waiting: VecDeque<u8>,
+    queued: VecDeque<u8>,
     /// Total bytes pushed.
     pushed: u64,
     /// Total bytes that the kernel has accepted.
     written: u64,
     closing: bool,
-    broken: Option<io::ErrorKind>,
+    error: Option<io::ErrorKind>,
 }
 
 impl WriteQueue {
@@ -41,17 +41,17 @@
     /// message.
     pub fn push(&self, message: &[u8]) -> Result<u64, WriteQueueFull> {
         let mut state = self.state.borrow_mut();
-        let waiting_bytes = state.waiting.len();
+        let queued_bytes = state.queued.len();
         if state.closing
-            || state.broken.is_some()
-            || (waiting_bytes > 0 && waiting_bytes + message.len() > self.max_bytes)
+            || state.error.is_some()
+            || (queued_bytes > 0 && queued_bytes + message.len() > self.max_bytes)
         {
             return Err(WriteQueueFull);
         }
         state.pushed += message.len() as u64;
-        let taken = if waiting_bytes == 0 { state.write(&self.socket, message) } else { 0 };
-        state.waiting.extend(&message[taken..]);
-        if !state.waiting.is_empty() || state.broken.is_some() {
+        let accepted = if queued_bytes == 0 { state.write(&self.socket, message) } else { 0 };
+        state.queued.extend(&message[accepted..]);
+        if !state.queued.is_empty() || state.error.is_some() {
             self.wake.notify();
         }
         Ok(state.pushed)
@@ -69,7 +69,7 @@
 
     /// Bytes that are still queued.
     pub fn waiting(&self) -> usize {
-        self.state.borrow().waiting.len()
+        self.state.borrow().queued.len()
     }
 
     /// Accepts no more messages. [`run`](Self::run) returns once all queued bytes are written.
@@ -82,24 +82,24 @@
     /// each step. Fails if the connection accepts no bytes for `stall_timeout`.
     pub async fn run(&self, stall_timeout: Duration, mut on_progress: impl FnMut()) -> io::Result<()> {
         loop {
-            let (waiting, closing, broken) = {
+            let (has_queued, closing, error) = {
                 let state = self.state.borrow();
-                (!state.waiting.is_empty(), state.closing, state.broken)
+                (!state.queued.is_empty(), state.closing, state.error)
             };
-            match broken {
+            match error {
                 Some(kind) => return Err(kind.into()),
-                None if !waiting && closing => return Ok(()),
-                None if !waiting => drop(self.wake.wait().await),
+                None if !has_queued && closing => return Ok(()),
+                None if !has_queued => drop(self.wake.wait().await),
                 None => {
                     let ready = with_timeout(stall_timeout, self.socket.writable()).await;
                     ready.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))?;
                     let mut state = self.state.borrow_mut();
-                    let mut waiting = std::mem::take(&mut state.waiting);
-                    let taken = state.write(&self.socket, waiting.make_contiguous());
-                    waiting.drain(..taken);
-                    state.waiting = waiting;
-                    if state.waiting.is_empty() {
-                        state.waiting = VecDeque::new();
+                    let mut queued = std::mem::take(&mut state.queued);
+                    let accepted = state.write(&self.socket, queued.make_contiguous());
+                    queued.drain(..accepted);
+                    state.queued = queued;
+                    if state.queued.is_empty() {
+                        state.queued = VecDeque::new();
                     }
                 }
             }
@@ -111,21 +111,21 @@
 impl State {
     /// Writes as much as the kernel accepts now. Returns the number of bytes.
     fn write(&mut self, socket: &Socket, message: &[u8]) -> usize {
-        let mut taken = 0;
-        while taken < message.len() {
-            match socket.get_ref().write(&message[taken..]) {
-                Ok(0) => self.broken = Some(io::ErrorKind::WriteZero),
+        let mut accepted = 0;
+        while accepted < message.len() {
+            match socket.get_ref().write(&message[accepted..]) {
+                Ok(0) => self.error = Some(io::ErrorKind::WriteZero),
                 Ok(n) => {
-                    taken += n;
+                    accepted += n;
                     continue;
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                Err(e) => self.broken = Some(e.kind()),
+                Err(e) => self.error = Some(e.kind()),
             }
             break;
         }
-        self.written += taken as u64;
-        taken
+        self.written += accepted as u64;
+        accepted
     }
 }
