--- a/crates/edges/front/tests/races.rs
+++ b/crates/edges/front/tests/races.rs
@@ -14,10 +14,10 @@
 const REVOKE: &str = r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":1}}"#;
 
 /// Returns which of engines 1 and 2 is the home engine of the look-ups in these tests.
-fn home() -> u32 {
-    let (engines, commands) = ([Engine::start(), Engine::start()], DiscoveryServer::start());
+fn home_engine() -> u32 {
+    let (engines, discovery) = ([Engine::start(), Engine::start()], DiscoveryServer::start());
     let known = [(1, engines[0].address), (2, engines[1].address)];
-    let front = Front::start(FRONT, &start_config(&known, commands.address));
+    let front = Front::start(FRONT, &start_config(&known, discovery.address));
     let mut client = front.client();
     client.send_request(1, "look-up");
     let pause = Duration::from_millis(50);
@@ -26,97 +26,100 @@
 }
 
 /// Starts a front with two engines. The home engine of the look-ups does not accept connections yet.
-fn late(shape: impl Fn(&mut Value)) -> (Front, UnconnectableEngine, Engine, DiscoveryServer) {
-    let (late, other, commands) = (UnconnectableEngine::start(), Engine::start(), DiscoveryServer::start());
-    let first = home();
-    let known = [(first, late.address), (3 - first, other.address)];
-    let mut config = start_config(&known, commands.address);
+fn front_with_unconnectable_home_engine(
+    change_config: impl Fn(&mut Value),
+) -> (Front, UnconnectableEngine, Engine, DiscoveryServer) {
+    let (home, other, discovery) = (UnconnectableEngine::start(), Engine::start(), DiscoveryServer::start());
+    let home_id = home_engine();
+    let known = [(home_id, home.address), (3 - home_id, other.address)];
+    let mut config = start_config(&known, discovery.address);
     config["settings"]["ceilings"]["connect_timeout_us"] = json!(10_000_000);
-    shape(&mut config);
-    (Front::start(FRONT, &config), late, other, commands)
+    change_config(&mut config);
+    (Front::start(FRONT, &config), home, other, discovery)
 }
 
 /// Asserts that the first request that reaches the engine is a new one, and not `call`, which was assigned to
 /// it earlier.
-fn first_is_not(front: &Front, engine: &Engine, call: &str) {
+fn assert_first_attempt_is_not(front: &Front, engine: &Engine, request: &str) {
     let mut client = front.client();
-    let ours = client.send_request(1, "look-up");
-    let said = engine.next_message("serve");
-    assert_ne!(said.id, call);
-    assert_eq!(said.id, ours);
+    let new_request = client.send_request(1, "look-up");
+    let message = engine.next_message("serve");
+    assert_ne!(message.id, request);
+    assert_eq!(message.id, new_request);
 }
 
 /// Waits until the front has counted its first attempt, which may not have reached the engine yet.
-fn on_its_way(front: &Front) {
-    let on_its_way = || {
+fn wait_for_dispatch(front: &Front) {
+    let is_dispatched = || {
         front.signal("USR1");
         front.wait_for_log("counts:").contains("dispatched look-up=1")
     };
-    assert!((0..200).any(|_| on_its_way()), "not sent on");
+    assert!((0..200).any(|_| is_dispatched()), "not sent on");
 }
 
-fn one(shape: impl Fn(&mut Value)) -> (Front, Engine, DiscoveryServer) {
-    let (engine, commands) = (Engine::start(), DiscoveryServer::start());
-    let mut config = start_config(&[(1, engine.address)], commands.address);
-    shape(&mut config);
-    (Front::start(FRONT, &config), engine, commands)
+fn front_with_one_engine(change_config: impl Fn(&mut Value)) -> (Front, Engine, DiscoveryServer) {
+    let (engine, discovery) = (Engine::start(), DiscoveryServer::start());
+    let mut config = start_config(&[(1, engine.address)], discovery.address);
+    change_config(&mut config);
+    (Front::start(FRONT, &config), engine, discovery)
 }
 
 #[test]
 fn a_queued_attempt_is_not_sent_once_its_client_has_disconnected() {
-    for (cancel, leaves_by) in
+    for (cancel, disconnect) in
         [(true, "revoke"), (false, "revoke"), (false, "close"), (false, "half"), (false, "reset")]
     {
-        let (front, late, _other, _commands) =
-            late(|config| config["settings"]["ceilings"]["cancel"] = json!(cancel));
+        let (front, unconnectable, _other, _discovery) = front_with_unconnectable_home_engine(|config| {
+            config["settings"]["ceilings"]["cancel"] = json!(cancel)
+        });
         let mut client = front.client();
-        let call = client.send_request(1, "look-up");
-        on_its_way(&front);
+        let request = client.send_request(1, "look-up");
+        wait_for_dispatch(&front);
         let mut idle_client = None;
-        match leaves_by {
+        match disconnect {
             "revoke" => client.send_line(REVOKE),
             "half" => client.stream.shutdown(Shutdown::Write).unwrap(),
             "close" => drop(client),
             _ => client.reset(),
         }
-        if leaves_by == "revoke" || leaves_by == "half" {
+        if disconnect == "revoke" || disconnect == "half" {
             idle_client = Some(front.client());
         }
         std::thread::sleep(Duration::from_millis(100)); // The front needs time to notice.
-        first_is_not(&front, &late.accept_connections(), &call);
+        assert_first_attempt_is_not(&front, &unconnectable.accept_connections(), &request);
         drop(idle_client);
     }
 }
 
 #[test]
 fn a_queued_attempt_is_not_sent_once_its_engine_drains() {
-    let (front, late, other, commands) = late(|_| {});
-    let DiscoveryConnection { stream: mut wire, .. } = commands.next_connection();
+    let (front, unconnectable, other, discovery) = front_with_unconnectable_home_engine(|_| {});
+    let DiscoveryConnection { stream: mut channel, .. } = discovery.next_connection();
     let mut client = front.client();
-    let call = client.send_request(1, "look-up");
-    on_its_way(&front);
-    let drains = changes(2, &[(home(), late.address, 1)]);
-    wire.write_all(&drains).unwrap();
+    let request = client.send_request(1, "look-up");
+    wait_for_dispatch(&front);
+    let drains = changes(2, &[(home_engine(), unconnectable.address, 1)]);
+    channel.write_all(&drains).unwrap();
     // The request is retried on the other engine at once, although the connection may still be established.
-    let again = other.next_message_within("serve", PROMPT).expect("not sent elsewhere");
-    assert_eq!(again.id, call);
-    let engine = late.accept_connections();
-    again.respond("HIT", "fetches=1", b"a\tb\tc\n");
+    let retry = other.next_message_within("serve", PROMPT).expect("not sent elsewhere");
+    assert_eq!(retry.id, request);
+    let engine = unconnectable.accept_connections();
+    retry.respond("HIT", "fetches=1", b"a\tb\tc\n");
     client.expect_result(1, b"a\tb\tc\n");
     assert!(engine.is_quiet(PROMPT));
 }
 
 #[test]
 fn a_queued_attempt_is_sent_with_only_the_time_that_is_left() {
-    let (front, late, _other, _commands) = late(|_| {});
+    let (front, unconnectable, _other, _discovery) = front_with_unconnectable_home_engine(|_| {});
     let mut client = front.client();
     let sent_at = Instant::now();
     client.send_request(1, "look-up");
-    on_its_way(&front);
+    wait_for_dispatch(&front);
     std::thread::sleep(Duration::from_millis(300));
-    let engine = late.accept_connections();
-    let serve = engine.next_message("serve");
-    let budget = serve.arguments.split(',').find_map(|field| field.strip_prefix("budget=")).unwrap();
+    let engine = unconnectable.accept_connections();
+    let attempt = engine.next_message("serve");
+    let budget = attempt.arguments.split(',').find_map(|field| field.strip_prefix("budget=")).unwrap();
     let (budget, waited) = (budget.parse::<u64>().unwrap(), sent_at.elapsed().as_millis() as u64);
     assert!(budget <= 20_000 - 300 && budget + waited <= 20_100, "{budget} after {waited}");
 }
@@ -125,40 +128,42 @@
 /// The key's retention time expires while the second attempt waits for its connection.
 #[test]
 fn a_queued_attempt_is_not_sent_once_repeats_are_no_longer_dropped() {
-    let (engine, late, commands) = (Engine::start(), UnconnectableEngine::start(), DiscoveryServer::start());
-    let first = home();
-    let mut config = start_config(&[(first, engine.address), (3 - first, late.address)], commands.address);
+    let (engine, unconnectable, discovery) =
+        (Engine::start(), UnconnectableEngine::start(), DiscoveryServer::start());
+    let first = home_engine();
+    let mut config =
+        start_config(&[(first, engine.address), (3 - first, unconnectable.address)], discovery.address);
     config["settings"]["ceilings"]["connect_timeout_us"] = json!(10_000_000);
     config["settings"]["classes"][0]["effect"] = json!("keyed");
     config["settings"]["classes"][0]["key_ttl_us"] = json!(700_000);
     config["settings"]["classes"][0]["aim_us"] = json!(20_000_000);
     let front = Front::start(FRONT, &config);
     let mut client = front.client();
-    let call = client.send_request(1, "look-up");
+    let request = client.send_request(1, "look-up");
     engine.next_message("serve").respond("FAULT", "-", b""); // The attempt may have run.
     assert!(client.is_ready());
     // Neither retried nor rejected: a rejection invites the client to retry, which is no longer safe by then.
     let code = client.expect_error(Some(1));
     assert!(code != -32002 && code != 0, "{code}");
-    let late = late.accept_connections();
+    let second_engine = unconnectable.accept_connections();
     let mut other = front.client();
-    let ours: Vec<String> = (1..=8).map(|id| other.send_request(id, "look-up")).collect();
-    let sent = late.next_message("serve").id;
-    assert!(sent != call && ours.contains(&sent), "{sent}");
+    let new_requests: Vec<String> = (1..=8).map(|id| other.send_request(id, "look-up")).collect();
+    let sent = second_engine.next_message("serve").id;
+    assert!(sent != request && new_requests.contains(&sent), "{sent}");
 }
 
 /// The client sends its requests and disconnects while the front is stopped, so that the front finds both at
 /// once.
 #[test]
 fn requests_of_a_client_that_disconnected_before_they_are_read_are_not_forwarded() {
-    for leaves_by in ["close", "half", "reset"] {
-        let (front, engine, _commands) = one(|_| {});
+    for disconnect in ["close", "half", "reset"] {
+        let (front, engine, _discovery) = front_with_one_engine(|_| {});
         assert!(front.client().is_ready());
         front.freeze();
         let mut client = front.client();
-        let calls: Vec<String> = (1..=32).map(|id| client.send_request(id, "look-up")).collect();
+        let requests: Vec<String> = (1..=32).map(|id| client.send_request(id, "look-up")).collect();
         let mut idle_client = None;
-        match leaves_by {
+        match disconnect {
             "close" => drop(client),
             "reset" => client.reset(),
             _ => {
@@ -168,10 +173,10 @@
         }
         front.signal("CONT");
         let mut client = front.client();
-        let ours = client.send_request(1, "look-up");
+        let new_request = client.send_request(1, "look-up");
         let first = engine.next_message("serve").id;
-        assert!(!calls.contains(&first), "{leaves_by}");
-        assert_eq!(first, ours);
+        assert!(!requests.contains(&first), "{disconnect}");
+        assert_eq!(first, new_request);
         drop(idle_client);
     }
 }
@@ -179,7 +184,7 @@
 /// Results that the client has not read must not delay the cancellation of its open request.
 #[test]
 fn a_client_that_reads_nothing_and_closes_its_side_counts_as_disconnected_at_once() {
-    let (front, engine, _commands) = one(|_| {});
+    let (front, engine, _discovery) = front_with_one_engine(|_| {});
     let mut slow = front.slow_reader();
     let rows = "r\t\t\n".repeat(11_750).into_bytes();
     // More than the kernel buffers for the connection, and less than the limit of the front's write queue.
@@ -187,11 +192,11 @@
         slow.send_request(id, "look-up");
         engine.next_message("serve").respond("HIT", "fetches=1", &rows);
     }
-    let call = slow.send_request(300, "look-up");
+    let request = slow.send_request(300, "look-up");
     engine.next_message("serve");
     slow.stream.shutdown(Shutdown::Write).unwrap();
     let cancel = engine.next_message_within("cancel", PROMPT).expect("still waited for");
-    assert_eq!(cancel.id, call);
+    assert_eq!(cancel.id, request);
 }
 
 /// A client sends a request while the front closes its idle connection. The client must see a graceful close.
@@ -200,29 +205,29 @@
 #[test]
 fn an_idle_connection_is_closed_gracefully_and_what_crosses_that_is_not_forwarded() {
     for end in ["idle", "never spoke", "told to end"] {
-        let (front, engine, _commands) = one(|_| {});
-        let mut resting = front.client();
+        let (front, engine, _discovery) = front_with_one_engine(|_| {});
+        let mut client = front.client();
         if end != "never spoke" {
-            resting.send_request(1, "look-up");
+            client.send_request(1, "look-up");
             engine.next_message("serve").respond("HIT", "fetches=1", b"a\tb\tc\n");
-            resting.expect_result(1, b"a\tb\tc\n");
+            client.expect_result(1, b"a\tb\tc\n");
         }
         if end == "told to end" {
             front.signal("TERM");
         }
-        assert!(resting.is_closed_in_order(), "{end}");
-        resting.send_request(2, "look-up");
-        assert!(resting.is_closed_in_order(), "{end}: reset");
-        resting.stream.write_all(b"{\"half a li").expect(end);
-        assert!(resting.is_closed_in_order(), "{end}: reset");
-        drop(resting);
+        assert!(client.is_closed_in_order(), "{end}");
+        client.send_request(2, "look-up");
+        assert!(client.is_closed_in_order(), "{end}: reset");
+        client.stream.write_all(b"{\"half a li").expect(end);
+        assert!(client.is_closed_in_order(), "{end}: reset");
+        drop(client);
         assert!(engine.is_quiet(Duration::from_millis(200)), "{end}: sent on");
     }
 }
 
 #[test]
 fn a_partial_line_keeps_its_connection_from_being_closed_as_idle() {
-    let (front, engine, _commands) = one(|config| config["limits"]["sockets"] = json!(96));
+    let (front, engine, _discovery) = front_with_one_engine(|config| config["limits"]["sockets"] = json!(96));
     let mut half = front.client();
     assert!(half.is_ready());
     let params = r#""params":{"call":"9b1f03aa5c7e2d41","ttl":9000,"data":"c2VsZWN0IDE="}}"#;
@@ -239,24 +244,24 @@
 
 #[test]
 fn a_line_that_is_too_long_gets_one_error_and_open_requests_their_responses() {
-    let (front, engine, _commands) = one(|_| {});
+    let (front, engine, _discovery) = front_with_one_engine(|_| {});
     let mut bad = front.client();
     bad.send_request(1, "look-up");
-    let serve = engine.next_message("serve");
+    let attempt = engine.next_message("serve");
     let _ = bad.stream.write_all(&[b'x'; 300_000]);
     assert!(bad.expect_error(None) < -32002);
-    serve.respond("HIT", "fetches=1", b"a\tb\tc\n");
+    attempt.respond("HIT", "fetches=1", b"a\tb\tc\n");
     bad.expect_result(1, b"a\tb\tc\n");
     assert!(bad.is_closed_in_order());
 }
 
 #[test]
 fn shutdown_ends_in_time_though_engines_hang_replies_never_end_and_clients_do_not_read() {
-    let (mut front, engine, _commands) = one(|_| {});
-    let mut deaf = front.slow_reader();
+    let (mut front, engine, _discovery) = front_with_one_engine(|_| {});
+    let mut slow_reader = front.slow_reader();
     let rows = "r\t\t\n".repeat(11_750).into_bytes();
     for id in 1..=90 {
-        deaf.send_request(id, "look-up");
+        slow_reader.send_request(id, "look-up");
         engine.next_message("serve").respond("HIT", "fetches=1", &rows);
     }
     let mut client = front.client();
@@ -267,23 +272,26 @@
     (&endless.stream).write_all(format!("{} HIT fetches=1 600\r\nr\t\t\n", endless.id).as_bytes()).unwrap();
     let mut half = front.client();
     half.stream.write_all(b"{\"jsonrpc\"").unwrap();
-    let config = Instant::now();
+    let signalled_at = Instant::now();
     front.signal("TERM");
-    let mut ends = [client.next_response().unwrap(), client.next_response().unwrap()]
+    let mut ids = [client.next_response().unwrap(), client.next_response().unwrap()]
         .map(|answer| answer["id"].as_u64().unwrap());
-    ends.sort_unstable();
-    assert_eq!(ends, [1, 2]);
+    ids.sort_unstable();
+    assert_eq!(ids, [1, 2]);
     assert!(client.is_closed_in_order());
     // After the signal, a front has at least this long until it is killed.
-    assert_eq!(front.exit_code_within(Duration::from_millis(3700).saturating_sub(config.elapsed())), Some(0));
-    drop((deaf, half, load));
+    assert_eq!(
+        front.exit_code_within(Duration::from_millis(3700).saturating_sub(signalled_at.elapsed())),
+        Some(0)
+    );
+    drop((slow_reader, half, load));
 }
 
 /// Requests arrive on one connection before and after the front starts to shut down. Each one is accepted and
 /// gets one response, or is not accepted at all.
 #[test]
 fn each_request_of_a_pipeline_that_meets_the_shutdown_gets_one_response_or_was_not_accepted() {
-    let (mut front, engine, _commands) = one(|_| {});
+    let (mut front, engine, _discovery) = front_with_one_engine(|_| {});
     let mut client = front.client();
     for id in 1..=8 {
         client.send_request(id, "look-up");
@@ -295,7 +303,7 @@
         client.send_request(id, "look-up");
     }
     let more: Vec<EngineMessage> = (9..=16).map(|_| engine.next_message("serve")).collect();
-    first.iter().chain(&more).for_each(|serve| serve.respond("HIT", "fetches=1", b"a\tb\tc\n"));
+    first.iter().chain(&more).for_each(|attempt| attempt.respond("HIT", "fetches=1", b"a\tb\tc\n"));
     let mut answered: Vec<u64> =
         (1..=16).map(|_| client.next_response().unwrap()["id"].as_u64().unwrap()).collect();
     answered.sort_unstable();
@@ -309,7 +317,7 @@
 /// When the front gets the signal, connections with requests on them are still in the kernel's accept queue.
 #[test]
 fn connections_in_the_accept_queue_at_the_signal_are_answered() {
-    let (mut front, engine, _commands) = one(|_| {});
+    let (mut front, engine, _discovery) = front_with_one_engine(|_| {});
     assert!(front.client().is_ready());
     front.freeze();
     let mut clients: Vec<Client> = (0..20).map(|_| front.client()).collect();
@@ -329,37 +337,37 @@
 #[test]
 fn idle_clients_and_many_engines_leave_descriptors_for_discovery_and_new_clients() {
     for sockets in [64u64, 96] {
-        let (commands, engines) =
+        let (discovery, engines) =
             (DiscoveryServer::start(), (0..60).map(|_| Engine::start()).collect::<Vec<_>>());
-        let mut config = start_config(&[], commands.address);
+        let mut config = start_config(&[], discovery.address);
         config["limits"]["sockets"] = json!(sockets);
         // No request times out, even on a busy machine.
         config["settings"]["ceilings"]["connect_timeout_us"] = json!(5_000_000);
         config["settings"]["classes"][0]["aim_us"] = json!(20_000_000);
         let front = Front::start_within(FRONT, &config, sockets);
-        drop(commands.next_connection()); // The channel is lost at once.
+        drop(discovery.next_connection()); // The channel is lost at once.
         let idle: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(front.address).unwrap()).collect();
-        let DiscoveryConnection { last_change: from, stream: mut wire } = commands.next_connection();
+        let DiscoveryConnection { last_change: from, stream: mut channel } = discovery.next_connection();
         assert_eq!(from, 1);
         let listed: Vec<(u32, SocketAddr, u8)> =
             engines.iter().zip(1..).map(|(engine, id)| (id, engine.address, 0)).collect();
-        wire.write_all(&changes(2, &listed)).unwrap();
+        channel.write_all(&changes(2, &listed)).unwrap();
         front.wait_for_log("engine 0000003c is Active");
-        let mut most = 0;
+        let mut max_descriptors = 0;
         // The table groups have different home engines, so that each engine needs a connection at some time.
         for group in 0..150u64 {
             let mut client = front.client();
             client.send_request_for_table_group(1, "look-up", group);
             let sent = |engine: &Engine| engine.try_next_request(Duration::from_millis(1));
-            let Some(serve) = engines.iter().cycle().take(60 * 100).find_map(sent) else {
+            let Some(attempt) = engines.iter().cycle().take(60 * 100).find_map(sent) else {
                 panic!("{group} of {sockets}: {:?}", client.next_response());
             };
-            serve.respond("HIT", "fetches=1", b"a\tb\tc\n");
+            attempt.respond("HIT", "fetches=1", b"a\tb\tc\n");
             client.expect_result(1, b"a\tb\tc\n");
-            most = most.max(front.open_descriptors() as u64);
+            max_descriptors = max_descriptors.max(front.open_descriptors() as u64);
         }
-        assert!(most < sockets, "{most} of {sockets}");
-        drop((idle, wire));
+        assert!(max_descriptors < sockets, "{max_descriptors} of {sockets}");
+        drop((idle, channel));
     }
 }
 
@@ -367,16 +375,16 @@
 /// the new address, and applied once.
 #[test]
 fn a_reload_in_the_middle_of_an_event_loses_and_repeats_nothing() {
-    let (front, engine, commands) = one(|_| {});
+    let (front, engine, discovery) = front_with_one_engine(|_| {});
     let moved = DiscoveryServer::start();
-    let DiscoveryConnection { last_change: from, stream: mut wire } = commands.next_connection();
+    let DiscoveryConnection { last_change: from, stream: mut channel } = discovery.next_connection();
     assert_eq!(from, 1);
     let whole = changes(2, &[(2, engine.address, 1)]);
-    wire.write_all(&whole[..20]).unwrap();
+    channel.write_all(&whole[..20]).unwrap();
     front.reload(&start_config(&[(1, engine.address)], moved.address).to_string());
     let DiscoveryConnection { last_change: from, stream: mut new } = moved.next_connection();
     assert_eq!(from, 1);
-    let _ = wire.write_all(&whole[20..]); // The rest arrives on the old connection, which is no longer read.
+    let _ = channel.write_all(&whole[20..]); // The rest arrives on the old connection, which is no longer read.
     new.write_all(&[whole.clone(), whole, changes(3, &[(3, engine.address, 1)])].concat()).unwrap();
     front.wait_for_log("engine 00000003 is Leaving");
     front.signal("USR1");
@@ -387,12 +395,12 @@
 /// draining; an event that still arrives on the silent connection must be ignored.
 #[test]
 fn an_engine_that_drains_while_the_watch_is_silent_gets_nothing_once_the_watch_is_back() {
-    let (front, engine, commands) = one(|_| {});
-    let DiscoveryConnection { last_change: from, stream: mut silent } = commands.next_connection();
-    let DiscoveryConnection { last_change: again, stream: mut wire } = commands.next_connection();
-    assert_eq!((from, again), (1, 1));
+    let (front, engine, discovery) = front_with_one_engine(|_| {});
+    let DiscoveryConnection { last_change: from, stream: mut silent } = discovery.next_connection();
+    let DiscoveryConnection { last_change: from_again, stream: mut channel } = discovery.next_connection();
+    assert_eq!((from, from_again), (1, 1));
     let _ = silent.write_all(&changes(2, &[(1, engine.address, 0)]));
-    wire.write_all(&changes(2, &[(1, engine.address, 1)])).unwrap();
+    channel.write_all(&changes(2, &[(1, engine.address, 1)])).unwrap();
     front.wait_for_log("is Leaving");
     let mut client = front.client();
     client.send_request(1, "look-up");
@@ -403,19 +411,19 @@
 /// Half a reply line of an engine arrives while the front closes the engine's idle connection.
 #[test]
 fn an_engine_in_the_middle_of_a_line_sees_a_graceful_close() {
-    let (front, engine, _commands) = one(|config| {
+    let (front, engine, _discovery) = front_with_one_engine(|config| {
         config["settings"]["ceilings"]["conn_idle_us"] = json!(1_000_000);
     });
     let mut client = front.client();
     client.send_request(1, "look-up");
-    let serve = engine.next_message("serve");
-    serve.respond("HIT", "fetches=1", b"a\tb\tc\n");
+    let attempt = engine.next_message("serve");
+    attempt.respond("HIT", "fetches=1", b"a\tb\tc\n");
     client.expect_result(1, b"a\tb\tc\n");
     // The half line arrives after the front has shut down its side of the connection.
-    let mut wire = serve.stream.try_clone().unwrap();
-    assert_eq!(engine.next_closed(), serve.front_address());
-    wire.write_all(format!("{} HI", serve.id).as_bytes()).unwrap();
-    wire.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-    assert_eq!(wire.read(&mut [0; 16]).map_err(|e| e.kind()), Ok(0));
-    assert!(wire.take_error().unwrap().is_none());
+    let mut stream = attempt.stream.try_clone().unwrap();
+    assert_eq!(engine.next_closed(), attempt.front_address());
+    stream.write_all(format!("{} HI", attempt.id).as_bytes()).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+    assert_eq!(stream.read(&mut [0; 16]).map_err(|e| e.kind()), Ok(0));
+    assert!(stream.take_error().unwrap().is_none());
 }
