--- a/crates/edges/front/tests/sockets.rs
+++ b/crates/edges/front/tests/sockets.rs
@@ -10,57 +10,57 @@
 const PAUSE: Duration = Duration::from_millis(150);
 
 /// Starts a front with one engine.
-fn one() -> (Front, Engine, DiscoveryServer) {
-    let (engine, commands) = (Engine::start(), DiscoveryServer::start());
-    let front = Front::start(FRONT, &start_config(&[(1, engine.address)], commands.address));
-    (front, engine, commands)
+fn front_with_one_engine() -> (Front, Engine, DiscoveryServer) {
+    let (engine, discovery) = (Engine::start(), DiscoveryServer::start());
+    let front = Front::start(FRONT, &start_config(&[(1, engine.address)], discovery.address));
+    (front, engine, discovery)
 }
 
 /// Starts a front with two engines, and returns the home engine of the look-ups in these tests first.
-fn two() -> (Front, [(u32, Engine); 2], DiscoveryServer) {
-    let (engines, commands) = ([(1, Engine::start()), (2, Engine::start())], DiscoveryServer::start());
+fn front_with_two_engines() -> (Front, [(u32, Engine); 2], DiscoveryServer) {
+    let (engines, discovery) = ([(1, Engine::start()), (2, Engine::start())], DiscoveryServer::start());
     let known: Vec<(u32, SocketAddr)> = engines.iter().map(|(id, e)| (*id, e.address)).collect();
-    let front = Front::start(FRONT, &start_config(&known, commands.address));
+    let front = Front::start(FRONT, &start_config(&known, discovery.address));
     let mut client = front.client();
     client.send_request(1, "look-up");
     let [a, b] = engines;
     let first = [&a, &b].into_iter().cycle().find_map(|(id, e)| {
-        let said = e.try_next_request(PAUSE)?;
-        said.respond("HIT", "fetches=1", b"");
+        let attempt = e.try_next_request(PAUSE)?;
+        attempt.respond("HIT", "fetches=1", b"");
         Some(*id)
     });
     client.expect_result(1, b"");
-    (front, if first == Some(a.0) { [a, b] } else { [b, a] }, commands)
+    (front, if first == Some(a.0) { [a, b] } else { [b, a] }, discovery)
 }
 
 #[test]
 fn a_result_of_several_pages_is_joined_in_order() {
-    let (front, engine, _commands) = one();
+    let (front, engine, _discovery) = front_with_one_engine();
     let mut client = front.client();
-    let call = client.send_request(7, "look-up");
-    let serve = engine.next_message("serve");
+    let request = client.send_request(7, "look-up");
+    let attempt = engine.next_message("serve");
     assert_eq!(
-        (serve.id.as_str(), serve.body.as_slice()),
-        (call.as_str(), b"select * from sales_17.orders".as_slice())
+        (attempt.id.as_str(), attempt.body.as_slice()),
+        (request.as_str(), b"select * from sales_17.orders".as_slice())
     );
-    let fields: Vec<&str> = serve.arguments.split(',').collect();
+    let fields: Vec<&str> = attempt.arguments.split(',').collect();
     assert!(fields.contains(&"queue=look-up") && fields.contains(&"weight=3"), "{fields:?}");
     let budget: u64 = fields.iter().find_map(|f| f.strip_prefix("budget=")).unwrap().parse().unwrap();
     assert!((1..=20_000).contains(&budget));
-    serve.respond("INFO", "detail=advance,figure=0.50", b"");
-    serve.respond("HIT", "fetches=3,effort=120,high=64", b"a\tb\tc\n");
+    attempt.respond("INFO", "detail=advance,figure=0.50", b"");
+    attempt.respond("HIT", "fetches=3,effort=120,high=64", b"a\tb\tc\n");
     let pages = [engine.next_message("read"), engine.next_message("read")];
     assert_eq!(pages.each_ref().map(|p| p.arguments.as_str()), ["1", "2"]);
-    serve.respond("PART", "fetch_no=2", b"g\th\ti\n");
-    serve.respond("PART", "fetch_no=1", b"d\te\tf\n");
+    attempt.respond("PART", "fetch_no=2", b"g\th\ti\n");
+    attempt.respond("PART", "fetch_no=1", b"d\te\tf\n");
     client.expect_result(7, b"a\tb\tc\nd\te\tf\ng\th\ti\n");
-    assert_eq!(engine.next_message("release").id, call);
+    assert_eq!(engine.next_message("release").id, request);
 }
 
 #[test]
 fn a_request_that_cannot_be_sent_is_rejected_with_retry_after() {
-    let commands = DiscoveryServer::start();
-    let front = Front::start(FRONT, &start_config(&[], commands.address));
+    let discovery = DiscoveryServer::start();
+    let front = Front::start(FRONT, &start_config(&[], discovery.address));
     let mut client = front.client();
     client.send_request(1, "look-up");
     let answer = client.next_response().unwrap();
@@ -70,17 +70,17 @@
 
 #[test]
 fn a_non_idempotent_request_that_may_have_run_fails_and_is_not_retried() {
-    let (front, [(_, first), (_, second)], _commands) = two();
+    let (front, [(_, first), (_, second)], _discovery) = front_with_two_engines();
     let mut client = front.client();
     for (id, end) in [(1, "FAULT"), (2, "reset"), (3, "reset in mid-answer")] {
         client.send_request(id, "load");
-        let serve = first.try_next_request(PAUSE).unwrap_or_else(|| second.next_message("serve"));
+        let attempt = first.try_next_request(PAUSE).unwrap_or_else(|| second.next_message("serve"));
         match end {
-            "FAULT" => serve.respond("FAULT", "-", b""),
-            "reset" => serve.close_connection(),
+            "FAULT" => attempt.respond("FAULT", "-", b""),
+            "reset" => attempt.close_connection(),
             _ => {
-                serve.respond("HIT", "fetches=2", b"a\tb\tc\n");
-                serve.close_connection();
+                attempt.respond("HIT", "fetches=2", b"a\tb\tc\n");
+                attempt.close_connection();
             }
         }
         let code = client.expect_error(Some(id));
@@ -91,18 +91,18 @@
 #[test]
 fn an_attempt_that_an_engine_lost_or_rejected_is_retried_elsewhere() {
     for end in ["SHED", "FAULT", "LATE", "reset", "WHAT"] {
-        let (front, [(_, first), (_, second)], _commands) = two();
+        let (front, [(_, first), (_, second)], _discovery) = front_with_two_engines();
         let mut client = front.client();
         client.send_request(2, "look-up");
-        let serve = first.next_message("serve");
+        let attempt = first.next_message("serve");
         if end == "reset" {
-            serve.close_connection()
+            attempt.close_connection()
         } else {
-            serve.respond(end, "-", b"")
+            attempt.respond(end, "-", b"")
         }
-        let again = second.next_message("serve");
-        assert_eq!(again.id, serve.id, "{end}");
-        again.respond("HIT", "-", b"x\ty\tz\n");
+        let retry = second.next_message("serve");
+        assert_eq!(retry.id, attempt.id, "{end}");
+        retry.respond("HIT", "-", b"x\ty\tz\n");
         client.expect_result(2, b"x\ty\tz\n");
     }
 }
@@ -110,10 +110,10 @@
 #[test]
 fn a_refused_connection_proves_that_a_non_idempotent_request_never_ran() {
     let closed = ClosedPort::bind();
-    let (engine, commands) = (Engine::start(), DiscoveryServer::start());
+    let (engine, discovery) = (Engine::start(), DiscoveryServer::start());
     // Whichever engine id is the home engine, one of the two requests is first sent to the closed port.
     for known in [[(1, closed.address), (2, engine.address)], [(1, engine.address), (2, closed.address)]] {
-        let front = Front::start(FRONT, &start_config(&known, commands.address));
+        let front = Front::start(FRONT, &start_config(&known, discovery.address));
         let mut client = front.client();
         client.send_request(1, "load");
         engine.next_message("serve").respond("HIT", "fetches=1", b"a\tb\tc\n");
@@ -123,37 +123,37 @@
 
 #[test]
 fn a_revoked_request_is_cancelled_and_gets_no_response() {
-    let (front, engine, _commands) = one();
+    let (front, engine, _discovery) = front_with_one_engine();
     let mut client = front.client();
-    let call = client.send_request(1, "look-up");
-    let serve = engine.next_message("serve");
+    let request = client.send_request(1, "look-up");
+    let attempt = engine.next_message("serve");
     client.send_line(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":1}}"#);
-    assert_eq!(engine.next_message("cancel").id, call);
-    serve.respond("HIT", "fetches=1", b"late\t\t\n");
+    assert_eq!(engine.next_message("cancel").id, request);
+    attempt.respond("HIT", "fetches=1", b"late\t\t\n");
     assert!(client.is_ready()); // No response to the request precedes this one.
 }
 
 #[test]
 fn a_client_that_disconnects_abandons_its_requests() {
-    let (front, engine, _commands) = one();
+    let (front, engine, _discovery) = front_with_one_engine();
     let mut client = front.client();
-    let call = client.send_request(1, "look-up");
+    let request = client.send_request(1, "look-up");
     engine.next_message("serve");
     drop(client);
-    assert_eq!(engine.next_message("cancel").id, call);
+    assert_eq!(engine.next_message("cancel").id, request);
 }
 
 /// The engine resets the connection while the front cancels the attempt: the event that the front handles first
 /// counts, and the other one is ignored.
 #[test]
 fn a_reset_that_crosses_a_cancel_ends_the_attempt() {
-    let (front, engine, _commands) = one();
+    let (front, engine, _discovery) = front_with_one_engine();
     let mut client = front.client();
     client.send_request(1, "look-up");
-    let serve = engine.next_message("serve");
+    let attempt = engine.next_message("serve");
     std::thread::sleep(PAUSE);
-    serve.respond("INFO", "detail=advance,figure=0.001", b"");
-    serve.close_connection();
+    attempt.respond("INFO", "detail=advance,figure=0.001", b"");
+    attempt.close_connection();
     let code = client.expect_error(Some(1)); // The engine is ejected, and the request rejected once it would start too late.
     assert_eq!(code, -32002);
     assert!(client.is_ready());
@@ -161,47 +161,47 @@
 
 #[test]
 fn a_reply_after_the_deadline_reaches_nobody() {
-    let (front, engine, _commands) = one();
+    let (front, engine, _discovery) = front_with_one_engine();
     let mut client = front.client();
-    let call = client.send_request_with_timeout(1, "look-up", 300);
-    let serve = engine.next_message("serve");
+    let request = client.send_request_with_timeout(1, "look-up", 300);
+    let attempt = engine.next_message("serve");
     assert_eq!(client.expect_error(Some(1)), -32002); // In time, although the engine has not replied.
-    assert_eq!(engine.next_message("cancel").id, call);
-    serve.respond("HIT", "fetches=3", b"late\t\t\n");
+    assert_eq!(engine.next_message("cancel").id, request);
+    attempt.respond("HIT", "fetches=3", b"late\t\t\n");
     engine.next_message("read behind cancel").respond("FAULT", "-", b"");
-    assert_eq!(engine.next_message("release").id, call);
+    assert_eq!(engine.next_message("release").id, request);
     client.send_request(2, "look-up");
-    let again = engine.next_message("serve");
-    assert_eq!(again.front_address(), serve.front_address()); // The connection is still in use.
-    again.respond("HIT", "fetches=1", b"");
+    let retry = engine.next_message("serve");
+    assert_eq!(retry.front_address(), attempt.front_address()); // The connection is still in use.
+    retry.respond("HIT", "fetches=1", b"");
     client.expect_result(2, b"");
 }
 
 #[test]
 fn a_lost_page_ends_the_attempt_of_a_request_that_may_run_again_elsewhere() {
-    let (front, [(_, first), (_, second)], _commands) = two();
+    let (front, [(_, first), (_, second)], _discovery) = front_with_two_engines();
     let mut client = front.client();
     client.send_request(2, "look-up");
-    let serve = first.next_message("serve");
-    serve.respond("HIT", "fetches=2", b"a\tb\tc\n");
+    let attempt = first.next_message("serve");
+    attempt.respond("HIT", "fetches=2", b"a\tb\tc\n");
     first.next_message("read");
-    serve.respond("FAULT", "-", b"");
+    attempt.respond("FAULT", "-", b"");
     second.next_message("serve").respond("HIT", "fetches=1", b"d\te\tf\n");
     client.expect_result(2, b"d\te\tf\n");
 }
 
 #[test]
 fn endless_results_and_unexpected_pages_do_not_reach_clients() {
-    let (front, engine, _commands) = one();
+    let (front, engine, _discovery) = front_with_one_engine();
     let mut client = front.client();
     for (id, pages) in [(1, 9), (2, 9999)] {
         client.send_request(id, "load");
-        let serve = engine.next_message("serve");
+        let attempt = engine.next_message("serve");
         let large = "a\tb\tc\n".repeat(7000);
-        serve.respond("HIT", &format!("fetches={pages}"), large.as_bytes());
+        attempt.respond("HIT", &format!("fetches={pages}"), large.as_bytes());
         if pages < 10 {
             (1..pages).for_each(|_| drop(engine.next_message("read")));
-            serve.respond("PART", "fetch_no=1", large.as_bytes());
+            attempt.respond("PART", "fetch_no=1", large.as_bytes());
         }
         let code = client.expect_error(Some(id));
         assert!(code != -32002, "{pages}: {code}");
@@ -211,27 +211,27 @@
 
 #[test]
 fn replies_that_bring_more_than_is_theirs_end_nothing() {
-    let (front, engine, _commands) = one();
+    let (front, engine, _discovery) = front_with_one_engine();
     let mut client = front.client();
     client.send_request(1, "load");
     let other = engine.next_message("serve");
     client.send_request(2, "look-up");
-    let serve = engine.next_message("serve");
-    assert_eq!(serve.front_address(), other.front_address());
-    (&serve.stream).write_all(b"00000000deadbeef HIT fetches=2 9\r\nnot a row\r\n").unwrap();
-    (&serve.stream).write_all(b"00000000deadbeef PART fetch_no=1 0\r\n\r\n").unwrap();
-    serve.respond("PART", "fetch_no=1", b"too\tsoon\t\n");
-    serve.respond("PONG", "-", b"");
+    let attempt = engine.next_message("serve");
+    assert_eq!(attempt.front_address(), other.front_address());
+    (&attempt.stream).write_all(b"00000000deadbeef HIT fetches=2 9\r\nnot a row\r\n").unwrap();
+    (&attempt.stream).write_all(b"00000000deadbeef PART fetch_no=1 0\r\n\r\n").unwrap();
+    attempt.respond("PART", "fetch_no=1", b"too\tsoon\t\n");
+    attempt.respond("PONG", "-", b"");
     for _ in 0..2 {
-        serve.respond("HIT", "fetches=2", b"a\tb\tc\n"); // The second one arrives while the front waits for the page.
+        attempt.respond("HIT", "fetches=2", b"a\tb\tc\n"); // The second one arrives while the front waits for the page.
     }
     engine.next_message("read");
     for page in [7, 0, 1, 1] {
-        serve.respond("PART", &format!("fetch_no={page}"), format!("{page}\t\t\n").as_bytes());
+        attempt.respond("PART", &format!("fetch_no={page}"), format!("{page}\t\t\n").as_bytes());
     }
     client.expect_result(2, b"a\tb\tc\n1\t\t\n");
-    serve.respond("HIT", "fetches=1", b"late\t\t\n");
-    serve.respond("FAULT", "-", b"");
+    attempt.respond("HIT", "fetches=1", b"late\t\t\n");
+    attempt.respond("FAULT", "-", b"");
     other.respond("HIT", "fetches=1", b"d\te\tf\n");
     client.expect_result(1, b"d\te\tf\n");
     front.signal("USR1");
@@ -240,32 +240,32 @@
 
 #[test]
 fn a_malformed_reply_ends_its_connection_and_reaches_no_client() {
-    for spoilt in [
+    for malformed in [
         "ID HIT fetches=1 5\r\nnoise\r\n",
         "ID HIT fetches=1 3000000000\r\na\tb\tc\n",
         "ID HIT fetches=1 9\r\na\tb\tc\n\r\nID HIT",
         "ID HIT fetches=1 600\r\na\tb\tc\n", // The body is never completed, and the connection stays open.
         &"x".repeat(5000),
     ] {
-        let (front, engine, _commands) = one();
+        let (front, engine, _discovery) = front_with_one_engine();
         let mut client = front.client();
         client.send_request(1, "load");
-        let serve = engine.next_message("serve");
-        (&serve.stream).write_all(spoilt.replace("ID", &serve.id).as_bytes()).unwrap();
-        assert_ne!(client.expect_error(Some(1)), -32002, "{spoilt}");
+        let attempt = engine.next_message("serve");
+        (&attempt.stream).write_all(malformed.replace("ID", &attempt.id).as_bytes()).unwrap();
+        assert_ne!(client.expect_error(Some(1)), -32002, "{malformed}");
     }
 }
 
 #[test]
 fn a_client_that_does_not_read_delays_nobody_and_loses_nothing() {
-    let (front, engine, _commands) = one();
+    let (front, engine, _discovery) = front_with_one_engine();
     let (mut slow, mut quick) = (front.client(), front.client());
     let rows = "r\t\t\n".repeat(11_750).into_bytes();
     // More than the kernel buffers for a connection that is not read.
     for id in 1..=32 {
         slow.send_request(id, "look-up");
-        let serve = engine.next_message("serve");
-        serve.respond("HIT", "fetches=1", &rows);
+        let attempt = engine.next_message("serve");
+        attempt.respond("HIT", "fetches=1", &rows);
     }
     quick.send_request(1, "look-up");
     engine.next_message("serve").respond("HIT", "fetches=1", b"");
@@ -277,61 +277,61 @@
 
 #[test]
 fn a_client_that_closes_only_its_side_still_gets_a_response() {
-    let (front, engine, _commands) = one();
+    let (front, engine, _discovery) = front_with_one_engine();
     let mut client = front.client();
-    let call = client.send_request(1, "load");
+    let request = client.send_request(1, "load");
     engine.next_message("serve");
     client.stream.shutdown(std::net::Shutdown::Write).unwrap();
     assert_ne!(client.expect_error(Some(1)), -32002);
     assert_eq!(client.next_response(), None);
-    assert_eq!(engine.next_message("cancel").id, call);
+    assert_eq!(engine.next_message("cancel").id, request);
 }
 
 #[test]
 fn time_in_which_the_front_does_not_run_counts_against_client_timeouts() {
-    let (front, engine, _commands) = one();
+    let (front, engine, _discovery) = front_with_one_engine();
     let mut client = front.client();
     assert!(client.is_ready());
     front.signal("STOP");
     client.send_request(1, "look-up");
     std::thread::sleep(PAUSE * 4);
     front.signal("CONT");
-    let serve = engine.next_message("serve");
-    let budget = serve.arguments.split(',').find_map(|field| field.strip_prefix("budget=")).unwrap();
+    let attempt = engine.next_message("serve");
+    let budget = attempt.arguments.split(',').find_map(|field| field.strip_prefix("budget=")).unwrap();
     assert!(budget.parse::<u128>().unwrap() <= 20_000 - (PAUSE * 3).as_millis(), "{budget}");
 }
 
 /// If the request were sent again on another connection, that could overtake the cancel of the first attempt.
 #[test]
 fn a_request_is_not_sent_again_before_its_engine_has_read_the_cancel() {
-    let (front, engine, _commands) = one();
+    let (front, engine, _discovery) = front_with_one_engine();
     let mut client = front.client();
     client.send_request(1, "look-up");
-    let serve = engine.next_message("serve");
+    let attempt = engine.next_message("serve");
     std::thread::sleep(PAUSE); // Makes the reported progress look slow, so that the front cancels the attempt.
-    serve.respond("INFO", "detail=advance,figure=0.001", b"");
+    attempt.respond("INFO", "detail=advance,figure=0.001", b"");
     engine.next_message("cancel");
     let behind = engine.next_message("read behind cancel");
     assert!(engine.is_quiet(PAUSE / 5));
     behind.respond("FAULT", "-", b"");
-    let again = engine.next_message("serve");
-    assert_eq!(again.id, serve.id);
-    assert_ne!(again.front_address(), serve.front_address());
-    serve.respond("HIT", "fetches=1", b"old\t\t\n");
-    again.respond("HIT", "fetches=1", b"new\t\t\n");
+    let retry = engine.next_message("serve");
+    assert_eq!(retry.id, attempt.id);
+    assert_ne!(retry.front_address(), attempt.front_address());
+    attempt.respond("HIT", "fetches=1", b"old\t\t\n");
+    retry.respond("HIT", "fetches=1", b"new\t\t\n");
     client.expect_result(1, b"new\t\t\n");
 }
 
 #[test]
 fn a_reply_that_crosses_its_cancel_counts() {
-    let (front, engine, _commands) = one();
+    let (front, engine, _discovery) = front_with_one_engine();
     let mut client = front.client();
     client.send_request(1, "look-up");
-    let serve = engine.next_message("serve");
+    let attempt = engine.next_message("serve");
     std::thread::sleep(PAUSE);
-    serve.respond("INFO", "detail=advance,figure=0.001", b"");
+    attempt.respond("INFO", "detail=advance,figure=0.001", b"");
     engine.next_message("cancel");
-    serve.respond("HIT", "fetches=1", b"a\tb\tc\n");
+    attempt.respond("HIT", "fetches=1", b"a\tb\tc\n");
     client.expect_result(1, b"a\tb\tc\n");
     engine.next_message("read behind cancel").respond("FAULT", "-", b"");
     client.send_request(2, "look-up"); // The connection is still in use.
@@ -341,69 +341,69 @@
 
 #[test]
 fn a_silent_engine_does_not_hold_a_cancelled_request() {
-    let (engine, commands) = (Engine::start(), DiscoveryServer::start());
-    let mut config = start_config(&[(1, engine.address)], commands.address);
+    let (engine, discovery) = (Engine::start(), DiscoveryServer::start());
+    let mut config = start_config(&[(1, engine.address)], discovery.address);
     config["settings"]["classes"][0]["aim_us"] = json!(20_000_000); // A late retry still meets the latency objective.
     let front = Front::start(FRONT, &config);
     let mut client = front.client();
     client.send_request(1, "look-up");
-    let serve = engine.next_message("serve");
+    let attempt = engine.next_message("serve");
     std::thread::sleep(PAUSE);
-    serve.respond("INFO", "detail=advance,figure=0.001", b"");
+    attempt.respond("INFO", "detail=advance,figure=0.001", b"");
     engine.next_message("cancel");
     engine.next_message("read behind cancel"); // The engine does not reply to this.
-    let again = engine.next_message("serve");
-    again.respond("HIT", "fetches=1", b"a\tb\tc\n");
+    let retry = engine.next_message("serve");
+    retry.respond("HIT", "fetches=1", b"a\tb\tc\n");
     client.expect_result(1, b"a\tb\tc\n");
 }
 
 #[test]
 fn the_channel_is_followed_through_split_repeated_and_missing_frames_and_losses() {
-    let (front, [(first, home), (second, other)], commands) = two();
-    let DiscoveryConnection { last_change: last, stream: mut wire } = commands.next_connection();
+    let (front, [(first, home), (second, other)], discovery) = front_with_two_engines();
+    let DiscoveryConnection { last_change: last, stream: mut channel } = discovery.next_connection();
     assert_eq!(last, 1);
     let drains = changes(2, &[(first, home.address, 1)]);
-    wire.write_all(&drains[..10]).unwrap();
-    wire.flush().unwrap();
+    channel.write_all(&drains[..10]).unwrap();
+    channel.flush().unwrap();
     std::thread::sleep(PAUSE / 5);
-    wire.write_all(&drains[10..]).unwrap();
+    channel.write_all(&drains[10..]).unwrap();
     front.wait_for_log("is Leaving");
     let mut client = front.client();
     client.send_request(1, "look-up");
     other.next_message("serve").respond("HIT", "fetches=1", b"");
     client.expect_result(1, b"");
     // After a loss, the front resumes from the last event. It skips known events and requests missing ones again.
-    drop(wire);
-    let DiscoveryConnection { last_change: last, stream: mut wire } = commands.next_connection();
+    drop(channel);
+    let DiscoveryConnection { last_change: last, stream: mut channel } = discovery.next_connection();
     assert_eq!(last, 2);
-    wire.write_all(&drains).unwrap();
-    wire.write_all(&changes(4, &[(second, other.address, 1)])).unwrap();
-    let DiscoveryConnection { last_change: last, stream: mut wire } = commands.next_connection();
+    channel.write_all(&drains).unwrap();
+    channel.write_all(&changes(4, &[(second, other.address, 1)])).unwrap();
+    let DiscoveryConnection { last_change: last, stream: mut channel } = discovery.next_connection();
     assert_eq!(last, 2);
     // An engine of an unknown machine kind is skipped. A malformed frame ends the connection.
     let mut strange = changes(3, &[(first, home.address, 0), (9, home.address, 0)]);
     strange[13 + 27 + 12] = 7;
-    wire.write_all(&strange).unwrap();
+    channel.write_all(&strange).unwrap();
     front.wait_for_log("engine 00000009 is left out");
-    wire.write_all(&changes(4, &[(second, other.address, 2)])).unwrap();
+    channel.write_all(&changes(4, &[(second, other.address, 2)])).unwrap();
     front.wait_for_log("is Left");
     client.send_request(2, "look-up");
     home.next_message("serve").respond("HIT", "fetches=1", b"");
     client.expect_result(2, b"");
-    wire.write_all(&[0, 0, 0, 1, 1]).unwrap();
-    assert_eq!(commands.next_connection().last_change, 4);
+    channel.write_all(&[0, 0, 0, 1, 1]).unwrap();
+    assert_eq!(discovery.next_connection().last_change, 4);
 }
 
 #[test]
 fn a_reload_moves_the_channel_and_closes_no_connection() {
-    let (front, engine, commands) = one();
+    let (front, engine, discovery) = front_with_one_engine();
     let (mut client, moved) = (front.client(), DiscoveryServer::start());
-    let DiscoveryConnection { last_change: from, stream: mut wire } = commands.next_connection();
+    let DiscoveryConnection { last_change: from, stream: mut channel } = discovery.next_connection();
     assert_eq!(from, 1);
-    wire.write_all(&changes(2, &[(2, engine.address, 1)])).unwrap();
+    channel.write_all(&changes(2, &[(2, engine.address, 1)])).unwrap();
     front.wait_for_log("engine 00000002 is Leaving");
     client.send_request(1, "look-up");
-    let serve = engine.next_message("serve");
+    let attempt = engine.next_message("serve");
     for config in ["{", "{}"] {
         front.reload(config);
         front.wait_for_log("all stays as it is");
@@ -412,35 +412,35 @@
     newer["limits"]["sockets"] = json!(512);
     front.reload(&newer.to_string());
     front.wait_for_log("only at the next start: limits");
-    let DiscoveryConnection { last_change: from, stream: mut wire } = moved.next_connection();
+    let DiscoveryConnection { last_change: from, stream: mut channel } = moved.next_connection();
     assert_eq!(from, 2);
-    wire.write_all(&changes(3, &[(3, engine.address, 1)])).unwrap();
+    channel.write_all(&changes(3, &[(3, engine.address, 1)])).unwrap();
     front.wait_for_log("engine 00000003 is Leaving");
-    serve.respond("HIT", "fetches=1", b"a\tb\tc\n");
+    attempt.respond("HIT", "fetches=1", b"a\tb\tc\n");
     client.expect_result(1, b"a\tb\tc\n");
     // Moves back to the first address, where the first connection is still open.
-    front.reload(&start_config(&[(1, engine.address)], commands.address).to_string());
-    assert_eq!(commands.next_connection().last_change, 3);
+    front.reload(&start_config(&[(1, engine.address)], discovery.address).to_string());
+    assert_eq!(discovery.next_connection().last_change, 3);
     assert!(client.is_ready());
 }
 
 #[test]
 fn a_silent_channel_is_reconnected() {
-    let (_front, _engine, commands) = one();
-    let DiscoveryConnection { last_change: from, stream: mut wire } = commands.next_connection();
-    let frame = changes(2, &[(7, commands.address, 1)]);
-    wire.write_all(&frame[..20]).unwrap(); // The channel falls silent in the middle of an event.
-    assert_eq!((from, commands.next_connection().last_change), (1, 1));
+    let (_front, _engine, discovery) = front_with_one_engine();
+    let DiscoveryConnection { last_change: from, stream: mut channel } = discovery.next_connection();
+    let frame = changes(2, &[(7, discovery.address, 1)]);
+    channel.write_all(&frame[..20]).unwrap(); // The channel falls silent in the middle of an event.
+    assert_eq!((from, discovery.next_connection().last_change), (1, 1));
 }
 
 #[test]
 fn a_new_engine_at_the_address_of_a_removed_one_gets_connections_of_its_own() {
-    let (front, engine, commands) = one();
+    let (front, engine, discovery) = front_with_one_engine();
     let mut client = front.client();
     client.send_request(1, "look-up");
     let old = engine.next_message("serve");
-    let DiscoveryConnection { stream: mut wire, .. } = commands.next_connection();
-    wire.write_all(&changes(2, &[(1, engine.address, 2), (5, engine.address, 0)])).unwrap();
+    let DiscoveryConnection { stream: mut channel, .. } = discovery.next_connection();
+    channel.write_all(&changes(2, &[(1, engine.address, 2), (5, engine.address, 0)])).unwrap();
     front.wait_for_log("engine 00000005 is Active");
     client.send_request(2, "look-up");
     let new = engine.next_message("serve");
@@ -490,10 +490,10 @@
 
 #[test]
 fn faulty_input_gets_its_error_and_affects_no_other_client() {
-    let (front, engine, _commands) = one();
+    let (front, engine, _discovery) = front_with_one_engine();
     let (mut bad, mut good) = (front.client(), front.client());
     good.send_request(1, "look-up");
-    let serve = engine.next_message("serve");
+    let attempt = engine.next_message("serve");
     send_faulty_lines(&mut bad);
     assert!(bad.is_ready());
     // A message id that is already open, and a request id that is open on another connection: neither ends the
@@ -501,7 +501,7 @@
     good.send_request(1, "look-up");
     assert_eq!(good.expect_error(None), -32600);
     let data = base64(b"select 1");
-    let params = json!({"call": serve.id, "ttl": 1500, "data": data});
+    let params = json!({"call": attempt.id, "ttl": 1500, "data": data});
     bad.send_line(&json!({"jsonrpc": "2.0", "id": 8, "method": "look-up", "params": params}).to_string());
     bad.expect_error(Some(8));
     // A line over the length limit gets one error, as other invalid lines do, and ends the connection.
@@ -509,13 +509,13 @@
     assert_eq!(bad.expect_error(None), -32600);
     assert_eq!(bad.next_response(), None);
     assert!(engine.is_quiet(PAUSE));
-    serve.respond("HIT", "fetches=1", b"a\tb\tc\n");
+    attempt.respond("HIT", "fetches=1", b"a\tb\tc\n");
     good.expect_result(1, b"a\tb\tc\n");
 }
 
 #[test]
 fn connections_without_a_complete_line_are_closed_and_others_are_not() {
-    let (front, engine, _commands) = one();
+    let (front, engine, _discovery) = front_with_one_engine();
     let mut good = front.client();
     good.send_request(1, "look-up");
     let serve = engine.next_message("serve");
@@ -533,7 +533,7 @@
 
 #[test]
 fn a_connection_that_looks_idle_is_not_closed_over_unread_bytes() {
-    let (front, engine, _commands) = one();
+    let (front, engine, _discovery) = front_with_one_engine();
     let mut clients: Vec<Client> = (0..8).map(|_| front.client()).collect();
     assert!(clients.iter_mut().all(Client::is_ready));
     front.signal("STOP");
@@ -548,7 +548,7 @@
 
 #[test]
 fn unusable_lines_get_errors_up_to_a_limit() {
-    let (front, engine, _commands) = one();
+    let (front, engine, _discovery) = front_with_one_engine();
     let mut bad = front.client();
     bad.send_line(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":4}}"#); // No request has this id.
     assert_eq!(bad.expect_error(None), -32602);
@@ -570,21 +570,21 @@
 
 #[test]
 fn long_lines_on_many_connections_stay_within_their_memory_budget() {
-    let (engine, commands) = (Engine::start(), DiscoveryServer::start());
-    let mut config = start_config(&[(1, engine.address)], commands.address);
+    let (engine, discovery) = (Engine::start(), DiscoveryServer::start());
+    let mut config = start_config(&[(1, engine.address)], discovery.address);
     config["limits"]["memory_mb"] = json!(32);
     let front = Front::start(FRONT, &config);
     let mut good = front.client();
     good.send_request(1, "look-up");
-    let serve = engine.next_message("serve");
+    let attempt = engine.next_message("serve");
     let mut bad: Vec<Client> = (0..40).map(|_| front.client()).collect();
     for client in &mut bad {
         let _ = client.stream.write_all(&[b'x'; 200_000]);
     }
     good.send_request(2, "look-up");
     let second = engine.next_message("serve");
-    for (id, serve) in [(1, serve), (2, second)] {
-        serve.respond("HIT", "fetches=1", b"a\tb\tc\n");
+    for (id, attempt) in [(1, attempt), (2, second)] {
+        attempt.respond("HIT", "fetches=1", b"a\tb\tc\n");
         good.expect_result(id, b"a\tb\tc\n");
     }
     assert!(bad.iter_mut().all(|client| client.next_response().is_none()));
@@ -594,11 +594,11 @@
 
 #[test]
 fn removed_engines_leave_nothing_behind() {
-    let (front, engine, commands) = one();
-    let DiscoveryConnection { stream: mut wire, .. } = commands.next_connection();
+    let (front, engine, discovery) = front_with_one_engine();
+    let DiscoveryConnection { stream: mut channel, .. } = discovery.next_connection();
     for id in 2..=60u32 {
         let frame = changes(u64::from(id), &[(id - 1, engine.address, 2), (id, engine.address, 0)]);
-        wire.write_all(&frame).unwrap();
+        channel.write_all(&frame).unwrap();
     }
     front.wait_for_log("engine 0000003c is Active");
     let mut client = front.client();
@@ -611,7 +611,7 @@
 
 #[test]
 fn a_connection_carries_a_limited_number_of_requests() {
-    let (front, engine, _commands) = one();
+    let (front, engine, _discovery) = front_with_one_engine();
     let mut client = front.client();
     for id in 1..=33 {
         client.send_request(id, "look-up");
@@ -623,7 +623,7 @@
 
 #[test]
 fn a_termination_signal_is_followed_by_a_response_to_all_and_an_exit() {
-    let (mut front, engine, _commands) = one();
+    let (mut front, engine, _discovery) = front_with_one_engine();
     let mut client = front.client();
     client.send_request(1, "look-up");
     engine.next_message("serve").respond("HIT", "fetches=1", b"");
@@ -651,7 +651,7 @@
 
 #[test]
 fn counters_are_printed_on_request() {
-    let (front, engine, _commands) = one();
+    let (front, engine, _discovery) = front_with_one_engine();
     let mut client = front.client();
     client.send_request(1, "load");
     engine.next_message("serve").respond("HIT", "fetches=1", b"");
@@ -664,25 +664,25 @@
 
 #[test]
 fn idle_clients_are_closed_when_descriptors_run_short() {
-    let (engine, commands) = (Engine::start(), DiscoveryServer::start());
-    let mut config = start_config(&[(1, engine.address)], commands.address);
+    let (engine, discovery) = (Engine::start(), DiscoveryServer::start());
+    let mut config = start_config(&[(1, engine.address)], discovery.address);
     config["limits"]["sockets"] = json!(96);
     let front = Front::start(FRONT, &config);
     let mut busy = front.client();
     busy.send_request(1, "look-up");
-    let serve = engine.next_message("serve");
+    let attempt = engine.next_message("serve");
     let idle: Vec<TcpStream> = (0..120).map(|_| TcpStream::connect(front.address).unwrap()).collect();
     let mut last = front.client();
     assert!(last.is_ready());
-    serve.respond("HIT", "fetches=1", b"a\tb\tc\n");
+    attempt.respond("HIT", "fetches=1", b"a\tb\tc\n");
     busy.expect_result(1, b"a\tb\tc\n");
     drop(idle);
 }
 
 #[test]
 fn a_front_that_cannot_start_reports_the_reason() {
-    let commands = DiscoveryServer::start();
-    let good = start_config(&[], commands.address);
+    let discovery = DiscoveryServer::start();
+    let good = start_config(&[], discovery.address);
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let shaped = |shape: &dyn Fn(&mut Value)| {
         let mut config = good.clone();
