--- a/crates/edges/front/tests/fleet.rs
+++ b/crates/edges/front/tests/fleet.rs
@@ -10,11 +10,17 @@
 
 const FRONT: &str = env!("CARGO_BIN_EXE_lemonusher-front");
 /// Held by each of these tests, as each of them loads the whole machine.
-static ALONE: Mutex<()> = Mutex::new(());
+static WHOLE_MACHINE: Mutex<()> = Mutex::new(());
 /// Work of a request that the engines report, in milliseconds.
 const WORK_MS: u32 = 200;
 
-fn one_of(fronts: usize, number: usize, address: SocketAddr, engines: &Value, channel: SocketAddr) -> Value {
+fn front_config(
+    fronts: usize,
+    number: usize,
+    address: SocketAddr,
+    engines: &Value,
+    channel: SocketAddr,
+) -> Value {
     let mut config = start_config(&[], channel);
     config["listen"] = json!(address.to_string());
     config["seed"] = json!(format!("{:016x}", 0x9e37_79b9_7f4a_7c15u64.wrapping_mul(number as u64 + 1)));
@@ -35,7 +41,7 @@
 }
 
 /// Sends requests to the front at this address until `stop` is set, and reconnects when the front restarts.
-fn press(address: SocketAddr, number: usize, stop: &AtomicBool) {
+fn send_requests(address: SocketAddr, number: usize, stop: &AtomicBool) {
     let mut call = 0u64;
     while !stop.load(Ordering::Relaxed) {
         let Ok(wire) = TcpStream::connect(address) else {
@@ -78,22 +84,22 @@
 #[test]
 fn twenty_fronts_stay_within_the_slow_start_limit_through_their_restarts() {
     const FRONTS: usize = 20;
-    let (engine, commands) =
+    let (engine, discovery) =
         (CountingEngine::start(|_| EngineBehavior::ResultAfterWork(WORK_MS)), DiscoveryServer::start());
     let addresses = addresses(FRONTS);
-    let _alone = ALONE.lock().unwrap_or_else(|broken| broken.into_inner());
+    let _whole_machine = WHOLE_MACHINE.lock().unwrap_or_else(|broken| broken.into_inner());
     let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
     let member = json!([{"id": "s-00000009", "host_port": engine.address.to_string(), "locality": "east",
         "flavor": "std", "cell": 0, "phase": "Ready", "size": 1, "up_since_ms": started}]);
     let start = |number: usize| {
-        Front::start(FRONT, &one_of(FRONTS, number, addresses[number], &member, commands.address))
+        Front::start(FRONT, &front_config(FRONTS, number, addresses[number], &member, discovery.address))
     };
     let fronts: Vec<Mutex<Front>> = (0..FRONTS).map(|number| Mutex::new(start(number))).collect();
     let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..FRONTS)
         .map(|number| {
             let (stop, address) = (stop.clone(), addresses[number]);
-            thread::spawn(move || press(address, number, &stop))
+            thread::spawn(move || send_requests(address, number, &stop))
         })
         .collect();
     let from = Instant::now();
@@ -108,27 +114,27 @@
     clients.into_iter().for_each(|client| client.join().unwrap());
     // Overload factor 3, slow-start share 0.34, 8 cores, overload window 1.5 s, in requests of 200 ms of work.
     let allowed = 3.0 * 0.34 * 8.0 * 1.5 / (f64::from(WORK_MS) / 1e3);
-    let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
-    let tally: Vec<Instant> = engine.requests().into_iter().map(|request| request.at).collect();
+    let limit = allowed + 2.0 * allowed.sqrt() + 2.0;
+    let arrival_times: Vec<Instant> = engine.requests().into_iter().map(|request| request.at).collect();
     let window = Duration::from_millis(1500);
     let in_window =
-        |at: &Instant| tally.iter().filter(|other| **other >= *at && **other < *at + window).count();
-    let most = tally.iter().map(in_window).max().unwrap_or(0);
-    println!("{} sent in all, {most} at most in a window that allows {allowed:.0}", tally.len());
-    assert!(most as f64 <= bound, "{most} of {allowed:.0}");
+        |at: &Instant| arrival_times.iter().filter(|other| **other >= *at && **other < *at + window).count();
+    let most = arrival_times.iter().map(in_window).max().unwrap_or(0);
+    println!("{} sent in all, {most} at most in a window that allows {allowed:.0}", arrival_times.len());
+    assert!(most as f64 <= limit, "{most} of {allowed:.0}");
     // The engine has to get a fair amount of work in slow start.
     assert!(
-        tally.len() as f64 > 0.5 * allowed,
+        arrival_times.len() as f64 > 0.5 * allowed,
         "only {} in all, where a window allows {allowed:.0}",
-        tally.len()
+        arrival_times.len()
     );
 }
 
 /// Thirty fronts start at once on a machine with busy cores, and no discovery server listens.
 #[test]
 fn thirty_fronts_that_start_at_once_without_discovery_are_ready_in_time() {
-    let _alone = ALONE.lock().unwrap_or_else(|broken| broken.into_inner());
-    let nobody = addresses(1)[0];
+    let _whole_machine = WHOLE_MACHINE.lock().unwrap_or_else(|broken| broken.into_inner());
+    let closed_address = addresses(1)[0];
     let stop = Arc::new(AtomicBool::new(false));
     let busy: Vec<_> = (0..8)
         .map(|_| {
@@ -145,15 +151,16 @@
         .map(|number| {
             thread::spawn(move || {
                 let any = SocketAddr::from(([127, 0, 0, 1], 0));
-                let front = Front::start(FRONT, &one_of(30, number, any, &json!([]), nobody));
-                let fit = front.client().is_ready();
-                (fit, from.elapsed())
+                let front = Front::start(FRONT, &front_config(30, number, any, &json!([]), closed_address));
+                let is_ready = front.client().is_ready();
+                (is_ready, from.elapsed())
             })
         })
         .collect();
     let ready: Vec<(bool, Duration)> = starting.into_iter().map(|front| front.join().unwrap()).collect();
     stop.store(true, Ordering::Relaxed);
     busy.into_iter().for_each(|core| core.join().unwrap());
-    let in_time = ready.iter().filter(|(fit, elapsed)| *fit && *elapsed < Duration::from_secs(10)).count();
+    let in_time =
+        ready.iter().filter(|(is_ready, elapsed)| *is_ready && *elapsed < Duration::from_secs(10)).count();
     assert!(in_time >= 27, "{ready:?}");
 }
