--- a/crates/edges/front/tests/unit/engine.rs
+++ b/crates/edges/front/tests/unit/engine.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn whole(bytes: &[u8]) -> Result<EngineReply, ReplyError> {
+fn parse_complete(bytes: &[u8]) -> Result<EngineReply, ReplyError> {
     let reply = parse_reply(bytes)?.expect("a whole answer");
     assert_eq!(reply.length, bytes.len());
     Ok(reply.message)
@@ -8,24 +8,24 @@
 
 #[test]
 fn reads_replies_and_waits_for_complete_ones() {
-    let hit: &[u8] =
+    let completed: &[u8] =
         b"a1 HIT fetches=2,effort=120.5,high=64,use=inflight:7;util:0.61;a:NaN;b:-1;c:inf;odd 6\r\na\t\tb\r\n\r\n";
-    for end in 0..hit.len() {
-        assert_eq!(parse_reply(&hit[..end]), Ok(None), "{end}");
+    for end in 0..completed.len() {
+        assert_eq!(parse_reply(&completed[..end]), Ok(None), "{end}");
     }
-    let answer = whole(hit).unwrap();
+    let reply = parse_complete(completed).unwrap();
     assert_eq!(
-        answer.kind,
+        reply.kind,
         ReplyKind::Completed { pages: 2, usage: Some(ReportedUsage { work_ms: 120.5, memory_mb: 64.0 }) }
     );
     assert_eq!(
-        answer.load,
+        reply.load,
         Some(vec![
             LoadField { name: "inflight".into(), value: 7.0 },
             LoadField { name: "util".into(), value: 0.61 }
         ])
     );
-    assert_eq!((answer.id.as_str(), answer.body.as_slice()), ("a1", b"a\t\tb\r\n".as_slice()));
+    assert_eq!((reply.id.as_str(), reply.body.as_slice()), ("a1", b"a\t\tb\r\n".as_slice()));
     for (line, kind) in [
         ("HIT -", ReplyKind::Completed { pages: 1, usage: None }),
         ("SHED -", ReplyKind::Rejected),
@@ -41,13 +41,17 @@
         ("INFO detail=stall,figure=1", ReplyKind::Progress(Some(ProgressNote::WaitingForMemory))),
         ("INFO detail=stall,figure=2", ReplyKind::Progress(Some(ProgressNote::WaitingForBulkLoad))),
     ] {
-        assert_eq!(whole(format!("x {line} 0\r\n\r\n").as_bytes()).map(|a| a.kind), Ok(kind), "{line}");
+        assert_eq!(
+            parse_complete(format!("x {line} 0\r\n\r\n").as_bytes()).map(|a| a.kind),
+            Ok(kind),
+            "{line}"
+        );
     }
 }
 
 #[test]
 fn rejects_malformed_replies() {
-    for (bytes, why) in [
+    for (bytes, error) in [
         ("x HIT 0\r\n\r\n", ReplyError::Line),
         (" HIT - 0\r\n\r\n", ReplyError::Line),
         ("x HIT - - 0\r\n\r\n", ReplyError::Line),
@@ -61,18 +65,18 @@
         ("x HIT - 1\r\nab\r\n", ReplyError::Length),
         (&"x".repeat(MAX_LINE_BYTES + 1), ReplyError::Line),
     ] {
-        assert_eq!(parse_reply(bytes.as_bytes()), Err(why), "{bytes}");
+        assert_eq!(parse_reply(bytes.as_bytes()), Err(error), "{bytes}");
     }
     assert_eq!(parse_reply(b"\xff HIT - 0\r\n\r\n"), Err(ReplyError::Line));
 }
 
 #[test]
 fn recognises_complete_rows() {
-    for whole in ["", "a\tb\tc\n", "\t\t\n\t\té\r\n"] {
-        assert!(has_whole_rows(whole.as_bytes()), "{whole}");
+    for complete in ["", "a\tb\tc\n", "\t\t\n\t\té\r\n"] {
+        assert!(has_whole_rows(complete.as_bytes()), "{complete}");
     }
-    for spoilt in [&b"\n"[..], b"a\tb\n", b"a\tb\tc", b"a\tb\tc\n\t", b"a\tb\tc\td\n", b"\xff\t\t\n"] {
-        assert!(!has_whole_rows(spoilt), "{spoilt:?}");
+    for malformed in [&b"\n"[..], b"a\tb\n", b"a\tb\tc", b"a\tb\tc\n\t", b"a\tb\tc\td\n", b"\xff\t\t\n"] {
+        assert!(!has_whole_rows(malformed), "{malformed:?}");
     }
 }
 
