--- a/crates/testing/fakes/src/engine.rs
+++ b/crates/testing/fakes/src/engine.rs
@@ -54,10 +54,10 @@
 impl Engine {
     /// Starts an engine on a free port.
     pub fn start() -> Engine {
-        Engine::on(TcpListener::bind("127.0.0.1:0").unwrap())
+        Engine::serve_on(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
-    fn on(listener: TcpListener) -> Engine {
+    fn serve_on(listener: TcpListener) -> Engine {
         let address = listener.local_addr().unwrap();
         let (send, messages) = channel();
         let (close, closed) = channel();
@@ -85,21 +85,21 @@
         message
     }
 
-    /// Waits for the next message, which must be this command. Returns `None` if none arrives within `span`.
-    pub fn next_message_within(&self, verb: &str, span: Duration) -> Option<EngineMessage> {
-        let message = self.messages.recv_timeout(span).ok()?;
+    /// Waits for the next message, which must be this command. Returns `None` if none arrives within `timeout`.
+    pub fn next_message_within(&self, verb: &str, timeout: Duration) -> Option<EngineMessage> {
+        let message = self.messages.recv_timeout(timeout).ok()?;
         assert_eq!(message.verb, verb, "{} {}", message.id, message.arguments);
         Some(message)
     }
 
-    /// Waits for the next message. Returns `None` if none arrives within `span`, or if it is not an attempt.
-    pub fn try_next_request(&self, span: Duration) -> Option<EngineMessage> {
-        self.messages.recv_timeout(span).ok().filter(|message| message.verb == "serve")
+    /// Waits for the next message. Returns `None` if none arrives within `timeout`, or if it is not an attempt.
+    pub fn try_next_request(&self, timeout: Duration) -> Option<EngineMessage> {
+        self.messages.recv_timeout(timeout).ok().filter(|message| message.verb == "serve")
     }
 
     /// Returns whether no message arrives for this long.
-    pub fn is_quiet(&self, span: Duration) -> bool {
-        matches!(self.messages.recv_timeout(span), Err(RecvTimeoutError::Timeout))
+    pub fn is_quiet(&self, duration: Duration) -> bool {
+        matches!(self.messages.recv_timeout(duration), Err(RecvTimeoutError::Timeout))
     }
 }
 
@@ -129,7 +129,7 @@
     /// kernel retries them.
     pub fn accept_connections(self) -> Engine {
         drop(self.queued);
-        Engine::on(self.listener)
+        Engine::serve_on(self.listener)
     }
 }
 
--- a/crates/testing/fakes/src/front.rs
+++ b/crates/testing/fakes/src/front.rs
@@ -42,9 +42,9 @@
     }
 
     /// Runs a command, and waits until its log contains this text.
-    pub fn spawn_until(command: Command, file: PathBuf, said: &str) -> Front {
+    pub fn spawn_until(command: Command, file: PathBuf, log_text: &str) -> Front {
         Front::spawn_with(command, file, |line| {
-            line.contains(said).then(|| SocketAddr::from(([127, 0, 0, 1], 0)))
+            line.contains(log_text).then(|| SocketAddr::from(([127, 0, 0, 1], 0)))
         })
     }
 
@@ -149,12 +149,12 @@
     }
 
     /// Returns the exit code if the process exits with one within this time.
-    pub fn exit_code_within(&mut self, span: Duration) -> Option<i32> {
+    pub fn exit_code_within(&mut self, timeout: Duration) -> Option<i32> {
         let started = Instant::now();
         loop {
             match self.child.try_wait().unwrap() {
                 Some(status) => return status.code(),
-                None if started.elapsed() > span => return None,
+                None if started.elapsed() > timeout => return None,
                 None => thread::sleep(Duration::from_millis(5)),
             }
         }
