--- a/crates/edges/deployment/src/settings.rs
+++ b/crates/edges/deployment/src/settings.rs
@@ -123,7 +123,7 @@
     /// The engines among which requests with a repeated idempotency key are dropped.
     #[serde(rename = "group", default)]
     pub deduplication_scope: ScopeSetting,
-    /// Longest time that a client waits, over all its tries.
+    /// Longest time that a client waits, including its retries.
     #[serde(rename = "hard_limit_us")]
     pub deadline_us: u64,
     /// How long after the first attempt requests with a repeated idempotency key are dropped.
--- a/crates/edges/front/src/protocol/statement.rs
+++ b/crates/edges/front/src/protocol/statement.rs
@@ -4,7 +4,7 @@
 /// Lexical elements of a statement. Strings, comments and white space yield none.
 #[derive(Debug, Clone, PartialEq)]
 enum Token {
-    /// A name or keyword, in lower case; quoted or not.
+    /// An unquoted name or keyword, in lower case.
     Word(String),
     /// A quoted identifier, in lower case and without its quotes.
     Quoted(String),
