--- a/crates/edges/front/tests/crossings.rs
+++ b/crates/edges/front/tests/crossings.rs
@@ -20,7 +20,7 @@
 
 /// Encodes a frame with the whole endpoint list.
 fn full_list_frame(number: u64, records: &[(u32, SocketAddr, u8)]) -> Vec<u8> {
-    let mut frame = changes(number, records);
+    let mut frame = delta_frame(number, records);
     frame[4 + 8] = 1;
     frame
 }
@@ -75,13 +75,13 @@
         front_waiting_for_a_connection(with_handshake_cost);
     let (other, DiscoveryConnection { stream: mut channel, .. }) =
         (Engine::start(), discovery.next_connection());
-    channel.write_all(&changes(2, &[(1, unconnectable.address, 2), (2, other.address, 0)])).unwrap();
+    channel.write_all(&delta_frame(2, &[(1, unconnectable.address, 2), (2, other.address, 0)])).unwrap();
     let retry = other.next_message_within("serve", PROMPT).expect("not sent elsewhere");
     assert_eq!(retry.id, request);
     let descriptors_before = front.open_descriptors();
     let engine = unconnectable.accept_connections();
     // Sends an empty change, so that the discovery channel does not count as silent.
-    let mut keep_alive = || channel.write_all(&changes(2, &[])).unwrap();
+    let mut keep_alive = || channel.write_all(&delta_frame(2, &[])).unwrap();
     let mut is_established = || {
         keep_alive();
         counters_contain(&front, "engine connections 2")
@@ -138,7 +138,7 @@
     front.reload(&newer.to_string());
     let DiscoveryConnection { last_change: last_event, stream: mut channel } = moved.next_connection();
     assert_eq!(last_event, 1);
-    channel.write_all(&changes(2, &[(1, unconnectable.address, 1), (2, other.address, 0)])).unwrap();
+    channel.write_all(&delta_frame(2, &[(1, unconnectable.address, 1), (2, other.address, 0)])).unwrap();
     let retry = other.next_message_within("serve", PROMPT).expect("not sent elsewhere");
     assert_eq!(retry.id, request);
     let engine = unconnectable.accept_connections();
--- a/crates/edges/front/tests/limits.rs
+++ b/crates/edges/front/tests/limits.rs
@@ -132,7 +132,7 @@
     }
     let mut records: Vec<_> = known.iter().map(|(id, address)| (*id, *address, 1)).collect();
     records.extend((ENGINE_DESCRIPTORS + 1..=2 * ENGINE_DESCRIPTORS).map(|id| (id, new.address, 0)));
-    channel.write_all(&changes(2, &records)).unwrap();
+    channel.write_all(&delta_frame(2, &records)).unwrap();
     let listed = || {
         front.signal("USR1");
         front.wait_for_log("counts:").contains(&format!("{} engines", 2 * ENGINE_DESCRIPTORS))
@@ -163,7 +163,7 @@
         let DiscoveryConnection { stream: mut channel, .. } = discovery.next_connection();
         let listed: Vec<_> = (1..=records).map(|id| (id, engine.address, 0)).collect();
         // The front closes the connection in the middle of a frame that is too long, so the write may fail.
-        let _ = channel.write_all(&changes(2, &listed));
+        let _ = channel.write_all(&delta_frame(2, &listed));
         if applied {
             let shortage = front.wait_for_log("descriptors for");
             assert!(shortage.contains(&format!("{records} engines")), "{shortage}");
--- a/crates/edges/front/tests/races.rs
+++ b/crates/edges/front/tests/races.rs
@@ -98,7 +98,7 @@
     let mut client = front.client();
     let request = client.send_request(1, "look-up");
     wait_for_dispatch(&front);
-    let drains = changes(2, &[(home_engine(), unconnectable.address, 1)]);
+    let drains = delta_frame(2, &[(home_engine(), unconnectable.address, 1)]);
     channel.write_all(&drains).unwrap();
     // The request is retried on the other engine at once, although the connection may still be established.
     let retry = other.next_message_within("serve", PROMPT).expect("not sent elsewhere");
@@ -351,7 +351,7 @@
         assert_eq!(from, 1);
         let listed: Vec<(u32, SocketAddr, u8)> =
             engines.iter().zip(1..).map(|(engine, id)| (id, engine.address, 0)).collect();
-        channel.write_all(&changes(2, &listed)).unwrap();
+        channel.write_all(&delta_frame(2, &listed)).unwrap();
         front.wait_for_log("engine 0000003c is Active");
         let mut max_descriptors = 0;
         // The table groups have different home engines, so that each engine needs a connection at some time.
@@ -379,13 +379,13 @@
     let moved = DiscoveryServer::start();
     let DiscoveryConnection { last_change: from, stream: mut channel } = discovery.next_connection();
     assert_eq!(from, 1);
-    let whole = changes(2, &[(2, engine.address, 1)]);
+    let whole = delta_frame(2, &[(2, engine.address, 1)]);
     channel.write_all(&whole[..20]).unwrap();
     front.reload(&start_config(&[(1, engine.address)], moved.address).to_string());
     let DiscoveryConnection { last_change: from, stream: mut new } = moved.next_connection();
     assert_eq!(from, 1);
     let _ = channel.write_all(&whole[20..]); // The rest arrives on the old connection, which is no longer read.
-    new.write_all(&[whole.clone(), whole, changes(3, &[(3, engine.address, 1)])].concat()).unwrap();
+    new.write_all(&[whole.clone(), whole, delta_frame(3, &[(3, engine.address, 1)])].concat()).unwrap();
     front.wait_for_log("engine 00000003 is Leaving");
     front.signal("USR1");
     assert!(front.wait_for_log("counts:").contains("channel events 3;"));
@@ -399,8 +399,8 @@
     let DiscoveryConnection { last_change: from, stream: mut silent } = discovery.next_connection();
     let DiscoveryConnection { last_change: from_again, stream: mut channel } = discovery.next_connection();
     assert_eq!((from, from_again), (1, 1));
-    let _ = silent.write_all(&changes(2, &[(1, engine.address, 0)]));
-    channel.write_all(&changes(2, &[(1, engine.address, 1)])).unwrap();
+    let _ = silent.write_all(&delta_frame(2, &[(1, engine.address, 0)]));
+    channel.write_all(&delta_frame(2, &[(1, engine.address, 1)])).unwrap();
     front.wait_for_log("is Leaving");
     let mut client = front.client();
     client.send_request(1, "look-up");
--- a/crates/edges/front/tests/sockets.rs
+++ b/crates/edges/front/tests/sockets.rs
@@ -362,7 +362,7 @@
     let (front, [(first, home), (second, other)], discovery) = front_with_two_engines();
     let DiscoveryConnection { last_change: last, stream: mut channel } = discovery.next_connection();
     assert_eq!(last, 1);
-    let drains = changes(2, &[(first, home.address, 1)]);
+    let drains = delta_frame(2, &[(first, home.address, 1)]);
     channel.write_all(&drains[..10]).unwrap();
     channel.flush().unwrap();
     std::thread::sleep(PAUSE / 5);
@@ -377,15 +377,15 @@
     let DiscoveryConnection { last_change: last, stream: mut channel } = discovery.next_connection();
     assert_eq!(last, 2);
     channel.write_all(&drains).unwrap();
-    channel.write_all(&changes(4, &[(second, other.address, 1)])).unwrap();
+    channel.write_all(&delta_frame(4, &[(second, other.address, 1)])).unwrap();
     let DiscoveryConnection { last_change: last, stream: mut channel } = discovery.next_connection();
     assert_eq!(last, 2);
     // An engine of an unknown machine kind is skipped. A malformed frame ends the connection.
-    let mut strange = changes(3, &[(first, home.address, 0), (9, home.address, 0)]);
+    let mut strange = delta_frame(3, &[(first, home.address, 0), (9, home.address, 0)]);
     strange[13 + 27 + 12] = 7;
     channel.write_all(&strange).unwrap();
     front.wait_for_log("engine 00000009 is left out");
-    channel.write_all(&changes(4, &[(second, other.address, 2)])).unwrap();
+    channel.write_all(&delta_frame(4, &[(second, other.address, 2)])).unwrap();
     front.wait_for_log("is Left");
     client.send_request(2, "look-up");
     home.next_message("serve").respond("HIT", "fetches=1", b"");
@@ -400,7 +400,7 @@
     let (mut client, moved) = (front.client(), DiscoveryServer::start());
     let DiscoveryConnection { last_change: from, stream: mut channel } = discovery.next_connection();
     assert_eq!(from, 1);
-    channel.write_all(&changes(2, &[(2, engine.address, 1)])).unwrap();
+    channel.write_all(&delta_frame(2, &[(2, engine.address, 1)])).unwrap();
     front.wait_for_log("engine 00000002 is Leaving");
     client.send_request(1, "look-up");
     let attempt = engine.next_message("serve");
@@ -414,7 +414,7 @@
     front.wait_for_log("only at the next start: limits");
     let DiscoveryConnection { last_change: from, stream: mut channel } = moved.next_connection();
     assert_eq!(from, 2);
-    channel.write_all(&changes(3, &[(3, engine.address, 1)])).unwrap();
+    channel.write_all(&delta_frame(3, &[(3, engine.address, 1)])).unwrap();
     front.wait_for_log("engine 00000003 is Leaving");
     attempt.respond("HIT", "fetches=1", b"a\tb\tc\n");
     client.expect_result(1, b"a\tb\tc\n");
@@ -428,7 +428,7 @@
 fn a_silent_channel_is_reconnected() {
     let (_front, _engine, discovery) = front_with_one_engine();
     let DiscoveryConnection { last_change: from, stream: mut channel } = discovery.next_connection();
-    let frame = changes(2, &[(7, discovery.address, 1)]);
+    let frame = delta_frame(2, &[(7, discovery.address, 1)]);
     channel.write_all(&frame[..20]).unwrap(); // The channel falls silent in the middle of an event.
     assert_eq!((from, discovery.next_connection().last_change), (1, 1));
 }
@@ -440,7 +440,7 @@
     client.send_request(1, "look-up");
     let old = engine.next_message("serve");
     let DiscoveryConnection { stream: mut channel, .. } = discovery.next_connection();
-    channel.write_all(&changes(2, &[(1, engine.address, 2), (5, engine.address, 0)])).unwrap();
+    channel.write_all(&delta_frame(2, &[(1, engine.address, 2), (5, engine.address, 0)])).unwrap();
     front.wait_for_log("engine 00000005 is Active");
     client.send_request(2, "look-up");
     let new = engine.next_message("serve");
@@ -597,7 +597,7 @@
     let (front, engine, discovery) = front_with_one_engine();
     let DiscoveryConnection { stream: mut channel, .. } = discovery.next_connection();
     for id in 2..=60u32 {
-        let frame = changes(u64::from(id), &[(id - 1, engine.address, 2), (id, engine.address, 0)]);
+        let frame = delta_frame(u64::from(id), &[(id - 1, engine.address, 2), (id, engine.address, 0)]);
         channel.write_all(&frame).unwrap();
     }
     front.wait_for_log("engine 0000003c is Active");
--- a/crates/testing/fakes/src/discovery.rs
+++ b/crates/testing/fakes/src/discovery.rs
@@ -38,7 +38,7 @@
 
 /// Encodes an event with this number that updates the given engines: id, address and state (0 active, 1 draining,
 /// 2 removed).
-pub fn changes(number: u64, records: &[(u32, SocketAddr, u8)]) -> Vec<u8> {
+pub fn delta_frame(number: u64, records: &[(u32, SocketAddr, u8)]) -> Vec<u8> {
     let mut frame = ((9 + 27 * records.len()) as u32).to_be_bytes().to_vec();
     frame.extend(number.to_be_bytes());
     frame.push(2);
--- a/crates/testing/fakes/src/lib.rs
+++ b/crates/testing/fakes/src/lib.rs
@@ -17,7 +17,7 @@
 pub use client::Client;
 pub use closed_port::ClosedPort;
 pub use counting_engine::{CountingEngine, EngineBehavior, ReceivedRequest};
-pub use discovery::{DiscoveryConnection, DiscoveryServer, changes};
+pub use discovery::{DiscoveryConnection, DiscoveryServer, delta_frame};
 pub use engine::{Engine, EngineMessage, UnconnectableEngine};
 pub use files::{temp_file, temp_path};
 pub use front::{FailedStart, Front, start_failure};
--- a/crates/testing/soak/src/discovery.rs
+++ b/crates/testing/soak/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use crate::recorder::Recorder;
 use crate::scenario::DiscoveryChange;
-use lemonusher_fakes::changes;
+use lemonusher_fakes::delta_frame;
 use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -184,7 +184,7 @@
     fn event_after(&self, sent: u64) -> Option<DrainEvent> {
         let engine = *self.drained.get(sent.saturating_sub(FIRST_EVENT) as usize)?;
         let number = engine as u32 + 1;
-        let frame = changes(sent + 1, &[(number, self.engines[engine].address, STATE_DRAINING)]);
+        let frame = delta_frame(sent + 1, &[(number, self.engines[engine].address, STATE_DRAINING)]);
         Some(DrainEvent { engine: number, frame })
     }
 }
