--- a/crates/edges/front/tests/crossings.rs
+++ b/crates/edges/front/tests/crossings.rs
@@ -115,7 +115,7 @@
     // After the loss of the channel, events are requested from that list on. A list with the same number
     // changes nothing.
     drop(channel);
-    let DiscoveryConnection { last_change: last_event, stream: mut channel } = discovery.next_connection();
+    let DiscoveryConnection { last_event, stream: mut channel } = discovery.next_connection();
     assert_eq!(last_event, 9);
     channel.write_all(&full_list_frame(9, &[(1, unconnectable.address, 0)])).unwrap();
     let engine = unconnectable.accept_connections();
@@ -136,7 +136,7 @@
     let (_old, newer) =
         (discovery.next_connection(), start_config(&[(1, unconnectable.address)], moved.address));
     front.reload(&newer.to_string());
-    let DiscoveryConnection { last_change: last_event, stream: mut channel } = moved.next_connection();
+    let DiscoveryConnection { last_event, stream: mut channel } = moved.next_connection();
     assert_eq!(last_event, 1);
     channel.write_all(&delta_frame(2, &[(1, unconnectable.address, 1), (2, other.address, 0)])).unwrap();
     let retry = other.next_message_within("serve", PROMPT).expect("not sent elsewhere");
--- a/crates/edges/front/tests/limits.rs
+++ b/crates/edges/front/tests/limits.rs
@@ -169,7 +169,7 @@
             assert!(shortage.contains(&format!("{records} engines")), "{shortage}");
         } else {
             front.wait_for_log(&format!("a frame of {} bytes", 9 + 27 * records));
-            assert_eq!(discovery.next_connection().last_change, 1, "asked again from what it has");
+            assert_eq!(discovery.next_connection().last_event, 1, "asked again from what it has");
         }
         let mut client = front.client();
         client.send_request(1, "look-up");
--- a/crates/edges/front/tests/races.rs
+++ b/crates/edges/front/tests/races.rs
@@ -347,7 +347,7 @@
         let front = Front::start_within(FRONT, &config, sockets);
         drop(discovery.next_connection()); // The channel is lost at once.
         let idle: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(front.address).unwrap()).collect();
-        let DiscoveryConnection { last_change: from, stream: mut channel } = discovery.next_connection();
+        let DiscoveryConnection { last_event: from, stream: mut channel } = discovery.next_connection();
         assert_eq!(from, 1);
         let listed: Vec<(u32, SocketAddr, u8)> =
             engines.iter().zip(1..).map(|(engine, id)| (id, engine.address, 0)).collect();
@@ -377,12 +377,12 @@
 fn a_reload_in_the_middle_of_an_event_loses_and_repeats_nothing() {
     let (front, engine, discovery) = front_with_one_engine(|_| {});
     let moved = DiscoveryServer::start();
-    let DiscoveryConnection { last_change: from, stream: mut channel } = discovery.next_connection();
+    let DiscoveryConnection { last_event: from, stream: mut channel } = discovery.next_connection();
     assert_eq!(from, 1);
     let whole = delta_frame(2, &[(2, engine.address, 1)]);
     channel.write_all(&whole[..20]).unwrap();
     front.reload(&start_config(&[(1, engine.address)], moved.address).to_string());
-    let DiscoveryConnection { last_change: from, stream: mut new } = moved.next_connection();
+    let DiscoveryConnection { last_event: from, stream: mut new } = moved.next_connection();
     assert_eq!(from, 1);
     let _ = channel.write_all(&whole[20..]); // The rest arrives on the old connection, which is no longer read.
     new.write_all(&[whole.clone(), whole, delta_frame(3, &[(3, engine.address, 1)])].concat()).unwrap();
@@ -396,8 +396,8 @@
 #[test]
 fn an_engine_that_drains_while_the_watch_is_silent_gets_nothing_once_the_watch_is_back() {
     let (front, engine, discovery) = front_with_one_engine(|_| {});
-    let DiscoveryConnection { last_change: from, stream: mut silent } = discovery.next_connection();
-    let DiscoveryConnection { last_change: from_again, stream: mut channel } = discovery.next_connection();
+    let DiscoveryConnection { last_event: from, stream: mut silent } = discovery.next_connection();
+    let DiscoveryConnection { last_event: from_again, stream: mut channel } = discovery.next_connection();
     assert_eq!((from, from_again), (1, 1));
     let _ = silent.write_all(&delta_frame(2, &[(1, engine.address, 0)]));
     channel.write_all(&delta_frame(2, &[(1, engine.address, 1)])).unwrap();
--- a/crates/edges/front/tests/sockets.rs
+++ b/crates/edges/front/tests/sockets.rs
@@ -360,7 +360,7 @@
 #[test]
 fn the_channel_is_followed_through_split_repeated_and_missing_frames_and_losses() {
     let (front, [(first, home), (second, other)], discovery) = front_with_two_engines();
-    let DiscoveryConnection { last_change: last, stream: mut channel } = discovery.next_connection();
+    let DiscoveryConnection { last_event: last, stream: mut channel } = discovery.next_connection();
     assert_eq!(last, 1);
     let drains = delta_frame(2, &[(first, home.address, 1)]);
     channel.write_all(&drains[..10]).unwrap();
@@ -374,11 +374,11 @@
     client.expect_result(1, b"");
     // After a loss, the front resumes from the last event. It skips known events and requests missing ones again.
     drop(channel);
-    let DiscoveryConnection { last_change: last, stream: mut channel } = discovery.next_connection();
+    let DiscoveryConnection { last_event: last, stream: mut channel } = discovery.next_connection();
     assert_eq!(last, 2);
     channel.write_all(&drains).unwrap();
     channel.write_all(&delta_frame(4, &[(second, other.address, 1)])).unwrap();
-    let DiscoveryConnection { last_change: last, stream: mut channel } = discovery.next_connection();
+    let DiscoveryConnection { last_event: last, stream: mut channel } = discovery.next_connection();
     assert_eq!(last, 2);
     // An engine of an unknown machine kind is skipped. A malformed frame ends the connection.
     let mut strange = delta_frame(3, &[(first, home.address, 0), (9, home.address, 0)]);
@@ -391,14 +391,14 @@
     home.next_message("serve").respond("HIT", "fetches=1", b"");
     client.expect_result(2, b"");
     channel.write_all(&[0, 0, 0, 1, 1]).unwrap();
-    assert_eq!(discovery.next_connection().last_change, 4);
+    assert_eq!(discovery.next_connection().last_event, 4);
 }
 
 #[test]
 fn a_reload_moves_the_channel_and_closes_no_connection() {
     let (front, engine, discovery) = front_with_one_engine();
     let (mut client, moved) = (front.client(), DiscoveryServer::start());
-    let DiscoveryConnection { last_change: from, stream: mut channel } = discovery.next_connection();
+    let DiscoveryConnection { last_event: from, stream: mut channel } = discovery.next_connection();
     assert_eq!(from, 1);
     channel.write_all(&delta_frame(2, &[(2, engine.address, 1)])).unwrap();
     front.wait_for_log("engine 00000002 is Leaving");
@@ -412,7 +412,7 @@
     newer["limits"]["sockets"] = json!(512);
     front.reload(&newer.to_string());
     front.wait_for_log("only at the next start: limits");
-    let DiscoveryConnection { last_change: from, stream: mut channel } = moved.next_connection();
+    let DiscoveryConnection { last_event: from, stream: mut channel } = moved.next_connection();
     assert_eq!(from, 2);
     channel.write_all(&delta_frame(3, &[(3, engine.address, 1)])).unwrap();
     front.wait_for_log("engine 00000003 is Leaving");
@@ -420,17 +420,17 @@
     client.expect_result(1, b"a\tb\tc\n");
     // Moves back to the first address, where the first connection is still open.
     front.reload(&start_config(&[(1, engine.address)], discovery.address).to_string());
-    assert_eq!(discovery.next_connection().last_change, 3);
+    assert_eq!(discovery.next_connection().last_event, 3);
     assert!(client.is_ready());
 }
 
 #[test]
 fn a_silent_channel_is_reconnected() {
     let (_front, _engine, discovery) = front_with_one_engine();
-    let DiscoveryConnection { last_change: from, stream: mut channel } = discovery.next_connection();
+    let DiscoveryConnection { last_event: from, stream: mut channel } = discovery.next_connection();
     let frame = delta_frame(2, &[(7, discovery.address, 1)]);
     channel.write_all(&frame[..20]).unwrap(); // The channel falls silent in the middle of an event.
-    assert_eq!((from, discovery.next_connection().last_change), (1, 1));
+    assert_eq!((from, discovery.next_connection().last_event), (1, 1));
 }
 
 #[test]
--- a/crates/testing/fakes/src/discovery.rs
+++ b/crates/testing/fakes/src/discovery.rs
@@ -7,7 +7,7 @@
 /// A connection of a front to the discovery server.
 pub struct DiscoveryConnection {
     /// Number of the last event that the front has applied.
-    pub last_change: u64,
+    pub last_event: u64,
     /// The connection.
     pub stream: TcpStream,
 }
@@ -30,9 +30,9 @@
     pub fn next_connection(&self) -> DiscoveryConnection {
         let (mut stream, _) = self.listener.accept().unwrap();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-        let mut last_change = [0; 8];
-        stream.read_exact(&mut last_change).unwrap();
-        DiscoveryConnection { last_change: u64::from_be_bytes(last_change), stream }
+        let mut last_event = [0; 8];
+        stream.read_exact(&mut last_event).unwrap();
+        DiscoveryConnection { last_event: u64::from_be_bytes(last_event), stream }
     }
 }
 
