--- a/crates/edges/front/tests/limits.rs
+++ b/crates/edges/front/tests/limits.rs
@@ -79,7 +79,7 @@
             config["settings"]["ceilings"]["probes"] = json!(false);
             config["settings"]["report"] = json!({"fields": [], "via": "none"});
         }
-        let front = Front::start_within(FRONT, &config, DESCRIPTORS);
+        let front = Front::start_with_descriptor_limit(FRONT, &config, DESCRIPTORS);
         assert!(front.client().is_ready());
         let shortage = front.wait_for_log("descriptors for");
         assert!(shortage.contains("1024 engines") && shortage.contains("78 connections"), "{shortage}");
--- a/crates/edges/front/tests/races.rs
+++ b/crates/edges/front/tests/races.rs
@@ -344,7 +344,7 @@
         // No request times out, even on a busy machine.
         config["settings"]["ceilings"]["connect_timeout_us"] = json!(5_000_000);
         config["settings"]["classes"][0]["aim_us"] = json!(20_000_000);
-        let front = Front::start_within(FRONT, &config, sockets);
+        let front = Front::start_with_descriptor_limit(FRONT, &config, sockets);
         drop(discovery.next_connection()); // The channel is lost at once.
         let idle: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(front.address).unwrap()).collect();
         let DiscoveryConnection { last_event: from, stream: mut channel } = discovery.next_connection();
--- a/crates/testing/fakes/src/front.rs
+++ b/crates/testing/fakes/src/front.rs
@@ -33,7 +33,7 @@
     }
 
     /// Starts a front with a limit on open file descriptors, and waits until it listens.
-    pub fn start_within(program: &str, config: &Value, descriptors: u64) -> Front {
+    pub fn start_with_descriptor_limit(program: &str, config: &Value, descriptors: u64) -> Front {
         let file = temp_file("json", &config.to_string());
         let mut command = Command::new("sh");
         command.arg("-c").arg(format!("ulimit -n {descriptors} && exec \"$0\"")).arg(program);
