--- a/crates/edges/front/tests/races.rs
+++ b/crates/edges/front/tests/races.rs
@@ -215,11 +215,11 @@
         if end == "told to end" {
             front.signal("TERM");
         }
-        assert!(client.is_closed_in_order(), "{end}");
+        assert!(client.is_closed_gracefully(), "{end}");
         client.send_request(2, "look-up");
-        assert!(client.is_closed_in_order(), "{end}: reset");
+        assert!(client.is_closed_gracefully(), "{end}: reset");
         client.stream.write_all(b"{\"half a li").expect(end);
-        assert!(client.is_closed_in_order(), "{end}: reset");
+        assert!(client.is_closed_gracefully(), "{end}: reset");
         drop(client);
         assert!(engine.is_quiet(Duration::from_millis(200)), "{end}: sent on");
     }
@@ -252,7 +252,7 @@
     assert!(bad.expect_error(None) < -32002);
     attempt.respond("HIT", "fetches=1", b"a\tb\tc\n");
     bad.expect_result(1, b"a\tb\tc\n");
-    assert!(bad.is_closed_in_order());
+    assert!(bad.is_closed_gracefully());
 }
 
 #[test]
@@ -278,7 +278,7 @@
         .map(|answer| answer["id"].as_u64().unwrap());
     ids.sort_unstable();
     assert_eq!(ids, [1, 2]);
-    assert!(client.is_closed_in_order());
+    assert!(client.is_closed_gracefully());
     // After the signal, a front has at least this long until it is killed.
     assert_eq!(
         front.exit_code_within(Duration::from_millis(3700).saturating_sub(signalled_at.elapsed())),
@@ -308,7 +308,7 @@
         (1..=16).map(|_| client.next_response().unwrap()["id"].as_u64().unwrap()).collect();
     answered.sort_unstable();
     assert_eq!(answered, (1..=16).collect::<Vec<u64>>());
-    assert!(client.is_closed_in_order());
+    assert!(client.is_closed_gracefully());
     client.send_request(17, "look-up"); // Dropped, since the connection is closed.
     assert!(engine.is_quiet(Duration::from_millis(200)));
     assert_eq!(front.exit_code_within(PROMPT), Some(0));
@@ -328,7 +328,7 @@
         engine.next_message("serve").respond("HIT", "fetches=1", b"a\tb\tc\n");
     }
     clients.iter_mut().for_each(|client| client.expect_result(1, b"a\tb\tc\n"));
-    assert!(clients.iter_mut().all(Client::is_closed_in_order));
+    assert!(clients.iter_mut().all(Client::is_closed_gracefully));
     assert_eq!(front.exit_code_within(PROMPT), Some(0));
 }
 
--- a/crates/testing/fakes/src/client.rs
+++ b/crates/testing/fakes/src/client.rs
@@ -88,7 +88,7 @@
 
     /// Returns whether the front closed the connection gracefully (end of file, no reset) after its last
     /// response.
-    pub fn is_closed_in_order(&mut self) -> bool {
+    pub fn is_closed_gracefully(&mut self) -> bool {
         let mut rest = Vec::new();
         let at_end = self.lines.read_to_end(&mut rest).is_ok_and(|_| rest.is_empty());
         // A reset after the end of file is visible only here.
