--- a/crates/edges/front/tests/races.rs
+++ b/crates/edges/front/tests/races.rs
@@ -421,7 +421,7 @@
     client.expect_result(1, b"a\tb\tc\n");
     // The half line arrives after the front has shut down its side of the connection.
     let mut stream = attempt.stream.try_clone().unwrap();
-    assert_eq!(engine.next_closed(), attempt.front_address());
+    assert_eq!(engine.next_closed_connection(), attempt.front_address());
     stream.write_all(format!("{} HI", attempt.id).as_bytes()).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     assert_eq!(stream.read(&mut [0; 16]).map_err(|e| e.kind()), Ok(0));
--- a/crates/testing/fakes/src/engine.rs
+++ b/crates/testing/fakes/src/engine.rs
@@ -74,7 +74,7 @@
     }
 
     /// Waits until the front closes a connection. Returns the front's address of that connection.
-    pub fn next_closed(&self) -> SocketAddr {
+    pub fn next_closed_connection(&self) -> SocketAddr {
         self.closed.recv_timeout(TEST_TIMEOUT).expect("an end")
     }
 
