--- a/crates/testing/fakes/src/counting_engine.rs
+++ b/crates/testing/fakes/src/counting_engine.rs
@@ -50,7 +50,7 @@
         let (address, recorded) = (engine.address, requests.clone());
         thread::spawn(move || {
             while let Ok(message) = engine.messages.recv() {
-                if message.verb != "serve" {
+                if message.command != "serve" {
                     continue;
                 }
                 let number = {
--- a/crates/testing/fakes/src/engine.rs
+++ b/crates/testing/fakes/src/engine.rs
@@ -12,7 +12,7 @@
 pub struct EngineMessage {
     /// The command: `serve`, `cancel`, `read`, ... A `read` after a `cancel` of the same id is `read behind
     /// cancel`.
-    pub verb: String,
+    pub command: String,
     /// Id of the request.
     pub id: String,
     /// Parameters of an attempt, page number or priority.
@@ -79,22 +79,22 @@
     }
 
     /// Waits for the next message, which must be this command.
-    pub fn next_message(&self, verb: &str) -> EngineMessage {
-        let message = self.messages.recv_timeout(TEST_TIMEOUT).expect(verb);
-        assert_eq!(message.verb, verb, "{} {}", message.id, message.arguments);
+    pub fn next_message(&self, command: &str) -> EngineMessage {
+        let message = self.messages.recv_timeout(TEST_TIMEOUT).expect(command);
+        assert_eq!(message.command, command, "{} {}", message.id, message.arguments);
         message
     }
 
     /// Waits for the next message, which must be this command. Returns `None` if none arrives within `timeout`.
-    pub fn next_message_within(&self, verb: &str, timeout: Duration) -> Option<EngineMessage> {
+    pub fn next_message_within(&self, command: &str, timeout: Duration) -> Option<EngineMessage> {
         let message = self.messages.recv_timeout(timeout).ok()?;
-        assert_eq!(message.verb, verb, "{} {}", message.id, message.arguments);
+        assert_eq!(message.command, command, "{} {}", message.id, message.arguments);
         Some(message)
     }
 
     /// Waits for the next message. Returns `None` if none arrives within `timeout`, or if it is not an attempt.
     pub fn try_next_request(&self, timeout: Duration) -> Option<EngineMessage> {
-        self.messages.recv_timeout(timeout).ok().filter(|message| message.verb == "serve")
+        self.messages.recv_timeout(timeout).ok().filter(|message| message.command == "serve")
     }
 
     /// Returns whether no message arrives for this long.
@@ -140,27 +140,27 @@
     while lines.read_line(&mut line).is_ok_and(|n| n > 0) {
         let words: Vec<&str> = line.trim_end().split(' ').collect();
         let mut message = EngineMessage {
-            verb: words[0].to_owned(),
+            command: words[0].to_owned(),
             id: words[1].to_owned(),
             arguments: words.get(2).copied().unwrap_or_default().to_owned(),
             body: Vec::new(),
             stream: stream.try_clone().unwrap(),
         };
-        if message.verb == "serve" {
+        if message.command == "serve" {
             let mut body = vec![0; words[3].parse::<usize>().unwrap() + 2];
             lines.read_exact(&mut body).unwrap();
             body.truncate(body.len() - 2);
             message.body = body;
         }
-        match message.verb.as_str() {
+        match message.command.as_str() {
             "gauges" => message.respond("PONG", "use=util:0.10", b""),
             "cancel" => drop(cancelled.insert(message.id.clone())),
             _ => {}
         }
-        if message.verb == "read" && cancelled.contains(&message.id) {
-            message.verb = "read behind cancel".to_owned();
+        if message.command == "read" && cancelled.contains(&message.id) {
+            message.command = "read behind cancel".to_owned();
         }
-        if message.verb != "gauges" {
+        if message.command != "gauges" {
             let _ = send.send(message);
         }
         line.clear();
