--- a/crates/edges/front/tests/races.rs
+++ b/crates/edges/front/tests/races.rs
@@ -203,7 +203,7 @@
 /// Its request is not forwarded, and does not cause a reset, which would discard responses that the client has
 /// not read yet.
 #[test]
-fn an_idle_connection_is_closed_gracefully_and_what_crosses_that_is_not_forwarded() {
+fn an_idle_connection_is_closed_gracefully_and_later_requests_are_not_forwarded() {
     for end in ["idle", "never spoke", "told to end"] {
         let (front, engine, _discovery) = front_with_one_engine(|_| {});
         let mut client = front.client();
@@ -290,7 +290,7 @@
 /// Requests arrive on one connection before and after the front starts to shut down. Each one is accepted and
 /// gets one response, or is not accepted at all.
 #[test]
-fn each_request_of_a_pipeline_that_meets_the_shutdown_gets_one_response_or_was_not_accepted() {
+fn each_request_pipelined_during_the_shutdown_gets_one_response_or_is_not_accepted() {
     let (mut front, engine, _discovery) = front_with_one_engine(|_| {});
     let mut client = front.client();
     for id in 1..=8 {
@@ -394,7 +394,7 @@
 /// The discovery channel is silent while an engine starts to drain. The next connection lists the engine as
 /// draining; an event that still arrives on the silent connection must be ignored.
 #[test]
-fn an_engine_that_drains_while_the_watch_is_silent_gets_nothing_once_the_watch_is_back() {
+fn an_engine_that_drains_while_the_channel_is_silent_gets_nothing_after_the_reconnect() {
     let (front, engine, discovery) = front_with_one_engine(|_| {});
     let DiscoveryConnection { last_event: from, stream: mut silent } = discovery.next_connection();
     let DiscoveryConnection { last_event: from_again, stream: mut channel } = discovery.next_connection();
--- a/crates/edges/front/tests/sockets.rs
+++ b/crates/edges/front/tests/sockets.rs
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn replies_that_bring_more_than_is_theirs_end_nothing() {
+fn unmatched_and_unexpected_replies_do_not_end_requests() {
     let (front, engine, _discovery) = front_with_one_engine();
     let mut client = front.client();
     client.send_request(1, "load");
--- a/crates/edges/front/tests/unit/accept_delay.rs
+++ b/crates/edges/front/tests/unit/accept_delay.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn connections_that_waited_while_nothing_was_accepted_are_known() {
+fn the_wait_of_connections_that_could_not_be_accepted_is_counted() {
     let delay = AcceptDelay::new(3);
     assert_eq!(delay.handle_accepted(), ms(0));
     delay.handle_blocked(ms(200));
