--- a/crates/edges/front/src/program/engines/replies.rs
+++ b/crates/edges/front/src/program/engines/replies.rs
@@ -64,7 +64,7 @@
             return Ok(None);
         };
         let has_rows = matches!(reply.kind, ReplyKind::Completed { .. } | ReplyKind::Page { .. });
-        if has_rows && !engine::has_whole_rows(&reply.body) {
+        if has_rows && !engine::has_complete_rows(&reply.body) {
             return Err(ReplyError::Rows);
         }
         let token = in_flight.token;
--- a/crates/edges/front/src/protocol/engine.rs
+++ b/crates/edges/front/src/protocol/engine.rs
@@ -269,7 +269,7 @@
 }
 
 /// Returns whether a page is UTF-8 text of complete rows with three columns each, separated by tabs.
-pub fn has_whole_rows(body: &[u8]) -> bool {
+pub fn has_complete_rows(body: &[u8]) -> bool {
     let is_row = |row: &[u8]| row.iter().filter(|b| **b == b'\t').count() == 2;
     let rows = body.strip_suffix(b"\n").map(|rows| rows.split(|b| *b == b'\n').all(is_row));
     std::str::from_utf8(body).is_ok() && rows.unwrap_or(body.is_empty())
--- a/crates/edges/front/tests/unit/engine.rs
+++ b/crates/edges/front/tests/unit/engine.rs
@@ -73,10 +73,10 @@
 #[test]
 fn recognises_complete_rows() {
     for complete in ["", "a\tb\tc\n", "\t\t\n\t\té\r\n"] {
-        assert!(has_whole_rows(complete.as_bytes()), "{complete}");
+        assert!(has_complete_rows(complete.as_bytes()), "{complete}");
     }
     for malformed in [&b"\n"[..], b"a\tb\n", b"a\tb\tc", b"a\tb\tc\n\t", b"a\tb\tc\td\n", b"\xff\t\t\n"] {
-        assert!(!has_whole_rows(malformed), "{malformed:?}");
+        assert!(!has_complete_rows(malformed), "{malformed:?}");
     }
 }
 
