--- a/crates/edges/deployment/src/settings.rs
+++ b/crates/edges/deployment/src/settings.rs
@@ -30,7 +30,7 @@
     /// Behavior of clients.
     #[serde(rename = "client_habits", default)]
     pub clients: ClientSettings,
-    /// How endpoint updates reach a front: `on_request` if it polls for them; with any other value they are
+    /// Delivery of endpoint updates to fronts: `on_request` if fronts poll for them; any other value if they are
     /// pushed.
     pub discovery: String,
     /// Properties of engines.
@@ -117,7 +117,7 @@
     /// A response is in time within this, plus `objective_work_factor` times its work over its threads.
     #[serde(rename = "aim_us")]
     pub latency_objective_us: u64,
-    /// Whether a request may run more than once.
+    /// Idempotency of the requests of the class.
     #[serde(rename = "effect")]
     pub idempotency: IdempotencySetting,
     /// The engines among which requests with a repeated idempotency key are dropped.
@@ -126,7 +126,7 @@
     /// Longest time that a client waits, including its retries.
     #[serde(rename = "hard_limit_us")]
     pub deadline_us: u64,
-    /// How long after the first attempt requests with a repeated idempotency key are dropped.
+    /// Retention time of an idempotency key: repeats are dropped for this long after the first attempt.
     #[serde(rename = "key_ttl_us", default)]
     pub key_retention_us: u64,
     /// Value of a late response, as a share of the priority weight, from 0 to 1.
@@ -146,7 +146,7 @@
     pub allowed_machine_kinds: Option<Vec<u32>>,
 }
 
-/// Whether a request may run more than once.
+/// Idempotency of a request: whether it may run more than once.
 #[derive(Deserialize, Clone, Copy)]
 pub enum IdempotencySetting {
     /// It may run any number of times.
@@ -218,10 +218,11 @@
     /// Capacity of an engine that has just started, as a share of its capacity when warmed up, from 0 to 1.
     #[serde(rename = "cold_from")]
     pub slow_start_share: f64,
-    /// How long an engine is in slow start after it has started.
+    /// Length of an engine's slow start, from its start on.
     #[serde(rename = "cold_us")]
     pub slow_start_window_us: u64,
-    /// How long after a front has been notified that an engine drains an attempt may still start there.
+    /// Grace period of a drain: for this long after a front has been notified, its attempts may still start on the
+    /// draining engine.
     pub drain_grace_us: u64,
     /// An engine in slow start fails at this multiple of the work that it can do within the overload window; no
     /// unit.
@@ -230,8 +231,7 @@
     /// Window over which the work sent to an engine in slow start is summed.
     #[serde(rename = "tip_after_us")]
     pub overload_window_us: u64,
-    /// How long the next request with the same key waits after an attempt with an unknown outcome, which may
-    /// still run.
+    /// Delay of the next request with the same key after an attempt with an unknown outcome, which may still run.
     #[serde(rename = "settle_after_doubt_us")]
     pub unknown_outcome_delay_us: u64,
     /// Retries allowed in any window of the budget, independent of the number of requests. `None` counts as 0.
--- a/crates/edges/front/src/transport/stall_detector.rs
+++ b/crates/edges/front/src/transport/stall_detector.rs
@@ -34,12 +34,12 @@
         self.last_poll.set(now);
     }
 
-    /// How long bytes that are read now may have waited.
+    /// Returns the longest time that bytes read now may have waited.
     pub fn delay(&self, now: Instant) -> Duration {
         self.last_delay.get().max(self.current_delay(now))
     }
 
-    /// How late the next poll is by now; zero unless that is a stall.
+    /// Returns the delay of the next poll by now; zero unless it is a stall.
     fn current_delay(&self, now: Instant) -> Duration {
         let since_poll = now.saturating_duration_since(self.last_poll.get());
         self.zero_if_ordinary(since_poll.saturating_sub(self.period))
