--- a/crates/edges/front/src/program/clients/listener.rs
+++ b/crates/edges/front/src/program/clients/listener.rs
@@ -27,7 +27,7 @@
 const WARNING_INTERVAL: Duration = Duration::from_secs(1);
 /// Delay before the next accept while no descriptor can be freed, and after a failed accept.
 const DESCRIPTOR_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Time within which a connection that was requested to close has checked whether it may.
+/// Time after a close request within which the connection has checked whether it may close.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
 /// The listener for clients, and all connections accepted from it.
@@ -115,9 +115,9 @@
         self.shared.executor.spawn(serve).detach();
     }
 
-    /// Waits until there is a descriptor for one more connection. To free one, the connection that has been idle
-    /// or has lingered longest is requested to close. While all are busy, new connections wait in the kernel's
-    /// accept queue.
+    /// Waits until there is a descriptor for one more connection. To free one, it requests the close of the
+    /// connection that has been idle or has lingered longest. While all are busy, new connections wait in the
+    /// kernel's accept queue.
     async fn wait_for_descriptor(&self) {
         let limits = self.shared.descriptor_limits;
         loop {
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Requests that one idle connection closes: preferably one without a first line in time, or else the one
-    /// that has been idle longest. Returns false if none is idle.
+    /// Requests the close of one idle connection: preferably one without a first line in time, or else the one that
+    /// has been idle longest. Returns false if none is idle.
     fn close_longest_idle(&self) -> bool {
         let sessions = self.sessions.borrow();
         let idle = sessions.values().filter_map(|session| Some((session, session.idle_time()?)));
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Requests in each check interval that connections close which have been idle for too long.
+    /// Periodically requests the close of connections that have been idle for too long.
     async fn close_idle(&self) {
         loop {
             Timer::after(IDLE_CHECK_INTERVAL).await;
--- a/crates/edges/front/src/program/clients/session.rs
+++ b/crates/edges/front/src/program/clients/session.rs
@@ -94,7 +94,7 @@
         self.lingering_since.get().is_some()
     }
 
-    /// Requests that the connection checks whether it may close.
+    /// Requests a close. The connection's task closes it if it is idle, and ends it if it lingers.
     pub fn request_close(&self) {
         self.close_requested.notify();
     }
@@ -120,7 +120,7 @@
     }
 
     /// Reads until the connection accepts no more. Returns false if nothing is left to write; otherwise never
-    /// returns, so that the end of the writes decides.
+    /// returns, and the connection ends with its last write.
     async fn serve_reads(self: &Rc<Self>) -> bool {
         let end = self.read().await;
         self.accepting.set(false);
--- a/crates/edges/front/src/program/engines/connection.rs
+++ b/crates/edges/front/src/program/engines/connection.rs
@@ -31,8 +31,8 @@
 }
 
 impl FailureStage {
-    /// The outcome that this stage proves: an attempt whose message was not sent whole did not run; any other may
-    /// have.
+    /// The outcome that this stage proves: an attempt without a connection, or whose message was sent only in part,
+    /// did not run; any other may have run.
     pub fn outcome(self) -> AttemptOutcome {
         match self {
             FailureStage::NotConnected | FailureStage::PartlySent => AttemptOutcome::ConnectFailed,
@@ -209,9 +209,10 @@
 
     /// Cancels an attempt, or stops waiting for a probe. Returns the outcome if it is known at once.
     ///
-    /// A cancel has no reply of its own, so a request for a page of the result follows it: once the engine has
-    /// read the cancel, it replies that it knows of no such result. Until then the request must not be in flight
-    /// on any other connection, because that one may be faster and deliver the new attempt before the cancel.
+    /// A cancelled attempt stays in flight until the engine is known to have read the cancel. To find that out, a
+    /// request for a page of the attempt's result is sent behind the cancel, to which the engine replies that it
+    /// knows of none. Until then the request must not be in flight on any other connection, because that one may
+    /// be faster and deliver the new attempt before the cancel.
     pub fn cancel(&self, id: &Arc<str>) -> Option<AttemptOutcome> {
         let mut all = self.in_flight.borrow_mut();
         let in_flight = all.get_mut(id)?;
--- a/crates/edges/front/src/program/engines/mod.rs
+++ b/crates/edges/front/src/program/engines/mod.rs
@@ -28,8 +28,8 @@
 
 /// An idle connection is retired after the engine's idle timeout divided by this, so before the engine closes it.
 const IDLE_TIMEOUT_DIVISOR: u32 = 2;
-/// Progress intervals, plus the connect timeout, for which a connection may go without a reply while one is awaited.
-/// After that it is retired.
+/// A connection is retired if a reply has been awaited for longer than this number of progress intervals plus the
+/// connect timeout.
 const MAX_SILENT_PERIODS: u32 = 3;
 
 /// The connection on which an attempt or probe is in flight, and its id there.
--- a/crates/edges/front/src/program/shutdown.rs
+++ b/crates/edges/front/src/program/shutdown.rs
@@ -16,10 +16,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The platform kills a front [`SHUTDOWN_GRACE`] after this time from the signal, or, if the longest deadline of
-/// a request class is shorter, [`SHUTDOWN_GRACE`] after that.
+/// Longest time from the signal until the platform kills a front, not counting [`SHUTDOWN_GRACE`]. If the longest
+/// deadline of all request classes is shorter, it counts in place of this.
 const MAX_SHUTDOWN: Duration = Duration::from_millis(3000);
-/// See [`MAX_SHUTDOWN`].
+/// Added to [`MAX_SHUTDOWN`], or to the longest deadline, for the time of the kill.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(700);
 /// Time after the signal in which requests still arrive, as the platform states.
 const LATE_REQUEST_WINDOW: Duration = Duration::from_millis(600);
