--- a/crates/edges/front/src/program/clients/session.rs
+++ b/crates/edges/front/src/program/clients/session.rs
@@ -55,7 +55,8 @@
 }
 
 impl ClientSession {
-    /// Wraps the socket of an accepted connection, which may have waited for the duration `accept_wait` to be accepted.
+    /// Wraps the socket of an accepted connection, which may have waited for the duration `accept_wait` to be
+    /// accepted.
     pub fn new(shared: Rc<Shared>, socket: Socket, accept_wait: Duration) -> Self {
         let write_queue = WriteQueue::new(socket, WRITE_QUEUE_BYTES);
         ClientSession {
