--- a/crates/edges/cli/src/run/mod.rs
+++ b/crates/edges/cli/src/run/mod.rs
@@ -69,7 +69,7 @@
     let started = lemonusher_processor::start(server)
         .map_err(|error| failed(format!("can't listen on {listen}: {error}")))?;
     tracing::info!("external processor at {}", started.address);
-    Ok(ExternalProcessing { config: calls, events: started.events, recovers, tick })
+    Ok(ExternalProcessing { config: calls, events: started.events, is_recovery: recovers, tick })
 }
 
 /// Starts the fleet's part of this front. What is returned first keeps it running.
--- a/crates/edges/front/src/program/external_processing.rs
+++ b/crates/edges/front/src/program/external_processing.rs
@@ -28,7 +28,7 @@
     /// Receives the events of the proxies' streams.
     pub events: Receiver<ProxyEvent>,
     /// Whether this is a start after a crash, when the proxies' attempts in flight are unknown.
-    pub recovers: bool,
+    pub is_recovery: bool,
     /// Interval between two decisions of the gateway, in place of the deployment's. A response to a proxy waits
     /// up to this long.
     pub tick: Duration,
--- a/crates/edges/front/src/program/start.rs
+++ b/crates/edges/front/src/program/start.rs
@@ -69,7 +69,7 @@
     let clock = clock(&initial, &deployment);
     let (events, received_events) = async_channel::bounded(QUEUE_LENGTH);
     let (commands, received_commands) = async_channel::bounded(QUEUE_LENGTH);
-    let is_recovery = external_processing.as_ref().is_some_and(|external| external.recovers);
+    let is_recovery = external_processing.as_ref().is_some_and(|external| external.is_recovery);
     let memory = config.limits.memory_mb * 1024 * 1024;
     let limits = router_limits(&settings, &deployment, memory);
     let descriptor_limits = DescriptorLimits::of(config.limits.sockets);
