--- a/crates/edges/routing/src/router/admission.rs
+++ b/crates/edges/routing/src/router/admission.rs
@@ -88,7 +88,7 @@
         if let Some(open_request) = self.requests.get(&request).filter(is_same_client) {
             self.counters.add(Counter::ClientGone, Some(open_request.request_class));
             self.finish_request(&request);
-            self.gateway.handle_event(now, Event::ClientGone(request));
+            self.gateway.handle_event(now, Event::ClientDisconnected(request));
         }
     }
 
--- a/crates/edges/routing/src/router/event_loop.rs
+++ b/crates/edges/routing/src/router/event_loop.rs
@@ -124,7 +124,7 @@
             }
             RouterEvent::Management(call) => self.handle_management(now, call),
             RouterEvent::Control(ControlUpdate::Quota(share)) => {
-                self.gateway.handle_event(now, Event::Quota(share));
+                self.gateway.handle_event(now, Event::SlowStartQuota(share));
             }
             RouterEvent::Control(ControlUpdate::ZonePlan(effect)) => self.handle_zone_plan(now, &effect),
             RouterEvent::Control(ControlUpdate::Maintenance { version, complete, closed }) => {
--- a/crates/testing/emulator/src/clients.rs
+++ b/crates/testing/emulator/src/clients.rs
@@ -110,7 +110,7 @@
             let front = &mut self.fronts[front];
             if front.open_requests.get(&name).is_some_and(|open_request| open_request.id == id) {
                 front.open_requests.remove(&name);
-                front.events.push_back(Event::ClientGone(name));
+                front.events.push_back(Event::ClientDisconnected(name));
                 self.observe(Observation::ClientGone { id });
             }
         }
--- a/crates/tools/simhost/src/host.rs
+++ b/crates/tools/simhost/src/host.rs
@@ -92,7 +92,7 @@
                 self.deliver(now, ended.front, |reports| Some(reports.attempt_ended(ended)));
             }
             SimulatorEvent::ClientGone { front, request } => {
-                self.deliver(now, front, |_| Some(Event::ClientGone(request.into())));
+                self.deliver(now, front, |_| Some(Event::ClientDisconnected(request.into())));
             }
             SimulatorEvent::TimerFired { front } => {
                 self.deliver(now, front, |_| Some(Event::TimerFired));
--- a/src/event.rs
+++ b/src/event.rs
@@ -139,7 +139,7 @@
     /// An attempt has ended.
     AttemptEnded(AttemptEnd),
     /// The client has disconnected or has cancelled the request; it needs no response.
-    ClientGone(RequestId),
+    ClientDisconnected(RequestId),
     /// A probe has ended.
     ProbeEnded {
         /// The engine that was probed.
@@ -165,7 +165,7 @@
     },
     /// This front's share of the work that all fronts may send to an engine that warms up, from 0 to 1, if
     /// the fronts have agreed on one. Without this event the share is 1 / number of fronts.
-    Quota(f64),
+    SlowStartQuota(f64),
     /// A timer that was set has fired.
     TimerFired,
 }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -160,13 +160,13 @@
                 self.handle_progress(now, &request, attempt, progress)
             }
             Event::AttemptEnded(end) => self.handle_attempt_end(now, end),
-            Event::ClientGone(id) => self.handle_client_gone(&id),
+            Event::ClientDisconnected(id) => self.handle_client_disconnected(&id),
             Event::ProbeEnded { engine, answered: true, elapsed, load } => {
                 self.attempt_ended = true;
                 self.handle_load_report(now, engine, load, Some(elapsed));
             }
             Event::ProbeEnded { engine, .. } => self.record_failure(now, engine),
-            Event::Quota(share) => self.quota = Some(share.clamp(0.0, 1.0)),
+            Event::SlowStartQuota(share) => self.quota = Some(share.clamp(0.0, 1.0)),
             Event::ShuttingDown { deadline } => self.shutdown_deadline = Some(deadline),
             Event::PeerMessage { .. } | Event::TimerFired => {}
         }
@@ -218,7 +218,7 @@
     }
 
     /// Finishes the request of a client that has disconnected; an attempt in flight is cancelled.
-    fn handle_client_gone(&mut self, id: &RequestId) {
+    fn handle_client_disconnected(&mut self, id: &RequestId) {
         if let Some(sequence) = self.requests.sequence_of(id) {
             self.finish(sequence);
             self.changed.insert(sequence);
--- a/tests/histories/mod.rs
+++ b/tests/histories/mod.rs
@@ -113,7 +113,7 @@
         self.send_due_events(now);
         if self.random.one_in(200) {
             let part = self.random.share() / 10.0;
-            self.gateway.handle_event(now, Event::Quota(part));
+            self.gateway.handle_event(now, Event::SlowStartQuota(part));
         }
         if now == TICK * (TICKS - 40) && self.random.one_in(5) {
             self.gateway.handle_event(now, Event::ShuttingDown { deadline: now + TICK * 30 });
@@ -270,7 +270,7 @@
         }
         if self.random.one_in(20) {
             let event = if self.random.one_in(2) {
-                Event::ClientGone(request)
+                Event::ClientDisconnected(request)
             } else {
                 Event::ResponseStarted(request)
             };
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -481,12 +481,15 @@
     let mut host = Host::of(1);
     let engine = engine_of(&host.arrive("a", REPORT, 9), "a").unwrap();
     let cancel = Action::Cancel { request: "a".into(), attempt: 0 };
-    assert_eq!(host.handle(Event::ClientGone("a".into())).iter().filter(|a| **a == cancel).count(), 1);
-    assert!(!host.handle(Event::ClientGone("a".into())).contains(&cancel));
+    assert_eq!(
+        host.handle(Event::ClientDisconnected("a".into())).iter().filter(|a| **a == cancel).count(),
+        1
+    );
+    assert!(!host.handle(Event::ClientDisconnected("a".into())).contains(&cancel));
     host.end_attempt("a", 0, engine, AttemptOutcome::Cancelled);
     host.arrive("b", REPORT, 9);
     host.advance(ms(19_995));
-    host.handle(Event::ClientGone("b".into())); // It has its final response already.
+    host.handle(Event::ClientDisconnected("b".into())); // It has its final response already.
     assert!(!rejected(&host.advance(ms(50)), "b"));
 }
 
@@ -559,7 +562,7 @@
         let warming_up = EngineEntry { started_at: host.now, ..entry(1) };
         host.handle(Event::Endpoints(EndpointUpdateKind::Full, vec![warming_up]));
         if let Some(share) = share {
-            host.handle(Event::Quota(share));
+            host.handle(Event::SlowStartQuota(share));
         }
         (0..200)
             .filter(|n| engine_of(&host.arrive(&format!("b{n}"), SHORT, *n), &format!("b{n}")).is_some())
