--- a/crates/core/store/src/error.rs
+++ b/crates/core/store/src/error.rs
@@ -1,46 +1,49 @@
-//! Why the store refuses a call.
+//! The errors of the store's operations. Their texts are sent to NETCONF and gNMI clients.
 
 use crate::SessionId;
 use lemonusher_model::Fault;
 use std::fmt;
 
-/// Why a call is refused. Nothing has changed.
+/// The reason for which an operation was refused. The store is unchanged, except by an edit of a candidate with
+/// [`ErrorOption::Stop`](crate::ErrorOption::Stop) or [`ErrorOption::Continue`](crate::ErrorOption::Continue).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreError {
-    /// There is no session of this id.
+    /// There is no session with this id.
     UnknownSession,
-    /// There are as many sessions as there may be.
+    /// The limit of open sessions is reached.
     TooManySessions,
-    /// This session holds a lock.
+    /// This session holds the lock of the datastore.
     Locked(SessionId),
-    /// The session holds no such lock.
+    /// The datastore to unlock is not locked.
     NotLocked,
-    /// The candidate holds changes that are not committed.
+    /// The shared candidate can't be locked because it holds uncommitted changes.
     Modified,
-    /// A confirmed commit of this session waits to be confirmed.
+    /// A confirmed commit of this session has yet to be confirmed.
     Pending(SessionId),
-    /// No commit of this session or id waits to be confirmed.
+    /// The session or the given `persist` id has no pending confirmed commit.
     NothingPending,
-    /// More follow-ups to a confirmed commit than the history holds.
+    /// One more follow-up to the pending confirmed commit would push the version that it reverts to out of
+    /// the history.
     TooManyFollowUps,
-    /// Another version is running than the writer expected.
+    /// The running version is not the one that the client expected.
     Stale {
-        /// The version that the writer has seen.
+        /// The version number that the client expected.
         expected: u64,
-        /// The version that is running.
+        /// The number of the running version.
         running: u64,
     },
-    /// The candidate and what is running changed the same places, which these paths name.
+    /// The candidate and later commits to running changed the same nodes; the paths of these nodes.
     Conflict(Vec<String>),
     /// Another commit is in progress.
     Busy,
-    /// The edit or the tree does not fit the model.
+    /// The edit or the tree is not valid against the YANG model.
     Faults(Vec<Fault>),
-    /// The history holds no version of this number.
+    /// The history holds no version with this number.
     NoVersion(u64),
     /// There is no startup datastore.
     NoStartup,
-    /// A part declined the commit, or the log could not be written; its message.
+    /// The commit failed: a part of the front declined it or did not answer, or the log could not be written;
+    /// the message.
     Failed(String),
 }
 
--- a/crates/core/store/src/lib.rs
+++ b/crates/core/store/src/lib.rs
@@ -1,10 +1,12 @@
-//! What operators want of a front, as state that several managers and crashes can't tear: datastores, locks, commits in one
-//! total order whatever protocol they come by, history, and the log from which all of it is recovered. Nothing here does
-//! input or output; times count from the caller's origin, dates are Unix times that it passes in.
+//! Transactional store of a front's configuration: datastores, locks, commits, history, and the write-ahead
+//! log from which all of it is recovered. Concurrent management clients and crashes never leave a partial
+//! change. Commits have one total order across all protocols. The crate does no I/O. `now` is a duration
+//! since an origin that the caller chooses, dates are Unix times that the caller passes in.
 //!
-//! A commit has three steps. The [`Store`] plans it and reserves its place in the order; a [`TwoPhaseCommit`] has every part
-//! that it touches prepare, has it logged, and has all parts activate it; the store then finishes it. Until it is logged,
-//! any failure leaves the old state as it was. Once it is logged it stands.
+//! A commit has three steps. The [`Store`] plans it and reserves its version number; a [`TwoPhaseCommit`] has
+//! every part of the front prepare it, has it logged, and has all parts activate it; the store then finishes
+//! it. Until the commit is logged, any failure leaves the old state unchanged. Once it is logged, it is
+//! durable and is not undone.
 
 #![warn(missing_docs)]
 
--- a/crates/core/store/src/log.rs
+++ b/crates/core/store/src/log.rs
@@ -1,6 +1,7 @@
-//! The log's records, one a JSON object. Their framing in bytes is in [`frame`].
+//! Records of the write-ahead log, each encoded as one JSON object. [`frame`] defines their framing in bytes.
 //!
-//! The keys of the records are the format on disk. Where a field's name differs from its key, the key stands beside it.
+//! The keys of the JSON objects are the format on disk. A field whose name differs from its key has a `serde`
+//! attribute.
 
 mod frame;
 
@@ -14,29 +15,29 @@
 use serde_json::Value;
 use std::fmt;
 
-/// One entry of the log.
+/// One record of the log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Record {
-    /// A version with its whole tree. Only the first record of a log may be one.
+    /// A version with its complete tree. Allowed only as the first record of a log.
     Base {
         /// The version without its tree.
         meta: VersionMeta,
-        /// The tree, as RFC 7951 has it.
+        /// The tree in the JSON encoding of RFC 7951.
         tree: Value,
     },
-    /// A commit, by what it changed.
+    /// A commit, recorded as its differences from the previous version.
     Commit {
         /// The version without its tree.
         meta: VersionMeta,
-        /// From the version before.
+        /// The differences from the previous version.
         changes: Vec<LeafChange>,
-        /// Set if the commit waits to be confirmed.
+        /// Present if the commit has yet to be confirmed.
         pending: Option<PendingMeta>,
     },
-    /// The startup datastore.
+    /// A new content of the startup datastore.
     Startup {
-        /// None if there is no startup datastore.
+        /// The content in the JSON encoding of RFC 7951; `None` if the startup datastore was deleted.
         tree: Option<Value>,
     },
 }
@@ -49,64 +50,64 @@
     /// Unix time in milliseconds.
     #[serde(rename = "at")]
     pub committed_at_ms: u64,
-    /// Who committed it.
+    /// The user name of the author.
     pub user: String,
     /// The name of the protocol; see [`Protocol::name`].
     pub protocol: String,
-    /// The session that committed it; zero for the front itself.
+    /// The session that committed it; 0 for the front itself.
     pub session: u32,
-    /// Why there is the version.
+    /// The name of the [`Cause`].
     pub cause: String,
-    /// The version that was gone back to.
+    /// The number of the version that was restored, for causes that restore one.
     #[serde(rename = "to", default, skip_serializing_if = "Option::is_none")]
     pub reverted_to: Option<u64>,
 }
 
-/// One leaf's change.
+/// The change of one leaf, or of one member of a leaf-list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeafChange {
     /// The leaf's path.
     pub path: String,
-    /// None if the leaf was not set before.
+    /// The value before; `None` if the leaf was not set.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub old: Option<String>,
-    /// None if the leaf is no longer set.
+    /// The value after; `None` if the leaf is no longer set.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub new: Option<String>,
 }
 
-/// What a commit that waits to be confirmed needs beside its version.
+/// The part of a pending confirmed commit that its version does not hold.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PendingMeta {
-    /// The number of the version that it goes back to.
+    /// The number of the version that it reverts to unless it is confirmed.
     #[serde(rename = "revert")]
     pub revert_to: u64,
-    /// The id under which it outlives its session.
+    /// The `persist` id (RFC 6241, 8.4); with it the commit outlives its session.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub persist: Option<String>,
 }
 
-/// Why a record can't be used.
+/// The reason for which a record is rejected during recovery.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecordError {
-    /// A [`Record::Base`] stands behind another record.
+    /// A [`Record::Base`] is not the first record.
     BaseNotFirst,
-    /// The protocol or the cause is not known.
+    /// The protocol or the cause is unknown.
     UnknownMeta,
-    /// A commit's number does not follow the last one.
+    /// A commit's version number is not the next one.
     OutOfOrder {
         /// The commit's number.
         number: u64,
-        /// The last version's number.
+        /// The number of the version before it in the log.
         last: u64,
     },
-    /// The version that a pending commit goes back to is not in the log.
+    /// The version that a pending commit reverts to is not in the history at that point of the log.
     NoRevertVersion(u64),
-    /// The JSON value is not a tree.
+    /// The JSON value is not a data tree.
     NotATree,
     /// A value or path does not fit the model.
     Model(Fault),
-    /// The changes do not fit the tree before them.
+    /// The changes can't be applied to the previous version's tree; the message.
     Changes(String),
 }
 
@@ -170,7 +171,7 @@
         known.into_iter().find(|protocol| protocol.name() == self.protocol)
     }
 
-    /// The version with this tree; none if the protocol or the cause is not known.
+    /// The version with this tree and these changes; `None` if the protocol or the cause is unknown.
     pub(crate) fn version(&self, tree: Tree, changes: Vec<ModelChange>) -> Option<Version> {
         let protocol = self.protocol()?;
         let cause = self.cause()?;
@@ -203,7 +204,7 @@
 }
 
 impl Record {
-    /// The record with which a log begins.
+    /// The first record of a compacted log.
     pub fn base(schema: &Schema, version: &Version) -> Record {
         Record::Base { meta: VersionMeta::of(version), tree: tree_to_json(schema, &version.tree) }
     }
@@ -218,7 +219,7 @@
         Record::Commit { meta: VersionMeta::of(version), changes, pending }
     }
 
-    /// The record of the startup datastore, or that there is none.
+    /// The record of the startup datastore; `None` records its deletion.
     pub fn startup(schema: &Schema, tree: Option<&Tree>) -> Record {
         Record::Startup { tree: tree.map(|tree| tree_to_json(schema, tree)) }
     }
--- a/crates/core/store/src/log/frame.rs
+++ b/crates/core/store/src/log/frame.rs
@@ -1,20 +1,21 @@
-//! The log's form in bytes: a header line, then a frame for each record: the payload's length and its CRC-32, four
-//! bytes each in little-endian order, and the payload, which is JSON.
+//! The log's byte format: a header line, then one frame for each record. A frame is the payload's length in
+//! bytes and its CRC-32, each as a 32-bit little-endian integer, followed by the payload, which is JSON.
 //!
-//! The rule: a tail that a crash has cut short is left out. Anything else that does not read is corruption, and such a
-//! log is not used, as what follows the corrupt place may have been acknowledged.
+//! An incomplete frame at the end was truncated by a crash and is ignored. Any other unreadable bytes are
+//! corruption, and the whole log is rejected, because the records after the corrupt bytes may have been
+//! acknowledged.
 
 use super::Record;
 use std::fmt;
 
 /// The first line of every log.
 pub const HEADER: &[u8] = b"lemonusher-state 1\n";
-/// Bytes of a frame before its payload.
+/// Length of a frame's prefix: payload length and checksum.
 const PREFIX_BYTES: usize = 8;
-/// The longest payload of a frame.
+/// The longest payload of a frame. A greater length is read as not being a frame.
 const MAX_PAYLOAD_BYTES: usize = 256 * 1024 * 1024;
 
-/// A record as it stands in the log.
+/// Encodes a record as a frame.
 pub fn encode_record(record: &Record) -> Vec<u8> {
     let payload = serde_json::to_vec(record).unwrap_or_default();
     let mut bytes = Vec::with_capacity(PREFIX_BYTES + payload.len());
@@ -24,35 +25,36 @@
     bytes
 }
 
-/// What a log holds.
+/// The records read from a log.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogContents {
     /// All complete records, in order.
     pub records: Vec<Record>,
-    /// Bytes up to the end of the last complete record; what follows was cut short by a crash.
+    /// Length in bytes up to the end of the last complete record. The rest was truncated by a crash.
     pub valid_length: usize,
 }
 
-/// Why a log can't be trusted.
+/// A corruption, with its position in the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogCorruption {
-    /// The byte at which it was found.
+    /// The offset in bytes at which it was found.
     pub offset: usize,
-    /// What was found there.
+    /// The kind of corruption.
     pub corruption: Corruption,
 }
 
-/// What is wrong at a place in a log.
+/// The kinds of corruption.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Corruption {
-    /// The header is another one.
+    /// The log does not begin with [`HEADER`].
     NoHeader,
-    /// Bytes that are no frame, with a complete record behind them.
+    /// Bytes that are not a valid frame but are followed by a complete record, so a crash can't have
+    /// truncated them.
     RecordBehind {
-        /// The byte at which that record begins.
+        /// The offset in bytes at which that record begins.
         offset: usize,
     },
-    /// A frame with the right checksum, whose payload is no record; the parser's message.
+    /// A frame whose checksum is correct but whose payload is not a record; the JSON parser's message.
     NoRecord(String),
 }
 
@@ -74,7 +76,7 @@
     }
 }
 
-/// Reads a log, without a tail that was cut short.
+/// Reads all complete records of a log and ignores a tail that was truncated by a crash.
 pub fn read_log(bytes: &[u8]) -> Result<LogContents, LogCorruption> {
     if bytes.len() < HEADER.len() && HEADER.starts_with(bytes) {
         return Ok(LogContents { records: Vec::new(), valid_length: 0 });
@@ -101,7 +103,8 @@
     Ok(LogContents { records, valid_length: offset })
 }
 
-/// Bytes that are no frame are a tail that was cut short, unless a complete record stands behind them.
+/// Checks that the bytes from `offset`, which are not a valid frame, are a truncated tail: no complete record
+/// begins anywhere after them.
 fn check_tail(bytes: &[u8], offset: usize) -> Result<(), LogCorruption> {
     let record_behind =
         (offset + 1..bytes.len()).find(|next| frame_payload(&bytes[*next..]).is_some_and(is_record));
@@ -115,7 +118,9 @@
     serde_json::from_slice::<Record>(payload).is_ok()
 }
 
-/// The payload of the frame with which the bytes begin; none if there is no complete frame with the right checksum.
+/// The payload of the frame at the start of the bytes; `None` unless the frame is complete, not empty and its
+/// checksum is correct. A length of 0 is refused because zeros are space that the file system allocated but
+/// never wrote.
 fn frame_payload(bytes: &[u8]) -> Option<&[u8]> {
     let number = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?));
     let length = number(0)? as usize;
--- a/crates/core/store/src/merge.rs
+++ b/crates/core/store/src/merge.rs
@@ -1,15 +1,16 @@
-//! Two changes of one base brought together, where they do not touch.
+//! Three-way merge of a candidate with the commits made since the candidate's base version.
 //!
-//! The rule: a place that both sides changed to different values is a conflict, and so is an entry that one side deleted
-//! and the other changed.
+//! A leaf that both sides changed to different values is a conflict, and so is a list entry that one side
+//! deleted and the other changed. Everything else is merged.
 
 use lemonusher_model::{Change, Place, Schema, Segment, Tree, diff};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Conflicts named at once.
+/// The most conflicting paths that one error lists.
 const MAX_NAMED_CONFLICTS: usize = 8;
 
-/// `theirs` with what `ours` changed of the base. Fails with the paths of the conflicts, up to a bound.
+/// Applies the changes from `base` to `ours` on top of `theirs`. Fails with the paths of the conflicts, at most
+/// [`MAX_NAMED_CONFLICTS`] of them.
 pub fn merge(schema: &Schema, base: &Tree, ours: &Tree, theirs: &Tree) -> Result<Tree, Vec<String>> {
     if theirs.is_same(base) || theirs == base {
         return Ok(ours.clone());
@@ -43,7 +44,7 @@
     Ok(merged)
 }
 
-/// The entries that the changes delete: those whose key is no longer set.
+/// The list entries that the changes delete: those whose key leaf is no longer set.
 fn deleted_entries<'a>(schema: &Schema, changes: &'a [Change]) -> BTreeSet<&'a [Segment]> {
     let deletes_key = |change: &&Change| {
         change.new.is_none() && change.place.last().is_some_and(|last| schema.is_key(last.node))
--- a/crates/core/store/src/recover.rs
+++ b/crates/core/store/src/recover.rs
@@ -1,8 +1,8 @@
-//! From a log back to the store, and from a store to the shortest log with the same content.
+//! Recovery of a store from its log, and compaction of a store's log.
 //!
-//! The rule: every record must follow from those before it and fit the model; else nothing of the log is used. A commit
-//! that waits to be confirmed is marked orphaned, also one with a persist id, whether or not its time had run out; the store's
-//! first poll reverts it.
+//! Every record must be consistent with the records before it and valid against the model; otherwise the
+//! whole log is rejected. A confirmed commit that is still pending at the end of the log becomes orphaned,
+//! even with a `persist` id and before its deadline; the store's first poll reverts it.
 
 use crate::log::{
     HEADER, LeafChange, LogCorruption, PendingMeta, Record, RecordError, VersionMeta, encode_record, read_log,
@@ -15,27 +15,28 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A store as its log has it.
+/// A store that was recovered from a log.
 #[derive(Debug)]
 pub struct Recovered {
     /// The store after the last record.
     pub store: Store,
-    /// Bytes up to the end of the last complete record; the rest is to be truncated.
+    /// Length of the log in bytes up to the end of its last complete record. The caller has to truncate the
+    /// rest.
     pub valid_length: usize,
-    /// Records read.
+    /// The number of records read.
     pub records: usize,
 }
 
-/// Why a log can't be used.
+/// The reason for which a log was rejected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecoveryError {
     /// The log's bytes are corrupt.
     Log(LogCorruption),
-    /// A record does not follow from those before it, or does not fit the model.
+    /// A record is inconsistent with the records before it, or is not valid against the model.
     Record {
-        /// The record's position, from zero.
+        /// The record's position in the log, from 0.
         number: usize,
-        /// What is wrong with it.
+        /// The record's error.
         error: RecordError,
     },
 }
@@ -49,7 +50,7 @@
     }
 }
 
-/// Brings a store back from the bytes of its log. An empty log is a new store.
+/// Recovers a store from the bytes of its log. An empty log yields a new store.
 pub fn recover(schema: Arc<Schema>, bounds: Bounds, bytes: &[u8]) -> Result<Recovered, RecoveryError> {
     let log = read_log(bytes).map_err(RecoveryError::Log)?;
     let history = Store::new(schema.clone(), bounds).history().cloned().collect();
@@ -128,7 +129,7 @@
         })
     }
 
-    /// Drops versions beyond the bound, but none that a pending commit may revert to.
+    /// Drops the oldest versions beyond the limit, but never the one that the pending commit reverts to.
     fn trim(&mut self) {
         let oldest_needed = self.pending.as_ref().map_or(u64::MAX, |pending| pending.revert_to.number);
         while self.history.len() > self.bounds.history + 1 && self.history[0].number < oldest_needed {
@@ -137,7 +138,8 @@
     }
 }
 
-/// A log that brings the same store back: the oldest version as a tree, then the commits that followed.
+/// A compacted log, from which the same history, startup datastore and pending commit are recovered: the oldest
+/// version with its complete tree, the commits after it, and the startup datastore.
 pub fn compact(store: &Store) -> Vec<u8> {
     let schema = store.schema();
     let mut bytes = HEADER.to_vec();
--- a/crates/core/store/src/store.rs
+++ b/crates/core/store/src/store.rs
@@ -1,4 +1,4 @@
-//! The store: the datastores, the history, sessions and locks. Its operations stand in modules of their own.
+//! The store: datastores, history, sessions and locks. The submodules hold its operations.
 
 mod candidate;
 mod commit;
@@ -18,10 +18,10 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// What a store may hold.
+/// Limits of a store.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Versions that can be rolled back to, beside the one in force.
+    /// Versions kept for rollback, in addition to the running one.
     pub history: usize,
     /// Sessions that may be open at once.
     pub sessions: usize,
@@ -32,10 +32,10 @@
 pub struct Store {
     schema: Arc<Schema>,
     bounds: Bounds,
-    /// From the oldest version that can be rolled back to up to the one in force; never empty.
+    /// The versions that can be rolled back to, oldest first, and the running version last. Never empty.
     history: VecDeque<Arc<Version>>,
     startup: Option<Tree>,
-    /// None while it holds no change.
+    /// The candidate of all sessions without a private one; `None` while it holds no change.
     shared_candidate: Option<Candidate>,
     sessions: BTreeMap<SessionId, Session>,
     next_session: SessionId,
@@ -46,7 +46,7 @@
 }
 
 impl Store {
-    /// An empty store, at version zero.
+    /// An empty store, at version 0.
     pub fn new(schema: Arc<Schema>, bounds: Bounds) -> Store {
         let first = Version {
             number: 0,
@@ -59,7 +59,7 @@
         Store::with(schema, bounds, VecDeque::from([Arc::new(first)]), None, None)
     }
 
-    /// With a history that ends with the version in force.
+    /// A store with a history, which ends with the running version and must not be empty.
     pub(crate) fn with(
         schema: Arc<Schema>,
         bounds: Bounds,
@@ -83,17 +83,17 @@
         store
     }
 
-    /// The model that all trees are of.
+    /// The YANG model to which all trees conform.
     pub fn schema(&self) -> &Arc<Schema> {
         &self.schema
     }
 
-    /// The version in force.
+    /// The running version.
     pub fn running(&self) -> &Arc<Version> {
         &self.history[self.history.len() - 1]
     }
 
-    /// The versions that can be rolled back to and the one in force, the oldest first.
+    /// The versions that can be rolled back to, oldest first, and the running version last.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &Arc<Version>> {
         self.history.iter()
     }
@@ -103,7 +103,7 @@
         self.startup.as_ref()
     }
 
-    /// The commit that waits to be confirmed, if there is one.
+    /// The confirmed commit that has yet to be confirmed, if there is one.
     pub fn pending(&self) -> Option<&PendingConfirmation> {
         self.pending.as_ref()
     }
@@ -113,12 +113,13 @@
         &self.sessions
     }
 
-    /// The session that has locked a datastore.
+    /// The session that holds the lock of a datastore.
     pub fn lock_holder(&self, datastore: Datastore) -> Option<SessionId> {
         self.locks.get(&datastore).copied()
     }
 
-    /// What a session sees of a datastore; none if there is no startup datastore.
+    /// The content of a datastore as seen by a session; `None` if there is no startup datastore. An unchanged
+    /// candidate has the content of running.
     pub fn tree(&self, session: SessionId, datastore: Datastore) -> Option<&Tree> {
         match datastore {
             Datastore::Running => Some(&self.running().tree),
@@ -130,12 +131,14 @@
         }
     }
 
-    /// Checks a tree against the model. Fails with all its faults.
+    /// Validates a tree against the YANG model.
     pub fn validate(&self, tree: &Tree) -> Result<(), StoreError> {
         self.schema.validate(tree).map_err(StoreError::Faults)
     }
 
-    /// Drops versions beyond the bound, but none that a pending commit may revert to; of those no more are let in.
+    /// Drops the oldest versions beyond the limit, but never the one that the pending commit reverts to. The
+    /// history stays limited nevertheless: `check_follow_up_room` refuses further follow-ups to the pending
+    /// commit.
     fn trim(&mut self) {
         while self.history.len() > self.bounds.history + 1 {
             let needed = self.pending.as_ref().map(|pending| pending.revert_to.number);
--- a/crates/core/store/src/store/candidate.rs
+++ b/crates/core/store/src/store/candidate.rs
@@ -1,54 +1,54 @@
-//! Candidate datastores: the shared one, and those of sessions with a private candidate.
+//! Candidate datastores: one shared candidate, and one for each session with a private candidate.
 //!
-//! The rule: a candidate exists only while it differs from the version that it was begun from; else a session sees what is
-//! running. The lock of the candidate datastore guards the shared one alone.
+//! A candidate is stored only while it differs from its base version; otherwise a session reads the running
+//! version. The lock of the candidate datastore guards only the shared candidate.
 
 use super::Store;
 use crate::{Datastore, SessionId, StoreError, Version};
 use lemonusher_model::{Fault, Node, Op, Place, Schema, Tree};
 use std::sync::Arc;
 
-/// One change within an edit.
+/// One operation of an edit request, which may have several.
 #[derive(Debug, Clone)]
 pub struct Edit {
-    /// What to do there.
+    /// The operation.
     pub op: Op,
-    /// Where in the tree.
+    /// The node that it applies to.
     pub place: Place,
-    /// The value, for operations that need one.
+    /// The value; required by merge, replace and create.
     pub value: Option<Node>,
 }
 
-/// What becomes of an edit of the candidate of which a part fails (`error-option` of RFC 6241, 7.2). An edit of running
-/// that fails changes nothing in any case.
+/// The handling of a failed operation in an edit of the candidate (`error-option` of RFC 6241, 7.2). An edit
+/// of running is always all or nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ErrorOption {
-    /// The parts before the failed one stay, those behind it are left out.
+    /// `stop-on-error`: keeps the operations before the first failed one and skips those after it.
     Stop,
-    /// All parts that do not fail stay.
+    /// `continue-on-error`: keeps all operations that do not fail.
     Continue,
-    /// Nothing is changed.
+    /// `rollback-on-error`: changes nothing.
     #[default]
     Rollback,
 }
 
-/// A candidate that differs from its base.
+/// A candidate that differs from its base version.
 #[derive(Debug, Clone)]
 pub(super) struct Candidate {
-    /// The version that was running when it was begun.
+    /// The running version at the time of the candidate's first change.
     pub(super) base: Arc<Version>,
     pub(super) tree: Tree,
 }
 
-/// One of the candidates.
+/// Identifies a candidate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CandidateId {
     Shared,
-    /// Of this session.
+    /// The private candidate of this session.
     Private(SessionId),
 }
 
-/// A candidate as it stood when its commit was planned.
+/// A candidate's content at the time when its commit was planned.
 #[derive(Debug, Clone)]
 pub(super) struct CommittedCandidate {
     pub(super) id: CandidateId,
@@ -56,7 +56,7 @@
 }
 
 impl Store {
-    /// The candidate that a session edits; none if it holds no change.
+    /// The candidate that a session edits; `None` if it holds no change.
     pub(super) fn candidate(&self, session: SessionId) -> Option<&Candidate> {
         match self.sessions.get(&session) {
             Some(session) if session.has_private_candidate => session.candidate.as_ref(),
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Which candidate this session edits.
+    /// The id of the candidate that a session edits.
     pub(super) fn candidate_id(&self, session: SessionId) -> CandidateId {
         match self.sessions.get(&session) {
             Some(known) if known.has_private_candidate => CandidateId::Private(session),
@@ -72,8 +72,9 @@
         }
     }
 
-    /// A candidate has been committed. While that was in progress its session may have closed, and its candidate with it;
-    /// what stands there by now may be another's changes, and stays.
+    /// Clears a candidate that has been committed. Its session may have closed during the commit, which
+    /// discards the candidate; if the content is no longer the committed one, it is another session's changes
+    /// and is kept.
     pub(super) fn clear_candidate(&mut self, committed: &CommittedCandidate) {
         let candidate = match committed.id {
             CandidateId::Shared => &mut self.shared_candidate,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Fails if another session has locked the candidate that this session edits.
+    /// Fails if another session holds the lock of the candidate that this session edits.
     pub(super) fn check_candidate_access(&self, session: SessionId) -> Result<(), StoreError> {
         match self.sessions.get(&session) {
             Some(session) if session.has_private_candidate => Ok(()),
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Edits the session's candidate. Fails with the faults of all parts that failed.
+    /// Edits the session's candidate. Fails with the faults of all operations that failed.
     pub fn edit_candidate(
         &mut self,
         session: SessionId,
@@ -121,7 +122,7 @@
         if faults.is_empty() { Ok(()) } else { Err(StoreError::Faults(faults)) }
     }
 
-    /// Puts a whole tree in the session's candidate.
+    /// Replaces the whole content of the session's candidate.
     pub fn replace_candidate(&mut self, session: SessionId, tree: Tree) -> Result<(), StoreError> {
         let value = Node::Container(tree.fields().clone());
         let edit = Edit { op: Op::Replace, place: Place::new(), value: Some(value) };
@@ -137,7 +138,7 @@
     }
 }
 
-/// Applies edits to a tree, and returns the faults.
+/// Applies edits to a tree and returns the faults of those that failed.
 pub(super) fn apply(schema: &Schema, tree: &mut Tree, edits: &[Edit], on_error: ErrorOption) -> Vec<Fault> {
     let before = tree.clone();
     let mut faults = Vec::new();
--- a/crates/core/store/src/store/commit.rs
+++ b/crates/core/store/src/store/commit.rs
@@ -1,10 +1,11 @@
-//! Commits: planned, held in the one total order, and finished or abandoned.
+//! Commits: planning, version numbers, and finishing or abandoning.
 //!
-//! The rule: one commit is in progress at a time, from its plan until it is finished or abandoned; meanwhile no other is
-//! planned. While a confirmed commit is pending, only a commit that confirms or follows it is planned. A commit that
-//! changes nothing and confirms nothing is not planned.
+//! At most one commit is in progress, from its plan until it is finished or abandoned; this gives all
+//! versions one total order. While a confirmed commit is pending, only commits that confirm it or follow it
+//! up are accepted. A commit that changes nothing and confirms nothing gets no plan.
 //!
-//! In all calls `now` counts from the caller's origin and `unix_ms` is the date of the version, in milliseconds.
+//! In all calls `now` is the time since the caller's origin, and `unix_ms` is the version's date as Unix time
+//! in milliseconds.
 
 use super::Store;
 use super::candidate::{CommittedCandidate, Edit, ErrorOption, apply};
@@ -15,32 +16,34 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How a commit is meant.
+/// Options of a commit (RFC 6241, 8.4).
 #[derive(Debug, Clone, Default)]
 pub struct CommitOptions {
-    /// Set for a confirmed commit: it is reverted after this span unless it is confirmed.
+    /// Present for a confirmed commit: the timeout after which it is reverted unless it has been confirmed.
     pub confirm_timeout: Option<Duration>,
-    /// The id under which a confirmed commit outlives its session, but not a restart of the front.
+    /// The `persist` id. With it a confirmed commit outlives its session, but not a restart of the front.
     pub persist: Option<String>,
-    /// The id of the pending commit that this one confirms or follows.
+    /// The `persist` id of the pending commit that this commit confirms or follows up.
     pub persist_id: Option<String>,
-    /// The version that the writer has seen; the commit is refused if another one is running.
+    /// The version number that the client expects to be running; the commit is refused if another one is.
     pub expected_version: Option<u64>,
 }
 
-/// A commit in progress. It holds its place in the order until it is finished or abandoned.
+/// A commit in progress. Its version number is reserved until the commit is finished or abandoned.
 #[derive(Debug, Clone)]
 pub struct CommitPlan {
-    /// The version that is to be in force.
+    /// The new running version.
     pub version: Arc<Version>,
-    /// What waits to be confirmed once it is in force.
+    /// The confirmation that is pending once the commit is finished; `None` for a commit that needs no
+    /// confirmation.
     pub pending: Option<PendingConfirmation>,
-    /// The candidate that is committed; none where running was edited, or the candidate held no change.
+    /// The candidate that is committed; `None` if the commit does not come from a candidate, or from one
+    /// without changes.
     candidate: Option<CommittedCandidate>,
 }
 
 impl Store {
-    /// Plans to put the session's candidate in force, merged with what has been committed since it was begun.
+    /// Plans to commit the session's candidate, merged with the commits made since its base version.
     pub fn commit(
         &mut self,
         session: SessionId,
@@ -64,7 +67,7 @@
         Ok(plan.map(|plan| CommitPlan { candidate, ..plan }))
     }
 
-    /// Plans to edit what is running, as one transaction.
+    /// Plans to edit the running datastore, as one transaction.
     pub fn edit_running(
         &mut self,
         session: SessionId,
@@ -82,7 +85,7 @@
         self.plan(author, tree, options, now, unix_ms)
     }
 
-    /// Plans to put a version of the history in force again.
+    /// Plans to restore a version of the history, identified by its number.
     pub fn roll_back(
         &mut self,
         session: SessionId,
@@ -121,7 +124,9 @@
         Ok(Some(self.reserve(author, cause, tree, changes, pending, unix_ms)))
     }
 
-    /// Whether a commit may be planned now, whatever it changes.
+    /// Fails if no commit with these options may be planned now, whatever its content: another commit is in
+    /// progress, the running datastore is locked, the expected version is not running, or a confirmed commit
+    /// is pending that this commit does not refer to.
     fn check_may_commit(&self, author: &Author, options: &CommitOptions) -> Result<(), StoreError> {
         if self.committing.is_some() {
             return Err(StoreError::Busy);
@@ -140,7 +145,7 @@
         }
     }
 
-    /// Reserves the next place in the order. The caller has checked that it is free.
+    /// Reserves the next version number. The caller has checked that no commit is in progress.
     pub(super) fn reserve(
         &mut self,
         author: Author,
@@ -156,7 +161,7 @@
         CommitPlan { version: Arc::new(version), pending, candidate: None }
     }
 
-    /// The commit is in force. Does nothing if it was abandoned.
+    /// Makes a logged commit the running version. Does nothing if the commit was abandoned.
     pub fn finish_commit(&mut self, plan: CommitPlan) {
         if self.committing != Some(plan.version.number) {
             return;
@@ -171,7 +176,7 @@
         self.trim();
     }
 
-    /// The commit has failed; the old state stands.
+    /// Drops a failed commit and frees its version number. The running version is unchanged.
     pub fn abandon_commit(&mut self, plan: &CommitPlan) {
         if self.committing == Some(plan.version.number) {
             self.committing = None;
--- a/crates/core/store/src/store/confirmed.rs
+++ b/crates/core/store/src/store/confirmed.rs
@@ -1,8 +1,9 @@
-//! Confirmed commits (RFC 6241, 8.4): reverted unless they are confirmed in time.
+//! Confirmed commits (RFC 6241, 8.4), which are reverted unless they are confirmed before a deadline.
 //!
-//! The rule: a pending commit is confirmed, followed, extended or cancelled by its session, or, if it has an id, by whoever
-//! names the id. It is reverted at its deadline, or at once when nobody is left who could confirm it. A commit that follows
-//! it moves the deadline; all of them together revert to the version before the first.
+//! A pending commit is confirmed, followed up, extended or cancelled by its own session or, if it has a
+//! `persist` id, by any session that gives this id. It is reverted at its deadline, or at once if its session
+//! has closed and it has no `persist` id. A confirmed commit that follows it up moves the deadline; a revert
+//! undoes all of them and restores the version before the first.
 
 use super::Store;
 use super::commit::{CommitOptions, CommitPlan};
@@ -11,23 +12,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A commit that waits to be confirmed.
+/// A confirmed commit that has yet to be confirmed.
 #[derive(Debug, Clone)]
 pub struct PendingConfirmation {
     /// The session that committed it.
     pub session: SessionId,
-    /// The id under which it outlives its session, but not a restart of the front.
+    /// The `persist` id. With it the commit outlives its session, but not a restart of the front.
     pub persist: Option<String>,
-    /// The version that it is reverted to.
+    /// The version that is restored if it is not confirmed.
     pub revert_to: Arc<Version>,
-    /// When it is reverted; counts from the caller's origin.
+    /// The time at which it is reverted, since the caller's origin.
     pub deadline: Duration,
-    /// Nobody is left who could confirm it.
+    /// Whether no client remains that could confirm it, so that it is reverted at the next poll.
     pub orphaned: bool,
 }
 
 impl PendingConfirmation {
-    /// Whether a call of this session with this id is meant for the pending commit, which can still be confirmed.
+    /// Whether a call of this session with this `persist` id refers to the pending commit and may still act
+    /// on it.
     pub(super) fn is_named_by(&self, session: SessionId, id: Option<&str>) -> bool {
         let named = match &self.persist {
             Some(persist) => id == Some(persist.as_str()),
@@ -38,7 +40,8 @@
 }
 
 impl Store {
-    /// What a confirmed commit, or one that follows it, leaves pending.
+    /// The pending confirmation of a new confirmed commit. One that follows up a pending commit keeps the
+    /// latter's version to revert to, and its `persist` id unless the options give another.
     pub(super) fn confirmation(
         &self,
         author: &Author,
@@ -52,7 +55,7 @@
         Ok(PendingConfirmation { session: author.session, persist, revert_to, deadline, orphaned: false })
     }
 
-    /// Fails if one more version would push the one to revert to out of the history.
+    /// Fails if one more version would push the version to revert to out of the history.
     fn check_follow_up_room(&self) -> Result<(), StoreError> {
         let first = self.pending.as_ref().map(|pending| pending.revert_to.number);
         let full = self.history.len() > self.bounds.history;
@@ -62,7 +65,7 @@
         Ok(())
     }
 
-    /// Plans to give a pending commit another deadline, `timeout` from now.
+    /// Plans to move the deadline of a pending commit to `timeout` from now.
     pub fn extend(
         &mut self,
         session: SessionId,
@@ -92,7 +95,7 @@
         Ok(self.plan_revert(author, cause, &pending, unix_ms))
     }
 
-    /// The pending commit, if this session with this id may act upon it now.
+    /// The pending commit, if a call of this session with this `persist` id may act on it now.
     fn pending_named(&self, session: SessionId, id: Option<&str>) -> Result<PendingConfirmation, StoreError> {
         if self.committing.is_some() {
             return Err(StoreError::Busy);
@@ -113,7 +116,8 @@
         self.reserve(author, cause, tree, changes, None, unix_ms)
     }
 
-    /// A session that ended while its commit was in progress can't confirm it.
+    /// Marks the pending commit as orphaned if its session closed while the commit was in progress and it has
+    /// no `persist` id.
     pub(super) fn mark_orphaned(&mut self) {
         if let Some(pending) = &mut self.pending
             && pending.persist.is_none()
@@ -124,7 +128,7 @@
         }
     }
 
-    /// Plans to revert a pending commit that has passed its deadline, or that nobody is left to confirm.
+    /// Plans to revert the pending commit if its deadline has passed or it is orphaned.
     pub fn poll_timeout(&mut self, now: Duration, unix_ms: u64) -> Option<CommitPlan> {
         let pending = self.pending.clone().filter(|pending| pending.orphaned || pending.deadline <= now)?;
         if self.committing.is_some() {
@@ -134,7 +138,8 @@
         Some(self.plan_revert(Author::front(), cause, &pending, unix_ms))
     }
 
-    /// When [`Store::poll_timeout`] next has something to do; none while a commit is in progress.
+    /// The time at which [`Store::poll_timeout`] has to be called next, since the caller's origin; `None` if
+    /// no commit is pending, and while a commit is in progress.
     pub fn next_timeout(&self) -> Option<Duration> {
         let pending = self.pending.as_ref().filter(|_| self.committing.is_none())?;
         Some(if pending.orphaned { Duration::ZERO } else { pending.deadline })
--- a/crates/core/store/src/store/sessions.rs
+++ b/crates/core/store/src/store/sessions.rs
@@ -1,24 +1,24 @@
-//! Sessions of managers and the locks that they hold on datastores (RFC 6241, 7.5).
+//! Sessions of management clients, and the locks that they hold on datastores (RFC 6241, 7.5).
 
 use super::Store;
 use super::candidate::Candidate;
 use crate::{Author, Datastore, Protocol, SessionId, StoreError};
 
-/// A manager's session.
+/// A management client's session.
 #[derive(Debug, Clone)]
 pub struct Session {
-    /// The name under which the manager was authenticated.
+    /// The authenticated user name.
     pub user: String,
-    /// The protocol that it came by.
+    /// The protocol of the session.
     pub protocol: Protocol,
-    /// It edits a candidate of its own instead of the shared one.
+    /// Whether the session edits a private candidate instead of the shared one.
     pub has_private_candidate: bool,
-    /// The private candidate; none while it holds no change.
+    /// The private candidate; `None` while it holds no change.
     pub(super) candidate: Option<Candidate>,
 }
 
 impl Store {
-    /// Opens a session. Fails if there are as many as there may be.
+    /// Opens a session. Fails if the limit of open sessions is reached.
     pub fn open_session(&mut self, user: &str, protocol: Protocol) -> Result<SessionId, StoreError> {
         if self.sessions.len() >= self.bounds.sessions {
             return Err(StoreError::TooManySessions);
@@ -31,15 +31,16 @@
         Ok(id)
     }
 
-    /// The session edits a candidate of its own from now on.
+    /// Gives the session a private candidate, which it edits from now on.
     pub fn use_private_candidate(&mut self, session: SessionId) -> Result<(), StoreError> {
         let session = self.sessions.get_mut(&session).ok_or(StoreError::UnknownSession)?;
         session.has_private_candidate = true;
         Ok(())
     }
 
-    /// A session has ended, however it did. Its locks are released, and with the lock of the candidate the changes there
-    /// are discarded; a commit that it alone could have confirmed is to be reverted.
+    /// Closes a session that has ended for any reason. Releases its locks; if it held the candidate's lock,
+    /// the changes in the shared candidate are discarded. A pending commit that only this session could
+    /// confirm becomes orphaned.
     pub fn close_session(&mut self, session: SessionId) {
         self.sessions.remove(&session);
         if self.locks.get(&Datastore::Candidate) == Some(&session) {
@@ -54,8 +55,9 @@
         }
     }
 
-    /// Locks a datastore for a session. Fails if it is locked, also by this session; the shared candidate if it holds
-    /// changes; running if a confirmed commit of another session is pending.
+    /// Locks a datastore for a session. Fails if any session, this one included, holds the lock; for the
+    /// shared candidate, if it holds changes; for running, if a confirmed commit of another session is
+    /// pending.
     pub fn lock(&mut self, session: SessionId, datastore: Datastore) -> Result<(), StoreError> {
         self.author_of(session)?;
         if let Some(holder) = self.locks.get(&datastore) {
@@ -72,7 +74,8 @@
         Ok(())
     }
 
-    /// Releases a lock of this session; with the lock of the candidate the changes there are discarded.
+    /// Releases a lock of this session. Releasing the candidate's lock discards the changes in the shared
+    /// candidate.
     pub fn unlock(&mut self, session: SessionId, datastore: Datastore) -> Result<(), StoreError> {
         match self.locks.get(&datastore) {
             Some(holder) if *holder == session => {
@@ -87,13 +90,13 @@
         }
     }
 
-    /// The author of what this session commits; fails if there is no such session.
+    /// The author for commits of this session; fails if there is no such session.
     pub(super) fn author_of(&self, session: SessionId) -> Result<Author, StoreError> {
         let Session { user, protocol, .. } = self.sessions.get(&session).ok_or(StoreError::UnknownSession)?;
         Ok(Author { user: user.clone(), protocol: *protocol, session })
     }
 
-    /// Fails if another session has locked the datastore.
+    /// Fails if another session holds the lock of the datastore.
     pub(super) fn check_lock(&self, session: SessionId, datastore: Datastore) -> Result<(), StoreError> {
         match self.locks.get(&datastore) {
             Some(holder) if *holder != session => Err(StoreError::Locked(*holder)),
--- a/crates/core/store/src/store/startup.rs
+++ b/crates/core/store/src/store/startup.rs
@@ -1,19 +1,20 @@
-//! The startup datastore: what the front begins with.
+//! The startup datastore: the configuration that is loaded when the front starts.
 
 use super::Store;
 use super::commit::CommitPlan;
 use crate::{Author, Cause, Datastore, SessionId, StoreError};
 use lemonusher_model::{Tree, diff};
 
-/// A startup datastore that is to be logged. It takes effect with [`Store::finish_startup`].
+/// A change of the startup datastore that has yet to be logged. [`Store::finish_startup`] applies it.
 #[derive(Debug, Clone)]
 pub struct StartupPlan {
-    /// None if the startup datastore is to be deleted.
+    /// The new content; `None` deletes the startup datastore.
     pub tree: Option<Tree>,
 }
 
 impl Store {
-    /// Plans to copy what a session sees of a datastore to startup, or with none to delete startup.
+    /// Plans to copy a datastore, as this session sees it, to startup. Without a source it plans to delete
+    /// startup.
     pub fn plan_startup(
         &mut self,
         session: SessionId,
@@ -33,13 +34,14 @@
         Ok(StartupPlan { tree: Some(tree) })
     }
 
-    /// The startup datastore has been logged.
+    /// Applies a change of the startup datastore that has been logged.
     pub fn finish_startup(&mut self, plan: StartupPlan) {
         self.startup = plan.tree;
     }
 
-    /// Plans to put the startup datastore in force; none if there is none or nothing differs, or if a commit is in progress
-    /// or pending. `unix_ms` is the date.
+    /// Plans to load the startup datastore into running. Returns `None` if there is no startup datastore, if
+    /// running already has its content, or if a commit is in progress or pending. `unix_ms` is the version's
+    /// date as Unix time in milliseconds.
     pub fn plan_start_from_startup(&mut self, unix_ms: u64) -> Option<CommitPlan> {
         if self.committing.is_some() || self.pending.is_some() {
             return None;
--- a/crates/core/store/src/two_phase.rs
+++ b/crates/core/store/src/two_phase.rs
@@ -1,62 +1,63 @@
-//! One commit's way through all parts of the front: prepare, log, activate.
+//! Two-phase commit across the parts of the front, which are the participants: prepare, log, activate.
 //!
-//! The rule: nothing is logged before every part has prepared, and no part activates before the commit is logged. Until it
-//! is logged any failure discards it and the old state stands as a whole; once it is logged it stands. Events that come too
-//! late are ignored.
+//! The commit is logged only after every part has prepared, and parts activate only after the commit is
+//! logged. Until it is logged, any failure discards it and leaves the old state in every part. Once it is
+//! logged, it is not undone. Events that arrive too late for their phase are ignored.
 
 use std::fmt;
 
-/// What has happened. Parts are numbered in the order of the names given to [`TwoPhaseCommit::start`].
+/// An event of a commit. Parts are numbered from 0 in the order of the names given to
+/// [`TwoPhaseCommit::start`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitEvent {
-    /// A part holds the new state ready.
+    /// A part has prepared the new state and can activate it.
     Prepared(usize),
-    /// A part can't follow the new state.
+    /// A part refuses the new state.
     Declined {
         /// The part's number.
         part: usize,
-        /// Its message.
+        /// The part's message.
         reason: String,
     },
-    /// A part panicked, has ended, or did not answer in time.
+    /// A part panicked, terminated, did not answer before its timeout, or failed to activate.
     Lost(usize),
-    /// The commit is in the log.
+    /// The commit was written to the log.
     Logged,
-    /// The commit could not be logged; the message.
+    /// The commit could not be written to the log; the message.
     NotLogged(String),
-    /// A part follows the new state.
+    /// A part has activated the new state.
     Activated(usize),
 }
 
-/// What is to be done.
+/// An action that the caller has to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitAction {
-    /// Have the part prepare the new state.
+    /// Tell the part to prepare the new state.
     Prepare(usize),
     /// Write the commit to the log.
     Log,
-    /// Have the part follow what it prepared.
+    /// Tell the part to activate the state that it prepared.
     Activate(usize),
-    /// Have the part forget what it prepared.
+    /// Tell the part to discard the state that it prepared.
     Discard(usize),
-    /// The commit is in force. Parts named here did not confirm that they follow it: they do, or will when they come back,
-    /// and never the old state.
+    /// The commit succeeded. Parts with these numbers did not confirm their activation: they use the new
+    /// state already, or will once they have recovered, and never return to the old state.
     Done(Vec<usize>),
-    /// The old state stands as a whole.
+    /// The commit failed, and every part keeps the old state.
     Failed(CommitFailure),
 }
 
-/// Why a commit failed.
+/// The reason for which a commit failed. The text is sent to the client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitFailure {
     /// A part declined it.
     Declined {
         /// The part's name.
         part: String,
-        /// Its message.
+        /// The part's message.
         reason: String,
     },
-    /// The part of this name did not answer.
+    /// The part with this name did not answer.
     Lost(String),
     /// The log could not be written; the message.
     NotLogged(String),
@@ -89,7 +90,7 @@
     Finished,
 }
 
-/// The state of one commit.
+/// The state machine of one commit.
 #[derive(Debug)]
 pub struct TwoPhaseCommit {
     names: Vec<String>,
@@ -98,7 +99,8 @@
 }
 
 impl TwoPhaseCommit {
-    /// Begins with the names of all parts. Without any part the commit is logged at once.
+    /// Starts a commit with the names of all parts, and returns the first actions. Without parts the commit
+    /// is logged immediately.
     pub fn start(names: Vec<String>) -> (TwoPhaseCommit, Vec<CommitAction>) {
         let parts = vec![PartState::Preparing; names.len()];
         let mut commit = TwoPhaseCommit { names, parts, phase: Phase::Preparing };
@@ -109,12 +111,12 @@
         (commit, actions)
     }
 
-    /// Whether nothing more is to be done.
+    /// Whether the commit has succeeded or failed.
     pub fn is_finished(&self) -> bool {
         self.phase == Phase::Finished
     }
 
-    /// Takes an event, and returns what is to be done next.
+    /// Handles an event and returns the next actions.
     pub fn handle_event(&mut self, event: CommitEvent) -> Vec<CommitAction> {
         match self.phase {
             Phase::Preparing => self.handle_while_preparing(event),
@@ -147,7 +149,7 @@
 
     fn handle_while_logging(&mut self, event: CommitEvent) -> Vec<CommitAction> {
         match event {
-            // The commit may be in the log already, so it goes on without this part.
+            // The commit may be in the log already, so it continues without this part.
             CommitEvent::Lost(part) => {
                 self.parts[part] = PartState::Lost;
                 Vec::new()
@@ -187,7 +189,7 @@
         actions
     }
 
-    /// Ends the commit once no part is left that has yet to activate.
+    /// Finishes the commit once no part has yet to activate.
     fn finish_if_activated(&mut self) -> Option<CommitAction> {
         if self.parts.iter().any(|part| matches!(part, PartState::Activating | PartState::Prepared)) {
             return None;
--- a/crates/core/store/src/version.rs
+++ b/crates/core/store/src/version.rs
@@ -1,35 +1,35 @@
-//! A version: one state that was in force, who committed it and why.
+//! Versions of the running configuration, each with its author and cause.
 
 use lemonusher_model::{Change, Tree};
 use std::fmt;
 
-/// A manager's session, of any protocol. Zero is the front itself.
+/// Id of a management client's session, of any protocol. 0 stands for the front itself.
 pub type SessionId = u32;
 
-/// The datastores of RFC 8342.
+/// The configuration datastores (RFC 8342, section 5).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Datastore {
-    /// What is in force.
+    /// The configuration that the front currently uses.
     Running,
-    /// What is being edited.
+    /// A working copy that clients edit and then commit to running.
     Candidate,
-    /// What the front begins with.
+    /// The configuration that is loaded when the front starts.
     Startup,
 }
 
-/// What a commit came by.
+/// The protocol over which a commit was made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Protocol {
     /// NETCONF over SSH.
     Netconf,
     /// gNMI.
     Gnmi,
-    /// The front itself.
+    /// No protocol: the front itself committed.
     Local,
 }
 
 impl Protocol {
-    /// The name in the log and in the model's state.
+    /// The name in the log and in the model's state data.
     pub fn name(self) -> &'static str {
         match self {
             Protocol::Netconf => "netconf",
@@ -39,46 +39,47 @@
     }
 }
 
-/// Who commits.
+/// The author of a commit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Author {
-    /// The manager's name.
+    /// The management client's user name.
     pub user: String,
-    /// What the commit came by.
+    /// The protocol of the session.
     pub protocol: Protocol,
-    /// The manager's session.
+    /// The management client's session.
     pub session: SessionId,
 }
 
 impl Author {
-    /// The front itself.
+    /// The front itself as author, with session 0.
     pub fn front() -> Author {
         Author { user: "front".to_owned(), protocol: Protocol::Local, session: 0 }
     }
 }
 
-/// Why there is a version.
+/// The reason for which a version was created.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
-    /// It is the first one, or the startup datastore was put in force.
+    /// It is the initial version, or the startup datastore was loaded into running.
     Start,
-    /// A manager committed a change.
+    /// A management client committed a change, or extended the timeout of a confirmed commit.
     Commit,
     /// A confirmed commit was confirmed.
     Confirmed,
-    /// A manager put an older version in force again.
+    /// A management client rolled back to an older version.
     RolledBack {
-        /// That version's number.
+        /// The older version's number.
         to: u64,
     },
-    /// A confirmed commit was not confirmed in time, or nobody is left who could confirm it.
+    /// A confirmed commit was reverted because it was not confirmed before its deadline, or because no client
+    /// remained that could confirm it.
     Expired {
-        /// The version that was gone back to.
+        /// The number of the version that was restored.
         to: u64,
     },
-    /// A manager cancelled a confirmed commit.
+    /// A management client cancelled a confirmed commit.
     Cancelled {
-        /// The version that was gone back to.
+        /// The number of the version that was restored.
         to: u64,
     },
 }
@@ -96,19 +97,19 @@
     }
 }
 
-/// One state that is or was in force, and why.
+/// One state that is or was the running configuration.
 #[derive(Debug, Clone)]
 pub struct Version {
-    /// Grows by one with each commit.
+    /// The version number; it grows by one with each commit.
     pub number: u64,
     /// Unix time in milliseconds.
     pub committed_at_ms: u64,
-    /// Who committed it.
+    /// The author of the commit.
     pub author: Author,
-    /// Why there is the version.
+    /// The reason for which the version was created.
     pub cause: Cause,
-    /// All that was set.
+    /// The complete configuration, without defaults.
     pub tree: Tree,
-    /// From the version before.
+    /// The differences from the previous version.
     pub changes: Vec<Change>,
 }
