--- a/crates/core/store/tests/common/mod.rs
+++ b/crates/core/store/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A store of the front's model, and short forms of edits and commits.
+//! A store with the front's model, and helpers for edits and commits.
 
 #![allow(dead_code)]
 
@@ -43,7 +43,7 @@
     found
 }
 
-/// Commits what the session has in its candidate.
+/// Commits the session's candidate.
 pub fn commit(
     store: &mut Store,
     session: SessionId,
--- a/crates/core/store/tests/datastores.rs
+++ b/crates/core/store/tests/datastores.rs
@@ -16,7 +16,7 @@
     let change = [set(&store, LEVEL, "warn")];
     let refused = store.edit_running(b, &change, &CommitOptions::default(), secs(0), 0).unwrap_err();
     assert_eq!(refused, StoreError::Locked(a));
-    // A holder that dies lets go.
+    // Closing the holder's session releases the lock.
     store.close_session(a);
     let plan = store.edit_running(b, &change, &CommitOptions::default(), secs(0), 0).unwrap().unwrap();
     store.finish_commit(plan);
@@ -38,7 +38,7 @@
     store.close_session(a);
     commit(&mut store, b, CommitOptions::default(), secs(0)).unwrap();
     assert_eq!(store.running().number, 0);
-    // A candidate that holds changes can't be locked by anybody.
+    // No session can lock a candidate that holds changes.
     store.edit_candidate(b, &change, ErrorOption::Rollback).unwrap();
     assert_eq!(store.lock(b, Datastore::Candidate), Err(StoreError::Modified));
 }
@@ -58,7 +58,7 @@
     assert_eq!(leaf(&store, &running, LEVEL).as_deref(), Some("warn"));
     assert_eq!(leaf(&store, &running, "/front/pool[name=x]/admin-state").as_deref(), Some("draining"));
 
-    // Both change one leaf; one deletes an entry that the other edits.
+    // Conflicts: both sides change one leaf; one side deletes an entry that the other edits.
     for (ours, theirs) in [
         (set(&store, LEVEL, "debug"), set(&store, LEVEL, "error")),
         (
@@ -90,7 +90,7 @@
     let change = [set(&store, LEVEL, "warn")];
     let seen = |expect| CommitOptions { expected_version: Some(expect), ..CommitOptions::default() };
     let plan = store.edit_running(a, &change, &seen(0), secs(0), 0).unwrap().unwrap();
-    // While it is on its way no other is planned.
+    // No other commit is planned while one is in progress.
     let again = store.edit_running(a, &change, &CommitOptions::default(), secs(0), 0).unwrap_err();
     assert_eq!(again, StoreError::Busy);
     store.finish_commit(plan);
@@ -110,11 +110,12 @@
     commit(&mut store, a, confirmed(10), secs(0)).unwrap();
     assert_eq!(leaf(&store, &store.running().tree, LEVEL).as_deref(), Some("debug"));
     assert_eq!(store.next_timeout(), Some(secs(10)));
-    // Nobody else writes meanwhile, nor locks.
+    // While it is pending, no other session may commit or lock running.
     let refused = store.edit_running(b, &change, &CommitOptions::default(), secs(1), 0).unwrap_err();
     assert_eq!(refused, StoreError::Pending(a));
     assert_eq!(store.lock(b, Datastore::Running), Err(StoreError::Pending(a)));
-    // A follow-up gives more time, from when it is told; it all goes back to the first state.
+    // A follow-up moves the deadline, counted from its own commit; the revert restores the state before the
+    // first commit.
     let more = [set(&store, "/front/pool[name=x]/admin-state", "draining")];
     store.edit_candidate(a, &more, ErrorOption::Rollback).unwrap();
     commit(&mut store, a, confirmed(10), secs(8)).unwrap();
@@ -125,14 +126,14 @@
     assert_eq!(store.running().cause, Cause::Expired { to: 0 });
     assert!(store.next_timeout().is_none());
 
-    // Confirmed, it stays.
+    // A confirmed change stays after the deadline.
     store.edit_candidate(a, &change, ErrorOption::Rollback).unwrap();
     commit(&mut store, a, confirmed(10), secs(20)).unwrap();
     commit(&mut store, a, CommitOptions::default(), secs(25)).unwrap();
     assert!(store.poll_timeout(secs(99), 0).is_none());
     assert_eq!(store.running().cause, Cause::Confirmed);
 
-    // Its session lost, it goes back at once; but not if it was to outlive the session.
+    // It is reverted at once when its session closes, unless it has a persist id.
     let level = |level| [set(&new_store(), LEVEL, level)];
     store.edit_candidate(a, &level("error"), ErrorOption::Rollback).unwrap();
     commit(&mut store, a, confirmed(10), secs(30)).unwrap();
@@ -174,7 +175,7 @@
     assert_eq!(plan.version.cause, Cause::Cancelled { to: 0 });
     store.finish_commit(plan);
     assert_eq!(store.running().tree, Tree::default());
-    // There is an end to extending.
+    // The number of extensions is limited.
     let plan = store.edit_running(a, &change, &options, secs(0), 0).unwrap().unwrap();
     store.finish_commit(plan);
     let ends = (0..BOUNDS.history + 1).any(|_| match store.extend(a, Some("x"), secs(10), secs(5), 0) {
@@ -258,7 +259,8 @@
     }
 }
 
-/// Guards against changes of others that are lost when a session closes while its commit is in progress.
+/// Guards against losing another session's candidate: when a session closes while its commit is in progress,
+/// finishing the commit must not clear changes that another session has made since.
 #[test]
 fn commit_of_a_session_that_has_closed_clears_no_other_candidate() {
     for is_private in [true, false] {
--- a/crates/core/store/tests/earlier_log.rs
+++ b/crates/core/store/tests/earlier_log.rs
@@ -1,5 +1,6 @@
-//! A log that an earlier version wrote (commit ad164c9) is read completely, and the same steps write the same bytes.
-//! `fixtures/state.log` and `fixtures/state.txt`, what that version read from it, are its output.
+//! Compatibility with the log of an earlier version of the program (commit ad164c9): it is read completely,
+//! and the same steps write the same bytes. That version wrote `fixtures/state.log`, and `fixtures/state.txt`
+//! is its description of what it read from that log.
 
 use lemonusher_model::{Node, Op, Schema, Tree, parse_path};
 use lemonusher_store::*;
@@ -55,7 +56,7 @@
     }
 }
 
-/// A log that begins with the tree of a version, and some commits after it.
+/// A compacted log: a base record, and the commits after it.
 fn shortened() -> Vec<u8> {
     let mut store = Store::new(Arc::new(Schema::front().unwrap()), SHORT);
     let session = store.open_session("before", Protocol::Gnmi).unwrap();
@@ -68,21 +69,21 @@
     compact(&store)
 }
 
-/// Every kind of record, every cause of a version, every protocol.
+/// A log with every kind of record, every cause of a version and every protocol.
 fn written() -> Vec<u8> {
     let mut bytes = shortened();
     let mut store = recover(Arc::new(Schema::front().unwrap()), LONG, &bytes).unwrap().store;
     let log = &mut bytes;
     let netconf = store.open_session("anna", Protocol::Netconf).unwrap();
     let gnmi = store.open_session("b\u{f6}rge", Protocol::Gnmi).unwrap();
-    // From a candidate, several changes at once; then a leaf changed and an entry deleted.
+    // Several changes in one commit of a candidate; then a changed leaf and a deleted list entry.
     let edits = [merge(&store, LEVEL, "warn"), merge(&store, DRAINING, "draining")];
     store.edit_candidate(netconf, &edits, ErrorOption::Rollback).unwrap();
     let plan = store.commit(netconf, &CommitOptions::default(), Duration::ZERO, 2000).unwrap().unwrap();
     log_commit(log, &mut store, plan);
     let edits = [merge(&store, LEVEL, "debug"), edit(&store, Op::Delete, "/front/pool[name=x1]", None)];
     set(log, &mut store, gnmi, &edits, &CommitOptions::default(), 2001);
-    // Startup: set, deleted, set again, and put in force.
+    // The startup datastore: set, deleted, set again, and loaded into running.
     log_startup(log, &mut store, netconf, Some(Datastore::Running));
     log_startup(log, &mut store, netconf, None);
     log_startup(log, &mut store, netconf, Some(Datastore::Running));
@@ -90,7 +91,7 @@
     set(log, &mut store, gnmi, &change, &CommitOptions::default(), 2002);
     let plan = store.plan_start_from_startup(2003).unwrap();
     log_commit(log, &mut store, plan);
-    // A confirmed commit that is extended and confirmed; one cancelled; one not confirmed in time.
+    // Confirmed commits: one extended and confirmed, one cancelled, one not confirmed before its deadline.
     let change = [merge(&store, LEVEL, "warn")];
     set(log, &mut store, netconf, &change, &confirmed(None), 2004);
     let plan = store.extend(netconf, None, Duration::from_secs(9), Duration::ZERO, 2005).unwrap();
@@ -105,7 +106,7 @@
     log_commit(log, &mut store, plan);
     let plan = store.roll_back(gnmi, 6, &CommitOptions::default(), Duration::ZERO, 2011).unwrap().unwrap();
     log_commit(log, &mut store, plan);
-    // One that still waits at the end.
+    // A confirmed commit that is still pending at the end of the log.
     set(log, &mut store, netconf, &change, &confirmed(Some("to be \"seen\"")), 2012);
     bytes
 }
@@ -127,7 +128,7 @@
     describe_tree(text, schema, tree);
 }
 
-/// All that a log brings back, as text.
+/// Everything that is recovered from a log, as text.
 fn describe(bytes: &[u8]) -> String {
     let back = recover(Arc::new(Schema::front().unwrap()), LONG, bytes).unwrap();
     let (store, schema) = (&back.store, back.store.schema());
--- a/crates/core/store/tests/recovery.rs
+++ b/crates/core/store/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! The log: truncated and corrupted at every byte, shortened, and what is recovered from it.
+//! Recovery from logs that are truncated or corrupted at any byte, out of order, or compacted.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use lemonusher_model::Tree;
 use lemonusher_store::*;
 
-/// A log of some commits, and what was in force after each record.
+/// A log of four commits, with the length of the log and the running tree after each record, and its store.
 fn sample_log() -> (Vec<u8>, Vec<(usize, Tree)>, Store) {
     let mut store = new_store();
     let a = store.open_session("a", Protocol::Gnmi).unwrap();
@@ -45,12 +45,12 @@
         if at < last {
             assert!(recovered.is_err(), "byte {at}");
         } else {
-            // The last record can't be told from one that was length short.
+            // A corrupt last record can't be distinguished from one that was truncated.
             let tree = recovered.unwrap().store.running().tree.clone();
             assert_eq!(tree, states[states.len() - 2].1, "byte {at}");
         }
     }
-    // Space that the file system has allocated reads as zeros.
+    // Space that the file system has allocated but that was never written reads as zeros.
     let mut padded = bytes.clone();
     padded.extend([0; 512]);
     assert_eq!(recover(store.schema().clone(), BOUNDS, &padded).unwrap().valid_length, bytes.len());
--- a/crates/core/store/tests/reference.rs
+++ b/crates/core/store/tests/reference.rs
@@ -1,4 +1,5 @@
-//! The store against a plain reference, maps of leaves, through any order of edits, commits, ended sessions and crashes.
+//! Compares the store with a reference model of plain maps of leaves, under random sequences of edits,
+//! commits, closed sessions and crashes.
 
 mod common;
 
@@ -52,7 +53,7 @@
     }
 }
 
-/// The reference's edit.
+/// The reference model's edit.
 fn reference_edit(map: &mut Leaves, target: u8, value: u8) {
     let (op, path, text) = change(target, value);
     if op == Op::Remove {
@@ -66,7 +67,8 @@
     map.insert(path, text.unwrap());
 }
 
-/// The reference's merge: by paths and prefixes of text.
+/// The reference model's three-way merge, which compares paths and path prefixes as text; `None` for a
+/// conflict.
 fn reference_merge(base: &Leaves, ours: &Leaves, theirs: &Leaves) -> Option<Leaves> {
     let all: BTreeSet<&String> = base.keys().chain(ours.keys()).chain(theirs.keys()).collect();
     let deleted_entries = |map: &Leaves| -> Vec<String> {
@@ -127,7 +129,7 @@
         let mut now = 0u64;
         for step in steps {
             let at = secs(now);
-            // Logs a plan and finishes it, or fails it.
+            // Logs and finishes a plan, or abandons it. Returns whether it was finished.
             let mut complete = |store: &mut Store, plan: CommitPlan, fails: bool| {
                 if fails {
                     store.abandon_commit(&plan);
@@ -245,7 +247,8 @@
                     }
                 }
                 Step::Crash { length } => {
-                    // A commit was being written; some bytes of it are written. Or it was whole and not yet known.
+                    // The crash happens while a commit is written to the log: only its first bytes are there,
+                    // or it is complete but not yet acknowledged.
                     let edits = [edit(&schema, Op::Merge, LEVEL, Some("trace"))];
                     let planned = match reference.pending {
                         None => store.edit_running(ids[0], &edits, &CommitOptions::default(), at, 0),
--- a/crates/core/store/tests/two_phase.rs
+++ b/crates/core/store/tests/two_phase.rs
@@ -1,8 +1,8 @@
-//! A commit's way through its parts, in every order of events.
+//! The two-phase commit state machine under every order of events.
 
 use lemonusher_store::*;
 
-/// Plays all orders of what three parts and the log may do.
+/// Explores all sequences of events from three parts and the log.
 #[test]
 fn no_order_of_events_leaves_a_commit_half_applied() {
     let names = || vec!["a".to_owned(), "b".to_owned(), "c".to_owned()];
@@ -23,7 +23,7 @@
             .count();
         assert!(ended <= 1 && logs <= 1, "{events:?}");
         assert_eq!(commit.is_finished(), ended == 1);
-        // Nothing is logged before all are ready, nothing switches before it is logged.
+        // The commit is logged only after all parts have prepared, and activated only after it is logged.
         if logs == 1 {
             assert!((0..3).all(|part| events.contains(&CommitEvent::Prepared(part))), "{events:?}");
         }
@@ -33,7 +33,7 @@
         if actions.iter().any(|action| matches!(action, CommitAction::Failed(_))) {
             failed += 1;
             assert!(switched == 0 && !events.contains(&CommitEvent::Logged), "{events:?}");
-            // All that may hold something prepared are to discard it.
+            // Every part that may hold a prepared state is told to discard it.
             for part in 0..3 {
                 let answered_already = events
                     .iter()
@@ -48,7 +48,7 @@
         if commit.is_finished() {
             continue;
         }
-        // Whatever may come next: parts answer once each stage, the log once.
+        // All events that may follow: each part answers once in each phase, the log once.
         let count = |events: &[CommitEvent], part: usize| {
             events.iter()
                 .filter(|t| {
