--- a/crates/core/store/src/log.rs
+++ b/crates/core/store/src/log.rs
@@ -114,13 +114,15 @@
 impl fmt::Display for RecordError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            RecordError::BaseNotFirst => f.write_str("a whole version stands only at the beginning"),
-            RecordError::UnknownMeta => f.write_str("its author or cause is not known"),
-            RecordError::OutOfOrder { number, last } => write!(f, "version {number} follows {last}"),
+            RecordError::BaseNotFirst => f.write_str("a base record is allowed only as the first record"),
+            RecordError::UnknownMeta => f.write_str("unknown protocol or cause"),
+            RecordError::OutOfOrder { number, last } => {
+                write!(f, "version {number} does not directly follow version {last}")
+            }
             RecordError::NoRevertVersion(number) => {
-                write!(f, "version {number}, to go back to, is not there")
+                write!(f, "version {number}, to which a pending commit reverts, is not in the history")
             }
-            RecordError::NotATree => f.write_str("is no tree"),
+            RecordError::NotATree => f.write_str("the JSON value is not a data tree"),
             RecordError::Model(fault) => write!(f, "{fault}"),
             RecordError::Changes(what) => f.write_str(what),
         }
--- a/crates/core/store/src/log/frame.rs
+++ b/crates/core/store/src/log/frame.rs
@@ -60,16 +60,16 @@
 
 impl fmt::Display for LogCorruption {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "spoilt at byte {}: {}", self.offset, self.corruption)
+        write!(f, "corrupt at byte {}: {}", self.offset, self.corruption)
     }
 }
 
 impl fmt::Display for Corruption {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Corruption::NoHeader => f.write_str("this is no log of the front's state"),
+            Corruption::NoHeader => f.write_str("the header is not that of a state log"),
             Corruption::RecordBehind { offset } => {
-                write!(f, "a whole record stands behind, at byte {offset}")
+                write!(f, "an invalid frame is followed by a complete record at byte {offset}")
             }
             Corruption::NoRecord(message) => f.write_str(message),
         }
