--- a/crates/core/model/src/compiler.rs
+++ b/crates/core/model/src/compiler.rs
@@ -1,5 +1,5 @@
-//! Compiles a module to the nodes that data is checked against. A statement that is not known is an error with its line,
-//! never passed over: what the model's text says holds, or the front does not start.
+//! Compiler from a YANG module to schema nodes. An unsupported statement is an error with its line and is
+//! never ignored, so that everything that the module states is enforced, or else the front does not start.
 
 mod references;
 mod types;
@@ -11,16 +11,16 @@
 use std::collections::BTreeMap;
 
 const MODEL: &str = include_str!("../yang/lemonusher-front.yang");
-/// Groupings and types may refer to each other no deeper than this.
+/// The deepest nesting of groupings that use groupings, and of typedefs that refer to typedefs.
 const MAX_DEPTH: usize = 16;
 
 impl Schema {
-    /// The front's own model.
+    /// The front's own model, `lemonusher-front.yang`.
     pub fn front() -> Result<Schema, ModelError> {
         Schema::compile(MODEL)
     }
 
-    /// Compiles a module's text. Fails with the line of the first statement that can't be read or is not known.
+    /// Compiles a module's text. Fails with the line of the first statement that is malformed or unsupported.
     pub fn compile(text: &str) -> Result<Schema, ModelError> {
         let module = Statement::parse(text)?;
         let mut compiler = Compiler {
@@ -49,7 +49,7 @@
     }
 }
 
-/// The schema of a module without its nodes.
+/// A schema with the header of a module and no nodes.
 fn empty_schema(module: &Statement, text: &str) -> Result<Schema, ModelError> {
     if module.keyword != "module" {
         return Err(module.wrong(format!("'{}' stands where 'module' should", module.keyword)));
@@ -88,19 +88,19 @@
     schema: Schema,
     groupings: BTreeMap<String, &'a Statement>,
     typedefs: BTreeMap<String, &'a Statement>,
-    /// Leafrefs whose targets are not resolved yet.
+    /// Leafrefs to resolve once all nodes are compiled.
     leafrefs: Vec<UnresolvedLeafref>,
 }
 
 struct UnresolvedLeafref {
     node: NodeId,
     path: String,
-    /// The line of the path.
+    /// The line of the `path` statement, from 1.
     line: usize,
 }
 
 impl<'a> Compiler<'a> {
-    /// A data node, or those of a grouping that is used.
+    /// Compiles a data definition statement to a node; `uses` to the nodes of its grouping.
     fn data_nodes(
         &mut self,
         statement: &'a Statement,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// The statements of the grouping that a `uses` names.
+    /// The statements of the grouping to which a `uses` statement refers.
     fn used_statements(
         &self,
         uses: &Statement,
@@ -176,7 +176,7 @@
         Ok(id)
     }
 
-    /// One statement within a node's statement.
+    /// Compiles one substatement of a node's statement.
     fn substatement(
         &mut self,
         statement: &Statement,
@@ -248,7 +248,7 @@
     }
 }
 
-/// The fewest and the most elements of a list or leaf-list.
+/// `min-elements` and `max-elements` of a list or leaf-list.
 fn element_bounds(statement: &Statement) -> Result<(usize, usize), ModelError> {
     let number = |keyword: &str, default: usize| match statement.substatement_arg(keyword)? {
         None | Some("unbounded") => Ok(default),
--- a/crates/core/model/src/compiler/references.rs
+++ b/crates/core/model/src/compiler/references.rs
@@ -1,4 +1,4 @@
-//! What can be checked only once all nodes are known: leafrefs, the paths of constraints, and defaults.
+//! Checks that need all nodes of the module: leafrefs, the paths in constraints, and defaults.
 
 use super::{Compiler, UnresolvedLeafref};
 use crate::node_id::NodeId;
@@ -7,7 +7,7 @@
 use crate::types::Type;
 
 impl Compiler<'_> {
-    /// Points leafrefs at their targets.
+    /// Resolves the targets of all leafrefs.
     pub(super) fn resolve_leafrefs(&mut self) -> Result<(), ModelError> {
         for leafref in std::mem::take(&mut self.leafrefs) {
             let resolved = self.resolve(&leafref).map_err(|what| ModelError {
@@ -45,7 +45,7 @@
         at.ok_or("leads nowhere")
     }
 
-    /// Checks the paths of constraints, and the defaults by their types.
+    /// Checks that the paths in constraints lead to nodes, and that defaults are valid for their types.
     pub(super) fn check_constraints(&self) -> Result<(), ModelError> {
         for (id, node) in self.schema.nodes.iter().enumerate() {
             let wrong = |what: String| ModelError { line: node.line, what };
--- a/crates/core/model/src/compiler/types.rs
+++ b/crates/core/model/src/compiler/types.rs
@@ -1,4 +1,4 @@
-//! Compiles `type` statements.
+//! Compilation of `type` statements.
 
 use super::{Compiler, MAX_DEPTH, UnresolvedLeafref};
 use crate::node_id::NodeId;
@@ -6,11 +6,11 @@
 use crate::types::{Range, Type, integer_bounds, parse_ranges, whole_value_pattern};
 use regex::Regex;
 
-/// All lengths that a string may have.
+/// The lengths of a string without a `length` restriction.
 const ALL_LENGTHS: Range = 0..=u64::MAX as i128;
 
 impl<'a> Compiler<'a> {
-    /// The type of a node, which the statement `holder` names.
+    /// The type of a node, from the `type` substatement of the node's statement or of a typedef.
     pub(super) fn type_of(
         &mut self,
         holder: &'a Statement,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A leafref whose target stands for itself until all nodes are known.
+    /// A leafref. Its own node is a placeholder for the target until all nodes are compiled.
     fn leafref(&mut self, ty: &Statement, node: NodeId) -> Result<Type, ModelError> {
         allow_only(ty, &["path"])?;
         let path = ty.substatement("path").ok_or_else(|| ty.wrong("a leafref needs a 'path'"))?;
@@ -81,7 +81,7 @@
     Ok(Type::String { lengths, patterns })
 }
 
-/// Fails at a statement within a type that is none of these.
+/// Fails if a `type` statement has a substatement with another keyword.
 fn allow_only(ty: &Statement, keywords: &[&str]) -> Result<(), ModelError> {
     let name = ty.arg()?;
     match ty.substatements.iter().find(|within| !keywords.contains(&within.keyword.as_str())) {
--- a/crates/core/model/src/diff.rs
+++ b/crates/core/model/src/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two trees, leaf by leaf. What they share in memory is not compared.
+//! Differences between two trees, leaf by leaf. Subtrees that both share in memory are skipped.
 
 use crate::edit::Op;
 use crate::node_id::NodeId;
@@ -7,25 +7,25 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// A leaf, or a member of a leaf-list, that is not the same in both.
+/// The change of one leaf, or of one member of a leaf-list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
-    /// Where the leaf stands; with its value as the key for a member of a leaf-list.
+    /// The place of the leaf. For a leaf-list member, the last segment has the member's value as its key.
     pub place: Place,
-    /// The value before; none if it was not set.
+    /// The value before; `None` if it was not set.
     pub old: Option<Text>,
-    /// The value after; none if it is not set.
+    /// The value after; `None` if it is not set.
     pub new: Option<Text>,
 }
 
-/// The changes that lead from one tree to the other, in order of their places.
+/// The changes from `old` to `new`, in the order of their places.
 pub fn diff(old: &Tree, new: &Tree) -> Vec<Change> {
     let mut found = Vec::new();
     diff_fields(old.fields(), new.fields(), &mut Place::new(), &mut found);
     found
 }
 
-/// The same changes the other way round.
+/// The inverse changes: from the new tree to the old one.
 pub fn revert(changes: &[Change]) -> Vec<Change> {
     let back = |change: &Change| Change {
         place: change.place.clone(),
@@ -36,7 +36,7 @@
 }
 
 impl Tree {
-    /// Carries changes out. Fails where a value is not the one that the change starts from, and the tree is as it was.
+    /// Applies changes. Fails if a value is not the old value of its change; the tree is then unchanged.
     pub fn apply_changes(&mut self, schema: &Schema, changes: &[Change]) -> Result<(), String> {
         let before = self.clone();
         for change in changes {
@@ -55,7 +55,8 @@
             Some(_) => return Err("is no leaf".to_owned()),
         };
         let Some(last) = change.place.last() else { return Err("a change has no place".to_owned()) };
-        // A key is added and removed with its entry, by whichever of the entry's changes is first.
+        // Setting or removing a key leaf creates or deletes its entry. An earlier change may have done that
+        // already.
         if schema.is_key(last.node) {
             let entry = &change.place[..change.place.len() - 1];
             return match (&change.new, self.get(entry)) {
@@ -68,7 +69,7 @@
             };
         }
         if current != change.old {
-            // Its entry is deleted already, with all that it held.
+            // An earlier change has deleted the leaf's entry with all its content.
             let deleted = change.new.is_none() && current.is_none();
             return if deleted { Ok(()) } else { Err("is not what the change starts from".to_owned()) };
         }
--- a/crates/core/model/src/edit.rs
+++ b/crates/core/model/src/edit.rs
@@ -1,4 +1,5 @@
-//! Edits of trees (RFC 6241, 7.2). A tree stays in one form: containers, lists and leaf-lists that hold nothing are not there.
+//! Edits of data trees (`edit-config` operations, RFC 6241, 7.2). Every edit removes the containers, lists
+//! and leaf-lists that it leaves empty.
 
 use crate::fault::{Fault, FaultKind};
 use crate::node_id::NodeId;
@@ -6,18 +7,18 @@
 use crate::tree::{Fields, Node, NodeRef, Segment, Tree};
 use std::sync::Arc;
 
-/// What an edit does at its place (RFC 6241, section 7.2).
+/// The operation of an edit (the `operation` attribute, RFC 6241, 7.2).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Op {
-    /// Sets the value and leaves what else is there.
+    /// Merges the value with the existing data.
     Merge,
-    /// Sets the value in place of what is there.
+    /// Replaces the existing data, if any, by the value.
     Replace,
-    /// Sets the value; fails if something is there.
+    /// Creates the node with the value; fails if it exists.
     Create,
-    /// Deletes what is there; fails if nothing is.
+    /// Deletes the node; fails if it does not exist.
     Delete,
-    /// Deletes what is there, if anything is.
+    /// Deletes the node if it exists.
     Remove,
 }
 
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Carries out one edit, or fails and leaves the tree as it is.
+    /// Applies one edit. If it fails, the tree is unchanged.
     pub fn apply(
         &mut self,
         schema: &Schema,
@@ -72,7 +73,8 @@
     }
 }
 
-/// Removes what stands at the place, and what is left empty above it. An entry of a list stays, as its keys do.
+/// Removes the data at a place, and the ancestors that become empty by it. A list entry above the place is
+/// kept, because it still holds its key leaves.
 fn remove(fields: &mut Fields, place: &[Segment]) {
     let Some((segment, rest)) = place.split_first() else { return fields.clear() };
     let empty = match (fields.get_mut(&segment.node), &segment.keys) {
@@ -103,7 +105,7 @@
     }
 }
 
-/// Merges a node in at a place, and adds the nodes above it that are missing.
+/// Merges a node into the data at a place, and creates missing ancestors.
 fn set(schema: &Schema, fields: &mut Fields, place: &[Segment], value: &Node) {
     let Some((segment, rest)) = place.split_first() else {
         if let Node::Container(inner) = value {
@@ -163,7 +165,7 @@
     }
 }
 
-/// Drops containers, lists and leaf-lists that hold nothing, so that equal trees are equal in form too.
+/// Removes empty containers, lists and leaf-lists, so that trees with the same leaves have the same structure.
 fn remove_empty(fields: &mut Arc<Fields>) {
     if !fields.values().any(holds_empty) {
         return;
@@ -189,7 +191,7 @@
     }
 }
 
-/// Whether it is empty or holds something empty.
+/// Whether a node or one of its descendants is empty.
 fn holds_empty(node: &Node) -> bool {
     is_empty(node)
         || match node {
--- a/crates/core/model/src/evaluate.rs
+++ b/crates/core/model/src/evaluate.rs
@@ -1,4 +1,4 @@
-//! Evaluates the constraints of `must` statements on data, by XPath's rules.
+//! Evaluation of the XPath expressions of `must` statements on a data tree.
 
 use crate::must::Must;
 use crate::node_id::NodeId;
@@ -7,16 +7,17 @@
 use crate::xpath::{Comparison, Expression, LocationPath};
 use std::fmt;
 
-/// The context node, with all nodes above it.
+/// The context node (RFC 7950, 7.5.3) and its ancestors.
 pub struct Context<'a> {
     pub schema: &'a Schema,
-    /// From the top down: the node that holds the fields, and the fields.
+    /// From the top level down: each node, `None` for the root, and its child nodes that are set. The last
+    /// one is the context node, or the parent of a context node that is a leaf.
     pub above: Vec<(Option<NodeId>, &'a Fields)>,
-    /// The context node where it is a leaf.
+    /// The value of the context node, if it is a leaf.
     pub leaf: Option<Text>,
 }
 
-/// What an expression evaluates to.
+/// The value of an expression.
 enum Value {
     NodeSet(Vec<Text>),
     Number(f64),
@@ -24,7 +25,7 @@
     Boolean(bool),
 }
 
-/// Why a path of a constraint leads nowhere.
+/// The reason for which a path in a constraint matches no schema node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PathError {
     AboveTheTop,
@@ -46,7 +47,7 @@
         self.expression.evaluate(context).is_true()
     }
 
-    /// Whether every path leads to a node of the schema from this one.
+    /// Checks that every path in the constraint, with `node` as context node, leads to a schema node.
     pub(crate) fn check_paths(&self, schema: &Schema, node: NodeId) -> Result<(), PathError> {
         self.expression.check_paths(schema, node)
     }
@@ -98,7 +99,8 @@
         Ok(())
     }
 
-    /// The values of the nodes that the path leads to; containers and list entries count as empty text.
+    /// The values of the nodes that the path selects. Containers and list entries have the empty string as
+    /// value.
     fn select(&self, context: &Context) -> Vec<Text> {
         let mut up = self.up;
         if let Some(leaf) = &context.leaf {
@@ -131,7 +133,7 @@
         Some(Node::List(entries)) => {
             entries.values().for_each(|entry| descend(schema, Some(child), entry, rest, values));
         }
-        // Nodes that are not set may have defaults.
+        // An unset leaf has its default, also below an unset container.
         None => match &schema.node(child).kind {
             NodeKind::Container if !rest.is_empty() => {
                 descend(schema, Some(child), &Fields::new(), rest, values);
@@ -161,7 +163,7 @@
     }
 }
 
-/// A node set compares if any of its members does.
+/// Compares two values. For a node set, it is sufficient that the comparison holds for one of its nodes.
 fn compare(a: &Value, comparison: Comparison, b: &Value) -> bool {
     match (a, b) {
         (Value::Boolean(_), _) | (_, Value::Boolean(_)) => match comparison {
--- a/crates/core/model/src/fault.rs
+++ b/crates/core/model/src/fault.rs
@@ -1,46 +1,47 @@
-//! What can be wrong with data.
+//! Errors in data, in paths to data and in edits. Their texts are sent to NETCONF and gNMI clients.
 
 use std::fmt;
 
-/// What kind of thing is wrong with data; each protocol maps it to its own error.
+/// The kind of error in data; each protocol maps it to its own error code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FaultKind {
-    /// The model knows no such node.
+    /// The model has no such node.
     UnknownElement,
-    /// The module or namespace is another one.
+    /// The module or namespace is not that of the model.
     UnknownNamespace,
-    /// The node is known, but not in this form.
+    /// The node exists in the model, but is used in a form that its kind does not allow.
     BadElement,
-    /// Something that must be given or set is not.
+    /// A mandatory node, a key or a value is missing.
     MissingElement,
-    /// The value is not one of the node's type.
+    /// The value is not valid for the node's type.
     InvalidValue,
-    /// What is to be created exists.
+    /// The node to create exists.
     DataExists,
-    /// What is to be deleted does not exist.
+    /// The node to delete does not exist.
     DataMissing,
-    /// A leafref points at nothing.
+    /// A leafref's value is not that of any instance of its target leaf.
     MissingInstance,
-    /// A constraint does not hold.
+    /// A `must` constraint does not hold.
     MustViolation,
-    /// Fewer elements than are needed.
+    /// Fewer list entries or leaf-list members than `min-elements`.
     TooFew,
-    /// More elements than are allowed.
+    /// More list entries or leaf-list members than `max-elements`.
     TooMany,
-    /// State can't be edited.
+    /// The node is state data, which can't be edited.
     ReadOnly,
 }
 
-/// Something wrong with data, and where.
+/// An error in data, with its kind and location.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// What kind of thing is wrong.
+    /// The kind of error.
     pub kind: FaultKind,
-    /// The path of the node, where one is known.
+    /// The path of the node, if one is known.
     pub path: Option<String>,
-    /// What is wrong, in words.
+    /// The message, without the path.
     pub what: String,
-    /// The constraint's `error-app-tag`, where the model has one.
+    /// The `error-app-tag`: the one of the constraint, or the one that RFC 7950, section 15 defines for the
+    /// error.
     pub tag: Option<String>,
 }
 
--- a/crates/core/model/src/json.rs
+++ b/crates/core/model/src/json.rs
@@ -1,4 +1,5 @@
-//! Data as JSON (RFC 7951): names carry the module at the top, 64-bit numbers are strings.
+//! JSON encoding of data (RFC 7951): top-level names have the module's name as prefix, 64-bit integers are
+//! strings.
 
 use crate::fault::{Fault, FaultKind};
 use crate::node_id::NodeId;
@@ -9,7 +10,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A node's data; with `None` for the whole tree, whose names carry the module.
+/// Encodes a node. `None` as id stands for the whole tree, whose top-level names have the module's name as
+/// prefix.
 pub fn to_json(schema: &Schema, id: Option<NodeId>, node: &Node) -> Value {
     match node {
         Node::Container(fields) => Value::Object(fields_to_json(schema, fields, id.is_none())),
@@ -21,7 +23,7 @@
     }
 }
 
-/// A leaf's value, in the form of its type.
+/// Encodes a leaf's value according to its type.
 pub fn leaf_to_json(schema: &Schema, id: Option<NodeId>, value: &str) -> Value {
     let form = id.and_then(|id| schema.node(id).leaf_type()).map_or(JsonForm::String, |ty| ty.json_form());
     let read = match form {
@@ -40,8 +42,8 @@
     fields.iter().map(|(id, node)| (name(*id), to_json(schema, Some(*id), node))).collect()
 }
 
-/// Reads data for a node: for `None` the whole tree, with `entry` one entry of a list or one member of a leaf-list. Fails
-/// where the data does not fit the model.
+/// Decodes the data of a node. `None` as id stands for the whole tree; with `entry` the data is a single list
+/// entry or leaf-list member. Fails if the data does not conform to the model.
 pub fn from_json(schema: &Schema, id: Option<NodeId>, entry: bool, value: &Value) -> Result<Node, Fault> {
     Reader { schema }.node(id, entry, value)
 }
@@ -130,7 +132,8 @@
         Ok(Arc::new(fields))
     }
 
-    /// JSON's form must be the type's; a 64-bit number may also come as a number, as many tools send it.
+    /// Decodes a leaf's value, whose JSON type must be that of the leaf's type. A 64-bit integer may also be
+    /// a JSON number, because many tools send it so.
     fn leaf(&self, id: NodeId, value: &Value) -> Result<Text, Fault> {
         let Some(ty) = self.schema.node(id).leaf_type() else {
             return Err(self.fault(Some(id), FaultKind::BadElement, "is no leaf"));
--- a/crates/core/model/src/lib.rs
+++ b/crates/core/model/src/lib.rs
@@ -1,12 +1,14 @@
-//! The front's YANG model at work: a compiler for the statements that `lemonusher-front.yang` uses, data trees that share
-//! what they have in common, paths, validation, differences and JSON (RFC 7950, RFC 7951). The model's text is the one
-//! source of names, types, ranges, keys, defaults, enumerations, leafrefs and constraints. No input or output, no clock.
+//! The front's YANG model (RFC 7950): a compiler for the subset of YANG that `lemonusher-front.yang` uses,
+//! data trees that share common subtrees, paths, edits, validation, differences and the JSON encoding (RFC
+//! 7951). The YANG module is the only source of names, types, ranges, keys, defaults, enumerations, leafrefs
+//! and constraints. The crate does no I/O and uses no clock.
 //!
-//! A tree holds what was set explicitly. Containers have no presence: one that holds nothing does not exist, so two trees
-//! are equal exactly when they hold the same leaves.
+//! A data tree holds only explicitly set values, without defaults. All containers are non-presence containers
+//! and are absent when empty, so two trees are equal exactly when they hold the same leaves.
 //!
-//! Modules import one way: `node_id`, `fault`, `statement` and `xpath` stand alone; `types`, `tree` and `must` are above
-//! them; then `schema`; above it `compiler`, `evaluate`, `edit`, `path`, `pattern`, `validate`, `diff` and `json`.
+//! Modules depend on each other in layers: `node_id`, `fault`, `statement` and `xpath` have no dependencies;
+//! `types`, `tree` and `must` use those; `schema` uses these; `compiler`, `evaluate`, `edit`, `path`,
+//! `place_text`, `pattern`, `validate`, `diff` and `json` use `schema`.
 
 #![warn(missing_docs)]
 
--- a/crates/core/model/src/must.rs
+++ b/crates/core/model/src/must.rs
@@ -3,15 +3,15 @@
 use crate::statement::{ModelError, Statement};
 use crate::xpath::Expression;
 
-/// A constraint on the nodes that it stands in.
+/// A constraint on the node whose statement contains it.
 #[derive(Debug)]
 pub struct Must {
     pub(crate) expression: Expression,
-    /// The expression as it stands in the model.
+    /// The XPath expression as written in the module.
     pub text: String,
-    /// The `error-message`.
+    /// The `error-message` statement.
     pub message: Option<String>,
-    /// The `error-app-tag`.
+    /// The `error-app-tag` statement.
     pub tag: Option<String>,
 }
 
--- a/crates/core/model/src/node_id.rs
+++ b/crates/core/model/src/node_id.rs
@@ -1,4 +1,4 @@
-//! Numbers of schema nodes.
+//! Ids of schema nodes.
 
-/// Number of a node in its schema.
+/// Index of a node in its schema.
 pub type NodeId = usize;
--- a/crates/core/model/src/path.rs
+++ b/crates/core/model/src/path.rs
@@ -1,4 +1,5 @@
-//! Paths as managers write them, `/front/pool[name=east]/admin-state`, and the places that they name.
+//! Paths in the text form that management clients use, such as `/front/pool[name=east]/admin-state`, and
+//! their resolution to places.
 
 use crate::fault::{Fault, FaultKind};
 use crate::node_id::NodeId;
@@ -8,21 +9,21 @@
 use std::iter::Peekable;
 use std::str::Chars;
 
-/// The most steps that a path may have.
+/// The most steps in a path.
 pub const MAX_PATH_STEPS: usize = 32;
-/// Characters of a step's name that an error repeats.
+/// The most characters of a step's name that an error quotes.
 pub(crate) const MAX_SHOWN_CHARACTERS: usize = 64;
 
-/// One step as written.
+/// One step of a path, not yet resolved against the schema.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Step {
-    /// The node's name, with its module or without.
+    /// The node's name, with or without its module's name or prefix.
     pub name: String,
-    /// Names and values of keys, in the order written.
+    /// Names and values of the key predicates, in the order written.
     pub keys: Vec<(String, String)>,
 }
 
-/// Reads a path's text. Within keys `\` takes the next character as it is.
+/// Parses a path. In a key's value, `\` escapes the next character.
 pub fn parse(text: &str) -> Result<Vec<Step>, Fault> {
     let fault = |what: &str| Fault::new(FaultKind::InvalidValue, text.to_owned(), what);
     let mut steps: Vec<Step> = Vec::new();
@@ -50,7 +51,7 @@
     Ok(steps)
 }
 
-/// Reads what follows `[`, with the closing `]`.
+/// Parses a key predicate after its `[`, up to and including the `]`.
 fn parse_key(rest: &mut Peekable<Chars>) -> Result<(String, String), &'static str> {
     let mut name = String::new();
     loop {
@@ -73,8 +74,8 @@
 }
 
 impl Schema {
-    /// The one place that the steps name. An entry of a list needs all its keys, but for the last step, which may mean the
-    /// whole list.
+    /// Resolves a path to a single place. Each list step needs all keys of the list; only the last step may
+    /// have none and then refers to the whole list.
     pub fn place(&self, steps: &[Step]) -> Result<Place, Fault> {
         let mut place = Place::new();
         for (number, step) in steps.iter().enumerate() {
@@ -97,7 +98,7 @@
         Ok(place)
     }
 
-    /// The path of a step below a place, for errors.
+    /// The path of a step below a place, as text for errors.
     fn path_to_step(&self, place: &[Segment], step: &Step) -> String {
         let above = if place.is_empty() { String::new() } else { self.text(place) };
         format!("{above}/{}", step.name.chars().take(MAX_SHOWN_CHARACTERS).collect::<String>())
@@ -124,7 +125,8 @@
         })
     }
 
-    /// The keys of a step, in the list's order and in canonical form; none for `*` and for those not given.
+    /// The key values of a step, in the order of the list's keys and in canonical form. A key that is `*` or
+    /// not given is `None`, and so is the result for a node without keys.
     pub(crate) fn step_keys(
         &self,
         place: &[Segment],
--- a/crates/core/model/src/pattern.rs
+++ b/crates/core/model/src/pattern.rs
@@ -1,4 +1,5 @@
-//! Patterns: paths with `*` for any name or key and `...` for any number of steps, and what they select in a tree.
+//! Path patterns as in gNMI, with `*` for any name or key and `...` for any number of steps, and selection of
+//! the matching nodes in a tree.
 
 use crate::fault::{Fault, FaultKind};
 use crate::node_id::NodeId;
@@ -6,24 +7,25 @@
 use crate::schema::{NodeKind, Schema};
 use crate::tree::{Node, NodeRef, Place, Segment, Text, Tree};
 
-/// The most patterns that wildcards in names may expand to.
+/// The most patterns to which the wildcards of one path may expand.
 const MAX_PATTERNS: usize = 1024;
 
-/// A step whose node is known and whose keys may be left open.
+/// A step with a schema node and keys that may be unspecified.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PatternStep {
-    /// The node.
+    /// The schema node.
     pub node: NodeId,
-    /// For a list: each key, or none for any.
+    /// For a list, the key values; for a leaf-list, the value of a member. An inner `None` matches any value.
+    /// `None` for other nodes and for a whole leaf-list.
     pub keys: Option<Vec<Option<Text>>>,
 }
 
-/// Steps from the top down.
+/// The steps of a pattern, from the top level down.
 pub type Pattern = Vec<PatternStep>;
 
 impl Schema {
-    /// All patterns that the steps expand to, with wildcards in names resolved. Fails where a step leads nowhere, or where
-    /// there are too many.
+    /// Expands the wildcards in the names of a path. Fails if a step matches no schema node, or if there are
+    /// too many patterns.
     pub fn patterns(&self, steps: &[Step]) -> Result<Vec<Pattern>, Fault> {
         let mut patterns: Vec<Pattern> = vec![Pattern::new()];
         for step in steps {
@@ -43,7 +45,7 @@
         Ok(patterns)
     }
 
-    /// Adds to `next` the patterns that one step more leads to.
+    /// Adds to `next` the patterns that extend `pattern` by one step.
     fn extend_pattern(&self, pattern: &Pattern, step: &Step, next: &mut Vec<Pattern>) -> Result<(), Fault> {
         let parent = pattern.last().map(|last| last.node);
         match step.name.as_str() {
@@ -66,7 +68,7 @@
         Ok(())
     }
 
-    /// Adds the pattern itself and all that lead further down.
+    /// Adds the pattern itself and the patterns of all its descendants.
     fn add_descendants(&self, pattern: &Pattern, next: &mut Vec<Pattern>) {
         next.push(pattern.clone());
         let mut unexplored = vec![pattern.clone()];
@@ -79,7 +81,7 @@
         }
     }
 
-    /// The pattern with a step to a child, whose keys are left open.
+    /// The pattern extended by a child, with all keys unspecified.
     fn with_child(&self, pattern: &Pattern, child: NodeId) -> Pattern {
         let keys = match &self.node(child).kind {
             NodeKind::List { keys, .. } => Some(vec![None; keys.len()]),
@@ -92,7 +94,7 @@
 }
 
 impl Tree {
-    /// Calls for everything in the tree that the pattern selects, with its place.
+    /// Calls `visit` for each node in the tree that matches the pattern, with its place.
     pub fn select<'a>(&'a self, pattern: &[PatternStep], visit: &mut impl FnMut(&[Segment], NodeRef<'a>)) {
         select(NodeRef::Fields(self.fields()), pattern, &mut Vec::new(), visit);
     }
@@ -114,7 +116,7 @@
     match (fields.get(&step.node), &step.keys) {
         (Some(Node::Container(inner)), _) => descend(None, NodeRef::Fields(inner)),
         (Some(Node::List(entries)), Some(keys)) => {
-            // Where all keys are known, no pass over the entries is needed.
+            // An entry whose keys are all given is looked up; otherwise all entries are scanned.
             let exact: Option<Vec<Text>> = keys.iter().cloned().collect();
             let selected: Vec<_> = match &exact {
                 Some(exact) => entries.get_key_value(exact).into_iter().collect(),
--- a/crates/core/model/src/place_text.rs
+++ b/crates/core/model/src/place_text.rs
@@ -1,4 +1,4 @@
-//! Places as text.
+//! The text form of places.
 
 use crate::schema::Schema;
 use crate::tree::Segment;
--- a/crates/core/model/src/schema.rs
+++ b/crates/core/model/src/schema.rs
@@ -1,65 +1,66 @@
-//! The compiled model: a node for each data node, with its type and constraints.
+//! The compiled YANG module: one schema node for each data node and notification, with its type and
+//! constraints.
 
 use crate::must::Must;
 use crate::node_id::NodeId;
 use crate::types::Type;
 
-/// What kind of node it is, with what holds for that kind.
+/// The kind of a schema node, with the properties of that kind.
 #[derive(Debug)]
 pub enum NodeKind {
-    /// `container`; none of the model's has presence.
+    /// `container`, always a non-presence container.
     Container,
     /// `list`.
     List {
-        /// The key leaves, in order.
+        /// The key leaves, in the order of the `key` statement.
         keys: Vec<NodeId>,
-        /// The fewest entries.
+        /// `min-elements`; 0 if not stated.
         min: usize,
-        /// The most entries.
+        /// `max-elements`; `usize::MAX` if unbounded.
         max: usize,
     },
     /// `leaf`.
     Leaf {
         /// The type of its value.
         ty: Type,
-        /// The value where none is set, as written in the model.
+        /// The `default`, as written in the module.
         default: Option<String>,
-        /// Whether it must be set.
+        /// Whether the leaf is `mandatory`.
         mandatory: bool,
     },
     /// `leaf-list`.
     LeafList {
         /// The type of its members.
         ty: Type,
-        /// The fewest members.
+        /// `min-elements`; 0 if not stated.
         min: usize,
-        /// The most members.
+        /// `max-elements`; `usize::MAX` if unbounded.
         max: usize,
     },
     /// `notification`.
     Notification,
 }
 
-/// One node of the model.
+/// One schema node.
 #[derive(Debug)]
 pub struct SchemaNode {
-    /// Its name, without the module.
+    /// The name, without a prefix.
     pub name: String,
-    /// Its kind.
+    /// The kind of node.
     pub kind: NodeKind,
-    /// Whether it may be set; else it is state.
+    /// Whether it is configuration; otherwise it is state data and read-only.
     pub config: bool,
-    /// The node that it stands in; none at the top.
+    /// The parent; `None` for a top-level node.
     pub parent: Option<NodeId>,
-    /// The nodes in it, in the model's order.
+    /// The child nodes, in the module's order.
     pub children: Vec<NodeId>,
-    /// Its constraints.
+    /// The `must` constraints.
     pub musts: Vec<Must>,
-    /// The unit of its value.
+    /// The `units` statement.
     pub units: Option<String>,
-    /// The model's description.
+    /// The `description` statement.
     pub description: Option<String>,
-    /// Where it stands in the model's text.
+    /// The line of its statement in the module's text, from 1.
     pub line: usize,
 }
 
@@ -73,34 +74,34 @@
     }
 }
 
-/// A compiled module.
+/// A compiled YANG module.
 #[derive(Debug)]
 pub struct Schema {
     /// The module's name.
     pub module: String,
-    /// Its namespace.
+    /// The namespace URI.
     pub namespace: String,
-    /// Its prefix.
+    /// The module's prefix.
     pub prefix: String,
-    /// Its latest revision, which stands first.
+    /// The date of the latest revision, which is the first `revision` statement.
     pub revision: Option<String>,
-    /// Its organization.
+    /// The `organization` statement; empty if there is none.
     pub organization: String,
-    /// The module as written, for managers who fetch it.
+    /// The module's source text, which management clients can fetch.
     pub text: String,
     pub(crate) nodes: Vec<SchemaNode>,
-    /// The data nodes at the top, without notifications.
+    /// The top-level data nodes, without notifications.
     pub(crate) tops: Vec<NodeId>,
     pub(crate) notifications: Vec<NodeId>,
 }
 
 impl Schema {
-    /// A node by its number, which must be one of this schema.
+    /// A node by its id, which must come from this schema.
     pub fn node(&self, id: NodeId) -> &SchemaNode {
         &self.nodes[id]
     }
 
-    /// The data nodes in a node, or at the top.
+    /// The children of a node; for `None` the top-level data nodes.
     pub fn children(&self, parent: Option<NodeId>) -> &[NodeId] {
         match parent {
             Some(parent) => &self.nodes[parent].children,
@@ -108,17 +109,17 @@
         }
     }
 
-    /// The data node of this name in a node, or at the top.
+    /// The child with this name; for `None` the top-level data node with this name.
     pub fn child(&self, parent: Option<NodeId>, name: &str) -> Option<NodeId> {
         self.children(parent).iter().copied().find(|id| self.nodes[*id].name == name)
     }
 
-    /// The notification of this name.
+    /// The notification with this name.
     pub fn notification(&self, name: &str) -> Option<NodeId> {
         self.notifications.iter().copied().find(|id| self.nodes[*id].name == name)
     }
 
-    /// The nodes from the top down to this one.
+    /// The nodes from the top level down to this one, inclusive.
     pub fn ancestry(&self, id: NodeId) -> Vec<NodeId> {
         let mut ancestry: Vec<NodeId> =
             std::iter::successors(Some(id), |id| self.nodes[*id].parent).collect();
@@ -126,7 +127,7 @@
         ancestry
     }
 
-    /// The key leaves of a list, in order; empty for other nodes.
+    /// The key leaves of a list, in the order of its `key` statement; empty for other nodes.
     pub fn keys(&self, id: NodeId) -> &[NodeId] {
         match &self.nodes[id].kind {
             NodeKind::List { keys, .. } => keys,
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Whether the node is a key of the list that it stands in.
+    /// Whether the node is a key leaf of its parent list.
     pub fn is_key(&self, id: NodeId) -> bool {
         self.nodes[id].parent.is_some_and(|parent| self.keys(parent).contains(&id))
     }
--- a/crates/core/model/src/statement.rs
+++ b/crates/core/model/src/statement.rs
@@ -1,4 +1,5 @@
-//! YANG's grammar of statements (RFC 7950, section 6): a keyword, an argument, and statements within.
+//! Parser for the syntax of YANG statements (RFC 7950, section 6): a keyword, an optional argument, and
+//! substatements.
 
 use std::fmt;
 use std::iter::Peekable;
@@ -7,25 +8,25 @@
 /// The deepest nesting of statements.
 const MAX_DEPTH: usize = 32;
 
-/// One statement with all that stands in it.
+/// One statement with its substatements.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Statement {
     /// The keyword.
     pub keyword: String,
-    /// The argument, with its strings joined.
+    /// The argument; strings joined by `+` are concatenated.
     pub argument: Option<String>,
     /// The line of the keyword, from 1.
     pub line: usize,
-    /// The statements in it, in order.
+    /// The substatements, in order.
     pub substatements: Vec<Statement>,
 }
 
-/// What of a model can't be read or is not known, and on which line.
+/// A syntax error or an unsupported statement in a YANG module.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ModelError {
     /// The line, from 1.
     pub line: usize,
-    /// What is wrong there, in words.
+    /// The message, without the line.
     pub what: String,
 }
 
@@ -36,7 +37,7 @@
 }
 
 impl Statement {
-    /// Reads one statement, behind which nothing else may stand.
+    /// Parses a text that consists of exactly one statement.
     pub fn parse(text: &str) -> Result<Statement, ModelError> {
         let mut reader = Reader { rest: text.chars().peekable(), line: 1 };
         let statement = reader.statement(0)?;
@@ -46,22 +47,22 @@
         }
     }
 
-    /// The argument, which must be there.
+    /// The argument; fails if there is none.
     pub fn arg(&self) -> Result<&str, ModelError> {
         self.argument.as_deref().ok_or_else(|| self.wrong(format!("'{}' needs an argument", self.keyword)))
     }
 
-    /// The first statement in it with this keyword.
+    /// The first substatement with this keyword.
     pub fn substatement(&self, keyword: &str) -> Option<&Statement> {
         self.substatements.iter().find(|sub| sub.keyword == keyword)
     }
 
-    /// The argument of the first statement in it with this keyword.
+    /// The argument of the first substatement with this keyword; `None` if there is no such substatement.
     pub fn substatement_arg(&self, keyword: &str) -> Result<Option<&str>, ModelError> {
         self.substatement(keyword).map(Statement::arg).transpose()
     }
 
-    /// An error at this statement.
+    /// An error at this statement's line.
     pub fn wrong(&self, what: impl Into<String>) -> ModelError {
         ModelError { line: self.line, what: what.into() }
     }
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Whether a closing brace follows, which is consumed.
+    /// Consumes a closing brace if one follows, and returns whether it did.
     fn closes(&mut self) -> Result<bool, ModelError> {
         self.skip()?;
         let closes = self.rest.peek() == Some(&'}');
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Skips a comment `/* */`.
+    /// Skips a block comment, `/* */`.
     fn comment(&mut self) -> Result<(), ModelError> {
         self.next();
         self.next();
@@ -204,7 +205,7 @@
         Token::Unquoted(text)
     }
 
-    /// A string in single quotes.
+    /// Reads a single-quoted string after its opening quote.
     fn single(&mut self) -> Result<Token, ModelError> {
         let from = self.line;
         let mut text = String::new();
@@ -217,7 +218,8 @@
         }
     }
 
-    /// A string in double quotes. White space around a line break counts as the break alone.
+    /// Reads a double-quoted string after its opening quote. Spaces and tabs before and after a line break
+    /// are dropped.
     fn double(&mut self) -> Result<Token, ModelError> {
         let from = self.line;
         let mut text = String::new();
--- a/crates/core/model/src/tree.rs
+++ b/crates/core/model/src/tree.rs
@@ -1,68 +1,69 @@
-//! Data trees. Two trees may share what they have in common, so a copy costs little and a change copies only the nodes
-//! above it.
+//! Data trees with structural sharing: a copy shares all nodes, and a change copies only the changed
+//! node's ancestors.
 
 use crate::node_id::NodeId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A leaf's value in canonical form.
+/// A leaf's value in canonical form (RFC 7950, 9.1).
 pub type Text = Arc<str>;
-/// The child nodes of a container or a list's entry that are set.
+/// The child nodes that are set in a container or list entry.
 pub type Fields = BTreeMap<NodeId, Node>;
-/// The entries of a list by their keys, in the list's order of keys.
+/// The entries of a list by their key values, which are in the order of the `key` statement.
 pub type Entries = BTreeMap<Vec<Text>, Arc<Fields>>;
 
-/// A node with all below it.
+/// A data node with its descendants.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Node {
-    /// A container, or an entry of a list.
+    /// A container, or one list entry.
     Container(Arc<Fields>),
-    /// Entries by their keys; each holds its key leaves too.
+    /// A list. Each entry holds its key leaves too.
     List(Arc<Entries>),
     /// A leaf's value.
     Leaf(Text),
-    /// All members of a leaf-list.
+    /// A leaf-list with all its values.
     LeafList(Arc<BTreeSet<Text>>),
 }
 
-/// One step to a place.
+/// One step of a [`Place`].
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Segment {
-    /// The node.
+    /// The schema node.
     pub node: NodeId,
-    /// The keys of an entry of a list, or the value of a member of a leaf-list; none for the node itself.
+    /// The key values of a list entry, or the value of a leaf-list member; `None` for the whole node.
     pub keys: Option<Vec<Text>>,
 }
 
-/// Where a node stands in a tree, from the top.
+/// The path of a data node instance, from the top level (an instance-identifier, RFC 7950, 9.13).
 pub type Place = Vec<Segment>;
 
-/// A reference to what stands at a place.
+/// A reference to the data at a place.
 #[derive(Debug, Clone, Copy)]
 pub enum NodeRef<'a> {
-    /// A container, or an entry of a list.
+    /// A container, or one list entry.
     Fields(&'a Arc<Fields>),
     /// A whole list.
     List(&'a Arc<Entries>),
     /// A whole leaf-list.
     LeafList(&'a Arc<BTreeSet<Text>>),
-    /// A leaf's value, or the member of a leaf-list.
+    /// A leaf's value, or one member of a leaf-list.
     Leaf(&'a Text),
 }
 
-/// A data tree. It holds no empty container, list or leaf-list, so equal trees are equal in form.
+/// A data tree. It holds no empty container, list or leaf-list, so trees with the same leaves have the same
+/// structure.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Tree {
     fields: Arc<Fields>,
 }
 
 impl Tree {
-    /// A tree of these top nodes.
+    /// A tree with these top-level nodes.
     pub fn of(fields: Fields) -> Tree {
         Tree { fields: Arc::new(fields) }
     }
 
-    /// The top nodes.
+    /// The top-level nodes.
     pub fn fields(&self) -> &Arc<Fields> {
         &self.fields
     }
@@ -71,12 +72,12 @@
         &mut self.fields
     }
 
-    /// Whether both are one and the same in memory; found without comparing what they hold.
+    /// Whether both trees share one root in memory, which a pointer comparison finds out. Equal trees need not.
     pub fn is_same(&self, other: &Tree) -> bool {
         Arc::ptr_eq(&self.fields, &other.fields)
     }
 
-    /// What stands at a place.
+    /// The data at a place; `None` if nothing is set there.
     pub fn get(&self, place: &[Segment]) -> Option<NodeRef<'_>> {
         let mut at = NodeRef::Fields(&self.fields);
         for segment in place {
@@ -94,12 +95,12 @@
         Some(at)
     }
 
-    /// Calls for every leaf and every member of a leaf-list, in order of their places.
+    /// Calls `visit` for every leaf and every leaf-list member, in the order of their places.
     pub fn for_each_leaf(&self, mut visit: impl FnMut(&[Segment], &Text)) {
         visit_fields(&self.fields, &mut Vec::new(), &mut visit);
     }
 
-    /// How many leaves and members of leaf-lists it holds.
+    /// The number of leaves and leaf-list members.
     pub fn count(&self) -> usize {
         let mut count = 0;
         self.for_each_leaf(|_, _| count += 1);
@@ -113,7 +114,7 @@
     }
 }
 
-/// Calls for every leaf at or below a node, which stands below `place`.
+/// Calls `visit` for every leaf at or below a node whose parent is at `place`.
 pub(crate) fn visit_node(
     id: NodeId,
     node: &Node,
@@ -146,7 +147,7 @@
     }
 }
 
-/// What a reference refers to, as a node of its own; an entry of a list becomes a container.
+/// The referenced data as an owned node; a list entry becomes a container.
 pub fn node_of(found: NodeRef) -> Node {
     match found {
         NodeRef::Fields(fields) => Node::Container(fields.clone()),
--- a/crates/core/model/src/types.rs
+++ b/crates/core/model/src/types.rs
@@ -1,14 +1,15 @@
-//! The built-in types that the model uses. Values are held as text in their one canonical form (RFC 7950, 9.1).
+//! The built-in YANG types that the model uses. Values are stored as text in their canonical form (RFC 7950,
+//! 9.1).
 
 use crate::node_id::NodeId;
 use regex::Regex;
 use std::fmt;
 use std::ops::RangeInclusive;
 
-/// Characters of a refused value that an error repeats.
+/// The most characters of an invalid value that an error quotes.
 const MAX_SHOWN_CHARACTERS: usize = 64;
 
-/// Allowed integers or lengths; wide enough for every built-in integer type.
+/// An inclusive range of integers or lengths. `i128` is wide enough for every built-in integer type.
 pub type Range = RangeInclusive<i128>;
 
 /// The type of a leaf or leaf-list.
@@ -16,67 +17,67 @@
 pub enum Type {
     /// `string`.
     String {
-        /// Allowed lengths in characters; empty for any.
+        /// Allowed lengths in characters; empty if every length is allowed.
         lengths: Vec<Range>,
-        /// All of them must match the whole value.
+        /// Patterns, each of which must match the whole value.
         patterns: Vec<Regex>,
     },
     /// A built-in integer type.
     Integer {
-        /// The type's name: 64-bit ones are strings in JSON.
+        /// The type's name, such as `uint16`. JSON encodes the 64-bit types as strings.
         name: String,
-        /// Allowed values, in order.
+        /// Allowed values, in ascending order.
         ranges: Vec<Range>,
     },
     /// `boolean`.
     Boolean,
-    /// `enumeration`, with the names.
+    /// `enumeration`, with the names of its enums.
     Enumeration(Vec<String>),
-    /// `leafref`: holds a value of the leaf that it points at, which must exist.
+    /// `leafref`: the value must be that of an existing instance of the target leaf.
     Leafref {
-        /// The leaf that it points at.
+        /// The target leaf.
         target: NodeId,
-        /// That leaf's type.
+        /// The target leaf's type.
         inner: Box<Type>,
     },
 }
 
-/// Why a text is no value of a type.
+/// The reason for which a text is not a valid value of a type.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ValueError {
-    /// A string of a length that is not allowed.
+    /// A string's length is not allowed.
     Length {
-        /// Its length in characters.
+        /// The string's length in characters.
         length: i128,
         /// The allowed lengths.
         allowed: Vec<Range>,
     },
-    /// A string that does not match this pattern.
+    /// A string does not match this pattern.
     Pattern(String),
-    /// No integer.
+    /// The text is not an integer.
     NotAnInteger {
-        /// The start of the text.
+        /// The text, truncated.
         value: String,
         /// The type's name.
         type_name: String,
     },
-    /// An integer that is not allowed.
+    /// An integer is outside the allowed ranges.
     OutOfRange {
         /// The integer.
         value: i128,
-        /// The allowed ones.
+        /// The allowed ranges.
         allowed: Vec<Range>,
     },
-    /// Neither `true` nor `false`; the start of the text.
+    /// The text is neither `true` nor `false`; the text, truncated.
     NotABoolean(String),
-    /// None of the names of an enumeration.
+    /// The text is not a name of the enumeration.
     NotInEnumeration {
-        /// The start of the text.
+        /// The text, truncated.
         value: String,
-        /// The names.
+        /// The names of the enumeration.
         names: Vec<String>,
     },
-    /// The node is no leaf and holds no value.
+    /// The node is neither a leaf nor a leaf-list and has no value.
     NotALeaf,
 }
 
@@ -100,12 +101,12 @@
     }
 }
 
-/// Why a `range` or `length` can't be read.
+/// The reason for which a `range` or `length` can't be parsed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RangeError {
-    /// A bound that is no number, `min` or `max`.
+    /// A boundary is not a number, `min` or `max`.
     NoBound(String),
-    /// A part that lies outside the type, or not behind the part before it.
+    /// A part exceeds the type's range, or is not in ascending order.
     Outside(String),
 }
 
@@ -118,7 +119,7 @@
     }
 }
 
-/// All values of a built-in integer type; none if there is no such type.
+/// The range of a built-in integer type; `None` if there is no such type.
 pub fn integer_bounds(name: &str) -> Option<Range> {
     let (signed, bits) = match name.strip_prefix('u') {
         Some(rest) => (false, rest.strip_prefix("int")?),
@@ -129,7 +130,7 @@
 }
 
 impl Type {
-    /// The canonical form of a value.
+    /// Checks a value and returns its canonical form.
     pub fn canonical(&self, raw: &str) -> Result<String, ValueError> {
         match self {
             Type::String { lengths, patterns } => canonical_string(raw, lengths, patterns),
@@ -148,7 +149,7 @@
         }
     }
 
-    /// How JSON has it (RFC 7951, section 6).
+    /// The JSON encoding of the type's values (RFC 7951, section 6).
     pub(crate) fn json_form(&self) -> JsonForm {
         match self {
             Type::Integer { name, .. } if !name.ends_with("64") => JsonForm::Number,
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Whether its values are whole numbers.
+    /// Whether the type is an integer type, or a leafref to a leaf of one.
     pub fn is_integer(&self) -> bool {
         match self {
             Type::Integer { .. } => true,
@@ -168,7 +169,7 @@
     }
 }
 
-/// The form of a value in JSON.
+/// The JSON type that encodes a value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JsonForm {
     /// A number.
@@ -217,17 +218,18 @@
     raw.chars().take(MAX_SHOWN_CHARACTERS).collect()
 }
 
-/// The regular expression of a YANG pattern, which means the whole value.
+/// The regular expression for a YANG pattern, which has to match the whole value.
 pub fn whole_value_pattern(pattern: &str) -> String {
     format!("^(?:{pattern})$")
 }
 
-/// The YANG pattern of a regular expression.
+/// The YANG pattern from which [`whole_value_pattern`] made a regular expression.
 fn pattern_of(pattern: &Regex) -> String {
     pattern.as_str().trim_start_matches("^(?:").trim_end_matches(")$").to_owned()
 }
 
-/// Reads `1..10 | 20 | 30..max` within the bounds of the type.
+/// Parses the argument of `range` or `length`, such as `1..10 | 20 | 30..max`; `min` and `max` are the type's
+/// `bounds`.
 pub fn parse_ranges(text: &str, bounds: Range) -> Result<Vec<Range>, RangeError> {
     let bound = |text: &str| match text.trim() {
         "min" => Ok(*bounds.start()),
--- a/crates/core/model/src/validate.rs
+++ b/crates/core/model/src/validate.rs
@@ -1,5 +1,5 @@
-//! Whether a whole tree of config holds by the model: mandatory nodes, numbers of elements, leafrefs and constraints. Types
-//! are checked when values are read.
+//! Validation of a complete configuration tree against the model: mandatory nodes, numbers of elements,
+//! leafrefs and `must` constraints. Types are checked earlier, when values are parsed.
 
 use crate::evaluate::Context;
 use crate::fault::{Fault, FaultKind};
@@ -9,11 +9,11 @@
 use crate::types::Type;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Faults reported at once.
+/// The most faults that one validation reports.
 const MAX_FAULTS: usize = 16;
 
 impl Schema {
-    /// Checks a tree of config. Fails with all its faults, up to a bound.
+    /// Validates a configuration tree. Fails with its faults, at most [`MAX_FAULTS`] of them.
     pub fn validate(&self, tree: &Tree) -> Result<(), Vec<Fault>> {
         let mut pass = Pass {
             schema: self,
@@ -28,18 +28,19 @@
     }
 }
 
-/// One pass over a tree.
+/// The state of one validation.
 struct Pass<'a> {
     schema: &'a Schema,
     tree: &'a Tree,
-    /// The node that is being checked.
+    /// The place of the node that is being checked.
     place: Place,
-    /// Values that leafrefs may have, by the leaf that they point at.
+    /// The values of the leaves that leafrefs refer to, collected at first use.
     leafref_values: BTreeMap<NodeId, BTreeSet<Text>>,
     faults: Vec<Fault>,
 }
 
-/// The nodes above the one that is being checked, from the top down, with what they hold.
+/// The ancestors of the node that is being checked, from the top level down, with their child nodes that are
+/// set. `None` stands for the root.
 type Above<'a> = Vec<(Option<NodeId>, &'a Fields)>;
 
 impl<'a> Pass<'a> {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Checks all config nodes in a node, set or not.
+    /// Checks all configuration nodes below a node, including those that are not set.
     fn fields(&mut self, holder: Option<NodeId>, fields: &'a Fields, above: &mut Above<'a>) {
         let schema = self.schema;
         for id in schema.children(holder).iter().copied().filter(|id| schema.node(*id).config) {
@@ -101,7 +102,8 @@
         }
     }
 
-    /// A container without presence that holds nothing must still hold what is mandatory in it.
+    /// Checks an unset container. As it has no presence, its mandatory nodes and `min-elements` apply
+    /// nevertheless (RFC 7950, 7.6.5 and 7.7.5).
     fn unset_container(&mut self, holder: NodeId) {
         let schema = self.schema;
         for id in schema.children(Some(holder)).iter().copied().filter(|id| schema.node(*id).config) {
@@ -162,7 +164,7 @@
     }
 }
 
-/// All values of the leaf to which the nodes lead from the top.
+/// Collects the values of all instances of a leaf, given by its schema nodes from the top level down.
 fn collect_values(ancestry: &[NodeId], fields: &Fields, values: &mut BTreeSet<Text>) {
     let Some((id, rest)) = ancestry.split_first() else { return };
     match fields.get(id) {
--- a/crates/core/model/src/xpath.rs
+++ b/crates/core/model/src/xpath.rs
@@ -1,12 +1,13 @@
-//! The part of XPath that the model's `must` statements use: relative paths of names, `.` and `..`, numbers, strings,
-//! comparisons, `and`, `or`, `not()` and `count()`. Anything else is an error when the model is compiled.
+//! Parser for the subset of XPath that the model's `must` statements use: relative paths of names, `.` and
+//! `..`, numbers, strings, comparisons, `and`, `or`, `not()` and `count()`. Anything else is an error when
+//! the model is compiled.
 
 use std::fmt;
 
 /// The deepest nesting of parentheses and functions.
 const MAX_DEPTH: usize = 16;
 
-/// An expression of XPath.
+/// A parsed XPath expression.
 #[derive(Debug)]
 pub enum Expression {
     Or(Box<Expression>, Box<Expression>),
@@ -19,7 +20,7 @@
     Literal(String),
 }
 
-/// An operator of comparison.
+/// A comparison operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Comparison {
     Equal,
@@ -33,13 +34,13 @@
 /// A path relative to the context node.
 #[derive(Debug)]
 pub struct LocationPath {
-    /// Levels up from the context node.
+    /// The number of `..` steps up from the context node.
     pub up: usize,
-    /// Names of children down from there.
+    /// The names of the child steps after them, without prefixes.
     pub down: Vec<String>,
 }
 
-/// Why an expression can't be read.
+/// The reason for which an expression can't be parsed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum XPathError {
     UnterminatedString,
@@ -68,7 +69,7 @@
 }
 
 impl Expression {
-    /// Reads a whole expression.
+    /// Parses a complete expression.
     pub fn parse(text: &str) -> Result<Expression, XPathError> {
         let mut parser = Parser { tokens: tokens(text)?, position: 0 };
         let expression = parser.or(0)?;
@@ -79,7 +80,7 @@
     }
 }
 
-/// The tokens of an expression; a string literal begins with `'`.
+/// The tokens of an expression. A string literal's token is `'` and the string, without a closing quote.
 fn tokens(text: &str) -> Result<Vec<String>, XPathError> {
     let mut found: Vec<String> = Vec::new();
     let mut rest = text.chars().peekable();
@@ -120,7 +121,7 @@
     }
 }
 
-/// A recursive descent through the tokens: `or` binds weakest, then `and`, then a comparison.
+/// A recursive-descent parser. `or` has the lowest precedence, then `and`, then comparisons.
 struct Parser {
     tokens: Vec<String>,
     position: usize,
@@ -207,7 +208,7 @@
         }
     }
 
-    /// What follows an opening parenthesis, and the closing one.
+    /// Parses an expression after its opening parenthesis, and the closing one.
     fn parenthesized(&mut self, depth: usize) -> Result<Expression, XPathError> {
         let inner = self.or(depth + 1)?;
         self.expect(")")?;
--- a/crates/core/model/tests/trees.rs
+++ b/crates/core/model/tests/trees.rs
@@ -1,4 +1,5 @@
-//! Trees against a plain map of leaves, through any order of edits; paths, JSON and validation.
+//! Compares data trees with a reference model, a plain map of leaves, under random edits; also paths, JSON
+//! and validation.
 
 use lemonusher_model::*;
 use proptest::prelude::*;
@@ -19,7 +20,7 @@
     tree.apply(schema, Op::Merge, &place, Some(&Node::Leaf(value.into()))).unwrap();
 }
 
-/// All leaves by their paths.
+/// All leaves of a tree by their paths as text.
 fn leaves(schema: &Schema, tree: &Tree) -> BTreeMap<String, String> {
     let mut found = BTreeMap::new();
     tree.for_each_leaf(|place, value| drop(found.insert(schema.text(place), value.to_string())));
@@ -39,7 +40,7 @@
     (op, 0..5u8, 0..3u8, 0..3u8).prop_map(|(op, target, pool, value)| Edit { op, target, pool, value })
 }
 
-/// What an edit does to a plain map of leaves: whether it is refused, and the map.
+/// Applies an edit to the reference model. Returns whether the edit is accepted; a refused one changes nothing.
 fn reference(map: &mut BTreeMap<String, String>, edit: &Edit) -> bool {
     let pool = format!("/front/pool[name=p{}]", edit.pool);
     let state = ["enabled", "draining", "disabled"][edit.value as usize].to_owned();
@@ -104,7 +105,8 @@
             prop_assert_eq!(done, reference(&mut map, edit), "{:?}", edit);
             prop_assert_eq!(&leaves(&schema, &tree), &map, "{:?}", edit);
             prop_assert!(done || tree == before);
-            // The changes lead there and back.
+            // The differences applied to the old tree give the new one, and the inverse ones give the old
+            // tree again.
             let changes = diff(&before, &tree);
             let mut there = before.clone();
             there.apply_changes(&schema, &changes).unwrap();
@@ -113,11 +115,11 @@
             prop_assert_eq!(&there, &before);
             prop_assert!(diff(&tree, &tree.clone()).is_empty());
         }
-        // JSON there and back.
+        // Encoding as JSON and decoding give the same tree.
         let whole = Node::Container(tree.fields().clone());
         let json = to_json(&schema, None, &whole);
         prop_assert_eq!(from_json(&schema, None, false, &json).unwrap(), whole);
-        // Every leaf's path leads to it.
+        // Each leaf is found at its path.
         for (path, value) in &map {
             let place = place(&schema, path);
             prop_assert!(matches!(tree.get(&place), Some(NodeRef::Leaf(held)) if &**held == value.as_str()));
@@ -165,7 +167,7 @@
             "come-back-order",
         ),
         (
-            // The default is heeded where nothing is set.
+            // Constraints use the default of a leaf that is not set.
             &[("/front/service-group[name=report]/longest-come-back", "100")],
             FaultKind::MustViolation,
             "/front/service-group[name=report]/longest-come-back",
--- a/crates/core/model/tests/unit/compiler.rs
+++ b/crates/core/model/tests/unit/compiler.rs
@@ -1,4 +1,4 @@
-//! The compiler: the front's own model, and modules that it refuses.
+//! The compiler: the front's own model compiles, and invalid modules are rejected.
 
 use super::*;
 
--- a/crates/core/model/tests/unit/statement.rs
+++ b/crates/core/model/tests/unit/statement.rs
@@ -1,4 +1,4 @@
-//! The grammar of statements.
+//! The parser of YANG statements.
 
 use super::*;
 
