--- a/crates/core/model/src/compiler.rs
+++ b/crates/core/model/src/compiler.rs
@@ -52,14 +52,14 @@
 /// A schema with the header of a module and no nodes.
 fn empty_schema(module: &Statement, text: &str) -> Result<Schema, ModelError> {
     if module.keyword != "module" {
-        return Err(module.wrong(format!("'{}' stands where 'module' should", module.keyword)));
+        return Err(module.wrong(format!("expected 'module', found '{}'", module.keyword)));
     }
     let required = |keyword: &str| {
         let argument = module.substatement_arg(keyword)?;
         argument.map(str::to_owned).ok_or_else(|| module.wrong(format!("the module has no '{keyword}'")))
     };
     if required("yang-version")? != "1.1" {
-        return Err(module.wrong("only yang-version 1.1 is known"));
+        return Err(module.wrong("only yang-version 1.1 is supported"));
     }
     Ok(Schema {
         module: module.arg()?.to_owned(),
@@ -78,7 +78,7 @@
     let mut found = BTreeMap::new();
     for statement in module.substatements.iter().filter(|statement| statement.keyword == keyword) {
         if found.insert(statement.arg()?.to_owned(), statement).is_some() {
-            return Err(statement.wrong(format!("{keyword} '{}' stands twice", statement.arg()?)));
+            return Err(statement.wrong(format!("{keyword} '{}' is defined twice", statement.arg()?)));
         }
     }
     Ok(found)
@@ -109,7 +109,7 @@
         depth: usize,
     ) -> Result<Vec<NodeId>, ModelError> {
         if depth > MAX_DEPTH {
-            return Err(statement.wrong("groupings use each other too deeply"));
+            return Err(statement.wrong("groupings are nested too deeply"));
         }
         match statement.keyword.as_str() {
             "container" | "list" | "leaf" | "leaf-list" => {
@@ -122,7 +122,7 @@
                 }
                 Ok(nodes)
             }
-            other => Err(statement.wrong(format!("statement '{other}' is not known here"))),
+            other => Err(statement.wrong(format!("statement '{other}' is not supported here"))),
         }
     }
 
@@ -133,7 +133,7 @@
     ) -> Result<impl Iterator<Item = &'a Statement> + use<'a>, ModelError> {
         let name = uses.arg()?;
         if let Some(within) = uses.substatements.first() {
-            return Err(within.wrong(format!("'{}' is not known in 'uses'", within.keyword)));
+            return Err(within.wrong(format!("'{}' is not supported in 'uses'", within.keyword)));
         }
         let grouping = self.groupings.get(name).copied();
         let grouping = grouping.ok_or_else(|| uses.wrong(format!("there is no grouping '{name}'")))?;
@@ -152,10 +152,14 @@
             None => config,
             Some("false") => false,
             Some("true") if config => true,
-            Some(_) => return Err(statement.wrong("'config' is true or false, and false below false")),
+            Some(_) => {
+                return Err(
+                    statement.wrong("'config' must be true or false, and can't be true below 'config false'")
+                );
+            }
         };
         if self.schema.children(parent).iter().any(|id| self.schema.nodes[*id].name == name) {
-            return Err(statement.wrong(format!("'{name}' stands twice")));
+            return Err(statement.wrong(format!("'{name}' is defined twice")));
         }
         let id = self.schema.nodes.len();
         self.schema.nodes.push(SchemaNode {
@@ -202,7 +206,7 @@
                 self.schema.nodes[id].children.extend(nodes);
             }
             other => {
-                return Err(within.wrong(format!("statement '{other}' is not known in '{keyword}'")));
+                return Err(within.wrong(format!("statement '{other}' is not supported in '{keyword}'")));
             }
         }
         Ok(())
@@ -218,7 +222,7 @@
                 let default = statement.substatement_arg("default")?.map(str::to_owned);
                 let mandatory = statement.substatement_arg("mandatory")? == Some("true");
                 if mandatory && default.is_some() {
-                    return Err(statement.wrong("a mandatory leaf has no default"));
+                    return Err(statement.wrong("a mandatory leaf can't have a default"));
                 }
                 Ok(NodeKind::Leaf { ty, default, mandatory })
             }
@@ -238,7 +242,7 @@
             let leaf = self.schema.child(Some(id), name);
             let leaf = leaf
                 .filter(|leaf| matches!(self.schema.nodes[*leaf].kind, NodeKind::Leaf { .. }))
-                .ok_or_else(|| statement.wrong(format!("key '{name}' is no leaf of the list")))?;
+                .ok_or_else(|| statement.wrong(format!("key '{name}' is not a leaf of the list")))?;
             keys.push(leaf);
         }
         if keys.is_empty() {
--- a/crates/core/model/src/compiler/references.rs
+++ b/crates/core/model/src/compiler/references.rs
@@ -27,10 +27,10 @@
         let node = &self.schema.nodes[target];
         let inner = match &node.kind {
             NodeKind::Leaf { ty, .. } if !matches!(ty, Type::Leafref { .. }) => Box::new(ty.clone()),
-            _ => return Err("leads to no plain leaf"),
+            _ => return Err("leads to a node that is not a leaf, or to another leafref"),
         };
         if self.schema.nodes[leafref.node].config && !node.config {
-            return Err("leads from config to state");
+            return Err("leads from configuration to state data");
         }
         Ok(Type::Leafref { target, inner })
     }
--- a/crates/core/model/src/compiler/types.rs
+++ b/crates/core/model/src/compiler/types.rs
@@ -17,7 +17,7 @@
         node: NodeId,
         depth: usize,
     ) -> Result<Type, ModelError> {
-        let ty = holder.substatement("type").ok_or_else(|| holder.wrong("it has no 'type'"))?;
+        let ty = holder.substatement("type").ok_or_else(|| holder.wrong("'type' is missing"))?;
         let name = ty.arg()?;
         if let Some(bounds) = integer_bounds(name) {
             return integer(ty, name, bounds);
@@ -34,10 +34,10 @@
             "leafref" => self.leafref(ty, node),
             other => {
                 let Some(typedef) = self.typedefs.get(other).copied() else {
-                    return Err(ty.wrong(format!("type '{other}' is not known")));
+                    return Err(ty.wrong(format!("type '{other}' is unknown or not supported")));
                 };
                 if depth > MAX_DEPTH {
-                    return Err(ty.wrong("types refer to each other too deeply"));
+                    return Err(ty.wrong("typedefs are nested too deeply"));
                 }
                 allow_only(ty, &[])?;
                 self.type_of(typedef, node, depth + 1)
@@ -74,7 +74,10 @@
     let mut patterns = Vec::new();
     for pattern in ty.substatements.iter().filter(|within| within.keyword == "pattern") {
         let regex = Regex::new(&whole_value_pattern(pattern.arg()?)).map_err(|error| {
-            pattern.wrong(format!("pattern can't be used: {}", error.to_string().replace('\n', " ")))
+            pattern.wrong(format!(
+                "pattern is not a valid regular expression: {}",
+                error.to_string().replace('\n', " ")
+            ))
         })?;
         patterns.push(regex);
     }
@@ -85,7 +88,7 @@
 fn allow_only(ty: &Statement, keywords: &[&str]) -> Result<(), ModelError> {
     let name = ty.arg()?;
     match ty.substatements.iter().find(|within| !keywords.contains(&within.keyword.as_str())) {
-        Some(within) => Err(within.wrong(format!("'{}' is not known in type '{name}'", within.keyword))),
+        Some(within) => Err(within.wrong(format!("'{}' is not supported in type '{name}'", within.keyword))),
         None => Ok(()),
     }
 }
--- a/crates/core/model/src/evaluate.rs
+++ b/crates/core/model/src/evaluate.rs
@@ -35,8 +35,8 @@
 impl fmt::Display for PathError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            PathError::AboveTheTop => f.write_str("a path leads above the top"),
-            PathError::NoChild(name) => write!(f, "there is no '{name}'"),
+            PathError::AboveTheTop => f.write_str("a path leads above the root"),
+            PathError::NoChild(name) => write!(f, "there is no node '{name}'"),
         }
     }
 }
--- a/crates/core/model/src/statement.rs
+++ b/crates/core/model/src/statement.rs
@@ -43,7 +43,7 @@
         let statement = reader.statement(0)?;
         match reader.token()? {
             None => Ok(statement),
-            Some(_) => Err(reader.wrong("something stands after the module")),
+            Some(_) => Err(reader.wrong("unexpected text after the module")),
         }
     }
 
@@ -100,7 +100,7 @@
         }
         let keyword = match self.token()? {
             Some(Token::Unquoted(keyword)) => keyword,
-            _ => return Err(self.wrong("a keyword should stand here")),
+            _ => return Err(self.wrong("a keyword is expected here")),
         };
         let line = self.line;
         let mut statement = Statement { keyword, argument: None, line, substatements: Vec::new() };
@@ -110,7 +110,7 @@
             token = self.token()?;
             while let Some(Token::Plus) = token {
                 let Some(Token::Quoted(more)) = self.token()? else {
-                    return Err(self.wrong("a quoted string should follow '+'"));
+                    return Err(self.wrong("'+' must be followed by a quoted string"));
                 };
                 argument.push_str(&more);
                 token = self.token()?;
@@ -125,7 +125,7 @@
                 }
                 Ok(statement)
             }
-            _ => Err(self.wrong("';' or '{' should stand here")),
+            _ => Err(self.wrong("';' or '{' is expected here")),
         }
     }
 
@@ -165,7 +165,7 @@
         let mut last = ' ';
         loop {
             match self.next() {
-                None => return Err(self.wrong("a comment does not end")),
+                None => return Err(self.wrong("unterminated comment")),
                 Some('/') if last == '*' => return Ok(()),
                 Some(c) => last = c,
             }
@@ -211,7 +211,7 @@
         let mut text = String::new();
         loop {
             match self.next() {
-                None => return Err(ModelError { line: from, what: "a string does not end".to_owned() }),
+                None => return Err(ModelError { line: from, what: "unterminated string".to_owned() }),
                 Some('\'') => return Ok(Token::Quoted(text)),
                 Some(c) => text.push(c),
             }
@@ -225,13 +225,13 @@
         let mut text = String::new();
         loop {
             match self.next() {
-                None => return Err(ModelError { line: from, what: "a string does not end".to_owned() }),
+                None => return Err(ModelError { line: from, what: "unterminated string".to_owned() }),
                 Some('"') => return Ok(Token::Quoted(text)),
                 Some('\\') => match self.next() {
                     Some('n') => text.push('\n'),
                     Some('t') => text.push('\t'),
                     Some(c @ ('"' | '\\')) => text.push(c),
-                    _ => return Err(self.wrong("after '\\' only n, t, '\"' and '\\' may stand")),
+                    _ => return Err(self.wrong("'\\' may be followed only by n, t, '\"' or '\\'")),
                 },
                 Some('\n') => {
                     text.truncate(text.trim_end_matches([' ', '\t']).len());
--- a/crates/core/model/src/types.rs
+++ b/crates/core/model/src/types.rs
@@ -113,8 +113,10 @@
 impl fmt::Display for RangeError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            RangeError::NoBound(text) => write!(f, "'{text}' is no bound of a range"),
-            RangeError::Outside(part) => write!(f, "'{part}' lies outside the type, or out of order"),
+            RangeError::NoBound(text) => write!(f, "'{text}' is not a range boundary"),
+            RangeError::Outside(part) => {
+                write!(f, "'{part}' is outside the type's range or not in ascending order")
+            }
         }
     }
 }
--- a/crates/core/model/src/xpath.rs
+++ b/crates/core/model/src/xpath.rs
@@ -56,14 +56,14 @@
 impl fmt::Display for XPathError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            XPathError::UnterminatedString => f.write_str("a string does not end"),
+            XPathError::UnterminatedString => f.write_str("unterminated string"),
             XPathError::MissingToken(token) => write!(f, "'{token}' is missing"),
-            XPathError::UnknownToken(token) => write!(f, "'{token}' is not known here"),
-            XPathError::NestedTooDeeply => f.write_str("it is nested too deeply"),
-            XPathError::UnexpectedEnd => f.write_str("it ends too early"),
-            XPathError::NotANumber(token) => write!(f, "'{token}' is no number"),
-            XPathError::AbsolutePath(path) => write!(f, "path '{path}' is absolute, which is not known"),
-            XPathError::UnknownPath(path) => write!(f, "path '{path}' is not known"),
+            XPathError::UnknownToken(token) => write!(f, "unexpected '{token}'"),
+            XPathError::NestedTooDeeply => f.write_str("the expression is nested too deeply"),
+            XPathError::UnexpectedEnd => f.write_str("unexpected end of the expression"),
+            XPathError::NotANumber(token) => write!(f, "'{token}' is not a number"),
+            XPathError::AbsolutePath(path) => write!(f, "path '{path}' is absolute, which is not supported"),
+            XPathError::UnknownPath(path) => write!(f, "path '{path}' is not supported"),
         }
     }
 }
