--- a/crates/core/model/src/validate.rs
+++ b/crates/core/model/src/validate.rs
@@ -13,7 +13,7 @@
 const MAX_FAULTS: usize = 16;
 
 impl Schema {
-    /// Validates a configuration tree. Fails with its faults, at most [`MAX_FAULTS`] of them.
+    /// Validates a configuration tree. Fails with its faults, at most `MAX_FAULTS` of them.
     pub fn validate(&self, tree: &Tree) -> Result<(), Vec<Fault>> {
         let mut pass = Pass {
             schema: self,
--- a/crates/core/store/src/merge.rs
+++ b/crates/core/store/src/merge.rs
@@ -10,7 +10,7 @@
 const MAX_NAMED_CONFLICTS: usize = 8;
 
 /// Applies the changes from `base` to `ours` on top of `theirs`. Fails with the paths of the conflicts, at most
-/// [`MAX_NAMED_CONFLICTS`] of them.
+/// `MAX_NAMED_CONFLICTS` of them.
 pub fn merge(schema: &Schema, base: &Tree, ours: &Tree, theirs: &Tree) -> Result<Tree, Vec<String>> {
     if theirs.is_same(base) || theirs == base {
         return Ok(ours.clone());
