--- a/crates/core/model/src/compiler/types.rs
+++ b/crates/core/model/src/compiler/types.rs
@@ -13,11 +13,11 @@
     /// The type of a node, from the `type` substatement of the node's statement or of a typedef.
     pub(super) fn type_of(
         &mut self,
-        holder: &'a Statement,
+        statement: &'a Statement,
         node: NodeId,
         depth: usize,
     ) -> Result<Type, ModelError> {
-        let ty = holder.substatement("type").ok_or_else(|| holder.wrong("'type' is missing"))?;
+        let ty = statement.substatement("type").ok_or_else(|| statement.wrong("'type' is missing"))?;
         let name = ty.arg()?;
         if let Some(bounds) = integer_bounds(name) {
             return integer(ty, name, bounds);
--- a/crates/core/model/src/evaluate.rs
+++ b/crates/core/model/src/evaluate.rs
@@ -12,7 +12,7 @@
     pub schema: &'a Schema,
     /// From the top level down: each node, `None` for the root, and its child nodes that are set. The last
     /// one is the context node, or the parent of a context node that is a leaf.
-    pub above: Vec<(Option<NodeId>, &'a Fields)>,
+    pub ancestors: Vec<(Option<NodeId>, &'a Fields)>,
     /// The value of the context node, if it is a leaf.
     pub leaf: Option<Text>,
 }
@@ -109,23 +109,23 @@
                 Some(less) => up = less,
             }
         }
-        let Some(level) = context.above.len().checked_sub(up + 1) else { return Vec::new() };
-        let (holder, fields) = context.above[level];
+        let Some(level) = context.ancestors.len().checked_sub(up + 1) else { return Vec::new() };
+        let (parent, fields) = context.ancestors[level];
         let mut values = Vec::new();
-        descend(context.schema, holder, fields, &self.down, &mut values);
+        descend(context.schema, parent, fields, &self.down, &mut values);
         values
     }
 }
 
 fn descend(
     schema: &Schema,
-    holder: Option<NodeId>,
+    parent: Option<NodeId>,
     fields: &Fields,
     down: &[String],
     values: &mut Vec<Text>,
 ) {
     let Some((name, rest)) = down.split_first() else { return values.push("".into()) };
-    let Some(child) = schema.child(holder, name) else { return };
+    let Some(child) = schema.child(parent, name) else { return };
     match fields.get(&child) {
         Some(Node::Leaf(value)) => values.push(value.clone()),
         Some(Node::LeafList(members)) => values.extend(members.iter().cloned()),
--- a/crates/core/model/src/json.rs
+++ b/crates/core/model/src/json.rs
@@ -107,9 +107,9 @@
         Ok(Node::List(Arc::new(entries)))
     }
 
-    fn fields(&self, holder: Option<NodeId>, value: &Value) -> Result<Arc<Fields>, Fault> {
+    fn fields(&self, parent: Option<NodeId>, value: &Value) -> Result<Arc<Fields>, Fault> {
         let Value::Object(members) = value else {
-            return Err(self.fault(holder, FaultKind::BadElement, "should be an object"));
+            return Err(self.fault(parent, FaultKind::BadElement, "should be an object"));
         };
         let mut fields = Fields::new();
         for (name, value) in members {
@@ -117,13 +117,13 @@
                 Some((module, plain)) if module == self.schema.module => plain,
                 Some(_) => {
                     let what = format!("the module here is '{}'", self.schema.module);
-                    return Err(self.fault(holder, FaultKind::UnknownNamespace, what));
+                    return Err(self.fault(parent, FaultKind::UnknownNamespace, what));
                 }
                 None => name,
             };
-            let Some(child) = self.schema.child(holder, plain) else {
+            let Some(child) = self.schema.child(parent, plain) else {
                 let what = format!("there is no '{}' in it", plain.chars().take(64).collect::<String>());
-                return Err(self.fault(holder, FaultKind::UnknownElement, what));
+                return Err(self.fault(parent, FaultKind::UnknownElement, what));
             };
             if fields.insert(child, self.node(Some(child), false, value)?).is_some() {
                 return Err(self.fault(Some(child), FaultKind::BadElement, "stands twice"));
--- a/crates/core/model/src/place_text.rs
+++ b/crates/core/model/src/place_text.rs
@@ -16,17 +16,17 @@
             let Some(keys) = &segment.keys else { continue };
             let leaves = self.keys(segment.node);
             if leaves.is_empty() {
-                keys.iter().for_each(|value| predicate(&mut text, ".", value));
+                keys.iter().for_each(|value| push_predicate(&mut text, ".", value));
             } else {
                 let keyed = leaves.iter().zip(keys);
-                keyed.for_each(|(leaf, value)| predicate(&mut text, &self.node(*leaf).name, value));
+                keyed.for_each(|(leaf, value)| push_predicate(&mut text, &self.node(*leaf).name, value));
             }
         }
         text
     }
 }
 
-fn predicate(text: &mut String, name: &str, value: &str) {
+fn push_predicate(text: &mut String, name: &str, value: &str) {
     let _ = write!(text, "[{name}=");
     for c in value.chars() {
         if matches!(c, ']' | '\\') {
--- a/crates/core/model/src/statement.rs
+++ b/crates/core/model/src/statement.rs
@@ -120,7 +120,7 @@
         match token {
             Some(Token::End) => Ok(statement),
             Some(Token::Open) => {
-                while !self.closes()? {
+                while !self.accept_close()? {
                     statement.substatements.push(self.statement(depth + 1)?);
                 }
                 Ok(statement)
@@ -130,17 +130,17 @@
     }
 
     /// Consumes a closing brace if one follows, and returns whether it did.
-    fn closes(&mut self) -> Result<bool, ModelError> {
-        self.skip()?;
-        let closes = self.rest.peek() == Some(&'}');
-        if closes {
+    fn accept_close(&mut self) -> Result<bool, ModelError> {
+        self.skip_separators()?;
+        let found = self.rest.peek() == Some(&'}');
+        if found {
             self.next();
         }
-        Ok(closes)
+        Ok(found)
     }
 
     /// Skips white space and comments.
-    fn skip(&mut self) -> Result<(), ModelError> {
+    fn skip_separators(&mut self) -> Result<(), ModelError> {
         loop {
             match self.rest.peek() {
                 Some(c) if c.is_whitespace() => drop(self.next()),
@@ -149,7 +149,7 @@
                     ahead.next();
                     match ahead.next() {
                         Some('/') => while self.next().is_some_and(|c| c != '\n') {},
-                        Some('*') => self.comment()?,
+                        Some('*') => self.skip_comment()?,
                         _ => return Ok(()),
                     }
                 }
@@ -159,7 +159,7 @@
     }
 
     /// Skips a block comment, `/* */`.
-    fn comment(&mut self) -> Result<(), ModelError> {
+    fn skip_comment(&mut self) -> Result<(), ModelError> {
         self.next();
         self.next();
         let mut last = ' ';
@@ -173,7 +173,7 @@
     }
 
     fn token(&mut self) -> Result<Option<Token>, ModelError> {
-        self.skip()?;
+        self.skip_separators()?;
         let Some(first) = self.rest.peek().copied() else { return Ok(None) };
         let token = match first {
             '{' => Token::Open,
@@ -182,11 +182,11 @@
             '+' => Token::Plus,
             '\'' => {
                 self.next();
-                return self.single().map(Some);
+                return self.single_quoted().map(Some);
             }
             '"' => {
                 self.next();
-                return self.double().map(Some);
+                return self.double_quoted().map(Some);
             }
             _ => return Ok(Some(self.unquoted())),
         };
@@ -206,7 +206,7 @@
     }
 
     /// Reads a single-quoted string after its opening quote.
-    fn single(&mut self) -> Result<Token, ModelError> {
+    fn single_quoted(&mut self) -> Result<Token, ModelError> {
         let from = self.line;
         let mut text = String::new();
         loop {
@@ -220,7 +220,7 @@
 
     /// Reads a double-quoted string after its opening quote. Spaces and tabs before and after a line break
     /// are dropped.
-    fn double(&mut self) -> Result<Token, ModelError> {
+    fn double_quoted(&mut self) -> Result<Token, ModelError> {
         let from = self.line;
         let mut text = String::new();
         loop {
--- a/crates/core/model/src/types.rs
+++ b/crates/core/model/src/types.rs
@@ -85,12 +85,12 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             ValueError::Length { length, allowed } => {
-                write!(f, "has {length} characters; allowed are {}", listed(allowed))
+                write!(f, "has {length} characters; allowed are {}", format_ranges(allowed))
             }
             ValueError::Pattern(pattern) => write!(f, "does not match {pattern}"),
             ValueError::NotAnInteger { value, type_name } => write!(f, "'{value}' is no {type_name}"),
             ValueError::OutOfRange { value, allowed } => {
-                write!(f, "{value} is out of range; allowed are {}", listed(allowed))
+                write!(f, "{value} is out of range; allowed are {}", format_ranges(allowed))
             }
             ValueError::NotABoolean(value) => write!(f, "'{value}' is neither true nor false"),
             ValueError::NotInEnumeration { value, names } => {
@@ -105,16 +105,16 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RangeError {
     /// A boundary is not a number, `min` or `max`.
-    NoBound(String),
+    InvalidBoundary(String),
     /// A part exceeds the type's range, or is not in ascending order.
-    Outside(String),
+    OutsideOrUnordered(String),
 }
 
 impl fmt::Display for RangeError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            RangeError::NoBound(text) => write!(f, "'{text}' is not a range boundary"),
-            RangeError::Outside(part) => {
+            RangeError::InvalidBoundary(text) => write!(f, "'{text}' is not a range boundary"),
+            RangeError::OutsideOrUnordered(part) => {
                 write!(f, "'{part}' is outside the type's range or not in ascending order")
             }
         }
@@ -139,13 +139,13 @@
             Type::Integer { name, ranges } => canonical_integer(raw, name, ranges),
             Type::Boolean => match raw {
                 "true" | "false" => Ok(raw.to_owned()),
-                _ => Err(ValueError::NotABoolean(shortened(raw))),
+                _ => Err(ValueError::NotABoolean(truncated(raw))),
             },
             Type::Enumeration(names) => {
                 if names.iter().any(|name| name == raw) {
                     return Ok(raw.to_owned());
                 }
-                Err(ValueError::NotInEnumeration { value: shortened(raw), names: names.clone() })
+                Err(ValueError::NotInEnumeration { value: truncated(raw), names: names.clone() })
             }
             Type::Leafref { inner, .. } => inner.canonical(raw),
         }
@@ -197,7 +197,7 @@
     let value: i128 = raw
         .trim()
         .parse()
-        .map_err(|_| ValueError::NotAnInteger { value: shortened(raw), type_name: type_name.to_owned() })?;
+        .map_err(|_| ValueError::NotAnInteger { value: truncated(raw), type_name: type_name.to_owned() })?;
     if !is_within(ranges, value) {
         return Err(ValueError::OutOfRange { value, allowed: ranges.to_vec() });
     }
@@ -208,7 +208,7 @@
     ranges.iter().any(|range| range.contains(&value))
 }
 
-fn listed(ranges: &[Range]) -> String {
+fn format_ranges(ranges: &[Range]) -> String {
     let one = |range: &Range| match (range.start(), range.end()) {
         (min, max) if min == max => min.to_string(),
         (min, max) => format!("{min} to {max}"),
@@ -216,7 +216,7 @@
     ranges.iter().map(one).collect::<Vec<_>>().join(" or ")
 }
 
-fn shortened(raw: &str) -> String {
+fn truncated(raw: &str) -> String {
     raw.chars().take(MAX_SHOWN_CHARACTERS).collect()
 }
 
@@ -236,7 +236,7 @@
     let bound = |text: &str| match text.trim() {
         "min" => Ok(*bounds.start()),
         "max" => Ok(*bounds.end()),
-        number => number.parse::<i128>().map_err(|_| RangeError::NoBound(number.to_owned())),
+        number => number.parse::<i128>().map_err(|_| RangeError::InvalidBoundary(number.to_owned())),
     };
     let mut ranges: Vec<Range> = Vec::new();
     for part in text.split('|') {
@@ -244,7 +244,7 @@
         let (from, to) = (bound(from)?, bound(to)?);
         let min = ranges.last().map_or(*bounds.start(), |last| last.end() + 1);
         if from > to || from < min || to > *bounds.end() {
-            return Err(RangeError::Outside(part.trim().to_owned()));
+            return Err(RangeError::OutsideOrUnordered(part.trim().to_owned()));
         }
         ranges.push(from..=to);
     }
--- a/crates/core/model/src/validate.rs
+++ b/crates/core/model/src/validate.rs
@@ -15,21 +15,21 @@
 impl Schema {
     /// Validates a configuration tree. Fails with its faults, at most `MAX_FAULTS` of them.
     pub fn validate(&self, tree: &Tree) -> Result<(), Vec<Fault>> {
-        let mut pass = Pass {
+        let mut validation = Validation {
             schema: self,
             tree,
             place: Place::new(),
             leafref_values: BTreeMap::new(),
             faults: Vec::new(),
         };
-        let mut above = vec![(None, &**tree.fields())];
-        pass.fields(None, tree.fields(), &mut above);
-        if pass.faults.is_empty() { Ok(()) } else { Err(pass.faults) }
+        let mut ancestors = vec![(None, &**tree.fields())];
+        validation.check_fields(None, tree.fields(), &mut ancestors);
+        if validation.faults.is_empty() { Ok(()) } else { Err(validation.faults) }
     }
 }
 
 /// The state of one validation.
-struct Pass<'a> {
+struct Validation<'a> {
     schema: &'a Schema,
     tree: &'a Tree,
     /// The place of the node that is being checked.
@@ -41,9 +41,9 @@
 
 /// The ancestors of the node that is being checked, from the top level down, with their child nodes that are
 /// set. `None` stands for the root.
-type Above<'a> = Vec<(Option<NodeId>, &'a Fields)>;
+type Ancestors<'a> = Vec<(Option<NodeId>, &'a Fields)>;
 
-impl<'a> Pass<'a> {
+impl<'a> Validation<'a> {
     fn add_fault(&mut self, kind: FaultKind, what: impl Into<String>, tag: Option<&str>) {
         if self.faults.len() < MAX_FAULTS {
             let path = self.schema.text(&self.place);
@@ -54,77 +54,77 @@
     }
 
     /// Checks all configuration nodes below a node, including those that are not set.
-    fn fields(&mut self, holder: Option<NodeId>, fields: &'a Fields, above: &mut Above<'a>) {
+    fn check_fields(&mut self, parent: Option<NodeId>, fields: &'a Fields, ancestors: &mut Ancestors<'a>) {
         let schema = self.schema;
-        for id in schema.children(holder).iter().copied().filter(|id| schema.node(*id).config) {
+        for id in schema.children(parent).iter().copied().filter(|id| schema.node(*id).config) {
             self.place.push(Segment { node: id, keys: None });
-            self.node(id, fields.get(&id), above);
+            self.check_node(id, fields.get(&id), ancestors);
             self.place.pop();
         }
     }
 
-    fn node(&mut self, id: NodeId, node: Option<&'a Node>, above: &mut Above<'a>) {
+    fn check_node(&mut self, id: NodeId, node: Option<&'a Node>, ancestors: &mut Ancestors<'a>) {
         let schema = self.schema;
         match (&schema.node(id).kind, node) {
-            (NodeKind::Leaf { mandatory: true, .. }, None) => self.missing(),
+            (NodeKind::Leaf { mandatory: true, .. }, None) => self.add_missing(),
             (NodeKind::Leaf { ty, .. }, Some(Node::Leaf(value))) => {
-                self.leafref(ty, value);
-                self.constraints(id, above, Some(value.clone()));
+                self.check_leafref(ty, value);
+                self.check_constraints(id, ancestors, Some(value.clone()));
             }
             (NodeKind::LeafList { ty, min, max }, Some(Node::LeafList(values))) => {
-                self.element_count(values.len(), *min, *max);
-                values.iter().for_each(|value| self.leafref(ty, value));
+                self.check_element_count(values.len(), *min, *max);
+                values.iter().for_each(|value| self.check_leafref(ty, value));
             }
-            (NodeKind::LeafList { min, max, .. }, _) => self.element_count(0, *min, *max),
+            (NodeKind::LeafList { min, max, .. }, _) => self.check_element_count(0, *min, *max),
             (NodeKind::Container, Some(Node::Container(inner))) => {
-                above.push((Some(id), inner));
-                self.constraints(id, above, None);
-                self.fields(Some(id), inner, above);
-                above.pop();
+                ancestors.push((Some(id), inner));
+                self.check_constraints(id, ancestors, None);
+                self.check_fields(Some(id), inner, ancestors);
+                ancestors.pop();
             }
-            (NodeKind::Container, None) => self.unset_container(id),
+            (NodeKind::Container, None) => self.check_unset_container(id),
             (NodeKind::List { min, max, .. }, Some(Node::List(entries))) => {
-                self.element_count(entries.len(), *min, *max);
-                self.entries(id, entries, above);
+                self.check_element_count(entries.len(), *min, *max);
+                self.check_entries(id, entries, ancestors);
             }
-            (NodeKind::List { min, max, .. }, _) => self.element_count(0, *min, *max),
+            (NodeKind::List { min, max, .. }, _) => self.check_element_count(0, *min, *max),
             _ => {}
         }
     }
 
-    fn entries(&mut self, id: NodeId, entries: &'a Entries, above: &mut Above<'a>) {
+    fn check_entries(&mut self, id: NodeId, entries: &'a Entries, ancestors: &mut Ancestors<'a>) {
         for (keys, entry) in entries {
             self.place.last_mut().into_iter().for_each(|last| last.keys = Some(keys.clone()));
-            above.push((Some(id), entry));
-            self.constraints(id, above, None);
-            self.fields(Some(id), entry, above);
-            above.pop();
+            ancestors.push((Some(id), entry));
+            self.check_constraints(id, ancestors, None);
+            self.check_fields(Some(id), entry, ancestors);
+            ancestors.pop();
         }
     }
 
     /// Checks an unset container. As it has no presence, its mandatory nodes and `min-elements` apply
     /// nevertheless (RFC 7950, 7.6.5 and 7.7.5).
-    fn unset_container(&mut self, holder: NodeId) {
+    fn check_unset_container(&mut self, parent: NodeId) {
         let schema = self.schema;
-        for id in schema.children(Some(holder)).iter().copied().filter(|id| schema.node(*id).config) {
+        for id in schema.children(Some(parent)).iter().copied().filter(|id| schema.node(*id).config) {
             self.place.push(Segment { node: id, keys: None });
             match &schema.node(id).kind {
-                NodeKind::Leaf { mandatory: true, .. } => self.missing(),
+                NodeKind::Leaf { mandatory: true, .. } => self.add_missing(),
                 NodeKind::List { min, max, .. } | NodeKind::LeafList { min, max, .. } => {
-                    self.element_count(0, *min, *max);
+                    self.check_element_count(0, *min, *max);
                 }
-                NodeKind::Container => self.unset_container(id),
+                NodeKind::Container => self.check_unset_container(id),
                 _ => {}
             }
             self.place.pop();
         }
     }
 
-    fn missing(&mut self) {
+    fn add_missing(&mut self) {
         self.add_fault(FaultKind::MissingElement, "must be set", None);
     }
 
-    fn element_count(&mut self, count: usize, min: usize, max: usize) {
+    fn check_element_count(&mut self, count: usize, min: usize, max: usize) {
         if count < min {
             let what = format!("holds {count}; at least {min} are needed");
             self.add_fault(FaultKind::TooFew, what, Some("too-few-elements"));
@@ -134,7 +134,7 @@
         }
     }
 
-    fn leafref(&mut self, ty: &Type, value: &Text) {
+    fn check_leafref(&mut self, ty: &Type, value: &Text) {
         let Type::Leafref { target, .. } = ty else { return };
         let (schema, tree) = (self.schema, self.tree);
         let allowed = self.leafref_values.entry(*target).or_insert_with(|| {
@@ -148,12 +148,12 @@
         }
     }
 
-    fn constraints(&mut self, id: NodeId, above: &Above<'a>, leaf: Option<Text>) {
+    fn check_constraints(&mut self, id: NodeId, ancestors: &Ancestors<'a>, leaf: Option<Text>) {
         let schema = self.schema;
         if schema.node(id).musts.is_empty() {
             return;
         }
-        let context = Context { schema, above: above.clone(), leaf };
+        let context = Context { schema, ancestors: ancestors.clone(), leaf };
         for must in &schema.node(id).musts {
             if !must.holds(&context) {
                 let what = must.message.clone().unwrap_or_else(|| format!("must hold: {}", must.text));
--- a/crates/core/store/src/store/commit.rs
+++ b/crates/core/store/src/store/commit.rs
@@ -117,7 +117,7 @@
         }
         let pending = match options.confirm_timeout {
             None => None,
-            Some(timeout) => Some(self.confirmation(&author, options, now + timeout)?),
+            Some(timeout) => Some(self.new_confirmation(&author, options, now + timeout)?),
         };
         let confirms = self.pending.is_some() && pending.is_none();
         let cause = if confirms { Cause::Confirmed } else { Cause::Commit };
@@ -137,7 +137,7 @@
             return Err(StoreError::Stale { expected, running });
         }
         match &self.pending {
-            Some(pending) if !pending.is_named_by(author.session, options.persist_id.as_deref()) => {
+            Some(pending) if !pending.is_referenced_by(author.session, options.persist_id.as_deref()) => {
                 Err(StoreError::Pending(pending.session))
             }
             None if options.persist_id.is_some() => Err(StoreError::NothingPending),
--- a/crates/core/store/src/store/confirmed.rs
+++ b/crates/core/store/src/store/confirmed.rs
@@ -30,7 +30,7 @@
 impl PendingConfirmation {
     /// Whether a call of this session with this `persist` id refers to the pending commit and may still act
     /// on it.
-    pub(super) fn is_named_by(&self, session: SessionId, id: Option<&str>) -> bool {
+    pub(super) fn is_referenced_by(&self, session: SessionId, id: Option<&str>) -> bool {
         let named = match &self.persist {
             Some(persist) => id == Some(persist.as_str()),
             None => id.is_none() && self.session == session,
@@ -42,7 +42,7 @@
 impl Store {
     /// The pending confirmation of a new confirmed commit. One that follows up a pending commit keeps the
     /// latter's version to revert to, and its `persist` id unless the options give another.
-    pub(super) fn confirmation(
+    pub(super) fn new_confirmation(
         &self,
         author: &Author,
         options: &CommitOptions,
@@ -75,7 +75,7 @@
         unix_ms: u64,
     ) -> Result<CommitPlan, StoreError> {
         let author = self.author_of(session)?;
-        let pending = self.pending_named(session, id)?;
+        let pending = self.pending_for(session, id)?;
         self.check_follow_up_room()?;
         let pending = PendingConfirmation { deadline: now + timeout, ..pending };
         let tree = self.running().tree.clone();
@@ -90,17 +90,17 @@
         unix_ms: u64,
     ) -> Result<CommitPlan, StoreError> {
         let author = self.author_of(session)?;
-        let pending = self.pending_named(session, id)?;
+        let pending = self.pending_for(session, id)?;
         let cause = Cause::Cancelled { to: pending.revert_to.number };
         Ok(self.plan_revert(author, cause, &pending, unix_ms))
     }
 
     /// The pending commit, if a call of this session with this `persist` id may act on it now.
-    fn pending_named(&self, session: SessionId, id: Option<&str>) -> Result<PendingConfirmation, StoreError> {
+    fn pending_for(&self, session: SessionId, id: Option<&str>) -> Result<PendingConfirmation, StoreError> {
         if self.committing.is_some() {
             return Err(StoreError::Busy);
         }
-        let pending = self.pending.as_ref().filter(|pending| pending.is_named_by(session, id));
+        let pending = self.pending.as_ref().filter(|pending| pending.is_referenced_by(session, id));
         pending.cloned().ok_or(StoreError::NothingPending)
     }
 
