--- a/crates/core/model/tests/trees.rs
+++ b/crates/core/model/tests/trees.rs
@@ -41,7 +41,7 @@
 }
 
 /// Applies an edit to the reference model. Returns whether the edit is accepted; a refused one changes nothing.
-fn reference(map: &mut BTreeMap<String, String>, edit: &Edit) -> bool {
+fn apply_to_reference(map: &mut BTreeMap<String, String>, edit: &Edit) -> bool {
     let pool = format!("/front/pool[name=p{}]", edit.pool);
     let state = ["enabled", "draining", "disabled"][edit.value as usize].to_owned();
     let (at, members): (String, Vec<(String, String)>) = match edit.target {
@@ -57,17 +57,17 @@
         3 => ("/front/pool".to_owned(), vec![(format!("{pool}/admin-state"), state)]),
         _ => ("/front/log-level".to_owned(), vec![("/front/log-level".to_owned(), "warn".to_owned())]),
     };
-    let under = |path: &String| {
+    let is_at_or_below = |path: &String| {
         path == &at || path.strip_prefix(&at).is_some_and(|rest| rest.starts_with(['/', '[']))
     };
-    let there = map.keys().any(under);
+    let there = map.keys().any(is_at_or_below);
     match edit.op {
         Op::Create if there => return false,
         Op::Delete if !there => return false,
         _ => {}
     }
     if edit.op != Op::Merge && edit.op != Op::Create {
-        map.retain(|path, _| !under(path));
+        map.retain(|path, _| !is_at_or_below(path));
     }
     if matches!(edit.op, Op::Merge | Op::Replace | Op::Create) {
         if edit.target < 4 {
@@ -102,7 +102,7 @@
         for edit in &edits {
             let before = tree.clone();
             let done = apply_edit(&schema, &mut tree, edit);
-            prop_assert_eq!(done, reference(&mut map, edit), "{:?}", edit);
+            prop_assert_eq!(done, apply_to_reference(&mut map, edit), "{:?}", edit);
             prop_assert_eq!(&leaves(&schema, &tree), &map, "{:?}", edit);
             prop_assert!(done || tree == before);
             // The differences applied to the old tree give the new one, and the inverse ones give the old
--- a/crates/core/model/tests/unit/compiler.rs
+++ b/crates/core/model/tests/unit/compiler.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn wrong(body: &str) -> ModelError {
+fn compile_error(body: &str) -> ModelError {
     let text = format!("module m {{\nyang-version 1.1;\nnamespace 'urn:m';\nprefix m;\n{body}\n}}");
     Schema::compile(&text).expect_err(body)
 }
@@ -34,7 +34,7 @@
         ("typedef t { type t; } leaf a { type t; }", 5, "deeply"),
         ("leaf a { type string; when 'b'; }", 5, "'when'"),
     ] {
-        let found = wrong(body);
+        let found = compile_error(body);
         assert!(found.line == line && found.what.contains(what), "{body}: {found}");
     }
 }
--- a/crates/core/store/tests/earlier_log.rs
+++ b/crates/core/store/tests/earlier_log.rs
@@ -57,7 +57,7 @@
 }
 
 /// A compacted log: a base record, and the commits after it.
-fn shortened() -> Vec<u8> {
+fn compacted_log() -> Vec<u8> {
     let mut store = Store::new(Arc::new(Schema::front().unwrap()), SHORT);
     let session = store.open_session("before", Protocol::Gnmi).unwrap();
     let mut unused = Vec::new();
@@ -70,8 +70,8 @@
 }
 
 /// A log with every kind of record, every cause of a version and every protocol.
-fn written() -> Vec<u8> {
-    let mut bytes = shortened();
+fn complete_log() -> Vec<u8> {
+    let mut bytes = compacted_log();
     let mut store = recover(Arc::new(Schema::front().unwrap()), LONG, &bytes).unwrap().store;
     let log = &mut bytes;
     let netconf = store.open_session("anna", Protocol::Netconf).unwrap();
@@ -156,7 +156,7 @@
 
 #[test]
 fn same_steps_write_the_same_bytes_as_an_earlier_version() {
-    assert!(written() == LOG, "{}", describe(&written()));
+    assert!(complete_log() == LOG, "{}", describe(&complete_log()));
 }
 
 #[test]
--- a/crates/core/store/tests/reference.rs
+++ b/crates/core/store/tests/reference.rs
@@ -18,7 +18,7 @@
     Discard(u8),
     Lock(u8),
     Unlock(u8),
-    Drop(u8),
+    CloseSession(u8),
     Wait(u8),
     RollBack(u8),
     Crash { length: u16 },
@@ -36,7 +36,7 @@
         1 => (0..3u8).prop_map(Step::Discard),
         1 => (0..3u8).prop_map(Step::Lock),
         1 => (0..3u8).prop_map(Step::Unlock),
-        1 => (0..3u8).prop_map(Step::Drop),
+        1 => (0..3u8).prop_map(Step::CloseSession),
         1 => (0..8u8).prop_map(Step::Wait),
         1 => (0..6u8).prop_map(Step::RollBack),
         1 => (0..400u16).prop_map(|length| Step::Crash { length }),
@@ -209,7 +209,7 @@
                         (reference.locked, reference.candidate) = (None, None);
                     }
                 }
-                Step::Drop(session) => {
+                Step::CloseSession(session) => {
                     store.close_session(ids[session as usize]);
                     ids[session as usize] = store.open_session("x", Protocol::Netconf).unwrap();
                     if reference.locked == Some(session) {
--- a/crates/core/store/tests/two_phase.rs
+++ b/crates/core/store/tests/two_phase.rs
@@ -15,7 +15,7 @@
         }
         sequences += 1;
         let has = |action: &CommitAction| actions.contains(action);
-        let switched = (0..3).filter(|part| has(&CommitAction::Activate(*part))).count();
+        let activated = (0..3).filter(|part| has(&CommitAction::Activate(*part))).count();
         let logs = actions.iter().filter(|action| **action == CommitAction::Log).count();
         let ended = actions
             .iter()
@@ -27,12 +27,12 @@
         if logs == 1 {
             assert!((0..3).all(|part| events.contains(&CommitEvent::Prepared(part))), "{events:?}");
         }
-        if switched > 0 {
+        if activated > 0 {
             assert!(events.contains(&CommitEvent::Logged), "{events:?}");
         }
         if actions.iter().any(|action| matches!(action, CommitAction::Failed(_))) {
             failed += 1;
-            assert!(switched == 0 && !events.contains(&CommitEvent::Logged), "{events:?}");
+            assert!(activated == 0 && !events.contains(&CommitEvent::Logged), "{events:?}");
             // Every part that may hold a prepared state is told to discard it.
             for part in 0..3 {
                 let answered_already = events
