--- a/crates/core/store/src/log/frame.rs
+++ b/crates/core/store/src/log/frame.rs
@@ -47,15 +47,15 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Corruption {
     /// The log does not begin with [`HEADER`].
-    NoHeader,
+    InvalidHeader,
     /// Bytes that are not a valid frame but are followed by a complete record, so a crash can't have
     /// truncated them.
-    RecordBehind {
+    FollowedByRecord {
         /// The offset in bytes at which that record begins.
         offset: usize,
     },
     /// A frame whose checksum is correct but whose payload is not a record; the JSON parser's message.
-    NoRecord(String),
+    InvalidRecord(String),
 }
 
 impl fmt::Display for LogCorruption {
@@ -67,11 +67,11 @@
 impl fmt::Display for Corruption {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Corruption::NoHeader => f.write_str("the header is not that of a state log"),
-            Corruption::RecordBehind { offset } => {
+            Corruption::InvalidHeader => f.write_str("the header is not that of a state log"),
+            Corruption::FollowedByRecord { offset } => {
                 write!(f, "an invalid frame is followed by a complete record at byte {offset}")
             }
-            Corruption::NoRecord(message) => f.write_str(message),
+            Corruption::InvalidRecord(message) => f.write_str(message),
         }
     }
 }
@@ -82,7 +82,7 @@
         return Ok(LogContents { records: Vec::new(), valid_length: 0 });
     }
     if !bytes.starts_with(HEADER) {
-        return Err(LogCorruption { offset: 0, corruption: Corruption::NoHeader });
+        return Err(LogCorruption { offset: 0, corruption: Corruption::InvalidHeader });
     }
     let mut offset = HEADER.len();
     let mut records = Vec::new();
@@ -94,7 +94,7 @@
         match serde_json::from_slice(payload) {
             Ok(record) => records.push(record),
             Err(error) => {
-                let corruption = Corruption::NoRecord(error.to_string());
+                let corruption = Corruption::InvalidRecord(error.to_string());
                 return Err(LogCorruption { offset, corruption });
             }
         }
@@ -106,11 +106,13 @@
 /// Checks that the bytes from `offset`, which are not a valid frame, are a truncated tail: no complete record
 /// begins anywhere after them.
 fn check_tail(bytes: &[u8], offset: usize) -> Result<(), LogCorruption> {
-    let record_behind =
+    let next_record =
         (offset + 1..bytes.len()).find(|next| frame_payload(&bytes[*next..]).is_some_and(is_record));
-    match record_behind {
+    match next_record {
         None => Ok(()),
-        Some(next) => Err(LogCorruption { offset, corruption: Corruption::RecordBehind { offset: next } }),
+        Some(next) => {
+            Err(LogCorruption { offset, corruption: Corruption::FollowedByRecord { offset: next } })
+        }
     }
 }
 
