--- a/crates/core/model/src/compiler.rs
+++ b/crates/core/model/src/compiler.rs
@@ -52,14 +52,14 @@
 /// A schema with the header of a module and no nodes.
 fn empty_schema(module: &Statement, text: &str) -> Result<Schema, ModelError> {
     if module.keyword != "module" {
-        return Err(module.wrong(format!("expected 'module', found '{}'", module.keyword)));
+        return Err(module.error(format!("expected 'module', found '{}'", module.keyword)));
     }
     let required = |keyword: &str| {
         let argument = module.substatement_arg(keyword)?;
-        argument.map(str::to_owned).ok_or_else(|| module.wrong(format!("the module has no '{keyword}'")))
+        argument.map(str::to_owned).ok_or_else(|| module.error(format!("the module has no '{keyword}'")))
     };
     if required("yang-version")? != "1.1" {
-        return Err(module.wrong("only yang-version 1.1 is supported"));
+        return Err(module.error("only yang-version 1.1 is supported"));
     }
     Ok(Schema {
         module: module.arg()?.to_owned(),
@@ -78,7 +78,7 @@
     let mut found = BTreeMap::new();
     for statement in module.substatements.iter().filter(|statement| statement.keyword == keyword) {
         if found.insert(statement.arg()?.to_owned(), statement).is_some() {
-            return Err(statement.wrong(format!("{keyword} '{}' is defined twice", statement.arg()?)));
+            return Err(statement.error(format!("{keyword} '{}' is defined twice", statement.arg()?)));
         }
     }
     Ok(found)
@@ -109,7 +109,7 @@
         depth: usize,
     ) -> Result<Vec<NodeId>, ModelError> {
         if depth > MAX_DEPTH {
-            return Err(statement.wrong("groupings are nested too deeply"));
+            return Err(statement.error("groupings are nested too deeply"));
         }
         match statement.keyword.as_str() {
             "container" | "list" | "leaf" | "leaf-list" => {
@@ -122,7 +122,7 @@
                 }
                 Ok(nodes)
             }
-            other => Err(statement.wrong(format!("statement '{other}' is not supported here"))),
+            other => Err(statement.error(format!("statement '{other}' is not supported here"))),
         }
     }
 
@@ -133,10 +133,10 @@
     ) -> Result<impl Iterator<Item = &'a Statement> + use<'a>, ModelError> {
         let name = uses.arg()?;
         if let Some(within) = uses.substatements.first() {
-            return Err(within.wrong(format!("'{}' is not supported in 'uses'", within.keyword)));
+            return Err(within.error(format!("'{}' is not supported in 'uses'", within.keyword)));
         }
         let grouping = self.groupings.get(name).copied();
-        let grouping = grouping.ok_or_else(|| uses.wrong(format!("there is no grouping '{name}'")))?;
+        let grouping = grouping.ok_or_else(|| uses.error(format!("there is no grouping '{name}'")))?;
         Ok(grouping.substatements.iter().filter(|statement| statement.keyword != "description"))
     }
 
@@ -154,12 +154,12 @@
             Some("true") if config => true,
             Some(_) => {
                 return Err(
-                    statement.wrong("'config' must be true or false, and can't be true below 'config false'")
+                    statement.error("'config' must be true or false, and can't be true below 'config false'")
                 );
             }
         };
         if self.schema.children(parent).iter().any(|id| self.schema.nodes[*id].name == name) {
-            return Err(statement.wrong(format!("'{name}' is defined twice")));
+            return Err(statement.error(format!("'{name}' is defined twice")));
         }
         let id = self.schema.nodes.len();
         self.schema.nodes.push(SchemaNode {
@@ -206,7 +206,7 @@
                 self.schema.nodes[id].children.extend(nodes);
             }
             other => {
-                return Err(within.wrong(format!("statement '{other}' is not supported in '{keyword}'")));
+                return Err(within.error(format!("statement '{other}' is not supported in '{keyword}'")));
             }
         }
         Ok(())
@@ -222,7 +222,7 @@
                 let default = statement.substatement_arg("default")?.map(str::to_owned);
                 let mandatory = statement.substatement_arg("mandatory")? == Some("true");
                 if mandatory && default.is_some() {
-                    return Err(statement.wrong("a mandatory leaf can't have a default"));
+                    return Err(statement.error("a mandatory leaf can't have a default"));
                 }
                 Ok(NodeKind::Leaf { ty, default, mandatory })
             }
@@ -235,14 +235,14 @@
 
     fn list(&self, statement: &Statement, id: NodeId) -> Result<NodeKind, ModelError> {
         let (min, max) = element_bounds(statement)?;
-        let no_key = || statement.wrong("a list needs a 'key'");
+        let no_key = || statement.error("a list needs a 'key'");
         let key = statement.substatement_arg("key")?.ok_or_else(no_key)?;
         let mut keys = Vec::new();
         for name in key.split_whitespace() {
             let leaf = self.schema.child(Some(id), name);
             let leaf = leaf
                 .filter(|leaf| matches!(self.schema.nodes[*leaf].kind, NodeKind::Leaf { .. }))
-                .ok_or_else(|| statement.wrong(format!("key '{name}' is not a leaf of the list")))?;
+                .ok_or_else(|| statement.error(format!("key '{name}' is not a leaf of the list")))?;
             keys.push(leaf);
         }
         if keys.is_empty() {
@@ -256,7 +256,7 @@
 fn element_bounds(statement: &Statement) -> Result<(usize, usize), ModelError> {
     let number = |keyword: &str, default: usize| match statement.substatement_arg(keyword)? {
         None | Some("unbounded") => Ok(default),
-        Some(text) => text.parse().map_err(|_| statement.wrong(format!("'{keyword}' needs a number"))),
+        Some(text) => text.parse().map_err(|_| statement.error(format!("'{keyword}' needs a number"))),
     };
     Ok((number("min-elements", 0)?, number("max-elements", usize::MAX)?))
 }
--- a/crates/core/model/src/compiler/references.rs
+++ b/crates/core/model/src/compiler/references.rs
@@ -48,15 +48,15 @@
     /// Checks that the paths in constraints lead to nodes, and that defaults are valid for their types.
     pub(super) fn check_constraints(&self) -> Result<(), ModelError> {
         for (id, node) in self.schema.nodes.iter().enumerate() {
-            let wrong = |what: String| ModelError { line: node.line, what };
+            let model_error = |what: String| ModelError { line: node.line, what };
             for must in &node.musts {
                 let checked = must.check_paths(&self.schema, id);
-                checked.map_err(|error| wrong(format!("must '{}': {error}", must.text)))?;
+                checked.map_err(|error| model_error(format!("must '{}': {error}", must.text)))?;
             }
             if let NodeKind::Leaf { ty, default: Some(default), .. } = &node.kind
                 && let Err(error) = ty.canonical(default)
             {
-                return Err(wrong(format!("the default {error}")));
+                return Err(model_error(format!("the default {error}")));
             }
         }
         Ok(())
--- a/crates/core/model/src/compiler/types.rs
+++ b/crates/core/model/src/compiler/types.rs
@@ -17,7 +17,7 @@
         node: NodeId,
         depth: usize,
     ) -> Result<Type, ModelError> {
-        let ty = statement.substatement("type").ok_or_else(|| statement.wrong("'type' is missing"))?;
+        let ty = statement.substatement("type").ok_or_else(|| statement.error("'type' is missing"))?;
         let name = ty.arg()?;
         if let Some(bounds) = integer_bounds(name) {
             return integer(ty, name, bounds);
@@ -34,10 +34,10 @@
             "leafref" => self.leafref(ty, node),
             other => {
                 let Some(typedef) = self.typedefs.get(other).copied() else {
-                    return Err(ty.wrong(format!("type '{other}' is unknown or not supported")));
+                    return Err(ty.error(format!("type '{other}' is unknown or not supported")));
                 };
                 if depth > MAX_DEPTH {
-                    return Err(ty.wrong("typedefs are nested too deeply"));
+                    return Err(ty.error("typedefs are nested too deeply"));
                 }
                 allow_only(ty, &[])?;
                 self.type_of(typedef, node, depth + 1)
@@ -48,7 +48,7 @@
     /// A leafref. Its own node is a placeholder for the target until all nodes are compiled.
     fn leafref(&mut self, ty: &Statement, node: NodeId) -> Result<Type, ModelError> {
         allow_only(ty, &["path"])?;
-        let path = ty.substatement("path").ok_or_else(|| ty.wrong("a leafref needs a 'path'"))?;
+        let path = ty.substatement("path").ok_or_else(|| ty.error("a leafref needs a 'path'"))?;
         self.leafrefs.push(UnresolvedLeafref { node, path: path.arg()?.to_owned(), line: path.line });
         Ok(Type::Leafref { target: node, inner: Box::new(Type::Boolean) })
     }
@@ -57,7 +57,7 @@
 fn integer(ty: &Statement, name: &str, bounds: Range) -> Result<Type, ModelError> {
     allow_only(ty, &["range"])?;
     let ranges = match ty.substatement("range") {
-        Some(range) => parse_ranges(range.arg()?, bounds).map_err(|error| range.wrong(error.to_string()))?,
+        Some(range) => parse_ranges(range.arg()?, bounds).map_err(|error| range.error(error.to_string()))?,
         None => vec![bounds],
     };
     Ok(Type::Integer { name: name.to_owned(), ranges })
@@ -67,14 +67,14 @@
     allow_only(ty, &["length", "pattern"])?;
     let lengths = match ty.substatement("length") {
         Some(length) => {
-            parse_ranges(length.arg()?, ALL_LENGTHS).map_err(|error| length.wrong(error.to_string()))?
+            parse_ranges(length.arg()?, ALL_LENGTHS).map_err(|error| length.error(error.to_string()))?
         }
         None => Vec::new(),
     };
     let mut patterns = Vec::new();
     for pattern in ty.substatements.iter().filter(|within| within.keyword == "pattern") {
         let regex = Regex::new(&whole_value_pattern(pattern.arg()?)).map_err(|error| {
-            pattern.wrong(format!(
+            pattern.error(format!(
                 "pattern is not a valid regular expression: {}",
                 error.to_string().replace('\n', " ")
             ))
@@ -88,7 +88,7 @@
 fn allow_only(ty: &Statement, keywords: &[&str]) -> Result<(), ModelError> {
     let name = ty.arg()?;
     match ty.substatements.iter().find(|within| !keywords.contains(&within.keyword.as_str())) {
-        Some(within) => Err(within.wrong(format!("'{}' is not supported in type '{name}'", within.keyword))),
+        Some(within) => Err(within.error(format!("'{}' is not supported in type '{name}'", within.keyword))),
         None => Ok(()),
     }
 }
--- a/crates/core/model/src/must.rs
+++ b/crates/core/model/src/must.rs
@@ -19,7 +19,7 @@
     pub(crate) fn compile(statement: &Statement) -> Result<Must, ModelError> {
         let text = statement.arg()?.to_owned();
         let expression =
-            Expression::parse(&text).map_err(|error| statement.wrong(format!("must '{text}': {error}")))?;
+            Expression::parse(&text).map_err(|error| statement.error(format!("must '{text}': {error}")))?;
         Ok(Must {
             expression,
             message: statement.substatement_arg("error-message")?.map(str::to_owned),
--- a/crates/core/model/src/statement.rs
+++ b/crates/core/model/src/statement.rs
@@ -43,13 +43,13 @@
         let statement = reader.statement(0)?;
         match reader.token()? {
             None => Ok(statement),
-            Some(_) => Err(reader.wrong("unexpected text after the module")),
+            Some(_) => Err(reader.error("unexpected text after the module")),
         }
     }
 
     /// The argument; fails if there is none.
     pub fn arg(&self) -> Result<&str, ModelError> {
-        self.argument.as_deref().ok_or_else(|| self.wrong(format!("'{}' needs an argument", self.keyword)))
+        self.argument.as_deref().ok_or_else(|| self.error(format!("'{}' needs an argument", self.keyword)))
     }
 
     /// The first substatement with this keyword.
@@ -63,7 +63,7 @@
     }
 
     /// An error at this statement's line.
-    pub fn wrong(&self, what: impl Into<String>) -> ModelError {
+    pub fn error(&self, what: impl Into<String>) -> ModelError {
         ModelError { line: self.line, what: what.into() }
     }
 }
@@ -84,7 +84,7 @@
 }
 
 impl Reader<'_> {
-    fn wrong(&self, what: &str) -> ModelError {
+    fn error(&self, what: &str) -> ModelError {
         ModelError { line: self.line, what: what.to_owned() }
     }
 
@@ -96,11 +96,11 @@
 
     fn statement(&mut self, depth: usize) -> Result<Statement, ModelError> {
         if depth > MAX_DEPTH {
-            return Err(self.wrong("statements are nested too deeply"));
+            return Err(self.error("statements are nested too deeply"));
         }
         let keyword = match self.token()? {
             Some(Token::Unquoted(keyword)) => keyword,
-            _ => return Err(self.wrong("a keyword is expected here")),
+            _ => return Err(self.error("a keyword is expected here")),
         };
         let line = self.line;
         let mut statement = Statement { keyword, argument: None, line, substatements: Vec::new() };
@@ -110,7 +110,7 @@
             token = self.token()?;
             while let Some(Token::Plus) = token {
                 let Some(Token::Quoted(more)) = self.token()? else {
-                    return Err(self.wrong("'+' must be followed by a quoted string"));
+                    return Err(self.error("'+' must be followed by a quoted string"));
                 };
                 argument.push_str(&more);
                 token = self.token()?;
@@ -125,7 +125,7 @@
                 }
                 Ok(statement)
             }
-            _ => Err(self.wrong("';' or '{' is expected here")),
+            _ => Err(self.error("';' or '{' is expected here")),
         }
     }
 
@@ -165,7 +165,7 @@
         let mut last = ' ';
         loop {
             match self.next() {
-                None => return Err(self.wrong("unterminated comment")),
+                None => return Err(self.error("unterminated comment")),
                 Some('/') if last == '*' => return Ok(()),
                 Some(c) => last = c,
             }
@@ -231,7 +231,7 @@
                     Some('n') => text.push('\n'),
                     Some('t') => text.push('\t'),
                     Some(c @ ('"' | '\\')) => text.push(c),
-                    _ => return Err(self.wrong("'\\' may be followed only by n, t, '\"' or '\\'")),
+                    _ => return Err(self.error("'\\' may be followed only by n, t, '\"' or '\\'")),
                 },
                 Some('\n') => {
                     text.truncate(text.trim_end_matches([' ', '\t']).len());
