--- a/crates/core/store/src/log.rs
+++ b/crates/core/store/src/log.rs
@@ -124,7 +124,7 @@
             }
             RecordError::NotATree => f.write_str("the JSON value is not a data tree"),
             RecordError::Model(fault) => write!(f, "{fault}"),
-            RecordError::Changes(what) => f.write_str(what),
+            RecordError::Changes(message) => f.write_str(message),
         }
     }
 }
--- a/crates/core/store/src/merge.rs
+++ b/crates/core/store/src/merge.rs
@@ -40,7 +40,7 @@
     let only_ours: Vec<Change> =
         our_changes.into_iter().filter(|change| !theirs_by_place.contains_key(&change.place)).collect();
     let mut merged = theirs.clone();
-    merged.apply_changes(schema, &only_ours).map_err(|what| vec![what])?;
+    merged.apply_changes(schema, &only_ours).map_err(|message| vec![message])?;
     Ok(merged)
 }
 
