--- a/crates/core/desired-state/tests/desired_state.rs
+++ b/crates/core/desired-state/tests/desired_state.rs
@@ -64,5 +64,5 @@
     let paths: Vec<&str> = faults.iter().filter_map(|fault| fault.path.as_deref()).collect();
     assert_eq!(paths, ["/front/service-group[name=x]", "/front/pool[name=a]/location[.=north]"]);
     assert!(faults.iter().all(|fault| fault.kind == FaultKind::InvalidValue));
-    assert!(faults[1].what.contains("east, west"));
+    assert!(faults[1].message.contains("east, west"));
 }
--- a/crates/core/model/src/compiler/references.rs
+++ b/crates/core/model/src/compiler/references.rs
@@ -10,9 +10,9 @@
     /// Resolves the targets of all leafrefs.
     pub(super) fn resolve_leafrefs(&mut self) -> Result<(), ModelError> {
         for leafref in std::mem::take(&mut self.leafrefs) {
-            let resolved = self.resolve(&leafref).map_err(|what| ModelError {
+            let resolved = self.resolve(&leafref).map_err(|message| ModelError {
                 line: leafref.line,
-                what: format!("leafref path '{}' {what}", leafref.path),
+                message: format!("leafref path '{}' {message}", leafref.path),
             })?;
             match &mut self.schema.nodes[leafref.node].kind {
                 NodeKind::Leaf { ty, .. } | NodeKind::LeafList { ty, .. } => *ty = resolved,
@@ -48,7 +48,7 @@
     /// Checks that the paths in constraints lead to nodes, and that defaults are valid for their types.
     pub(super) fn check_constraints(&self) -> Result<(), ModelError> {
         for (id, node) in self.schema.nodes.iter().enumerate() {
-            let model_error = |what: String| ModelError { line: node.line, what };
+            let model_error = |message: String| ModelError { line: node.line, message };
             for must in &node.musts {
                 let checked = must.check_paths(&self.schema, id);
                 checked.map_err(|error| model_error(format!("must '{}': {error}", must.text)))?;
--- a/crates/core/model/src/diff.rs
+++ b/crates/core/model/src/diff.rs
@@ -40,9 +40,9 @@
     pub fn apply_changes(&mut self, schema: &Schema, changes: &[Change]) -> Result<(), String> {
         let before = self.clone();
         for change in changes {
-            if let Err(what) = self.apply_change(schema, change) {
+            if let Err(message) = self.apply_change(schema, change) {
                 *self = before;
-                return Err(format!("{}: {what}", schema.text(&change.place)));
+                return Err(format!("{}: {message}", schema.text(&change.place)));
             }
         }
         Ok(())
@@ -62,9 +62,9 @@
             return match (&change.new, self.get(entry)) {
                 (Some(_), None) => {
                     let empty = Node::Container(Arc::default());
-                    self.apply(schema, Op::Merge, entry, Some(&empty)).map_err(|fault| fault.what)
+                    self.apply(schema, Op::Merge, entry, Some(&empty)).map_err(|fault| fault.message)
                 }
-                (None, Some(_)) => self.apply(schema, Op::Remove, entry, None).map_err(|fault| fault.what),
+                (None, Some(_)) => self.apply(schema, Op::Remove, entry, None).map_err(|fault| fault.message),
                 _ => Ok(()),
             };
         }
@@ -77,7 +77,7 @@
             Some(value) => (Op::Merge, Some(Node::Leaf(value.clone()))),
             None => (Op::Remove, None),
         };
-        self.apply(schema, op, &change.place, value.as_ref()).map_err(|fault| fault.what)
+        self.apply(schema, op, &change.place, value.as_ref()).map_err(|fault| fault.message)
     }
 }
 
--- a/crates/core/model/src/edit.rs
+++ b/crates/core/model/src/edit.rs
@@ -39,7 +39,7 @@
         place: &[Segment],
         value: Option<&Node>,
     ) -> Result<(), Fault> {
-        let fault = |kind, what: &str| Fault::new(kind, schema.text(place), what);
+        let fault = |kind, message: &str| Fault::new(kind, schema.text(place), message);
         if let Some(segment) = place.last() {
             if !schema.node(segment.node).config {
                 return Err(fault(FaultKind::ReadOnly, "is state and can't be edited"));
--- a/crates/core/model/src/fault.rs
+++ b/crates/core/model/src/fault.rs
@@ -39,7 +39,7 @@
     /// The path of the node, if one is known.
     pub path: Option<String>,
     /// The message, without the path.
-    pub what: String,
+    pub message: String,
     /// The `error-app-tag`: the one of the constraint, or the one that RFC 7950, section 15 defines for the
     /// error.
     pub tag: Option<String>,
@@ -47,16 +47,16 @@
 
 impl Fault {
     /// A fault without a tag.
-    pub fn new(kind: FaultKind, path: impl Into<Option<String>>, what: impl Into<String>) -> Fault {
-        Fault { kind, path: path.into(), what: what.into(), tag: None }
+    pub fn new(kind: FaultKind, path: impl Into<Option<String>>, message: impl Into<String>) -> Fault {
+        Fault { kind, path: path.into(), message: message.into(), tag: None }
     }
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match &self.path {
-            Some(path) => write!(f, "{path}: {}", self.what),
-            None => f.write_str(&self.what),
+            Some(path) => write!(f, "{path}: {}", self.message),
+            None => f.write_str(&self.message),
         }
     }
 }
--- a/crates/core/model/src/json.rs
+++ b/crates/core/model/src/json.rs
@@ -53,10 +53,10 @@
 }
 
 impl Reader<'_> {
-    fn fault(&self, id: Option<NodeId>, kind: FaultKind, what: impl Into<String>) -> Fault {
+    fn fault(&self, id: Option<NodeId>, kind: FaultKind, message: impl Into<String>) -> Fault {
         let ancestry = id.map(|id| self.schema.ancestry(id)).unwrap_or_default();
         let path: String = ancestry.into_iter().map(|id| format!("/{}", self.schema.node(id).name)).collect();
-        Fault::new(kind, if path.is_empty() { "/".to_owned() } else { path }, what)
+        Fault::new(kind, if path.is_empty() { "/".to_owned() } else { path }, message)
     }
 
     fn node(&self, id: Option<NodeId>, entry: bool, value: &Value) -> Result<Node, Fault> {
@@ -95,8 +95,8 @@
                 match fields.get(key) {
                     Some(Node::Leaf(value)) => keys.push(value.clone()),
                     _ => {
-                        let what = format!("key '{}' is missing", self.schema.node(*key).name);
-                        return Err(self.fault(id, FaultKind::MissingElement, what));
+                        let message = format!("key '{}' is missing", self.schema.node(*key).name);
+                        return Err(self.fault(id, FaultKind::MissingElement, message));
                     }
                 }
             }
@@ -116,14 +116,14 @@
             let plain = match name.split_once(':') {
                 Some((module, plain)) if module == self.schema.module => plain,
                 Some(_) => {
-                    let what = format!("the module here is '{}'", self.schema.module);
-                    return Err(self.fault(parent, FaultKind::UnknownNamespace, what));
+                    let message = format!("the module here is '{}'", self.schema.module);
+                    return Err(self.fault(parent, FaultKind::UnknownNamespace, message));
                 }
                 None => name,
             };
             let Some(child) = self.schema.child(parent, plain) else {
-                let what = format!("there is no '{}' in it", plain.chars().take(64).collect::<String>());
-                return Err(self.fault(parent, FaultKind::UnknownElement, what));
+                let message = format!("there is no '{}' in it", plain.chars().take(64).collect::<String>());
+                return Err(self.fault(parent, FaultKind::UnknownElement, message));
             };
             if fields.insert(child, self.node(Some(child), false, value)?).is_some() {
                 return Err(self.fault(Some(child), FaultKind::BadElement, "stands twice"));
--- a/crates/core/model/src/path.rs
+++ b/crates/core/model/src/path.rs
@@ -25,7 +25,7 @@
 
 /// Parses a path. In a key's value, `\` escapes the next character.
 pub fn parse(text: &str) -> Result<Vec<Step>, Fault> {
-    let fault = |what: &str| Fault::new(FaultKind::InvalidValue, text.to_owned(), what);
+    let fault = |message: &str| Fault::new(FaultKind::InvalidValue, text.to_owned(), message);
     let mut steps: Vec<Step> = Vec::new();
     let mut rest = text.strip_prefix('/').unwrap_or(text).chars().peekable();
     while rest.peek().is_some() {
@@ -81,8 +81,9 @@
         for (number, step) in steps.iter().enumerate() {
             let node = self.step_node(&place, step)?;
             let keys = self.step_keys(&place, node, step)?;
-            let fault =
-                |what: &str| Fault::new(FaultKind::MissingElement, self.path_to_step(&place, step), what);
+            let fault = |message: &str| {
+                Fault::new(FaultKind::MissingElement, self.path_to_step(&place, step), message)
+            };
             let keys = match keys {
                 None => None,
                 Some(keys) if keys.iter().all(Option::is_some) => Some(keys.into_iter().flatten().collect()),
@@ -110,18 +111,18 @@
             None => (None, step.name.as_str()),
         };
         if module.is_some_and(|module| module != self.module && module != self.prefix) {
-            let what = format!("the module here is '{}'", self.module);
-            return Err(Fault::new(FaultKind::UnknownNamespace, self.path_to_step(place, step), what));
+            let message = format!("the module here is '{}'", self.module);
+            return Err(Fault::new(FaultKind::UnknownNamespace, self.path_to_step(place, step), message));
         }
         let parent = place.last().map(|segment| segment.node);
         self.child(parent, name).ok_or_else(|| {
             let known: Vec<&str> =
                 self.children(parent).iter().map(|id| self.node(*id).name.as_str()).collect();
-            let what = match known.is_empty() {
+            let message = match known.is_empty() {
                 true => "there is nothing below this".to_owned(),
                 false => format!("there is no such node; known here: {}", known.join(", ")),
             };
-            Fault::new(FaultKind::UnknownElement, self.path_to_step(place, step), what)
+            Fault::new(FaultKind::UnknownElement, self.path_to_step(place, step), message)
         })
     }
 
@@ -133,7 +134,7 @@
         node: NodeId,
         step: &Step,
     ) -> Result<Option<Vec<Option<Text>>>, Fault> {
-        let fault = |kind, what: String| Fault::new(kind, self.path_to_step(place, step), what);
+        let fault = |kind, message: String| Fault::new(kind, self.path_to_step(place, step), message);
         match &self.node(node).kind {
             NodeKind::List { keys: leaves, .. } => {
                 let mut keys = vec![None; leaves.len()];
--- a/crates/core/model/src/pattern.rs
+++ b/crates/core/model/src/pattern.rs
@@ -37,8 +37,8 @@
                 }
             }
             if next.is_empty() {
-                let what = format!("there is no '{}' there", step.name);
-                return Err(Fault::new(FaultKind::UnknownElement, None, what));
+                let message = format!("there is no '{}' there", step.name);
+                return Err(Fault::new(FaultKind::UnknownElement, None, message));
             }
             patterns = next;
         }
--- a/crates/core/model/src/statement.rs
+++ b/crates/core/model/src/statement.rs
@@ -27,12 +27,12 @@
     /// The line, from 1.
     pub line: usize,
     /// The message, without the line.
-    pub what: String,
+    pub message: String,
 }
 
 impl fmt::Display for ModelError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "line {}: {}", self.line, self.what)
+        write!(f, "line {}: {}", self.line, self.message)
     }
 }
 
@@ -63,8 +63,8 @@
     }
 
     /// An error at this statement's line.
-    pub fn error(&self, what: impl Into<String>) -> ModelError {
-        ModelError { line: self.line, what: what.into() }
+    pub fn error(&self, message: impl Into<String>) -> ModelError {
+        ModelError { line: self.line, message: message.into() }
     }
 }
 
@@ -84,8 +84,8 @@
 }
 
 impl Reader<'_> {
-    fn error(&self, what: &str) -> ModelError {
-        ModelError { line: self.line, what: what.to_owned() }
+    fn error(&self, message: &str) -> ModelError {
+        ModelError { line: self.line, message: message.to_owned() }
     }
 
     fn next(&mut self) -> Option<char> {
@@ -211,7 +211,7 @@
         let mut text = String::new();
         loop {
             match self.next() {
-                None => return Err(ModelError { line: from, what: "unterminated string".to_owned() }),
+                None => return Err(ModelError { line: from, message: "unterminated string".to_owned() }),
                 Some('\'') => return Ok(Token::Quoted(text)),
                 Some(c) => text.push(c),
             }
@@ -225,7 +225,7 @@
         let mut text = String::new();
         loop {
             match self.next() {
-                None => return Err(ModelError { line: from, what: "unterminated string".to_owned() }),
+                None => return Err(ModelError { line: from, message: "unterminated string".to_owned() }),
                 Some('"') => return Ok(Token::Quoted(text)),
                 Some('\\') => match self.next() {
                     Some('n') => text.push('\n'),
--- a/crates/core/model/src/validate.rs
+++ b/crates/core/model/src/validate.rs
@@ -44,10 +44,10 @@
 type Ancestors<'a> = Vec<(Option<NodeId>, &'a Fields)>;
 
 impl<'a> Validation<'a> {
-    fn add_fault(&mut self, kind: FaultKind, what: impl Into<String>, tag: Option<&str>) {
+    fn add_fault(&mut self, kind: FaultKind, message: impl Into<String>, tag: Option<&str>) {
         if self.faults.len() < MAX_FAULTS {
             let path = self.schema.text(&self.place);
-            let mut fault = Fault::new(kind, path, what);
+            let mut fault = Fault::new(kind, path, message);
             fault.tag = tag.map(str::to_owned);
             self.faults.push(fault);
         }
@@ -126,11 +126,11 @@
 
     fn check_element_count(&mut self, count: usize, min: usize, max: usize) {
         if count < min {
-            let what = format!("holds {count}; at least {min} are needed");
-            self.add_fault(FaultKind::TooFew, what, Some("too-few-elements"));
+            let message = format!("holds {count}; at least {min} are needed");
+            self.add_fault(FaultKind::TooFew, message, Some("too-few-elements"));
         } else if count > max {
-            let what = format!("holds {count}; at most {max} are allowed");
-            self.add_fault(FaultKind::TooMany, what, Some("too-many-elements"));
+            let message = format!("holds {count}; at most {max} are allowed");
+            self.add_fault(FaultKind::TooMany, message, Some("too-many-elements"));
         }
     }
 
@@ -143,8 +143,8 @@
             values
         });
         if !allowed.contains(value) {
-            let what = format!("'{value}' is no {} that there is", schema.node(*target).name);
-            self.add_fault(FaultKind::MissingInstance, what, Some("instance-required"));
+            let message = format!("'{value}' is no {} that there is", schema.node(*target).name);
+            self.add_fault(FaultKind::MissingInstance, message, Some("instance-required"));
         }
     }
 
@@ -156,9 +156,9 @@
         let context = Context { schema, ancestors: ancestors.clone(), leaf };
         for must in &schema.node(id).musts {
             if !must.holds(&context) {
-                let what = must.message.clone().unwrap_or_else(|| format!("must hold: {}", must.text));
+                let message = must.message.clone().unwrap_or_else(|| format!("must hold: {}", must.text));
                 let tag = must.tag.as_deref().or(Some("must-violation"));
-                self.add_fault(FaultKind::MustViolation, what, tag);
+                self.add_fault(FaultKind::MustViolation, message, tag);
             }
         }
     }
--- a/crates/core/model/tests/trees.rs
+++ b/crates/core/model/tests/trees.rs
@@ -229,7 +229,7 @@
     let schema = schema();
     let fault = |path: &str| schema.place(&parse_path(path).unwrap()).unwrap_err();
     let unknown = fault("/front/pol");
-    assert!(unknown.kind == FaultKind::UnknownElement && unknown.what.contains("pool"), "{unknown}");
+    assert!(unknown.kind == FaultKind::UnknownElement && unknown.message.contains("pool"), "{unknown}");
     assert_eq!(fault("/other:front").kind, FaultKind::UnknownNamespace);
     assert_eq!(fault("/front/pool/admin-state").kind, FaultKind::MissingElement);
     assert_eq!(fault("/front/pool[name=a b]").kind, FaultKind::InvalidValue);
--- a/crates/core/model/tests/unit/compiler.rs
+++ b/crates/core/model/tests/unit/compiler.rs
@@ -16,7 +16,7 @@
 
 #[test]
 fn unknown_statements_are_reported_by_line() {
-    for (body, line, what) in [
+    for (body, line, message) in [
         ("rpc x;", 5, "'rpc'"),
         ("container a {\n anydata b;\n}", 6, "'anydata'"),
         ("leaf a { type flags; }", 5, "'flags'"),
@@ -35,6 +35,6 @@
         ("leaf a { type string; when 'b'; }", 5, "'when'"),
     ] {
         let found = compile_error(body);
-        assert!(found.line == line && found.what.contains(what), "{body}: {found}");
+        assert!(found.line == line && found.message.contains(message), "{body}: {found}");
     }
 }
--- a/crates/core/model/tests/unit/statement.rs
+++ b/crates/core/model/tests/unit/statement.rs
@@ -23,5 +23,5 @@
         assert_eq!(Statement::parse(text).unwrap_err().line, line, "{text}");
     }
     let deep = "a {".repeat(1000);
-    assert!(Statement::parse(&deep).unwrap_err().what.contains("deeply"));
+    assert!(Statement::parse(&deep).unwrap_err().message.contains("deeply"));
 }
--- a/crates/edges/netconf/src/error.rs
+++ b/crates/edges/netconf/src/error.rs
@@ -153,7 +153,7 @@
             app_tag: fault.tag.clone().or(app_tag.map(str::to_owned)),
             path: path.map(|path| prefixed(schema, path)),
             element: element.filter(|element| !element.is_empty()),
-            ..RpcError::application(tag, fault.what.clone())
+            ..RpcError::application(tag, fault.message.clone())
         }
     }
 
