--- a/crates/core/model/src/edit.rs
+++ b/crates/core/model/src/edit.rs
@@ -23,7 +23,7 @@
 }
 
 impl Tree {
-    /// A leaf's value, or its default.
+    /// The value of the leaf at a place, or else its default.
     pub fn leaf<'a>(&'a self, schema: &'a Schema, place: &[Segment]) -> Option<&'a str> {
         match self.get(place) {
             Some(NodeRef::Leaf(value)) => Some(value),
@@ -191,7 +191,7 @@
     }
 }
 
-/// Whether a node or one of its descendants is empty.
+/// Returns true if a node or one of its descendants is empty.
 fn holds_empty(node: &Node) -> bool {
     is_empty(node)
         || match node {
--- a/crates/core/model/src/evaluate.rs
+++ b/crates/core/model/src/evaluate.rs
@@ -42,7 +42,7 @@
 }
 
 impl Must {
-    /// Whether the constraint holds for the context node.
+    /// Evaluates the constraint for the context node.
     pub(crate) fn holds(&self, context: &Context) -> bool {
         self.expression.evaluate(context).is_true()
     }
--- a/crates/core/model/src/schema.rs
+++ b/crates/core/model/src/schema.rs
@@ -25,7 +25,7 @@
         ty: Type,
         /// The `default`, as written in the module.
         default: Option<String>,
-        /// Whether the leaf is `mandatory`.
+        /// The `mandatory` statement; false if not stated.
         mandatory: bool,
     },
     /// `leaf-list`.
@@ -48,7 +48,7 @@
     pub name: String,
     /// The kind of node.
     pub kind: NodeKind,
-    /// Whether it is configuration; otherwise it is state data and read-only.
+    /// True for configuration, false for state data, which is read-only.
     pub config: bool,
     /// The parent; `None` for a top-level node.
     pub parent: Option<NodeId>,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Whether the node is a key leaf of its parent list.
+    /// Returns true if the node is a key leaf of its parent list.
     pub fn is_key(&self, id: NodeId) -> bool {
         self.nodes[id].parent.is_some_and(|parent| self.keys(parent).contains(&id))
     }
--- a/crates/core/model/src/tree.rs
+++ b/crates/core/model/src/tree.rs
@@ -72,7 +72,8 @@
         &mut self.fields
     }
 
-    /// Whether both trees share one root in memory, which a pointer comparison finds out. Equal trees need not.
+    /// Compares the pointers of both roots. True implies that the trees are equal; equal trees may have
+    /// different roots.
     pub fn is_same(&self, other: &Tree) -> bool {
         Arc::ptr_eq(&self.fields, &other.fields)
     }
--- a/crates/core/model/src/types.rs
+++ b/crates/core/model/src/types.rs
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Whether the type is an integer type, or a leafref to a leaf of one.
+    /// Returns true for an integer type and for a leafref to a leaf of one.
     pub fn is_integer(&self) -> bool {
         match self {
             Type::Integer { .. } => true,
--- a/crates/core/store/src/log.rs
+++ b/crates/core/store/src/log.rs
@@ -105,7 +105,7 @@
     NoRevertVersion(u64),
     /// The JSON value is not a data tree.
     NotATree,
-    /// A value or path does not fit the model.
+    /// A value or path is not valid against the YANG model.
     Model(Fault),
     /// The changes can't be applied to the previous version's tree; the message.
     Changes(String),
--- a/crates/core/store/src/store/confirmed.rs
+++ b/crates/core/store/src/store/confirmed.rs
@@ -23,13 +23,13 @@
     pub revert_to: Arc<Version>,
     /// The time at which it is reverted, since the caller's origin.
     pub deadline: Duration,
-    /// Whether no client remains that could confirm it, so that it is reverted at the next poll.
+    /// True if no client remains that could confirm it; it is then reverted at the next poll.
     pub orphaned: bool,
 }
 
 impl PendingConfirmation {
-    /// Whether a call of this session with this `persist` id refers to the pending commit and may still act
-    /// on it.
+    /// Returns true if a call of this session with this `persist` id refers to the pending commit and may act
+    /// on it. Nothing may act on an orphaned commit.
     pub(super) fn is_referenced_by(&self, session: SessionId, id: Option<&str>) -> bool {
         let named = match &self.persist {
             Some(persist) => id == Some(persist.as_str()),
--- a/crates/core/store/src/store/sessions.rs
+++ b/crates/core/store/src/store/sessions.rs
@@ -11,7 +11,7 @@
     pub user: String,
     /// The protocol of the session.
     pub protocol: Protocol,
-    /// Whether the session edits a private candidate instead of the shared one.
+    /// True if the session edits a private candidate instead of the shared one.
     pub has_private_candidate: bool,
     /// The private candidate; `None` while it holds no change.
     pub(super) candidate: Option<Candidate>,
--- a/crates/core/store/src/store/startup.rs
+++ b/crates/core/store/src/store/startup.rs
@@ -1,4 +1,5 @@
-//! The startup datastore: the configuration that is loaded when the front starts.
+//! The startup datastore: the configuration that is loaded into running at the start of a front that is set
+//! to do so.
 
 use super::Store;
 use super::commit::CommitPlan;
--- a/crates/core/store/src/two_phase.rs
+++ b/crates/core/store/src/two_phase.rs
@@ -111,7 +111,7 @@
         (commit, actions)
     }
 
-    /// Whether the commit has succeeded or failed.
+    /// Returns true once the commit has succeeded or failed.
     pub fn is_finished(&self) -> bool {
         self.phase == Phase::Finished
     }
--- a/crates/core/store/src/version.rs
+++ b/crates/core/store/src/version.rs
@@ -13,7 +13,7 @@
     Running,
     /// A working copy that clients edit and then commit to running.
     Candidate,
-    /// The configuration that is loaded when the front starts.
+    /// The configuration that is loaded into running at the start of a front that is set to do so.
     Startup,
 }
 
