--- a/crates/core/model/src/compiler.rs
+++ b/crates/core/model/src/compiler.rs
@@ -1,5 +1,5 @@
-//! Compiles a module to the nodes that data is checked against. A statement that is not known is an error with its line,
-//! never passed over: what the model's text says holds, or the front does not start.
+//! Compiler from a YANG module to schema nodes. An unsupported statement is an error with its line and is
+//! never ignored, so that everything that the module states is enforced, or else the front does not start.
 
 mod references;
 mod types;
@@ -11,16 +11,16 @@
 use std::collections::BTreeMap;
 
 const MODEL: &str = include_str!("../yang/lemonusher-front.yang");
-/// Groupings and types may refer to each other no deeper than this.
+/// The deepest nesting of groupings that use groupings, and of typedefs that refer to typedefs.
 const MAX_DEPTH: usize = 16;
 
 impl Schema {
-    /// The front's own model.
+    /// The front's own model, `lemonusher-front.yang`.
     pub fn front() -> Result<Schema, ModelError> {
         Schema::compile(MODEL)
     }
 
-    /// Compiles a module's text. Fails with the line of the first statement that can't be read or is not known.
+    /// Compiles a module's text. Fails with the line of the first statement that is malformed or unsupported.
     pub fn compile(text: &str) -> Result<Schema, ModelError> {
         let module = Statement::parse(text)?;
         let mut compiler = Compiler {
@@ -49,17 +49,17 @@
     }
 }
 
-/// The schema of a module without its nodes.
+/// A schema with the header of a module and no nodes.
 fn empty_schema(module: &Statement, text: &str) -> Result<Schema, ModelError> {
     if module.keyword != "module" {
-        return Err(module.wrong(format!("'{}' stands where 'module' should", module.keyword)));
+        return Err(module.error(format!("expected 'module', found '{}'", module.keyword)));
     }
     let required = |keyword: &str| {
         let argument = module.substatement_arg(keyword)?;
-        argument.map(str::to_owned).ok_or_else(|| module.wrong(format!("the module has no '{keyword}'")))
+        argument.map(str::to_owned).ok_or_else(|| module.error(format!("the module has no '{keyword}'")))
     };
     if required("yang-version")? != "1.1" {
-        return Err(module.wrong("only yang-version 1.1 is known"));
+        return Err(module.error("only yang-version 1.1 is supported"));
     }
     Ok(Schema {
         module: module.arg()?.to_owned(),
@@ -78,7 +78,7 @@
     let mut found = BTreeMap::new();
     for statement in module.substatements.iter().filter(|statement| statement.keyword == keyword) {
         if found.insert(statement.arg()?.to_owned(), statement).is_some() {
-            return Err(statement.wrong(format!("{keyword} '{}' stands twice", statement.arg()?)));
+            return Err(statement.error(format!("{keyword} '{}' is defined twice", statement.arg()?)));
         }
     }
     Ok(found)
@@ -88,19 +88,19 @@
     schema: Schema,
     groupings: BTreeMap<String, &'a Statement>,
     typedefs: BTreeMap<String, &'a Statement>,
-    /// Leafrefs whose targets are not resolved yet.
+    /// Leafrefs to resolve once all nodes are compiled.
     leafrefs: Vec<UnresolvedLeafref>,
 }
 
 struct UnresolvedLeafref {
     node: NodeId,
     path: String,
-    /// The line of the path.
+    /// The line of the `path` statement, from 1.
     line: usize,
 }
 
 impl<'a> Compiler<'a> {
-    /// A data node, or those of a grouping that is used.
+    /// Compiles a data definition statement to a node; `uses` to the nodes of its grouping.
     fn data_nodes(
         &mut self,
         statement: &'a Statement,
@@ -109,7 +109,7 @@
         depth: usize,
     ) -> Result<Vec<NodeId>, ModelError> {
         if depth > MAX_DEPTH {
-            return Err(statement.wrong("groupings use each other too deeply"));
+            return Err(statement.error("groupings are nested too deeply"));
         }
         match statement.keyword.as_str() {
             "container" | "list" | "leaf" | "leaf-list" => {
@@ -122,21 +122,21 @@
                 }
                 Ok(nodes)
             }
-            other => Err(statement.wrong(format!("statement '{other}' is not known here"))),
+            other => Err(statement.error(format!("statement '{other}' is not supported here"))),
         }
     }
 
-    /// The statements of the grouping that a `uses` names.
+    /// The statements of the grouping to which a `uses` statement refers.
     fn used_statements(
         &self,
         uses: &Statement,
     ) -> Result<impl Iterator<Item = &'a Statement> + use<'a>, ModelError> {
         let name = uses.arg()?;
         if let Some(within) = uses.substatements.first() {
-            return Err(within.wrong(format!("'{}' is not known in 'uses'", within.keyword)));
+            return Err(within.error(format!("'{}' is not supported in 'uses'", within.keyword)));
         }
         let grouping = self.groupings.get(name).copied();
-        let grouping = grouping.ok_or_else(|| uses.wrong(format!("there is no grouping '{name}'")))?;
+        let grouping = grouping.ok_or_else(|| uses.error(format!("there is no grouping '{name}'")))?;
         Ok(grouping.substatements.iter().filter(|statement| statement.keyword != "description"))
     }
 
@@ -152,10 +152,14 @@
             None => config,
             Some("false") => false,
             Some("true") if config => true,
-            Some(_) => return Err(statement.wrong("'config' is true or false, and false below false")),
+            Some(_) => {
+                return Err(
+                    statement.error("'config' must be true or false, and can't be true below 'config false'")
+                );
+            }
         };
         if self.schema.children(parent).iter().any(|id| self.schema.nodes[*id].name == name) {
-            return Err(statement.wrong(format!("'{name}' stands twice")));
+            return Err(statement.error(format!("'{name}' is defined twice")));
         }
         let id = self.schema.nodes.len();
         self.schema.nodes.push(SchemaNode {
@@ -176,7 +180,7 @@
         Ok(id)
     }
 
-    /// One statement within a node's statement.
+    /// Compiles one substatement of a node's statement.
     fn substatement(
         &mut self,
         statement: &Statement,
@@ -202,7 +206,7 @@
                 self.schema.nodes[id].children.extend(nodes);
             }
             other => {
-                return Err(within.wrong(format!("statement '{other}' is not known in '{keyword}'")));
+                return Err(within.error(format!("statement '{other}' is not supported in '{keyword}'")));
             }
         }
         Ok(())
@@ -218,7 +222,7 @@
                 let default = statement.substatement_arg("default")?.map(str::to_owned);
                 let mandatory = statement.substatement_arg("mandatory")? == Some("true");
                 if mandatory && default.is_some() {
-                    return Err(statement.wrong("a mandatory leaf has no default"));
+                    return Err(statement.error("a mandatory leaf can't have a default"));
                 }
                 Ok(NodeKind::Leaf { ty, default, mandatory })
             }
@@ -231,14 +235,14 @@
 
     fn list(&self, statement: &Statement, id: NodeId) -> Result<NodeKind, ModelError> {
         let (min, max) = element_bounds(statement)?;
-        let no_key = || statement.wrong("a list needs a 'key'");
+        let no_key = || statement.error("a list needs a 'key'");
         let key = statement.substatement_arg("key")?.ok_or_else(no_key)?;
         let mut keys = Vec::new();
         for name in key.split_whitespace() {
             let leaf = self.schema.child(Some(id), name);
             let leaf = leaf
                 .filter(|leaf| matches!(self.schema.nodes[*leaf].kind, NodeKind::Leaf { .. }))
-                .ok_or_else(|| statement.wrong(format!("key '{name}' is no leaf of the list")))?;
+                .ok_or_else(|| statement.error(format!("key '{name}' is not a leaf of the list")))?;
             keys.push(leaf);
         }
         if keys.is_empty() {
@@ -248,11 +252,11 @@
     }
 }
 
-/// The fewest and the most elements of a list or leaf-list.
+/// `min-elements` and `max-elements` of a list or leaf-list.
 fn element_bounds(statement: &Statement) -> Result<(usize, usize), ModelError> {
     let number = |keyword: &str, default: usize| match statement.substatement_arg(keyword)? {
         None | Some("unbounded") => Ok(default),
-        Some(text) => text.parse().map_err(|_| statement.wrong(format!("'{keyword}' needs a number"))),
+        Some(text) => text.parse().map_err(|_| statement.error(format!("'{keyword}' needs a number"))),
     };
     Ok((number("min-elements", 0)?, number("max-elements", usize::MAX)?))
 }
--- a/crates/core/model/src/compiler/references.rs
+++ b/crates/core/model/src/compiler/references.rs
@@ -1,4 +1,4 @@
-//! What can be checked only once all nodes are known: leafrefs, the paths of constraints, and defaults.
+//! Checks that need all nodes of the module: leafrefs, the paths in constraints, and defaults.
 
 use super::{Compiler, UnresolvedLeafref};
 use crate::node_id::NodeId;
@@ -7,12 +7,12 @@
 use crate::types::Type;
 
 impl Compiler<'_> {
-    /// Points leafrefs at their targets.
+    /// Resolves the targets of all leafrefs.
     pub(super) fn resolve_leafrefs(&mut self) -> Result<(), ModelError> {
         for leafref in std::mem::take(&mut self.leafrefs) {
-            let resolved = self.resolve(&leafref).map_err(|what| ModelError {
+            let resolved = self.resolve(&leafref).map_err(|message| ModelError {
                 line: leafref.line,
-                what: format!("leafref path '{}' {what}", leafref.path),
+                message: format!("leafref path '{}' {message}", leafref.path),
             })?;
             match &mut self.schema.nodes[leafref.node].kind {
                 NodeKind::Leaf { ty, .. } | NodeKind::LeafList { ty, .. } => *ty = resolved,
@@ -27,10 +27,10 @@
         let node = &self.schema.nodes[target];
         let inner = match &node.kind {
             NodeKind::Leaf { ty, .. } if !matches!(ty, Type::Leafref { .. }) => Box::new(ty.clone()),
-            _ => return Err("leads to no plain leaf"),
+            _ => return Err("leads to a node that is not a leaf, or to another leafref"),
         };
         if self.schema.nodes[leafref.node].config && !node.config {
-            return Err("leads from config to state");
+            return Err("leads from configuration to state data");
         }
         Ok(Type::Leafref { target, inner })
     }
@@ -45,18 +45,18 @@
         at.ok_or("leads nowhere")
     }
 
-    /// Checks the paths of constraints, and the defaults by their types.
+    /// Checks that the paths in constraints lead to nodes, and that defaults are valid for their types.
     pub(super) fn check_constraints(&self) -> Result<(), ModelError> {
         for (id, node) in self.schema.nodes.iter().enumerate() {
-            let wrong = |what: String| ModelError { line: node.line, what };
+            let model_error = |message: String| ModelError { line: node.line, message };
             for must in &node.musts {
                 let checked = must.check_paths(&self.schema, id);
-                checked.map_err(|error| wrong(format!("must '{}': {error}", must.text)))?;
+                checked.map_err(|error| model_error(format!("must '{}': {error}", must.text)))?;
             }
             if let NodeKind::Leaf { ty, default: Some(default), .. } = &node.kind
                 && let Err(error) = ty.canonical(default)
             {
-                return Err(wrong(format!("the default {error}")));
+                return Err(model_error(format!("the default {error}")));
             }
         }
         Ok(())
--- a/crates/core/model/src/compiler/types.rs
+++ b/crates/core/model/src/compiler/types.rs
@@ -1,4 +1,4 @@
-//! Compiles `type` statements.
+//! Compilation of `type` statements.
 
 use super::{Compiler, MAX_DEPTH, UnresolvedLeafref};
 use crate::node_id::NodeId;
@@ -6,18 +6,18 @@
 use crate::types::{Range, Type, integer_bounds, parse_ranges, whole_value_pattern};
 use regex::Regex;
 
-/// All lengths that a string may have.
+/// The lengths of a string without a `length` restriction.
 const ALL_LENGTHS: Range = 0..=u64::MAX as i128;
 
 impl<'a> Compiler<'a> {
-    /// The type of a node, which the statement `holder` names.
+    /// The type of a node, from the `type` substatement of the node's statement or of a typedef.
     pub(super) fn type_of(
         &mut self,
-        holder: &'a Statement,
+        statement: &'a Statement,
         node: NodeId,
         depth: usize,
     ) -> Result<Type, ModelError> {
-        let ty = holder.substatement("type").ok_or_else(|| holder.wrong("it has no 'type'"))?;
+        let ty = statement.substatement("type").ok_or_else(|| statement.error("'type' is missing"))?;
         let name = ty.arg()?;
         if let Some(bounds) = integer_bounds(name) {
             return integer(ty, name, bounds);
@@ -34,10 +34,10 @@
             "leafref" => self.leafref(ty, node),
             other => {
                 let Some(typedef) = self.typedefs.get(other).copied() else {
-                    return Err(ty.wrong(format!("type '{other}' is not known")));
+                    return Err(ty.error(format!("type '{other}' is unknown or not supported")));
                 };
                 if depth > MAX_DEPTH {
-                    return Err(ty.wrong("types refer to each other too deeply"));
+                    return Err(ty.error("typedefs are nested too deeply"));
                 }
                 allow_only(ty, &[])?;
                 self.type_of(typedef, node, depth + 1)
@@ -45,10 +45,10 @@
         }
     }
 
-    /// A leafref whose target stands for itself until all nodes are known.
+    /// A leafref. Its own node is a placeholder for the target until all nodes are compiled.
     fn leafref(&mut self, ty: &Statement, node: NodeId) -> Result<Type, ModelError> {
         allow_only(ty, &["path"])?;
-        let path = ty.substatement("path").ok_or_else(|| ty.wrong("a leafref needs a 'path'"))?;
+        let path = ty.substatement("path").ok_or_else(|| ty.error("a leafref needs a 'path'"))?;
         self.leafrefs.push(UnresolvedLeafref { node, path: path.arg()?.to_owned(), line: path.line });
         Ok(Type::Leafref { target: node, inner: Box::new(Type::Boolean) })
     }
@@ -57,7 +57,7 @@
 fn integer(ty: &Statement, name: &str, bounds: Range) -> Result<Type, ModelError> {
     allow_only(ty, &["range"])?;
     let ranges = match ty.substatement("range") {
-        Some(range) => parse_ranges(range.arg()?, bounds).map_err(|error| range.wrong(error.to_string()))?,
+        Some(range) => parse_ranges(range.arg()?, bounds).map_err(|error| range.error(error.to_string()))?,
         None => vec![bounds],
     };
     Ok(Type::Integer { name: name.to_owned(), ranges })
@@ -67,25 +67,28 @@
     allow_only(ty, &["length", "pattern"])?;
     let lengths = match ty.substatement("length") {
         Some(length) => {
-            parse_ranges(length.arg()?, ALL_LENGTHS).map_err(|error| length.wrong(error.to_string()))?
+            parse_ranges(length.arg()?, ALL_LENGTHS).map_err(|error| length.error(error.to_string()))?
         }
         None => Vec::new(),
     };
     let mut patterns = Vec::new();
     for pattern in ty.substatements.iter().filter(|within| within.keyword == "pattern") {
         let regex = Regex::new(&whole_value_pattern(pattern.arg()?)).map_err(|error| {
-            pattern.wrong(format!("pattern can't be used: {}", error.to_string().replace('\n', " ")))
+            pattern.error(format!(
+                "pattern is not a valid regular expression: {}",
+                error.to_string().replace('\n', " ")
+            ))
         })?;
         patterns.push(regex);
     }
     Ok(Type::String { lengths, patterns })
 }
 
-/// Fails at a statement within a type that is none of these.
+/// Fails if a `type` statement has a substatement with another keyword.
 fn allow_only(ty: &Statement, keywords: &[&str]) -> Result<(), ModelError> {
     let name = ty.arg()?;
     match ty.substatements.iter().find(|within| !keywords.contains(&within.keyword.as_str())) {
-        Some(within) => Err(within.wrong(format!("'{}' is not known in type '{name}'", within.keyword))),
+        Some(within) => Err(within.error(format!("'{}' is not supported in type '{name}'", within.keyword))),
         None => Ok(()),
     }
 }
--- a/crates/core/model/src/evaluate.rs
+++ b/crates/core/model/src/evaluate.rs
@@ -1,4 +1,4 @@
-//! Evaluates the constraints of `must` statements on data, by XPath's rules.
+//! Evaluation of the XPath expressions of `must` statements on a data tree.
 
 use crate::must::Must;
 use crate::node_id::NodeId;
@@ -7,16 +7,17 @@
 use crate::xpath::{Comparison, Expression, LocationPath};
 use std::fmt;
 
-/// The context node, with all nodes above it.
+/// The context node (RFC 7950, 7.5.3) and its ancestors.
 pub struct Context<'a> {
     pub schema: &'a Schema,
-    /// From the top down: the node that holds the fields, and the fields.
-    pub above: Vec<(Option<NodeId>, &'a Fields)>,
-    /// The context node where it is a leaf.
+    /// From the top level down: each node, `None` for the root, and its child nodes that are set. The last
+    /// one is the context node, or the parent of a context node that is a leaf.
+    pub ancestors: Vec<(Option<NodeId>, &'a Fields)>,
+    /// The value of the context node, if it is a leaf.
     pub leaf: Option<Text>,
 }
 
-/// What an expression evaluates to.
+/// The value of an expression.
 enum Value {
     NodeSet(Vec<Text>),
     Number(f64),
@@ -24,7 +25,7 @@
     Boolean(bool),
 }
 
-/// Why a path of a constraint leads nowhere.
+/// The reason for which a path in a constraint matches no schema node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PathError {
     AboveTheTop,
@@ -34,19 +35,19 @@
 impl fmt::Display for PathError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            PathError::AboveTheTop => f.write_str("a path leads above the top"),
-            PathError::NoChild(name) => write!(f, "there is no '{name}'"),
+            PathError::AboveTheTop => f.write_str("a path leads above the root"),
+            PathError::NoChild(name) => write!(f, "there is no node '{name}'"),
         }
     }
 }
 
 impl Must {
-    /// Whether the constraint holds for the context node.
+    /// Evaluates the constraint for the context node.
     pub(crate) fn holds(&self, context: &Context) -> bool {
         self.expression.evaluate(context).is_true()
     }
 
-    /// Whether every path leads to a node of the schema from this one.
+    /// Checks that every path in the constraint, with `node` as context node, leads to a schema node.
     pub(crate) fn check_paths(&self, schema: &Schema, node: NodeId) -> Result<(), PathError> {
         self.expression.check_paths(schema, node)
     }
@@ -98,7 +99,8 @@
         Ok(())
     }
 
-    /// The values of the nodes that the path leads to; containers and list entries count as empty text.
+    /// The values of the nodes that the path selects. Containers and list entries have the empty string as
+    /// value.
     fn select(&self, context: &Context) -> Vec<Text> {
         let mut up = self.up;
         if let Some(leaf) = &context.leaf {
@@ -107,23 +109,23 @@
                 Some(less) => up = less,
             }
         }
-        let Some(level) = context.above.len().checked_sub(up + 1) else { return Vec::new() };
-        let (holder, fields) = context.above[level];
+        let Some(level) = context.ancestors.len().checked_sub(up + 1) else { return Vec::new() };
+        let (parent, fields) = context.ancestors[level];
         let mut values = Vec::new();
-        descend(context.schema, holder, fields, &self.down, &mut values);
+        descend(context.schema, parent, fields, &self.down, &mut values);
         values
     }
 }
 
 fn descend(
     schema: &Schema,
-    holder: Option<NodeId>,
+    parent: Option<NodeId>,
     fields: &Fields,
     down: &[String],
     values: &mut Vec<Text>,
 ) {
     let Some((name, rest)) = down.split_first() else { return values.push("".into()) };
-    let Some(child) = schema.child(holder, name) else { return };
+    let Some(child) = schema.child(parent, name) else { return };
     match fields.get(&child) {
         Some(Node::Leaf(value)) => values.push(value.clone()),
         Some(Node::LeafList(members)) => values.extend(members.iter().cloned()),
@@ -131,7 +133,7 @@
         Some(Node::List(entries)) => {
             entries.values().for_each(|entry| descend(schema, Some(child), entry, rest, values));
         }
-        // Nodes that are not set may have defaults.
+        // An unset leaf has its default, also below an unset container.
         None => match &schema.node(child).kind {
             NodeKind::Container if !rest.is_empty() => {
                 descend(schema, Some(child), &Fields::new(), rest, values);
@@ -161,7 +163,7 @@
     }
 }
 
-/// A node set compares if any of its members does.
+/// Compares two values. For a node set, it is sufficient that the comparison holds for one of its nodes.
 fn compare(a: &Value, comparison: Comparison, b: &Value) -> bool {
     match (a, b) {
         (Value::Boolean(_), _) | (_, Value::Boolean(_)) => match comparison {
--- a/crates/core/model/src/json.rs
+++ b/crates/core/model/src/json.rs
@@ -1,4 +1,5 @@
-//! Data as JSON (RFC 7951): names carry the module at the top, 64-bit numbers are strings.
+//! JSON encoding of data (RFC 7951): top-level names have the module's name as prefix, 64-bit integers are
+//! strings.
 
 use crate::fault::{Fault, FaultKind};
 use crate::node_id::NodeId;
@@ -9,7 +10,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A node's data; with `None` for the whole tree, whose names carry the module.
+/// Encodes a node. `None` as id stands for the whole tree, whose top-level names have the module's name as
+/// prefix.
 pub fn to_json(schema: &Schema, id: Option<NodeId>, node: &Node) -> Value {
     match node {
         Node::Container(fields) => Value::Object(fields_to_json(schema, fields, id.is_none())),
@@ -21,7 +23,7 @@
     }
 }
 
-/// A leaf's value, in the form of its type.
+/// Encodes a leaf's value according to its type.
 pub fn leaf_to_json(schema: &Schema, id: Option<NodeId>, value: &str) -> Value {
     let form = id.and_then(|id| schema.node(id).leaf_type()).map_or(JsonForm::String, |ty| ty.json_form());
     let read = match form {
@@ -40,8 +42,8 @@
     fields.iter().map(|(id, node)| (name(*id), to_json(schema, Some(*id), node))).collect()
 }
 
-/// Reads data for a node: for `None` the whole tree, with `entry` one entry of a list or one member of a leaf-list. Fails
-/// where the data does not fit the model.
+/// Decodes the data of a node. `None` as id stands for the whole tree; with `entry` the data is a single list
+/// entry or leaf-list member. Fails if the data does not conform to the model.
 pub fn from_json(schema: &Schema, id: Option<NodeId>, entry: bool, value: &Value) -> Result<Node, Fault> {
     Reader { schema }.node(id, entry, value)
 }
@@ -51,10 +53,10 @@
 }
 
 impl Reader<'_> {
-    fn fault(&self, id: Option<NodeId>, kind: FaultKind, what: impl Into<String>) -> Fault {
+    fn fault(&self, id: Option<NodeId>, kind: FaultKind, message: impl Into<String>) -> Fault {
         let ancestry = id.map(|id| self.schema.ancestry(id)).unwrap_or_default();
         let path: String = ancestry.into_iter().map(|id| format!("/{}", self.schema.node(id).name)).collect();
-        Fault::new(kind, if path.is_empty() { "/".to_owned() } else { path }, what)
+        Fault::new(kind, if path.is_empty() { "/".to_owned() } else { path }, message)
     }
 
     fn node(&self, id: Option<NodeId>, entry: bool, value: &Value) -> Result<Node, Fault> {
@@ -93,8 +95,8 @@
                 match fields.get(key) {
                     Some(Node::Leaf(value)) => keys.push(value.clone()),
                     _ => {
-                        let what = format!("key '{}' is missing", self.schema.node(*key).name);
-                        return Err(self.fault(id, FaultKind::MissingElement, what));
+                        let message = format!("key '{}' is missing", self.schema.node(*key).name);
+                        return Err(self.fault(id, FaultKind::MissingElement, message));
                     }
                 }
             }
@@ -105,23 +107,23 @@
         Ok(Node::List(Arc::new(entries)))
     }
 
-    fn fields(&self, holder: Option<NodeId>, value: &Value) -> Result<Arc<Fields>, Fault> {
+    fn fields(&self, parent: Option<NodeId>, value: &Value) -> Result<Arc<Fields>, Fault> {
         let Value::Object(members) = value else {
-            return Err(self.fault(holder, FaultKind::BadElement, "should be an object"));
+            return Err(self.fault(parent, FaultKind::BadElement, "should be an object"));
         };
         let mut fields = Fields::new();
         for (name, value) in members {
             let plain = match name.split_once(':') {
                 Some((module, plain)) if module == self.schema.module => plain,
                 Some(_) => {
-                    let what = format!("the module here is '{}'", self.schema.module);
-                    return Err(self.fault(holder, FaultKind::UnknownNamespace, what));
+                    let message = format!("the module here is '{}'", self.schema.module);
+                    return Err(self.fault(parent, FaultKind::UnknownNamespace, message));
                 }
                 None => name,
             };
-            let Some(child) = self.schema.child(holder, plain) else {
-                let what = format!("there is no '{}' in it", plain.chars().take(64).collect::<String>());
-                return Err(self.fault(holder, FaultKind::UnknownElement, what));
+            let Some(child) = self.schema.child(parent, plain) else {
+                let message = format!("there is no '{}' in it", plain.chars().take(64).collect::<String>());
+                return Err(self.fault(parent, FaultKind::UnknownElement, message));
             };
             if fields.insert(child, self.node(Some(child), false, value)?).is_some() {
                 return Err(self.fault(Some(child), FaultKind::BadElement, "stands twice"));
@@ -130,7 +132,8 @@
         Ok(Arc::new(fields))
     }
 
-    /// JSON's form must be the type's; a 64-bit number may also come as a number, as many tools send it.
+    /// Decodes a leaf's value, whose JSON type must be that of the leaf's type. A 64-bit integer may also be
+    /// a JSON number, because many tools send it so.
     fn leaf(&self, id: NodeId, value: &Value) -> Result<Text, Fault> {
         let Some(ty) = self.schema.node(id).leaf_type() else {
             return Err(self.fault(Some(id), FaultKind::BadElement, "is no leaf"));
--- a/crates/core/model/src/statement.rs
+++ b/crates/core/model/src/statement.rs
@@ -1,4 +1,5 @@
-//! YANG's grammar of statements (RFC 7950, section 6): a keyword, an argument, and statements within.
+//! Parser for the syntax of YANG statements (RFC 7950, section 6): a keyword, an optional argument, and
+//! substatements.
 
 use std::fmt;
 use std::iter::Peekable;
@@ -7,63 +8,63 @@
 /// The deepest nesting of statements.
 const MAX_DEPTH: usize = 32;
 
-/// One statement with all that stands in it.
+/// One statement with its substatements.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Statement {
     /// The keyword.
     pub keyword: String,
-    /// The argument, with its strings joined.
+    /// The argument; strings joined by `+` are concatenated.
     pub argument: Option<String>,
     /// The line of the keyword, from 1.
     pub line: usize,
-    /// The statements in it, in order.
+    /// The substatements, in order.
     pub substatements: Vec<Statement>,
 }
 
-/// What of a model can't be read or is not known, and on which line.
+/// A syntax error or an unsupported statement in a YANG module.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ModelError {
     /// The line, from 1.
     pub line: usize,
-    /// What is wrong there, in words.
-    pub what: String,
+    /// The message, without the line.
+    pub message: String,
 }
 
 impl fmt::Display for ModelError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "line {}: {}", self.line, self.what)
+        write!(f, "line {}: {}", self.line, self.message)
     }
 }
 
 impl Statement {
-    /// Reads one statement, behind which nothing else may stand.
+    /// Parses a text that consists of exactly one statement.
     pub fn parse(text: &str) -> Result<Statement, ModelError> {
         let mut reader = Reader { rest: text.chars().peekable(), line: 1 };
         let statement = reader.statement(0)?;
         match reader.token()? {
             None => Ok(statement),
-            Some(_) => Err(reader.wrong("something stands after the module")),
+            Some(_) => Err(reader.error("unexpected text after the module")),
         }
     }
 
-    /// The argument, which must be there.
+    /// The argument; fails if there is none.
     pub fn arg(&self) -> Result<&str, ModelError> {
-        self.argument.as_deref().ok_or_else(|| self.wrong(format!("'{}' needs an argument", self.keyword)))
+        self.argument.as_deref().ok_or_else(|| self.error(format!("'{}' needs an argument", self.keyword)))
     }
 
-    /// The first statement in it with this keyword.
+    /// The first substatement with this keyword.
     pub fn substatement(&self, keyword: &str) -> Option<&Statement> {
         self.substatements.iter().find(|sub| sub.keyword == keyword)
     }
 
-    /// The argument of the first statement in it with this keyword.
+    /// The argument of the first substatement with this keyword; `None` if there is no such substatement.
     pub fn substatement_arg(&self, keyword: &str) -> Result<Option<&str>, ModelError> {
         self.substatement(keyword).map(Statement::arg).transpose()
     }
 
-    /// An error at this statement.
-    pub fn wrong(&self, what: impl Into<String>) -> ModelError {
-        ModelError { line: self.line, what: what.into() }
+    /// An error at this statement's line.
+    pub fn error(&self, message: impl Into<String>) -> ModelError {
+        ModelError { line: self.line, message: message.into() }
     }
 }
 
@@ -83,8 +84,8 @@
 }
 
 impl Reader<'_> {
-    fn wrong(&self, what: &str) -> ModelError {
-        ModelError { line: self.line, what: what.to_owned() }
+    fn error(&self, message: &str) -> ModelError {
+        ModelError { line: self.line, message: message.to_owned() }
     }
 
     fn next(&mut self) -> Option<char> {
@@ -95,11 +96,11 @@
 
     fn statement(&mut self, depth: usize) -> Result<Statement, ModelError> {
         if depth > MAX_DEPTH {
-            return Err(self.wrong("statements are nested too deeply"));
+            return Err(self.error("statements are nested too deeply"));
         }
         let keyword = match self.token()? {
             Some(Token::Unquoted(keyword)) => keyword,
-            _ => return Err(self.wrong("a keyword should stand here")),
+            _ => return Err(self.error("a keyword is expected here")),
         };
         let line = self.line;
         let mut statement = Statement { keyword, argument: None, line, substatements: Vec::new() };
@@ -109,7 +110,7 @@
             token = self.token()?;
             while let Some(Token::Plus) = token {
                 let Some(Token::Quoted(more)) = self.token()? else {
-                    return Err(self.wrong("a quoted string should follow '+'"));
+                    return Err(self.error("'+' must be followed by a quoted string"));
                 };
                 argument.push_str(&more);
                 token = self.token()?;
@@ -119,27 +120,27 @@
         match token {
             Some(Token::End) => Ok(statement),
             Some(Token::Open) => {
-                while !self.closes()? {
+                while !self.accept_close()? {
                     statement.substatements.push(self.statement(depth + 1)?);
                 }
                 Ok(statement)
             }
-            _ => Err(self.wrong("';' or '{' should stand here")),
+            _ => Err(self.error("';' or '{' is expected here")),
         }
     }
 
-    /// Whether a closing brace follows, which is consumed.
-    fn closes(&mut self) -> Result<bool, ModelError> {
-        self.skip()?;
-        let closes = self.rest.peek() == Some(&'}');
-        if closes {
+    /// Consumes a closing brace if one follows, and returns whether it did.
+    fn accept_close(&mut self) -> Result<bool, ModelError> {
+        self.skip_separators()?;
+        let found = self.rest.peek() == Some(&'}');
+        if found {
             self.next();
         }
-        Ok(closes)
+        Ok(found)
     }
 
     /// Skips white space and comments.
-    fn skip(&mut self) -> Result<(), ModelError> {
+    fn skip_separators(&mut self) -> Result<(), ModelError> {
         loop {
             match self.rest.peek() {
                 Some(c) if c.is_whitespace() => drop(self.next()),
@@ -148,7 +149,7 @@
                     ahead.next();
                     match ahead.next() {
                         Some('/') => while self.next().is_some_and(|c| c != '\n') {},
-                        Some('*') => self.comment()?,
+                        Some('*') => self.skip_comment()?,
                         _ => return Ok(()),
                     }
                 }
@@ -157,14 +158,14 @@
         }
     }
 
-    /// Skips a comment `/* */`.
-    fn comment(&mut self) -> Result<(), ModelError> {
+    /// Skips a block comment, `/* */`.
+    fn skip_comment(&mut self) -> Result<(), ModelError> {
         self.next();
         self.next();
         let mut last = ' ';
         loop {
             match self.next() {
-                None => return Err(self.wrong("a comment does not end")),
+                None => return Err(self.error("unterminated comment")),
                 Some('/') if last == '*' => return Ok(()),
                 Some(c) => last = c,
             }
@@ -172,7 +173,7 @@
     }
 
     fn token(&mut self) -> Result<Option<Token>, ModelError> {
-        self.skip()?;
+        self.skip_separators()?;
         let Some(first) = self.rest.peek().copied() else { return Ok(None) };
         let token = match first {
             '{' => Token::Open,
@@ -181,11 +182,11 @@
             '+' => Token::Plus,
             '\'' => {
                 self.next();
-                return self.single().map(Some);
+                return self.single_quoted().map(Some);
             }
             '"' => {
                 self.next();
-                return self.double().map(Some);
+                return self.double_quoted().map(Some);
             }
             _ => return Ok(Some(self.unquoted())),
         };
@@ -204,32 +205,33 @@
         Token::Unquoted(text)
     }
 
-    /// A string in single quotes.
-    fn single(&mut self) -> Result<Token, ModelError> {
+    /// Reads a single-quoted string after its opening quote.
+    fn single_quoted(&mut self) -> Result<Token, ModelError> {
         let from = self.line;
         let mut text = String::new();
         loop {
             match self.next() {
-                None => return Err(ModelError { line: from, what: "a string does not end".to_owned() }),
+                None => return Err(ModelError { line: from, message: "unterminated string".to_owned() }),
                 Some('\'') => return Ok(Token::Quoted(text)),
                 Some(c) => text.push(c),
             }
         }
     }
 
-    /// A string in double quotes. White space around a line break counts as the break alone.
-    fn double(&mut self) -> Result<Token, ModelError> {
+    /// Reads a double-quoted string after its opening quote. Spaces and tabs before and after a line break
+    /// are dropped.
+    fn double_quoted(&mut self) -> Result<Token, ModelError> {
         let from = self.line;
         let mut text = String::new();
         loop {
             match self.next() {
-                None => return Err(ModelError { line: from, what: "a string does not end".to_owned() }),
+                None => return Err(ModelError { line: from, message: "unterminated string".to_owned() }),
                 Some('"') => return Ok(Token::Quoted(text)),
                 Some('\\') => match self.next() {
                     Some('n') => text.push('\n'),
                     Some('t') => text.push('\t'),
                     Some(c @ ('"' | '\\')) => text.push(c),
-                    _ => return Err(self.wrong("after '\\' only n, t, '\"' and '\\' may stand")),
+                    _ => return Err(self.error("'\\' may be followed only by n, t, '\"' or '\\'")),
                 },
                 Some('\n') => {
                     text.truncate(text.trim_end_matches([' ', '\t']).len());
--- a/crates/core/model/tests/trees.rs
+++ b/crates/core/model/tests/trees.rs
@@ -1,4 +1,5 @@
-//! Trees against a plain map of leaves, through any order of edits; paths, JSON and validation.
+//! Compares data trees with a reference model, a plain map of leaves, under random edits; also paths, JSON
+//! and validation.
 
 use lemonusher_model::*;
 use proptest::prelude::*;
@@ -19,7 +20,7 @@
     tree.apply(schema, Op::Merge, &place, Some(&Node::Leaf(value.into()))).unwrap();
 }
 
-/// All leaves by their paths.
+/// All leaves of a tree by their paths as text.
 fn leaves(schema: &Schema, tree: &Tree) -> BTreeMap<String, String> {
     let mut found = BTreeMap::new();
     tree.for_each_leaf(|place, value| drop(found.insert(schema.text(place), value.to_string())));
@@ -39,8 +40,8 @@
     (op, 0..5u8, 0..3u8, 0..3u8).prop_map(|(op, target, pool, value)| Edit { op, target, pool, value })
 }
 
-/// What an edit does to a plain map of leaves: whether it is refused, and the map.
-fn reference(map: &mut BTreeMap<String, String>, edit: &Edit) -> bool {
+/// Applies an edit to the reference model. Returns whether the edit is accepted; a refused one changes nothing.
+fn apply_to_reference(map: &mut BTreeMap<String, String>, edit: &Edit) -> bool {
     let pool = format!("/front/pool[name=p{}]", edit.pool);
     let state = ["enabled", "draining", "disabled"][edit.value as usize].to_owned();
     let (at, members): (String, Vec<(String, String)>) = match edit.target {
@@ -56,17 +57,17 @@
         3 => ("/front/pool".to_owned(), vec![(format!("{pool}/admin-state"), state)]),
         _ => ("/front/log-level".to_owned(), vec![("/front/log-level".to_owned(), "warn".to_owned())]),
     };
-    let under = |path: &String| {
+    let is_at_or_below = |path: &String| {
         path == &at || path.strip_prefix(&at).is_some_and(|rest| rest.starts_with(['/', '[']))
     };
-    let there = map.keys().any(under);
+    let there = map.keys().any(is_at_or_below);
     match edit.op {
         Op::Create if there => return false,
         Op::Delete if !there => return false,
         _ => {}
     }
     if edit.op != Op::Merge && edit.op != Op::Create {
-        map.retain(|path, _| !under(path));
+        map.retain(|path, _| !is_at_or_below(path));
     }
     if matches!(edit.op, Op::Merge | Op::Replace | Op::Create) {
         if edit.target < 4 {
@@ -101,10 +102,11 @@
         for edit in &edits {
             let before = tree.clone();
             let done = apply_edit(&schema, &mut tree, edit);
-            prop_assert_eq!(done, reference(&mut map, edit), "{:?}", edit);
+            prop_assert_eq!(done, apply_to_reference(&mut map, edit), "{:?}", edit);
             prop_assert_eq!(&leaves(&schema, &tree), &map, "{:?}", edit);
             prop_assert!(done || tree == before);
-            // The changes lead there and back.
+            // The differences applied to the old tree give the new one, and the inverse ones give the old
+            // tree again.
             let changes = diff(&before, &tree);
             let mut there = before.clone();
             there.apply_changes(&schema, &changes).unwrap();
@@ -113,11 +115,11 @@
             prop_assert_eq!(&there, &before);
             prop_assert!(diff(&tree, &tree.clone()).is_empty());
         }
-        // JSON there and back.
+        // Encoding as JSON and decoding give the same tree.
         let whole = Node::Container(tree.fields().clone());
         let json = to_json(&schema, None, &whole);
         prop_assert_eq!(from_json(&schema, None, false, &json).unwrap(), whole);
-        // Every leaf's path leads to it.
+        // Each leaf is found at its path.
         for (path, value) in &map {
             let place = place(&schema, path);
             prop_assert!(matches!(tree.get(&place), Some(NodeRef::Leaf(held)) if &**held == value.as_str()));
@@ -165,7 +167,7 @@
             "come-back-order",
         ),
         (
-            // The default is heeded where nothing is set.
+            // Constraints use the default of a leaf that is not set.
             &[("/front/service-group[name=report]/longest-come-back", "100")],
             FaultKind::MustViolation,
             "/front/service-group[name=report]/longest-come-back",
@@ -227,7 +229,7 @@
     let schema = schema();
     let fault = |path: &str| schema.place(&parse_path(path).unwrap()).unwrap_err();
     let unknown = fault("/front/pol");
-    assert!(unknown.kind == FaultKind::UnknownElement && unknown.what.contains("pool"), "{unknown}");
+    assert!(unknown.kind == FaultKind::UnknownElement && unknown.message.contains("pool"), "{unknown}");
     assert_eq!(fault("/other:front").kind, FaultKind::UnknownNamespace);
     assert_eq!(fault("/front/pool/admin-state").kind, FaultKind::MissingElement);
     assert_eq!(fault("/front/pool[name=a b]").kind, FaultKind::InvalidValue);
--- a/crates/core/model/tests/unit/compiler.rs
+++ b/crates/core/model/tests/unit/compiler.rs
@@ -1,8 +1,8 @@
-//! The compiler: the front's own model, and modules that it refuses.
+//! The compiler: the front's own model compiles, and invalid modules are rejected.
 
 use super::*;
 
-fn wrong(body: &str) -> ModelError {
+fn compile_error(body: &str) -> ModelError {
     let text = format!("module m {{\nyang-version 1.1;\nnamespace 'urn:m';\nprefix m;\n{body}\n}}");
     Schema::compile(&text).expect_err(body)
 }
@@ -16,7 +16,7 @@
 
 #[test]
 fn unknown_statements_are_reported_by_line() {
-    for (body, line, what) in [
+    for (body, line, message) in [
         ("rpc x;", 5, "'rpc'"),
         ("container a {\n anydata b;\n}", 6, "'anydata'"),
         ("leaf a { type flags; }", 5, "'flags'"),
@@ -34,7 +34,7 @@
         ("typedef t { type t; } leaf a { type t; }", 5, "deeply"),
         ("leaf a { type string; when 'b'; }", 5, "'when'"),
     ] {
-        let found = wrong(body);
-        assert!(found.line == line && found.what.contains(what), "{body}: {found}");
+        let found = compile_error(body);
+        assert!(found.line == line && found.message.contains(message), "{body}: {found}");
     }
 }
--- a/crates/core/store/src/log/frame.rs
+++ b/crates/core/store/src/log/frame.rs
@@ -1,20 +1,21 @@
-//! The log's form in bytes: a header line, then a frame for each record: the payload's length and its CRC-32, four
-//! bytes each in little-endian order, and the payload, which is JSON.
+//! The log's byte format: a header line, then one frame for each record. A frame is the payload's length in
+//! bytes and its CRC-32, each as a 32-bit little-endian integer, followed by the payload, which is JSON.
 //!
-//! The rule: a tail that a crash has cut short is left out. Anything else that does not read is corruption, and such a
-//! log is not used, as what follows the corrupt place may have been acknowledged.
+//! An incomplete frame at the end was truncated by a crash and is ignored. Any other unreadable bytes are
+//! corruption, and the whole log is rejected, because the records after the corrupt bytes may have been
+//! acknowledged.
 
 use super::Record;
 use std::fmt;
 
 /// The first line of every log.
 pub const HEADER: &[u8] = b"lemonusher-state 1\n";
-/// Bytes of a frame before its payload.
+/// Length of a frame's prefix: payload length and checksum.
 const PREFIX_BYTES: usize = 8;
-/// The longest payload of a frame.
+/// The longest payload of a frame. A greater length is read as not being a frame.
 const MAX_PAYLOAD_BYTES: usize = 256 * 1024 * 1024;
 
-/// A record as it stands in the log.
+/// Encodes a record as a frame.
 pub fn encode_record(record: &Record) -> Vec<u8> {
     let payload = serde_json::to_vec(record).unwrap_or_default();
     let mut bytes = Vec::with_capacity(PREFIX_BYTES + payload.len());
@@ -24,63 +25,64 @@
     bytes
 }
 
-/// What a log holds.
+/// The records read from a log.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogContents {
     /// All complete records, in order.
     pub records: Vec<Record>,
-    /// Bytes up to the end of the last complete record; what follows was cut short by a crash.
+    /// Length in bytes up to the end of the last complete record. The rest was truncated by a crash.
     pub valid_length: usize,
 }
 
-/// Why a log can't be trusted.
+/// A corruption, with its position in the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogCorruption {
-    /// The byte at which it was found.
+    /// The offset in bytes at which it was found.
     pub offset: usize,
-    /// What was found there.
+    /// The kind of corruption.
     pub corruption: Corruption,
 }
 
-/// What is wrong at a place in a log.
+/// The kinds of corruption.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Corruption {
-    /// The header is another one.
-    NoHeader,
-    /// Bytes that are no frame, with a complete record behind them.
-    RecordBehind {
-        /// The byte at which that record begins.
+    /// The log does not begin with [`HEADER`].
+    InvalidHeader,
+    /// Bytes that are not a valid frame but are followed by a complete record, so a crash can't have
+    /// truncated them.
+    FollowedByRecord {
+        /// The offset in bytes at which that record begins.
         offset: usize,
     },
-    /// A frame with the right checksum, whose payload is no record; the parser's message.
-    NoRecord(String),
+    /// A frame whose checksum is correct but whose payload is not a record; the JSON parser's message.
+    InvalidRecord(String),
 }
 
 impl fmt::Display for LogCorruption {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "spoilt at byte {}: {}", self.offset, self.corruption)
+        write!(f, "corrupt at byte {}: {}", self.offset, self.corruption)
     }
 }
 
 impl fmt::Display for Corruption {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Corruption::NoHeader => f.write_str("this is no log of the front's state"),
-            Corruption::RecordBehind { offset } => {
-                write!(f, "a whole record stands behind, at byte {offset}")
+            Corruption::InvalidHeader => f.write_str("the header is not that of a state log"),
+            Corruption::FollowedByRecord { offset } => {
+                write!(f, "an invalid frame is followed by a complete record at byte {offset}")
             }
-            Corruption::NoRecord(message) => f.write_str(message),
+            Corruption::InvalidRecord(message) => f.write_str(message),
         }
     }
 }
 
-/// Reads a log, without a tail that was cut short.
+/// Reads all complete records of a log and ignores a tail that was truncated by a crash.
 pub fn read_log(bytes: &[u8]) -> Result<LogContents, LogCorruption> {
     if bytes.len() < HEADER.len() && HEADER.starts_with(bytes) {
         return Ok(LogContents { records: Vec::new(), valid_length: 0 });
     }
     if !bytes.starts_with(HEADER) {
-        return Err(LogCorruption { offset: 0, corruption: Corruption::NoHeader });
+        return Err(LogCorruption { offset: 0, corruption: Corruption::InvalidHeader });
     }
     let mut offset = HEADER.len();
     let mut records = Vec::new();
@@ -92,7 +94,7 @@
         match serde_json::from_slice(payload) {
             Ok(record) => records.push(record),
             Err(error) => {
-                let corruption = Corruption::NoRecord(error.to_string());
+                let corruption = Corruption::InvalidRecord(error.to_string());
                 return Err(LogCorruption { offset, corruption });
             }
         }
@@ -101,13 +103,16 @@
     Ok(LogContents { records, valid_length: offset })
 }
 
-/// Bytes that are no frame are a tail that was cut short, unless a complete record stands behind them.
+/// Checks that the bytes from `offset`, which are not a valid frame, are a truncated tail: no complete record
+/// begins anywhere after them.
 fn check_tail(bytes: &[u8], offset: usize) -> Result<(), LogCorruption> {
-    let record_behind =
+    let next_record =
         (offset + 1..bytes.len()).find(|next| frame_payload(&bytes[*next..]).is_some_and(is_record));
-    match record_behind {
+    match next_record {
         None => Ok(()),
-        Some(next) => Err(LogCorruption { offset, corruption: Corruption::RecordBehind { offset: next } }),
+        Some(next) => {
+            Err(LogCorruption { offset, corruption: Corruption::FollowedByRecord { offset: next } })
+        }
     }
 }
 
@@ -115,7 +120,9 @@
     serde_json::from_slice::<Record>(payload).is_ok()
 }
 
-/// The payload of the frame with which the bytes begin; none if there is no complete frame with the right checksum.
+/// The payload of the frame at the start of the bytes; `None` unless the frame is complete, not empty and its
+/// checksum is correct. A length of 0 is refused because zeros are space that the file system allocated but
+/// never wrote.
 fn frame_payload(bytes: &[u8]) -> Option<&[u8]> {
     let number = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?));
     let length = number(0)? as usize;
