--- a/crates/edges/fleet/src/actions.rs
+++ b/crates/edges/fleet/src/actions.rs
@@ -1,12 +1,13 @@
-//! Fenced actions: while this front holds a task it begins the task's action at each interval, and notifies the resource of
-//! the begin and end of each by a datagram with the fencing token. An action that would outlast the lease is not begun.
+//! Fenced actions. While this front holds a task, it begins the task's action once per interval. It notifies
+//! the resource of the begin and end of each action by a datagram with the fencing token. An action that would
+//! outlast the lease is not begun.
 
 use crate::{Datagram, TaskConfig};
 use lemonusher_leases::LeaseClient;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An action that has begun.
+/// An action that has begun and not ended.
 #[derive(Clone, Copy)]
 struct RunningAction {
     fencing_token: u64,
@@ -15,7 +16,7 @@
 
 struct Action {
     task: TaskConfig,
-    /// No action begins before.
+    /// Earliest time at which the next action begins.
     next_start: Duration,
     running: Option<RunningAction>,
 }
@@ -24,17 +25,17 @@
     actions: Vec<Action>,
 }
 
-/// A resource has seen a higher fencing token of this task, and rejects an older one.
+/// A resource's report that it has seen a higher fencing token for a task and rejects the older one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TokenRejection {
-    /// The task.
+    /// The task's name.
     pub task: String,
     /// The highest token that the resource has seen.
     pub highest_token: u64,
 }
 
 impl TokenRejection {
-    /// Reads a resource's datagram, JSON with the keys `task` and `seen`; none for anything else.
+    /// Parses a resource's datagram, a JSON object with the keys `task` and `seen`; none for anything else.
     pub fn parse(bytes: &[u8]) -> Option<TokenRejection> {
         let message = serde_json::from_slice::<serde_json::Value>(bytes).ok()?;
         let task = message["task"].as_str()?.to_owned();
@@ -50,7 +51,8 @@
         FencedActions { actions: tasks.iter().map(action).collect() }
     }
 
-    /// Begins the actions that are due and may begin, and ends those that are done; the notifications of both.
+    /// Begins the actions that are due and allowed, and ends those whose time is over. Returns the
+    /// notifications of both.
     pub(crate) fn poll(&mut self, now: Duration, lease_client: &LeaseClient) -> Vec<Datagram> {
         self.actions.iter_mut().filter_map(|action| action.poll(now, lease_client)).collect()
     }
--- a/crates/edges/fleet/src/body.rs
+++ b/crates/edges/fleet/src/body.rs
@@ -1,5 +1,6 @@
-//! What a datagram says. Bodies are encoded with postcard: the order of variants and fields is part of the protocol, their
-//! names are not. The rows that commands print as JSON carry the names printed there beside the fields.
+//! Bodies of datagrams. They are encoded with postcard, so the order of variants and fields is part of the
+//! protocol and their names are not. Rows that commands print as JSON have `serde(rename)` attributes with the
+//! names printed there.
 
 use lemonusher_leases::{Incarnation, LeaseReply, LeaseRequest};
 use lemonusher_maintenance::DrainConfirmation;
@@ -9,68 +10,68 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Rows of a table in one datagram at most.
+/// Maximum number of rows of a table in one datagram.
 pub const MAX_ROWS: usize = 8;
 
-/// A lease as a voter has granted it.
+/// A lease that a voter has granted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// The task.
+    /// Name of the task that the lease is for.
     pub task: String,
-    /// Who holds it.
+    /// The incarnation of the front that holds the lease.
     #[serde(rename = "who")]
     pub holder: Incarnation,
-    /// The holder's token.
+    /// The holder's fencing token.
     #[serde(rename = "number")]
     pub fencing_token: u64,
-    /// How much longer the voter counts it as held.
+    /// Time until the grant expires at the voter.
     #[serde(rename = "left")]
     pub remaining: Duration,
 }
 
-/// A member of the fleet as a front's failure detector sees it.
+/// A member of the fleet, as seen by a front's failure detector.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRow {
     /// The front's name.
     pub name: String,
-    /// Where other fronts reach it.
+    /// The UDP address at which other fronts reach it.
     pub address: SocketAddr,
-    /// The zone in which it runs.
+    /// Number of the zone in which it runs.
     #[serde(rename = "location")]
     pub zone: u32,
-    /// Its incarnation.
+    /// The random number of its incarnation.
     #[serde(rename = "born")]
     pub incarnation: u64,
 }
 
-/// The last member of a page of members; the default is before all.
+/// Position in the list of members: the last member of a page. The default is before the first member.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MemberCursor {
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// Its incarnation.
+    /// The random number of the member's incarnation.
     pub incarnation: u64,
 }
 
 impl MemberRow {
-    /// Where the next page begins if this is the last row of one.
+    /// The cursor for the page after this row.
     pub fn cursor(&self) -> MemberCursor {
         MemberCursor { name: self.name.clone(), incarnation: self.incarnation }
     }
 }
 
-/// A register as a voter has accepted it.
+/// A register whose value a voter has accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegisterRow {
-    /// The register.
+    /// The register's name.
     pub name: String,
     /// The version of its value.
     #[serde(rename = "stamp")]
     pub version: EntryVersion,
-    /// The token under which the value was written.
+    /// The fencing token under which the value was written.
     #[serde(rename = "number")]
     pub fencing_token: u64,
-    /// Bytes of the value.
+    /// Length of the value in bytes.
     #[serde(rename = "long")]
     pub value_bytes: u32,
 }
@@ -78,157 +79,158 @@
 /// A zone in the failover plan.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneRow {
-    /// Its state in the plan.
+    /// The zone's state in the plan.
     pub state: ZoneState,
-    /// The part of its engines that may be used, in thousandths.
+    /// The share of its engines that may be used, in thousandths.
     pub open_permille: u16,
-    /// Its health, by the name that operators are shown.
+    /// The zone's health, as the name shown to operators.
     pub health: String,
-    /// Cores of its engines.
+    /// Total number of cores of its engines.
     pub cores: u32,
-    /// The part of its engines that reply, slow ones counted for less, in thousandths.
+    /// The share of its engines that reply, in thousandths; slow engines count for less than one.
     pub answering_permille: u16,
-    /// The part of its capacity that the plan uses, in thousandths.
+    /// The share of its capacity that the plan uses, in thousandths.
     pub filled_permille: u16,
 }
 
 /// A request class in the failover plan.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassRow {
-    /// Requests per second over all fronts.
+    /// Requests per second, summed over all fronts.
     pub requests_per_second: f32,
     /// Work of one request, in seconds on one thread.
     pub work_seconds: f32,
-    /// The part that is admitted, in thousandths.
+    /// The share of its requests that is admitted, in thousandths.
     pub served_permille: u16,
-    /// Some of it has no zone left that it may run in.
+    /// Whether some of its load has no remaining zone in which it may run.
     pub is_unplaceable: bool,
 }
 
-/// A register's value with its version.
+/// A maintenance request as stored in its register.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredRequest {
-    /// The register's version.
+    /// The version of the register's value.
     pub version: EntryVersion,
     /// The encoded maintenance request.
     pub value: Vec<u8>,
 }
 
-/// What a datagram says.
+/// The message in a datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// To a voter, on a lease.
+    /// To a voter: a request for a lease.
     LeaseRequest(LeaseRequest),
-    /// From a voter, on a lease.
+    /// From a voter: a reply to a lease request.
     LeaseReply(LeaseReply),
-    /// To a voter, on a register.
+    /// To a voter: a request for a register.
     RegisterRequest(RegisterRequest),
-    /// From a voter, on a register.
+    /// From a voter: a reply to a register request.
     RegisterReply(RegisterReply),
-    /// A message of the failure detector.
+    /// A message of the failure detector, in its own encoding.
     FailureDetector(Vec<u8>),
-    /// To the voters: what a front sees of the zones.
+    /// To the voters: a front's observations of the zones and its demand.
     FrontReport(FrontReport),
-    /// From an operator: asks a voter for the failover plan.
+    /// From an operator: requests the failover plan from a voter.
     ShowPlan {
-        /// Shows the plan as it would be without these zones.
+        /// Numbers of zones that the plan assumes lost; empty for the plan as it is.
         without: Vec<u32>,
     },
     /// The failover plan.
     PlanShown {
-        /// Its version; none where no plan is committed.
+        /// The plan's version; none if no plan is known to be committed.
         version: Option<EntryVersion>,
-        /// Its zones, by number.
+        /// The zones, in the order of their numbers.
         zones: Vec<ZoneRow>,
-        /// Its request classes, by number.
+        /// The request classes, in the order of their numbers.
         classes: Vec<ClassRow>,
-        /// Classes by number, in the order in which they are shed.
+        /// Numbers of the request classes, in the order in which their load is shed.
         shed_order: Vec<u8>,
     },
-    /// To the voters: machines that a front has drained.
+    /// To the voters: confirmations that a front has drained machines.
     DrainConfirmations(Vec<DrainConfirmation>),
-    /// From an operator: asks for a maintenance request.
+    /// From an operator: requests the state of a maintenance request.
     ShowMaintenance {
-        /// The request's number.
+        /// Number of the maintenance request.
         request: u8,
     },
-    /// A maintenance request.
+    /// The state of a maintenance request.
     MaintenanceShown {
-        /// The request's number.
+        /// Number of the maintenance request.
         request: u8,
-        /// As this front follows it; none where it knows none.
+        /// The committed request that this front follows; none if it knows of none.
         stored: Option<StoredRequest>,
-        /// This front is the maintenance coordinator.
+        /// Whether this front is the maintenance coordinator.
         is_coordinator: bool,
-        /// Why it does not go on, as far as the coordinator knows.
+        /// Why the request makes no progress; none if it does, or if this front is not the coordinator.
         blocked_reason: Option<String>,
     },
-    /// From an operator: asks for a page of members.
+    /// From an operator: requests a page of members.
     ShowMembers {
-        /// The page begins after this member.
+        /// The page starts after this member.
         after: MemberCursor,
     },
-    /// A page of members, by name and incarnation.
+    /// A page of members, ordered by name and incarnation.
     Members {
-        /// At most `MAX_ROWS`.
+        /// At most `MAX_ROWS` rows.
         rows: Vec<MemberRow>,
-        /// There are more after these.
+        /// Whether more rows follow this page.
         more: bool,
     },
-    /// From an operator: asks a voter for a page of registers.
+    /// From an operator: requests a page of registers from a voter.
     ShowRegisters {
-        /// The page begins after this name.
+        /// The page starts after the register of this name.
         after: String,
     },
-    /// A page of registers, by name.
+    /// A page of registers, ordered by name.
     Registers {
-        /// The voter has its memory and votes.
+        /// Whether the voter has its state and votes.
         is_voting: bool,
-        /// The voter's epoch.
+        /// The voter's current epoch.
         epoch: u64,
-        /// At most `MAX_ROWS`.
+        /// At most `MAX_ROWS` rows.
         rows: Vec<RegisterRow>,
-        /// There are more after these.
+        /// Whether more rows follow this page.
         more: bool,
     },
-    /// From an operator: asks a voter for a page of the leases that it has granted.
+    /// From an operator: requests a page of the leases that a voter has granted.
     ShowLeases {
-        /// The page begins after this task.
+        /// The page starts after the lease for this task.
         after: String,
     },
-    /// A page of leases, by task.
+    /// A page of leases, ordered by task.
     Leases {
-        /// The voter started lately and does not vote yet.
+        /// Whether the voter was started recently and does not vote yet.
         is_silent: bool,
-        /// At most `MAX_ROWS`.
+        /// At most `MAX_ROWS` rows.
         rows: Vec<LeaseRow>,
-        /// There are more after these.
+        /// Whether more rows follow this page.
         more: bool,
     },
-    /// Asks that a task be handed over: an operator asks a voter, and the voter the holder.
+    /// Requests that the holder of a task release it. An operator sends it to a voter, which forwards it to
+    /// the holder.
     HandOver {
-        /// The task.
+        /// The task's name.
         task: String,
     },
 }
 
-/// Which part of a front a message belongs to.
+/// The part of a front that a message belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MessageKind {
-    /// Of the failure detector.
+    /// Messages of the failure detector.
     FailureDetector,
-    /// On leases.
+    /// Lease requests and replies.
     Leases,
-    /// On registers.
+    /// Register requests and replies.
     Registers,
-    /// What fronts report of zones and machines.
+    /// Fronts' reports on zones and their drain confirmations.
     Reports,
-    /// Between operators and fronts.
+    /// Messages between operators and fronts, and forwarded hand-over requests.
     Operators,
 }
 
 impl Body {
-    /// Which part of a front it belongs to.
+    /// The part of a front that the message belongs to.
     pub fn kind(&self) -> MessageKind {
         match self {
             Body::FailureDetector(_) => MessageKind::FailureDetector,
--- a/crates/edges/fleet/src/channel.rs
+++ b/crates/edges/fleet/src/channel.rs
@@ -1,5 +1,6 @@
-//! The authenticated channel to all other fronts: outgoing bodies are numbered and sealed; an incoming datagram is passed
-//! on only if it is of this fleet, of the same configuration, new, and within the rate limit. It opens no socket.
+//! The authenticated channel to all other fronts. It numbers and seals outgoing bodies. It accepts an incoming
+//! datagram only if it is within the rate limit, sealed with this fleet's key, from a sender with the same
+//! configuration, and neither a replay nor superseded. It opens no socket.
 
 use crate::body::Body;
 use crate::counters::{TrafficCounters, add, increment};
@@ -11,17 +12,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Senders that are remembered at most; the one not received from for the longest time gives way.
+/// Maximum number of senders that are remembered; a further one replaces the one with the oldest last datagram.
 const MAX_SENDERS: usize = 4096;
-/// Datagrams that are opened in one second at most; further ones are dropped unread.
+/// Maximum number of datagrams opened per second; further ones are dropped without being decoded.
 const MAX_DATAGRAMS_PER_SECOND: u32 = 20_000;
 
-/// What is known of an incarnation that datagrams were received from.
+/// State of an incarnation from which datagrams were received.
 struct Sender {
     window: ReplayWindow,
-    /// The highest sequence number of a release, and of a front's report.
+    /// Highest sequence number of a lease release.
     last_release: u64,
+    /// Highest sequence number of a front report.
     last_report: u64,
+    /// Source address of the latest accepted datagram.
     address: SocketAddr,
     last_received: Duration,
 }
@@ -31,9 +34,10 @@
         Sender { window: ReplayWindow::default(), last_release: 0, last_report: 0, address, last_received }
     }
 
-    /// Whether a message is new and not made void by a later one that arrived first. Requests and replies carry ballots
-    /// and versions and may arrive in any order. But a lease requested before its release would be granted to nobody,
-    /// and an older report would replace a newer one.
+    /// Whether a message is new and not superseded by a later one that arrived first. Requests and replies
+    /// carry ballots and versions, so most may arrive in any order. There are two exceptions: a lease request
+    /// that was sent before a release would grant a lease that no front holds, and an older report would
+    /// replace a newer one.
     fn accept(&mut self, frame: &Frame) -> bool {
         if !self.window.accept(frame.sequence) {
             return false;
@@ -54,7 +58,7 @@
     }
 }
 
-/// Datagrams in the current second.
+/// Counts datagrams in the current second.
 #[derive(Default)]
 struct RateLimit {
     second: u64,
@@ -62,7 +66,7 @@
 }
 
 impl RateLimit {
-    /// Counts a datagram; whether it is within the limit.
+    /// Counts a datagram and returns whether it is within the limit.
     fn admit(&mut self, now: Duration) -> bool {
         if self.second != now.as_secs() {
             *self = RateLimit { second: now.as_secs(), datagrams: 0 };
@@ -76,7 +80,7 @@
     key: FleetKey,
     incarnation: Incarnation,
     config_fingerprint: u64,
-    /// The sequence number of the latest datagram.
+    /// Sequence number of the latest datagram that was sealed.
     sequence: u64,
     counters: Arc<TrafficCounters>,
     senders: BTreeMap<Incarnation, Sender>,
@@ -101,7 +105,7 @@
         }
     }
 
-    /// The datagram of a body; none if it would be too long.
+    /// Seals a body into a datagram; none if the datagram would be too long.
     pub(crate) fn seal(&mut self, body: Body) -> Option<Vec<u8>> {
         self.sequence += 1;
         let frame = Frame {
@@ -113,17 +117,17 @@
         frame.seal(&self.key)
     }
 
-    /// The address from which an incarnation's latest datagram was received.
+    /// The source address of an incarnation's latest accepted datagram.
     pub(crate) fn address_of(&self, incarnation: &Incarnation) -> Option<SocketAddr> {
         self.senders.get(incarnation).map(|sender| sender.address)
     }
 
-    /// The incarnations that are remembered.
+    /// The incarnations of all senders that are remembered.
     pub(crate) fn senders(&self) -> impl Iterator<Item = &Incarnation> {
         self.senders.keys()
     }
 
-    /// The frame of a datagram; none if it is dropped, which is counted.
+    /// Opens a datagram; none if it is dropped. Each drop is counted by its reason.
     pub(crate) fn open(&mut self, now: Duration, bytes: &[u8], from: SocketAddr) -> Option<Frame> {
         if !self.rate_limit.admit(now) {
             increment(&self.counters.rate_limited);
@@ -153,7 +157,7 @@
         Some(frame)
     }
 
-    /// Whether the frame is new from its sender; if so, the sender's address is updated.
+    /// Whether the frame is accepted. If so, updates the sender's address and its time of last receipt.
     fn accept(&mut self, frame: &Frame, from: SocketAddr, now: Duration) -> bool {
         if self.senders.len() >= MAX_SENDERS && !self.senders.contains_key(&frame.from) {
             self.remove_oldest_sender();
--- a/crates/edges/fleet/src/config.rs
+++ b/crates/edges/fleet/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a front's part in the fleet.
+//! Configuration of a front's part in the fleet.
 
 use crate::frame::FleetKey;
 use crate::maintenance::MaintenanceSettings;
@@ -15,9 +15,9 @@
     pub name: String,
     /// The resource that is notified of the begin and end of each action, and may reject an older fencing token.
     pub notify: Option<SocketAddr>,
-    /// From the begin of one action to that of the next.
+    /// Minimum time from the begin of one action to the begin of the next.
     pub interval: Duration,
-    /// How long an action takes.
+    /// Duration of an action.
     pub action_time: Duration,
     /// Whether the resource rejects an older fencing token.
     pub fenced: bool,
@@ -28,40 +28,41 @@
 pub struct FleetConfig {
     /// This front's name.
     pub name: String,
-    /// The UDP address that it binds.
+    /// The UDP address that this front binds.
     pub listen: SocketAddr,
-    /// The fleet's key.
+    /// The key shared by all fronts of the fleet.
     pub key: FleetKey,
-    /// Durations of leases; the same at all fronts of the fleet.
+    /// Durations and clock drift of leases; must be the same at all fronts of the fleet.
     pub leases: LeaseConfig,
-    /// The voters' addresses; the same list at all fronts of the fleet.
+    /// The voters' addresses; must be the same list at all fronts of the fleet.
     pub voters: Vec<SocketAddr>,
     /// Whether this front is a voter.
     pub is_voter: bool,
-    /// Its index among the voters, if it is one.
+    /// This front's index in `voters`, if it is a voter.
     pub voter_index: Option<usize>,
-    /// The address by which other fronts reach it, where that is not the one it binds.
+    /// The address at which other fronts reach this front, if it differs from the bound one.
     pub advertised_address: Option<SocketAddr>,
-    /// The zone in which it runs.
+    /// Number of the zone in which this front runs.
     pub zone: u32,
-    /// Where tokens and registers are stored; none for a voter without memory.
+    /// Folder in which fencing tokens and registers are stored; none for a voter that keeps its state in
+    /// memory only.
     pub state_folder: Option<PathBuf>,
     /// Tasks that this front may hold.
     pub tasks: Vec<TaskConfig>,
-    /// How many quota slots the fleet has; 0 for no quota.
+    /// Total number of quota slots of the fleet; 0 for no quota.
     pub quota_slots: u32,
-    /// How many of them this front wants.
+    /// Number of quota slots that this front tries to hold.
     pub wanted_slots: usize,
-    /// The slot that it asks for first.
+    /// Number of the quota slot that this front tries to acquire first.
     pub first_slot: u32,
-    /// Zone failover, where it is configured.
+    /// Zone failover; none if it is not configured.
     pub zone_failover: Option<ZoneFailoverSettings>,
-    /// Maintenance of machines, where it is configured; it needs zone failover.
+    /// Maintenance of machines; none if it is not configured. It requires zone failover.
     pub maintenance: Option<MaintenanceSettings>,
 }
 
-/// A hash of what all fronts of a fleet must configure alike. It goes with each datagram, so a front with another
-/// configuration is ignored.
+/// A hash of the settings that must be the same at all fronts of a fleet: the lease durations, the clock drift
+/// and the number of voters. Each datagram carries it, and a datagram with another fingerprint is dropped.
 pub fn config_fingerprint(config: &FleetConfig) -> u64 {
     let leases = &config.leases;
     let text = format!(
--- a/crates/edges/fleet/src/counters.rs
+++ b/crates/edges/fleet/src/counters.rs
@@ -1,27 +1,27 @@
-//! Counters of datagrams, for the log and for managers.
+//! Counters of datagrams, for the log and for management clients.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Datagrams since the start.
+/// Counts of datagrams since the process started.
 #[derive(Debug, Default)]
 pub struct TrafficCounters {
-    /// Received and passed on.
+    /// Datagrams received and accepted.
     pub received: AtomicU64,
-    /// Bytes of these.
+    /// Bytes of datagrams received and accepted.
     pub received_bytes: AtomicU64,
-    /// Sent.
+    /// Datagrams sent.
     pub sent: AtomicU64,
-    /// Bytes of these.
+    /// Bytes of datagrams sent.
     pub sent_bytes: AtomicU64,
     /// Dropped: not sealed with this fleet's key.
     pub unauthenticated: AtomicU64,
-    /// Dropped: can't be decoded.
+    /// Dropped: sealed with this fleet's key, but can't be decoded.
     pub malformed: AtomicU64,
-    /// Dropped: received before, too old to tell, or made void by a later one that arrived first.
+    /// Dropped: received before, older than the replay window, or superseded by a later one that arrived first.
     pub replayed: AtomicU64,
-    /// Dropped: the sender's configuration is another.
+    /// Dropped: the sender's configuration fingerprint differs from this front's.
     pub other_config: AtomicU64,
-    /// Dropped: too many in one second.
+    /// Dropped: over the limit of datagrams per second.
     pub rate_limited: AtomicU64,
 }
 
--- a/crates/edges/fleet/src/frame.rs
+++ b/crates/edges/fleet/src/frame.rs
@@ -1,14 +1,15 @@
-//! A datagram's envelope: the sender, the sequence number, and a tag that only a holder of the fleet's key can make.
-//! The frame is encoded with postcard and followed by the tag, a keyed BLAKE3 hash of it cut to 16 bytes.
+//! The envelope of a datagram: the sender, the sequence number, and an authentication tag that only a process
+//! with the fleet's key can compute. The frame is encoded with postcard and followed by the tag, a keyed
+//! BLAKE3 hash of the encoded frame, truncated to 16 bytes.
 
 use crate::body::Body;
 use lemonusher_leases::Incarnation;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Bytes of a datagram at most.
+/// Maximum length of a datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// Bytes of the tag.
+/// Length of the authentication tag, in bytes.
 const TAG_BYTES: usize = 16;
 
 /// The key that all fronts of a fleet share.
@@ -22,7 +23,7 @@
 }
 
 impl FleetKey {
-    /// Derived from the bytes of a key file, which must be hard to guess.
+    /// Derives the key from the bytes of a key file, which must be hard to guess.
     pub fn new(secret: &[u8]) -> FleetKey {
         FleetKey(blake3::derive_key("lemonusher 2026-12 talk between fronts", secret))
     }
@@ -34,25 +35,25 @@
     }
 }
 
-/// What is sealed into a datagram.
+/// The authenticated content of a datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
     /// The sender.
     pub from: Incarnation,
-    /// Counts up within the sender's incarnation, from 1 on.
+    /// Sequence number within the sender's incarnation, starting at 1.
     pub sequence: u64,
     /// The sender's [`config_fingerprint`](crate::config_fingerprint); a receiver with another one drops the datagram.
     pub config_fingerprint: u64,
-    /// What it says.
+    /// The message.
     pub body: Body,
 }
 
 /// Why a datagram can't be opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OpenError {
-    /// Not of this fleet: too short, too long, or with a wrong tag.
+    /// The datagram is too short, too long, or has a wrong authentication tag.
     Unauthenticated,
-    /// Sealed with this fleet's key, but it can't be decoded.
+    /// The datagram is sealed with this fleet's key but can't be decoded.
     Malformed,
 }
 
@@ -68,7 +69,8 @@
 impl std::error::Error for OpenError {}
 
 impl Frame {
-    /// The datagram; none if it is longer than `MAX_DATAGRAM_BYTES`, which nothing that is sent here ever is.
+    /// Encodes the frame and appends its tag; none if the datagram would exceed `MAX_DATAGRAM_BYTES`. The
+    /// limits on names, values and rows keep every message of a front below that.
     pub fn seal(&self, key: &FleetKey) -> Option<Vec<u8>> {
         let mut bytes = postcard::to_allocvec(self).ok()?;
         let tag = key.tag(&bytes);
@@ -80,7 +82,8 @@
     pub fn open(bytes: &[u8], key: &FleetKey) -> Result<Frame, OpenError> {
         let tag_at = bytes.len().checked_sub(TAG_BYTES).filter(|_| bytes.len() <= MAX_DATAGRAM_BYTES);
         let (payload, tag) = bytes.split_at(tag_at.ok_or(OpenError::Unauthenticated)?);
-        // The comparison of two BLAKE3 hashes takes the same time wherever they differ.
+        // `blake3::Hash` is compared in constant time, so the time does not reveal how much of the tag was
+        // right.
         if blake3::Hash::from_bytes(padded(&key.tag(payload))) != blake3::Hash::from_bytes(padded(tag)) {
             return Err(OpenError::Unauthenticated);
         }
--- a/crates/edges/fleet/src/lib.rs
+++ b/crates/edges/fleet/src/lib.rs
@@ -1,9 +1,9 @@
-//! Communication between fronts: authenticated datagrams under a shared key, a [`Node`] that runs one front's part in the
-//! fleet as a state machine, and the thread that drives it.
+//! Communication between fronts: datagrams authenticated with a shared key, a [`Node`] that runs one front's
+//! part in the fleet as a state machine, and the thread that drives the node.
 //!
-//! It decides nothing: who may hold a lease is decided in `lemonusher-leases`, which values are agreed on in
-//! `lemonusher-registers`, who is a member in `lemonusher-failure-detector`, what a zone's or machine's state is in
-//! `lemonusher-zone-failover` and `lemonusher-maintenance`.
+//! This package makes no decisions of its own. `lemonusher-leases` decides which front holds a lease,
+//! `lemonusher-registers` which values are committed, `lemonusher-failure-detector` which fronts are members,
+//! `lemonusher-zone-failover` the states of zones and `lemonusher-maintenance` the states of machines.
 
 #![warn(missing_docs)]
 
--- a/crates/edges/fleet/src/replay_window.rs
+++ b/crates/edges/fleet/src/replay_window.rs
@@ -1,25 +1,27 @@
-//! Which sequence numbers of one sender have been received, as a sliding window (RFC 6479). Datagrams may arrive in any
-//! order within the window; each is accepted once.
+//! Replay protection: a sliding window over the sequence numbers received from one sender (RFC 6479). Within
+//! the window datagrams may arrive in any order, and each is accepted once.
 
-/// Sequence numbers in one block.
+/// Number of sequence numbers in one block.
 const BLOCK_BITS: u64 = u64::BITS as u64;
-/// Blocks in the ring; one of them is always partly ahead of the window.
+/// Number of blocks in the ring; one of them always lies partly ahead of the window.
 const BLOCKS: u64 = 16;
 
-/// The received numbers up to the highest one, as far back as [`ReplayWindow::REACH`]; any older number counts as received.
+/// The sequence numbers received, from [`ReplayWindow::REACH`] below the highest one up to it. An older number
+/// counts as received.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ReplayWindow {
     highest: u64,
-    /// A ring: number `n` is bit `n % 64` of block `n / 64 % 16`.
+    /// A ring of bits: sequence number `n` is bit `n % 64` of block `n / 64 % 16`.
     received: [u64; BLOCKS as usize],
 }
 
 impl ReplayWindow {
-    /// How far behind the highest number one may be and still be accepted. A front that watches all registers sends some
-    /// 200 datagrams in one burst; this covers several bursts.
+    /// How far a sequence number may be behind the highest one and still be accepted. A front that watches all
+    /// registers sends about 200 datagrams in one burst; the window covers several bursts.
     pub const REACH: u64 = (BLOCKS - 1) * BLOCK_BITS;
 
-    /// Records a number; false if it was received before or is too old to tell. Numbers begin at 1.
+    /// Records a sequence number. Returns false if it was received before or is older than the window. Numbers
+    /// start at 1.
     pub fn accept(&mut self, number: u64) -> bool {
         if number == 0 || number < self.highest.saturating_sub(Self::REACH) {
             return false;
@@ -34,7 +36,7 @@
         is_new
     }
 
-    /// Clears the blocks that the window moves over.
+    /// Moves the window up to `number` and clears the blocks that it reuses.
     fn advance(&mut self, number: u64) {
         let blocks = (number / BLOCK_BITS - self.highest / BLOCK_BITS).min(BLOCKS);
         for ahead in 0..blocks {
--- a/crates/edges/fleet/src/state_folder.rs
+++ b/crates/edges/fleet/src/state_folder.rs
@@ -1,30 +1,31 @@
-//! What a front stores in a folder: a bound on the fencing tokens that it granted, and a voter's registers. Each file is
-//! written under another name and then renamed, so it is always complete.
+//! A front's stored state: an upper limit of the fencing tokens that it granted, and a voter's registers. Each
+//! file is written under a temporary name and then renamed, so it is always complete.
 //!
-//! `fleet-number` holds the bound as decimal text. `fleet-registers` holds the BLAKE3 hash (32 bytes) of what follows, the
-//! postcard encoding of [`PersistentState`].
+//! `fleet-number` contains the limit as decimal text. `fleet-registers` contains a BLAKE3 hash (32 bytes),
+//! followed by the hashed bytes, which are the postcard encoding of [`PersistentState`].
 
 use lemonusher_registers::PersistentState;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Tokens that the stored bound is ahead of the highest granted one, so that it is seldom written.
+/// How far a newly stored limit is above the highest granted token, so that the file is seldom written.
 const TOKEN_RESERVE: u64 = 1000;
-/// Bytes of the hash before the registers.
+/// Length in bytes of the hash before the encoded registers.
 const HASH_BYTES: usize = 32;
 const TOKEN_FILE: &str = "fleet-number";
 const REGISTERS_FILE: &str = "fleet-registers";
 
-/// An open folder, and what it holds.
+/// An open state folder and its content.
 pub struct StateFolder {
     folder: PathBuf,
-    /// No token above this was granted before the folder is written again.
+    /// The stored limit: no token above it is granted before a higher limit has been written.
     token_floor: u64,
     registers: Option<PersistentState>,
 }
 
 impl StateFolder {
-    /// Creates the folder if it is missing and reads it. An error if a file can't be read or is corrupt.
+    /// Creates the folder if it is missing and reads it. Returns an error if a file can't be read or is
+    /// corrupt.
     pub fn open(folder: &Path) -> io::Result<StateFolder> {
         std::fs::create_dir_all(folder)?;
         let token_floor = read_token(folder)?;
@@ -32,17 +33,17 @@
         Ok(StateFolder { folder: folder.to_owned(), token_floor, registers })
     }
 
-    /// At least the highest fencing token that an earlier incarnation granted.
+    /// The stored limit, at least as high as any fencing token granted so far; 0 if none was stored.
     pub fn token_floor(&self) -> u64 {
         self.token_floor
     }
 
-    /// What this voter has promised and accepted; none if it never voted with this folder.
+    /// The promises and accepted values of this voter; none if it has never voted with this folder.
     pub fn registers(&self) -> Option<PersistentState> {
         self.registers.clone()
     }
 
-    /// To be called before a token is granted. Writes only where the stored bound is below it.
+    /// Must be called before a token is granted. Writes only if the token is above the stored limit.
     pub fn store_token(&mut self, fencing_token: u64) -> io::Result<()> {
         if fencing_token > self.token_floor {
             let token_floor = fencing_token + TOKEN_RESERVE;
@@ -52,7 +53,7 @@
         Ok(())
     }
 
-    /// To be called before a reply on registers is sent. Writes only what has changed.
+    /// Must be called before a reply to a register request is sent. Writes only if the state has changed.
     pub fn store_registers(&mut self, state: PersistentState) -> io::Result<()> {
         if self.registers.as_ref() != Some(&state) {
             let payload = postcard::to_allocvec(&state).map_err(io::Error::other)?;
@@ -65,7 +66,7 @@
     }
 }
 
-/// 0 where there is no file yet.
+/// Returns 0 if there is no file yet.
 fn read_token(folder: &Path) -> io::Result<u64> {
     match std::fs::read_to_string(folder.join(TOKEN_FILE)) {
         Ok(text) => text.trim().parse().map_err(|_| io::Error::other("'fleet-number' holds no number")),
@@ -96,7 +97,7 @@
     std::fs::write(&new, bytes)?;
     std::fs::File::open(&new)?.sync_all()?;
     std::fs::rename(&new, &file)?;
-    // The rename must be on disk too, or the older file may be there after a loss of power.
+    // Syncs the folder too, or the older file may be back after a power failure.
     std::fs::File::open(folder)?.sync_all()
 }
 
--- a/crates/edges/fleet/src/thread.rs
+++ b/crates/edges/fleet/src/thread.rs
@@ -1,4 +1,4 @@
-//! The thread that drives a [`Node`] with sockets, a clock and random numbers. It decides nothing.
+//! The thread that drives a [`Node`] with sockets, a clock and random numbers. It contains no protocol logic.
 
 use crate::FleetConfig;
 use crate::actions::TokenRejection;
@@ -15,27 +15,27 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The node is polled this often at least.
+/// Maximum time between two polls of the node.
 const MAX_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The shortest wait for a datagram; a socket takes no timeout of zero.
+/// Minimum time to wait for a datagram; a socket does not accept a read timeout of zero.
 const MIN_WAIT: Duration = Duration::from_millis(1);
-/// How often the statistics are updated.
+/// Interval at which the statistics are updated.
 const STATS_INTERVAL: Duration = Duration::from_secs(1);
-/// Updates for the router that are queued at most; the oldest gives way.
+/// Maximum number of updates queued for the router; when the queue is full, the oldest is dropped.
 const MAX_QUEUED_UPDATES: usize = 64;
-/// Datagrams that are received between two polls at most.
+/// Maximum number of further datagrams received between two polls, after the first one.
 const MAX_DATAGRAMS_PER_ROUND: usize = 256;
-/// Token rejections that are received between two polls at most.
+/// Maximum number of token rejections received between two polls.
 const MAX_REJECTIONS_PER_ROUND: usize = 64;
 
-/// A front's running part in the fleet; dropping it releases its leases and stops the thread.
+/// Handle of a running fleet thread. Dropping it releases the front's leases and stops the thread.
 pub struct FleetHandle {
-    /// Updates for this front's router, in order. Where they are read too slowly, the oldest are dropped; each kind
-    /// replaces the one before.
+    /// Updates for this front's router, in order. If the router reads too slowly, the oldest are dropped. Each
+    /// update replaces the earlier one of the same kind.
     pub control_updates: Receiver<ControlUpdate>,
-    /// The UDP address that is bound.
+    /// The UDP address that the thread has bound.
     pub address: SocketAddr,
-    /// Counters of datagrams.
+    /// Counters of datagrams sent, received and dropped.
     pub counters: Arc<TrafficCounters>,
     stats: Arc<Mutex<ClusterStats>>,
     stopping: Arc<AtomicBool>,
@@ -43,14 +43,14 @@
 }
 
 impl FleetHandle {
-    /// The statistics of at most a second ago.
+    /// The latest statistics, updated about once a second.
     pub fn stats(&self) -> ClusterStats {
         *self.stats.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Drop for FleetHandle {
-    /// Releases all leases, so that other fronts need not wait until they expire.
+    /// Stops the thread, which releases all leases so that other fronts need not wait until they expire.
     fn drop(&mut self) {
         self.stopping.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
@@ -62,7 +62,7 @@
 struct Thread {
     node: Node,
     socket: UdpSocket,
-    /// Notifications of actions are sent from here, and resources reject tokens to here.
+    /// Sends notifications of actions to resources, and receives their token rejections.
     actions: UdpSocket,
     clock: Instant,
     clock_rate: f64,
@@ -72,7 +72,7 @@
     updates: Sender<ControlUpdate>,
 }
 
-/// Binds the sockets, opens the state folder and starts the thread. An error if any of these fails.
+/// Binds the sockets, opens the state folder and starts the thread. Returns an error if any of these fails.
 pub fn start(config: FleetConfig) -> io::Result<FleetHandle> {
     let socket = UdpSocket::bind(config.listen)?;
     let address = socket.local_addr()?;
@@ -107,7 +107,8 @@
     Ok(FleetHandle { control_updates, address, counters, stats, stopping, thread: Some(thread) })
 }
 
-/// How fast the clock runs. Debug builds read it from the environment, to test clock drift.
+/// The ratio of this front's clock rate to real time. Debug builds read it from the environment, to test clock
+/// drift; otherwise it is 1.
 fn clock_rate() -> f64 {
     let rate = if cfg!(debug_assertions) { std::env::var("LEMONUSHER_TEST_CLOCK").ok() } else { None };
     rate.and_then(|text| text.parse().ok()).unwrap_or(1.0)
@@ -132,7 +133,7 @@
         self.send_outputs();
     }
 
-    /// Waits for a datagram for at most `timeout`, and takes in all that have arrived.
+    /// Waits for a datagram for at most `timeout`, then handles it and those already queued at the socket.
     fn receive(&mut self, timeout: Duration) {
         let _ = self.socket.set_read_timeout(Some(timeout.max(MIN_WAIT)));
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Sends the node's datagrams, and passes its updates on to the router.
+    /// Sends the node's datagrams and notifications, and queues its updates for the router.
     fn send_outputs(&mut self) {
         for Message { datagram: Datagram { to, bytes }, .. } in self.node.take_outgoing() {
             if self.socket.send_to(&bytes, to).is_ok() {
@@ -168,7 +169,7 @@
             let _ = self.actions.send_to(&bytes, to);
         }
         for update in self.node.take_control_updates() {
-            // A router that does not read them must not block this thread.
+            // Drops the oldest update if the queue is full, so that a slow router does not block this thread.
             let _ = self.updates.force_send(update);
         }
     }
