--- a/crates/edges/fleet/src/maintenance.rs
+++ b/crates/edges/fleet/src/maintenance.rs
@@ -1,5 +1,6 @@
-//! Maintenance at a front: connects the coordinator and the participant of `lemonusher-maintenance` to the lease, the
-//! registers, the other fronts' drain confirmations and this front's router, and notifies whoever works on machines.
+//! Maintenance at a front. Connects the coordinator and the participant of `lemonusher-maintenance` to the
+//! lease, the registers, the other fronts' drain confirmations and this front's router. Notifies the
+//! configured address of machines that are released for work.
 
 use crate::Datagram;
 use crate::body::{Body, StoredRequest};
@@ -17,23 +18,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The name of the coordinator's lease; a request's register adds its number.
+/// Name of the coordinator's lease, and prefix of the names of the requests' registers.
 pub const LEASE: &str = "works";
-/// Drain confirmations in one datagram at most; what does not fit is sent in the next poll intervals.
+/// Maximum number of drain confirmations in one datagram; the rest is sent in the next poll intervals.
 const MAX_CONFIRMATIONS: usize = 32;
-/// Characters of a reason that an operator is shown at most, so that it fits a datagram.
+/// Maximum length in characters of a reason shown to an operator, so that it fits a datagram.
 const MAX_REASON_CHARS: usize = 160;
 
-/// How maintenance is configured.
+/// Configuration of maintenance at a front.
 #[derive(Debug, Clone)]
 pub struct MaintenanceSettings {
-    /// Durations and bounds.
+    /// Durations, required fronts and capacity reserve.
     pub config: MaintenanceConfig,
-    /// Who is notified of each machine that is released.
+    /// Address that is notified of each released machine; none for no notification.
     pub notify: Option<SocketAddr>,
 }
 
-/// What was last sent to the router.
+/// Identifies the last update sent to the router; the version determines the set of closed machines.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct SentUpdate {
     version: u64,
@@ -44,26 +45,26 @@
     config: MaintenanceConfig,
     notify: Option<SocketAddr>,
     participant: Participant,
-    /// Only at voters.
+    /// None at a front that is not a voter.
     coordinator: Option<MaintenanceCoordinator>,
     last_update: Option<SentUpdate>,
-    /// The version of the requests by which the router has closed engines.
+    /// Version of the requests that the router has applied.
     applied_version: u64,
-    /// Attempts in flight by machine, as the router counted them with that version applied.
+    /// Number of attempts in flight by machine, counted by the router with `applied_version` applied.
     in_flight: BTreeMap<Machine, u32>,
     next_report: Duration,
     view: FleetView,
 }
 
-/// What is sent once a poll interval.
+/// Messages that a front sends once per poll interval.
 pub(crate) struct Report {
-    /// To the voters: machines that this front has drained.
+    /// For the voters: machines that this front has drained.
     pub(crate) confirmations: Vec<DrainConfirmation>,
-    /// To whoever works on machines: those that are released.
+    /// For the configured address: notifications of released machines.
     pub(crate) released: Vec<Datagram>,
 }
 
-/// What to do with a register.
+/// An operation to propose on a register.
 pub(crate) struct Proposal {
     pub(crate) register: String,
     pub(crate) operation: Operation,
@@ -74,7 +75,7 @@
     format!("{LEASE}.{request}")
 }
 
-/// The request whose register this is.
+/// The number of the maintenance request that a register belongs to; none for any other register.
 fn request_of(register: &str) -> Option<u8> {
     let request = register.strip_prefix(LEASE)?.strip_prefix('.')?.parse::<u8>().ok()?;
     (usize::from(request) < MAX_REQUESTS).then_some(request)
@@ -85,7 +86,8 @@
 }
 
 impl Maintenance {
-    /// A voter collects confirmations and may hold the coordinator's lease.
+    /// A voter has a coordinator, which collects confirmations and acts while this front holds the
+    /// coordinator's lease.
     pub(crate) fn new(settings: &MaintenanceSettings, is_voter: bool) -> Maintenance {
         Maintenance {
             config: settings.config.clone(),
@@ -100,8 +102,8 @@
         }
     }
 
-    /// The router has counted what it has in flight, with the requests of this version applied, and what it sees of
-    /// machines.
+    /// Stores an observation of this front's router: the attempts in flight, counted with the requests of
+    /// `applied_version` applied, and the machines and demand that it sees.
     pub(crate) fn observe_machines(
         &mut self,
         applied_version: u64,
@@ -114,14 +116,16 @@
         self.view.capacity = FleetCapacity { classes: local.classes.clone(), ..capacity };
     }
 
-    /// The load of all fronts, as a voter knows it.
+    /// Stores the load of all fronts, which only a voter knows. It replaces the demand seen by this front
+    /// alone.
     pub(crate) fn observe_load(&mut self, load: FleetLoad) {
         self.view.capacity.classes = load.classes;
         self.view.degraded_share = load.degraded_share;
         self.view.zones_down = load.zones_down;
     }
 
-    /// Takes in the committed requests; the update for this front's router, if there is a new one.
+    /// Reads the committed requests from the learner. Returns an update for this front's router if it has
+    /// changed.
     pub(crate) fn poll_update(&mut self, now: Duration, learner: &Learner) -> Option<ControlUpdate> {
         (0..MAX_REQUESTS as u8).for_each(|request| self.follow(now, learner, request));
         let update =
@@ -151,7 +155,7 @@
         }
     }
 
-    /// Once a poll interval: what is to be sent.
+    /// Returns the messages to send, once per poll interval.
     pub(crate) fn poll_report(&mut self, now: Duration) -> Option<Report> {
         if now < self.next_report {
             return None;
@@ -162,7 +166,8 @@
         Some(Report { confirmations, released: self.released() })
     }
 
-    /// The notifications of all machines that are released; only the active coordinator sends them.
+    /// Notifications of all machines that are currently released; none unless this front is the active
+    /// coordinator.
     fn released(&self) -> Vec<Datagram> {
         let Some((to, coordinator)) = self.notify.zip(self.active_coordinator()) else { return Vec::new() };
         let datagrams = coordinator.released().into_iter().filter_map(|notice| match notice {
@@ -187,7 +192,8 @@
         }
     }
 
-    /// What to do with a register. `fencing_token`: of the coordinator's lease, while this front holds it.
+    /// Returns the coordinator's next operation on a register. `fencing_token` is that of the coordinator's
+    /// lease; none while this front does not hold it.
     pub(crate) fn poll(&mut self, now: Duration, fencing_token: Option<u64>) -> Option<Proposal> {
         let coordinator = self.coordinator.as_mut()?;
         coordinator.set_lease(fencing_token);
@@ -209,7 +215,7 @@
         }
     }
 
-    /// The outcome of what [`Maintenance::poll`] returned; of any other register, nothing.
+    /// Handles the outcome of a proposal that [`Maintenance::poll`] returned. Ignores registers of other kinds.
     pub(crate) fn handle_outcome(&mut self, now: Duration, register: &str, outcome: &ProposalOutcome) {
         let Some(coordinator) = &mut self.coordinator else { return };
         let Some(request) = request_of(register) else { return };
@@ -221,7 +227,8 @@
         }
     }
 
-    /// A request as this front follows it, and why it does not go on.
+    /// The committed request that this front follows, and, at the coordinator, the reason why it makes no
+    /// progress.
     pub(crate) fn show(&self, request: u8) -> Body {
         let blocked = self.active_coordinator().map(MaintenanceCoordinator::blocked).unwrap_or_default();
         let blocked_reason = blocked.iter().find_map(|notice| match notice {
--- a/crates/edges/fleet/src/node/changes.rs
+++ b/crates/edges/fleet/src/node/changes.rs
@@ -1,4 +1,4 @@
-//! Logs what has changed among the leases and the members.
+//! Logs changes of leases and of membership.
 
 use super::Node;
 use lemonusher_failure_detector::MembershipChange;
--- a/crates/edges/fleet/src/node/control_plane.rs
+++ b/crates/edges/fleet/src/node/control_plane.rs
@@ -1,5 +1,5 @@
-//! Zone failover and maintenance at a front: sends what it observes, proposes what its coordinators want, and updates its
-//! router.
+//! Zone failover and maintenance at a front: sends the front's observations to the voters, proposes the
+//! operations of its coordinators, and updates its router.
 
 use super::Node;
 use crate::body::Body;
@@ -43,8 +43,9 @@
             }
         }
         let fencing_token = self.fencing_token(now, maintenance::LEASE);
-        // A new proposal would end a running one as unknown, and that outcome would count for the new one: a coordinator
-        // that lost its lease and got it back would begin again and again.
+        // Waits until no proposal is running. A new proposal would end a running one with an unknown outcome,
+        // and that outcome would be taken for the new proposal's: a coordinator that lost its lease and
+        // reacquired it would restart again and again.
         let is_busy = (0..MAX_REQUESTS as u8)
             .any(|request| self.proposer.is_busy(&maintenance::register_name(request)));
         if !is_busy && let Some(Proposal { register, operation }) = maintenance.poll(now, fencing_token) {
@@ -59,8 +60,8 @@
     }
 }
 
-/// Passes on to maintenance what the router sees of machines. An engine that was not tried counts as replying: only one
-/// that fails is out by itself.
+/// Passes the router's observation of machines to maintenance. An engine to which nothing was sent lately counts as
+/// replying: only an engine that was observed to fail counts as lost capacity.
 fn observe_machines(
     zone_failover: &ZoneFailover,
     maintenance: &mut Maintenance,
--- a/crates/edges/fleet/src/node/handle.rs
+++ b/crates/edges/fleet/src/node/handle.rs
@@ -1,4 +1,4 @@
-//! What a front does with each message.
+//! Handles the messages that a front receives.
 
 use super::Node;
 use crate::body::Body;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 impl Node {
-    /// Takes in a datagram. One that the channel drops changes nothing and is counted.
+    /// Handles a datagram. A datagram that the channel drops is counted and has no other effect.
     pub fn handle_datagram(&mut self, now: Duration, from: SocketAddr, bytes: &[u8]) {
         let Some(frame) = self.channel.open(now, bytes, from) else { return };
         self.handle_body(now, from, &frame.from, frame.body);
@@ -42,7 +42,7 @@
                     self.send(shown, from);
                 }
             }
-            // Replies to operators.
+            // Replies to operators, which no front expects.
             Body::Leases { .. } | Body::Members { .. } | Body::Registers { .. } => {}
             Body::PlanShown { .. } | Body::MaintenanceShown { .. } => {}
         }
@@ -51,7 +51,7 @@
     fn handle_lease_request(&mut self, now: Duration, from: SocketAddr, request: LeaseRequest) {
         let Some(voter) = &mut self.voter else { return };
         let Some(reply) = voter.handle_request(now, &self.config.leases, request) else { return };
-        // A token must be stored before anybody acts under it.
+        // A token must be stored before a reply lets any front act under it.
         if let Some(state_folder) = &mut self.state_folder
             && let Err(error) = state_folder.store_token(voter.highest_token())
         {
@@ -76,7 +76,8 @@
         }
     }
 
-    /// A reply may be for the acceptor's recovery, the learner or the proposer; each ignores those of the others.
+    /// Passes a reply to the acceptor's recovery, the learner and the proposer; each ignores replies to the
+    /// others.
     fn handle_register_reply(&mut self, now: Duration, from: SocketAddr, reply: RegisterReply) {
         let Some(voter) = self.voter_index(from) else { return };
         if let Some(acceptor) = &mut self.acceptor {
@@ -91,7 +92,8 @@
         self.send_register_requests(messages);
     }
 
-    /// Releases a task that this front holds. A voter forwards the request to the front that it has granted the task to.
+    /// Releases a task that this front holds. Otherwise, a voter forwards the request to the front to which it
+    /// has granted the task.
     fn handle_hand_over(&mut self, now: Duration, from: SocketAddr, task: String) {
         if self.fencing_token(now, &task).is_some() {
             tracing::info!(task, "fleet: asked to hand a task over");
@@ -100,14 +102,14 @@
         } else if let Some(voter) = &self.voter {
             let grant = voter.grants(now).find(|(granted, _)| **granted == task);
             let holder = grant.and_then(|(_, grant)| self.channel.address_of(&grant.holder));
-            // A request that came from the holder itself is not sent back, so it is never forwarded twice.
+            // A request that came from the holder's address is not sent back there, so it is never forwarded twice.
             if let Some(address) = holder.filter(|address| *address != from) {
                 self.send(Body::HandOver { task }, address);
             }
         }
     }
 
-    /// Stores what the acceptor replies by; false if that fails, and then no reply may be sent.
+    /// Stores the acceptor's state. Returns false if that fails; then no reply may be sent.
     fn store_registers(&mut self) -> bool {
         let (Some(state_folder), Some(acceptor)) = (&mut self.state_folder, &self.acceptor) else {
             return true;
--- a/crates/edges/fleet/src/node/mod.rs
+++ b/crates/edges/fleet/src/node/mod.rs
@@ -1,7 +1,8 @@
-//! A front's part in the fleet as a state machine. Events are datagrams, token rejections and [`Node::poll`]; outputs are
-//! [`Node::take_outgoing`], [`Node::take_actions`] and [`Node::take_control_updates`]. It opens no socket and reads no
-//! clock: time is a span since this incarnation began, chance comes from a seed. A thread drives one with a socket
-//! ([`crate::start`]); hundreds can be driven in virtual time.
+//! A front's part in the fleet as a state machine. Its inputs are datagrams, token rejections and
+//! [`Node::poll`]. Its outputs are [`Node::take_outgoing`], [`Node::take_actions`] and
+//! [`Node::take_control_updates`]. It opens no socket and reads no clock: a time is a duration since this
+//! incarnation began, and random numbers come from a generator with a given seed. A thread drives one node
+//! with a socket ([`crate::start`]); a simulation can drive hundreds in virtual time.
 
 mod changes;
 mod control_plane;
@@ -29,39 +30,39 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The failure detector's probe interval is the lease's duration divided by this.
+/// The failure detector's probe interval is the lease duration divided by this number.
 const PROBE_INTERVAL_DIVISOR: u32 = 6;
-/// Registers are polled each lease duration divided by this.
+/// The learner's poll interval for registers is the lease duration divided by this number.
 const REGISTER_POLL_DIVISOR: u32 = 4;
 
-/// Bytes for an address.
+/// A datagram to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Datagram {
-    /// Where to send them.
+    /// The destination address.
     pub to: SocketAddr,
-    /// What to send.
+    /// The payload.
     pub bytes: Vec<u8>,
 }
 
 /// A sealed message for another front.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
-    /// Which part of the front it belongs to.
+    /// The part of the front that the message belongs to.
     pub kind: MessageKind,
-    /// The datagram.
+    /// The sealed datagram.
     pub datagram: Datagram,
 }
 
-/// What is drawn anew, or read from the machine, at each start.
+/// Parameters of one incarnation: drawn at random, or read from the machine, at each start.
 #[derive(Debug, Clone, Copy)]
 pub struct StartParameters {
     /// The UDP address that is bound.
     pub address: SocketAddr,
-    /// The number of this incarnation, drawn at random; never 0.
+    /// The incarnation's number, drawn at random; never 0.
     pub incarnation: u64,
-    /// Milliseconds since 1970.
+    /// Time of the start, in milliseconds since the Unix epoch.
     pub unix_time_ms: u64,
-    /// Of the random numbers of this incarnation.
+    /// Seed of this incarnation's random numbers.
     pub seed: u64,
 }
 
@@ -71,18 +72,18 @@
     channel: AuthenticatedChannel,
     chance: fastrand::Rng,
     state_folder: Option<StateFolder>,
-    /// Only at voters.
+    /// None at a front that is not a voter.
     voter: Option<Voter>,
     lease_client: LeaseClient,
     quota_slots: Option<QuotaSlots>,
     /// The share of the quota that was last sent to the router, from 0 to 1.
     quota: f64,
-    /// Only at voters.
+    /// None at a front that is not a voter.
     acceptor: Option<Acceptor>,
-    /// The acceptor's state as it was last logged.
+    /// The state of the acceptor that was last logged.
     acceptor_state: Option<AcceptorState>,
     proposer: Proposer,
-    /// The register that is being proposed again because a new epoch began with it.
+    /// The register whose value is being proposed again after a new epoch began with it; see `repropose`.
     reproposed: Option<Name>,
     learner: Learner,
     detector: FailureDetector,
@@ -96,15 +97,16 @@
 }
 
 impl Node {
-    /// A node that begins to acquire its leases and to watch its registers at time zero.
+    /// Creates a node that begins to acquire its leases and to watch its registers at time zero.
     pub fn new(
         config: FleetConfig,
         start: StartParameters,
         state_folder: Option<StateFolder>,
         counters: Arc<TrafficCounters>,
     ) -> Node {
-        // Fencing tokens must grow where no voter remembers them. They begin above what an earlier incarnation can have
-        // granted, by the folder or else by the date. Should the date have gone back, resources report what they have seen.
+        // Fencing tokens must increase even if no voter remembers the earlier ones. They start above all that an
+        // earlier incarnation can have granted: above the limit in the state folder, or else above the start time in
+        // milliseconds. If the clock was set back, resources report the highest token that they have seen.
         let token_floor = state_folder.as_ref().map_or(start.unix_time_ms, StateFolder::token_floor);
         let incarnation = Incarnation { name: config.name.clone(), id: start.incarnation };
         let (leases, voters) = (config.leases, config.voters.len());
@@ -141,7 +143,7 @@
         node
     }
 
-    /// Begins to acquire the configured leases, to watch the registers and to find the other members.
+    /// Begins to acquire the configured leases, to watch the registers and to discover the other members.
     fn begin(&mut self) {
         if self.quota_slots.is_some() {
             self.update_router(ControlUpdate::Quota(0.0));
@@ -149,7 +151,7 @@
         for task in &self.config.tasks {
             self.lease_client.acquire(Duration::ZERO, &task.name, task.fenced);
         }
-        // The coordinators' leases are fenced: a register rejects what was written under an older token.
+        // The coordinators' leases are fenced: a register rejects a write under an older token.
         if self.zone_failover.is_some() {
             self.learner.watch(zone_failover::NAME);
             self.learner.watch(zone_failover::OVERRIDES_REGISTER);
@@ -171,7 +173,7 @@
         self.send_detector_messages();
     }
 
-    /// Does what is due.
+    /// Runs everything that is due at `now`.
     pub fn poll(&mut self, now: Duration) {
         let random = &mut self.chance;
         let messages = self.lease_client.poll(now, &self.config.leases, &mut || random.f64());
@@ -187,8 +189,9 @@
         self.send_detector_messages();
     }
 
-    /// When [`Node::poll`] must be called next at the latest. Actions, quota slots and the router's observations are looked
-    /// at in each poll and are not counted here, so a driver polls now and then besides.
+    /// Latest time at which [`Node::poll`] must be called next. Actions, quota slots and the router's
+    /// observations are handled in each poll and have no timeout here, so a driver must also poll at regular
+    /// intervals.
     pub fn next_timeout(&self) -> Option<Duration> {
         let timeouts = [
             self.lease_client.next_timeout(&self.config.leases),
@@ -200,23 +203,24 @@
         timeouts.into_iter().flatten().min()
     }
 
-    /// What is to be sent to other fronts and operators since the last call, in order.
+    /// Takes the messages for other fronts and operators that were queued since the last call, in order.
     pub fn take_outgoing(&mut self) -> Vec<Message> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Notifications of resources since the last call, in order.
+    /// Takes the notifications for resources, and of released machines, that were queued since the last call,
+    /// in order.
     pub fn take_actions(&mut self) -> Vec<Datagram> {
         std::mem::take(&mut self.outgoing_actions)
     }
 
-    /// Updates for this front's router since the last call, in order.
+    /// Takes the updates for this front's router that were queued since the last call, in order.
     pub fn take_control_updates(&mut self) -> Vec<ControlUpdate> {
         std::mem::take(&mut self.control_updates)
     }
 
-    /// A resource has seen a higher token than this front's, and rejects it: the task is acquired again, under a token
-    /// above that.
+    /// Handles a resource's report of a higher fencing token. If this front holds the task under a lower
+    /// token, it releases the task and acquires it again under a token above the reported one.
     pub fn handle_token_rejection(&mut self, now: Duration, rejection: &TokenRejection) {
         let TokenRejection { task, highest_token } = rejection;
         self.lease_client.observe_token(task, *highest_token);
@@ -227,7 +231,7 @@
         }
     }
 
-    /// Releases all leases, and reports to other members that this front leaves.
+    /// Releases all leases and announces to the other members that this front leaves.
     pub fn leave(&mut self, now: Duration) {
         let tasks: Vec<String> = self.lease_client.tasks().cloned().collect();
         for task in tasks {
@@ -239,7 +243,8 @@
         self.handle_changes();
     }
 
-    /// The token under which an action on a task may begin now; none if the task is not held.
+    /// The fencing token under which an action on a task may begin now; none if this front may not act on the
+    /// task.
     pub fn fencing_token(&self, now: Duration, task: &str) -> Option<u64> {
         self.lease_client.active_lease(now, task).map(|lease| lease.fencing_token)
     }
@@ -267,8 +272,8 @@
     has_quota.then(|| QuotaSlots::new(config.quota_slots, config.wanted_slots, config.first_slot))
 }
 
-/// None at a front that is no voter. A folder without registers belongs to a voter that has never voted, or has lost its
-/// memory.
+/// Creates a voter's acceptor; none at a front that is not a voter. A voter without stored registers has never
+/// voted or has lost its memory, and starts as a voter without memory.
 fn new_acceptor(
     config: &FleetConfig,
     start: &StartParameters,
--- a/crates/edges/fleet/src/node/proposals.rs
+++ b/crates/edges/fleet/src/node/proposals.rs
@@ -1,4 +1,5 @@
-//! Registers at a front: polls the acceptor, the learner and the proposer, and passes outcomes on.
+//! Registers at a front: polls the acceptor, the learner and the proposer, and passes outcomes to the
+//! coordinators.
 
 use super::Node;
 use crate::zone_failover;
@@ -14,7 +15,7 @@
         self.send_register_requests(proposals);
         self.send_register_requests(polls);
         for outcome in self.proposer.take_outcomes() {
-            // No coordinator has asked for what is proposed again.
+            // A repeated proposal after a new epoch was not requested by a coordinator.
             if self.reproposed.take_if(|name| name == outcome.name()).is_none() {
                 self.route_outcome(now, &outcome);
             }
@@ -33,7 +34,8 @@
         self.send_register_requests(messages);
     }
 
-    /// Proposes again what a new epoch began with, one register after the other, so that learners see it committed.
+    /// Proposes again the values with which a new epoch began, one register after the other, so that learners
+    /// see them as committed.
     fn repropose(&mut self, now: Duration) {
         let unproposed = self.acceptor.as_ref().and_then(|acceptor| acceptor.unproposed_register(now));
         let Some(name) = unproposed.filter(|name| self.reproposed.is_none() && !self.proposer.is_busy(name))
@@ -46,7 +48,7 @@
         self.send_register_requests(messages);
     }
 
-    /// The learner need not ask for what an outcome shows.
+    /// Logs an outcome and passes its entry to the learner, which then need not poll for it.
     fn observe_outcome(&mut self, now: Duration, outcome: ProposalOutcome) {
         match outcome {
             ProposalOutcome::Committed { name, entry: Some(entry) } => {
--- a/crates/edges/fleet/src/node/send.rs
+++ b/crates/edges/fleet/src/node/send.rs
@@ -1,4 +1,4 @@
-//! Seals messages and queues them for other fronts.
+//! Seals messages and queues them for sending.
 
 use super::{Datagram, Message, Node};
 use crate::body::Body;
--- a/crates/edges/fleet/src/node/show.rs
+++ b/crates/edges/fleet/src/node/show.rs
@@ -1,4 +1,4 @@
-//! What a front shows to operators: pages of its tables, the plan and maintenance requests.
+//! Replies to operators: pages of a front's tables, the failover plan and maintenance requests.
 
 use super::Node;
 use crate::body::{Body, LeaseRow, MAX_ROWS, MemberCursor, MemberRow, RegisterRow};
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 impl Node {
-    /// The reply to a request of an operator, if this front has what is asked for.
+    /// The reply to an operator's request; none if this front does not have the requested state.
     pub(super) fn show(&self, now: Duration, request: Body) -> Option<Body> {
         match request {
             Body::ShowMaintenance { request } => Some(self.maintenance.as_ref()?.show(request)),
@@ -66,7 +66,7 @@
     Body::Registers { is_voting, epoch: acceptor.epoch(), rows, more }
 }
 
-/// Leaves the rows of one page; whether there were more.
+/// Truncates the rows to one page and returns whether there were more.
 fn truncate_page<Row>(rows: &mut Vec<Row>) -> bool {
     let more = rows.len() > MAX_ROWS;
     rows.truncate(MAX_ROWS);
--- a/crates/edges/fleet/src/node/stats.rs
+++ b/crates/edges/fleet/src/node/stats.rs
@@ -1,37 +1,37 @@
-//! How much a front holds of the fleet's state.
+//! Statistics on the amount of fleet state that a front holds.
 
 use super::Node;
 use crate::body::MemberRow;
 use lemonusher_registers::{Acceptor, Entry};
 use std::time::Duration;
 
-/// Bytes of a lease's times and token beside its names.
+/// Size in bytes of a lease's times and token, without its names.
 const LEASE_OVERHEAD_BYTES: usize = 40;
-/// Bytes of a register's version and token beside its name and value.
+/// Size in bytes of a register's version and token, without its name and value.
 const REGISTER_OVERHEAD_BYTES: usize = 24;
-/// Bytes that are remembered of a sender beside its name: incarnation, sequence number, address and time.
+/// Size in bytes of a remembered sender without its name: incarnation, sequence number, address and time.
 const SENDER_OVERHEAD_BYTES: usize = 46;
 
-/// How much a front holds of the fleet's state.
+/// Amount of fleet state that a front holds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ClusterStats {
-    /// Other members that the failure detector sees.
+    /// Number of other members that the failure detector sees.
     pub members: usize,
-    /// Members that it has reported as left so far, rightly or not.
+    /// Number of members that the failure detector has reported as left so far, rightly or not.
     pub members_lost: u64,
-    /// Incarnations that datagrams were received from.
+    /// Number of incarnations that are remembered as senders of datagrams.
     pub incarnations: usize,
-    /// Leases that this front holds and may act under.
+    /// Number of leases that this front holds and may act under.
     pub leases_held: usize,
-    /// Leases that it has granted as a voter.
+    /// Number of unexpired leases that this front has granted as a voter.
     pub leases_granted: usize,
-    /// Registers that it knows committed or, as a voter, has accepted.
+    /// Number of registers that this front knows to be committed, plus those that it has accepted as a voter.
     pub registers: usize,
-    /// Bytes of all these, as encoded.
+    /// Approximate size in bytes of all of these in encoded form.
     pub bytes: usize,
 }
 
-/// A number of items and the sum of their bytes.
+/// A number of items and the sum of their sizes in bytes.
 #[derive(Default)]
 struct Tally {
     count: usize,
@@ -48,7 +48,7 @@
 }
 
 impl Node {
-    /// How much it holds of the fleet's state.
+    /// The amount of fleet state that this front holds.
     pub fn stats(&self, now: Duration) -> ClusterStats {
         let members: Tally = self.member_rows().map(|row| encoded_bytes(&row)).collect();
         let senders: Tally =
@@ -74,12 +74,12 @@
         }
     }
 
-    /// How many leases it holds and may act under.
+    /// Number of leases that this front holds and may act under.
     pub fn leases_held(&self, now: Duration) -> usize {
         self.held_tasks(now).count()
     }
 
-    /// How many other members its failure detector sees.
+    /// Number of other members that the failure detector sees.
     pub fn member_count(&self) -> usize {
         self.detector.members().count()
     }
--- a/crates/edges/fleet/src/zone_failover.rs
+++ b/crates/edges/fleet/src/zone_failover.rs
@@ -1,5 +1,5 @@
-//! Zone failover at a front: connects the coordinator and the plan follower of `lemonusher-zone-failover` to the lease,
-//! the registers, the other fronts' reports and this front's router.
+//! Zone failover at a front. Connects the coordinator and the plan follower of `lemonusher-zone-failover` to
+//! the lease, the registers, the other fronts' reports and this front's router.
 
 use crate::body::{Body, ClassRow, ZoneRow};
 use lemonusher_registers::{Learner, Operation, ProposalOutcome};
@@ -11,48 +11,51 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The name of the coordinator's lease and of the plan's register.
+/// Name of the coordinator's lease and of the register that holds the failover plan.
 pub const NAME: &str = "sites";
-/// The name of the register of operator overrides.
+/// Name of the register that holds the operator overrides.
 pub const OVERRIDES_REGISTER: &str = "sites.wishes";
-/// Zones with fewer attempts than this say nothing about the share of degraded ones.
+/// Minimum number of attempts in a zone for its share of degraded attempts to count.
 const MIN_ATTEMPTS: u32 = 10;
 
-/// How zone failover is configured.
+/// Configuration of zone failover at a front.
 #[derive(Debug, Clone)]
 pub struct ZoneFailoverSettings {
-    /// Durations and bounds.
+    /// Durations and limits.
     pub config: FailoverConfig,
-    /// The request classes.
+    /// The request classes, in the order of their numbers.
     pub classes: Vec<ClassLoad>,
-    /// What this front's router observes, once a report interval.
+    /// Observations of this front's router, one per report interval.
     pub observations: async_channel::Receiver<ZoneObservation>,
 }
 
-/// What a voter knows of the load of all fronts.
+/// The load of all fronts together, as reported to a voter.
 pub(crate) struct FleetLoad {
+    /// The request classes with the demand of all fronts.
     pub(crate) classes: Vec<ClassLoad>,
-    /// The highest share of degraded attempts of any zone, from 0 to 1.
+    /// The highest share of degraded attempts of any zone, from 0 to 1; 0 if no zone has enough attempts.
     pub(crate) degraded_share: f64,
-    /// Some zone is not up.
+    /// Whether any zone is in a state other than up.
     pub(crate) zones_down: bool,
 }
 
 pub(crate) struct ZoneFailover {
     config: FailoverConfig,
     observations: async_channel::Receiver<ZoneObservation>,
-    /// Only at voters.
+    /// None at a front that is not a voter.
     coordinator: Option<Coordinator>,
     plan_follower: PlanFollower,
-    /// What this front's router observed last.
+    /// The zones and demand in the latest observation of this front's router.
     local_view: LocalView,
-    /// What was last sent to the router.
+    /// The effect that was last sent to the router.
     effect: Option<PlanEffect>,
+    /// Committed operator overrides, by zone.
     overrides: Vec<OperatorOverride>,
 }
 
 impl ZoneFailover {
-    /// A voter collects reports and may hold the coordinator's lease.
+    /// A voter has a coordinator, which collects reports and acts while this front holds the coordinator's
+    /// lease.
     pub(crate) fn new(
         settings: &ZoneFailoverSettings,
         zone: u32,
@@ -70,7 +73,8 @@
         }
     }
 
-    /// The latest observation of this front's router, if there is a new one; its report is for the voters.
+    /// Takes the latest observation of this front's router, if there is a new one. The caller sends its report
+    /// to the voters.
     pub(crate) fn take_observation(&mut self) -> Option<ZoneObservation> {
         let mut latest = None;
         while let Ok(observation) = self.observations.try_recv() {
@@ -80,7 +84,7 @@
         latest
     }
 
-    /// What maintenance needs to know of all fronts; none at a front that is no voter.
+    /// The load of all fronts, for maintenance; none at a front that is not a voter.
     pub(crate) fn fleet_load(&self) -> Option<FleetLoad> {
         let preview = self.coordinator.as_ref()?.preview(&self.config, self.plan_follower.plan(), &[]);
         let measured = preview.zones.iter().filter(|zone| zone.evidence.attempts >= MIN_ATTEMPTS);
@@ -89,7 +93,7 @@
         Some(FleetLoad { classes: preview.classes, degraded_share, zones_down })
     }
 
-    /// The part of an engine's capacity that may be planned for.
+    /// The maximum share of an engine's capacity that a plan may use, from 0 to 1.
     pub(crate) fn max_utilization(&self) -> f64 {
         self.config.max_utilization
     }
@@ -100,7 +104,8 @@
         }
     }
 
-    /// What to do with the plan's register. `fencing_token`: of the coordinator's lease, while this front holds it.
+    /// Returns the coordinator's next operation on the plan's register. `fencing_token` is that of the
+    /// coordinator's lease; none while this front does not hold it.
     pub(crate) fn poll(&mut self, now: Duration, fencing_token: Option<u64>) -> Option<Operation> {
         let coordinator = self.coordinator.as_mut()?;
         coordinator.set_lease(fencing_token);
@@ -123,7 +128,7 @@
         })
     }
 
-    /// The outcome of what [`ZoneFailover::poll`] returned.
+    /// Handles the outcome of an operation that [`ZoneFailover::poll`] returned.
     pub(crate) fn handle_outcome(&mut self, now: Duration, outcome: &ProposalOutcome) {
         let Some(coordinator) = &mut self.coordinator else { return };
         match outcome {
@@ -137,7 +142,8 @@
         }
     }
 
-    /// What the plan means for this front's router, if that has changed.
+    /// Reads the committed plan and overrides from the learner. Returns the plan's effect on this front's
+    /// router if it has changed.
     pub(crate) fn poll_effect(&mut self, now: Duration, learner: &Learner) -> Option<ControlUpdate> {
         if let Some(committed) = learner.committed(NAME)
             && let Some(plan) = FailoverPlan::from_bytes(&committed.entry.value)
@@ -155,7 +161,7 @@
         Some(ControlUpdate::ZonePlan(Arc::new(effect)))
     }
 
-    /// The plan as it is, or as it would be without some zones; none at a front that is no voter.
+    /// The plan as it is, or as it would be with the zones `without` lost; none at a front that is not a voter.
     pub(crate) fn show(&self, without: &[u32]) -> Option<Body> {
         let preview = self.coordinator.as_ref()?.preview(&self.config, self.plan_follower.plan(), without);
         let zones = preview.zones.iter().map(|zone| ZoneRow {
@@ -186,13 +192,13 @@
     (share * 1000.0).round().clamp(0.0, 65535.0) as u16
 }
 
-/// The operator overrides by zone, from the value of their register; none where it can't be read.
+/// Decodes the operator overrides by zone from the value of their register; empty if the value is malformed.
 pub fn decode_overrides(bytes: &[u8]) -> Vec<OperatorOverride> {
     let overrides: Vec<OperatorOverride> = postcard::from_bytes(bytes).unwrap_or_default();
     if overrides.len() <= MAX_ZONES { overrides } else { Vec::new() }
 }
 
-/// The value of the overrides' register.
+/// Encodes the operator overrides by zone as the value of their register.
 pub fn encode_overrides(overrides: &[OperatorOverride]) -> Vec<u8> {
     postcard::to_allocvec(overrides).unwrap_or_default()
 }
