--- a/crates/edges/fleet/src/frame.rs
+++ b/crates/edges/fleet/src/frame.rs
@@ -60,7 +60,7 @@
 impl fmt::Display for OpenError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            OpenError::Unauthenticated => "the datagram is not of this fleet",
+            OpenError::Unauthenticated => "the datagram is not authenticated by this fleet's key",
             OpenError::Malformed => "the datagram can't be decoded",
         })
     }
--- a/crates/edges/fleet/src/maintenance.rs
+++ b/crates/edges/fleet/src/maintenance.rs
@@ -203,7 +203,10 @@
             }
             RegisterAction::Write(RegisterWrite { request, expected, value }) => {
                 for MachineStatus { machine, phase } in &value.machines {
-                    tracing::debug!(work = request, "works: machine {machine:08x} {phase}");
+                    tracing::debug!(
+                        work = request,
+                        "maintenance: proposing machine {machine:08x} as {phase}"
+                    );
                 }
                 let operation = Operation::CompareAndSet {
                     expected: Some(expected),
--- a/crates/edges/fleet/src/node/changes.rs
+++ b/crates/edges/fleet/src/node/changes.rs
@@ -18,13 +18,13 @@
     fn handle_membership_change(&mut self, change: MembershipChange) {
         match change {
             MembershipChange::Joined(member) => {
-                tracing::info!(name = member.name, "fleet: a front is there");
+                tracing::info!(name = member.name, "fleet: a member joined");
             }
             MembershipChange::Left(member) => {
                 self.members_lost += 1;
-                tracing::info!(name = member.name, "fleet: a front seems gone");
+                tracing::info!(name = member.name, "fleet: a member left or was declared failed");
             }
-            MembershipChange::Refuted => tracing::info!("fleet: others held this front for gone"),
+            MembershipChange::Refuted => tracing::info!("fleet: refuted a report that this front has left"),
         }
     }
 }
@@ -35,10 +35,10 @@
             tracing::info!(task, number, "fleet: holds a task");
         }
         LeaseChange::Expired { task, fencing_token: number } => {
-            tracing::warn!(task, number, "fleet: a lease ran out, as too few voters answered in time");
+            tracing::warn!(task, number, "fleet: a lease expired because too few voters replied in time");
         }
         LeaseChange::Released { task, fencing_token: number } => {
-            tracing::info!(task, number, "fleet: let a task go");
+            tracing::info!(task, number, "fleet: released a task");
         }
     }
 }
--- a/crates/edges/fleet/src/node/handle.rs
+++ b/crates/edges/fleet/src/node/handle.rs
@@ -55,7 +55,7 @@
         if let Some(state_folder) = &mut self.state_folder
             && let Err(error) = state_folder.store_token(voter.highest_token())
         {
-            return tracing::error!("fleet: a number can't be kept, so nothing is granted: {error}");
+            return tracing::error!("fleet: can't store the fencing token, so no lease is granted: {error}");
         }
         self.send(Body::LeaseReply(reply), from);
     }
@@ -96,7 +96,7 @@
     /// has granted the task.
     fn handle_hand_over(&mut self, now: Duration, from: SocketAddr, task: String) {
         if self.fencing_token(now, &task).is_some() {
-            tracing::info!(task, "fleet: asked to hand a task over");
+            tracing::info!(task, "fleet: releasing a task on a hand-over request");
             let messages = self.lease_client.release(now, &self.config.leases, &task, true);
             self.send_lease_requests(messages);
         } else if let Some(voter) = &self.voter {
@@ -117,7 +117,7 @@
         match state_folder.store_registers(acceptor.persistent_state()) {
             Ok(()) => true,
             Err(error) => {
-                tracing::error!("fleet: registers can't be kept, so it does not vote: {error}");
+                tracing::error!("fleet: can't store the registers, so it does not vote: {error}");
                 false
             }
         }
--- a/crates/edges/fleet/src/node/mod.rs
+++ b/crates/edges/fleet/src/node/mod.rs
@@ -225,7 +225,11 @@
         let TokenRejection { task, highest_token } = rejection;
         self.lease_client.observe_token(task, *highest_token);
         if self.fencing_token(now, task).is_some_and(|fencing_token| fencing_token < *highest_token) {
-            tracing::warn!(task, seen = highest_token, "fleet: a higher number has been seen; asks anew");
+            tracing::warn!(
+                task,
+                seen = highest_token,
+                "fleet: a resource has seen a higher fencing token; reacquiring"
+            );
             let messages = self.lease_client.release(now, &self.config.leases, task, true);
             self.send_lease_requests(messages);
         }
--- a/crates/edges/fleet/src/node/proposals.rs
+++ b/crates/edges/fleet/src/node/proposals.rs
@@ -29,7 +29,7 @@
         let messages = acceptor.poll(now, &self.config.leases);
         let state = acceptor.state(now);
         if self.acceptor_state.replace(state) != Some(state) {
-            tracing::info!(era = acceptor.epoch(), "fleet: as a voter on registers it is {state}");
+            tracing::info!(era = acceptor.epoch(), "fleet: state of the register voter: {state}");
         }
         self.send_register_requests(messages);
     }
@@ -52,18 +52,21 @@
     fn observe_outcome(&mut self, now: Duration, outcome: ProposalOutcome) {
         match outcome {
             ProposalOutcome::Committed { name, entry: Some(entry) } => {
-                tracing::info!(name, version = entry.version.counter, "fleet: a register is settled");
+                tracing::info!(name, version = entry.version.counter, "fleet: a register is committed");
                 self.learner.observe_committed(now, &name, &entry);
             }
             ProposalOutcome::Committed { .. } => {}
             ProposalOutcome::Conflict { name, entry } => {
-                tracing::warn!(name, "fleet: a register had been changed by another");
+                tracing::warn!(name, "fleet: a register proposal conflicts with an earlier change");
                 if let Some(entry) = entry {
                     self.learner.observe_committed(now, &name, &entry);
                 }
             }
             ProposalOutcome::Unknown { name } => {
-                tracing::warn!(name, "fleet: too few voters answered on a register");
+                tracing::warn!(
+                    name,
+                    "fleet: outcome of a register proposal unknown: too few replies, or superseded"
+                );
             }
         }
     }
--- a/crates/edges/fleet/src/state_folder.rs
+++ b/crates/edges/fleet/src/state_folder.rs
@@ -69,7 +69,9 @@
 /// Returns 0 if there is no file yet.
 fn read_token(folder: &Path) -> io::Result<u64> {
     match std::fs::read_to_string(folder.join(TOKEN_FILE)) {
-        Ok(text) => text.trim().parse().map_err(|_| io::Error::other("'fleet-number' holds no number")),
+        Ok(text) => {
+            text.trim().parse().map_err(|_| io::Error::other("'fleet-number' does not contain a number"))
+        }
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(0),
         Err(error) => Err(error),
     }
@@ -79,7 +81,7 @@
     match std::fs::read(folder.join(REGISTERS_FILE)) {
         Ok(bytes) => match decode(&bytes) {
             Some(state) => Ok(Some(state)),
-            None => Err(io::Error::other("'fleet-registers' is spoilt")),
+            None => Err(io::Error::other("'fleet-registers' is corrupt")),
         },
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
         Err(error) => Err(error),
--- a/crates/edges/fleet/src/zone_failover.rs
+++ b/crates/edges/fleet/src/zone_failover.rs
@@ -113,7 +113,7 @@
         for ZoneTransition { zone: site, transition: step } in coordinator.take_transitions() {
             tracing::info!(
                 site,
-                "sites: site {site} from {} to {}, {} in 1000 open: {}",
+                "zone failover: zone {site} from {} to {}, {} in 1000 of its engines open: {}",
                 step.from,
                 step.to,
                 step.open_permille,
