--- a/crates/core/desired-state/src/lib.rs
+++ b/crates/core/desired-state/src/lib.rs
@@ -1,8 +1,9 @@
-//! Reads a valid tree of the front's YANG model as pools, admission limits and log level, in the numbers that the
-//! deployment gives its zones, kinds of machines and request classes.
+//! Converts a valid tree of the front's YANG model to pools, admission limits and a log level. Names of zones,
+//! kinds of machines and request classes are converted to the numbers that the deployment gives them.
 //!
-//! The rule: a name that the deployment does not state is a fault, and a tree with a fault is declined as a whole, so that
-//! it never means less than it says. No input or output, no clock.
+//! A name that the deployment does not define is a fault, and a tree with a fault is rejected as a whole.
+//! Otherwise an unknown name would be dropped, and the tree would take effect only in part. This
+//! package does no input or output and reads no clock.
 
 #![warn(missing_docs)]
 
@@ -11,23 +12,23 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Faults reported at once.
+/// Maximum number of faults reported for one tree.
 const MAX_FAULTS: usize = 16;
-/// The log level of a tree that sets none.
+/// Log level if the tree sets none.
 const DEFAULT_LOG_LEVEL: &str = "info";
 
-/// The deployment's names, each list in the order of its numbers.
+/// The names that the deployment defines. A name's index in its list is its number.
 #[derive(Debug, Clone, Default)]
 pub struct Names {
-    /// The zones; `location` in the model.
+    /// Zones; `location` in the model.
     pub zones: Vec<String>,
-    /// The kinds of machines; `kind` in the model.
+    /// Kinds of machines; `kind` in the model.
     pub machine_kinds: Vec<String>,
-    /// The request classes; `service-group` and `serves` in the model.
+    /// Request classes; `service-group` and `serves` in the model.
     pub request_classes: Vec<String>,
 }
 
-/// Reads trees of one schema in the numbers of one deployment.
+/// Converts trees of one schema, with the names of one deployment.
 #[derive(Debug, Clone)]
 pub struct DesiredStateReader {
     front: NodeId,
@@ -39,7 +40,7 @@
     names: Names,
 }
 
-/// The nodes of an entry of `/front/pool`.
+/// Schema nodes of an entry of `/front/pool`.
 #[derive(Debug, Clone, Copy)]
 struct PoolNodes {
     name: NodeId,
@@ -51,7 +52,7 @@
     serves: NodeId,
 }
 
-/// The nodes of an entry of `/front/service-group`.
+/// Schema nodes of an entry of `/front/service-group`.
 #[derive(Debug, Clone, Copy)]
 struct ClassNodes {
     name: NodeId,
@@ -60,17 +61,17 @@
     max_retry_after: NodeId,
 }
 
-/// What a tree asks for.
+/// The configuration that a tree describes.
 #[derive(Debug, Clone)]
 pub struct DesiredConfig {
     /// The pools and admission limits.
     pub desired_state: DesiredState,
-    /// The name of the level, as the model has it.
+    /// The log level, by its name in the model.
     pub log_level: String,
 }
 
 impl DesiredStateReader {
-    /// None if the schema lacks one of the nodes.
+    /// Looks up the nodes in the schema; none if the schema lacks one of them.
     pub fn new(schema: &Schema, names: Names) -> Option<DesiredStateReader> {
         let front = schema.child(None, "front")?;
         let child = |parent, name| schema.child(Some(parent), name);
@@ -95,7 +96,8 @@
         Some(DesiredStateReader { front, log_level, pool_list, pool, class_list, class, names })
     }
 
-    /// Reads a valid tree. Fails with the faults of all names that the deployment does not state, up to a bound.
+    /// Converts a valid tree. Fails with one fault for each name that the deployment does not define, up to
+    /// `MAX_FAULTS`.
     pub fn read(&self, schema: &Schema, tree: &Tree) -> Result<DesiredConfig, Vec<Fault>> {
         let mut pass = ReadPass { schema, reader: self, faults: Vec::new() };
         let limits = pass.limits(tree);
@@ -109,7 +111,7 @@
     }
 }
 
-/// One reading of one tree, with the faults found so far.
+/// The conversion of one tree, with the faults found so far.
 struct ReadPass<'a> {
     schema: &'a Schema,
     reader: &'a DesiredStateReader,
@@ -117,7 +119,7 @@
 }
 
 impl ReadPass<'_> {
-    /// The entries of a list below `/front`, with their places.
+    /// The entries of a list directly below `/front`, with their places.
     fn entries<'t>(&self, tree: &'t Tree, list: NodeId) -> Vec<(Place, &'t Fields)> {
         let list_place =
             vec![Segment { node: self.reader.front, keys: None }, Segment { node: list, keys: None }];
@@ -146,7 +148,7 @@
         limits
     }
 
-    /// A leaf's value, or its default.
+    /// The value of a numeric leaf, or its default in the schema; none if it has neither.
     fn value_of(&self, entry: &Fields, id: NodeId) -> Option<u32> {
         let text = leaf(entry, id).map(|text| &**text).or_else(|| self.schema.default_of(id));
         text.and_then(|text| text.parse().ok())
@@ -179,7 +181,7 @@
         }
     }
 
-    /// The numbers of the names in a leaf-list.
+    /// Converts the names in a leaf-list to their numbers. Reports a fault for each unknown name.
     fn numbers_of(&mut self, place: &Place, entry: &Fields, id: NodeId, known: &[String]) -> BTreeSet<u32> {
         let mut numbers = BTreeSet::new();
         for member in members(entry, id) {
@@ -190,7 +192,7 @@
         numbers
     }
 
-    /// The number of a name; a fault at this place if the deployment does not state it.
+    /// The number of a name. Reports a fault at this place if the deployment does not define the name.
     fn number_of(&mut self, place: &Place, name: Option<&Text>, known: &[String]) -> Option<usize> {
         let name = name?;
         let number = known.iter().position(|known| **known == **name);
--- a/crates/core/membership/src/admission.rs
+++ b/crates/core/membership/src/admission.rs
@@ -1,23 +1,26 @@
-//! Admission limits: how many requests of one class may be open at once, and the Retry-After of one that is rejected.
+//! Admission limits: the maximum number of open requests of each request class, and the Retry-After of
+//! rejected requests.
 //!
-//! A request is open from [`AdmissionLimiter::admit`] to [`AdmissionLimiter::release`]. One over the limit is told to
-//! come back no earlier than places come free at the rate seen lately; each further one is put behind the one before,
-//! so that they do not all come back at once. All times count from the caller's origin.
+//! A request is open from [`AdmissionLimiter::admit`] to [`AdmissionLimiter::release`]. Each request over the
+//! limit is rejected. Its retry time is one mean interval between releases, at the recent release rate, after
+//! the retry time of the previous rejected request, within the minimum and maximum Retry-After. So clients do
+//! not all retry at once, and retry about as fast as open requests end. A time is a duration since an origin
+//! that the caller chooses.
 
 use std::time::Duration;
 
-/// What may be open of one request class.
+/// The admission limit of one request class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limit {
-    /// Requests of the class that may be open at once.
+    /// Maximum number of open requests of the class.
     pub max_open: u32,
-    /// The shortest Retry-After of a rejected request.
+    /// Minimum Retry-After of a rejected request.
     pub retry_after: Duration,
-    /// The longest Retry-After of a rejected request.
+    /// Maximum Retry-After of a rejected request.
     pub max_retry_after: Duration,
 }
 
-/// The time constant over which releases are averaged, as a multiple of [`Limit::retry_after`].
+/// Time constant of the exponential average of the release rate, as a multiple of [`Limit::retry_after`].
 const RELEASE_RATE_WINDOW: f64 = 8.0;
 
 /// The state of one request class.
@@ -25,14 +28,14 @@
 struct ClassState {
     limit: Option<Limit>,
     open: u32,
-    /// Requests released lately, decaying exponentially; as of `updated_at`.
+    /// Number of recently released requests, decaying exponentially; as of `updated_at`.
     recent_releases: f64,
     updated_at: Duration,
-    /// The latest time at which a rejected request has been told to come back.
+    /// The retry time given to the last rejected request.
     last_promised: Duration,
 }
 
-/// Counts open requests by class and rejects what is over the limit.
+/// Counts open requests by class and rejects requests over the limit.
 #[derive(Debug, Clone, Default)]
 pub struct AdmissionLimiter {
     classes: Vec<ClassState>,
@@ -40,12 +43,14 @@
 }
 
 impl AdmissionLimiter {
-    /// A limiter without limits for so many request classes. No Retry-After is longer than `max_retry_after`.
+    /// Creates a limiter without limits for this number of request classes. `max_retry_after` caps the maximum
+    /// Retry-After of every limit.
     pub fn new(request_classes: usize, max_retry_after: Duration) -> AdmissionLimiter {
         AdmissionLimiter { classes: vec![ClassState::default(); request_classes], max_retry_after }
     }
 
-    /// Puts other limits in force, by request class. Open requests stay open, also above a lower limit.
+    /// Replaces the limits, by request class. Open requests stay open, even if there are more than a lower
+    /// limit allows.
     pub fn set(&mut self, limits: &[Option<Limit>]) {
         for (index, class) in self.classes.iter_mut().enumerate() {
             let limit = limits.get(index).copied().flatten();
@@ -56,8 +61,8 @@
         }
     }
 
-    /// Admits a request, which is open from now on, or rejects it with its Retry-After. A class that the limiter does
-    /// not know is admitted and not counted.
+    /// Admits a request, which is open from now on, or rejects it with a Retry-After. A request of a class
+    /// that the limiter does not know is admitted and not counted.
     pub fn admit(&mut self, now: Duration, request_class: usize) -> Result<(), Duration> {
         let max_retry_after = self.max_retry_after;
         let Some(class) = self.classes.get_mut(request_class) else { return Ok(()) };
@@ -70,7 +75,7 @@
         }
     }
 
-    /// An admitted request has had its answer.
+    /// Records that an admitted request has ended.
     pub fn release(&mut self, now: Duration, request_class: usize) {
         let Some(class) = self.classes.get_mut(request_class) else { return };
         class.open = class.open.saturating_sub(1);
@@ -80,12 +85,12 @@
         }
     }
 
-    /// Requests of a class that are open; zero for a class that the limiter does not know.
+    /// Number of open requests of a class; zero for a class that the limiter does not know.
     pub fn open(&self, request_class: usize) -> u32 {
         self.classes.get(request_class).map_or(0, |class| class.open)
     }
 
-    /// Forgets all open requests.
+    /// Resets the number of open requests of all classes to zero.
     pub fn clear(&mut self) {
         self.classes.iter_mut().for_each(|class| class.open = 0);
     }
@@ -98,7 +103,7 @@
         self.updated_at = now;
     }
 
-    /// The Retry-After of the next rejected request, which is the last one promised from now on.
+    /// Computes the Retry-After of the next rejected request and records its retry time in `last_promised`.
     fn next_retry_after(&mut self, now: Duration, limit: Limit, max_retry_after: Duration) -> Duration {
         self.decay_to(now, limit);
         let releases_per_second = self.recent_releases / window_seconds(limit);
--- a/crates/core/membership/src/desired_state.rs
+++ b/crates/core/membership/src/desired_state.rs
@@ -1,38 +1,40 @@
-//! The desired state: all pools and admission limits, and what they mean for an engine (rules 2 and 3 at the top of this
-//! package).
+//! The desired state: all pools and admission limits, and their effect on an engine (rules 2 and 3 in the
+//! documentation of this package).
 
 use crate::{AdminState, Limit, Pool};
 use lemonusher::EngineEntry;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the desired state means for one engine.
+/// The effect of the desired state on one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct EngineAdmission {
-    /// The strictest state of its pools.
+    /// The strictest administrative state among the engine's pools.
     pub admin: AdminState,
-    /// A bit for each request class that may not be sent there.
+    /// Bit mask of the request classes that may not be sent to the engine.
     pub blocked_classes: u64,
 }
 
-/// The positions of pools by a criterion's value.
+/// Indexes of pools in the list of pools, by the value of a criterion.
 type PoolIndex = BTreeMap<u32, Vec<usize>>;
 
-/// All that managers want. An engine's pools are found without a pass over all pools.
+/// All pools and admission limits that management clients have set. An engine's pools are looked up in
+/// indexes, without a scan of all pools.
 #[derive(Debug, Clone, Default)]
 pub struct DesiredState {
     pools: Vec<Pool>,
-    /// Each pool stands in one index only: under its narrowest criterion.
+    /// Indexes of pools by criterion. Each pool is in one index only, that of its narrowest criterion.
     by_engine: PoolIndex,
     by_cell: PoolIndex,
     by_zone: PoolIndex,
     by_machine_kind: PoolIndex,
     /// Pools without a criterion.
     unrestricted: Vec<usize>,
+    /// Admission limits, by request class.
     limits: Vec<Option<Limit>>,
 }
 
 impl DesiredState {
-    /// The desired state of these pools and of the limits, which stand in the order of the request classes.
+    /// Creates a desired state from pools and from limits in the order of the request classes.
     pub fn new(pools: Vec<Pool>, limits: Vec<Option<Limit>>) -> DesiredState {
         let mut desired = DesiredState { limits, ..DesiredState::default() };
         for (position, pool) in pools.iter().enumerate() {
@@ -70,7 +72,8 @@
             .filter(|pool| pool.matches(entry))
     }
 
-    /// What holds for an engine: the strictest state of its pools, and the request classes that may not be sent there.
+    /// The effect on an engine: the strictest state of its pools, and the request classes that may not be sent
+    /// to it.
     pub fn admission_of(&self, entry: &EngineEntry) -> EngineAdmission {
         let mut admin = AdminState::Enabled;
         let mut served_classes: Option<u64> = None;
@@ -88,7 +91,7 @@
     }
 }
 
-/// A bit for each request class; classes beyond the width of the mask have none.
+/// Bit mask of the request classes; classes beyond the width of the mask are left out.
 fn class_bits(request_classes: &BTreeSet<usize>) -> u64 {
     request_classes
         .iter()
--- a/crates/core/membership/src/endpoint_table.rs
+++ b/crates/core/membership/src/endpoint_table.rs
@@ -1,76 +1,78 @@
-//! The endpoint table: the list of engines merged with the desired state, the zone restrictions and the engines out of
-//! service, by the rule at the top of this package.
+//! The endpoint table: the endpoint list merged with the desired state, the zone restrictions and the engines
+//! out of service, by the rules in the documentation of this package.
 
 use crate::{AdminState, DesiredState, EngineAdmission};
 use lemonusher::{EndpointUpdateKind, EngineEntry, EngineId, EngineState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// An engine as listed, and as it may be used.
+/// An engine in the endpoint list, with its administrative state and blocked request classes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointStatus {
-    /// The list's entry, with the request classes that are blocked here.
+    /// The entry in the endpoint list, with the request classes that this front blocks.
     pub entry: EngineEntry,
     /// The strictest administrative state of the engine's pools.
     pub admin: AdminState,
 }
 
 impl EndpointStatus {
-    /// Whether any request may be sent there, as far as the list and the managers go.
+    /// Whether requests of at least one class may be sent to the engine, by the endpoint list and all
+    /// restrictions in the table.
     pub fn is_open(&self) -> bool {
         self.entry.state == EngineState::Active && self.entry.blocked_classes != u64::MAX
     }
 }
 
-/// The part of a zone's engines that may be used, and the request classes that may not be sent to these.
+/// Restricts a zone to a share of its engines, and these engines to some request classes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ZoneRestriction {
     /// The zone's number.
     pub zone: u32,
-    /// In thousandths of the zone's engines, the same engines at every front.
+    /// The share of the zone's engines that is open, in thousandths; the same engines at every front.
     pub open_permille: u16,
-    /// A bit for each request class that may not be sent to the open engines.
+    /// Bit mask of the request classes that may not be sent to the open engines.
     pub blocked_classes: u64,
 }
 
 impl ZoneRestriction {
-    /// The request classes that may not be sent to an engine of the zone, a bit each.
+    /// Bit mask of the request classes that may not be sent to an engine of the zone.
     fn blocked_for(&self, engine: EngineId) -> u64 {
-        // Fibonacci hashing spreads ids, however they were given out.
+        // Fibonacci hashing distributes ids evenly, however they were assigned.
         let hash = u64::from(engine).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
         let permille = (hash * 1000) >> 32;
         if permille < u64::from(self.open_permille) { self.blocked_classes } else { u64::MAX }
     }
 }
 
-/// What an event has changed.
+/// The changes caused by one event.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EndpointChange {
     /// Entries that the gateway must be notified of.
     pub entries: Vec<EngineEntry>,
-    /// Engines that have just been disabled: their idempotent attempts are to be recalled.
+    /// Engines that this event has disabled; their idempotent attempts in flight must be recalled.
     pub recalled: Vec<EngineId>,
 }
 
-/// The list of engines and all that restricts their use, merged.
+/// The endpoint list merged with all restrictions on its engines.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     desired_state: Arc<DesiredState>,
     restrictions: Vec<ZoneRestriction>,
     /// Engines out of service for maintenance.
     out_of_service: Arc<BTreeSet<EngineId>>,
-    /// Set while it is not known which engines are out of service: all of them are blocked.
+    /// Whether all engines are blocked because the engines out of service are unknown.
     all_out_of_service: bool,
     endpoints: BTreeMap<EngineId, EndpointStatus>,
 }
 
 impl EndpointTable {
-    /// An empty list under this desired state.
+    /// Creates an empty table with this desired state.
     pub fn new(desired_state: Arc<DesiredState>) -> EndpointTable {
         EndpointTable { desired_state, ..EndpointTable::default() }
     }
 
-    /// Applies an update of the list. The change is of the same kind and holds the same engines, in the same order.
+    /// Applies an update of the endpoint list. The returned change holds the same engines in the same order,
+    /// and is an update of the same kind.
     pub fn apply_list(&mut self, kind: EndpointUpdateKind, mut entries: Vec<EngineEntry>) -> EndpointChange {
         let replaced = match kind {
             EndpointUpdateKind::Delta => None,
@@ -99,19 +101,20 @@
         EndpointChange { entries, recalled }
     }
 
-    /// Puts another desired state in force. Returns only what differs.
+    /// Replaces the desired state. Returns only the engines that are affected.
     pub fn apply_desired_state(&mut self, desired_state: Arc<DesiredState>) -> EndpointChange {
         self.desired_state = desired_state;
         self.recompute()
     }
 
-    /// Restricts these zones from now on, and no others. Returns only what differs.
+    /// Replaces the zone restrictions. Returns only the engines that are affected.
     pub fn apply_restrictions(&mut self, restrictions: Vec<ZoneRestriction>) -> EndpointChange {
         self.restrictions = restrictions;
         self.recompute()
     }
 
-    /// Takes these engines out of service from now on, and no others; or all of them. Returns only what differs.
+    /// Replaces the set of engines out of service, or with `all` blocks every engine. Returns only the engines
+    /// that are affected.
     pub fn set_out_of_service(&mut self, engines: Arc<BTreeSet<EngineId>>, all: bool) -> EndpointChange {
         self.out_of_service = engines;
         self.all_out_of_service = all;
@@ -146,12 +149,12 @@
         change
     }
 
-    /// The desired state in force.
+    /// The current desired state.
     pub fn desired_state(&self) -> &Arc<DesiredState> {
         &self.desired_state
     }
 
-    /// Engines in the table.
+    /// Number of engines in the table.
     pub fn len(&self) -> usize {
         self.endpoints.len()
     }
@@ -161,7 +164,7 @@
         self.endpoints.is_empty()
     }
 
-    /// All engines, by id.
+    /// All engines, ordered by id.
     pub fn engines(&self) -> impl Iterator<Item = &EndpointStatus> {
         self.endpoints.values()
     }
--- a/crates/core/membership/src/pools.rs
+++ b/crates/core/membership/src/pools.rs
@@ -1,35 +1,35 @@
-//! Pools of engines, as managers address them.
+//! Pools of engines, as defined by management clients.
 
 use lemonusher::{EngineEntry, EngineId, Idempotency};
 use std::collections::BTreeSet;
 
-/// What managers want of engines; the greater is the stricter.
+/// Administrative state of engines, set by management clients. A greater value is stricter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Hash)]
 pub enum AdminState {
-    /// Used as the list allows.
+    /// The engine is used as the endpoint list allows.
     #[default]
     Enabled,
-    /// Takes no new attempt; attempts in flight run to their end.
+    /// The engine gets no new attempts; attempts in flight run to their end.
     Draining,
-    /// Takes no new attempt; idempotent attempts in flight are recalled.
+    /// The engine gets no new attempts; idempotent attempts in flight are recalled.
     Disabled,
 }
 
 impl AdminState {
-    /// Whether an attempt in flight is recalled when this state begins to hold. A request that may have had its effect
-    /// and must not have it twice runs to its end.
+    /// Whether an attempt in flight is recalled when its engine enters this state. Only idempotent requests
+    /// are: any other may already have taken effect and must not run twice, so its attempt runs to its end.
     pub fn recalls(self, idempotency: Idempotency) -> bool {
         self == AdminState::Disabled && idempotency == Idempotency::Idempotent
     }
 }
 
-/// Engines that managers address together. An engine belongs to the pool if it meets all criteria; an empty criterion
-/// is met by every engine.
+/// A group of engines that management clients configure together. An engine belongs to the pool if it meets all
+/// criteria; every engine meets an empty criterion.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Pool {
-    /// The manager's name for it.
+    /// The pool's name, chosen by the management client.
     pub name: String,
-    /// What is desired of its engines.
+    /// Desired administrative state of the pool's engines.
     pub admin: AdminState,
     /// Criterion: the engine's zone.
     pub zones: BTreeSet<u32>,
@@ -39,12 +39,12 @@
     pub cells: BTreeSet<u32>,
     /// Criterion: the engine's id.
     pub engines: BTreeSet<EngineId>,
-    /// The request classes that its engines serve, by number; empty for all.
+    /// The request classes that the pool's engines serve, by number; empty for all.
     pub request_classes: BTreeSet<usize>,
 }
 
 impl Pool {
-    /// Whether the engine meets all criteria.
+    /// Whether an engine meets all criteria.
     pub fn matches(&self, entry: &EngineEntry) -> bool {
         let met = |criterion: &BTreeSet<u32>, value| criterion.is_empty() || criterion.contains(&value);
         met(&self.engines, entry.engine)
--- a/crates/core/watch/src/leaves.rs
+++ b/crates/core/watch/src/leaves.rs
@@ -1,4 +1,4 @@
-//! The leaves of a tree that a set of patterns selects.
+//! Selects the leaves of a tree by a set of patterns.
 
 use lemonusher_model::{Node, NodeId, NodeRef, Pattern, Place, Segment, Text, Tree};
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,10 +13,10 @@
     LeafList(Arc<BTreeSet<Text>>),
 }
 
-/// Leaves by their places.
+/// Values of leaves and leaf-lists, by their places in the tree.
 pub type Leaves = BTreeMap<Place, Value>;
 
-/// All leaves at or below the places that the patterns select.
+/// All leaves and leaf-lists at or below the places that the patterns select.
 pub fn leaves(tree: &Tree, patterns: &[Pattern]) -> Leaves {
     let mut found = Leaves::new();
     for pattern in patterns {
@@ -51,7 +51,7 @@
     }
 }
 
-/// Collects an entry of the list at whose place `place` ends.
+/// Collects the leaves of one list entry. The last segment of `place` is the list, without keys.
 fn collect_entry(keys: &[Text], entry: &BTreeMap<NodeId, Node>, place: &mut Place, found: &mut Leaves) {
     let Some(last) = place.last_mut() else { return };
     last.keys = Some(keys.to_vec());
--- a/crates/core/watch/src/lib.rs
+++ b/crates/core/watch/src/lib.rs
@@ -1,14 +1,16 @@
-//! What a subscriber is to be sent, and when, by the terms of gNMI. A [`Watch`] is shown trees and the time; it remembers
-//! what it has sent and returns what is due. No input or output, no clock, no protocol; times count from the caller's
-//! origin.
+//! Computes the notifications of gNMI subscriptions and the times at which they are due. A [`Watch`] is given
+//! the current tree and time, keeps the state that it has sent, and returns the notifications that are due. It
+//! does no input or output, reads no clock and encodes no protocol. A time is a duration since an origin that
+//! the caller chooses.
 //!
-//! The rule, for each subscription:
+//! The rules, for each subscription:
 //!
-//! 1. A sample is due at each interval, a heartbeat at each heartbeat interval, a change as soon as it is seen. Intervals
-//!    that were missed are skipped. A heartbeat sends everything, changed or not.
-//! 2. A sample sends everything, or only what has changed where redundant updates are suppressed.
-//! 3. A subscriber without room for a whole notification is sent nothing of it. Samples are lost and counted. Of changes
-//!    the ones in between are lost and counted; the last state is sent once there is room.
+//! 1. A sample is due at each sample interval, a heartbeat at each heartbeat interval, and a change as soon as
+//!    it is seen. Missed intervals are skipped. A heartbeat sends the whole state, changed or not.
+//! 2. A sample sends the whole state, or only the changes if redundant updates are suppressed.
+//! 3. A notification that does not fit the subscriber's remaining room is not sent, not even in part. A sample
+//!    that is not sent is lost, and its updates and deletes are counted. Of changes, intermediate states are
+//!    lost and counted; the last state is sent once there is room.
 
 #![warn(missing_docs)]
 
--- a/crates/core/watch/src/subscription.rs
+++ b/crates/core/watch/src/subscription.rs
@@ -1,19 +1,19 @@
-//! What a subscriber asks for, and what it is sent.
+//! Subscriptions, and the notifications sent for them.
 
 use crate::{Leaves, Value};
 use lemonusher_model::{Pattern, Place};
 use std::time::Duration;
 
-/// When a subscription sends.
+/// The condition under which a subscription sends its state or its changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SubscriptionMode {
-    /// Changes as they are seen.
+    /// Sends changes as soon as they are seen.
     OnChange,
-    /// The state at each interval.
+    /// Sends the state once per sample interval.
     Sample {
-        /// The time from one sample to the next.
+        /// Time from one sample to the next.
         sample_interval: Duration,
-        /// What has not changed since the last sample is left out.
+        /// Whether a sample leaves out values that have not changed since they were last sent.
         suppress_redundant: bool,
     },
 }
@@ -21,44 +21,44 @@
 /// One subscription.
 #[derive(Debug, Clone)]
 pub struct Subscription {
-    /// What is subscribed to.
+    /// Patterns that select the subscribed parts of the tree.
     pub patterns: Vec<Pattern>,
-    /// When it is sent.
+    /// The condition under which the subscription sends.
     pub mode: SubscriptionMode,
-    /// Everything is sent again at this interval, changed or not.
+    /// Interval at which the whole state is sent again, changed or not; none for no heartbeat.
     pub heartbeat_interval: Option<Duration>,
 }
 
-/// One leaf's value.
+/// The value of one leaf or leaf-list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Update {
-    /// Where the leaf stands.
+    /// The leaf's place in the tree.
     pub place: Place,
-    /// Its value.
+    /// The leaf's value.
     pub value: Value,
 }
 
-/// What is to be sent together.
+/// Updates and deletes that are sent together.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Notification {
-    /// Leaves that are set, with their values.
+    /// Leaves that are set, with their new values.
     pub updates: Vec<Update>,
     /// Leaves that are no longer set.
     pub deletes: Vec<Place>,
 }
 
 impl Notification {
-    /// Whether nothing is to be sent.
+    /// Whether the notification has no updates and no deletes.
     pub fn is_empty(&self) -> bool {
         self.updates.is_empty() && self.deletes.is_empty()
     }
 
-    /// Updates and deletes together.
+    /// Number of updates and deletes together.
     pub fn len(&self) -> usize {
         self.updates.len() + self.deletes.len()
     }
 
-    /// What leads from one state to another.
+    /// The updates and deletes that turn the state `old` into the state `new`.
     pub(crate) fn between(old: &Leaves, new: &Leaves) -> Notification {
         let changed = new.iter().filter(|(place, value)| old.get(*place) != Some(value));
         let deleted = old.keys().filter(|place| !new.contains_key(*place));
--- a/crates/core/watch/src/watch.rs
+++ b/crates/core/watch/src/watch.rs
@@ -1,46 +1,49 @@
-//! All subscriptions of one subscriber, by the rule at the top of this package.
+//! All subscriptions of one subscriber, by the rules in the documentation of this package.
 
 use crate::{Leaves, Notification, Subscription, SubscriptionMode, Update, leaves};
 use lemonusher_model::Tree;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The shortest interval that the next date is computed with.
+/// Minimum interval between two due times; guards against an interval of zero.
 const MIN_INTERVAL: Duration = Duration::from_millis(1);
 
 /// All subscriptions of one subscriber.
 #[derive(Debug)]
 pub struct Watch {
     subscriptions: Vec<SubscriptionState>,
+    /// Number of updates and deletes lost so far, over all subscriptions.
     lost_updates: u64,
 }
 
 #[derive(Debug)]
 struct SubscriptionState {
     subscription: Subscription,
-    /// The state that the subscriber has been sent.
+    /// The state as it was last sent to the subscriber.
     sent: Leaves,
-    /// The state when there was last no room; what leads there from `sent` has been counted as lost.
+    /// The state when a notification last did not fit the room; none if all changes have been sent. The
+    /// changes from `sent` to this state have been counted as lost.
     missed: Option<Leaves>,
     next_sample: Duration,
     next_heartbeat: Duration,
 }
 
 impl Watch {
-    /// Subscriptions that have been sent nothing yet.
+    /// Creates a watch that has sent nothing yet. The first intervals start at `now`.
     pub fn new(subscriptions: Vec<Subscription>, now: Duration) -> Watch {
         let states = subscriptions.into_iter().map(|subscription| SubscriptionState::new(subscription, now));
         Watch { subscriptions: states.collect(), lost_updates: 0 }
     }
 
-    /// The whole state. With `updates_only` it is not sent but taken as known.
+    /// The notification with the whole initial state. With `updates_only` it is empty, and the subscriber is
+    /// assumed to know the state.
     pub fn initial(&mut self, tree: &Tree, updates_only: bool) -> Notification {
         let mut notification = Notification::default();
         let mut included = BTreeSet::new();
         for state in &mut self.subscriptions {
             state.sent = leaves(tree, &state.subscription.patterns);
             for (place, value) in &state.sent {
-                // Where subscriptions overlap, the initial state is sent once.
+                // Sends a leaf once if several subscriptions select it.
                 if !updates_only && included.insert(place.clone()) {
                     notification.updates.push(Update::of((place, value)));
                 }
@@ -49,28 +52,29 @@
         notification
     }
 
-    /// When something is due by time alone.
+    /// The next time at which a sample or heartbeat is due; none if there is neither.
     pub fn next_timeout(&self) -> Option<Duration> {
         let earliest = self.subscriptions.iter().map(SubscriptionState::next_timeout).min();
         earliest.filter(|due| *due < Duration::MAX)
     }
 
-    /// Whether any subscription is to be sent changes as they are seen.
+    /// Whether any subscription sends changes as soon as they are seen.
     pub fn has_on_change(&self) -> bool {
         self.subscriptions.iter().any(|state| state.subscription.mode == SubscriptionMode::OnChange)
     }
 
-    /// Whether any change is waiting for room.
+    /// Whether any change waits for room at the subscriber.
     pub fn has_backlog(&self) -> bool {
         self.subscriptions.iter().any(|state| state.missed.is_some())
     }
 
-    /// Updates and deletes that the subscriber has lost so far.
+    /// Number of updates and deletes lost so far because the subscriber had no room.
     pub fn lost_updates(&self) -> u64 {
         self.lost_updates
     }
 
-    /// What is due now, by the tree as it is, for a subscriber with room for so many updates and deletes.
+    /// Returns the notifications that are due now for the current tree. `room` is the number of updates and
+    /// deletes that the subscriber can take.
     pub fn poll(&mut self, now: Duration, tree: &Tree, mut room: usize) -> Vec<Notification> {
         let mut notifications = Vec::new();
         for state in &mut self.subscriptions {
@@ -108,7 +112,7 @@
         }
     }
 
-    /// The current state and what is due of it; none if nothing is due. Sets the next dates.
+    /// The current state and the notification that is due; none if nothing is due. Sets the next due times.
     fn poll(&mut self, now: Duration, tree: &Tree) -> Option<(Leaves, Notification)> {
         let heartbeat_due = self.next_heartbeat <= now;
         let due = match self.subscription.mode {
@@ -140,7 +144,8 @@
         }
     }
 
-    /// There is no room for a notification. Returns the updates and deletes that are newly lost.
+    /// Records that a notification did not fit the room. Returns the number of updates and deletes that are
+    /// newly lost.
     fn lose(&mut self, current: Leaves, notification: &Notification) -> u64 {
         if let SubscriptionMode::Sample { .. } = self.subscription.mode {
             return notification.len() as u64;
@@ -152,7 +157,7 @@
     }
 }
 
-/// The next date of an interval that lies ahead of now.
+/// The due time after `date`. If it has passed as well, the next interval starts at `now`.
 fn next_after(date: Duration, interval: Duration, now: Duration) -> Duration {
     let interval = interval.max(MIN_INTERVAL);
     let next = date + interval;
