--- a/crates/edges/fleet/src/node/handle.rs
+++ b/crates/edges/fleet/src/node/handle.rs
@@ -62,7 +62,7 @@
 
     fn handle_lease_reply(&mut self, now: Duration, from: SocketAddr, reply: LeaseReply) {
         let Some(voter) = self.voter_index(from) else { return };
-        let random = &mut self.chance;
+        let random = &mut self.rng;
         let leases = &self.config.leases;
         let messages = self.lease_client.handle_reply(now, leases, voter, reply, &mut || random.f64());
         self.send_lease_requests(messages);
@@ -86,7 +86,7 @@
         }
         let messages = self.learner.handle_reply(now, voter, reply.clone());
         self.send_register_requests(messages);
-        let random = &mut self.chance;
+        let random = &mut self.rng;
         let leases = &self.config.leases;
         let messages = self.proposer.handle_reply(now, leases, voter, reply, &mut || random.f64());
         self.send_register_requests(messages);
--- a/crates/edges/fleet/src/node/mod.rs
+++ b/crates/edges/fleet/src/node/mod.rs
@@ -70,7 +70,7 @@
 pub struct Node {
     config: FleetConfig,
     channel: AuthenticatedChannel,
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
     state_folder: Option<StateFolder>,
     /// None at a front that is not a voter.
     voter: Option<Voter>,
@@ -118,7 +118,7 @@
                 fingerprint,
                 counters,
             ),
-            chance: fastrand::Rng::with_seed(start.seed),
+            rng: fastrand::Rng::with_seed(start.seed),
             voter: config.is_voter.then(|| Voter::new(Duration::ZERO, &leases, token_floor)),
             lease_client: LeaseClient::new(incarnation.clone(), voters),
             quota_slots: new_quota_slots(&config),
@@ -175,7 +175,7 @@
 
     /// Runs everything that is due at `now`.
     pub fn poll(&mut self, now: Duration) {
-        let random = &mut self.chance;
+        let random = &mut self.rng;
         let messages = self.lease_client.poll(now, &self.config.leases, &mut || random.f64());
         self.send_lease_requests(messages);
         self.poll_quota_slots(now);
--- a/crates/edges/fleet/src/node/proposals.rs
+++ b/crates/edges/fleet/src/node/proposals.rs
@@ -9,7 +9,7 @@
 impl Node {
     pub(super) fn poll_registers(&mut self, now: Duration) {
         self.poll_acceptor(now);
-        let random = &mut self.chance;
+        let random = &mut self.rng;
         let proposals = self.proposer.poll(now, &self.config.leases, &mut || random.f64());
         let polls = self.learner.poll(now, &mut || random.f64());
         self.send_register_requests(proposals);
--- a/crates/edges/fleet/src/zone_failover.rs
+++ b/crates/edges/fleet/src/zone_failover.rs
@@ -110,14 +110,14 @@
         let coordinator = self.coordinator.as_mut()?;
         coordinator.set_lease(fencing_token);
         let action = coordinator.poll(now, &self.config, &self.overrides);
-        for ZoneTransition { zone: site, transition: step } in coordinator.take_transitions() {
+        for ZoneTransition { zone: site, transition } in coordinator.take_transitions() {
             tracing::info!(
                 site,
                 "zone failover: zone {site} from {} to {}, {} in 1000 of its engines open: {}",
-                step.from,
-                step.to,
-                step.open_permille,
-                step.reason
+                transition.from,
+                transition.to,
+                transition.open_permille,
+                transition.reason
             );
         }
         action.map(|action| match action {
