--- a/crates/core/membership/src/admission.rs
+++ b/crates/core/membership/src/admission.rs
@@ -32,7 +32,7 @@
     recent_releases: f64,
     updated_at: Duration,
     /// The retry time given to the last rejected request.
-    last_promised: Duration,
+    last_retry_time: Duration,
 }
 
 /// Counts open requests by class and rejects requests over the limit.
@@ -56,7 +56,7 @@
             let limit = limits.get(index).copied().flatten();
             if class.limit != limit {
                 class.limit = limit;
-                class.last_promised = Duration::ZERO;
+                class.last_retry_time = Duration::ZERO;
             }
         }
     }
@@ -103,7 +103,7 @@
         self.updated_at = now;
     }
 
-    /// Computes the Retry-After of the next rejected request and records its retry time in `last_promised`.
+    /// Computes the Retry-After of the next rejected request and records its retry time in `last_retry_time`.
     fn next_retry_after(&mut self, now: Duration, limit: Limit, max_retry_after: Duration) -> Duration {
         self.decay_to(now, limit);
         let releases_per_second = self.recent_releases / window_seconds(limit);
@@ -114,9 +114,9 @@
         };
         let earliest = now + limit.retry_after;
         let latest = now + max_retry_after.min(limit.max_retry_after).max(limit.retry_after);
-        let next = self.last_promised + Duration::from_secs_f64(gap_seconds);
-        self.last_promised = earliest.max(next).min(latest);
-        self.last_promised - now
+        let next = self.last_retry_time + Duration::from_secs_f64(gap_seconds);
+        self.last_retry_time = earliest.max(next).min(latest);
+        self.last_retry_time - now
     }
 }
 
--- a/crates/core/watch/src/watch.rs
+++ b/crates/core/watch/src/watch.rs
@@ -80,7 +80,7 @@
         for state in &mut self.subscriptions {
             let Some((current, notification)) = state.poll(now, tree) else { continue };
             if room == 0 || notification.len() > room {
-                self.lost_updates += state.lose(current, &notification);
+                self.lost_updates += state.record_missed(current, &notification);
                 continue;
             }
             room -= notification.len();
@@ -122,31 +122,31 @@
         if !due && !heartbeat_due {
             return None;
         }
-        self.set_next_dates(now, heartbeat_due);
+        self.set_next_due_times(now, heartbeat_due);
         let current = leaves(tree, &self.subscription.patterns);
         let mut notification = Notification::between(&self.sent, &current);
-        let everything = match self.subscription.mode {
+        let send_all = match self.subscription.mode {
             SubscriptionMode::Sample { suppress_redundant, .. } => heartbeat_due || !suppress_redundant,
             SubscriptionMode::OnChange => heartbeat_due,
         };
-        if everything {
+        if send_all {
             notification.updates = current.iter().map(Update::of).collect();
         }
         Some((current, notification))
     }
 
-    fn set_next_dates(&mut self, now: Duration, heartbeat_due: bool) {
+    fn set_next_due_times(&mut self, now: Duration, heartbeat_due: bool) {
         if let SubscriptionMode::Sample { sample_interval, .. } = self.subscription.mode {
-            self.next_sample = next_after(self.next_sample, sample_interval, now);
+            self.next_sample = next_due_time(self.next_sample, sample_interval, now);
         }
         if let Some(interval) = self.subscription.heartbeat_interval.filter(|_| heartbeat_due) {
-            self.next_heartbeat = next_after(self.next_heartbeat, interval, now);
+            self.next_heartbeat = next_due_time(self.next_heartbeat, interval, now);
         }
     }
 
     /// Records that a notification did not fit the room. Returns the number of updates and deletes that are
     /// newly lost.
-    fn lose(&mut self, current: Leaves, notification: &Notification) -> u64 {
+    fn record_missed(&mut self, current: Leaves, notification: &Notification) -> u64 {
         if let SubscriptionMode::Sample { .. } = self.subscription.mode {
             return notification.len() as u64;
         }
@@ -157,9 +157,9 @@
     }
 }
 
-/// The due time after `date`. If it has passed as well, the next interval starts at `now`.
-fn next_after(date: Duration, interval: Duration, now: Duration) -> Duration {
+/// The due time after `due`. If it has passed as well, the next interval starts at `now`.
+fn next_due_time(due: Duration, interval: Duration, now: Duration) -> Duration {
     let interval = interval.max(MIN_INTERVAL);
-    let next = date + interval;
+    let next = due + interval;
     if next > now { next } else { now + interval }
 }
