--- a/crates/core/desired-state/tests/desired_state.rs
+++ b/crates/core/desired-state/tests/desired_state.rs
@@ -1,4 +1,4 @@
-//! Trees of the front's model read as pools, limits and log level.
+//! Tests that trees of the front's model are converted to pools, limits and a log level.
 
 use lemonusher::EngineEntry;
 use lemonusher_desired_state::{DesiredStateReader, Names};
--- a/crates/core/membership/tests/membership.rs
+++ b/crates/core/membership/tests/membership.rs
@@ -1,5 +1,5 @@
-//! The endpoint table against a plain reference, through any order of list updates and desired states; the admission
-//! limiter against counts.
+//! Tests that compare the endpoint table with a plain reference, for any order of list updates and desired
+//! states, and the admission limiter with plain counts.
 
 use lemonusher::{EndpointUpdateKind, EngineEntry, EngineState, Idempotency};
 use lemonusher_membership::{
@@ -48,7 +48,7 @@
     ]
 }
 
-/// The rule of `lib.rs`, written out plainly.
+/// A plain implementation of rules 2 and 3 of `lib.rs`.
 fn reference_admission(pools: &[Pool], entry: &EngineEntry) -> (AdminState, u64) {
     let mine: Vec<&Pool> = pools.iter().filter(|pool| pool.matches(entry)).collect();
     let admin = mine.iter().map(|pool| pool.admin).max().unwrap_or_default();
@@ -69,7 +69,7 @@
     fn any_order_of_lists_and_desired_states_follows_the_rule(steps in prop::collection::vec(step_strategy(), 1..24)) {
         let mut table = EndpointTable::default();
         let mut pools: Vec<Pool> = Vec::new();
-        let mut notified: BTreeMap<u32, EngineEntry> = BTreeMap::new(); // The entries as the gateway has them.
+        let mut notified: BTreeMap<u32, EngineEntry> = BTreeMap::new(); // The entries that the gateway was notified of.
         let mut listed: BTreeMap<u32, EngineEntry> = BTreeMap::new();
         for step in steps {
             let change = match step {
@@ -99,7 +99,8 @@
                         .map(|(engine, _)| engine)
                         .collect();
                     prop_assert_eq!(&change.recalled, &expected_recalled);
-                    // A manager adds no engine that the list doesn't hold, and changes no state.
+                    // A desired state adds no engine that the list does not contain, and changes no engine's
+                    // state.
                     for entry in &change.entries {
                         prop_assert_eq!(entry.state, listed[&entry.engine].state);
                         prop_assert!(entry.state != EngineState::Removed);
@@ -120,8 +121,8 @@
         }
     }
 
-    /// Never more open than the limit allows, but what was open before the limit was lowered; each Retry-After lies between the
-    /// shortest and the longest.
+    /// No more requests are open than the limit allows, and each Retry-After lies between the minimum and the
+    /// maximum.
     #[test]
     fn limiter_counts_open_requests_and_bounds_retry_after(
         steps in prop::collection::vec((0..4u8, 0..REQUEST_CLASSES, 0..500u64), 1..200),
@@ -157,7 +158,7 @@
     let mut limiter = AdmissionLimiter::new(1, ms(10_000));
     limiter.set(&[Some(Limit { max_open: 2, retry_after: ms(100), max_retry_after: ms(20_000) })]);
     assert!(limiter.admit(ms(0), 0).is_ok() && limiter.admit(ms(0), 0).is_ok());
-    // One place each 200 ms, for long.
+    // One open request ends each 200 ms, long enough for the average rate to converge.
     for turn in 1..100 {
         limiter.release(ms(200 * turn), 0);
         assert!(limiter.admit(ms(200 * turn), 0).is_ok());
@@ -194,11 +195,11 @@
     assert!(
         table.engines().filter(|s| s.entry.zone == 1 && s.is_open()).all(|s| s.entry.blocked_classes == 0b10)
     );
-    // What is open at first stays open as more is opened.
+    // Engines that are open at first stay open when the open share grows.
     let first: Vec<u32> = table.engines().filter(|s| s.is_open()).map(|s| s.entry.engine).collect();
     table.apply_restrictions(vec![ZoneRestriction { zone: 1, open_permille: 500, blocked_classes: 0 }]);
     assert!(first.iter().all(|engine| table.get(*engine).is_some_and(EndpointStatus::is_open)));
-    // An engine that is listed meanwhile is under it as well.
+    // Engines listed after the restriction was applied are restricted too.
     table.apply_list(EndpointUpdateKind::Delta, (400..600).map(entry).collect());
     assert!((120..=180).contains(&open(&table, 1)), "{}", open(&table, 1));
     table.apply_restrictions(Vec::new());
--- a/crates/core/watch/tests/watch.rs
+++ b/crates/core/watch/tests/watch.rs
@@ -1,4 +1,5 @@
-//! A subscriber that applies all notifications ends with the tree as it is, whatever it lost in between.
+//! Tests that a subscriber that applies all notifications ends with the current state of the tree, whichever
+//! notifications it lost in between.
 
 use lemonusher_model::{Node, Op, Pattern, Schema, Tree, parse_path};
 use lemonusher_watch::{Leaves, Notification, Subscription, SubscriptionMode, Watch, leaves};
@@ -87,7 +88,8 @@
     };
     let sample =
         |suppress_redundant| SubscriptionMode::Sample { sample_interval: ms(100), suppress_redundant };
-    // (mode, heartbeat, updates in ten seconds of rounds at each 10 ms; name and cell make two)
+    // (mode, heartbeat interval, number of updates in 10 s with a poll each 10 ms; name and cell are two
+    // updates)
     for (mode, heartbeat, expected) in [
         (sample(false), None, 200),
         (sample(true), None, 0),
--- a/crates/edges/fleet/tests/limits.rs
+++ b/crates/edges/fleet/tests/limits.rs
@@ -1,4 +1,5 @@
-//! Limits of datagrams and tables: 1,025 members, a full maintenance request, and as many registers as there are requests.
+//! Tests of the limits of datagrams and tables: 1,025 members, a maintenance request of maximum size, and one
+//! register per maintenance request.
 
 use lemonusher_failure_detector::{DetectorConfig, FailureDetector, Member};
 use lemonusher_fleet::*;
@@ -14,13 +15,13 @@
 use std::time::Duration;
 
 const LEASE: Duration = Duration::from_millis(300);
-/// Members that are announced before a reply is awaited.
+/// Number of members that are announced before a reply is awaited.
 const FRONTS_PER_ANSWER: usize = 64;
-/// A datagram may be lost, so a request is sent up to this many times.
+/// Maximum number of times that a request is sent, as datagrams may be lost.
 const MAX_QUESTIONS: usize = 20;
 const LOCAL: &str = "127.0.0.1:0";
 
-/// Three voters on this machine.
+/// Starts three voters on this machine.
 fn voters() -> Vec<FleetHandle> {
     let held: Vec<UdpSocket> = (0..3).map(|_| UdpSocket::bind(LOCAL).unwrap()).collect();
     let addresses: Vec<SocketAddr> = held.iter().map(|socket| socket.local_addr().unwrap()).collect();
@@ -51,7 +52,7 @@
     }
 }
 
-/// A client with the fleet's key.
+/// A client that has the fleet's key.
 struct Client {
     socket: UdpSocket,
     seq: u64,
@@ -74,7 +75,8 @@
         self.socket.send_to(&sealed, to).unwrap();
     }
 
-    /// The members after one of them, and whether there are more; repeated while a busy machine does not reply.
+    /// Requests a page of members after a cursor. Returns the rows and whether there are more. Sends the
+    /// request again if a voter on a busy machine does not reply in time.
     fn members(&mut self, after: MemberCursor, voter: SocketAddr) -> (Vec<MemberRow>, bool) {
         for _ in 0..MAX_QUESTIONS {
             self.send(Body::ShowMembers { after: after.clone() }, voter);
@@ -85,7 +87,8 @@
         panic!("no answer after {after:?}")
     }
 
-    /// What a voter has accepted since a revision of an incarnation; repeated while a busy machine does not reply.
+    /// Requests what a voter has accepted since a revision of an incarnation. Sends the request again if a
+    /// voter on a busy machine does not reply in time.
     fn changes(&mut self, (incarnation, since): (u64, u64), voter: SocketAddr) -> Changes {
         for _ in 0..MAX_QUESTIONS {
             self.send(
@@ -136,7 +139,8 @@
             detector.take_outgoing().into_iter().map(|datagram| datagram.bytes).collect();
         messages.into_iter().for_each(|bytes| client.send(Body::FailureDetector(bytes), voter));
         if n % FRONTS_PER_ANSWER == 0 {
-            // What was sent before has been read once this has a reply, so the system's buffer drops nothing.
+            // Once this request has a reply, the voter has read all earlier datagrams, so the socket's receive
+            // buffer does not overflow.
             client.members(MemberCursor::default(), voter);
         }
     }
@@ -147,7 +151,8 @@
         let Some(last) = rows.last().filter(|_| more) else { break };
         after = last.cursor();
     }
-    // Those that never reply are declared as left one after the other, some of them while the pages are read.
+    // The members never reply to probes, so they are declared as left one after the other, some of them while
+    // the pages are read.
     assert!(seen.len() > 1000, "{} of 1025", seen.len());
 }
 
--- a/crates/edges/fleet/tests/nodes.rs
+++ b/crates/edges/fleet/tests/nodes.rs
@@ -1,5 +1,6 @@
-//! Nodes over a network that reverses each burst: messages that may arrive in any order are accepted, others are dropped;
-//! watching registers costs little, and values are known again after voters have lost their memory.
+//! Tests of nodes over a network that reverses each burst of messages. Messages that may arrive in any order
+//! are accepted and superseded ones are dropped, watching registers takes few datagrams, and values are
+//! learned again after voters have lost their memory.
 
 use lemonusher_fleet::*;
 use lemonusher_leases::{Ballot, Incarnation, LeaseConfig, LeaseReply, LeaseRequest};
@@ -12,10 +13,10 @@
 
 const LEASE: Duration = Duration::from_millis(600);
 const STEP: Duration = Duration::from_millis(5);
-/// Longer than voters without a folder are silent.
+/// Longer than the time for which voters without a state folder are silent after their start.
 const SILENT_TIME: Duration = Duration::from_secs(3);
 const VOTERS: usize = 3;
-/// Bytes of a long value.
+/// Length in bytes of a long value.
 const VALUE_BYTES: usize = 800;
 
 fn address(index: usize) -> SocketAddr {
@@ -82,14 +83,14 @@
     Node::new(config(index), birth, None, Arc::new(TrafficCounters::default()))
 }
 
-/// Nodes whose bursts arrive in reverse order, one step of time after they were sent.
+/// Simulates nodes in virtual time. The messages of each time step arrive in reverse order in the next step.
 struct ReversedNetwork {
     nodes: Vec<Node>,
     in_flight: Vec<(SocketAddr, Datagram)>,
     now: Duration,
-    /// When each node's incarnation began.
+    /// Start time of each node's incarnation.
     started_at: Vec<Duration>,
-    /// Messages of each kind that each node has sent.
+    /// Number of messages sent, by node and kind.
     sent: BTreeMap<(usize, MessageKind), usize>,
 }
 
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Starts a voter anew, without memory.
+    /// Restarts a voter as a new incarnation without memory.
     fn restart(&mut self, index: usize, incarnation: u64) {
         self.nodes[index] = node_of(index, incarnation);
         self.started_at[index] = self.now;
@@ -144,18 +145,20 @@
     fleet.sent.clear();
     fleet.run_for(LEASE * 10);
     let messages = fleet.sent.get(&(VOTERS, MessageKind::Registers)).copied().unwrap_or(0);
-    // Each voter is polled once in a quarter of a lease, or up to a quarter sooner.
+    // Each voter is polled once per quarter of a lease duration, or up to a quarter of that interval earlier.
     let polls = 10 * 4 * 4 / 3;
     assert!(messages <= VOTERS * (polls + 1), "{messages} messages in {polls} polls at most");
     assert!(messages >= VOTERS * 30, "{messages} messages");
 }
 
-/// Two voters of three lose their memory; the third alone still has the value. A member that joins then learns it.
+/// Two of three voters lose their memory, so only the third still has the value. A member that joins later
+/// learns it.
 #[test]
 fn values_left_after_a_majority_lost_its_memory_are_known_to_a_new_member() {
     let mut fleet = ReversedNetwork::new(VOTERS);
     fleet.run_for(SILENT_TIME);
-    // Only operators propose overrides, so no coordinator reads them again for its own purposes.
+    // Uses the overrides' register: only operators propose overrides, so no coordinator's read commits the
+    // value again.
     let entry = Entry {
         version: EntryVersion { epoch: u64::MAX - 1, counter: 1 },
         fencing_token: 1,
@@ -177,12 +180,12 @@
     fleet.nodes.push(node(VOTERS));
     fleet.started_at.push(fleet.now);
     fleet.run_for(SILENT_TIME);
-    // All else that it holds is less.
+    // All other state of this node together is smaller than the value.
     let known = fleet.nodes[VOTERS].stats(SILENT_TIME).bytes;
     assert!(known > VALUE_BYTES, "{known} bytes known");
 }
 
-/// A datagram of a client with the fleet's key, with a sequence number of its choice.
+/// A datagram from a client with the fleet's key, with the given sequence number.
 fn sealed(seq: u64, body: Body) -> Vec<u8> {
     let from = Incarnation { name: "speaker".to_owned(), id: 5 };
     Frame { from, sequence: seq, config_fingerprint: config_fingerprint(&config(0)), body }
@@ -206,7 +209,7 @@
     Body::LeaseRequest(LeaseRequest::Release { task: "account".to_owned(), client, fencing_token: round })
 }
 
-/// The replies of a voter that is no longer silent, to these messages in this order.
+/// The replies of a voter that is no longer silent to these messages, delivered in this order.
 fn replies(messages: &[Vec<u8>]) -> Vec<LeaseReply> {
     let mut voter = node(0);
     let now = SILENT_TIME;
--- a/crates/edges/fleet/tests/replay_window.rs
+++ b/crates/edges/fleet/tests/replay_window.rs
@@ -1,4 +1,4 @@
-//! Sequence numbers of a sender: each is accepted once, in any order.
+//! Tests that each sequence number of a sender is accepted once, in any order.
 
 use lemonusher_fleet::ReplayWindow;
 use std::collections::BTreeSet;
@@ -20,7 +20,7 @@
     assert!(!window.accept(0));
 }
 
-/// Against a plain set of all numbers, over jumps from one to several times the window.
+/// Compares the window with a plain set of all numbers, for steps from one up to several times the window.
 #[test]
 fn it_agrees_with_a_set_of_all_numbers_within_its_reach() {
     let mut chance = fastrand::Rng::with_seed(7);
--- a/crates/edges/fleet/tests/unit/frame.rs
+++ b/crates/edges/fleet/tests/unit/frame.rs
@@ -1,4 +1,4 @@
-//! Sealing and opening datagrams, and that full tables fit one.
+//! Tests that datagrams are sealed and opened, and that messages of maximum size fit a datagram.
 
 use super::*;
 use crate::body::{Body, ClassRow, LeaseRow, MAX_ROWS, MemberRow, RegisterRow, StoredRequest, ZoneRow};
@@ -32,7 +32,7 @@
     registers::EntryVersion { epoch: u64::MAX, counter: u64::MAX }
 }
 
-/// Asserts that a datagram of this body is not too long.
+/// Asserts that a datagram with this body is within the maximum length.
 fn fits(body: Body) {
     let from = max_incarnation();
     let frame = Frame { from, sequence: u64::MAX, config_fingerprint: u64::MAX, body };
--- a/crates/edges/fleet/tests/unit/state_folder.rs
+++ b/crates/edges/fleet/tests/unit/state_folder.rs
@@ -1,4 +1,4 @@
-//! What is stored is read again; corrupt files are errors.
+//! Tests that stored state is read again and that a corrupt file is an error.
 
 use super::*;
 
--- a/crates/edges/fleet/tests/wire_compatibility.rs
+++ b/crates/edges/fleet/tests/wire_compatibility.rs
@@ -1,5 +1,6 @@
-//! Datagrams and files of the version before the renaming of types and fields (commit ad164c9), as that version wrote
-//! them: each is still read, field by field, and the same values still give the same bytes.
+//! Tests of compatibility with the version before types and fields were renamed (commit ad164c9). The fixtures
+//! are datagrams and files that this earlier version wrote. Each is still decoded, field by field, and the
+//! same values are still encoded to the same bytes.
 
 use lemonusher_failure_detector::{DetectorConfig, FailureDetector, GossipRecord, Member};
 use lemonusher_fleet::*;
@@ -15,7 +16,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The sender's terms in all datagrams.
+/// The sender's configuration fingerprint in all datagrams.
 const TERMS: u64 = 0x0123_4567_89ab_cdef;
 
 fn key() -> FleetKey {
@@ -249,7 +250,7 @@
     ]
 }
 
-/// One datagram of each kind of body, request and reply.
+/// One frame for each kind of body, requests and replies.
 fn frames() -> Vec<(&'static str, Frame)> {
     let bodies =
         [lease_bodies(), register_requests(), register_replies(), report_bodies(), operator_bodies()];
@@ -280,7 +281,8 @@
     Member { name: format!("front {n}"), address, incarnation: 1000 + u64::from(n), zone: 2, refutations: 0 }
 }
 
-/// What two failure detectors of fixed seeds send each other while they meet and publish a gossip record.
+/// The messages that two failure detectors with fixed seeds exchange while they discover each other and one
+/// publishes a gossip record.
 fn detector_messages() -> Vec<Vec<u8>> {
     let config = DetectorConfig { probe_interval: Duration::from_millis(500) };
     let detector = |n: u16| FailureDetector::new(member(n), config, u64::from(n));
@@ -314,7 +316,7 @@
     (0..text.len()).step_by(2).map(digits).collect()
 }
 
-/// The lines of a fixture, `name: bytes`.
+/// The lines of a fixture, each `name: bytes` with the bytes in hexadecimal.
 fn lines(name: &str) -> BTreeMap<String, Vec<u8>> {
     let text = std::fs::read_to_string(fixture(name)).expect("a fixture");
     let line = |line: &str| {
@@ -372,7 +374,7 @@
     assert_eq!(&encode_overrides(&overrides()), stored);
 }
 
-/// The lines of what commands print of a body as JSON.
+/// The JSON that commands print for a body; none for a body that is not printed as JSON.
 fn shown(body: &Body) -> Option<String> {
     let json = match body {
         Body::Members { rows, .. } => serde_json::to_string(rows),
