--- a/crates/core/membership/tests/membership.rs
+++ b/crates/core/membership/tests/membership.rs
@@ -50,9 +50,9 @@
 
 /// A plain implementation of rules 2 and 3 of `lib.rs`.
 fn reference_admission(pools: &[Pool], entry: &EngineEntry) -> (AdminState, u64) {
-    let mine: Vec<&Pool> = pools.iter().filter(|pool| pool.matches(entry)).collect();
-    let admin = mine.iter().map(|pool| pool.admin).max().unwrap_or_default();
-    let with_classes: Vec<&&Pool> = mine.iter().filter(|pool| !pool.request_classes.is_empty()).collect();
+    let matching: Vec<&Pool> = pools.iter().filter(|pool| pool.matches(entry)).collect();
+    let admin = matching.iter().map(|pool| pool.admin).max().unwrap_or_default();
+    let with_classes: Vec<&&Pool> = matching.iter().filter(|pool| !pool.request_classes.is_empty()).collect();
     let mut bits = 0;
     for class in 0..64 {
         let served =
@@ -159,9 +159,9 @@
     limiter.set(&[Some(Limit { max_open: 2, retry_after: ms(100), max_retry_after: ms(20_000) })]);
     assert!(limiter.admit(ms(0), 0).is_ok() && limiter.admit(ms(0), 0).is_ok());
     // One open request ends each 200 ms, long enough for the average rate to converge.
-    for turn in 1..100 {
-        limiter.release(ms(200 * turn), 0);
-        assert!(limiter.admit(ms(200 * turn), 0).is_ok());
+    for step in 1..100 {
+        limiter.release(ms(200 * step), 0);
+        assert!(limiter.admit(ms(200 * step), 0).is_ok());
     }
     let waits: Vec<Duration> = (0..5).map(|_| limiter.admit(ms(19_850), 0).unwrap_err()).collect();
     for pair in waits.windows(2) {
--- a/crates/edges/fleet/tests/limits.rs
+++ b/crates/edges/fleet/tests/limits.rs
@@ -16,30 +16,30 @@
 
 const LEASE: Duration = Duration::from_millis(300);
 /// Number of members that are announced before a reply is awaited.
-const FRONTS_PER_ANSWER: usize = 64;
+const MEMBERS_PER_REPLY: usize = 64;
 /// Maximum number of times that a request is sent, as datagrams may be lost.
-const MAX_QUESTIONS: usize = 20;
+const MAX_SENDS: usize = 20;
 const LOCAL: &str = "127.0.0.1:0";
 
 /// Starts three voters on this machine.
 fn voters() -> Vec<FleetHandle> {
-    let held: Vec<UdpSocket> = (0..3).map(|_| UdpSocket::bind(LOCAL).unwrap()).collect();
-    let addresses: Vec<SocketAddr> = held.iter().map(|socket| socket.local_addr().unwrap()).collect();
-    drop(held);
-    (0..3).map(|place| start(config(place, &addresses)).unwrap()).collect()
+    let sockets: Vec<UdpSocket> = (0..3).map(|_| UdpSocket::bind(LOCAL).unwrap()).collect();
+    let addresses: Vec<SocketAddr> = sockets.iter().map(|socket| socket.local_addr().unwrap()).collect();
+    drop(sockets);
+    (0..3).map(|index| start(config(index, &addresses)).unwrap()).collect()
 }
 
-fn config(place: usize, voters: &[SocketAddr]) -> FleetConfig {
+fn config(index: usize, voters: &[SocketAddr]) -> FleetConfig {
     let leases =
         LeaseConfig { duration: LEASE, clock_drift_permille: 20, max_action_time: Duration::from_millis(10) };
     FleetConfig {
-        name: format!("voter {place}"),
-        listen: voters[place],
+        name: format!("voter {index}"),
+        listen: voters[index],
         key: FleetKey::new(b"a key of a test"),
         leases,
         voters: voters.to_vec(),
         is_voter: true,
-        voter_index: Some(place),
+        voter_index: Some(index),
         advertised_address: None,
         zone: 0,
         state_folder: None,
@@ -55,7 +55,7 @@
 /// A client that has the fleet's key.
 struct Client {
     socket: UdpSocket,
-    seq: u64,
+    sequence: u64,
     config_fingerprint: u64,
 }
 
@@ -63,14 +63,15 @@
     fn new() -> Client {
         let socket = UdpSocket::bind(LOCAL).unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
-        let nobody = socket.local_addr().unwrap();
-        Client { socket, seq: 0, config_fingerprint: config_fingerprint(&config(0, &[nobody; 3])) }
+        let address = socket.local_addr().unwrap();
+        Client { socket, sequence: 0, config_fingerprint: config_fingerprint(&config(0, &[address; 3])) }
     }
 
     fn send(&mut self, body: Body, to: SocketAddr) {
-        self.seq += 1;
+        self.sequence += 1;
         let from = Incarnation { name: "speaker".to_owned(), id: 5 };
-        let frame = Frame { from, sequence: self.seq, config_fingerprint: self.config_fingerprint, body };
+        let frame =
+            Frame { from, sequence: self.sequence, config_fingerprint: self.config_fingerprint, body };
         let sealed = frame.seal(&FleetKey::new(b"a key of a test")).expect("too long for a datagram");
         self.socket.send_to(&sealed, to).unwrap();
     }
@@ -78,7 +79,7 @@
     /// Requests a page of members after a cursor. Returns the rows and whether there are more. Sends the
     /// request again if a voter on a busy machine does not reply in time.
     fn members(&mut self, after: MemberCursor, voter: SocketAddr) -> (Vec<MemberRow>, bool) {
-        for _ in 0..MAX_QUESTIONS {
+        for _ in 0..MAX_SENDS {
             self.send(Body::ShowMembers { after: after.clone() }, voter);
             if let Some(Body::Members { rows, more }) = self.receive() {
                 return (rows, more);
@@ -90,7 +91,7 @@
     /// Requests what a voter has accepted since a revision of an incarnation. Sends the request again if a
     /// voter on a busy machine does not reply in time.
     fn changes(&mut self, (incarnation, since): (u64, u64), voter: SocketAddr) -> Changes {
-        for _ in 0..MAX_QUESTIONS {
+        for _ in 0..MAX_SENDS {
             self.send(
                 Body::RegisterRequest(RegisterRequest::ChangesSince { incarnation, revision: since }),
                 voter,
@@ -114,11 +115,14 @@
     let fronts: Vec<String> = (0..MAX_FRONTS).map(|front| format!("front-{front:06}")).collect();
     let machines: Vec<u32> = (0..=MAX_MACHINES as u32).map(|n| u32::MAX - n).collect();
     let full = |machines: &[u32]| {
-        let mut work =
+        let mut request =
             MaintenanceRequest::new(&"w".repeat(MAX_NAME_BYTES), 9, MAX_CONCURRENT, u32::MAX, machines);
-        fronts.iter().for_each(|front| assert!(work.extension.dead_fronts.add(&fronts, front)));
-        work.machines.iter_mut().for_each(|one| one.phase = Phase::Released { fencing_token: u64::MAX });
-        work.split(u64::MAX)
+        fronts.iter().for_each(|front| assert!(request.extension.dead_fronts.add(&fronts, front)));
+        request
+            .machines
+            .iter_mut()
+            .for_each(|machine| machine.phase = Phase::Released { fencing_token: u64::MAX });
+        request.split(u64::MAX)
     };
     let value_bytes: Vec<usize> = full(&machines).iter().map(|part| part.to_bytes().len()).collect();
     assert_eq!(value_bytes.len(), 2, "{value_bytes:?}");
@@ -138,7 +142,7 @@
         let messages: Vec<Vec<u8>> =
             detector.take_outgoing().into_iter().map(|datagram| datagram.bytes).collect();
         messages.into_iter().for_each(|bytes| client.send(Body::FailureDetector(bytes), voter));
-        if n % FRONTS_PER_ANSWER == 0 {
+        if n % MEMBERS_PER_REPLY == 0 {
             // Once this request has a reply, the voter has read all earlier datagrams, so the socket's receive
             // buffer does not overflow.
             client.members(MemberCursor::default(), voter);
@@ -160,14 +164,14 @@
 fn many_registers_change_in_few_datagrams_and_then_in_one_each_way() {
     let (voters, mut client) = (voters(), Client::new());
     let voter = voters[0].address;
-    let votes = |client: &mut Client| {
+    let is_voting = |client: &mut Client| {
         client.send(Body::ShowRegisters { after: String::new() }, voter);
         matches!(client.receive(), Some(Body::Registers { is_voting: true, .. })) || {
             std::thread::sleep(LEASE / 10);
             false
         }
     };
-    assert!((0..200).any(|_| votes(&mut client)), "it never votes");
+    assert!((0..200).any(|_| is_voting(&mut client)), "it never votes");
     let names: BTreeSet<String> = (0..MAX_REQUESTS as u8).map(maintenance_register).collect();
     let ballot = Ballot { round: 1, proposer: 5 };
     for name in &names {
--- a/crates/edges/fleet/tests/nodes.rs
+++ b/crates/edges/fleet/tests/nodes.rs
@@ -27,7 +27,7 @@
     let leases =
         LeaseConfig { duration: LEASE, clock_drift_permille: 20, max_action_time: Duration::from_millis(10) };
     let ms = Duration::from_millis;
-    let zone_terms = zones::FailoverConfig {
+    let failover_config = zones::FailoverConfig {
         report_interval: ms(100),
         confirmation_time: ms(400),
         probation: ms(800),
@@ -37,8 +37,8 @@
         admission_floor: 0.05,
         plan_timeout: ms(2_000),
     };
-    let (_, seen) = async_channel::bounded(1);
-    let votes = index < VOTERS;
+    let (_, observations) = async_channel::bounded(1);
+    let is_voter = index < VOTERS;
     let maintenance = lemonusher_maintenance::MaintenanceConfig {
         poll_interval: ms(100),
         required_fronts: (0..=VOTERS).map(|front| format!("front {front}")).collect(),
@@ -52,8 +52,8 @@
         key: key(),
         leases,
         voters: (0..VOTERS).map(address).collect(),
-        is_voter: votes,
-        voter_index: votes.then_some(index),
+        is_voter,
+        voter_index: is_voter.then_some(index),
         advertised_address: None,
         zone: 0,
         state_folder: None,
@@ -62,9 +62,9 @@
         wanted_slots: 0,
         first_slot: index as u32,
         zone_failover: Some(ZoneFailoverSettings {
-            config: zone_terms,
+            config: failover_config,
             classes: Vec::new(),
-            observations: seen,
+            observations,
         }),
         maintenance: Some(MaintenanceSettings { config: maintenance, notify: None }),
     }
@@ -79,8 +79,9 @@
 }
 
 fn node_of(index: usize, incarnation: u64) -> Node {
-    let birth = StartParameters { address: address(index), incarnation, unix_time_ms: 1, seed: incarnation };
-    Node::new(config(index), birth, None, Arc::new(TrafficCounters::default()))
+    let start_parameters =
+        StartParameters { address: address(index), incarnation, unix_time_ms: 1, seed: incarnation };
+    Node::new(config(index), start_parameters, None, Arc::new(TrafficCounters::default()))
 }
 
 /// Simulates nodes in virtual time. The messages of each time step arrive in reverse order in the next step.
@@ -113,8 +114,8 @@
         self.started_at[index] = self.now;
     }
 
-    fn run_for(&mut self, span: Duration) {
-        let until = self.now + span;
+    fn run_for(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while self.now < until {
             self.step();
         }
@@ -186,9 +187,9 @@
 }
 
 /// A datagram from a client with the fleet's key, with the given sequence number.
-fn sealed(seq: u64, body: Body) -> Vec<u8> {
+fn sealed(sequence: u64, body: Body) -> Vec<u8> {
     let from = Incarnation { name: "speaker".to_owned(), id: 5 };
-    Frame { from, sequence: seq, config_fingerprint: config_fingerprint(&config(0)), body }
+    Frame { from, sequence, config_fingerprint: config_fingerprint(&config(0)), body }
         .seal(&key())
         .expect("too long for a datagram")
 }
@@ -215,9 +216,9 @@
     let now = SILENT_TIME;
     voter.poll(now);
     voter.take_outgoing();
-    let speaker = address(9);
-    messages.iter().for_each(|bytes| voter.handle_datagram(now, speaker, bytes));
-    let sent = voter.take_outgoing().into_iter().filter(|message| message.datagram.to == speaker);
+    let client_address = address(9);
+    messages.iter().for_each(|bytes| voter.handle_datagram(now, client_address, bytes));
+    let sent = voter.take_outgoing().into_iter().filter(|message| message.datagram.to == client_address);
     let bodies = sent.filter_map(|message| Frame::open(&message.datagram.bytes, &key()).ok());
     let replies = bodies.filter_map(|frame| match frame.body {
         Body::LeaseReply(reply) => Some(reply),
--- a/crates/edges/fleet/tests/replay_window.rs
+++ b/crates/edges/fleet/tests/replay_window.rs
@@ -23,11 +23,11 @@
 /// Compares the window with a plain set of all numbers, for steps from one up to several times the window.
 #[test]
 fn it_agrees_with_a_set_of_all_numbers_within_its_reach() {
-    let mut chance = fastrand::Rng::with_seed(7);
+    let mut rng = fastrand::Rng::with_seed(7);
     let (mut window, mut received, mut highest) = (ReplayWindow::default(), BTreeSet::new(), 0);
     for _ in 0..100_000 {
-        let ahead = if chance.u8(..) < 8 { chance.u64(1..3_000) } else { chance.u64(1..4) };
-        let number = if chance.bool() { highest + ahead } else { chance.u64(1..=highest.max(1)) };
+        let ahead = if rng.u8(..) < 8 { rng.u64(1..3_000) } else { rng.u64(1..4) };
+        let number = if rng.bool() { highest + ahead } else { rng.u64(1..=highest.max(1)) };
         let near = number + ReplayWindow::REACH >= highest;
         let is_new = near && received.insert(number);
         assert_eq!(window.accept(number), is_new, "{number} after {highest}");
--- a/crates/edges/fleet/tests/unit/frame.rs
+++ b/crates/edges/fleet/tests/unit/frame.rs
@@ -118,28 +118,28 @@
 
 fn full_plans_and_requests_fit() {
     let version = max_version();
-    let work = Some(StoredRequest { version, value: vec![1; registers::MAX_VALUE_BYTES] });
+    let stored = Some(StoredRequest { version, value: vec![1; registers::MAX_VALUE_BYTES] });
     fits(Body::MaintenanceShown {
         request: 15,
-        stored: work,
+        stored,
         is_coordinator: true,
         blocked_reason: Some("w".repeat(160)),
     });
-    let (state, finding) = (zones::ZoneState::Recovering, "CutOff".to_owned());
-    let site = ZoneRow {
+    let (state, health) = (zones::ZoneState::Recovering, "CutOff".to_owned());
+    let zone = ZoneRow {
         state,
         open_permille: 1000,
-        health: finding,
+        health,
         cores: u32::MAX,
         answering_permille: 1000,
         filled_permille: 1000,
     };
-    let group =
+    let class =
         ClassRow { requests_per_second: 1e9, work_seconds: 1e9, served_permille: 1000, is_unplaceable: true };
     fits(Body::PlanShown {
         version: Some(version),
-        zones: vec![site; zones::MAX_ZONES],
-        classes: vec![group; zones::MAX_CLASSES],
+        zones: vec![zone; zones::MAX_ZONES],
+        classes: vec![class; zones::MAX_CLASSES],
         shed_order: vec![63; zones::MAX_CLASSES],
     });
 }
--- a/crates/edges/fleet/tests/wire_compatibility.rs
+++ b/crates/edges/fleet/tests/wire_compatibility.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 /// The sender's configuration fingerprint in all datagrams.
-const TERMS: u64 = 0x0123_4567_89ab_cdef;
+const CONFIG_FINGERPRINT: u64 = 0x0123_4567_89ab_cdef;
 
 fn key() -> FleetKey {
     FleetKey::new(b"a key of a fixture")
@@ -256,8 +256,8 @@
         [lease_bodies(), register_requests(), register_replies(), report_bodies(), operator_bodies()];
     let numbered = bodies.into_iter().flatten().zip(1000..);
     numbered
-        .map(|((name, body), seq)| {
-            (name, Frame { from: front(), sequence: seq, config_fingerprint: TERMS, body })
+        .map(|((name, body), sequence)| {
+            (name, Frame { from: front(), sequence, config_fingerprint: CONFIG_FINGERPRINT, body })
         })
         .collect()
 }
