--- a/crates/core/membership/src/lib.rs
+++ b/crates/core/membership/src/lib.rs
@@ -1,6 +1,7 @@
 //! Determines which engines may be used. One table merges the endpoint list with the desired state set by
 //! management clients, and admission limits reject requests of a class that has too many open requests. This
-//! package does no input or output and reads no clock. A time is a duration since an origin that the caller chooses.
+//! package does no input or output and reads no clock. A time is a duration since an origin that the caller
+//! chooses.
 //!
 //! The rules, for each engine:
 //!
--- a/crates/core/membership/tests/membership.rs
+++ b/crates/core/membership/tests/membership.rs
@@ -69,7 +69,7 @@
     fn any_order_of_lists_and_desired_states_follows_the_rule(steps in prop::collection::vec(step_strategy(), 1..24)) {
         let mut table = EndpointTable::default();
         let mut pools: Vec<Pool> = Vec::new();
-        let mut notified: BTreeMap<u32, EngineEntry> = BTreeMap::new(); // The entries that the gateway was notified of.
+        let mut notified: BTreeMap<u32, EngineEntry> = BTreeMap::new(); // Entries that the gateway was notified of.
         let mut listed: BTreeMap<u32, EngineEntry> = BTreeMap::new();
         for step in steps {
             let change = match step {
--- a/crates/edges/fleet/src/node/handle.rs
+++ b/crates/edges/fleet/src/node/handle.rs
@@ -102,7 +102,7 @@
         } else if let Some(voter) = &self.voter {
             let grant = voter.grants(now).find(|(granted, _)| **granted == task);
             let holder = grant.and_then(|(_, grant)| self.channel.address_of(&grant.holder));
-            // A request that came from the holder's address is not sent back there, so it is never forwarded twice.
+            // A request that came from the holder itself is not sent back, so it is never forwarded twice.
             if let Some(address) = holder.filter(|address| *address != from) {
                 self.send(Body::HandOver { task }, address);
             }
--- a/crates/edges/fleet/src/node/mod.rs
+++ b/crates/edges/fleet/src/node/mod.rs
@@ -56,7 +56,7 @@
 /// Parameters of one incarnation: drawn at random, or read from the machine, at each start.
 #[derive(Debug, Clone, Copy)]
 pub struct StartParameters {
-    /// The UDP address that is bound.
+    /// The UDP address that this front has bound.
     pub address: SocketAddr,
     /// The incarnation's number, drawn at random; never 0.
     pub incarnation: u64,
@@ -104,9 +104,9 @@
         state_folder: Option<StateFolder>,
         counters: Arc<TrafficCounters>,
     ) -> Node {
-        // Fencing tokens must increase even if no voter remembers the earlier ones. They start above all that an
-        // earlier incarnation can have granted: above the limit in the state folder, or else above the start time in
-        // milliseconds. If the clock was set back, resources report the highest token that they have seen.
+        // Fencing tokens must increase even if no voter remembers the earlier ones. They start above all that
+        // an earlier incarnation can have granted: above the limit in the state folder, or else above the start
+        // time in milliseconds. If the clock was set back, resources report the highest token that they have seen.
         let token_floor = state_folder.as_ref().map_or(start.unix_time_ms, StateFolder::token_floor);
         let incarnation = Incarnation { name: config.name.clone(), id: start.incarnation };
         let (leases, voters) = (config.leases, config.voters.len());
