--- a/crates/edges/fleet/src/node/proposals.rs
+++ b/crates/edges/fleet/src/node/proposals.rs
@@ -1,4 +1,5 @@
-//! Registers at a front: polls the acceptor, the learner and the proposer, and passes outcomes on.
+//! Registers at a front: polls the acceptor, the learner and the proposer, and passes outcomes to the
+//! coordinators.
 
 use super::Node;
 use crate::zone_failover;
@@ -8,13 +9,13 @@
 impl Node {
     pub(super) fn poll_registers(&mut self, now: Duration) {
         self.poll_acceptor(now);
-        let random = &mut self.chance;
+        let random = &mut self.rng;
         let proposals = self.proposer.poll(now, &self.config.leases, &mut || random.f64());
         let polls = self.learner.poll(now, &mut || random.f64());
         self.send_register_requests(proposals);
         self.send_register_requests(polls);
         for outcome in self.proposer.take_outcomes() {
-            // No coordinator has asked for what is proposed again.
+            // A repeated proposal after a new epoch was not requested by a coordinator.
             if self.reproposed.take_if(|name| name == outcome.name()).is_none() {
                 self.route_outcome(now, &outcome);
             }
@@ -28,12 +29,13 @@
         let messages = acceptor.poll(now, &self.config.leases);
         let state = acceptor.state(now);
         if self.acceptor_state.replace(state) != Some(state) {
-            tracing::info!(era = acceptor.epoch(), "fleet: as a voter on registers it is {state}");
+            tracing::info!(era = acceptor.epoch(), "fleet: state of the register voter: {state}");
         }
         self.send_register_requests(messages);
     }
 
-    /// Proposes again what a new epoch began with, one register after the other, so that learners see it committed.
+    /// Proposes again the values with which a new epoch began, one register after the other, so that learners
+    /// see them as committed.
     fn repropose(&mut self, now: Duration) {
         let unproposed = self.acceptor.as_ref().and_then(|acceptor| acceptor.unproposed_register(now));
         let Some(name) = unproposed.filter(|name| self.reproposed.is_none() && !self.proposer.is_busy(name))
@@ -46,22 +48,25 @@
         self.send_register_requests(messages);
     }
 
-    /// The learner need not ask for what an outcome shows.
+    /// Logs an outcome and passes its entry to the learner, which then need not poll for it.
     fn observe_outcome(&mut self, now: Duration, outcome: ProposalOutcome) {
         match outcome {
             ProposalOutcome::Committed { name, entry: Some(entry) } => {
-                tracing::info!(name, version = entry.version.counter, "fleet: a register is settled");
+                tracing::info!(name, version = entry.version.counter, "fleet: a register is committed");
                 self.learner.observe_committed(now, &name, &entry);
             }
             ProposalOutcome::Committed { .. } => {}
             ProposalOutcome::Conflict { name, entry } => {
-                tracing::warn!(name, "fleet: a register had been changed by another");
+                tracing::warn!(name, "fleet: a register proposal conflicts with an earlier change");
                 if let Some(entry) = entry {
                     self.learner.observe_committed(now, &name, &entry);
                 }
             }
             ProposalOutcome::Unknown { name } => {
-                tracing::warn!(name, "fleet: too few voters answered on a register");
+                tracing::warn!(
+                    name,
+                    "fleet: outcome of a register proposal unknown: too few replies, or superseded"
+                );
             }
         }
     }
