--- a/crates/edges/managed/build.rs
+++ b/crates/edges/managed/build.rs
@@ -1,4 +1,4 @@
-//! Makes the messages' types from their text, without a compiler from outside.
+//! Generates the gNMI message types from the proto files with protox, so that no protoc is needed.
 
 use std::error::Error;
 
--- a/crates/edges/managed/src/disk.rs
+++ b/crates/edges/managed/src/disk.rs
@@ -1,5 +1,5 @@
-//! The log's file. The rule: a commit is acknowledged only once its record is synced. A record that could not be written is
-//! truncated, and where that fails too nothing further is written.
+//! The write-ahead log on disk. A commit is acknowledged only after its record has been synced. If writing or syncing
+//! a record fails, the log is truncated to its previous length; if that fails too, all later appends are refused.
 
 use lemonusher_model::Schema;
 use lemonusher_store::{
@@ -14,33 +14,33 @@
 const LOG_FILE: &str = "state.log";
 const NEXT_LOG_FILE: &str = "state.log.next";
 const LOCK_FILE: &str = "lock";
-/// The length beyond which a log may be compacted.
+/// A log of at most this length is never compacted.
 const MIN_COMPACTION_BYTES: u64 = 256 * 1024;
-/// How many times its length after the last compaction a log must have before the next one.
+/// A log is compacted when it is longer than this multiple of its length when it was opened or last compacted.
 const COMPACTION_GROWTH: u64 = 4;
 
-/// The log of the state, in a folder that no other process uses.
+/// The write-ahead log of the store, in a folder that is locked against other processes.
 #[derive(Debug)]
 pub struct Disk {
     folder: PathBuf,
     log: File,
     /// The log's length in bytes.
     length: u64,
-    /// Its length when it was opened or last compacted.
+    /// Its length in bytes when it was opened or last compacted.
     compacted_length: u64,
-    /// A record is half written and could not be truncated.
+    /// A failed append could not be undone: the log may end with an incomplete or unacknowledged record.
     broken: bool,
     _lock: File,
 }
 
-/// Why the log can't be used.
+/// The log can't be opened.
 #[derive(Debug)]
 pub enum DiskError {
     /// A file or folder could not be accessed.
     Io(PathBuf, io::Error),
     /// Another process uses the folder.
     InUse(PathBuf),
-    /// The log is corrupt or does not fit.
+    /// The log is corrupt, or its records don't fit the schema.
     Recovery(PathBuf, RecoveryError),
 }
 
@@ -55,7 +55,7 @@
 }
 
 impl Disk {
-    /// Opens or creates the log, and recovers the store from it. A tail that was cut short is truncated.
+    /// Opens or creates the log, and recovers the store from it. An incomplete record at the end is truncated.
     pub fn open(folder: &Path, schema: Arc<Schema>, bounds: Bounds) -> Result<(Disk, Store), DiskError> {
         std::fs::create_dir_all(folder).map_err(io_error(folder))?;
         let lock = lock(folder)?;
@@ -79,7 +79,8 @@
         Ok((disk, store))
     }
 
-    /// Writes a record and syncs it. After an error the record is not in the log.
+    /// Appends a record and syncs it. After an error the record is truncated; if that fails too, all further appends
+    /// fail.
     pub fn append(&mut self, record: &Record) -> io::Result<()> {
         if self.broken {
             return Err(io::Error::other("an earlier record is half written and can't be taken back"));
@@ -92,7 +93,7 @@
                 Ok(())
             }
             Err(error) => {
-                // Whether it is there is not known: it must not be, as it will not be acknowledged.
+                // Any part of the record may be on disk. It is not acknowledged, so recovery must not find it.
                 let truncated = self.log.set_len(self.length);
                 let truncated = truncated.and_then(|()| self.log.seek(SeekFrom::Start(self.length)));
                 self.broken = truncated.and_then(|_| self.log.sync_all()).is_err();
@@ -108,7 +109,8 @@
             && self.length > self.compacted_length * COMPACTION_GROWTH
     }
 
-    /// Replaces the log by the shortest one with the same content. A crash at any point leaves one or the other.
+    /// Replaces the log with a compacted one that recovers the same state. The new file is synced and then renamed
+    /// over the old one, so a crash at any point leaves one or the other complete.
     pub fn compact(&mut self, store: &Store) -> io::Result<()> {
         let bytes = compact(store);
         let next = self.folder.join(NEXT_LOG_FILE);
@@ -134,7 +136,7 @@
     move |error| DiskError::Io(path.clone(), error)
 }
 
-/// Locks a folder for this process, until the file is closed.
+/// Locks a folder for this process, until the returned file is closed.
 fn lock(folder: &Path) -> Result<File, DiskError> {
     let path = folder.join(LOCK_FILE);
     let lock = File::create(&path).map_err(io_error(&path))?;
@@ -145,7 +147,7 @@
     }
 }
 
-/// A compacted log that was not in place yet when the process ended holds nothing new.
+/// Deletes a compacted log that was not renamed into place before the process ended. The current log is complete.
 fn remove_unfinished_compaction(folder: &Path) -> Result<(), DiskError> {
     let path = folder.join(NEXT_LOG_FILE);
     match std::fs::remove_file(&path) {
@@ -154,7 +156,7 @@
     }
 }
 
-/// Truncates a log to its valid part, with a header if that is empty, and returns its length.
+/// Truncates a log to its valid part, writes the header if that is empty, and returns the length in bytes.
 fn prepare_to_append(log: &mut File, valid_length: u64) -> io::Result<u64> {
     log.set_len(valid_length)?;
     let mut length = valid_length;
@@ -168,7 +170,7 @@
     Ok(length)
 }
 
-/// A file's name lasts only once its folder is synced.
+/// Syncs a folder: the creation or rename of a file survives a crash only once its folder is synced.
 fn sync_folder(folder: &Path) -> io::Result<()> {
     File::open(folder)?.sync_all()
 }
--- a/crates/edges/managed/src/gnmi/get.rs
+++ b/crates/edges/managed/src/gnmi/get.rs
@@ -1,4 +1,4 @@
-//! Get: one notification for each path, by the tree as it stands.
+//! The Get call: returns one notification for each path, from the current tree.
 
 use super::paths::{from_place, shown, to_patterns};
 use super::proto::gnmi::get_request::DataType;
@@ -10,7 +10,7 @@
 use lemonusher_watch::leaves;
 use tonic::Status;
 
-/// The most paths of one Get.
+/// Maximum number of paths in one Get.
 pub(super) const MAX_PATHS: usize = 1024;
 
 pub(super) async fn get(hub: &Hub, request: GetRequest) -> Result<GetResponse, Status> {
@@ -44,7 +44,7 @@
     Ok(GetResponse { notification: notifications, extension: Vec::new() })
 }
 
-/// What the patterns select: leaf by leaf in PROTO, else the selected nodes as JSON.
+/// The nodes that the patterns select: one update for each leaf in PROTO, otherwise one JSON value for each node.
 fn updates(schema: &Schema, tree: &Tree, patterns: &[Pattern], encoding: Encoding) -> Vec<Update> {
     let mut updates = Vec::new();
     if encoding == Encoding::Proto {
@@ -69,7 +69,8 @@
     Update { path: Some(from_place(schema, place)), val, duplicates: 0 }
 }
 
-/// The default of a leaf that is not set. Fails where there is none.
+/// An update with the default of a leaf that is not set. Fails if the leaf has no default, or if the request selects
+/// state only.
 fn default_update(
     schema: &Schema,
     pattern: &Pattern,
@@ -86,7 +87,7 @@
     Ok(Update { path: Some(path.clone()), val, duplicates: 0 })
 }
 
-/// Whether the pattern means one place.
+/// Whether the pattern names exactly one node other than the root: no list in it has a wildcard key.
 fn is_exact(schema: &Schema, pattern: &Pattern) -> bool {
     let is_open = |step: &PatternStep| {
         matches!(schema.node(step.node).kind, NodeKind::List { .. })
--- a/crates/edges/managed/src/gnmi/mod.rs
+++ b/crates/edges/managed/src/gnmi/mod.rs
@@ -1,6 +1,7 @@
-//! gNMI 0.10, on tonic. Paths, values and status codes are translated here; what they mean is the store's and the watch's
-//! to say. Imports go one way: `service` forwards to `get`, `set` and `subscribe`, which use `paths`, `values` and
-//! `status`.
+//! The gNMI 0.10 server, on tonic. It converts paths, values and status codes between gNMI and the model. The package
+//! `lemonusher-store` plans and validates commits, and `lemonusher-watch` detects changes for subscriptions. `service`
+//! dispatches calls to `get`, `set` and `subscribe`, which use `paths`, `values` and `status`; nothing is imported in
+//! the other direction.
 
 mod get;
 mod paths;
@@ -10,7 +11,7 @@
 mod subscribe;
 mod values;
 
-/// The messages and their extensions, as the public specification numbers them.
+/// The messages and extensions, generated from proto files with the field numbers of the gNMI specification.
 #[allow(clippy::all, missing_docs)]
 pub mod proto {
     /// The package `gnmi`.
--- a/crates/edges/managed/src/gnmi/paths.rs
+++ b/crates/edges/managed/src/gnmi/paths.rs
@@ -1,11 +1,11 @@
-//! gNMI's paths and the model's.
+//! Conversion between gNMI paths and the model's paths.
 
 use super::proto::gnmi::{Path, PathElem};
 use super::status::fault_status;
 use lemonusher_model::{MAX_PATH_STEPS, Pattern, Place, Schema, Segment, Step};
 use tonic::Status;
 
-/// The steps of a path below a prefix. Fails for an unknown origin or too many steps.
+/// The steps of a prefix and a path. Fails for an unknown origin, or for more than [`MAX_PATH_STEPS`] steps.
 pub fn to_steps(schema: &Schema, prefix: Option<&Path>, path: Option<&Path>) -> Result<Vec<Step>, Status> {
     let parts = [prefix, path].into_iter().flatten();
     let mut steps = Vec::new();
@@ -25,7 +25,7 @@
     Ok(steps)
 }
 
-/// All patterns that a path below a prefix means.
+/// All patterns that a prefix and a path match in the schema.
 pub(super) fn to_patterns(
     schema: &Schema,
     prefix: Option<&Path>,
@@ -35,7 +35,7 @@
     schema.patterns(&steps).map_err(|fault| fault_status(&fault))
 }
 
-/// A pattern as text, without the keys that it leaves open.
+/// A pattern as text, without its wildcard keys.
 pub(super) fn shown(schema: &Schema, pattern: &Pattern) -> String {
     let place: Place = pattern
         .iter()
@@ -47,7 +47,7 @@
     schema.text(&place)
 }
 
-/// A place as a path.
+/// The gNMI path of a place in the tree.
 pub fn from_place(schema: &Schema, place: &[Segment]) -> Path {
     let elem = |segment: &Segment| {
         let leaves = schema.keys(segment.node);
--- a/crates/edges/managed/src/gnmi/service.rs
+++ b/crates/edges/managed/src/gnmi/service.rs
@@ -1,4 +1,4 @@
-//! The gNMI server: connections, users, and one short function for each call.
+//! The gNMI service: connection limits, authentication, and the dispatch of calls.
 
 use super::proto::gnmi::g_nmi_server::{GNmi, GNmiServer};
 use super::proto::gnmi::*;
@@ -20,7 +20,7 @@
 const MAX_CALLS_PER_CONNECTION: usize = 64;
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(20);
 const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(10);
-/// The version of gNMI that is served.
+/// The gNMI version that the server reports in its capabilities.
 const VERSION: &str = "0.10.0";
 
 struct Service {
@@ -29,7 +29,7 @@
     subscriptions: Subscriptions,
 }
 
-/// Serves until the front ends. `max_subscriptions` is for all clients together.
+/// Serves calls until the process ends. `max_subscriptions` limits all clients together.
 pub async fn serve(
     hub: Arc<Hub>,
     listener: TcpListener,
@@ -56,7 +56,7 @@
 }
 
 impl Service {
-    /// What the user named by a call's metadata may do.
+    /// Authenticates a call by the user name and password in its metadata.
     fn grant(&self, metadata: &MetadataMap) -> Result<Grant, Status> {
         let text = |name| metadata.get(name).and_then(|value| value.to_str().ok());
         let grant = self.users.by_password(text("username"), text("password"));
--- a/crates/edges/managed/src/gnmi/set.rs
+++ b/crates/edges/managed/src/gnmi/set.rs
@@ -1,4 +1,5 @@
-//! Set: one transaction on what is running, with the commit extension and this program's own.
+//! The Set call: one transaction on the running configuration, with gNMI's commit extension and the registered
+//! extension [`EXTENSION_ID`].
 
 use super::get::MAX_PATHS;
 use super::paths::to_steps;
@@ -17,15 +18,15 @@
 use std::time::Duration;
 use tonic::Status;
 
-/// The number of this program's own extension: `{"rollback": N}`, `{"expect": N}` or both. The answer to a Set carries
-/// `{"version": N}`.
+/// The id of this server's registered extension. In a request its message is `{"rollback": N}`, `{"expect": N}` or
+/// both; in a response it is `{"version": N}`.
 pub const EXTENSION_ID: i32 = 999;
-/// The extension's key for the version that a writer has seen.
+/// The extension's key for the running version that the client expects.
 pub const EXPECTED_VERSION_KEY: &str = "expect";
 
-/// The most changes of one Set.
+/// Maximum number of deletes, replaces and updates in one Set, together.
 const MAX_CHANGES: usize = MAX_PATHS * 64;
-/// How long a commit waits to be confirmed unless the request says otherwise.
+/// Confirm timeout of a commit whose request gives no rollback duration.
 const DEFAULT_CONFIRM_TIMEOUT: Duration = Duration::from_secs(600);
 
 pub(super) async fn set(hub: &Arc<Hub>, grant: &Grant, request: SetRequest) -> Result<SetResponse, Status> {
@@ -54,14 +55,15 @@
     Ok(SetResponse { prefix, response, timestamp: unix_ns(), extension: vec![extension] })
 }
 
-/// Commits a Set, and closes its session. Goes on to its end if the caller does not wait for it.
+/// Commits a Set, then closes its session. Runs on a task of its own, so that both happen even if the caller is
+/// cancelled.
 async fn commit(
     hub: &Arc<Hub>,
     session: SessionId,
     request: SetRequest,
     extensions: Extensions,
 ) -> Result<Option<Arc<Version>>, Status> {
-    // The edits are read when the commit is planned: what a delete's wildcards mean is decided then.
+    // The edits are read when the commit is planned, so that wildcards in deletes match the tree that it changes.
     let refused = Arc::new(Mutex::new(None));
     let refusal = refused.clone();
     let hub = hub.clone();
@@ -84,7 +86,7 @@
     committed.map_err(|error| store_status(&error))
 }
 
-/// What the extensions of a Set ask for.
+/// The extensions of a Set.
 #[derive(Default)]
 struct Extensions {
     commit: Option<Commit>,
@@ -93,7 +95,7 @@
 }
 
 impl Extensions {
-    /// Extensions that are not known are ignored, as the specification has it.
+    /// Reads the extensions. Unknown ones are ignored, as the gNMI specification requires.
     fn read(extensions: &[Extension]) -> Result<Extensions, Status> {
         let mut found = Extensions::default();
         for extension in extensions {
@@ -128,7 +130,7 @@
     Ok(edits)
 }
 
-/// Adds a delete for everything that the path selects in what is running.
+/// Adds a delete for each node of the running configuration that the path matches.
 fn add_deletes(
     edits: &mut Vec<Edit>,
     store: &Store,
--- a/crates/edges/managed/src/gnmi/status.rs
+++ b/crates/edges/managed/src/gnmi/status.rs
@@ -1,10 +1,10 @@
-//! gNMI's status codes for what the model and the store refuse.
+//! The gRPC status codes for errors of the model and the store.
 
 use lemonusher_model::{Fault, FaultKind};
 use lemonusher_store::StoreError;
 use tonic::Status;
 
-/// The status for what the store refuses.
+/// The status for a store error.
 pub(super) fn store_status(error: &StoreError) -> Status {
     let text = error.to_string();
     match error {
--- a/crates/edges/managed/src/gnmi/subscribe.rs
+++ b/crates/edges/managed/src/gnmi/subscribe.rs
@@ -1,5 +1,6 @@
-//! Subscribe: what is due and what is lost is the watch's to say; here it is timed, encoded and sent. A subscriber that does
-//! not read fills its own queue and no other.
+//! The Subscribe call. The package `lemonusher-watch` decides which updates are due and counts the lost ones; this
+//! module does the timing, encoding and sending. Each subscriber has its own queue, so one that doesn't read delays no
+//! other.
 
 use super::paths::{from_place, to_patterns};
 use super::proto::gnmi::subscribe_request::Request as SubscribeCall;
@@ -25,28 +26,28 @@
 use tokio_stream::{Stream, StreamExt};
 use tonic::{Status, Streaming};
 
-/// Messages that may be queued for a subscriber.
+/// Maximum number of messages that are queued for a subscriber.
 const MAX_QUEUED_MESSAGES: usize = 64;
-/// Messages of the queue that are left free of updates, for what else a subscriber is sent.
+/// Messages of the queue that updates may not use, to leave space for errors and the report of lost updates.
 const RESERVED_MESSAGES: usize = 4;
 const MAX_SUBSCRIPTIONS_PER_CALL: usize = 64;
-/// Updates or deletes in one message.
+/// Maximum number of updates or deletes in one message.
 const MAX_UPDATES_PER_MESSAGE: usize = 1024;
 /// The shortest sample or heartbeat interval.
 const MIN_INTERVAL: Duration = Duration::from_millis(20);
-/// The sample interval of a subscription that names none.
+/// The sample interval of a subscription whose `sample_interval` is 0.
 const DEFAULT_SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
-/// How often state that changes without an event is compared for subscriptions on change.
+/// Interval at which ON_CHANGE subscriptions compare state that changes without an event.
 const COMPARE_INTERVAL: Duration = Duration::from_millis(250);
-/// After how long a subscriber that had no room is tried again.
+/// Delay before sending is retried to a subscriber whose queue was full.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a stream waits where nothing is due by time.
+/// Longest wait of a stream that has no timeout pending.
 const IDLE_INTERVAL: Duration = Duration::from_secs(3600);
 
-/// What a subscriber reads.
+/// The stream of responses to a Subscribe call.
 pub(super) type ResponseStream = Pin<Box<dyn Stream<Item = Result<SubscribeResponse, Status>> + Send>>;
 
-/// All subscriptions of all clients, counted against their bound.
+/// Counts the open subscriptions of all clients and limits their number.
 pub(super) struct Subscriptions {
     hub: Arc<Hub>,
     max: usize,
@@ -58,7 +59,7 @@
         Subscriptions { hub, max, count: Arc::default() }
     }
 
-    /// Counts the subscriptions of one call and opens its session.
+    /// Reserves the subscriptions of one call and opens its session. Fails if that exceeds a limit.
     fn open(&self, grant: &Grant, count: usize) -> Result<SubscriptionGuard, Status> {
         if self.count.fetch_add(count, Ordering::SeqCst) + count > self.max {
             self.count.fetch_sub(count, Ordering::SeqCst);
@@ -73,7 +74,7 @@
     }
 }
 
-/// The subscriptions and the session of one call, given back when it ends.
+/// The subscriptions and the session of one call; dropping it releases both.
 struct SubscriptionGuard {
     hub: Arc<Hub>,
     session: SessionId,
@@ -100,7 +101,7 @@
     encoding: Encoding,
     queue: mpsc::Sender<Result<SubscribeResponse, Status>>,
     guard: SubscriptionGuard,
-    /// Lost updates that the subscriber has been notified of.
+    /// The number of lost updates that the subscriber has been notified of.
     reported_lost: u64,
 }
 
@@ -146,7 +147,7 @@
     Ok(Box::pin(ReceiverStream::new(responses)))
 }
 
-/// The subscriptions of a list, as the watch has them.
+/// Converts a subscription list to the subscriptions of a [`Watch`].
 fn watched(schema: &Schema, list: &SubscriptionList) -> Result<Vec<watch::Subscription>, Status> {
     if list.subscription.is_empty() || list.subscription.len() > MAX_SUBSCRIPTIONS_PER_CALL {
         return Err(Status::invalid_argument(format!(
@@ -180,7 +181,7 @@
     let mode = match SubscriptionMode::try_from(subscription.mode) {
         Ok(SubscriptionMode::OnChange) => watch::SubscriptionMode::OnChange,
         Ok(SubscriptionMode::Sample) => sample,
-        // What changes with an event is sent on change, the rest by samples.
+        // State that changes only with events is sent on change; other state is sampled.
         Ok(SubscriptionMode::TargetDefined) => {
             match StateSelection::for_patterns(schema, &patterns).changes_without_event() {
                 true => sample,
@@ -199,7 +200,7 @@
     Ok(watch::Subscription { patterns, mode, heartbeat_interval })
 }
 
-/// Whether a stream goes on.
+/// Whether a stream is still open.
 enum StreamState {
     Open,
     Closed,
@@ -210,7 +211,7 @@
         self.hub.view(self.config, self.selection).await
     }
 
-    /// A notification as messages of bounded size, the deletes first.
+    /// Splits a notification into messages of at most [`MAX_UPDATES_PER_MESSAGE`] changes, deletes first.
     fn messages(&self, notification: watch::Notification) -> Vec<SubscribeResponse> {
         let timestamp = unix_ns();
         let update = |watch::Update { place, value }: &watch::Update| Update {
@@ -237,7 +238,8 @@
         deletes.chain(updates).collect()
     }
 
-    /// Sends a notification, waiting for room: only the subscriber itself waits for it. False once it has closed.
+    /// Sends a notification, waiting for space in the queue; this delays only the subscriber itself. False if the
+    /// client has closed the call.
     async fn send(&self, notification: watch::Notification) -> bool {
         for message in self.messages(notification) {
             if self.queue.send(Ok(message)).await.is_err() {
@@ -299,7 +301,7 @@
         }
     }
 
-    /// How long a stream waits where no event comes.
+    /// The longest time that a stream waits for an event.
     fn wait_time(&self) -> Duration {
         let now = self.hub.now();
         let mut due = self.watch.next_timeout();
@@ -312,7 +314,7 @@
         due.map_or(IDLE_INTERVAL, |due| due.saturating_sub(now))
     }
 
-    /// Waits until something may be due.
+    /// Waits for a timeout or an event, after which updates may be due, or for the end of the call.
     async fn wait(
         &self,
         events: &mut broadcast::Receiver<ManagementEvent>,
@@ -338,7 +340,7 @@
         }
     }
 
-    /// A client may close its side and go on reading.
+    /// Waits after the client has half-closed the call: it sends nothing more but may continue to read.
     async fn wait_half_closed(&self, wait: Duration) -> StreamState {
         if self.queue.is_closed() {
             return StreamState::Closed;
@@ -349,10 +351,10 @@
         }
     }
 
-    /// Sends what is due to a subscriber that has room, and counts what is due to one that has none. False once it has
-    /// closed.
+    /// Sends the updates that are due, as far as the subscriber's queue has space; reports the lost ones. False if the
+    /// client has closed the call.
     async fn send_due(&mut self, tree: &Tree) -> bool {
-        // One that has read everything may be sent more than its queue holds: it waits for itself alone.
+        // With an empty queue more than it holds may be sent: waiting for space delays this subscriber only.
         let room = match self.queue.capacity() {
             MAX_QUEUED_MESSAGES => usize::MAX,
             free => free.saturating_sub(RESERVED_MESSAGES) * MAX_UPDATES_PER_MESSAGE,
@@ -373,7 +375,7 @@
         true
     }
 
-    /// Notifies the subscriber itself of how many updates it has lost. False if there was no room.
+    /// Notifies the subscriber of how many updates it has lost. False if its queue was full.
     fn report_lost(&self, lost: u64) -> bool {
         let path = format!("/front/state/session[id={}]/lost-updates", self.guard.session);
         let place = lemonusher_model::parse_path(&path).and_then(|steps| self.schema.place(&steps));
--- a/crates/edges/managed/src/gnmi/values.rs
+++ b/crates/edges/managed/src/gnmi/values.rs
@@ -1,4 +1,4 @@
-//! gNMI's values and the model's.
+//! Conversion between gNMI values and the model's values.
 
 use super::proto::gnmi::typed_value::Value as Typed;
 use super::proto::gnmi::{Encoding, ScalarArray, TypedValue};
@@ -7,7 +7,7 @@
 use lemonusher_watch::Value;
 use tonic::Status;
 
-/// An encoding that is known here.
+/// The encoding of this number; fails if the server doesn't support it.
 pub(super) fn encoding(number: i32) -> Result<Encoding, Status> {
     match Encoding::try_from(number) {
         Ok(known @ (Encoding::Json | Encoding::JsonIetf | Encoding::Proto)) => Ok(known),
@@ -15,12 +15,12 @@
     }
 }
 
-/// The time for timestamps: Unix time in nanoseconds.
+/// The current Unix time in nanoseconds, in steps of 1 ms, for the timestamps of messages.
 pub(super) fn unix_ns() -> i64 {
     (unix_ms() as i64).saturating_mul(1_000_000)
 }
 
-/// A leaf or all members of a leaf-list, in this encoding.
+/// The value of a leaf or of a whole leaf-list, in this encoding.
 pub fn typed(schema: &Schema, id: NodeId, value: &Value, encoding: Encoding) -> TypedValue {
     let value = match (encoding, value) {
         (Encoding::Proto, Value::Leaf(text)) => scalar(schema, id, text),
@@ -36,7 +36,7 @@
     TypedValue { value: Some(value) }
 }
 
-/// A node with all below it, as JSON.
+/// A node with its subtree, as JSON.
 pub fn json_value(schema: &Schema, id: Option<NodeId>, node: &Node, encoding: Encoding) -> TypedValue {
     TypedValue { value: Some(json(encoding, &to_json(schema, id, node))) }
 }
@@ -59,7 +59,8 @@
     }
 }
 
-/// What a value sets at a node; `entry` where the place names an entry of a list. Fails where it does not fit the model.
+/// The node that a value sets. `entry` is set if the path has keys, so that it names one entry of a list. Fails if the
+/// value doesn't fit the schema.
 pub fn untyped(
     schema: &Schema,
     id: Option<NodeId>,
--- a/crates/edges/managed/src/hub.rs
+++ b/crates/edges/managed/src/hub.rs
@@ -1,5 +1,5 @@
-//! What NETCONF and gNMI share: the store, its log, and the parts of the front. One commit is in progress at a time,
-//! whatever protocol it came by, and goes on to its end also when its caller no longer waits.
+//! The state that the NETCONF and gNMI servers share: the store, its log, and the participants of a commit. Commits of
+//! both protocols are serialized. A commit that was started runs to completion, even if its caller is cancelled.
 
 use crate::disk::Disk;
 use crate::parts::Part;
@@ -17,32 +17,32 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::{Notify, broadcast};
 
-/// How long a part may take for an answer before it counts as lost.
+/// Timeout for a participant's or the request router's reply; a participant that exceeds it counts as lost.
 const PART_TIMEOUT: Duration = Duration::from_secs(5);
-/// After how long a revert that failed is tried again.
+/// Delay before a failed revert is retried.
 const REVERT_RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// Events that may be queued for a subscriber before it loses some.
+/// Maximum number of events that are queued for a subscriber; a slower one misses the oldest events.
 const MAX_QUEUED_NOTIFICATIONS: usize = 4096;
 
-/// What subscribers to notifications are sent.
+/// An event that is broadcast to subscribers.
 #[derive(Debug, Clone)]
 pub enum ManagementEvent {
-    /// A version is in force.
+    /// A version was committed and is now the running configuration.
     Committed(Arc<Version>),
-    /// An engine's listing or use has changed.
+    /// An engine's state in the endpoint list, its administrative state or its blocked request classes changed.
     Engine(EngineNotification),
 }
 
-/// What is accessed under the lock.
+/// The state that [`Hub`]'s mutex protects.
 struct Core {
     store: Store,
-    /// None for a store that does not outlive the process.
+    /// None if the store is kept in memory only.
     disk: Option<Disk>,
-    /// Updates that each session's subscriptions have lost.
+    /// The number of updates that each session's subscriptions have lost.
     lost_updates: BTreeMap<SessionId, u64>,
 }
 
-/// What a hub is made of.
+/// The arguments of [`Hub::new`].
 pub(crate) struct HubSetup {
     pub schema: Arc<Schema>,
     pub names: Names,
@@ -52,17 +52,17 @@
     pub parts: Vec<Arc<dyn Part>>,
     /// Calls to the request router.
     pub requests: Sender<ManagementCall>,
-    /// How old the state that a manager reads may be.
+    /// Maximum age of the cached router snapshot that management clients read.
     pub freshness: Duration,
 }
 
-/// The store with all that a commit involves, shared by all sessions.
+/// The store, its log and the participants of a commit, shared by all sessions.
 pub struct Hub {
     schema: Arc<Schema>,
     names: Names,
     front: String,
     core: Mutex<Core>,
-    /// Held by the commit in progress.
+    /// Held during a commit or a write to the startup datastore.
     commit_lock: tokio::sync::Mutex<()>,
     parts: Vec<Arc<dyn Part>>,
     requests: Sender<ManagementCall>,
@@ -70,11 +70,11 @@
     freshness: Duration,
     latest_snapshot: tokio::sync::Mutex<Option<TakenSnapshot>>,
     events: broadcast::Sender<ManagementEvent>,
-    /// Notified when the store's next timeout may have changed.
+    /// Notified when the deadline of a confirmed commit may have changed.
     timeout_changed: Notify,
 }
 
-/// A snapshot of the router, and when it was taken.
+/// A snapshot of the request router's state, and when it was taken.
 struct TakenSnapshot {
     at: Instant,
     snapshot: Arc<Snapshot>,
@@ -99,7 +99,7 @@
         })
     }
 
-    /// The model of all trees.
+    /// The schema of all trees: configuration, state and notifications.
     pub fn schema(&self) -> &Arc<Schema> {
         &self.schema
     }
@@ -109,12 +109,12 @@
         &self.front
     }
 
-    /// The time since the hub's start, from which the store's times count.
+    /// The time since the hub was created. The store's deadlines are on this clock.
     pub fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
 
-    /// All events from now on.
+    /// Subscribes to all events that are sent from now on.
     pub fn subscribe(&self) -> broadcast::Receiver<ManagementEvent> {
         self.events.subscribe()
     }
@@ -123,12 +123,12 @@
         self.core.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reads the store, or changes what selection no commit.
+    /// Runs a function on the locked store: a read, or a change that needs no commit.
     pub fn with_store<T>(&self, act: impl FnOnce(&mut Store) -> T) -> T {
         act(&mut self.core().store)
     }
 
-    /// A session has ended; a commit that it alone could have confirmed is to be reverted.
+    /// Removes a closed session. A pending confirmed commit that only this session could confirm is then reverted.
     pub fn close_session(&self, session: SessionId) {
         let mut core = self.core();
         core.store.close_session(session);
@@ -142,7 +142,7 @@
         *self.core().lost_updates.entry(session).or_default() = updates;
     }
 
-    /// Plans a commit and executes it. The future may be dropped: what is planned goes on to its end.
+    /// Plans a commit and executes it on a task of its own: dropping the future doesn't cancel the commit.
     pub async fn commit(
         self: &Arc<Self>,
         plan: impl FnOnce(&mut Store, Duration, u64) -> Result<Option<CommitPlan>, StoreError> + Send + 'static,
@@ -161,7 +161,7 @@
         committing.await.unwrap_or_else(|_| Err(failed()))
     }
 
-    /// Takes a plan through all parts and the log, and finishes or abandons it.
+    /// Runs the two-phase commit for a plan, then applies the plan to the store or abandons it.
     async fn execute(self: &Arc<Self>, plan: CommitPlan) -> Result<Arc<Version>, StoreError> {
         let version = plan.version.clone();
         let outcome = self.run_parts(&plan).await;
@@ -188,7 +188,7 @@
         Ok(version)
     }
 
-    /// Carries out what the two-phase commit asks for, until it is done or has failed.
+    /// Performs the actions of the two-phase commit until it has succeeded or failed.
     async fn run_parts(&self, plan: &CommitPlan) -> Result<(), String> {
         let (mut commit, actions) =
             TwoPhaseCommit::start(self.parts.iter().map(|part| part.name()).collect());
@@ -211,7 +211,7 @@
         outcome
     }
 
-    /// One step of a commit, and the event that it leads to.
+    /// Performs one action of a commit and returns the event that results, if any.
     async fn carry_out(&self, action: CommitAction, plan: &CommitPlan) -> Option<CommitEvent> {
         let version = &plan.version;
         match action {
@@ -249,7 +249,7 @@
         }
     }
 
-    /// A part's answer; none if it panicked or took too long.
+    /// Calls a participant and returns its reply; None if it panicked or exceeded [`PART_TIMEOUT`].
     async fn call_part(
         &self,
         part: usize,
@@ -273,7 +273,7 @@
         }
     }
 
-    /// Copies a datastore to startup, or deletes startup.
+    /// Copies a datastore to the startup datastore, or deletes startup if `from` is None.
     pub async fn copy_to_startup(
         &self,
         session: SessionId,
@@ -290,7 +290,7 @@
         Ok(())
     }
 
-    /// Reverts commits that nobody confirmed in time, for as long as the front runs.
+    /// Reverts confirmed commits whose confirm timeout has expired; never returns.
     pub async fn revert_expired_commits(self: Arc<Self>) {
         loop {
             let due = self.core().store.next_timeout();
@@ -322,7 +322,8 @@
         }
     }
 
-    /// The router's state, no older than the configured freshness; none if it does not answer.
+    /// The request router's state, no older than `freshness`; None if the router doesn't reply within
+    /// [`PART_TIMEOUT`].
     async fn snapshot(&self) -> Option<Arc<Snapshot>> {
         let mut latest = self.latest_snapshot.lock().await;
         if let Some(TakenSnapshot { at, snapshot }) = &*latest
@@ -338,7 +339,7 @@
         Some(snapshot)
     }
 
-    /// What is running, if `config`, and the selected parts of the state.
+    /// A tree of the selected operational state and, if `config` is set, the running configuration.
     pub async fn view(&self, config: bool, selection: StateSelection) -> Tree {
         let snapshot = if selection.snapshot { self.snapshot().await } else { None };
         let core = self.core();
@@ -355,7 +356,7 @@
         view(&sources, config, selection)
     }
 
-    /// The version that a version went back to, if it did.
+    /// The earlier version that this one restored, if it is a rollback, an expired or a cancelled commit.
     pub fn is_rollback(version: &Version) -> Option<u64> {
         match version.cause {
             Cause::RolledBack { to } | Cause::Expired { to } | Cause::Cancelled { to } => Some(to),
@@ -364,7 +365,7 @@
     }
 }
 
-/// A failure leaves the longer log in use.
+/// Compacts the log if it has grown enough. If that fails, the uncompacted log stays in use.
 fn compact_if_needed(core: &mut Core) {
     let Some(disk) = core.disk.as_mut().filter(|disk| disk.needs_compaction()) else { return };
     if let Err(error) = disk.compact(&core.store) {
@@ -372,7 +373,7 @@
     }
 }
 
-/// The date: Unix time in milliseconds.
+/// The current Unix time in milliseconds.
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
--- a/crates/edges/managed/src/lib.rs
+++ b/crates/edges/managed/src/lib.rs
@@ -1,6 +1,7 @@
-//! The managed front. A thread of its own holds the store and its log, takes the front's parts through each commit, and
-//! serves managers over gNMI and NETCONF. It reaches the request router by bounded queues alone and decides nothing that the
-//! pure packages decide.
+//! The management plane of a front: the configuration store with its write-ahead log, the two-phase commit over the
+//! front's participants, and the gNMI and NETCONF servers for management clients. It runs on its own thread and
+//! communicates with the request router only through queues of limited length. Validation, commit rules and change
+//! detection are in the packages without I/O (model, store, desired-state, watch); this package does the I/O for them.
 
 #![warn(missing_docs)]
 
--- a/crates/edges/managed/src/netconf/mod.rs
+++ b/crates/edges/managed/src/netconf/mod.rs
@@ -1,5 +1,5 @@
-//! NETCONF over SSH (RFC 6241, RFC 6242), on russh. Messages are `lemonusher-netconf`'s; here are connections, their
-//! authentication, and the bounds of all sessions together.
+//! The NETCONF server over SSH (RFC 6241, RFC 6242), on russh: connections, authentication, and the limits that apply
+//! to all sessions together. The package `lemonusher-netconf` reads and writes the messages.
 
 mod session;
 
@@ -16,34 +16,35 @@
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, Semaphore};
 
-/// Connections that may be open at once: more than sessions, for those that are not authenticated yet.
+/// Maximum number of open connections. It is larger than the number of sessions, to leave room for connections that
+/// have not authenticated yet.
 const MAX_CONNECTIONS: usize = 1200;
-/// How long a client has to authenticate, and then to begin its session.
+/// Timeout for a client to authenticate, and again for it to begin its session.
 const LOGIN_TIMEOUT: Duration = Duration::from_secs(30);
-/// After how long without data a keepalive is sent.
+/// Time without received data after which a keepalive is sent.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(30);
-/// How long a rejected authentication takes.
+/// Delay before the reply to a rejected authentication; the first `none` request is rejected without delay.
 const REJECTION_DELAY: Duration = Duration::from_millis(300);
-/// How long nothing is accepted after an error of the listener.
+/// Delay before the next accept after the listener returned an error.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Keepalives without an answer after which a connection is closed.
+/// Number of unanswered keepalives after which a connection is closed.
 const MAX_MISSED_KEEPALIVES: usize = 3;
 const MAX_AUTH_ATTEMPTS: usize = 6;
 const WINDOW_BYTES: u32 = 256 * 1024;
-/// Messages that may be queued for a channel.
+/// Messages that may be queued for an SSH channel.
 const MAX_QUEUED_MESSAGES: usize = 16;
 
-/// What all sessions share.
+/// The state that all NETCONF sessions share.
 pub(super) struct ServerState {
     pub hub: Arc<Hub>,
     pub users: Users,
-    /// Kills a session, by its id.
+    /// By session id: notified when another session kills this one.
     pub kill_signals: Mutex<BTreeMap<u32, Arc<Notify>>>,
-    /// Bytes of incomplete messages, over all sessions.
+    /// Bytes of incomplete messages that are buffered, over all sessions.
     pub buffered_bytes: AtomicUsize,
-    /// Subscriptions that are open, over all sessions.
+    /// Number of open subscriptions, over all sessions.
     pub subscribed: AtomicUsize,
-    /// Subscriptions that all sessions may have.
+    /// Maximum number of open subscriptions, over all sessions.
     pub max_subscriptions: usize,
 }
 
@@ -53,10 +54,10 @@
     }
 }
 
-/// The host's private key.
+/// The private SSH host key.
 pub type HostKey = PrivateKey;
 
-/// The host's key: what the file holds, or one that lasts as long as the process.
+/// Parses the SSH host key from OpenSSH private key format, or generates one for this run if `text` is None.
 pub fn host_key(text: Option<&str>) -> Result<PrivateKey, String> {
     match text {
         Some(text) => PrivateKey::from_openssh(text).map_err(|error| format!("NETCONF's host key: {error}")),
@@ -64,7 +65,7 @@
     }
 }
 
-/// Serves until the front ends. `max_subscriptions` is for all sessions together.
+/// Accepts connections until the process ends. `max_subscriptions` limits all sessions together.
 pub async fn serve(
     hub: Arc<Hub>,
     listener: TcpListener,
@@ -101,7 +102,8 @@
     }
 }
 
-/// With users that have keys, keys alone; else passwords, and without any user anybody.
+/// The SSH settings. If any user has a public key, only public keys are accepted; otherwise passwords are. If no users
+/// are configured, every client is accepted.
 fn ssh_config(key: HostKey, users: &Users) -> Config {
     let methods: &[MethodKind] = match (users.0.is_empty(), users.uses_keys()) {
         (true, _) => &[MethodKind::None, MethodKind::Password],
@@ -124,7 +126,7 @@
     }
 }
 
-/// Serves one connection until it ends, or until its time to begin a session has run out.
+/// Serves one connection until it ends, or until [`LOGIN_TIMEOUT`] has passed without a session.
 async fn serve_connection(config: Arc<Config>, server: Arc<ServerState>, socket: TcpStream) {
     let connection = Connection { server, grant: None, channel: None, session_begun: Arc::default() };
     let session_begun = connection.session_begun.clone();
@@ -153,9 +155,9 @@
 /// One SSH connection.
 struct Connection {
     server: Arc<ServerState>,
-    /// Set once it is authenticated, until its session begins.
+    /// Set from authentication until the session begins.
     grant: Option<Grant>,
-    /// The channel on which the session is to run.
+    /// The open channel on which the client may request the `netconf` subsystem.
     channel: Option<Channel<Msg>>,
     /// Notified when the session begins.
     session_begun: Arc<Notify>,
@@ -196,7 +198,7 @@
         reply: ChannelOpenHandle,
         _session: &mut Session,
     ) -> Result<(), Self::Error> {
-        // One channel a connection; a request without an answer counts as rejected.
+        // Only one channel per connection is accepted. russh rejects a request that gets no reply here.
         if self.channel.is_none() && self.grant.is_some() {
             self.channel = Some(channel);
             reply.accept().await;
--- a/crates/edges/managed/src/netconf/session.rs
+++ b/crates/edges/managed/src/netconf/session.rs
@@ -1,4 +1,4 @@
-//! One NETCONF session: hello, then operations one after the other, and notifications between them.
+//! One NETCONF session: the hello exchange, then operations in sequence, interleaved with notifications.
 
 mod notifications;
 mod operations;
@@ -20,16 +20,16 @@
 use tokio::sync::broadcast::error::RecvError;
 
 const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
-/// Bytes of incomplete messages that all sessions may hold.
+/// Maximum number of bytes of incomplete messages that are buffered, over all sessions.
 const MAX_BUFFERED_BYTES: usize = 64 * 1024 * 1024;
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// How long a manager has for its hello.
+/// Timeout for the client's hello.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long a manager may read nothing of a message.
+/// Timeout for writing one message; a client that doesn't read within it is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(60);
 const BASE_1_0: &str = "urn:ietf:params:netconf:base:1.0";
 const BASE_1_1: &str = "urn:ietf:params:netconf:base:1.1";
-/// The capability by which a manager asks for a private candidate.
+/// The capability with which a client requests a private candidate datastore.
 const PRIVATE_CANDIDATE: &str = "urn:ietf:params:netconf:capability:private-candidate:1.0";
 /// The capabilities of RFC 6241 and RFC 5277, without their common prefix.
 const CAPABILITIES: [&str; 8] = [
@@ -51,9 +51,9 @@
     grant: Grant,
     framing: Framing,
     subscription: Option<Subscription>,
-    /// This session's part of [`ServerState::buffered_bytes`].
+    /// This session's contribution to [`ServerState::buffered_bytes`].
     buffered_bytes: usize,
-    /// Events that were dropped because the session did not take them in time.
+    /// Number of events that were dropped because the session did not receive them in time.
     lost_events: u64,
 }
 
@@ -62,7 +62,7 @@
     filter: Option<Element>,
 }
 
-/// Gives back what the session holds, however it ends.
+/// Releases the session's resources, however it ends.
 impl Drop for Session {
     fn drop(&mut self) {
         self.server.buffered_bytes.fetch_sub(self.buffered_bytes, Ordering::SeqCst);
@@ -75,21 +75,21 @@
     }
 }
 
-/// What comes next for a session.
+/// The next input of a session.
 enum Incoming {
     Message(String),
     Event(ManagementEvent),
-    /// So many events were dropped because they came faster than they were taken.
+    /// The number of events that were dropped because the session fell behind the broadcast queue.
     Lost(u64),
 }
 
-/// Whether the session goes on after a reply.
+/// Whether the session continues after a reply.
 enum AfterReply {
     Continue,
     Close,
 }
 
-/// Runs a session on a connection until it ends or is killed by another.
+/// Runs a session on an SSH channel until it ends or another session kills it.
 pub(super) async fn run(stream: impl AsyncRead + AsyncWrite + Unpin, server: Arc<ServerState>, grant: Grant) {
     let hub = server.hub.clone();
     let id = match hub.with_store(|store| store.open_session(&grant.user, Protocol::Netconf)) {
@@ -155,7 +155,8 @@
         }
     }
 
-    /// The next message, or the next event for a session that has subscribed. None once the manager has closed.
+    /// Receives the next message or, for a session with a subscription, the next event. None once the client has
+    /// closed the channel.
     async fn next(
         &mut self,
         reader: &mut (impl AsyncRead + Unpin),
@@ -190,7 +191,8 @@
         }
     }
 
-    /// Counts what this session buffers towards the bound of all sessions. Fails if there is no room.
+    /// Replaces this session's share of the bytes that all sessions buffer. Fails if the total would exceed
+    /// [`MAX_BUFFERED_BYTES`], unless this session buffers no more than one read.
     fn count_buffered(&mut self, bytes: usize) -> Result<(), String> {
         let total = &self.server.buffered_bytes;
         let others = total.fetch_sub(self.buffered_bytes, Ordering::SeqCst) - self.buffered_bytes;
@@ -250,7 +252,7 @@
     all
 }
 
-/// Writes one message. Fails if the manager reads nothing for too long.
+/// Writes one message. Fails if that takes longer than [`WRITE_TIMEOUT`].
 async fn write(writer: &mut (impl AsyncWrite + Unpin), framing: Framing, text: &str) -> Result<(), String> {
     let bytes = frame(framing, text);
     let written = tokio::time::timeout(WRITE_TIMEOUT, async {
--- a/crates/edges/managed/src/netconf/session/notifications.rs
+++ b/crates/edges/managed/src/netconf/session/notifications.rs
@@ -1,4 +1,4 @@
-//! Notifications of a NETCONF session (RFC 5277): what has happened, if the manager's filter lets it through.
+//! Notifications of a NETCONF session (RFC 5277), filtered by the subscription's filter.
 
 use super::Session;
 use crate::hub::{Hub, ManagementEvent};
@@ -9,7 +9,7 @@
 use std::time::SystemTime;
 
 impl Session {
-    /// The message for an event; none if the filter holds it back.
+    /// The notification message for an event; None if the filter rejects it.
     pub(super) fn notify(&self, event: &ManagementEvent) -> Option<String> {
         let content = match event {
             ManagementEvent::Committed(version) => commit_content(version),
@@ -20,7 +20,7 @@
         passes.then(|| self.notification(&content))
     }
 
-    /// The message for events that the session has lost, in all.
+    /// The notification message with the total number of events that the session has lost.
     pub(super) fn lost_notification(&self) -> String {
         let leaves = vec![("count", self.lost_events.to_string())];
         self.notification(&NotificationContent { name: "updates-lost", leaves })
@@ -68,8 +68,8 @@
     }
 }
 
-/// Whether a filter names the notification, with the values of all leaves that it names. An empty filter lets everything
-/// through.
+/// Whether a filter selects a notification: one of its elements has the notification's name, and each child of that
+/// element names a leaf, with the leaf's value or empty. An empty filter selects every notification.
 fn passes(filter: &Element, content: &NotificationContent) -> bool {
     let leaf_matches = |leaf: &Element| {
         let value = content.leaves.iter().find(|(name, _)| *name == leaf.name);
--- a/crates/edges/managed/src/netconf/session/operations.rs
+++ b/crates/edges/managed/src/netconf/session/operations.rs
@@ -1,4 +1,4 @@
-//! The operations of a NETCONF session, a short function each. A reply is the data as XML, or empty for `ok`.
+//! The operations of a NETCONF session. A reply is its data as XML, or empty for `<ok/>`.
 
 use super::{Session, Subscription};
 use crate::state::StateSelection;
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// All lines of a session stand in the log under one target.
+/// The log target of the session module, so that all log lines of a session have the same target.
 const LOG_TARGET: &str = "lemonusher_managed::netconf::session";
 
 /// The data of a reply.
@@ -60,12 +60,12 @@
         }
     }
 
-    /// The errors for what the store refuses.
+    /// Converts a store error to the errors of a reply.
     fn refused(&self, error: StoreError) -> Vec<RpcError> {
         RpcError::of_store_error(&self.schema, &error, false)
     }
 
-    /// An empty reply, or the errors for what the store refuses.
+    /// An empty reply, or the errors of a reply for a store error.
     fn done<T>(&self, result: Result<T, StoreError>) -> Reply {
         result.map(|_| String::new()).map_err(|error| self.refused(error))
     }
@@ -257,7 +257,7 @@
         }
     }
 
-    /// The parts of the state that a filter can let through.
+    /// The parts of the state that a filter can select.
     fn selection(&self, filter: Option<&Element>) -> StateSelection {
         let mut paths = Vec::new();
         for front in filter.iter().flat_map(|filter| &filter.children) {
@@ -284,7 +284,7 @@
         StateSelection::for_patterns(&self.schema, &patterns)
     }
 
-    /// A `data` element with what the filter lets through.
+    /// A `data` element with the nodes that the filter selects.
     fn data(&self, tree: &Tree, subtree: Option<&Element>) -> String {
         let fields = match subtree {
             Some(subtree) => Arc::new(filter(&self.schema, tree.fields(), subtree)),
@@ -297,7 +297,7 @@
     }
 }
 
-/// Whether an operation needs the right to write.
+/// Whether an operation requires the right to write.
 fn is_write(operation: &Operation) -> bool {
     !matches!(
         operation,
--- a/crates/edges/managed/src/parts.rs
+++ b/crates/edges/managed/src/parts.rs
@@ -1,4 +1,5 @@
-//! The parts of the front that a commit involves: each prepares or declines, then all activate.
+//! The participants of the two-phase commit: each prepares a version or declines it; once all have prepared and the
+//! version is logged, all activate it.
 
 use async_channel::{Sender, bounded};
 use lemonusher_desired_state::DesiredStateReader;
@@ -9,22 +10,22 @@
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// A part's answer; an error is its reason.
+/// The reply of a participant; an error is the reason why it declined or failed.
 pub type PartFuture = Pin<Box<dyn Future<Output = Result<(), String>> + Send>>;
 
-/// A part of the front that follows what operators want.
+/// A participant in the two-phase commit: a component of the front that applies the desired state.
 pub trait Part: Send + Sync {
-    /// The name in errors and in the log.
+    /// The name in error messages and in log lines.
     fn name(&self) -> String;
-    /// Prepares to follow a version, or declines it.
+    /// Phase one: prepares to apply a version, or declines it.
     fn prepare(&self, version: Arc<Version>) -> PartFuture;
-    /// Follows what it prepared for this version.
+    /// Phase two: applies the prepared version. The version is already logged, so an error can't abort the commit.
     fn activate(&self, number: u64) -> PartFuture;
-    /// Forgets what it prepared for this version.
+    /// Discards the prepared version, after the commit has failed.
     fn discard(&self, number: u64) -> PartFuture;
 }
 
-/// The request router: pools and admission limits.
+/// The request router as a participant: it applies pools and admission limits.
 pub(crate) struct RouterPart {
     pub schema: Arc<Schema>,
     pub reader: DesiredStateReader,
@@ -37,7 +38,7 @@
     }
 
     fn prepare(&self, version: Arc<Version>) -> PartFuture {
-        // Read here: the router's thread only takes over what is prepared.
+        // The desired state is read from the tree here, so that the router's thread only has to swap it in.
         let desired = self.reader.read(&self.schema, &version.tree);
         let requests = self.requests.clone();
         Box::pin(async move {
@@ -71,7 +72,7 @@
     }
 }
 
-/// The log's level.
+/// The level of the process's log as a participant.
 pub(crate) struct LogLevelPart {
     pub schema: Arc<Schema>,
     pub reader: DesiredStateReader,
@@ -79,7 +80,7 @@
     pub prepared: Mutex<Option<PreparedLevel>>,
 }
 
-/// The level of a version that is prepared.
+/// The log level of a prepared version.
 pub(crate) struct PreparedLevel {
     version: u64,
     level: String,
--- a/crates/edges/managed/src/start.rs
+++ b/crates/edges/managed/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts the managed side: the state from its folder, then the servers, on a thread of their own.
+//! Starts the management plane: recovers the store from its folder, then runs the servers on a thread of their own.
 
 use crate::disk::{Disk, DiskError};
 use crate::hub::{Hub, HubSetup, unix_ms};
@@ -22,33 +22,33 @@
 /// Notifications that may be queued from the request router.
 const MAX_QUEUED_NOTIFICATIONS: usize = 4096;
 
-/// What the operator's file configures of the managed side.
+/// The settings of the management plane, from the operator's configuration file.
 #[derive(Debug, Clone)]
 pub struct ManagementConfig {
-    /// The folder of the state; none for a state that does not outlive the process.
+    /// The folder of the log; None keeps the store in memory only.
     pub folder: Option<PathBuf>,
-    /// Versions that can be rolled back to.
+    /// The number of versions that are kept for rollback.
     pub history: usize,
-    /// Sessions that may be open at once.
+    /// Maximum number of sessions open at once, over both protocols.
     pub sessions: usize,
-    /// Subscriptions that may be open at once, for each protocol.
+    /// Maximum number of subscriptions open at once, for each protocol.
     pub subscriptions: usize,
-    /// How old the state that a manager reads may be.
+    /// Maximum age of the cached router snapshot that management clients read.
     pub freshness: Duration,
-    /// Whether the startup datastore, where there is one, is put in force at the start.
+    /// Whether the startup datastore, if there is one, replaces the running configuration at the start.
     pub from_startup: bool,
-    /// The gNMI server, if there is to be one.
+    /// The gNMI server; None if it is disabled.
     pub gnmi: Option<GnmiConfig>,
-    /// The NETCONF server, if there is to be one.
+    /// The NETCONF server; None if it is disabled.
     pub netconf: Option<NetconfConfig>,
-    /// Who may use them.
+    /// The users of both servers; if there are none, every client may read and write.
     pub users: Users,
 }
 
-/// The gNMI server.
+/// The settings of the gNMI server.
 #[derive(Debug, Clone)]
 pub struct GnmiConfig {
-    /// Where to listen.
+    /// The address to listen on.
     pub listen: SocketAddr,
     /// None for plain text.
     pub tls: Option<Tls>,
@@ -63,43 +63,43 @@
     pub key: Vec<u8>,
 }
 
-/// The NETCONF server.
+/// The settings of the NETCONF server.
 #[derive(Debug, Clone)]
 pub struct NetconfConfig {
-    /// Where to listen.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// The host's private key, in OpenSSH's form.
+    /// The SSH host key, in OpenSSH private key format; None generates one for this run.
     pub host_key: Option<String>,
 }
 
-/// What the front needs of the managed side.
+/// The running management plane, with its connections to the request router.
 pub struct Started {
-    /// Calls to the request router.
+    /// Calls for the request router to handle.
     pub requests: async_channel::Receiver<ManagementCall>,
-    /// The desired state when the front last ran.
+    /// The desired state from the running configuration at the start.
     pub desired_state: Arc<DesiredState>,
-    /// Notifications from the request router.
+    /// The queue on which the request router sends its notifications.
     pub notifications: async_channel::Sender<EngineNotification>,
-    /// Where gNMI listens.
+    /// The address that the gNMI server listens on.
     pub gnmi: Option<SocketAddr>,
-    /// Where NETCONF listens.
+    /// The address that the NETCONF server listens on.
     pub netconf: Option<SocketAddr>,
-    /// The store and the commits.
+    /// The store and its commits.
     pub hub: Arc<Hub>,
 }
 
-/// Why the managed side can't start.
+/// The management plane can't be started.
 #[derive(Debug)]
 pub enum StartError {
     /// The front's model can't be used.
     Model(String),
-    /// The state can't be read.
+    /// The log can't be opened.
     Disk(DiskError),
-    /// A commit at the start could not be logged.
+    /// A commit at the start could not be written to the log.
     Log(io::Error),
     /// An address can't be listened on.
     Listen(SocketAddr, io::Error),
-    /// The desired state names what the deployment no longer states.
+    /// The running configuration names something that the deployment no longer defines.
     DesiredState(String),
     /// The host key can't be used.
     Key(String),
@@ -123,7 +123,8 @@
     }
 }
 
-/// Starts the managed side. `level` sets the log's level; `more` are parts that a commit involves besides the front's own.
+/// Starts the management plane. `level` sets the process's log level; `more` are participants in each commit besides
+/// the request router and the log level.
 pub fn start(
     config: ManagementConfig,
     names: Names,
@@ -186,7 +187,8 @@
     }
 }
 
-/// Reverts a commit that nobody can confirm any more, before anything is served, or puts startup in force.
+/// Reverts a commit that was pending when the process ended, as nobody can confirm it any more. If there was none and
+/// `from_startup` is set, commits the startup datastore. Runs before the servers start.
 fn commit_at_start(
     config: &ManagementConfig,
     schema: &Schema,
@@ -207,7 +209,7 @@
     Ok(())
 }
 
-/// The servers for managers, bound to their addresses.
+/// The servers for management clients, bound to their addresses.
 struct Servers {
     gnmi: Option<(TcpListener, Option<Tls>)>,
     netconf: Option<(TcpListener, netconf::HostKey)>,
@@ -233,7 +235,7 @@
         self.netconf.as_ref().and_then(|(listener, _)| listener.local_addr().ok())
     }
 
-    /// Serves on tasks of this thread's runtime.
+    /// Spawns the servers on the current thread's runtime.
     fn spawn(self, hub: &Arc<Hub>) {
         if let Some((listener, tls)) = self.gnmi {
             let serve = gnmi::serve(hub.clone(), listener, tls, self.users.clone(), self.subscriptions);
--- a/crates/edges/managed/src/state.rs
+++ b/crates/edges/managed/src/state.rs
@@ -1,4 +1,4 @@
-//! The front's state as a tree of the model.
+//! Builds the operational state of the front (YANG `config false` nodes) as a tree of the model.
 
 use lemonusher::EngineState;
 use lemonusher_desired_state::Names;
@@ -10,28 +10,28 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The size of a page in `/proc`.
+/// The size in bytes of the memory pages that `/proc/self/statm` counts.
 const PAGE_BYTES: u64 = 4096;
 
-/// Which parts of the state are selected: the larger ones are made only then.
+/// The parts of the state that a request selects. Large parts are only built if they are selected.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StateSelection {
-    /// Anything of the state.
+    /// Any part of the state.
     pub state: bool,
-    /// Anything that the request router must be asked for.
+    /// Any part that needs a snapshot from the request router.
     pub snapshot: bool,
-    /// The counters.
+    /// The request router's counters.
     pub counters: bool,
-    /// The engines.
+    /// The engines of the endpoint list.
     pub engines: bool,
-    /// The sessions.
+    /// The open management sessions.
     pub sessions: bool,
-    /// The history.
+    /// The commit history.
     pub commits: bool,
 }
 
 impl StateSelection {
-    /// The parts of the state that match any of the patterns.
+    /// Selects the parts of the state that any of the patterns can match.
     pub fn for_patterns(schema: &Schema, patterns: &[Pattern]) -> StateSelection {
         let mut selection = StateSelection::default();
         for pattern in patterns {
@@ -52,30 +52,30 @@
         selection
     }
 
-    /// Whether it changes without a commit or an engine's notification.
+    /// Whether a selected part can change without a [`ManagementEvent`](crate::ManagementEvent).
     pub fn changes_without_event(self) -> bool {
         self.snapshot || self.sessions
     }
 }
 
-/// What the state is read from.
+/// The sources from which the state is built.
 pub struct Sources<'a> {
     pub schema: &'a Schema,
     pub names: &'a Names,
     /// The front's name.
     pub front: &'a str,
     pub store: &'a Store,
-    /// Lost updates by session.
+    /// The number of lost updates by session.
     pub lost_updates: &'a BTreeMap<SessionId, u64>,
-    /// None if it is not selected, or the request router does not answer.
+    /// None if it is not selected, or if the request router doesn't reply.
     pub snapshot: Option<&'a Snapshot>,
-    /// How long the managed side has run.
+    /// The time since the hub was created.
     pub uptime: Duration,
-    /// The time from which the store's times count.
+    /// The current time on the clock of the store's deadlines.
     pub now: Duration,
 }
 
-/// Collects the fields of a container or a list's entry by their names in the model.
+/// Collects the fields of a container or a list entry by their names in the schema.
 struct FieldsBuilder<'a> {
     schema: &'a Schema,
     holder: NodeId,
@@ -87,14 +87,14 @@
         FieldsBuilder { schema, holder, fields: Fields::new() }
     }
 
-    /// A leaf that the model does not know is left out.
+    /// Adds a leaf; ignored if the schema has no such node.
     fn leaf(&mut self, name: &str, value: impl ToString) {
         if let Some(id) = self.schema.child(Some(self.holder), name) {
             self.fields.insert(id, Node::Leaf(value.to_string().into()));
         }
     }
 
-    /// Entries that lack a key are left out.
+    /// Adds a list; entries that lack a key are left out, and so is an empty list.
     fn list(&mut self, name: &str, entries: impl Iterator<Item = Fields>) {
         let Some(id) = self.schema.child(Some(self.holder), name) else { return };
         let keys = self.schema.keys(id);
@@ -113,13 +113,13 @@
         }
     }
 
-    /// A builder for a node within this one.
+    /// A builder for a child node; None if the schema has no such node.
     fn within(&self, name: &str) -> Option<FieldsBuilder<'a>> {
         Some(FieldsBuilder::new(self.schema, self.schema.child(Some(self.holder), name)?))
     }
 }
 
-/// What is running, if `config`, with the selected parts of the state.
+/// A tree of the selected parts of the state and, if `config` is set, the running configuration.
 pub fn view(sources: &Sources, config: bool, selection: StateSelection) -> Tree {
     let schema = sources.schema;
     let running = &sources.store.running().tree;
@@ -246,7 +246,7 @@
     state.list("engine", entries);
 }
 
-/// The model's name of a state in the list.
+/// The name in the YANG model of an engine's state in the endpoint list.
 pub fn list_state_name(state: EngineState) -> &'static str {
     match state {
         EngineState::Active => "active",
@@ -255,7 +255,7 @@
     }
 }
 
-/// The model's name of an administrative state.
+/// The name in the YANG model of an administrative state.
 pub fn admin_state_name(admin: AdminState) -> &'static str {
     match admin {
         AdminState::Enabled => "enabled",
@@ -264,7 +264,7 @@
     }
 }
 
-/// Resident memory of the process, in bytes.
+/// The resident memory of the process in bytes; None if `/proc/self/statm` can't be read.
 fn resident() -> Option<u64> {
     let statm = std::fs::read_to_string("/proc/self/statm").ok()?;
     statm.split_whitespace().nth(1)?.parse::<u64>().ok().map(|pages| pages * PAGE_BYTES)
--- a/crates/edges/managed/src/users.rs
+++ b/crates/edges/managed/src/users.rs
@@ -1,26 +1,26 @@
-//! Users: who may read and who may write.
+//! The users of the management plane: authentication, and the right to write.
 
 use subtle::ConstantTimeEq;
 
-/// One user of the operator's file.
+/// One user of the operator's configuration file.
 #[derive(Debug, Clone, Default)]
 pub struct User {
-    /// The name that the manager gives.
+    /// The user name that a management client authenticates with.
     pub name: String,
-    /// Whether it may change anything; reading is always allowed.
+    /// Whether it may write; reading is always allowed.
     pub may_write: bool,
-    /// A public key in OpenSSH's form.
+    /// A public key in OpenSSH format, for NETCONF.
     pub ssh_key: Option<String>,
-    /// The password, in plain text.
+    /// The password, in plain text. For NETCONF it is accepted only if no user has a key.
     pub password: Option<String>,
 }
 
-/// What an authenticated manager may do.
+/// The rights of an authenticated management client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Grant {
     /// The user's name.
     pub user: String,
-    /// Whether it may change anything; reading is always allowed.
+    /// Whether it may write; reading is always allowed.
     pub may_write: bool,
 }
 
@@ -29,7 +29,7 @@
 pub struct Users(pub Vec<User>);
 
 impl Users {
-    /// Authenticates by name and password. Without any user everybody may read and write.
+    /// Authenticates by name and password. If no users are configured, everybody may read and write.
     pub fn by_password(&self, name: Option<&str>, password: Option<&str>) -> Option<Grant> {
         if self.0.is_empty() {
             return Some(Grant { user: name.unwrap_or("anyone").to_owned(), may_write: true });
@@ -40,12 +40,13 @@
         same.then(|| Grant { user: user.name.clone(), may_write: user.may_write })
     }
 
-    /// Whether any user has a key; then passwords are not accepted over SSH.
+    /// Whether any user has a key. If so, SSH accepts keys only and no passwords.
     pub fn uses_keys(&self) -> bool {
         self.0.iter().any(|user| user.ssh_key.is_some())
     }
 
-    /// Authenticates by name and public key, the key's type and data as OpenSSH writes them.
+    /// Authenticates by name and public key. `key` is in OpenSSH format; its type and data are compared, and its
+    /// comment is ignored.
     pub fn by_key(&self, name: &str, key: &str) -> Option<Grant> {
         let body = |key: &str| key.split_whitespace().take(2).map(str::to_owned).collect::<Vec<_>>();
         let user = self.0.iter().find(|user| user.name == name)?;
--- a/crates/edges/managed/tests/parts.rs
+++ b/crates/edges/managed/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Parts that decline or panic at each step of a commit, and callers that do not wait for it.
+//! Commits whose participants decline or panic in either phase, and commits whose caller is cancelled.
 
 use lemonusher_managed::{ManagementConfig, Names, Part, PartFuture, Started, Users, start};
 use lemonusher_model::{Node, Op, parse_path};
@@ -19,7 +19,7 @@
     DeclineAtActivate,
 }
 
-/// A part that fails as it is set to, and records its calls.
+/// A participant that fails as configured by `fault`, and records the version of its last calls.
 struct Failing {
     fault: Mutex<Fault>,
     prepared: AtomicU64,
@@ -58,7 +58,7 @@
     }
 }
 
-/// A router that follows every commit, and records the version that is in force.
+/// A request router that accepts every commit, and records the active version.
 fn router(requests: async_channel::Receiver<ManagementCall>, in_force: Arc<AtomicU64>) {
     std::thread::spawn(move || {
         let mut prepared = None;
@@ -139,11 +139,11 @@
         if fails {
             assert!(matches!(committed, Err(StoreError::Failed(_))), "{fault:?} {committed:?}");
             assert!(after.number == before.number && after.tree == before.tree, "{fault:?}");
-            // The router, which had prepared, has not activated; and the next commit is not blocked.
+            // The router had prepared but has not activated. The next iteration checks that further commits succeed.
             assert_eq!(in_force.load(Ordering::SeqCst), before.number);
             assert_ne!(part.activated.load(Ordering::SeqCst), before.number + 1);
         } else {
-            // Once logged, it stands: what failed then follows the new state, never the old one.
+            // Once logged, a commit is final: failures during activation don't restore the old version.
             assert!(committed.is_ok(), "{fault:?} {committed:?}");
             assert_eq!(after.number, before.number + 1);
             assert_eq!(in_force.load(Ordering::SeqCst), after.number, "{fault:?}");
@@ -152,7 +152,7 @@
     assert_eq!(hub.with_store(|store| store.running().number), 5);
 }
 
-/// A caller may be dropped at any moment: what was planned is completed, and further commits follow.
+/// A dropped commit future must neither abort the commit nor block the commits that follow.
 #[tokio::test]
 async fn commit_completes_when_its_caller_is_dropped() {
     let part = Arc::new(Failing {
@@ -172,7 +172,7 @@
         let commit = hub.commit(move |store, now, at| {
             store.edit_running(session, &[edit], &CommitOptions::default(), now, at)
         });
-        // Polled once, then dropped.
+        // A timeout of zero polls the future once, then drops it.
         let _ = tokio::time::timeout(Duration::ZERO, commit).await;
     }
     let level = Edit { op: Op::Merge, place, value: Some(Node::Leaf("info".into())) };
--- a/crates/edges/managed/tests/unit/disk.rs
+++ b/crates/edges/managed/tests/unit/disk.rs
@@ -1,4 +1,4 @@
-//! The log's file: reopened, compacted, interrupted and corrupt.
+//! The log on disk: reopening, compaction, crashes during compaction, and corruption.
 
 use super::*;
 use lemonusher_model::{Node, Op, parse_path};
@@ -48,7 +48,7 @@
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// The folder as it stands at each step of shortening brings the same state back.
+/// The same state is recovered from the folder's contents after each step of a compaction.
 #[test]
 fn crash_at_any_step_of_compaction_loses_nothing() {
     let folder = folder("steps");
@@ -72,7 +72,7 @@
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// The log is a fixture of the store's tests, written at commit ad164c9.
+/// The log is a fixture of the store's tests, written by the program at commit ad164c9.
 #[test]
 fn folder_of_an_earlier_version_is_opened_and_appended_to() {
     let log = include_bytes!("../../../../core/store/tests/fixtures/state.log");
--- a/crates/edges/managed/tests/unit/users.rs
+++ b/crates/edges/managed/tests/unit/users.rs
@@ -1,4 +1,4 @@
-//! Passwords and keys.
+//! Authentication by password and by public key.
 
 use super::*;
 
