--- a/crates/edges/netconf/src/data.rs
+++ b/crates/edges/netconf/src/data.rs
@@ -1,4 +1,4 @@
-//! Data as XML, written and read.
+//! Conversion between data trees and XML.
 
 use crate::BASE;
 use crate::xml::{Element, escape};
@@ -7,10 +7,10 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-/// Characters of an element's name that an error repeats.
+/// Maximum number of characters of an unknown element's name in an error-path.
 const MAX_SHOWN_CHARACTERS: usize = 64;
 
-/// Writes fields as elements; those at the top name their namespace.
+/// Writes fields as XML elements. With `top`, each declares the schema's namespace.
 pub fn push_fields(to: &mut String, schema: &Schema, fields: &Fields, top: bool) {
     for (id, node) in fields {
         let name = &schema.node(*id).name;
@@ -36,16 +36,16 @@
     }
 }
 
-/// The path of a node, without keys.
+/// The path of a schema node, without keys.
 fn path(schema: &Schema, id: NodeId) -> String {
     schema.ancestry(id).into_iter().map(|id| format!("/{}", schema.node(id).name)).collect()
 }
 
-/// The node that an element means below another node.
+/// The schema node of an element below a parent node. Fails if the namespace or the name is unknown.
 pub(crate) fn child_of(schema: &Schema, holder: Option<NodeId>, element: &Element) -> Result<NodeId, Fault> {
     let at = holder.map(|id| path(schema, id)).unwrap_or_default();
     let shown = format!("{at}/{}", element.name.chars().take(MAX_SHOWN_CHARACTERS).collect::<String>());
-    // An element without a namespace is taken as the model's own, as many tools send it.
+    // An element without a namespace is accepted as one of the schema's, because many tools send it so.
     if !element.ns.is_empty() && element.ns != schema.namespace && element.ns != BASE {
         let what = format!("the namespace here is '{}'", schema.namespace);
         return Err(Fault::new(FaultKind::UnknownNamespace, shown, what));
@@ -54,7 +54,7 @@
     found.ok_or_else(|| Fault::new(FaultKind::UnknownElement, shown, "there is no such node"))
 }
 
-/// A leaf's value.
+/// The value of a leaf, in canonical form.
 pub(crate) fn leaf(schema: &Schema, id: NodeId, element: &Element) -> Result<Text, Fault> {
     if !element.children.is_empty() {
         return Err(Fault::new(FaultKind::BadElement, path(schema, id), "a leaf holds no elements"));
@@ -63,7 +63,7 @@
     value.map_err(|error| Fault::new(FaultKind::InvalidValue, path(schema, id), error.to_string()))
 }
 
-/// The keys of a list's entry.
+/// The key values of a list entry.
 pub(crate) fn keys(schema: &Schema, id: NodeId, element: &Element) -> Result<Vec<Text>, Fault> {
     let key = |key: &NodeId| {
         let name = &schema.node(*key).name;
@@ -76,7 +76,7 @@
     schema.keys(id).iter().map(key).collect()
 }
 
-/// What an element's children set below a node. Fails where they do not fit the model.
+/// The fields that an element's children set below a schema node. Fails if they don't fit the schema.
 pub fn from_xml(schema: &Schema, holder: Option<NodeId>, element: &Element) -> Result<Arc<Fields>, Fault> {
     let mut fields = Fields::new();
     let mut lists: BTreeMap<NodeId, BTreeMap<Vec<Text>, Arc<Fields>>> = BTreeMap::new();
@@ -116,7 +116,7 @@
     Ok(Arc::new(fields))
 }
 
-/// The tree that a `config` or `data` element holds. State may stand in it.
+/// The tree in a `config` or `data` element. It may contain state (`config false` nodes).
 pub fn tree_of(schema: &Schema, element: &Element) -> Result<Tree, Fault> {
     Ok(Tree::of((*from_xml(schema, None, element)?).clone()))
 }
--- a/crates/edges/netconf/src/edits.rs
+++ b/crates/edges/netconf/src/edits.rs
@@ -1,4 +1,4 @@
-//! The edits that a `config` element asks for (RFC 6241, 7.2).
+//! Converts the `config` element of an `edit-config` to edits (RFC 6241, section 7.2).
 
 use crate::BASE;
 use crate::data::{child_of, from_xml, keys, leaf};
@@ -8,11 +8,11 @@
 use lemonusher_store::Edit;
 use std::sync::Arc;
 
-/// Characters of an operation's name that an error repeats.
+/// Maximum number of characters of an unknown operation's name in an error message.
 const MAX_SHOWN_CHARACTERS: usize = 32;
 
-/// The edits of a `config` element, in order. Fails where it does not fit the model, or where an element without an
-/// operation means something that `tree` does not hold.
+/// The edits of a `config` element, in document order. Fails if it doesn't fit the schema, or if a node whose
+/// operation is `none` doesn't exist in `tree`.
 pub fn edits(
     schema: &Schema,
     tree: &Tree,
@@ -28,7 +28,7 @@
     pass.children(&mut Place::new(), config, op)?;
     let mut edits = pass.edits;
     if default == DefaultOperation::Replace {
-        // What the config does not name is deleted as well, so the whole tree is replaced first.
+        // `replace` also deletes the nodes that the config doesn't contain, so the first edit replaces the whole tree.
         let value = Some(Node::Container(from_xml(schema, None, config)?));
         edits.retain(|edit| matches!(edit.op, Op::Delete | Op::Create));
         edits.insert(0, Edit { op: Op::Replace, place: Place::new(), value });
@@ -36,7 +36,7 @@
     Ok(edits)
 }
 
-/// One pass over a `config` element, with the edits found so far.
+/// Collects edits while walking a `config` element.
 struct Pass<'a> {
     schema: &'a Schema,
     tree: &'a Tree,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The operation that an element names, or else the inherited one.
+    /// The operation of an element: its `operation` attribute, or else the inherited one.
     fn operation(
         &self,
         place: &Place,
@@ -109,7 +109,7 @@
         })
     }
 
-    /// An entry of a list: as a whole, or the entry itself and then what stands in it.
+    /// Adds the edits of a list entry: one for the whole entry, or one that creates it and then those of its children.
     fn entry(
         &mut self,
         place: &mut Place,
@@ -128,7 +128,7 @@
         self.children(place, &Element { children, ..Element::default() }, op)
     }
 
-    /// A container or an entry of a list as one edit.
+    /// Adds one edit for a whole container or list entry.
     fn whole(&mut self, place: &Place, id: NodeId, element: &Element, op: Option<Op>) -> Result<(), Fault> {
         let value = match op {
             Some(Op::Delete | Op::Remove) => None,
@@ -137,7 +137,7 @@
         self.push(op, place, value)
     }
 
-    /// A node without an operation only leads to others: it must exist.
+    /// Adds an edit. A node without an operation is not edited but must exist (`default-operation` `none`, RFC 6241).
     fn push(&mut self, op: Option<Op>, place: &Place, value: Option<Node>) -> Result<(), Fault> {
         match op {
             Some(op) => self.edits.push(Edit { op, place: place.clone(), value }),
@@ -151,7 +151,7 @@
     }
 }
 
-/// Whether what stands in an element is edited by itself.
+/// Whether the children of an element are edited one by one, rather than the element as a whole.
 fn is_merged(op: Option<Op>) -> bool {
     matches!(op, None | Some(Op::Merge))
 }
--- a/crates/edges/netconf/src/error.rs
+++ b/crates/edges/netconf/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of NETCONF, and those of the model and the store as such.
+//! NETCONF errors, and the conversion of model and store errors to them.
 
 use crate::BASE;
 use crate::xml::escape;
@@ -9,11 +9,11 @@
 /// The layer at which an error occurred (`error-type`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ErrorType {
-    /// Secure transport and message framing.
+    /// The messages layer: the `rpc` element and its XML.
     Rpc,
-    /// The operations of NETCONF.
+    /// NETCONF operations.
     Protocol,
-    /// Data and this server.
+    /// The data model, and this server.
     Application,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// What kind of error it is (`error-tag`; RFC 6241, appendix A).
+/// The kind of an error (`error-tag`; RFC 6241, appendix A).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ErrorTag {
     /// `in-use`.
@@ -91,17 +91,17 @@
 pub struct RpcError {
     /// The layer at which it occurred.
     pub error_type: ErrorType,
-    /// What kind of error it is.
+    /// The kind of error.
     pub tag: ErrorTag,
     /// The `error-app-tag`.
     pub app_tag: Option<String>,
     /// The `error-path`, with prefixes.
     pub path: Option<String>,
-    /// The message for people.
+    /// The human-readable `error-message`.
     pub message: String,
-    /// The session that holds a lock.
+    /// The `session-id` in `error-info`: the session that holds the lock or has a pending commit; 0 if none does.
     pub session: Option<u32>,
-    /// The element that is meant.
+    /// The `bad-element` in `error-info`: the name of the element that the error is about.
     pub element: Option<String>,
 }
 
@@ -115,7 +115,7 @@
         RpcError::new(ErrorType::Protocol, tag, message.into())
     }
 
-    /// An error of a message.
+    /// An error in the message layer.
     pub fn rpc(tag: ErrorTag, message: impl Into<String>) -> RpcError {
         RpcError::new(ErrorType::Rpc, tag, message.into())
     }
@@ -125,12 +125,12 @@
         RpcError::new(ErrorType::Application, tag, message.into())
     }
 
-    /// A bad or missing element of an operation.
+    /// An error for a bad or missing element of an operation.
     pub fn element(tag: ErrorTag, element: &str, message: impl Into<String>) -> RpcError {
         RpcError { element: Some(element.to_owned()), ..RpcError::protocol(tag, message) }
     }
 
-    /// The error for data that does not fit the model.
+    /// Converts an error of the data model.
     pub fn of_fault(schema: &Schema, fault: &Fault) -> RpcError {
         let (tag, app_tag) = match fault.kind {
             FaultKind::UnknownElement => (ErrorTag::UnknownElement, None),
@@ -157,7 +157,7 @@
         }
     }
 
-    /// The errors for what the store refuses; `locking` where the operation was to lock.
+    /// Converts a store error. `locking` is set if the operation was `lock`.
     pub fn of_store_error(schema: &Schema, error: &StoreError, locking: bool) -> Vec<RpcError> {
         let text = error.to_string();
         let protocol = |tag: ErrorTag| RpcError::protocol(tag, text.clone());
@@ -215,7 +215,7 @@
     }
 }
 
-/// A path with the model's prefix on each name, as an instance identifier has it.
+/// A path with the schema's prefix before each node name, as in an instance-identifier.
 fn prefixed(schema: &Schema, path: &str) -> String {
     let mut text = String::new();
     let mut within = false;
--- a/crates/edges/netconf/src/filter.rs
+++ b/crates/edges/netconf/src/filter.rs
@@ -6,12 +6,12 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What a subtree filter lets through.
+/// The fields that a subtree filter selects.
 pub fn filter(schema: &Schema, fields: &Fields, filter: &Element) -> Fields {
     filter_fields(schema, None, fields, &filter.children).unwrap_or_default()
 }
 
-/// None where a content match among the siblings does not hold.
+/// The fields that sibling filter elements select; None if one of the content match nodes among them doesn't match.
 fn filter_fields(
     schema: &Schema,
     parent: Option<NodeId>,
@@ -26,7 +26,7 @@
             return None;
         }
     }
-    // With nothing but content matches, everything beside them is selected.
+    // If all siblings are content match nodes, the whole parent is selected (RFC 6241, section 6.2.5).
     if !filters.is_empty() && filters.iter().all(|element| is_content_match(element)) {
         return Some(fields.clone());
     }
@@ -45,7 +45,8 @@
     element.children.is_empty() && !element.value().is_empty()
 }
 
-/// Whether a leaf has the value, or a leaf-list holds it; none for what is no value of a leaf.
+/// Whether a leaf has the value, or a leaf-list contains it. None if the schema has no such node, or if the value is
+/// invalid for it.
 fn content_matches(
     schema: &Schema,
     parent: Option<NodeId>,
@@ -61,7 +62,7 @@
     })
 }
 
-/// What an element selects of a node.
+/// The part of a node that a filter element selects.
 fn filter_node(schema: &Schema, id: NodeId, node: &Node, element: &Element) -> Option<Node> {
     if element.children.is_empty() {
         return Some(node.clone());
@@ -81,7 +82,8 @@
     }
 }
 
-/// Adds what one element selects. Several elements may select parts of one container or list.
+/// Merges the part that one filter element selects into `selected`: several elements may select parts of the same
+/// container or list.
 fn add(selected: &mut Fields, id: NodeId, part: Node) {
     match (selected.get_mut(&id), part) {
         (Some(Node::List(entries)), Node::List(more)) => {
--- a/crates/edges/netconf/src/frames.rs
+++ b/crates/edges/netconf/src/frames.rs
@@ -1,26 +1,26 @@
-//! The two framings of RFC 6242: the end mark of version 1.0, the chunks of version 1.1.
+//! The two framings of RFC 6242: the end-of-message delimiter of NETCONF 1.0 and the chunked framing of NETCONF 1.1.
 
 use std::fmt;
 
 const END_OF_MESSAGE: &[u8] = b"]]>]]>";
-/// The longest line that begins a chunk: `\n#4294967295\n`.
+/// The length of the longest chunk header, `\n#4294967295\n`.
 const MAX_CHUNK_HEADER_BYTES: usize = 13;
 
 /// How messages are framed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// Version 1.0, and every hello.
+    /// The delimiter `]]>]]>` after each message: NETCONF 1.0, and all hello messages.
     EndOfMessage,
-    /// Version 1.1.
+    /// Chunks with a length header: NETCONF 1.1.
     Chunked,
 }
 
-/// Why a stream can't be split into messages.
+/// A stream of bytes can't be split into messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FramingError {
-    /// A message is longer than the bound.
+    /// A message exceeds the length limit.
     MessageTooLong,
-    /// Chunks are not framed as they should be.
+    /// A chunk header is malformed, or a message ends without a chunk.
     BadChunk,
 }
 
@@ -37,19 +37,19 @@
 #[derive(Debug)]
 pub struct Framer {
     framing: Framing,
-    /// Bytes that have not been taken into a message yet.
+    /// Received bytes that are not part of a message yet.
     bytes: Vec<u8>,
-    /// Bytes in which the end mark has been searched for.
+    /// Number of bytes at the start that can't be the beginning of the end-of-message delimiter.
     searched: usize,
-    /// The chunks of the incomplete message.
+    /// The data of the current message's chunks so far.
     message: Vec<u8>,
-    /// Bytes missing of the current chunk.
+    /// Bytes of the current chunk that have not been received yet.
     chunk_remaining: usize,
     max_message_bytes: usize,
 }
 
 impl Framer {
-    /// Begins with the framing of version 1.0.
+    /// Creates a framer that starts with end-of-message framing. `max_message_bytes` limits each message.
     pub fn new(max_message_bytes: usize) -> Framer {
         Framer {
             framing: Framing::EndOfMessage,
@@ -61,22 +61,22 @@
         }
     }
 
-    /// Sets the framing of what follows.
+    /// Sets the framing of the bytes that follow the last message.
     pub fn set_framing(&mut self, framing: Framing) {
         (self.framing, self.searched) = (framing, 0);
     }
 
-    /// Bytes that are buffered.
+    /// The number of bytes that are buffered.
     pub fn buffered_bytes(&self) -> usize {
         self.bytes.len() + self.message.len()
     }
 
-    /// Adds bytes that were read.
+    /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next complete message, if there is one.
+    /// Removes and returns the next complete message, if there is one.
     pub fn next_message(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
         match self.framing {
             Framing::EndOfMessage => self.next_marked(),
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The header of the next chunk; none while it is incomplete.
+    /// Parses the next chunk header, without removing it; None while it is incomplete.
     fn chunk_header(&self) -> Result<Option<ChunkHeader>, FramingError> {
         let bytes = &self.bytes[..self.bytes.len().min(MAX_CHUNK_HEADER_BYTES)];
         if !b"\n#".starts_with(&bytes[..bytes.len().min(2)]) {
@@ -157,14 +157,14 @@
     }
 }
 
-/// The line before a chunk, or at the end of a message.
+/// A chunk header or the end-of-chunks marker.
 struct ChunkHeader {
-    /// None at the end of a message.
+    /// The length of the chunk's data; None for the end-of-chunks marker.
     chunk_bytes: Option<usize>,
     header_bytes: usize,
 }
 
-/// A message as it is sent.
+/// Frames a message for sending.
 pub fn frame(framing: Framing, message: &str) -> Vec<u8> {
     match framing {
         Framing::EndOfMessage => [message.as_bytes(), END_OF_MESSAGE].concat(),
--- a/crates/edges/netconf/src/lib.rs
+++ b/crates/edges/netconf/src/lib.rs
@@ -1,5 +1,6 @@
-//! NETCONF's messages (RFC 6241, RFC 6242, RFC 5277, RFC 6022): both framings, XML within bounds, operations as typed values,
-//! data as XML, subtree filters, edits, and errors with tag, path and app-tag. No sockets.
+//! NETCONF messages without I/O (RFC 6241, RFC 6242, RFC 5277, RFC 6022): both framings, an XML parser with limits,
+//! operations as typed values, conversion between data and XML, subtree filters, edits, and errors with error-tag,
+//! error-path and error-app-tag.
 
 #![warn(missing_docs)]
 
@@ -21,9 +22,9 @@
 pub use rpc::{Attributes, NotificationContent, Rpc, hello, notification, read, reply};
 pub use xml::{Element, Malformed, escape, parse};
 
-/// The namespace of operations and replies.
+/// The XML namespace of operations and replies.
 pub const BASE: &str = "urn:ietf:params:xml:ns:netconf:base:1.0";
-/// The namespace of notifications.
+/// The XML namespace of notifications and `create-subscription`.
 pub const NOTIFICATION: &str = "urn:ietf:params:xml:ns:netconf:notification:1.0";
-/// The namespace of `get-schema`.
+/// The XML namespace of `get-schema`.
 pub const MONITORING: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring";
--- a/crates/edges/netconf/src/operation.rs
+++ b/crates/edges/netconf/src/operation.rs
@@ -1,4 +1,4 @@
-//! Operations as typed values, read from their elements.
+//! NETCONF operations as typed values, parsed from their XML elements.
 
 use crate::error::{ErrorTag, RpcError};
 use crate::xml::Element;
@@ -6,45 +6,45 @@
 use lemonusher_store::{Datastore, ErrorOption};
 use std::time::Duration;
 
-/// How long a commit waits to be confirmed unless the manager says otherwise (RFC 6241, section 8.4).
+/// Confirm timeout of a confirmed commit without `confirm-timeout` (RFC 6241, section 8.4).
 const DEFAULT_CONFIRM_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// The operation of elements that name none (`default-operation`).
+/// The operation of elements without an `operation` attribute (`default-operation`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DefaultOperation {
-    /// What is there is merged with.
+    /// The config is merged into the datastore.
     Merge,
-    /// What is there is replaced.
+    /// The config replaces the datastore's content.
     Replace,
-    /// Nothing is changed but by elements that name an operation.
+    /// Only elements with an `operation` attribute change the datastore.
     None,
 }
 
-/// Whether an edit is tested (`test-option`).
+/// Whether an edit is validated before it is applied (`test-option`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TestOption {
-    /// It is tested, and made if the test passes.
+    /// The edit is validated, and applied if it is valid.
     TestThenSet,
-    /// It is made without a test.
+    /// The edit is applied without validation.
     Set,
-    /// It is tested only.
+    /// The edit is validated but not applied.
     TestOnly,
 }
 
 /// The parameters of a `commit`.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CommitParameters {
-    /// Set for a confirmed commit: how long it waits to be confirmed.
+    /// The time within which the commit must be confirmed; None if it is not a confirmed commit.
     pub confirm_timeout: Option<Duration>,
-    /// The id under which a confirmed commit outlives its session.
+    /// The id with which any session can confirm the commit, which then survives the end of its session (`persist`).
     pub persist: Option<String>,
-    /// The id of the pending commit that this one confirms or follows.
+    /// The id of the pending commit that this one confirms or follows up (`persist-id`).
     pub persist_id: Option<String>,
-    /// The version that the manager has seen (`expect`).
+    /// The running version that the client expects (`expect`).
     pub expected_version: Option<u64>,
 }
 
-/// Where a config is read from.
+/// The source of a configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ConfigSource {
     /// A datastore.
@@ -53,7 +53,7 @@
     Inline(Box<Element>),
 }
 
-/// One operation, with its parameters.
+/// An operation with its parameters.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Operation {
     /// `get`.
@@ -72,11 +72,11 @@
     EditConfig {
         /// The datastore to edit.
         target: Datastore,
-        /// The operation of elements that name none.
+        /// The operation of elements without an `operation` attribute.
         default: DefaultOperation,
-        /// Whether the edit is tested.
+        /// Whether the edit is validated before it is applied.
         test: TestOption,
-        /// What becomes of an edit of which a part fails.
+        /// How the edit continues after an error in a part of it (`error-option`).
         on_error: ErrorOption,
         /// The `config` element.
         config: Element,
@@ -85,7 +85,7 @@
     CopyConfig {
         /// The datastore to replace.
         target: Datastore,
-        /// What to replace it with.
+        /// The configuration to replace it with.
         source: ConfigSource,
     },
     /// `delete-config`.
@@ -103,7 +103,7 @@
     Commit(CommitParameters),
     /// `cancel-commit`.
     CancelCommit {
-        /// The id of the pending commit.
+        /// The id of the pending commit; None for one without a `persist` id.
         persist_id: Option<String>,
     },
     /// `discard-changes`.
@@ -131,7 +131,7 @@
 }
 
 impl Operation {
-    /// Reads an operation's element.
+    /// Parses the element of an operation.
     pub(crate) fn of_element(element: &Element) -> Result<Operation, RpcError> {
         check_namespace(element)?;
         Ok(match element.name.as_str() {
@@ -262,7 +262,7 @@
     RpcError::element(ErrorTag::InvalidValue, element, what)
 }
 
-/// The datastore that the child of this name holds.
+/// The datastore that a `source` or `target` child names.
 fn datastore(element: &Element, name: &str) -> Result<Datastore, RpcError> {
     datastore_in(required(element, name)?)
 }
--- a/crates/edges/netconf/src/rpc.rs
+++ b/crates/edges/netconf/src/rpc.rs
@@ -1,4 +1,4 @@
-//! The messages of a session: hello, requests, replies and notifications.
+//! The messages of a session: `hello`, `rpc`, `rpc-reply` and `notification`.
 
 use crate::error::{ErrorTag, RpcError};
 use crate::operation::Operation;
@@ -6,19 +6,19 @@
 use crate::{BASE, NOTIFICATION};
 use std::fmt::Write;
 
-/// Namespace, name and value of each attribute.
+/// The namespace, local name and value of each attribute.
 pub type Attributes = Vec<(String, String, String)>;
 
-/// One request.
+/// One `rpc` message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rpc {
-    /// All attributes of the request, which its reply must repeat.
+    /// All attributes of the `rpc` element, which the reply must repeat.
     pub attributes: Attributes,
-    /// What is to be done.
+    /// The requested operation.
     pub operation: Operation,
 }
 
-/// Reads a message: an `rpc`, or why it is none, with the attributes that the reply must repeat.
+/// Parses an `rpc` message. An error comes with the attributes that the reply must repeat.
 pub fn read(text: &str) -> Result<Rpc, (Attributes, RpcError)> {
     let none = Vec::new;
     let rpc = parse(text)
@@ -43,7 +43,7 @@
     }
 }
 
-/// The server's hello.
+/// The server's `hello` message.
 pub fn hello(capabilities: &[String], session: u32) -> String {
     let mut text =
         format!("<?xml version=\"1.0\" encoding=\"UTF-8\"?><hello xmlns=\"{BASE}\"><capabilities>");
@@ -54,7 +54,7 @@
     text
 }
 
-/// A reply: the data as XML, empty for `ok`, or errors.
+/// An `rpc-reply`: the data as XML, `<ok/>` if the data is empty, or errors.
 pub fn reply(attributes: &[(String, String, String)], answer: &Result<String, Vec<RpcError>>) -> String {
     let mut text = format!("<?xml version=\"1.0\" encoding=\"UTF-8\"?><rpc-reply xmlns=\"{BASE}\"");
     for (number, (ns, name, value)) in attributes.iter().enumerate() {
@@ -76,16 +76,16 @@
     text
 }
 
-/// What a notification says.
+/// The content of a notification.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NotificationContent {
-    /// The notification's name in the model.
+    /// The notification's name in the YANG model.
     pub name: &'static str,
-    /// Names and values of its leaves, in order.
+    /// The names and values of its leaves, in the order in which they are written.
     pub leaves: Vec<(&'static str, String)>,
 }
 
-/// A notification of RFC 5277. `date` is in the form of RFC 3339.
+/// A `notification` message (RFC 5277). `date` is in RFC 3339 format.
 pub fn notification(namespace: &str, date: &str, content: &NotificationContent) -> String {
     let mut text = format!(
         "<?xml version=\"1.0\" encoding=\"UTF-8\"?><notification xmlns=\"{NOTIFICATION}\"><eventTime>{date}</eventTime><{} xmlns=\"{}\">",
--- a/crates/edges/netconf/src/xml.rs
+++ b/crates/edges/netconf/src/xml.rs
@@ -1,4 +1,5 @@
-//! XML within bounds: no document types, no entities but the five of XML, and bounds on depth, elements and attributes.
+//! An XML parser for untrusted input: it rejects document types and all entities but the five predefined ones, and
+//! limits the nesting depth and the number of elements and attributes.
 
 use quick_xml::NsReader;
 use quick_xml::XmlVersion;
@@ -6,29 +7,29 @@
 use quick_xml::name::ResolveResult;
 use std::fmt;
 
-/// The deepest nesting of elements.
+/// Maximum nesting depth of elements.
 const MAX_DEPTH: usize = 32;
-/// The most elements of a document.
+/// Maximum number of elements in a document.
 const MAX_ELEMENTS: usize = 1_000_000;
-/// The most attributes of an element.
+/// Maximum number of attributes of an element.
 const MAX_ATTRIBUTES: usize = 64;
 
-/// An element with everything in it.
+/// An element with its attributes, text and children.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Element {
-    /// Its namespace; empty for none.
+    /// The namespace URI; empty for none.
     pub ns: String,
-    /// Its name without a prefix.
+    /// The local name, without a prefix.
     pub name: String,
-    /// Namespace, name and value.
+    /// The namespace, local name and value of each attribute, without namespace declarations.
     pub attributes: Vec<(String, String, String)>,
-    /// All its text, joined.
+    /// The text directly in the element, concatenated.
     pub text: String,
-    /// The elements in it, in order.
+    /// The child elements, in document order.
     pub children: Vec<Element>,
 }
 
-/// Why a text is refused as XML, in words.
+/// A text is not well-formed XML or exceeds a limit; the message says why.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Malformed(pub String);
 
@@ -39,24 +40,24 @@
 }
 
 impl Element {
-    /// The first child of this name, of any namespace.
+    /// The first child with this local name, in any namespace.
     pub fn child(&self, name: &str) -> Option<&Element> {
         self.children.iter().find(|child| child.name == name)
     }
 
-    /// The text without white space at its ends.
+    /// The text without leading and trailing white space.
     pub fn value(&self) -> &str {
         self.text.trim()
     }
 
-    /// The value of an attribute.
+    /// The value of an attribute, by namespace and local name.
     pub fn attribute(&self, ns: &str, name: &str) -> Option<&str> {
         let found = self.attributes.iter().find(|(of_ns, of_name, _)| of_ns == ns && of_name == name);
         found.map(|(_, _, value)| value.as_str())
     }
 }
 
-/// Reads a document of one element. Fails where it is not well-formed or out of bounds.
+/// Parses a document. Fails if it is not well-formed or exceeds a limit.
 pub fn parse(text: &str) -> Result<Element, Malformed> {
     let mut reader = NsReader::from_str(text);
     reader.config_mut().check_end_names = true;
@@ -102,18 +103,18 @@
     Malformed(what.to_owned())
 }
 
-/// What has been read of a document.
+/// The part of a document that has been parsed so far.
 #[derive(Default)]
 struct Document {
-    /// The elements that are not closed yet, from the outermost.
+    /// The elements that are not closed yet, outermost first.
     open: Vec<Element>,
     root: Option<Element>,
-    /// Elements begun so far.
+    /// Number of elements that have been opened so far.
     elements: usize,
 }
 
 impl Document {
-    /// Whether another element may begin here.
+    /// Counts an element; fails if it is outside the root element or exceeds a limit.
     fn check_start(&mut self, start: &BytesStart) -> Result<(), Malformed> {
         if self.root.is_some() && self.open.is_empty() {
             return Err(wrong(&format!("element '{}' stands after the end", start.name().as_ref())));
@@ -152,7 +153,7 @@
     }
 }
 
-/// An element with its attributes, but without its namespace declarations.
+/// Converts a start tag to an element with its attributes, without namespace declarations.
 fn element_of(reader: &NsReader<&[u8]>, start: &BytesStart, ns: String) -> Result<Element, Malformed> {
     let mut element = Element { ns, name: start.local_name().as_ref().to_string(), ..Element::default() };
     for attribute in start.attributes() {
@@ -175,7 +176,7 @@
     Ok(element)
 }
 
-/// The character of a reference: by number, or one of the five entities of XML.
+/// Resolves a numeric character reference or one of the five predefined entities of XML.
 fn character_of(name: &BytesRef) -> Option<char> {
     match name.resolve_char_ref() {
         Ok(Some(character)) => Some(character),
@@ -191,7 +192,8 @@
     }
 }
 
-/// Text as it may stand between tags and in attributes.
+/// Escapes text for use as element content or attribute value. Control characters that XML can't represent are
+/// replaced by U+FFFD.
 pub fn escape(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for c in text.chars() {
@@ -201,7 +203,7 @@
             '&' => escaped.push_str("&amp;"),
             '"' => escaped.push_str("&quot;"),
             '\'' => escaped.push_str("&apos;"),
-            // XML can't express other control characters.
+            // XML 1.0 allows no other control characters.
             c if c.is_control() && !matches!(c, '\n' | '\r' | '\t') => escaped.push('\u{fffd}'),
             c => escaped.push(c),
         }
--- a/crates/edges/netconf/tests/messages.rs
+++ b/crates/edges/netconf/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Framing, XML within bounds, operations, edits and filters.
+//! Framing, the XML parser's limits, operations, edits, filters and errors.
 
 use lemonusher_model::{Fields, Node, Op, Schema, Tree, parse_path, to_json};
 use lemonusher_netconf::*;
@@ -150,7 +150,7 @@
     assert!(ok.child("ok").is_some());
 }
 
-// Data.
+// Edits, filters and data as XML.
 
 fn config(text: &str) -> Element {
     parse(&format!(
@@ -269,7 +269,7 @@
     push_fields(&mut text, &schema, tree.fields(), true);
     text.push_str("</data>");
     assert_eq!(tree_of(&schema, &parse(&text).unwrap()).unwrap(), tree);
-    // State comes back too.
+    // State can't be written, but is read from XML too.
     let place = schema.place(&parse_path("/front/state/name").unwrap()).unwrap();
     let mut with_state = Tree::default();
     assert!(with_state.apply(&schema, Op::Merge, &place, Some(&Node::Leaf("n".into()))).is_err());
