--- a/crates/edges/managed/src/disk.rs
+++ b/crates/edges/managed/src/disk.rs
@@ -48,8 +48,10 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             DiskError::Io(path, error) => write!(f, "{}: {error}", path.display()),
-            DiskError::InUse(path) => write!(f, "{}: another process uses it", path.display()),
-            DiskError::Recovery(path, error) => write!(f, "{}: {error}; it is left as it is", path.display()),
+            DiskError::InUse(path) => write!(f, "{}: locked by another process", path.display()),
+            DiskError::Recovery(path, error) => {
+                write!(f, "{}: {error}; the log was not changed", path.display())
+            }
         }
     }
 }
@@ -69,11 +71,19 @@
         let Recovered { store, valid_length, records } =
             recovered.map_err(|error| DiskError::Recovery(path.clone(), error))?;
         if valid_length < bytes.len() {
-            tracing::warn!(bytes = bytes.len() - valid_length, "the log's tail was cut short and is cut off");
+            tracing::warn!(
+                bytes = bytes.len() - valid_length,
+                "truncated incomplete record at the end of the log"
+            );
         }
         let length = prepare_to_append(&mut log, valid_length as u64).map_err(io_error(&path))?;
         sync_folder(folder).map_err(io_error(folder))?;
-        tracing::info!(records, version = store.running().number, "state read from {}", path.display());
+        tracing::info!(
+            records,
+            version = store.running().number,
+            "recovered the store from {}",
+            path.display()
+        );
         let folder = folder.to_owned();
         let disk = Disk { folder, log, length, compacted_length: length, broken: false, _lock: lock };
         Ok((disk, store))
--- a/crates/edges/managed/src/gnmi/subscribe.rs
+++ b/crates/edges/managed/src/gnmi/subscribe.rs
@@ -123,7 +123,7 @@
     let patterns: Vec<Pattern> = watched.iter().flat_map(|one| one.patterns.iter().cloned()).collect();
     let count = watched.len();
     let guard = subscriptions.open(&grant, count)?;
-    tracing::info!(session = guard.session, user = grant.user, subscriptions = count, "subscribed");
+    tracing::info!(session = guard.session, user = grant.user, subscriptions = count, "opened subscriptions");
     let (queue, responses) = mpsc::channel(MAX_QUEUED_MESSAGES);
     let is_config = |pattern: &Pattern| pattern.get(1).is_none_or(|step| schema.node(step.node).config);
     let subscriber = Subscriber {
@@ -368,7 +368,11 @@
         if lost > self.reported_lost {
             self.hub.record_lost_updates(self.guard.session, lost);
             if room > 0 && self.report_lost(lost) {
-                tracing::warn!(session = self.guard.session, lost, "a subscriber did not read in time");
+                tracing::warn!(
+                    session = self.guard.session,
+                    lost,
+                    "subscriber reads too slowly; updates were lost"
+                );
                 self.reported_lost = lost;
             }
         }
--- a/crates/edges/managed/src/hub.rs
+++ b/crates/edges/managed/src/hub.rs
@@ -245,7 +245,7 @@
     fn log_lost_parts(&self, version: &Version, lost: Vec<usize>) {
         for part in lost {
             let part = self.parts[part].name();
-            tracing::error!(commit = version.number, part, "a part did not say that it switched");
+            tracing::error!(commit = version.number, part, "a participant did not confirm activation");
         }
     }
 
@@ -369,7 +369,7 @@
 fn compact_if_needed(core: &mut Core) {
     let Some(disk) = core.disk.as_mut().filter(|disk| disk.needs_compaction()) else { return };
     if let Err(error) = disk.compact(&core.store) {
-        tracing::warn!("the log could not be made shorter: {error}");
+        tracing::warn!("compaction of the log failed: {error}");
     }
 }
 
--- a/crates/edges/managed/src/netconf/mod.rs
+++ b/crates/edges/managed/src/netconf/mod.rs
@@ -60,7 +60,9 @@
 /// Parses the SSH host key from OpenSSH private key format, or generates one for this run if `text` is None.
 pub fn host_key(text: Option<&str>) -> Result<PrivateKey, String> {
     match text {
-        Some(text) => PrivateKey::from_openssh(text).map_err(|error| format!("NETCONF's host key: {error}")),
+        Some(text) => {
+            PrivateKey::from_openssh(text).map_err(|error| format!("not an OpenSSH private key: {error}"))
+        }
         None => PrivateKey::random(&mut rand::rng(), Algorithm::Ed25519).map_err(|error| error.to_string()),
     }
 }
@@ -89,7 +91,7 @@
         let socket = match listener.accept().await {
             Ok((socket, _)) => socket,
             Err(error) => {
-                tracing::warn!("NETCONF can't accept: {error}");
+                tracing::warn!("NETCONF server failed to accept a connection: {error}");
                 tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
                 continue;
             }
--- a/crates/edges/managed/src/netconf/session.rs
+++ b/crates/edges/managed/src/netconf/session.rs
@@ -71,7 +71,7 @@
         }
         self.server.kill_signals().remove(&self.id);
         self.hub.close_session(self.id);
-        tracing::info!(session = self.id, "NETCONF session ends");
+        tracing::info!(session = self.id, "NETCONF session closed");
     }
 }
 
@@ -94,11 +94,11 @@
     let hub = server.hub.clone();
     let id = match hub.with_store(|store| store.open_session(&grant.user, Protocol::Netconf)) {
         Ok(id) => id,
-        Err(error) => return tracing::warn!("no NETCONF session for {}: {error}", grant.user),
+        Err(error) => return tracing::warn!("NETCONF session for {} refused: {error}", grant.user),
     };
     let killed = Arc::new(Notify::new());
     server.kill_signals().insert(id, killed.clone());
-    tracing::info!(session = id, user = grant.user, "NETCONF session begins");
+    tracing::info!(session = id, user = grant.user, "NETCONF session opened");
     let mut session = Session {
         id,
         server,
@@ -113,10 +113,10 @@
     tokio::select! {
         ended = session.serve(stream) => {
             if let Err(why) = ended {
-                tracing::info!(session = id, "NETCONF session: {why}");
+                tracing::info!(session = id, "NETCONF session failed: {why}");
             }
         }
-        () = killed.notified() => tracing::info!(session = id, "NETCONF session was killed"),
+        () = killed.notified() => tracing::info!(session = id, "NETCONF session killed"),
     }
 }
 
@@ -127,7 +127,7 @@
         write(&mut writer, Framing::EndOfMessage, &our_hello).await?;
         let mut framer = Framer::new(MAX_MESSAGE_BYTES);
         let first = tokio::time::timeout(HELLO_TIMEOUT, self.next(&mut reader, &mut framer)).await;
-        let first = first.map_err(|_| "no hello came in time".to_owned())??;
+        let first = first.map_err(|_| "timed out waiting for the client's hello".to_owned())??;
         let Some(first) = first else { return Ok(()) };
         self.handle_hello(&first)?;
         framer.set_framing(self.framing);
@@ -166,7 +166,8 @@
         loop {
             if let Some(message) = framer.next_message().map_err(|error| error.to_string())? {
                 self.count_buffered(framer.buffered_bytes())?;
-                let text = String::from_utf8(message).map_err(|_| "a message is no UTF-8".to_owned())?;
+                let text =
+                    String::from_utf8(message).map_err(|_| "a message is not valid UTF-8".to_owned())?;
                 return Ok(Some(Incoming::Message(text)));
             }
             self.count_buffered(framer.buffered_bytes())?;
@@ -198,7 +199,7 @@
         let others = total.fetch_sub(self.buffered_bytes, Ordering::SeqCst) - self.buffered_bytes;
         self.buffered_bytes = 0;
         if others + bytes > MAX_BUFFERED_BYTES && bytes > READ_BUFFER_BYTES {
-            return Err("there is no room for a message as long as this one".to_owned());
+            return Err("the limit on buffered bytes of all sessions is reached".to_owned());
         }
         total.fetch_add(bytes, Ordering::SeqCst);
         self.buffered_bytes = bytes;
@@ -206,10 +207,12 @@
     }
 
     fn handle_hello(&mut self, first: &Incoming) -> Result<(), String> {
-        let Incoming::Message(text) = first else { return Err("no hello came".to_owned()) };
-        let hello = parse(text).map_err(|error| format!("the hello can't be read: {error}"))?;
+        let Incoming::Message(text) = first else {
+            return Err("the first message is not a hello".to_owned());
+        };
+        let hello = parse(text).map_err(|error| format!("the hello is not valid XML: {error}"))?;
         if hello.name != "hello" || hello.ns != BASE || hello.child("session-id").is_some() {
-            return Err("the first message is no hello of a manager's".to_owned());
+            return Err("the first message is not a client hello".to_owned());
         }
         let capabilities = hello.child("capabilities");
         let has = |name: &str| {
@@ -218,7 +221,7 @@
         if has(BASE_1_1) {
             self.framing = Framing::Chunked;
         } else if !has(BASE_1_0) {
-            return Err("the manager knows neither version 1.0 nor 1.1".to_owned());
+            return Err("the client supports neither NETCONF 1.0 nor 1.1".to_owned());
         }
         if has(PRIVATE_CANDIDATE) {
             let _ = self.hub.with_store(|store| store.use_private_candidate(self.id));
@@ -262,6 +265,6 @@
     match written.await {
         Ok(Ok(())) => Ok(()),
         Ok(Err(error)) => Err(error.to_string()),
-        Err(_) => Err(format!("the manager took nothing for {WRITE_TIMEOUT:?}")),
+        Err(_) => Err(format!("timed out after {WRITE_TIMEOUT:?} writing to the client")),
     }
 }
--- a/crates/edges/managed/src/netconf/session/operations.rs
+++ b/crates/edges/managed/src/netconf/session/operations.rs
@@ -165,7 +165,7 @@
     fn lock(&self, datastore: Datastore) -> Reply {
         let locked = self.hub.with_store(|store| store.lock(self.id, datastore));
         locked.map_err(|error| RpcError::of_store_error(&self.schema, &error, true))?;
-        tracing::info!(target: LOG_TARGET, session = self.id, "locks {datastore:?}");
+        tracing::info!(target: LOG_TARGET, session = self.id, "locked {datastore:?}");
         Ok(String::new())
     }
 
--- a/crates/edges/managed/src/start.rs
+++ b/crates/edges/managed/src/start.rs
@@ -110,14 +110,14 @@
 impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            StartError::Model(what) => write!(f, "the front's model: {what}"),
-            StartError::Disk(error) => write!(f, "state: {error}"),
-            StartError::Log(error) => write!(f, "the state's log: {error}"),
+            StartError::Model(what) => write!(f, "the front's YANG model: {what}"),
+            StartError::Disk(error) => write!(f, "can't open the log: {error}"),
+            StartError::Log(error) => write!(f, "can't write to the log: {error}"),
             StartError::Listen(address, error) => write!(f, "can't listen on {address}: {error}"),
             StartError::DesiredState(what) => {
-                write!(f, "the state that was kept does not fit the deployment: {what}")
+                write!(f, "the stored configuration does not match the deployment: {what}")
             }
-            StartError::Key(what) => write!(f, "key: {what}"),
+            StartError::Key(what) => write!(f, "NETCONF host key: {what}"),
             StartError::Thread(error) => write!(f, "can't start a thread: {error}"),
         }
     }
@@ -134,7 +134,7 @@
 ) -> Result<Started, StartError> {
     let schema = Arc::new(Schema::front().map_err(|error| StartError::Model(error.to_string()))?);
     let reader = DesiredStateReader::new(&schema, names.clone())
-        .ok_or_else(|| StartError::Model("it lacks pools or service groups".to_owned()))?;
+        .ok_or_else(|| StartError::Model("the nodes of pools or service groups are missing".to_owned()))?;
     let (mut disk, mut store) = open_store(&config, &schema)?;
     commit_at_start(&config, &schema, &mut disk, &mut store)?;
     let desired = reader.read(&schema, &store.running().tree).map_err(|faults| {
@@ -203,7 +203,7 @@
         if let Some(disk) = disk {
             disk.append(&Record::commit(schema, &plan)).map_err(StartError::Log)?;
         }
-        tracing::info!(commit = plan.version.number, "at the start: {}", plan.version.cause);
+        tracing::info!(commit = plan.version.number, "commit at startup: {}", plan.version.cause);
         store.finish_commit(plan);
     }
     Ok(())
@@ -241,7 +241,7 @@
             let serve = gnmi::serve(hub.clone(), listener, tls, self.users.clone(), self.subscriptions);
             tokio::spawn(async move {
                 if let Err(error) = serve.await {
-                    tracing::error!("gNMI ends: {error}");
+                    tracing::error!("gNMI server stopped: {error}");
                 }
             });
         }
@@ -249,7 +249,7 @@
             let serve = netconf::serve(hub.clone(), listener, key, self.users, self.subscriptions);
             tokio::spawn(async move {
                 if let Err(error) = serve.await {
-                    tracing::error!("NETCONF ends: {error}");
+                    tracing::error!("NETCONF server stopped: {error}");
                 }
             });
         }
--- a/crates/edges/netconf/src/frames.rs
+++ b/crates/edges/netconf/src/frames.rs
@@ -27,8 +27,8 @@
 impl fmt::Display for FramingError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            FramingError::MessageTooLong => "a message is too long",
-            FramingError::BadChunk => "chunks are not framed as RFC 6242 has it",
+            FramingError::MessageTooLong => "message exceeds the length limit",
+            FramingError::BadChunk => "malformed chunk framing (RFC 6242)",
         })
     }
 }
