--- a/crates/edges/managed/src/state.rs
+++ b/crates/edges/managed/src/state.rs
@@ -78,25 +78,25 @@
 /// Collects the fields of a container or a list entry by their names in the schema.
 struct FieldsBuilder<'a> {
     schema: &'a Schema,
-    holder: NodeId,
+    parent: NodeId,
     fields: Fields,
 }
 
 impl<'a> FieldsBuilder<'a> {
-    fn new(schema: &'a Schema, holder: NodeId) -> FieldsBuilder<'a> {
-        FieldsBuilder { schema, holder, fields: Fields::new() }
+    fn new(schema: &'a Schema, parent: NodeId) -> FieldsBuilder<'a> {
+        FieldsBuilder { schema, parent, fields: Fields::new() }
     }
 
     /// Adds a leaf; ignored if the schema has no such node.
     fn leaf(&mut self, name: &str, value: impl ToString) {
-        if let Some(id) = self.schema.child(Some(self.holder), name) {
+        if let Some(id) = self.schema.child(Some(self.parent), name) {
             self.fields.insert(id, Node::Leaf(value.to_string().into()));
         }
     }
 
     /// Adds a list; entries that lack a key are left out, and so is an empty list.
     fn list(&mut self, name: &str, entries: impl Iterator<Item = Fields>) {
-        let Some(id) = self.schema.child(Some(self.holder), name) else { return };
+        let Some(id) = self.schema.child(Some(self.parent), name) else { return };
         let keys = self.schema.keys(id);
         let mut keyed: BTreeMap<Vec<Text>, Arc<Fields>> = BTreeMap::new();
         for entry in entries {
@@ -114,8 +114,8 @@
     }
 
     /// A builder for a child node; None if the schema has no such node.
-    fn within(&self, name: &str) -> Option<FieldsBuilder<'a>> {
-        Some(FieldsBuilder::new(self.schema, self.schema.child(Some(self.holder), name)?))
+    fn child(&self, name: &str) -> Option<FieldsBuilder<'a>> {
+        Some(FieldsBuilder::new(self.schema, self.schema.child(Some(self.parent), name)?))
     }
 }
 
@@ -146,7 +146,7 @@
     state.leaf("name", sources.front);
     state.leaf("up", sources.uptime.as_millis());
     state.leaf("version", store.running().number);
-    if let Some(bytes) = resident() {
+    if let Some(bytes) = resident_bytes() {
         state.leaf("resident-bytes", bytes);
     }
     if let Some(snapshot) = sources.snapshot {
@@ -168,18 +168,18 @@
     if selection.commits {
         commits(&mut state, sources);
     }
-    if let (Some(pending), Some(mut confirm)) = (store.pending(), state.within("confirm")) {
+    if let (Some(pending), Some(mut confirm)) = (store.pending(), state.child("confirm")) {
         confirm.leaf("version", store.running().number);
         confirm.leaf("left", pending.deadline.saturating_sub(sources.now).as_millis());
-        state.fields.insert(confirm.holder, Node::Container(Arc::new(confirm.fields)));
+        state.fields.insert(confirm.parent, Node::Container(Arc::new(confirm.fields)));
     }
     state.fields
 }
 
 fn sessions(state: &mut FieldsBuilder, sources: &Sources) {
-    let Some(list) = state.within("session") else { return };
+    let Some(list) = state.child("session") else { return };
     let entries = sources.store.sessions().iter().map(|(id, session)| {
-        let mut entry = FieldsBuilder::new(list.schema, list.holder);
+        let mut entry = FieldsBuilder::new(list.schema, list.parent);
         entry.leaf("id", id);
         entry.leaf("user", &session.user);
         entry.leaf("protocol", session.protocol.name());
@@ -190,9 +190,9 @@
 }
 
 fn commits(state: &mut FieldsBuilder, sources: &Sources) {
-    let Some(list) = state.within("commit") else { return };
+    let Some(list) = state.child("commit") else { return };
     let entries = sources.store.history().map(|version| {
-        let mut entry = FieldsBuilder::new(list.schema, list.holder);
+        let mut entry = FieldsBuilder::new(list.schema, list.parent);
         entry.leaf("version", version.number);
         entry.leaf("at", version.committed_at_ms);
         entry.leaf("user", &version.author.user);
@@ -205,9 +205,9 @@
 }
 
 fn counters(state: &mut FieldsBuilder, snapshot: &Snapshot) {
-    let Some(list) = state.within("counter") else { return };
+    let Some(list) = state.child("counter") else { return };
     let entries = snapshot.counters.iter().map(|counted| {
-        let mut entry = FieldsBuilder::new(list.schema, list.holder);
+        let mut entry = FieldsBuilder::new(list.schema, list.parent);
         let class = counted.request_class.and_then(|class| snapshot.request_classes.get(class));
         entry.leaf("name", counted.counter);
         entry.leaf("service-group", class.map_or("-", |name| name));
@@ -218,14 +218,14 @@
 }
 
 fn engines(state: &mut FieldsBuilder, sources: &Sources, snapshot: &Snapshot) {
-    let Some(list) = state.within("engine") else { return };
+    let Some(list) = state.child("engine") else { return };
     let name = |names: &[String], number: u32| match names.get(number as usize) {
         Some(name) => name.clone(),
         None => number.to_string(),
     };
     let entries = snapshot.engines.iter().map(|engine| {
         let listed = &engine.endpoint.entry;
-        let mut entry = FieldsBuilder::new(list.schema, list.holder);
+        let mut entry = FieldsBuilder::new(list.schema, list.parent);
         entry.leaf("id", format!("{:08x}", listed.engine));
         if let Some(address) = engine.address {
             entry.leaf("address", address);
@@ -265,7 +265,7 @@
 }
 
 /// The resident memory of the process in bytes; None if `/proc/self/statm` can't be read.
-fn resident() -> Option<u64> {
+fn resident_bytes() -> Option<u64> {
     let statm = std::fs::read_to_string("/proc/self/statm").ok()?;
     statm.split_whitespace().nth(1)?.parse::<u64>().ok().map(|pages| pages * PAGE_BYTES)
 }
--- a/crates/edges/netconf/src/data.rs
+++ b/crates/edges/netconf/src/data.rs
@@ -42,15 +42,15 @@
 }
 
 /// The schema node of an element below a parent node. Fails if the namespace or the name is unknown.
-pub(crate) fn child_of(schema: &Schema, holder: Option<NodeId>, element: &Element) -> Result<NodeId, Fault> {
-    let at = holder.map(|id| path(schema, id)).unwrap_or_default();
+pub(crate) fn child_of(schema: &Schema, parent: Option<NodeId>, element: &Element) -> Result<NodeId, Fault> {
+    let at = parent.map(|id| path(schema, id)).unwrap_or_default();
     let shown = format!("{at}/{}", element.name.chars().take(MAX_SHOWN_CHARACTERS).collect::<String>());
     // An element without a namespace is accepted as one of the schema's, because many tools send it so.
     if !element.ns.is_empty() && element.ns != schema.namespace && element.ns != BASE {
         let what = format!("the namespace here is '{}'", schema.namespace);
         return Err(Fault::new(FaultKind::UnknownNamespace, shown, what));
     }
-    let found = schema.child(holder, &element.name);
+    let found = schema.child(parent, &element.name);
     found.ok_or_else(|| Fault::new(FaultKind::UnknownElement, shown, "there is no such node"))
 }
 
@@ -77,12 +77,12 @@
 }
 
 /// The fields that an element's children set below a schema node. Fails if they don't fit the schema.
-pub fn from_xml(schema: &Schema, holder: Option<NodeId>, element: &Element) -> Result<Arc<Fields>, Fault> {
+pub fn from_xml(schema: &Schema, parent: Option<NodeId>, element: &Element) -> Result<Arc<Fields>, Fault> {
     let mut fields = Fields::new();
     let mut lists: BTreeMap<NodeId, BTreeMap<Vec<Text>, Arc<Fields>>> = BTreeMap::new();
     let mut members: BTreeMap<NodeId, BTreeSet<Text>> = BTreeMap::new();
     for child in &element.children {
-        let id = child_of(schema, holder, child)?;
+        let id = child_of(schema, parent, child)?;
         let twice = || Fault::new(FaultKind::BadElement, path(schema, id), "stands twice");
         match &schema.node(id).kind {
             NodeKind::Leaf { .. } => {
--- a/crates/edges/netconf/src/operation.rs
+++ b/crates/edges/netconf/src/operation.rs
@@ -267,8 +267,8 @@
     datastore_in(required(element, name)?)
 }
 
-fn datastore_in(holder: &Element) -> Result<Datastore, RpcError> {
-    let child = holder.children.first();
+fn datastore_in(parent: &Element) -> Result<Datastore, RpcError> {
+    let child = parent.children.first();
     match child.map(|child| child.name.as_str()) {
         Some("running") => Ok(Datastore::Running),
         Some("candidate") => Ok(Datastore::Candidate),
@@ -277,14 +277,14 @@
             let what = format!("'{other}' can't be meant here; running, candidate and startup can");
             Err(RpcError::element(ErrorTag::OperationNotSupported, other, what))
         }
-        None => Err(RpcError::element(ErrorTag::MissingElement, &holder.name, "no datastore is named")),
+        None => Err(RpcError::element(ErrorTag::MissingElement, &parent.name, "no datastore is named")),
     }
 }
 
 fn source(element: &Element) -> Result<ConfigSource, RpcError> {
-    let holder = required(element, "source")?;
-    match holder.child("config") {
+    let parent = required(element, "source")?;
+    match parent.child("config") {
         Some(config) => Ok(ConfigSource::Inline(Box::new(config.clone()))),
-        None => datastore_in(holder).map(ConfigSource::Datastore),
+        None => datastore_in(parent).map(ConfigSource::Datastore),
     }
 }
