--- a/crates/edges/netconf/src/data.rs
+++ b/crates/edges/netconf/src/data.rs
@@ -83,30 +83,30 @@
     let mut members: BTreeMap<NodeId, BTreeSet<Text>> = BTreeMap::new();
     for child in &element.children {
         let id = child_of(schema, parent, child)?;
-        let twice = || Fault::new(FaultKind::BadElement, path(schema, id), "stands twice");
+        let duplicate = || Fault::new(FaultKind::BadElement, path(schema, id), "stands twice");
         match &schema.node(id).kind {
             NodeKind::Leaf { .. } => {
                 let value = leaf(schema, id, child)?;
                 if fields.insert(id, Node::Leaf(value)).is_some() {
-                    return Err(twice());
+                    return Err(duplicate());
                 }
             }
             NodeKind::LeafList { .. } => {
                 if !members.entry(id).or_default().insert(leaf(schema, id, child)?) {
-                    return Err(twice());
+                    return Err(duplicate());
                 }
             }
             NodeKind::List { .. } => {
                 let keys = keys(schema, id, child)?;
                 let entry = from_xml(schema, Some(id), child)?;
                 if lists.entry(id).or_default().insert(keys, entry).is_some() {
-                    return Err(twice());
+                    return Err(duplicate());
                 }
             }
             NodeKind::Container | NodeKind::Notification => {
                 let inner = from_xml(schema, Some(id), child)?;
                 if fields.insert(id, Node::Container(inner)).is_some() {
-                    return Err(twice());
+                    return Err(duplicate());
                 }
             }
         }
--- a/crates/edges/netconf/src/edits.rs
+++ b/crates/edges/netconf/src/edits.rs
@@ -19,14 +19,14 @@
     config: &Element,
     default: DefaultOperation,
 ) -> Result<Vec<Edit>, Fault> {
-    let mut pass = Pass { schema, tree, edits: Vec::new() };
+    let mut collector = EditCollector { schema, tree, edits: Vec::new() };
     let op = match default {
         DefaultOperation::Merge => Some(Op::Merge),
         DefaultOperation::Replace => Some(Op::Replace),
         DefaultOperation::None => None,
     };
-    pass.children(&mut Place::new(), config, op)?;
-    let mut edits = pass.edits;
+    collector.collect_children(&mut Place::new(), config, op)?;
+    let mut edits = collector.edits;
     if default == DefaultOperation::Replace {
         // `replace` also deletes the nodes that the config doesn't contain, so the first edit replaces the whole tree.
         let value = Some(Node::Container(from_xml(schema, None, config)?));
@@ -37,25 +37,30 @@
 }
 
 /// Collects edits while walking a `config` element.
-struct Pass<'a> {
+struct EditCollector<'a> {
     schema: &'a Schema,
     tree: &'a Tree,
     edits: Vec<Edit>,
 }
 
-impl Pass<'_> {
-    fn children(&mut self, place: &mut Place, element: &Element, op: Option<Op>) -> Result<(), Fault> {
+impl EditCollector<'_> {
+    fn collect_children(
+        &mut self,
+        place: &mut Place,
+        element: &Element,
+        op: Option<Op>,
+    ) -> Result<(), Fault> {
         for child in &element.children {
             let parent = place.last().map(|segment| segment.node);
             let id = child_of(self.schema, parent, child)?;
             place.push(Segment { node: id, keys: None });
-            self.node(place, id, child, op)?;
+            self.collect_node(place, id, child, op)?;
             place.pop();
         }
         Ok(())
     }
 
-    fn node(
+    fn collect_node(
         &mut self,
         place: &mut Place,
         id: NodeId,
@@ -78,12 +83,12 @@
             }
             NodeKind::List { .. } => {
                 set_keys(place, keys(self.schema, id, element)?);
-                self.entry(place, id, element, op)
+                self.collect_entry(place, id, element, op)
             }
             NodeKind::Container | NodeKind::Notification if is_merged(op) => {
-                self.children(place, element, op)
+                self.collect_children(place, element, op)
             }
-            NodeKind::Container | NodeKind::Notification => self.whole(place, id, element, op),
+            NodeKind::Container | NodeKind::Notification => self.push_whole(place, id, element, op),
         }
     }
 
@@ -110,7 +115,7 @@
     }
 
     /// Adds the edits of a list entry: one for the whole entry, or one that creates it and then those of its children.
-    fn entry(
+    fn collect_entry(
         &mut self,
         place: &mut Place,
         id: NodeId,
@@ -118,18 +123,24 @@
         op: Option<Op>,
     ) -> Result<(), Fault> {
         if !is_merged(op) {
-            return self.whole(place, id, element, op);
+            return self.push_whole(place, id, element, op);
         }
         self.push(op, place, Some(Node::Container(Arc::default())))?;
         let schema = self.schema;
-        let is_no_key =
+        let is_non_key =
             |child: &&Element| schema.keys(id).iter().all(|key| schema.node(*key).name != child.name);
-        let children = element.children.iter().filter(is_no_key).cloned().collect();
-        self.children(place, &Element { children, ..Element::default() }, op)
+        let children = element.children.iter().filter(is_non_key).cloned().collect();
+        self.collect_children(place, &Element { children, ..Element::default() }, op)
     }
 
     /// Adds one edit for a whole container or list entry.
-    fn whole(&mut self, place: &Place, id: NodeId, element: &Element, op: Option<Op>) -> Result<(), Fault> {
+    fn push_whole(
+        &mut self,
+        place: &Place,
+        id: NodeId,
+        element: &Element,
+        op: Option<Op>,
+    ) -> Result<(), Fault> {
         let value = match op {
             Some(Op::Delete | Op::Remove) => None,
             _ => Some(Node::Container(from_xml(self.schema, Some(id), element)?)),
--- a/crates/edges/netconf/src/filter.rs
+++ b/crates/edges/netconf/src/filter.rs
@@ -35,7 +35,7 @@
         let id = schema.child(parent, &element.name);
         let Some((id, node)) = id.and_then(|id| Some((id, fields.get(&id)?))) else { continue };
         if let Some(part) = filter_node(schema, id, node, element) {
-            add(&mut selected, id, part);
+            merge_selected(&mut selected, id, part);
         }
     }
     Some(selected)
@@ -84,7 +84,7 @@
 
 /// Merges the part that one filter element selects into `selected`: several elements may select parts of the same
 /// container or list.
-fn add(selected: &mut Fields, id: NodeId, part: Node) {
+fn merge_selected(selected: &mut Fields, id: NodeId, part: Node) {
     match (selected.get_mut(&id), part) {
         (Some(Node::List(entries)), Node::List(more)) => {
             let entries = Arc::make_mut(entries);
--- a/crates/edges/netconf/src/frames.rs
+++ b/crates/edges/netconf/src/frames.rs
@@ -79,12 +79,12 @@
     /// Removes and returns the next complete message, if there is one.
     pub fn next_message(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
         match self.framing {
-            Framing::EndOfMessage => self.next_marked(),
+            Framing::EndOfMessage => self.next_delimited(),
             Framing::Chunked => self.next_chunked(),
         }
     }
 
-    fn next_marked(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
+    fn next_delimited(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
         let found = self.bytes[self.searched..]
             .windows(END_OF_MESSAGE.len())
             .position(|window| window == END_OF_MESSAGE);
--- a/crates/edges/netconf/src/xml.rs
+++ b/crates/edges/netconf/src/xml.rs
@@ -63,11 +63,13 @@
     reader.config_mut().check_end_names = true;
     let mut document = Document::default();
     loop {
-        let (ns, event) = reader.read_resolved_event().map_err(|error| wrong(&error.to_string()))?;
+        let (ns, event) = reader.read_resolved_event().map_err(|error| malformed(&error.to_string()))?;
         let ns = match ns {
             ResolveResult::Bound(ns) => ns.as_ref().to_string(),
             ResolveResult::Unbound => String::new(),
-            ResolveResult::Unknown(prefix) => return Err(wrong(&format!("prefix '{prefix}' is not bound"))),
+            ResolveResult::Unknown(prefix) => {
+                return Err(malformed(&format!("prefix '{prefix}' is not bound")));
+            }
         };
         match event {
             Event::Start(start) => {
@@ -85,21 +87,22 @@
             Event::Text(text) => document.text(&text)?,
             Event::CData(text) => document.push_text(&text.xml_content(XmlVersion::Implicit1_0)),
             Event::GeneralRef(name) => {
-                let character = character_of(&name).ok_or_else(|| wrong("an entity is not known"))?;
+                let character =
+                    resolve_reference(&name).ok_or_else(|| malformed("an entity is not known"))?;
                 document.push_text(character.encode_utf8(&mut [0; 4]));
             }
-            Event::DocType(_) => return Err(wrong("a document type is not taken")),
+            Event::DocType(_) => return Err(malformed("a document type is not taken")),
             Event::Decl(_) | Event::Comment(_) | Event::PI(_) => {}
             Event::Eof => break,
         }
     }
     match document.root {
         Some(root) if document.open.is_empty() => Ok(root),
-        _ => Err(wrong("it ends in the middle of an element")),
+        _ => Err(malformed("it ends in the middle of an element")),
     }
 }
 
-fn wrong(what: &str) -> Malformed {
+fn malformed(what: &str) -> Malformed {
     Malformed(what.to_owned())
 }
 
@@ -117,14 +120,14 @@
     /// Counts an element; fails if it is outside the root element or exceeds a limit.
     fn check_start(&mut self, start: &BytesStart) -> Result<(), Malformed> {
         if self.root.is_some() && self.open.is_empty() {
-            return Err(wrong(&format!("element '{}' stands after the end", start.name().as_ref())));
+            return Err(malformed(&format!("element '{}' stands after the end", start.name().as_ref())));
         }
         self.elements += 1;
         if self.open.len() >= MAX_DEPTH {
-            return Err(wrong("elements are nested too deeply"));
+            return Err(malformed("elements are nested too deeply"));
         }
         if self.elements > MAX_ELEMENTS {
-            return Err(wrong("there are too many elements"));
+            return Err(malformed("there are too many elements"));
         }
         Ok(())
     }
@@ -141,7 +144,7 @@
         match self.open.last_mut() {
             Some(element) => element.text.push_str(&text.xml_content(XmlVersion::Implicit1_0)),
             None if text.trim().is_empty() => {}
-            None => return Err(wrong("text stands outside of the element")),
+            None => return Err(malformed("text stands outside of the element")),
         }
         Ok(())
     }
@@ -157,27 +160,27 @@
 fn element_of(reader: &NsReader<&[u8]>, start: &BytesStart, ns: String) -> Result<Element, Malformed> {
     let mut element = Element { ns, name: start.local_name().as_ref().to_string(), ..Element::default() };
     for attribute in start.attributes() {
-        let attribute = attribute.map_err(|error| wrong(&error.to_string()))?;
+        let attribute = attribute.map_err(|error| malformed(&error.to_string()))?;
         let key = attribute.key;
         if key.as_namespace_binding().is_some() {
             continue;
         }
         if element.attributes.len() >= MAX_ATTRIBUTES {
-            return Err(wrong("there are too many attributes"));
+            return Err(malformed("there are too many attributes"));
         }
         let ns = match reader.resolver().resolve_attribute(key).0 {
             ResolveResult::Bound(ns) => ns.as_ref().to_string(),
             _ => String::new(),
         };
         let value = attribute.normalized_value(XmlVersion::Implicit1_0);
-        let value = value.map_err(|error| wrong(&error.to_string()))?.into_owned();
+        let value = value.map_err(|error| malformed(&error.to_string()))?.into_owned();
         element.attributes.push((ns, key.local_name().as_ref().to_string(), value));
     }
     Ok(element)
 }
 
 /// Resolves a numeric character reference or one of the five predefined entities of XML.
-fn character_of(name: &BytesRef) -> Option<char> {
+fn resolve_reference(name: &BytesRef) -> Option<char> {
     match name.resolve_char_ref() {
         Ok(Some(character)) => Some(character),
         Ok(None) => match &*name.xml_content(XmlVersion::Implicit1_0) {
