--- a/crates/edges/managed/src/gnmi/get.rs
+++ b/crates/edges/managed/src/gnmi/get.rs
@@ -1,6 +1,6 @@
 //! The Get call: returns one notification for each path, from the current tree.
 
-use super::paths::{from_place, shown, to_patterns};
+use super::paths::{from_place, pattern_text, to_patterns};
 use super::proto::gnmi::get_request::DataType;
 use super::proto::gnmi::*;
 use super::values::{encoding, json_value, typed, unix_ns};
@@ -80,7 +80,7 @@
 ) -> Result<Update, Status> {
     let default = pattern.last().and_then(|last| Some((last, schema.default_of(last.node)?)));
     let Some((last, default)) = default.filter(|_| config) else {
-        return Err(Status::not_found(format!("nothing is set at {}", shown(schema, pattern))));
+        return Err(Status::not_found(format!("nothing is set at {}", pattern_text(schema, pattern))));
     };
     let value = lemonusher_watch::Value::Leaf(default.into());
     let val = Some(typed(schema, last.node, &value, encoding));
--- a/crates/edges/managed/src/gnmi/paths.rs
+++ b/crates/edges/managed/src/gnmi/paths.rs
@@ -36,7 +36,7 @@
 }
 
 /// A pattern as text, without its wildcard keys.
-pub(super) fn shown(schema: &Schema, pattern: &Pattern) -> String {
+pub(super) fn pattern_text(schema: &Schema, pattern: &Pattern) -> String {
     let place: Place = pattern
         .iter()
         .map(|step| Segment {
--- a/crates/edges/managed/src/gnmi/subscribe.rs
+++ b/crates/edges/managed/src/gnmi/subscribe.rs
@@ -119,7 +119,7 @@
     let encoding = encoding(list.encoding)?;
     let mode =
         ListMode::try_from(list.mode).map_err(|_| Status::invalid_argument("the mode is not known"))?;
-    let watched = watched(&schema, &list)?;
+    let watched = watch_subscriptions(&schema, &list)?;
     let patterns: Vec<Pattern> = watched.iter().flat_map(|one| one.patterns.iter().cloned()).collect();
     let count = watched.len();
     let guard = subscriptions.open(&grant, count)?;
@@ -148,7 +148,7 @@
 }
 
 /// Converts a subscription list to the subscriptions of a [`Watch`].
-fn watched(schema: &Schema, list: &SubscriptionList) -> Result<Vec<watch::Subscription>, Status> {
+fn watch_subscriptions(schema: &Schema, list: &SubscriptionList) -> Result<Vec<watch::Subscription>, Status> {
     if list.subscription.is_empty() || list.subscription.len() > MAX_SUBSCRIPTIONS_PER_CALL {
         return Err(Status::invalid_argument(format!(
             "1 to {MAX_SUBSCRIPTIONS_PER_CALL} subscriptions are taken"
@@ -157,12 +157,12 @@
     let mut watched = Vec::new();
     for subscription in &list.subscription {
         let patterns = to_patterns(schema, list.prefix.as_ref(), subscription.path.as_ref())?;
-        watched.push(watched_subscription(schema, subscription, patterns)?);
+        watched.push(watch_subscription(schema, subscription, patterns)?);
     }
     Ok(watched)
 }
 
-fn watched_subscription(
+fn watch_subscription(
     schema: &Schema,
     subscription: &Subscription,
     patterns: Vec<Pattern>,
--- a/crates/edges/managed/src/hub.rs
+++ b/crates/edges/managed/src/hub.rs
@@ -68,15 +68,15 @@
     requests: Sender<ManagementCall>,
     started_at: Instant,
     freshness: Duration,
-    latest_snapshot: tokio::sync::Mutex<Option<TakenSnapshot>>,
+    cached_snapshot: tokio::sync::Mutex<Option<CachedSnapshot>>,
     events: broadcast::Sender<ManagementEvent>,
     /// Notified when the deadline of a confirmed commit may have changed.
     timeout_changed: Notify,
 }
 
 /// A snapshot of the request router's state, and when it was taken.
-struct TakenSnapshot {
-    at: Instant,
+struct CachedSnapshot {
+    taken_at: Instant,
     snapshot: Arc<Snapshot>,
 }
 
@@ -93,7 +93,7 @@
             requests,
             started_at: Instant::now(),
             freshness,
-            latest_snapshot: tokio::sync::Mutex::new(None),
+            cached_snapshot: tokio::sync::Mutex::new(None),
             events: broadcast::Sender::new(MAX_QUEUED_NOTIFICATIONS),
             timeout_changed: Notify::new(),
         })
@@ -202,7 +202,7 @@
                 }
                 CommitAction::Failed(failure) => outcome = Err(failure.to_string()),
                 action => {
-                    if let Some(event) = self.carry_out(action, plan).await {
+                    if let Some(event) = self.perform_action(action, plan).await {
                         actions.extend(commit.handle_event(event));
                     }
                 }
@@ -212,7 +212,7 @@
     }
 
     /// Performs one action of a commit and returns the event that results, if any.
-    async fn carry_out(&self, action: CommitAction, plan: &CommitPlan) -> Option<CommitEvent> {
+    async fn perform_action(&self, action: CommitAction, plan: &CommitPlan) -> Option<CommitEvent> {
         let version = &plan.version;
         match action {
             CommitAction::Prepare(part) => {
@@ -325,9 +325,9 @@
     /// The request router's state, no older than `freshness`; None if the router doesn't reply within
     /// [`PART_TIMEOUT`].
     async fn snapshot(&self) -> Option<Arc<Snapshot>> {
-        let mut latest = self.latest_snapshot.lock().await;
-        if let Some(TakenSnapshot { at, snapshot }) = &*latest
-            && at.elapsed() < self.freshness
+        let mut cached = self.cached_snapshot.lock().await;
+        if let Some(CachedSnapshot { taken_at, snapshot }) = &*cached
+            && taken_at.elapsed() < self.freshness
         {
             return Some(snapshot.clone());
         }
@@ -335,7 +335,7 @@
         self.requests.send(ManagementCall::Read { reply }).await.ok()?;
         let snapshot = tokio::time::timeout(PART_TIMEOUT, answer.recv()).await.ok()?.ok()?;
         let snapshot = Arc::new(snapshot);
-        *latest = Some(TakenSnapshot { at: Instant::now(), snapshot: snapshot.clone() });
+        *cached = Some(CachedSnapshot { taken_at: Instant::now(), snapshot: snapshot.clone() });
         Some(snapshot)
     }
 
--- a/crates/edges/managed/src/netconf/session.rs
+++ b/crates/edges/managed/src/netconf/session.rs
@@ -126,13 +126,13 @@
         let our_hello = hello(&capabilities(&self.schema), self.id);
         write(&mut writer, Framing::EndOfMessage, &our_hello).await?;
         let mut framer = Framer::new(MAX_MESSAGE_BYTES);
-        let first = tokio::time::timeout(HELLO_TIMEOUT, self.next(&mut reader, &mut framer)).await;
+        let first = tokio::time::timeout(HELLO_TIMEOUT, self.next_incoming(&mut reader, &mut framer)).await;
         let first = first.map_err(|_| "timed out waiting for the client's hello".to_owned())??;
         let Some(first) = first else { return Ok(()) };
         self.handle_hello(&first)?;
         framer.set_framing(self.framing);
         loop {
-            let Some(incoming) = self.next(&mut reader, &mut framer).await? else { return Ok(()) };
+            let Some(incoming) = self.next_incoming(&mut reader, &mut framer).await? else { return Ok(()) };
             match incoming {
                 Incoming::Message(text) => {
                     let (answer, after) = self.handle_message(&text).await;
@@ -157,7 +157,7 @@
 
     /// Receives the next message or, for a session with a subscription, the next event. None once the client has
     /// closed the channel.
-    async fn next(
+    async fn next_incoming(
         &mut self,
         reader: &mut (impl AsyncRead + Unpin),
         framer: &mut Framer,
@@ -240,7 +240,7 @@
             Operation::CloseSession => AfterReply::Close,
             _ => AfterReply::Continue,
         };
-        let answer = self.operate(rpc.operation).await;
+        let answer = self.execute(rpc.operation).await;
         (reply(&rpc.attributes, &answer), after)
     }
 }
--- a/crates/edges/managed/src/netconf/session/operations.rs
+++ b/crates/edges/managed/src/netconf/session/operations.rs
@@ -32,7 +32,7 @@
 }
 
 impl Session {
-    pub(super) async fn operate(&mut self, operation: Operation) -> Reply {
+    pub(super) async fn execute(&mut self, operation: Operation) -> Reply {
         if is_write(&operation) && !self.grant.may_write {
             let what = format!("user {} may only read", self.grant.user);
             return Err(vec![RpcError::protocol(ErrorTag::AccessDenied, what)]);
@@ -61,13 +61,13 @@
     }
 
     /// Converts a store error to the errors of a reply.
-    fn refused(&self, error: StoreError) -> Vec<RpcError> {
+    fn store_errors(&self, error: StoreError) -> Vec<RpcError> {
         RpcError::of_store_error(&self.schema, &error, false)
     }
 
     /// An empty reply, or the errors of a reply for a store error.
-    fn done<T>(&self, result: Result<T, StoreError>) -> Reply {
-        result.map(|_| String::new()).map_err(|error| self.refused(error))
+    fn empty_reply<T>(&self, result: Result<T, StoreError>) -> Reply {
+        result.map(|_| String::new()).map_err(|error| self.store_errors(error))
     }
 
     async fn get(&self, filter: Option<Element>) -> Reply {
@@ -85,7 +85,7 @@
         match target {
             Datastore::Candidate => {
                 let edited = self.hub.with_store(|store| self.edit_candidate(store, &edit));
-                self.done(edited)
+                self.empty_reply(edited)
             }
             Datastore::Running => self.edit_running(edit).await,
             Datastore::Startup => Err(vec![not_supported("startup can only be copied to")]),
@@ -122,7 +122,7 @@
                 (_, plan) => Ok(plan),
             }
         });
-        self.done(committed.await)
+        self.empty_reply(committed.await)
     }
 
     async fn copy_config(&self, target: Datastore, source: ConfigSource) -> Reply {
@@ -132,14 +132,14 @@
         let id = self.id;
         match (target, source) {
             (Datastore::Startup, ConfigSource::Datastore(from)) => {
-                self.done(self.hub.copy_to_startup(id, Some(from)).await)
+                self.empty_reply(self.hub.copy_to_startup(id, Some(from)).await)
             }
             (Datastore::Startup, ConfigSource::Inline(_)) => {
                 Err(vec![not_supported("startup is copied from a datastore")])
             }
             (Datastore::Candidate, source) => {
                 let tree = self.source(source)?;
-                self.done(self.hub.with_store(|store| store.replace_candidate(id, tree)))
+                self.empty_reply(self.hub.with_store(|store| store.replace_candidate(id, tree)))
             }
             (Datastore::Running, source) => {
                 let tree = self.source(source)?;
@@ -148,14 +148,14 @@
                     let edit = Edit { op: Op::Replace, place: Place::new(), value };
                     store.edit_running(id, &[edit], &CommitOptions::default(), now, unix_ms)
                 });
-                self.done(committed.await)
+                self.empty_reply(committed.await)
             }
         }
     }
 
     async fn delete_config(&self, target: Datastore) -> Reply {
         match target {
-            Datastore::Startup => self.done(self.hub.copy_to_startup(self.id, None).await),
+            Datastore::Startup => self.empty_reply(self.hub.copy_to_startup(self.id, None).await),
             Datastore::Running | Datastore::Candidate => {
                 Err(vec![not_supported("only startup can be deleted")])
             }
@@ -170,12 +170,12 @@
     }
 
     fn unlock(&self, datastore: Datastore) -> Reply {
-        self.done(self.hub.with_store(|store| store.unlock(self.id, datastore)))
+        self.empty_reply(self.hub.with_store(|store| store.unlock(self.id, datastore)))
     }
 
     fn validate(&self, source: ConfigSource) -> Reply {
         let tree = self.source(source)?;
-        self.done(self.hub.with_store(|store| store.validate(&tree)))
+        self.empty_reply(self.hub.with_store(|store| store.validate(&tree)))
     }
 
     async fn commit(&self, parameters: CommitParameters) -> Reply {
@@ -183,7 +183,7 @@
         let CommitParameters { confirm_timeout, persist, persist_id, expected_version } = parameters;
         let options = CommitOptions { confirm_timeout, persist, persist_id, expected_version };
         let committed = self.hub.commit(move |store, now, unix_ms| store.commit(id, &options, now, unix_ms));
-        self.done(committed.await)
+        self.empty_reply(committed.await)
     }
 
     async fn cancel_commit(&self, persist_id: Option<String>) -> Reply {
@@ -191,11 +191,11 @@
         let cancelled = self
             .hub
             .commit(move |store, _, unix_ms| store.cancel(id, persist_id.as_deref(), unix_ms).map(Some));
-        self.done(cancelled.await)
+        self.empty_reply(cancelled.await)
     }
 
     fn discard_changes(&self) -> Reply {
-        self.done(self.hub.with_store(|store| store.discard_candidate(self.id)))
+        self.empty_reply(self.hub.with_store(|store| store.discard_candidate(self.id)))
     }
 
     fn kill_session(&self, session: u32) -> Reply {
@@ -245,7 +245,7 @@
 
     fn datastore(&self, datastore: Datastore) -> Result<Tree, Vec<RpcError>> {
         let tree = self.hub.with_store(|store| store.tree(self.id, datastore).cloned());
-        tree.ok_or_else(|| self.refused(StoreError::NoStartup))
+        tree.ok_or_else(|| self.store_errors(StoreError::NoStartup))
     }
 
     fn source(&self, source: ConfigSource) -> Result<Tree, Vec<RpcError>> {
--- a/crates/edges/managed/src/start.rs
+++ b/crates/edges/managed/src/start.rs
@@ -123,14 +123,14 @@
     }
 }
 
-/// Starts the management plane. `level` sets the process's log level; `more` are participants in each commit besides
-/// the request router and the log level.
+/// Starts the management plane. `set_log_level` sets the level of the process's log; `extra_participants` take part in
+/// each commit besides the request router and the log level.
 pub fn start(
     config: ManagementConfig,
     names: Names,
     front: String,
-    level: Arc<dyn Fn(&str) + Send + Sync>,
-    more: Vec<Arc<dyn Part>>,
+    set_log_level: Arc<dyn Fn(&str) + Send + Sync>,
+    extra_participants: Vec<Arc<dyn Part>>,
 ) -> Result<Started, StartError> {
     let schema = Arc::new(Schema::front().map_err(|error| StartError::Model(error.to_string()))?);
     let reader = DesiredStateReader::new(&schema, names.clone())
@@ -141,16 +141,21 @@
         StartError::DesiredState(faults.iter().map(|fault| fault.to_string()).collect::<Vec<_>>().join("; "))
     })?;
     if store.running().number > 0 {
-        level(&desired.log_level);
+        set_log_level(&desired.log_level);
     }
 
     let (requests, router_requests) = async_channel::bounded(MAX_QUEUED_REQUESTS);
     let (notifications, from_router) = async_channel::bounded(MAX_QUEUED_NOTIFICATIONS);
     let mut parts: Vec<Arc<dyn Part>> = vec![
         Arc::new(RouterPart { schema: schema.clone(), reader: reader.clone(), requests: requests.clone() }),
-        Arc::new(LogLevelPart { schema: schema.clone(), reader, set: level, prepared: Mutex::new(None) }),
+        Arc::new(LogLevelPart {
+            schema: schema.clone(),
+            reader,
+            set: set_log_level,
+            prepared: Mutex::new(None),
+        }),
     ];
-    parts.extend(more);
+    parts.extend(extra_participants);
     let freshness = config.freshness;
     let hub = Hub::new(HubSetup { schema, names, front, store, disk, parts, requests, freshness });
 
