--- a/crates/edges/managed/src/hub.rs
+++ b/crates/edges/managed/src/hub.rs
@@ -1,4 +1,4 @@
-//! The state that the NETCONF and gNMI servers share: the store, its log, and the participants of a commit. Commits of
+//! The state that the NETCONF and gNMI servers share: the store, its log, and the parts of the front. Commits of
 //! both protocols are serialized. A commit that was started runs to completion, even if its caller is cancelled.
 
 use crate::disk::Disk;
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::{Notify, broadcast};
 
-/// Timeout for a participant's or the request router's reply; a participant that exceeds it counts as lost.
+/// Timeout for a reply of a part or of the request router; a part that exceeds it counts as lost.
 const PART_TIMEOUT: Duration = Duration::from_secs(5);
 /// Delay before a failed revert is retried.
 const REVERT_RETRY_INTERVAL: Duration = Duration::from_millis(200);
@@ -56,7 +56,7 @@
     pub freshness: Duration,
 }
 
-/// The store, its log and the participants of a commit, shared by all sessions.
+/// The store, its log and the parts of the front that a commit involves, shared by all sessions.
 pub struct Hub {
     schema: Arc<Schema>,
     names: Names,
@@ -245,11 +245,11 @@
     fn log_lost_parts(&self, version: &Version, lost: Vec<usize>) {
         for part in lost {
             let part = self.parts[part].name();
-            tracing::error!(commit = version.number, part, "a participant did not confirm activation");
+            tracing::error!(commit = version.number, part, "a part did not confirm activation");
         }
     }
 
-    /// Calls a participant and returns its reply; None if it panicked or exceeded [`PART_TIMEOUT`].
+    /// Calls a part and returns its reply; None if it panicked or exceeded [`PART_TIMEOUT`].
     async fn call_part(
         &self,
         part: usize,
--- a/crates/edges/managed/src/lib.rs
+++ b/crates/edges/managed/src/lib.rs
@@ -1,5 +1,5 @@
 //! The management plane of a front: the configuration store with its write-ahead log, the two-phase commit over the
-//! front's participants, and the gNMI and NETCONF servers for management clients. It runs on its own thread and
+//! parts of the front, and the gNMI and NETCONF servers for management clients. It runs on its own thread and
 //! communicates with the request router only through queues of limited length. Validation, commit rules and change
 //! detection are in the packages without I/O (model, store, desired-state, watch); this package does the I/O for them.
 
--- a/crates/edges/managed/src/parts.rs
+++ b/crates/edges/managed/src/parts.rs
@@ -1,5 +1,5 @@
-//! The participants of the two-phase commit: each prepares a version or declines it; once all have prepared and the
-//! version is logged, all activate it.
+//! The parts of the front, which are the participants in the two-phase commit: each prepares a version or declines it;
+//! once all have prepared and the version is logged, all activate it.
 
 use async_channel::{Sender, bounded};
 use lemonusher_desired_state::DesiredStateReader;
@@ -10,10 +10,10 @@
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// The reply of a participant; an error is the reason why it declined or failed.
+/// The reply of a part; an error is the reason why it declined or failed.
 pub type PartFuture = Pin<Box<dyn Future<Output = Result<(), String>> + Send>>;
 
-/// A participant in the two-phase commit: a component of the front that applies the desired state.
+/// A part of the front that applies the desired state, as a participant in the two-phase commit.
 pub trait Part: Send + Sync {
     /// The name in error messages and in log lines.
     fn name(&self) -> String;
@@ -25,7 +25,7 @@
     fn discard(&self, number: u64) -> PartFuture;
 }
 
-/// The request router as a participant: it applies pools and admission limits.
+/// The request router as a part: it applies pools and admission limits.
 pub(crate) struct RouterPart {
     pub schema: Arc<Schema>,
     pub reader: DesiredStateReader,
@@ -72,7 +72,7 @@
     }
 }
 
-/// The level of the process's log as a participant.
+/// The level of the process's log as a part.
 pub(crate) struct LogLevelPart {
     pub schema: Arc<Schema>,
     pub reader: DesiredStateReader,
--- a/crates/edges/managed/src/start.rs
+++ b/crates/edges/managed/src/start.rs
@@ -123,14 +123,14 @@
     }
 }
 
-/// Starts the management plane. `set_log_level` sets the level of the process's log; `extra_participants` take part in
-/// each commit besides the request router and the log level.
+/// Starts the management plane. `set_log_level` sets the level of the process's log; `extra_parts` are
+/// participants in each commit besides the request router and the log level.
 pub fn start(
     config: ManagementConfig,
     names: Names,
     front: String,
     set_log_level: Arc<dyn Fn(&str) + Send + Sync>,
-    extra_participants: Vec<Arc<dyn Part>>,
+    extra_parts: Vec<Arc<dyn Part>>,
 ) -> Result<Started, StartError> {
     let schema = Arc::new(Schema::front().map_err(|error| StartError::Model(error.to_string()))?);
     let reader = DesiredStateReader::new(&schema, names.clone())
@@ -155,7 +155,7 @@
             prepared: Mutex::new(None),
         }),
     ];
-    parts.extend(extra_participants);
+    parts.extend(extra_parts);
     let freshness = config.freshness;
     let hub = Hub::new(HubSetup { schema, names, front, store, disk, parts, requests, freshness });
 
--- a/crates/edges/managed/tests/parts.rs
+++ b/crates/edges/managed/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Commits whose participants decline or panic in either phase, and commits whose caller is cancelled.
+//! Commits whose parts decline or panic in either phase, and commits whose caller is cancelled.
 
 use lemonusher_managed::{ManagementConfig, Names, Part, PartFuture, Started, Users, start};
 use lemonusher_model::{Node, Op, parse_path};
@@ -19,7 +19,7 @@
     DeclineAtActivate,
 }
 
-/// A participant that fails as configured by `fault`, and records the version of its last calls.
+/// A part that fails as configured by `fault`, and records the version of its last calls.
 struct Failing {
     fault: Mutex<Fault>,
     prepared: AtomicU64,
