--- a/crates/edges/managed/src/hub.rs
+++ b/crates/edges/managed/src/hub.rs
@@ -357,7 +357,7 @@
     }
 
     /// The earlier version that this one restored, if it is a rollback, an expired or a cancelled commit.
-    pub fn is_rollback(version: &Version) -> Option<u64> {
+    pub fn rollback_target(version: &Version) -> Option<u64> {
         match version.cause {
             Cause::RolledBack { to } | Cause::Expired { to } | Cause::Cancelled { to } => Some(to),
             _ => None,
--- a/crates/edges/managed/src/netconf/session/notifications.rs
+++ b/crates/edges/managed/src/netconf/session/notifications.rs
@@ -33,7 +33,7 @@
 }
 
 fn commit_content(version: &Version) -> NotificationContent {
-    match Hub::is_rollback(version) {
+    match Hub::rollback_target(version) {
         Some(to) => NotificationContent {
             name: "rolled-back",
             leaves: vec![
