--- a/crates/edges/managed/src/disk.rs
+++ b/crates/edges/managed/src/disk.rs
@@ -40,7 +40,7 @@
     Io(PathBuf, io::Error),
     /// Another process uses the folder.
     InUse(PathBuf),
-    /// The log is corrupt, or its records don't fit the schema.
+    /// The log is corrupt, or a record doesn't follow from those before it or doesn't fit the schema.
     Recovery(PathBuf, RecoveryError),
 }
 
--- a/crates/edges/managed/src/hub.rs
+++ b/crates/edges/managed/src/hub.rs
@@ -290,7 +290,7 @@
         Ok(())
     }
 
-    /// Reverts confirmed commits whose confirm timeout has expired; never returns.
+    /// Reverts pending confirmed commits whose timeout has expired or that nobody can confirm any more; never returns.
     pub async fn revert_expired_commits(self: Arc<Self>) {
         loop {
             let due = self.core().store.next_timeout();
