--- a/crates/edges/managed/tests/parts.rs
+++ b/crates/edges/managed/tests/parts.rs
@@ -139,7 +139,7 @@
         if fails {
             assert!(matches!(committed, Err(StoreError::Failed(_))), "{fault:?} {committed:?}");
             assert!(after.number == before.number && after.tree == before.tree, "{fault:?}");
-            // The router had prepared but has not activated. Later iterations check that further commits are not blocked.
+            // The router had prepared but has not activated. Later iterations check that this blocks no commits.
             assert_eq!(in_force.load(Ordering::SeqCst), before.number);
             assert_ne!(part.activated.load(Ordering::SeqCst), before.number + 1);
         } else {
