--- a/crates/edges/managed/src/gnmi/subscribe.rs
+++ b/crates/edges/managed/src/gnmi/subscribe.rs
@@ -70,7 +70,7 @@
             self.count.fetch_sub(count, Ordering::SeqCst);
             store_status(&error)
         })?;
-        Ok(SubscriptionGuard { hub: self.hub.clone(), session, all: self.count.clone(), count })
+        Ok(SubscriptionGuard { hub: self.hub.clone(), session, total_count: self.count.clone(), count })
     }
 }
 
@@ -78,13 +78,13 @@
 struct SubscriptionGuard {
     hub: Arc<Hub>,
     session: SessionId,
-    all: Arc<AtomicUsize>,
+    total_count: Arc<AtomicUsize>,
     count: usize,
 }
 
 impl Drop for SubscriptionGuard {
     fn drop(&mut self) {
-        self.all.fetch_sub(self.count, Ordering::SeqCst);
+        self.total_count.fetch_sub(self.count, Ordering::SeqCst);
         self.hub.close_session(self.session);
     }
 }
@@ -355,11 +355,11 @@
     /// client has closed the call.
     async fn send_due(&mut self, tree: &Tree) -> bool {
         // With an empty queue more than it holds may be sent: waiting for space delays this subscriber only.
-        let room = match self.queue.capacity() {
+        let free_updates = match self.queue.capacity() {
             MAX_QUEUED_MESSAGES => usize::MAX,
             free => free.saturating_sub(RESERVED_MESSAGES) * MAX_UPDATES_PER_MESSAGE,
         };
-        for notification in self.watch.poll(self.hub.now(), tree, room) {
+        for notification in self.watch.poll(self.hub.now(), tree, free_updates) {
             if !self.send(notification).await {
                 return false;
             }
@@ -367,7 +367,7 @@
         let lost = self.watch.lost_updates();
         if lost > self.reported_lost {
             self.hub.record_lost_updates(self.guard.session, lost);
-            if room > 0 && self.report_lost(lost) {
+            if free_updates > 0 && self.report_lost(lost) {
                 tracing::warn!(
                     session = self.guard.session,
                     lost,
--- a/crates/edges/managed/src/netconf/mod.rs
+++ b/crates/edges/managed/src/netconf/mod.rs
@@ -43,7 +43,7 @@
     /// Bytes of incomplete messages that are buffered, over all sessions.
     pub buffered_bytes: AtomicUsize,
     /// Number of open subscriptions, over all sessions.
-    pub subscribed: AtomicUsize,
+    pub subscription_count: AtomicUsize,
     /// Maximum number of open subscriptions, over all sessions.
     pub max_subscriptions: usize,
 }
@@ -82,7 +82,7 @@
         users,
         kill_signals: Mutex::default(),
         buffered_bytes: AtomicUsize::new(0),
-        subscribed: AtomicUsize::new(0),
+        subscription_count: AtomicUsize::new(0),
         max_subscriptions,
     });
     let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
--- a/crates/edges/managed/src/netconf/session.rs
+++ b/crates/edges/managed/src/netconf/session.rs
@@ -67,7 +67,7 @@
     fn drop(&mut self) {
         self.server.buffered_bytes.fetch_sub(self.buffered_bytes, Ordering::SeqCst);
         if self.subscription.is_some() {
-            self.server.subscribed.fetch_sub(1, Ordering::SeqCst);
+            self.server.subscription_count.fetch_sub(1, Ordering::SeqCst);
         }
         self.server.kill_signals().remove(&self.id);
         self.hub.close_session(self.id);
--- a/crates/edges/managed/src/netconf/session/operations.rs
+++ b/crates/edges/managed/src/netconf/session/operations.rs
@@ -234,8 +234,8 @@
         if self.subscription.is_some() {
             return Err(vec![RpcError::application(ErrorTag::OperationFailed, "it has subscribed already")]);
         }
-        if self.server.subscribed.fetch_add(1, Ordering::SeqCst) >= self.server.max_subscriptions {
-            self.server.subscribed.fetch_sub(1, Ordering::SeqCst);
+        if self.server.subscription_count.fetch_add(1, Ordering::SeqCst) >= self.server.max_subscriptions {
+            self.server.subscription_count.fetch_sub(1, Ordering::SeqCst);
             let what = "there are as many subscriptions as there may be";
             return Err(vec![RpcError::application(ErrorTag::ResourceDenied, what)]);
         }
--- a/crates/edges/managed/tests/parts.rs
+++ b/crates/edges/managed/tests/parts.rs
@@ -20,14 +20,14 @@
 }
 
 /// A part that fails as configured by `fault`, and records the version of its last calls.
-struct Failing {
+struct FailingPart {
     fault: Mutex<Fault>,
     prepared: AtomicU64,
     activated: AtomicU64,
     discarded: AtomicU64,
 }
 
-impl Part for Failing {
+impl Part for FailingPart {
     fn name(&self) -> String {
         "a failing part".to_owned()
     }
@@ -59,7 +59,7 @@
 }
 
 /// A request router that accepts every commit, and records the active version.
-fn router(requests: async_channel::Receiver<ManagementCall>, in_force: Arc<AtomicU64>) {
+fn spawn_router(requests: async_channel::Receiver<ManagementCall>, in_force: Arc<AtomicU64>) {
     std::thread::spawn(move || {
         let mut prepared = None;
         while let Ok(request) = requests.recv_blocking() {
@@ -80,7 +80,7 @@
     });
 }
 
-fn start_managed(part: Arc<Failing>) -> Started {
+fn start_managed(part: Arc<FailingPart>) -> Started {
     let config = ManagementConfig {
         folder: None,
         history: 10,
@@ -100,7 +100,7 @@
 
 #[tokio::test]
 async fn part_that_fails_at_any_step_leaves_the_old_state_or_the_new_one() {
-    let part = Arc::new(Failing {
+    let part = Arc::new(FailingPart {
         fault: Mutex::new(Fault::None),
         prepared: AtomicU64::new(0),
         activated: AtomicU64::new(0),
@@ -108,7 +108,7 @@
     });
     let started = start_managed(part.clone());
     let in_force = Arc::new(AtomicU64::new(0));
-    router(started.requests.clone(), in_force.clone());
+    spawn_router(started.requests.clone(), in_force.clone());
     let hub = started.hub;
     let session = hub.with_store(|store| store.open_session("x", Protocol::Local)).unwrap();
     let path = parse_path("/front/pool[name=a]/cell").unwrap();
@@ -155,14 +155,14 @@
 /// A dropped commit future must neither abort the commit nor block the commits that follow.
 #[tokio::test]
 async fn commit_completes_when_its_caller_is_dropped() {
-    let part = Arc::new(Failing {
+    let part = Arc::new(FailingPart {
         fault: Mutex::new(Fault::None),
         prepared: AtomicU64::new(0),
         activated: AtomicU64::new(0),
         discarded: AtomicU64::new(0),
     });
     let started = start_managed(part);
-    router(started.requests.clone(), Arc::default());
+    spawn_router(started.requests.clone(), Arc::default());
     let hub = started.hub;
     let session = hub.with_store(|store| store.open_session("x", Protocol::Local)).unwrap();
     let path = parse_path("/front/log-level").unwrap();
--- a/crates/edges/netconf/tests/messages.rs
+++ b/crates/edges/netconf/tests/messages.rs
@@ -76,11 +76,11 @@
 
 #[test]
 fn xml_out_of_bounds_is_refused() {
-    let laughs = "<!DOCTYPE a [<!ENTITY b \"lol\"><!ENTITY c \"&b;&b;\">]><a>&c;</a>";
+    let billion_laughs = "<!DOCTYPE a [<!ENTITY b \"lol\"><!ENTITY c \"&b;&b;\">]><a>&c;</a>";
     let deep = "<a>".repeat(100);
     let many = format!("<a{}/>", (0..100).map(|n| format!(" b{n}=''")).collect::<String>());
     for wrong in [
-        laughs,
+        billion_laughs,
         &deep,
         &many,
         "<a>&c;</a>",
