--- a/crates/edges/managed/src/hub.rs
+++ b/crates/edges/managed/src/hub.rs
@@ -365,7 +365,8 @@
     }
 }
 
-/// Compacts the log if it has grown enough. If that fails, the uncompacted log stays in use.
+/// Compacts the log if it has grown enough. If that fails before the new log is renamed into place, the old one stays
+/// in use.
 fn compact_if_needed(core: &mut Core) {
     let Some(disk) = core.disk.as_mut().filter(|disk| disk.needs_compaction()) else { return };
     if let Err(error) = disk.compact(&core.store) {
