--- a/crates/edges/managed/src/netconf/session.rs
+++ b/crates/edges/managed/src/netconf/session.rs
@@ -1,4 +1,4 @@
-//! One NETCONF session: hello, then operations one after the other, and notifications between them.
+//! One NETCONF session: the hello exchange, then operations in sequence, interleaved with notifications.
 
 mod notifications;
 mod operations;
@@ -20,16 +20,16 @@
 use tokio::sync::broadcast::error::RecvError;
 
 const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
-/// Bytes of incomplete messages that all sessions may hold.
+/// Maximum number of bytes of incomplete messages that are buffered, over all sessions.
 const MAX_BUFFERED_BYTES: usize = 64 * 1024 * 1024;
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// How long a manager has for its hello.
+/// Timeout for the client's hello.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long a manager may read nothing of a message.
+/// Timeout for writing one message; a client that doesn't read within it is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(60);
 const BASE_1_0: &str = "urn:ietf:params:netconf:base:1.0";
 const BASE_1_1: &str = "urn:ietf:params:netconf:base:1.1";
-/// The capability by which a manager asks for a private candidate.
+/// The capability with which a client requests a private candidate datastore.
 const PRIVATE_CANDIDATE: &str = "urn:ietf:params:netconf:capability:private-candidate:1.0";
 /// The capabilities of RFC 6241 and RFC 5277, without their common prefix.
 const CAPABILITIES: [&str; 8] = [
@@ -51,9 +51,9 @@
     grant: Grant,
     framing: Framing,
     subscription: Option<Subscription>,
-    /// This session's part of [`ServerState::buffered_bytes`].
+    /// This session's contribution to [`ServerState::buffered_bytes`].
     buffered_bytes: usize,
-    /// Events that were dropped because the session did not take them in time.
+    /// Number of events that were dropped because the session did not receive them in time.
     lost_events: u64,
 }
 
@@ -62,43 +62,43 @@
     filter: Option<Element>,
 }
 
-/// Gives back what the session holds, however it ends.
+/// Releases the session's resources, however it ends.
 impl Drop for Session {
     fn drop(&mut self) {
         self.server.buffered_bytes.fetch_sub(self.buffered_bytes, Ordering::SeqCst);
         if self.subscription.is_some() {
-            self.server.subscribed.fetch_sub(1, Ordering::SeqCst);
+            self.server.subscription_count.fetch_sub(1, Ordering::SeqCst);
         }
         self.server.kill_signals().remove(&self.id);
         self.hub.close_session(self.id);
-        tracing::info!(session = self.id, "NETCONF session ends");
+        tracing::info!(session = self.id, "NETCONF session closed");
     }
 }
 
-/// What comes next for a session.
+/// The next input of a session.
 enum Incoming {
     Message(String),
     Event(ManagementEvent),
-    /// So many events were dropped because they came faster than they were taken.
+    /// The number of events that were dropped because the session fell behind the broadcast queue.
     Lost(u64),
 }
 
-/// Whether the session goes on after a reply.
+/// Whether the session continues after a reply.
 enum AfterReply {
     Continue,
     Close,
 }
 
-/// Runs a session on a connection until it ends or is killed by another.
+/// Runs a session on an SSH channel until it ends or another session kills it.
 pub(super) async fn run(stream: impl AsyncRead + AsyncWrite + Unpin, server: Arc<ServerState>, grant: Grant) {
     let hub = server.hub.clone();
     let id = match hub.with_store(|store| store.open_session(&grant.user, Protocol::Netconf)) {
         Ok(id) => id,
-        Err(error) => return tracing::warn!("no NETCONF session for {}: {error}", grant.user),
+        Err(error) => return tracing::warn!("NETCONF session for {} refused: {error}", grant.user),
     };
     let killed = Arc::new(Notify::new());
     server.kill_signals().insert(id, killed.clone());
-    tracing::info!(session = id, user = grant.user, "NETCONF session begins");
+    tracing::info!(session = id, user = grant.user, "NETCONF session opened");
     let mut session = Session {
         id,
         server,
@@ -113,10 +113,10 @@
     tokio::select! {
         ended = session.serve(stream) => {
             if let Err(why) = ended {
-                tracing::info!(session = id, "NETCONF session: {why}");
+                tracing::info!(session = id, "NETCONF session failed: {why}");
             }
         }
-        () = killed.notified() => tracing::info!(session = id, "NETCONF session was killed"),
+        () = killed.notified() => tracing::info!(session = id, "NETCONF session killed"),
     }
 }
 
@@ -126,13 +126,13 @@
         let our_hello = hello(&capabilities(&self.schema), self.id);
         write(&mut writer, Framing::EndOfMessage, &our_hello).await?;
         let mut framer = Framer::new(MAX_MESSAGE_BYTES);
-        let first = tokio::time::timeout(HELLO_TIMEOUT, self.next(&mut reader, &mut framer)).await;
-        let first = first.map_err(|_| "no hello came in time".to_owned())??;
+        let first = tokio::time::timeout(HELLO_TIMEOUT, self.next_incoming(&mut reader, &mut framer)).await;
+        let first = first.map_err(|_| "timed out waiting for the client's hello".to_owned())??;
         let Some(first) = first else { return Ok(()) };
         self.handle_hello(&first)?;
         framer.set_framing(self.framing);
         loop {
-            let Some(incoming) = self.next(&mut reader, &mut framer).await? else { return Ok(()) };
+            let Some(incoming) = self.next_incoming(&mut reader, &mut framer).await? else { return Ok(()) };
             match incoming {
                 Incoming::Message(text) => {
                     let (answer, after) = self.handle_message(&text).await;
@@ -155,8 +155,9 @@
         }
     }
 
-    /// The next message, or the next event for a session that has subscribed. None once the manager has closed.
-    async fn next(
+    /// Receives the next message or, for a session with a subscription, the next event. None once the client has
+    /// closed the channel.
+    async fn next_incoming(
         &mut self,
         reader: &mut (impl AsyncRead + Unpin),
         framer: &mut Framer,
@@ -165,7 +166,8 @@
         loop {
             if let Some(message) = framer.next_message().map_err(|error| error.to_string())? {
                 self.count_buffered(framer.buffered_bytes())?;
-                let text = String::from_utf8(message).map_err(|_| "a message is no UTF-8".to_owned())?;
+                let text =
+                    String::from_utf8(message).map_err(|_| "a message is not valid UTF-8".to_owned())?;
                 return Ok(Some(Incoming::Message(text)));
             }
             self.count_buffered(framer.buffered_bytes())?;
@@ -190,13 +192,14 @@
         }
     }
 
-    /// Counts what this session buffers towards the bound of all sessions. Fails if there is no room.
+    /// Replaces this session's share of the bytes that all sessions buffer. Fails if the total would exceed
+    /// [`MAX_BUFFERED_BYTES`], unless this session buffers no more than one read.
     fn count_buffered(&mut self, bytes: usize) -> Result<(), String> {
         let total = &self.server.buffered_bytes;
         let others = total.fetch_sub(self.buffered_bytes, Ordering::SeqCst) - self.buffered_bytes;
         self.buffered_bytes = 0;
         if others + bytes > MAX_BUFFERED_BYTES && bytes > READ_BUFFER_BYTES {
-            return Err("there is no room for a message as long as this one".to_owned());
+            return Err("the limit on buffered bytes of all sessions is reached".to_owned());
         }
         total.fetch_add(bytes, Ordering::SeqCst);
         self.buffered_bytes = bytes;
@@ -204,10 +207,12 @@
     }
 
     fn handle_hello(&mut self, first: &Incoming) -> Result<(), String> {
-        let Incoming::Message(text) = first else { return Err("no hello came".to_owned()) };
-        let hello = parse(text).map_err(|error| format!("the hello can't be read: {error}"))?;
+        let Incoming::Message(text) = first else {
+            return Err("the first message is not a hello".to_owned());
+        };
+        let hello = parse(text).map_err(|error| format!("the hello is not valid XML: {error}"))?;
         if hello.name != "hello" || hello.ns != BASE || hello.child("session-id").is_some() {
-            return Err("the first message is no hello of a manager's".to_owned());
+            return Err("the first message is not a client hello".to_owned());
         }
         let capabilities = hello.child("capabilities");
         let has = |name: &str| {
@@ -216,7 +221,7 @@
         if has(BASE_1_1) {
             self.framing = Framing::Chunked;
         } else if !has(BASE_1_0) {
-            return Err("the manager knows neither version 1.0 nor 1.1".to_owned());
+            return Err("the client supports neither NETCONF 1.0 nor 1.1".to_owned());
         }
         if has(PRIVATE_CANDIDATE) {
             let _ = self.hub.with_store(|store| store.use_private_candidate(self.id));
@@ -235,7 +240,7 @@
             Operation::CloseSession => AfterReply::Close,
             _ => AfterReply::Continue,
         };
-        let answer = self.operate(rpc.operation).await;
+        let answer = self.execute(rpc.operation).await;
         (reply(&rpc.attributes, &answer), after)
     }
 }
@@ -250,7 +255,7 @@
     all
 }
 
-/// Writes one message. Fails if the manager reads nothing for too long.
+/// Writes one message. Fails if that takes longer than [`WRITE_TIMEOUT`].
 async fn write(writer: &mut (impl AsyncWrite + Unpin), framing: Framing, text: &str) -> Result<(), String> {
     let bytes = frame(framing, text);
     let written = tokio::time::timeout(WRITE_TIMEOUT, async {
@@ -260,6 +265,6 @@
     match written.await {
         Ok(Ok(())) => Ok(()),
         Ok(Err(error)) => Err(error.to_string()),
-        Err(_) => Err(format!("the manager took nothing for {WRITE_TIMEOUT:?}")),
+        Err(_) => Err(format!("timed out after {WRITE_TIMEOUT:?} writing to the client")),
     }
 }
--- a/crates/edges/managed/src/netconf/session/operations.rs
+++ b/crates/edges/managed/src/netconf/session/operations.rs
@@ -1,4 +1,4 @@
-//! The operations of a NETCONF session, a short function each. A reply is the data as XML, or empty for `ok`.
+//! The operations of a NETCONF session. A reply is its data as XML, or empty for `<ok/>`.
 
 use super::{Session, Subscription};
 use crate::state::StateSelection;
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// All lines of a session stand in the log under one target.
+/// The log target of the session module, so that all log lines of a session have the same target.
 const LOG_TARGET: &str = "lemonusher_managed::netconf::session";
 
 /// The data of a reply.
@@ -32,7 +32,7 @@
 }
 
 impl Session {
-    pub(super) async fn operate(&mut self, operation: Operation) -> Reply {
+    pub(super) async fn execute(&mut self, operation: Operation) -> Reply {
         if is_write(&operation) && !self.grant.may_write {
             let what = format!("user {} may only read", self.grant.user);
             return Err(vec![RpcError::protocol(ErrorTag::AccessDenied, what)]);
@@ -60,14 +60,14 @@
         }
     }
 
-    /// The errors for what the store refuses.
-    fn refused(&self, error: StoreError) -> Vec<RpcError> {
+    /// Converts a store error to the errors of a reply.
+    fn store_errors(&self, error: StoreError) -> Vec<RpcError> {
         RpcError::of_store_error(&self.schema, &error, false)
     }
 
-    /// An empty reply, or the errors for what the store refuses.
-    fn done<T>(&self, result: Result<T, StoreError>) -> Reply {
-        result.map(|_| String::new()).map_err(|error| self.refused(error))
+    /// An empty reply, or the errors of a reply for a store error.
+    fn empty_reply<T>(&self, result: Result<T, StoreError>) -> Reply {
+        result.map(|_| String::new()).map_err(|error| self.store_errors(error))
     }
 
     async fn get(&self, filter: Option<Element>) -> Reply {
@@ -85,7 +85,7 @@
         match target {
             Datastore::Candidate => {
                 let edited = self.hub.with_store(|store| self.edit_candidate(store, &edit));
-                self.done(edited)
+                self.empty_reply(edited)
             }
             Datastore::Running => self.edit_running(edit).await,
             Datastore::Startup => Err(vec![not_supported("startup can only be copied to")]),
@@ -122,7 +122,7 @@
                 (_, plan) => Ok(plan),
             }
         });
-        self.done(committed.await)
+        self.empty_reply(committed.await)
     }
 
     async fn copy_config(&self, target: Datastore, source: ConfigSource) -> Reply {
@@ -132,14 +132,14 @@
         let id = self.id;
         match (target, source) {
             (Datastore::Startup, ConfigSource::Datastore(from)) => {
-                self.done(self.hub.copy_to_startup(id, Some(from)).await)
+                self.empty_reply(self.hub.copy_to_startup(id, Some(from)).await)
             }
             (Datastore::Startup, ConfigSource::Inline(_)) => {
                 Err(vec![not_supported("startup is copied from a datastore")])
             }
             (Datastore::Candidate, source) => {
                 let tree = self.source(source)?;
-                self.done(self.hub.with_store(|store| store.replace_candidate(id, tree)))
+                self.empty_reply(self.hub.with_store(|store| store.replace_candidate(id, tree)))
             }
             (Datastore::Running, source) => {
                 let tree = self.source(source)?;
@@ -148,14 +148,14 @@
                     let edit = Edit { op: Op::Replace, place: Place::new(), value };
                     store.edit_running(id, &[edit], &CommitOptions::default(), now, unix_ms)
                 });
-                self.done(committed.await)
+                self.empty_reply(committed.await)
             }
         }
     }
 
     async fn delete_config(&self, target: Datastore) -> Reply {
         match target {
-            Datastore::Startup => self.done(self.hub.copy_to_startup(self.id, None).await),
+            Datastore::Startup => self.empty_reply(self.hub.copy_to_startup(self.id, None).await),
             Datastore::Running | Datastore::Candidate => {
                 Err(vec![not_supported("only startup can be deleted")])
             }
@@ -165,17 +165,17 @@
     fn lock(&self, datastore: Datastore) -> Reply {
         let locked = self.hub.with_store(|store| store.lock(self.id, datastore));
         locked.map_err(|error| RpcError::of_store_error(&self.schema, &error, true))?;
-        tracing::info!(target: LOG_TARGET, session = self.id, "locks {datastore:?}");
+        tracing::info!(target: LOG_TARGET, session = self.id, "locked {datastore:?}");
         Ok(String::new())
     }
 
     fn unlock(&self, datastore: Datastore) -> Reply {
-        self.done(self.hub.with_store(|store| store.unlock(self.id, datastore)))
+        self.empty_reply(self.hub.with_store(|store| store.unlock(self.id, datastore)))
     }
 
     fn validate(&self, source: ConfigSource) -> Reply {
         let tree = self.source(source)?;
-        self.done(self.hub.with_store(|store| store.validate(&tree)))
+        self.empty_reply(self.hub.with_store(|store| store.validate(&tree)))
     }
 
     async fn commit(&self, parameters: CommitParameters) -> Reply {
@@ -183,7 +183,7 @@
         let CommitParameters { confirm_timeout, persist, persist_id, expected_version } = parameters;
         let options = CommitOptions { confirm_timeout, persist, persist_id, expected_version };
         let committed = self.hub.commit(move |store, now, unix_ms| store.commit(id, &options, now, unix_ms));
-        self.done(committed.await)
+        self.empty_reply(committed.await)
     }
 
     async fn cancel_commit(&self, persist_id: Option<String>) -> Reply {
@@ -191,11 +191,11 @@
         let cancelled = self
             .hub
             .commit(move |store, _, unix_ms| store.cancel(id, persist_id.as_deref(), unix_ms).map(Some));
-        self.done(cancelled.await)
+        self.empty_reply(cancelled.await)
     }
 
     fn discard_changes(&self) -> Reply {
-        self.done(self.hub.with_store(|store| store.discard_candidate(self.id)))
+        self.empty_reply(self.hub.with_store(|store| store.discard_candidate(self.id)))
     }
 
     fn kill_session(&self, session: u32) -> Reply {
@@ -234,8 +234,8 @@
         if self.subscription.is_some() {
             return Err(vec![RpcError::application(ErrorTag::OperationFailed, "it has subscribed already")]);
         }
-        if self.server.subscribed.fetch_add(1, Ordering::SeqCst) >= self.server.max_subscriptions {
-            self.server.subscribed.fetch_sub(1, Ordering::SeqCst);
+        if self.server.subscription_count.fetch_add(1, Ordering::SeqCst) >= self.server.max_subscriptions {
+            self.server.subscription_count.fetch_sub(1, Ordering::SeqCst);
             let what = "there are as many subscriptions as there may be";
             return Err(vec![RpcError::application(ErrorTag::ResourceDenied, what)]);
         }
@@ -245,7 +245,7 @@
 
     fn datastore(&self, datastore: Datastore) -> Result<Tree, Vec<RpcError>> {
         let tree = self.hub.with_store(|store| store.tree(self.id, datastore).cloned());
-        tree.ok_or_else(|| self.refused(StoreError::NoStartup))
+        tree.ok_or_else(|| self.store_errors(StoreError::NoStartup))
     }
 
     fn source(&self, source: ConfigSource) -> Result<Tree, Vec<RpcError>> {
@@ -257,7 +257,7 @@
         }
     }
 
-    /// The parts of the state that a filter can let through.
+    /// The parts of the state that a filter can select.
     fn selection(&self, filter: Option<&Element>) -> StateSelection {
         let mut paths = Vec::new();
         for front in filter.iter().flat_map(|filter| &filter.children) {
@@ -284,7 +284,7 @@
         StateSelection::for_patterns(&self.schema, &patterns)
     }
 
-    /// A `data` element with what the filter lets through.
+    /// A `data` element with the nodes that the filter selects.
     fn data(&self, tree: &Tree, subtree: Option<&Element>) -> String {
         let fields = match subtree {
             Some(subtree) => Arc::new(filter(&self.schema, tree.fields(), subtree)),
@@ -297,7 +297,7 @@
     }
 }
 
-/// Whether an operation needs the right to write.
+/// Whether an operation requires the right to write.
 fn is_write(operation: &Operation) -> bool {
     !matches!(
         operation,
--- a/crates/edges/managed/src/start.rs
+++ b/crates/edges/managed/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts the managed side: the state from its folder, then the servers, on a thread of their own.
+//! Starts the management plane: recovers the store from its folder, then runs the servers on a thread of their own.
 
 use crate::disk::{Disk, DiskError};
 use crate::hub::{Hub, HubSetup, unix_ms};
@@ -22,33 +22,33 @@
 /// Notifications that may be queued from the request router.
 const MAX_QUEUED_NOTIFICATIONS: usize = 4096;
 
-/// What the operator's file configures of the managed side.
+/// The settings of the management plane, from the operator's configuration file.
 #[derive(Debug, Clone)]
 pub struct ManagementConfig {
-    /// The folder of the state; none for a state that does not outlive the process.
+    /// The folder of the log; None keeps the store in memory only.
     pub folder: Option<PathBuf>,
-    /// Versions that can be rolled back to.
+    /// The number of versions that are kept for rollback.
     pub history: usize,
-    /// Sessions that may be open at once.
+    /// Maximum number of sessions open at once, over both protocols.
     pub sessions: usize,
-    /// Subscriptions that may be open at once, for each protocol.
+    /// Maximum number of subscriptions open at once, for each protocol.
     pub subscriptions: usize,
-    /// How old the state that a manager reads may be.
+    /// Maximum age of the cached router snapshot that management clients read.
     pub freshness: Duration,
-    /// Whether the startup datastore, where there is one, is put in force at the start.
+    /// Whether the startup datastore, if there is one, replaces the running configuration at the start.
     pub from_startup: bool,
-    /// The gNMI server, if there is to be one.
+    /// The gNMI server; None if it is disabled.
     pub gnmi: Option<GnmiConfig>,
-    /// The NETCONF server, if there is to be one.
+    /// The NETCONF server; None if it is disabled.
     pub netconf: Option<NetconfConfig>,
-    /// Who may use them.
+    /// The users of both servers; if there are none, every client may read and write.
     pub users: Users,
 }
 
-/// The gNMI server.
+/// The settings of the gNMI server.
 #[derive(Debug, Clone)]
 pub struct GnmiConfig {
-    /// Where to listen.
+    /// The address to listen on.
     pub listen: SocketAddr,
     /// None for plain text.
     pub tls: Option<Tls>,
@@ -63,43 +63,43 @@
     pub key: Vec<u8>,
 }
 
-/// The NETCONF server.
+/// The settings of the NETCONF server.
 #[derive(Debug, Clone)]
 pub struct NetconfConfig {
-    /// Where to listen.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// The host's private key, in OpenSSH's form.
+    /// The SSH host key, in OpenSSH private key format; None generates one for this run.
     pub host_key: Option<String>,
 }
 
-/// What the front needs of the managed side.
+/// The running management plane, with its connections to the request router.
 pub struct Started {
-    /// Calls to the request router.
+    /// Calls for the request router to handle.
     pub requests: async_channel::Receiver<ManagementCall>,
-    /// The desired state when the front last ran.
+    /// The desired state from the running configuration at the start.
     pub desired_state: Arc<DesiredState>,
-    /// Notifications from the request router.
+    /// The queue on which the request router sends its notifications.
     pub notifications: async_channel::Sender<EngineNotification>,
-    /// Where gNMI listens.
+    /// The address that the gNMI server listens on.
     pub gnmi: Option<SocketAddr>,
-    /// Where NETCONF listens.
+    /// The address that the NETCONF server listens on.
     pub netconf: Option<SocketAddr>,
-    /// The store and the commits.
+    /// The store and its commits.
     pub hub: Arc<Hub>,
 }
 
-/// Why the managed side can't start.
+/// The management plane can't be started.
 #[derive(Debug)]
 pub enum StartError {
     /// The front's model can't be used.
     Model(String),
-    /// The state can't be read.
+    /// The log can't be opened.
     Disk(DiskError),
-    /// A commit at the start could not be logged.
+    /// A commit at the start could not be written to the log.
     Log(io::Error),
     /// An address can't be listened on.
     Listen(SocketAddr, io::Error),
-    /// The desired state names what the deployment no longer states.
+    /// The running configuration names something that the deployment no longer defines.
     DesiredState(String),
     /// The host key can't be used.
     Key(String),
@@ -110,46 +110,52 @@
 impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            StartError::Model(what) => write!(f, "the front's model: {what}"),
-            StartError::Disk(error) => write!(f, "state: {error}"),
-            StartError::Log(error) => write!(f, "the state's log: {error}"),
+            StartError::Model(what) => write!(f, "the front's YANG model: {what}"),
+            StartError::Disk(error) => write!(f, "can't open the log: {error}"),
+            StartError::Log(error) => write!(f, "can't write to the log: {error}"),
             StartError::Listen(address, error) => write!(f, "can't listen on {address}: {error}"),
             StartError::DesiredState(what) => {
-                write!(f, "the state that was kept does not fit the deployment: {what}")
+                write!(f, "the stored configuration does not match the deployment: {what}")
             }
-            StartError::Key(what) => write!(f, "key: {what}"),
+            StartError::Key(what) => write!(f, "NETCONF host key: {what}"),
             StartError::Thread(error) => write!(f, "can't start a thread: {error}"),
         }
     }
 }
 
-/// Starts the managed side. `level` sets the log's level; `more` are parts that a commit involves besides the front's own.
+/// Starts the management plane. `set_log_level` sets the level of the process's log; `extra_parts` are
+/// participants in each commit besides the request router and the log level.
 pub fn start(
     config: ManagementConfig,
     names: Names,
     front: String,
-    level: Arc<dyn Fn(&str) + Send + Sync>,
-    more: Vec<Arc<dyn Part>>,
+    set_log_level: Arc<dyn Fn(&str) + Send + Sync>,
+    extra_parts: Vec<Arc<dyn Part>>,
 ) -> Result<Started, StartError> {
     let schema = Arc::new(Schema::front().map_err(|error| StartError::Model(error.to_string()))?);
     let reader = DesiredStateReader::new(&schema, names.clone())
-        .ok_or_else(|| StartError::Model("it lacks pools or service groups".to_owned()))?;
+        .ok_or_else(|| StartError::Model("the nodes of pools or service groups are missing".to_owned()))?;
     let (mut disk, mut store) = open_store(&config, &schema)?;
     commit_at_start(&config, &schema, &mut disk, &mut store)?;
     let desired = reader.read(&schema, &store.running().tree).map_err(|faults| {
         StartError::DesiredState(faults.iter().map(|fault| fault.to_string()).collect::<Vec<_>>().join("; "))
     })?;
     if store.running().number > 0 {
-        level(&desired.log_level);
+        set_log_level(&desired.log_level);
     }
 
     let (requests, router_requests) = async_channel::bounded(MAX_QUEUED_REQUESTS);
     let (notifications, from_router) = async_channel::bounded(MAX_QUEUED_NOTIFICATIONS);
     let mut parts: Vec<Arc<dyn Part>> = vec![
         Arc::new(RouterPart { schema: schema.clone(), reader: reader.clone(), requests: requests.clone() }),
-        Arc::new(LogLevelPart { schema: schema.clone(), reader, set: level, prepared: Mutex::new(None) }),
+        Arc::new(LogLevelPart {
+            schema: schema.clone(),
+            reader,
+            set: set_log_level,
+            prepared: Mutex::new(None),
+        }),
     ];
-    parts.extend(more);
+    parts.extend(extra_parts);
     let freshness = config.freshness;
     let hub = Hub::new(HubSetup { schema, names, front, store, disk, parts, requests, freshness });
 
@@ -186,7 +192,8 @@
     }
 }
 
-/// Reverts a commit that nobody can confirm any more, before anything is served, or puts startup in force.
+/// Reverts a commit that was pending when the process ended, as nobody can confirm it any more. If there was none and
+/// `from_startup` is set, commits the startup datastore. Runs before the servers start.
 fn commit_at_start(
     config: &ManagementConfig,
     schema: &Schema,
@@ -201,13 +208,13 @@
         if let Some(disk) = disk {
             disk.append(&Record::commit(schema, &plan)).map_err(StartError::Log)?;
         }
-        tracing::info!(commit = plan.version.number, "at the start: {}", plan.version.cause);
+        tracing::info!(commit = plan.version.number, "commit at startup: {}", plan.version.cause);
         store.finish_commit(plan);
     }
     Ok(())
 }
 
-/// The servers for managers, bound to their addresses.
+/// The servers for management clients, bound to their addresses.
 struct Servers {
     gnmi: Option<(TcpListener, Option<Tls>)>,
     netconf: Option<(TcpListener, netconf::HostKey)>,
@@ -233,13 +240,13 @@
         self.netconf.as_ref().and_then(|(listener, _)| listener.local_addr().ok())
     }
 
-    /// Serves on tasks of this thread's runtime.
+    /// Spawns the servers on the current thread's runtime.
     fn spawn(self, hub: &Arc<Hub>) {
         if let Some((listener, tls)) = self.gnmi {
             let serve = gnmi::serve(hub.clone(), listener, tls, self.users.clone(), self.subscriptions);
             tokio::spawn(async move {
                 if let Err(error) = serve.await {
-                    tracing::error!("gNMI ends: {error}");
+                    tracing::error!("gNMI server stopped: {error}");
                 }
             });
         }
@@ -247,7 +254,7 @@
             let serve = netconf::serve(hub.clone(), listener, key, self.users, self.subscriptions);
             tokio::spawn(async move {
                 if let Err(error) = serve.await {
-                    tracing::error!("NETCONF ends: {error}");
+                    tracing::error!("NETCONF server stopped: {error}");
                 }
             });
         }
--- a/crates/edges/managed/src/state.rs
+++ b/crates/edges/managed/src/state.rs
@@ -1,4 +1,4 @@
-//! The front's state as a tree of the model.
+//! Builds the operational state of the front (YANG `config false` nodes) as a tree of the model.
 
 use lemonusher::EngineState;
 use lemonusher_desired_state::Names;
@@ -10,28 +10,28 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The size of a page in `/proc`.
+/// The size in bytes of the memory pages that `/proc/self/statm` counts.
 const PAGE_BYTES: u64 = 4096;
 
-/// Which parts of the state are selected: the larger ones are made only then.
+/// The parts of the state that a request selects. Large parts are only built if they are selected.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StateSelection {
-    /// Anything of the state.
+    /// Any part of the state.
     pub state: bool,
-    /// Anything that the request router must be asked for.
+    /// Any part that needs a snapshot from the request router.
     pub snapshot: bool,
-    /// The counters.
+    /// The request router's counters.
     pub counters: bool,
-    /// The engines.
+    /// The engines of the endpoint list.
     pub engines: bool,
-    /// The sessions.
+    /// The open management sessions.
     pub sessions: bool,
-    /// The history.
+    /// The commit history.
     pub commits: bool,
 }
 
 impl StateSelection {
-    /// The parts of the state that match any of the patterns.
+    /// Selects the parts of the state that any of the patterns can match.
     pub fn for_patterns(schema: &Schema, patterns: &[Pattern]) -> StateSelection {
         let mut selection = StateSelection::default();
         for pattern in patterns {
@@ -52,51 +52,51 @@
         selection
     }
 
-    /// Whether it changes without a commit or an engine's notification.
+    /// Whether a selected part can change without a [`ManagementEvent`](crate::ManagementEvent).
     pub fn changes_without_event(self) -> bool {
         self.snapshot || self.sessions
     }
 }
 
-/// What the state is read from.
+/// The sources from which the state is built.
 pub struct Sources<'a> {
     pub schema: &'a Schema,
     pub names: &'a Names,
     /// The front's name.
     pub front: &'a str,
     pub store: &'a Store,
-    /// Lost updates by session.
+    /// The number of lost updates by session.
     pub lost_updates: &'a BTreeMap<SessionId, u64>,
-    /// None if it is not selected, or the request router does not answer.
+    /// None if it is not selected, or if the request router doesn't reply.
     pub snapshot: Option<&'a Snapshot>,
-    /// How long the managed side has run.
+    /// The time since the hub was created.
     pub uptime: Duration,
-    /// The time from which the store's times count.
+    /// The current time on the clock of the store's deadlines.
     pub now: Duration,
 }
 
-/// Collects the fields of a container or a list's entry by their names in the model.
+/// Collects the fields of a container or a list entry by their names in the schema.
 struct FieldsBuilder<'a> {
     schema: &'a Schema,
-    holder: NodeId,
+    parent: NodeId,
     fields: Fields,
 }
 
 impl<'a> FieldsBuilder<'a> {
-    fn new(schema: &'a Schema, holder: NodeId) -> FieldsBuilder<'a> {
-        FieldsBuilder { schema, holder, fields: Fields::new() }
+    fn new(schema: &'a Schema, parent: NodeId) -> FieldsBuilder<'a> {
+        FieldsBuilder { schema, parent, fields: Fields::new() }
     }
 
-    /// A leaf that the model does not know is left out.
+    /// Adds a leaf; ignored if the schema has no such node.
     fn leaf(&mut self, name: &str, value: impl ToString) {
-        if let Some(id) = self.schema.child(Some(self.holder), name) {
+        if let Some(id) = self.schema.child(Some(self.parent), name) {
             self.fields.insert(id, Node::Leaf(value.to_string().into()));
         }
     }
 
-    /// Entries that lack a key are left out.
+    /// Adds a list; entries that lack a key are left out, and so is an empty list.
     fn list(&mut self, name: &str, entries: impl Iterator<Item = Fields>) {
-        let Some(id) = self.schema.child(Some(self.holder), name) else { return };
+        let Some(id) = self.schema.child(Some(self.parent), name) else { return };
         let keys = self.schema.keys(id);
         let mut keyed: BTreeMap<Vec<Text>, Arc<Fields>> = BTreeMap::new();
         for entry in entries {
@@ -113,13 +113,13 @@
         }
     }
 
-    /// A builder for a node within this one.
-    fn within(&self, name: &str) -> Option<FieldsBuilder<'a>> {
-        Some(FieldsBuilder::new(self.schema, self.schema.child(Some(self.holder), name)?))
+    /// A builder for a child node; None if the schema has no such node.
+    fn child(&self, name: &str) -> Option<FieldsBuilder<'a>> {
+        Some(FieldsBuilder::new(self.schema, self.schema.child(Some(self.parent), name)?))
     }
 }
 
-/// What is running, if `config`, with the selected parts of the state.
+/// A tree of the selected parts of the state and, if `config` is set, the running configuration.
 pub fn view(sources: &Sources, config: bool, selection: StateSelection) -> Tree {
     let schema = sources.schema;
     let running = &sources.store.running().tree;
@@ -146,7 +146,7 @@
     state.leaf("name", sources.front);
     state.leaf("up", sources.uptime.as_millis());
     state.leaf("version", store.running().number);
-    if let Some(bytes) = resident() {
+    if let Some(bytes) = resident_bytes() {
         state.leaf("resident-bytes", bytes);
     }
     if let Some(snapshot) = sources.snapshot {
@@ -168,18 +168,18 @@
     if selection.commits {
         commits(&mut state, sources);
     }
-    if let (Some(pending), Some(mut confirm)) = (store.pending(), state.within("confirm")) {
+    if let (Some(pending), Some(mut confirm)) = (store.pending(), state.child("confirm")) {
         confirm.leaf("version", store.running().number);
         confirm.leaf("left", pending.deadline.saturating_sub(sources.now).as_millis());
-        state.fields.insert(confirm.holder, Node::Container(Arc::new(confirm.fields)));
+        state.fields.insert(confirm.parent, Node::Container(Arc::new(confirm.fields)));
     }
     state.fields
 }
 
 fn sessions(state: &mut FieldsBuilder, sources: &Sources) {
-    let Some(list) = state.within("session") else { return };
+    let Some(list) = state.child("session") else { return };
     let entries = sources.store.sessions().iter().map(|(id, session)| {
-        let mut entry = FieldsBuilder::new(list.schema, list.holder);
+        let mut entry = FieldsBuilder::new(list.schema, list.parent);
         entry.leaf("id", id);
         entry.leaf("user", &session.user);
         entry.leaf("protocol", session.protocol.name());
@@ -190,9 +190,9 @@
 }
 
 fn commits(state: &mut FieldsBuilder, sources: &Sources) {
-    let Some(list) = state.within("commit") else { return };
+    let Some(list) = state.child("commit") else { return };
     let entries = sources.store.history().map(|version| {
-        let mut entry = FieldsBuilder::new(list.schema, list.holder);
+        let mut entry = FieldsBuilder::new(list.schema, list.parent);
         entry.leaf("version", version.number);
         entry.leaf("at", version.committed_at_ms);
         entry.leaf("user", &version.author.user);
@@ -205,9 +205,9 @@
 }
 
 fn counters(state: &mut FieldsBuilder, snapshot: &Snapshot) {
-    let Some(list) = state.within("counter") else { return };
+    let Some(list) = state.child("counter") else { return };
     let entries = snapshot.counters.iter().map(|counted| {
-        let mut entry = FieldsBuilder::new(list.schema, list.holder);
+        let mut entry = FieldsBuilder::new(list.schema, list.parent);
         let class = counted.request_class.and_then(|class| snapshot.request_classes.get(class));
         entry.leaf("name", counted.counter);
         entry.leaf("service-group", class.map_or("-", |name| name));
@@ -218,14 +218,14 @@
 }
 
 fn engines(state: &mut FieldsBuilder, sources: &Sources, snapshot: &Snapshot) {
-    let Some(list) = state.within("engine") else { return };
+    let Some(list) = state.child("engine") else { return };
     let name = |names: &[String], number: u32| match names.get(number as usize) {
         Some(name) => name.clone(),
         None => number.to_string(),
     };
     let entries = snapshot.engines.iter().map(|engine| {
         let listed = &engine.endpoint.entry;
-        let mut entry = FieldsBuilder::new(list.schema, list.holder);
+        let mut entry = FieldsBuilder::new(list.schema, list.parent);
         entry.leaf("id", format!("{:08x}", listed.engine));
         if let Some(address) = engine.address {
             entry.leaf("address", address);
@@ -246,7 +246,7 @@
     state.list("engine", entries);
 }
 
-/// The model's name of a state in the list.
+/// The name in the YANG model of an engine's state in the endpoint list.
 pub fn list_state_name(state: EngineState) -> &'static str {
     match state {
         EngineState::Active => "active",
@@ -255,7 +255,7 @@
     }
 }
 
-/// The model's name of an administrative state.
+/// The name in the YANG model of an administrative state.
 pub fn admin_state_name(admin: AdminState) -> &'static str {
     match admin {
         AdminState::Enabled => "enabled",
@@ -264,8 +264,8 @@
     }
 }
 
-/// Resident memory of the process, in bytes.
-fn resident() -> Option<u64> {
+/// The resident memory of the process in bytes; None if `/proc/self/statm` can't be read.
+fn resident_bytes() -> Option<u64> {
     let statm = std::fs::read_to_string("/proc/self/statm").ok()?;
     statm.split_whitespace().nth(1)?.parse::<u64>().ok().map(|pages| pages * PAGE_BYTES)
 }
--- a/crates/edges/netconf/src/edits.rs
+++ b/crates/edges/netconf/src/edits.rs
@@ -1,4 +1,4 @@
-//! The edits that a `config` element asks for (RFC 6241, 7.2).
+//! Converts the `config` element of an `edit-config` to edits (RFC 6241, section 7.2).
 
 use crate::BASE;
 use crate::data::{child_of, from_xml, keys, leaf};
@@ -8,27 +8,27 @@
 use lemonusher_store::Edit;
 use std::sync::Arc;
 
-/// Characters of an operation's name that an error repeats.
+/// Maximum number of characters of an unknown operation's name in an error message.
 const MAX_SHOWN_CHARACTERS: usize = 32;
 
-/// The edits of a `config` element, in order. Fails where it does not fit the model, or where an element without an
-/// operation means something that `tree` does not hold.
+/// The edits of a `config` element, in document order. Fails if it doesn't fit the schema, or if a node whose
+/// operation is `none` doesn't exist in `tree`.
 pub fn edits(
     schema: &Schema,
     tree: &Tree,
     config: &Element,
     default: DefaultOperation,
 ) -> Result<Vec<Edit>, Fault> {
-    let mut pass = Pass { schema, tree, edits: Vec::new() };
+    let mut collector = EditCollector { schema, tree, edits: Vec::new() };
     let op = match default {
         DefaultOperation::Merge => Some(Op::Merge),
         DefaultOperation::Replace => Some(Op::Replace),
         DefaultOperation::None => None,
     };
-    pass.children(&mut Place::new(), config, op)?;
-    let mut edits = pass.edits;
+    collector.collect_children(&mut Place::new(), config, op)?;
+    let mut edits = collector.edits;
     if default == DefaultOperation::Replace {
-        // What the config does not name is deleted as well, so the whole tree is replaced first.
+        // `replace` also deletes the nodes that the config doesn't contain, so the first edit replaces the whole tree.
         let value = Some(Node::Container(from_xml(schema, None, config)?));
         edits.retain(|edit| matches!(edit.op, Op::Delete | Op::Create));
         edits.insert(0, Edit { op: Op::Replace, place: Place::new(), value });
@@ -36,26 +36,31 @@
     Ok(edits)
 }
 
-/// One pass over a `config` element, with the edits found so far.
-struct Pass<'a> {
+/// Collects edits while walking a `config` element.
+struct EditCollector<'a> {
     schema: &'a Schema,
     tree: &'a Tree,
     edits: Vec<Edit>,
 }
 
-impl Pass<'_> {
-    fn children(&mut self, place: &mut Place, element: &Element, op: Option<Op>) -> Result<(), Fault> {
+impl EditCollector<'_> {
+    fn collect_children(
+        &mut self,
+        place: &mut Place,
+        element: &Element,
+        op: Option<Op>,
+    ) -> Result<(), Fault> {
         for child in &element.children {
             let parent = place.last().map(|segment| segment.node);
             let id = child_of(self.schema, parent, child)?;
             place.push(Segment { node: id, keys: None });
-            self.node(place, id, child, op)?;
+            self.collect_node(place, id, child, op)?;
             place.pop();
         }
         Ok(())
     }
 
-    fn node(
+    fn collect_node(
         &mut self,
         place: &mut Place,
         id: NodeId,
@@ -78,16 +83,16 @@
             }
             NodeKind::List { .. } => {
                 set_keys(place, keys(self.schema, id, element)?);
-                self.entry(place, id, element, op)
+                self.collect_entry(place, id, element, op)
             }
             NodeKind::Container | NodeKind::Notification if is_merged(op) => {
-                self.children(place, element, op)
+                self.collect_children(place, element, op)
             }
-            NodeKind::Container | NodeKind::Notification => self.whole(place, id, element, op),
+            NodeKind::Container | NodeKind::Notification => self.push_whole(place, id, element, op),
         }
     }
 
-    /// The operation that an element names, or else the inherited one.
+    /// The operation of an element: its `operation` attribute, or else the inherited one.
     fn operation(
         &self,
         place: &Place,
@@ -109,8 +114,8 @@
         })
     }
 
-    /// An entry of a list: as a whole, or the entry itself and then what stands in it.
-    fn entry(
+    /// Adds the edits of a list entry: one for the whole entry, or one that creates it and then those of its children.
+    fn collect_entry(
         &mut self,
         place: &mut Place,
         id: NodeId,
@@ -118,18 +123,24 @@
         op: Option<Op>,
     ) -> Result<(), Fault> {
         if !is_merged(op) {
-            return self.whole(place, id, element, op);
+            return self.push_whole(place, id, element, op);
         }
         self.push(op, place, Some(Node::Container(Arc::default())))?;
         let schema = self.schema;
-        let is_no_key =
+        let is_non_key =
             |child: &&Element| schema.keys(id).iter().all(|key| schema.node(*key).name != child.name);
-        let children = element.children.iter().filter(is_no_key).cloned().collect();
-        self.children(place, &Element { children, ..Element::default() }, op)
+        let children = element.children.iter().filter(is_non_key).cloned().collect();
+        self.collect_children(place, &Element { children, ..Element::default() }, op)
     }
 
-    /// A container or an entry of a list as one edit.
-    fn whole(&mut self, place: &Place, id: NodeId, element: &Element, op: Option<Op>) -> Result<(), Fault> {
+    /// Adds one edit for a whole container or list entry.
+    fn push_whole(
+        &mut self,
+        place: &Place,
+        id: NodeId,
+        element: &Element,
+        op: Option<Op>,
+    ) -> Result<(), Fault> {
         let value = match op {
             Some(Op::Delete | Op::Remove) => None,
             _ => Some(Node::Container(from_xml(self.schema, Some(id), element)?)),
@@ -137,7 +148,7 @@
         self.push(op, place, value)
     }
 
-    /// A node without an operation only leads to others: it must exist.
+    /// Adds an edit. A node without an operation is not edited but must exist (`default-operation` `none`, RFC 6241).
     fn push(&mut self, op: Option<Op>, place: &Place, value: Option<Node>) -> Result<(), Fault> {
         match op {
             Some(op) => self.edits.push(Edit { op, place: place.clone(), value }),
@@ -151,7 +162,7 @@
     }
 }
 
-/// Whether what stands in an element is edited by itself.
+/// Whether the children of an element are edited one by one, rather than the element as a whole.
 fn is_merged(op: Option<Op>) -> bool {
     matches!(op, None | Some(Op::Merge))
 }
--- a/crates/edges/netconf/src/xml.rs
+++ b/crates/edges/netconf/src/xml.rs
@@ -1,4 +1,5 @@
-//! XML within bounds: no document types, no entities but the five of XML, and bounds on depth, elements and attributes.
+//! An XML parser for untrusted input: it rejects document types and all entities but the five predefined ones, and
+//! limits the nesting depth and the number of elements and attributes.
 
 use quick_xml::NsReader;
 use quick_xml::XmlVersion;
@@ -6,29 +7,29 @@
 use quick_xml::name::ResolveResult;
 use std::fmt;
 
-/// The deepest nesting of elements.
+/// Maximum nesting depth of elements.
 const MAX_DEPTH: usize = 32;
-/// The most elements of a document.
+/// Maximum number of elements in a document.
 const MAX_ELEMENTS: usize = 1_000_000;
-/// The most attributes of an element.
+/// Maximum number of attributes of an element.
 const MAX_ATTRIBUTES: usize = 64;
 
-/// An element with everything in it.
+/// An element with its attributes, text and children.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Element {
-    /// Its namespace; empty for none.
+    /// The namespace URI; empty for none.
     pub ns: String,
-    /// Its name without a prefix.
+    /// The local name, without a prefix.
     pub name: String,
-    /// Namespace, name and value.
+    /// The namespace, local name and value of each attribute, without namespace declarations.
     pub attributes: Vec<(String, String, String)>,
-    /// All its text, joined.
+    /// The text directly in the element, concatenated.
     pub text: String,
-    /// The elements in it, in order.
+    /// The child elements, in document order.
     pub children: Vec<Element>,
 }
 
-/// Why a text is refused as XML, in words.
+/// A text is not well-formed XML or exceeds a limit; the message says why.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Malformed(pub String);
 
@@ -39,34 +40,36 @@
 }
 
 impl Element {
-    /// The first child of this name, of any namespace.
+    /// The first child with this local name, in any namespace.
     pub fn child(&self, name: &str) -> Option<&Element> {
         self.children.iter().find(|child| child.name == name)
     }
 
-    /// The text without white space at its ends.
+    /// The text without leading and trailing white space.
     pub fn value(&self) -> &str {
         self.text.trim()
     }
 
-    /// The value of an attribute.
+    /// The value of an attribute, by namespace and local name.
     pub fn attribute(&self, ns: &str, name: &str) -> Option<&str> {
         let found = self.attributes.iter().find(|(of_ns, of_name, _)| of_ns == ns && of_name == name);
         found.map(|(_, _, value)| value.as_str())
     }
 }
 
-/// Reads a document of one element. Fails where it is not well-formed or out of bounds.
+/// Parses a document. Fails if it is not well-formed or exceeds a limit.
 pub fn parse(text: &str) -> Result<Element, Malformed> {
     let mut reader = NsReader::from_str(text);
     reader.config_mut().check_end_names = true;
     let mut document = Document::default();
     loop {
-        let (ns, event) = reader.read_resolved_event().map_err(|error| wrong(&error.to_string()))?;
+        let (ns, event) = reader.read_resolved_event().map_err(|error| malformed(&error.to_string()))?;
         let ns = match ns {
             ResolveResult::Bound(ns) => ns.as_ref().to_string(),
             ResolveResult::Unbound => String::new(),
-            ResolveResult::Unknown(prefix) => return Err(wrong(&format!("prefix '{prefix}' is not bound"))),
+            ResolveResult::Unknown(prefix) => {
+                return Err(malformed(&format!("prefix '{prefix}' is not bound")));
+            }
         };
         match event {
             Event::Start(start) => {
@@ -84,46 +87,47 @@
             Event::Text(text) => document.text(&text)?,
             Event::CData(text) => document.push_text(&text.xml_content(XmlVersion::Implicit1_0)),
             Event::GeneralRef(name) => {
-                let character = character_of(&name).ok_or_else(|| wrong("an entity is not known"))?;
+                let character =
+                    resolve_reference(&name).ok_or_else(|| malformed("an entity is not known"))?;
                 document.push_text(character.encode_utf8(&mut [0; 4]));
             }
-            Event::DocType(_) => return Err(wrong("a document type is not taken")),
+            Event::DocType(_) => return Err(malformed("a document type is not taken")),
             Event::Decl(_) | Event::Comment(_) | Event::PI(_) => {}
             Event::Eof => break,
         }
     }
     match document.root {
         Some(root) if document.open.is_empty() => Ok(root),
-        _ => Err(wrong("it ends in the middle of an element")),
+        _ => Err(malformed("it ends in the middle of an element")),
     }
 }
 
-fn wrong(what: &str) -> Malformed {
+fn malformed(what: &str) -> Malformed {
     Malformed(what.to_owned())
 }
 
-/// What has been read of a document.
+/// The part of a document that has been parsed so far.
 #[derive(Default)]
 struct Document {
-    /// The elements that are not closed yet, from the outermost.
+    /// The elements that are not closed yet, outermost first.
     open: Vec<Element>,
     root: Option<Element>,
-    /// Elements begun so far.
+    /// Number of elements that have been opened so far.
     elements: usize,
 }
 
 impl Document {
-    /// Whether another element may begin here.
+    /// Counts an element; fails if it is outside the root element or exceeds a limit.
     fn check_start(&mut self, start: &BytesStart) -> Result<(), Malformed> {
         if self.root.is_some() && self.open.is_empty() {
-            return Err(wrong(&format!("element '{}' stands after the end", start.name().as_ref())));
+            return Err(malformed(&format!("element '{}' stands after the end", start.name().as_ref())));
         }
         self.elements += 1;
         if self.open.len() >= MAX_DEPTH {
-            return Err(wrong("elements are nested too deeply"));
+            return Err(malformed("elements are nested too deeply"));
         }
         if self.elements > MAX_ELEMENTS {
-            return Err(wrong("there are too many elements"));
+            return Err(malformed("there are too many elements"));
         }
         Ok(())
     }
@@ -140,7 +144,7 @@
         match self.open.last_mut() {
             Some(element) => element.text.push_str(&text.xml_content(XmlVersion::Implicit1_0)),
             None if text.trim().is_empty() => {}
-            None => return Err(wrong("text stands outside of the element")),
+            None => return Err(malformed("text stands outside of the element")),
         }
         Ok(())
     }
@@ -152,31 +156,31 @@
     }
 }
 
-/// An element with its attributes, but without its namespace declarations.
+/// Converts a start tag to an element with its attributes, without namespace declarations.
 fn element_of(reader: &NsReader<&[u8]>, start: &BytesStart, ns: String) -> Result<Element, Malformed> {
     let mut element = Element { ns, name: start.local_name().as_ref().to_string(), ..Element::default() };
     for attribute in start.attributes() {
-        let attribute = attribute.map_err(|error| wrong(&error.to_string()))?;
+        let attribute = attribute.map_err(|error| malformed(&error.to_string()))?;
         let key = attribute.key;
         if key.as_namespace_binding().is_some() {
             continue;
         }
         if element.attributes.len() >= MAX_ATTRIBUTES {
-            return Err(wrong("there are too many attributes"));
+            return Err(malformed("there are too many attributes"));
         }
         let ns = match reader.resolver().resolve_attribute(key).0 {
             ResolveResult::Bound(ns) => ns.as_ref().to_string(),
             _ => String::new(),
         };
         let value = attribute.normalized_value(XmlVersion::Implicit1_0);
-        let value = value.map_err(|error| wrong(&error.to_string()))?.into_owned();
+        let value = value.map_err(|error| malformed(&error.to_string()))?.into_owned();
         element.attributes.push((ns, key.local_name().as_ref().to_string(), value));
     }
     Ok(element)
 }
 
-/// The character of a reference: by number, or one of the five entities of XML.
-fn character_of(name: &BytesRef) -> Option<char> {
+/// Resolves a numeric character reference or one of the five predefined entities of XML.
+fn resolve_reference(name: &BytesRef) -> Option<char> {
     match name.resolve_char_ref() {
         Ok(Some(character)) => Some(character),
         Ok(None) => match &*name.xml_content(XmlVersion::Implicit1_0) {
@@ -191,7 +195,8 @@
     }
 }
 
-/// Text as it may stand between tags and in attributes.
+/// Escapes text for use as element content or attribute value. Control characters that XML can't represent are
+/// replaced by U+FFFD.
 pub fn escape(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for c in text.chars() {
@@ -201,7 +206,7 @@
             '&' => escaped.push_str("&amp;"),
             '"' => escaped.push_str("&quot;"),
             '\'' => escaped.push_str("&apos;"),
-            // XML can't express other control characters.
+            // XML 1.0 allows no other control characters.
             c if c.is_control() && !matches!(c, '\n' | '\r' | '\t') => escaped.push('\u{fffd}'),
             c => escaped.push(c),
         }
