--- a/crates/edges/cli/src/file/fleet.rs
+++ b/crates/edges/cli/src/file/fleet.rs
@@ -1,4 +1,4 @@
-//! `[fleet]` and `[[fleet.tasks]]`.
+//! Sections `[fleet]` and `[[fleet.tasks]]`.
 
 use super::maintenance::MaintenanceSection;
 use super::zones::ZonesSection;
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use toml::Spanned;
 
-/// Names of leases on quota slots begin so.
+/// Prefix of the names of leases on quota slots.
 const QUOTA_SLOT_PREFIX: &str = "seat.";
 
 /// `[fleet]`: messages between fronts, and leases.
@@ -19,41 +19,42 @@
 pub struct FleetSection {
     /// Address to listen at.
     pub listen: Spanned<SocketAddr>,
-    /// File with the secret that only fronts of this fleet know; 16 bytes at least.
+    /// File with the key that authenticates messages between the fronts of this fleet; at least 16 bytes.
     pub key_file: Spanned<PathBuf>,
-    /// The 3, 5 or 7 voters, alike at every front.
+    /// Addresses of the 3, 5 or 7 voters; the same list at every front.
     pub voters: Spanned<Vec<SocketAddr>>,
-    /// Whether this front is one of them.
+    /// Whether this front is a voter.
     #[serde(rename = "votes", default)]
     pub is_voter: bool,
-    /// Which of them, from 0, if the address that it listens at does not tell.
+    /// This front's index among the voters, from 0; needed if its `listen` address is not in `voters`.
     #[serde(rename = "place")]
     pub voter_index: Option<Spanned<usize>>,
-    /// The address by which other fronts reach this one, if it is not the one that it listens at.
+    /// Address at which other fronts reach this one, if it differs from `listen`.
     #[serde(rename = "known_as")]
     pub advertised_address: Option<Spanned<SocketAddr>>,
     /// Duration of a lease, in milliseconds.
     #[serde(default = "FleetSection::default_lease_ms")]
     pub lease_ms: Spanned<u64>,
-    /// By how many thousandths a clock may run fast or slow.
+    /// Maximum deviation of a clock's rate from true time, fast or slow, in thousandths; below 500.
     #[serde(rename = "drift_thousandths", default = "FleetSection::default_clock_drift_permille")]
     pub clock_drift_permille: Spanned<u32>,
-    /// Longest action of a lease holder in milliseconds, where what is acted upon can't refuse an older fencing token.
+    /// Longest duration of a lease holder's action, in milliseconds. It matters for resources that can't reject
+    /// an older fencing token.
     #[serde(rename = "act_ms", default = "FleetSection::default_max_action_time_ms")]
     pub max_action_time_ms: u64,
-    /// Folder in which the highest fencing token is stored.
+    /// Folder in which the highest fencing token and the registers are stored.
     #[serde(rename = "folder")]
     pub state_folder: Option<Spanned<PathBuf>>,
     /// Number of quota slots into which the fronts' common quota is divided; 0 for none.
     #[serde(rename = "seats", default)]
     pub quota_slots: u32,
-    /// Number of quota slots that this front asks for.
+    /// Number of quota slots that this front requests.
     #[serde(rename = "wants_seats", default = "FleetSection::default_wanted_slots")]
     pub wanted_slots: usize,
-    /// The quota slot for which this front asks first.
+    /// The quota slot that this front requests first.
     #[serde(rename = "number", default)]
     pub first_slot: u32,
-    /// Tasks that this front is willing to hold.
+    /// Tasks whose leases this front may hold.
     #[serde(default)]
     pub tasks: Vec<TaskSection>,
     /// Failover of zones; off if absent.
@@ -128,7 +129,7 @@
         }
     }
 
-    /// This front's place among the voters.
+    /// This front's index among the voters: the configured one, else the position of `listen` in `voters`.
     pub fn own_voter_index(&self) -> Option<usize> {
         let voters = self.voters.get_ref();
         let stated = self.voter_index.as_ref().map(|place| *place.get_ref());
@@ -152,28 +153,29 @@
     }
 }
 
-/// `[[fleet.tasks]]`: a task of the fleet that this front is willing to hold.
+/// `[[fleet.tasks]]`: a task of the fleet whose lease this front may hold.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct FleetTask")]
 pub struct TaskSection {
     /// Name of the task and of its lease.
     pub name: Spanned<String>,
-    /// Address that is notified of each action by a datagram.
+    /// Address of the resource, which receives a datagram at the begin and the end of each action. Loopback
+    /// only, as the datagram is not authenticated.
     #[serde(rename = "tell")]
     pub notify: Option<Spanned<SocketAddr>>,
-    /// Time between two actions, in milliseconds.
+    /// Time from the begin of one action to the begin of the next, in milliseconds.
     #[serde(rename = "every_ms", default = "TaskSection::default_interval_ms")]
     pub interval_ms: Spanned<u64>,
     /// Duration of an action, in milliseconds.
     #[serde(rename = "takes_ms", default)]
     pub duration_ms: u64,
-    /// Whether what is acted upon refuses an older fencing token.
+    /// Whether the resource rejects an older fencing token.
     #[serde(rename = "refuses_older", default)]
     pub is_fenced: bool,
 }
 
 impl TaskSection {
-    /// `names` are those of the tasks before it.
+    /// Checks the name, the interval and the notified address. `names` holds the names of the preceding tasks.
     fn check<'a>(&'a self, names: &mut BTreeSet<&'a str>, checker: &mut Checker) {
         let name = self.name.get_ref().as_str();
         if name.is_empty() || name.len() > MAX_NAME_BYTES || name.starts_with(QUOTA_SLOT_PREFIX) {
--- a/crates/edges/cli/src/file/log.rs
+++ b/crates/edges/cli/src/file/log.rs
@@ -1,4 +1,4 @@
-//! `[log]`.
+//! Section `[log]`.
 
 use serde::Deserialize;
 
@@ -6,9 +6,9 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "struct Log")]
 pub struct LogSection {
-    /// The least severe level that is written.
+    /// Minimum severity of the lines that are written.
     pub level: LogLevel,
-    /// How lines are written.
+    /// Format of the lines.
     #[serde(rename = "form")]
     pub format: LogFormat,
 }
@@ -17,26 +17,26 @@
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase", expecting = "enum Level")]
 pub enum LogLevel {
-    /// Errors alone.
+    /// Errors only.
     Error,
-    /// Warnings too.
+    /// Also warnings.
     Warn,
-    /// What operators usually want.
+    /// Also messages on normal operation; the default.
     #[default]
     Info,
-    /// Details for finding faults.
+    /// Also details for diagnosing faults.
     Debug,
-    /// Everything.
+    /// All lines.
     Trace,
 }
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase", expecting = "enum Form")]
 pub enum LogFormat {
-    /// As text.
+    /// Plain text.
     #[default]
     Text,
-    /// As one JSON object a line.
+    /// One JSON object per line.
     Json,
 }
--- a/crates/edges/cli/src/file/maintenance.rs
+++ b/crates/edges/cli/src/file/maintenance.rs
@@ -1,4 +1,4 @@
-//! `[fleet.works]`.
+//! Section `[fleet.works]`.
 
 use lemonusher_maintenance::MaintenanceConfig;
 use serde::Deserialize;
@@ -6,23 +6,25 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// `[fleet.maintenance]`: maintenance of machines; alike at every front. Needs `[fleet.zones]`.
+/// `[fleet.works]`: maintenance of machines; the same at every front. Requires `[fleet.sites]`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Works")]
 pub struct MaintenanceSection {
     /// Names of the fronts that must confirm that a machine is drained before it is released.
     #[serde(rename = "fronts")]
     pub required_fronts: Vec<String>,
-    /// Address that is notified of each released machine by a datagram.
+    /// Address that receives a datagram for each released machine.
     #[serde(rename = "tell")]
     pub notify: Option<Spanned<SocketAddr>>,
-    /// Share that must still be served, of what would be served with a zone lost; from 0 to 1.
+    /// While machines are out, this share (from 0 to 1) of the value that could be served with a zone lost must
+    /// still be served with that zone lost.
     #[serde(rename = "keep_part", default = "MaintenanceSection::default_min_reserve")]
     pub min_reserve: f64,
-    /// By what share more demand than now is provided for.
+    /// Share of the present demand that is planned for in addition to it while machines are out; 0.1 plans for
+    /// 10 % more.
     #[serde(rename = "margin_part", default = "MaintenanceSection::default_demand_margin")]
     pub demand_margin: f64,
-    /// A returned machine must answer for so long, in milliseconds.
+    /// How long a returned machine must answer before it counts as done, in milliseconds.
     #[serde(rename = "steady_ms", default = "MaintenanceSection::default_probation_ms")]
     pub probation_ms: u64,
 }
@@ -40,7 +42,7 @@
         10_000
     }
 
-    /// What the fleet's part for maintenance is configured with; it polls at this interval.
+    /// The configuration of maintenance, whose coordinator decides once per `poll_interval`.
     pub fn config(&self, poll_interval: Duration) -> MaintenanceConfig {
         MaintenanceConfig {
             poll_interval,
--- a/crates/edges/cli/src/file/management.rs
+++ b/crates/edges/cli/src/file/management.rs
@@ -1,4 +1,4 @@
-//! `[managed]`, its servers and its users.
+//! Section `[managed]`, with the management servers and their users.
 
 use super::{Checker, resolve_optional};
 use serde::Deserialize;
@@ -12,11 +12,11 @@
 /// Longest name of a user, in bytes.
 const MAX_USER_NAME_BYTES: usize = 64;
 
-/// `[managed]`: managers' protocols and the store behind them.
+/// `[managed]`: the management protocols (gNMI and NETCONF) and the store of committed configuration.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Managed")]
 pub struct ManagementSection {
-    /// Folder in which commits are stored; without it they end with the process.
+    /// Folder in which commits are stored; if absent, they are lost when the process ends.
     #[serde(rename = "folder")]
     pub state_folder: Option<Spanned<PathBuf>>,
     /// Number of commits that can be rolled back to.
@@ -28,17 +28,17 @@
     /// Maximum number of subscriptions.
     #[serde(rename = "subscriptions", default = "ManagementSection::default_max_subscriptions")]
     pub max_subscriptions: Spanned<usize>,
-    /// Maximum age of the counters that managers read, in milliseconds.
+    /// Maximum age of the counters that management clients read, in milliseconds.
     #[serde(rename = "freshness_ms", default = "ManagementSection::default_max_counter_age_ms")]
     pub max_counter_age_ms: Spanned<u64>,
-    /// Whether a start begins with the startup datastore, if there is one.
+    /// Whether the startup datastore, if there is one, is put in force at the start.
     #[serde(rename = "from_startup", default)]
     pub starts_from_startup: bool,
     /// The gNMI server; off if absent.
     pub gnmi: Option<GnmiSection>,
     /// The NETCONF server; off if absent.
     pub netconf: Option<NetconfSection>,
-    /// Users. If there are none, whoever reaches a loopback address may read and write.
+    /// Users. If there are none, any client that reaches a loopback address may read and write.
     #[serde(default)]
     pub users: Vec<UserSection>,
 }
@@ -118,7 +118,7 @@
         Spanned::new(0..0, 50)
     }
 
-    /// The greatest age of counters that managers read.
+    /// Maximum age of the counters that management clients read.
     pub fn max_counter_age(&self) -> Duration {
         Duration::from_millis(*self.max_counter_age_ms.get_ref())
     }
@@ -130,9 +130,9 @@
 pub struct GnmiSection {
     /// Address to listen at.
     pub listen: Spanned<SocketAddr>,
-    /// File with the certificate, PEM; TLS if there is one.
+    /// File with the certificate, in PEM format. The server uses TLS if certificate and key are set.
     pub certificate: Option<Spanned<PathBuf>>,
-    /// File with its private key, PEM.
+    /// File with the certificate's private key, in PEM format.
     pub key: Option<Spanned<PathBuf>>,
 }
 
@@ -142,30 +142,30 @@
 pub struct NetconfSection {
     /// Address to listen at.
     pub listen: Spanned<SocketAddr>,
-    /// File with the host's private key, in OpenSSH's form; without it a new one is made at each start.
+    /// File with the private host key, in OpenSSH format; if absent, a new key is generated at each start.
     pub host_key: Option<Spanned<PathBuf>>,
 }
 
-/// `[[managed.users]]`: a manager.
+/// `[[managed.users]]`: a user of the management protocols.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct User")]
 pub struct UserSection {
-    /// Name to log in by.
+    /// Login name.
     pub name: Spanned<String>,
-    /// What the user may do.
+    /// Access that the user has.
     #[serde(rename = "may", default)]
     pub access: Access,
-    /// Public key for NETCONF, as a line of OpenSSH's.
+    /// Public key for NETCONF, in OpenSSH's one-line format.
     pub ssh_key: Option<Spanned<String>>,
     /// File with the password for gNMI.
     pub password_file: Option<Spanned<PathBuf>>,
 }
 
-/// What a user may do.
+/// Access of a user.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase", expecting = "enum May")]
 pub enum Access {
-    /// Read.
+    /// Read only; the default.
     #[default]
     Read,
     /// Read and write.
--- a/crates/edges/cli/src/file/mod.rs
+++ b/crates/edges/cli/src/file/mod.rs
@@ -1,6 +1,6 @@
-//! The operator's file: TOML. Every key is known, and every error names its line and what would be right. Each section
-//! has a module; the keys are mapped to the code's names by the `rename` attributes there, and nowhere else.
-//! `expecting` keeps the texts of errors as they were.
+//! The operator's file, in TOML. Unknown keys are rejected, and every error names its line and the accepted
+//! values. Each section has a module; only the `rename` attributes there map keys of the file to names in the
+//! code. The `expecting` attributes keep the type names in error messages independent of the names in the code.
 
 mod fleet;
 mod log;
@@ -20,17 +20,17 @@
 use std::path::{Path, PathBuf};
 use toml::Spanned;
 
-/// An operator's file: what it switches on.
+/// An operator's file: the parts of a front that it enables.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct File")]
 pub struct ConfigFile {
-    /// Where the front's own settings are.
+    /// Location of the front's start file.
     #[serde(default)]
     pub front: FrontSection,
     /// The log.
     #[serde(default)]
     pub log: LogSection,
-    /// Managers' protocols; off if absent.
+    /// The management protocols; off if absent.
     pub managed: Option<ManagementSection>,
     /// The external processor; off if absent.
     pub processor: Option<ProcessorSection>,
@@ -38,23 +38,24 @@
     pub fleet: Option<FleetSection>,
 }
 
-/// `[front]`: where the front's settings are.
+/// `[front]`: the location of the front's start file.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Front")]
 pub struct FrontSection {
-    /// The front's start file, from the folder of this one; if absent, the one that `PROXY_CONFIG` names.
+    /// The front's start file, relative to the folder of the operator's file; if absent, the environment variable
+    /// `PROXY_CONFIG` names it.
     #[serde(rename = "told")]
     pub start_file: Option<Spanned<PathBuf>>,
 }
 
-/// What is wrong in a file, and where.
+/// An error in an operator's file, with its position.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ConfigError {
     /// The file.
     pub file: PathBuf,
-    /// Line, from 1; none if the whole file is meant.
+    /// Line, from 1; none if the error concerns the whole file.
     pub line: Option<usize>,
-    /// What is wrong, and what would be right.
+    /// The error, with the accepted values.
     pub message: String,
 }
 
@@ -68,14 +69,14 @@
     }
 }
 
-/// Reads and checks a file.
+/// Reads and validates a file.
 pub fn read(path: &Path) -> Result<ConfigFile, Vec<ConfigError>> {
     let whole = |message: String| vec![ConfigError { file: path.to_owned(), line: None, message }];
     let text = std::fs::read_to_string(path).map_err(|error| whole(format!("can't be read: {error}")))?;
     parse(path, &text)
 }
 
-/// Checks a file's text. Paths in it start from the file's folder.
+/// Parses and validates a file's text. Relative paths in it are resolved against the file's folder.
 pub fn parse(path: &Path, text: &str) -> Result<ConfigFile, Vec<ConfigError>> {
     let mut checker = Checker { path, text, errors: Vec::new() };
     let mut file: ConfigFile = match toml::from_str(text) {
@@ -114,7 +115,7 @@
     }
 }
 
-/// Collects what is wrong in a file's values.
+/// Collects the errors in a file's values.
 struct Checker<'a> {
     path: &'a Path,
     text: &'a str,
@@ -122,7 +123,7 @@
 }
 
 impl Checker<'_> {
-    /// `span` is the place in the text, in bytes.
+    /// Adds an error. `span` is its position in the text, in bytes.
     fn report(&mut self, span: Range<usize>, message: impl Into<String>) {
         let error = self.error(Some(span), message.into());
         self.errors.push(error);
--- a/crates/edges/cli/src/file/processor.rs
+++ b/crates/edges/cli/src/file/processor.rs
@@ -1,4 +1,4 @@
-//! `[processor]`.
+//! Section `[processor]`.
 
 use super::{Checker, resolve_optional};
 use lemonusher_processor::{HeaderNames, PathClass};
@@ -8,8 +8,8 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// `[processor]`: the external processor. With it the front serves proxies alone: no listener for clients, no
-/// connections to engines.
+/// `[processor]`: the external processor. If it is enabled, the front serves proxies only: it has no listener for
+/// clients and no connections to engines.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Processor")]
 pub struct ProcessorSection {
@@ -18,40 +18,42 @@
     /// The proxies' `message_timeout`, in milliseconds.
     #[serde(default = "ProcessorSection::default_message_timeout_ms")]
     pub message_timeout_ms: Spanned<u64>,
-    /// What the proxies do when they get no response in time.
+    /// Behavior of the proxies when they get no response in time.
     #[serde(rename = "fails", default)]
     pub failure_mode: FailureMode,
-    /// How much longer in all the proxies may be asked to wait (their `max_message_timeout`), in milliseconds.
+    /// Maximum total extension of the message timeout for one call (the proxies' `max_message_timeout`), in
+    /// milliseconds; 0 if extensions are not allowed.
     #[serde(rename = "more_time_ms", default)]
     pub max_timeout_extension_ms: u64,
-    /// How long a proxy's retry is waited for, in milliseconds.
+    /// How long a call stays open after a failed attempt, waiting for the proxy's retry, in milliseconds.
     #[serde(rename = "retry_within_ms", default = "ProcessorSection::default_retry_window_ms")]
     pub retry_window_ms: u64,
-    /// File with the key that signs continuation tokens, the same for all processors of a deployment; without it
-    /// tokens are valid for one process.
+    /// File with the key that signs continuation tokens, the same for all processors of a deployment; if absent, a
+    /// random key is used, and tokens are valid within one process only.
     pub key_file: Option<Spanned<PathBuf>>,
     /// Maximum number of open streams, over all proxies.
     #[serde(rename = "streams", default = "ProcessorSection::default_max_streams")]
     pub max_streams: Spanned<usize>,
-    /// Maximum number of finished calls that are remembered.
+    /// Maximum number of finished calls whose outcome is kept.
     #[serde(rename = "remembered", default = "ProcessorSection::default_max_remembered")]
     pub max_remembered: usize,
-    /// Whether the request's body holds the statement, from which its table group is read.
+    /// Whether the request's body contains the statement, from which the table group is read.
     #[serde(rename = "statement", default)]
     pub body_is_statement: bool,
-    /// Whether engines count as just started at the start, as it is not known what proxies have in flight.
+    /// Whether, after a start, engines count as just started, because it is unknown which requests the proxies
+    /// have in flight.
     #[serde(default = "ProcessorSection::default_recovers")]
     pub recovers: bool,
-    /// Time between two decisions, in microseconds.
+    /// Interval between two decisions, in microseconds.
     #[serde(default = "ProcessorSection::default_tick_us")]
     pub tick_us: Spanned<u64>,
-    /// Names of headers that are not the usual ones.
+    /// Names of headers that differ from the default.
     #[serde(default)]
     pub headers: HeadersSection,
     /// Request classes by path prefix.
     #[serde(rename = "paths", default)]
     pub class_by_path: std::collections::BTreeMap<String, String>,
-    /// Client timeout of a request that states none, in milliseconds.
+    /// Client timeout of a request without that header, in milliseconds.
     #[serde(rename = "patience_ms", default = "ProcessorSection::default_client_timeout_ms")]
     pub client_timeout_ms: u64,
 }
@@ -103,7 +105,7 @@
         5000
     }
 
-    /// The headers' names, the usual ones where none is given.
+    /// The headers' names, with the default where the file gives none.
     pub fn header_names(&self) -> HeaderNames {
         let mut names = HeaderNames::default();
         let given = &self.headers;
@@ -123,7 +125,7 @@
                 *name = given.to_ascii_lowercase();
             }
         }
-        // The longest prefix speaks first.
+        // The first matching prefix counts, so the longest comes first.
         let class = |(prefix, class): (&String, &String)| PathClass {
             prefix: prefix.clone(),
             request_class: class.clone(),
@@ -135,18 +137,18 @@
     }
 }
 
-/// What proxies do when they get no response in time.
+/// Behavior of proxies when they get no response in time.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase", expecting = "enum Fails")]
 pub enum FailureMode {
-    /// They forward the request (`failure_mode_allow`).
+    /// Forward the request (`failure_mode_allow`).
     Open,
-    /// They answer with an error.
+    /// Respond with an error; the default.
     #[default]
     Closed,
 }
 
-/// `[processor.headers]`: names of headers, if they are not the usual ones; `HeaderNames` says what each holds.
+/// `[processor.headers]`: names of headers, where they differ from the default; `HeaderNames` documents each header.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "struct Headers")]
 pub struct HeadersSection {
--- a/crates/edges/cli/src/file/zones.rs
+++ b/crates/edges/cli/src/file/zones.rs
@@ -1,35 +1,36 @@
-//! `[fleet.sites]`.
+//! Section `[fleet.sites]`.
 
 use lemonusher_zone_failover::FailoverConfig;
 use serde::Deserialize;
 use std::time::Duration;
 
-/// `[fleet.zones]`: failover of zones; alike at every front. Times are in milliseconds.
+/// `[fleet.sites]`: failover of zones; the same at every front. Times are in milliseconds.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "struct Sites")]
 pub struct ZonesSection {
-    /// Between two reports of a front.
+    /// Interval between two reports of a front.
     #[serde(rename = "period_ms")]
     pub report_interval_ms: u64,
-    /// A loss must last so long.
+    /// How long an engine must leave requests unanswered to count as silent, and then how long a zone's health
+    /// must stay bad before the zone counts as lost.
     #[serde(rename = "confirm_ms")]
     pub confirmation_time_ms: u64,
-    /// A lost zone must answer for so long before it returns.
+    /// How long a probed zone must answer before it recovers.
     #[serde(rename = "steady_ms")]
     pub probation_ms: u64,
-    /// Between two steps of a return, at least.
+    /// Minimum time between two steps of a recovery or of a drain.
     #[serde(rename = "pace_ms")]
     pub ramp_interval_ms: u64,
-    /// A lost zone is left alone for so long; doubles with each loss in a row.
+    /// How long a lost zone is left alone before it is probed; doubled with each loss in a row, 16-fold at most.
     #[serde(rename = "wait_ms")]
     pub recovery_backoff_ms: u64,
-    /// A front that has heard nothing of the plan for so long decides by itself.
+    /// A front that has not confirmed the plan for so long is isolated.
     #[serde(rename = "stale_ms")]
     pub plan_timeout_ms: u64,
-    /// Share of the remaining capacity that a plan uses at most, from 0 to 1.
+    /// Maximum share of a zone's cores that a plan fills, above 0 and up to 1.
     #[serde(rename = "safe_part")]
     pub max_utilization: f64,
-    /// Share of each request class that is admitted at least, from 0 to 1.
+    /// Share of each request class's demand that is served before any class gets more, from 0 to 0.5.
     #[serde(rename = "floor_part")]
     pub admission_floor: f64,
 }
@@ -50,7 +51,7 @@
 }
 
 impl ZonesSection {
-    /// What the fleet's part for zones is configured with.
+    /// The configuration of zone failover.
     pub fn config(&self) -> FailoverConfig {
         let ms = Duration::from_millis;
         FailoverConfig {
