--- a/crates/edges/cli/src/check.rs
+++ b/crates/edges/cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `lemonusher check`.
+//! `lemonusher check`: validates configuration files.
 
 use crate::error::CommandError;
 use crate::fleet::fleet_config;
--- a/crates/edges/cli/src/error.rs
+++ b/crates/edges/cli/src/error.rs
@@ -1,13 +1,13 @@
-//! Errors of commands, and the exit codes that they end with.
+//! Errors of commands, and their exit codes.
 
 use std::path::Path;
 
 /// Why a command failed.
 #[derive(Debug)]
 pub enum CommandError {
-    /// A file can't be used; each is one line.
+    /// A file can't be read or is invalid; one message per line.
     File(Vec<String>),
-    /// It was tried and failed, for this reason.
+    /// The command failed, with the reason.
     Failed(String),
 }
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// Reads a file that the operator's file or a command names.
+/// Reads a file that is named in the operator's file or on the command line.
 pub fn read_bytes(path: &Path) -> Result<Vec<u8>, CommandError> {
     std::fs::read(path).map_err(|error| CommandError::File(vec![format!("{}: {error}", path.display())]))
 }
--- a/crates/edges/cli/src/fleet/leases.rs
+++ b/crates/edges/cli/src/fleet/leases.rs
@@ -1,4 +1,5 @@
-//! `lemonusher fleet` and `lemonusher hand-over`: the leases and registers of the voters.
+//! `lemonusher fleet` shows the leases and registers of the voters; `lemonusher hand-over` moves a lease to
+//! another front.
 
 use super::operator::{Operator, REPLY_TIMEOUT};
 use crate::error::CommandError;
@@ -9,7 +10,7 @@
 use std::time::Instant;
 
 struct VoterLeases {
-    /// The voter started lately and does not vote yet.
+    /// Whether the voter has started recently and does not vote yet.
     is_silent: bool,
     rows: Vec<LeaseRow>,
 }
@@ -20,10 +21,10 @@
     rows: Vec<RegisterRow>,
 }
 
-/// What one voter shows.
+/// The state that one voter shows.
 struct VoterState {
     voter: SocketAddr,
-    /// None if it does not answer.
+    /// None if the voter does not reply.
     leases: Option<VoterLeases>,
     registers: Option<VoterRegisters>,
     members: Option<Vec<MemberRow>>,
@@ -37,7 +38,7 @@
         Ok(VoterState { voter, leases, registers, members })
     }
 
-    /// All leases that a voter has granted; none if it does not answer.
+    /// All leases that a voter has granted; none if it does not reply.
     fn leases(&mut self, voter: SocketAddr) -> Result<Option<VoterLeases>, CommandError> {
         let mut all: Vec<LeaseRow> = Vec::new();
         loop {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// All registers that a voter has accepted; none if it does not answer.
+    /// All registers that a voter has accepted; none if it does not reply.
     fn registers(&mut self, voter: SocketAddr) -> Result<Option<VoterRegisters>, CommandError> {
         let mut all: Vec<RegisterRow> = Vec::new();
         loop {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// All other fronts that a front knows; none if it does not answer.
+    /// All other fronts that a front knows; none if it does not reply.
     fn members(&mut self, front: SocketAddr) -> Result<Option<Vec<MemberRow>>, CommandError> {
         let mut all: Vec<MemberRow> = Vec::new();
         loop {
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Asks all voters to have a task handed over.
+    /// Sends a hand-over request for a task to all voters.
     fn request_hand_over(&mut self, task: &str) -> Result<(), CommandError> {
         for voter in self.config.voters.clone() {
             self.send(Body::HandOver { task: task.to_owned() }, voter)?;
@@ -96,7 +97,7 @@
         Ok(())
     }
 
-    /// The lease on a task, by the first voter that shows one.
+    /// The lease on a task as the first voter that shows one has it.
     fn holder(&mut self, task: &str) -> Result<Option<LeaseRow>, CommandError> {
         for voter in self.config.voters.clone() {
             let rows = self.leases(voter)?.map(|leases| leases.rows).unwrap_or_default();
@@ -109,7 +110,8 @@
     }
 }
 
-/// Prints the leases and registers of each voter, and the fronts that it knows. Fails unless a majority votes.
+/// Prints the leases and registers of each voter, and the fronts that it knows. Fails unless a majority of
+/// voters votes.
 pub fn show(path: &Path, json: bool) -> Result<(), CommandError> {
     let mut operator = Operator::connect(path)?;
     let voters = operator.config.voters.clone();
@@ -172,13 +174,14 @@
     }
 }
 
-/// Holding times of a lease for which a hand-over is waited for.
+/// Maximum wait for a hand-over, in holding times of a lease.
 const HAND_OVER_HOLD_TIMES: u32 = 4;
 
-/// Asks the holder of a task to hand it over to another front.
+/// Requests that the holder of a task hands it over to another front, and waits until another front holds it.
 ///
-/// The request is a datagram that may be lost. It is sent again if the same grant is still shown one and a half holding
-/// times later: had it been released meanwhile, it would have expired, so the repetition can't hit who holds it next.
+/// The request is a datagram that may be lost. It is sent again if the voters still show the same grant one and
+/// a half holding times later. A grant that had been released meanwhile would have expired by then, so the
+/// repeated request can't reach the next holder.
 pub fn hand_over(path: &Path, task: &str, json: bool) -> Result<(), CommandError> {
     let mut operator = Operator::connect(path)?;
     let before =
--- a/crates/edges/cli/src/fleet/maintenance.rs
+++ b/crates/edges/cli/src/fleet/maintenance.rs
@@ -1,4 +1,5 @@
-//! `lemonusher works`: maintenance requests. Each is a register that operators change as any front would.
+//! `lemonusher works`: maintenance requests. Each is stored in a register, which the commands change by the
+//! same protocol as fronts do. A request of many machines is split over several registers.
 
 use super::operator::Operator;
 use crate::error::CommandError;
@@ -14,38 +15,39 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// How often a change is tried again after another came first.
+/// Maximum number of proposals for one change; a proposal fails if another change of the register came first.
 const MAX_TRIES: usize = 8;
 
 #[derive(clap::Subcommand)]
 pub enum MaintenanceCommand {
-    /// Asks for machines, named by their ids in hex, to be taken out.
+    /// Requests that machines are taken out of service. They are named by their engine ids in hex.
     Ask {
         #[arg(required = true)]
         machines: Vec<String>,
         #[arg(long, default_value = "operator")]
         who: String,
-        /// At most so many of them are out at once.
+        /// Maximum number of these machines that are out at once.
         #[arg(long, default_value_t = 1)]
         at_once: u16,
-        /// For how long each may be out, in seconds; one that is out for longer stops the queue.
+        /// Longest time that a machine may be out, in seconds; one that is out for longer stops the queue.
         #[arg(long, default_value_t = 3600)]
         out_for: u32,
-        /// The greater goes first.
+        /// Requests of a higher urgency are served first.
         #[arg(long, default_value_t = 1)]
         urgency: u8,
     },
-    /// Lists all requests, how their machines stand, and why they wait.
+    /// Lists all requests, the state of their machines, and the reasons why they wait.
     List,
-    /// Begins nothing further of a request.
+    /// Suspends a request: no further machine of it is drained.
     Hold { number: u8 },
-    /// Goes on with it.
+    /// Resumes a suspended request.
     GoOn { number: u8 },
-    /// Takes back what has not been released.
+    /// Withdraws a request for the machines that have not been released.
     Withdraw { number: u8 },
-    /// Says that a machine is back from work.
+    /// Reports that the work on a machine is done and that it has returned.
     Back { machine: String },
-    /// Does not wait for a front that is known to be dead, and will not come back before the request is over.
+    /// Stops waiting for the confirmations of a front that is known to be dead and will not return before the
+    /// request is over.
     Without { number: u8, front: String },
 }
 
@@ -55,7 +57,7 @@
         .map_err(|_| CommandError::Failed(format!("'{text}' is no engine's id in hex")))
 }
 
-/// Carries out a command on maintenance requests.
+/// Executes a command on maintenance requests.
 pub fn run(path: &Path, command: MaintenanceCommand, json: bool) -> Result<(), CommandError> {
     let mut operator = Operator::connect(path)?;
     match command {
@@ -122,7 +124,7 @@
     }
 }
 
-/// The fronts that count, as the operator's file names them.
+/// Names of the fronts whose drain confirmations are required, from the operator's file.
 fn required_fronts(path: &Path) -> Result<Vec<String>, CommandError> {
     let works = read_file(path)?.fleet.and_then(|fleet| fleet.maintenance);
     let works =
@@ -130,7 +132,8 @@
     Ok(works.into_inner().required_fronts)
 }
 
-/// Asks for machines, in as many registers as they need; nothing is asked for unless there are as many free.
+/// Requests machines, in as many registers as needed. If several registers are needed and fewer are free, nothing is
+/// requested.
 fn ask(operator: &mut Operator, work: &MaintenanceRequest, json: bool) -> Result<(), CommandError> {
     let mut parts = work.split(rand::random());
     let free =
@@ -162,7 +165,7 @@
     Err(CommandError::Failed(format!("{MAX_REQUESTS} requests are under way; ask again when one is over")))
 }
 
-/// Edits a request, in all registers that hold parts of it.
+/// Edits a request in all registers that hold parts of it.
 fn edit(
     operator: &mut Operator,
     number: u8,
@@ -194,7 +197,7 @@
     }
 }
 
-/// What current in a register, by a whole round.
+/// Reads the committed maintenance request of a register with a full round of the consensus protocol.
 fn read(operator: &mut Operator, number: u8) -> Result<Option<MaintenanceRequest>, CommandError> {
     match operator.propose(&maintenance_register(number), Operation::Read)? {
         ProposalOutcome::Committed { entry, .. } | ProposalOutcome::Conflict { entry, .. } => {
@@ -206,7 +209,8 @@
     }
 }
 
-/// Settles what `next` makes of what current there, however often another comes first; none where it makes nothing.
+/// Commits the result of `next`, which is applied to the current value of a register, and returns the version.
+/// Retries up to [`MAX_TRIES`] proposals if other changes come first. Returns none if `next` returns none.
 fn change(
     operator: &mut Operator,
     number: u8,
@@ -237,12 +241,12 @@
 /// A maintenance request as the voters show it.
 struct ShownRequest {
     number: u8,
-    /// Epoch and counter of the register's entry.
+    /// Version of the register's entry: epoch and counter.
     version: (u64, u64),
     request: MaintenanceRequest,
-    /// Number of the first register that holds a part of it, if it is kept in several.
+    /// Number of the first register that holds a part of the request, if it is stored in several.
     part_of: Option<u8>,
-    /// Why it does not go on, as the coordinator says.
+    /// The reason why it waits, as the coordinator reports it.
     blocked: Option<String>,
 }
 
@@ -263,7 +267,7 @@
     Err(CommandError::Failed("no voter answered, or [fleet.works] is not in the file".to_owned()))
 }
 
-/// The latest version of a request that any voter shows. A voter that does not answer is not asked again.
+/// The latest version of a request that any voter shows. A voter that does not reply is removed from `voters`.
 fn show_request(
     operator: &mut Operator,
     number: u8,
--- a/crates/edges/cli/src/fleet/mod.rs
+++ b/crates/edges/cli/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The fleet's part of an operator's file, and the commands that ask the fleet.
+//! Conversion of the section `[fleet]`, and the commands that send requests to the fleet.
 
 mod leases;
 mod maintenance;
@@ -15,10 +15,10 @@
 use lemonusher_leases::LeaseConfig;
 use std::time::Duration;
 
-/// Shortest key, in bytes.
+/// Minimum length of the key, in bytes.
 const MIN_KEY_BYTES: usize = 16;
 
-/// The configuration that the file states, with the key read, for a front of this name in this zone.
+/// Converts the section, for a front of this name in this zone, and reads the key file.
 pub fn fleet_config(section: &FleetSection, front: &str, zone: u32) -> Result<FleetConfig, CommandError> {
     let path = section.key_file.get_ref();
     let key = read_bytes(path)?;
--- a/crates/edges/cli/src/fleet/operator.rs
+++ b/crates/edges/cli/src/fleet/operator.rs
@@ -1,4 +1,5 @@
-//! An operator's datagrams to the fleet. An operator has a name of its own and holds nothing.
+//! Datagrams of an operator's command to the fleet. The command takes part under the name `operator` and holds
+//! no lease.
 
 use super::fleet_config;
 use crate::error::CommandError;
@@ -10,18 +11,18 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// How long a reply is waited for where nothing is sent again.
+/// Unit of the timeouts and poll intervals of requests that [`Operator::ask`] does not resend.
 pub const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long the reply to the first attempt of a question is waited for; twice as long after each further one.
+/// Timeout of the reply to the first attempt of a request; doubled with each further attempt.
 const FIRST_REPLY_TIMEOUT: Duration = Duration::from_millis(200);
-/// How often one question is sent.
+/// Maximum number of times that one request is sent.
 const MAX_ATTEMPTS: u32 = 4;
-/// Longest datagram that is read.
+/// Maximum length of a received datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// An operator beside the fleet.
+/// A connection of an operator's command to the fleet.
 pub struct Operator {
-    /// The fleet's configuration, as the file states it.
+    /// The fleet's configuration, from the operator's file.
     pub config: FleetConfig,
     incarnation: Incarnation,
     sequence: u64,
@@ -29,7 +30,7 @@
 }
 
 impl Operator {
-    /// Reads the operator's file, and opens a socket.
+    /// Reads the operator's file and opens a socket.
     pub fn connect(path: &Path) -> Result<Operator, CommandError> {
         let file = read_file(path)?;
         let section = file.fleet.as_ref().ok_or_else(|| {
@@ -55,8 +56,9 @@
         self.socket.send_to(&sealed, to).map(drop).map_err(failed)
     }
 
-    /// Asks a voter, again if no reply comes; none if there is none at all. Replies don't say what they answer, so each
-    /// question has a socket of its own: a late reply to an earlier one goes to a socket that is closed.
+    /// Sends a request to a voter, up to [`MAX_ATTEMPTS`] times, and returns the reply, or none. Replies don't
+    /// name the request that they belong to, so each request has a socket of its own: a late reply to an
+    /// earlier request goes to a closed socket.
     pub fn ask(&mut self, voter: SocketAddr, body: &Body) -> Result<Option<Body>, CommandError> {
         self.socket = open_socket()?;
         for attempt in 0..MAX_ATTEMPTS {
@@ -69,7 +71,7 @@
         Ok(None)
     }
 
-    /// The next message of this voter, if one comes within this time; all else is passed over.
+    /// The next message of this voter, if one is received within the timeout; other datagrams are ignored.
     fn wait_for_reply(&mut self, voter: SocketAddr, timeout: Duration) -> Result<Option<Body>, CommandError> {
         let deadline = Instant::now() + timeout;
         let mut bytes = [0; MAX_DATAGRAM_BYTES];
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Proposes a change of a register as any front would, and waits for the outcome.
+    /// Proposes a change of a register by the same protocol as fronts do, and waits for the outcome.
     pub fn propose(&mut self, name: &str, change: Operation) -> Result<ProposalOutcome, CommandError> {
         let started = Instant::now();
         let mut proposer = Proposer::new(self.incarnation.clone(), self.config.voters.len());
--- a/crates/edges/cli/src/fleet/zones.rs
+++ b/crates/edges/cli/src/fleet/zones.rs
@@ -10,23 +10,23 @@
 use serde_json::json;
 use std::path::Path;
 
-/// Below this many thousandths served, a request class is short of capacity.
+/// A request class is short of capacity if a smaller share of its demand is served, in thousandths.
 const SERVED_WHOLE_PERMILLE: u16 = 995;
-/// Times that an override is proposed where others come first.
+/// Maximum number of proposals for one override; a proposal fails if another change of the register came first.
 const MAX_TRIES: usize = 6;
 
-/// What an operator may ask of a zone. Names and doc comments are the command's words and help texts.
+/// Operator override of a zone. The variants' names and doc comments are the command's values and help texts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub enum ZoneOverride {
-    /// The fleet decides by what it sees.
+    /// No override: the fleet decides by the reports of its fronts.
     Auto,
-    /// Taken out in steps, and kept out.
+    /// Drained in steps, and kept out.
     Out,
-    /// The same, and given back by itself if outcomes elsewhere worsen.
+    /// Drained in steps, but returned automatically if outcomes in other zones degrade.
     Drill,
-    /// Not returned until another word.
+    /// A lost zone is not probed, so it does not return before another override is set.
     HoldReturn,
-    /// Returned at twice the pace.
+    /// Returned at twice the usual pace.
     Hurry,
 }
 
@@ -47,7 +47,7 @@
     })
 }
 
-/// A plan as a voter shows it.
+/// A failover plan as a voter shows it.
 struct ShownPlan {
     /// Epoch and version; none if no plan is committed yet.
     epoch: Option<(u64, u64)>,
@@ -57,7 +57,7 @@
     refused_first: Vec<u8>,
 }
 
-/// Prints the plan as the first voter that answers has it, or as it would be without some zones.
+/// Prints the plan of the first voter that replies, or the plan as it would be without some zones.
 pub fn plan(path: &Path, without: &[String], json: bool) -> Result<(), CommandError> {
     let names = read_inputs(path)?.names()?;
     let without =
@@ -70,7 +70,7 @@
         else {
             continue;
         };
-        // The command prints the version as two numbers.
+        // The command prints the version as two numbers, the epoch and the counter.
         let epoch = version.map(|version| (version.epoch, version.counter));
         let plan = ShownPlan { epoch, zones: sites, classes: groups, refused_first };
         if json {
@@ -85,7 +85,7 @@
     ))
 }
 
-/// A name, or the index where there is none.
+/// The name at an index, or the index as text if there is no name.
 fn name_at(names: &[String], index: usize) -> String {
     names.get(index).cloned().unwrap_or_else(|| index.to_string())
 }
@@ -152,7 +152,7 @@
     }
 }
 
-/// Commits an override of a zone, in the register that the coordinator follows.
+/// Commits an override of a zone in the register of overrides, which the coordinator reads.
 pub fn override_zone(
     path: &Path,
     zone: &str,
@@ -189,7 +189,7 @@
     Err(CommandError::Failed("too few voters answered; ask again".to_owned()))
 }
 
-/// The overrides of a register's entry, with one of them changed.
+/// The overrides in a register's entry, with the one of a zone replaced.
 fn with_override(entry: Option<&Entry>, index: usize, requested: OperatorOverride) -> Vec<OperatorOverride> {
     let mut overrides =
         entry.map(|entry| lemonusher_fleet::decode_overrides(&entry.value)).unwrap_or_default();
--- a/crates/edges/cli/src/inputs.rs
+++ b/crates/edges/cli/src/inputs.rs
@@ -1,4 +1,4 @@
-//! The files that a command reads: the operator's, and the front's start file that it names.
+//! The configuration files that a command reads: the operator's file, and the front's start file that it names.
 
 use crate::error::CommandError;
 use crate::file;
@@ -7,21 +7,21 @@
 
 /// An operator's file, and the path of the front's start file.
 pub struct Inputs {
-    /// The operator's file.
+    /// The operator's file, parsed.
     pub file: file::ConfigFile,
     /// Path of the start file.
     pub start_file: String,
 }
 
 impl Inputs {
-    /// The names that the start file's deployment uses.
+    /// The names of zones, machine kinds and request classes in the start file.
     pub fn names(&self) -> Result<DeploymentNames, CommandError> {
         lemonusher_front::read_names(&self.start_file)
             .map_err(|error| CommandError::File(vec![error.to_string()]))
     }
 }
 
-/// Reads and checks an operator's file.
+/// Reads and validates an operator's file.
 pub fn read_file(path: &Path) -> Result<file::ConfigFile, CommandError> {
     let to_lines = |errors: Vec<file::ConfigError>| {
         CommandError::File(errors.iter().map(|error| error.to_string()).collect())
@@ -29,7 +29,7 @@
     file::read(path).map_err(to_lines)
 }
 
-/// The same, and which start file it names.
+/// Reads and validates an operator's file, and determines the path of the front's start file.
 pub fn read_inputs(path: &Path) -> Result<Inputs, CommandError> {
     let file = read_file(path)?;
     let start_file = match &file.front.start_file {
--- a/crates/edges/cli/src/log_output.rs
+++ b/crates/edges/cli/src/log_output.rs
@@ -1,5 +1,5 @@
-//! The log of this binary: `tracing`, as text or as JSON lines. Lines that the front writes by `log` are forwarded,
-//! with the request, engine and commit that they name as fields.
+//! The log of this binary: `tracing` on standard error, as text or as JSON lines. Records of the `log` crate,
+//! which the front writes, are forwarded with their request, engine and commit as fields.
 
 use crate::file::{LogFormat, LogLevel};
 use log::kv::{Key, Value, VisitSource};
@@ -8,12 +8,12 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::{Layer, Registry, fmt, reload};
 
-/// Sets the level while the front runs.
+/// Changes the log level while the front runs.
 #[derive(Clone)]
 pub struct LogLevelHandle(reload::Handle<LevelFilter, Registry>);
 
 impl LogLevelHandle {
-    /// Sets the level by its name; a name that is not known changes nothing.
+    /// Sets the level by its name; an unknown name changes nothing.
     pub fn set(&self, level: &str) {
         let Some(filter) = filter(level) else { return };
         if self.0.modify(|current| *current = filter).is_ok() {
@@ -95,11 +95,11 @@
         LogFormat::Text => fmt::layer().with_writer(io::stderr).with_ansi(false).boxed(),
         LogFormat::Json => fmt::layer().json().flatten_event(true).with_writer(io::stderr).boxed(),
     };
-    // Other libraries say little that concerns an operator.
+    // Lines of other libraries are dropped, as few of them concern an operator.
     let is_ours = tracing_subscriber::filter::filter_fn(|metadata| {
         metadata.target().starts_with("lemonusher") || metadata.target() == "front"
     });
-    // Not by `init`, which would put a bridge of its own in place of the one that knows our fields.
+    // `init` is not used: it would install tracing's own `log` bridge, which does not forward the fields.
     let subscriber =
         tracing_subscriber::registry().with(filter_layer).with(format_layer.with_filter(is_ours));
     let _ = tracing::subscriber::set_global_default(subscriber);
--- a/crates/edges/cli/src/main.rs
+++ b/crates/edges/cli/src/main.rs
@@ -1,4 +1,5 @@
-//! `lemonusher`: the front as operators run and manage it. Doc comments on commands and options are their help texts.
+//! `lemonusher`: the command line with which operators run and manage a front. Doc comments on commands and
+//! options are their help texts.
 
 #![warn(missing_docs)]
 
@@ -20,8 +21,8 @@
 
 /// A gateway that keeps short and long queries apart on shared engines.
 ///
-/// Exit codes: 0 done; 1 it failed, and standard error says why; 2 the command line can't be used; 3 a file
-/// can't be used.
+/// Exit codes: 0 success; 1 the command failed, with the reason on standard error; 2 invalid command line; 3 a file
+/// can't be read or is invalid.
 #[derive(Parser)]
 #[command(version)]
 struct CommandLine {
@@ -36,26 +37,27 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs a front with what an operator's file switches on, until SIGTERM.
+    /// Runs a front with the parts that an operator's file enables, until SIGTERM.
     Run {
         /// The operator's file, such as deploy/lemonusher.toml.
         file: PathBuf,
     },
-    /// Checks an operator's file, and the file that it tells the front by.
+    /// Checks an operator's file and the front's start file that it names.
     Check { file: PathBuf },
     #[command(flatten)]
     Manage(ManageCommand),
-    /// Shows the voters of the fleet that a file names, and the leases that they have granted.
+    /// Shows the voters that a file names, with their leases, registers and the fronts that they know.
     Fleet { file: PathBuf },
-    /// Prints the plan for lost sites as it stands, or as it would be without some: who is served where, what is refused
-    /// first, and whether the rest can carry it.
+    /// Prints the failover plan in force, or as it would be without some sites: the traffic that each site
+    /// takes, the share of each request class that is served, the order in which classes are refused, and
+    /// whether the capacity suffices.
     Plan {
         file: PathBuf,
-        /// As if this site were lost; may be given several times.
+        /// Plans as if this site were lost; can be repeated.
         #[arg(long, value_name = "SITE")]
         without: Vec<String>,
     },
-    /// Tells the fleet what is wanted of a site.
+    /// Sets the fleet's operator override of a site.
     Site {
         file: PathBuf,
         site: String,
@@ -63,13 +65,13 @@
         #[arg(value_name = "WISH")]
         requested: ZoneOverride,
     },
-    /// Asks for machines to be taken out for work, and says how far that has come.
+    /// Requests maintenance of machines, and shows its progress.
     Works {
         file: PathBuf,
         #[command(subcommand)]
         command: MaintenanceCommand,
     },
-    /// Asks the holder of a task to hand it over, through the voters that a file names.
+    /// Requests that the holder of a task hands it over to another front; sent through the voters that a file names.
     HandOver { file: PathBuf, task: String },
 }
 
@@ -93,7 +95,7 @@
     }
 }
 
-/// Prints an error on standard error, one line each.
+/// Prints an error on standard error, one line per message.
 fn fail(error: CommandError, json: bool) -> ExitCode {
     let code = error.exit_code();
     let messages = match error {
--- a/crates/edges/cli/src/manage/client.rs
+++ b/crates/edges/cli/src/manage/client.rs
@@ -1,4 +1,4 @@
-//! The gNMI client.
+//! The gNMI client of the management commands.
 
 use super::values::{parse_path, path_text, update_json, value_text};
 use super::{ConnectionArgs, SetArgs};
@@ -20,9 +20,9 @@
 use tonic::transport::{Certificate, Channel, ClientTlsConfig, Endpoint};
 use tonic::{Request, Status};
 
-/// For a connection, and for the reply to one request.
+/// Timeout of the connection attempt and of the response to one request.
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest message that is read.
+/// Maximum length of a received message, in bytes.
 const MAX_MESSAGE_BYTES: usize = 256 * 1024 * 1024;
 
 struct Credentials {
@@ -30,7 +30,7 @@
     password: String,
 }
 
-/// A connection to a front, which prints what it gets.
+/// A connection to a front. Its methods print the responses on standard output.
 pub struct Client {
     inner: GNmiClient<Channel>,
     credentials: Option<Credentials>,
@@ -98,7 +98,7 @@
         Ok(request)
     }
 
-    /// Prints what stands at a path.
+    /// Prints the values at a path.
     pub async fn get(&mut self, path: &str, kind: DataType) -> CommandResult {
         let encoding = if self.json { Encoding::JsonIetf } else { Encoding::Proto };
         let message = GetRequest {
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    /// Changes what stands at a path.
+    /// Deletes, replaces or updates the node at a path.
     pub async fn set(&mut self, path: &str, value: Option<&str>, args: &SetArgs) -> CommandResult {
         let path = parse_path(path)?;
         let mut message = SetRequest::default();
@@ -146,7 +146,7 @@
         self.change(message).await
     }
 
-    /// Confirms a change, or cancels it.
+    /// Confirms a change that awaits confirmation, or cancels it.
     pub async fn confirm(&mut self, id: &str, cancel: bool) -> CommandResult {
         let action = match cancel {
             true => Action::Cancel(CommitCancel {}),
@@ -220,7 +220,7 @@
         Ok(())
     }
 
-    /// Prints updates as they come, up to `count` of them.
+    /// Prints updates as they are received, up to `count` of them.
     pub async fn watch(
         &mut self,
         path: &str,
--- a/crates/edges/cli/src/manage/mod.rs
+++ b/crates/edges/cli/src/manage/mod.rs
@@ -1,4 +1,4 @@
-//! The commands that manage a running front, over gNMI. Doc comments on commands and options are their help texts.
+//! The commands that manage a running front over gNMI. Doc comments on commands and options are their help texts.
 
 mod client;
 mod values;
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Which front, and as whom.
+/// The front's address, and the user's credentials.
 #[derive(Args, Clone)]
 pub struct ConnectionArgs {
     /// The front's gNMI address.
@@ -18,60 +18,61 @@
     address: String,
     #[arg(long, global = true)]
     user: Option<String>,
-    /// A file that holds the password.
+    /// File that contains the password.
     #[arg(long, global = true)]
     password_file: Option<PathBuf>,
-    /// The certificate that the front's must be signed by, as PEM; with it, the connection uses TLS.
+    /// File with the CA certificate, in PEM format, that signs the front's certificate; if given, the
+    /// connection uses TLS.
     #[arg(long, global = true)]
     ca: Option<PathBuf>,
-    /// The name in the front's certificate, where it is not its address.
+    /// Name in the front's certificate, if it differs from the address.
     #[arg(long, global = true)]
     server_name: Option<String>,
 }
 
-/// What `set` may be asked for besides the value.
+/// Options of `set`.
 #[derive(Args, Clone, Default)]
 pub struct SetArgs {
-    /// Takes away what stands at PATH.
+    /// Deletes the node at PATH.
     #[arg(long)]
     pub delete: bool,
-    /// Puts VALUE in place of all that stands at PATH.
+    /// Replaces the whole node at PATH with VALUE, instead of merging VALUE into it.
     #[arg(long)]
     pub replace: bool,
-    /// Goes back unless `lemonusher commit ID` follows within so many seconds.
+    /// Rolls the change back unless `lemonusher commit ID` follows within this time.
     #[arg(long, value_name = "SECONDS")]
     pub confirm_in: Option<u64>,
-    /// The id that such a change goes by.
+    /// Id of a change that must be confirmed.
     #[arg(long, default_value = "cli")]
     pub id: String,
-    /// The version that must be in force.
+    /// Version that must be in force; otherwise nothing is changed.
     #[arg(long, value_name = "VERSION")]
     pub expect: Option<u64>,
 }
 
 #[derive(Subcommand)]
 pub enum ManageCommand {
-    /// Prints what stands at a path, such as /front/pool or /front/state/engine[id=0000002a].
+    /// Prints the values at a path, such as /front/pool or /front/state/engine[id=0000002a].
     Get {
         path: String,
         /// Config, state, or both.
         #[arg(long, value_enum, default_value = "all")]
         kind: Kind,
     },
-    /// Sets a leaf, or a whole entry given as JSON, in one commit.
+    /// Sets a leaf, or an entry given as JSON, in one commit.
     Set {
         path: String,
         value: Option<String>,
         #[command(flatten)]
         args: SetArgs,
     },
-    /// Prints what stands at a path, and then what changes there, until it is ended.
+    /// Prints the values at a path, and then each change of them, until it is interrupted.
     Watch {
         path: String,
-        /// Samples at this period instead of telling changes.
+        /// Prints samples at this interval instead of changes.
         #[arg(long, value_name = "MILLISECONDS")]
         every: Option<u64>,
-        /// Ends after so many updates.
+        /// Ends after this many updates.
         #[arg(long)]
         count: Option<usize>,
     },
@@ -79,13 +80,13 @@
     Commit {
         #[arg(default_value = "cli")]
         id: String,
-        /// Takes it back instead.
+        /// Rolls the change back instead.
         #[arg(long)]
         cancel: bool,
     },
     /// Puts an earlier version in force again.
     Rollback { version: u64 },
-    /// Lists the commits that can be gone back to, the latest first.
+    /// Lists the commits that can be rolled back to, the latest first.
     History,
 }
 
@@ -106,7 +107,7 @@
     }
 }
 
-/// Carries out a command at a running front.
+/// Executes a management command on a running front.
 pub fn manage(command: ManageCommand, connection: &ConnectionArgs, json: bool) -> Result<(), CommandError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|error| CommandError::Failed(error.to_string()))?;
--- a/crates/edges/cli/src/manage/values.rs
+++ b/crates/edges/cli/src/manage/values.rs
@@ -1,10 +1,10 @@
-//! Paths and values of gNMI as text and as JSON.
+//! Conversion of gNMI paths and values to text and JSON.
 
 use crate::error::CommandError;
 use lemonusher_managed::gnmi::proto::gnmi::typed_value::Value as Typed;
 use lemonusher_managed::gnmi::proto::gnmi::{Path, PathElem, TypedValue, Update};
 
-/// Reads a path such as `/front/pool[name=a]`.
+/// Parses a path such as `/front/pool[name=a]`.
 pub fn parse_path(text: &str) -> Result<Path, CommandError> {
     let steps =
         lemonusher_model::parse_path(text).map_err(|error| CommandError::Failed(error.to_string()))?;
@@ -15,7 +15,7 @@
     Ok(Path { elem, ..Path::default() })
 }
 
-/// A path as text; the keys of an element in the order of their names.
+/// A path as text; the keys of an element are sorted by name.
 pub fn path_text(path: &Path) -> String {
     let mut text = String::new();
     for elem in &path.elem {
@@ -47,7 +47,7 @@
     }
 }
 
-/// An update's value as JSON; none if it has none.
+/// An update's value as JSON; none if there is no value or it is not valid JSON.
 pub fn update_json(update: &Update) -> Option<serde_json::Value> {
     Some(match update.val.as_ref()?.value.as_ref()? {
         Typed::JsonVal(bytes) | Typed::JsonIetfVal(bytes) => serde_json::from_slice(bytes).ok()?,
--- a/crates/edges/cli/src/run/management.rs
+++ b/crates/edges/cli/src/run/management.rs
@@ -1,11 +1,11 @@
-//! Configuration of managers' servers.
+//! Configuration of the management servers.
 
 use crate::error::{CommandError, read_bytes};
 use crate::file::{Access, GnmiSection, ManagementSection, NetconfSection, UserSection};
 use lemonusher_managed::{GnmiConfig, ManagementConfig, NetconfConfig, Tls, User, Users};
 use std::path::Path;
 
-/// The configuration that the file states, with the files read that it names.
+/// Converts the section; reads the certificate, the keys and the passwords from the files that it names.
 pub fn management_config(section: &ManagementSection) -> Result<ManagementConfig, CommandError> {
     let users = section.users.iter().map(user).collect::<Result<Vec<User>, CommandError>>()?;
     Ok(ManagementConfig {
--- a/crates/edges/cli/src/run/mod.rs
+++ b/crates/edges/cli/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! `lemonusher run`: starts what the operator's file switches on, then the front.
+//! `lemonusher run`: starts the parts that the operator's file enables, then the front.
 
 mod management;
 mod processor;
@@ -31,7 +31,7 @@
     let fleet = file.fleet.as_ref().map(|section| start_fleet(section, &names)).transpose()?;
     let (fleet, fleet_channels) = fleet.unzip();
     let ended = lemonusher_front::serve(inputs.start_file, management, processing, fleet_channels);
-    drop(fleet); // Releases its leases.
+    drop(fleet); // Releases this front's leases.
     ended.map_err(failed)
 }
 
@@ -39,7 +39,7 @@
     CommandError::Failed(error.to_string())
 }
 
-/// Starts managers' servers. What is returned first keeps them running.
+/// Starts the management servers, which run on a thread of their own until the process ends. Also returns their hub.
 fn start_management(
     config: lemonusher_managed::ManagementConfig,
     names: &DeploymentNames,
@@ -72,7 +72,7 @@
     Ok(ExternalProcessing { config: calls, events: started.events, recovers, tick })
 }
 
-/// Starts the fleet's part of this front. What is returned first keeps it running.
+/// Starts this front's participation in the fleet. It runs until the returned handle is dropped.
 fn start_fleet(
     section: &FleetSection,
     names: &DeploymentNames,
--- a/crates/edges/cli/src/run/processor.rs
+++ b/crates/edges/cli/src/run/processor.rs
@@ -9,17 +9,18 @@
 
 /// The external processor's configuration.
 pub struct ProcessorConfig {
-    /// The gRPC server.
+    /// Configuration of the gRPC server.
     pub server: ServerConfig,
-    /// The calls.
+    /// Configuration of the calls: timeouts, limits and idempotency by request class.
     pub calls: CallConfig,
-    /// Whether engines count as just started at the start.
+    /// Whether, after a start, engines count as just started.
     pub recovers: bool,
-    /// Time between two decisions.
+    /// Interval between two decisions.
     pub tick: Duration,
 }
 
-/// The configuration that the file states, with the key read. The longest deadline bounds what is remembered.
+/// Converts the section and reads the signing key. Continuation tokens and outcomes of finished calls are kept
+/// for twice the longest deadline of any request class.
 pub fn processor_config(
     section: &ProcessorSection,
     names: &DeploymentNames,
