--- a/crates/edges/cli/src/file/fleet.rs
+++ b/crates/edges/cli/src/file/fleet.rs
@@ -77,7 +77,7 @@
         self.check_voter_index(checker);
         checker.check_range(&self.lease_ms, "lease_ms", 100..=600_000);
         if *self.clock_drift_permille.get_ref() >= 500 {
-            checker.report(self.clock_drift_permille.span(), "'drift_thousandths' is under 500");
+            checker.report(self.clock_drift_permille.span(), "'drift_thousandths' must be below 500");
         }
         let mut names = BTreeSet::new();
         for task in &self.tasks {
@@ -88,12 +88,17 @@
     fn check_voters(&self, checker: &mut Checker) {
         let voters = self.voters.get_ref();
         if ![3, 5, 7].contains(&voters.len()) {
-            checker
-                .report(self.voters.span(), format!("there are {} 'voters'; 3, 5 or 7 vote", voters.len()));
+            checker.report(
+                self.voters.span(),
+                format!("there are {} 'voters'; there must be 3, 5 or 7", voters.len()),
+            );
         }
         let different: BTreeSet<&SocketAddr> = voters.iter().collect();
         if different.len() < voters.len() {
-            checker.report(self.voters.span(), "a voter stands twice; give each one place");
+            checker.report(
+                self.voters.span(),
+                "'voters' names an address twice; each voter must be listed once",
+            );
         }
     }
 
@@ -105,10 +110,16 @@
         }
         if let Some(maintenance) = &self.maintenance {
             if self.zones.is_none() {
-                checker.report(maintenance.span(), "works need [fleet.sites], which says what fronts see");
+                checker.report(
+                    maintenance.span(),
+                    "[fleet.works] requires [fleet.sites], whose reports of the fronts it uses",
+                );
             }
             if maintenance.get_ref().required_fronts.is_empty() {
-                checker.report(maintenance.span(), "'fronts' names every front that counts");
+                checker.report(
+                    maintenance.span(),
+                    "'fronts' is empty; it must name every front whose drain confirmation is required",
+                );
             }
         }
     }
@@ -117,12 +128,11 @@
         let voters = self.voters.get_ref().len();
         match &self.voter_index {
             Some(index) if *index.get_ref() >= voters => {
-                let message = format!("'place' goes from 0 to {}", voters.saturating_sub(1));
+                let message = format!("'place' must be from 0 to {}", voters.saturating_sub(1));
                 checker.report(index.span(), message);
             }
             None if self.is_voter && self.own_voter_index().is_none() => {
-                let message =
-                    "this front votes but listens at none of 'voters'; say which it is with 'place'";
+                let message = "this front votes, but its 'listen' address is not in 'voters'; set its index with 'place'";
                 checker.report(self.voters.span(), message);
             }
             _ => {}
@@ -182,16 +192,19 @@
             checker.report(
                 self.name.span(),
                 format!(
-                    "a task's 'name' has 1 to {MAX_NAME_BYTES} bytes and does not begin with '{QUOTA_SLOT_PREFIX}'"
+                    "a task's 'name' must have 1 to {MAX_NAME_BYTES} bytes and must not begin with '{QUOTA_SLOT_PREFIX}'"
                 ),
             );
         }
         if !names.insert(name) {
-            checker.report(self.name.span(), format!("task '{name}' stands twice; give each one entry"));
+            checker.report(
+                self.name.span(),
+                format!("task '{name}' is defined twice; each task must have one entry"),
+            );
         }
         checker.check_range(&self.interval_ms, "every_ms", 10..=3_600_000);
         if self.notify.as_ref().is_some_and(|to| !to.get_ref().ip().is_loopback()) {
-            let message = "only a loopback address is told, as what is told is not sealed";
+            let message = "'tell' must be a loopback address, because its datagrams are not authenticated";
             checker.report(self.name.span(), message);
         }
     }
--- a/crates/edges/cli/src/file/management.rs
+++ b/crates/edges/cli/src/file/management.rs
@@ -67,13 +67,13 @@
         for (value, name, allowed) in bounds {
             if !allowed.contains(value.get_ref()) {
                 let (least, most) = (allowed.start(), allowed.end());
-                let message = format!("'{name}' is {}; it goes from {least} to {most}", value.get_ref());
+                let message = format!("'{name}' is {}; it must be from {least} to {most}", value.get_ref());
                 checker.report(value.span(), message);
             }
         }
         let age = self.max_counter_age_ms.get_ref();
         if !(1..=10_000).contains(age) {
-            let message = format!("'freshness_ms' is {age}; it goes from 1 to 10000");
+            let message = format!("'freshness_ms' is {age}; it must be from 1 to 10000");
             checker.report(self.max_counter_age_ms.span(), message);
         }
         if let Some(gnmi) = &self.gnmi {
@@ -84,7 +84,7 @@
         }
         self.check_users(checker);
         if self.gnmi.is_none() && self.netconf.is_none() {
-            let message = "[managed] opens no door; add [managed.gnmi] or [managed.netconf]";
+            let message = "[managed] enables no server; add [managed.gnmi] or [managed.netconf]";
             checker.report(self.max_commits.span(), message);
         }
     }
@@ -94,10 +94,13 @@
         for user in &self.users {
             let name = user.name.get_ref();
             if name.is_empty() || name.len() > MAX_USER_NAME_BYTES {
-                checker.report(user.name.span(), "a user's 'name' has 1 to 64 characters");
+                checker.report(user.name.span(), "a user's 'name' must have 1 to 64 bytes");
             }
             if !names.insert(name) {
-                checker.report(user.name.span(), format!("user '{name}' stands twice; give each one entry"));
+                checker.report(
+                    user.name.span(),
+                    format!("user '{name}' is defined twice; each user must have one entry"),
+                );
             }
         }
     }
@@ -186,15 +189,17 @@
         let has_tls = self.certificate.is_some() && self.key.is_some();
         let is_loopback = self.listen.get_ref().ip().is_loopback();
         if let (Some(alone), None) | (None, Some(alone)) = (&self.certificate, &self.key) {
-            checker.report(alone.span(), "'certificate' and 'key' go together; name both or neither");
+            checker
+                .report(alone.span(), "'certificate' and 'key' must be set together; name both or neither");
         }
         if !has_tls && !is_loopback {
             let message =
-                "without 'certificate' and 'key' only a loopback address such as 127.0.0.1:9339 is taken";
+                "without 'certificate' and 'key', 'listen' must be a loopback address such as 127.0.0.1:9339";
             checker.report(self.listen.span(), message);
         }
         if users.iter().all(|user| user.password_file.is_none()) && !is_loopback {
-            let message = "beyond loopback at least one of 'users' needs a 'password_file'";
+            let message =
+                "unless 'listen' is a loopback address, at least one of 'users' needs a 'password_file'";
             checker.report(self.listen.span(), message);
         }
     }
@@ -204,7 +209,7 @@
     fn check(&self, users: &[UserSection], checker: &mut Checker) {
         if users.iter().all(|user| user.ssh_key.is_none()) && !self.listen.get_ref().ip().is_loopback() {
             let message =
-                "without a user's 'ssh_key' only a loopback address such as 127.0.0.1:8300 is taken";
+                "without a user's 'ssh_key', 'listen' must be a loopback address such as 127.0.0.1:8300";
             checker.report(self.listen.span(), message);
         }
     }
--- a/crates/edges/cli/src/file/mod.rs
+++ b/crates/edges/cli/src/file/mod.rs
@@ -134,7 +134,7 @@
         T: PartialOrd + fmt::Display,
     {
         if !allowed.contains(value.get_ref()) {
-            let message = format!("'{key}' goes from {} to {}", allowed.start(), allowed.end());
+            let message = format!("'{key}' must be from {} to {}", allowed.start(), allowed.end());
             self.report(value.span(), message);
         }
     }
--- a/crates/edges/cli/src/file/processor.rs
+++ b/crates/edges/cli/src/file/processor.rs
@@ -65,12 +65,12 @@
 
     pub(super) fn check(&self, checker: &mut Checker) {
         if !self.listen.get_ref().ip().is_loopback() && self.key_file.is_none() {
-            let message =
-                "beyond loopback a 'key_file' is needed, the same for all processors of the deployment";
+            let message = "unless 'listen' is a loopback address, a 'key_file' is needed, the same for all processors of the deployment";
             checker.report(self.listen.span(), message);
         }
         if !(5..=60_000).contains(self.message_timeout_ms.get_ref()) {
-            let message = "'message_timeout_ms' goes from 5 to 60000, as the proxies have it";
+            let message =
+                "'message_timeout_ms' must be from 5 to 60000, and the same as the proxies' message_timeout";
             checker.report(self.message_timeout_ms.span(), message);
         }
         checker.check_range(&self.tick_us, "tick_us", 50..=50_000);
--- a/crates/edges/cli/src/fleet/leases.rs
+++ b/crates/edges/cli/src/fleet/leases.rs
@@ -124,7 +124,10 @@
     if voting * 2 > voters.len() {
         return Ok(());
     }
-    Err(CommandError::Failed(format!("{voting} of {} voters vote: nothing is granted", voters.len())))
+    Err(CommandError::Failed(format!(
+        "{voting} of {} voters vote; without a majority no lease is granted",
+        voters.len()
+    )))
 }
 
 impl VoterState {
@@ -209,5 +212,5 @@
         }
         return Ok(());
     }
-    Err(CommandError::Failed(format!("{task} was not taken by another; {} held it", before.holder)))
+    Err(CommandError::Failed(format!("no other front has acquired {task}; {} held it", before.holder)))
 }
--- a/crates/edges/cli/src/fleet/maintenance.rs
+++ b/crates/edges/cli/src/fleet/maintenance.rs
@@ -54,7 +54,7 @@
 fn parse_machine(text: &str) -> Result<Machine, CommandError> {
     let hex = text.strip_prefix("s-").unwrap_or(text);
     Machine::from_str_radix(hex, 16)
-        .map_err(|_| CommandError::Failed(format!("'{text}' is no engine's id in hex")))
+        .map_err(|_| CommandError::Failed(format!("'{text}' is not an engine id in hex")))
 }
 
 /// Executes a command on maintenance requests.
@@ -98,8 +98,8 @@
         return Ok(());
     }
     Err(CommandError::Failed(format!(
-        "one request names {max_machines} machines at most, {MAX_CONCURRENT} of them out at once, and who asks in \
-         {MAX_NAME_BYTES} bytes"
+        "one request names {max_machines} machines at most, --at-once is {MAX_CONCURRENT} at most, and --who has \
+         {MAX_NAME_BYTES} bytes at most"
     )))
 }
 
@@ -113,7 +113,7 @@
             return Ok(());
         }
     }
-    Err(CommandError::Failed(format!("{machine:08x} is not released: nobody expects it back")))
+    Err(CommandError::Failed(format!("{machine:08x} is not released, so nobody expects it back")))
 }
 
 fn print_change(json: bool, number: u8, version: u64, what: &str) {
@@ -127,8 +127,9 @@
 /// Names of the fronts whose drain confirmations are required, from the operator's file.
 fn required_fronts(path: &Path) -> Result<Vec<String>, CommandError> {
     let works = read_file(path)?.fleet.and_then(|fleet| fleet.maintenance);
-    let works =
-        works.ok_or_else(|| CommandError::File(vec![format!("{}: has no [fleet.works]", path.display())]))?;
+    let works = works.ok_or_else(|| {
+        CommandError::File(vec![format!("{}: the section [fleet.works] is missing", path.display())])
+    })?;
     Ok(works.into_inner().required_fronts)
 }
 
@@ -145,8 +146,8 @@
         }
         if free_places < parts.len() {
             return Err(CommandError::Failed(format!(
-                "{free_places} of {MAX_REQUESTS} places for {MAX_MACHINES} machines each are free, and this takes {}; ask again \
-                 when a request is over",
+                "{free_places} of {MAX_REQUESTS} registers for {MAX_MACHINES} machines each are free, and this request needs {}; \
+                 try again when another request is over",
                 parts.len()
             )));
         }
@@ -162,7 +163,7 @@
     if parts.is_empty() {
         return Ok(());
     }
-    Err(CommandError::Failed(format!("{MAX_REQUESTS} requests are under way; ask again when one is over")))
+    Err(CommandError::Failed(format!("{MAX_REQUESTS} requests are under way; try again when one is over")))
 }
 
 /// Edits a request in all registers that hold parts of it.
@@ -193,7 +194,9 @@
             print_change(json, number, version, what);
             Ok(())
         }
-        None => Err(CommandError::Failed(format!("there is no request {number}, or it can't be changed so"))),
+        None => Err(CommandError::Failed(format!(
+            "there is no request {number}, or this change does not apply to it"
+        ))),
     }
 }
 
@@ -204,7 +207,7 @@
             Ok(entry.and_then(|entry| MaintenanceRequest::from_bytes(&entry.value)))
         }
         ProposalOutcome::Unknown { .. } => {
-            Err(CommandError::Failed("too few voters answered; look and ask again".to_owned()))
+            Err(CommandError::Failed("too few voters answered; the state is unknown, try again".to_owned()))
         }
     }
 }
@@ -235,7 +238,10 @@
         let (after, number) = current.map_or((None, 0), |entry| (Some(entry.version), entry.fencing_token));
         wanted = Operation::CompareAndSet { expected: after, fencing_token: number, value: value.to_bytes() };
     }
-    Err(CommandError::Failed("too few voters answered, or others came first; look and ask again".to_owned()))
+    Err(CommandError::Failed(
+        "too few voters answered, or other changes came first; check the outcome with `list` and try again"
+            .to_owned(),
+    ))
 }
 
 /// A maintenance request as the voters show it.
@@ -264,7 +270,7 @@
     if has_answer {
         return Ok(());
     }
-    Err(CommandError::Failed("no voter answered, or [fleet.works] is not in the file".to_owned()))
+    Err(CommandError::Failed("no voter replied, or [fleet.works] is not in the file".to_owned()))
 }
 
 /// The latest version of a request that any voter shows. A voter that does not reply is removed from `voters`.
--- a/crates/edges/cli/src/fleet/mod.rs
+++ b/crates/edges/cli/src/fleet/mod.rs
@@ -23,7 +23,7 @@
     let path = section.key_file.get_ref();
     let key = read_bytes(path)?;
     if key.trim_ascii().len() < MIN_KEY_BYTES {
-        let message = format!("{}: a key has {MIN_KEY_BYTES} bytes at least", path.display());
+        let message = format!("{}: the key must have at least {MIN_KEY_BYTES} bytes", path.display());
         return Err(CommandError::File(vec![message]));
     }
     Ok(FleetConfig {
--- a/crates/edges/cli/src/fleet/operator.rs
+++ b/crates/edges/cli/src/fleet/operator.rs
@@ -34,7 +34,10 @@
     pub fn connect(path: &Path) -> Result<Operator, CommandError> {
         let file = read_file(path)?;
         let section = file.fleet.as_ref().ok_or_else(|| {
-            CommandError::File(vec![format!("{}: has no [fleet], so there is nobody to ask", path.display())])
+            CommandError::File(vec![format!(
+                "{}: the section [fleet], which names the voters, is missing",
+                path.display()
+            )])
         })?;
         let socket = open_socket()?;
         let incarnation = Incarnation { name: "operator".to_owned(), id: rand::random() };
@@ -51,8 +54,9 @@
             config_fingerprint: terms,
             body,
         };
-        let sealed =
-            frame.seal(&self.config.key).ok_or_else(|| CommandError::Failed("it is too long".to_owned()))?;
+        let sealed = frame
+            .seal(&self.config.key)
+            .ok_or_else(|| CommandError::Failed("the message is too long for a datagram".to_owned()))?;
         self.socket.send_to(&sealed, to).map(drop).map_err(failed)
     }
 
--- a/crates/edges/cli/src/fleet/zones.rs
+++ b/crates/edges/cli/src/fleet/zones.rs
@@ -43,7 +43,7 @@
 fn zone_index(names: &DeploymentNames, name: &str) -> Result<u32, CommandError> {
     let known = names.zones.iter().position(|known| known == name);
     known.map(|at| at as u32).ok_or_else(|| {
-        CommandError::Failed(format!("there is no site '{name}'; there are {}", names.zones.join(", ")))
+        CommandError::Failed(format!("unknown site '{name}'; known sites: {}", names.zones.join(", ")))
     })
 }
 
@@ -81,7 +81,8 @@
         return Ok(());
     }
     Err(CommandError::Failed(
-        "no voter shows a plan: is [fleet.sites] in the file, and do voters run?".to_owned(),
+        "no voter returned a plan; check that [fleet.sites] is in the file and that the voters run"
+            .to_owned(),
     ))
 }
 
@@ -186,7 +187,9 @@
             ProposalOutcome::Unknown { .. } => break,
         }
     }
-    Err(CommandError::Failed("too few voters answered; ask again".to_owned()))
+    Err(CommandError::Failed(
+        "too few voters answered, or other changes came first; the outcome is unknown, try again".to_owned(),
+    ))
 }
 
 /// The overrides in a register's entry, with the one of a zone replaced.
--- a/crates/edges/cli/src/inputs.rs
+++ b/crates/edges/cli/src/inputs.rs
@@ -36,7 +36,7 @@
         Some(path) => path.get_ref().to_string_lossy().into_owned(),
         None => std::env::var("PROXY_CONFIG").map_err(|_| {
             CommandError::File(vec![format!(
-                "{}: names no file in [front] 'told', and PROXY_CONFIG is not set",
+                "{}: [front] 'told' names no start file, and PROXY_CONFIG is not set",
                 path.display()
             )])
         })?,
--- a/crates/edges/cli/src/manage/client.rs
+++ b/crates/edges/cli/src/manage/client.rs
@@ -90,8 +90,9 @@
         let mut request = Request::new(message);
         if let Some(Credentials { user, password }) = &self.credentials {
             for (name, value) in [("username", user), ("password", password)] {
-                let value = MetadataValue::try_from(value.as_str())
-                    .map_err(|_| CommandError::Failed(format!("{name} can't be sent")))?;
+                let value = MetadataValue::try_from(value.as_str()).map_err(|_| {
+                    CommandError::Failed(format!("{name} contains characters that gRPC metadata can't carry"))
+                })?;
                 request.metadata_mut().insert(name, value);
             }
         }
@@ -124,7 +125,7 @@
             message.delete.push(path);
         } else {
             let Some(value) = value else {
-                return Err(CommandError::Failed("VALUE is missing, or --delete".to_owned()));
+                return Err(CommandError::Failed("VALUE or --delete is required".to_owned()));
             };
             let val = if value.starts_with(['{', '[']) {
                 Typed::JsonIetfVal(value.as_bytes().to_vec())
