--- a/crates/edges/cli/src/file/fleet.rs
+++ b/crates/edges/cli/src/file/fleet.rs
@@ -93,8 +93,8 @@
                 format!("there are {} 'voters'; there must be 3, 5 or 7", voters.len()),
             );
         }
-        let different: BTreeSet<&SocketAddr> = voters.iter().collect();
-        if different.len() < voters.len() {
+        let distinct: BTreeSet<&SocketAddr> = voters.iter().collect();
+        if distinct.len() < voters.len() {
             checker.report(
                 self.voters.span(),
                 "'voters' names an address twice; each voter must be listed once",
@@ -142,7 +142,7 @@
     /// This front's index among the voters: the configured one, else the position of `listen` in `voters`.
     pub fn own_voter_index(&self) -> Option<usize> {
         let voters = self.voters.get_ref();
-        let stated = self.voter_index.as_ref().map(|place| *place.get_ref());
+        let stated = self.voter_index.as_ref().map(|index| *index.get_ref());
         stated.or_else(|| voters.iter().position(|voter| voter == self.listen.get_ref()))
     }
 
--- a/crates/edges/cli/src/file/management.rs
+++ b/crates/edges/cli/src/file/management.rs
@@ -59,15 +59,15 @@
     }
 
     pub(super) fn check(&self, checker: &mut Checker) {
-        let bounds = [
+        let limits = [
             (&self.max_commits, "history", 1..=10_000),
             (&self.max_sessions, "sessions", 1..=1024),
             (&self.max_subscriptions, "subscriptions", 1..=4096),
         ];
-        for (value, name, allowed) in bounds {
+        for (value, name, allowed) in limits {
             if !allowed.contains(value.get_ref()) {
-                let (least, most) = (allowed.start(), allowed.end());
-                let message = format!("'{name}' is {}; it must be from {least} to {most}", value.get_ref());
+                let (min, max) = (allowed.start(), allowed.end());
+                let message = format!("'{name}' is {}; it must be from {min} to {max}", value.get_ref());
                 checker.report(value.span(), message);
             }
         }
@@ -188,9 +188,11 @@
     fn check(&self, users: &[UserSection], checker: &mut Checker) {
         let has_tls = self.certificate.is_some() && self.key.is_some();
         let is_loopback = self.listen.get_ref().ip().is_loopback();
-        if let (Some(alone), None) | (None, Some(alone)) = (&self.certificate, &self.key) {
-            checker
-                .report(alone.span(), "'certificate' and 'key' must be set together; name both or neither");
+        if let (Some(unpaired), None) | (None, Some(unpaired)) = (&self.certificate, &self.key) {
+            checker.report(
+                unpaired.span(),
+                "'certificate' and 'key' must be set together; name both or neither",
+            );
         }
         if !has_tls && !is_loopback {
             let message =
--- a/crates/edges/cli/src/file/mod.rs
+++ b/crates/edges/cli/src/file/mod.rs
@@ -71,8 +71,9 @@
 
 /// Reads and validates a file.
 pub fn read(path: &Path) -> Result<ConfigFile, Vec<ConfigError>> {
-    let whole = |message: String| vec![ConfigError { file: path.to_owned(), line: None, message }];
-    let text = std::fs::read_to_string(path).map_err(|error| whole(format!("can't be read: {error}")))?;
+    let file_error = |message: String| vec![ConfigError { file: path.to_owned(), line: None, message }];
+    let text =
+        std::fs::read_to_string(path).map_err(|error| file_error(format!("can't be read: {error}")))?;
     parse(path, &text)
 }
 
--- a/crates/edges/cli/src/fleet/leases.rs
+++ b/crates/edges/cli/src/fleet/leases.rs
@@ -44,10 +44,10 @@
         loop {
             let after = all.last().map(|row| row.task.clone()).unwrap_or_default();
             match self.ask(voter, &Body::ShowLeases { after })? {
-                Some(Body::Leases { is_silent: mute, rows, more }) => {
+                Some(Body::Leases { is_silent: silent, rows, more }) => {
                     all.extend(rows);
                     if !more {
-                        return Ok(Some(VoterLeases { is_silent: mute, rows: all }));
+                        return Ok(Some(VoterLeases { is_silent: silent, rows: all }));
                     }
                 }
                 _ => return Ok(None),
@@ -61,10 +61,10 @@
         loop {
             let after = all.last().map(|row| row.name.clone()).unwrap_or_default();
             match self.ask(voter, &Body::ShowRegisters { after })? {
-                Some(Body::Registers { is_voting: votes, epoch: era, rows, more }) => {
+                Some(Body::Registers { is_voting: votes, epoch: current_epoch, rows, more }) => {
                     all.extend(rows);
                     if !more {
-                        return Ok(Some(VoterRegisters { votes, epoch: era, rows: all }));
+                        return Ok(Some(VoterRegisters { votes, epoch: current_epoch, rows: all }));
                     }
                 }
                 _ => return Ok(None),
@@ -158,16 +158,16 @@
             }
             Some(VoterLeases { rows, .. }) => {
                 println!("voter {voter}: {} leases", rows.len());
-                for LeaseRow { task, holder: who, fencing_token: number, remaining: left } in rows {
-                    println!("  {task:<24} {who}  number {number}, {:.1} s left", left.as_secs_f64());
+                for LeaseRow { task, holder: front, fencing_token: token, remaining: time_left } in rows {
+                    println!("  {task:<24} {front}  number {token}, {:.1} s left", time_left.as_secs_f64());
                 }
             }
         }
         if let Some(VoterRegisters { votes, epoch, rows }) = &self.registers {
             let memory = if *votes { "it votes" } else { "it has no memory yet" };
             println!("  registers: {memory}, era {epoch}");
-            for RegisterRow { name, version: stamp, fencing_token: number, value_bytes: long } in rows {
-                println!("  {name:<24} version {}, written under {number}, {long} bytes", stamp.counter);
+            for RegisterRow { name, version: written, fencing_token: token, value_bytes: length } in rows {
+                println!("  {name:<24} version {}, written under {token}, {length} bytes", written.counter);
             }
         }
         if let Some(members) = &self.members {
@@ -203,12 +203,12 @@
             operator.request_hand_over(task)?;
             requested_at = Instant::now();
         }
-        let Some(now) = shown.filter(|row| row.fencing_token > before.fencing_token) else { continue };
-        let LeaseRow { holder: who, fencing_token: number, .. } = now;
+        let Some(new_lease) = shown.filter(|row| row.fencing_token > before.fencing_token) else { continue };
+        let LeaseRow { holder: new_holder, fencing_token: token, .. } = new_lease;
         if json {
-            println!("{}", json!({"task": task, "from": before.holder, "to": who, "number": number}));
+            println!("{}", json!({"task": task, "from": before.holder, "to": new_holder, "number": token}));
         } else {
-            println!("{task}: from {} to {who}, number {number}", before.holder);
+            println!("{task}: from {} to {new_holder}, number {token}", before.holder);
         }
         return Ok(());
     }
--- a/crates/edges/cli/src/fleet/maintenance.rs
+++ b/crates/edges/cli/src/fleet/maintenance.rs
@@ -65,27 +65,27 @@
             let machines = machines.iter().map(|text| parse_machine(text)).collect::<Result<Vec<_>, _>>()?;
             check_bounds(&machines, &who, at_once)?;
             let request = MaintenanceRequest::new(&who, urgency, at_once, out_for, &machines);
-            ask(&mut operator, &request, json)
+            submit(&mut operator, &request, json)
         }
         MaintenanceCommand::List => list(&mut operator, &required_fronts(path).unwrap_or_default(), json),
-        MaintenanceCommand::Hold { number } => edit(&mut operator, number, json, "is held", |work| {
-            work.on_hold = true;
+        MaintenanceCommand::Hold { number } => edit(&mut operator, number, json, "is held", |request| {
+            request.on_hold = true;
             true
         }),
-        MaintenanceCommand::GoOn { number } => edit(&mut operator, number, json, "goes on", |work| {
-            work.on_hold = false;
+        MaintenanceCommand::GoOn { number } => edit(&mut operator, number, json, "goes on", |request| {
+            request.on_hold = false;
             true
         }),
         MaintenanceCommand::Withdraw { number } => {
-            edit(&mut operator, number, json, "is withdrawn", |work| {
-                work.withdraw();
+            edit(&mut operator, number, json, "is withdrawn", |request| {
+                request.withdraw();
                 true
             })
         }
         MaintenanceCommand::Without { number, front } => {
             let fronts = required_fronts(path)?;
-            edit(&mut operator, number, json, "does not wait for it", |work| {
-                work.extension.dead_fronts.add(&fronts, &front)
+            edit(&mut operator, number, json, "does not wait for it", |request| {
+                request.extension.dead_fronts.add(&fronts, &front)
             })
         }
         MaintenanceCommand::Back { machine } => mark_returned(&mut operator, parse_machine(&machine)?, json),
@@ -126,27 +126,27 @@
 
 /// Names of the fronts whose drain confirmations are required, from the operator's file.
 fn required_fronts(path: &Path) -> Result<Vec<String>, CommandError> {
-    let works = read_file(path)?.fleet.and_then(|fleet| fleet.maintenance);
-    let works = works.ok_or_else(|| {
+    let section = read_file(path)?.fleet.and_then(|fleet| fleet.maintenance);
+    let section = section.ok_or_else(|| {
         CommandError::File(vec![format!("{}: the section [fleet.works] is missing", path.display())])
     })?;
-    Ok(works.into_inner().required_fronts)
+    Ok(section.into_inner().required_fronts)
 }
 
 /// Requests machines, in as many registers as needed. If several registers are needed and fewer are free, nothing is
 /// requested.
-fn ask(operator: &mut Operator, work: &MaintenanceRequest, json: bool) -> Result<(), CommandError> {
-    let mut parts = work.split(rand::random());
+fn submit(operator: &mut Operator, request: &MaintenanceRequest, json: bool) -> Result<(), CommandError> {
+    let mut parts = request.split(rand::random());
     let free =
         |current: &Option<MaintenanceRequest>| current.as_ref().is_none_or(MaintenanceRequest::is_over);
     if parts.len() > 1 {
-        let mut free_places = 0;
+        let mut free_registers = 0;
         for number in 0..MAX_REQUESTS as u8 {
-            free_places += usize::from(free(&read(operator, number)?));
+            free_registers += usize::from(free(&read(operator, number)?));
         }
-        if free_places < parts.len() {
+        if free_registers < parts.len() {
             return Err(CommandError::Failed(format!(
-                "{free_places} of {MAX_REQUESTS} registers for {MAX_MACHINES} machines each are free, and this request needs {}; \
+                "{free_registers} of {MAX_REQUESTS} registers for {MAX_MACHINES} machines each are free, and this request needs {}; \
                  try again when another request is over",
                 parts.len()
             )));
@@ -174,8 +174,9 @@
     what: &str,
     edit: impl Fn(&mut MaintenanceRequest) -> bool,
 ) -> Result<(), CommandError> {
-    let edited =
-        |current: Option<MaintenanceRequest>| current.and_then(|mut work| edit(&mut work).then_some(work));
+    let edited = |current: Option<MaintenanceRequest>| {
+        current.and_then(|mut request| edit(&mut request).then_some(request))
+    };
     let whole = read(operator, number)?;
     for part in 0..MAX_REQUESTS as u8 {
         if part != number
@@ -220,11 +221,11 @@
     next: impl Fn(Option<MaintenanceRequest>) -> Option<MaintenanceRequest>,
 ) -> Result<Option<u64>, CommandError> {
     let name = maintenance_register(number);
-    let mut wanted = Operation::Read;
+    let mut operation = Operation::Read;
     for _ in 0..MAX_TRIES {
-        let reads = wanted == Operation::Read;
-        let current: Option<Entry> = match operator.propose(&name, wanted)? {
-            ProposalOutcome::Committed { entry, .. } if !reads => {
+        let is_read = operation == Operation::Read;
+        let current: Option<Entry> = match operator.propose(&name, operation)? {
+            ProposalOutcome::Committed { entry, .. } if !is_read => {
                 return Ok(entry.map(|entry| entry.version.counter));
             }
             ProposalOutcome::Committed { entry, .. } | ProposalOutcome::Conflict { entry, .. } => entry,
@@ -235,8 +236,13 @@
         else {
             return Ok(None);
         };
-        let (after, number) = current.map_or((None, 0), |entry| (Some(entry.version), entry.fencing_token));
-        wanted = Operation::CompareAndSet { expected: after, fencing_token: number, value: value.to_bytes() };
+        let (read_version, token) =
+            current.map_or((None, 0), |entry| (Some(entry.version), entry.fencing_token));
+        operation = Operation::CompareAndSet {
+            expected: read_version,
+            fencing_token: token,
+            value: value.to_bytes(),
+        };
     }
     Err(CommandError::Failed(
         "too few voters answered, or other changes came first; check the outcome with `list` and try again"
@@ -284,17 +290,20 @@
     let mut blocked = None;
     for voter in voters.clone() {
         let Some(Body::MaintenanceShown {
-            stored: work, blocked_reason: why, is_coordinator: foreman, ..
+            stored: entry,
+            blocked_reason: reason,
+            is_coordinator: from_coordinator,
+            ..
         }) = operator.ask(voter, &Body::ShowMaintenance { request: number })?
         else {
             voters.retain(|other| *other != voter);
             continue;
         };
         *has_answer = true;
-        if foreman {
-            blocked = why;
+        if from_coordinator {
+            blocked = reason;
         }
-        let shown = work.and_then(|stored| {
+        let shown = entry.and_then(|stored| {
             let version = (stored.version.epoch, stored.version.counter);
             Some((version, MaintenanceRequest::from_bytes(&stored.value)?))
         });
--- a/crates/edges/cli/src/fleet/operator.rs
+++ b/crates/edges/cli/src/fleet/operator.rs
@@ -47,11 +47,11 @@
     /// Sends a message once.
     pub fn send(&mut self, body: Body, to: SocketAddr) -> Result<(), CommandError> {
         self.sequence += 1;
-        let terms = lemonusher_fleet::config_fingerprint(&self.config);
+        let fingerprint = lemonusher_fleet::config_fingerprint(&self.config);
         let frame = Frame {
             from: self.incarnation.clone(),
             sequence: self.sequence,
-            config_fingerprint: terms,
+            config_fingerprint: fingerprint,
             body,
         };
         let sealed = frame
@@ -98,11 +98,11 @@
     pub fn propose(&mut self, name: &str, change: Operation) -> Result<ProposalOutcome, CommandError> {
         let started = Instant::now();
         let mut proposer = Proposer::new(self.incarnation.clone(), self.config.voters.len());
-        let terms = self.config.leases;
+        let lease_config = self.config.leases;
         self.socket.set_read_timeout(Some(REPLY_TIMEOUT / 10)).map_err(failed)?;
         let mut requests = proposer.propose(started.elapsed(), name, change);
-        let until = terms.duration * 4 + REPLY_TIMEOUT * 4;
-        while started.elapsed() < until {
+        let timeout = lease_config.duration * 4 + REPLY_TIMEOUT * 4;
+        while started.elapsed() < timeout {
             for sent in std::mem::take(&mut requests) {
                 if let Some(voter) = self.config.voters.get(sent.voter).copied() {
                     self.send(Body::RegisterRequest(sent.request), voter)?;
@@ -114,10 +114,15 @@
                 && let Ok(Frame { body: Body::RegisterReply(reply), .. }) =
                     Frame::open(&bytes[..length], &self.config.key)
             {
-                requests =
-                    proposer.handle_reply(started.elapsed(), &terms, voter, reply, &mut rand::random::<f64>);
+                requests = proposer.handle_reply(
+                    started.elapsed(),
+                    &lease_config,
+                    voter,
+                    reply,
+                    &mut rand::random::<f64>,
+                );
             }
-            requests.extend(proposer.poll(started.elapsed(), &terms, &mut rand::random::<f64>));
+            requests.extend(proposer.poll(started.elapsed(), &lease_config, &mut rand::random::<f64>));
             if let Some(outcome) = proposer.take_outcomes().pop() {
                 return Ok(outcome);
             }
--- a/crates/edges/cli/src/fleet/zones.rs
+++ b/crates/edges/cli/src/fleet/zones.rs
@@ -65,14 +65,18 @@
     let mut operator = Operator::connect(path)?;
     for voter in operator.config.voters.clone() {
         let shown = operator.ask(voter, &Body::ShowPlan { without: without.clone() })?;
-        let Some(Body::PlanShown { version, zones: sites, classes: groups, shed_order: refused_first }) =
-            shown
+        let Some(Body::PlanShown {
+            version,
+            zones: zone_rows,
+            classes: class_rows,
+            shed_order: refused_first,
+        }) = shown
         else {
             continue;
         };
         // The command prints the version as two numbers, the epoch and the counter.
         let epoch = version.map(|version| (version.epoch, version.counter));
-        let plan = ShownPlan { epoch, zones: sites, classes: groups, refused_first };
+        let plan = ShownPlan { epoch, zones: zone_rows, classes: class_rows, refused_first };
         if json {
             plan.print_json(&names)
         } else {
--- a/crates/edges/cli/src/main.rs
+++ b/crates/edges/cli/src/main.rs
@@ -77,7 +77,7 @@
 
 fn main() -> ExitCode {
     let command_line = CommandLine::parse();
-    let done = match command_line.command {
+    let result = match command_line.command {
         Command::Run { file } => run::run(&file),
         Command::Check { file } => check::check(&file, command_line.json),
         Command::Fleet { file } => fleet::show(&file, command_line.json),
@@ -89,7 +89,7 @@
         }
         Command::Manage(command) => manage::manage(command, &command_line.connection, command_line.json),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => fail(error, command_line.json),
     }
--- a/crates/edges/cli/src/run/mod.rs
+++ b/crates/edges/cli/src/run/mod.rs
@@ -30,9 +30,9 @@
     let processing = processor.map(start_processor).transpose()?;
     let fleet = file.fleet.as_ref().map(|section| start_fleet(section, &names)).transpose()?;
     let (fleet, fleet_channels) = fleet.unzip();
-    let ended = lemonusher_front::serve(inputs.start_file, management, processing, fleet_channels);
+    let result = lemonusher_front::serve(inputs.start_file, management, processing, fleet_channels);
     drop(fleet); // Releases this front's leases.
-    ended.map_err(failed)
+    result.map_err(failed)
 }
 
 fn failed(error: impl ToString) -> CommandError {
@@ -45,22 +45,24 @@
     names: &DeploymentNames,
     log_level: LogLevelHandle,
 ) -> Result<(Arc<Hub>, ManagementChannels), CommandError> {
-    let known = Names {
+    let deployment_names = Names {
         zones: names.zones.clone(),
         machine_kinds: names.machine_kinds.clone(),
         request_classes: names.request_classes.clone(),
     };
     let set_level = Arc::new(move |level: &str| log_level.set(level));
-    let started = lemonusher_managed::start(config, known, names.front.clone(), set_level, Vec::new())
-        .map_err(failed)?;
-    let Started { requests, desired_state: wanted, notifications: notices, gnmi, netconf, hub } = started;
+    let started =
+        lemonusher_managed::start(config, deployment_names, names.front.clone(), set_level, Vec::new())
+            .map_err(failed)?;
+    let Started { requests, desired_state: last_state, notifications: engine_events, gnmi, netconf, hub } =
+        started;
     if let Some(address) = gnmi {
         tracing::info!("gNMI at {address}");
     }
     if let Some(address) = netconf {
         tracing::info!("NETCONF at {address}");
     }
-    Ok((hub, ManagementChannels { calls: requests, desired_state: wanted, notifications: notices }))
+    Ok((hub, ManagementChannels { calls: requests, desired_state: last_state, notifications: engine_events }))
 }
 
 fn start_processor(config: ProcessorConfig) -> Result<ExternalProcessing, CommandError> {
@@ -81,12 +83,12 @@
     let mut zone_failover = None;
     if let Some(zones) = &section.zones {
         let failover = zones.get_ref().config();
-        let (observations, seen) = async_channel::bounded(1);
-        let groups = lemonusher_routing::class_loads(&names.class_configs, failover.admission_floor);
+        let (observations, observations_receiver) = async_channel::bounded(1);
+        let class_loads = lemonusher_routing::class_loads(&names.class_configs, failover.admission_floor);
         config.zone_failover = Some(lemonusher_fleet::ZoneFailoverSettings {
             config: failover,
-            classes: groups,
-            observations: seen,
+            classes: class_loads,
+            observations: observations_receiver,
         });
         zone_failover = Some(ZoneFailover { config: failover, observations });
         let maintenance = section.maintenance.as_ref().map(|maintenance| maintenance.get_ref());
