--- a/crates/edges/cli/benches/managed.rs
+++ b/crates/edges/cli/benches/managed.rs
@@ -1,4 +1,4 @@
-//! Measures the managed state: `cargo bench --bench managed`. Takes about a minute; no part of CI.
+//! Measures the management protocols: `cargo bench --bench managed`. Takes about a minute; not part of CI.
 
 #[path = "../tests/managers/mod.rs"]
 #[allow(dead_code)]
@@ -32,7 +32,7 @@
             histogram.record(from.elapsed().as_nanos() as u64).unwrap();
         }
     };
-    // Side by side: turns without and with ten subscribers.
+    // Alternate rounds without and with ten subscribers.
     let mut client = world.front.client();
     let new = || Histogram::<u64>::new_with_bounds(1000, 60_000_000_000, 3).unwrap();
     let (mut alone, mut watched) = (new(), new());
@@ -71,7 +71,7 @@
         watched.mean() / alone.mean()
     );
 
-    // Memory a subscriber.
+    // Memory per subscriber.
     runtime.block_on(async {
         let mut gnmi = Gnmi::connect(world.gnmi).await;
         let resident = async |gnmi: &mut Gnmi| -> f64 {
@@ -90,7 +90,7 @@
     });
     drop(world);
 
-    // Commits with 1,000 pools of 10 engines each, synced.
+    // Commits with 1,000 pools of 10 engines each, synced to disk.
     let folder = Folder::new();
     let world = run(&[&engine], Some(&folder.0), "history = 100");
     runtime.block_on(async {
@@ -118,7 +118,7 @@
     });
     drop(world);
 
-    // Recovery from 10,000 commits, in process.
+    // Recovery of the store from 10,000 commits, in this process.
     let folder = Folder::new();
     let schema = Arc::new(Schema::front().unwrap());
     let bounds = Bounds { history: 10_000, sessions: 4 };
--- a/crates/edges/cli/benches/processor.rs
+++ b/crates/edges/cli/benches/processor.rs
@@ -1,4 +1,4 @@
-//! Measures the external processor: `cargo bench --bench processor`. Takes about half a minute; no part of CI.
+//! Measures the external processor: `cargo bench --bench processor`. Takes about half a minute; not part of CI.
 
 #[path = "../tests/proxies/mod.rs"]
 #[allow(dead_code)]
@@ -23,7 +23,7 @@
     HeaderValue { key: key.into(), raw_value: value.as_bytes().to_vec(), ..Default::default() }
 }
 
-/// Processor time that a process has taken, in seconds, and its memory in KB.
+/// CPU time that a process has used, in seconds, and its memory in KB.
 fn spent(id: u32) -> (f64, f64) {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap();
     let rest: Vec<&str> = stat.rsplit_once(')').unwrap().1.split_whitespace().collect();
@@ -33,7 +33,8 @@
     (ticks / 100.0, pages * 4.0)
 }
 
-/// Verdicts alone: a stream a request, ended by a response at once. So many at once, for a while.
+/// Measures verdicts without engines: one stream per request, ended immediately by a response. Runs `at_once`
+/// workers for this duration. Returns the latencies and the number of verdicts.
 async fn verdicts(proxy: &Proxy, at_once: usize, span: Duration, from: u64) -> (Histogram<u64>, u64) {
     let mut tasks = Vec::new();
     for worker in 0..at_once {
@@ -97,7 +98,7 @@
             );
             tell("  verdict", &histogram);
         }
-        // Whole requests, with the processor and without, in turns.
+        // Whole requests, alternately with the processor and without.
         let mut direct = proxy.clone();
         direct.processors = vec!["127.0.0.1:1".parse().unwrap()];
         direct.own = Some(engines[0].address);
@@ -112,7 +113,7 @@
         }
         tell("whole request with the processor", &with);
         tell("whole request without", &without);
-        // Memory a stream that waits.
+        // Memory per waiting stream.
         let before = spent(id).1;
         let mut held = Vec::new();
         for number in 0..2000 {
@@ -125,7 +126,7 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
         println!("memory a stream: {:.1} KB over {}", (spent(id).1 - before) / held.len() as f64, held.len());
         drop(held);
-        // After a restart with recovery on: until nine in ten are served in a quarter of a second.
+        // After a restart with recovery: time until nine in ten requests of a quarter of a second are served.
         processor.kill();
         let mut processor = Processor::new(&addresses, "message_timeout_ms = 1000");
         let mut proxy = Proxy::new(&[processor.address], None);
--- a/crates/edges/cli/tests/limits.rs
+++ b/crates/edges/cli/tests/limits.rs
@@ -1,6 +1,7 @@
-//! 1,024 engines and one more as managers see them, and as many fronts in an operator's file.
+//! Management clients read and change 1,024 engines and more; an operator's file names 1,024 fronts and more.
+//! Guards against fixed limits of 1,024.
 
-#[allow(dead_code)] // Shared with the proofs, which use more of it.
+#[allow(dead_code)] // Shared with the tests named proof_*, which use more of it.
 mod managers;
 
 use lemonusher_fakes::{CountingEngine, EngineBehavior, start_config, temp_file};
--- a/crates/edges/cli/tests/managers/mod.rs
+++ b/crates/edges/cli/tests/managers/mod.rs
@@ -1,4 +1,4 @@
-//! Managers as tests play them: a front run by an operator's file, and clients of both protocols.
+//! A front that runs with an operator's file, and clients of both management protocols, for tests.
 
 use lemonusher_fakes::{
     CountingEngine, DiscoveryServer, Front, TEST_TIMEOUT, start_config, temp_file, temp_path,
@@ -29,7 +29,7 @@
     tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap()
 }
 
-/// Where a front keeps its state, taken away with the test.
+/// A temporary folder for a front's state; removed on drop.
 pub struct Folder(pub PathBuf);
 
 impl Folder {
@@ -44,16 +44,16 @@
     }
 }
 
-/// A managed front with stand-ins round it.
+/// A managed front, with the addresses of its management servers and a fake discovery server.
 pub struct World {
     pub front: Front,
     pub gnmi: SocketAddr,
     pub netconf: SocketAddr,
-    /// Kept so that the front's channel has somebody to speak to.
+    /// Kept alive because the front connects to it.
     _commands: DiscoveryServer,
 }
 
-/// Runs a front that knows these engines, with `more` in its file's `[managed]`.
+/// Runs a front with these engines; `more` is added to section `[managed]` of its file.
 pub fn run(engines: &[&CountingEngine], folder: Option<&Path>, more: &str) -> World {
     let commands = DiscoveryServer::start();
     let known: Vec<(u32, SocketAddr)> =
@@ -74,7 +74,7 @@
     world
 }
 
-/// Runs a front by an operator's file that opens both doors.
+/// Runs a front with an operator's file that enables both management servers.
 pub fn run_file(text: &str, commands: DiscoveryServer) -> World {
     let path = temp_file("toml", text);
     let mut command = Command::new(env!("CARGO_BIN_EXE_lemonusher"));
@@ -84,7 +84,7 @@
     World { gnmi: address("gNMI at"), netconf: address("NETCONF at"), front, _commands: commands }
 }
 
-// gNMI.
+// gNMI client.
 
 #[derive(Clone)]
 pub struct Gnmi(pub GNmiClient<Channel>);
@@ -100,7 +100,7 @@
     Update { path: steps(path), val: Some(TypedValue { value: Some(val) }), duplicates: 0 }
 }
 
-/// Confirmed within so many seconds under an id, or an action upon it.
+/// Extension for a commit that must be confirmed under this id within this time.
 pub fn within(id: &str, seconds: i64) -> Extension {
     let rollback_duration = Some(prost_types::Duration { seconds, nanos: 0 });
     action(id, Action::Commit(CommitRequest { rollback_duration }))
@@ -137,7 +137,7 @@
         self.0.set(request).await.map(drop)
     }
 
-    /// A stream of updates; the requests stay open until it is dropped.
+    /// Subscribes to these paths. The request stream stays open until the result is dropped.
     pub async fn subscribe(
         &mut self,
         paths: &[&str],
@@ -163,7 +163,7 @@
     }
 }
 
-/// A subscription that is open.
+/// An open subscription.
 pub struct Updates {
     stream: Streaming<SubscribeResponse>,
     _open: tokio::sync::mpsc::Sender<SubscribeRequest>,
@@ -176,7 +176,7 @@
     }
 }
 
-/// The next updates of a stream: path's last name, keys and value; none for a sync.
+/// The next updates of a subscription; none for a response without updates, such as a sync response.
 pub async fn updates(updates: &mut Updates) -> Option<Vec<Update>> {
     let next = tokio::time::timeout(TEST_TIMEOUT, updates.stream.message()).await.expect("an update in time");
     match next.unwrap().expect("the stream goes on").response {
@@ -185,7 +185,7 @@
     }
 }
 
-// NETCONF.
+// NETCONF client.
 
 pub struct Trusting;
 
@@ -251,7 +251,7 @@
         self.stream.write_all(bytes).await.is_ok() && self.stream.flush().await.is_ok()
     }
 
-    /// The next message, or none once the session has ended.
+    /// The next message, or none after the session has ended.
     pub async fn receive(&mut self) -> Option<String> {
         let mut bytes = vec![0; 16 * 1024];
         loop {
@@ -280,14 +280,14 @@
         assert!(reply.child("ok").is_some(), "{operation}: {reply:?}");
     }
 
-    /// The tag of the error that an operation yields.
+    /// Sends an operation that must fail. Returns the error's tag.
     pub async fn error(&mut self, operation: &str) -> String {
         let reply = self.ask(operation).await;
         let error = reply.child("rpc-error").unwrap_or_else(|| panic!("{operation}: {reply:?}"));
         error.child("error-tag").unwrap().value().to_owned()
     }
 
-    /// The reply's bytes, but for what names the message.
+    /// The bytes of the reply from the element `data` on, without the message id.
     pub async fn bytes(&mut self, operation: &str) -> String {
         self.next += 1;
         let text = format!("<rpc xmlns=\"{BASE}\" message-id=\"{}\">{operation}</rpc>", self.next);
--- a/crates/edges/cli/tests/operator.rs
+++ b/crates/edges/cli/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The commands that ask the fleet, against voters of the test's own whose replies are late, repeated or lost.
+//! The commands that send requests to the fleet, against fake voters whose replies are late, repeated or lost.
 
 use lemonusher_fakes::{start_config, temp_path};
 use lemonusher_fleet::{Body, FleetKey, Frame, LeaseRow, MemberRow, RegisterRow};
@@ -13,8 +13,8 @@
 const TASK: &str = "yard";
 const LEASE: Duration = Duration::from_millis(200);
 
-/// A voter that answers each message by what `answer` makes of it and of its number among those received: some bodies,
-/// one datagram each, or none.
+/// Starts a fake voter. For each message, `answer` receives the message's number, from 0, and its body, and
+/// returns the bodies to reply with, one datagram each.
 fn start_voter(answer: impl Fn(usize, &Body) -> Vec<Body> + Send + 'static) -> Voter {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
@@ -50,7 +50,7 @@
     Body::Leases { is_silent: false, rows: vec![row], more: false }
 }
 
-/// What a voter shows that has one lease, one register and one other front.
+/// The reply of a voter with one lease, one register and one other front.
 fn show(body: &Body) -> Option<Body> {
     let version = Default::default();
     let register = RegisterRow { name: "r".to_owned(), version, fencing_token: 1, value_bytes: 3 };
@@ -66,7 +66,7 @@
     }
 }
 
-/// The operator's file in a folder of its own, removed with it.
+/// A temporary folder with an operator's file; removed on drop.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -86,7 +86,7 @@
         Folder(folder)
     }
 
-    /// Exit code and all output of a command on this file.
+    /// Runs a command with this file. Returns its exit code and its output on stdout and stderr.
     fn run(&self, verb: &str, arguments: &[&str]) -> (i32, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_lemonusher"));
         let output = command.arg(verb).arg(self.0.join("operator.toml")).args(arguments).output().unwrap();
@@ -101,10 +101,10 @@
     }
 }
 
-/// Guards against a late reply to one question being taken for the reply to the next.
+/// Guards against a late reply to one request being taken for the reply to the next.
 #[test]
 fn a_question_that_was_answered_twice_does_not_spoil_the_next() {
-    // Each message is answered twice, as a question is that was sent again before its reply came.
+    // Each message gets two replies, like a request that was resent before its first reply was received.
     let voters: Vec<Voter> = (0..3)
         .map(|_| start_voter(|_, body| show(body).into_iter().flat_map(|b| [b.clone(), b]).collect()))
         .collect();
@@ -115,7 +115,8 @@
     }
 }
 
-/// Guards against a voter that is slow on a busy machine, or behind a link that loses datagrams, being shown as silent.
+/// Guards against showing a voter as unreachable that is slow on a busy machine or behind a link that loses
+/// datagrams.
 #[test]
 fn a_voter_whose_first_three_replies_are_lost_is_shown() {
     let voters: Vec<Voter> = (0..3)
@@ -125,11 +126,11 @@
     assert!(code == 0 && !text.contains("does not answer"), "{code} {text}");
 }
 
-/// Guards against a hand-over that is not carried out because its one datagram was lost; and it is not asked for again
-/// once another front holds the task.
+/// Guards against a hand-over that does not happen because its datagram was lost. The request must not be sent
+/// again once another front holds the task.
 #[test]
 fn a_hand_over_is_asked_for_again_until_another_front_holds_the_task() {
-    // The voters drop the first request, and show another holder from the second on.
+    // The voters ignore the first request, and show another holder after the second.
     let voters: Vec<Voter> = (0..3)
         .map(|_| {
             let asked = std::sync::atomic::AtomicU32::new(0);
@@ -146,7 +147,7 @@
     let from = Instant::now();
     let (code, text) = Folder::new(&voters).run("hand-over", &[TASK]);
     assert!(code == 0 && text.contains("from n1") && text.contains("to n2"), "{code} {text}");
-    // Not before the lease of who held it must have ended, had it been released.
+    // The request is not resent before the old holder's lease would have expired, had it been released.
     assert!(from.elapsed() >= LEASE, "{:?}", from.elapsed());
     for voter in &voters {
         let asked = voter.received.try_iter().filter(|body| matches!(body, Body::HandOver { .. })).count();
--- a/crates/edges/cli/tests/proof_managed.rs
+++ b/crates/edges/cli/tests/proof_managed.rs
@@ -1,5 +1,5 @@
-//! Proof of the managed state: the front as a process, engines that tally, managers of both protocols. Each claim
-//! prints a line `proof: NAME figure`.
+//! Tests of the management protocols: the front runs as a process, with fake engines that count requests and with
+//! clients of gNMI and NETCONF. Each test prints its results as lines `proof: NAME figure`.
 
 mod managers;
 
@@ -27,7 +27,7 @@
     CountingEngine::start(|_| EngineBehavior::Result)
 }
 
-/// The config that is in force, by both protocols: NETCONF's bytes and gNMI's JSON.
+/// The configuration in force, as read over both protocols: NETCONF's bytes and gNMI's JSON.
 async fn config(world: &World) -> (String, Value) {
     let mut netconf = Netconf::connect(world.netconf).await;
     let bytes = netconf.bytes(RUNNING).await;
@@ -54,7 +54,7 @@
         let confirmed = "<commit><confirmed/><confirm-timeout>600</confirm-timeout></commit>";
         let lock = "<lock><target><candidate/></target></lock>";
         let validate = "<validate><source><candidate/></source></validate>";
-        // Each list of steps is followed by the loss of the connection; `!` is to be refused.
+        // The connection is closed after each list of steps. A step that begins with `!` must be refused.
         let ways: Vec<Vec<String>> = vec![
             vec![lock.into()],
             vec![lock.into(), good.clone()],
@@ -83,15 +83,15 @@
             }
             drop(manager);
             if way.iter().any(|step| step == confirmed) {
-                // What nobody can confirm goes back, and is told.
+                // The commit can no longer be confirmed, so it is rolled back, and the subscriber is notified.
                 while !watcher.receive().await.unwrap().contains("rolled-back") {}
             }
             assert_eq!(config(&world).await, old, "{way:?}");
-            // Nothing is left locked or changed behind.
+            // The closed session leaves no lock and no changed candidate.
             let mut next = Netconf::connect(world.netconf).await;
             while next.ask(lock).await.child("ok").is_none() {}
         }
-        // Half of a message, and a Set of which one part can't be.
+        // Half of a message, and a Set request with one invalid update.
         let mut manager = Netconf::connect(world.netconf).await;
         let whole = edit("running", "<log-level>debug</log-level>");
         assert!(manager.send_raw(&whole.as_bytes()[..whole.len() / 2]).await);
@@ -119,7 +119,7 @@
         let schema = Schema::front().unwrap();
         let mut netconf = Netconf::connect(world.netconf).await;
         let mut leaves = 0;
-        // Time and memory never stand still; all else is the same once no request is open.
+        // Time and memory change all the time, so they are not compared. The rest is stable once no request is open.
         for path in ["/front/pool", "/front/state/counter", "/front/state/engine", "/front/state/commit"] {
             let names: Vec<String> = parse_path(path).unwrap().into_iter().map(|step| step.name).collect();
             let open: String = names[1..].iter().map(|name| format!("<{name}>")).collect();
@@ -127,8 +127,8 @@
             let filter = format!(
                 "<get><filter type=\"subtree\"><front xmlns=\"urn:lemonusher:front\">{open}{close}</front></filter></get>"
             );
-            // Probes go on and are counted. What both protocols read is compared once it has stood still meanwhile, as a
-            // read before and one after show.
+            // Probes continue and are counted. The reads of both protocols are compared only if a read before
+            // and a read after show the same state.
             let mut standing = None;
             for _ in 0..MAX_READS {
                 let before = netconf.read(&schema, &filter).await;
@@ -147,7 +147,7 @@
     });
 }
 
-/// Reads of a state that moves before the test gives up.
+/// Maximum number of reads of a state that keeps changing.
 const MAX_READS: usize = 50;
 
 impl Netconf {
@@ -158,7 +158,7 @@
 }
 
 impl Gnmi {
-    /// The part of the whole tree below a path. A path to a list means each of its entries.
+    /// The subtree at a path of the whole tree. A path to a list selects all of its entries.
     async fn read(&mut self, schema: &Schema, names: &[String]) -> Tree {
         let all = self.get("/", DataType::All).await.unwrap();
         let node = names[1..].iter().fold(&all["lemonusher-front:front"], |at, name| &at[name]);
@@ -172,7 +172,7 @@
     }
 }
 
-/// Whether two reads show the same, but for the age of what is known of engines.
+/// Whether two reads show the same state, apart from the age of the engines' data.
 fn same(schema: &Schema, path: &str, one: &Tree, other: &Tree) -> bool {
     match path.ends_with("engine") {
         true => without_age(schema, one) == without_age(schema, other),
@@ -191,7 +191,7 @@
     leaves
 }
 
-/// `taken look-up=12 load=3; probes 4` by kind and request class.
+/// Parses the counters of a log line such as `taken look-up=12 load=3; probes 4`, by kind and request class.
 fn counts(line: &str) -> BTreeMap<(String, String), u64> {
     let (_, line) = line.split_once("counts: ").unwrap();
     let (line, _) = line.split_once("; holds").unwrap();
@@ -264,7 +264,7 @@
                     }
                 }
             }
-            // What stood still on both sides of the sample must be in it.
+            // If the counters were the same before and after the sample, the sample must show them.
             if before != counted() {
                 continue;
             }
@@ -299,7 +299,7 @@
 
 #[test]
 fn nothing_new_goes_to_a_drained_pool() {
-    const GRACE: Duration = Duration::from_secs(2); // As the stand-in's deployment states it.
+    const GRACE: Duration = Duration::from_secs(2); // The drain grace in the fake start file.
     let engines = [hits(), hits()];
     let world = run(&[&engines[0], &engines[1]], None, "");
     let stop = Arc::new(AtomicBool::new(false));
@@ -319,7 +319,7 @@
                 }
             });
         }
-        // Clients stop also where the test fails.
+        // Stops the clients also if the test fails.
         let _stops = Stops(stop.clone());
         let wait_for = |engine: &CountingEngine, more: usize| {
             let from = engine.requests().len();
@@ -331,7 +331,7 @@
         };
         runtime().block_on(async {
             let mut gnmi = Gnmi::connect(world.gnmi).await;
-            // The one that the statements' tables call home.
+            // Find the home engine of the statements' table group.
             let until = Instant::now() + TEST_TIMEOUT;
             while engines.iter().all(|engine| engine.requests().len() < 20) {
                 assert!(Instant::now() < until, "no batch came");
@@ -343,7 +343,7 @@
                 |state: &str| update(POOL, &json!({"name": "a", "engine": [id], "admin-state": state}));
             gnmi.set(vec![pool("draining")]).await.unwrap();
             let drained = Instant::now();
-            // Long past the grace, the other goes on.
+            // The other engine continues to receive requests until well after the drain grace.
             while drained.elapsed() < GRACE + Duration::from_millis(500) {
                 wait_for(&engines[1 - home], 20);
             }
@@ -393,7 +393,7 @@
                 gnmi.set(vec![update(path, &json!(acknowledged + 1))]).await.unwrap();
                 acknowledged += 1;
             }
-            // One more is on its way when the process dies.
+            // One more commit is in flight when the process is killed.
             let mut other = gnmi.clone();
             let next = acknowledged + 1;
             let last = tokio::spawn(async move { other.set(vec![update(path, &json!(next))]).await });
@@ -444,14 +444,15 @@
         let mut netconf = Netconf::connect(world.netconf).await;
         let level = |level: &str| vec![update("/front/log-level", &json!(level))];
 
-        // A lock against a Set, and its owner's death.
+        // A lock blocks a Set, and is released when its owner's session ends.
         netconf.ok("<lock><target><running/></target></lock>").await;
         assert_eq!(gnmi.set(level("warn")).await.unwrap_err().code(), Code::Aborted);
         drop(netconf);
         let mut netconf = Netconf::connect(world.netconf).await;
         while gnmi.set(level("warn")).await.is_err() {}
 
-        // A candidate against a Set: where they do not touch both hold, else the later is refused.
+        // A candidate and a Set: changes of different nodes are both committed; if they conflict, the later is
+        // refused.
         netconf.ok(&edit("candidate", "<pool><name>a</name><cell>4</cell></pool>")).await;
         gnmi.set(level("info")).await.unwrap();
         netconf.ok("<commit/>").await;
@@ -463,7 +464,7 @@
         let wanted = json!({"log-level": "warn", "pool": [{"name": "a", "cell": [4]}]});
         assert_eq!(now["lemonusher-front:front"], wanted);
 
-        // A commit of the other's that waits to be confirmed.
+        // A commit of the other protocol that awaits confirmation.
         netconf.ok(&edit("candidate", "<log-level>error</log-level>")).await;
         netconf.ok("<commit><confirmed/><persist>night</persist></commit>").await;
         assert_eq!(gnmi.set(level("info")).await.unwrap_err().code(), Code::FailedPrecondition);
@@ -474,7 +475,7 @@
         gnmi.change(act("night", Action::Cancel(CommitCancel {}))).await.unwrap();
         assert_eq!(gnmi.get("/", DataType::Config).await.unwrap(), now);
 
-        // Many at once: each Set either holds whole or not at all.
+        // Concurrent writers: each Set is applied completely or not at all.
         let mut tasks = Vec::new();
         for writer in 0..8u32 {
             let mut gnmi = Gnmi::connect(world.gnmi).await;
@@ -512,7 +513,7 @@
 #[test]
 fn a_subscriber_that_stops_loses_updates_and_holds_nobody_up() {
     let commands = DiscoveryServer::start();
-    // Many engines that nobody listens at make each sample large.
+    // Many engines without a listener make each sample large.
     let engine = hits();
     let mut known = vec![(1, engine.address)];
     known.extend((2..600).map(|id| (id, commands.address)));
@@ -528,7 +529,7 @@
         let mut reading = Gnmi::connect(world.gnmi).await;
         let mut fine =
             reading.subscribe(&["/front/state/counter"], SubscriptionMode::Sample, 20).await.unwrap();
-        // It is read until it has lost something, by the front's own count; requests are answered all the while.
+        // The stalled stream is not read until the front counts lost updates; requests are served meanwhile.
         let mut client = world.front.client();
         let (mut requests, mut lost) = (0, 0);
         let until = Instant::now() + TEST_TIMEOUT;
@@ -543,7 +544,7 @@
             let each = sessions.as_array().unwrap().iter();
             lost = each.filter_map(|s| s["lost-updates"].as_str()?.parse::<u64>().ok()).sum();
         }
-        // Once it reads on, it is told.
+        // When the subscriber reads again, it receives the number of lost updates.
         let told = loop {
             let Some(updates) = updates(&mut stream).await else { continue };
             let leaf = |update: &lemonusher_managed::gnmi::proto::gnmi::Update| {
@@ -572,7 +573,8 @@
         let mut refused = 0;
         for address in [world.gnmi, world.netconf] {
             let mut wire = TcpStream::connect(address).unwrap();
-            // The door hangs up: its last bytes, if any, are followed by an end or a reset, and not by silence.
+            // The server closes the connection: after its last bytes, if any, the client sees an end or a
+            // reset, and no open connection without data.
             wire.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
             let _ = wire.write_all(&noise);
             let ended = loop {
@@ -585,9 +587,9 @@
             assert!(ended, "{address} goes on after noise");
             refused += 1;
         }
-        // Noise within a session ends it.
+        // Random bytes within a session end it.
         let mut manager = Netconf::connect(world.netconf).await;
-        // No more than its window takes: nothing reads on once the session has ended.
+        // Not more bytes than fit into the SSH window, as nothing is read after the session has ended.
         if manager.send_raw(&noise[..100_000]).await {
             while manager.receive().await.is_some() {}
         }
@@ -624,7 +626,7 @@
             assert_eq!(status.code(), code, "{path} {value}: {status}");
             refused += 1;
         }
-        // More sessions than there may be: those beyond are refused, the others go on.
+        // More sessions than allowed: those above the limit are refused, the others continue.
         let (mut held, mut beyond) = (Vec::new(), 0);
         for _ in 0..1000 {
             match gnmi.subscribe(&["/front/log-level"], SubscriptionMode::OnChange, 0).await {
@@ -711,7 +713,7 @@
         }
         let refused = (Code::Unauthenticated, Code::Unauthenticated);
         assert_eq!(codes, [(Code::Ok, Code::Ok), (Code::Ok, Code::PermissionDenied), refused, refused]);
-        // Without TLS nobody is heard.
+        // A connection without TLS gets no response.
         let plain = Endpoint::from_shared(format!("http://{}", world.gnmi)).unwrap().connect().await;
         if let Ok(channel) = plain {
             assert!(GNmiClient::new(channel).capabilities(CapabilityRequest::default()).await.is_err());
--- a/crates/edges/cli/tests/proof_processor.rs
+++ b/crates/edges/cli/tests/proof_processor.rs
@@ -1,5 +1,5 @@
-//! Proof of the external processor: the program as a process, a stand-in proxy, engines that tally. Each claim
-//! prints a line `proof: NAME figure`.
+//! Tests of the external processor: the program runs as a process, behind a fake proxy and with fake engines
+//! that count each request's runs. Each test prints its results as lines `proof: NAME figure`.
 
 #[path = "managers/mod.rs"]
 #[allow(dead_code)]
@@ -7,7 +7,7 @@
 #[path = "proxies/mod.rs"]
 mod proxies;
 
-// One for one, in virtual time: the claim that verdicts are those of the gateway alone.
+// In virtual time: the verdicts are the same, one by one, as the decisions of the gateway without a proxy.
 #[path = "../../../core/external-call/tests/same_decisions.rs"]
 mod same_decisions;
 
@@ -23,14 +23,15 @@
 use std::time::{Duration, Instant};
 use tokio::runtime::Runtime;
 
-/// How long a restarted processor may take to serve again.
+/// Maximum time until a restarted processor serves again.
 const READY_WITHIN: Duration = Duration::from_secs(10);
 
 fn runtime() -> Runtime {
     tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap()
 }
 
-/// Sends so many requests at most at once, and gathers the answers by id.
+/// Sends requests with these numbers, at most `at_once` of them at the same time. Returns the responses by
+/// request id.
 async fn drive(proxy: &Proxy, ids: std::ops::Range<u32>, at_once: u32) -> BTreeMap<String, Final> {
     let mut tasks = Vec::new();
     for worker in 0..at_once {
@@ -53,7 +54,8 @@
     all
 }
 
-/// Sends requests, so many at most at once, until the signal is given and at least `least` have been sent.
+/// Sends requests, at most `at_once` of them at the same time, until the signal is set and at least `least`
+/// have been sent.
 async fn drive_until(
     proxy: &Proxy,
     least: u32,
@@ -83,7 +85,7 @@
     all
 }
 
-/// A third of all is work that must never run twice.
+/// Id and request class of a request. Every third request is non-idempotent, with an id that begins with `once`.
 fn name(number: u32) -> (String, &'static str) {
     if number.is_multiple_of(3) {
         (format!("once-{number}"), "load")
@@ -92,7 +94,7 @@
     }
 }
 
-/// How often each id ran, over all engines; none that must run once ran twice.
+/// How often each request id ran, over all engines. Panics if a non-idempotent request ran twice.
 fn tally(engines: &[&HttpEngine]) -> BTreeMap<String, u32> {
     let mut all: BTreeMap<String, u32> = BTreeMap::new();
     for engine in engines {
@@ -125,7 +127,7 @@
         assert_eq!(answers.len(), REQUESTS as usize);
         let ran = tally(&[&engines[0], &engines[1]]);
         let served = answers.values().filter(|answer| answer.status == 200).count();
-        // What was answered as served ran; what was pushed back did not, where it must not run twice.
+        // A request with status 200 has run. A non-idempotent request that was pushed back has not run.
         for (id, answer) in &answers {
             let count = ran.get(id).copied().unwrap_or_default();
             assert!(answer.status != 200 || count > 0, "{id} {answer:?}");
@@ -152,14 +154,15 @@
             let all_killed = Arc::new(AtomicBool::new(false));
             let load = {
                 let (proxy, all_killed) = (proxy.clone(), all_killed.clone());
-                // While the processor is down requests are answered at once, so a fixed number could be used up early.
+                // While the processor is down, the proxy responds immediately, so a fixed number of requests
+                // could be used up before the last kill.
                 tokio::spawn(async move { drive_until(&proxy, 3000, 12, &all_killed).await })
             };
             for kill in 0..20 {
                 let ran = || tally(&[&engines[0], &engines[1], &own]).len();
                 let (before, ready_at) = (ran(), Instant::now());
                 tokio::time::sleep(Duration::from_millis(40)).await;
-                // There is something then that the kill can cut.
+                // Wait until requests are served again, so that the kill interrupts some of them.
                 while ran() < before + 8 {
                     assert!(ready_at.elapsed() < READY_WITHIN, "before kill {kill}: {} served", ran() - before);
                     tokio::time::sleep(Duration::from_millis(10)).await;
@@ -170,7 +173,7 @@
             all_killed.store(true, Ordering::SeqCst);
             let answers = tokio::time::timeout(TEST_TIMEOUT * 2, load).await.expect("all are answered").unwrap();
             assert!(answers.len() >= 3000, "{}", answers.len());
-            // Down for good: each still gets one answer, of the proxy's own making.
+            // The processor stays down: each request still gets one response, which the proxy generates.
             processor.kill();
             let down = drive(&proxy, 1_000_000..1_000_060, 12).await;
             let wanted = if open { 200 } else { 504 };
@@ -190,7 +193,7 @@
 #[test]
 fn a_verdict_that_has_to_wait_comes_before_the_proxys_timeout_or_not_at_all() {
     runtime().block_on(async {
-        // No engine is known: everything is held until it can wait no longer.
+        // No engine is known, so each request is queued until just before the proxy's message timeout.
         let processor = Processor::new(&[], "message_timeout_ms = 300");
         let mut proxy = Proxy::new(&[processor.address], None);
         proxy.message_timeout = Duration::from_millis(300);
@@ -198,9 +201,9 @@
         let pushed =
             answers.values().filter(|answer| answer.outcome.as_deref() == Some("pushed-back")).count();
         let late = proxy.late.load(Ordering::SeqCst);
-        // On a busy machine the proxy itself may run late now and then; the margin must hold for nearly all.
+        // On a busy machine the proxy itself may be scheduled late, so up to 6 of 60 verdicts may miss its timeout.
         assert!(pushed as u64 + late >= 60 && late <= 6, "{pushed} pushed back, {late} late");
-        // Where the proxies allow it, more time is asked for first.
+        // If the proxies allow it, the processor first extends the message timeout.
         let patient = Processor::new(&[], "message_timeout_ms = 300\nmore_time_ms = 300");
         let mut proxy = Proxy::new(&[patient.address], None);
         proxy.message_timeout = Duration::from_millis(300);
@@ -246,14 +249,15 @@
         for (request, wanted) in [
             (asked(thousands), 431),
             (say(Say::RequestHeaders(headers(Vec::new()))), 400),
-            (asked(vec![value("x-service-group", "none")]), 200), // Of two, the first counts.
+            (asked(vec![value("x-service-group", "none")]), 200), // Of two headers, the first counts.
             (say(Say::ResponseHeaders(headers(Vec::new()))), -103),
             (say(Say::RequestBody(Default::default())), -103),
         ] {
             assert_eq!(status(request).await, wanted);
             refused += 1;
         }
-        // Tickets forged, changed, or made for another: work that must run once is not let out on their word.
+        // Continuation tokens that are forged, modified or issued for another request: a non-idempotent request
+        // with such a token is not sent to an engine.
         for ticket in ["1.x.1.1.1", "1.b25jZS14.1.0.ffffffffffffffff.AAAAAAAAAAAAAAAAAAAAAA", ""] {
             let request = say(Say::RequestHeaders(headers(vec![
                 value("x-service-group", "load"),
@@ -263,7 +267,8 @@
             assert_eq!(status(request).await, 502, "{ticket}");
             refused += 1;
         }
-        // Streams that say nothing, or never read: those beyond the bound are refused, and all are given back.
+        // Streams that send nothing or never read: streams above the limit are refused, and all are released
+        // afterwards.
         let mut held = Vec::new();
         let mut beyond = 0;
         for _ in 0..300 {
@@ -279,7 +284,8 @@
             let _ = send.send(say(Say::RequestHeaders(headers(list)))).await;
         }
         drop(held);
-        // One that asks again at once and for ever is answered each time, and others are served.
+        // A client that retries immediately gets a response each time, and a request is served within the
+        // test's timeout.
         let until = Instant::now() + TEST_TIMEOUT;
         loop {
             let answer = proxy.request("often-last", "look-up").await;
@@ -301,7 +307,7 @@
         let addresses: Vec<SocketAddr> = engines.iter().map(|engine| engine.address).collect();
         let mut processors: Vec<Processor> =
             (0..3).map(|_| Processor::new(&addresses, "message_timeout_ms = 1000")).collect();
-        // The same key lets each read the others' tickets.
+        // All processors have the same key, so each accepts the others' continuation tokens.
         let proxy = Proxy::new(&processors.iter().map(|p| p.address).collect::<Vec<_>>(), None);
         let load = {
             let proxy = proxy.clone();
@@ -322,7 +328,7 @@
 
 #[test]
 fn an_engine_that_drains_between_verdict_and_attempt_gets_nothing_past_the_grace() {
-    const GRACE: Duration = Duration::from_secs(2); // As the stand-in's deployment states it.
+    const GRACE: Duration = Duration::from_secs(2); // The drain grace in the fake start file.
     runtime().block_on(async {
         let engines = [HttpEngine::start(|_| Does::Serve).await, HttpEngine::start(|_| Does::Serve).await];
         let addresses: Vec<SocketAddr> = engines.iter().map(|engine| engine.address).collect();
@@ -333,7 +339,7 @@
         proxy.body = Some("select * from sales_17.orders".to_owned());
         let first = drive(&proxy, 0..100, 4).await;
         assert!(first.values().all(|answer| answer.status == 200));
-        // One table group has one home: the statement was read.
+        // One table group has one home engine, so a majority at one engine shows that the statement was read.
         let home = usize::from(engines[1].ran().len() > engines[0].ran().len());
         assert!(engines[home].ran().len() > 60, "{} {}", engines[0].ran().len(), engines[1].ran().len());
         let id = format!("{:08x}", home + 1);
--- a/crates/edges/cli/tests/proxies/mod.rs
+++ b/crates/edges/cli/tests/proxies/mod.rs
@@ -1,6 +1,6 @@
-//! A proxy as Envoy's `ext_proc` has it, as far as a test needs one: it asks the processor about each request, waits
-//! its message timeout, fails open or closed, goes where it is told over HTTP/1.1, and tries again. And HTTP engines
-//! that tally what ran.
+//! A fake proxy with the parts of Envoy's `ext_proc` filter that tests need: it calls the processor for each
+//! request, waits up to the message timeout, fails open or closed, forwards the request over HTTP/1.1 to the
+//! engine of the verdict, and retries. Also fake HTTP engines that count the runs of each request.
 
 use envoy_types::pb::envoy::config::core::v3::{HeaderMap, HeaderValue};
 use envoy_types::pb::envoy::service::ext_proc::v3::external_processor_client::ExternalProcessorClient;
@@ -25,19 +25,19 @@
 use tonic::Streaming;
 use tonic::transport::{Channel, Endpoint};
 
-/// What an engine does with a request.
+/// Reaction of an engine to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Does {
     Serve,
-    /// Turns it away unseen.
+    /// Rejects it without running it.
     Full,
     /// Runs it and fails.
     Fail,
-    /// Runs it and hangs up without a word.
+    /// Runs it and closes the connection without a reply.
     HangUp,
 }
 
-/// An HTTP engine.
+/// A fake engine that speaks HTTP.
 pub struct HttpEngine {
     pub address: SocketAddr,
     ran: Arc<Mutex<BTreeMap<String, u32>>>,
@@ -90,14 +90,15 @@
     }
 }
 
-/// A processor as a process, at an address that it keeps over restarts.
+/// A processor that runs as a process, with an address that stays the same over restarts.
 pub struct Processor {
     pub front: Option<Front>,
     pub address: SocketAddr,
     told: String,
     key: PathBuf,
     more: String,
-    /// Its own address, while it is down, and that of a discovery that there is none of.
+    /// Reserve the processor's address while it is down, and the address of the discovery service, which does
+    /// not run.
     _closed: [ClosedPort; 2],
 }
 
@@ -142,8 +143,8 @@
     }
 }
 
-/// An address on which nobody listens but a processor that is restarted there: a loopback host of its own, where no
-/// outgoing connection of another test is given the port meanwhile.
+/// Reserves an address for a processor over its restarts. It is on a loopback host of its own, so the port is
+/// not assigned to an outgoing connection of another test while the processor is down.
 fn reserved_address() -> ClosedPort {
     static TAKEN: AtomicU32 = AtomicU32::new(0);
     let (process, place) = (std::process::id(), TAKEN.fetch_add(1, Ordering::Relaxed));
@@ -157,24 +158,24 @@
     }
 }
 
-/// How the proxy is set.
+/// A fake proxy with its settings.
 #[derive(Clone)]
 pub struct Proxy {
     pub processors: Vec<SocketAddr>,
     pub message_timeout: Duration,
-    /// Where requests go without a verdict; none to fail closed.
+    /// Engine to which requests without a verdict are forwarded (fail open); none to fail closed.
     pub own: Option<SocketAddr>,
     pub attempts: u32,
     pub upstream_timeout: Duration,
-    /// A body that goes with each request, where the processor wants it.
+    /// Body of each request, sent if the processor requests it.
     pub body: Option<String>,
     channels: Arc<Mutex<BTreeMap<SocketAddr, Channel>>>,
     turn: Arc<AtomicU64>,
-    /// Messages that got no answer in time.
+    /// Number of messages without a response within the message timeout.
     pub late: Arc<AtomicU64>,
 }
 
-/// The one answer that the proxy's client gets, and after how many attempts.
+/// The response that the proxy's client gets, with the number of attempts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Final {
     pub status: u32,
@@ -246,7 +247,7 @@
         }
     }
 
-    /// One request, with its one answer.
+    /// Sends one request and returns its response.
     pub async fn request(&self, id: &str, group: &str) -> Final {
         let mut ticket: Option<String> = None;
         let mut attempt = 0;
@@ -350,7 +351,7 @@
         }
     }
 
-    /// Without a verdict: on to the proxy's own cluster, or closed.
+    /// Handles a request without a verdict: forwards it to the fallback engine, or returns none to fail closed.
     async fn without(&self, id: &str, attempts: u32) -> Option<Final> {
         let own = self.own?;
         let status = match self.upstream(own, id).await {
--- a/crates/edges/cli/tests/unit/file.rs
+++ b/crates/edges/cli/tests/unit/file.rs
@@ -1,4 +1,4 @@
-//! Errors in an operator's file, and its paths.
+//! Error messages for invalid operator's files, and resolution of relative paths.
 
 use super::*;
 
