--- a/crates/edges/cli/tests/proof_leases.rs
+++ b/crates/edges/cli/tests/proof_leases.rs
@@ -1,6 +1,7 @@
-//! Several processes of the program, with faults between them, and a yard that notes who acts. One line a claim:
-//! `proof: NAME figure`. A failed script prints its seed; `LEASE_SEEDS=17 cargo test ...` plays it again, and
-//! `LEASE_SEEDS=1-300` plays many.
+//! Leases under faults: seven fronts run as processes with injected faults between them, and a fake task
+//! service records which front acts. Guards against two holders that act at once. Each test prints its results
+//! as lines `proof: NAME figure`. A failed script prints its seed; `LEASE_SEEDS=17 cargo test ...` runs it
+//! again, and `LEASE_SEEDS=1-300` runs many.
 
 use lemonusher_cluster::{Faults, Rig, RigConfig, TaskStep};
 use std::collections::BTreeSet;
@@ -10,10 +11,11 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_lemonusher");
 const LEASE: Duration = Duration::from_millis(1200);
-/// Rigs that run side by side.
+/// Number of rigs that run concurrently.
 const AT_ONCE: usize = 3;
-/// After all is mended, somebody acts within so many leases: voters that have restarted are mute for somewhat more than
-/// one, who holds from before may still have one to run, and who waits comes back within another; and one to spare.
+/// After all faults are repaired, a front must act within this number of lease durations: restarted voters
+/// don't vote for somewhat more than one, an old holder's lease may run for another, and a waiting front
+/// retries within a third; the rest is reserve.
 const BACK_WITHIN: u32 = 5;
 
 fn plan(seed: u64) -> RigConfig {
@@ -40,8 +42,8 @@
     Duration::from_millis(ms)
 }
 
-/// Steps of acts by an older grant after one of a newer had begun. `woken`: fronts that were stopped in between may try,
-/// and must be refused; any other must not even try.
+/// Steps of actions under an older grant after an action under a newer one began. Fronts in `woken` were paused
+/// in between: they may try, but must be rejected. Any other front must not try.
 fn overlaps(notes: &[TaskStep], woken: &BTreeSet<usize>) -> Vec<String> {
     let mut wrong = Vec::new();
     let (mut highest, mut holder): (u64, String) = (0, String::new());
@@ -65,18 +67,18 @@
     back: Option<Duration>,
 }
 
-/// One script of mixed faults, told by its seed.
+/// Runs one script of mixed faults, which its seed determines.
 fn play(seed: u64) -> Played {
     let mut chance = fastrand::Rng::with_seed(seed);
     let mut plan = plan(seed);
-    // Clocks within the stated drift of a tenth, some at its ends.
+    // Clocks within the configured drift of a tenth, some close to its limits.
     plan.clock_rates = (0..7).map(|_| [0.91, 0.95, 1.0, 1.05, 1.09][chance.usize(..5)]).collect();
     let mut rig = Rig::start(plan);
     assert!(rig.task_service.wait_for_begin(0, LEASE * 10).is_some(), "nobody began");
     let mut woken = BTreeSet::new();
     for _ in 0..10 {
         let front = chance.usize(..7);
-        // Whoever acts now is hit most often.
+        // Most faults hit the front that acted last.
         let holder = rig.task_service.steps().last().map_or(front, TaskStep::front);
         let front = if chance.f64() < 0.6 { holder } else { front };
         match chance.u32(..9) {
@@ -200,7 +202,8 @@
     let notes = rig.task_service.steps();
     let woken = BTreeSet::from([first.front()]);
     assert!(overlaps(&notes, &woken).is_empty());
-    // The act that it had half done, or one that it took itself to be free to begin, ends in nothing.
+    // The action that it had half done, or one that it began in the belief that it still holds the lease, must
+    // be rejected.
     let late = notes
         .iter()
         .filter(|noted| noted.holder == first.holder && noted.at > second.at && !noted.rejected)
@@ -217,9 +220,9 @@
     for _ in 0..3 {
         let before = rig.task_service.steps().len();
         let first = rig.task_service.wait_for_begin(before, LEASE * 10).unwrap();
-        rig.pause_front(first.front(), true); // With an act half done, for less than the bound that is stated.
+        rig.pause_front(first.front(), true); // During an action, for less than the configured action time.
         let partition = Faults { blocked: true, ..Faults::default() };
-        rig.relays.set_faults(|from, _| from == first.front(), partition, partition); // Woken, it can't just go on holding.
+        rig.relays.set_faults(|from, _| from == first.front(), partition, partition); // After it resumes, it can't renew its lease.
         std::thread::sleep(LEASE + ms(200));
         rig.pause_front(first.front(), false);
         std::thread::sleep(LEASE * 4);
@@ -234,14 +237,15 @@
 
 #[test]
 fn without_its_guards_two_would_act_at_once_and_the_rig_sees_it() {
-    // A clock outside the stated drift: the holder's runs at a fifth of the others' speed, and then nobody hears it.
+    // A clock outside the configured drift: the holder's clock runs at a fifth of the others' rate, and then
+    // its messages are dropped.
     let mut slow = plan(6);
     slow.clock_rates = vec![0.2; 7];
     slow.clock_rates[..3].fill(1.0);
     slow.quota_slots = 0;
     let rig = Rig::start(slow);
     let partition = Faults { blocked: true, ..Faults::default() };
-    rig.relays.set_faults(|from, _| from < 3, partition, partition); // Only slow ones ask at first,
+    rig.relays.set_faults(|from, _| from < 3, partition, partition); // At first only slow fronts reach the voters,
     let first = loop {
         let before = rig.task_service.steps().len();
         let noted = rig.task_service.wait_for_begin(before, LEASE * 60).expect("no slow one holds it");
@@ -250,7 +254,7 @@
         }
     };
     rig.relays.set_faults(|_, _| true, partition, partition);
-    rig.relays.set_faults(|from, _| from < 3, Faults::default(), Faults::default()); // and then only the others are heard.
+    rig.relays.set_faults(|from, _| from < 3, Faults::default(), Faults::default()); // and then only the others do.
     let until = Instant::now() + LEASE * 8;
     let mut caught = false;
     while !caught && Instant::now() < until {
@@ -272,7 +276,7 @@
         let text = String::from_utf8(output.stdout).unwrap() + &String::from_utf8(output.stderr).unwrap();
         (output.status.code().unwrap(), text)
     };
-    // The operator comes by the links of a front that does not hold it.
+    // The operator's command uses the links of a front that does not hold the lease.
     let file = rig.config_file((first.front() + 1) % 7);
     let file = file.to_str().unwrap();
     let (code, text) = say(&["fleet", file]);
--- a/crates/edges/cli/tests/proof_sites.rs
+++ b/crates/edges/cli/tests/proof_sites.rs
@@ -1,5 +1,6 @@
-//! Nine processes of the program in three sites, with engines that start cold and tip over, clients that go on asking,
-//! and faults between them. Judged by the tallies of engines and clients. One line a claim: `proof: NAME figure`.
+//! Zone failover under faults: nine fronts run as processes in three zones, with fake engines that start cold
+//! and can be overloaded, with clients that keep sending requests, and with injected faults. The counts of
+//! engines and clients decide. Each test prints its results as lines `proof: NAME figure`.
 
 use lemonusher_cluster::{
     FakeClass, FakeZones, FakeZonesConfig, Faults, LoadClient, RequestCounts, Rig, RigConfig,
@@ -14,8 +15,9 @@
 const SITES: usize = 3;
 const LEASE: Duration = Duration::from_millis(1200);
 const FLOOR: f64 = 0.1;
-/// A loss is agreed on within this: seen (confirm, and the reports that count), the lease taken over if its holder was
-/// lost (two leases and one spare), settled and followed (two looks of a quarter of a lease).
+/// Maximum time until all fronts follow a plan for a lost zone: the loss is observed (confirmation time and the
+/// reports that count), the lease is taken over if its holder was lost (two lease durations and one in
+/// reserve), and the plan is committed and followed (two polls of a quarter of a lease duration).
 const AGREED_WITHIN: Duration = Duration::from_millis(9000);
 
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
@@ -38,7 +40,7 @@
     }
 }
 
-/// Worth for a second of work: 50, 2 and 10.
+/// Request classes with a priority weight of 50, 2 and 10 per second of work.
 fn groups() -> Vec<FakeClass> {
     vec![group("look-up", 1.0, 0.02, false), group("report", 0.5, 0.25, false), group("load", 1.0, 0.1, true)]
 }
@@ -54,7 +56,8 @@
 }
 
 impl Fleet {
-    /// `rates`: requests a second of each of the nine clients, by request class.
+    /// Starts the fleet with its engines and clients. `rates`: requests per second of each of the nine clients,
+    /// by request class.
     fn start(stands: fn(usize) -> usize, rates: [f64; 3], groups: Vec<FakeClass>, seed: u64) -> Fleet {
         let turn = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
         let fake_zones = Arc::new(FakeZones::start(FakeZonesConfig {
@@ -101,7 +104,8 @@
         fleet
     }
 
-    /// Clients reach the fronts for which this holds (client's site, front's site), their own site's first.
+    /// Sets the fronts of each client: those for which `holds(client's zone, front's zone)` is true, with its
+    /// own zone's fronts first.
     fn reach(&mut self, holds: impl Fn(usize, usize) -> bool) {
         for (number, load_client) in self.load_clients.iter().enumerate() {
             let site = (self.stands)(number);
@@ -149,7 +153,7 @@
         sum
     }
 
-    /// Waits until this holds; how long that took, or none in time.
+    /// Waits until the condition holds. Returns how long that took, or none after the timeout.
     fn until(&mut self, patience: Duration, holds: impl Fn(&Fleet) -> bool) -> Option<Duration> {
         let from = Instant::now();
         while from.elapsed() < patience {
@@ -162,7 +166,7 @@
         None
     }
 
-    /// What a front last said of the plan.
+    /// The last plan that a front logged.
     fn follows(&self, front: usize) -> Option<&str> {
         let lines = self.said.get(&front)?;
         lines.iter().rev().find_map(|(_, line)| Some(line.split_once("sites: epoch ")?.1))
@@ -185,7 +189,7 @@
         self.said.get(&front).into_iter().flatten().filter_map(|(_, line)| told(line)).collect()
     }
 
-    /// The front that holds the plan's lease, as it said itself.
+    /// The front that holds the coordinator's lease, by its own log.
     fn holder(&self) -> Option<usize> {
         let holds = |front: &usize| {
             let of = |line: &&(Instant, String)| line.1.contains("task=\"sites\"");
@@ -195,7 +199,7 @@
         self.live().into_iter().find(|front| holds(front))
     }
 
-    /// A whole site goes: its fronts, its engines, its links.
+    /// Stops a whole zone: its fronts and its engines, with their links.
     fn lose(&mut self, site: usize) {
         self.fake_zones.stop(site);
         for front in (0..FRONTS).filter(|front| (self.stands)(*front) == site) {
@@ -212,7 +216,8 @@
         self.reach(|_, _| true);
     }
 
-    /// What must hold in every script: rules 1 and 2 as clients and engines saw them, and epochs that only grow.
+    /// Checks that every request got at most one response, that no non-idempotent request was sent to engines
+    /// twice, and that the epochs of each front only grow.
     fn judge(&mut self, tallies: &[Vec<RequestCounts>]) {
         self.listen();
         assert_eq!(tallies.iter().flatten().map(|tally| tally.duplicates).sum::<u32>(), 0, "answered twice");
@@ -228,7 +233,8 @@
         assert_eq!(again, 0, "once-only work was sent twice");
         for front in 0..FRONTS {
             let epochs = self.epochs(front);
-            // A life that begins anew begins with nothing, so only within a life; the rig starts lines anew then.
+            // This holds within one incarnation only, as a restarted front starts without a plan. Therefore the
+            // tests clear the collected log lines before they restart a zone.
             let back = epochs.windows(2).filter(|two| two[1] < two[0]).count();
             assert_eq!(back, 0, "front {front} went back: {epochs:?}");
         }
@@ -239,7 +245,7 @@
     front % SITES
 }
 
-/// Two of the three voters, and seven fronts in all, stand in site 0.
+/// Zone of a front: two of the three voters are in zone 0, and the other seven fronts are in zones 1 and 2.
 fn crowded(front: usize) -> usize {
     match front {
         0 | 1 => 0,
@@ -254,13 +260,14 @@
 
 #[test]
 fn the_zone_of_the_plans_coordinator_is_lost_and_recovers_cold() {
-    // Nine clients ask for 9 x (10 x 0.02 + 4 x 0.25 + 3 x 0.1) = 13.5 cores of the 14.4 that a plan fills; 9.6 are left.
+    // Nine clients need 9 x (10 x 0.02 + 4 x 0.25 + 3 x 0.1) = 13.5 of the 14.4 cores that a plan fills; 9.6 of
+    // them are left after the loss of a zone.
     let mut fleet = Fleet::start(in_turn, [10.0, 4.0, 3.0], groups(), 1);
     let ready = fleet.until(ms(20_000), |fleet| {
         fleet.holder().is_some() && fleet.live().iter().all(|front| fleet.follows(*front).is_some())
     });
     assert!(ready.is_some(), "no plan was settled: {:?}", fleet.said);
-    fleet.run(ms(4000)); // Fronts learn what engines bear.
+    fleet.run(ms(4000)); // Fronts measure the engines' overload limits.
     let before = fleet.run(ms(3000));
     assert!((0..3).all(|group| part(&before, group) > 0.9), "before: {before:?}");
     let site = in_turn(fleet.holder().unwrap());
@@ -272,7 +279,7 @@
         "proof: sites_agreed_on_a_loss_with_its_holder_in {:.1} leases",
         agreed.as_secs_f64() / LEASE.as_secs_f64()
     );
-    fleet.run(ms(2000)); // What was let in before has ended.
+    fleet.run(ms(2000)); // Requests admitted before the loss have ended.
     (0..SITES).for_each(|site| _ = fleet.fake_zones.take_max_load(site));
     let lost = fleet.run(ms(5000));
     let strain = (0..SITES).filter(|other| *other != site).map(|other| fleet.fake_zones.take_max_load(other));
@@ -288,7 +295,7 @@
     assert!(part(&lost, 1) < part(&lost, 2), "the least worth is refused first: {lost:?}");
     assert!(part(&lost, 1) > FLOOR * 0.7, "below its floor: {lost:?}");
     assert!(lost[1].rejected > 0 && lost[1].retry_after_s > 0.0, "refused without a time to come back");
-    // It comes back, cold.
+    // The zone returns with cold engines.
     fleet.said.values_mut().for_each(Vec::clear);
     fleet.back(site);
     let after = fleet.run(ms(500));
@@ -323,7 +330,7 @@
         fleet.until(ms(20_000), |fleet| fleet.live().iter().all(|front| fleet.follows(*front).is_some()));
     assert!(ready.is_some());
     let before = fleet.run(ms(2000));
-    // Site 2 is cut off from the others: engines, talk and clients.
+    // Zone 2 is partitioned from the others: connections to engines, messages between fronts, and clients.
     fleet.fake_zones.set_partitioned(2, 0, true);
     fleet.fake_zones.set_partitioned(2, 1, true);
     let partition = Faults { blocked: true, ..Faults::default() };
@@ -413,7 +420,7 @@
     assert!(ready.is_some());
     let before = fleet.run(ms(3000));
     let say = |fleet: &Fleet, words: &[&str]| {
-        // The operator comes by the links of a front that is stopped meanwhile.
+        // The operator's command uses the links of a front that is paused meanwhile.
         let file = fleet.rig.config_file(8);
         let mut all = vec![words[0], file.to_str().unwrap()];
         all.extend(&words[1..]);
@@ -435,7 +442,7 @@
     fleet.rig.pause_front(8, false);
     let out = fleet.until(ms(25_000), |fleet| fleet.live().iter().all(|front| fleet.closed(*front, 1)));
     assert!(out.is_some(), "it was not taken out: {:?}", fleet.said);
-    fleet.run(ms(1500)); // What was out there has ended.
+    fleet.run(ms(1500)); // Requests in flight in the zone have ended.
     let counts = |fleet: &Fleet| fleet.fake_zones.received(1).iter().map(Vec::len).sum::<usize>();
     let (received, taken) = (counts(&fleet), fleet.run(ms(2500)));
     println!("proof: sites_batches_sent_to_a_site_that_is_out {}", counts(&fleet) - received);
--- a/crates/edges/cli/tests/proof_works.rs
+++ b/crates/edges/cli/tests/proof_works.rs
@@ -1,5 +1,6 @@
-//! Seven processes of the program, engines in three halls, and a yard that works on an engine once it has the word. Judged
-//! by the engines' own tallies: from the release to the return nothing comes. One line a claim: `proof: NAME figure`.
+//! Maintenance under faults: seven fronts run as processes, with fake engines in three zones and a fake task
+//! service that works on a machine after its release. The engines' own counts decide: an engine must receive no
+//! request between its release and its return. Each test prints its results as lines `proof: NAME figure`.
 
 use lemonusher_cluster::{FakeClass, FakeZones, FakeZonesConfig, Faults, LoadClient, Rig, RigConfig};
 use serde_json::Value;
@@ -27,7 +28,7 @@
     fake_zones: Arc<FakeZones>,
     load_clients: Vec<LoadClient>,
     task_service: UdpSocket,
-    /// By machine: when it was released and, once told, back.
+    /// By machine: the times of each release and, once reported, of the return.
     out: BTreeMap<u32, Vec<(Instant, Option<Instant>)>>,
     numbers: BTreeMap<u32, u64>,
     requested: Instant,
@@ -106,7 +107,8 @@
         }
     }
 
-    /// The operator's words, by the links of a front that is stopped meanwhile.
+    /// Runs a maintenance command over the links of a front, which is paused meanwhile. Returns the exit code
+    /// and the output on stdout and stderr.
     fn say(&mut self, words: &[&str]) -> (i32, String) {
         let front = FRONTS - 1;
         let stopped = self.rig.paused[front];
@@ -120,7 +122,8 @@
         (output.status.code().unwrap(), text)
     }
 
-    /// Hears which machines are released; works on each for a while, then says that it is back.
+    /// Receives released machines for this duration, works on each for `takes`, and then reports its return.
+    /// Returns whether no request has pending machines or machines that are out.
     fn work(&mut self, span: Duration, takes: Duration) -> bool {
         let until = Instant::now() + span;
         while Instant::now() < until {
@@ -144,7 +147,8 @@
                 .map(|(machine, _)| *machine)
                 .collect();
             for machine in done {
-                // Told as back only after it was looked at: whatever came is in the tally by then.
+                // The time is taken before the return is reported, so requests received up to then count as sent to a
+                // released machine.
                 let at = Instant::now();
                 let (code, text) = self.say(&["back", &format!("{machine:08x}")]);
                 if code == 0 {
@@ -162,7 +166,7 @@
                 .all(|line| line.contains("0 asked, 0 out"))
     }
 
-    /// Requests that came to an engine while it was released.
+    /// Number of requests that an engine received while it was released.
     fn disturbed(&self) -> usize {
         let mut all = 0;
         for site in 0..SITES {
@@ -219,7 +223,7 @@
         }
         match turn {
             1 => {
-                // The foreman, if it is one of these, dies; whoever takes over reads all first.
+                // Kills the coordinator, if it is this voter; its successor reads all registers first.
                 let voter = chance.usize(..3);
                 night.rig.kill_front(voter);
                 night.rig.start_front(voter);
@@ -277,7 +281,7 @@
         "proof: works_batches_by_a_front_that_is_cut_off {}",
         night.fake_zones.received(0)[2].len() - before
     );
-    // The operator knows that it is dead, as he has killed it.
+    // The operator knows that the front is dead, so it may be excluded.
     night.rig.kill_front(4);
     let (code, text) = night.say(&["without", "0", "n4"]);
     assert_eq!(code, 0, "{text}");
@@ -296,7 +300,7 @@
 fn a_request_of_many_machines_takes_several_registers_and_is_edited_as_one() {
     let mut night = Night::start(3);
     night.work(ms(5000), ms(500));
-    // More than two registers hold; all but the twelve engines are ids that nobody knows.
+    // More machines than two registers hold; all ids but one are unknown to the fronts.
     let ids: Vec<String> = (0..70).map(|id| format!("{:x}", 0x1000 + id)).chain(["1".to_owned()]).collect();
     let mut words = vec!["ask", "--who", "ann", "--at-once", "200"];
     words.extend(ids.iter().map(String::as_str));
