--- a/crates/edges/cli/tests/proof_processor.rs
+++ b/crates/edges/cli/tests/proof_processor.rs
@@ -12,8 +12,8 @@
 mod same_decisions;
 
 use envoy_types::pb::envoy::config::core::v3::HeaderValue;
-use envoy_types::pb::envoy::service::ext_proc::v3::processing_request::Request as Say;
-use envoy_types::pb::envoy::service::ext_proc::v3::processing_response::Response as Answer;
+use envoy_types::pb::envoy::service::ext_proc::v3::processing_request::Request as MessageBody;
+use envoy_types::pb::envoy::service::ext_proc::v3::processing_response::Response as ReplyBody;
 use lemonusher_fakes::TEST_TIMEOUT;
 use proxies::*;
 use std::collections::BTreeMap;
@@ -32,23 +32,27 @@
 
 /// Sends requests with these numbers, at most `at_once` of them at the same time. Returns the responses by
 /// request id.
-async fn drive(proxy: &Proxy, ids: std::ops::Range<u32>, at_once: u32) -> BTreeMap<String, Final> {
+async fn send_requests(
+    proxy: &Proxy,
+    ids: std::ops::Range<u32>,
+    at_once: u32,
+) -> BTreeMap<String, FinalResponse> {
     let mut tasks = Vec::new();
     for worker in 0..at_once {
         let (proxy, ids) = (proxy.clone(), ids.clone());
         tasks.push(tokio::spawn(async move {
-            let mut answers = Vec::new();
+            let mut responses = Vec::new();
             for number in ids.skip(worker as usize).step_by(at_once as usize) {
-                let (id, group) = name(number);
-                answers.push((id.clone(), proxy.request(&id, group).await));
+                let (id, group) = request_id_and_class(number);
+                responses.push((id.clone(), proxy.request(&id, group).await));
             }
-            answers
+            responses
         }));
     }
     let mut all = BTreeMap::new();
     for task in tasks {
-        for (id, answer) in task.await.unwrap() {
-            assert!(all.insert(id, answer).is_none());
+        for (id, response) in task.await.unwrap() {
+            assert!(all.insert(id, response).is_none());
         }
     }
     all
@@ -56,37 +60,37 @@
 
 /// Sends requests, at most `at_once` of them at the same time, until the signal is set and at least `least`
 /// have been sent.
-async fn drive_until(
+async fn send_requests_until(
     proxy: &Proxy,
-    least: u32,
+    min_requests: u32,
     at_once: u32,
     signal: &Arc<AtomicBool>,
-) -> BTreeMap<String, Final> {
+) -> BTreeMap<String, FinalResponse> {
     let next = Arc::new(AtomicU32::new(0));
     let mut workers = tokio::task::JoinSet::new();
     for _ in 0..at_once {
         let (proxy, next, signal) = (proxy.clone(), next.clone(), signal.clone());
         workers.spawn(async move {
-            let mut answers = Vec::new();
+            let mut responses = Vec::new();
             loop {
                 let number = next.fetch_add(1, Ordering::SeqCst);
-                if number >= least && signal.load(Ordering::SeqCst) {
-                    return answers;
+                if number >= min_requests && signal.load(Ordering::SeqCst) {
+                    return responses;
                 }
-                let (id, group) = name(number);
-                answers.push((id.clone(), proxy.request(&id, group).await));
+                let (id, group) = request_id_and_class(number);
+                responses.push((id.clone(), proxy.request(&id, group).await));
             }
         });
     }
     let mut all = BTreeMap::new();
-    for (id, answer) in workers.join_all().await.into_iter().flatten() {
-        assert!(all.insert(id, answer).is_none());
+    for (id, response) in workers.join_all().await.into_iter().flatten() {
+        assert!(all.insert(id, response).is_none());
     }
     all
 }
 
 /// Id and request class of a request. Every third request is non-idempotent, with an id that begins with `once`.
-fn name(number: u32) -> (String, &'static str) {
+fn request_id_and_class(number: u32) -> (String, &'static str) {
     if number.is_multiple_of(3) {
         (format!("once-{number}"), "load")
     } else {
@@ -95,7 +99,7 @@
 }
 
 /// How often each request id ran, over all engines. Panics if a non-idempotent request ran twice.
-fn tally(engines: &[&HttpEngine]) -> BTreeMap<String, u32> {
+fn count_runs(engines: &[&HttpEngine]) -> BTreeMap<String, u32> {
     let mut all: BTreeMap<String, u32> = BTreeMap::new();
     for engine in engines {
         for (id, count) in engine.ran() {
@@ -113,53 +117,53 @@
     runtime().block_on(async {
         let engines = [
             HttpEngine::start(|n| match n {
-                n if n % 23 == 3 => Does::Fail,
-                n if n % 29 == 5 => Does::HangUp,
-                _ => Does::Serve,
+                n if n % 23 == 3 => HttpEngineBehavior::Fail,
+                n if n % 29 == 5 => HttpEngineBehavior::HangUp,
+                _ => HttpEngineBehavior::Serve,
             })
             .await,
-            HttpEngine::start(|n| if n % 11 == 4 { Does::Full } else { Does::Serve }).await,
+            HttpEngine::start(|n| if n % 11 == 4 { HttpEngineBehavior::Full } else { HttpEngineBehavior::Serve }).await,
         ];
         let addresses: Vec<SocketAddr> = engines.iter().map(|engine| engine.address).collect();
         let processor = Processor::new(&addresses, "recovers = false\nmessage_timeout_ms = 1000");
         let proxy = Proxy::new(&[processor.address], None);
-        let answers = drive(&proxy, 0..REQUESTS, 24).await;
-        assert_eq!(answers.len(), REQUESTS as usize);
-        let ran = tally(&[&engines[0], &engines[1]]);
-        let served = answers.values().filter(|answer| answer.status == 200).count();
+        let responses = send_requests(&proxy, 0..REQUESTS, 24).await;
+        assert_eq!(responses.len(), REQUESTS as usize);
+        let ran = count_runs(&[&engines[0], &engines[1]]);
+        let served = responses.values().filter(|response| response.status == 200).count();
         // A request with status 200 has run. A non-idempotent request that was pushed back has not run.
-        for (id, answer) in &answers {
+        for (id, response) in &responses {
             let count = ran.get(id).copied().unwrap_or_default();
-            assert!(answer.status != 200 || count > 0, "{id} {answer:?}");
-            if id.starts_with("once") && answer.outcome.as_deref() == Some("pushed-back") {
-                assert_eq!(count, 0, "{id} {answer:?}");
+            assert!(response.status != 200 || count > 0, "{id} {response:?}");
+            if id.starts_with("once") && response.outcome.as_deref() == Some("pushed-back") {
+                assert_eq!(count, 0, "{id} {response:?}");
             }
         }
-        let again = answers.values().filter(|answer| answer.attempts > 1).count();
-        assert!(served > REQUESTS as usize * 2 / 3 && again > 20, "{served} served, {again} tried again");
-        println!("proof: one answer {REQUESTS} requests, {served} served, {again} tried again, none once-only twice");
+        let retried = responses.values().filter(|response| response.attempts > 1).count();
+        assert!(served > REQUESTS as usize * 2 / 3 && retried > 20, "{served} served, {retried} tried again");
+        println!("proof: one answer {REQUESTS} requests, {served} served, {retried} tried again, none once-only twice");
     });
 }
 
 #[test]
 fn a_processor_killed_twenty_times_and_then_down_leaves_no_request_without_its_answer() {
     runtime().block_on(async {
-        for open in [false, true] {
-            let engines = [HttpEngine::start(|_| Does::Serve).await, HttpEngine::start(|_| Does::Serve).await];
-            let own = HttpEngine::start(|_| Does::Serve).await;
+        for fails_open in [false, true] {
+            let engines = [HttpEngine::start(|_| HttpEngineBehavior::Serve).await, HttpEngine::start(|_| HttpEngineBehavior::Serve).await];
+            let fallback_engine = HttpEngine::start(|_| HttpEngineBehavior::Serve).await;
             let addresses: Vec<SocketAddr> = engines.iter().map(|engine| engine.address).collect();
-            let fails = if open { "open" } else { "closed" };
+            let fails = if fails_open { "open" } else { "closed" };
             let mut processor = Processor::new(&addresses, &format!("fails = \"{fails}\"\nmessage_timeout_ms = 1000"));
-            let proxy = Proxy::new(&[processor.address], open.then_some(own.address));
+            let proxy = Proxy::new(&[processor.address], fails_open.then_some(fallback_engine.address));
             let all_killed = Arc::new(AtomicBool::new(false));
             let load = {
                 let (proxy, all_killed) = (proxy.clone(), all_killed.clone());
                 // While the processor is down, the proxy responds immediately, so a fixed number of requests
                 // could be used up before the last kill.
-                tokio::spawn(async move { drive_until(&proxy, 3000, 12, &all_killed).await })
+                tokio::spawn(async move { send_requests_until(&proxy, 3000, 12, &all_killed).await })
             };
             for kill in 0..20 {
-                let ran = || tally(&[&engines[0], &engines[1], &own]).len();
+                let ran = || count_runs(&[&engines[0], &engines[1], &fallback_engine]).len();
                 let (before, ready_at) = (ran(), Instant::now());
                 tokio::time::sleep(Duration::from_millis(40)).await;
                 // Wait until requests are served again, so that the kill interrupts some of them.
@@ -171,19 +175,19 @@
                 processor.start();
             }
             all_killed.store(true, Ordering::SeqCst);
-            let answers = tokio::time::timeout(TEST_TIMEOUT * 2, load).await.expect("all are answered").unwrap();
-            assert!(answers.len() >= 3000, "{}", answers.len());
+            let responses = tokio::time::timeout(TEST_TIMEOUT * 2, load).await.expect("all are answered").unwrap();
+            assert!(responses.len() >= 3000, "{}", responses.len());
             // The processor stays down: each request still gets one response, which the proxy generates.
             processor.kill();
-            let down = drive(&proxy, 1_000_000..1_000_060, 12).await;
-            let wanted = if open { 200 } else { 504 };
-            assert!(down.values().all(|answer| answer.status == wanted), "{down:?}");
-            let ran = tally(&[&engines[0], &engines[1], &own]);
-            let served = answers.values().filter(|answer| answer.status == 200).count();
+            let down = send_requests(&proxy, 1_000_000..1_000_060, 12).await;
+            let expected = if fails_open { 200 } else { 504 };
+            assert!(down.values().all(|response| response.status == expected), "{down:?}");
+            let ran = count_runs(&[&engines[0], &engines[1], &fallback_engine]);
+            let served = responses.values().filter(|response| response.status == 200).count();
             assert!(served > 100, "{served} served");
             println!(
                 "proof: killed 20 times, failing {fails}: {} requests, each one answer, {served} served, {} ran, none once-only twice",
-                answers.len() + down.len(),
+                responses.len() + down.len(),
                 ran.len()
             );
         }
@@ -197,9 +201,9 @@
         let processor = Processor::new(&[], "message_timeout_ms = 300");
         let mut proxy = Proxy::new(&[processor.address], None);
         proxy.message_timeout = Duration::from_millis(300);
-        let answers = drive(&proxy, 0..60, 30).await;
+        let responses = send_requests(&proxy, 0..60, 30).await;
         let pushed =
-            answers.values().filter(|answer| answer.outcome.as_deref() == Some("pushed-back")).count();
+            responses.values().filter(|response| response.outcome.as_deref() == Some("pushed-back")).count();
         let late = proxy.late.load(Ordering::SeqCst);
         // On a busy machine the proxy itself may be scheduled late, so up to 6 of 60 verdicts may miss its timeout.
         assert!(pushed as u64 + late >= 60 && late <= 6, "{pushed} pushed back, {late} late");
@@ -208,8 +212,8 @@
         let mut proxy = Proxy::new(&[patient.address], None);
         proxy.message_timeout = Duration::from_millis(300);
         let from = Instant::now();
-        let answer = proxy.request("often-1", "look-up").await;
-        assert_eq!(answer.status, 503);
+        let response = proxy.request("often-1", "look-up").await;
+        assert_eq!(response.status, 503);
         assert!(from.elapsed() > Duration::from_millis(300), "{:?}", from.elapsed());
         println!("proof: held verdicts {pushed} of 60 pushed back in time, {late} timed out at the proxy");
     });
@@ -218,7 +222,7 @@
 #[test]
 fn a_hostile_proxy_gets_errors_and_harms_nobody() {
     runtime().block_on(async {
-        let engine = HttpEngine::start(|_| Does::Serve).await;
+        let engine = HttpEngine::start(|_| HttpEngineBehavior::Serve).await;
         let processor = Processor::new(&[engine.address], "recovers = false\nstreams = 200");
         let proxy = Proxy::new(&[processor.address], None);
         let value = |key: &str, value: &str| HeaderValue {
@@ -226,17 +230,17 @@
             raw_value: value.as_bytes().to_vec(),
             ..Default::default()
         };
-        let asked = |more: Vec<HeaderValue>| {
+        let request_with = |more: Vec<HeaderValue>| {
             let mut list = vec![value("x-service-group", "load"), value("x-request-id", "once-x")];
             list.extend(more);
-            say(Say::RequestHeaders(headers(list)))
+            message(MessageBody::RequestHeaders(headers(list)))
         };
         let status = async |request| {
-            let (send, mut answers, _) = proxy.open(processor.address).await.unwrap();
+            let (send, mut responses, _) = proxy.open(processor.address).await.unwrap();
             send.send(request).await.unwrap();
-            match answers.message().await {
-                Ok(Some(answer)) => match answer.response {
-                    Some(Answer::ImmediateResponse(answer)) => answer.status.unwrap().code,
+            match responses.message().await {
+                Ok(Some(response)) => match response.response {
+                    Some(ReplyBody::ImmediateResponse(response)) => response.status.unwrap().code,
                     Some(_) => 200,
                     None => 0,
                 },
@@ -246,20 +250,20 @@
         };
         let mut refused = 0;
         let thousands = (0..5000).map(|n| value(&format!("h{n}"), "v")).collect();
-        for (request, wanted) in [
-            (asked(thousands), 431),
-            (say(Say::RequestHeaders(headers(Vec::new()))), 400),
-            (asked(vec![value("x-service-group", "none")]), 200), // Of two headers, the first counts.
-            (say(Say::ResponseHeaders(headers(Vec::new()))), -103),
-            (say(Say::RequestBody(Default::default())), -103),
+        for (request, expected) in [
+            (request_with(thousands), 431),
+            (message(MessageBody::RequestHeaders(headers(Vec::new()))), 400),
+            (request_with(vec![value("x-service-group", "none")]), 200), // Of two headers, the first counts.
+            (message(MessageBody::ResponseHeaders(headers(Vec::new()))), -103),
+            (message(MessageBody::RequestBody(Default::default())), -103),
         ] {
-            assert_eq!(status(request).await, wanted);
+            assert_eq!(status(request).await, expected);
             refused += 1;
         }
         // Continuation tokens that are forged, modified or issued for another request: a non-idempotent request
         // with such a token is not sent to an engine.
         for ticket in ["1.x.1.1.1", "1.b25jZS14.1.0.ffffffffffffffff.AAAAAAAAAAAAAAAAAAAAAA", ""] {
-            let request = say(Say::RequestHeaders(headers(vec![
+            let request = message(MessageBody::RequestHeaders(headers(vec![
                 value("x-service-group", "load"),
                 value("x-request-id", &format!("once-f{}", ticket.len())),
                 value("x-lemonusher-ticket", ticket),
@@ -269,33 +273,33 @@
         }
         // Streams that send nothing or never read: streams above the limit are refused, and all are released
         // afterwards.
-        let mut held = Vec::new();
-        let mut beyond = 0;
+        let mut held_streams = Vec::new();
+        let mut refused_streams = 0;
         for _ in 0..300 {
             match proxy.open(processor.address).await {
-                Some(stream) => held.push(stream),
-                None => beyond += 1,
+                Some(stream) => held_streams.push(stream),
+                None => refused_streams += 1,
             }
         }
-        assert!(held.len() <= 200 && beyond >= 100, "{} held", held.len());
-        for (number, (send, ..)) in held.iter().enumerate() {
+        assert!(held_streams.len() <= 200 && refused_streams >= 100, "{} held", held_streams.len());
+        for (number, (send, ..)) in held_streams.iter().enumerate() {
             let list =
                 vec![value("x-service-group", "look-up"), value("x-request-id", &format!("often-n{number}"))];
-            let _ = send.send(say(Say::RequestHeaders(headers(list)))).await;
+            let _ = send.send(message(MessageBody::RequestHeaders(headers(list)))).await;
         }
-        drop(held);
+        drop(held_streams);
         // A client that retries immediately gets a response each time, and a request is served within the
         // test's timeout.
         let until = Instant::now() + TEST_TIMEOUT;
         loop {
-            let answer = proxy.request("often-last", "look-up").await;
-            if answer.status == 200 {
+            let response = proxy.request("often-last", "look-up").await;
+            if response.status == 200 {
                 break;
             }
-            assert!(Instant::now() < until, "{answer:?}");
+            assert!(Instant::now() < until, "{response:?}");
         }
         println!(
-            "proof: hostile proxy {refused} kinds refused, {beyond} streams beyond the bound, others served"
+            "proof: hostile proxy {refused} kinds refused, {refused_streams} streams beyond the bound, others served"
         );
     });
 }
@@ -303,7 +307,7 @@
 #[test]
 fn three_processors_restarted_in_turn_serve_all_the_while() {
     runtime().block_on(async {
-        let engines = [HttpEngine::start(|_| Does::Serve).await, HttpEngine::start(|_| Does::Serve).await];
+        let engines = [HttpEngine::start(|_| HttpEngineBehavior::Serve).await, HttpEngine::start(|_| HttpEngineBehavior::Serve).await];
         let addresses: Vec<SocketAddr> = engines.iter().map(|engine| engine.address).collect();
         let mut processors: Vec<Processor> =
             (0..3).map(|_| Processor::new(&addresses, "message_timeout_ms = 1000")).collect();
@@ -311,34 +315,34 @@
         let proxy = Proxy::new(&processors.iter().map(|p| p.address).collect::<Vec<_>>(), None);
         let load = {
             let proxy = proxy.clone();
-            tokio::spawn(async move { drive(&proxy, 0..900, 12).await })
+            tokio::spawn(async move { send_requests(&proxy, 0..900, 12).await })
         };
         for processor in &mut processors {
             tokio::time::sleep(Duration::from_millis(100)).await;
             processor.kill();
             processor.start();
         }
-        let answers = tokio::time::timeout(TEST_TIMEOUT * 2, load).await.expect("all are answered").unwrap();
-        let served = answers.values().filter(|answer| answer.status == 200).count();
-        tally(&[&engines[0], &engines[1]]);
-        assert!(answers.len() == 900 && served > 300, "{served}");
+        let responses = tokio::time::timeout(TEST_TIMEOUT * 2, load).await.expect("all are answered").unwrap();
+        let served = responses.values().filter(|response| response.status == 200).count();
+        count_runs(&[&engines[0], &engines[1]]);
+        assert!(responses.len() == 900 && served > 300, "{served}");
         println!("proof: rolling restart of three, 900 requests, each one answer, {served} served, none once-only twice");
     });
 }
 
 #[test]
 fn an_engine_that_drains_between_verdict_and_attempt_gets_nothing_past_the_grace() {
-    const GRACE: Duration = Duration::from_secs(2); // The drain grace in the fake start file.
+    const DRAIN_GRACE: Duration = Duration::from_secs(2); // The drain grace in the fake start file.
     runtime().block_on(async {
-        let engines = [HttpEngine::start(|_| Does::Serve).await, HttpEngine::start(|_| Does::Serve).await];
+        let engines = [HttpEngine::start(|_| HttpEngineBehavior::Serve).await, HttpEngine::start(|_| HttpEngineBehavior::Serve).await];
         let addresses: Vec<SocketAddr> = engines.iter().map(|engine| engine.address).collect();
         let more = "recovers = false\nstatement = true\nmessage_timeout_ms = 1000\n[managed]\n[managed.gnmi]\nlisten = \"127.0.0.1:0\"";
         let processor = Processor::new(&addresses, more);
         let gnmi = processor.front.as_ref().unwrap().startup_log_value("gNMI at").unwrap().parse().unwrap();
         let mut proxy = Proxy::new(&[processor.address], None);
         proxy.body = Some("select * from sales_17.orders".to_owned());
-        let first = drive(&proxy, 0..100, 4).await;
-        assert!(first.values().all(|answer| answer.status == 200));
+        let first = send_requests(&proxy, 0..100, 4).await;
+        assert!(first.values().all(|response| response.status == 200));
         // One table group has one home engine, so a majority at one engine shows that the statement was read.
         let home = usize::from(engines[1].ran().len() > engines[0].ran().len());
         assert!(engines[home].ran().len() > 60, "{} {}", engines[0].ran().len(), engines[1].ran().len());
@@ -347,19 +351,19 @@
         let mut manager = managers::Gnmi::connect(gnmi).await;
         let load = {
             let proxy = proxy.clone();
-            tokio::spawn(async move { drive(&proxy, 1000..3000, 8).await })
+            tokio::spawn(async move { send_requests(&proxy, 1000..3000, 8).await })
         };
         tokio::time::sleep(Duration::from_millis(50)).await;
         manager.set(vec![managers::update("/front/pool[name=a]", &pool)]).await.unwrap();
         let drained = Instant::now();
-        let answers = load.await.unwrap();
-        assert_eq!(answers.len(), 2000);
-        while drained.elapsed() < GRACE {
+        let responses = load.await.unwrap();
+        assert_eq!(responses.len(), 2000);
+        while drained.elapsed() < DRAIN_GRACE {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
         let then = engines[home].ran().len();
-        let after = drive(&proxy, 5000..5200, 8).await;
-        assert!(after.values().all(|answer| answer.status == 200));
+        let after = send_requests(&proxy, 5000..5200, 8).await;
+        assert!(after.values().all(|response| response.status == 200));
         assert_eq!(engines[home].ran().len(), then);
         println!("proof: drained behind a proxy {} requests after the grace, 0 at the drained engine", after.len());
     });
--- a/crates/edges/cli/tests/proxies/mod.rs
+++ b/crates/edges/cli/tests/proxies/mod.rs
@@ -4,8 +4,8 @@
 
 use envoy_types::pb::envoy::config::core::v3::{HeaderMap, HeaderValue};
 use envoy_types::pb::envoy::service::ext_proc::v3::external_processor_client::ExternalProcessorClient;
-use envoy_types::pb::envoy::service::ext_proc::v3::processing_request::Request as Say;
-use envoy_types::pb::envoy::service::ext_proc::v3::processing_response::Response as Answer;
+use envoy_types::pb::envoy::service::ext_proc::v3::processing_request::Request as MessageBody;
+use envoy_types::pb::envoy::service::ext_proc::v3::processing_response::Response as ReplyBody;
 use envoy_types::pb::envoy::service::ext_proc::v3::{
     HttpBody, HttpHeaders, ProcessingRequest, ProcessingResponse,
 };
@@ -27,7 +27,7 @@
 
 /// Reaction of an engine to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Does {
+pub enum HttpEngineBehavior {
     Serve,
     /// Rejects it without running it.
     Full,
@@ -44,20 +44,20 @@
 }
 
 impl HttpEngine {
-    pub async fn start(does: impl Fn(usize) -> Does + Send + Sync + 'static) -> HttpEngine {
+    pub async fn start(behavior: impl Fn(usize) -> HttpEngineBehavior + Send + Sync + 'static) -> HttpEngine {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let ran: Arc<Mutex<BTreeMap<String, u32>>> = Arc::default();
-        let (kept, does) = (ran.clone(), Arc::new(does));
+        let (runs, behavior) = (ran.clone(), Arc::new(behavior));
         let number = Arc::new(AtomicU64::new(0));
         tokio::spawn(async move {
-            while let Ok((mut wire, _)) = listener.accept().await {
-                let (kept, does, number) = (kept.clone(), does.clone(), number.clone());
+            while let Ok((mut stream, _)) = listener.accept().await {
+                let (runs, behavior, number) = (runs.clone(), behavior.clone(), number.clone());
                 tokio::spawn(async move {
                     let mut bytes = Vec::new();
                     while !bytes.windows(4).any(|four| four == b"\r\n\r\n") {
                         let mut part = [0; 4096];
-                        match wire.read(&mut part).await {
+                        match stream.read(&mut part).await {
                             Ok(0) | Err(_) => return,
                             Ok(count) => bytes.extend_from_slice(&part[..count]),
                         }
@@ -65,19 +65,19 @@
                     let text = String::from_utf8_lossy(&bytes).into_owned();
                     let id = text.lines().find_map(|line| line.strip_prefix("x-request-id: "));
                     let id = id.unwrap_or_default().to_owned();
-                    let does = does(number.fetch_add(1, Ordering::SeqCst) as usize);
-                    if does != Does::Full {
-                        *kept.lock().unwrap().entry(id).or_default() += 1;
+                    let behavior = behavior(number.fetch_add(1, Ordering::SeqCst) as usize);
+                    if behavior != HttpEngineBehavior::Full {
+                        *runs.lock().unwrap().entry(id).or_default() += 1;
                     }
-                    let answer = match does {
-                        Does::Serve => "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n",
-                        Does::Full => {
+                    let reply = match behavior {
+                        HttpEngineBehavior::Serve => "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n",
+                        HttpEngineBehavior::Full => {
                             "HTTP/1.1 503 Full\r\nx-lemonusher-outcome: full\r\ncontent-length: 0\r\n\r\n"
                         }
-                        Does::Fail => "HTTP/1.1 500 Failed\r\ncontent-length: 0\r\n\r\n",
-                        Does::HangUp => return,
+                        HttpEngineBehavior::Fail => "HTTP/1.1 500 Failed\r\ncontent-length: 0\r\n\r\n",
+                        HttpEngineBehavior::HangUp => return,
                     };
-                    let _ = wire.write_all(answer.as_bytes()).await;
+                    let _ = stream.write_all(reply.as_bytes()).await;
                 });
             }
         });
@@ -94,48 +94,48 @@
 pub struct Processor {
     pub front: Option<Front>,
     pub address: SocketAddr,
-    told: String,
+    start_file: String,
     key: PathBuf,
-    more: String,
+    extra_toml: String,
     /// Reserve the processor's address while it is down, and the address of the discovery service, which does
     /// not run.
     _closed: [ClosedPort; 2],
 }
 
 impl Processor {
-    pub fn new(engines: &[SocketAddr], more: &str) -> Processor {
-        let (reserved, nobody) = (reserved_address(), ClosedPort::bind());
-        let known: Vec<(u32, SocketAddr)> =
+    pub fn new(engines: &[SocketAddr], extra_toml: &str) -> Processor {
+        let (reserved, closed_port) = (reserved_address(), ClosedPort::bind());
+        let engine_addresses: Vec<(u32, SocketAddr)> =
             engines.iter().enumerate().map(|(number, address)| (number as u32 + 1, *address)).collect();
         let key = temp_path("tickets.key");
         std::fs::write(&key, "a key of the test's own").unwrap();
-        let told = start_config(&known, nobody.address).to_string();
+        let start_file = start_config(&engine_addresses, closed_port.address).to_string();
         let mut processor = Processor {
             front: None,
             address: reserved.address,
-            told,
+            start_file,
             key,
-            more: more.to_owned(),
-            _closed: [reserved, nobody],
+            extra_toml: extra_toml.to_owned(),
+            _closed: [reserved, closed_port],
         };
         processor.start();
         processor
     }
 
     pub fn start(&mut self) {
-        let told = temp_file("json", &self.told);
+        let start_file = temp_file("json", &self.start_file);
         let text = format!(
             "[front]\ntold = {:?}\n[processor]\nlisten = \"{}\"\nkey_file = {:?}\n{}\n",
-            told.display().to_string(),
+            start_file.display().to_string(),
             self.address,
             self.key.display().to_string(),
-            self.more,
+            self.extra_toml,
         );
         let path = temp_file("toml", &text);
         let mut command = Command::new(env!("CARGO_BIN_EXE_lemonusher"));
         command.arg("run").arg(&path);
         self.front = Some(Front::spawn_until(command, path, "serves proxies"));
-        let _ = std::fs::remove_file(told);
+        let _ = std::fs::remove_file(start_file);
     }
 
     pub fn kill(&mut self) {
@@ -146,9 +146,9 @@
 /// Reserves an address for a processor over its restarts. It is on a loopback host of its own, so the port is
 /// not assigned to an outgoing connection of another test while the processor is down.
 fn reserved_address() -> ClosedPort {
-    static TAKEN: AtomicU32 = AtomicU32::new(0);
-    let (process, place) = (std::process::id(), TAKEN.fetch_add(1, Ordering::Relaxed));
-    let host = [127, 1 + (process / 250 % 250) as u8, 1 + (process % 250) as u8, 1 + (place % 250) as u8];
+    static RESERVED: AtomicU32 = AtomicU32::new(0);
+    let (process, index) = (std::process::id(), RESERVED.fetch_add(1, Ordering::Relaxed));
+    let host = [127, 1 + (process / 250 % 250) as u8, 1 + (process % 250) as u8, 1 + (index % 250) as u8];
     ClosedPort::reserve(host)
 }
 
@@ -164,24 +164,24 @@
     pub processors: Vec<SocketAddr>,
     pub message_timeout: Duration,
     /// Engine to which requests without a verdict are forwarded (fail open); none to fail closed.
-    pub own: Option<SocketAddr>,
+    pub fallback_engine: Option<SocketAddr>,
     pub attempts: u32,
     pub upstream_timeout: Duration,
     /// Body of each request, sent if the processor requests it.
     pub body: Option<String>,
     channels: Arc<Mutex<BTreeMap<SocketAddr, Channel>>>,
-    turn: Arc<AtomicU64>,
+    next_call: Arc<AtomicU64>,
     /// Number of messages without a response within the message timeout.
     pub late: Arc<AtomicU64>,
 }
 
 /// The response that the proxy's client gets, with the number of attempts.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Final {
+pub struct FinalResponse {
     pub status: u32,
     pub outcome: Option<String>,
     pub attempts: u32,
-    pub come_back: bool,
+    pub has_retry_after: bool,
 }
 
 fn header(key: &str, value: &str) -> HeaderValue {
@@ -192,11 +192,11 @@
     HttpHeaders { headers: Some(HeaderMap { headers: list }), end_of_stream: true, ..Default::default() }
 }
 
-pub fn say(say: Say) -> ProcessingRequest {
-    ProcessingRequest { request: Some(say), ..Default::default() }
+pub fn message(body: MessageBody) -> ProcessingRequest {
+    ProcessingRequest { request: Some(body), ..Default::default() }
 }
 
-enum Reached {
+enum UpstreamResult {
     Status(u32, Option<String>),
     NoConnection,
     Reset,
@@ -204,16 +204,16 @@
 }
 
 impl Proxy {
-    pub fn new(processors: &[SocketAddr], own: Option<SocketAddr>) -> Proxy {
+    pub fn new(processors: &[SocketAddr], fallback_engine: Option<SocketAddr>) -> Proxy {
         Proxy {
             processors: processors.to_vec(),
             message_timeout: Duration::from_millis(1000),
-            own,
+            fallback_engine,
             attempts: 3,
             upstream_timeout: Duration::from_secs(5),
             body: None,
             channels: Arc::default(),
-            turn: Arc::default(),
+            next_call: Arc::default(),
             late: Arc::default(),
         }
     }
@@ -234,12 +234,12 @@
     ) -> Option<(mpsc::Sender<ProcessingRequest>, Streaming<ProcessingResponse>, ProcessingRequest)> {
         let channel = self.channel(address).await?;
         let (send, requests) = mpsc::channel(8);
-        let first = say(Say::RequestHeaders(headers(Vec::new())));
+        let first = message(MessageBody::RequestHeaders(headers(Vec::new())));
         let mut client = ExternalProcessorClient::new(channel);
         let opened =
             tokio::time::timeout(self.message_timeout, client.process(ReceiverStream::new(requests))).await;
         match opened {
-            Ok(Ok(answers)) => Some((send, answers.into_inner(), first)),
+            Ok(Ok(call_responses)) => Some((send, call_responses.into_inner(), first)),
             _ => {
                 self.channels.lock().unwrap().remove(&address);
                 None
@@ -248,14 +248,14 @@
     }
 
     /// Sends one request and returns its response.
-    pub async fn request(&self, id: &str, group: &str) -> Final {
-        let mut ticket: Option<String> = None;
+    pub async fn request(&self, id: &str, group: &str) -> FinalResponse {
+        let mut token: Option<String> = None;
         let mut attempt = 0;
         loop {
             attempt += 1;
-            let last = attempt >= self.attempts;
-            let turn = self.turn.fetch_add(1, Ordering::SeqCst) as usize;
-            let address = self.processors[turn % self.processors.len()];
+            let is_last = attempt >= self.attempts;
+            let next_call = self.next_call.fetch_add(1, Ordering::SeqCst) as usize;
+            let address = self.processors[next_call % self.processors.len()];
             let mut list = vec![
                 header("x-request-id", id),
                 header("x-service-group", group),
@@ -263,28 +263,35 @@
                 header("x-envoy-expected-rq-timeout-ms", "5000"),
                 header("x-envoy-attempt-count", &attempt.to_string()),
             ];
-            list.extend(ticket.iter().map(|ticket| header("x-lemonusher-ticket", ticket)));
-            let done = |status, outcome, come_back| Final { status, outcome, attempts: attempt, come_back };
-            let Some((send, mut answers, _)) = self.open(address).await else {
-                match self.without(id, attempt).await {
-                    Some(done) => return done,
-                    None => return done(504, None, false),
+            list.extend(token.iter().map(|token| header("x-lemonusher-ticket", token)));
+            let finish = |status, outcome, has_retry_after| FinalResponse {
+                status,
+                outcome,
+                attempts: attempt,
+                has_retry_after,
+            };
+            let Some((send, mut call_responses, _)) = self.open(address).await else {
+                match self.forward_without_verdict(id, attempt).await {
+                    Some(response) => return response,
+                    None => return finish(504, None, false),
                 }
             };
             let mut first = headers(list);
             first.end_of_stream = self.body.is_none();
-            let _ = send.send(say(Say::RequestHeaders(first))).await;
-            let mut limit = self.message_timeout;
+            let _ = send.send(message(MessageBody::RequestHeaders(first))).await;
+            let mut timeout = self.message_timeout;
             let verdict = loop {
-                match tokio::time::timeout(limit, answers.message()).await {
-                    Ok(Ok(Some(answer))) => match answer.override_message_timeout {
-                        Some(more) => limit = Duration::new(more.seconds as u64, more.nanos as u32),
-                        None if answer.mode_override.is_some() => {
+                match tokio::time::timeout(timeout, call_responses.message()).await {
+                    Ok(Ok(Some(call_response))) => match call_response.override_message_timeout {
+                        Some(extension) => {
+                            timeout = Duration::new(extension.seconds as u64, extension.nanos as u32)
+                        }
+                        None if call_response.mode_override.is_some() => {
                             let body = self.body.clone().unwrap_or_default().into_bytes();
                             let body = HttpBody { body, end_of_stream: true, ..Default::default() };
-                            let _ = send.send(say(Say::RequestBody(body))).await;
+                            let _ = send.send(message(MessageBody::RequestBody(body))).await;
                         }
-                        None => break answer.response,
+                        None => break call_response.response,
                     },
                     Ok(_) => break None,
                     Err(_) => {
@@ -294,24 +301,33 @@
                 }
             };
             let mutation = match verdict {
-                Some(Answer::ImmediateResponse(answer)) => {
-                    let set = answer.headers.unwrap_or_default().set_headers;
+                Some(ReplyBody::ImmediateResponse(call_response)) => {
+                    let set = call_response.headers.unwrap_or_default().set_headers;
                     let get = |name: &str| {
-                        let held = set.iter().filter_map(|option| option.header.as_ref());
-                        held.into_iter()
+                        let headers = set.iter().filter_map(|option| option.header.as_ref());
+                        headers
+                            .into_iter()
                             .find(|h| h.key == name)
                             .map(|h| String::from_utf8_lossy(&h.raw_value).into_owned())
                     };
-                    let come_back = get("retry-after").is_some();
-                    return done(answer.status.unwrap().code as u32, get("x-lemonusher-outcome"), come_back);
+                    let has_retry_after = get("retry-after").is_some();
+                    return finish(
+                        call_response.status.unwrap().code as u32,
+                        get("x-lemonusher-outcome"),
+                        has_retry_after,
+                    );
+                }
+                Some(ReplyBody::RequestHeaders(call_response)) => {
+                    call_response.response.unwrap().header_mutation.unwrap()
+                }
+                Some(ReplyBody::RequestBody(call_response)) => {
+                    call_response.response.unwrap().header_mutation.unwrap()
                 }
-                Some(Answer::RequestHeaders(answer)) => answer.response.unwrap().header_mutation.unwrap(),
-                Some(Answer::RequestBody(answer)) => answer.response.unwrap().header_mutation.unwrap(),
                 _ => {
-                    drop((send, answers));
-                    match self.without(id, attempt).await {
-                        Some(done) => return done,
-                        None => return done(504, None, false),
+                    drop((send, call_responses));
+                    match self.forward_without_verdict(id, attempt).await {
+                        Some(response) => return response,
+                        None => return finish(504, None, false),
                     }
                 }
             };
@@ -321,66 +337,68 @@
                 .filter_map(|option| option.header)
                 .map(|h| (h.key, String::from_utf8_lossy(&h.raw_value).into_owned()))
                 .collect();
-            ticket = set.get("x-lemonusher-ticket").cloned();
+            token = set.get("x-lemonusher-ticket").cloned();
             let engine: SocketAddr = set["x-envoy-original-dst-host"].parse().unwrap();
             let (status, outcome, details) = match self.upstream(engine, id).await {
-                Reached::Status(status, outcome) => (status, outcome, None),
-                Reached::NoConnection => {
+                UpstreamResult::Status(status, outcome) => (status, outcome, None),
+                UpstreamResult::NoConnection => {
                     (503, None, Some("upstream_reset_before_response_started{connection_failure}"))
                 }
-                Reached::Reset => {
+                UpstreamResult::Reset => {
                     (503, None, Some("upstream_reset_before_response_started{connection_termination}"))
                 }
-                Reached::TimedOut => (504, None, Some("upstream_response_timeout")),
+                UpstreamResult::TimedOut => (504, None, Some("upstream_response_timeout")),
             };
             let mut list = vec![header(":status", &status.to_string())];
             list.extend(outcome.iter().map(|outcome| header("x-lemonusher-outcome", outcome)));
-            let mut response = say(Say::ResponseHeaders(headers(list)));
+            let mut response = message(MessageBody::ResponseHeaders(headers(list)));
             if let Some(details) = details {
                 let value = Value { kind: Some(Kind::StringValue(details.to_owned())) };
                 let fields = [("response.code_details".to_owned(), value)].into_iter().collect();
                 response.attributes.insert("envoy.filters.http.ext_proc".to_owned(), Struct { fields });
             }
             let _ = send.send(response).await;
-            let _ = tokio::time::timeout(self.message_timeout, answers.message()).await;
+            let _ = tokio::time::timeout(self.message_timeout, call_responses.message()).await;
             drop(send);
-            let _ = tokio::time::timeout(Duration::from_millis(50), answers.message()).await;
-            if status < 500 || last {
-                return done(status, outcome, false);
+            let _ = tokio::time::timeout(Duration::from_millis(50), call_responses.message()).await;
+            if status < 500 || is_last {
+                return finish(status, outcome, false);
             }
         }
     }
 
     /// Handles a request without a verdict: forwards it to the fallback engine, or returns none to fail closed.
-    async fn without(&self, id: &str, attempts: u32) -> Option<Final> {
-        let own = self.own?;
-        let status = match self.upstream(own, id).await {
-            Reached::Status(status, _) => status,
+    async fn forward_without_verdict(&self, id: &str, attempts: u32) -> Option<FinalResponse> {
+        let fallback_engine = self.fallback_engine?;
+        let status = match self.upstream(fallback_engine, id).await {
+            UpstreamResult::Status(status, _) => status,
             _ => 503,
         };
-        Some(Final { status, outcome: None, attempts, come_back: false })
+        Some(FinalResponse { status, outcome: None, attempts, has_retry_after: false })
     }
 
-    async fn upstream(&self, engine: SocketAddr, id: &str) -> Reached {
+    async fn upstream(&self, engine: SocketAddr, id: &str) -> UpstreamResult {
         let exchange = async {
-            let Ok(mut wire) = TcpStream::connect(engine).await else { return Reached::NoConnection };
+            let Ok(mut stream) = TcpStream::connect(engine).await else {
+                return UpstreamResult::NoConnection;
+            };
             let request = format!("GET / HTTP/1.1\r\nhost: engine\r\nx-request-id: {id}\r\n\r\n");
-            if wire.write_all(request.as_bytes()).await.is_err() {
-                return Reached::Reset;
+            if stream.write_all(request.as_bytes()).await.is_err() {
+                return UpstreamResult::Reset;
             }
             let mut bytes = Vec::new();
             while !bytes.windows(4).any(|four| four == b"\r\n\r\n") {
                 let mut part = [0; 1024];
-                match wire.read(&mut part).await {
-                    Ok(0) | Err(_) => return Reached::Reset,
+                match stream.read(&mut part).await {
+                    Ok(0) | Err(_) => return UpstreamResult::Reset,
                     Ok(count) => bytes.extend_from_slice(&part[..count]),
                 }
             }
             let text = String::from_utf8_lossy(&bytes);
             let status = text.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(500);
             let outcome = text.lines().find_map(|line| line.strip_prefix("x-lemonusher-outcome: "));
-            Reached::Status(status, outcome.map(str::to_owned))
+            UpstreamResult::Status(status, outcome.map(str::to_owned))
         };
-        tokio::time::timeout(self.upstream_timeout, exchange).await.unwrap_or(Reached::TimedOut)
+        tokio::time::timeout(self.upstream_timeout, exchange).await.unwrap_or(UpstreamResult::TimedOut)
     }
 }
