--- a/crates/edges/cli/benches/managed.rs
+++ b/crates/edges/cli/benches/managed.rs
@@ -21,9 +21,9 @@
 fn main() {
     let runtime = runtime();
     let engine = CountingEngine::start(|_| EngineBehavior::Result);
-    let world = run(&[&engine], None, "");
+    let managed = run(&[&engine], None, "");
     let mut id = 0;
-    let mut ask = |histogram: &mut Histogram<u64>, client: &mut lemonusher_fakes::Client| {
+    let mut send_requests = |histogram: &mut Histogram<u64>, client: &mut lemonusher_fakes::Client| {
         for _ in 0..REQUESTS / 8 {
             id += 1;
             let from = Instant::now();
@@ -33,16 +33,16 @@
         }
     };
     // Alternate rounds without and with ten subscribers.
-    let mut client = world.front.client();
+    let mut client = managed.front.client();
     let new = || Histogram::<u64>::new_with_bounds(1000, 60_000_000_000, 3).unwrap();
-    let (mut alone, mut watched) = (new(), new());
-    ask(&mut new(), &mut client);
+    let (mut unwatched, mut watched) = (new(), new());
+    send_requests(&mut new(), &mut client);
     for _ in 0..8 {
-        ask(&mut alone, &mut client);
+        send_requests(&mut unwatched, &mut client);
         let subscribers = runtime.block_on(async {
             let mut open = Vec::new();
             for _ in 0..10 {
-                let mut gnmi = Gnmi::connect(world.gnmi).await;
+                let mut gnmi = Gnmi::connect(managed.gnmi).await;
                 let mut stream =
                     gnmi.subscribe(&["/front/state/counter"], SubscriptionMode::Sample, 100).await.unwrap();
                 open.push(tokio::spawn(async move {
@@ -53,11 +53,11 @@
             }
             open
         });
-        ask(&mut watched, &mut client);
+        send_requests(&mut watched, &mut client);
         subscribers.iter().for_each(|subscriber| subscriber.abort());
     }
     let us = |histogram: &Histogram<u64>, share: f64| histogram.value_at_quantile(share) as f64 / 1000.0;
-    for (name, histogram) in [("none", &alone), ("ten at 10 Hz", &watched)] {
+    for (name, histogram) in [("none", &unwatched), ("ten at 10 Hz", &watched)] {
         println!(
             "ordinary path, subscribers {name}: median {:.1} us, 99th {:.1} us, mean {:.1} us",
             us(histogram, 0.5),
@@ -67,13 +67,13 @@
     }
     println!(
         "ordinary path, ten to none: median {:.3}, mean {:.3}",
-        us(&watched, 0.5) / us(&alone, 0.5),
-        watched.mean() / alone.mean()
+        us(&watched, 0.5) / us(&unwatched, 0.5),
+        watched.mean() / unwatched.mean()
     );
 
     // Memory per subscriber.
     runtime.block_on(async {
-        let mut gnmi = Gnmi::connect(world.gnmi).await;
+        let mut gnmi = Gnmi::connect(managed.gnmi).await;
         let resident = async |gnmi: &mut Gnmi| -> f64 {
             let value = gnmi.get("/front/state/resident-bytes", DataType::State).await.unwrap();
             value.as_str().unwrap().parse().unwrap()
@@ -88,13 +88,13 @@
         }
         println!("memory a subscriber: {:.1} KB", (resident(&mut gnmi).await - before) / 50.0 / 1024.0);
     });
-    drop(world);
+    drop(managed);
 
     // Commits with 1,000 pools of 10 engines each, synced to disk.
     let folder = Folder::new();
-    let world = run(&[&engine], Some(&folder.0), "history = 100");
+    let managed = run(&[&engine], Some(&folder.0), "history = 100");
     runtime.block_on(async {
-        let mut gnmi = Gnmi::connect(world.gnmi).await;
+        let mut gnmi = Gnmi::connect(managed.gnmi).await;
         let pools: Vec<_> = (0..1000u32)
             .map(|pool| {
                 let engines: Vec<String> = (0..10).map(|n| format!("{:08x}", pool * 10 + n)).collect();
@@ -103,9 +103,9 @@
             .collect();
         gnmi.set(vec![update("/front", &json!({"pool": pools}))]).await.unwrap();
         let mut commits = new();
-        for turn in 0..500u32 {
-            let state = if turn % 2 == 0 { "draining" } else { "enabled" };
-            let path = format!("/front/pool[name=p{}]/admin-state", turn % 1000);
+        for round in 0..500u32 {
+            let state = if round % 2 == 0 { "draining" } else { "enabled" };
+            let path = format!("/front/pool[name=p{}]/admin-state", round % 1000);
             let from = Instant::now();
             gnmi.set(vec![update(&path, &json!(state))]).await.unwrap();
             commits.record(from.elapsed().as_nanos() as u64).unwrap();
@@ -116,7 +116,7 @@
             us(&commits, 0.99) / 1000.0
         );
     });
-    drop(world);
+    drop(managed);
 
     // Recovery of the store from 10,000 commits, in this process.
     let folder = Folder::new();
@@ -126,8 +126,8 @@
         Disk::open(&folder.0, schema.clone(), bounds).map_err(|e| e.to_string()).unwrap();
     let session = store.open_session("x", Protocol::Local).unwrap();
     let place = schema.place(&parse_path("/front").unwrap()).unwrap();
-    for turn in 0..10_000u32 {
-        let value = json!({"pool": [{"name": format!("p{}", turn % 100), "cell": [turn]}]});
+    for round in 0..10_000u32 {
+        let value = json!({"pool": [{"name": format!("p{}", round % 100), "cell": [round]}]});
         let value: Node = from_json(&schema, place.last().map(|seg| seg.node), false, &value).unwrap();
         let edit = Edit { op: Op::Merge, place: place.clone(), value: Some(value) };
         let plan = store
--- a/crates/edges/cli/tests/limits.rs
+++ b/crates/edges/cli/tests/limits.rs
@@ -14,10 +14,10 @@
 fn managers_see_and_name_every_engine() {
     for count in [1024, 1025, 2049] {
         let engine = CountingEngine::start(|_| EngineBehavior::Result);
-        let world = run(&vec![&engine; count], None, "");
+        let managed = run(&vec![&engine; count], None, "");
         let ids: Vec<String> = (1..=count).map(|id| format!("{id:08x}")).collect();
         runtime().block_on(async {
-            let mut gnmi = Gnmi::connect(world.gnmi).await;
+            let mut gnmi = Gnmi::connect(managed.gnmi).await;
             let pool = json!({"name": "a", "engine": ids, "admin-state": "disabled"});
             gnmi.set(vec![update("/front/pool[name=a]", &pool)]).await.unwrap();
             let all = gnmi.get("/", DataType::All).await.unwrap();
@@ -26,7 +26,7 @@
             assert_eq!((engines.len(), disabled), (count, count));
             let filter = "<get><filter type=\"subtree\"><front xmlns=\"urn:lemonusher:front\"><state><engine/></state>\
                           </front></filter></get>";
-            let mut netconf = Netconf::connect(world.netconf).await;
+            let mut netconf = Netconf::connect(managed.netconf).await;
             assert_eq!(netconf.bytes(filter).await.matches("<engine>").count(), count);
         });
     }
--- a/crates/edges/cli/tests/managers/mod.rs
+++ b/crates/edges/cli/tests/managers/mod.rs
@@ -5,9 +5,9 @@
 };
 use lemonusher_managed::gnmi::proto::gnmi::g_nmi_client::GNmiClient;
 use lemonusher_managed::gnmi::proto::gnmi::get_request::DataType;
-use lemonusher_managed::gnmi::proto::gnmi::subscribe_request::Request as Asked;
-use lemonusher_managed::gnmi::proto::gnmi::subscribe_response::Response as Said;
-use lemonusher_managed::gnmi::proto::gnmi::typed_value::Value as Typed;
+use lemonusher_managed::gnmi::proto::gnmi::subscribe_request::Request as RequestMessage;
+use lemonusher_managed::gnmi::proto::gnmi::subscribe_response::Response as ResponseMessage;
+use lemonusher_managed::gnmi::proto::gnmi::typed_value::Value as TypedVal;
 use lemonusher_managed::gnmi::proto::gnmi::*;
 use lemonusher_managed::gnmi::proto::gnmi_ext::commit::Action;
 use lemonusher_managed::gnmi::proto::gnmi_ext::extension::Ext;
@@ -45,43 +45,48 @@
 }
 
 /// A managed front, with the addresses of its management servers and a fake discovery server.
-pub struct World {
+pub struct ManagedFront {
     pub front: Front,
     pub gnmi: SocketAddr,
     pub netconf: SocketAddr,
     /// Kept alive because the front connects to it.
-    _commands: DiscoveryServer,
+    _discovery: DiscoveryServer,
 }
 
 /// Runs a front with these engines; `more` is added to section `[managed]` of its file.
-pub fn run(engines: &[&CountingEngine], folder: Option<&Path>, more: &str) -> World {
-    let commands = DiscoveryServer::start();
-    let known: Vec<(u32, SocketAddr)> =
+pub fn run(engines: &[&CountingEngine], folder: Option<&Path>, extra_toml: &str) -> ManagedFront {
+    let discovery = DiscoveryServer::start();
+    let engine_addresses: Vec<(u32, SocketAddr)> =
         engines.iter().enumerate().map(|(number, engine)| (number as u32 + 1, engine.address)).collect();
-    run_told(&start_config(&known, commands.address), commands, folder, more)
+    run_with_start_file(&start_config(&engine_addresses, discovery.address), discovery, folder, extra_toml)
 }
 
-pub fn run_told(told: &Value, commands: DiscoveryServer, folder: Option<&Path>, more: &str) -> World {
-    let told = temp_file("json", &told.to_string());
+pub fn run_with_start_file(
+    start_file: &Value,
+    discovery: DiscoveryServer,
+    folder: Option<&Path>,
+    extra_toml: &str,
+) -> ManagedFront {
+    let start_file = temp_file("json", &start_file.to_string());
     let folder = folder.map(|folder| format!("folder = {:?}", folder.display().to_string()));
     let text = format!(
-        "[front]\ntold = {:?}\n[managed]\nfreshness_ms = 5\n{}\n{more}\n[managed.gnmi]\nlisten = \"127.0.0.1:0\"\n[managed.netconf]\nlisten = \"127.0.0.1:0\"\n",
-        told.display().to_string(),
+        "[front]\ntold = {:?}\n[managed]\nfreshness_ms = 5\n{}\n{extra_toml}\n[managed.gnmi]\nlisten = \"127.0.0.1:0\"\n[managed.netconf]\nlisten = \"127.0.0.1:0\"\n",
+        start_file.display().to_string(),
         folder.unwrap_or_default(),
     );
-    let world = run_file(&text, commands);
-    let _ = std::fs::remove_file(told);
-    world
+    let managed = run_with_operator_file(&text, discovery);
+    let _ = std::fs::remove_file(start_file);
+    managed
 }
 
 /// Runs a front with an operator's file that enables both management servers.
-pub fn run_file(text: &str, commands: DiscoveryServer) -> World {
+pub fn run_with_operator_file(text: &str, discovery: DiscoveryServer) -> ManagedFront {
     let path = temp_file("toml", text);
     let mut command = Command::new(env!("CARGO_BIN_EXE_lemonusher"));
     command.arg("run").arg(&path);
     let front = Front::spawn(command, path);
     let address = |what: &str| front.startup_log_value(what).and_then(|text| text.parse().ok()).expect(what);
-    World { gnmi: address("gNMI at"), netconf: address("NETCONF at"), front, _commands: commands }
+    ManagedFront { gnmi: address("gNMI at"), netconf: address("NETCONF at"), front, _discovery: discovery }
 }
 
 // gNMI client.
@@ -89,19 +94,19 @@
 #[derive(Clone)]
 pub struct Gnmi(pub GNmiClient<Channel>);
 
-pub fn steps(path: &str) -> Option<lemonusher_managed::gnmi::proto::gnmi::Path> {
+pub fn gnmi_path(path: &str) -> Option<lemonusher_managed::gnmi::proto::gnmi::Path> {
     let elem = lemonusher_model::parse_path(path).unwrap().into_iter();
     let elem = elem.map(|step| PathElem { name: step.name, key: step.keys.into_iter().collect() }).collect();
     Some(lemonusher_managed::gnmi::proto::gnmi::Path { elem, ..Default::default() })
 }
 
 pub fn update(path: &str, value: &Value) -> Update {
-    let val = Typed::JsonIetfVal(value.to_string().into_bytes());
-    Update { path: steps(path), val: Some(TypedValue { value: Some(val) }), duplicates: 0 }
+    let val = TypedVal::JsonIetfVal(value.to_string().into_bytes());
+    Update { path: gnmi_path(path), val: Some(TypedValue { value: Some(val) }), duplicates: 0 }
 }
 
 /// Extension for a commit that must be confirmed under this id within this time.
-pub fn within(id: &str, seconds: i64) -> Extension {
+pub fn confirm_within(id: &str, seconds: i64) -> Extension {
     let rollback_duration = Some(prost_types::Duration { seconds, nanos: 0 });
     action(id, Action::Commit(CommitRequest { rollback_duration }))
 }
@@ -119,13 +124,13 @@
 
     pub async fn get(&mut self, path: &str, kind: DataType) -> Result<Value, Status> {
         let request = GetRequest {
-            path: steps(path).into_iter().collect(),
+            path: gnmi_path(path).into_iter().collect(),
             r#type: kind.into(),
             encoding: Encoding::JsonIetf.into(),
             ..Default::default()
         };
-        let answer = self.0.get(request).await?.into_inner();
-        let update = answer.notification.into_iter().flat_map(|n| n.update).next();
+        let response = self.0.get(request).await?.into_inner();
+        let update = response.notification.into_iter().flat_map(|n| n.update).next();
         Ok(update.map(|update| value_of(&update)).unwrap_or_default())
     }
 
@@ -145,7 +150,7 @@
         every_ms: u64,
     ) -> Result<Updates, Status> {
         let subscription = paths.iter().map(|path| Subscription {
-            path: steps(path),
+            path: gnmi_path(path),
             mode: mode.into(),
             sample_interval: every_ms * 1_000_000,
             ..Default::default()
@@ -155,7 +160,8 @@
             encoding: Encoding::JsonIetf.into(),
             ..Default::default()
         };
-        let first = SubscribeRequest { request: Some(Asked::Subscribe(list)), extension: Vec::new() };
+        let first =
+            SubscribeRequest { request: Some(RequestMessage::Subscribe(list)), extension: Vec::new() };
         let (open, requests) = tokio::sync::mpsc::channel(1);
         open.send(first).await.unwrap();
         let stream = self.0.subscribe(ReceiverStream::new(requests)).await?.into_inner();
@@ -171,25 +177,26 @@
 
 pub fn value_of(update: &Update) -> Value {
     match update.val.as_ref().and_then(|val| val.value.as_ref()) {
-        Some(Typed::JsonIetfVal(bytes)) => serde_json::from_slice(bytes).unwrap(),
+        Some(TypedVal::JsonIetfVal(bytes)) => serde_json::from_slice(bytes).unwrap(),
         other => panic!("{other:?}"),
     }
 }
 
 /// The next updates of a subscription; none for a response without updates, such as a sync response.
 pub async fn updates(updates: &mut Updates) -> Option<Vec<Update>> {
-    let next = tokio::time::timeout(TEST_TIMEOUT, updates.stream.message()).await.expect("an update in time");
-    match next.unwrap().expect("the stream goes on").response {
-        Some(Said::Update(notification)) => Some(notification.update),
+    let response =
+        tokio::time::timeout(TEST_TIMEOUT, updates.stream.message()).await.expect("an update in time");
+    match response.unwrap().expect("the stream goes on").response {
+        Some(ResponseMessage::Update(notification)) => Some(notification.update),
         _ => None,
     }
 }
 
 // NETCONF client.
 
-pub struct Trusting;
+pub struct AcceptAnyKey;
 
-impl client::Handler for Trusting {
+impl client::Handler for AcceptAnyKey {
     type Error = russh::Error;
 
     async fn check_server_key(
@@ -202,21 +209,21 @@
 
 pub struct Netconf {
     stream: russh::ChannelStream<client::Msg>,
-    _handle: client::Handle<Trusting>,
+    _handle: client::Handle<AcceptAnyKey>,
     framer: Framer,
     framing: Framing,
     pub id: u32,
-    next: u32,
+    next_message_id: u32,
 }
 
 impl Netconf {
     pub async fn connect(address: SocketAddr) -> Netconf {
-        Netconf::with(address, &["urn:ietf:params:netconf:base:1.1"]).await
+        Netconf::connect_with(address, &["urn:ietf:params:netconf:base:1.1"]).await
     }
 
-    pub async fn with(address: SocketAddr, capabilities: &[&str]) -> Netconf {
+    pub async fn connect_with(address: SocketAddr, capabilities: &[&str]) -> Netconf {
         let config = Arc::new(client::Config::default());
-        let mut handle = client::connect(config, address, Trusting).await.unwrap();
+        let mut handle = client::connect(config, address, AcceptAnyKey).await.unwrap();
         assert!(handle.authenticate_none("ops").await.unwrap().success());
         let channel = handle.channel_open_session().await.unwrap();
         channel.request_subsystem(true, "netconf").await.unwrap();
@@ -226,14 +233,14 @@
             framer: Framer::new(64 * 1024 * 1024),
             framing: Framing::EndOfMessage,
             id: 0,
-            next: 1,
+            next_message_id: 1,
         };
         let capabilities: String =
             capabilities.iter().map(|name| format!("<capability>{name}</capability>")).collect();
         let hello = format!("<hello xmlns=\"{BASE}\"><capabilities>{capabilities}</capabilities></hello>");
         netconf.send(&hello).await;
-        let theirs = parse(&netconf.receive().await.expect("a hello")).unwrap();
-        netconf.id = theirs.child("session-id").unwrap().value().parse().unwrap();
+        let server_hello = parse(&netconf.receive().await.expect("a hello")).unwrap();
+        netconf.id = server_hello.child("session-id").unwrap().value().parse().unwrap();
         if capabilities.contains("base:1.1") {
             netconf.framing = Framing::Chunked;
             netconf.framer.set_framing(Framing::Chunked);
@@ -269,8 +276,8 @@
     }
 
     pub async fn ask(&mut self, operation: &str) -> Element {
-        self.next += 1;
-        let text = format!("<rpc xmlns=\"{BASE}\" message-id=\"{}\">{operation}</rpc>", self.next);
+        self.next_message_id += 1;
+        let text = format!("<rpc xmlns=\"{BASE}\" message-id=\"{}\">{operation}</rpc>", self.next_message_id);
         self.send(&text).await;
         parse(&self.receive().await.expect("a reply")).unwrap()
     }
@@ -289,8 +296,8 @@
 
     /// The bytes of the reply from the element `data` on, without the message id.
     pub async fn bytes(&mut self, operation: &str) -> String {
-        self.next += 1;
-        let text = format!("<rpc xmlns=\"{BASE}\" message-id=\"{}\">{operation}</rpc>", self.next);
+        self.next_message_id += 1;
+        let text = format!("<rpc xmlns=\"{BASE}\" message-id=\"{}\">{operation}</rpc>", self.next_message_id);
         self.send(&text).await;
         let reply = self.receive().await.expect("a reply");
         reply.split_once("<data").map(|(_, rest)| rest.to_owned()).expect(&reply)
--- a/crates/edges/cli/tests/proof_managed.rs
+++ b/crates/edges/cli/tests/proof_managed.rs
@@ -23,29 +23,29 @@
 
 const POOL: &str = "/front/pool[name=a]";
 
-fn hits() -> CountingEngine {
+fn start_engine() -> CountingEngine {
     CountingEngine::start(|_| EngineBehavior::Result)
 }
 
 /// The configuration in force, as read over both protocols: NETCONF's bytes and gNMI's JSON.
-async fn config(world: &World) -> (String, Value) {
-    let mut netconf = Netconf::connect(world.netconf).await;
+async fn config(managed: &ManagedFront) -> (String, Value) {
+    let mut netconf = Netconf::connect(managed.netconf).await;
     let bytes = netconf.bytes(RUNNING).await;
-    let json = Gnmi::connect(world.gnmi).await.get("/", DataType::Config).await.unwrap();
+    let json = Gnmi::connect(managed.gnmi).await.get("/", DataType::Config).await.unwrap();
     (bytes, json)
 }
 
 #[test]
 fn a_failed_change_leaves_the_old_state_byte_for_byte() {
-    let engine = hits();
-    let world = run(&[&engine], None, "");
+    let engine = start_engine();
+    let managed = run(&[&engine], None, "");
     runtime().block_on(async {
-        let mut gnmi = Gnmi::connect(world.gnmi).await;
+        let mut gnmi = Gnmi::connect(managed.gnmi).await;
         let first =
             json!({"name": "a", "location": ["east"], "admin-state": "draining", "drained-for": "a disk"});
         gnmi.set(vec![update(POOL, &first)]).await.unwrap();
-        let old = config(&world).await;
-        let mut watcher = Netconf::connect(world.netconf).await;
+        let old = config(&managed).await;
+        let mut watcher = Netconf::connect(managed.netconf).await;
         let subscribe = "<create-subscription xmlns=\"urn:ietf:params:xml:ns:netconf:notification:1.0\"/>";
         watcher.ok(subscribe).await;
 
@@ -55,7 +55,7 @@
         let lock = "<lock><target><candidate/></target></lock>";
         let validate = "<validate><source><candidate/></source></validate>";
         // The connection is closed after each list of steps. A step that begins with `!` must be refused.
-        let ways: Vec<Vec<String>> = vec![
+        let step_lists: Vec<Vec<String>> = vec![
             vec![lock.into()],
             vec![lock.into(), good.clone()],
             vec![lock.into(), good.clone(), validate.into()],
@@ -71,53 +71,56 @@
             vec![format!("!{}", edit("running", "<pool><name>b</name></pool><nothing/>"))],
             vec![format!("!{}", edit("running", "<pool><name>b</name><serves>none</serves></pool>"))],
         ];
-        let mut changes = 0;
-        for way in &ways {
-            let mut manager = Netconf::connect(world.netconf).await;
-            for step in way {
+        let mut steps_done = 0;
+        for steps in &step_lists {
+            let mut manager = Netconf::connect(managed.netconf).await;
+            for step in steps {
                 match step.strip_prefix('!') {
                     Some(refused) => drop(manager.error(refused).await),
                     None => manager.ok(step).await,
                 }
-                changes += 1;
+                steps_done += 1;
             }
             drop(manager);
-            if way.iter().any(|step| step == confirmed) {
+            if steps.iter().any(|step| step == confirmed) {
                 // The commit can no longer be confirmed, so it is rolled back, and the subscriber is notified.
                 while !watcher.receive().await.unwrap().contains("rolled-back") {}
             }
-            assert_eq!(config(&world).await, old, "{way:?}");
+            assert_eq!(config(&managed).await, old, "{steps:?}");
             // The closed session leaves no lock and no changed candidate.
-            let mut next = Netconf::connect(world.netconf).await;
+            let mut next = Netconf::connect(managed.netconf).await;
             while next.ask(lock).await.child("ok").is_none() {}
         }
         // Half of a message, and a Set request with one invalid update.
-        let mut manager = Netconf::connect(world.netconf).await;
+        let mut manager = Netconf::connect(managed.netconf).await;
         let whole = edit("running", "<log-level>debug</log-level>");
         assert!(manager.send_raw(&whole.as_bytes()[..whole.len() / 2]).await);
         drop(manager);
         let set = vec![update("/front/log-level", &json!("debug")), update(POOL, &json!({"kind": ["none"]}))];
         assert!(gnmi.set(set).await.is_err());
-        assert_eq!(config(&world).await, old);
-        println!("proof: failed changes {} ways, {changes} steps, old state byte for byte", ways.len() + 2);
+        assert_eq!(config(&managed).await, old);
+        println!(
+            "proof: failed changes {} ways, {steps_done} steps, old state byte for byte",
+            step_lists.len() + 2
+        );
     });
 }
 
 #[test]
 fn both_protocols_read_the_same_state() {
-    let engines = [hits(), hits()];
-    let world = run(&[&engines[0], &engines[1]], None, "");
-    let mut client = world.front.client();
+    let engines = [start_engine(), start_engine()];
+    let managed = run(&[&engines[0], &engines[1]], None, "");
+    let mut client = managed.front.client();
     for id in 1..=50 {
         client.send_request(id, if id % 5 == 0 { "load" } else { "look-up" });
         client.next_response().unwrap();
     }
     runtime().block_on(async {
-        let mut gnmi = Gnmi::connect(world.gnmi).await;
+        let mut gnmi = Gnmi::connect(managed.gnmi).await;
         let pool = json!({"name": "a", "engine": ["00000002"], "admin-state": "disabled"});
         gnmi.set(vec![update(POOL, &pool)]).await.unwrap();
         let schema = Schema::front().unwrap();
-        let mut netconf = Netconf::connect(world.netconf).await;
+        let mut netconf = Netconf::connect(managed.netconf).await;
         let mut leaves = 0;
         // Time and memory change all the time, so they are not compared. The rest is stable once no request is open.
         for path in ["/front/pool", "/front/state/counter", "/front/state/engine", "/front/state/commit"] {
@@ -129,19 +132,19 @@
             );
             // Probes continue and are counted. The reads of both protocols are compared only if a read before
             // and a read after show the same state.
-            let mut standing = None;
+            let mut stable_reads = None;
             for _ in 0..MAX_READS {
                 let before = netconf.read(&schema, &filter).await;
-                let theirs = gnmi.read(&schema, &names).await;
+                let gnmi_tree = gnmi.read(&schema, &names).await;
                 if same(&schema, path, &before, &netconf.read(&schema, &filter).await) {
-                    standing = Some((before, theirs));
+                    stable_reads = Some((before, gnmi_tree));
                     break;
                 }
             }
-            let (mine, theirs) = standing.unwrap_or_else(|| panic!("{path} never stood still"));
-            assert!(same(&schema, path, &mine, &theirs), "{path}: {mine:?} {theirs:?}");
-            assert!(mine.count() > 2, "{path}");
-            leaves += mine.count();
+            let (netconf_tree, gnmi_tree) = stable_reads.unwrap_or_else(|| panic!("{path} never stood still"));
+            assert!(same(&schema, path, &netconf_tree, &gnmi_tree), "{path}: {netconf_tree:?} {gnmi_tree:?}");
+            assert!(netconf_tree.count() > 2, "{path}");
+            leaves += netconf_tree.count();
         }
         println!("proof: same state {leaves} leaves equal over NETCONF and gNMI");
     });
@@ -218,19 +221,19 @@
             _ => EngineBehavior::Result,
         }),
         CountingEngine::start(|n| if n % 53 == 3 { EngineBehavior::Reject } else { EngineBehavior::Result }),
-        hits(),
+        start_engine(),
     ];
-    let world = run(&[&engines[0], &engines[1], &engines[2]], None, "");
-    let world = &world;
+    let managed = run(&[&engines[0], &engines[1], &engines[2]], None, "");
+    let managed = &managed;
     std::thread::scope(|scope| {
         for _ in 0..CLIENTS {
             scope.spawn(move || {
-                let mut client = world.front.client();
-                let (mut asked, mut open) = (0, 0);
-                while asked < REQUESTS / CLIENTS || open > 0 {
-                    if asked < REQUESTS / CLIENTS && open < 16 {
-                        client.send_request(asked + 1, if asked % 10 == 0 { "load" } else { "look-up" });
-                        (asked, open) = (asked + 1, open + 1);
+                let mut client = managed.front.client();
+                let (mut sent, mut open) = (0, 0);
+                while sent < REQUESTS / CLIENTS || open > 0 {
+                    if sent < REQUESTS / CLIENTS && open < 16 {
+                        client.send_request(sent + 1, if sent % 10 == 0 { "load" } else { "look-up" });
+                        (sent, open) = (sent + 1, open + 1);
                     } else {
                         client.next_response().expect("one answer a batch");
                         open -= 1;
@@ -240,12 +243,12 @@
         }
     });
     runtime().block_on(async {
-        let mut gnmi = Gnmi::connect(world.gnmi).await;
+        let mut gnmi = Gnmi::connect(managed.gnmi).await;
         let mut stream =
             gnmi.subscribe(&["/front/state/counter"], SubscriptionMode::Sample, 50).await.unwrap();
         let counted = || {
-            world.front.signal("USR1");
-            counts(&world.front.wait_for_log("counts: "))
+            managed.front.signal("USR1");
+            counts(&managed.front.wait_for_log("counts: "))
         };
         for _ in 0..100 {
             let before = counted();
@@ -289,9 +292,9 @@
     });
 }
 
-struct Stops(Arc<AtomicBool>);
+struct SetOnDrop(Arc<AtomicBool>);
 
-impl Drop for Stops {
+impl Drop for SetOnDrop {
     fn drop(&mut self) {
         self.0.store(true, Ordering::SeqCst);
     }
@@ -300,13 +303,13 @@
 #[test]
 fn nothing_new_goes_to_a_drained_pool() {
     const GRACE: Duration = Duration::from_secs(2); // The drain grace in the fake start file.
-    let engines = [hits(), hits()];
-    let world = run(&[&engines[0], &engines[1]], None, "");
+    let engines = [start_engine(), start_engine()];
+    let managed = run(&[&engines[0], &engines[1]], None, "");
     let stop = Arc::new(AtomicBool::new(false));
-    let asked = Arc::new(AtomicU64::new(0));
+    let sent = Arc::new(AtomicU64::new(0));
     let (drained, opened, home) = std::thread::scope(|scope| {
         for _ in 0..4 {
-            let (stop, asked, front) = (stop.clone(), asked.clone(), &world.front);
+            let (stop, sent, front) = (stop.clone(), sent.clone(), &managed.front);
             scope.spawn(move || {
                 let mut client = front.client();
                 for id in 1.. {
@@ -315,12 +318,12 @@
                     }
                     client.send_request(id, "look-up");
                     client.next_response().expect("an answer");
-                    asked.fetch_add(1, Ordering::SeqCst);
+                    sent.fetch_add(1, Ordering::SeqCst);
                 }
             });
         }
         // Stops the clients also if the test fails.
-        let _stops = Stops(stop.clone());
+        let _stop_on_drop = SetOnDrop(stop.clone());
         let wait_for = |engine: &CountingEngine, more: usize| {
             let from = engine.requests().len();
             let until = Instant::now() + TEST_TIMEOUT;
@@ -330,7 +333,7 @@
             }
         };
         runtime().block_on(async {
-            let mut gnmi = Gnmi::connect(world.gnmi).await;
+            let mut gnmi = Gnmi::connect(managed.gnmi).await;
             // Find the home engine of the statements' table group.
             let until = Instant::now() + TEST_TIMEOUT;
             while engines.iter().all(|engine| engine.requests().len() < 20) {
@@ -363,7 +366,7 @@
     let last = late.iter().max().copied().unwrap_or_default();
     println!(
         "proof: drained pool {} batches in all, {} after the commit, the last {last:?} after it (grace {GRACE:?})",
-        asked.load(Ordering::SeqCst),
+        sent.load(Ordering::SeqCst),
         late.len()
     );
 }
@@ -375,21 +378,24 @@
     let (mut acknowledged, mut in_flight_kept) = (0u64, 0);
     let runtime = runtime();
     let path = "/front/service-group[name=look-up]/most-open";
-    let mut chance = 0x9e37_79b9_7f4a_7c15u64;
+    let mut rng_state = 0x9e37_79b9_7f4a_7c15u64;
     for kill in 0..KILLS {
-        let mut world = run(&[], Some(&folder.0), "");
+        let mut managed = run(&[], Some(&folder.0), "");
         runtime.block_on(async {
-            let mut gnmi = Gnmi::connect(world.gnmi).await;
-            let held = match gnmi.get(path, DataType::Config).await {
+            let mut gnmi = Gnmi::connect(managed.gnmi).await;
+            let held_version = match gnmi.get(path, DataType::Config).await {
                 Ok(value) => value.as_u64().unwrap(),
                 Err(status) if status.code() == Code::NotFound => 0,
                 Err(status) => panic!("{status}"),
             };
-            assert!(held == acknowledged || held == acknowledged + 1, "kill {kill}: {held}, {acknowledged}");
-            in_flight_kept += u32::from(held > acknowledged);
-            acknowledged = held;
-            chance = chance.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(kill.into());
-            for _ in 0..(chance >> 60) % 3 {
+            assert!(
+                held_version == acknowledged || held_version == acknowledged + 1,
+                "kill {kill}: {held_version}, {acknowledged}"
+            );
+            in_flight_kept += u32::from(held_version > acknowledged);
+            acknowledged = held_version;
+            rng_state = rng_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(kill.into());
+            for _ in 0..(rng_state >> 60) % 3 {
                 gnmi.set(vec![update(path, &json!(acknowledged + 1))]).await.unwrap();
                 acknowledged += 1;
             }
@@ -397,8 +403,8 @@
             let mut other = gnmi.clone();
             let next = acknowledged + 1;
             let last = tokio::spawn(async move { other.set(vec![update(path, &json!(next))]).await });
-            tokio::time::sleep(Duration::from_micros((chance >> 40) % 3000)).await;
-            world.front.kill();
+            tokio::time::sleep(Duration::from_micros((rng_state >> 40) % 3000)).await;
+            managed.front.kill();
             if last.await.unwrap().is_ok() {
                 acknowledged = next;
             }
@@ -413,21 +419,21 @@
 fn a_confirmed_commit_is_taken_back_when_its_time_runs_out_across_a_restart() {
     let folder = Folder::new();
     let runtime = runtime();
-    let mut world = run(&[], Some(&folder.0), "");
+    let mut managed = run(&[], Some(&folder.0), "");
     runtime.block_on(async {
-        let mut gnmi = Gnmi::connect(world.gnmi).await;
+        let mut gnmi = Gnmi::connect(managed.gnmi).await;
         let set = SetRequest {
             update: vec![update("/front/log-level", &json!("debug"))],
-            extension: vec![within("x", 1)],
+            extension: vec![confirm_within("x", 1)],
             ..SetRequest::default()
         };
         gnmi.change(set).await.unwrap();
         assert_eq!(gnmi.get("/front/log-level", DataType::Config).await.unwrap(), json!("debug"));
     });
-    world.front.kill();
-    let world = run(&[], Some(&folder.0), "");
+    managed.front.kill();
+    let managed = run(&[], Some(&folder.0), "");
     runtime.block_on(async {
-        let mut gnmi = Gnmi::connect(world.gnmi).await;
+        let mut gnmi = Gnmi::connect(managed.gnmi).await;
         assert_eq!(gnmi.get("/front/log-level", DataType::Config).await.unwrap(), json!("info"));
         let commits = gnmi.get("/", DataType::State).await.unwrap();
         let commits = &commits["lemonusher-front:front"]["state"]["commit"];
@@ -438,17 +444,17 @@
 
 #[test]
 fn two_managers_writing_at_once_never_tear_the_state() {
-    let world = run(&[], None, "");
+    let managed = run(&[], None, "");
     runtime().block_on(async {
-        let mut gnmi = Gnmi::connect(world.gnmi).await;
-        let mut netconf = Netconf::connect(world.netconf).await;
+        let mut gnmi = Gnmi::connect(managed.gnmi).await;
+        let mut netconf = Netconf::connect(managed.netconf).await;
         let level = |level: &str| vec![update("/front/log-level", &json!(level))];
 
         // A lock blocks a Set, and is released when its owner's session ends.
         netconf.ok("<lock><target><running/></target></lock>").await;
         assert_eq!(gnmi.set(level("warn")).await.unwrap_err().code(), Code::Aborted);
         drop(netconf);
-        let mut netconf = Netconf::connect(world.netconf).await;
+        let mut netconf = Netconf::connect(managed.netconf).await;
         while gnmi.set(level("warn")).await.is_err() {}
 
         // A candidate and a Set: changes of different nodes are both committed; if they conflict, the later is
@@ -478,11 +484,11 @@
         // Concurrent writers: each Set is applied completely or not at all.
         let mut tasks = Vec::new();
         for writer in 0..8u32 {
-            let mut gnmi = Gnmi::connect(world.gnmi).await;
+            let mut gnmi = Gnmi::connect(managed.gnmi).await;
             tasks.push(tokio::spawn(async move {
                 let mut done = 0;
-                for turn in 0..20u32 {
-                    let cells = json!({"name": "w", "cell": [writer, 100 + writer, 200 + turn]});
+                for round in 0..20u32 {
+                    let cells = json!({"name": "w", "cell": [writer, 100 + writer, 200 + round]});
                     let replace = vec![update("/front/pool[name=w]", &cells)];
                     let set = SetRequest { replace, ..SetRequest::default() };
                     done += u32::from(gnmi.change(set).await.is_ok());
@@ -512,25 +518,25 @@
 
 #[test]
 fn a_subscriber_that_stops_loses_updates_and_holds_nobody_up() {
-    let commands = DiscoveryServer::start();
+    let discovery = DiscoveryServer::start();
     // Many engines without a listener make each sample large.
-    let engine = hits();
-    let mut known = vec![(1, engine.address)];
-    known.extend((2..600).map(|id| (id, commands.address)));
-    let mut text = start_config(&known, commands.address);
+    let engine = start_engine();
+    let mut engine_addresses = vec![(1, engine.address)];
+    engine_addresses.extend((2..600).map(|id| (id, discovery.address)));
+    let mut text = start_config(&engine_addresses, discovery.address);
     for member in text["known"]["cmds"][0]["nodes"]["members"].as_array_mut().unwrap().iter_mut().skip(1) {
         member["phase"] = json!("Terminating");
     }
-    let world = run_told(&text, commands, None, "");
+    let managed = run_with_start_file(&text, discovery, None, "");
     runtime().block_on(async {
-        let mut gnmi = Gnmi::connect(world.gnmi).await;
-        let mut stalled = Gnmi::connect(world.gnmi).await;
+        let mut gnmi = Gnmi::connect(managed.gnmi).await;
+        let mut stalled = Gnmi::connect(managed.gnmi).await;
         let mut stream = stalled.subscribe(&["/front/state"], SubscriptionMode::Sample, 20).await.unwrap();
-        let mut reading = Gnmi::connect(world.gnmi).await;
+        let mut reading = Gnmi::connect(managed.gnmi).await;
         let mut fine =
             reading.subscribe(&["/front/state/counter"], SubscriptionMode::Sample, 20).await.unwrap();
         // The stalled stream is not read until the front counts lost updates; requests are served meanwhile.
-        let mut client = world.front.client();
+        let mut client = managed.front.client();
         let (mut requests, mut lost) = (0, 0);
         let until = Instant::now() + TEST_TIMEOUT;
         while lost == 0 || requests < 40 {
@@ -561,24 +567,24 @@
 
 #[test]
 fn hostile_input_gets_errors_and_harms_nobody() {
-    let world = run(&[], None, "");
+    let managed = run(&[], None, "");
     runtime().block_on(async {
-        let old = config(&world).await;
+        let old = config(&managed).await;
         let mut noise = Vec::new();
-        let mut chance = 1u64;
+        let mut rng_state = 1u64;
         while noise.len() < 1_000_000 {
-            chance = chance.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-            noise.extend(chance.to_le_bytes());
+            rng_state = rng_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
+            noise.extend(rng_state.to_le_bytes());
         }
         let mut refused = 0;
-        for address in [world.gnmi, world.netconf] {
-            let mut wire = TcpStream::connect(address).unwrap();
+        for address in [managed.gnmi, managed.netconf] {
+            let mut stream = TcpStream::connect(address).unwrap();
             // The server closes the connection: after its last bytes, if any, the client sees an end or a
             // reset, and no open connection without data.
-            wire.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-            let _ = wire.write_all(&noise);
+            stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+            let _ = stream.write_all(&noise);
             let ended = loop {
-                match wire.read(&mut [0; 4096]) {
+                match stream.read(&mut [0; 4096]) {
                     Ok(0) => break true,
                     Ok(_) => {}
                     Err(error) => break error.kind() != std::io::ErrorKind::WouldBlock,
@@ -588,16 +594,16 @@
             refused += 1;
         }
         // Random bytes within a session end it.
-        let mut manager = Netconf::connect(world.netconf).await;
+        let mut manager = Netconf::connect(managed.netconf).await;
         // Not more bytes than fit into the SSH window, as nothing is read after the session has ended.
         if manager.send_raw(&noise[..100_000]).await {
             while manager.receive().await.is_some() {}
         }
         refused += 1;
-        let mut manager = Netconf::connect(world.netconf).await;
+        let mut manager = Netconf::connect(managed.netconf).await;
         let deep = format!("<get>{}", "<filter>".repeat(5000));
-        let laughs = "<!DOCTYPE a [<!ENTITY b \"lol\"><!ENTITY c \"&b;&b;&b;\">]><rpc>&c;</rpc>";
-        for text in [deep.as_str(), laughs, "<rpc/>", "", "\u{0}"] {
+        let entity_expansion = "<!DOCTYPE a [<!ENTITY b \"lol\"><!ENTITY c \"&b;&b;&b;\">]><rpc>&c;</rpc>";
+        for text in [deep.as_str(), entity_expansion, "<rpc/>", "", "\u{0}"] {
             manager.send(if text.is_empty() { " " } else { text }).await;
             let reply = parse(&manager.receive().await.unwrap()).unwrap();
             assert!(reply.child("rpc-error").is_some(), "{text:.40}");
@@ -613,7 +619,7 @@
             assert_eq!(manager.error(&operation).await, tag, "{operation}");
             refused += 1;
         }
-        let mut gnmi = Gnmi::connect(world.gnmi).await;
+        let mut gnmi = Gnmi::connect(managed.gnmi).await;
         for (path, value, code) in [
             ("/front/nothing", json!(1), Code::NotFound),
             ("/front/pool[name=a]/cell", json!([1e30]), Code::InvalidArgument),
@@ -627,30 +633,30 @@
             refused += 1;
         }
         // More sessions than allowed: those above the limit are refused, the others continue.
-        let (mut held, mut beyond) = (Vec::new(), 0);
+        let (mut held_sessions, mut refused_sessions) = (Vec::new(), 0);
         for _ in 0..1000 {
             match gnmi.subscribe(&["/front/log-level"], SubscriptionMode::OnChange, 0).await {
-                Ok(stream) => held.push(stream),
+                Ok(stream) => held_sessions.push(stream),
                 Err(status) => {
                     assert_eq!(status.code(), Code::ResourceExhausted);
-                    beyond += 1;
+                    refused_sessions += 1;
                 }
             }
-            if held.len() % 50 == 49 {
-                gnmi = Gnmi::connect(world.gnmi).await;
+            if held_sessions.len() % 50 == 49 {
+                gnmi = Gnmi::connect(managed.gnmi).await;
             }
         }
-        assert!(held.len() >= 32 && beyond > 800, "{} held", held.len());
-        drop(held);
-        let silent: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(world.netconf).unwrap()).collect();
-        let mut gnmi = Gnmi::connect(world.gnmi).await;
+        assert!(held_sessions.len() >= 32 && refused_sessions > 800, "{} held", held_sessions.len());
+        drop(held_sessions);
+        let silent: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(managed.netconf).unwrap()).collect();
+        let mut gnmi = Gnmi::connect(managed.gnmi).await;
         while gnmi.set(vec![update("/front/log-level", &json!("info"))]).await.is_err() {}
-        gnmi.change(SetRequest { delete: steps("/front/log-level").into_iter().collect(), ..SetRequest::default() })
+        gnmi.change(SetRequest { delete: gnmi_path("/front/log-level").into_iter().collect(), ..SetRequest::default() })
             .await
             .unwrap();
-        assert_eq!(config(&world).await, old);
+        assert_eq!(config(&managed).await, old);
         drop(silent);
-        println!("proof: hostile input {refused} kinds refused, {beyond} sessions beyond the bound, state as before");
+        println!("proof: hostile input {refused} kinds refused, {refused_sessions} sessions beyond the bound, state as before");
     });
 }
 
@@ -663,31 +669,32 @@
     use russh::keys::{Algorithm, PrivateKey, PrivateKeyWithHashAlg};
     use tonic::transport::{Certificate, ClientTlsConfig, Endpoint};
 
-    let commands = DiscoveryServer::start();
+    let discovery = DiscoveryServer::start();
     let made = rcgen::generate_simple_self_signed(vec!["front.test".to_owned()]).unwrap();
     let (certificate, key) = (made.cert.pem(), made.signing_key.serialize_pem());
     let ssh = Arc::new(PrivateKey::random(&mut rand::rng(), Algorithm::Ed25519).unwrap());
     let stranger = Arc::new(PrivateKey::random(&mut rand::rng(), Algorithm::Ed25519).unwrap());
     let files = [
-        temp_file("json", &start_config(&[], commands.address).to_string()),
+        temp_file("json", &start_config(&[], discovery.address).to_string()),
         temp_file("pem", &certificate),
         temp_file("key", &key),
         temp_file("password", "open sesame\n"),
     ];
-    let [told, pem, key, password] = files.each_ref().map(|path| format!("{:?}", path.display().to_string()));
+    let [start_file, pem, key, password] =
+        files.each_ref().map(|path| format!("{:?}", path.display().to_string()));
     let public = ssh.public_key().to_openssh().unwrap();
     let text = format!(
-        "[front]\ntold = {told}\n[managed.gnmi]\nlisten = \"127.0.0.1:0\"\ncertificate = {pem}\nkey = {key}\n\
+        "[front]\ntold = {start_file}\n[managed.gnmi]\nlisten = \"127.0.0.1:0\"\ncertificate = {pem}\nkey = {key}\n\
          [managed.netconf]\nlisten = \"127.0.0.1:0\"\n[[managed.users]]\nname = \"ops\"\nmay = \"write\"\n\
          ssh_key = \"{public}\"\npassword_file = {password}\n[[managed.users]]\nname = \"desk\"\npassword_file = {password}\n"
     );
-    let world = run_file(&text, commands);
+    let managed = run_with_operator_file(&text, discovery);
     files.iter().for_each(|path| drop(std::fs::remove_file(path)));
     runtime().block_on(async {
         let tls = ClientTlsConfig::new()
             .ca_certificate(Certificate::from_pem(&certificate))
             .domain_name("front.test");
-        let endpoint = Endpoint::from_shared(format!("https://{}", world.gnmi)).unwrap();
+        let endpoint = Endpoint::from_shared(format!("https://{}", managed.gnmi)).unwrap();
         let mut gnmi = GNmiClient::new(endpoint.tls_config(tls).unwrap().connect().await.unwrap());
         let as_user = |user: &str, password: &str| {
             let mut metadata = tonic::metadata::MetadataMap::new();
@@ -714,23 +721,23 @@
         let refused = (Code::Unauthenticated, Code::Unauthenticated);
         assert_eq!(codes, [(Code::Ok, Code::Ok), (Code::Ok, Code::PermissionDenied), refused, refused]);
         // A connection without TLS gets no response.
-        let plain = Endpoint::from_shared(format!("http://{}", world.gnmi)).unwrap().connect().await;
+        let plain = Endpoint::from_shared(format!("http://{}", managed.gnmi)).unwrap().connect().await;
         if let Ok(channel) = plain {
             assert!(GNmiClient::new(channel).capabilities(CapabilityRequest::default()).await.is_err());
         }
-        let mut let_in = Vec::new();
+        let mut accepted = Vec::new();
         for (user, key) in [("ops", &ssh), ("ops", &stranger), ("desk", &ssh)] {
             let config = Arc::new(client::Config::default());
-            let mut handle = client::connect(config, world.netconf, Trusting).await.unwrap();
+            let mut handle = client::connect(config, managed.netconf, AcceptAnyKey).await.unwrap();
             assert!(!handle.authenticate_none(user).await.unwrap().success());
             let key = PrivateKeyWithHashAlg::new(key.clone(), None);
-            let_in.push(handle.authenticate_publickey(user, key).await.unwrap().success());
+            accepted.push(handle.authenticate_publickey(user, key).await.unwrap().success());
         }
-        assert_eq!(let_in, [true, false, false]);
+        assert_eq!(accepted, [true, false, false]);
         println!(
             "proof: users {} of gNMI over TLS and {} of NETCONF, each let in and kept out as the file says",
             codes.len(),
-            let_in.len()
+            accepted.len()
         );
     });
 }
