--- a/crates/edges/cli/tests/limits.rs
+++ b/crates/edges/cli/tests/limits.rs
@@ -36,10 +36,10 @@
 fn an_operators_file_names_as_many_fronts_as_there_are() {
     for fronts in [1024, 1025, 4097] {
         let key = temp_file("key", "a key of sixteen bytes or more");
-        let told = temp_file("json", &start_config(&[], "127.0.0.1:1".parse().unwrap()).to_string());
+        let start_file = temp_file("json", &start_config(&[], "127.0.0.1:1".parse().unwrap()).to_string());
         let names: Vec<String> = (0..fronts).map(|front| format!("'n{front}'")).collect();
         let text = format!(
-            "[front]\ntold = {told:?}\n[fleet]\nlisten = '127.0.0.1:1'\nkey_file = {key:?}\nseats = {fronts}\n\
+            "[front]\ntold = {start_file:?}\n[fleet]\nlisten = '127.0.0.1:1'\nkey_file = {key:?}\nseats = {fronts}\n\
              voters = ['127.0.0.1:1', '127.0.0.1:2', '127.0.0.1:3']\nvotes = true\n\
              [fleet.sites]\n[fleet.works]\nfronts = [{}]\n",
             names.join(", ")
@@ -47,7 +47,7 @@
         let path = temp_file("toml", &text);
         let check = ["check", path.to_str().unwrap()];
         let output = Command::new(env!("CARGO_BIN_EXE_lemonusher")).args(check).output().unwrap();
-        let said = String::from_utf8(output.stderr).unwrap();
-        assert!(output.status.success(), "{fronts}: {said}");
+        let errors = String::from_utf8(output.stderr).unwrap();
+        assert!(output.status.success(), "{fronts}: {errors}");
     }
 }
--- a/crates/edges/cli/tests/operator.rs
+++ b/crates/edges/cli/tests/operator.rs
@@ -51,7 +51,7 @@
 }
 
 /// The reply of a voter with one lease, one register and one other front.
-fn show(body: &Body) -> Option<Body> {
+fn default_reply(body: &Body) -> Option<Body> {
     let version = Default::default();
     let register = RegisterRow { name: "r".to_owned(), version, fencing_token: 1, value_bytes: 3 };
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
@@ -74,8 +74,8 @@
         let folder = temp_path("operator");
         std::fs::create_dir_all(&folder).unwrap();
         std::fs::write(folder.join("key"), KEY).unwrap();
-        let nobody = SocketAddr::from(([127, 0, 0, 1], 9));
-        std::fs::write(folder.join("front.json"), start_config(&[], nobody).to_string()).unwrap();
+        let unused_address = SocketAddr::from(([127, 0, 0, 1], 9));
+        std::fs::write(folder.join("front.json"), start_config(&[], unused_address).to_string()).unwrap();
         let voters: Vec<String> = voters.iter().map(|voter| format!("'{}'", voter.address)).collect();
         let text = format!(
             "[front]\ntold = 'front.json'\n[fleet]\nlisten = '127.0.0.1:0'\nkey_file = 'key'\nvoters = [{}]\nlease_ms = {}\n",
@@ -106,7 +106,9 @@
 fn a_question_that_was_answered_twice_does_not_spoil_the_next() {
     // Each message gets two replies, like a request that was resent before its first reply was received.
     let voters: Vec<Voter> = (0..3)
-        .map(|_| start_voter(|_, body| show(body).into_iter().flat_map(|b| [b.clone(), b]).collect()))
+        .map(|_| {
+            start_voter(|_, body| default_reply(body).into_iter().flat_map(|b| [b.clone(), b]).collect())
+        })
         .collect();
     let (code, text) = Folder::new(&voters).run("fleet", &[]);
     assert_eq!(code, 0, "{text}");
@@ -120,7 +122,9 @@
 #[test]
 fn a_voter_whose_first_three_replies_are_lost_is_shown() {
     let voters: Vec<Voter> = (0..3)
-        .map(|_| start_voter(|number, body| show(body).into_iter().filter(|_| number >= 3).collect()))
+        .map(|_| {
+            start_voter(|number, body| default_reply(body).into_iter().filter(|_| number >= 3).collect())
+        })
         .collect();
     let (code, text) = Folder::new(&voters).run("fleet", &[]);
     assert!(code == 0 && !text.contains("does not answer"), "{code} {text}");
@@ -133,13 +137,13 @@
     // The voters ignore the first request, and show another holder after the second.
     let voters: Vec<Voter> = (0..3)
         .map(|_| {
-            let asked = std::sync::atomic::AtomicU32::new(0);
+            let requests = std::sync::atomic::AtomicU32::new(0);
             start_voter(move |_, body| match body {
                 Body::HandOver { .. } => {
-                    asked.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
+                    requests.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
                     Vec::new()
                 }
-                _ if asked.load(std::sync::atomic::Ordering::SeqCst) >= 2 => vec![lease("n2", 6)],
+                _ if requests.load(std::sync::atomic::Ordering::SeqCst) >= 2 => vec![lease("n2", 6)],
                 _ => vec![lease("n1", 5)],
             })
         })
@@ -150,7 +154,7 @@
     // The request is not resent before the old holder's lease would have expired, had it been released.
     assert!(from.elapsed() >= LEASE, "{:?}", from.elapsed());
     for voter in &voters {
-        let asked = voter.received.try_iter().filter(|body| matches!(body, Body::HandOver { .. })).count();
-        assert_eq!(asked, 2);
+        let requests = voter.received.try_iter().filter(|body| matches!(body, Body::HandOver { .. })).count();
+        assert_eq!(requests, 2);
     }
 }
