--- a/crates/edges/cli/tests/proof_leases.rs
+++ b/crates/edges/cli/tests/proof_leases.rs
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn what_can_not_refuse_is_left_alone_until_an_act_must_be_over() {
+fn a_resource_that_can_not_reject_has_no_two_holders_act_at_once() {
     let mut rig_config = rig_config(4);
     (rig_config.rejects_stale, rig_config.act_time, rig_config.task_duration) = (false, ms(900), ms(500));
     let mut rig = Rig::start(rig_config);
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn without_its_guards_two_would_act_at_once_and_the_rig_sees_it() {
+fn two_holders_that_act_at_once_by_a_clock_beyond_the_drift_are_detected() {
     // A clock outside the configured drift: the holder's clock runs at a fifth of the others' rate, and then
     // its messages are dropped.
     let mut slow_config = rig_config(6);
