--- a/crates/edges/cli/src/fleet/leases.rs
+++ b/crates/edges/cli/src/fleet/leases.rs
@@ -1,4 +1,5 @@
-//! `lemonusher fleet` and `lemonusher hand-over`: the leases and registers of the voters.
+//! `lemonusher fleet` shows the leases and registers of the voters; `lemonusher hand-over` moves a lease to
+//! another front.
 
 use super::operator::{Operator, REPLY_TIMEOUT};
 use crate::error::CommandError;
@@ -9,7 +10,7 @@
 use std::time::Instant;
 
 struct VoterLeases {
-    /// The voter started lately and does not vote yet.
+    /// Whether the voter has started recently and does not vote yet.
     is_silent: bool,
     rows: Vec<LeaseRow>,
 }
@@ -20,10 +21,10 @@
     rows: Vec<RegisterRow>,
 }
 
-/// What one voter shows.
+/// The state that one voter shows.
 struct VoterState {
     voter: SocketAddr,
-    /// None if it does not answer.
+    /// None if the voter does not reply.
     leases: Option<VoterLeases>,
     registers: Option<VoterRegisters>,
     members: Option<Vec<MemberRow>>,
@@ -37,16 +38,16 @@
         Ok(VoterState { voter, leases, registers, members })
     }
 
-    /// All leases that a voter has granted; none if it does not answer.
+    /// All leases that a voter has granted; none if it does not reply.
     fn leases(&mut self, voter: SocketAddr) -> Result<Option<VoterLeases>, CommandError> {
         let mut all: Vec<LeaseRow> = Vec::new();
         loop {
             let after = all.last().map(|row| row.task.clone()).unwrap_or_default();
             match self.ask(voter, &Body::ShowLeases { after })? {
-                Some(Body::Leases { is_silent: mute, rows, more }) => {
+                Some(Body::Leases { is_silent: silent, rows, more }) => {
                     all.extend(rows);
                     if !more {
-                        return Ok(Some(VoterLeases { is_silent: mute, rows: all }));
+                        return Ok(Some(VoterLeases { is_silent: silent, rows: all }));
                     }
                 }
                 _ => return Ok(None),
@@ -54,16 +55,16 @@
         }
     }
 
-    /// All registers that a voter has accepted; none if it does not answer.
+    /// All registers that a voter has accepted; none if it does not reply.
     fn registers(&mut self, voter: SocketAddr) -> Result<Option<VoterRegisters>, CommandError> {
         let mut all: Vec<RegisterRow> = Vec::new();
         loop {
             let after = all.last().map(|row| row.name.clone()).unwrap_or_default();
             match self.ask(voter, &Body::ShowRegisters { after })? {
-                Some(Body::Registers { is_voting: votes, epoch: era, rows, more }) => {
+                Some(Body::Registers { is_voting: votes, epoch: current_epoch, rows, more }) => {
                     all.extend(rows);
                     if !more {
-                        return Ok(Some(VoterRegisters { votes, epoch: era, rows: all }));
+                        return Ok(Some(VoterRegisters { votes, epoch: current_epoch, rows: all }));
                     }
                 }
                 _ => return Ok(None),
@@ -71,7 +72,7 @@
         }
     }
 
-    /// All other fronts that a front knows; none if it does not answer.
+    /// All other fronts that a front knows; none if it does not reply.
     fn members(&mut self, front: SocketAddr) -> Result<Option<Vec<MemberRow>>, CommandError> {
         let mut all: Vec<MemberRow> = Vec::new();
         loop {
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Asks all voters to have a task handed over.
+    /// Sends a hand-over request for a task to all voters.
     fn request_hand_over(&mut self, task: &str) -> Result<(), CommandError> {
         for voter in self.config.voters.clone() {
             self.send(Body::HandOver { task: task.to_owned() }, voter)?;
@@ -96,7 +97,7 @@
         Ok(())
     }
 
-    /// The lease on a task, by the first voter that shows one.
+    /// The lease on a task as the first voter that shows one has it.
     fn holder(&mut self, task: &str) -> Result<Option<LeaseRow>, CommandError> {
         for voter in self.config.voters.clone() {
             let rows = self.leases(voter)?.map(|leases| leases.rows).unwrap_or_default();
@@ -109,7 +110,8 @@
     }
 }
 
-/// Prints the leases and registers of each voter, and the fronts that it knows. Fails unless a majority votes.
+/// Prints the leases and registers of each voter, and the fronts that it knows. Fails unless a majority of
+/// voters votes.
 pub fn show(path: &Path, json: bool) -> Result<(), CommandError> {
     let mut operator = Operator::connect(path)?;
     let voters = operator.config.voters.clone();
@@ -122,7 +124,10 @@
     if voting * 2 > voters.len() {
         return Ok(());
     }
-    Err(CommandError::Failed(format!("{voting} of {} voters vote: nothing is granted", voters.len())))
+    Err(CommandError::Failed(format!(
+        "{voting} of {} voters vote; without a majority no lease is granted",
+        voters.len()
+    )))
 }
 
 impl VoterState {
@@ -153,16 +158,16 @@
             }
             Some(VoterLeases { rows, .. }) => {
                 println!("voter {voter}: {} leases", rows.len());
-                for LeaseRow { task, holder: who, fencing_token: number, remaining: left } in rows {
-                    println!("  {task:<24} {who}  number {number}, {:.1} s left", left.as_secs_f64());
+                for LeaseRow { task, holder: front, fencing_token: token, remaining: time_left } in rows {
+                    println!("  {task:<24} {front}  number {token}, {:.1} s left", time_left.as_secs_f64());
                 }
             }
         }
         if let Some(VoterRegisters { votes, epoch, rows }) = &self.registers {
             let memory = if *votes { "it votes" } else { "it has no memory yet" };
             println!("  registers: {memory}, era {epoch}");
-            for RegisterRow { name, version: stamp, fencing_token: number, value_bytes: long } in rows {
-                println!("  {name:<24} version {}, written under {number}, {long} bytes", stamp.counter);
+            for RegisterRow { name, version: written, fencing_token: token, value_bytes: length } in rows {
+                println!("  {name:<24} version {}, written under {token}, {length} bytes", written.counter);
             }
         }
         if let Some(members) = &self.members {
@@ -172,13 +177,14 @@
     }
 }
 
-/// Holding times of a lease for which a hand-over is waited for.
+/// Maximum wait for a hand-over, in holding times of a lease.
 const HAND_OVER_HOLD_TIMES: u32 = 4;
 
-/// Asks the holder of a task to hand it over to another front.
+/// Requests that the holder of a task hands it over to another front, and waits until another front holds it.
 ///
-/// The request is a datagram that may be lost. It is sent again if the same grant is still shown one and a half holding
-/// times later: had it been released meanwhile, it would have expired, so the repetition can't hit who holds it next.
+/// The request is a datagram that may be lost. It is sent again if the voters still show the same grant one and
+/// a half holding times later. A grant that had been released meanwhile would have expired by then, so the
+/// repeated request can't reach the next holder.
 pub fn hand_over(path: &Path, task: &str, json: bool) -> Result<(), CommandError> {
     let mut operator = Operator::connect(path)?;
     let before =
@@ -197,14 +203,14 @@
             operator.request_hand_over(task)?;
             requested_at = Instant::now();
         }
-        let Some(now) = shown.filter(|row| row.fencing_token > before.fencing_token) else { continue };
-        let LeaseRow { holder: who, fencing_token: number, .. } = now;
+        let Some(new_lease) = shown.filter(|row| row.fencing_token > before.fencing_token) else { continue };
+        let LeaseRow { holder: new_holder, fencing_token: token, .. } = new_lease;
         if json {
-            println!("{}", json!({"task": task, "from": before.holder, "to": who, "number": number}));
+            println!("{}", json!({"task": task, "from": before.holder, "to": new_holder, "number": token}));
         } else {
-            println!("{task}: from {} to {who}, number {number}", before.holder);
+            println!("{task}: from {} to {new_holder}, number {token}", before.holder);
         }
         return Ok(());
     }
-    Err(CommandError::Failed(format!("{task} was not taken by another; {} held it", before.holder)))
+    Err(CommandError::Failed(format!("no other front has acquired {task}; {} held it", before.holder)))
 }
--- a/crates/edges/cli/src/fleet/maintenance.rs
+++ b/crates/edges/cli/src/fleet/maintenance.rs
@@ -1,4 +1,5 @@
-//! `lemonusher works`: maintenance requests. Each is a register that operators change as any front would.
+//! `lemonusher works`: maintenance requests. Each is stored in a register, which the commands change by the
+//! same protocol as fronts do. A request of many machines is split over several registers.
 
 use super::operator::Operator;
 use crate::error::CommandError;
@@ -14,48 +15,49 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// How often a change is tried again after another came first.
+/// Maximum number of proposals for one change; a proposal fails if another change of the register came first.
 const MAX_TRIES: usize = 8;
 
 #[derive(clap::Subcommand)]
 pub enum MaintenanceCommand {
-    /// Asks for machines, named by their ids in hex, to be taken out.
+    /// Requests that machines are taken out of service. They are named by their engine ids in hex.
     Ask {
         #[arg(required = true)]
         machines: Vec<String>,
         #[arg(long, default_value = "operator")]
         who: String,
-        /// At most so many of them are out at once.
+        /// Maximum number of these machines that are out at once.
         #[arg(long, default_value_t = 1)]
         at_once: u16,
-        /// For how long each may be out, in seconds; one that is out for longer stops the queue.
+        /// Longest time that a machine may be out, in seconds; one that is out for longer stops the queue.
         #[arg(long, default_value_t = 3600)]
         out_for: u32,
-        /// The greater goes first.
+        /// Requests of a higher urgency are served first.
         #[arg(long, default_value_t = 1)]
         urgency: u8,
     },
-    /// Lists all requests, how their machines stand, and why they wait.
+    /// Lists all requests, the state of their machines, and the reasons why they wait.
     List,
-    /// Begins nothing further of a request.
+    /// Suspends a request: no further machine of it is drained.
     Hold { number: u8 },
-    /// Goes on with it.
+    /// Resumes a suspended request.
     GoOn { number: u8 },
-    /// Takes back what has not been released.
+    /// Withdraws a request for the machines that have not been released.
     Withdraw { number: u8 },
-    /// Says that a machine is back from work.
+    /// Reports that the work on a machine is done and that it has returned.
     Back { machine: String },
-    /// Does not wait for a front that is known to be dead, and will not come back before the request is over.
+    /// Stops waiting for the confirmations of a front that is known to be dead and will not return before the
+    /// request is over.
     Without { number: u8, front: String },
 }
 
 fn parse_machine(text: &str) -> Result<Machine, CommandError> {
     let hex = text.strip_prefix("s-").unwrap_or(text);
     Machine::from_str_radix(hex, 16)
-        .map_err(|_| CommandError::Failed(format!("'{text}' is no engine's id in hex")))
+        .map_err(|_| CommandError::Failed(format!("'{text}' is not an engine id in hex")))
 }
 
-/// Carries out a command on maintenance requests.
+/// Executes a command on maintenance requests.
 pub fn run(path: &Path, command: MaintenanceCommand, json: bool) -> Result<(), CommandError> {
     let mut operator = Operator::connect(path)?;
     match command {
@@ -63,27 +65,27 @@
             let machines = machines.iter().map(|text| parse_machine(text)).collect::<Result<Vec<_>, _>>()?;
             check_bounds(&machines, &who, at_once)?;
             let request = MaintenanceRequest::new(&who, urgency, at_once, out_for, &machines);
-            ask(&mut operator, &request, json)
+            submit(&mut operator, &request, json)
         }
         MaintenanceCommand::List => list(&mut operator, &required_fronts(path).unwrap_or_default(), json),
-        MaintenanceCommand::Hold { number } => edit(&mut operator, number, json, "is held", |work| {
-            work.on_hold = true;
+        MaintenanceCommand::Hold { number } => edit(&mut operator, number, json, "is held", |request| {
+            request.on_hold = true;
             true
         }),
-        MaintenanceCommand::GoOn { number } => edit(&mut operator, number, json, "goes on", |work| {
-            work.on_hold = false;
+        MaintenanceCommand::GoOn { number } => edit(&mut operator, number, json, "goes on", |request| {
+            request.on_hold = false;
             true
         }),
         MaintenanceCommand::Withdraw { number } => {
-            edit(&mut operator, number, json, "is withdrawn", |work| {
-                work.withdraw();
+            edit(&mut operator, number, json, "is withdrawn", |request| {
+                request.withdraw();
                 true
             })
         }
         MaintenanceCommand::Without { number, front } => {
             let fronts = required_fronts(path)?;
-            edit(&mut operator, number, json, "does not wait for it", |work| {
-                work.extension.dead_fronts.add(&fronts, &front)
+            edit(&mut operator, number, json, "does not wait for it", |request| {
+                request.extension.dead_fronts.add(&fronts, &front)
             })
         }
         MaintenanceCommand::Back { machine } => mark_returned(&mut operator, parse_machine(&machine)?, json),
@@ -96,8 +98,8 @@
         return Ok(());
     }
     Err(CommandError::Failed(format!(
-        "one request names {max_machines} machines at most, {MAX_CONCURRENT} of them out at once, and who asks in \
-         {MAX_NAME_BYTES} bytes"
+        "one request names {max_machines} machines at most, --at-once is {MAX_CONCURRENT} at most, and --who has \
+         {MAX_NAME_BYTES} bytes at most"
     )))
 }
 
@@ -111,7 +113,7 @@
             return Ok(());
         }
     }
-    Err(CommandError::Failed(format!("{machine:08x} is not released: nobody expects it back")))
+    Err(CommandError::Failed(format!("{machine:08x} is not released, so nobody expects it back")))
 }
 
 fn print_change(json: bool, number: u8, version: u64, what: &str) {
@@ -122,28 +124,30 @@
     }
 }
 
-/// The fronts that count, as the operator's file names them.
+/// Names of the fronts whose drain confirmations are required, from the operator's file.
 fn required_fronts(path: &Path) -> Result<Vec<String>, CommandError> {
-    let works = read_file(path)?.fleet.and_then(|fleet| fleet.maintenance);
-    let works =
-        works.ok_or_else(|| CommandError::File(vec![format!("{}: has no [fleet.works]", path.display())]))?;
-    Ok(works.into_inner().required_fronts)
+    let section = read_file(path)?.fleet.and_then(|fleet| fleet.maintenance);
+    let section = section.ok_or_else(|| {
+        CommandError::File(vec![format!("{}: the section [fleet.works] is missing", path.display())])
+    })?;
+    Ok(section.into_inner().required_fronts)
 }
 
-/// Asks for machines, in as many registers as they need; nothing is asked for unless there are as many free.
-fn ask(operator: &mut Operator, work: &MaintenanceRequest, json: bool) -> Result<(), CommandError> {
-    let mut parts = work.split(rand::random());
+/// Requests machines, in as many registers as needed. If several registers are needed and fewer are free, nothing is
+/// requested.
+fn submit(operator: &mut Operator, request: &MaintenanceRequest, json: bool) -> Result<(), CommandError> {
+    let mut parts = request.split(rand::random());
     let free =
         |current: &Option<MaintenanceRequest>| current.as_ref().is_none_or(MaintenanceRequest::is_over);
     if parts.len() > 1 {
-        let mut free_places = 0;
+        let mut free_registers = 0;
         for number in 0..MAX_REQUESTS as u8 {
-            free_places += usize::from(free(&read(operator, number)?));
+            free_registers += usize::from(free(&read(operator, number)?));
         }
-        if free_places < parts.len() {
+        if free_registers < parts.len() {
             return Err(CommandError::Failed(format!(
-                "{free_places} of {MAX_REQUESTS} places for {MAX_MACHINES} machines each are free, and this takes {}; ask again \
-                 when a request is over",
+                "{free_registers} of {MAX_REQUESTS} registers for {MAX_MACHINES} machines each are free, and this request needs {}; \
+                 try again when another request is over",
                 parts.len()
             )));
         }
@@ -159,10 +163,10 @@
     if parts.is_empty() {
         return Ok(());
     }
-    Err(CommandError::Failed(format!("{MAX_REQUESTS} requests are under way; ask again when one is over")))
+    Err(CommandError::Failed(format!("{MAX_REQUESTS} requests are under way; try again when one is over")))
 }
 
-/// Edits a request, in all registers that hold parts of it.
+/// Edits a request in all registers that hold parts of it.
 fn edit(
     operator: &mut Operator,
     number: u8,
@@ -170,8 +174,9 @@
     what: &str,
     edit: impl Fn(&mut MaintenanceRequest) -> bool,
 ) -> Result<(), CommandError> {
-    let edited =
-        |current: Option<MaintenanceRequest>| current.and_then(|mut work| edit(&mut work).then_some(work));
+    let edited = |current: Option<MaintenanceRequest>| {
+        current.and_then(|mut request| edit(&mut request).then_some(request))
+    };
     let whole = read(operator, number)?;
     for part in 0..MAX_REQUESTS as u8 {
         if part != number
@@ -190,34 +195,37 @@
             print_change(json, number, version, what);
             Ok(())
         }
-        None => Err(CommandError::Failed(format!("there is no request {number}, or it can't be changed so"))),
+        None => Err(CommandError::Failed(format!(
+            "there is no request {number}, or this change does not apply to it"
+        ))),
     }
 }
 
-/// What current in a register, by a whole round.
+/// Reads the committed maintenance request of a register with a full round of the consensus protocol.
 fn read(operator: &mut Operator, number: u8) -> Result<Option<MaintenanceRequest>, CommandError> {
     match operator.propose(&maintenance_register(number), Operation::Read)? {
         ProposalOutcome::Committed { entry, .. } | ProposalOutcome::Conflict { entry, .. } => {
             Ok(entry.and_then(|entry| MaintenanceRequest::from_bytes(&entry.value)))
         }
         ProposalOutcome::Unknown { .. } => {
-            Err(CommandError::Failed("too few voters answered; look and ask again".to_owned()))
+            Err(CommandError::Failed("too few voters answered; the state is unknown, try again".to_owned()))
         }
     }
 }
 
-/// Settles what `next` makes of what current there, however often another comes first; none where it makes nothing.
+/// Commits the result of `next`, which is applied to the current value of a register, and returns the version.
+/// Retries up to [`MAX_TRIES`] proposals if other changes come first. Returns none if `next` returns none.
 fn change(
     operator: &mut Operator,
     number: u8,
     next: impl Fn(Option<MaintenanceRequest>) -> Option<MaintenanceRequest>,
 ) -> Result<Option<u64>, CommandError> {
     let name = maintenance_register(number);
-    let mut wanted = Operation::Read;
+    let mut operation = Operation::Read;
     for _ in 0..MAX_TRIES {
-        let reads = wanted == Operation::Read;
-        let current: Option<Entry> = match operator.propose(&name, wanted)? {
-            ProposalOutcome::Committed { entry, .. } if !reads => {
+        let is_read = operation == Operation::Read;
+        let current: Option<Entry> = match operator.propose(&name, operation)? {
+            ProposalOutcome::Committed { entry, .. } if !is_read => {
                 return Ok(entry.map(|entry| entry.version.counter));
             }
             ProposalOutcome::Committed { entry, .. } | ProposalOutcome::Conflict { entry, .. } => entry,
@@ -228,21 +236,29 @@
         else {
             return Ok(None);
         };
-        let (after, number) = current.map_or((None, 0), |entry| (Some(entry.version), entry.fencing_token));
-        wanted = Operation::CompareAndSet { expected: after, fencing_token: number, value: value.to_bytes() };
+        let (read_version, token) =
+            current.map_or((None, 0), |entry| (Some(entry.version), entry.fencing_token));
+        operation = Operation::CompareAndSet {
+            expected: read_version,
+            fencing_token: token,
+            value: value.to_bytes(),
+        };
     }
-    Err(CommandError::Failed("too few voters answered, or others came first; look and ask again".to_owned()))
+    Err(CommandError::Failed(
+        "too few voters answered, or other changes came first; check the outcome with `list` and try again"
+            .to_owned(),
+    ))
 }
 
 /// A maintenance request as the voters show it.
 struct ShownRequest {
     number: u8,
-    /// Epoch and counter of the register's entry.
+    /// Version of the register's entry: epoch and counter.
     version: (u64, u64),
     request: MaintenanceRequest,
-    /// Number of the first register that holds a part of it, if it is kept in several.
+    /// Number of the first register that holds a part of the request, if it is stored in several.
     part_of: Option<u8>,
-    /// Why it does not go on, as the coordinator says.
+    /// The reason why it waits, as the coordinator reports it.
     blocked: Option<String>,
 }
 
@@ -260,10 +276,10 @@
     if has_answer {
         return Ok(());
     }
-    Err(CommandError::Failed("no voter answered, or [fleet.works] is not in the file".to_owned()))
+    Err(CommandError::Failed("no voter replied, or [fleet.works] is not in the file".to_owned()))
 }
 
-/// The latest version of a request that any voter shows. A voter that does not answer is not asked again.
+/// The latest version of a request that any voter shows. A voter that does not reply is removed from `voters`.
 fn show_request(
     operator: &mut Operator,
     number: u8,
@@ -274,17 +290,20 @@
     let mut blocked = None;
     for voter in voters.clone() {
         let Some(Body::MaintenanceShown {
-            stored: work, blocked_reason: why, is_coordinator: foreman, ..
+            stored: entry,
+            blocked_reason: reason,
+            is_coordinator: from_coordinator,
+            ..
         }) = operator.ask(voter, &Body::ShowMaintenance { request: number })?
         else {
             voters.retain(|other| *other != voter);
             continue;
         };
         *has_answer = true;
-        if foreman {
-            blocked = why;
+        if from_coordinator {
+            blocked = reason;
         }
-        let shown = work.and_then(|stored| {
+        let shown = entry.and_then(|stored| {
             let version = (stored.version.epoch, stored.version.counter);
             Some((version, MaintenanceRequest::from_bytes(&stored.value)?))
         });
--- a/crates/edges/cli/src/fleet/operator.rs
+++ b/crates/edges/cli/src/fleet/operator.rs
@@ -1,4 +1,5 @@
-//! An operator's datagrams to the fleet. An operator has a name of its own and holds nothing.
+//! Datagrams of an operator's command to the fleet. The command takes part under the name `operator` and holds
+//! no lease.
 
 use super::fleet_config;
 use crate::error::CommandError;
@@ -10,18 +11,18 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// How long a reply is waited for where nothing is sent again.
+/// Unit of the timeouts and poll intervals of requests that [`Operator::ask`] does not resend.
 pub const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long the reply to the first attempt of a question is waited for; twice as long after each further one.
+/// Timeout of the reply to the first attempt of a request; doubled with each further attempt.
 const FIRST_REPLY_TIMEOUT: Duration = Duration::from_millis(200);
-/// How often one question is sent.
+/// Maximum number of times that one request is sent.
 const MAX_ATTEMPTS: u32 = 4;
-/// Longest datagram that is read.
+/// Maximum length of a received datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// An operator beside the fleet.
+/// A connection of an operator's command to the fleet.
 pub struct Operator {
-    /// The fleet's configuration, as the file states it.
+    /// The fleet's configuration, from the operator's file.
     pub config: FleetConfig,
     incarnation: Incarnation,
     sequence: u64,
@@ -29,11 +30,14 @@
 }
 
 impl Operator {
-    /// Reads the operator's file, and opens a socket.
+    /// Reads the operator's file and opens a socket.
     pub fn connect(path: &Path) -> Result<Operator, CommandError> {
         let file = read_file(path)?;
         let section = file.fleet.as_ref().ok_or_else(|| {
-            CommandError::File(vec![format!("{}: has no [fleet], so there is nobody to ask", path.display())])
+            CommandError::File(vec![format!(
+                "{}: the section [fleet], which names the voters, is missing",
+                path.display()
+            )])
         })?;
         let socket = open_socket()?;
         let incarnation = Incarnation { name: "operator".to_owned(), id: rand::random() };
@@ -43,20 +47,22 @@
     /// Sends a message once.
     pub fn send(&mut self, body: Body, to: SocketAddr) -> Result<(), CommandError> {
         self.sequence += 1;
-        let terms = lemonusher_fleet::config_fingerprint(&self.config);
+        let fingerprint = lemonusher_fleet::config_fingerprint(&self.config);
         let frame = Frame {
             from: self.incarnation.clone(),
             sequence: self.sequence,
-            config_fingerprint: terms,
+            config_fingerprint: fingerprint,
             body,
         };
-        let sealed =
-            frame.seal(&self.config.key).ok_or_else(|| CommandError::Failed("it is too long".to_owned()))?;
+        let sealed = frame
+            .seal(&self.config.key)
+            .ok_or_else(|| CommandError::Failed("the message is too long for a datagram".to_owned()))?;
         self.socket.send_to(&sealed, to).map(drop).map_err(failed)
     }
 
-    /// Asks a voter, again if no reply comes; none if there is none at all. Replies don't say what they answer, so each
-    /// question has a socket of its own: a late reply to an earlier one goes to a socket that is closed.
+    /// Sends a request to a voter, up to [`MAX_ATTEMPTS`] times, and returns the reply, or none. Replies don't
+    /// name the request that they belong to, so each request has a socket of its own: a late reply to an
+    /// earlier request goes to a closed socket.
     pub fn ask(&mut self, voter: SocketAddr, body: &Body) -> Result<Option<Body>, CommandError> {
         self.socket = open_socket()?;
         for attempt in 0..MAX_ATTEMPTS {
@@ -69,7 +75,7 @@
         Ok(None)
     }
 
-    /// The next message of this voter, if one comes within this time; all else is passed over.
+    /// The next message of this voter, if one is received within the timeout; other datagrams are ignored.
     fn wait_for_reply(&mut self, voter: SocketAddr, timeout: Duration) -> Result<Option<Body>, CommandError> {
         let deadline = Instant::now() + timeout;
         let mut bytes = [0; MAX_DATAGRAM_BYTES];
@@ -88,15 +94,15 @@
         }
     }
 
-    /// Proposes a change of a register as any front would, and waits for the outcome.
+    /// Proposes a change of a register by the same protocol as fronts do, and waits for the outcome.
     pub fn propose(&mut self, name: &str, change: Operation) -> Result<ProposalOutcome, CommandError> {
         let started = Instant::now();
         let mut proposer = Proposer::new(self.incarnation.clone(), self.config.voters.len());
-        let terms = self.config.leases;
+        let lease_config = self.config.leases;
         self.socket.set_read_timeout(Some(REPLY_TIMEOUT / 10)).map_err(failed)?;
         let mut requests = proposer.propose(started.elapsed(), name, change);
-        let until = terms.duration * 4 + REPLY_TIMEOUT * 4;
-        while started.elapsed() < until {
+        let timeout = lease_config.duration * 4 + REPLY_TIMEOUT * 4;
+        while started.elapsed() < timeout {
             for sent in std::mem::take(&mut requests) {
                 if let Some(voter) = self.config.voters.get(sent.voter).copied() {
                     self.send(Body::RegisterRequest(sent.request), voter)?;
@@ -108,10 +114,15 @@
                 && let Ok(Frame { body: Body::RegisterReply(reply), .. }) =
                     Frame::open(&bytes[..length], &self.config.key)
             {
-                requests =
-                    proposer.handle_reply(started.elapsed(), &terms, voter, reply, &mut rand::random::<f64>);
+                requests = proposer.handle_reply(
+                    started.elapsed(),
+                    &lease_config,
+                    voter,
+                    reply,
+                    &mut rand::random::<f64>,
+                );
             }
-            requests.extend(proposer.poll(started.elapsed(), &terms, &mut rand::random::<f64>));
+            requests.extend(proposer.poll(started.elapsed(), &lease_config, &mut rand::random::<f64>));
             if let Some(outcome) = proposer.take_outcomes().pop() {
                 return Ok(outcome);
             }
