--- a/crates/core/zone-failover/src/allocation.rs
+++ b/crates/core/zone-failover/src/allocation.rs
@@ -1,42 +1,42 @@
-//! Who is served where, and who is rejected: the most value that the zones can bear, with a floor for every request
-//! class, spread evenly over the zones.
+//! Allocates the demand of the request classes to the zones. The allocation serves the greatest value that the zones'
+//! capacities allow, grants every class its floor first, and loads the zones evenly.
 //!
-//! All classes draw on one resource, seconds of engine work. Classes are taken by value for each second of work, each as
-//! far as flows can be rearranged to make room for it; that yields the most value there is, as the sets that can be
-//! served form a polymatroid. Floors come first, then the rest. The same order read backwards is the order in which
-//! classes are shed.
+//! All classes consume one resource, engine work in thread-seconds a second. Classes are served in order of value
+//! for each second of work, each as far as the flows of other classes can be rerouted to make capacity for it. This
+//! greedy order yields the greatest value, as the sets of work that can be served form a polymatroid. All floors are
+//! served before the rest of any demand. The reverse order is the order in which classes are shed.
 
 use crate::{Demand, Zone};
 use std::cmp::Ordering;
 
-/// Work a second below which a flow or a room counts as zero.
+/// Work a second below which a flow or a capacity counts as zero.
 const EPSILON_WORK: f64 = 1e-9;
-/// The least work of a request that the value is divided by, in seconds on one thread.
+/// A lower limit of a request's work where its value is divided by it, in seconds on one thread.
 const MIN_REQUEST_WORK: f64 = 1e-6;
-/// Zones are filled in so many equal portions, so that all fill alike.
+/// The number of equal steps in which the zones' capacities are released, so that all zones fill alike.
 const FILL_STEPS: usize = 8;
 
-/// A request class as the allocation sees it.
+/// A request class, with its demand and its limits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassLoad {
-    /// The value of a request answered in time.
+    /// The value of one request that is answered in time.
     pub priority_weight: f64,
-    /// Work of a request, in seconds on one thread.
+    /// The mean work of one request, in seconds on one thread.
     pub work: f64,
-    /// Requests a second.
+    /// Arrivals, in requests a second.
     pub rate: f64,
-    /// Seconds.
+    /// The latency objective of the class, in seconds.
     pub latency_objective: f64,
-    /// Seconds.
+    /// The deadline of the class, in seconds.
     pub deadline: f64,
-    /// The share that is served before any class gets more, from 0 to 1.
+    /// The share of the demand that is served before any class gets more than its floor, from 0 to 1.
     pub floor: f64,
-    /// The only zones where it may run; none: all.
+    /// The only zones where the class may run; `None` allows all.
     pub allowed_zones: Option<Vec<Zone>>,
 }
 
 impl ClassLoad {
-    /// Work a second that is asked for.
+    /// The demand, in thread-seconds of work a second.
     pub fn demand(&self) -> f64 {
         self.rate * self.work
     }
@@ -50,7 +50,7 @@
     }
 }
 
-/// The classes as configured, with the observed demand; a class whose work is not known yet stays with its own.
+/// The configured classes with the observed demand. A class without observed work keeps its configured work.
 pub fn with_demand(classes: &[ClassLoad], demand: &[Demand]) -> Vec<ClassLoad> {
     let observed = |(class, demand): (&ClassLoad, &Demand)| ClassLoad {
         rate: f64::from(demand.rate),
@@ -60,32 +60,32 @@
     classes.iter().zip(demand).map(observed).collect()
 }
 
-/// What a zone can take.
+/// The capacity of a zone.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ZoneCapacity {
     /// The zone.
     pub zone: Zone,
-    /// Work a second: thread-seconds a second.
+    /// The work that it can do, in thread-seconds a second.
     pub work: f64,
 }
 
-/// Who is served where.
+/// The work of each request class in each zone.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Allocation {
-    /// By request class and zone (in the order of the capacities): work a second.
+    /// Work a second, by request class and zone; zones are in the order of the capacities.
     pub flows: Vec<Vec<f64>>,
-    /// By request class: the share of its demand that is served.
+    /// The share of the demand that is served, by request class; from 0 to 1.
     pub served_shares: Vec<f64>,
-    /// By request class: the share that no zone may take, however much room there is; 0 or 1.
+    /// By request class: 1 if no zone with capacity may run the class, else 0.
     pub unplaceable_shares: Vec<f64>,
-    /// By zone: the share of its capacity that is filled.
+    /// The share of the capacity that is used, by zone in the order of the capacities.
     pub utilization: Vec<f64>,
-    /// Request classes in the order in which they are shed: the first loses first.
+    /// Request classes in the order in which they are shed, the first to be shed first.
     pub shed_order: Vec<usize>,
 }
 
 impl Allocation {
-    /// Value served a second.
+    /// The value served a second, in units of priority weight.
     pub fn value(&self, classes: &[ClassLoad]) -> f64 {
         classes
             .iter()
@@ -95,7 +95,7 @@
     }
 }
 
-/// Works out who is served where.
+/// Allocates the demand of the classes to the zones.
 pub fn allocate(classes: &[ClassLoad], capacities: &[ZoneCapacity]) -> Allocation {
     let mut order: Vec<usize> = (0..classes.len()).collect();
     order.sort_by(|a, b| by_value_of_work(&classes[*a], &classes[*b]).then(a.cmp(b)));
@@ -110,7 +110,7 @@
     Allocation { served_shares, unplaceable_shares, utilization, shed_order: order, flows: network.flows }
 }
 
-/// By class: work a second that is served, floors first.
+/// The work a second that is served, by class; all floors are served first.
 fn served_work(classes: &[ClassLoad], capacities: &[ZoneCapacity], order: &[usize]) -> Vec<f64> {
     let mut network = FlowNetwork::new(classes, capacities);
     for class in order {
@@ -122,7 +122,7 @@
     (0..classes.len()).map(|class| network.served(class)).collect()
 }
 
-/// The same work again, with the zones' rooms raised step by step so that all fill alike.
+/// Allocates the served work again while the zones' usable capacities rise in equal steps, so that all fill alike.
 fn fill_evenly<'a>(
     classes: &'a [ClassLoad],
     capacities: &'a [ZoneCapacity],
@@ -152,34 +152,35 @@
     if may_run { 0.0 } else { 1.0 }
 }
 
-/// Value for each second of work first, then the shorter latency objective, then the shorter deadline: a class with
-/// longer ones can be retried later.
+/// Orders by value for each second of work, then by shorter latency objective, then by shorter deadline. Clients of a
+/// class with longer ones can retry later.
 fn by_value_of_work(a: &ClassLoad, b: &ClassLoad) -> Ordering {
     let by_value = b.value_of_work().total_cmp(&a.value_of_work());
     by_value.then(a.latency_objective.total_cmp(&b.latency_objective)).then(a.deadline.total_cmp(&b.deadline))
 }
 
-/// A step of an augmenting path: this class's flow moves, or begins, at this zone.
+/// A step of an augmenting path: flow of this class is moved to this zone, or is added there at the first step.
 #[derive(Debug, Clone, Copy)]
 struct PathStep {
     class: usize,
     zone: usize,
 }
 
-/// How the search reached a zone: by moving this class's flow there from another zone; none where it begins there.
+/// The edge by which the search reached a zone: flow of this class can be moved there from another zone.
 #[derive(Debug, Clone, Copy)]
 struct Predecessor {
     class: usize,
+    /// The zone that the flow is moved from; none where the path begins.
     zone: Option<usize>,
 }
 
-/// Flows of work from classes to zones.
+/// The flows of work from classes to zones, with capacity limits of the zones.
 struct FlowNetwork<'a> {
     classes: &'a [ClassLoad],
     capacities: &'a [ZoneCapacity],
-    /// By zone: work a second that may be used now.
+    /// Work a second that may be used at the current fill step, by zone.
     room: Vec<f64>,
-    /// By class and zone: work a second.
+    /// Work a second, by class and zone.
     flows: Vec<Vec<f64>>,
 }
 
@@ -206,9 +207,10 @@
         if capacity > EPSILON_WORK { self.used(zone) / capacity } else { 0.0 }
     }
 
-    /// Raises what a class is served to `wanted`, as far as others can be moved to make room.
+    /// Raises the served work of a class to `wanted`, as far as flows of other classes can be moved to make capacity.
     fn serve(&mut self, class: usize, wanted: f64) {
-        // Each round fills a zone or empties a flow, so there are few; the bound is against rounding alone.
+        // Each iteration fills a zone, empties a flow or ends, so there are few. The limit guards against rounding
+        // errors.
         for _ in 0..self.classes.len() * self.capacities.len() * 4 + 16 {
             let missing = wanted - self.served(class);
             if missing <= EPSILON_WORK {
@@ -219,7 +221,7 @@
         }
     }
 
-    /// The shortest path from a class to a zone with room, by breadth-first search.
+    /// The shortest path from a class to a zone with capacity left, by breadth-first search.
     fn augmenting_path(&self, class: usize) -> Option<Vec<PathStep>> {
         let mut predecessors: Vec<Option<Predecessor>> = vec![None; self.capacities.len()];
         let mut queue = self.allowed_zones_emptiest_first(class);
@@ -256,7 +258,7 @@
         zones
     }
 
-    /// Moves as much along the path as is missing and as the path can carry.
+    /// Moves the missing work along the path, or as much of it as the path allows.
     fn push(&mut self, class: usize, path: &[PathStep], missing: f64) {
         let last = path.last().map_or(0, |step| step.zone);
         let movable = path.windows(2).map(|pair| self.flows[pair[1].class][pair[0].zone]);
--- a/crates/core/zone-failover/src/coordinator.rs
+++ b/crates/core/zone-failover/src/coordinator.rs
@@ -1,8 +1,10 @@
-//! A voter's part in the plan: it holds the latest reports, so that it can take the lease over at any time; while it
-//! holds the lease it moves the zones through their states and says what to do with the plan's register.
+//! The coordinator, which each voter runs. Every coordinator keeps the latest reports, so that it can take over the
+//! lease at any time. The one that holds the lease runs the zones' state machines and decides when the plan's
+//! register is read and written.
 //!
-//! A plan is written if a zone or the prober changed, or, four report intervals after the last one, if what it admits
-//! changed by more than 20 thousandths or its Retry-After changed: smaller changes don't justify a round of the register.
+//! A plan is written if a zone or the prober changed. Four report intervals after the last plan, it is also written
+//! if an admitted share changed by more than 20 thousandths or the Retry-After changed; smaller changes don't justify
+//! a round of the register.
 
 use crate::health::ObservedZone;
 use crate::{
@@ -13,25 +15,25 @@
 use lemonusher_registers::EntryVersion;
 use std::time::Duration;
 
-/// Changes of an admitted share up to this, in thousandths, don't make a new plan.
+/// A change of an admitted share by up to this, in thousandths, causes no new plan.
 const MIN_ADMISSION_CHANGE_PERMILLE: u16 = 20;
-/// Report intervals between two plans that differ in nothing but what they admit.
+/// The least time between two plans that differ only in admission or Retry-After, in report intervals.
 const MIN_INTERVALS_BETWEEN_ADMISSION_CHANGES: u32 = 4;
-/// Ended attempts below which another zone's degraded share does not count.
+/// The least number of ended attempts in another zone for which its degraded share counts.
 const MIN_ATTEMPTS: u32 = 10;
 
-/// What to do with the plan's register.
+/// An operation on the plan's register.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RegisterAction {
-    /// Learn what is committed.
+    /// Reads the committed plan.
     Read,
-    /// Compare and set.
+    /// Writes a plan by compare-and-set.
     Write {
-        /// The version that must still be committed; none where nothing ever was.
+        /// The version that must still be committed; none if no plan was ever committed.
         expected: Option<EntryVersion>,
-        /// Of the lease under which the coordinator acts.
+        /// The fencing token of the lease that the coordinator holds.
         fencing_token: u64,
-        /// The value.
+        /// The new value.
         plan: FailoverPlan,
     },
 }
@@ -45,10 +47,10 @@
     pub transition: Transition,
 }
 
-/// A zone as it is now, and in the plan.
+/// The observed condition of a zone, and its entry in the plan.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ZonePreview {
-    /// The zone in the plan.
+    /// The zone's entry in the plan.
     pub plan: ZonePlan,
     /// Its health by the reports.
     pub health: ZoneHealth,
@@ -58,31 +60,31 @@
     pub utilization: f64,
 }
 
-/// What a plan means for the demand and the supply of now.
+/// The effect of a plan on the present demand and supply.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlanPreview {
-    /// By zone.
+    /// The zones, by number.
     pub zones: Vec<ZonePreview>,
-    /// The demand of all fronts, by request class.
+    /// The request classes with the demand of all fronts.
     pub classes: Vec<ClassLoad>,
-    /// Who is served where.
+    /// The work of each request class in each zone.
     pub allocation: Allocation,
 }
 
-/// What a coordinator knows of the plan's register.
+/// A coordinator's knowledge of the plan's register.
 #[derive(Debug, Clone, PartialEq)]
 enum RegisterKnowledge {
-    /// It has to read first.
+    /// The committed plan is unknown and must be read first.
     Unknown,
-    /// A read is under way.
+    /// A read is in progress.
     Reading,
-    /// This is committed, and it builds on it.
+    /// This plan is committed; none before the first.
     Committed { version: Option<EntryVersion>, plan: Option<FailoverPlan> },
-    /// A write of this plan is under way.
+    /// A write of this plan is in progress.
     Writing(FailoverPlan),
 }
 
-/// One tenure of the lease, from its grant to its end.
+/// The state kept from the grant of the lease to its end.
 #[derive(Debug, Clone)]
 struct LeaseTenure {
     fencing_token: u64,
@@ -90,22 +92,25 @@
     zones: Vec<ZoneStateMachine>,
 }
 
-/// A voter's part in the plan; it acts while it holds the lease.
+/// Decides on the plan while its front holds the lease.
 #[derive(Debug, Clone)]
 pub struct Coordinator {
+    /// The incarnation of this front.
     incarnation: u64,
-    /// As configured.
+    /// The configured request classes.
     classes: Vec<ClassLoad>,
     evaluator: HealthEvaluator,
     /// None while the lease is not held.
     tenure: Option<LeaseTenure>,
     next_poll: Duration,
+    /// The time at which the committed plan was last read or written.
     committed_at: Duration,
+    /// The transitions since the last call of [`Coordinator::take_transitions`].
     transitions: Vec<ZoneTransition>,
 }
 
 impl Coordinator {
-    /// `incarnation` is this front's; `classes` as configured.
+    /// `incarnation` is this front's; `classes` are the configured request classes.
     pub fn new(incarnation: u64, classes: Vec<ClassLoad>) -> Coordinator {
         Coordinator {
             incarnation,
@@ -118,12 +123,12 @@
         }
     }
 
-    /// Takes in a front's report; `front` is its incarnation.
+    /// Handles a front's report; `front` is its incarnation.
     pub fn handle_report(&mut self, now: Duration, front: u64, report: FrontReport) {
         self.evaluator.handle_report(now, front, report);
     }
 
-    /// The lease is held under this fencing token, or not held.
+    /// Sets the fencing token under which this front holds the lease; none if it does not hold the lease.
     pub fn set_lease(&mut self, fencing_token: Option<u64>) {
         let held = self.tenure.as_ref().map(|tenure| tenure.fencing_token);
         if held != fencing_token {
@@ -135,8 +140,8 @@
         }
     }
 
-    /// A whole round has shown what is committed; this coordinator builds on it. After a write of its own the zones go
-    /// on with the times that they have.
+    /// Handles the committed plan, as a full round of the register has shown it. After a write of this coordinator
+    /// the zones keep their times; otherwise their state machines are built anew from the plan.
     pub fn handle_committed(
         &mut self,
         now: Duration,
@@ -154,19 +159,20 @@
         tenure.register = RegisterKnowledge::Committed { version, plan };
     }
 
-    /// A read or a write failed, or has an unknown outcome.
+    /// Handles a read or a write that failed or has an unknown outcome.
     pub fn handle_failure(&mut self) {
         if let Some(tenure) = &mut self.tenure {
             tenure.register = RegisterKnowledge::Unknown;
         }
     }
 
-    /// The transitions since the last call.
+    /// Takes the transitions since the last call.
     pub fn take_transitions(&mut self) -> Vec<ZoneTransition> {
         std::mem::take(&mut self.transitions)
     }
 
-    /// Once a report interval: moves the zones, and says what to do with the register. `overrides` by zone.
+    /// Runs the zones' state machines once a report interval and returns the next operation on the register.
+    /// `overrides` are by zone.
     pub fn poll(
         &mut self,
         now: Duration,
@@ -193,7 +199,7 @@
         }
     }
 
-    /// Moves all zones, one transition each at most; returns what they went by.
+    /// Runs the state machines of all zones, with at most one transition each; returns the observations used.
     fn step_zones(
         &mut self,
         now: Duration,
@@ -222,7 +228,7 @@
         observed
     }
 
-    /// Begins to write the plan for the zones as they are now, if it differs from what is committed.
+    /// Builds the plan from the zones' present states and starts to write it if it differs from the committed plan.
     fn write(
         &mut self,
         now: Duration,
@@ -249,7 +255,7 @@
         Some(RegisterAction::Write { expected: version, fencing_token: tenure.fencing_token, plan })
     }
 
-    /// What this plan means for the demand and the supply of now, as it stands or with the zones `without` lost.
+    /// The effect of this plan on the present demand and supply if the zones `without` are lost as well.
     pub fn preview(&self, config: &FailoverConfig, plan: &FailoverPlan, without: &[Zone]) -> PlanPreview {
         let count = self.evaluator.zone_count().max(plan.zones.len());
         let up = ZoneStateMachine::up(Duration::ZERO).plan;
@@ -287,7 +293,7 @@
     observed.iter().map(|zone| zone.evidence.supply()).collect()
 }
 
-/// The largest degraded share of any other zone with attempts enough to judge.
+/// The largest degraded share of any other zone with at least [`MIN_ATTEMPTS`] ended attempts.
 fn others_degraded_share(observed: &[ObservedZone], zone: usize) -> f64 {
     observed
         .iter()
--- a/crates/core/zone-failover/src/follower.rs
+++ b/crates/core/zone-failover/src/follower.rs
@@ -1,11 +1,15 @@
-//! What the plan means at one front, and what a front does that can't learn the plan.
+//! Applies the plan at one front, or the isolated-front rule if the front can't read the plan.
 //!
-//! The isolated-front rule. A front that has not confirmed the plan for [`FailoverConfig::plan_timeout`] is isolated. It
-//! goes on with the last plan and opens nothing more; it closes zones, other than its own, that it finds unreachable by
-//! itself for the confirmation time; and it admits no more work than its quota of what the zones left to it can take,
-//! nor more than the last plan. A zone closed so stays closed until the plan is learned, as nothing is observed there.
-//! The quotas of all fronts sum to one at most, so all fronts together stay within what the zones bear, however many of
-//! them are isolated. With nothing closed or unreachable there is nothing to ration, and the last plan's shares hold.
+//! A front that has not confirmed the plan for [`FailoverConfig::plan_timeout`] is isolated, and follows these rules:
+//!
+//! 1. It keeps following the last plan, and opens nothing that this plan closes.
+//! 2. It closes zones, other than its own, that its own observations show as unreachable for the confirmation time.
+//!    Such a zone stays closed until the front reads the plan again, as a closed zone yields no observations.
+//! 3. While any zone is restricted or unreachable, it admits no more work than its quota of the capacity of the
+//!    remaining zones, and no greater shares than the last plan. Otherwise the last plan's shares apply.
+//!
+//! The quotas of all fronts sum to one at most, so all fronts together stay within the zones' capacity, however many
+//! of them are isolated.
 
 use crate::{
     FULLY_OPEN, FailoverConfig, FailoverPlan, LocalView, MAX_ZONES, Zone, ZoneCapacity, ZoneHealth, ZonePlan,
@@ -14,14 +18,14 @@
 use lemonusher_registers::EntryVersion;
 use std::time::Duration;
 
-/// Which of a zone's engines this front may use.
+/// The restrictions on this front's use of a zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ZoneRestriction {
     /// The zone.
     pub zone: Zone,
     /// The share of its engines that is open, in thousandths.
     pub open_permille: u16,
-    /// A bit for each request class that may not go there.
+    /// A bit for each request class that may not be sent there.
     pub blocked_classes: u64,
 }
 
@@ -31,22 +35,22 @@
     }
 }
 
-/// What is in force at this front.
+/// The restrictions and admitted shares in force at this front.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PlanEffect {
     /// The version of the plan followed; none before the first.
     pub version: Option<EntryVersion>,
-    /// The zones that may not be used in full.
+    /// The zones that this front may not use in full.
     pub restrictions: Vec<ZoneRestriction>,
-    /// By request class: the share that is admitted, from 0 to 1.
+    /// The share of the arrivals that is admitted, by request class; from 0 to 1.
     pub admitted_shares: Vec<f64>,
-    /// The least Retry-After of rejected requests; they are spread over as much again.
+    /// The least Retry-After of rejected requests; the greatest is twice as long.
     pub retry_after: Duration,
-    /// The front is isolated.
+    /// Whether the front is isolated.
     pub isolated: bool,
 }
 
-/// The shares that an isolated front admits, computed once a report interval.
+/// The shares that an isolated front admits; they are computed once a report interval.
 #[derive(Debug, Clone)]
 struct IsolatedAdmission {
     computed_at: Duration,
@@ -56,16 +60,18 @@
 /// Follows the plan at one front.
 #[derive(Debug, Clone)]
 pub struct PlanFollower {
+    /// The zone of the front itself.
     zone: Zone,
+    /// The incarnation of the front itself.
     incarnation: u64,
-    /// None before the first plan.
+    /// The version of the plan followed; none before the first plan.
     version: Option<EntryVersion>,
     plan: FailoverPlan,
-    /// When a majority last showed the plan followed, or that there is none.
+    /// Time at which a majority of the voters last confirmed the plan followed, or that there is none.
     confirmed_at: Duration,
-    /// By zone: since when this front finds it unreachable by itself.
+    /// Since when this front's own observations show the zone as unreachable, by zone.
     unreachable_since: [Option<Duration>; MAX_ZONES],
-    /// None while the plan's shares hold.
+    /// The shares by the isolated-front rule; none while the plan's shares apply.
     isolated_admission: Option<IsolatedAdmission>,
 }
 
@@ -93,7 +99,7 @@
         &self.plan
     }
 
-    /// A majority shows this plan. One that is older than the plan followed is ignored.
+    /// Handles a plan that a majority of the voters confirmed at `now`. One older than the plan followed is ignored.
     pub fn handle_plan(&mut self, now: Duration, version: EntryVersion, plan: &FailoverPlan) {
         if Some(version) < self.version {
             return;
@@ -105,19 +111,19 @@
         }
     }
 
-    /// A majority shows that no plan was ever committed.
+    /// Handles the confirmation by a majority of the voters that no plan was ever committed.
     pub fn handle_no_plan(&mut self, now: Duration) {
         if self.version.is_none() {
             self.confirmed_at = self.confirmed_at.max(now);
         }
     }
 
-    /// Whether this front has not confirmed the plan for its timeout.
+    /// Whether this front has not confirmed the plan for the plan timeout.
     pub fn is_isolated(&self, now: Duration, config: &FailoverConfig) -> bool {
         now > self.confirmed_at + config.plan_timeout
     }
 
-    /// What is in force now.
+    /// The restrictions and admitted shares in force now.
     pub fn effect(&mut self, now: Duration, config: &FailoverConfig, local: &LocalView) -> PlanEffect {
         let isolated = self.is_isolated(now, config);
         let restrictions = self.restrictions(now, config, local, isolated);
@@ -160,7 +166,7 @@
         restrictions
     }
 
-    /// Notes since when the zone is unreachable. Where nothing is observed, an isolated front goes on with what it knew.
+    /// Records since when the zone is unreachable. Without observations an isolated front keeps the last finding.
     fn track_unreachable(&mut self, now: Duration, zone: usize, health: ZoneHealth, isolated: bool) {
         let since = &mut self.unreachable_since[zone];
         match health {
@@ -170,12 +176,12 @@
         }
     }
 
-    /// Whether this front finds the zone unreachable for the confirmation time.
+    /// Whether this front's own observations show the zone as unreachable for the confirmation time.
     fn is_unreachable(&self, now: Duration, config: &FailoverConfig, zone: usize) -> bool {
         self.unreachable_since[zone].is_some_and(|since| now >= since + config.confirmation_time)
     }
 
-    /// The zone's restriction by the plan alone.
+    /// The zone's restriction by the plan alone, without the isolated-front rule.
     fn planned_restriction(&self, zone: usize) -> ZoneRestriction {
         let unplanned = ZonePlan { open_permille: FULLY_OPEN, ..ZonePlan::default() };
         let plan = self.plan.zones.get(zone).copied().unwrap_or(unplanned);
@@ -184,7 +190,7 @@
         let open_permille = match plan.state {
             ZoneState::Up | ZoneState::Suspected => FULLY_OPEN,
             ZoneState::Partitioned if is_own => FULLY_OPEN,
-            // The zone's own fronts are the first to see it answer; one front probes from elsewhere.
+            // All fronts of the zone probe it, as they see it answer first, and one front of another zone.
             ZoneState::Probing if is_own || self.plan.prober == self.incarnation => FULLY_OPEN,
             ZoneState::Lost | ZoneState::Partitioned | ZoneState::Probing => 0,
             ZoneState::Recovering | ZoneState::Disabled => plan.open_permille,
@@ -197,7 +203,7 @@
         self.plan.admitted_permille.iter().map(|permille| share(*permille)).collect()
     }
 
-    /// The shares by the isolated-front rule, from the same allocation as the plan's.
+    /// The shares by the isolated-front rule, computed by the same allocation as the plan's shares.
     fn isolated_shares(
         &mut self,
         now: Duration,
@@ -211,7 +217,7 @@
             return known.admitted_shares.clone();
         }
         let open_share = |zone: usize| {
-            // Its own zone, which it goes on trying, bears nothing either while it is unreachable.
+            // The front still sends to its own zone while that is unreachable, but counts no capacity there.
             if self.is_unreachable(now, config, zone) {
                 return 0.0;
             }
--- a/crates/core/zone-failover/src/health.rs
+++ b/crates/core/zone-failover/src/health.rs
@@ -1,17 +1,18 @@
-//! Weighs what many fronts observe of a zone.
+//! Derives the health of each zone from the reports of all fronts.
 //!
-//! The rule where evidence disagrees. A front's view of a zone is good if at least half of the engines there that it has
-//! tried answer, and bad otherwise; a front that has tried none has no view. *Local* fronts, in the zone itself, and
-//! *remote* ones are counted apart.
+//! A front's view of a zone is good if at least half of the engines there that it has tried answer, and bad
+//! otherwise. A front that has tried none has no view. The views of *local* fronts, in the zone itself, and of
+//! *remote* fronts are counted separately. Where views disagree, the first rule that applies decides:
 //!
-//! - `Unknown`: nobody has a view.
-//! - `Partitioned`: most remote views are bad, most local ones good.
-//! - `Unreachable`: most remote views are bad, and most local ones too, as far as there are any.
-//! - `FrontsLost`: the remote views are good, but no front of the zone reports any more.
-//! - `Healthy`: anything else.
+//! - `Unknown`: no front has a view.
+//! - `Partitioned`: most remote views are bad, most local views are good.
+//! - `Unreachable`: most remote views and most local views are bad; one of the two groups may have no views.
+//! - `FrontsLost`: at least half of the remote views are good, but no front of the zone reports any more.
+//! - `Healthy`: all other cases.
 //!
-//! Where more than one front reports, two bad views are needed at least, so one front with a bad link is never enough.
-//! The endpoint list alone makes no zone healthy or unreachable: it lags, and names what no longer answers.
+//! If more than one front reports, `Partitioned` and `Unreachable` require at least two bad views, so that one front
+//! with a bad link can't cause them. The endpoint list alone makes no zone healthy or unreachable: it is delayed, and
+//! still names engines that no longer answer.
 
 use crate::{Demand, FrontReport, MAX_CLASSES, MAX_ZONES, Zone, ZoneStats, ZoneSupply};
 use std::collections::BTreeMap;
@@ -20,30 +21,30 @@
 
 /// Report intervals for which a report counts.
 const REPORT_LIFETIME_INTERVALS: u32 = 3;
-/// Fronts whose reports count at most.
+/// The maximum number of fronts whose reports count.
 const MAX_FRONTS: usize = 4096;
-/// What slow engines bear, as a share of what they bear at full speed.
+/// The capacity of slow engines, as a share of their capacity at full speed.
 const SLOW_CAPACITY_SHARE: f64 = 0.25;
-/// Bad views that are needed where several fronts report.
+/// The least number of bad views for a bad health if several fronts report.
 const MIN_UNHEALTHY_VIEWS: u32 = 2;
 
-/// How a zone is, by the evidence.
+/// The health of a zone by the evidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ZoneHealth {
-    /// Most fronts reach it.
+    /// No other case applies: in general most fronts reach it.
     Healthy,
-    /// Its engines serve, its fronts no longer report.
+    /// Its engines answer, but its fronts no longer report.
     FrontsLost,
-    /// Its own fronts reach it, the others don't.
+    /// Most of its own fronts reach it, most others don't.
     Partitioned,
-    /// No front reaches it.
+    /// Most fronts don't reach it.
     Unreachable,
-    /// Nobody has a view.
+    /// No front has a view.
     Unknown,
 }
 
 impl fmt::Display for ZoneHealth {
-    /// The name on the wire and in what operators are shown.
+    /// The name on the wire and in the output of commands.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
             ZoneHealth::Healthy => "Well",
@@ -56,14 +57,14 @@
 }
 
 impl ZoneStats {
-    /// One front's view of the zone: whether at least half of the engines tried answer; none where none was tried.
+    /// One front's view of the zone: whether at least half of the engines tried answer; none if none was tried.
     pub(crate) fn is_healthy(&self) -> Option<bool> {
         let tried = u32::from(self.answering) + u32::from(self.silent);
         (tried > 0).then_some(u32::from(self.answering) * 2 >= tried)
     }
 }
 
-/// What all fronts together observe of a zone.
+/// The observations of a zone, combined over all fronts.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Evidence {
     /// Remote fronts with a good view.
@@ -74,21 +75,21 @@
     pub healthy_local: u32,
     /// Local fronts with a bad view.
     pub unhealthy_local: u32,
-    /// Local fronts that report at all.
+    /// Local fronts that report, with or without a view.
     pub local_fronts: u32,
-    /// Cores listed there; the most that any front reports.
+    /// The cores listed there, the largest number that any front reports.
     pub cores: u32,
-    /// The share of the engines tried that answer, with slow ones counted for less; from 0 to 1.
+    /// The share of the engines tried that answer, from 0 to 1; less if attempts there are slow.
     pub answering_share: f64,
     /// The share of attempts there that failed or were slow; from 0 to 1.
     pub degraded_share: f64,
-    /// Attempts that ended there over the last report intervals.
+    /// Attempts that returned or failed there, in the latest report of each front.
     pub attempts: u32,
 }
 
 impl Evidence {
-    /// Applies the rule of the module. `fronts`: how many report at all; `had_fronts`: whether any front of this zone
-    /// ever did.
+    /// Applies the rules at the head of the module. `fronts` is the number of fronts that report; `had_fronts` is
+    /// whether any front of this zone has ever reported.
     pub fn health(&self, fronts: usize, had_fronts: bool) -> ZoneHealth {
         let needed = if fronts > 1 { MIN_UNHEALTHY_VIEWS } else { 1 };
         let remote = self.healthy_remote + self.unhealthy_remote;
@@ -170,25 +171,25 @@
     pub(crate) evidence: Evidence,
 }
 
-/// A report, and when it arrived.
+/// A report, with its time of arrival.
 #[derive(Debug, Clone)]
 struct ReceivedReport {
     at: Duration,
     report: FrontReport,
 }
 
-/// Holds the latest report of each front, and evaluates the zones by them.
+/// Keeps the latest report of each front and derives the zones' health from them.
 #[derive(Debug, Clone, Default)]
 pub struct HealthEvaluator {
-    /// By the front's incarnation; [`MAX_FRONTS`] at most.
+    /// The latest reports, by the front's incarnation; [`MAX_FRONTS`] at most.
     reports: BTreeMap<u64, ReceivedReport>,
-    /// Zones whose own fronts have ever reported.
+    /// Whether any front of the zone has ever reported, by zone.
     had_fronts: [bool; MAX_ZONES],
 }
 
 impl HealthEvaluator {
-    /// Takes in a front's report; `front` is its incarnation. Reports beyond the limits, or with numbers that are not
-    /// finite, are ignored.
+    /// Handles a front's report; `front` is its incarnation. Reports that exceed the limits, or with demand that is
+    /// not finite, are ignored.
     pub fn handle_report(&mut self, now: Duration, front: u64, report: FrontReport) {
         let fits = report.zones.len() <= MAX_ZONES && report.demand.len() <= MAX_CLASSES;
         let finite = report.demand.iter().all(|demand| demand.rate.is_finite() && demand.work.is_finite());
@@ -202,17 +203,17 @@
         self.reports.insert(front, ReceivedReport { at: now, report });
     }
 
-    /// Drops reports that are too old to count.
+    /// Removes reports that are older than three report intervals.
     pub fn expire(&mut self, now: Duration, report_interval: Duration) {
         self.reports.retain(|_, report| report.at + report_interval * REPORT_LIFETIME_INTERVALS > now);
     }
 
-    /// Fronts whose reports count.
+    /// The number of fronts whose reports count.
     pub fn front_count(&self) -> usize {
         self.reports.len()
     }
 
-    /// Zones that any front has reported on or stands in: one over the highest number, [`MAX_ZONES`] at most.
+    /// One more than the highest number of a zone that any front reports on or is in; [`MAX_ZONES`] at most.
     pub fn zone_count(&self) -> usize {
         let of_fronts = self.fronts().map(|report| report.zone);
         let observed = self.fronts().flat_map(|report| &report.zones).map(|stats| stats.zone);
@@ -220,7 +221,7 @@
         count.min(MAX_ZONES)
     }
 
-    /// What all fronts together observe of a zone.
+    /// The observations of a zone, combined over all fronts.
     pub fn evidence(&self, zone: Zone) -> Evidence {
         let mut evidence = Evidence::default();
         let mut totals = Totals::default();
@@ -240,7 +241,7 @@
         evidence
     }
 
-    /// A zone's health by the rule of the module.
+    /// A zone's health by the rules at the head of the module.
     pub fn health(&self, zone: Zone) -> ZoneHealth {
         self.observe(zone).health
     }
@@ -251,8 +252,8 @@
         ObservedZone { health: evidence.health(self.front_count(), had_fronts), evidence }
     }
 
-    /// The demand at all fronts, by request class: rates are summed, work is their mean weighted by rate. A front that
-    /// has not learned what a request needs counts for no work.
+    /// The demand at all fronts, by request class: the sum of the rates, and the mean work weighted by rate. A front
+    /// that has not learned a request's work yet is left out of the mean.
     pub fn demand(&self, classes: usize) -> Vec<Demand> {
         let mut total = vec![Demand::default(); classes.min(MAX_CLASSES)];
         let mut work = vec![0.0f32; total.len()];
--- a/crates/core/zone-failover/src/lib.rs
+++ b/crates/core/zone-failover/src/lib.rs
@@ -1,12 +1,13 @@
-//! The fleet's plan for the loss of a whole zone (docs/site-loss.md); pure: time is an argument, nothing is random.
+//! Failover of whole zones (docs/site-loss.md). The crate does no I/O, takes the time as an argument and uses no
+//! random numbers.
 //!
-//! 1. Every front observes the zones by its ordinary attempts and probes ([`Observer`]) and sends a [`FrontReport`] to
-//!    the voters each report interval.
-//! 2. The voter that holds the lease ([`Coordinator`]) weighs the reports ([`HealthEvaluator`]), moves each zone through
-//!    its states ([`ZoneStateMachine`]), allocates the demand to what is left ([`allocate`]) and writes a
-//!    [`FailoverPlan`] to a register.
-//! 3. Every front follows the committed plan ([`PlanFollower`], [`PlanAdmission`]). A front that can't learn it follows
-//!    a rule that is safe if all fronts do the same (module `follower`).
+//! 1. Every front observes the zones through its ordinary attempts and probes ([`Observer`]) and sends a
+//!    [`FrontReport`] to the voters each report interval.
+//! 2. The voter that holds the lease ([`Coordinator`]) derives each zone's health from the reports
+//!    ([`HealthEvaluator`]), runs a state machine for each zone ([`ZoneStateMachine`]), allocates the demand to the
+//!    remaining capacity ([`allocate`]) and writes a [`FailoverPlan`] to a register.
+//! 3. Every front follows the committed plan ([`PlanFollower`], [`PlanAdmission`]). A front that can't read the plan
+//!    is isolated and follows a rule that is safe if all fronts follow it at once (module `follower`).
 
 #![warn(missing_docs)]
 
@@ -36,11 +37,12 @@
 pub use state_machine::{ZoneInput, ZoneStateMachine};
 pub use transition::{Transition, TransitionReason};
 
-/// A zone, by its number in the deployment.
+/// The number of a zone in the deployment, from 0.
 pub type Zone = u32;
-/// Zones at most; those beyond are no part of any plan.
+/// The maximum number of zones. Plans ignore zones with higher numbers.
 pub const MAX_ZONES: usize = 16;
-/// Request classes at most; those beyond are no part of any plan.
+/// The maximum number of request classes. Plans ignore classes with higher numbers.
 pub const MAX_CLASSES: usize = 64;
-/// All of a zone's engines are open, or all of a class is admitted; in thousandths.
+/// The open share of a zone whose engines are all open, in thousandths; also the admitted share of a class of which
+/// every request is admitted.
 pub const FULLY_OPEN: u16 = 1000;
--- a/crates/core/zone-failover/src/observer.rs
+++ b/crates/core/zone-failover/src/observer.rs
@@ -1,8 +1,9 @@
-//! What one front observes of the zones by its ordinary attempts and probes; nothing is sent for its sake.
+//! Observes the zones through the front's ordinary attempts and probes. The observer itself sends nothing.
 //!
-//! An engine *answers* if it has answered lately and not failed since. It is *silent* if it has failed lately, or if
-//! something sent there has been unanswered for the confirmation time, so that a zone that vanishes without an error is
-//! seen too. Otherwise it counts as not tried.
+//! An engine is *silent* if its latest failure is recent and newer than its latest answer, or if an attempt or a
+//! probe has been unanswered for the confirmation time. The latter detects a zone that disappears without an error.
+//! Otherwise an engine *answers* if its latest answer is recent, and else counts as not tried. Recent means within
+//! the last four report intervals.
 
 use crate::{
     ClassLoad, Demand, FailoverConfig, FrontReport, LocalView, LocalZone, MAX_CLASSES, MAX_ZONES, Zone,
@@ -11,17 +12,17 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// An attempt that took so many times its work over its threads counts as slow.
+/// An attempt is slow if it took longer than this multiple of its work divided by its threads.
 const SLOW_FACTOR: f64 = 4.0;
-/// The shortest attempt that is called slow, in seconds.
+/// An attempt of up to this duration is never slow, in seconds.
 const MIN_SLOW_S: f64 = 0.25;
-/// Report intervals for which an answer or a failure counts.
+/// The number of report intervals for which an answer or a failure counts as recent.
 const RECENT_INTERVALS: u32 = 4;
-/// Engines observed at most.
+/// The maximum number of engines observed.
 const MAX_ENGINES: usize = 4096;
-/// Weight of the latest interval's arrivals in the smoothed rate.
+/// The weight of the latest interval's rate in the smoothed rate.
 const RATE_WEIGHT: f64 = 0.2;
-/// Least weight of one response's work in the mean; the first responses weigh one over their number.
+/// The least weight of one reply's work in the mean. The first replies weigh one over their number, a plain mean.
 const MIN_WORK_WEIGHT: f64 = 0.05;
 /// The shortest report interval that rates are computed over, in seconds.
 const MIN_INTERVAL_S: f64 = 1e-3;
@@ -30,16 +31,16 @@
 struct Engine {
     zone: Zone,
     cores: u32,
-    /// False from the begin of a full list until the list names it.
+    /// False from the start of a full endpoint list until the list names the engine.
     ready: bool,
     last_answer: Option<Duration>,
     last_failure: Option<Duration>,
-    /// When the first of what has been sent since the last answer was sent.
+    /// The time of the first attempt or probe sent since the last answer.
     unanswered_since: Option<Duration>,
 }
 
 impl Engine {
-    /// Whether it answers; none where it was not tried lately.
+    /// Whether the engine answers (`true`) or is silent (`false`); none if it counts as not tried.
     fn answers(&self, now: Duration, config: &FailoverConfig) -> Option<bool> {
         let is_recent = |at: Duration| at + config.report_interval * RECENT_INTERVALS > now;
         if self.last_failure > self.last_answer && self.last_failure.is_some_and(is_recent) {
@@ -62,11 +63,11 @@
 
 #[derive(Debug, Clone, Copy, Default)]
 struct ClassDemand {
-    /// Since the last report.
+    /// Requests since the last report.
     arrivals: u32,
-    /// Smoothed, in requests a second.
+    /// The smoothed rate of arrivals, in requests a second.
     rate: f64,
-    /// Mean of a request, in seconds on one thread; zero before the first sample.
+    /// The mean work of a request, in seconds on one thread; zero before the first sample.
     work: f64,
     work_samples: u32,
 }
@@ -83,64 +84,66 @@
     }
 }
 
-/// How an attempt ended, as far as it says something of its engine.
+/// The result of an attempt, as evidence about its engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AttemptResult {
-    /// With a response.
+    /// The engine replied with a result.
     Returned {
-        /// From sending to the response, in seconds.
+        /// The time from sending to the reply, in seconds.
         elapsed: f64,
-        /// The work that the response states, in seconds on one thread.
+        /// The work that the reply states, in seconds on one thread.
         work: Option<f64>,
-        /// Threads that it ran on.
+        /// The number of threads that the request ran on.
         threads: f64,
     },
-    /// No connection, a reset, or no response in time.
+    /// No connection, a reset, or no reply in time.
     Failed,
-    /// The engine answered, but with no result.
+    /// The engine replied, but without a result.
     Answered,
-    /// The front cancelled it: says nothing.
+    /// The front cancelled the attempt; this is no evidence.
     Cancelled,
 }
 
-/// An engine as this front observes it.
+/// This front's observation of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineObservation {
     /// The engine's id.
     pub engine: u32,
-    /// The zone that it stands in.
+    /// The engine's zone.
     pub zone: Zone,
-    /// Its cores.
+    /// The engine's cores.
     pub cores: u32,
-    /// Whether it answers; none where it was not tried lately.
+    /// Whether the engine answers (`true`) or is silent (`false`); none if it counts as not tried.
     pub answers: Option<bool>,
 }
 
-/// What a front observed over one report interval.
+/// A front's observations over one report interval.
 #[derive(Debug, Clone, Default)]
 pub struct Observation {
-    /// For the voters.
+    /// The report for the voters.
     pub report: FrontReport,
-    /// For the front itself.
+    /// The view for the front itself.
     pub local: LocalView,
 }
 
-/// One front's observations of engines, zones and demand.
+/// Records one front's observations of engines, zones and demand.
 #[derive(Debug, Clone)]
 pub struct Observer {
+    /// The zone of the front itself.
     zone: Zone,
-    /// By id; [`MAX_ENGINES`] at most.
+    /// The engines, by id; [`MAX_ENGINES`] at most.
     engines: BTreeMap<u32, Engine>,
+    /// The attempts that ended since the last report, by zone.
     attempts: [AttemptCounts; MAX_ZONES],
-    /// By request class.
+    /// The demand, by request class.
     demand: Vec<ClassDemand>,
-    /// As configured.
+    /// The configured request classes.
     classes: Vec<ClassLoad>,
     last_report: Duration,
 }
 
 impl Observer {
-    /// `zone` is the front's own; `classes` as configured, their rates and work are learned.
+    /// `zone` is the front's own; `classes` are the configured request classes, whose rates and work are observed.
     pub fn new(now: Duration, zone: Zone, mut classes: Vec<ClassLoad>) -> Observer {
         classes.truncate(MAX_CLASSES);
         Observer {
@@ -153,7 +156,8 @@
         }
     }
 
-    /// The endpoint list names an engine as ready, or no longer does. In a full table known engines keep their place.
+    /// Handles an endpoint update: the endpoint list names an engine as ready, or no longer does. If the table is
+    /// full, new engines are ignored and known ones kept.
     pub fn update_engine(&mut self, engine: u32, zone: Zone, cores: u32, ready: bool) {
         if !ready {
             self.engines.remove(&engine);
@@ -168,31 +172,31 @@
         }
     }
 
-    /// A full endpoint list follows.
+    /// Handles the start of a full endpoint list.
     pub fn begin_full_list(&mut self) {
         self.engines.values_mut().for_each(|engine| engine.ready = false);
     }
 
-    /// The full endpoint list is complete: engines that it did not name are dropped.
+    /// Handles the end of a full endpoint list; engines that it did not name are removed.
     pub fn end_full_list(&mut self) {
         self.engines.retain(|_, engine| engine.ready);
     }
 
-    /// A request of this class arrived, whether or not it is admitted.
+    /// Counts the arrival of a request of this class, whether or not it is admitted.
     pub fn request_arrived(&mut self, request_class: usize) {
         if let Some(demand) = self.demand.get_mut(request_class) {
             demand.arrivals = demand.arrivals.saturating_add(1);
         }
     }
 
-    /// An attempt or a probe was sent.
+    /// Records that an attempt or a probe was sent.
     pub fn attempt_sent(&mut self, now: Duration, engine: u32) {
         if let Some(engine) = self.engines.get_mut(&engine) {
             engine.unanswered_since = engine.unanswered_since.or(Some(now));
         }
     }
 
-    /// The engine answered anything at all.
+    /// Records an answer of the engine, of any kind.
     pub fn engine_answered(&mut self, now: Duration, engine: u32) {
         if let Some(engine) = self.engines.get_mut(&engine) {
             engine.last_answer = Some(now);
@@ -200,14 +204,14 @@
         }
     }
 
-    /// An attempt or a probe failed for want of an answer.
+    /// Records that an attempt or a probe failed without an answer.
     pub fn engine_missed(&mut self, now: Duration, engine: u32) {
         if let Some(engine) = self.engines.get_mut(&engine) {
             engine.last_failure = Some(now);
         }
     }
 
-    /// An attempt ended.
+    /// Records the result of an attempt.
     pub fn attempt_ended(&mut self, now: Duration, engine: u32, request_class: usize, result: AttemptResult) {
         let zone = self.engines.get(&engine).map(|engine| engine.zone as usize);
         let mut ended = AttemptCounts::default();
@@ -235,7 +239,7 @@
         }
     }
 
-    /// All engines known, by id.
+    /// All known engines, in the order of their ids.
     pub fn engines(&self, now: Duration, config: &FailoverConfig) -> Vec<EngineObservation> {
         let observe = |(id, engine): (&u32, &Engine)| EngineObservation {
             engine: *id,
@@ -246,7 +250,8 @@
         self.engines.iter().map(observe).collect()
     }
 
-    /// Ends the report interval. `quota` is this front's share of what all fronts share, from 0 to 1.
+    /// Ends the report interval. `quota` is the share of the zones' capacity that this front may use while it is
+    /// isolated, from 0 to 1.
     pub fn report(&mut self, now: Duration, config: &FailoverConfig, quota: f64) -> Observation {
         let interval_s = now.saturating_sub(self.last_report).as_secs_f64().max(MIN_INTERVAL_S);
         self.last_report = now;
@@ -271,7 +276,7 @@
         Observation { report: FrontReport { zone: self.zone, zones, demand }, local }
     }
 
-    /// By zone, up to the highest that an engine or this front stands in.
+    /// The engine counts by zone, up to the highest zone of any engine or of this front.
     fn zone_stats(&self, now: Duration, config: &FailoverConfig) -> Vec<ZoneStats> {
         let last = self.engines.values().map(|engine| engine.zone).chain([self.zone]).max().unwrap_or(0);
         let mut zones: Vec<ZoneStats> =
--- a/crates/core/zone-failover/src/plan.rs
+++ b/crates/core/zone-failover/src/plan.rs
@@ -1,11 +1,12 @@
-//! The plan that all fronts follow, and how it is built from the zones' states, the demand and the supply.
+//! The plan that all fronts follow, built from the zones' states, the demand and the supply.
 //!
-//! A zone supplies its cores, times the share of its engines that answer, times the share that its state opens, times
-//! the configured utilization. While all zones are up and answer, the plan admits everything: what engines bear is then
-//! known better to each front's admission control than to any plan.
+//! A zone's capacity is its cores, times the share of its engines that answer, times the share of its engines that
+//! its state opens, times the configured utilization. While all zones are up and answer, the plan admits every
+//! request, as each front's admission control then knows the capacity of the engines better than a plan does.
 //!
-//! [`FailoverPlan`] stands in a register as postcard, states and overrides are shown to operators as JSON and text: order
-//! and types of fields and variants must stay, and so must the names in `serde(rename)` and `Display`.
+//! [`FailoverPlan`] is stored in a register in postcard, and operators' commands print states and overrides as JSON
+//! and text. The order and types of fields and variants must stay, and so must the names in `serde(rename)` and
+//! `Display`.
 
 use crate::{
     Allocation, ClassLoad, FULLY_OPEN, FailoverConfig, MAX_CLASSES, MAX_ZONES, Zone, ZoneCapacity,
@@ -14,36 +15,36 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The share of a zone's engines that must answer, below which the plan rations even with all zones up.
+/// Below this share of answering engines in any zone the plan limits admission even if all zones are up.
 const MIN_ANSWERING_SHARE: f64 = 0.6;
 
-/// The state of a zone, as the fleet has committed it.
+/// The committed state of a zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ZoneState {
-    /// In use by all fronts.
+    /// All fronts use it.
     #[default]
     Up,
-    /// Evidence speaks against it, not yet for long enough: still in use.
+    /// It is unreachable or partitioned, but not yet for the confirmation time. All fronts still use it.
     #[serde(rename = "Doubt")]
     Suspected,
-    /// Nothing is sent there.
+    /// No front sends anything there.
     Lost,
-    /// Its own fronts use it, the others can't reach it.
+    /// Only the fronts of the zone use it; the others can't reach it.
     #[serde(rename = "Cut")]
     Partitioned,
-    /// Its own fronts and one other front probe it.
+    /// Its own fronts and one front of another zone send requests there, to find out whether it answers.
     #[serde(rename = "Trial")]
     Probing,
-    /// It is opened step by step.
+    /// Its engines are opened again in steps.
     #[serde(rename = "Returning")]
     Recovering,
-    /// Drained by an operator.
+    /// An operator drains it, or has drained it.
     #[serde(rename = "Out")]
     Disabled,
 }
 
 impl fmt::Display for ZoneState {
-    /// The name in logs and in what operators are shown.
+    /// The name in logs and in the output of commands.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
             ZoneState::Up => "Up",
@@ -57,27 +58,27 @@
     }
 }
 
-/// What an operator wants of a zone.
+/// An operator's override of a zone's state machine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum OperatorOverride {
-    /// Nothing: the zone follows the evidence.
+    /// No override: the zone follows the evidence.
     #[default]
     Auto,
-    /// Drained in steps, and kept out.
+    /// The zone is drained in steps and stays unused.
     #[serde(rename = "Out")]
     Disable,
-    /// The same, but ended by itself if outcomes elsewhere degrade.
+    /// Like `Disable`, but the drain ends by itself if outcomes in another zone degrade.
     Drill,
     /// A lost zone is not probed.
     #[serde(rename = "HoldReturn")]
     HoldRecovery,
-    /// Recovers at twice the pace.
+    /// The steps of a recovery are taken at half the ramp interval.
     #[serde(rename = "Hurry")]
     FastRecovery,
 }
 
 impl fmt::Display for OperatorOverride {
-    /// The name in what operators are shown.
+    /// The name in the output of commands.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
             OperatorOverride::Auto => "Auto",
@@ -89,21 +90,22 @@
     }
 }
 
-/// A zone in the plan.
+/// The plan for one zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZonePlan {
-    /// Its state.
+    /// The zone's state.
     pub state: ZoneState,
     /// The share of its engines that is open, in thousandths; not over [`FULLY_OPEN`].
     pub open_permille: u16,
-    /// A bit for each request class that may not go there yet.
+    /// A bit for each request class that may not be sent there yet.
     pub blocked_classes: u64,
-    /// Losses in a row; each doubles the recovery backoff.
+    /// Consecutive losses; each after the first doubles the recovery backoff.
     pub consecutive_losses: u8,
 }
 
 impl ZonePlan {
-    /// The share of the zone's engines that serves the fleet, from 0 to 1. A partitioned zone serves its own fronts.
+    /// The share of the zone's engines that counts as capacity, from 0 to 1. A partitioned zone counts in full, as it
+    /// serves its own fronts.
     fn open_share(&self) -> f64 {
         match self.state {
             ZoneState::Up | ZoneState::Suspected | ZoneState::Partitioned => 1.0,
@@ -115,26 +117,26 @@
     }
 }
 
-/// What all fronts follow. Its version is that of the register's entry.
+/// The plan that all fronts follow. Its version is the version of the register's entry.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailoverPlan {
-    /// By zone; [`MAX_ZONES`] at most.
+    /// The zones by number; [`MAX_ZONES`] at most.
     pub zones: Vec<ZonePlan>,
-    /// By request class: the share that is admitted, in thousandths; [`MAX_CLASSES`] at most.
+    /// The share of the arrivals that is admitted, by request class, in thousandths; [`MAX_CLASSES`] at most.
     pub admitted_permille: Vec<u16>,
     /// The least Retry-After of rejected requests, in milliseconds.
     pub retry_after_ms: u32,
-    /// The front that probes zones from elsewhere, by its incarnation.
+    /// The incarnation of the front that probes zones other than its own.
     pub prober: u64,
 }
 
 impl FailoverPlan {
-    /// The register's value, in postcard.
+    /// Encodes the plan as the register's value.
     pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// None for bytes that are no plan, or one beyond the limits.
+    /// Decodes the register's value; none if it is corrupt or exceeds the limits.
     pub fn from_bytes(bytes: &[u8]) -> Option<FailoverPlan> {
         let plan: FailoverPlan = postcard::from_bytes(bytes).ok()?;
         let fits = plan.zones.len() <= MAX_ZONES && plan.admitted_permille.len() <= MAX_CLASSES;
@@ -142,25 +144,26 @@
     }
 }
 
-/// What a zone has to offer.
+/// The engines of a zone, as far as they count for its capacity.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ZoneSupply {
-    /// Cores listed there.
+    /// The cores of the engines that the endpoint list names there.
     pub cores: u32,
-    /// The share of its engines that answers, slow ones counted for less; from 0 to 1.
+    /// The share of its engines that answers, from 0 to 1; less if attempts there are slow.
     pub answering_share: f64,
 }
 
 /// A plan, with the allocation that it was built from.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedAllocation {
-    /// What the fronts are to follow.
+    /// The plan for the fronts to follow.
     pub plan: FailoverPlan,
-    /// Who is served where.
+    /// The work of each request class in each zone.
     pub allocation: Allocation,
 }
 
-/// Builds the plan for zones in these states. `prober` is the incarnation of the front that probes zones.
+/// Builds the plan from the zones' states, the demand and the supply. `prober` is the incarnation of the front that
+/// probes zones other than its own.
 pub fn build_plan(
     state_machines: &[ZoneStateMachine],
     classes: &[ClassLoad],
@@ -203,8 +206,8 @@
     allocation.served_shares.iter().map(permille).collect()
 }
 
-/// The classes that may not go yet to a recovering zone, a bit each: short work warms it up. The first step admits the
-/// half of the classes with the shortest work, the second three quarters, later steps all.
+/// The classes that may not be sent to a recovering zone yet, a bit each. The zone warms up with short work: the
+/// first step admits the half of the classes with the least work, the second step three quarters, later steps all.
 fn blocked_classes(open_permille: u16, classes: &[ClassLoad]) -> u64 {
     let mut by_work: Vec<usize> = (0..classes.len()).collect();
     by_work.sort_by(|a, b| classes[*a].work.total_cmp(&classes[*b].work).then(a.cmp(b)));
--- a/crates/core/zone-failover/src/report.rs
+++ b/crates/core/zone-failover/src/report.rs
@@ -1,67 +1,67 @@
-//! What a front reports to the voters, and what it knows by itself. [`FrontReport`] travels between fronts as postcard:
+//! The report of a front to the voters, and the front's local view. Fronts send [`FrontReport`] in postcard, so the
 //! order and types of its fields must stay.
 
 use crate::{ClassLoad, Zone, ZoneHealth};
 use serde::{Deserialize, Serialize};
 
-/// What one front observed of one zone over the last report interval.
+/// One front's observations of one zone over the last report interval.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneStats {
     /// The zone.
     pub zone: Zone,
-    /// Engines that the endpoint list names as ready.
+    /// The number of engines that the endpoint list names as ready.
     pub listed: u16,
-    /// Cores of the listed engines.
+    /// The cores of the listed engines.
     pub cores: u32,
-    /// Engines tried lately that answer.
+    /// The number of engines that were tried recently and answer.
     pub answering: u16,
-    /// Engines tried lately that don't.
+    /// The number of engines that were tried recently and don't answer.
     pub silent: u16,
-    /// Attempts that returned.
+    /// Attempts that returned a reply.
     pub returned: u32,
-    /// Attempts that returned, but took far longer than their work.
+    /// Attempts that returned a reply, but took far longer than their work.
     pub slow: u32,
     /// Attempts that failed.
     pub failed: u32,
 }
 
-/// Demand for a request class at one front.
+/// The demand for a request class, at one front or summed over all.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// Requests a second, rejected ones included.
+    /// Arrivals in requests a second, rejected requests included.
     pub rate: f32,
-    /// Work of a request, in seconds on one thread; zero while no response has shown any.
+    /// The mean work of one request, in seconds on one thread; zero before any reply has stated it.
     pub work: f32,
 }
 
-/// What a front reports each report interval.
+/// The report that a front sends to the voters each report interval.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct FrontReport {
     /// The zone of the front itself.
     pub zone: Zone,
-    /// By zone.
+    /// The observations, by zone.
     pub zones: Vec<ZoneStats>,
-    /// By request class.
+    /// The demand, by request class.
     pub demand: Vec<Demand>,
 }
 
-/// A zone as one front sees it by itself.
+/// One front's view of a zone, from its own observations alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LocalZone {
-    /// Unknown, unreachable or healthy; one front can't tell more.
+    /// Unknown, unreachable or healthy; one front can't distinguish more.
     pub health: ZoneHealth,
-    /// Cores that the endpoint list names there.
+    /// The cores of the engines that the endpoint list names there.
     pub cores: u32,
 }
 
-/// What a front knows by itself.
+/// One front's view of the zones and its demand, from its own observations alone.
 #[derive(Debug, Clone, Default)]
 pub struct LocalView {
-    /// By zone.
+    /// The zones, by number.
     pub zones: Vec<LocalZone>,
     /// The demand at this front, by request class.
     pub classes: Vec<ClassLoad>,
-    /// This front's share of the zones where it is isolated, from 0 to 1: one over the number of fronts stated, and not the
-    /// quota of leases.
+    /// The share of the zones' capacity that this front may use while it is isolated, from 0 to 1: one over the
+    /// configured number of fronts. It is not the quota of leases.
     pub quota: f64,
 }
--- a/crates/core/zone-failover/src/state_machine.rs
+++ b/crates/core/zone-failover/src/state_machine.rs
@@ -1,9 +1,10 @@
-//! The state machine of one zone, as the coordinator moves it.
+//! The state machine of one zone, run by the coordinator.
 //!
-//! One transition at most a poll; within a state the first condition that holds decides. *Lost* stands for
-//! [`ZoneState::Lost`] where no front reaches the zone, and for [`ZoneState::Partitioned`] where only its own do;
-//! *confirmed* means that the health has been the same for the confirmation time, counted anew in each state. A new coordinator takes the states
-//! from the register and counts all times anew, which can lengthen a wait by itself once, and never shortens one.
+//! A poll makes at most one transition. Within a state the first condition in the table that holds decides. *Lost*
+//! stands for [`ZoneState::Lost`] if no front reaches the zone, and for [`ZoneState::Partitioned`] if only its own
+//! fronts do. *Confirmed* means that the health has been the same for the confirmation time, which starts again with
+//! each state. A new coordinator reads the states from the register and restarts all times. A takeover can extend a
+//! wait by at most its own length, and never shortens one.
 //!
 //! | state | condition | next state | reason |
 //! | --- | --- | --- | --- |
@@ -16,7 +17,7 @@
 //! | Suspected | partitioned, confirmed | Partitioned | `Partitioned` |
 //! | Disabled | not yet closed; unreachable or partitioned, confirmed | *lost* | `Unreachable` |
 //! | Disabled | a drill, and outcomes elsewhere degrade | Recovering, first step | `DrillDegradedOthers` |
-//! | Disabled | no longer disabled by an operator | Recovering, as open as it is, the first step at least | `OperatorEnabled` |
+//! | Disabled | no longer disabled by an operator | Recovering, open share kept, at least the first step | `OperatorEnabled` |
 //! | Disabled | not yet closed; the ramp interval is over | Disabled, one step less open | `DrainStep` |
 //! | Lost, Partitioned | recovery held by an operator | no change | |
 //! | Partitioned | unreachable, confirmed | Lost | `LocalFrontsLostIt` |
@@ -25,7 +26,7 @@
 //! | Probing | neither, four probations after it began | Lost | `ProbationFailed` |
 //! | Recovering | unreachable or partitioned, confirmed | *lost* | `LostDuringRecovery` |
 //! | Recovering | outcomes there degrade; two report intervals after the last step, beyond the first step | Recovering, one step less open | `OutcomesDegraded` |
-//! | Recovering | outcomes are good, health is known, the ramp interval is over | Recovering, next step | `RampStep` |
+//! | Recovering | outcomes don't degrade, health is known, the ramp interval is over | Recovering, next step | `RampStep` |
 //! | Recovering | the same, and fully open | Up | `RampComplete` |
 
 use crate::{
@@ -34,43 +35,43 @@
 };
 use std::time::Duration;
 
-/// The shares of a zone's engines that are open at each step of a recovery or a drain, in thousandths.
+/// The share of a zone's engines that is open at each step of a recovery or a drain, in thousandths.
 const RAMP_STEPS_PERMILLE: [u16; 5] = [125, 250, 500, 750, FULLY_OPEN];
-/// The share at the first step of a recovery, in thousandths.
+/// The open share at the first step of a recovery, in thousandths.
 const FIRST_STEP_PERMILLE: u16 = RAMP_STEPS_PERMILLE[0];
-/// Doublings of the recovery backoff at most.
+/// The maximum number of doublings of the recovery backoff.
 const MAX_BACKOFF_DOUBLINGS: u8 = 4;
-/// Attempts that failed or were slow beyond this share stop a recovery, or end a drill.
+/// The share of failed or slow attempts above which a recovery steps back, or a drill ends; from 0 to 1.
 const MAX_DEGRADED_SHARE: f64 = 0.2;
-/// Ended attempts below which the degraded share of a recovering zone is not judged.
+/// The least number of ended attempts in a recovering zone for which the degraded share is evaluated.
 const MIN_ATTEMPTS: u32 = 10;
-/// Losses are forgotten once a zone has been up for so many of its last backoffs.
+/// The consecutive losses are reset once a zone has been up for its recovery backoff times this number.
 const FORGET_AFTER_BACKOFFS: u32 = 8;
-/// Probations after which a probed zone that does not answer is lost again.
+/// A probed zone that does not answer is lost again after its probation times this number.
 const MAX_PROBATIONS: u32 = 4;
-/// Report intervals between two steps back of a recovery.
+/// The least time between a step of a recovery and a step back after it, in report intervals.
 const MIN_REPORTS_BETWEEN_STEPS_BACK: u32 = 2;
 
-/// What the state machine goes by at one poll.
+/// The input of the state machine at one poll.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ZoneInput {
     /// The zone's health by all reports.
     pub health: ZoneHealth,
     /// The evidence behind the health.
     pub evidence: Evidence,
-    /// What an operator wants of the zone.
+    /// The operator's override of the zone.
     pub operator_override: OperatorOverride,
     /// The largest share of attempts that failed or were slow in any other zone, from 0 to 1.
     pub others_degraded_share: f64,
 }
 
 impl ZoneInput {
-    /// Whether the fleet can't use the zone.
+    /// Whether the zone is unreachable or partitioned.
     fn is_bad(&self) -> bool {
         matches!(self.health, ZoneHealth::Unreachable | ZoneHealth::Partitioned)
     }
 
-    /// The state of a zone that is lost with this health.
+    /// The state that a zone enters if it is lost with this health.
     fn lost_state(&self) -> ZoneState {
         if self.health == ZoneHealth::Unreachable { ZoneState::Lost } else { ZoneState::Partitioned }
     }
@@ -80,14 +81,14 @@
     }
 }
 
-/// The health that a zone has had since a time.
+/// A health that has not changed since a time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct SteadyHealth {
     health: ZoneHealth,
     since: Duration,
 }
 
-/// One poll, with what the states' functions share.
+/// The context of one poll, for the functions of all states.
 #[derive(Debug, Clone, Copy)]
 struct Poll<'a> {
     now: Duration,
@@ -110,34 +111,34 @@
     }
 }
 
-/// A zone's place in the plan, and the times that its transitions are counted from.
+/// A zone's entry in the plan, and the times from which its timeouts count.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ZoneStateMachine {
-    /// The zone as the plan shows it; the blocked classes are filled in by [`crate::build_plan`].
+    /// The zone's entry in the plan; [`crate::build_plan`] sets the blocked classes.
     pub plan: ZonePlan,
-    /// When it entered its state.
+    /// The time at which the zone entered its state.
     entered_at: Duration,
-    /// When its state or its open share last changed.
+    /// The time at which the state or the open share last changed.
     stepped_at: Duration,
-    /// None until the first poll in a state.
+    /// The health and since when it has not changed; none until the first poll in a state.
     steady_health: Option<SteadyHealth>,
-    /// A drill that ended by itself: the override is ignored until an operator changes it.
+    /// A drill has ended by itself. The override is ignored until it is neither `Disable` nor `Drill`.
     drill_ended: bool,
 }
 
 impl ZoneStateMachine {
-    /// A zone as the register shows it.
+    /// The state machine of a zone with this entry in the committed plan; all times start at `now`.
     pub fn new(now: Duration, plan: ZonePlan) -> ZoneStateMachine {
         ZoneStateMachine { plan, entered_at: now, stepped_at: now, steady_health: None, drill_ended: false }
     }
 
-    /// A zone that is up, as all are at first.
+    /// The state machine of a zone that is up, the initial state of every zone.
     pub fn up(now: Duration) -> ZoneStateMachine {
         let plan = ZonePlan { state: ZoneState::Up, open_permille: FULLY_OPEN, ..ZonePlan::default() };
         ZoneStateMachine::new(now, plan)
     }
 
-    /// Makes one transition at most, by the table above.
+    /// Makes at most one transition, by the table at the head of the module.
     pub fn step(&mut self, now: Duration, config: &FailoverConfig, input: &ZoneInput) -> Option<Transition> {
         let health_lasted = self.observe_health(now, input.health);
         if !input.wants_disabled() {
@@ -263,7 +264,7 @@
         }
     }
 
-    /// How long the health has been the same.
+    /// Records the health; returns how long it has been the same.
     fn observe_health(&mut self, now: Duration, health: ZoneHealth) -> Duration {
         match self.steady_health {
             Some(steady) if steady.health == health => now.saturating_sub(steady.since),
@@ -283,7 +284,7 @@
         config.recovery_backoff * (1 << doublings)
     }
 
-    /// A zone in use is lost.
+    /// Marks a zone that is up or suspected as lost.
     fn lose_in_use(&mut self, poll: &Poll) -> Option<Transition> {
         let reason = match poll.input.health {
             ZoneHealth::Unreachable => TransitionReason::Unreachable,
@@ -305,7 +306,7 @@
         self.transition(now, to, 0, reason)
     }
 
-    /// None where neither the state nor the open share changes.
+    /// Sets the state and the open share; returns none if neither changes.
     fn transition(
         &mut self,
         now: Duration,
--- a/crates/core/zone-failover/src/transition.rs
+++ b/crates/core/zone-failover/src/transition.rs
@@ -1,26 +1,26 @@
-//! A transition of a zone, and its reason, as logs show them.
+//! Transitions of zones, and their reasons as logged.
 
 use crate::ZoneState;
 use std::fmt;
 
-/// Why a zone was moved.
+/// The reason of a zone's transition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TransitionReason {
-    /// No front reaches it.
+    /// The zone is unreachable for the confirmation time; during a drain also if it is partitioned.
     Unreachable,
-    /// Only its own fronts reach it.
+    /// Only the zone's own fronts reach it, for the confirmation time.
     Partitioned,
-    /// It is unreachable or partitioned, not yet for the confirmation time.
+    /// The zone is unreachable or partitioned, but not yet for the confirmation time.
     Suspected,
-    /// A suspected zone is healthy again.
+    /// A suspected zone is neither unreachable nor partitioned any more.
     EvidenceCleared,
-    /// An operator drains it.
+    /// An operator drains the zone.
     OperatorDisabled,
-    /// A drill ended, as outcomes elsewhere degraded.
+    /// A drill ended by itself, as outcomes in another zone degraded.
     DrillDegradedOthers,
     /// An operator ended the drain.
     OperatorEnabled,
-    /// The drain goes on.
+    /// The next step of a drain.
     DrainStep,
     /// A partitioned zone became unreachable for its own fronts too.
     LocalFrontsLostIt,
@@ -28,20 +28,20 @@
     BackoffElapsed,
     /// The probed zone answered for the probation.
     ProbationPassed,
-    /// The probed zone did not answer in time.
+    /// The probed zone did not answer within four probations.
     ProbationFailed,
-    /// Lost again while it recovered.
+    /// The zone was lost again while it recovered.
     LostDuringRecovery,
-    /// Attempts there fail or are slow while it recovers.
+    /// Attempts in a recovering zone fail or are slow.
     OutcomesDegraded,
-    /// The recovery goes on.
+    /// The next step of a recovery.
     RampStep,
     /// The recovery is complete.
     RampComplete,
 }
 
 impl fmt::Display for TransitionReason {
-    /// The wording in logs.
+    /// The text in log lines.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
             TransitionReason::Unreachable => "it answers nobody",
@@ -69,10 +69,10 @@
 pub struct Transition {
     /// The state before.
     pub from: ZoneState,
-    /// The state after; the same where only the open share changes.
+    /// The state after; equal to `from` if only the open share changes.
     pub to: ZoneState,
     /// The share of the zone's engines that is open now, in thousandths.
     pub open_permille: u16,
-    /// Why.
+    /// The reason.
     pub reason: TransitionReason,
 }
