--- a/crates/core/zone-failover/src/config.rs
+++ b/crates/core/zone-failover/src/config.rs
@@ -35,13 +35,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FailoverConfigError {
     /// The confirmation time is under two report intervals, or the interval is zero.
-    #[error("a loss is confirmed over two periods at least")]
+    #[error("the confirmation time must be at least two report intervals, and the report interval over zero")]
     ConfirmationTooShort,
     /// The utilization or the admission floor lies outside its range.
-    #[error("the safe part goes up to 1, the floor up to 0.5")]
+    #[error("the maximum utilization must be over 0 and up to 1, the admission floor from 0 to 0.5")]
     ShareOutOfRange,
     /// The plan timeout is under four report intervals.
-    #[error("a plan is stale after four periods at least")]
+    #[error("the plan timeout must be at least four report intervals")]
     PlanTimeoutTooShort,
 }
 
--- a/crates/core/zone-failover/src/transition.rs
+++ b/crates/core/zone-failover/src/transition.rs
@@ -44,22 +44,22 @@
     /// The text in log lines.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            TransitionReason::Unreachable => "it answers nobody",
-            TransitionReason::Partitioned => "only its own fronts reach it",
-            TransitionReason::Suspected => "evidence speaks against it",
-            TransitionReason::EvidenceCleared => "the evidence has passed",
-            TransitionReason::OperatorDisabled => "an operator takes it out",
-            TransitionReason::DrillDegradedOthers => "the drill made others worse",
-            TransitionReason::OperatorEnabled => "an operator gives it back",
-            TransitionReason::DrainStep => "a further step out",
-            TransitionReason::LocalFrontsLostIt => "its own fronts lost it too",
-            TransitionReason::BackoffElapsed => "it has been left alone for its wait",
-            TransitionReason::ProbationPassed => "it answered for long enough",
-            TransitionReason::ProbationFailed => "it did not answer when tried out",
-            TransitionReason::LostDuringRecovery => "lost again on its return",
-            TransitionReason::OutcomesDegraded => "outcomes there worsen",
-            TransitionReason::RampStep => "what is open there does well",
-            TransitionReason::RampComplete => "all of it is open",
+            TransitionReason::Unreachable => "unreachable from most fronts",
+            TransitionReason::Partitioned => "reachable from its own fronts only",
+            TransitionReason::Suspected => "unreachable or partitioned, not confirmed yet",
+            TransitionReason::EvidenceCleared => "no longer unreachable or partitioned",
+            TransitionReason::OperatorDisabled => "drained by an operator",
+            TransitionReason::DrillDegradedOthers => "drill ended, outcomes in another zone degraded",
+            TransitionReason::OperatorEnabled => "drain ended by an operator",
+            TransitionReason::DrainStep => "next drain step",
+            TransitionReason::LocalFrontsLostIt => "unreachable from its own fronts too",
+            TransitionReason::BackoffElapsed => "recovery backoff elapsed",
+            TransitionReason::ProbationPassed => "probation passed",
+            TransitionReason::ProbationFailed => "no answer within four probations",
+            TransitionReason::LostDuringRecovery => "lost again during recovery",
+            TransitionReason::OutcomesDegraded => "outcomes degraded",
+            TransitionReason::RampStep => "next recovery step",
+            TransitionReason::RampComplete => "recovery complete",
         })
     }
 }
