--- a/crates/core/zone-failover/src/allocation.rs
+++ b/crates/core/zone-failover/src/allocation.rs
@@ -132,8 +132,8 @@
     let mut network = FlowNetwork::new(classes, capacities);
     for step in 1..=FILL_STEPS {
         let share = step as f64 / FILL_STEPS as f64;
-        for (room, capacity) in network.room.iter_mut().zip(capacities) {
-            *room = capacity.work * share;
+        for (limit, capacity) in network.capacity_limits.iter_mut().zip(capacities) {
+            *limit = capacity.work * share;
         }
         for class in order {
             network.serve(*class, served_work[*class]);
@@ -179,15 +179,20 @@
     classes: &'a [ClassLoad],
     capacities: &'a [ZoneCapacity],
     /// Work a second that may be used at the current fill step, by zone.
-    room: Vec<f64>,
+    capacity_limits: Vec<f64>,
     /// Work a second, by class and zone.
     flows: Vec<Vec<f64>>,
 }
 
 impl<'a> FlowNetwork<'a> {
     fn new(classes: &'a [ClassLoad], capacities: &'a [ZoneCapacity]) -> FlowNetwork<'a> {
-        let room = capacities.iter().map(|capacity| capacity.work.max(0.0)).collect();
-        FlowNetwork { classes, capacities, room, flows: vec![vec![0.0; capacities.len()]; classes.len()] }
+        let capacity_limits = capacities.iter().map(|capacity| capacity.work.max(0.0)).collect();
+        FlowNetwork {
+            classes,
+            capacities,
+            capacity_limits,
+            flows: vec![vec![0.0; capacities.len()]; classes.len()],
+        }
     }
 
     fn served(&self, class: usize) -> f64 {
@@ -198,8 +203,8 @@
         self.flows.iter().map(|flow| flow[zone]).sum::<f64>()
     }
 
-    fn room_left(&self, zone: usize) -> f64 {
-        self.room[zone] - self.used(zone)
+    fn capacity_left(&self, zone: usize) -> f64 {
+        self.capacity_limits[zone] - self.used(zone)
     }
 
     fn utilization(&self, zone: usize) -> f64 {
@@ -232,7 +237,7 @@
         while next_in_queue < queue.len() {
             let zone = queue[next_in_queue];
             next_in_queue += 1;
-            if self.room_left(zone) > EPSILON_WORK {
+            if self.capacity_left(zone) > EPSILON_WORK {
                 return path_to(zone, &predecessors);
             }
             for (mover, flow) in self.flows.iter().enumerate() {
@@ -254,7 +259,7 @@
         let mut zones: Vec<usize> = (0..self.capacities.len())
             .filter(|zone| self.classes[class].allows(self.capacities[*zone].zone))
             .collect();
-        zones.sort_by(|a, b| self.room_left(*b).total_cmp(&self.room_left(*a)));
+        zones.sort_by(|a, b| self.capacity_left(*b).total_cmp(&self.capacity_left(*a)));
         zones
     }
 
@@ -262,7 +267,7 @@
     fn push(&mut self, class: usize, path: &[PathStep], missing: f64) {
         let last = path.last().map_or(0, |step| step.zone);
         let movable = path.windows(2).map(|pair| self.flows[pair[1].class][pair[0].zone]);
-        let amount = movable.fold(missing.min(self.room_left(last)), f64::min);
+        let amount = movable.fold(missing.min(self.capacity_left(last)), f64::min);
         for pair in path.windows(2) {
             let (before, after) = (pair[0], pair[1]);
             self.flows[after.class][before.zone] -= amount;
--- a/crates/core/zone-failover/src/follower.rs
+++ b/crates/core/zone-failover/src/follower.rs
@@ -127,8 +127,8 @@
     pub fn effect(&mut self, now: Duration, config: &FailoverConfig, local: &LocalView) -> PlanEffect {
         let isolated = self.is_isolated(now, config);
         let restrictions = self.restrictions(now, config, local, isolated);
-        let rations = !restrictions.is_empty() || self.unreachable_since.iter().any(Option::is_some);
-        let admitted_shares = if isolated && rations {
+        let limits_admission = !restrictions.is_empty() || self.unreachable_since.iter().any(Option::is_some);
+        let admitted_shares = if isolated && limits_admission {
             self.isolated_shares(now, config, local, &restrictions)
         } else {
             self.isolated_admission = None;
--- a/crates/core/zone-failover/src/health.rs
+++ b/crates/core/zone-failover/src/health.rs
@@ -193,8 +193,8 @@
     pub fn handle_report(&mut self, now: Duration, front: u64, report: FrontReport) {
         let fits = report.zones.len() <= MAX_ZONES && report.demand.len() <= MAX_CLASSES;
         let finite = report.demand.iter().all(|demand| demand.rate.is_finite() && demand.work.is_finite());
-        let has_room = self.reports.contains_key(&front) || self.reports.len() < MAX_FRONTS;
-        if !fits || !finite || !has_room {
+        let has_capacity = self.reports.contains_key(&front) || self.reports.len() < MAX_FRONTS;
+        if !fits || !finite || !has_capacity {
             return;
         }
         if let Some(had_fronts) = self.had_fronts.get_mut(report.zone as usize) {
--- a/crates/core/zone-failover/src/observer.rs
+++ b/crates/core/zone-failover/src/observer.rs
@@ -163,8 +163,8 @@
             self.engines.remove(&engine);
             return;
         }
-        let has_room = self.engines.len() < MAX_ENGINES || self.engines.contains_key(&engine);
-        if (zone as usize) < MAX_ZONES && has_room {
+        let has_capacity = self.engines.len() < MAX_ENGINES || self.engines.contains_key(&engine);
+        if (zone as usize) < MAX_ZONES && has_capacity {
             let known = self.engines.entry(engine).or_default();
             known.zone = zone;
             known.cores = cores;
--- a/crates/core/zone-failover/src/state_machine.rs
+++ b/crates/core/zone-failover/src/state_machine.rs
@@ -20,7 +20,7 @@
 //! | Disabled | no longer disabled by an operator | Recovering, open share kept, at least the first step | `OperatorEnabled` |
 //! | Disabled | not yet closed; the ramp interval is over | Disabled, one step less open | `DrainStep` |
 //! | Lost, Partitioned | recovery held by an operator | no change | |
-//! | Partitioned | unreachable, confirmed | Lost | `LocalFrontsLostIt` |
+//! | Partitioned | unreachable, confirmed | Lost | `UnreachableLocally` |
 //! | Lost, Partitioned | the recovery backoff is over | Probing | `BackoffElapsed` |
 //! | Probing | healthy or without fronts, for the probation | Recovering, first step | `ProbationPassed` |
 //! | Probing | neither, four probations after it began | Lost | `ProbationFailed` |
@@ -218,7 +218,7 @@
             return None;
         }
         if poll.input.health == ZoneHealth::Unreachable && poll.is_confirmed() {
-            return self.transition(poll.now, ZoneState::Lost, 0, TransitionReason::LocalFrontsLostIt);
+            return self.transition(poll.now, ZoneState::Lost, 0, TransitionReason::UnreachableLocally);
         }
         self.probe_after_backoff(poll)
     }
--- a/crates/core/zone-failover/src/transition.rs
+++ b/crates/core/zone-failover/src/transition.rs
@@ -23,7 +23,7 @@
     /// The next step of a drain.
     DrainStep,
     /// A partitioned zone became unreachable for its own fronts too.
-    LocalFrontsLostIt,
+    UnreachableLocally,
     /// The recovery backoff is over.
     BackoffElapsed,
     /// The probed zone answered for the probation.
@@ -52,7 +52,7 @@
             TransitionReason::DrillDegradedOthers => "drill ended, outcomes in another zone degraded",
             TransitionReason::OperatorEnabled => "drain ended by an operator",
             TransitionReason::DrainStep => "next drain step",
-            TransitionReason::LocalFrontsLostIt => "unreachable from its own fronts too",
+            TransitionReason::UnreachableLocally => "unreachable from its own fronts too",
             TransitionReason::BackoffElapsed => "recovery backoff elapsed",
             TransitionReason::ProbationPassed => "probation passed",
             TransitionReason::ProbationFailed => "no answer within four probations",
