--- a/crates/core/zone-failover/tests/common/mod.rs
+++ b/crates/core/zone-failover/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What several tests share.
+//! Helpers shared by several tests.
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
 use lemonusher_registers::EntryVersion;
--- a/crates/core/zone-failover/tests/coordinator.rs
+++ b/crates/core/zone-failover/tests/coordinator.rs
@@ -1,4 +1,4 @@
-//! The coordinator: what it reads and writes of the plan's register, and its preview.
+//! The coordinator: its reads and writes of the plan's register, and its preview of a lost zone.
 
 mod common;
 
@@ -47,7 +47,7 @@
     for _ in 0..20 {
         assert_eq!(round(&mut coordinator, &mut now, [true; 2]), None);
     }
-    // The zone is lost, and the next coordinator goes on from there.
+    // A zone is lost, and the next coordinator continues from the committed plan.
     let mut wanted = None;
     while !matches!(&wanted, Some(RegisterAction::Write { plan, .. }) if plan.zones[1].state == ZoneState::Lost)
     {
--- a/crates/core/zone-failover/tests/fleet.rs
+++ b/crates/core/zone-failover/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: fronts that observe zones, a coordinator that moves their state machines, plans that don't
-//! reach some fronts.
+//! Simulates a fleet in virtual time: fronts that observe zones, a coordinator that runs the zones' state machines,
+//! and fronts that some plans don't reach.
 
 mod common;
 
@@ -10,7 +10,7 @@
 
 const ZONES: usize = 3;
 
-/// A transition, and when it was.
+/// A transition, with its time.
 #[derive(Debug)]
 struct Step {
     at: Duration,
@@ -19,18 +19,18 @@
     transition: Transition,
 }
 
-/// The fleet, and what links and zones are like.
+/// The fleet, with the state of its links and zones.
 struct World {
     now: Duration,
-    /// By front and zone: the share of engines that answer it.
+    /// The share of a zone's engines that answer a front, by front and zone.
     answers: Box<dyn Fn(usize, u32) -> f64>,
-    /// By zone: whether nine in ten attempts are slow.
+    /// Whether nine in ten attempts are slow, by zone.
     slow: Box<dyn Fn(u32) -> bool>,
-    /// By front: whether it is down.
+    /// Whether the front is down, by front.
     dead: Vec<bool>,
-    /// By front: whether no plan reaches it.
+    /// Whether no plan reaches the front, by front.
     disconnected: Vec<bool>,
-    /// By front: its zone.
+    /// The zone of each front.
     front_zones: Vec<u32>,
     followers: Vec<PlanFollower>,
     effects: Vec<PlanEffect>,
@@ -84,7 +84,7 @@
         vec![class(0, 1.0, 0.2), class(1, 10.0, 4.0), class(2, 10.0, 6.0)]
     }
 
-    /// What a front reports; of a zone that is closed to it, it observes nothing.
+    /// The report of a front. A front observes nothing of a zone that is closed to it.
     fn report(&self, front: usize) -> FrontReport {
         let stats = |zone: u32| {
             let closed = self.effects[front].restrictions.iter().find(|restriction| restriction.zone == zone);
@@ -121,7 +121,7 @@
         self.follow(&config);
     }
 
-    /// All reports arrive, and each zone makes one step.
+    /// Delivers all reports and runs each zone's state machine once.
     fn step_zones(&mut self, config: &FailoverConfig) {
         for front in (0..self.front_zones.len()).filter(|front| !self.dead[*front]) {
             self.evaluator.handle_report(self.now, front as u64, self.report(front));
@@ -143,7 +143,7 @@
         }
     }
 
-    /// The plan is built anew, and committed if it changed.
+    /// Builds the plan, and commits it if it changed.
     fn plan(&mut self, config: &FailoverConfig) {
         let supply: Vec<ZoneSupply> = (0..ZONES)
             .map(|zone| {
@@ -159,7 +159,7 @@
         }
     }
 
-    /// The plan reaches all fronts that are connected, and each applies it.
+    /// Sends the plan to all connected fronts; every front applies its latest plan.
     fn follow(&mut self, config: &FailoverConfig) {
         let share = 1.0 / self.front_zones.len() as f64;
         for front in 0..self.front_zones.len() {
@@ -204,7 +204,7 @@
             .map_or(FULLY_OPEN, |one| one.open_permille)
     }
 
-    /// Work a second that all fronts admit, over what all zones that answer bear.
+    /// The work a second that all fronts admit, over the capacity of all zones that answer.
     fn utilization(&self) -> f64 {
         let work = [0.2, 4.0, 6.0];
         let admitted: f64 = (self.effects.iter().enumerate())
@@ -248,7 +248,7 @@
         }
     }
     assert_eq!(world.state(1), ZoneState::Up);
-    // The longest work is admitted last.
+    // The class with the longest work is admitted last.
     assert_eq!(opened, [(125, 0b100), (250, 0), (500, 0), (750, 0), (1000, 0)]);
     let dates: Vec<Duration> = world
         .steps
@@ -268,7 +268,7 @@
     world.answers = Box::new(|_, zone| if zone == 2 { 0.75 } else { 1.0 });
     world.run(ms(30_000));
     assert!(world.steps.is_empty(), "{:?}", world.steps);
-    // Nine in ten attempts are slow: the zone stays up, but is counted for less, so that more is rejected.
+    // Nine in ten attempts are slow: the zone stays up, but its capacity is counted lower, so more is rejected.
     let before = world.plan.admitted_permille.clone();
     world.answers = Box::new(|_, _| 1.0);
     world.slow = Box::new(|zone| zone == 2);
@@ -325,7 +325,7 @@
             .count();
         losses.push(lost);
     }
-    // 1,200 seconds of flapping: the backoffs alone bound what can happen.
+    // During 1,200 seconds of flapping only the backoffs limit the number of state changes.
     let changes = world.steps.iter().filter(|step| step.transition.from != step.transition.to).count();
     println!("proof: sites_changes_in_20_minutes_of_flapping {changes}, losses {}", losses.last().unwrap());
     assert!(changes <= 150, "{changes}");
@@ -344,7 +344,7 @@
     world.rates = [12.0, 1.0, 0.5];
     world.run(ms(5000));
     for front in 0..30 {
-        world.disconnected[front] = front % 3 != 0; // Two thirds of all fronts.
+        world.disconnected[front] = front % 3 != 0; // Disconnects two thirds of all fronts.
     }
     world.answers = Box::new(|_, zone| if zone == 1 { 0.0 } else { 1.0 });
     world.run(ms(15_000));
@@ -356,7 +356,7 @@
     for front in (0..30).filter(|front| world.effects[*front].isolated && world.front_zones[*front] != 1) {
         assert_eq!(world.open(front, 1), 0);
     }
-    // The zone recovers; an isolated front opens nothing by itself.
+    // The zone recovers, but an isolated front opens no zone by itself.
     world.answers = Box::new(|_, _| 1.0);
     world.run(ms(40_000));
     assert_eq!(world.state(1), ZoneState::Up);
@@ -398,7 +398,8 @@
     assert_eq!((world.state(1), world.plan.zones[1].open_permille), (ZoneState::Disabled, 0));
     let opened: Vec<u16> = world.steps.iter().map(|step| step.transition.open_permille).collect();
     assert_eq!(opened, [750, 500, 250, 125, 0]);
-    world.slow = Box::new(|zone| zone != 1); // Outcomes elsewhere degrade: the drill ends by itself, for good.
+    // Outcomes in the other zones degrade, so the drill ends by itself and does not start again.
+    world.slow = Box::new(|zone| zone != 1);
     world.run(ms(20_000));
     assert_eq!(world.state(1), ZoneState::Up);
     world.slow = Box::new(|_| false);
--- a/crates/core/zone-failover/tests/limits.rs
+++ b/crates/core/zone-failover/tests/limits.rs
@@ -1,4 +1,4 @@
-//! 1,024 engines and fronts, as many as the tables hold, and one more.
+//! The limits of the tables of engines and of reports: 1,024 entries, a full table, and one entry more.
 
 use lemonusher_zone_failover::*;
 use std::time::Duration;
--- a/crates/core/zone-failover/tests/mutants.rs
+++ b/crates/core/zone-failover/tests/mutants.rs
@@ -1,4 +1,4 @@
-//! The checks of other tests, made on plans and fronts that are broken on purpose: each must be detected.
+//! Mutation tests: applies checks of the other tests to rules that are broken on purpose. Each must be detected.
 
 mod common;
 
@@ -14,13 +14,13 @@
     LocalZone { health, cores }
 }
 
-/// Whether all classes are served to their floor at least.
+/// Whether every class is served at least its floor of 0.1.
 fn floors_hold(floor: f64) -> bool {
     let plan = allocate(&classes(10.0, floor), &[ZoneCapacity { zone: 0, work: 2.5 }]);
     plan.served_shares.iter().all(|part| *part >= 0.1 - 1e-9)
 }
 
-/// Whether no two steps of a recovery lie closer than the ramp interval of the tests.
+/// Whether the steps of a recovery are at least the tests' ramp interval of 2 seconds apart.
 fn is_paced(config: &FailoverConfig) -> bool {
     let mut state_machine = ZoneStateMachine::new(
         ms(0),
@@ -41,7 +41,7 @@
     dates.len() >= 3 && dates.windows(2).all(|two| two[1] - two[0] >= ms(2000))
 }
 
-/// Work a second that so many isolated fronts admit together, over what the remaining zone can take.
+/// The work a second that this number of isolated fronts admit together, over the capacity of the remaining zone.
 fn isolated_utilization(fronts: usize, share: f64) -> f64 {
     let local = LocalView {
         zones: vec![zone(ZoneHealth::Unreachable, 16), zone(ZoneHealth::Healthy, 16)],
@@ -59,7 +59,8 @@
     works * fronts as f64 / (16.0 * 0.8)
 }
 
-/// Whether a front that follows a newer plan keeps a zone closed when an older plan is shown.
+/// Whether a front that follows a newer plan keeps a zone closed after it receives an older plan. With `ordered`
+/// false the older plan carries a greater version, as for a front that does not compare versions.
 fn keeps_newer_plan(ordered: bool) -> bool {
     let plan = |state, open| FailoverPlan {
         zones: vec![ZonePlan { state, open_permille: open, ..ZonePlan::default() }],
@@ -67,7 +68,7 @@
     };
     let mut follower = PlanFollower::new(ms(0), 1, 1);
     follower.handle_plan(ms(1), version(3, 7), &plan(ZoneState::Lost, 0));
-    let older = if ordered { version(3, 6) } else { version(3, 8) }; // A front that does not compare takes any as newer.
+    let older = if ordered { version(3, 6) } else { version(3, 8) };
     follower.handle_plan(ms(2), older, &plan(ZoneState::Up, FULLY_OPEN));
     let local = LocalView { zones: vec![zone(ZoneHealth::Unknown, 8)], ..LocalView::default() };
     !follower.effect(ms(3), &config(), &local).restrictions.is_empty()
--- a/crates/core/zone-failover/tests/observer.rs
+++ b/crates/core/zone-failover/tests/observer.rs
@@ -1,4 +1,4 @@
-//! What a front observes of engines, zones and demand.
+//! The observer: its view of engines, zones and demand.
 
 mod common;
 
@@ -52,7 +52,7 @@
         );
     });
     let Observation { report, local } = observer.report(ms(500), &config(), 0.5);
-    assert_eq!(report.demand[0].rate, 20.0); // A fifth of the rate over this interval alone.
+    assert_eq!(report.demand[0].rate, 20.0); // The smoothed rate: a fifth of the 100 a second over this interval.
     assert!((report.demand[0].work - 2.0).abs() < 0.2, "{:?}", report.demand);
     assert_eq!((report.zones[0].returned, report.zones[0].slow), (40, 40));
     assert_eq!(local.classes[0].rate, 20.0);
--- a/crates/core/zone-failover/tests/planner.rs
+++ b/crates/core/zone-failover/tests/planner.rs
@@ -1,11 +1,11 @@
-//! The allocation against every allocation there is, on small cases drawn from a seed.
+//! Compares the allocation with an exhaustive search over all allocations, on small seeded random cases.
 
 mod common;
 
 use common::class;
 use lemonusher_zone_failover::{ClassLoad, ZoneCapacity, allocate};
 
-/// Demands and capacities in whole units, so that all allocations can be tried.
+/// Demands and capacities in whole units of work, so that all allocations can be enumerated.
 struct Case {
     classes: Vec<ClassLoad>,
     capacities: Vec<ZoneCapacity>,
@@ -31,7 +31,8 @@
     Case { classes, capacities }
 }
 
-/// Whether so much of each class (in units of work) fits the zones.
+/// Whether the capacities `left` of the zones can serve the work `wanted` of this class and all after it, in units of
+/// work.
 fn fits(case: &Case, wanted: &[u32], class: usize, left: &mut Vec<u32>) -> bool {
     if class == wanted.len() {
         return true;
@@ -62,7 +63,7 @@
     spread(case, wanted, class, 0, wanted[class], left)
 }
 
-/// The most value of any allocation in whole units of work.
+/// The greatest value of any allocation in whole units of work.
 fn best(case: &Case) -> f64 {
     let most: Vec<u32> = case.classes.iter().map(|class| class.demand() as u32).collect();
     let (mut wanted, mut best) = (vec![0; most.len()], 0.0f64);
@@ -125,7 +126,7 @@
 
 #[test]
 fn least_value_is_shed_first_and_none_below_its_floor() {
-    // Value for a second of work: 10, 2, 5.
+    // The values for each second of work are 10, 2 and 5.
     let classes = [class(10.0, 1.0, 4.0, 0.1), class(8.0, 4.0, 2.0, 0.1), class(5.0, 1.0, 4.0, 0.1)];
     let mut before = vec![1.0; 3];
     for room in (1..=17).rev() {
@@ -133,7 +134,7 @@
         let plan = allocate(&classes, &halves);
         assert_eq!(plan.shed_order, [1, 2, 0]);
         let at_floor = |class: usize| plan.served_shares[class] <= 0.1 + 1e-6;
-        // No class loses more while one that is to lose first has anything above its floor.
+        // A class is shed only once each class before it in the shed order is at its floor.
         assert!(plan.served_shares[2] > 0.999 || at_floor(1), "{:?}", plan.served_shares);
         assert!(plan.served_shares[0] > 0.999 || (at_floor(1) && at_floor(2)), "{:?}", plan.served_shares);
         for (now, before) in plan.served_shares.iter().zip(&before) {
