--- a/crates/core/zone-failover/tests/fleet.rs
+++ b/crates/core/zone-failover/tests/fleet.rs
@@ -210,8 +210,8 @@
         let admitted: f64 = (self.effects.iter().enumerate())
             .filter(|(front, _)| !self.dead[*front])
             .map(|(_, effect)| {
-                let part = |at: usize| effect.admitted_shares.get(at).copied().unwrap_or(1.0);
-                (0..3).map(|at| f64::from(self.rates[at]) * work[at] * part(at)).sum::<f64>()
+                let admitted_share = |at: usize| effect.admitted_shares.get(at).copied().unwrap_or(1.0);
+                (0..3).map(|at| f64::from(self.rates[at]) * work[at] * admitted_share(at)).sum::<f64>()
             })
             .sum();
         let capacity = (0..ZONES as u32).filter(|zone| (self.answers)(0, *zone) > 0.5).count() as f64 * 32.0;
@@ -250,13 +250,13 @@
     assert_eq!(world.state(1), ZoneState::Up);
     // The class with the longest work is admitted last.
     assert_eq!(opened, [(125, 0b100), (250, 0), (500, 0), (750, 0), (1000, 0)]);
-    let dates: Vec<Duration> = world
+    let times: Vec<Duration> = world
         .steps
         .iter()
         .filter(|step| step.transition.to == ZoneState::Recovering)
         .map(|step| step.at)
         .collect();
-    assert!(dates.windows(2).all(|two| two[1] - two[0] >= config().ramp_interval));
+    assert!(times.windows(2).all(|pair| pair[1] - pair[0] >= config().ramp_interval));
 }
 
 #[test]
@@ -314,8 +314,8 @@
 fn flapping_zone_backs_off_and_changes_rarely() {
     let mut world = World::new(6);
     let mut losses = Vec::new();
-    for turn in 0..240 {
-        let up = turn % 2 == 0;
+    for iteration in 0..240 {
+        let up = iteration % 2 == 0;
         world.answers = Box::new(move |_, zone| if zone == 0 && !up { 0.0 } else { 1.0 });
         world.run(ms(5000));
         let lost = world
@@ -332,8 +332,10 @@
     let backoffs: Vec<Duration> = world
         .steps
         .windows(2)
-        .filter(|two| two[0].transition.to == ZoneState::Lost && two[1].transition.to == ZoneState::Probing)
-        .map(|two| two[1].at - two[0].at)
+        .filter(|pair| {
+            pair[0].transition.to == ZoneState::Lost && pair[1].transition.to == ZoneState::Probing
+        })
+        .map(|pair| pair[1].at - pair[0].at)
         .collect();
     assert!(backoffs.iter().max().unwrap() >= &(config().recovery_backoff * 16), "{backoffs:?}");
 }
--- a/crates/core/zone-failover/tests/mutants.rs
+++ b/crates/core/zone-failover/tests/mutants.rs
@@ -17,7 +17,7 @@
 /// Whether every class is served at least its floor of 0.1.
 fn floors_hold(floor: f64) -> bool {
     let plan = allocate(&classes(10.0, floor), &[ZoneCapacity { zone: 0, work: 2.5 }]);
-    plan.served_shares.iter().all(|part| *part >= 0.1 - 1e-9)
+    plan.served_shares.iter().all(|served_share| *served_share >= 0.1 - 1e-9)
 }
 
 /// Whether the steps of a recovery are at least the tests' ramp interval of 2 seconds apart.
@@ -32,13 +32,13 @@
         operator_override: OperatorOverride::Auto,
         others_degraded_share: 0.0,
     };
-    let (mut now, mut dates) = (ms(0), Vec::new());
+    let (mut now, mut times) = (ms(0), Vec::new());
     while state_machine.plan.state != ZoneState::Up && now < ms(60_000) {
         now += ms(500);
         let step = state_machine.step(now, config, &input);
-        dates.extend(step.filter(|step| step.to == ZoneState::Recovering).map(|_| now));
+        times.extend(step.filter(|step| step.to == ZoneState::Recovering).map(|_| now));
     }
-    dates.len() >= 3 && dates.windows(2).all(|two| two[1] - two[0] >= ms(2000))
+    times.len() >= 3 && times.windows(2).all(|pair| pair[1] - pair[0] >= ms(2000))
 }
 
 /// The work a second that this number of isolated fronts admit together, over the capacity of the remaining zone.
@@ -50,13 +50,17 @@
     };
     let mut follower = PlanFollower::new(ms(0), 1, 1);
     let mut effect = PlanEffect::default();
-    for turn in 0..40 {
-        effect = follower.effect(ms(500) * turn, &config(), &local);
+    for iteration in 0..40 {
+        effect = follower.effect(ms(500) * iteration, &config(), &local);
     }
     assert!(effect.isolated);
-    let works: f64 =
-        local.classes.iter().zip(&effect.admitted_shares).map(|(class, part)| class.demand() * part).sum();
-    works * fronts as f64 / (16.0 * 0.8)
+    let admitted_work: f64 = local
+        .classes
+        .iter()
+        .zip(&effect.admitted_shares)
+        .map(|(class, admitted_share)| class.demand() * admitted_share)
+        .sum();
+    admitted_work * fronts as f64 / (16.0 * 0.8)
 }
 
 /// Whether a front that follows a newer plan keeps a zone closed after it receives an older plan. With `ordered`
@@ -77,8 +81,8 @@
 #[test]
 fn each_broken_rule_is_detected() {
     assert!(floors_hold(0.1) && !floors_hold(0.0), "no floor");
-    let hasty = FailoverConfig { ramp_interval: Duration::ZERO, ..config() };
-    assert!(is_paced(&config()) && !is_paced(&hasty), "no ramp interval");
+    let without_ramp_interval = FailoverConfig { ramp_interval: Duration::ZERO, ..config() };
+    assert!(is_paced(&config()) && !is_paced(&without_ramp_interval), "no ramp interval");
     assert!(isolated_utilization(20, 1.0 / 20.0) <= 1.0 + 1e-6, "{}", isolated_utilization(20, 1.0 / 20.0));
     assert!(isolated_utilization(20, 1.0) > 1.5, "an unbounded isolated-front rule");
     assert!(keeps_newer_plan(true) && !keeps_newer_plan(false), "a stale plan followed");
