--- a/crates/core/maintenance/src/config.rs
+++ b/crates/core/maintenance/src/config.rs
@@ -1,19 +1,20 @@
-//! What an operator configures of maintenance.
+//! The operator's settings of maintenance.
 
 use std::time::Duration;
 
-/// What an operator configures of maintenance; the same at every front.
+/// The operator's settings of maintenance; they must be the same at every front.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MaintenanceConfig {
-    /// How often the coordinator decides.
+    /// The time between two decisions of the coordinator.
     pub poll_interval: Duration,
-    /// The fronts that must confirm a drain before its machine is released, by name.
+    /// The names of the fronts that must confirm a drain before the machine is released.
     pub required_fronts: Vec<String>,
-    /// The share of the value that could be served with a zone lost which must still be served with it lost while
-    /// machines are out; from 0 to 1.
+    /// The share of the value servable with only a zone lost that must still be servable if the zone is lost while
+    /// machines are out of service; from 0 to 1.
     pub min_reserve: f64,
-    /// By which share more than the present demand is planned for while machines are out.
+    /// The share by which the load that must be served while machines are out of service exceeds the present
+    /// demand; 0.1 means ten percent more.
     pub demand_margin: f64,
-    /// How long a returned machine must answer before it counts as done.
+    /// How long a returned machine must answer without a break before it is done.
     pub probation: Duration,
 }
--- a/crates/core/maintenance/src/coordinator.rs
+++ b/crates/core/maintenance/src/coordinator.rs
@@ -1,13 +1,15 @@
-//! What the voter that holds the lease does: it decides what is drained next, releases what all required fronts have
-//! confirmed, and completes what has returned.
+//! The coordinator, run by the voter that holds the lease. It drains machines, releases machines whose drain all
+//! required fronts have confirmed, and completes returned machines.
 //!
-//! One change of one register at a time, each computed from the version that it replaces. Nothing is drained before the
-//! coordinator has read all registers by whole rounds: a read also ends what an earlier coordinator may have under way,
-//! which would otherwise not be counted as out.
+//! It changes one register at a time, each by a compare-and-set against the version from which it computed the new
+//! value. It drains nothing before it has read all registers by full rounds. A read also completes or supersedes a
+//! write that an earlier coordinator has left in progress, whose machines would otherwise not be counted as out of
+//! service.
 //!
-//! A confirmation counts if the version that its front followed belongs to the drain that is going on: a front that
-//! confirmed an earlier drain of the machine may have sent there since. Where the coordinator has not seen every version
-//! in between, one drain may have ended and another begun, so only the latest version is sure to belong to it.
+//! A confirmation counts only if the version that its front followed belongs to the present drain of the machine,
+//! as a front that confirmed an earlier drain may have sent there since. If the coordinator has not seen every
+//! version in between, one drain may have ended and another begun, so only the latest version certainly belongs to
+//! the present drain.
 
 mod drains;
 
@@ -19,30 +21,30 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A change of one register: a compare-and-set.
+/// A compare-and-set of one register.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RegisterWrite {
     /// The register of the request.
     pub request: u8,
     /// The version that must still be committed.
     pub expected: EntryVersion,
-    /// The value.
+    /// The new value.
     pub value: MaintenanceRequest,
 }
 
-/// What to do with a register.
+/// An operation on a register.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RegisterAction {
-    /// Learn what is committed in this register, by a whole round.
+    /// Reads the committed value of this register by a full round.
     Read(u8),
-    /// Change a register.
+    /// Changes a register.
     Write(RegisterWrite),
 }
 
-/// The fleet as the coordinator sees it.
+/// The coordinator's view of the fleet.
 #[derive(Debug, Clone, Default)]
 pub struct FleetView {
-    /// Machines and demand.
+    /// The capacity of the machines, and the demand.
     pub capacity: FleetCapacity,
     /// The share of attempts that fail or are slow, from 0 to 1.
     pub degraded_share: f64,
@@ -57,47 +59,47 @@
     machine: Machine,
 }
 
-/// A machine's phase, and since when this coordinator has seen it.
+/// A machine's phase, with the time since which this coordinator has observed it.
 #[derive(Debug, Clone, Copy)]
 struct PhaseSince {
     phase: Phase,
     since: Duration,
-    /// In each version from this one on the machine has been in this phase without a break.
+    /// The earliest version since which the machine has certainly been in this phase without interruption.
     first_version: EntryVersion,
 }
 
-/// A phase that a machine is to be moved to.
+/// A change of a machine's phase.
 #[derive(Debug, Clone, Copy)]
 struct PhaseChange {
     machine: Machine,
     phase: Phase,
 }
 
-/// A voter's part in maintenance; it acts while it holds the lease.
+/// Decides on drains and releases while its front holds the lease.
 #[derive(Debug, Clone, Default)]
 pub struct MaintenanceCoordinator {
-    /// By register.
+    /// The latest known request, by register.
     requests: BTreeMap<u8, VersionedRequest>,
-    /// By machine: the fronts that have confirmed its drain, and the versions that they followed.
+    /// The latest version that each front followed when it confirmed the drain, by machine and front.
     confirmed: BTreeMap<MachineKey, BTreeMap<String, EntryVersion>>,
-    /// Times are counted anew by each coordinator.
+    /// The machines' phases; each coordinator measures their times anew.
     phases: BTreeMap<MachineKey, PhaseSince>,
-    /// By register: when its request was first seen.
+    /// The time at which a request was first seen, by register.
     first_seen: BTreeMap<u8, Duration>,
     next_poll: Duration,
-    /// Of the last decision.
+    /// The reasons why requests could not proceed at the last decision.
     blocked: Vec<Notice>,
-    /// Of the lease; none while it is not held.
+    /// The fencing token of the lease; none while it is not held.
     fencing_token: Option<u64>,
-    /// Registers that must be read before anything is drained: not yet read under this lease, or written with an
-    /// unknown outcome.
+    /// Registers that must be read before anything is written: those not yet read under this lease, and those whose
+    /// last read or write failed or has an unknown outcome.
     unread: BTreeSet<u8>,
-    /// A read or a write is under way.
+    /// Whether a read or a write is in progress.
     is_busy: bool,
 }
 
 impl MaintenanceCoordinator {
-    /// A majority shows this request; an older version is ignored.
+    /// Handles a request that a majority of the voters has committed; one that is not newer is ignored.
     pub fn handle_request(
         &mut self,
         now: Duration,
@@ -129,7 +131,7 @@
         self.requests.insert(register, VersionedRequest { version, request });
     }
 
-    /// The lease is held under this fencing token, or not held.
+    /// Sets the fencing token under which this front holds the lease; none if it does not hold the lease.
     pub fn set_lease(&mut self, fencing_token: Option<u64>) {
         if self.fencing_token != fencing_token {
             self.fencing_token = fencing_token;
@@ -138,12 +140,12 @@
         }
     }
 
-    /// Whether it holds the lease.
+    /// Whether this front holds the lease.
     pub fn is_active(&self) -> bool {
         self.fencing_token.is_some()
     }
 
-    /// A whole round has shown what is committed in a register.
+    /// Handles the committed value of a register, as a full round has shown it; none if the register is empty.
     pub fn handle_committed(&mut self, now: Duration, register: u8, committed: Option<VersionedRequest>) {
         self.is_busy = false;
         self.unread.remove(&register);
@@ -155,13 +157,13 @@
         }
     }
 
-    /// A read or a write failed, or has an unknown outcome.
+    /// Handles a read or a write that failed or has an unknown outcome.
     pub fn handle_failure(&mut self, register: u8) {
         self.is_busy = false;
         self.unread.insert(register);
     }
 
-    /// A front confirms drains.
+    /// Handles a front's drain confirmations.
     pub fn handle_confirmations(&mut self, front: &str, confirmations: &[DrainConfirmation]) {
         for DrainConfirmation { request, version, machine } in confirmations {
             let phase = self.requests.get(request).and_then(|known| known.request.phase(*machine));
@@ -174,17 +176,17 @@
         }
     }
 
-    /// Machines that are out, over all requests.
+    /// The machines that are out of service, over all requests.
     pub fn machines_out(&self) -> BTreeSet<Machine> {
         self.requests.values().flat_map(|known| known.request.machines_in(Phase::is_out)).collect()
     }
 
-    /// Why requests did not go on at the last decision.
+    /// The reasons why requests could not proceed at the last decision.
     pub fn blocked(&self) -> &[Notice] {
         &self.blocked
     }
 
-    /// Machines that are released. Whoever works on them is to be notified again and again until they are returned.
+    /// Notices of all released machines. The caller sends them repeatedly until the machines are returned.
     pub fn released(&self) -> Vec<Notice> {
         let mut notices = Vec::new();
         for (register, known) in &self.requests {
@@ -201,7 +203,7 @@
         notices
     }
 
-    /// What to do next, one action at a time; nothing while the lease is not held.
+    /// The next operation on a register; none while the lease is not held or another operation is in progress.
     pub fn poll(
         &mut self,
         now: Duration,
@@ -226,7 +228,7 @@
         Some(RegisterAction::Write(write))
     }
 
-    /// Completes a returned machine that has answered for the probation.
+    /// Completes the first returned machine that has answered for the probation.
     fn complete_returned(
         &mut self,
         now: Duration,
@@ -246,7 +248,7 @@
         None
     }
 
-    /// Releases a draining machine that all required fronts have confirmed.
+    /// Releases the first draining machine whose drain all required fronts have confirmed.
     fn release_drained(&mut self, config: &MaintenanceConfig, fencing_token: u64) -> Option<RegisterWrite> {
         for key in self.machines_in(Phase::Draining) {
             let missing = self.missing_confirmations(config, key);
@@ -259,7 +261,7 @@
         None
     }
 
-    /// The required fronts that have not confirmed the drain, in the configured order.
+    /// The required fronts that have not confirmed the present drain, in the configured order.
     fn missing_confirmations(&self, config: &MaintenanceConfig, key: MachineKey) -> Vec<String> {
         let Some(known) = self.requests.get(&key.request) else { return Vec::new() };
         let first_version = self.phases.get(&key).map_or(known.version, |phase| phase.first_version);
@@ -277,7 +279,7 @@
             .collect()
     }
 
-    /// The machines in a phase, by register and in the order of the request.
+    /// The machines in a phase, ordered by register and then as in the request.
     fn machines_in(&self, phase: Phase) -> Vec<MachineKey> {
         let mut keys = Vec::new();
         for (register, known) in &self.requests {
@@ -291,7 +293,7 @@
         self.blocked.push(Notice::Blocked { request: key.request, machine: key.machine, reason });
     }
 
-    /// The write that moves machines of a request to other phases.
+    /// The write that applies these phase changes to a request.
     fn write(&self, register: u8, changes: &[PhaseChange]) -> Option<RegisterWrite> {
         let known = self.requests.get(&register)?;
         let mut value = known.request.clone();
@@ -300,7 +302,7 @@
     }
 }
 
-/// Whether one version directly follows another: no other value has been committed in between.
+/// Whether one version directly follows another, so no other value was committed in between.
 fn is_next_version(earlier: EntryVersion, later: EntryVersion) -> bool {
     later.epoch == earlier.epoch && later.counter == earlier.counter + 1
 }
--- a/crates/core/maintenance/src/coordinator/drains.rs
+++ b/crates/core/maintenance/src/coordinator/drains.rs
@@ -1,9 +1,10 @@
-//! Which machines are drained next.
+//! Selects the machines to drain next.
 //!
-//! Requests go by urgency, then by how long they are known, then by register. Of a request's pending machines those are
-//! drained, one after the other, whose loss leaves the most headroom, while it stays at one or more; at most as many as
-//! the request allows at once, over all its parts, and four in one change. Nothing is drained while a zone is not up,
-//! outcomes are degraded, or a released machine has been out for longer than was requested.
+//! Requests are considered by urgency, then by the time since which they are known, then by register. Of a
+//! request's pending machines the one whose loss leaves the most headroom is selected, repeatedly while the
+//! headroom stays at 1 or more. The number is limited by the machines that the request allows out of service at
+//! once, over all its parts, and to four in one change. Nothing is drained while a zone is not up, outcomes are
+//! degraded, or any machine has been released for longer than its requested outage.
 
 use super::{FleetView, MaintenanceCoordinator, PhaseChange, RegisterWrite};
 use crate::coordinator::MachineKey;
@@ -12,15 +13,15 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Attempts that fail or are slow beyond this share stop all drains.
+/// The share of failed or slow attempts above which nothing is drained; from 0 to 1.
 const MAX_DEGRADED_SHARE: f64 = 0.2;
-/// Machines drained by one change, so that one change stays small.
+/// The maximum number of machines drained by one change, so that the change stays small.
 const MAX_DRAINS_PER_CHANGE: usize = 4;
-/// The headroom that must be left.
+/// The least headroom that must be left, as the value served over the value required.
 const MIN_HEADROOM: f64 = 1.0;
 
 impl MaintenanceCoordinator {
-    /// Drains the next machines of the first request that may go on.
+    /// Drains the next machines of the first request that can proceed.
     pub(super) fn start_drains(
         &mut self,
         now: Duration,
@@ -28,7 +29,7 @@
         fleet: &FleetView,
     ) -> Option<RegisterWrite> {
         let stop_reason = self.stop_reason(now, fleet);
-        // Costly, so computed only if a request gets that far.
+        // The reserve is costly, so it is computed only if a request is not blocked before.
         let mut reserve = None;
         for register in self.requests_by_urgency(now) {
             let request = &self.requests[&register].request;
@@ -69,7 +70,7 @@
         registers
     }
 
-    /// Why nothing at all may be drained now.
+    /// The reason why no machine of any request may be drained now.
     fn stop_reason(&self, now: Duration, fleet: &FleetView) -> Option<BlockReason> {
         if fleet.zones_down {
             return Some(BlockReason::ZoneNotUp);
@@ -88,7 +89,7 @@
             .map(|(key, _)| BlockReason::OutageExceeded(key.machine))
     }
 
-    /// Why this request may not go on.
+    /// The reason why this request can't proceed, by its own settings.
     fn request_block_reason(&self, request: &MaintenanceRequest) -> Option<BlockReason> {
         if request.on_hold {
             return Some(BlockReason::OnHold);
@@ -97,13 +98,13 @@
         is_full.then(|| BlockReason::MaxConcurrent(self.out_of_request(request)))
     }
 
-    /// Machines of the request that one change may drain.
+    /// The number of machines of the request that one change may drain.
     fn drains_allowed(&self, request: &MaintenanceRequest) -> usize {
         let left = usize::from(request.max_concurrent).saturating_sub(self.out_of_request(request));
         left.min(MAX_DRAINS_PER_CHANGE)
     }
 
-    /// Machines that are out of the whole request, of which this may be a part.
+    /// The number of machines out of service of the whole request, of which `request` may be a part.
     fn out_of_request(&self, request: &MaintenanceRequest) -> usize {
         let count_out = |request: &MaintenanceRequest| request.machines_in(Phase::is_out).count();
         if request.extension.request_group == 0 {
@@ -114,7 +115,7 @@
     }
 }
 
-/// Chooses machines one after the other by the headroom that is left with each out; of equals the first.
+/// Selects machines one by one, each the one that leaves the most headroom; among equals the first.
 fn choose_drains(
     reserve: &CapacityReserve,
     mut out: BTreeSet<Machine>,
--- a/crates/core/maintenance/src/dead_fronts.rs
+++ b/crates/core/maintenance/src/dead_fronts.rs
@@ -1,25 +1,27 @@
-//! Fronts that an operator has declared dead, as a set of positions in the sorted list of the required fronts.
+//! Fronts that an operator has declared dead, as a bit set of positions in the sorted list of the required fronts.
 //!
-//! Names would not fit a register; a bit a front does. The set states a checksum of the list that its positions are
-//! counted in, and is void against any other list, so that a position is never taken for another front.
+//! The names would not fit a register, but one bit for each front does. The set stores a checksum of the list to
+//! which its positions refer, and matches no front of any other list, so that a position is never applied to
+//! another front.
 
 use serde::{Deserialize, Serialize};
 
-/// Fronts that can be declared dead: a bit each.
+/// The maximum number of required fronts that can be declared dead, one bit each.
 pub const MAX_FRONTS: usize = 2048;
 
-/// A set of fronts, void against any other list of required fronts. In postcard: order and types of fields must stay.
+/// A set of fronts of one list of required fronts. It is stored in postcard, so the order and types of its fields
+/// must stay.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeadFronts {
-    /// A checksum of the list that the positions are counted in.
+    /// The checksum of the list to which the positions refer.
     list_checksum: u64,
-    /// Eight positions a byte, up to the last that is set.
+    /// Eight positions a byte, up to the last one set.
     bits: Vec<u8>,
 }
 
 impl DeadFronts {
-    /// Adds a front; false if it is not in the list, or beyond [`MAX_FRONTS`]. Positions counted in another list are
-    /// dropped.
+    /// Adds a front; false if it is not in the list, or at a position of [`MAX_FRONTS`] or more. Positions that
+    /// refer to another list are removed.
     pub fn add(&mut self, required_fronts: &[String], front: &str) -> bool {
         let sorted = sorted(required_fronts);
         let Ok(position) = sorted.binary_search(&front) else { return false };
@@ -37,7 +39,7 @@
         true
     }
 
-    /// Whether the front is in the set, counted in this list.
+    /// Whether the front is in the set; false if the set refers to another list.
     pub fn contains(&self, required_fronts: &[String], front: &str) -> bool {
         if self.bits.is_empty() {
             return false;
@@ -56,7 +58,7 @@
     sorted
 }
 
-/// FNV-1a over the names, each ended by a byte that no name contains.
+/// The 64-bit FNV-1a hash of the names, each terminated by 0xff, a byte that no UTF-8 name contains.
 fn checksum(sorted: &[&str]) -> u64 {
     let bytes = sorted.iter().flat_map(|name| name.bytes().chain([0xff]));
     bytes.fold(0xcbf2_9ce4_8422_2325, |sum, byte| (sum ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
--- a/crates/core/maintenance/src/notice.rs
+++ b/crates/core/maintenance/src/notice.rs
@@ -1,4 +1,5 @@
-//! What the coordinator tells operators, and whoever works on machines. The texts are shown by commands.
+//! Notices of the coordinator to operators and to the system that works on machines. Commands print the texts, so
+//! they must stay.
 
 use crate::Machine;
 use std::fmt;
@@ -6,51 +7,51 @@
 /// A notice about a machine of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Notice {
-    /// The request does not go on with this machine, for its operator.
+    /// The request can't proceed with this machine; shown to operators.
     Blocked {
         /// The register of the request.
         request: u8,
         /// The machine.
         machine: Machine,
-        /// Why.
+        /// The reason.
         reason: BlockReason,
     },
-    /// The machine may be worked on.
+    /// The machine is released for maintenance; sent to the system that works on machines.
     Released {
         /// The register of the request.
         request: u8,
         /// The machine.
         machine: Machine,
-        /// Of the lease under which it was released.
+        /// The fencing token of the lease under which the machine was released.
         fencing_token: u64,
     },
 }
 
-/// Why a request does not go on.
+/// The reason why a request can't proceed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BlockReason {
-    /// The machine was reported back, but does not answer.
+    /// The machine was reported as returned, but does not answer.
     ReturnedNotAnswering,
     /// These fronts have not confirmed the drain.
     MissingConfirmations(Vec<String>),
     /// The request is on hold.
     OnHold,
-    /// So many machines of the request are out, the most that it allows at once.
+    /// This number of machines of the request are out of service, as many as the request allows at once.
     MaxConcurrent(usize),
-    /// None of its pending machines is known as an engine and not out already.
+    /// Every pending machine of the request is unknown as an engine, or already out of service by another request.
     MachineUnavailable,
-    /// The other machines could not serve the load, or not with a zone lost as well.
+    /// Without the next machine the others could not serve the load, or not with a zone lost as well.
     NoHeadroom,
-    /// A zone is not up.
+    /// A zone is not up by the failover plan.
     ZoneNotUp,
-    /// Attempts fail or are slow.
+    /// Too many attempts fail or are slow.
     OutcomesDegraded,
-    /// This machine has been out for longer than was requested.
+    /// This machine has been released for longer than the requested outage.
     OutageExceeded(Machine),
 }
 
 impl fmt::Display for BlockReason {
-    /// The wording that operators are shown.
+    /// The text in the output of commands.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             BlockReason::ReturnedNotAnswering => f.write_str("it was told as back, but does not answer"),
--- a/crates/core/maintenance/src/participant.rs
+++ b/crates/core/maintenance/src/participant.rs
@@ -1,20 +1,21 @@
-//! A front's part in maintenance: which machines it may not use, and which drains it can confirm.
+//! The participant, which each front runs: it determines which machines the front may not use, and which drains it
+//! can confirm.
 //!
-//! A drain is confirmed only by a count of attempts in flight that was taken after the front had closed the machine:
-//! each change of what is closed has a revision, and the count states the revision that the front had applied.
+//! A drain is confirmed only by a count of attempts in flight that was taken after the front closed the machine. Each
+//! change of the closed machines has a revision, and each count states the revision that the front had applied.
 
 use crate::{MAX_REQUESTS, Machine, MaintenanceRequest, Phase, VersionedRequest};
 use lemonusher_registers::EntryVersion;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A front follows this version of the request, and has nothing in flight on the draining machine. Travels between
-/// fronts in postcard: order and types of fields must stay.
+/// States that a front follows this version of the request and has nothing in flight on the draining machine. Fronts
+/// send it in postcard, so the order and types of its fields must stay.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DrainConfirmation {
     /// The register of the request.
     pub request: u8,
-    /// The version that the front follows.
+    /// The version of the request that the front follows.
     pub version: EntryVersion,
     /// The machine.
     pub machine: Machine,
@@ -26,28 +27,28 @@
     }
 }
 
-/// The order in which confirmations are sent.
+/// The key by which confirmations are ordered for sending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ConfirmationKey {
     request: u8,
     machine: Machine,
 }
 
-/// A front's part in maintenance.
+/// Follows the maintenance requests at one front.
 #[derive(Debug, Clone, Default)]
 pub struct Participant {
-    /// By register.
+    /// The latest known request, by register.
     requests: BTreeMap<u8, VersionedRequest>,
-    /// Registers whose committed value it knows, also that there is none.
+    /// Registers whose committed value is known, including that a register is empty.
     known: BTreeSet<u8>,
-    /// Grows whenever what is closed may have changed.
+    /// Increases whenever the closed machines may have changed.
     revision: u64,
-    /// The last confirmation sent.
+    /// The key of the last confirmation sent.
     last_confirmed: Option<ConfirmationKey>,
 }
 
 impl Participant {
-    /// A majority shows this request; an older version is ignored.
+    /// Handles a request that a majority of the voters has committed; one that is not newer is ignored.
     pub fn handle_request(&mut self, register: u8, version: EntryVersion, request: MaintenanceRequest) {
         if usize::from(register) >= MAX_REQUESTS {
             return;
@@ -62,24 +63,24 @@
         self.revision += 1;
     }
 
-    /// A whole round has shown that the register is empty.
+    /// Handles the report of a majority of the voters that the register is empty.
     pub fn handle_no_request(&mut self, register: u8) {
         if self.known.insert(register) {
             self.revision += 1;
         }
     }
 
-    /// Whether it knows all registers; until then the front may use no machine.
+    /// Whether all registers are known; until then the front may use no machine.
     pub fn is_complete(&self) -> bool {
         self.known.len() >= MAX_REQUESTS
     }
 
-    /// Grows whenever what is closed may have changed.
+    /// A number that increases whenever the closed machines may have changed.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The request in a register, as far as it is known.
+    /// The latest known request in a register.
     pub fn request(&self, register: u8) -> Option<&VersionedRequest> {
         self.requests.get(&register)
     }
@@ -89,8 +90,8 @@
         self.requests.values().flat_map(|known| known.request.machines_in(Phase::is_closed)).collect()
     }
 
-    /// All drains that the front can confirm. `in_flight`: attempts on closed machines (none named: none), counted when
-    /// the front had applied `applied_revision`.
+    /// All drains that the front can confirm. `in_flight` are the numbers of attempts on closed machines, counted
+    /// when the front had applied `applied_revision`; a machine without an entry has none.
     pub fn confirmations(
         &self,
         applied_revision: u64,
@@ -112,7 +113,7 @@
         confirmations
     }
 
-    /// The next `max` confirmations after the last sent, round robin, so that each is sent however many there are.
+    /// Up to `max` confirmations, starting after the last one sent (round robin), so that each is sent in turn.
     pub fn next_confirmations(
         &mut self,
         applied_revision: u64,
--- a/crates/core/maintenance/src/phase.rs
+++ b/crates/core/maintenance/src/phase.rs
@@ -1,34 +1,35 @@
-//! The phases of a machine in a request. Their order and names stand in registers and are shown to operators.
+//! The phases of a machine in a request. Their order is part of the registers' encoding, and commands print their
+//! names, so both must stay.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// How far a machine of a request has come: Pending, Draining, Released, Returned, Done; or Withdrawn before it was
-/// released.
+/// The phase of a machine in a request: Pending, Draining, Released, Returned and Done in this order, or Withdrawn
+/// after Pending or Draining.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Phase {
-    /// It waits to be drained.
+    /// The machine waits to be drained.
     #[serde(rename = "Asked")]
     Pending,
-    /// No front sends there any more; attempts in flight run to their end.
+    /// Fronts send nothing new to it; attempts in flight run to their end.
     Draining,
-    /// No front uses it: it may be worked on, under this fencing token, for the outage that was requested.
+    /// No front uses it. It may be worked on for the requested outage, under this fencing token.
     Released {
-        /// Of the lease under which it was released.
+        /// The fencing token of the lease under which it was released.
         #[serde(rename = "number")]
         fencing_token: u64,
     },
-    /// Whoever worked on it reports it back: it is open, and on probation.
+    /// It was reported as returned. Fronts use it again, and it is on probation.
     #[serde(rename = "Back")]
     Returned,
     /// It has answered for the probation.
     Done,
-    /// The request was withdrawn before it was released.
+    /// The request was withdrawn before the machine was released.
     Withdrawn,
 }
 
 impl fmt::Display for Phase {
-    /// The name in logs and in what operators are shown.
+    /// The name in logs and in the output of commands.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Phase::Pending => f.write_str("Asked"),
@@ -42,17 +43,18 @@
 }
 
 impl Phase {
-    /// Whether fronts may not send there.
+    /// Whether fronts may not send to the machine.
     pub fn is_closed(self) -> bool {
         matches!(self, Phase::Draining | Phase::Released { .. })
     }
 
-    /// Whether it counts as missing from the fleet's capacity.
+    /// Whether the machine counts as out of service, so not towards the fleet's capacity. A returned machine does
+    /// until its probation is over.
     pub fn is_out(self) -> bool {
         matches!(self, Phase::Draining | Phase::Released { .. } | Phase::Returned)
     }
 
-    /// Whether it is done or withdrawn.
+    /// Whether the machine is done or withdrawn.
     pub fn is_over(self) -> bool {
         matches!(self, Phase::Done | Phase::Withdrawn)
     }
--- a/crates/core/maintenance/src/request.rs
+++ b/crates/core/maintenance/src/request.rs
@@ -1,11 +1,12 @@
-//! A maintenance request, as it stands in its register, in postcard: order and types of fields must stay, and additions
-//! go to [`Extension`], behind the bytes that earlier versions read.
+//! A maintenance request, as stored in a register in postcard. The order and types of its fields must stay. New
+//! fields go to [`Extension`], which is encoded behind the bytes that earlier versions read.
 
 use crate::{DeadFronts, MAX_CONCURRENT, MAX_MACHINES, MAX_NAME_BYTES, Machine, Phase};
 use lemonusher_registers::EntryVersion;
 use serde::{Deserialize, Serialize};
 
-/// Machines in one register that an earlier version may have written.
+/// The maximum number of machines in a register that is accepted on reading. An earlier version may have written more
+/// than [`MAX_MACHINES`].
 const MAX_MACHINES_READ: usize = 60;
 
 /// A machine of a request.
@@ -13,53 +14,54 @@
 pub struct MachineStatus {
     /// The machine.
     pub machine: Machine,
-    /// How far it has come.
+    /// The machine's phase.
     pub phase: Phase,
 }
 
-/// A request, or the part of one that stands in one register.
+/// A request, or the part of a request that is stored in one register.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MaintenanceRequest {
-    /// Who made it; [`MAX_NAME_BYTES`] at most.
+    /// The name of the requester; [`MAX_NAME_BYTES`] at most.
     pub requester: String,
-    /// The greater goes first; among equals the one known longer.
+    /// The priority of the request: the greater value goes first, among equal ones the request known longer.
     pub urgency: u8,
-    /// Machines of the whole request that are out at once, at most.
+    /// The maximum number of machines of the whole request, over all its parts, that are out of service at once.
     pub max_concurrent: u16,
-    /// How long a machine may be out, in seconds; one that is out for longer stops all further drains.
+    /// How long a machine may stay released, in seconds. A machine that is released for longer stops all further
+    /// drains.
     pub max_outage_s: u32,
-    /// No further machine is drained.
+    /// Whether the request is on hold: no further machine is drained.
     pub on_hold: bool,
-    /// Sorted by id.
+    /// The machines, sorted by id.
     pub machines: Vec<MachineStatus>,
-    /// Fronts that an operator of an earlier version has declared dead, by name.
+    /// The names of fronts that an operator has declared dead; written by earlier versions only.
     pub excluded_fronts: Vec<String>,
-    /// What later versions have added; encoded after all other fields.
+    /// The fields that later versions have added; encoded after all other fields.
     #[serde(skip)]
     pub extension: Extension,
 }
 
-/// What has been added to a request since its first form.
+/// The fields added to a request since its first version.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Extension {
-    /// The same in all parts of one request; 0 where it has one part only.
+    /// Identifies the request: equal in all its parts; 0 if it has only one part.
     pub request_group: u64,
-    /// Fronts that an operator has declared dead, for this request alone.
+    /// The fronts that an operator has declared dead, for this request only.
     pub dead_fronts: DeadFronts,
 }
 
-/// A request with the version of its register's entry.
+/// A request, with the version of its register's entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VersionedRequest {
-    /// Of the entry.
+    /// The version of the entry.
     pub version: EntryVersion,
-    /// Its value.
+    /// The value of the entry.
     pub request: MaintenanceRequest,
 }
 
 impl MaintenanceRequest {
-    /// A request for these machines, sorted and each named once; `max_concurrent` is clamped to 1 to
-    /// [`MAX_CONCURRENT`].
+    /// A request for these machines, which are sorted and deduplicated. `max_concurrent` is clamped to the range
+    /// from 1 to [`MAX_CONCURRENT`].
     pub fn new(
         requester: &str,
         urgency: u8,
@@ -83,8 +85,8 @@
         }
     }
 
-    /// Splits a request into the parts that registers hold; one without machines has no part. `request_group` marks the
-    /// parts as one request.
+    /// Splits a request into parts of up to [`MAX_MACHINES`] machines, each for one register; a request without
+    /// machines has no part. `request_group` identifies the parts as one request.
     pub fn split(&self, request_group: u64) -> Vec<MaintenanceRequest> {
         let request_group = if self.machines.len() > MAX_MACHINES { request_group.max(1) } else { 0 };
         let part = |machines: &[MachineStatus]| MaintenanceRequest {
@@ -95,12 +97,12 @@
         self.machines.chunks(MAX_MACHINES).map(part).collect()
     }
 
-    /// Whether another register holds a part of the same request.
+    /// Whether `other` is a part of the same request; false for requests of one part.
     pub fn is_same_request(&self, other: &MaintenanceRequest) -> bool {
         self.extension.request_group != 0 && self.extension.request_group == other.extension.request_group
     }
 
-    /// Whether the request does not wait for this front; `required_fronts` as configured.
+    /// Whether the request does not wait for this front's confirmations. `required_fronts` is the configured list.
     pub fn excludes(&self, required_fronts: &[String], front: &str) -> bool {
         self.excluded_fronts.iter().any(|name| name == front)
             || self.extension.dead_fronts.contains(required_fronts, front)
@@ -111,7 +113,7 @@
         self.machines.iter().all(|status| status.phase.is_over())
     }
 
-    /// A machine's phase; none where the request does not name it.
+    /// A machine's phase; none if the request does not name the machine.
     pub fn phase(&self, machine: Machine) -> Option<Phase> {
         self.machines.iter().find(|status| status.machine == machine).map(|status| status.phase)
     }
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Withdraws the machines that are not released yet; a released one stays out until it is returned.
+    /// Withdraws the machines that are not released yet. A released machine stays released until it is returned.
     pub fn withdraw(&mut self) {
         for status in &mut self.machines {
             if matches!(status.phase, Phase::Pending | Phase::Draining) {
@@ -136,7 +138,7 @@
         }
     }
 
-    /// Whoever worked on a machine reports it back; false if it is not released, as when that is reported twice.
+    /// Marks a released machine as returned; false if it is not released, for example because it is reported twice.
     pub fn mark_returned(&mut self, machine: Machine) -> bool {
         let is_released = matches!(self.phase(machine), Some(Phase::Released { .. }));
         if is_released {
@@ -145,7 +147,7 @@
         is_released
     }
 
-    /// The register's value.
+    /// Encodes the request as the register's value.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut bytes = postcard::to_allocvec(self).unwrap_or_default();
         if self.extension != Extension::default() {
@@ -154,7 +156,7 @@
         bytes
     }
 
-    /// None for bytes that are no request, or one beyond the limits.
+    /// Decodes the register's value; none if it is corrupt or exceeds the limits.
     pub fn from_bytes(bytes: &[u8]) -> Option<MaintenanceRequest> {
         let (mut request, rest) = postcard::take_from_bytes::<MaintenanceRequest>(bytes).ok()?;
         if !rest.is_empty() {
--- a/crates/core/maintenance/src/reserve.rs
+++ b/crates/core/maintenance/src/reserve.rs
@@ -1,8 +1,9 @@
-//! Whether the other machines can serve the load without some, also with any one zone lost.
+//! Checks whether the remaining machines can serve the load while some are out of service, also if a zone is lost.
 //!
-//! The load is the present demand plus the configured margin. Without machines that are out, 0.99 of the value that all
-//! machines could serve must still be served; and with any zone lost, the configured share of the value that could be
-//! served with that zone lost alone. A machine that does not answer counts as out.
+//! The load is the present demand plus the configured margin. While machines are out of service, at least 0.99 of
+//! the value that all machines could serve must still be served. With any one zone lost as well, it is the
+//! configured share of the value that could be served with only that zone lost. Machines that don't answer have no
+//! capacity in either case.
 
 use crate::Machine;
 use lemonusher_zone_failover::{ClassLoad, Zone, ZoneCapacity, allocate};
@@ -10,40 +11,40 @@
 
 /// The share of the value that must still be served while no zone is lost.
 const MIN_VALUE_SHARE: f64 = 0.99;
-/// Value a second below which nothing is required.
+/// A required value a second up to this counts as zero.
 const EPSILON_VALUE: f64 = 1e-9;
 
-/// What a machine can take.
+/// The capacity of a machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MachineCapacity {
-    /// The zone that it stands in.
+    /// The machine's zone.
     pub zone: Zone,
-    /// Work a second: thread-seconds a second.
+    /// The work that it can do, in thread-seconds a second.
     pub work: f64,
-    /// Whether it answers.
+    /// Whether the machine answers.
     pub answers: bool,
 }
 
-/// What is known of the machines and of the demand.
+/// The capacity of all machines, and the demand.
 #[derive(Debug, Clone, Default)]
 pub struct FleetCapacity {
-    /// By machine.
+    /// The capacity, by machine.
     pub machines: BTreeMap<Machine, MachineCapacity>,
     /// The demand of all fronts, by request class.
     pub classes: Vec<ClassLoad>,
 }
 
-/// The value that must still be served while machines are out.
+/// The value that must still be served while machines are out of service.
 #[derive(Debug, Clone)]
 pub struct CapacityReserve {
     fleet: FleetCapacity,
     zones: Vec<Zone>,
-    /// Value a second that must be served: with no zone lost, then with each of the zones.
+    /// The value a second that must be served: first with no zone lost, then with each of `zones` lost.
     required_value: Vec<f64>,
 }
 
 impl CapacityReserve {
-    /// `min_reserve` and `demand_margin` as in [`crate::MaintenanceConfig`].
+    /// Computes the required values. `min_reserve` and `demand_margin` are as in [`crate::MaintenanceConfig`].
     pub fn new(mut fleet: FleetCapacity, min_reserve: f64, demand_margin: f64) -> CapacityReserve {
         fleet.classes.iter_mut().for_each(|class| class.rate *= 1.0 + demand_margin);
         let zones: BTreeSet<Zone> = fleet.machines.values().map(|machine| machine.zone).collect();
@@ -57,8 +58,8 @@
         reserve
     }
 
-    /// How much is to spare with these machines out: the least, over all cases, of the value served over the value
-    /// required. Under one, too many machines are out.
+    /// The headroom with these machines out of service: the value served over the value required, in the worst
+    /// case of no zone or any one zone lost. Below 1, too many machines are out of service.
     pub fn headroom(&self, out: &BTreeSet<Machine>) -> f64 {
         let lost_zones = std::iter::once(None).chain(self.zones.iter().map(|zone| Some(*zone)));
         let ratios = lost_zones.zip(&self.required_value).map(|(lost, required)| {
@@ -67,12 +68,12 @@
         ratios.fold(f64::INFINITY, f64::min)
     }
 
-    /// Whether the machine is one of the fleet.
+    /// Whether the machine belongs to the fleet.
     pub fn knows(&self, machine: Machine) -> bool {
         self.fleet.machines.contains_key(&machine)
     }
 
-    /// Value a second that can be served with these machines and this zone out.
+    /// The value a second that can be served with these machines out of service and this zone lost.
     fn value(&self, out: &BTreeSet<Machine>, lost: Option<Zone>) -> f64 {
         let mut work_by_zone: BTreeMap<Zone, f64> = BTreeMap::new();
         for (id, machine) in &self.fleet.machines {
