--- a/crates/core/maintenance/tests/common/mod.rs
+++ b/crates/core/maintenance/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What several tests share.
+//! Helpers shared by several tests.
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
 use lemonusher_registers::EntryVersion;
@@ -13,7 +13,7 @@
     EntryVersion { epoch, counter }
 }
 
-/// Requests of one second of work.
+/// A class of requests with one second of work each.
 pub fn class(rate: f64) -> ClassLoad {
     ClassLoad {
         priority_weight: 1.0,
--- a/crates/core/maintenance/tests/fleet.rs
+++ b/crates/core/maintenance/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! Maintenance in virtual time: fronts that send, restart, learn and confirm late; coordinators that restart without
-//! memory; operators that request, withdraw and report machines back. What counts is what machines were sent.
+//! Simulates maintenance in virtual time: fronts that send, restart, and read and confirm requests late; coordinators
+//! that restart without memory; released machines that are reported as returned. Checks that no front sends to a
+//! released machine or has anything in flight there, and that the remaining machines can serve the load.
 
 mod common;
 
@@ -26,7 +27,8 @@
     format!("n{front}")
 }
 
-/// 24 machines of 8; the demand fills nine tenths of what is left with a zone lost.
+/// 24 machines with a capacity of 8 each. The demand plus its margin of 0.1 is nine tenths of the capacity that is
+/// left with a zone lost.
 fn fleet(dead: &BTreeSet<Machine>) -> FleetCapacity {
     let capacity = |machine| MachineCapacity {
         zone: machine / MACHINES_PER_ZONE,
@@ -37,7 +39,7 @@
     FleetCapacity { machines: machines.collect(), classes: vec![class(104.0)] }
 }
 
-/// What a front's router has applied of what its participant knows; it follows some time later.
+/// The state that a front's router has applied; it follows the participant with a delay.
 #[derive(Default)]
 struct Applied {
     revision: u64,
@@ -63,17 +65,17 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     None,
-    /// One front is not waited for.
+    /// The coordinator does not wait for one front.
     FrontNotRequired,
     /// A front confirms before its router has stopped sending.
     CountedBeforeClosing,
-    /// A front that starts uses all machines before it knows anything.
+    /// A front that starts uses all machines before it knows all requests.
     StartsOpen,
     /// The headroom is not checked.
     NoReserve,
 }
 
-/// Confirmations under way to the coordinator.
+/// A message with confirmations to the coordinator, not delivered yet.
 struct Sent {
     arrives: Duration,
     front: String,
@@ -91,11 +93,11 @@
     rng: fastrand::Rng,
     dead: BTreeSet<Machine>,
     zones_down: bool,
-    /// What went wrong.
+    /// The violations of the rules so far.
     violations: Vec<String>,
     max_out: usize,
     released: usize,
-    /// A round of the coordinator that has not ended.
+    /// An operation of the coordinator that has not completed.
     pending: Option<RegisterAction>,
 }
 
@@ -148,7 +150,7 @@
         self.max_out = self.max_out.max(out.len());
     }
 
-    /// A front learns, applies, sends, gets answers and confirms.
+    /// Runs one step of a front: it reads requests, applies them, sends attempts, ends some, and confirms drains.
     fn step_front(&mut self, index: usize, released: &BTreeSet<Machine>) {
         let learns = !self.fronts[index].disconnected && self.rng.f64() < 0.3;
         let front = &mut self.fronts[index];
@@ -189,7 +191,7 @@
         }
     }
 
-    /// Confirmations and requests reach the coordinator.
+    /// Delivers due confirmations and some of the requests to the coordinator.
     fn deliver(&mut self) {
         let now = self.now;
         let due: Vec<Sent> = self.sent.extract_if(.., |sent| sent.arrives <= now).collect();
@@ -204,7 +206,7 @@
         }
     }
 
-    /// The coordinator decides. Rounds take a while, and now and then nobody learns the outcome of one.
+    /// Runs one step of the coordinator. Its operations complete after a random delay, some with an unknown outcome.
     fn step_coordinator(&mut self) {
         let mut config = config();
         match self.fault {
@@ -229,7 +231,7 @@
         let register = match action {
             RegisterAction::Read(register) => register,
             RegisterAction::Write(RegisterWrite { request: register, expected, value }) => {
-                // Committed only if the value that it was computed from is still there.
+                // The compare-and-set commits only if the expected version is still the latest.
                 if self.registers.get(&register).is_some_and(|known| known.version == expected) {
                     self.commit(register, value);
                 }
@@ -243,7 +245,7 @@
         self.coordinator.handle_committed(self.now, register, committed);
     }
 
-    /// Released machines are reported back, some time later, and now and then twice.
+    /// Reports released machines as returned after a random delay, each twice; the second report has no effect.
     fn return_released_machines(&mut self) {
         let mut released = Vec::new();
         for (register, known) in &self.registers {
@@ -261,13 +263,14 @@
         }
     }
 
-    /// The incarnation ends, and with it what it had in flight.
+    /// Restarts a front: its incarnation ends, and its attempts in flight with it.
     fn restart(&mut self, front: usize) {
         let disconnected = self.fronts[front].disconnected;
         self.fronts[front] = Front { alive: true, disconnected, ..Front::default() };
     }
 
-    /// The coordinator's successor starts without memory; its reads end what was under way.
+    /// Replaces the coordinator by one without memory. The operation in progress is discarded, as the reads of the new
+    /// coordinator supersede it.
     fn replace_coordinator(&mut self) {
         self.coordinator = MaintenanceCoordinator::default();
         self.fencing_token += 1;
@@ -278,7 +281,7 @@
         self.registers.values().all(|known| known.request.is_over())
     }
 
-    /// Whether a block reason that satisfies the condition shows within so many steps.
+    /// Whether a block reason that satisfies the condition occurs within this number of steps.
     fn is_blocked_by(&mut self, steps: usize, condition: impl Fn(&BlockReason) -> bool) -> bool {
         let is_blocked =
             |notice: &Notice| matches!(notice, Notice::Blocked { reason, .. } if condition(reason));
@@ -298,7 +301,8 @@
     }
 }
 
-/// Two requests under way, with restarts, partitions and a zone that is down now and then for the first 1,500 steps.
+/// Simulates two concurrent requests. During the first 1,500 steps fronts restart and disconnect, coordinators are
+/// replaced, and a zone is down at times.
 fn play(seed: u64, fault: Fault) -> World {
     let mut world = World::new(seed, fault);
     let all: Vec<Machine> = (0..ZONES * MACHINES_PER_ZONE).collect();
@@ -383,7 +387,7 @@
 #[test]
 fn failed_machine_counts_as_out_and_an_overdue_one_stops_drains() {
     let mut world = World::new(4, Fault::None);
-    world.dead = (0..8).collect(); // A whole zone has failed.
+    world.dead = (0..8).collect(); // All machines of one zone.
     world.commit(0, MaintenanceRequest::new("ann", 1, 5, 1, &[9, 10, 11]));
     (0..300).for_each(|_| world.step());
     assert_eq!(world.machines_in(Phase::is_out).len(), 0, "there is no headroom");
@@ -391,7 +395,7 @@
     (0..100).for_each(|_| world.step());
     let out = world.machines_in(Phase::is_out);
     assert!(!out.is_empty());
-    // Nobody reports it back: after the second that was requested, nothing more is drained.
+    // The machine is not reported as returned: after the requested outage of one second nothing more is drained.
     world.commit(1, MaintenanceRequest::new("bob", 9, 5, 600, &[20]));
     (0..100).for_each(|_| world.step());
     assert!(world.is_blocked_by(20, |reason| reason.to_string().contains("longer than was asked")));
--- a/crates/core/maintenance/tests/late_confirmations.rs
+++ b/crates/core/maintenance/tests/late_confirmations.rs
@@ -1,5 +1,5 @@
-//! A drain confirmation counts for the drain that it confirms, and for no later one of the same machine: a front that
-//! confirmed the earlier one may have sent there since.
+//! A drain confirmation counts only for the drain that it confirms, and not for a later drain of the same machine, as
+//! the front may have sent there in between.
 
 mod common;
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// The machine's and the other's phase in one version of the request.
+/// One version of the request, with the phases of both machines. It is on hold, so that no further drain starts.
 fn request(machine: Phase, other: Phase) -> MaintenanceRequest {
     let mut request = MaintenanceRequest::new("ann", 1, 2, 600, &[MACHINE, OTHER]);
     request.machines[0].phase = machine;
@@ -32,9 +32,10 @@
 }
 
 enum Step {
-    /// The coordinator learns this version: epoch, counter, phases.
+    /// The coordinator receives this version of the request: epoch, counter, phases of the two machines.
     Learn(u64, u64, Phase, Phase),
-    /// All fronts' confirmations of the machine's drain, as of this version, arrive.
+    /// The coordinator receives all fronts' confirmations of the machine's drain: epoch and counter of the version
+    /// that they followed.
     Confirm(u64, u64),
 }
 use Step::{Confirm, Learn};
@@ -74,7 +75,8 @@
     }
 }
 
-/// Guards against a machine that is released while a front still sends to it.
+/// Guards against the release of a machine to which a front still sends: the front has confirmed an earlier drain,
+/// used the machine again after that drain ended, and its confirmation counts for the next drain.
 #[test]
 fn confirmation_counts_for_its_own_drain_alone() {
     use Phase::{Draining, Pending, Withdrawn};
--- a/crates/core/maintenance/tests/limits.rs
+++ b/crates/core/maintenance/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Requests of 1,024 machines, of as many as the registers hold, and of one more.
+//! The limits of requests: 1,024 machines, as many as the registers hold, and one more; likewise for dead fronts.
 
 mod common;
 
@@ -74,7 +74,7 @@
             demand_margin: 0.0,
             probation: Duration::ZERO,
         };
-        // As many again serve the load meanwhile.
+        // An equal number of further machines serves the load.
         let machines = (0..2 * count as u32)
             .map(|machine| (machine, MachineCapacity { zone: machine % 2, work: 8.0, answers: true }));
         let fleet = FleetCapacity { machines: machines.collect(), classes: vec![class(1.0)] };
@@ -87,7 +87,8 @@
                 parts.get(number).map(|part| VersionedRequest { version: VERSION, request: part.clone() });
             coordinator.handle_committed(now, number as u8, committed);
         }
-        // One machine is chosen among many at each step, so two registers' worth must do.
+        // Each step evaluates many candidates, which is slow, so the test makes at most one step more than two registers
+        // hold machines.
         let steps = usize::from(at_once).min(2 * MAX_MACHINES + 1);
         for _ in 0..steps {
             now += config.poll_interval;
