--- a/crates/core/maintenance/tests/fleet.rs
+++ b/crates/core/maintenance/tests/fleet.rs
@@ -152,7 +152,7 @@
 
     /// Runs one step of a front: it reads requests, applies them, sends attempts, ends some, and confirms drains.
     fn step_front(&mut self, index: usize, released: &BTreeSet<Machine>) {
-        let learns = !self.fronts[index].disconnected && self.rng.f64() < 0.3;
+        let reads_requests = !self.fronts[index].disconnected && self.rng.f64() < 0.3;
         let front = &mut self.fronts[index];
         if !front.alive {
             return;
@@ -162,8 +162,8 @@
             let (revision, closed) = (front.participant.revision(), front.participant.closed_machines());
             front.applied = Applied { revision, closed, open };
         }
-        if learns {
-            learn(&mut front.participant, &self.registers);
+        if reads_requests {
+            read_requests(&mut front.participant, &self.registers);
         }
         for _ in 0..3 {
             let machine = self.rng.u32(..ZONES * MACHINES_PER_ZONE);
@@ -250,8 +250,8 @@
         let mut released = Vec::new();
         for (register, known) in &self.registers {
             let machines = known.request.machines.iter();
-            let of_register = machines.filter(|status| matches!(status.phase, Phase::Released { .. }));
-            released.extend(of_register.map(|status| (*register, status.machine)));
+            let released_machines = machines.filter(|status| matches!(status.phase, Phase::Released { .. }));
+            released.extend(released_machines.map(|status| (*register, status.machine)));
         }
         for (register, machine) in released {
             if self.rng.f64() < 0.02 {
@@ -292,7 +292,7 @@
     }
 }
 
-fn learn(participant: &mut Participant, registers: &BTreeMap<u8, VersionedRequest>) {
+fn read_requests(participant: &mut Participant, registers: &BTreeMap<u8, VersionedRequest>) {
     for register in 0..MAX_REQUESTS as u8 {
         match registers.get(&register) {
             Some(known) => participant.handle_request(register, known.version, known.request.clone()),
@@ -303,15 +303,15 @@
 
 /// Simulates two concurrent requests. During the first 1,500 steps fronts restart and disconnect, coordinators are
 /// replaced, and a zone is down at times.
-fn play(seed: u64, fault: Fault) -> World {
+fn simulate(seed: u64, fault: Fault) -> World {
     let mut world = World::new(seed, fault);
     let all: Vec<Machine> = (0..ZONES * MACHINES_PER_ZONE).collect();
     world.commit(0, MaintenanceRequest::new("ann", 1, 3, 600, &all[..12]));
     world.commit(1, MaintenanceRequest::new("bob", 5, 2, 600, &all[6..]));
-    for turn in 0..6000 {
+    for iteration in 0..6000 {
         world.step();
         world.return_released_machines();
-        if turn < 1500 {
+        if iteration < 1500 {
             let front = world.rng.usize(..FRONTS);
             match world.rng.u32(..200) {
                 0 => world.restart(front),
@@ -325,7 +325,7 @@
             world.zones_down = false;
             world.fronts.iter_mut().for_each(|front| front.disconnected = false);
         }
-        if world.is_over() && turn > 1500 {
+        if world.is_over() && iteration > 1500 {
             break;
         }
     }
@@ -334,9 +334,9 @@
 
 #[test]
 fn no_front_uses_a_released_machine_and_the_rest_serves_the_load() {
-    let (mut released, mut most) = (0, 0);
+    let (mut released, mut max_out) = (0, 0);
     for seed in 0..60 {
-        let world = play(seed, Fault::None);
+        let world = simulate(seed, Fault::None);
         assert!(
             world.violations.is_empty(),
             "seed {seed}: {:?}",
@@ -344,10 +344,10 @@
         );
         assert!(world.is_over(), "seed {seed}: {:?} {:?}", world.registers, world.coordinator.blocked());
         assert_eq!(world.released, 30, "12 and 18 machines, six of them twice");
-        (released, most) = (released + world.released, most.max(world.max_out));
+        (released, max_out) = (released + world.released, max_out.max(world.max_out));
     }
-    println!("proof: works_releases_in_virtual_time {released}, most out at once {most}");
-    assert!(most > 1);
+    println!("proof: works_releases_in_virtual_time {released}, most out at once {max_out}");
+    assert!(max_out > 1);
 }
 
 #[test]
@@ -358,9 +358,9 @@
         (Fault::StartsOpen, "starts_open"),
         (Fault::NoReserve, "no_reserve"),
     ] {
-        let caught = (0..30).filter(|seed| !play(*seed, fault).violations.is_empty()).count();
-        println!("proof: works_mutant_{name}_caught in {caught} of 30");
-        assert!(caught > 0, "{name}");
+        let detected = (0..30).filter(|seed| !simulate(*seed, fault).violations.is_empty()).count();
+        println!("proof: works_mutant_{name}_caught in {detected} of 30");
+        assert!(detected > 0, "{name}");
     }
 }
 
--- a/crates/core/maintenance/tests/late_confirmations.rs
+++ b/crates/core/maintenance/tests/late_confirmations.rs
@@ -33,15 +33,15 @@
 
 enum Step {
     /// The coordinator receives this version of the request: epoch, counter, phases of the two machines.
-    Learn(u64, u64, Phase, Phase),
+    Receive(u64, u64, Phase, Phase),
     /// The coordinator receives all fronts' confirmations of the machine's drain: epoch and counter of the version
     /// that they followed.
     Confirm(u64, u64),
 }
-use Step::{Confirm, Learn};
+use Step::{Confirm, Receive};
 
 /// Whether a coordinator that holds the lease releases the machine after these steps.
-fn releases(steps: &[Step]) -> bool {
+fn is_released_after(steps: &[Step]) -> bool {
     let mut coordinator = MaintenanceCoordinator::default();
     coordinator.set_lease(Some(5));
     let mut now = Duration::ZERO;
@@ -53,7 +53,7 @@
     for step in steps {
         now += ms(1000);
         match step {
-            Learn(epoch, counter, machine, other) => {
+            Receive(epoch, counter, machine, other) => {
                 let request = request(*machine, *other);
                 coordinator.handle_request(now, REGISTER, version(*epoch, *counter), request);
             }
@@ -81,49 +81,49 @@
 fn confirmation_counts_for_its_own_drain_alone() {
     use Phase::{Draining, Pending, Withdrawn};
     let cases: [(&str, bool, &[Step]); 8] = [
-        ("of this drain", true, &[Learn(1, 1, Draining, Pending), Confirm(1, 1)]),
+        ("of this drain", true, &[Receive(1, 1, Draining, Pending), Confirm(1, 1)]),
         (
             "of an earlier drain, late",
             false,
             &[
-                Learn(1, 1, Draining, Pending),
-                Learn(1, 2, Withdrawn, Pending),
-                Learn(1, 3, Draining, Pending),
+                Receive(1, 1, Draining, Pending),
+                Receive(1, 2, Withdrawn, Pending),
+                Receive(1, 3, Draining, Pending),
                 Confirm(1, 1),
             ],
         ),
         (
             "of an earlier drain, and its end was not seen",
             false,
-            &[Learn(1, 1, Draining, Pending), Confirm(1, 1), Learn(1, 3, Draining, Pending)],
+            &[Receive(1, 1, Draining, Pending), Confirm(1, 1), Receive(1, 3, Draining, Pending)],
         ),
         (
             "of an earlier drain, and its end was not seen, late",
             false,
-            &[Learn(1, 1, Draining, Pending), Learn(1, 3, Draining, Pending), Confirm(1, 1)],
+            &[Receive(1, 1, Draining, Pending), Receive(1, 3, Draining, Pending), Confirm(1, 1)],
         ),
         (
             "of this drain, before the change of another machine",
             true,
-            &[Learn(1, 1, Draining, Pending), Confirm(1, 1), Learn(1, 2, Draining, Draining)],
+            &[Receive(1, 1, Draining, Pending), Confirm(1, 1), Receive(1, 2, Draining, Draining)],
         ),
         (
             "of this drain, late, behind the change of another machine",
             true,
-            &[Learn(1, 1, Draining, Pending), Learn(1, 2, Draining, Draining), Confirm(1, 1)],
+            &[Receive(1, 1, Draining, Pending), Receive(1, 2, Draining, Draining), Confirm(1, 1)],
         ),
         (
             "of a version that the coordinator learns later",
             true,
-            &[Learn(1, 1, Draining, Pending), Confirm(1, 3), Learn(1, 3, Draining, Pending)],
+            &[Receive(1, 1, Draining, Pending), Confirm(1, 3), Receive(1, 3, Draining, Pending)],
         ),
         (
             "of an earlier epoch",
             false,
-            &[Learn(1, 4, Draining, Pending), Confirm(1, 4), Learn(2, 5, Draining, Pending)],
+            &[Receive(1, 4, Draining, Pending), Confirm(1, 4), Receive(2, 5, Draining, Pending)],
         ),
     ];
     for (case, released, steps) in cases {
-        assert_eq!(releases(steps), released, "{case}");
+        assert_eq!(is_released_after(steps), released, "{case}");
     }
 }
--- a/crates/core/maintenance/tests/limits.rs
+++ b/crates/core/maintenance/tests/limits.rs
@@ -11,9 +11,9 @@
 const CAPACITY: usize = MAX_REQUESTS * MAX_MACHINES;
 const VERSION: EntryVersion = EntryVersion { epoch: 1, counter: 1 };
 
-fn request(machines: usize, at_once: u16) -> Vec<MaintenanceRequest> {
+fn request(machines: usize, max_concurrent: u16) -> Vec<MaintenanceRequest> {
     let machines: Vec<Machine> = (0..machines as u32).collect();
-    MaintenanceRequest::new("ann", 1, at_once, 600, &machines).split(7)
+    MaintenanceRequest::new("ann", 1, max_concurrent, 600, &machines).split(7)
 }
 
 #[test]
@@ -44,20 +44,20 @@
     for machines in [32, 33, 1024, CAPACITY] {
         let mut participant = Participant::default();
         let parts = request(machines, MAX_CONCURRENT);
-        for number in 0..MAX_REQUESTS {
-            match parts.get(number).cloned() {
+        for register in 0..MAX_REQUESTS {
+            match parts.get(register).cloned() {
                 Some(mut part) => {
                     part.machines.iter_mut().for_each(|status| status.phase = Phase::Draining);
-                    participant.handle_request(number as u8, VERSION, part);
+                    participant.handle_request(register as u8, VERSION, part);
                 }
-                None => participant.handle_no_request(number as u8),
+                None => participant.handle_no_request(register as u8),
             }
         }
         let mut confirmed = BTreeSet::new();
         for _ in 0..machines.div_ceil(32) {
             let page = participant.next_confirmations(u64::MAX, &BTreeMap::new(), 32);
             assert!(page.len() <= 32);
-            confirmed.extend(page.into_iter().map(|one| one.machine));
+            confirmed.extend(page.into_iter().map(|confirmation| confirmation.machine));
         }
         assert_eq!(confirmed.len(), machines, "not all are confirmed");
     }
@@ -65,7 +65,7 @@
 
 #[test]
 fn concurrent_outages_are_counted_over_all_parts() {
-    for (count, at_once) in [(40, 3), (1024, 1024), (CAPACITY, MAX_CONCURRENT)] {
+    for (count, max_concurrent) in [(40, 3), (1024, 1024), (CAPACITY, MAX_CONCURRENT)] {
         let mut coordinator = MaintenanceCoordinator::default();
         let config = MaintenanceConfig {
             poll_interval: Duration::from_millis(1),
@@ -78,47 +78,47 @@
         let machines = (0..2 * count as u32)
             .map(|machine| (machine, MachineCapacity { zone: machine % 2, work: 8.0, answers: true }));
         let fleet = FleetCapacity { machines: machines.collect(), classes: vec![class(1.0)] };
-        let seen = FleetView { capacity: fleet, degraded_share: 0.0, zones_down: false };
+        let view = FleetView { capacity: fleet, degraded_share: 0.0, zones_down: false };
         let mut now = Duration::ZERO;
         coordinator.set_lease(Some(1));
-        let parts = request(count, at_once);
-        for number in 0..MAX_REQUESTS {
+        let parts = request(count, max_concurrent);
+        for register in 0..MAX_REQUESTS {
             let committed =
-                parts.get(number).map(|part| VersionedRequest { version: VERSION, request: part.clone() });
-            coordinator.handle_committed(now, number as u8, committed);
+                parts.get(register).map(|part| VersionedRequest { version: VERSION, request: part.clone() });
+            coordinator.handle_committed(now, register as u8, committed);
         }
         // Each step evaluates many candidates, which is slow, so the test makes at most one step more than two registers
         // hold machines.
-        let steps = usize::from(at_once).min(2 * MAX_MACHINES + 1);
+        let steps = usize::from(max_concurrent).min(2 * MAX_MACHINES + 1);
         for _ in 0..steps {
             now += config.poll_interval;
-            let Some(RegisterAction::Write(change)) = coordinator.poll(now, &config, &seen) else { break };
-            let next = version(change.expected.epoch, change.expected.counter + 1);
-            let committed = VersionedRequest { version: next, request: change.value };
-            coordinator.handle_committed(now, change.request, Some(committed));
+            let Some(RegisterAction::Write(write)) = coordinator.poll(now, &config, &view) else { break };
+            let next = version(write.expected.epoch, write.expected.counter + 1);
+            let committed = VersionedRequest { version: next, request: write.value };
+            coordinator.handle_committed(now, write.request, Some(committed));
         }
         let out = coordinator.machines_out().len();
-        assert!(out <= usize::from(at_once), "{out} are out of {at_once}");
-        assert!(out >= usize::from(at_once).min(steps), "only {out} are out of {at_once}");
+        assert!(out <= usize::from(max_concurrent), "{out} are out of {max_concurrent}");
+        assert!(out >= usize::from(max_concurrent).min(steps), "only {out} are out of {max_concurrent}");
     }
 }
 
 #[test]
 fn dead_fronts_are_stored_by_position_in_the_required_list() {
-    for (fronts, held) in [(1024, 1024), (MAX_FRONTS, MAX_FRONTS), (MAX_FRONTS + 1, MAX_FRONTS)] {
+    for (fronts, stored) in [(1024, 1024), (MAX_FRONTS, MAX_FRONTS), (MAX_FRONTS + 1, MAX_FRONTS)] {
         let names: Vec<String> = (0..fronts).map(|front| format!("front-{front:06}")).collect();
         let mut request = MaintenanceRequest::new("ann", 1, 1, 600, &[1]);
         let added = names.iter().filter(|name| request.extension.dead_fronts.add(&names, name)).count();
-        assert_eq!(added, held);
+        assert_eq!(added, stored);
         let read = MaintenanceRequest::from_bytes(&request.to_bytes()).unwrap();
-        assert_eq!(names.iter().filter(|name| read.excludes(&names, name)).count(), held);
+        assert_eq!(names.iter().filter(|name| read.excludes(&names, name)).count(), stored);
         assert!(!read.excludes(&names[1..], &names[5]), "counted in another list");
         assert!(!request.extension.dead_fronts.add(&names, "nobody"));
     }
-    let mut old = MaintenanceRequest::new("ann", 1, 1, 600, &[1]);
-    old.excluded_fronts.push("n3".to_owned());
+    let mut earlier_request = MaintenanceRequest::new("ann", 1, 1, 600, &[1]);
+    earlier_request.excluded_fronts.push("n3".to_owned());
     assert!(
-        MaintenanceRequest::from_bytes(&old.to_bytes()).unwrap().excludes(&[], "n3"),
+        MaintenanceRequest::from_bytes(&earlier_request.to_bytes()).unwrap().excludes(&[], "n3"),
         "named by an earlier version"
     );
 }
