--- a/crates/core/maintenance/src/config.rs
+++ b/crates/core/maintenance/src/config.rs
@@ -10,9 +10,9 @@
     /// The names of the fronts that must confirm a drain before the machine is released.
     pub required_fronts: Vec<String>,
     /// The share of the value servable with only a zone lost that must still be servable if the zone is lost while
-    /// machines are out of service; from 0 to 1.
+    /// machines are unavailable; from 0 to 1.
     pub min_reserve: f64,
-    /// The share by which the load that must be served while machines are out of service exceeds the present
+    /// The share by which the load that must be served while machines are unavailable exceeds the present
     /// demand; 0.1 means ten percent more.
     pub demand_margin: f64,
     /// How long a returned machine must answer without a break before it is done.
--- a/crates/core/maintenance/src/coordinator.rs
+++ b/crates/core/maintenance/src/coordinator.rs
@@ -3,8 +3,8 @@
 //!
 //! It changes one register at a time, each by a compare-and-set against the version from which it computed the new
 //! value. It drains nothing before it has read all registers by full rounds. A read also completes or supersedes a
-//! write that an earlier coordinator has left in progress, whose machines would otherwise not be counted as out of
-//! service.
+//! write that an earlier coordinator has left in progress, whose machines would otherwise not be counted as
+//! unavailable.
 //!
 //! A confirmation counts only if the version that its front followed belongs to the present drain of the machine,
 //! as a front that confirmed an earlier drain may have sent there since. If the coordinator has not seen every
@@ -176,7 +176,7 @@
         }
     }
 
-    /// The machines that are out of service, over all requests.
+    /// The machines that are unavailable (draining, released or returned), over all requests.
     pub fn machines_out(&self) -> BTreeSet<Machine> {
         self.requests.values().flat_map(|known| known.request.machines_in(Phase::is_out)).collect()
     }
--- a/crates/core/maintenance/src/coordinator/drains.rs
+++ b/crates/core/maintenance/src/coordinator/drains.rs
@@ -2,8 +2,8 @@
 //!
 //! Requests are considered by urgency, then by the time since which they are known, then by register. Of a
 //! request's pending machines the one whose loss leaves the most headroom is selected, repeatedly while the
-//! headroom stays at 1 or more. The number is limited by the machines that the request allows out of service at
-//! once, over all its parts, and to four in one change. Nothing is drained while a zone is not up, outcomes are
+//! headroom stays at 1 or more. The number is limited by the machines that the request allows to be unavailable
+//! at once, over all its parts, and to four in one change. Nothing is drained while a zone is not up, outcomes are
 //! degraded, or any machine has been released for longer than its requested outage.
 
 use super::{FleetView, MaintenanceCoordinator, PhaseChange, RegisterWrite};
@@ -104,7 +104,7 @@
         left.min(MAX_DRAINS_PER_CHANGE)
     }
 
-    /// The number of machines out of service of the whole request, of which `request` may be a part.
+    /// The number of unavailable machines of the whole request, of which `request` may be a part.
     fn out_of_request(&self, request: &MaintenanceRequest) -> usize {
         let count_out = |request: &MaintenanceRequest| request.machines_in(Phase::is_out).count();
         if request.extension.request_group == 0 {
--- a/crates/core/maintenance/src/lib.rs
+++ b/crates/core/maintenance/src/lib.rs
@@ -46,7 +46,7 @@
 pub const MAX_REQUESTS: usize = 64;
 /// The maximum number of machines in one register. Its value fits a datagram even with all of them released.
 pub const MAX_MACHINES: usize = 32;
-/// The greatest limit of machines of one request out of service at once: all that the registers hold.
+/// The greatest limit of unavailable machines of one request at once: all that the registers hold.
 pub const MAX_CONCURRENT: u16 = (MAX_REQUESTS * MAX_MACHINES) as u16;
 /// The maximum length of a requester's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 32;
--- a/crates/core/maintenance/src/notice.rs
+++ b/crates/core/maintenance/src/notice.rs
@@ -36,9 +36,9 @@
     MissingConfirmations(Vec<String>),
     /// The request is on hold.
     OnHold,
-    /// This number of machines of the request are out of service, as many as the request allows at once.
+    /// This number of machines of the request are unavailable, as many as the request allows at once.
     MaxConcurrent(usize),
-    /// Every pending machine of the request is unknown as an engine, or already out of service by another request.
+    /// Every pending machine of the request is unknown as an engine, or already unavailable by another request.
     MachineUnavailable,
     /// Without the next machine the others could not serve the load, or not with a zone lost as well.
     NoHeadroom,
--- a/crates/core/maintenance/src/phase.rs
+++ b/crates/core/maintenance/src/phase.rs
@@ -48,7 +48,7 @@
         matches!(self, Phase::Draining | Phase::Released { .. })
     }
 
-    /// Whether the machine counts as out of service, so not towards the fleet's capacity. A returned machine does
+    /// Whether the machine counts as unavailable, so not towards the fleet's capacity. A returned machine does
     /// until its probation is over.
     pub fn is_out(self) -> bool {
         matches!(self, Phase::Draining | Phase::Released { .. } | Phase::Returned)
--- a/crates/core/maintenance/src/request.rs
+++ b/crates/core/maintenance/src/request.rs
@@ -25,7 +25,7 @@
     pub requester: String,
     /// The priority of the request: the greater value goes first, among equal ones the request known longer.
     pub urgency: u8,
-    /// The maximum number of machines of the whole request, over all its parts, that are out of service at once.
+    /// The maximum number of machines of the whole request, over all its parts, that are unavailable at once.
     pub max_concurrent: u16,
     /// How long a machine may stay released, in seconds. A machine that is released for longer stops all further
     /// drains.
--- a/crates/core/maintenance/src/reserve.rs
+++ b/crates/core/maintenance/src/reserve.rs
@@ -1,6 +1,6 @@
-//! Checks whether the remaining machines can serve the load while some are out of service, also if a zone is lost.
+//! Checks whether the remaining machines can serve the load while some are unavailable, also if a zone is lost.
 //!
-//! The load is the present demand plus the configured margin. While machines are out of service, at least 0.99 of
+//! The load is the present demand plus the configured margin. While machines are unavailable, at least 0.99 of
 //! the value that all machines could serve must still be served. With any one zone lost as well, it is the
 //! configured share of the value that could be served with only that zone lost. Machines that don't answer have no
 //! capacity in either case.
@@ -34,7 +34,7 @@
     pub classes: Vec<ClassLoad>,
 }
 
-/// The value that must still be served while machines are out of service.
+/// The value that must still be served while machines are unavailable.
 #[derive(Debug, Clone)]
 pub struct CapacityReserve {
     fleet: FleetCapacity,
@@ -58,8 +58,8 @@
         reserve
     }
 
-    /// The headroom with these machines out of service: the value served over the value required, in the worst
-    /// case of no zone or any one zone lost. Below 1, too many machines are out of service.
+    /// The headroom with these machines unavailable: the value served over the value required, in the worst
+    /// case of no zone or any one zone lost. Below 1, too many machines are unavailable.
     pub fn headroom(&self, out: &BTreeSet<Machine>) -> f64 {
         let lost_zones = std::iter::once(None).chain(self.zones.iter().map(|zone| Some(*zone)));
         let ratios = lost_zones.zip(&self.required_value).map(|(lost, required)| {
@@ -73,7 +73,7 @@
         self.fleet.machines.contains_key(&machine)
     }
 
-    /// The value a second that can be served with these machines out of service and this zone lost.
+    /// The value a second that can be served with these machines unavailable and this zone lost.
     fn value(&self, out: &BTreeSet<Machine>, lost: Option<Zone>) -> f64 {
         let mut work_by_zone: BTreeMap<Zone, f64> = BTreeMap::new();
         for (id, machine) in &self.fleet.machines {
