--- a/crates/core/maintenance/tests/fleet.rs
+++ b/crates/core/maintenance/tests/fleet.rs
@@ -145,7 +145,7 @@
         let out = self.machines_in(Phase::is_out);
         let reserve = CapacityReserve::new(fleet(&self.dead), 0.9, 0.1);
         if reserve.headroom(&out) < 1.0 && !self.zones_down && self.dead.is_empty() {
-            self.violations.push(format!("more is out than the rest can carry: {out:?}"));
+            self.violations.push(format!("the remaining machines can't serve the load without {out:?}"));
         }
         self.max_out = self.max_out.max(out.len());
     }
@@ -186,7 +186,9 @@
         }
         for (machine, in_flight) in &front.in_flight {
             if *in_flight > 0 && released.contains(machine) {
-                self.violations.push(format!("n{index} has {in_flight} out on {machine}, which is released"));
+                self.violations.push(format!(
+                    "n{index} has {in_flight} attempts in flight on {machine}, which is released"
+                ));
             }
         }
     }
