--- a/crates/core/maintenance/src/coordinator.rs
+++ b/crates/core/maintenance/src/coordinator.rs
@@ -177,8 +177,8 @@
     }
 
     /// The machines that are unavailable (draining, released or returned), over all requests.
-    pub fn machines_out(&self) -> BTreeSet<Machine> {
-        self.requests.values().flat_map(|known| known.request.machines_in(Phase::is_out)).collect()
+    pub fn unavailable_machines(&self) -> BTreeSet<Machine> {
+        self.requests.values().flat_map(|known| known.request.machines_in(Phase::is_unavailable)).collect()
     }
 
     /// The reasons why requests could not proceed at the last decision.
--- a/crates/core/maintenance/src/coordinator/drains.rs
+++ b/crates/core/maintenance/src/coordinator/drains.rs
@@ -44,7 +44,7 @@
             let reserve = reserve.get_or_insert_with(|| {
                 CapacityReserve::new(fleet.capacity.clone(), config.min_reserve, config.demand_margin)
             });
-            let out = self.machines_out();
+            let out = self.unavailable_machines();
             let is_available = |machine: &Machine| reserve.knows(*machine) && !out.contains(machine);
             let available: Vec<Machine> = pending.into_iter().filter(is_available).collect();
             if available.is_empty() {
@@ -106,7 +106,7 @@
 
     /// The number of unavailable machines of the whole request, of which `request` may be a part.
     fn out_of_request(&self, request: &MaintenanceRequest) -> usize {
-        let count_out = |request: &MaintenanceRequest| request.machines_in(Phase::is_out).count();
+        let count_out = |request: &MaintenanceRequest| request.machines_in(Phase::is_unavailable).count();
         if request.extension.request_group == 0 {
             return count_out(request);
         }
--- a/crates/core/maintenance/src/phase.rs
+++ b/crates/core/maintenance/src/phase.rs
@@ -50,7 +50,7 @@
 
     /// Whether the machine counts as unavailable, so not towards the fleet's capacity. A returned machine does
     /// until its probation is over.
-    pub fn is_out(self) -> bool {
+    pub fn is_unavailable(self) -> bool {
         matches!(self, Phase::Draining | Phase::Released { .. } | Phase::Returned)
     }
 
--- a/crates/core/maintenance/tests/fleet.rs
+++ b/crates/core/maintenance/tests/fleet.rs
@@ -142,7 +142,7 @@
         (0..FRONTS).for_each(|front| self.step_front(front, &released));
         self.deliver();
         self.step_coordinator();
-        let out = self.machines_in(Phase::is_out);
+        let out = self.machines_in(Phase::is_unavailable);
         let reserve = CapacityReserve::new(fleet(&self.dead), 0.9, 0.1);
         if reserve.headroom(&out) < 1.0 && !self.zones_down && self.dead.is_empty() {
             self.violations.push(format!("the remaining machines can't serve the load without {out:?}"));
@@ -392,10 +392,10 @@
     world.dead = (0..8).collect(); // All machines of one zone.
     world.commit(0, MaintenanceRequest::new("ann", 1, 5, 1, &[9, 10, 11]));
     (0..300).for_each(|_| world.step());
-    assert_eq!(world.machines_in(Phase::is_out).len(), 0, "there is no headroom");
+    assert_eq!(world.machines_in(Phase::is_unavailable).len(), 0, "there is no headroom");
     world.dead.clear();
     (0..100).for_each(|_| world.step());
-    let out = world.machines_in(Phase::is_out);
+    let out = world.machines_in(Phase::is_unavailable);
     assert!(!out.is_empty());
     // The machine is not reported as returned: after the requested outage of one second nothing more is drained.
     world.commit(1, MaintenanceRequest::new("bob", 9, 5, 600, &[20]));
--- a/crates/core/maintenance/tests/limits.rs
+++ b/crates/core/maintenance/tests/limits.rs
@@ -97,7 +97,7 @@
             let committed = VersionedRequest { version: next, request: write.value };
             coordinator.handle_committed(now, write.request, Some(committed));
         }
-        let out = coordinator.machines_out().len();
+        let out = coordinator.unavailable_machines().len();
         assert!(out <= usize::from(max_concurrent), "{out} are out of {max_concurrent}");
         assert!(out >= usize::from(max_concurrent).min(steps), "only {out} are out of {max_concurrent}");
     }
--- a/crates/edges/cli/src/fleet/maintenance.rs
+++ b/crates/edges/cli/src/fleet/maintenance.rs
@@ -321,14 +321,16 @@
             request.requester,
             request.machines.len(),
             count(|phase| *phase == Phase::Pending),
-            count(|phase| phase.is_out()),
+            count(|phase| phase.is_unavailable()),
             count(|phase| phase.is_over()),
             if request.on_hold { "; held" } else { "" }
         );
         if let Some(first) = self.part_of.filter(|first| first != number) {
             println!("  part of request {first}");
         }
-        for MachineStatus { machine, phase } in request.machines.iter().filter(|one| one.phase.is_out()) {
+        for MachineStatus { machine, phase } in
+            request.machines.iter().filter(|one| one.phase.is_unavailable())
+        {
             println!("  {machine:08x} {phase}");
         }
         if let Some(blocked) = &self.blocked {
