--- a/crates/core/maintenance/src/coordinator/drains.rs
+++ b/crates/core/maintenance/src/coordinator/drains.rs
@@ -44,14 +44,14 @@
             let reserve = reserve.get_or_insert_with(|| {
                 CapacityReserve::new(fleet.capacity.clone(), config.min_reserve, config.demand_margin)
             });
-            let out = self.unavailable_machines();
-            let is_available = |machine: &Machine| reserve.knows(*machine) && !out.contains(machine);
+            let unavailable = self.unavailable_machines();
+            let is_available = |machine: &Machine| reserve.knows(*machine) && !unavailable.contains(machine);
             let available: Vec<Machine> = pending.into_iter().filter(is_available).collect();
             if available.is_empty() {
                 self.block(key, BlockReason::MachineUnavailable);
                 continue;
             }
-            let drains = choose_drains(reserve, out, available, max_drains);
+            let drains = select_drains(reserve, unavailable, available, max_drains);
             if drains.is_empty() {
                 self.block(key, BlockReason::NoHeadroom);
                 continue;
@@ -95,45 +95,46 @@
             return Some(BlockReason::OnHold);
         }
         let is_full = self.drains_allowed(request) == 0;
-        is_full.then(|| BlockReason::MaxConcurrent(self.out_of_request(request)))
+        is_full.then(|| BlockReason::MaxConcurrent(self.unavailable_in_request(request)))
     }
 
     /// The number of machines of the request that one change may drain.
     fn drains_allowed(&self, request: &MaintenanceRequest) -> usize {
-        let left = usize::from(request.max_concurrent).saturating_sub(self.out_of_request(request));
+        let left = usize::from(request.max_concurrent).saturating_sub(self.unavailable_in_request(request));
         left.min(MAX_DRAINS_PER_CHANGE)
     }
 
     /// The number of unavailable machines of the whole request, of which `request` may be a part.
-    fn out_of_request(&self, request: &MaintenanceRequest) -> usize {
-        let count_out = |request: &MaintenanceRequest| request.machines_in(Phase::is_unavailable).count();
+    fn unavailable_in_request(&self, request: &MaintenanceRequest) -> usize {
+        let count_unavailable =
+            |request: &MaintenanceRequest| request.machines_in(Phase::is_unavailable).count();
         if request.extension.request_group == 0 {
-            return count_out(request);
+            return count_unavailable(request);
         }
         let known = self.requests.values().map(|known| &known.request);
-        known.filter(|other| other.is_same_request(request)).map(count_out).sum()
+        known.filter(|other| other.is_same_request(request)).map(count_unavailable).sum()
     }
 }
 
 /// Selects machines one by one, each the one that leaves the most headroom; among equals the first.
-fn choose_drains(
+fn select_drains(
     reserve: &CapacityReserve,
-    mut out: BTreeSet<Machine>,
+    mut unavailable: BTreeSet<Machine>,
     mut available: Vec<Machine>,
     max_drains: usize,
 ) -> Vec<PhaseChange> {
     let mut drains = Vec::new();
     while drains.len() < max_drains && !available.is_empty() {
         let headroom_without = |machine: &Machine| {
-            let mut out = out.clone();
-            out.insert(*machine);
-            reserve.headroom(&out)
+            let mut unavailable = unavailable.clone();
+            unavailable.insert(*machine);
+            reserve.headroom(&unavailable)
         };
         let headrooms: Vec<f64> = available.iter().map(headroom_without).collect();
         let best = (0..available.len()).max_by(|a, b| headrooms[*a].total_cmp(&headrooms[*b]).then(b.cmp(a)));
         let Some(best) = best.filter(|best| headrooms[*best] >= MIN_HEADROOM) else { break };
         let machine = available.remove(best);
-        out.insert(machine);
+        unavailable.insert(machine);
         drains.push(PhaseChange { machine, phase: Phase::Draining });
     }
     drains
--- a/crates/core/maintenance/src/reserve.rs
+++ b/crates/core/maintenance/src/reserve.rs
@@ -50,9 +50,9 @@
         let zones: BTreeSet<Zone> = fleet.machines.values().map(|machine| machine.zone).collect();
         let zones: Vec<Zone> = zones.into_iter().collect();
         let mut reserve = CapacityReserve { fleet, zones, required_value: Vec::new() };
-        let none_out = BTreeSet::new();
-        let mut required = vec![reserve.value(&none_out, None) * MIN_VALUE_SHARE];
-        let with_zone_lost = reserve.zones.iter().map(|zone| reserve.value(&none_out, Some(*zone)));
+        let none_unavailable = BTreeSet::new();
+        let mut required = vec![reserve.value(&none_unavailable, None) * MIN_VALUE_SHARE];
+        let with_zone_lost = reserve.zones.iter().map(|zone| reserve.value(&none_unavailable, Some(*zone)));
         required.extend(with_zone_lost.map(|value| value * min_reserve));
         reserve.required_value = required;
         reserve
@@ -60,10 +60,10 @@
 
     /// The headroom with these machines unavailable: the value served over the value required, in the worst
     /// case of no zone or any one zone lost. Below 1, too many machines are unavailable.
-    pub fn headroom(&self, out: &BTreeSet<Machine>) -> f64 {
+    pub fn headroom(&self, unavailable: &BTreeSet<Machine>) -> f64 {
         let lost_zones = std::iter::once(None).chain(self.zones.iter().map(|zone| Some(*zone)));
         let ratios = lost_zones.zip(&self.required_value).map(|(lost, required)| {
-            if *required <= EPSILON_VALUE { f64::INFINITY } else { self.value(out, lost) / required }
+            if *required <= EPSILON_VALUE { f64::INFINITY } else { self.value(unavailable, lost) / required }
         });
         ratios.fold(f64::INFINITY, f64::min)
     }
@@ -74,10 +74,10 @@
     }
 
     /// The value a second that can be served with these machines unavailable and this zone lost.
-    fn value(&self, out: &BTreeSet<Machine>, lost: Option<Zone>) -> f64 {
+    fn value(&self, unavailable: &BTreeSet<Machine>, lost: Option<Zone>) -> f64 {
         let mut work_by_zone: BTreeMap<Zone, f64> = BTreeMap::new();
         for (id, machine) in &self.fleet.machines {
-            if machine.answers && !out.contains(id) && Some(machine.zone) != lost {
+            if machine.answers && !unavailable.contains(id) && Some(machine.zone) != lost {
                 *work_by_zone.entry(machine.zone).or_default() += machine.work;
             }
         }
