--- a/crates/core/zone-failover/src/follower.rs
+++ b/crates/core/zone-failover/src/follower.rs
@@ -5,10 +5,10 @@
 //! 1. It keeps following the last plan, and opens nothing that this plan closes.
 //! 2. It closes zones, other than its own, that its own observations show as unreachable for the confirmation time.
 //!    Such a zone stays closed until the front reads the plan again, as a closed zone yields no observations.
-//! 3. While any zone is restricted or unreachable, it admits no more work than its quota of the capacity of the
-//!    remaining zones, and no greater shares than the last plan. Otherwise the last plan's shares apply.
+//! 3. While any zone is restricted or unreachable, it admits no more work than its isolated share of the
+//!    capacity of the remaining zones, and no greater shares than the last plan. Otherwise the last plan's shares apply.
 //!
-//! The quotas of all fronts sum to one at most, so all fronts together stay within the zones' capacity, however many
+//! The isolated shares of all fronts sum to one at most, so all fronts together stay within the zones' capacity, however many
 //! of them are isolated.
 
 use crate::{
@@ -224,7 +224,7 @@
             let restriction = restrictions.iter().find(|restriction| restriction.zone as usize == zone);
             restriction.map_or(1.0, |restriction| share(restriction.open_permille))
         };
-        let quota = local.quota.clamp(0.0, 1.0);
+        let isolated_share = local.isolated_share.clamp(0.0, 1.0);
         let capacities: Vec<ZoneCapacity> = local
             .zones
             .iter()
@@ -232,7 +232,7 @@
             .enumerate()
             .map(|(index, zone)| ZoneCapacity {
                 zone: index as Zone,
-                work: f64::from(zone.cores) * config.max_utilization * open_share(index) * quota,
+                work: f64::from(zone.cores) * config.max_utilization * open_share(index) * isolated_share,
             })
             .collect();
         let mut admitted_shares = allocate(&local.classes, &capacities).served_shares;
--- a/crates/core/zone-failover/src/observer.rs
+++ b/crates/core/zone-failover/src/observer.rs
@@ -205,7 +205,7 @@
     }
 
     /// Records that an attempt or a probe failed without an answer.
-    pub fn engine_missed(&mut self, now: Duration, engine: u32) {
+    pub fn engine_failed(&mut self, now: Duration, engine: u32) {
         if let Some(engine) = self.engines.get_mut(&engine) {
             engine.last_failure = Some(now);
         }
@@ -226,7 +226,7 @@
                 ended.slow = u32::from(elapsed > (usual * SLOW_FACTOR).max(MIN_SLOW_S));
             }
             AttemptResult::Failed => {
-                self.engine_missed(now, engine);
+                self.engine_failed(now, engine);
                 ended.failed = 1;
             }
             AttemptResult::Answered => self.engine_answered(now, engine),
@@ -250,9 +250,9 @@
         self.engines.iter().map(observe).collect()
     }
 
-    /// Ends the report interval. `quota` is the share of the zones' capacity that this front may use while it is
-    /// isolated, from 0 to 1.
-    pub fn report(&mut self, now: Duration, config: &FailoverConfig, quota: f64) -> Observation {
+    /// Ends the report interval. `isolated_share` is the share of the zones' capacity that this front may use while
+    /// it is isolated, from 0 to 1.
+    pub fn report(&mut self, now: Duration, config: &FailoverConfig, isolated_share: f64) -> Observation {
         let interval_s = now.saturating_sub(self.last_report).as_secs_f64().max(MIN_INTERVAL_S);
         self.last_report = now;
         let mut zones = self.zone_stats(now, config);
@@ -271,7 +271,7 @@
         let local = LocalView {
             zones: zones.iter().map(local_zone).collect(),
             classes: with_demand(&self.classes, &demand),
-            quota,
+            isolated_share,
         };
         Observation { report: FrontReport { zone: self.zone, zones, demand }, local }
     }
--- a/crates/core/zone-failover/src/report.rs
+++ b/crates/core/zone-failover/src/report.rs
@@ -62,6 +62,6 @@
     /// The demand at this front, by request class.
     pub classes: Vec<ClassLoad>,
     /// The share of the zones' capacity that this front may use while it is isolated, from 0 to 1: one over the
-    /// configured number of fronts. It is not the quota of leases.
-    pub quota: f64,
+    /// configured number of fronts. It is independent of the quota that fronts share by leases.
+    pub isolated_share: f64,
 }
--- a/crates/core/zone-failover/tests/fleet.rs
+++ b/crates/core/zone-failover/tests/fleet.rs
@@ -179,7 +179,7 @@
             let local = LocalView {
                 zones: (0..ZONES as u32).map(observe).collect(),
                 classes: self.classes(share),
-                quota: share,
+                isolated_share: share,
             };
             self.effects[front] = self.followers[front].effect(self.now, config, &local);
         }
--- a/crates/core/zone-failover/tests/mutants.rs
+++ b/crates/core/zone-failover/tests/mutants.rs
@@ -46,7 +46,7 @@
     let local = LocalView {
         zones: vec![zone(ZoneHealth::Unreachable, 16), zone(ZoneHealth::Healthy, 16)],
         classes: classes(8.0, 0.1),
-        quota: share,
+        isolated_share: share,
     };
     let mut follower = PlanFollower::new(ms(0), 1, 1);
     let mut effect = PlanEffect::default();
--- a/crates/edges/routing/src/zone_monitor.rs
+++ b/crates/edges/routing/src/zone_monitor.rs
@@ -161,7 +161,7 @@
     pub fn handle_probe_ended(&mut self, now: Duration, engine: EngineId, answered: bool) {
         match answered {
             true => self.observer.engine_answered(now, engine),
-            false => self.observer.engine_missed(now, engine),
+            false => self.observer.engine_failed(now, engine),
         }
     }
 
