--- a/crates/core/zone-failover/src/follower.rs
+++ b/crates/core/zone-failover/src/follower.rs
@@ -5,11 +5,12 @@
 //! 1. It keeps following the last plan, and opens nothing that this plan closes.
 //! 2. It closes zones, other than its own, that its own observations show as unreachable for the confirmation time.
 //!    Such a zone stays closed until the front reads the plan again, as a closed zone yields no observations.
-//! 3. While any zone is restricted or unreachable, it admits no more work than its isolated share of the
-//!    capacity of the remaining zones, and no greater shares than the last plan. Otherwise the last plan's shares apply.
+//! 3. While any zone is restricted or unreachable, it admits no more work than its share of the capacity of the
+//!    remaining zones ([`LocalView::isolated_share`]), and no greater shares than the last plan. Otherwise the last
+//!    plan's shares apply.
 //!
-//! The isolated shares of all fronts sum to one at most, so all fronts together stay within the zones' capacity, however many
-//! of them are isolated.
+//! The isolated shares of all fronts sum to one at most, so all fronts together stay within the zones' capacity,
+//! however many of them are isolated.
 
 use crate::{
     FULLY_OPEN, FailoverConfig, FailoverPlan, LocalView, MAX_ZONES, Zone, ZoneCapacity, ZoneHealth, ZonePlan,
