--- a/crates/core/maintenance/tests/fleet.rs
+++ b/crates/core/maintenance/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! Maintenance in virtual time: fronts that send, restart, learn and confirm late; coordinators that restart without
-//! memory; operators that request, withdraw and report machines back. What counts is what machines were sent.
+//! Simulates maintenance in virtual time: fronts that send, restart, and read and confirm requests late; coordinators
+//! that restart without memory; released machines that are reported as returned. Checks that no front sends to a
+//! released machine or has anything in flight there, and that the remaining machines can serve the load.
 
 mod common;
 
@@ -26,7 +27,8 @@
     format!("n{front}")
 }
 
-/// 24 machines of 8; the demand fills nine tenths of what is left with a zone lost.
+/// 24 machines with a capacity of 8 each. The demand plus its margin of 0.1 is nine tenths of the capacity that is
+/// left with a zone lost.
 fn fleet(dead: &BTreeSet<Machine>) -> FleetCapacity {
     let capacity = |machine| MachineCapacity {
         zone: machine / MACHINES_PER_ZONE,
@@ -37,7 +39,7 @@
     FleetCapacity { machines: machines.collect(), classes: vec![class(104.0)] }
 }
 
-/// What a front's router has applied of what its participant knows; it follows some time later.
+/// The state that a front's router has applied; it follows the participant with a delay.
 #[derive(Default)]
 struct Applied {
     revision: u64,
@@ -63,17 +65,17 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     None,
-    /// One front is not waited for.
+    /// The coordinator does not wait for one front.
     FrontNotRequired,
     /// A front confirms before its router has stopped sending.
     CountedBeforeClosing,
-    /// A front that starts uses all machines before it knows anything.
+    /// A front that starts uses all machines before it knows all requests.
     StartsOpen,
     /// The headroom is not checked.
     NoReserve,
 }
 
-/// Confirmations under way to the coordinator.
+/// A message with confirmations to the coordinator, not delivered yet.
 struct Sent {
     arrives: Duration,
     front: String,
@@ -91,11 +93,11 @@
     rng: fastrand::Rng,
     dead: BTreeSet<Machine>,
     zones_down: bool,
-    /// What went wrong.
+    /// The violations of the rules so far.
     violations: Vec<String>,
     max_out: usize,
     released: usize,
-    /// A round of the coordinator that has not ended.
+    /// An operation of the coordinator that has not completed.
     pending: Option<RegisterAction>,
 }
 
@@ -140,17 +142,17 @@
         (0..FRONTS).for_each(|front| self.step_front(front, &released));
         self.deliver();
         self.step_coordinator();
-        let out = self.machines_in(Phase::is_out);
+        let out = self.machines_in(Phase::is_unavailable);
         let reserve = CapacityReserve::new(fleet(&self.dead), 0.9, 0.1);
         if reserve.headroom(&out) < 1.0 && !self.zones_down && self.dead.is_empty() {
-            self.violations.push(format!("more is out than the rest can carry: {out:?}"));
+            self.violations.push(format!("the remaining machines can't serve the load without {out:?}"));
         }
         self.max_out = self.max_out.max(out.len());
     }
 
-    /// A front learns, applies, sends, gets answers and confirms.
+    /// Runs one step of a front: it reads requests, applies them, sends attempts, ends some, and confirms drains.
     fn step_front(&mut self, index: usize, released: &BTreeSet<Machine>) {
-        let learns = !self.fronts[index].disconnected && self.rng.f64() < 0.3;
+        let reads_requests = !self.fronts[index].disconnected && self.rng.f64() < 0.3;
         let front = &mut self.fronts[index];
         if !front.alive {
             return;
@@ -160,8 +162,8 @@
             let (revision, closed) = (front.participant.revision(), front.participant.closed_machines());
             front.applied = Applied { revision, closed, open };
         }
-        if learns {
-            learn(&mut front.participant, &self.registers);
+        if reads_requests {
+            read_requests(&mut front.participant, &self.registers);
         }
         for _ in 0..3 {
             let machine = self.rng.u32(..ZONES * MACHINES_PER_ZONE);
@@ -184,12 +186,14 @@
         }
         for (machine, in_flight) in &front.in_flight {
             if *in_flight > 0 && released.contains(machine) {
-                self.violations.push(format!("n{index} has {in_flight} out on {machine}, which is released"));
+                self.violations.push(format!(
+                    "n{index} has {in_flight} attempts in flight on {machine}, which is released"
+                ));
             }
         }
     }
 
-    /// Confirmations and requests reach the coordinator.
+    /// Delivers due confirmations and some of the requests to the coordinator.
     fn deliver(&mut self) {
         let now = self.now;
         let due: Vec<Sent> = self.sent.extract_if(.., |sent| sent.arrives <= now).collect();
@@ -204,7 +208,7 @@
         }
     }
 
-    /// The coordinator decides. Rounds take a while, and now and then nobody learns the outcome of one.
+    /// Runs one step of the coordinator. Its operations complete after a random delay, some with an unknown outcome.
     fn step_coordinator(&mut self) {
         let mut config = config();
         match self.fault {
@@ -229,7 +233,7 @@
         let register = match action {
             RegisterAction::Read(register) => register,
             RegisterAction::Write(RegisterWrite { request: register, expected, value }) => {
-                // Committed only if the value that it was computed from is still there.
+                // The compare-and-set commits only if the expected version is still the latest.
                 if self.registers.get(&register).is_some_and(|known| known.version == expected) {
                     self.commit(register, value);
                 }
@@ -243,13 +247,13 @@
         self.coordinator.handle_committed(self.now, register, committed);
     }
 
-    /// Released machines are reported back, some time later, and now and then twice.
+    /// Reports released machines as returned after a random delay, each twice; the second report has no effect.
     fn return_released_machines(&mut self) {
         let mut released = Vec::new();
         for (register, known) in &self.registers {
             let machines = known.request.machines.iter();
-            let of_register = machines.filter(|status| matches!(status.phase, Phase::Released { .. }));
-            released.extend(of_register.map(|status| (*register, status.machine)));
+            let released_machines = machines.filter(|status| matches!(status.phase, Phase::Released { .. }));
+            released.extend(released_machines.map(|status| (*register, status.machine)));
         }
         for (register, machine) in released {
             if self.rng.f64() < 0.02 {
@@ -261,13 +265,14 @@
         }
     }
 
-    /// The incarnation ends, and with it what it had in flight.
+    /// Restarts a front: its incarnation ends, and its attempts in flight with it.
     fn restart(&mut self, front: usize) {
         let disconnected = self.fronts[front].disconnected;
         self.fronts[front] = Front { alive: true, disconnected, ..Front::default() };
     }
 
-    /// The coordinator's successor starts without memory; its reads end what was under way.
+    /// Replaces the coordinator by one without memory. The operation in progress is discarded, as the reads of the new
+    /// coordinator supersede it.
     fn replace_coordinator(&mut self) {
         self.coordinator = MaintenanceCoordinator::default();
         self.fencing_token += 1;
@@ -278,7 +283,7 @@
         self.registers.values().all(|known| known.request.is_over())
     }
 
-    /// Whether a block reason that satisfies the condition shows within so many steps.
+    /// Whether a block reason that satisfies the condition occurs within this number of steps.
     fn is_blocked_by(&mut self, steps: usize, condition: impl Fn(&BlockReason) -> bool) -> bool {
         let is_blocked =
             |notice: &Notice| matches!(notice, Notice::Blocked { reason, .. } if condition(reason));
@@ -289,7 +294,7 @@
     }
 }
 
-fn learn(participant: &mut Participant, registers: &BTreeMap<u8, VersionedRequest>) {
+fn read_requests(participant: &mut Participant, registers: &BTreeMap<u8, VersionedRequest>) {
     for register in 0..MAX_REQUESTS as u8 {
         match registers.get(&register) {
             Some(known) => participant.handle_request(register, known.version, known.request.clone()),
@@ -298,16 +303,17 @@
     }
 }
 
-/// Two requests under way, with restarts, partitions and a zone that is down now and then for the first 1,500 steps.
-fn play(seed: u64, fault: Fault) -> World {
+/// Simulates two concurrent requests. During the first 1,500 steps fronts restart and disconnect, coordinators are
+/// replaced, and a zone is down at times.
+fn simulate(seed: u64, fault: Fault) -> World {
     let mut world = World::new(seed, fault);
     let all: Vec<Machine> = (0..ZONES * MACHINES_PER_ZONE).collect();
     world.commit(0, MaintenanceRequest::new("ann", 1, 3, 600, &all[..12]));
     world.commit(1, MaintenanceRequest::new("bob", 5, 2, 600, &all[6..]));
-    for turn in 0..6000 {
+    for iteration in 0..6000 {
         world.step();
         world.return_released_machines();
-        if turn < 1500 {
+        if iteration < 1500 {
             let front = world.rng.usize(..FRONTS);
             match world.rng.u32(..200) {
                 0 => world.restart(front),
@@ -321,7 +327,7 @@
             world.zones_down = false;
             world.fronts.iter_mut().for_each(|front| front.disconnected = false);
         }
-        if world.is_over() && turn > 1500 {
+        if world.is_over() && iteration > 1500 {
             break;
         }
     }
@@ -330,9 +336,9 @@
 
 #[test]
 fn no_front_uses_a_released_machine_and_the_rest_serves_the_load() {
-    let (mut released, mut most) = (0, 0);
+    let (mut released, mut max_out) = (0, 0);
     for seed in 0..60 {
-        let world = play(seed, Fault::None);
+        let world = simulate(seed, Fault::None);
         assert!(
             world.violations.is_empty(),
             "seed {seed}: {:?}",
@@ -340,10 +346,10 @@
         );
         assert!(world.is_over(), "seed {seed}: {:?} {:?}", world.registers, world.coordinator.blocked());
         assert_eq!(world.released, 30, "12 and 18 machines, six of them twice");
-        (released, most) = (released + world.released, most.max(world.max_out));
+        (released, max_out) = (released + world.released, max_out.max(world.max_out));
     }
-    println!("proof: works_releases_in_virtual_time {released}, most out at once {most}");
-    assert!(most > 1);
+    println!("proof: works_releases_in_virtual_time {released}, most out at once {max_out}");
+    assert!(max_out > 1);
 }
 
 #[test]
@@ -354,9 +360,9 @@
         (Fault::StartsOpen, "starts_open"),
         (Fault::NoReserve, "no_reserve"),
     ] {
-        let caught = (0..30).filter(|seed| !play(*seed, fault).violations.is_empty()).count();
-        println!("proof: works_mutant_{name}_caught in {caught} of 30");
-        assert!(caught > 0, "{name}");
+        let detected = (0..30).filter(|seed| !simulate(*seed, fault).violations.is_empty()).count();
+        println!("proof: works_mutant_{name}_caught in {detected} of 30");
+        assert!(detected > 0, "{name}");
     }
 }
 
@@ -383,15 +389,15 @@
 #[test]
 fn failed_machine_counts_as_out_and_an_overdue_one_stops_drains() {
     let mut world = World::new(4, Fault::None);
-    world.dead = (0..8).collect(); // A whole zone has failed.
+    world.dead = (0..8).collect(); // All machines of one zone.
     world.commit(0, MaintenanceRequest::new("ann", 1, 5, 1, &[9, 10, 11]));
     (0..300).for_each(|_| world.step());
-    assert_eq!(world.machines_in(Phase::is_out).len(), 0, "there is no headroom");
+    assert_eq!(world.machines_in(Phase::is_unavailable).len(), 0, "there is no headroom");
     world.dead.clear();
     (0..100).for_each(|_| world.step());
-    let out = world.machines_in(Phase::is_out);
+    let out = world.machines_in(Phase::is_unavailable);
     assert!(!out.is_empty());
-    // Nobody reports it back: after the second that was requested, nothing more is drained.
+    // The machine is not reported as returned: after the requested outage of one second nothing more is drained.
     world.commit(1, MaintenanceRequest::new("bob", 9, 5, 600, &[20]));
     (0..100).for_each(|_| world.step());
     assert!(world.is_blocked_by(20, |reason| reason.to_string().contains("longer than was asked")));
--- a/crates/core/zone-failover/src/transition.rs
+++ b/crates/core/zone-failover/src/transition.rs
@@ -1,65 +1,65 @@
-//! A transition of a zone, and its reason, as logs show them.
+//! Transitions of zones, and their reasons as logged.
 
 use crate::ZoneState;
 use std::fmt;
 
-/// Why a zone was moved.
+/// The reason of a zone's transition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TransitionReason {
-    /// No front reaches it.
+    /// The zone is unreachable for the confirmation time; during a drain also if it is partitioned.
     Unreachable,
-    /// Only its own fronts reach it.
+    /// Only the zone's own fronts reach it, for the confirmation time.
     Partitioned,
-    /// It is unreachable or partitioned, not yet for the confirmation time.
+    /// The zone is unreachable or partitioned, but not yet for the confirmation time.
     Suspected,
-    /// A suspected zone is healthy again.
+    /// A suspected zone is neither unreachable nor partitioned any more.
     EvidenceCleared,
-    /// An operator drains it.
+    /// An operator drains the zone.
     OperatorDisabled,
-    /// A drill ended, as outcomes elsewhere degraded.
+    /// A drill ended by itself, as outcomes in another zone degraded.
     DrillDegradedOthers,
     /// An operator ended the drain.
     OperatorEnabled,
-    /// The drain goes on.
+    /// The next step of a drain.
     DrainStep,
     /// A partitioned zone became unreachable for its own fronts too.
-    LocalFrontsLostIt,
+    UnreachableLocally,
     /// The recovery backoff is over.
     BackoffElapsed,
     /// The probed zone answered for the probation.
     ProbationPassed,
-    /// The probed zone did not answer in time.
+    /// The probed zone did not answer within four probations.
     ProbationFailed,
-    /// Lost again while it recovered.
+    /// The zone was lost again while it recovered.
     LostDuringRecovery,
-    /// Attempts there fail or are slow while it recovers.
+    /// Attempts in a recovering zone fail or are slow.
     OutcomesDegraded,
-    /// The recovery goes on.
+    /// The next step of a recovery.
     RampStep,
     /// The recovery is complete.
     RampComplete,
 }
 
 impl fmt::Display for TransitionReason {
-    /// The wording in logs.
+    /// The text in log lines.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            TransitionReason::Unreachable => "it answers nobody",
-            TransitionReason::Partitioned => "only its own fronts reach it",
-            TransitionReason::Suspected => "evidence speaks against it",
-            TransitionReason::EvidenceCleared => "the evidence has passed",
-            TransitionReason::OperatorDisabled => "an operator takes it out",
-            TransitionReason::DrillDegradedOthers => "the drill made others worse",
-            TransitionReason::OperatorEnabled => "an operator gives it back",
-            TransitionReason::DrainStep => "a further step out",
-            TransitionReason::LocalFrontsLostIt => "its own fronts lost it too",
-            TransitionReason::BackoffElapsed => "it has been left alone for its wait",
-            TransitionReason::ProbationPassed => "it answered for long enough",
-            TransitionReason::ProbationFailed => "it did not answer when tried out",
-            TransitionReason::LostDuringRecovery => "lost again on its return",
-            TransitionReason::OutcomesDegraded => "outcomes there worsen",
-            TransitionReason::RampStep => "what is open there does well",
-            TransitionReason::RampComplete => "all of it is open",
+            TransitionReason::Unreachable => "unreachable from most fronts",
+            TransitionReason::Partitioned => "reachable from its own fronts only",
+            TransitionReason::Suspected => "unreachable or partitioned, not confirmed yet",
+            TransitionReason::EvidenceCleared => "no longer unreachable or partitioned",
+            TransitionReason::OperatorDisabled => "drained by an operator",
+            TransitionReason::DrillDegradedOthers => "drill ended, outcomes in another zone degraded",
+            TransitionReason::OperatorEnabled => "drain ended by an operator",
+            TransitionReason::DrainStep => "next drain step",
+            TransitionReason::UnreachableLocally => "unreachable from its own fronts too",
+            TransitionReason::BackoffElapsed => "recovery backoff elapsed",
+            TransitionReason::ProbationPassed => "probation passed",
+            TransitionReason::ProbationFailed => "no answer within four probations",
+            TransitionReason::LostDuringRecovery => "lost again during recovery",
+            TransitionReason::OutcomesDegraded => "outcomes degraded",
+            TransitionReason::RampStep => "next recovery step",
+            TransitionReason::RampComplete => "recovery complete",
         })
     }
 }
@@ -69,10 +69,10 @@
 pub struct Transition {
     /// The state before.
     pub from: ZoneState,
-    /// The state after; the same where only the open share changes.
+    /// The state after; equal to `from` if only the open share changes.
     pub to: ZoneState,
     /// The share of the zone's engines that is open now, in thousandths.
     pub open_permille: u16,
-    /// Why.
+    /// The reason.
     pub reason: TransitionReason,
 }
