--- a/crates/testing/cluster/src/config.rs
+++ b/crates/testing/cluster/src/config.rs
@@ -1,44 +1,44 @@
-//! How a cluster is made.
+//! Configuration of a test cluster.
 
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A front's start configuration, by the front's index and the address of its command channel.
+/// Builds a front's start configuration from the front's index and the address of its discovery channel.
 pub type FrontStart = Arc<dyn Fn(usize, SocketAddr) -> Value + Send + Sync>;
 
-/// How a cluster is made.
+/// Configuration of a test cluster.
 #[derive(Clone)]
 pub struct RigConfig {
-    /// Path of the program.
+    /// Path of the `lemonusher` program.
     pub program: &'static str,
-    /// Processes.
+    /// Number of front processes.
     pub fronts: usize,
-    /// The first so many fronts vote.
+    /// Number of voters: the fronts with an index below it vote.
     pub voters: usize,
-    /// How long a lease lasts.
+    /// Duration of a lease.
     pub lease: Duration,
-    /// How far a clock may be off, in thousandths.
+    /// Largest rate error of a clock that the leases allow for, in thousandths.
     pub clock_drift_permille: u32,
-    /// How long an act may take where the task service can't reject a stale fencing token.
+    /// Longest duration of an act if the task service can't reject a stale fencing token.
     pub act_time: Duration,
-    /// How long an act of the task takes.
+    /// Duration of an act of the task.
     pub task_duration: Duration,
-    /// From one act of the task to the next.
+    /// Time between two acts of the task.
     pub task_interval: Duration,
-    /// Whether the task service rejects stale fencing tokens; the fronts are told so.
+    /// Whether the task service rejects stale fencing tokens. The fronts' configuration states the same.
     pub rejects_stale: bool,
-    /// By front: how fast its clock runs.
+    /// Rate of each front's clock relative to real time, by front index.
     pub clock_rates: Vec<f64>,
-    /// Whether each front has a folder that outlasts its process.
+    /// Whether each front has a state folder that persists when its process ends.
     pub persistent: bool,
-    /// Quota slots that the fronts share; 0 for none.
+    /// Number of quota slots that the fronts share; 0 for no quota.
     pub quota_slots: u32,
-    /// Of everything random.
+    /// Seed of all randomness.
     pub seed: u64,
-    /// The fronts' start configurations; none: fronts without engines.
+    /// Builds the fronts' start configurations. If `None`, fronts have no engines.
     pub front_start: Option<FrontStart>,
-    /// Further tables of the operator's file, as TOML.
+    /// Further tables of the operator's file, in TOML.
     pub extra_toml: String,
 }
--- a/crates/testing/cluster/src/fake_engine.rs
+++ b/crates/testing/cluster/src/fake_engine.rs
@@ -1,5 +1,6 @@
-//! One engine: it runs the emulator's model in real time, starts cold, and is overloaded for good when more is sent to it
-//! while it is cold than it can bear. It speaks the engines' line protocol.
+//! A fake engine that speaks the engines' line protocol and runs the emulator's engine model in real time. After a
+//! restart it is cold: its speed rises linearly to full speed over the warm-up. If the work sent to a cold engine
+//! exceeds its overload limit, it stops replying until it is restarted.
 
 use crate::fake_zones::{FakeZonesConfig, Shared};
 use lemonusher_emulator::{Engine as Model, Work};
@@ -8,22 +9,22 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Memory of an engine, and of a request, in MB: there is always enough.
+/// Memory of an engine and of a request, in MB, chosen so that memory is never short.
 const ENGINE_MEMORY_MB: f64 = 1e9;
 const REQUEST_MEMORY_MB: f64 = 1.0;
-/// The model's overhead for each thread beyond the cores.
+/// Share of the work that the model loses for each time that threads outnumber cores.
 const THREAD_OVERHEAD: f64 = 0.05;
 
-/// A request, as an engine received it.
+/// An attempt that an engine received.
 #[derive(Debug, Clone)]
 pub struct ReceivedRequest {
-    /// When.
+    /// When it arrived.
     pub at: Instant,
-    /// The attempt's id on the wire.
+    /// Its id on the wire.
     pub id: String,
     /// Index of its request class.
     pub class: usize,
-    /// The front's zone.
+    /// Zone of the front that sent it.
     pub from_zone: usize,
 }
 
@@ -38,7 +39,7 @@
     stream: TcpStream,
 }
 
-/// Work sent to a cold engine, in thread-seconds.
+/// Work of one request sent to the engine, in thread-seconds.
 struct RecentWork {
     at: Instant,
     work: f64,
@@ -48,19 +49,19 @@
 pub(crate) struct FakeEngine {
     pub(crate) zone: usize,
     model: Model,
-    /// None while it is warm from the start.
+    /// Time of the last restart; `None` before the first, when the engine is warm.
     started_at: Option<Instant>,
     last_number: u64,
-    /// By the model's number.
+    /// Requests that the model runs, by their number in the model.
     running: BTreeMap<u64, RunningRequest>,
     connections: Vec<Connection>,
     pub(crate) received: Vec<ReceivedRequest>,
-    /// Within the overload window.
+    /// Work sent within the overload window.
     recent_work: VecDeque<RecentWork>,
     pub(crate) is_up: bool,
-    /// It answers nothing until it is restarted.
+    /// Whether it was overloaded; it replies to no request until it is restarted.
     pub(crate) is_overloaded: bool,
-    /// Threads for each core.
+    /// Most threads per core since the value was last taken.
     pub(crate) max_load: f64,
 }
 
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Runs the model, and answers what is finished.
+    /// Advances the model by `elapsed`, and replies to the requests that finished.
     pub(crate) fn run(&mut self, config: &FakeZonesConfig, now: Instant, elapsed: Duration) {
         let speed = self.speed(config, now);
         for finished in self.model.run(elapsed.as_secs_f64(), speed) {
@@ -122,7 +123,7 @@
         }
     }
 
-    /// From the cold share to 1.
+    /// Current speed as a share of full speed: rises from the cold share to 1 over the warm-up.
     fn speed(&self, config: &FakeZonesConfig, now: Instant) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
         let age_s = now.saturating_duration_since(started_at).as_secs_f64();
@@ -130,7 +131,7 @@
         (cold + (1.0 - cold) * age_s / config.warm_up.as_secs_f64()).min(1.0)
     }
 
-    /// Takes in a request, unless it is down or overloaded.
+    /// Records a request, and runs it unless the engine is down or overloaded.
     fn submit(&mut self, config: &FakeZonesConfig, request: ReceivedRequest, stream: &TcpStream) {
         let ReceivedRequest { at, id, class, .. } = request.clone();
         let work = config.classes[class].work;
@@ -158,7 +159,8 @@
         self.max_load = self.max_load.max(self.model.threads_per_core());
     }
 
-    /// Notes work that is sent to the engine, and tells whether it overloads it: only a cold engine can be.
+    /// Records work sent to the engine, and returns whether it overloads the engine. Only a cold engine can be
+    /// overloaded.
     fn overloads(&mut self, config: &FakeZonesConfig, now: Instant, work: f64) -> bool {
         let window = config.overload_window;
         let is_cold = self.started_at.is_some_and(|at| at.elapsed() < config.warm_up);
@@ -179,13 +181,13 @@
         }
     }
 
-    /// The share of the engine that is busy, up to 1.
+    /// Share of the cores that is busy, from 0 to 1.
     fn busy_share(&self) -> f64 {
         self.model.threads_per_core().min(1.0)
     }
 }
 
-/// Serves one connection of a front until it ends.
+/// Serves one connection from a front until it is closed.
 pub(crate) fn serve_connection(shared: &Shared, index: usize, from_zone: usize, stream: TcpStream) {
     let engine = || shared.engines[index].lock().unwrap();
     let mut reader = BufReader::new(stream.try_clone().unwrap());
@@ -217,7 +219,7 @@
     }
 }
 
-/// The request class that a request's fields name.
+/// Index of the request class named by the request's `queue` field.
 fn class_of(config: &FakeZonesConfig, fields: &str) -> usize {
     let name = fields.split(',').find_map(|field| field.strip_prefix("queue="));
     config.classes.iter().position(|class| Some(class.name) == name).unwrap()
--- a/crates/testing/cluster/src/fake_zones.rs
+++ b/crates/testing/cluster/src/fake_zones.rs
@@ -1,5 +1,5 @@
-//! Engines in zones, on loopback. Fronts of each zone reach each engine by a listener of its own, so that links between
-//! zones can be partitioned. Every engine keeps a record by which a test judges.
+//! Fake engines in zones, on loopback. Each engine has one listener per zone of fronts, so that zones can be
+//! partitioned from each other. Each engine records the requests that it received, for tests to check.
 
 use crate::ReceivedRequest;
 use crate::fake_engine::{FakeEngine, serve_connection};
@@ -11,56 +11,57 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time between two steps of the engines' model.
+/// Time between two steps of the engine model.
 const TICK: Duration = Duration::from_millis(2);
 
-/// A request class, as the deployment states it and as engines run it.
+/// A request class, with the deployment's settings and the cost of a request at the engines.
 #[derive(Debug, Clone, Copy)]
 pub struct FakeClass {
     /// Its name.
     pub name: &'static str,
-    /// The value of an answer in time.
+    /// Value of a response within the latency objective.
     pub priority_weight: f64,
-    /// Work of a request, in seconds on one thread.
+    /// Work of a request, in thread-seconds.
     pub work: f64,
-    /// Threads that a request runs on.
+    /// Number of threads that a request runs on.
     pub threads: f64,
-    /// An answer within it is in time.
+    /// Time within which a response counts as on time.
     pub latency_objective: Duration,
-    /// The longest that a client waits.
+    /// Longest time that a client waits.
     pub deadline: Duration,
     /// Whether a request must not run twice.
     pub non_idempotent: bool,
-    /// The only zone where it may run; none: all.
+    /// The only zone where it may run; `None` for any zone.
     pub allowed_zone: Option<u32>,
 }
 
-/// How the zones are made.
+/// Configuration of the zones and their engines.
 #[derive(Debug, Clone)]
 pub struct FakeZonesConfig {
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Engines in each zone.
+    /// Number of engines in each zone.
     pub engines_per_zone: usize,
-    /// Cores of an engine.
+    /// Number of cores of an engine.
     pub cores: f64,
     /// The request classes.
     pub classes: Vec<FakeClass>,
-    /// The share of its speed at which a cold engine starts.
+    /// Speed of an engine right after a restart, as a share of full speed.
     pub cold_share: f64,
-    /// How long an engine is cold.
+    /// Time from a restart until full speed.
     pub warm_up: Duration,
-    /// A cold engine is overloaded by more than so many times the work that it can do cold in the overload window.
+    /// Overload limit of a cold engine, as a multiple of the work that it can do at its cold speed in the overload
+    /// window.
     pub overload_multiple: f64,
     /// The window over which work sent to a cold engine is summed.
     pub overload_window: Duration,
 }
 
-/// All engines, and the links to them.
+/// All engines, and the partitions between zones.
 pub(crate) struct Shared {
     pub(crate) config: FakeZonesConfig,
     pub(crate) engines: Vec<Mutex<FakeEngine>>,
-    /// By zone of the front and zone of the engine.
+    /// Whether two zones are partitioned, by zone of the front and zone of the engine.
     partitioned: Mutex<Vec<Vec<bool>>>,
     ending: AtomicBool,
 }
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Accepts connections of fronts in one zone to one engine.
+    /// Accepts connections from the fronts of one zone to one engine.
     fn accept(self: &Arc<Shared>, listener: &TcpListener, index: usize, from_zone: usize) {
         for stream in listener.incoming().map_while(Result::ok) {
             if self.ending.load(Ordering::Relaxed) {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Runs the engines' model in real time.
+    /// Advances the engine model in real time until the zones are dropped.
     fn tick(&self) {
         let mut last = Instant::now();
         while !self.ending.load(Ordering::Relaxed) {
@@ -105,10 +106,10 @@
     }
 }
 
-/// The zones; their threads end with them.
+/// All zones. Their threads end when this is dropped.
 pub struct FakeZones {
     shared: Arc<Shared>,
-    /// By engine and the front's zone.
+    /// Address of the listener, by engine and zone of the front.
     addresses: Vec<Vec<SocketAddr>>,
 }
 
@@ -137,7 +138,7 @@
         FakeZones { shared, addresses }
     }
 
-    /// The start configuration of a front in this zone; `channel` is the address of its command channel.
+    /// Start configuration of a front in this zone; `channel` is the address of its discovery channel.
     pub fn front_start(&self, front: usize, zone: usize, fronts: usize, channel: SocketAddr) -> Value {
         let mut start = start_config(&[], channel);
         let members = (0..self.addresses.len()).map(|engine| self.member(engine, zone));
@@ -147,7 +148,7 @@
         start
     }
 
-    /// The deployment's settings, by their names on the wire.
+    /// The deployment's settings, under their names on the wire.
     fn deployment(&self, front: usize, zone: usize, fronts: usize) -> Value {
         let config = &self.shared.config;
         let classes = &config.classes;
@@ -171,7 +172,7 @@
         deployment
     }
 
-    /// An engine in the endpoint list of a front in this zone.
+    /// Entry of an engine in the endpoint list of a front in this zone.
     fn member(&self, engine: usize, front_zone: usize) -> Value {
         let zone = engine / self.shared.config.engines_per_zone;
         json!({"id": format!("s-{:08x}", engine + 1), "host_port": self.addresses[engine][front_zone].to_string(),
@@ -179,7 +180,8 @@
             "size": 1, "up_since_ms": 0})
     }
 
-    /// Stops a zone's engines: what they ran is lost, connections are reset, new ones are refused.
+    /// Stops a zone's engines: running requests are lost, connections are closed, and new connections are closed
+    /// on accept.
     pub fn stop(&self, zone: usize) {
         self.shared.for_each_in(zone, FakeEngine::stop);
     }
@@ -189,12 +191,12 @@
         self.shared.for_each_in(zone, FakeEngine::restart);
     }
 
-    /// Makes a zone's engines so many times slower.
+    /// Makes a zone's engines slower by this factor.
     pub fn set_slowdown(&self, zone: usize, factor: f64) {
         self.shared.for_each_in(zone, |engine| engine.set_slowdown(factor));
     }
 
-    /// Partitions two zones, in both directions, or ends that.
+    /// Partitions two zones in both directions, or ends the partition.
     pub fn set_partitioned(&self, a: usize, b: usize, partitioned: bool) {
         {
             let mut all = self.shared.partitioned.lock().unwrap();
@@ -208,7 +210,7 @@
         }
     }
 
-    /// All requests that a zone's engines received, by engine.
+    /// Requests that a zone's engines received, by engine.
     pub fn received(&self, zone: usize) -> Vec<Vec<ReceivedRequest>> {
         let mut received = Vec::new();
         self.shared.for_each_in(zone, |engine| received.push(engine.received.clone()));
@@ -222,7 +224,7 @@
         is_overloaded
     }
 
-    /// The most threads for each core that any engine of a zone ran since the last call.
+    /// Most threads per core that any engine of a zone ran since the last call.
     pub fn take_max_load(&self, zone: usize) -> f64 {
         let mut max_load = 0.0f64;
         self.shared.for_each_in(zone, |engine| max_load = max_load.max(std::mem::take(&mut engine.max_load)));
@@ -234,7 +236,7 @@
     fn drop(&mut self) {
         self.shared.ending.store(true, Ordering::Relaxed);
         for address in self.addresses.iter().flatten() {
-            let _ = TcpStream::connect(address); // Wakes the listener, so that it ends.
+            let _ = TcpStream::connect(address); // Wakes the listener's thread, so that it ends.
         }
         (0..self.shared.config.zones).for_each(|zone| self.stop(zone));
     }
--- a/crates/testing/cluster/src/lib.rs
+++ b/crates/testing/cluster/src/lib.rs
@@ -1,7 +1,8 @@
-//! A cluster on one machine, for tests: several real `lemonusher` processes, a relay with settable faults on each link
-//! between them ([`Relays`]), engines in zones that can be lost ([`FakeZones`]), clients that send at a given rate
-//! ([`LoadClient`]), and a task service that notes who acts on it ([`FakeTaskService`]). Everything random comes from one
-//! seed. Failures of the rig itself panic, as it serves tests alone.
+//! A test cluster on one machine: several real `lemonusher` processes, a UDP relay with configurable faults on
+//! each link from a front to a voter ([`Relays`]), fake engines in zones that can be stopped, slowed down or
+//! partitioned ([`FakeZones`]), clients that send at a given rate ([`LoadClient`]), and a task service that
+//! records which front acts on it ([`FakeTaskService`]). All randomness comes from one seed. The rig is used by
+//! tests only, so its own failures panic.
 
 #![warn(missing_docs)]
 
--- a/crates/testing/cluster/src/load_client.rs
+++ b/crates/testing/cluster/src/load_client.rs
@@ -1,4 +1,4 @@
-//! Clients: each sends requests at its own rate to the first front that it reaches, and counts how they end.
+//! A client that sends requests at a configured rate to the first front that it can reach, and counts their outcomes.
 
 use crate::FakeClass;
 use lemonusher_fakes::base64;
@@ -13,68 +13,69 @@
 
 /// JSON-RPC's error code of a rejected request.
 const REJECTED_CODE: i64 = -32002;
-/// Time between two looks whether a request is due.
+/// Time between two checks whether a request is due.
 const SEND_INTERVAL: Duration = Duration::from_millis(4);
-/// Time until the next try where no front is reached.
+/// Time until the next connection attempt if no front can be reached.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(20);
-/// Table groups that the requests name in turn.
+/// Number of table groups; requests use them in turn.
 const TABLE_GROUPS: u64 = 23;
 
-/// How requests of a class ended since the last look.
+/// Outcomes of the requests of a class since the counts were last taken.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RequestCounts {
     /// Requests sent.
     pub sent: u32,
-    /// Answered with a result.
+    /// Requests with a result.
     pub returned: u32,
-    /// Of those returned: within the latency objective.
+    /// Of those returned, the ones within the latency objective.
     pub on_time: u32,
-    /// Answered as rejected, with a Retry-After.
+    /// Requests that were rejected; a rejection may carry a retry-after time.
     pub rejected: u32,
-    /// Answered as failed.
+    /// Requests that failed.
     pub failed: u32,
-    /// Never answered: the connection ended first.
+    /// Requests without a response when the connection ended.
     pub aborted: u32,
-    /// Answers beyond the one that was due.
+    /// Responses that match no open request, such as a second response. All are counted in class 0.
     pub duplicates: u32,
-    /// Sum of the Retry-After times, in seconds.
+    /// Sum of the retry-after times of rejections, in seconds.
     pub retry_after_s: f64,
 }
 
 impl RequestCounts {
-    /// The share of the requests sent that returned.
+    /// Share of the sent requests that returned.
     pub fn returned_share(&self) -> f64 {
         f64::from(self.returned) / f64::from(self.sent.max(1))
     }
 }
 
-/// A request that is not answered yet.
+/// A request without a response so far.
 struct OpenRequest {
     class: usize,
     sent_at: Instant,
 }
 
-/// What the client shares with its threads.
+/// State shared by the client's threads.
 struct Shared {
     number: u32,
     classes: Vec<FakeClass>,
-    /// By class.
+    /// Counts by request class.
     counts: Mutex<Vec<RequestCounts>>,
-    /// By class: thousandths of a request a second.
+    /// Rates by request class, in thousandths of a request per second.
     rates_milli: Vec<AtomicU64>,
-    /// In the order in which they are tried.
+    /// Addresses of the fronts, in the order in which they are tried; `None` for a front that can't be reached.
     fronts: Mutex<Vec<Option<SocketAddr>>>,
     ending: AtomicBool,
 }
 
-/// One client; its thread ends with it.
+/// One client. Its threads end when it is dropped.
 pub struct LoadClient {
     shared: Arc<Shared>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl LoadClient {
-    /// `number` tells the clients' requests apart; `rates` by class, in requests a second. It reaches no front yet.
+    /// Starts a client that knows no front yet. `number` makes its request ids unique among clients; `rates` are
+    /// requests per second by request class.
     pub fn start(number: u32, classes: Vec<FakeClass>, rates: &[f64]) -> LoadClient {
         let shared = Arc::new(Shared {
             number,
@@ -89,7 +90,7 @@
         LoadClient { shared, thread: Some(thread) }
     }
 
-    /// Sets the fronts that it can reach from now on, in the order in which they are tried.
+    /// Sets the fronts that it can reach, in the order in which they are tried.
     pub fn set_fronts(&self, fronts: Vec<Option<SocketAddr>>) {
         *self.shared.fronts.lock().unwrap() = fronts;
     }
@@ -101,7 +102,7 @@
         }
     }
 
-    /// By class: the counts since the last call.
+    /// Counts by request class since the last call.
     pub fn take_counts(&self) -> Vec<RequestCounts> {
         let mut counts = self.shared.counts.lock().unwrap();
         let zeros = vec![RequestCounts::default(); counts.len()];
@@ -134,7 +135,7 @@
         fronts.iter().flatten().find_map(|front| TcpStream::connect(front).ok())
     }
 
-    /// Sends requests for as long as the connection lasts.
+    /// Sends requests until the connection ends, then counts the open ones as aborted.
     fn use_connection(&self, mut stream: TcpStream, last_id: &mut u64) {
         let open: Mutex<BTreeMap<u64, OpenRequest>> = Mutex::default();
         let closed = AtomicBool::new(false);
@@ -210,7 +211,7 @@
         }
     }
 
-    /// The line of a request, as JSON-RPC.
+    /// A request as a line of JSON-RPC.
     fn message(&self, class: usize, id: u64) -> String {
         let class = &self.classes[class];
         let call = format!("{:08x}{id:08x}", self.number);
--- a/crates/testing/cluster/src/relays.rs
+++ b/crates/testing/cluster/src/relays.rs
@@ -1,6 +1,7 @@
-//! UDP relays between fronts and voters. A front knows each voter by the address of a relay of its own, so that each link
-//! fails by itself, in either direction. Like a translator of addresses, a link gives each sender a socket of its own
-//! towards the voter, so that replies go to whoever they are for: to the front, or to an operator beside it.
+//! UDP relays between fronts and voters. Each pair of front and voter has its own relay, whose address the front
+//! uses in place of the voter's, so that each link can fail independently and in either direction. Like a NAT, a
+//! link opens one socket towards the voter per sender, so that a reply reaches the sender that it belongs to: the
+//! front, or an operator's command that uses the front's configuration.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -8,23 +9,23 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Time between two rounds over all links.
+/// Time between two polls of all links.
 const ROUND_INTERVAL: Duration = Duration::from_millis(1);
-/// Bytes of a datagram at most.
+/// Largest datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 2048;
-/// Senders that a link remembers; the one that has been silent longest is forgotten first.
+/// Most senders that a link keeps. Beyond it, the one that has sent nothing for the longest time is dropped.
 const MAX_SENDERS: usize = 16;
 
-/// What a direction of a link does to datagrams.
+/// Faults of one direction of a link.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct Faults {
-    /// Nothing passes.
+    /// Whether all datagrams are dropped.
     pub blocked: bool,
-    /// The share that is lost, from 0 to 1.
+    /// Share of datagrams that is dropped, from 0 to 1.
     pub loss: f64,
-    /// The share that is forwarded twice, from 0 to 1.
+    /// Share of datagrams that is forwarded twice, from 0 to 1.
     pub duplication: f64,
-    /// Each is delayed by up to so long, so that some overtake others.
+    /// Longest delay. Each datagram's delay is drawn uniformly from zero to this, so that datagrams are reordered.
     pub delay: Duration,
 }
 
@@ -34,28 +35,28 @@
     ToFront,
 }
 
-/// A datagram that waits for its delay.
+/// A datagram that is held until its delay is over.
 struct Delayed {
     due: Instant,
     direction: Direction,
-    /// Who sent it, or is to receive it, on the front's side.
+    /// Address on the front's side of the link: the source, or the destination of a reply.
     sender: SocketAddr,
     bytes: Vec<u8>,
 }
 
-/// A front's process, or an operator, that sends by a link.
+/// A front's process or an operator's command that sends over a link.
 struct Sender {
     address: SocketAddr,
-    /// The voter sees its datagrams come from here.
+    /// Socket from which its datagrams are sent to the voter.
     voter_side: UdpSocket,
 }
 
 struct Link {
     front: usize,
     voter: usize,
-    /// The front sends here.
+    /// Socket that receives from the front.
     front_side: UdpSocket,
-    /// Who has sent something; who did so last stands last.
+    /// Known senders, ordered by when they last sent; the most recent is last.
     senders: Vec<Sender>,
     to_voter: Faults,
     to_front: Faults,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Takes in all that has arrived from the front's side.
+    /// Receives all pending datagrams from the front's side.
     fn receive_from_front(&mut self, rng: &mut fastrand::Rng) {
         let mut bytes = [0; MAX_DATAGRAM_BYTES];
         while let Ok((length, sender)) = self.front_side.recv_from(&mut bytes) {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Takes in all that has arrived from the voter.
+    /// Receives all pending datagrams from the voter.
     fn receive_from_voter(&mut self, rng: &mut fastrand::Rng) {
         let mut received = Vec::new();
         let mut bytes = [0; MAX_DATAGRAM_BYTES];
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Keeps a datagram until it is due, unless it is lost.
+    /// Applies the direction's faults: drops the datagram, or queues one or two copies with a random delay.
     fn delay(&mut self, direction: Direction, sender: SocketAddr, bytes: &[u8], rng: &mut fastrand::Rng) {
         let faults = match direction {
             Direction::ToVoter => self.to_voter,
@@ -126,7 +127,8 @@
         }
     }
 
-    /// Forwards what is due; returns how many datagrams were. Those without a known receiver are dropped.
+    /// Forwards the datagrams that are due, and returns their number. Those without a known receiver are dropped
+    /// but counted.
     fn forward(&mut self, voter_address: Option<SocketAddr>) -> u64 {
         let now = Instant::now();
         let mut forwarded = 0;
@@ -153,7 +155,7 @@
 
 struct Shared {
     links: Vec<Link>,
-    /// By voter; none before it has started.
+    /// Address of each voter's process; `None` before its first start.
     voter_addresses: Vec<Option<SocketAddr>>,
     rng: fastrand::Rng,
     forwarded: u64,
@@ -169,10 +171,10 @@
     }
 }
 
-/// A relay for each front and voter, run by one thread that ends with it.
+/// One relay per pair of front and voter. A single thread serves all of them, and ends when this is dropped.
 pub struct Relays {
     shared: Arc<Mutex<Shared>>,
-    /// By front and voter.
+    /// Address of the relay, by front and voter.
     addresses: Vec<Vec<SocketAddr>>,
     ending: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
@@ -205,17 +207,17 @@
         Relays { shared, addresses, ending, thread: Some(thread) }
     }
 
-    /// The address by which a front knows a voter.
+    /// Address of the relay that a front uses to reach a voter.
     pub fn address(&self, front: usize, voter: usize) -> SocketAddr {
         self.addresses[front][voter]
     }
 
-    /// Where a voter's present process listens.
+    /// Sets the address at which a voter's current process listens.
     pub fn set_voter_address(&self, voter: usize, address: SocketAddr) {
         self.shared.lock().unwrap().voter_addresses[voter] = Some(address);
     }
 
-    /// Sets the faults of all links for which the condition on front and voter holds.
+    /// Sets the faults of all links for which `affects(front, voter)` holds.
     pub fn set_faults(&self, affects: impl Fn(usize, usize) -> bool, to_voter: Faults, to_front: Faults) {
         for link in &mut self.shared.lock().unwrap().links {
             if affects(link.front, link.voter) {
--- a/crates/testing/cluster/src/rig.rs
+++ b/crates/testing/cluster/src/rig.rs
@@ -1,4 +1,4 @@
-//! The processes of a cluster: starts, pauses and kills them.
+//! Starts, pauses and kills the processes of a test cluster.
 
 use crate::{FakeTaskService, Relays, RigConfig};
 use lemonusher_fakes::{DiscoveryServer, Front, start_config, temp_file, temp_path};
@@ -6,17 +6,17 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-/// A running cluster; its processes end with it.
+/// A running cluster. Its processes are killed when it is dropped.
 pub struct Rig {
-    /// How it was made.
+    /// Its configuration.
     pub config: RigConfig,
-    /// The links between fronts and voters.
+    /// Relays on the links between fronts and voters.
     pub relays: Relays,
-    /// The service that the task acts on.
+    /// The service that the fronts' task acts on.
     pub task_service: FakeTaskService,
-    /// By index; none where the process is not running.
+    /// Front processes by index; `None` if the process is not running.
     pub fronts: Vec<Option<Front>>,
-    /// By index: whether the process is paused.
+    /// Whether the process is paused, by front index.
     pub paused: Vec<bool>,
     folder: PathBuf,
     discovery: DiscoveryServer,
@@ -41,12 +41,12 @@
         rig
     }
 
-    /// The operator's file of a front.
+    /// Path of a front's operator file.
     pub fn config_file(&self, front: usize) -> PathBuf {
         self.folder.join(format!("n{front}.toml"))
     }
 
-    /// Starts a front that is not running.
+    /// Starts a front that is not running, and points the relays at it if it is a voter.
     pub fn start_front(&mut self, front: usize) {
         let start_file = self.write_start_file(front);
         let config_file = self.config_file(front);
@@ -69,7 +69,7 @@
         self.paused[front] = false;
     }
 
-    /// Pauses a front's process by a signal, or resumes it.
+    /// Pauses a front's process with SIGSTOP, or resumes it with SIGCONT.
     pub fn pause_front(&mut self, front: usize, paused: bool) {
         if let Some(process) = &self.fronts[front]
             && self.paused[front] != paused
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Writes the front's start configuration; returns its file.
+    /// Writes the front's start configuration, and returns its path.
     fn write_start_file(&self, front: usize) -> PathBuf {
         let mut start = match &self.config.front_start {
             Some(front_start) => front_start(front, self.discovery.address),
@@ -100,7 +100,7 @@
         temp_file("json", &start.to_string())
     }
 
-    /// The operator's file, with the relays' addresses in place of the voters'.
+    /// Text of the operator's file. It lists the relays' addresses in place of the voters' own.
     fn operator_toml(&self, front: usize, start_file: &std::path::Path) -> String {
         let config = &self.config;
         let voters: Vec<String> =
--- a/crates/testing/cluster/src/task_service.rs
+++ b/crates/testing/cluster/src/task_service.rs
@@ -1,5 +1,5 @@
-//! The service that the fronts' task acts on, by datagrams. It notes each step of an act, with the time at which it
-//! arrived, and rejects stale fencing tokens where it is set to.
+//! A fake of the service that the fronts' task acts on by UDP. It records each step of an act with its time of
+//! arrival, and can be configured to reject stale fencing tokens.
 //!
 //! A fencing token is stale if a greater one has been seen, or the same one from another holder.
 
@@ -10,23 +10,23 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How long a read waits before the service looks whether it is to end.
+/// Read timeout, after which the thread checks whether it has to end.
 const READ_TIMEOUT: Duration = Duration::from_millis(20);
-/// Time between two looks for a new step.
+/// Time between two checks for a new step.
 const WAIT_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A step of an act, as it arrived.
+/// A received step of an act.
 #[derive(Clone, Debug)]
 pub struct TaskStep {
     /// When it arrived.
     pub at: Instant,
-    /// Of the lease under which the front acts.
+    /// Fencing token of the lease under which the front acts.
     pub fencing_token: u64,
-    /// The front's name and incarnation, as `n3/...`.
+    /// The front's name and incarnation, such as `n3/...`.
     pub holder: String,
-    /// Whether the act begins; else it goes on or ends.
+    /// Whether the act begins; otherwise it continues or ends.
     pub is_begin: bool,
-    /// The service rejected it, as its fencing token is stale.
+    /// Whether the service rejected it because its fencing token is stale.
     pub rejected: bool,
 }
 
@@ -37,9 +37,9 @@
     }
 }
 
-/// The task service; its thread ends with it.
+/// The task service. Its thread ends when it is dropped.
 pub struct FakeTaskService {
-    /// Where it receives steps.
+    /// Address at which it receives steps.
     pub address: SocketAddr,
     steps: Arc<Mutex<Vec<TaskStep>>>,
     ending: Arc<AtomicBool>,
@@ -47,7 +47,7 @@
 }
 
 impl FakeTaskService {
-    /// `rejects_stale`: whether it rejects stale fencing tokens.
+    /// Starts the service. `rejects_stale` sets whether it rejects stale fencing tokens.
     pub fn start(rejects_stale: bool) -> FakeTaskService {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         socket.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
@@ -59,12 +59,12 @@
         FakeTaskService { address, steps, ending, thread: Some(thread) }
     }
 
-    /// All steps so far.
+    /// All steps received so far.
     pub fn steps(&self) -> Vec<TaskStep> {
         self.steps.lock().unwrap().clone()
     }
 
-    /// Waits for an act that begins, and is not rejected, after the first `after` steps; none in time.
+    /// Waits for the beginning of an act that is not rejected, ignoring the first `after` steps. `None` on timeout.
     pub fn wait_for_begin(&self, after: usize, timeout: Duration) -> Option<TaskStep> {
         let deadline = Instant::now() + timeout;
         while Instant::now() < deadline {
