--- a/crates/testing/soak/src/bin/lemonusher-soak-front.rs
+++ b/crates/testing/soak/src/bin/lemonusher-soak-front.rs
@@ -1,5 +1,5 @@
-//! The front of `lemonusher-front` under another name, so that this package's tests have one to start: the tests of
-//! a package are given the paths of its own programs alone.
+//! The same program as `lemonusher-front` under another name. Cargo gives a package's tests only the paths of that
+//! package's own programs, and the soak tests need a front to start.
 
 use std::process::ExitCode;
 
--- a/crates/testing/soak/src/clients.rs
+++ b/crates/testing/soak/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that keep using their connections until the front closes them or is killed.
+//! Clients that use their connections until the front closes them or is killed.
 
 use crate::recorder::Recorder;
 use crate::records::{RequestClass, RequestRecord, ResponseKind, ResponseRecord};
@@ -16,40 +16,40 @@
 const MIN_TIMEOUT_MS: u64 = 400;
 /// The longest client timeout, in milliseconds.
 const MAX_TIMEOUT_MS: u64 = 2500;
-/// One request of so many is cancelled.
+/// One request in this many is cancelled.
 const CANCEL_ONE_IN: u32 = 40;
-/// One connection is closed after so many requests, and another opened.
+/// After one request in this many, the client closes its connection and opens another.
 const CLOSE_ONE_IN: u32 = 60;
-/// How long a connection that can't be made is waited for.
+/// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Table groups that statements name.
+/// Number of table groups that statements name.
 const TABLE_GROUPS: u32 = 20;
 
-/// What the clients of one process of the front share.
+/// State shared by the clients of one front process.
 pub(crate) struct ClientContext {
     pub(crate) recorder: Arc<Recorder>,
     pub(crate) process: usize,
     pub(crate) address: SocketAddr,
     pub(crate) deadline: Duration,
     pub(crate) request_interval: Duration,
-    /// The front has been told to end: no connection is closed by its client any more.
+    /// Whether the front was sent SIGTERM. From then on, clients neither cancel requests nor close connections.
     pub(crate) terminated: AtomicBool,
-    /// The front is left, or clients have had enough.
+    /// Whether clients have to disconnect and end.
     pub(crate) ended: AtomicBool,
-    /// Idle clients fill the descriptors.
+    /// Whether idle clients fill the front's descriptors.
     pub(crate) crowd: AtomicBool,
     pub(crate) next_call: Arc<AtomicU64>,
 }
 
 type OpenRequests = Arc<Mutex<BTreeMap<u64, usize>>>;
 
-/// One connection, with a thread that reads its responses.
+/// One client connection, with a thread that reads its responses.
 struct Connection {
     context: Arc<ClientContext>,
     stream: TcpStream,
-    /// By the connection's own numbers: the requests' records.
+    /// Index of each request's record, by the request's JSON-RPC id.
     requests: OpenRequests,
-    /// The front has ended the connection.
+    /// Whether the front has closed the connection.
     closed: Arc<AtomicBool>,
     reader: Option<JoinHandle<()>>,
     last_id: u64,
@@ -79,7 +79,7 @@
         Some(Connection { context, stream, requests, closed, reader, last_id: 0, connected_at, in_crowd })
     }
 
-    /// Sends a request; its record's index, if it could be written.
+    /// Sends a request, and returns the index of its record if the request could be written.
     fn send(&mut self, rng: &mut fastrand::Rng) -> Option<usize> {
         self.last_id += 1;
         let context = &self.context;
@@ -93,7 +93,7 @@
         if self.closed.load(Ordering::SeqCst) {
             return None;
         }
-        // The record is there before any response to it can be read.
+        // The record is added before the request is written, so that it exists when a response is read.
         let record = RequestRecord {
             call,
             class,
@@ -109,7 +109,7 @@
         let index = context.recorder.add_request(record);
         lock(&self.requests).insert(self.last_id, index);
         if (&self.stream).write_all(format!("{line}\n").as_bytes()).is_err() {
-            // Not sent: nobody waits for it.
+            // The request was not sent, so the client does not wait for it.
             context.recorder.set_left(index);
             return None;
         }
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The client goes, with whatever is open.
+    /// Closes the connection on the client's side, and records that the client has left its requests.
     fn close(mut self) {
         let _ = self.stream.shutdown(Shutdown::Both);
         let open: Vec<usize> = lock(&self.requests).values().copied().collect();
@@ -131,7 +131,7 @@
         self.reader.take().map(JoinHandle::join);
     }
 
-    /// The front has closed the connection, or has ended.
+    /// Waits until the front closes the connection or ends.
     fn wait_for_end(mut self) {
         self.reader.take().map(JoinHandle::join);
     }
@@ -156,10 +156,10 @@
     }
 }
 
-/// The JSON-RPC error that a rejected request gets.
+/// JSON-RPC error code of a rejected request.
 const REJECTED: i64 = -32002;
 
-/// A client that keeps using one connection after the other until the front ends.
+/// Starts a client that uses one connection after another until the front is terminated.
 pub(crate) fn start_steady(context: &Arc<ClientContext>, mut rng: fastrand::Rng) -> JoinHandle<()> {
     let context = context.clone();
     thread::spawn(move || {
@@ -192,7 +192,7 @@
     }
 }
 
-/// A client that comes after the signal, and keeps using its connection as the others do.
+/// Starts a client that connects after SIGTERM, and uses its one connection as the others do.
 pub(crate) fn start_late(context: &Arc<ClientContext>, mut rng: fastrand::Rng) -> JoinHandle<()> {
     let context = context.clone();
     thread::spawn(move || {
@@ -202,7 +202,7 @@
     })
 }
 
-/// Idle clients; the connections that came up.
+/// Opens connections of idle clients until one fails, and returns those that were established.
 pub(crate) fn open_idle(address: SocketAddr, count: usize) -> Vec<TcpStream> {
     (0..count).map_while(|_| TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok()).collect()
 }
--- a/crates/testing/soak/src/discovery.rs
+++ b/crates/testing/soak/src/discovery.rs
@@ -1,4 +1,5 @@
-//! A discovery that changes, repeats itself, breaks off, falls silent and moves.
+//! A fake discovery service that sends drains, repeats events, cuts messages off, stops sending, and changes its
+//! address.
 
 use crate::recorder::Recorder;
 use crate::scenario::DiscoveryChange;
@@ -10,13 +11,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often a connection looks for something to send.
+/// Time between two checks of a connection for an event to send.
 const POLL_INTERVAL: Duration = Duration::from_millis(4);
-/// An address that was left closes its connections after this.
+/// Time from a change of address until connections to the old address are closed.
 const LEFT_CLOSES_AFTER: Duration = Duration::from_millis(1500);
-/// A front says what it knows within this.
+/// Timeout for the first message of a front, which states the last event that it knows.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Number of the event that the start file holds.
+/// Number of the event in the start configuration before any drain.
 const FIRST_EVENT: u64 = 1;
 const STATE_DRAINING: u8 = 1;
 
@@ -29,20 +30,20 @@
 #[derive(Default)]
 struct State {
     engines: Vec<EngineEntry>,
-    /// By number, from the one after the first on: the engine that began to drain.
+    /// Indices of the engines that began to drain, one per event after `FIRST_EVENT`.
     drained: Vec<usize>,
-    /// Grows with each order to repeat the last event.
+    /// Number of requests so far to repeat the last event.
     repeats: u64,
     cut_next: bool,
-    /// Connections accepted before this say nothing more.
+    /// Connections accepted before this time send nothing more.
     silent_before: Option<Instant>,
     down_until: Option<Instant>,
-    /// The address in use, and since when it is.
+    /// Number of the current address, and the time since which it is current.
     current: usize,
     moved_at: Option<Instant>,
 }
 
-/// All addresses of one discovery.
+/// A discovery service with all its addresses.
 #[derive(Clone)]
 pub(crate) struct Discovery {
     state: Arc<Mutex<State>>,
@@ -60,7 +61,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Opens a new address and leaves the one before.
+    /// Opens a new address and abandons the previous one.
     pub(crate) fn open_address(&self) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -97,7 +98,7 @@
         }
     }
 
-    /// What a front is started with: the number of the last event, and the engines.
+    /// Endpoint list for a front's start configuration: the number of the last event, and the engines.
     pub(crate) fn known(&self) -> Value {
         let state = self.lock();
         let member = |(index, engine): (usize, &EngineEntry)| {
@@ -113,7 +114,7 @@
         json!({"cursor": number, "cmds": [{"nodes": {"revision": number, "complete": true, "members": members}}]})
     }
 
-    /// Serves one connection until it is closed.
+    /// Serves one connection to the address of this number until it is closed.
     fn serve(&self, number: usize, mut stream: TcpStream) {
         let accepted_at = Instant::now();
         let mut known = [0; 8];
@@ -147,28 +148,29 @@
     }
 }
 
-/// What a connection does now.
+/// State of a connection.
 enum ConnectionState {
     Open,
     Silent,
     Closed,
 }
 
-/// An engine that drains, as it is sent.
+/// Event that an engine drains, with its encoded frame.
 struct DrainEvent {
     engine: u32,
     frame: Vec<u8>,
 }
 
 impl State {
-    /// Of a connection to the address of this number.
+    /// State of a connection to the address of this number.
     fn connection(&self, number: usize, accepted_at: Instant) -> ConnectionState {
         let now = Instant::now();
         if self.down_until.is_some_and(|until| now < until) {
             return ConnectionState::Closed;
         }
         if self.current != number {
-            // An address that was left takes no new connection, says nothing more, and closes in the end.
+            // A former address accepts no new connection and sends nothing more; its connections are closed after
+            // a delay.
             let is_over = |at: Instant| now > at + LEFT_CLOSES_AFTER || accepted_at > at;
             return match self.moved_at.is_some_and(is_over) {
                 true => ConnectionState::Closed,
--- a/crates/testing/soak/src/engine.rs
+++ b/crates/testing/soak/src/engine.rs
@@ -1,4 +1,4 @@
-//! Engines that serve or fail as drawn, and record every attempt that they read.
+//! Fake engines that serve or fail at random, by their drawn health, and record every attempt that they receive.
 
 use crate::recorder::Recorder;
 use crate::records::AttemptRecord;
@@ -10,12 +10,12 @@
 use std::thread;
 use std::time::Duration;
 
-/// Longest service of a good engine's attempt, in milliseconds.
+/// Longest service time of an attempt at a good engine, in milliseconds.
 const MAX_SERVICE_MS: u64 = 40;
-/// Longest service of an attempt at a faulty engine, in milliseconds.
+/// Longest service time of an attempt at a faulty engine, in milliseconds.
 const MAX_SLOW_SERVICE_MS: u64 = 400;
 
-/// What an engine does with an attempt.
+/// Treatment of an attempt by an engine.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Behavior {
     Serve(Duration),
@@ -38,7 +38,8 @@
     }
 }
 
-/// Starts an engine; it runs until the process ends.
+/// Starts an engine, and returns its address. Its thread ends with the first connection after the run is over, or
+/// with the process.
 pub(crate) fn start(recorder: &Arc<Recorder>, engine: u32, health: EngineHealth, seed: u64) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/testing/soak/src/judge.rs
+++ b/crates/testing/soak/src/judge.rs
@@ -1,44 +1,46 @@
-//! The rules that a recording is judged by. Each allows for how late the driver's own records may be.
+//! Checks a recording against the rules that a front must keep. The timing rules allow for the driver's own delay.
 
 use crate::records::{ProcessRecord, Recording, RequestClass, RequestRecord, ResponseKind};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
 
-/// A response may come so long after the request's time.
+/// Time after a request's client timeout within which its response is still on time.
 const RESPONSE_SLACK: Duration = Duration::from_millis(500);
-/// What arrives within this after the signal is answered: a little less than the 0.7 s of the platform, as it has to arrive.
+/// Requests sent within this time after SIGTERM must be answered. It is a little less than the platform's shutdown
+/// grace of 0.7 s, because a request takes time to arrive.
 const ANSWERED_AFTER_SIGNAL: Duration = Duration::from_millis(600);
-/// An attempt may begin so long after its client has left.
+/// Time after its client has left within which an attempt may still begin.
 const LEFT_SLACK: Duration = Duration::from_millis(100);
-/// A request that was written so shortly before its connection's end was read may have crossed it.
+/// Race between a request and the close of its connection: a request sent at most this long before the client
+/// noticed the close may not have reached the front.
 const CROSSING: Duration = Duration::from_millis(50);
-/// A front is ready within this.
+/// Time from its start within which a front must be ready.
 const READY_WITHIN: Duration = Duration::from_secs(10);
-/// Descriptors that may be open at rest beyond those at the start, for each engine and beside.
+/// Descriptors that may be open once idle beyond those at the start: for each engine, and in total besides.
 const DESCRIPTORS_PER_ENGINE: usize = 4;
 const SPARE_DESCRIPTORS: usize = 8;
-/// Resident memory that may have come since the start, in kB.
+/// Allowed growth of resident memory since the start, in kB.
 const MAX_MEMORY_GROWTH_KB: u64 = 24 * 1024;
 
-/// What a front must keep to.
+/// A rule that a front must keep.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each request has a final response in time.
+    /// Each request receives its response in time.
     Answered,
-    /// No request has two responses.
+    /// No request receives two responses.
     AnsweredOnce,
-    /// What must not run twice does not, and what was rejected did not run.
+    /// A non-idempotent request runs at most once, and not at all if it was rejected.
     NoEffectTwice,
-    /// Nothing begins at an engine past the grace of its drain.
+    /// No attempt begins at a draining engine after the drain grace.
     DrainGrace,
-    /// Nothing begins for a client that has left.
+    /// No attempt begins for a client that has left.
     ClientLeft,
-    /// A front that is started is ready in time.
+    /// A started front becomes ready in time.
     Ready,
-    /// A front that is told to end does so by itself, in order, before the kill.
+    /// After SIGTERM, a front exits by itself before the kill, with exit code 0.
     Ended,
-    /// Descriptors and memory come back.
+    /// Descriptors and memory are released when no clients are left.
     ReturnedToRest,
 }
 
@@ -60,9 +62,9 @@
 /// A rule that was broken.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
-    /// By what.
+    /// What broke it.
     pub detail: String,
 }
 
@@ -70,7 +72,7 @@
     Violation { rule, detail }
 }
 
-/// All rules that the recording shows to be broken.
+/// Returns all violations of the rules in a recording.
 pub fn judge(recording: &Recording) -> Vec<Violation> {
     let mut violations = Vec::new();
     for request in &recording.requests {
@@ -105,7 +107,7 @@
         });
     }
     let came_in_time = sent_at + recording.driver_delay <= process.terminated_at + ANSWERED_AFTER_SIGNAL;
-    // A request may cross the end of a connection that gives way to a crowd; the client sends it again on another.
+    // A request may be in flight while the front closes its connection to free descriptors; it counts as not received.
     let crossed =
         request.closed_for_crowd_at.is_some_and(|at| sent_at + CROSSING + recording.driver_delay >= at);
     let is_excused = request.left_at.is_some() || request.in_crowd || crossed;
--- a/crates/testing/soak/src/lib.rs
+++ b/crates/testing/soak/src/lib.rs
@@ -1,8 +1,9 @@
-//! A soak of real fronts: processes of the program under clients that keep using their connections until the kill,
-//! signals in series, engines and discovery that fail, and crowds of idle clients.
+//! A soak test of real front processes, under clients that use their connections until the process is killed,
+//! series of signals, failing engines, failing discovery, and crowds of idle clients.
 //!
-//! A seed draws a [`Scenario`]; [`run`] plays it against a program and returns a [`Recording`] of what each side saw;
-//! [`judge`] names the rules that the front broke. The judge is pure.
+//! A [`Scenario`] is drawn from a seed. [`run`] runs it against a front program and returns a [`Recording`] of what
+//! clients, engines, discovery and the driver observed. [`judge`] returns the rules that the front broke; it is a pure
+//! function of the recording.
 
 #![warn(missing_docs)]
 
--- a/crates/testing/soak/src/main.rs
+++ b/crates/testing/soak/src/main.rs
@@ -1,4 +1,5 @@
-//! `lemonusher-soak`: plays seeds against a front, several at a time, and exits with 1 if any rule was broken.
+//! `lemonusher-soak`: runs seeded scenarios against a front, several at a time, and exits with 1 if any rule was
+//! broken.
 
 use clap::Parser;
 use lemonusher_soak::{RunOptions, Scenario, SeedResult, judge, run, summary, write_csv};
@@ -7,25 +8,25 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Plays seeded faults, signals and restarts against real fronts.
+/// Runs seeded faults, signals and restarts against real fronts.
 #[derive(Parser)]
 struct Arguments {
-    /// How many seeds.
+    /// Number of seeds.
     #[arg(long, default_value_t = 50)]
     seeds: u64,
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     first: u64,
-    /// Seeds that are played at once.
+    /// Number of seeds that run at once.
     #[arg(long, default_value_t = 3)]
     at_once: u64,
-    /// The front's program.
+    /// Path of the front program.
     #[arg(long, default_value = "target/release/lemonusher-front")]
     program: PathBuf,
-    /// Writes a row for each seed here.
+    /// Writes a CSV file with one row for each seed.
     #[arg(long)]
     csv: Option<PathBuf>,
-    /// Prints the front's log.
+    /// Prints the front's log on standard error.
     #[arg(long)]
     log: bool,
 }
--- a/crates/testing/soak/src/process.rs
+++ b/crates/testing/soak/src/process.rs
@@ -1,4 +1,4 @@
-//! One process of the front.
+//! One front process.
 
 use crate::recorder::Recorder;
 use crate::records::ProcessRecord;
@@ -9,28 +9,29 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// The platform kills a front so long after SIGTERM, or after the longest deadline if that is shorter,
+/// Upper limit of the longest deadline in the time from SIGTERM to SIGKILL, which is the smaller of the two plus
+/// `SHUTDOWN_GRACE`.
 const MAX_SHUTDOWN: Duration = Duration::from_millis(3000);
-/// and this.
+/// Time that the platform allows for shutdown beyond the longest deadline or `MAX_SHUTDOWN`.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(700);
-/// How often a front that has started is asked whether it is ready.
+/// Time between two readiness checks of a front that has started.
 const READY_INTERVAL: Duration = Duration::from_millis(5);
-/// A front that is not ready by then never is.
+/// Time after which a front that is not ready is recorded as never ready.
 const MAX_READY_TIME: Duration = Duration::from_secs(12);
 
-/// When the platform kills at the earliest, counted from SIGTERM.
+/// Earliest time at which the platform kills the front, counted from SIGTERM.
 fn kill_after(deadline: Duration) -> Duration {
     deadline.min(MAX_SHUTDOWN) + SHUTDOWN_GRACE
 }
 
-/// A process and what has been seen of it.
+/// A front process and its record.
 pub(crate) struct FrontProcess {
     pub(crate) front: Front,
     pub(crate) record: ProcessRecord,
 }
 
 impl FrontProcess {
-    /// Starts the program, and waits until it says that it is ready.
+    /// Starts the program, and waits until it reports that it is ready or `MAX_READY_TIME` has passed.
     pub(crate) fn start(recorder: &Recorder, options: &RunOptions, config: &Value) -> FrontProcess {
         let started_at = recorder.now();
         let file = temp_file("json", &config.to_string());
@@ -50,19 +51,19 @@
         FrontProcess { front, record }
     }
 
-    /// It is told to end at this time; the platform kills it at the earliest then.
+    /// Records the time of SIGTERM, and sets the earliest time of the kill.
     pub(crate) fn set_terminated(&mut self, at: Duration, deadline: Duration) {
         self.record.terminated_at = at;
         self.record.kill_at = at + kill_after(deadline);
     }
 
-    /// Looks at what it holds now that all clients have left.
+    /// Records open descriptors and resident memory now that all clients have disconnected.
     pub(crate) fn look_at_rest(&mut self) {
         self.record.descriptors_at_rest = Some(self.front.open_descriptors());
         self.record.memory_at_rest_kb = Some(resident_kb(self.front.id()));
     }
 
-    /// Waits for its end until the kill, and kills it then.
+    /// Waits until the process exits, and kills it at the time of the kill.
     pub(crate) fn finish(mut self, recorder: &Recorder, options: &RunOptions) -> ProcessRecord {
         let left = self.record.kill_at.saturating_sub(recorder.now());
         if let Some(code) = self.front.exit_code_within(left) {
--- a/crates/testing/soak/src/recorder.rs
+++ b/crates/testing/soak/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Collects the records of all threads.
+//! Collects the records of all threads of a run.
 
 use crate::records::{AttemptRecord, DrainRecord, Recording, RequestRecord, ResponseRecord};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often the driver's own delay is measured.
+/// Sleep by which the driver measures its own scheduling delay.
 const DELAY_PERIOD: Duration = Duration::from_millis(2);
 
 /// The records of one run.
@@ -14,7 +14,7 @@
     origin: Instant,
     recording: Mutex<Recording>,
     delay_us: AtomicU64,
-    /// The run is over: threads end.
+    /// Whether the run is over; all threads then end.
     pub(crate) ended: AtomicBool,
 }
 
@@ -52,7 +52,7 @@
         self.recording.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds a request; its index is for what is learned of it later.
+    /// Adds a request, and returns its index for later updates.
     pub(crate) fn add_request(&self, request: RequestRecord) -> usize {
         let mut recording = self.lock();
         recording.requests.push(request);
@@ -63,13 +63,13 @@
         self.lock().requests[request].responses.push(response);
     }
 
-    /// The client has left, unless it had before.
+    /// Records that the client cancelled the request or disconnected, unless that is already recorded.
     pub(crate) fn set_left(&self, request: usize) {
         let now = self.now();
         self.lock().requests[request].left_at.get_or_insert(now);
     }
 
-    /// The front has ended the requests' connection for want of descriptors.
+    /// Records that the front closed the requests' connection while idle clients filled its descriptors.
     pub(crate) fn set_closed_for_crowd(&self, requests: &[usize]) {
         let now = self.now();
         let mut recording = self.lock();
--- a/crates/testing/soak/src/records.rs
+++ b/crates/testing/soak/src/records.rs
@@ -1,123 +1,125 @@
-//! What clients, engines, discovery and the driver saw of a front. Times are spans since the run began.
+//! What clients, engines, discovery and the driver observed of a front. Times count from the start of the run.
 
 use std::time::Duration;
 
 /// A request class of the deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestClass {
-    /// May run again.
+    /// May run more than once.
     Idempotent,
-    /// Must not run twice.
+    /// Must not run more than once.
     NonIdempotent,
 }
 
-/// What a client was answered.
+/// Kind of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseKind {
     /// A result.
     Result,
-    /// Rejected: nothing ran, and trying again is safe.
+    /// Rejected: the request did not run, and a retry is safe.
     Rejected,
-    /// Failed; it may have run.
+    /// Failed: the request may have run.
     Failed,
 }
 
-/// A response as its client read it.
+/// A response that a client read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResponseRecord {
-    /// When.
+    /// Time at which it was read.
     pub at: Duration,
-    /// What.
+    /// Its kind.
     pub kind: ResponseKind,
 }
 
-/// A request that was written whole.
+/// A request of a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestRecord {
-    /// The id that engines see.
+    /// The id under which engines receive it.
     pub call: String,
     /// Its class.
     pub class: RequestClass,
-    /// The number of the front's process that it was sent to.
+    /// Index of the front process that it was sent to.
     pub process: usize,
-    /// When its connection came up, as its client sees it.
+    /// Time at which the client's connection was established.
     pub connected_at: Duration,
-    /// When it had been written.
+    /// Time just before the client wrote it.
     pub sent_at: Duration,
-    /// How long its client waits: no longer than the class's deadline.
+    /// The client timeout, at most the class's deadline.
     pub timeout: Duration,
-    /// When its client had cancelled it or closed the connection.
+    /// Time at which the client had cancelled it, had closed the connection, or had failed to write it.
     pub left_at: Option<Duration>,
-    /// Its connection came while idle clients filled the descriptors, and may be shut unread.
+    /// Whether its connection was opened while idle clients filled the descriptors. The front may close such a
+    /// connection without reading from it.
     pub in_crowd: bool,
-    /// When the front ended its connection while idle clients filled the descriptors, as its client read it.
+    /// Time at which the client noticed that the front had closed its connection while idle clients filled the
+    /// descriptors.
     pub closed_for_crowd_at: Option<Duration>,
-    /// Every response that was read.
+    /// All responses that the client read.
     pub responses: Vec<ResponseRecord>,
 }
 
-/// An attempt as its engine read it.
+/// An attempt that an engine received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AttemptRecord {
-    /// The engine.
+    /// Number of the engine.
     pub engine: u32,
     /// The request's id.
     pub call: String,
-    /// When.
+    /// Time at which it was received.
     pub at: Duration,
-    /// Whether it ran; false if the engine turned it away unseen.
+    /// Whether it may have run; false if the engine rejected it.
     pub ran: bool,
 }
 
-/// An engine's drain of which the front was notified.
+/// A notification of the front that an engine drains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DrainRecord {
-    /// The engine.
+    /// Number of the engine.
     pub engine: u32,
-    /// When the front counts as notified.
+    /// Time from which the front counts as notified.
     pub notified_at: Duration,
 }
 
-/// One process of the front, from its start to its end.
+/// One front process, from its start to its end.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ProcessRecord {
-    /// When it was started.
+    /// Time at which it was started.
     pub started_at: Duration,
-    /// When it said that it was ready; none if it did not.
+    /// Time at which it reported ready; `None` if it never did.
     pub ready_at: Option<Duration>,
-    /// When it was told to end.
+    /// Time of SIGTERM; the planned time until it is sent.
     pub terminated_at: Duration,
-    /// When the platform would kill it at the earliest.
+    /// Earliest time at which the platform would kill it.
     pub kill_at: Duration,
-    /// When it had ended by itself; none if it had to be killed.
+    /// Time at which it had exited by itself; `None` if it had to be killed or a signal ended it.
     pub exited_at: Option<Duration>,
-    /// Its exit code; none if a signal ended it.
+    /// Its exit code; `None` if it had to be killed or a signal ended it.
     pub exit_code: Option<i32>,
     /// Open descriptors when it was ready.
     pub descriptors_at_start: usize,
-    /// Open descriptors when all clients had left; none if that was not looked at.
+    /// Open descriptors after all clients had disconnected; `None` if not measured.
     pub descriptors_at_rest: Option<usize>,
     /// Resident memory when it was ready, in kB.
     pub memory_at_start_kb: u64,
-    /// Resident memory when all clients had left, in kB; none if that was not looked at.
+    /// Resident memory after all clients had disconnected, in kB; `None` if not measured.
     pub memory_at_rest_kb: Option<u64>,
 }
 
-/// All that was seen in one run.
+/// All records of one run.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Recording {
     /// All requests.
     pub requests: Vec<RequestRecord>,
     /// All attempts.
     pub attempts: Vec<AttemptRecord>,
-    /// All drains.
+    /// All drain notifications.
     pub drains: Vec<DrainRecord>,
-    /// The front's processes, in order.
+    /// The front processes, in order of their start.
     pub processes: Vec<ProcessRecord>,
-    /// How long after a drain's notification attempts may still begin.
+    /// Time after the notification of a drain during which attempts may still begin at the engine.
     pub drain_grace: Duration,
-    /// Engines of the deployment.
+    /// Number of engines of the deployment.
     pub engines: usize,
-    /// The longest that a thread of the driver was kept from running: its records may be so late.
+    /// Longest scheduling delay that the driver measured on itself. Recorded times may be late by as much.
     pub driver_delay: Duration,
 }
--- a/crates/testing/soak/src/relay.rs
+++ b/crates/testing/soak/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay before a front that makes it faulty on purpose, to test the judge.
+//! A relay between clients and a front that injects faults into responses, to test the judge.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -6,19 +6,19 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 
-/// What the relay does to one response now and then.
+/// Fault that the relay applies to one response in `FAULT_ONE_IN`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RelayFault {
-    /// The client gets it twice.
+    /// The client receives the response twice.
     Duplicate,
-    /// The client does not get it.
+    /// The client does not receive the response.
     Lose,
 }
 
-/// One response of so many meets the fault.
+/// One response in this many is affected.
 const FAULT_ONE_IN: u64 = 25;
 
-/// Starts a relay to this front; it runs until the process ends.
+/// Starts a relay to this front, and returns its address. It runs until the process ends.
 pub(crate) fn start(front: SocketAddr, fault: RelayFault) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -40,7 +40,7 @@
     address
 }
 
-/// Forwards lines, each so many times, until either side closes.
+/// Forwards lines until either side closes; `copies` returns how often each line is sent.
 fn forward(from: TcpStream, mut to: TcpStream, copies: impl Fn(&str) -> usize) {
     for line in BufReader::new(from).lines().map_while(Result::ok) {
         let text = format!("{line}\n").repeat(copies(&line));
--- a/crates/testing/soak/src/report.rs
+++ b/crates/testing/soak/src/report.rs
@@ -1,4 +1,4 @@
-//! Results by seed: a summary by rule, and a table.
+//! Reports the results of all seeds: a summary by rule, and a CSV table.
 
 use crate::judge::{Rule, Violation};
 use crate::records::{Recording, ResponseKind};
@@ -8,14 +8,14 @@
 use std::io;
 use std::path::Path;
 
-/// What one seed gave.
+/// Result of one seed.
 #[derive(Debug, Clone)]
 pub struct SeedResult {
     /// The seed.
     pub seed: u64,
-    /// What was seen.
+    /// The run's recording.
     pub recording: Recording,
-    /// What was broken.
+    /// The rules that were broken.
     pub violations: Vec<Violation>,
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// Writes a row for each seed.
+/// Writes a CSV file with one row for each seed.
 pub fn write_csv(path: &Path, results: &[SeedResult]) -> io::Result<()> {
     let mut writer = csv::Writer::from_path(path)?;
     for result in results {
@@ -60,7 +60,7 @@
     writer.flush()
 }
 
-/// How many seeds broke which rule, and how each is played again.
+/// Summary text: totals, then for each broken rule its seeds and the command that runs the first of them again.
 pub fn summary(results: &[SeedResult]) -> String {
     let mut by_rule: BTreeMap<Rule, Vec<u64>> = BTreeMap::new();
     for result in results {
--- a/crates/testing/soak/src/run.rs
+++ b/crates/testing/soak/src/run.rs
@@ -1,4 +1,5 @@
-//! Plays a scenario: a first process of the front under clients until the kill, then a second one that comes to rest.
+//! Runs a scenario. The first front process serves clients until it exits or is killed. The second one serves
+//! clients for a short time and is then left idle, to check that it releases what it holds.
 
 use crate::clients::{ClientContext, open_idle, start_late, start_steady};
 use crate::discovery::Discovery;
@@ -17,25 +18,25 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// How often the driver looks at what is due.
+/// Time between two checks of the driver for steps that are due.
 const STEP: Duration = Duration::from_millis(1);
-/// A client comes this often after the signal.
+/// Time between two new clients after SIGTERM.
 const LATE_CLIENT_INTERVAL: Duration = Duration::from_millis(40);
-/// The crowd stays from here to there, counted from when the front is ready.
+/// Times since the front was ready between which the crowd of idle clients is connected.
 const CROWD_FROM: Duration = Duration::from_millis(500);
 const CROWD_UNTIL: Duration = Duration::from_millis(1300);
-/// The second process has clients for this long, and then time to come to rest.
+/// Time for which the second process has clients, and idle time after that before its resources are measured.
 const SECOND_LOAD: Duration = Duration::from_millis(700);
 const REST: Duration = Duration::from_millis(600);
 
-/// What is played against.
+/// Options of a run.
 #[derive(Debug, Clone)]
 pub struct RunOptions {
-    /// The front's program.
+    /// Path of the front program.
     pub program: PathBuf,
-    /// A fault that clients see, to test the judge.
+    /// Fault injected between clients and the front, to test the judge.
     pub fault: Option<RelayFault>,
-    /// Whether the front logs a line a request, and its log goes to standard error.
+    /// Whether the front logs at debug level, one line per request, and its log is printed on standard error.
     pub log: bool,
 }
 
@@ -48,7 +49,7 @@
     rng: fastrand::Rng,
 }
 
-/// What is still to come in the first process, and what has come.
+/// Progress of the run of the first process: steps still to do, connected crowd, and started clients.
 struct Progress {
     config: Value,
     signals: Vec<SignalAt>,
@@ -58,7 +59,7 @@
     next_late_client: Duration,
 }
 
-/// Plays a scenario.
+/// Runs a scenario, and returns what was recorded.
 pub fn run(scenario: &Scenario, options: &RunOptions) -> Recording {
     let recorder = Recorder::start();
     let engines: Vec<SocketAddr> = (1..)
@@ -128,14 +129,14 @@
         (context, clients)
     }
 
-    /// Signals, changes of discovery and the crowd, until the front has ended or is killed.
+    /// Runs the first process with signals, changes of discovery and the crowd, until it exits or is killed.
     fn first_process(&mut self) {
         let channel = self.discovery.open_address();
         let config = self.config(channel);
         let mut process = FrontProcess::start(&self.recorder, self.options, &config);
         let ready_at = self.recorder.now();
         process.set_terminated(ready_at + self.scenario.terminate_after(), self.scenario.deadline);
-        // Responses are judged by the process that they belong to, so it has to be there.
+        // Requests refer to their process by index, so its record is added before any client starts.
         self.recorder.lock().processes.push(process.record.clone());
         let (context, clients) = self.start_clients(0, process.front.address);
         let mut progress = Progress {
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Clients that come after SIGTERM.
+    /// Starts the clients that connect after SIGTERM.
     fn step_late_clients(
         &mut self,
         context: &Arc<ClientContext>,
@@ -222,13 +223,13 @@
         }
         if since_ready >= CROWD_UNTIL && !crowd.is_empty() {
             crowd.clear();
-            // Until the front has seen them go.
+            // Gives the front time to notice that the idle clients disconnected.
             thread::sleep(Duration::from_millis(50));
             context.crowd.store(false, Ordering::SeqCst);
         }
     }
 
-    /// Clients for a while, then none: what the front holds has to come back.
+    /// Runs the second process with clients for `SECOND_LOAD`, then measures its descriptors and memory after `REST`.
     fn second_process(&mut self) {
         let channel = self.discovery.open_address();
         let config = self.config(channel);
--- a/crates/testing/soak/src/scenario.rs
+++ b/crates/testing/soak/src/scenario.rs
@@ -1,37 +1,37 @@
-//! What a seed draws.
+//! The scenario of a run, drawn from a seed.
 
 use std::time::Duration;
 
-/// How well an engine does.
+/// How reliably an engine serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineHealth {
     /// Serves nearly all attempts.
     Good,
     /// Often fails, rejects, resets the connection or does not reply.
     Faulty,
-    /// Accepts connections, and says nothing.
+    /// Accepts connections, and never replies.
     Silent,
 }
 
 /// A signal to the front.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Signal {
-    /// SIGHUP, with a new address of discovery in the file.
+    /// SIGHUP, after the configuration file was given a new discovery address.
     Reload,
     /// SIGTERM.
     Terminate,
 }
 
-/// A signal and when it is sent, counted from when the front is ready.
+/// A signal and the time at which it is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SignalAt {
-    /// When.
+    /// Time since the front was ready.
     pub after: Duration,
-    /// Which.
+    /// The signal.
     pub signal: Signal,
 }
 
-/// A change of discovery, counted from when the front is ready.
+/// A change of discovery, and its time since the front was ready.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct DiscoveryEvent {
     pub(crate) after: Duration,
@@ -42,44 +42,44 @@
 pub(crate) enum DiscoveryChange {
     /// An engine, by index, begins to drain.
     Drain(usize),
-    /// The last event is sent once more.
+    /// The last event is sent again.
     Repeat,
     /// Half of the next event is sent, then the connection is closed.
     CutNext,
-    /// Open connections fall silent, and stay open.
+    /// Open connections stay open, but nothing more is sent on them.
     FallSilent,
-    /// Every connection is closed for so long.
+    /// Every connection is closed at once for this time.
     GoDown(Duration),
 }
 
-/// One run.
+/// All that is drawn for one run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Scenario {
-    /// What all else is drawn from.
+    /// Seed from which everything else is drawn.
     pub seed: u64,
-    /// The longest deadline of the request classes.
+    /// Deadline of all request classes.
     pub deadline: Duration,
-    /// How long after a drain's notification attempts may still begin.
+    /// Time after the notification of a drain during which attempts may still begin at the engine.
     pub drain_grace: Duration,
-    /// Whether engines take cancels.
+    /// Whether the deployment allows the front to cancel attempts.
     pub cancels: bool,
-    /// Whether engines tell their load when probed.
+    /// Whether the deployment allows probes, by which engines report their load.
     pub probes: bool,
-    /// Time between two decisions.
+    /// The front's tick: time between two decisions.
     pub tick: Duration,
-    /// The engines.
+    /// Health of each engine.
     pub engines: Vec<EngineHealth>,
-    /// Connections that clients keep using.
+    /// Number of connections that clients use throughout the run.
     pub connections: usize,
-    /// The mean time between two requests of a connection.
+    /// Mean time between two requests of a connection.
     pub request_interval: Duration,
-    /// Idle clients that fill the descriptors in the middle of the run; none in three of four runs.
+    /// Number of idle clients that fill the descriptors in the middle of the run; 0 in three of four runs.
     pub crowd: usize,
-    /// Descriptors that the front may use.
+    /// Limit of open descriptors in the front's configuration.
     pub descriptors: usize,
-    /// To the first process, in order; the last is SIGTERM or its repetition.
+    /// Signals to the first process, in order. The last one is SIGTERM or its repetition.
     pub signals: Vec<SignalAt>,
-    /// New connections keep coming for so long after SIGTERM.
+    /// Time after SIGTERM during which new clients connect.
     pub new_connections_for: Duration,
     pub(crate) discovery: Vec<DiscoveryEvent>,
 }
@@ -114,7 +114,7 @@
         }
     }
 
-    /// When SIGTERM is first sent, counted from when the front is ready.
+    /// Time of the first SIGTERM since the front was ready.
     pub fn terminate_after(&self) -> Duration {
         let first = self.signals.iter().find(|signal| signal.signal == Signal::Terminate);
         first.map_or(ms(2000), |signal| signal.after)
@@ -129,7 +129,7 @@
     }
 }
 
-/// Reloads in a row, and the end: alone, right behind a reload, or twice.
+/// Draws up to three reloads in quick succession, then the end: one SIGTERM, one directly after a reload, or two.
 fn draw_signals(rng: &mut fastrand::Rng) -> Vec<SignalAt> {
     let mut signals = Vec::new();
     let mut push = |after: Duration, signal: Signal| signals.push(SignalAt { after, signal });
--- a/crates/testing/soak/tests/judge.rs
+++ b/crates/testing/soak/tests/judge.rs
@@ -1,4 +1,4 @@
-//! The judge names the rule that a recording breaks, and passes one that breaks none.
+//! The judge reports the rule that a recording breaks, and reports nothing for a recording that breaks none.
 
 use lemonusher_soak::*;
 use std::time::Duration;
@@ -30,7 +30,7 @@
     AttemptRecord { engine, call: call.to_owned(), at: ms(at), ran: true }
 }
 
-/// A process from 0 to 5 s that is told to end at 3 s, and two requests that ran.
+/// A process that starts at 0 s, gets SIGTERM at 3 s and would be killed at 5 s, and two requests that ran.
 fn clean() -> Recording {
     let process = ProcessRecord {
         started_at: ms(0),
--- a/crates/testing/soak/tests/soak.rs
+++ b/crates/testing/soak/tests/soak.rs
@@ -1,18 +1,20 @@
-//! A short soak of the front as built, and of one that is made faulty on purpose. `lemonusher-soak` plays more seeds.
+//! A short soak test of the front, and of one with injected response faults. The program `lemonusher-soak` runs
+//! more seeds.
 
 use lemonusher_soak::*;
 use std::path::PathBuf;
 use std::sync::Mutex;
 
-/// Seeds that are played at once.
+/// Number of seeds that run at once.
 const AT_ONCE: usize = 3;
 
 fn options(fault: Option<RelayFault>) -> RunOptions {
     RunOptions { program: PathBuf::from(env!("CARGO_BIN_EXE_lemonusher-soak-front")), fault, log: false }
 }
 
-/// Guards against rules broken under signals in series, restarts, crowds, and engines and discovery that fail. Seeds 24 and
-/// 28: requests that waited in the system's queue during a crowd were answered after their time.
+/// Guards against rules broken under series of signals, restarts, crowds of idle clients, and failing engines and
+/// discovery. Seeds 24 and 28 guard against requests that waited in the operating system's queue during a crowd
+/// and were answered after their client timeout.
 #[test]
 fn no_rule_is_broken() {
     let seeds: Mutex<Vec<u64>> = Mutex::new((1..=16).chain([24, 28]).rev().collect());
