--- a/crates/testing/emulator/src/attempts.rs
+++ b/crates/testing/emulator/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts on their way to engines, at work there and back at their fronts; load reports, probes and notes.
+//! Attempts from sending to their end at the front; load reports, probes and progress reports.
 
 use crate::check::Observation;
 use crate::dice::Dice;
@@ -11,15 +11,15 @@
 };
 use std::time::Duration;
 
-/// Bounds of a request's work, in means of its class.
+/// Limits of a request's work, as multiples of its class's mean.
 const MIN_WORK_FACTOR: f64 = 0.02;
 const MAX_WORK_FACTOR: f64 = 8.0;
-/// A probe's way there and back.
+/// Network round trip of a probe.
 const PROBE_ROUND_TRIP: Duration = Duration::from_millis(1);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl Simulation<'_> {
-    /// Work of a request: the same for each attempt at it.
+    /// Work of a request, in seconds on one thread; the same for all its attempts.
     fn work_of(&self, request: u64, request_class: usize) -> f64 {
         let mean = self.world.request_classes[request_class].mean_work_s;
         let mut dice = Dice::new(self.seed.wrapping_mul(0x2545_f491_4f6c_dd1d) ^ request);
@@ -66,7 +66,7 @@
         }
     }
 
-    /// How long a front's connection to an engine takes from now, and what becomes of it.
+    /// Time until a front's connection to an engine is established or fails, and which of the two.
     fn connect(&mut self, front: usize, engine: usize) -> (Duration, Connection) {
         let host = &mut self.engines[engine];
         if host.state == EngineState::Removed {
@@ -127,7 +127,7 @@
         self.overload(engine, left);
     }
 
-    /// An engine that warms up fails when it is sent more work than it bears.
+    /// Fails an engine that warms up if the work sent to it exceeds its overload limit.
     fn overload(&mut self, engine: usize, work: f64) {
         let (now, world) = (self.now, self.world);
         let host = &mut self.engines[engine];
@@ -184,7 +184,7 @@
         }
     }
 
-    /// An attempt is over for its front.
+    /// Ends an attempt for its front, and delivers the outcome.
     pub(crate) fn end_attempt(&mut self, number: u64, outcome: AttemptOutcome) {
         let Some(attempt) = self.in_flight.remove(&number) else { return };
         self.observe(Observation::AttemptEnded { id: attempt.id, may_have_run: !outcome.never_ran() });
@@ -260,7 +260,7 @@
         self.fronts[front].events.push_back(event);
     }
 
-    /// Ends probes that got no response in time.
+    /// Ends probes without a reply within the timeout.
     pub(crate) fn handle_lost_probes(&mut self) {
         let lost = self.probes.iter().filter(|(_, probe)| probe.at + CONNECT_TIMEOUT <= self.now);
         let lost: Vec<u64> = lost.map(|(number, _)| *number).collect();
@@ -271,7 +271,7 @@
         }
     }
 
-    /// Engines sample their load each period, and tell it after a delay.
+    /// Samples the engines' load each period; a sample is reported after a delay.
     pub(crate) fn sample_loads(&mut self) {
         let world = self.world;
         let Some(terms) = &world.load_reports else { return };
@@ -303,7 +303,7 @@
         }
     }
 
-    /// Progress notes of what runs.
+    /// Delivers the progress reports of running attempts that are due.
     pub(crate) fn report_progress(&mut self) {
         let Some(period) = self.world.progress_interval_s else { return };
         let now = self.now;
--- a/crates/testing/emulator/src/check.rs
+++ b/crates/testing/emulator/src/check.rs
@@ -1,13 +1,21 @@
-//! The seven rules, checked on what both sides see.
+//! Checks the seven rules on the observations of clients and engines:
+//!
+//! 1. Each try gets one response, in time, and no attempt is sent after it.
+//! 2. A try has one attempt in flight at most, and a non-idempotent request runs at most once.
+//! 3. No attempt is sent to a draining engine after the drain grace.
+//! 4. An engine that warms up is not sent more work than its overload limit, unless it is a single request.
+//! 5. Requests of one key are sent in order of arrival.
+//! 6. A request is sent only to its class's allowed zones.
+//! 7. A front's retries stay within the retry budget.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 use std::time::Duration;
 
-/// What happens in a simulation, as the checker observes it.
+/// An event of a simulation, as the checker observes it.
 #[derive(Clone)]
 pub enum Observation {
-    /// A client asks a front: a try, of a request.
+    /// A try of a client's request arrived at a front.
     TryArrived {
         front: usize,
         id: u64,
@@ -16,25 +24,25 @@
         key: Option<u64>,
         limit: Duration,
     },
-    /// The one answer to a try.
+    /// A try got its response.
     TryAnswered { id: u64 },
-    /// The client left before its answer.
+    /// The client disconnected before the response.
     ClientGone { id: u64 },
-    /// A front sends a request to an engine.
+    /// A front sent an attempt of a try to an engine.
     AttemptSent { front: usize, id: u64, number: u32, engine: usize, work: f64 },
-    /// An attempt is over for its front; `may_have_run` as far as the front can know.
+    /// An attempt ended for its front; `may_have_run` states whether it may have run as far as the front can know.
     AttemptEnded { id: u64, may_have_run: bool },
-    /// The engine really began to run it.
+    /// An engine began to run the request.
     RequestRan { request: u64 },
-    /// An engine drains: one front has been notified, or all have to know.
+    /// An engine drains, and this front has been notified, or all fronts if `None`.
     EngineDraining { engine: usize, front: Option<usize> },
-    /// An engine has started, with so many cores.
+    /// An engine has started.
     EngineStarted { engine: usize, cores: f64, zone: u32 },
-    /// A front knows nothing any more of what it had.
+    /// A front has restarted and lost its state.
     FrontRestarted { front: usize },
 }
 
-/// The text of which a run's digest is made. It has the names of earlier versions, so that digests stay comparable.
+/// Text from which a run's digest is computed. It uses the names of earlier versions, so that digests stay comparable.
 impl fmt::Debug for Observation {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
@@ -75,12 +83,12 @@
     }
 }
 
-/// A rule that was broken, and what broke it.
+/// A violation of a rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
     /// Number of the rule, from 1 to 7.
     pub rule: u8,
-    /// When, on the simulation's clock.
+    /// Time of the violation, on the simulation's clock.
     pub at: Duration,
     /// What broke it.
     pub message: String,
@@ -89,34 +97,35 @@
 /// How many retries a front may send within the budget's window.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryAllowance {
-    /// So many in any case.
+    /// Retries that are allowed in any case.
     pub free: f64,
-    /// And so many a request that arrived.
+    /// Further retries for each request that arrived.
     pub share: f64,
 }
 
-/// What the rules depend on.
+/// Parameters of the rules.
 #[derive(Debug, Clone, Default)]
 pub struct RuleConfig {
-    /// Attempts may begin at a draining engine for so long.
+    /// Time during which attempts may still begin at a draining engine.
     pub drain_grace: Duration,
-    /// An engine warms up for so long.
+    /// Time from an engine's start until full speed.
     pub slow_start_window: Duration,
-    /// What an engine can do at its start, as a share of what it can do when warm.
+    /// Speed of an engine at its start, as a share of full speed.
     pub slow_start_share: f64,
-    /// An engine that warms up bears so many times what it can do within the overload window.
+    /// Overload limit of an engine that warms up, as a multiple of what it can do at starting speed within the
+    /// overload window.
     pub overload_factor: f64,
-    /// The time over which the work sent to an engine that warms up is added.
+    /// Window over which the work sent to an engine that warms up is summed.
     pub overload_window: Duration,
-    /// By request class: whether a request must not run twice.
+    /// Whether requests must not run twice, by request class.
     pub non_idempotent: Vec<bool>,
-    /// By request class: the only zones that it may go to; `None` for all.
+    /// Zones that a request may be sent to, by request class; `None` for all.
     pub allowed_zones: Vec<Option<Vec<u32>>>,
-    /// By engine: its zone.
+    /// Zone of each engine.
     pub engine_zones: Vec<u32>,
-    /// `None` for no budget.
+    /// Retry budget of each front; `None` for no budget.
     pub retry_budget: Option<RetryAllowance>,
-    /// By how much an event may be late.
+    /// Lateness of an event that is allowed.
     pub slack: Duration,
 }
 
@@ -139,7 +148,7 @@
     work: f64,
 }
 
-/// An engine that has started, and the work that it was sent lately.
+/// An engine that has started, and the work that it was sent within the overload window.
 #[derive(Debug)]
 struct SlowStart {
     started: Duration,
@@ -154,22 +163,22 @@
     retries: VecDeque<Duration>,
 }
 
-/// Checks the rules on all that happens, in order.
+/// Checks the rules on a sequence of observations.
 #[derive(Debug, Default)]
 pub struct Checker {
     config: RuleConfig,
     tries: BTreeMap<u64, Try>,
     /// Request class of each request.
     classes: BTreeMap<u64, usize>,
-    /// How often each request was run.
+    /// Number of times that each request was run.
     runs: BTreeMap<u64, u32>,
-    /// Since when an engine drains, for a front that has been notified or for all.
+    /// Start of an engine's drain, by engine and by notified front; `None` stands for all fronts.
     draining: BTreeMap<(usize, Option<usize>), Duration>,
     slow_starts: BTreeMap<usize, SlowStart>,
     budgets: BTreeMap<usize, Budget>,
-    /// By front and key: tries in the order in which they arrived.
+    /// Open tries in order of arrival, by front and key.
     key_queues: BTreeMap<(usize, u64), VecDeque<u64>>,
-    /// What has been broken; the first hundred.
+    /// Violations so far; the first hundred.
     pub violations: Vec<Violation>,
 }
 
@@ -179,7 +188,7 @@
 const BUDGET_WINDOW: Duration = Duration::from_secs(10);
 
 impl Checker {
-    /// Begins with nothing known.
+    /// A checker without observations.
     pub fn new(config: RuleConfig) -> Checker {
         Checker { config, ..Checker::default() }
     }
@@ -190,7 +199,7 @@
         }
     }
 
-    /// Takes the next thing that happens.
+    /// Handles the next observation.
     pub fn observe(&mut self, now: Duration, observation: Observation) {
         match observation {
             Observation::TryArrived { front, id, request, request_class, key, limit } => {
@@ -334,7 +343,7 @@
             * start.cores
             * config.overload_window.as_secs_f64();
         let all: f64 = start.sent.iter().map(|sent| sent.work).sum();
-        // One request alone may be more than the engine bears; no front can help that.
+        // A single request may exceed the limit alone, which no front can prevent.
         if all > bears && start.sent.len() > 1 {
             self.report(4, now, format!("engine {engine} is cold, bears {bears:.1} and is sent {all:.1}"));
         }
@@ -370,7 +379,7 @@
         }
     }
 
-    /// Checks at the end that every try had its answer.
+    /// Checks at the end that every try got a response.
     pub fn finish(&mut self, now: Duration) {
         let open: Vec<u64> = (self.tries.iter())
             .filter(|(_, known)| !known.answered && known.limit + self.config.slack < now)
--- a/crates/testing/emulator/src/clients.rs
+++ b/crates/testing/emulator/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: what they ask for, where, how long they wait, and when they leave or ask again.
+//! Clients: which requests they send to which front, how long they wait, and when they give up or retry.
 
 use crate::check::Observation;
 use crate::dice::Dice;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 impl Simulation<'_> {
-    /// First tries and repeats that are due.
+    /// Sends the first tries and the retries that are due.
     pub(crate) fn handle_arrivals(&mut self, begin: Duration, end: Duration) {
         while self.next_arrival <= self.now && self.next_arrival < end {
             let at = (self.next_arrival - begin).as_secs_f64();
@@ -47,7 +47,7 @@
         falls_on(tables, Dice::new(request ^ self.seed.rotate_left(32)).share()) as u64
     }
 
-    /// A client asks a front, for the first time or again.
+    /// Sends a try of a request, the first or a retry, to a random front.
     fn send_try(&mut self, request: u64) {
         let front = falls_on(&self.traffic, self.dice.share());
         let repeats = self.requests.get(&request).map_or(0, |known| known.tries);
@@ -86,7 +86,7 @@
         }));
     }
 
-    /// Until when a try that comes now is waited for.
+    /// Time until which the client waits for a try that is sent now.
     fn limit(&self, request_class: usize, first: Duration) -> Duration {
         let whole = span(self.world.request_classes[request_class].deadline_s);
         match self.world.clients {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Some clients leave before their time is over.
+    /// Draws whether the client will give up the try early, and when.
     fn may_depart(&mut self, front: usize, name: &RequestId, request_class: usize, id: u64) {
         let Some(clients) = self.world.clients else { return };
         if self.dice.share() < clients.impatient {
@@ -116,7 +116,7 @@
         }
     }
 
-    /// A rejected client may ask again after a while.
+    /// Counts a rejection, and schedules the client's retry if there is one.
     pub(crate) fn reject(&mut self, open_request: &OpenRequest, come_back: Option<Duration>) {
         self.report.rejected += 1;
         self.interval().rejected += 1;
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Counts a request that was served.
+    /// Counts a request that was served, in the interval of its first try.
     pub(crate) fn count_served(&mut self, open_request: &OpenRequest, work: f64) {
         let goal = span(self.world.request_classes[open_request.request_class].latency_objective_s)
             + span(work * 1.5);
--- a/crates/testing/emulator/src/dice.rs
+++ b/crates/testing/emulator/src/dice.rs
@@ -1,13 +1,13 @@
-//! Random numbers that mean the same everywhere for one seed.
+//! Random numbers that are the same on every platform for one seed.
 
 use crate::settings::Range;
 
-/// A small generator of its own, so that a seed means the same everywhere.
+/// A SplitMix64 generator. It is implemented here so that a seed gives the same numbers on every platform.
 #[derive(Debug, Clone)]
 pub struct Dice(u64);
 
 impl Dice {
-    /// Begins with a seed.
+    /// A generator with this seed.
     pub fn new(seed: u64) -> Dice {
         Dice(seed ^ 0x9e37_79b9_7f4a_7c15)
     }
@@ -20,22 +20,22 @@
         x ^ (x >> 31)
     }
 
-    /// From 0 up to 1.
+    /// Uniform from 0 to below 1.
     pub fn share(&mut self) -> f64 {
         (self.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Evenly within a range.
+    /// Uniform within a range.
     pub fn between(&mut self, [least, most]: Range) -> f64 {
         least + (most - least) * self.share()
     }
 
-    /// A whole number below this one.
+    /// An integer from 0 to below `most`; 0 if `most` is 0.
     pub fn below(&mut self, most: usize) -> usize {
         (self.next() % most.max(1) as u64) as usize
     }
 
-    /// Exponential, of this mean.
+    /// Exponentially distributed with this mean.
     pub fn wait(&mut self, mean: f64) -> f64 {
         -mean * (1.0 - self.share()).ln()
     }
--- a/crates/testing/emulator/src/engine.rs
+++ b/crates/testing/emulator/src/engine.rs
@@ -1,53 +1,56 @@
-//! One engine: it runs what it is sent, up to its slots, and everything it runs shares its cores and memory.
+//! Model of an engine. It runs requests up to its slots, queues further ones, and divides its cores and memory
+//! among the running requests.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// A request as it runs.
+/// A request at an engine.
 #[derive(Debug, Clone)]
 pub struct Work {
-    /// Work of all its threads that is left, in seconds.
+    /// Remaining work over all its threads, in seconds.
     pub left: f64,
-    /// Threads that it runs on.
+    /// Number of threads that it runs on.
     pub threads: f64,
-    /// Memory in megabytes that it takes.
+    /// Memory that it takes, in megabytes.
     pub memory_mb: f64,
     /// Number of its table group.
     pub tables: u64,
-    /// Whether it is a bulk load, which holds its table group.
+    /// Whether it is a bulk load, which blocks the requests of its table group that wait for bulk loads.
     pub load: bool,
-    /// It stands still while a load holds its table group.
+    /// Whether it makes no progress while a bulk load of its table group runs.
     pub waits_for_loads: bool,
 }
 
-/// A request that has finished, by its number.
+/// Number of a request that has finished.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finished(pub u64);
 
-/// An engine.
+/// Model of an engine.
 #[derive(Debug, Clone)]
 pub struct Engine {
-    /// Its cores.
+    /// Number of cores.
     pub cores: f64,
-    /// Its memory in megabytes.
+    /// Memory, in megabytes.
     pub memory_mb: f64,
-    /// Share of the work that is lost for each time over that threads outnumber the cores.
+    /// Thrashing loss. If threads exceed what runs without slowdown by the factor `r`, the engine's total work
+    /// drops to `1 / (1 + loss * (r - 1))`.
     pub loss: f64,
-    /// How many times slower it works for now.
+    /// Current slowdown factor; 1 for none.
     pub slow: f64,
-    /// Threads per core up to which nothing slows down: threads that wait for disks use no core.
+    /// Threads per core up to which requests run without slowdown. It can be above 1 because threads that wait for
+    /// disks use no core.
     pub knee: f64,
-    /// Part of its time that a running thread is on a core.
+    /// Share of its time that a running thread uses a core, from 0 to 1.
     pub on_cores: f64,
-    /// Requests that run at once, and that wait for a slot.
+    /// Most requests that run at once.
     pub slots: usize,
-    /// Requests that wait for a slot at most.
+    /// Most requests that wait for a slot.
     pub queue: usize,
     running: BTreeMap<u64, Work>,
     waiting: VecDeque<(u64, Work)>,
 }
 
 impl Engine {
-    /// An engine without limits but its cores and memory.
+    /// An engine with no limit on running or waiting requests.
     pub fn new(cores: f64, memory_mb: f64, loss: f64) -> Engine {
         Engine {
             cores,
@@ -63,12 +66,12 @@
         }
     }
 
-    /// Whether it turns away what it is offered.
+    /// Whether it rejects further requests: all slots and the queue are full.
     pub fn is_full(&self) -> bool {
         self.running.len() >= self.slots && self.waiting.len() >= self.queue
     }
 
-    /// Takes a request to run, or to wait for a slot; not if it is full.
+    /// Runs a request, or queues it if no slot is free. Drops it if the engine is full.
     pub fn offer(&mut self, number: u64, work: Work) {
         if self.running.len() < self.slots {
             self.running.insert(number, work);
@@ -77,12 +80,12 @@
         }
     }
 
-    /// Runs this at once, slots or not.
+    /// Runs a request at once, regardless of slots.
     pub fn put(&mut self, number: u64, work: Work) {
         self.running.insert(number, work);
     }
 
-    /// Drops a request; whether it ran or waited.
+    /// Drops a request, and returns whether it was running or waiting.
     pub fn cancel(&mut self, number: u64) -> bool {
         let waited = self.waiting.len();
         self.waiting.retain(|(other, _)| *other != number);
@@ -99,12 +102,12 @@
         }
     }
 
-    /// Work left of what runs, in seconds.
+    /// Remaining work of a running request, in seconds.
     pub fn left(&self, number: u64) -> Option<f64> {
         self.running.get(&number).map(|work| work.left)
     }
 
-    /// Requests that run or wait.
+    /// Number of requests that run or wait.
     pub fn len(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
@@ -114,28 +117,28 @@
         self.len() == 0
     }
 
-    /// Drops all that runs or waits.
+    /// Drops all running and waiting requests.
     pub fn clear(&mut self) {
         self.running.clear();
         self.waiting.clear();
     }
 
-    /// Share of its cores that are busy.
+    /// Share of its cores that is busy, from 0 to 1.
     pub fn cores_busy(&self) -> f64 {
         (self.threads_per_core().min(self.knee) * self.on_cores).min(1.0)
     }
 
-    /// Share of its memory that requests have been granted.
+    /// Memory of the running requests as a share of its memory; above 1 if it pages.
     pub fn memory_granted(&self) -> f64 {
         self.running.values().map(|work| work.memory_mb).sum::<f64>() / self.memory_mb
     }
 
-    /// Threads that want to run, over the cores.
+    /// Threads of all running requests per core.
     pub fn threads_per_core(&self) -> f64 {
         self.running.values().map(|work| work.threads).sum::<f64>() / self.cores
     }
 
-    /// Runs for a while at this part of its full speed, and says what has finished.
+    /// Advances the running requests by `seconds` at this share of full speed, and returns the ones that finished.
     pub fn run(&mut self, seconds: f64, warmth: f64) -> Vec<Finished> {
         let held: Vec<u64> = self.running.values().filter(|w| w.load).map(|w| w.tables).collect();
         let stands = |work: &Work| work.waits_for_loads && held.contains(&work.tables);
@@ -145,7 +148,7 @@
             return Vec::new();
         }
         let threads_per_core = threads / (self.cores * self.knee);
-        // Past the knee, each shares, and part of the work is lost.
+        // Above that many threads per core, threads share the cores, and part of the work is lost to thrashing.
         let share = if threads_per_core > 1.0 {
             1.0 / (threads_per_core * (1.0 + self.loss * (threads_per_core - 1.0)))
         } else {
--- a/crates/testing/emulator/src/failures.rs
+++ b/crates/testing/emulator/src/failures.rs
@@ -1,4 +1,4 @@
-//! Failures of engines and fronts, engines that leave and join, and how fronts are notified.
+//! Failures of engines and fronts, engines that leave and join, and the endpoint updates to fronts.
 
 use crate::check::Observation;
 use crate::host::EngineHost;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Draws which engines are replaced and when.
+    /// Draws which active engines are replaced, and when.
     fn plan_replacements(&mut self, share: f64, over: f64, manner: ReplacementManner) {
         let mut active: Vec<usize> =
             (0..self.engines.len()).filter(|n| self.engines[*n].state == EngineState::Active).collect();
@@ -73,7 +73,7 @@
         host.state = EngineState::Draining;
         host.removed_at = Some(self.now + grace);
         host.restarts_at = back.map(|back| self.now + grace + span(back));
-        // With discovery delays, each front must keep the rule from when it is notified.
+        // With discovery delays, the drain grace starts for each front when it is notified.
         if self.world.discovery.is_none() {
             self.observe(Observation::EngineDraining { engine, front: None });
         }
@@ -93,7 +93,7 @@
         lost.into_iter().for_each(|number| self.end_attempt(number, AttemptOutcome::Reset));
     }
 
-    /// The engine starts, and warms up.
+    /// Starts an engine, which then warms up.
     fn start(&mut self, engine: usize) {
         let host = &mut self.engines[engine];
         (host.state, host.started, host.restarts_at) = (EngineState::Active, self.now, None);
@@ -103,7 +103,7 @@
         self.notify_fronts(engine);
     }
 
-    /// Engines that leave and return, and endpoint updates that arrive.
+    /// Ends slowdowns, removes and restarts engines that are due, and delivers endpoint updates to fronts.
     pub(crate) fn update_engines(&mut self) {
         self.handle_replacements();
         for engine in 0..self.engines.len() {
@@ -134,7 +134,8 @@
         }
     }
 
-    /// Tells every front of an engine, each after a time of its own where the world states a watch.
+    /// Sends an endpoint update on an engine to every front. Each front has its own delay if the deployment states
+    /// discovery delays.
     fn notify_fronts(&mut self, engine: usize) {
         let entry = self.entry(engine);
         for front in 0..self.fronts.len() {
@@ -157,7 +158,7 @@
         if from <= at && at < to { to - self.now } else { delay }
     }
 
-    /// When a front's watch falls silent, once in the run, and until when.
+    /// Draws start and end of a front's outage of discovery, once in the run.
     pub(crate) fn draw_outage(&mut self) -> (Duration, Duration) {
         let Some(silent) = self.world.discovery.and_then(|watch| watch.silent_for) else {
             return Default::default();
--- a/crates/testing/emulator/src/front_config.rs
+++ b/crates/testing/emulator/src/front_config.rs
@@ -1,4 +1,4 @@
-//! What the fronts of a simulated deployment are configured with.
+//! Configuration of the fronts of a simulated deployment.
 
 use crate::settings::ReportTransport;
 use crate::world::{EngineKind, RequestClass, SimulatedDeployment, span};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 impl SimulatedDeployment {
-    /// What the fronts are configured with; `number` is the front's index.
+    /// Configuration of a front; `number` is its index.
     pub fn deployment(&self, number: u32) -> Deployment {
         let machine = |kind: &EngineKind| MachineKind { cores: kind.cores, memory_mb: kind.memory_mb };
         Deployment {
--- a/crates/testing/emulator/src/host.rs
+++ b/crates/testing/emulator/src/host.rs
@@ -1,4 +1,4 @@
-//! An engine of the run: the model with its state, its load reports and its connections.
+//! An engine in a simulation: the engine model with its discovery state, load reports and connections.
 
 use crate::engine::Engine;
 use crate::world::SimulatedDeployment;
@@ -14,26 +14,26 @@
     pub started: Duration,
     pub silent_until: Duration,
     pub slow_until: Duration,
-    /// How many times slower it works when nothing fails.
+    /// Slowdown factor while no failure affects it.
     pub usual_slowdown: f64,
     pub restarts_at: Option<Duration>,
     pub removed_at: Option<Duration>,
-    /// Finished while it was silent.
+    /// Requests that finished while it sent no replies.
     pub unreported: Vec<u64>,
-    /// Load samples that are not reported yet.
+    /// Load samples that are not reported yet, with the time from which they are.
     pub samples: VecDeque<(Duration, LoadReport)>,
     pub report: Option<LoadReport>,
     pub next_sample: Duration,
-    /// When each front's connection is made, by front.
+    /// Time at which each front's connection is established, by front.
     pub connected: BTreeMap<usize, Duration>,
-    /// Table groups that are warm, the one used last at the end.
+    /// Cached table groups; the most recently used one is last.
     pub warm: VecDeque<u64>,
-    /// Work that it was sent lately while it warms up.
+    /// Work that it was sent within the overload window while it warms up, with the time of sending.
     pub slow_start_work: VecDeque<(Duration, f64)>,
 }
 
 impl EngineHost {
-    /// An engine of a kind; `draw`, from 0 to 1, places its speed within the kind's spread.
+    /// An engine of a kind. `draw`, from 0 to 1, selects its speed within the kind's spread.
     pub fn new(world: &SimulatedDeployment, kind: u32, draw: f64) -> EngineHost {
         let machine = &world.engines[kind as usize];
         let usual_slowdown = 1.0 / (1.0 + machine.speed_spread * (2.0 * draw - 1.0));
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Notes the use of a table group; whether it was warm.
+    /// Records the use of a table group, and returns whether it was cached. At most `most` are cached, in LRU order.
     pub fn use_table_group(&mut self, tables: u64, most: usize) -> bool {
         let warmed = self.warm.len();
         self.warm.retain(|other| *other != tables);
--- a/crates/testing/emulator/src/lib.rs
+++ b/crates/testing/emulator/src/lib.rs
@@ -1,7 +1,7 @@
-//! A world to fail in, in virtual time: engines that run all they are sent and share cores and memory, fronts that
-//! each own a gateway, clients that give up and ask again, and a script of failures. One TOML file states a world;
-//! one seed makes a run, the same each time to the last event. A checker sees both sides and reports any of the seven
-//! rules that is broken, with what broke it.
+//! Simulates a deployment in virtual time: engines whose requests share cores and memory, fronts with a gateway
+//! each, clients that give up and retry, and a script of failures. A TOML file states the deployment. A run is
+//! deterministic: the same file and seed give the same events. A checker observes clients and engines, and reports
+//! each violation of the seven rules with its cause.
 
 #![warn(missing_docs)]
 
--- a/crates/testing/emulator/src/play.rs
+++ b/crates/testing/emulator/src/play.rs
@@ -1,4 +1,5 @@
-//! Plays a world in virtual time: steps of one tick, events in one order, chance from one seed.
+//! Runs a simulated deployment in virtual time, in steps of one tick. Events are handled in a fixed order, and all
+//! randomness comes from one seed.
 
 use crate::check::{Checker, RetryAllowance, RuleConfig};
 use crate::dice::Dice;
@@ -11,10 +12,10 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// By how much an event may be late for the checker.
+/// Lateness of an event that the checker allows.
 const SLACK: Duration = Duration::from_millis(60);
 
-/// Plays a deployment from a seed, in virtual time.
+/// Simulates a deployment with a seed and an injected fault.
 pub fn play(world: &SimulatedDeployment, seed: u64, fault: Fault) -> Report {
     let mut simulation = Simulation::new(world, seed, fault);
     for number in 0..world.fronts {
@@ -40,7 +41,7 @@
     engines
 }
 
-/// Running sums of the fronts' shares of the traffic.
+/// Draws the fronts' shares of the traffic, and returns their running sums.
 fn traffic(world: &SimulatedDeployment, dice: &mut Dice) -> Vec<f64> {
     let shares = (0..world.fronts).map(|_| {
         let drawn = if world.traffic_spread > 0.0 { dice.wait(1.0) } else { 1.0 };
@@ -66,7 +67,7 @@
 }
 
 impl<'a> Simulation<'a> {
-    /// A simulation without fronts. Draws first for the engines, then for the traffic.
+    /// A simulation without fronts. Random numbers are drawn first for the engines, then for the traffic.
     fn new(world: &'a SimulatedDeployment, seed: u64, fault: Fault) -> Simulation<'a> {
         let mut dice = Dice::new(seed);
         let engines = engines(world, &mut dice);
--- a/crates/testing/emulator/src/settings.rs
+++ b/crates/testing/emulator/src/settings.rs
@@ -1,36 +1,36 @@
-//! The optional parts of a world: load reports, probes, clients, discovery and runaway requests.
+//! Optional sections of a simulated deployment: load reports, probes, clients, discovery and runaway requests.
 
 use serde::Deserialize;
 
-/// A figure drawn evenly between these two, in the unit of its key.
+/// Limits of a value that is drawn uniformly, in the unit of its key.
 pub type Range = [f64; 2];
 
 /// How engines report their load.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadReports {
-    /// What reports come with.
+    /// How reports reach the fronts.
     pub how: ReportTransport,
-    /// The values that they have.
+    /// The values that a report has.
     pub fields: Vec<ReportField>,
     /// Seconds between two samples of an engine's load.
     pub period: f64,
-    /// Seconds from a sample until it can be reported.
+    /// Seconds from a sample until it is reported.
     pub delay: Range,
-    /// Each figure is off by up to this share of itself.
+    /// Relative error of each value at most, from 0 to 1.
     #[serde(default)]
     pub noise: f64,
 }
 
-/// What load reports come with.
+/// How load reports reach the fronts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReportTransport {
-    /// There are none.
+    /// No reports.
     Nothing,
-    /// Responses of engines.
+    /// With the engines' replies.
     Answers,
-    /// Responses to probes.
+    /// With the replies to probes.
     Probes,
 }
 
@@ -38,68 +38,69 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReportField {
-    /// Share of the cores that are busy.
+    /// Share of the cores that is busy, from 0 to 1.
     CoresBusy,
-    /// Share of the memory that requests have been granted.
+    /// Share of the memory that running requests have been granted.
     MemoryGranted,
-    /// Requests that run or wait.
+    /// Number of requests that run or wait.
     #[serde(rename = "held")]
     InFlight,
 }
 
-/// Fronts may probe engines, and each probe costs the engine this work.
+/// Probes of engines by fronts, and their costs.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Probes {
-    /// Seconds on one thread.
+    /// Work of a probe at the engine, in seconds on one thread.
     pub work: f64,
-    /// What one probe a request costs, as a share of the priority weight.
+    /// Cost of one probe per request, as a share of the priority weight.
     pub price: f64,
 }
 
-/// Clients that stay within one deadline over several tries.
+/// Retries of clients, which keep one deadline over all tries of a request.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientBehavior {
-    /// Tries of a request at most, the first among them.
+    /// Most tries of a request, including the first.
     pub tries: u32,
-    /// A try is given this share of the deadline, or what is left of it.
+    /// Client timeout of a try as a share of the deadline; less if less of the deadline remains.
     pub try_share: f64,
-    /// Seconds to the first repeat; doubled with each further.
+    /// Seconds until the first retry; doubled with each further one.
     pub back_off: Range,
-    /// Share that waits for the time that a rejection states instead.
+    /// Share of rejections after which the client waits for the stated retry-after time instead.
     pub honour: f64,
-    /// Share that gives up early, within half of the deadline.
+    /// Share of tries that the client gives up early, within half of the deadline.
     #[serde(default)]
     pub impatient: f64,
-    /// Whether repeats are marked as such.
+    /// Whether clients mark retries as such.
     pub marked: bool,
 }
 
-/// How fronts learn of engines; each front learns of each change after a time of its own.
+/// Delays of endpoint updates. Each front receives each change after its own random delay.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DiscoveryDelays {
-    /// Seconds until a new engine is known.
+    /// Seconds until a front learns of a new engine.
     #[serde(rename = "told")]
     pub join_delay: Range,
-    /// Seconds until it is known that an engine was removed or drains.
+    /// Seconds until a front learns that an engine was removed or drains.
     #[serde(rename = "gone")]
     pub leave_delay: Range,
-    /// Each front's watch is silent once for so many seconds; missed changes arrive at the end.
+    /// Duration in seconds of an outage of discovery, once per front at a random time. Changes during the outage
+    /// arrive at its end.
     #[serde(default)]
     pub silent_for: Option<Range>,
-    /// Seconds that a front's connection to a new engine takes at most, from when it is notified.
+    /// Most seconds that a front needs to connect to a new engine after it is notified.
     #[serde(default)]
     pub connect_late: f64,
 }
 
-/// Requests of many times the usual work.
+/// Requests with many times the mean work of their class.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Runaways {
-    /// Share of the requests.
+    /// Share of the requests, from 0 to 1.
     pub share: f64,
-    /// How many times the usual work they take.
+    /// Their work, as a multiple of their class's mean.
     pub times: Range,
 }
--- a/crates/testing/emulator/src/simulation.rs
+++ b/crates/testing/emulator/src/simulation.rs
@@ -1,4 +1,4 @@
-//! The state of a simulation, which the modules above change: clients, attempts and failures, each its part.
+//! State of a simulation. The modules for clients, attempts, engines and failures implement its steps.
 
 use crate::check::{Checker, Observation, Violation};
 use crate::dice::Dice;
@@ -11,38 +11,39 @@
 
 pub(crate) const TICK: Duration = Duration::from_millis(5);
 
-/// Where the run's clock begins: zero stands for long ago.
+/// Start of the simulated clock. It is above zero because an engine's start time of zero means that the engine was
+/// warm before the run.
 pub(crate) const BEGIN: Duration = Duration::from_secs(60);
 
-/// A way in which the fronts' owners are made faulty on purpose: each breaks one rule, and the checker must see it.
+/// A fault injected into the simulated fronts. Each one breaks one rule, which the checker must detect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// No fault.
     None,
-    /// Rule 1: some answers are given twice.
+    /// Breaks rule 1: some responses are sent twice.
     AnswersTwice,
-    /// Rule 2: what must run once is sent again after a reset.
+    /// Breaks rule 2: non-idempotent requests are sent again after a reset.
     SendsAgain,
-    /// Rule 3: that an engine drains is hidden.
+    /// Breaks rule 3: drains are hidden from the gateway.
     HidesDrains,
-    /// Rule 4: started engines are shown as warm.
+    /// Breaks rule 4: started engines are shown to the gateway as warm.
     HidesColds,
-    /// Rule 5: keys are hidden.
+    /// Breaks rule 5: keys are hidden from the gateway.
     ForgetsKeys,
-    /// Rule 6: placement is hidden.
+    /// Breaks rule 6: the classes' allowed zones are hidden from the gateway.
     ForgetsPlaces,
-    /// Rule 7: the budget is hidden.
+    /// Breaks rule 7: the retry budget is hidden from the gateway.
     ForgetsBudget,
 }
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Report {
     /// Tries that arrived.
     pub tries: u64,
     /// Tries with a result.
     pub returned: u64,
-    /// Of these, those within the latency objective.
+    /// Returned tries within the latency objective.
     pub in_objective: u64,
     /// Tries that were rejected.
     pub rejected: u64,
@@ -50,17 +51,17 @@
     pub failed: u64,
     /// Attempts that were sent.
     pub attempts: u64,
-    /// How often an engine that warmed up failed under its load.
+    /// Number of failures of engines by overload while they warmed up.
     pub overloaded: u64,
-    /// Counts by class and time.
+    /// Counts by request class and interval.
     pub statistics: Statistics,
-    /// Rules that were broken; the first hundred.
+    /// Violations of the rules; the first hundred.
     pub violations: Vec<Violation>,
-    /// The same for the same world and seed.
+    /// Hash of all observations; the same for the same deployment and seed.
     pub digest: u64,
 }
 
-/// A try that a front holds.
+/// A try that is open at a front.
 #[derive(Clone)]
 pub(crate) struct OpenRequest {
     pub id: u64,
@@ -76,7 +77,7 @@
     pub open_requests: BTreeMap<RequestId, OpenRequest>,
     pub timers: BTreeSet<Duration>,
     pub events: VecDeque<Event>,
-    /// From when to when its watch is silent.
+    /// Start and end of the outage of its discovery.
     pub outage: (Duration, Duration),
 }
 
@@ -108,7 +109,7 @@
     pub at: Duration,
 }
 
-/// What becomes of an attempt once its connection is made or has failed.
+/// Outcome of an attempt's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Connection {
     Made,
@@ -138,9 +139,9 @@
     pub dice: Dice,
     pub now: Duration,
     pub fronts: Vec<Front>,
-    /// How much of the traffic comes to each front and those before it.
+    /// Running sums of the fronts' shares of the traffic.
     pub traffic: Vec<f64>,
-    /// By class, how much of it asks for each table group and those before it.
+    /// Running sums of the table groups' shares of the requests, by request class.
     pub tables: Vec<Vec<f64>>,
     pub engines: Vec<EngineHost>,
     pub in_flight: BTreeMap<u64, InFlightAttempt>,
@@ -149,14 +150,14 @@
     pub next: u64,
     pub next_update: u64,
     pub updates: BTreeMap<(Duration, u64), EndpointUpdate>,
-    /// When the last update on each engine arrives at each front.
+    /// Arrival of the last endpoint update, by front and engine.
     pub notified: BTreeMap<(usize, usize), Duration>,
     pub replacements: Vec<Replacement>,
     pub requests: BTreeMap<u64, ClientRequest>,
-    /// The next first try, and how many there have been.
+    /// Time of the next request's first try, and the number of requests so far.
     pub next_arrival: Duration,
     pub requests_started: u64,
-    /// Requests that are retried, and tries whose clients leave, by when.
+    /// Requests to retry, and tries whose clients will give up, by time.
     pub retries: BTreeSet<(Duration, u64)>,
     pub departures: BTreeMap<(Duration, u64), (usize, RequestId)>,
     pub checker: Checker,
@@ -199,14 +200,14 @@
     }
 
     pub(crate) fn observe(&mut self, seen: Observation) {
-        // FNV over the text of what was observed: any difference shows.
+        // FNV-1a hash, starting from zero, over the text of all observations: any difference changes the digest.
         for byte in format!("{:?}{seen:?}", self.now).bytes() {
             self.report.digest = (self.report.digest ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
         }
         self.checker.observe(self.now, seen);
     }
 
-    /// Counts of the span that it is now.
+    /// Counts of the current interval.
     pub(crate) fn interval(&mut self) -> &mut IntervalCounts {
         self.report.statistics.at((self.now - BEGIN).as_secs_f64())
     }
--- a/crates/testing/emulator/src/tally.rs
+++ b/crates/testing/emulator/src/tally.rs
@@ -1,22 +1,22 @@
-//! Counts what became of requests, by class and by the interval in which they first arrived.
+//! Counts the outcomes of requests, by class and by the interval of their first try.
 
-/// What became of the requests of one class that first arrived in one interval.
+/// Outcomes of the requests of one class whose first try arrived in one interval.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ClassCounts {
-    /// Requests that came.
+    /// Requests that arrived.
     pub requests: u64,
-    /// Those that were served.
+    /// Requests that were served.
     pub served: u64,
-    /// Served within the latency objective, counted from the first try.
+    /// Requests that were served within the latency objective, measured from the first try.
     pub in_objective: u64,
 }
 
-/// One span of the run.
+/// Counts of one interval of the run.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct IntervalCounts {
-    /// By class, in the order of the world.
+    /// Counts by request class, in the order of the deployment's file.
     pub classes: Vec<ClassCounts>,
-    /// Tries that came, tries that were rejected, attempts sent and attempts refused by full engines.
+    /// Tries that arrived.
     pub tries: u64,
     /// Tries that were rejected.
     pub rejected: u64,
@@ -24,11 +24,11 @@
     pub attempts: u64,
     /// Attempts that full engines rejected.
     pub refused_full: u64,
-    /// Attempts that returned, and how many times the time that an idle engine takes they took, summed.
+    /// Attempts that returned.
     pub returned: u64,
-    /// How many times longer than on an idle engine they took, summed.
+    /// Sum over the returned attempts of their time relative to that on an idle engine.
     pub slowdown: f64,
-    /// Work that engines took in, in seconds on one thread.
+    /// Work that engines accepted, probes included, in seconds on one thread.
     pub work: f64,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// The spans of a run, each of the same length.
+/// Counts of a run by interval; all intervals have the same length.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Statistics {
     /// The intervals, in order.
@@ -52,16 +52,16 @@
     classes: usize,
 }
 
-/// Length of a span, in seconds.
+/// Length of an interval, in seconds.
 pub const INTERVAL_SECONDS: f64 = 5.0;
 
 impl Statistics {
-    /// Begins empty, for this number of classes.
+    /// Empty counts for this number of request classes.
     pub fn new(classes: usize) -> Statistics {
         Statistics { intervals: Vec::new(), classes }
     }
 
-    /// The span that holds this second of the run.
+    /// Counts of the interval that contains this second of the run.
     pub fn at(&mut self, second: f64) -> &mut IntervalCounts {
         let number = (second.max(0.0) / INTERVAL_SECONDS) as usize;
         while self.intervals.len() <= number {
@@ -73,7 +73,8 @@
         &mut self.intervals[number]
     }
 
-    /// Share of a class's requests that were served, of those that first arrived between these seconds.
+    /// Share of a class's requests that were served, among those whose first try arrived in the intervals between
+    /// these seconds.
     pub fn served_share(&self, class: usize, from: f64, to: f64) -> f64 {
         let (first, last) = ((from / INTERVAL_SECONDS) as usize, (to / INTERVAL_SECONDS) as usize);
         let counts = self.intervals.iter().take(last).skip(first).map(|span| span.classes[class]);
--- a/crates/testing/emulator/src/world.rs
+++ b/crates/testing/emulator/src/world.rs
@@ -1,82 +1,82 @@
-//! A simulated deployment, as a TOML file states it. Keys are mapped to the code's names by `rename` attributes; fields
-//! that end in `_s` are in seconds.
+//! A simulated deployment, as a TOML file states it. Keys are mapped to the code's names by `rename` attributes;
+//! fields that end in `_s` are in seconds.
 
 use crate::settings::{ClientBehavior, DiscoveryDelays, LoadReports, Probes, Runaways};
 use serde::Deserialize;
 use std::fmt;
 use std::time::Duration;
 
-/// What one file states.
+/// A simulated deployment, as one file states it.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SimulatedDeployment {
-    /// For how long requests arrive.
+    /// Time during which requests arrive.
     #[serde(rename = "seconds")]
     pub duration_s: f64,
     /// Number of fronts.
     pub fronts: u32,
-    /// Requests a second, over all fronts.
+    /// Requests per second, over all fronts.
     #[serde(rename = "per_second")]
     pub requests_per_second: f64,
-    /// Share of clients that ask again after they were pushed back.
+    /// Share of rejected requests that clients retry, if `clients` is not stated.
     #[serde(rename = "ask_again", default)]
     pub retry_share: f64,
-    /// Times the load between these seconds.
+    /// A period of higher load.
     #[serde(default)]
     pub surge: Option<Surge>,
-    /// Attempts may begin at a draining engine for so long.
+    /// Time during which attempts may still begin at a draining engine.
     #[serde(rename = "drain_grace", default = "SimulatedDeployment::drain_grace")]
     pub drain_grace_s: f64,
-    /// A started engine warms up for so long.
+    /// Time from an engine's start until full speed.
     #[serde(rename = "cold_for", default = "SimulatedDeployment::cold_for")]
     pub slow_start_s: f64,
-    /// What an engine can do at its start, as a share of what it can do when warm.
+    /// Speed of an engine at its start, as a share of full speed.
     #[serde(rename = "cold_from", default = "SimulatedDeployment::cold_from")]
     pub slow_start_share: f64,
-    /// An engine that warms up fails when it is sent so many times what its cores do at their start, in any
-    /// overload window.
+    /// An engine that warms up fails if the work sent to it within an overload window exceeds this multiple of
+    /// what its cores can do in the window at starting speed.
     #[serde(rename = "fall_multiple", default = "SimulatedDeployment::fall_multiple")]
     pub overload_factor: f64,
-    /// The window of the overload.
+    /// Length of the overload window.
     #[serde(rename = "fall_after", default = "SimulatedDeployment::fall_after")]
     pub overload_window_s: f64,
-    /// Seconds until an overloaded engine has started again; without it, none fails so.
+    /// Time until an overloaded engine has restarted. If `None`, engines do not fail by overload.
     #[serde(rename = "fallen_for", default)]
     pub overload_restart_s: Option<f64>,
     /// Whether fronts may cancel attempts in flight.
     #[serde(default = "SimulatedDeployment::yes")]
     pub cancel: bool,
-    /// Whether engines drop what has expired by themselves.
+    /// Whether engines drop expired requests by themselves.
     #[serde(rename = "drops_expired", default = "SimulatedDeployment::yes")]
     pub engines_drop_expired: bool,
-    /// Seconds until a connection to a removed engine is known to have failed.
+    /// Time until a connection to a removed engine fails.
     #[serde(rename = "refused_after", default)]
     pub refusal_delay_s: f64,
-    /// How unevenly fronts draw traffic: zero for all alike, one for an exponential spread.
+    /// Spread of the fronts' shares of the traffic, from 0 (all equal) to 1 (exponentially distributed).
     #[serde(rename = "uneven", default)]
     pub traffic_spread: f64,
-    /// Seconds between the progress reports of a running request; without it, none are sent.
+    /// Time between two progress reports of a running request. If `None`, none are sent.
     #[serde(rename = "notes", default)]
     pub progress_interval_s: Option<f64>,
-    /// Load reports of engines, if there are any.
+    /// Load reports of engines; `None` for no reports.
     #[serde(rename = "reports", default)]
     pub load_reports: Option<LoadReports>,
-    /// Probes, if fronts may send them.
+    /// Probes; `None` if fronts may not send any.
     #[serde(default)]
     pub probes: Option<Probes>,
-    /// How clients behave, beyond `retry_share`.
+    /// Retries and early give-ups of clients. Replaces `retry_share`.
     #[serde(default)]
     pub clients: Option<ClientBehavior>,
-    /// Delays of discovery; without it all fronts learn of a change at once.
+    /// Delays of endpoint updates. If `None`, all fronts receive an update after the same fixed delay.
     #[serde(rename = "watch", default)]
     pub discovery: Option<DiscoveryDelays>,
-    /// Requests of much work.
+    /// Requests with many times the usual work.
     #[serde(default)]
     pub runaways: Option<Runaways>,
-    /// Further attempts allowed: so many, and so many a request, in ten seconds.
+    /// Retry budget of a front in ten seconds: free retries, and retries per request. `None` for no budget.
     #[serde(rename = "budget", default)]
     pub retry_budget: Option<(f64, f64)>,
-    /// Engines, by kind.
+    /// Kinds of engines.
     pub engines: Vec<EngineKind>,
     /// Request classes.
     #[serde(rename = "groups")]
@@ -86,7 +86,7 @@
     pub failures: Vec<Failure>,
 }
 
-/// A time of higher load.
+/// A period of higher load.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Surge {
@@ -94,7 +94,7 @@
     pub from: f64,
     /// Second at which it ends.
     pub to: f64,
-    /// How many times the usual rate requests arrive at.
+    /// Factor on the usual rate of requests.
     pub times: f64,
 }
 
@@ -107,32 +107,33 @@
     /// Index of their zone.
     #[serde(rename = "location", default)]
     pub zone: u32,
-    /// Cores of each.
+    /// Number of cores of each engine.
     pub cores: f64,
-    /// Memory of each, in megabytes.
+    /// Memory of each engine, in megabytes.
     pub memory_mb: f64,
-    /// Part of the work that is lost for each time over that threads outnumber cores.
+    /// Thrashing loss. If threads exceed what runs without slowdown by the factor `r`, the engine's total work
+    /// drops to `1 / (1 + loss * (r - 1))`.
     #[serde(rename = "loss", default = "EngineKind::loss")]
     pub thrashing_loss: f64,
-    /// Threads per core up to which nothing slows down.
+    /// Threads per core up to which requests run without slowdown.
     #[serde(rename = "knee", default = "EngineKind::one")]
     pub max_threads_per_core: f64,
-    /// Part of its time that a running thread is on a core.
+    /// Share of its time that a running thread uses a core, from 0 to 1.
     #[serde(rename = "on_cores", default = "EngineKind::one")]
     pub cpu_share: f64,
-    /// Requests that run at once, and that wait for a slot; beyond, the engine is full.
+    /// Most requests that run at once; `None` for no limit.
     #[serde(default)]
     pub slots: Option<usize>,
-    /// Requests that wait for a slot at most.
+    /// Most requests that wait for a slot; beyond it, the engine rejects. `None` for no limit.
     #[serde(rename = "queue", default)]
     pub queue_length: Option<usize>,
-    /// An engine keeps so many table groups warm, those used last, and reads them faster.
+    /// Number of table groups that an engine caches, in LRU order. A cached table group is read faster.
     #[serde(rename = "warm_groups", default)]
     pub cached_table_groups: usize,
-    /// Part of the time for reading that is saved on a warm table group.
+    /// Share of the reading time that is saved on a cached table group, from 0 to 1.
     #[serde(rename = "warm_gain", default)]
     pub cached_read_gain: f64,
-    /// Each engine's speed is off by up to this share.
+    /// Largest relative deviation of an engine's speed, from 0 to 1.
     #[serde(rename = "spread", default)]
     pub speed_spread: f64,
 }
@@ -143,37 +144,37 @@
 pub struct RequestClass {
     /// Its name.
     pub name: String,
-    /// Part of the requests.
+    /// Share of the requests, from 0 to 1.
     pub share: f64,
-    /// Work of all threads, in seconds: the mean of an exponential.
+    /// Mean work of a request over all its threads, in seconds. The work is exponentially distributed.
     #[serde(rename = "work")]
     pub mean_work_s: f64,
-    /// Threads that a request runs on.
+    /// Number of threads that a request runs on.
     pub threads: f64,
-    /// Memory in megabytes that a request takes.
+    /// Memory that a request takes, in megabytes.
     pub memory_mb: f64,
-    /// Latency objective, without the work.
+    /// Latency objective, without the part that depends on the request's work.
     #[serde(rename = "goal")]
     pub latency_objective_s: f64,
-    /// The longest that a client waits, over all its tries.
+    /// Longest time that a client waits, over all tries of a request.
     #[serde(rename = "limit")]
     pub deadline_s: f64,
     /// Whether a request must not run twice.
     #[serde(rename = "once_only", default)]
     pub is_non_idempotent: bool,
-    /// Whether it is a bulk load, which holds its table group.
+    /// Whether it is a bulk load. While it runs, requests of its table group that are not bulk loads make no progress.
     #[serde(rename = "load", default)]
     pub is_bulk_load: bool,
-    /// Requests of one key run in turn; so many keys.
+    /// Number of keys; 0 for none. Requests with the same key run one at a time, in order of arrival.
     #[serde(default)]
     pub keys: u64,
     /// Number of table groups.
     #[serde(rename = "tables")]
     pub table_groups: u64,
-    /// How much more the first table groups are used than later ones: the exponent of a Zipf law.
+    /// Exponent of the Zipf distribution of requests over table groups; 0 for a uniform one.
     #[serde(rename = "zipf", default)]
     pub zipf_exponent: f64,
-    /// The only zones that it may go to; `None` for all.
+    /// Zones that it may be sent to; `None` for all.
     #[serde(rename = "locations", default)]
     pub allowed_zones: Option<Vec<u32>>,
 }
@@ -188,80 +189,80 @@
     pub what: FailureKind,
 }
 
-/// What is done to an engine or a front, by number from zero.
+/// Kind of a failure. Engines and fronts are numbered from zero.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "what", deny_unknown_fields)]
 pub enum FailureKind {
-    /// The engine dies with all that it runs, and starts again after this time.
+    /// The engine fails, loses all that it runs, and restarts after `back` seconds.
     Kill {
-        /// The engine.
+        /// Number of the engine.
         engine: usize,
-        /// Seconds until it is over.
+        /// Seconds until it restarts.
         back: f64,
     },
-    /// It answers nothing for a while, but runs on.
+    /// The engine sends no replies for a time, but continues to run requests.
     Silent {
-        /// The engine.
+        /// Number of the engine.
         engine: usize,
-        /// Seconds until it is over.
+        /// Seconds until it sends replies again.
         back: f64,
     },
-    /// It works so many times slower for a while.
+    /// The engine is slower for a time.
     Slow {
-        /// The engine.
+        /// Number of the engine.
         engine: usize,
-        /// How many times slower.
+        /// Slowdown factor.
         times: f64,
-        /// Seconds until it is over.
+        /// Seconds until it has its usual speed again.
         back: f64,
     },
-    /// It is told to go, and is gone after the grace; a new one starts again after this time.
+    /// The engine drains, is removed after twice the drain grace, and restarts `back` seconds after that.
     Drain {
-        /// The engine.
+        /// Number of the engine.
         engine: usize,
-        /// Seconds until it is over.
+        /// Seconds from its removal until it restarts.
         back: f64,
     },
-    /// All engines of a zone die.
+    /// All engines of a zone fail, and restart after `back` seconds.
     #[serde(rename = "hall")]
     KillZone {
         /// Index of the zone.
         location: u32,
-        /// Seconds until it is over.
+        /// Seconds until they restart.
         back: f64,
     },
-    /// A share of the engines is replaced, spread over so many seconds; for each, a new one starts at once.
+    /// A share of the engines is replaced at random times. When an engine begins to leave, a new one starts.
     Replace {
         /// Share of the engines, from 0 to 1.
         share: f64,
-        /// Seconds over which they are spread.
+        /// Seconds over which the replacements are spread.
         over: f64,
-        /// How they leave.
+        /// How the replaced engines leave.
         manner: ReplacementManner,
     },
-    /// The front starts over and knows nothing but the list.
+    /// The front restarts, and knows only the endpoint list.
     Restart {
-        /// The front.
+        /// Number of the front.
         front: usize,
     },
 }
 
-/// How an engine that is replaced leaves.
+/// How a replaced engine leaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReplacementManner {
-    /// At once, with all that it runs.
+    /// It fails at once and loses all that it runs.
     Vanish,
-    /// It drains, and finishes what it runs within twice the grace.
+    /// It drains, and is removed after twice the drain grace.
     Drain,
 }
 
-/// Why a file is no world.
+/// Reason why a file is no valid deployment.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DeploymentError {
-    /// Line of the file, if it is known.
+    /// Line of the file, if known.
     pub line: Option<usize>,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
@@ -283,8 +284,8 @@
         1.0
     }
 
-    /// Part of a request's work that is saved on a warm table group: only reading is faster, and what a running thread
-    /// does off the cores is taken to be reading.
+    /// Share of a request's work that is saved on a cached table group. Only reading is faster; the time that a
+    /// running thread spends off the cores is assumed to be reading.
     pub(crate) fn warm_saves(&self) -> f64 {
         self.cached_read_gain * (1.0 - self.cpu_share)
     }
@@ -319,7 +320,7 @@
         true
     }
 
-    /// Reads a TOML file's text, and checks it.
+    /// Parses and validates the text of a TOML file.
     pub fn parse(text: &str) -> Result<SimulatedDeployment, DeploymentError> {
         let world: SimulatedDeployment = toml::from_str(text).map_err(|error| DeploymentError {
             line: error.span().map(|span| text[..span.start].matches('\n').count() + 1),
@@ -360,7 +361,7 @@
         Ok(world)
     }
 
-    /// Seconds of work that all engines can do in a second when warm, without loss.
+    /// Thread-seconds of work per second that all warm engines can do without thrashing.
     pub fn capacity(&self) -> f64 {
         self.engines.iter().map(|kind| f64::from(kind.count) * kind.cores * kind.max_threads_per_core).sum()
     }
--- a/crates/testing/emulator/tests/abilities.rs
+++ b/crates/testing/emulator/tests/abilities.rs
@@ -1,8 +1,9 @@
-//! What a world may state beyond the plain one: each part changes the run as it says, and unknown keys are refused.
+//! Tests of the optional sections of a deployment's file: each one changes the run as stated, and unknown keys are
+//! rejected.
 
 use lemonusher_emulator::{Engine, Fault, Finished, Report, SimulatedDeployment, Work, play};
 
-/// Few fronts and engines, with every optional part.
+/// A small deployment with every optional section.
 const SMALL: &str = r#"
 seconds = 20
 fronts = 20
@@ -91,7 +92,7 @@
     let first = (1..).find(|_| engine.run(0.01, 1.0).contains(&Finished(1))).unwrap();
     assert!((9..=11).contains(&first) && !engine.is_full() && engine.left(3).is_some());
     assert!(engine.cancel(3) && engine.len() == 1);
-    // Up to the knee, twice as many threads as cores are not slower.
+    // With a limit of two threads per core, twice as many threads as cores run without slowdown.
     let mut engine = Engine::new(4.0, 1000.0, 0.2);
     engine.knee = 2.0;
     (0..8).for_each(|number| engine.put(number, work(0.1)));
@@ -101,7 +102,7 @@
 
 #[test]
 fn replaced_engines_join_under_new_ids_and_no_rule_is_broken() {
-    // A runaway alone may be more than a cold engine bears, which is no front's doing.
+    // A single runaway request may exceed a cold engine's overload limit, which no front can prevent.
     let tame = SMALL.replace("share = 0.01", "share = 0");
     for (manner, seed) in ["vanish", "drain"].into_iter().flat_map(|manner| [1, 2, 3, 4].map(|s| (manner, s)))
     {
--- a/crates/testing/emulator/tests/collapse.rs
+++ b/crates/testing/emulator/tests/collapse.rs
@@ -1,39 +1,41 @@
-//! Six in ten engines of a fleet with 300 fronts are replaced within seconds. Once the new engines are warm, each
-//! request class must be served as before: a fleet that rejects ever more for no present cause has collapsed.
+//! 60 % of the engines of a deployment with 300 fronts are replaced within seconds. Once the new engines are warm,
+//! each request class must be served as before. The tests guard against a metastable collapse: a deployment that
+//! keeps rejecting requests although the cause is gone.
 
 use lemonusher_emulator::{Fault, INTERVAL_SECONDS, Report, SimulatedDeployment, play};
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Instant;
 
-/// A deployment's name and its world.
+/// A simulated deployment and its name.
 struct Trial {
     name: &'static str,
     world: &'static str,
 }
 
-/// When each deployment must serve as before: the replacement begins at 13 s and takes 7 s, the last new engine is warm
-/// 11 or 12 s after that, and the fleet has 10 s more.
+/// Second by which each deployment must serve as before. The replacement begins at 13 s and takes 7 s, the last
+/// new engine is warm 11 or 12 s after that, and 10 s more are allowed.
 const RECOVERED_BY: f64 = 42.0;
 const RECORDS: Trial = Trial { name: "records", world: include_str!("../worlds/records-join.toml") };
 const BOX_OFFICE: Trial = Trial { name: "box-office", world: include_str!("../worlds/box-office-join.toml") };
 const SURVEY: Trial = Trial { name: "survey", world: include_str!("../worlds/survey-join.toml") };
 
-/// Seconds of the run in which the fleet is judged before the replacement, and for how long it is judged afterwards.
+/// Seconds of the run between which the served share is measured before the replacement, and the length of the
+/// measurement after it.
 const BEFORE: (f64, f64) = (5.0, 10.0);
 const JUDGED_FOR: f64 = 10.0;
-/// Of the share served before, what must be served after.
+/// Served share after the replacement, as a share of the one before, that is required.
 const RECOVERED: f64 = 0.9;
 const THREADS: usize = 8;
 
-/// Seeds to play: `COLLAPSE_SEEDS=1-40` plays more than usual.
+/// Seeds to run, 1 to 10 by default; `COLLAPSE_SEEDS=1-40` runs more.
 fn seeds() -> Vec<u64> {
     let stated = std::env::var("COLLAPSE_SEEDS").unwrap_or_else(|_| "1-10".to_owned());
     let (first, last) = stated.split_once('-').unwrap_or((&stated, &stated));
     (first.parse().unwrap()..=last.parse().unwrap()).collect()
 }
 
-/// Served of each request class in each span, and what was rejected, in hundredths.
+/// Line of measurements by interval; shares are in percent.
 fn proof(name: &str, seed: u64, world: &SimulatedDeployment, report: &Report, seconds: f64) -> String {
     let spans = (world.duration_s / INTERVAL_SECONDS) as usize;
     let spans = &report.statistics.intervals[..spans.min(report.statistics.intervals.len())];
@@ -65,7 +67,7 @@
     )
 }
 
-/// Why a run fails, if it does.
+/// Reasons why a run fails; empty if it passes.
 fn faults(trial: &Trial, seed: u64, world: &SimulatedDeployment, report: &Report) -> Vec<String> {
     let name = trial.name;
     let mut found = Vec::new();
@@ -85,7 +87,7 @@
     found
 }
 
-/// Plays every seed of a deployment, on threads.
+/// Runs every seed of a deployment, on several threads, and fails if any run did not recover.
 fn recovers(trial: &Trial) {
     let world = SimulatedDeployment::parse(trial.world).unwrap();
     assert!(RECOVERED_BY + JUDGED_FOR <= world.duration_s);
--- a/crates/testing/emulator/tests/emulator.rs
+++ b/crates/testing/emulator/tests/emulator.rs
@@ -1,4 +1,5 @@
-//! The model holds its own invariants; the checker finds nothing in honest fronts and each fault in faulty ones.
+//! The engine model keeps its invariants. The checker finds no violation without an injected fault, and detects
+//! each fault.
 
 use lemonusher_emulator::{Engine, Fault, Finished, SimulatedDeployment, Work, play};
 
@@ -20,12 +21,12 @@
     };
     let (one, full, twice, paging) = (alone(1, 10.0), alone(4, 10.0), alone(8, 10.0), alone(4, 500.0));
     assert!((one - 1.0).abs() < 0.02 && (full - 1.0).abs() < 0.02, "{one} {full}");
-    assert!((twice - 2.4).abs() < 0.05, "{twice}"); // Twice as long, and a fifth lost.
-    assert!((paging - 4.0).abs() < 0.1, "{paging}"); // Twice the memory: a quarter of the speed.
+    assert!((twice - 2.4).abs() < 0.05, "{twice}"); // Twice the threads take twice as long, times 1.2 for thrashing.
+    assert!((paging - 4.0).abs() < 0.1, "{paging}"); // Twice the memory gives a quarter of the speed.
     let mut engine = Engine::new(4.0, 1000.0, 0.2);
     engine.put(1, work(0.5, 1.0, 1.0, true));
     engine.put(2, work(0.1, 1.0, 1.0, false));
-    assert!((until(&mut engine, 2) - 0.6).abs() < 0.03); // It stood still while the load held its tables.
+    assert!((until(&mut engine, 2) - 0.6).abs() < 0.03); // Request 2 waited until the bulk load of its table group ended.
     assert!(engine.is_empty());
 }
 
--- a/crates/testing/emulator/tests/slow_engines.rs
+++ b/crates/testing/emulator/tests/slow_engines.rs
@@ -1,25 +1,27 @@
-//! Some engines of a fleet with 300 fronts become several times slower, and nothing tells their load. Each front has to
-//! find out alone: those that keep to a few engines each do so at once, and keep the slow ones from filling up for good.
+//! Some engines of a deployment with 300 fronts become several times slower, and engines report no load. Each
+//! front has to detect the slow engines from its own requests. Fronts that use a small subset of the engines
+//! detect them at once, which keeps the slow engines from filling up for the rest of the run.
 
 use lemonusher_emulator::{Fault, SimulatedDeployment, play};
 
 const BOX_OFFICE: &str = include_str!("../worlds/box-office-join.toml");
-/// Where the failures of that world begin.
+/// Text at which the failures begin in the deployment's file.
 const FAILURES: &str = "[[failures]]";
 /// Seconds at which the engines become slow, and at which the run ends.
 const SLOW_AT: f64 = 5.0;
 const END: f64 = 20.0;
-/// How many of the 50 engines become slow, and how many times.
+/// Number of slow engines out of 50, and their slowdown factor.
 const SLOW_ENGINES: usize = 5;
 const TIMES: f64 = 6.0;
-/// Memory of an engine. What usually runs there needs about half of it, so one that falls behind begins to page, and once it
-/// pages it falls behind further.
+/// Memory of an engine. Its usual requests need about half of it, so an engine that falls behind begins to page,
+/// and then falls behind further.
 const MEMORY_MB: u32 = 1_400;
-/// Of each request class, what must be served while they are slow. Fronts that use every engine serve 0.38 to 0.55.
+/// Share of each request class that must be served while engines are slow. Fronts that use every engine serve 0.38
+/// to 0.55.
 const WANTED: f64 = 0.6;
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=5;
 
-/// The box office with slow engines in place of its replacement.
+/// The box office deployment with slow engines in place of its replacement of engines.
 fn world() -> SimulatedDeployment {
     let (before, _) = BOX_OFFICE.split_once(FAILURES).expect("failures at the end");
     let mut text = before
