--- a/crates/tools/simhost/src/host.rs
+++ b/crates/tools/simhost/src/host.rs
@@ -1,4 +1,4 @@
-//! The fronts of a simulation, each with a gateway of its own.
+//! The fronts of a simulation, each with its own gateway.
 
 use crate::translate::{self, ReportReader};
 use crate::wire::{
@@ -12,7 +12,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
 
-/// How much of a malformed event an error quotes, in characters.
+/// Most characters of a malformed event that an error message quotes.
 const MAX_QUOTED_CHARS: usize = 60;
 
 struct Front {
@@ -20,19 +20,19 @@
     reports: ReportReader,
 }
 
-/// All fronts, and the endpoint lists that they may be shown.
+/// All fronts, and the endpoint lists that the simulator has defined.
 #[derive(Default)]
 pub struct Host {
     fronts: BTreeMap<u32, Front>,
     endpoint_lists: BTreeMap<u32, Vec<EndpointEntry>>,
-    /// Fronts that have had an event in this frame, and so decide at its end.
+    /// Fronts that received an event in the current frame, and decide at its end.
     to_decide: BTreeSet<u32>,
     crashes: Vec<Command>,
 }
 
 impl Host {
-    /// Handles all events of a frame, then lets each front decide that had one. Fails on a malformed event; an event
-    /// of an unknown name is reported on standard error and passed over.
+    /// Handles all events of a frame, then lets each front decide that received one. Fails on a malformed event. An
+    /// event with an unknown name is reported on standard error and ignored.
     pub fn handle_frame(&mut self, frame: &Frame) -> Result<Reply, String> {
         let now = Duration::from_micros(frame.now_us);
         for raw in &frame.events {
@@ -133,7 +133,7 @@
         self.deliver(now, front, |_| Some(Event::Endpoints(kind, entries)));
     }
 
-    /// Hands a front an event, which is made with the front's way of reading reports.
+    /// Delivers an event to a front. `event` builds it with the front's report reader; `None` delivers nothing.
     fn deliver(&mut self, now: Duration, front: u32, event: impl FnOnce(&ReportReader) -> Option<Event>) {
         let Some(running) = self.fronts.get_mut(&front) else {
             eprintln!("event for instance {front}, which is not on: ignored");
@@ -154,7 +154,7 @@
     Command::Crash { front, message }
 }
 
-/// The event's name, if it is one that this program does not know.
+/// The event's name, if this program does not know it.
 fn unknown_event(raw: &str) -> Option<String> {
     let fields: BTreeMap<String, IgnoredAny> = serde_json::from_str(raw).ok()?;
     let name = fields.into_keys().next()?;
--- a/crates/tools/simhost/src/main.rs
+++ b/crates/tools/simhost/src/main.rs
@@ -1,5 +1,6 @@
-//! Hosts fronts for the simulator: frames in on standard input, replies out on standard output, a line each. This
-//! program only translates; each front's gateway decides.
+//! Runs fronts for an external simulator. It reads frames on standard input and writes a reply to each on standard
+//! output, one JSON object per line. This program only translates messages; all decisions are made by the fronts'
+//! gateways.
 
 #![warn(missing_docs)]
 
--- a/crates/tools/simhost/src/translate.rs
+++ b/crates/tools/simhost/src/translate.rs
@@ -1,29 +1,29 @@
-//! Translates between the simulator's messages and the decision module's events and actions. Nothing here decides.
+//! Translates between the simulator's messages and the gateway's events and actions. No decisions are made here.
 
 use crate::wire::{AttemptCode, AttemptEnded, Command, EndpointEntry, EndpointState, RequestArrived};
 use lemonusher::*;
 use lemonusher_deployment::{LoadReportFields, Settings};
 use std::time::Duration;
 
-/// What the simulator gives back with a timer.
+/// Context string of a timer, which the simulator returns when the timer fires.
 const TIMER_CONTEXT: &str = "due";
-/// Packed usage: milliseconds of work times this, plus the memory.
+/// Packed usage is milliseconds of work times this factor, plus memory units.
 const USAGE_WORK_FACTOR: u64 = 4096;
-/// Packed usage: megabytes of one unit of memory.
+/// Megabytes of one memory unit in packed usage.
 const USAGE_MEMORY_UNIT_MB: f64 = 4.0;
 
 fn micros(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// How load reports and usage are to be read, by a front's settings.
+/// Reads load reports and resource usage by a front's settings.
 pub struct ReportReader {
     fields: LoadReportFields,
     reports_usage: bool,
 }
 
 impl ReportReader {
-    /// A translator for one front with these settings.
+    /// A reader for a front with these settings.
     pub fn new(settings: &Settings) -> Self {
         ReportReader {
             fields: LoadReportFields::new(settings),
@@ -31,12 +31,12 @@
         }
     }
 
-    /// A load report from the values on the wire, in the order that the settings state.
+    /// Reads a load report, whose values are in the order that the settings state.
     pub fn load(&self, values: Option<Vec<f64>>) -> Option<LoadReport> {
         values.map(|values| self.fields.read_ordered(&values))
     }
 
-    /// The end of an attempt, as the gateway's event.
+    /// Converts the end of an attempt.
     pub fn attempt_ended(&self, ended: AttemptEnded) -> Event {
         let has_usage =
             self.reports_usage && ended.outcome == AttemptCode::Returned && ended.packed_usage > 0;
@@ -73,7 +73,7 @@
     }
 }
 
-/// An engine of the endpoint list.
+/// Converts an entry of an endpoint list.
 pub fn engine_entry(entry: &EndpointEntry) -> EngineEntry {
     EngineEntry {
         engine: entry.engine,
@@ -90,7 +90,7 @@
     }
 }
 
-/// A request that has arrived.
+/// Converts the arrival of a request.
 pub fn arrival(arrived: RequestArrived) -> Event {
     Event::Arrived(Arrival {
         request: arrived.request.into(),
@@ -104,7 +104,7 @@
     })
 }
 
-/// Reads a progress report; none if it is of a kind that is not known.
+/// Converts a progress report. `None` for an unknown kind.
 pub fn progress(what: u32, level: f64) -> Option<AttemptProgress> {
     match what {
         1 => Some(AttemptProgress::Done(level)),
@@ -115,7 +115,7 @@
     }
 }
 
-/// What the gateway wants done, as a command of the wire for one front.
+/// Converts an action of a front's gateway to a command.
 pub fn command(front: u32, action: Action) -> Command {
     match action {
         Action::SetPriority { request, priority, memory_mb } => {
--- a/crates/tools/simhost/src/wire.rs
+++ b/crates/tools/simhost/src/wire.rs
@@ -1,23 +1,23 @@
-//! The messages of the simulator: the one table that maps its names to the code's. Each line of input is a `Frame`, each
-//! line of output a `Reply`. Times are in microseconds of the simulated clock.
+//! The simulator's messages, and the only place that maps its names to the code's. Each line of input is a
+//! [`Frame`], and each line of output a [`Reply`]. Times are in microseconds of the simulated clock.
 
 use lemonusher_deployment::Settings;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-/// All events of one moment.
+/// All events of one simulated time.
 #[derive(Deserialize)]
 pub struct Frame<'a> {
     /// The simulated time.
     pub now_us: u64,
     /// Number of the frame; the reply repeats it.
     pub serial: u64,
-    /// The events, each to be read as a `SimulatorEvent`.
+    /// The events, each to be parsed as a [`SimulatorEvent`].
     #[serde(rename = "msgs", borrow)]
     pub events: Vec<&'a RawValue>,
 }
 
-/// What the fronts do in answer to a frame.
+/// Commands of the fronts in reply to a frame.
 #[derive(Serialize)]
 pub struct Reply {
     pub serial: u64,
@@ -25,7 +25,7 @@
     pub commands: Vec<Command>,
 }
 
-/// Something that happens to a front, or to the lists that fronts are shown.
+/// An event at a front, or the definition of an endpoint list.
 #[derive(Deserialize)]
 pub enum SimulatorEvent {
     /// A front starts.
@@ -37,13 +37,13 @@
         seed: u64,
         settings: Box<Settings>,
     },
-    /// A front ends.
+    /// A front is removed.
     #[serde(rename = "RETIRE")]
     FrontRetired {
         #[serde(rename = "front_id")]
         front: u32,
     },
-    /// An endpoint list, to be shown to fronts by its number.
+    /// Defines an endpoint list. Later events show it to fronts by its number.
     #[serde(rename = "MANIFEST")]
     EndpointList {
         #[serde(rename = "roster_id")]
@@ -80,7 +80,7 @@
         #[serde(rename = "n", default)]
         attempt: u32,
         engine: u32,
-        /// What `level` is of; `translate::progress` says which is which.
+        /// Kind of the value in `level`; `translate::progress` lists the kinds.
         what: u32,
         #[serde(default)]
         level: f64,
@@ -88,7 +88,7 @@
     /// An attempt has ended.
     #[serde(rename = "REPLY")]
     AttemptEnded(AttemptEnded),
-    /// The client of a request has left.
+    /// The client of a request has disconnected.
     #[serde(rename = "CLIENT_LEFT")]
     ClientGone {
         #[serde(rename = "front_id")]
@@ -115,7 +115,7 @@
         #[serde(rename = "gauge")]
         load: Option<Vec<f64>>,
     },
-    /// A message of another front.
+    /// A message from another front.
     #[serde(rename = "PEER_DATA")]
     PeerMessage {
         #[serde(rename = "front_id")]
@@ -126,7 +126,7 @@
     },
 }
 
-/// The simulator's names of all events that this program knows, to tell a malformed event from an unknown one.
+/// Names of all events that this program knows, to tell a malformed event from an unknown one.
 pub const KNOWN_EVENTS: [&str; 12] = [
     "POWER_ON",
     "RETIRE",
@@ -175,7 +175,7 @@
     pub front: u32,
     #[serde(rename = "call")]
     pub request: String,
-    /// What it used, packed as `translate::usage` says; 0 for not stated.
+    /// Resource usage, packed as `translate::usage` reads it; 0 if not reported.
     #[serde(rename = "note", default)]
     pub packed_usage: u64,
     #[serde(rename = "no_more", default)]
@@ -213,20 +213,20 @@
     NotSent,
 }
 
-/// How a front is shown an endpoint list.
+/// Meaning of an endpoint list that is shown to a front.
 #[derive(Deserialize)]
 #[serde(expecting = "enum Mode")]
 pub enum ListMode {
-    /// Only the changes.
+    /// It holds only the changes.
     #[serde(rename = "update")]
     Delta,
-    /// All of it.
+    /// It replaces the front's list.
     #[serde(rename = "replace")]
     Full,
-    /// All of it, after discovery was unavailable.
+    /// It replaces the front's list after discovery was unavailable.
     #[serde(rename = "restored")]
     Restored,
-    /// Not at all: discovery is unavailable.
+    /// No list is shown, because discovery is unavailable.
     #[serde(rename = "unavailable")]
     Unavailable,
 }
@@ -259,7 +259,7 @@
     pub engine: u32,
 }
 
-/// What a front does.
+/// A command of a front.
 #[derive(Serialize)]
 pub enum Command {
     /// Sends a request to an engine.
@@ -283,7 +283,7 @@
         #[serde(rename = "n")]
         attempt: u32,
     },
-    /// Rejects a request; 0 for no time to come back.
+    /// Rejects a request. A `retry_after_us` of 0 states no retry-after time.
     #[serde(rename = "DECLINE")]
     Reject {
         #[serde(rename = "front_id")]
@@ -293,7 +293,7 @@
         #[serde(rename = "stay_away_us")]
         retry_after_us: u64,
     },
-    /// Answers a request as failed.
+    /// Fails a request.
     #[serde(rename = "DROP_REQUEST")]
     Fail {
         #[serde(rename = "front_id")]
@@ -318,7 +318,7 @@
         front: u32,
         engine: u32,
     },
-    /// Asks to be shown endpoint lists.
+    /// Requests endpoint lists.
     #[serde(rename = "KEEP_INFORMED")]
     WatchEndpoints {
         #[serde(rename = "front_id")]
--- a/examples/decision_digests.rs
+++ b/examples/decision_digests.rs
@@ -1,4 +1,4 @@
-//! Prints the digests with which `tests/decision_equality.rs` compares, one line per seed.
+//! Prints the digests that `tests/decision_equality.rs` compares with, one line per seed.
 
 #[allow(dead_code)]
 #[path = "../tests/histories/mod.rs"]
