--- a/crates/testing/emulator/src/check.rs
+++ b/crates/testing/emulator/src/check.rs
@@ -252,14 +252,14 @@
 
     fn check_answer(&mut self, now: Duration, id: u64) {
         let Some(known) = self.tries.get_mut(&id) else {
-            return self.report(1, now, format!("an answer to nothing asked, {id}"));
+            return self.report(1, now, format!("response to unknown try {id}"));
         };
         let again = std::mem::replace(&mut known.answered, true);
         let late = now > known.limit + self.config.slack;
         if again {
-            self.report(1, now, format!("try {id} is answered again"));
+            self.report(1, now, format!("second response to try {id}"));
         } else if late {
-            self.report(1, now, format!("try {id} is answered late"));
+            self.report(1, now, format!("late response to try {id}"));
         }
         self.leave_key_queue(id);
     }
@@ -270,7 +270,7 @@
         let again = *count > 1;
         let class = self.classes.get(&request);
         if again && class.is_some_and(|class| self.config.non_idempotent[*class]) {
-            self.report(2, now, format!("batch {request} runs again"));
+            self.report(2, now, format!("non-idempotent request {request} runs again"));
         }
     }
 
@@ -292,7 +292,7 @@
 
     fn check_attempt(&mut self, now: Duration, front: usize, id: u64, number: u32, engine: usize, work: f64) {
         let Some(known) = self.tries.get_mut(&id) else {
-            return self.report(1, now, format!("{id} is sent and was not asked"));
+            return self.report(1, now, format!("attempt of unknown try {id}"));
         };
         let was_answered = known.answered;
         let in_flight = known.in_flight;
@@ -301,13 +301,17 @@
         known.in_flight += 1;
         let (class, key) = (known.class, known.key);
         if was_answered {
-            self.report(1, now, format!("try {id} is sent after its answer"));
+            self.report(1, now, format!("attempt of try {id} after its response"));
         }
         if must_not_run {
-            self.report(2, now, format!("try {id} must run once and is sent again"));
+            self.report(
+                2,
+                now,
+                format!("non-idempotent try {id} is sent again although it may have run or is in flight"),
+            );
         }
         if in_flight > 0 {
-            self.report(2, now, format!("try {id} is out twice at once"));
+            self.report(2, now, format!("try {id} has two attempts in flight"));
         }
         self.check_draining(now, front, id, engine);
         self.check_slow_start(now, engine, work);
@@ -324,7 +328,7 @@
         let since = self.draining.get(&(engine, None)).or_else(|| self.draining.get(&(engine, Some(front))));
         let grace = self.config.drain_grace + self.config.slack;
         if since.is_some_and(|since| now > *since + grace) {
-            self.report(3, now, format!("engine {engine} drains and is sent {id}"));
+            self.report(3, now, format!("draining engine {engine} is sent try {id}"));
         }
     }
 
@@ -345,21 +349,27 @@
         let all: f64 = start.sent.iter().map(|sent| sent.work).sum();
         // A single request may exceed the limit alone, which no front can prevent.
         if all > bears && start.sent.len() > 1 {
-            self.report(4, now, format!("engine {engine} is cold, bears {bears:.1} and is sent {all:.1}"));
+            self.report(
+                4,
+                now,
+                format!(
+                    "cold engine {engine} with an overload limit of {bears:.1} s of work is sent {all:.1} s"
+                ),
+            );
         }
     }
 
     fn check_key_order(&mut self, now: Duration, front: usize, id: u64, key: u64) {
         let first = self.key_queues.get(&(front, key)).and_then(|queue| queue.front()).copied();
         if let Some(first) = first.filter(|first| *first != id) {
-            self.report(5, now, format!("{id} of key {key} overtakes {first}"));
+            self.report(5, now, format!("try {id} of key {key} is sent before try {first}"));
         }
     }
 
     fn check_placement(&mut self, now: Duration, id: u64, engine: usize, class: usize) {
         let zone = self.config.engine_zones[engine];
         if self.config.allowed_zones[class].as_ref().is_some_and(|allowed| !allowed.contains(&zone)) {
-            self.report(6, now, format!("{id} goes to location {zone}"));
+            self.report(6, now, format!("try {id} is sent to zone {zone}, which its class does not allow"));
         }
     }
 
@@ -375,7 +385,11 @@
         let allowed = free + share * arrivals.len() as f64;
         let count = retries.len() as f64;
         if count > allowed + 1.0 {
-            self.report(7, now, format!("front {front} sends {count} further ones of {allowed:.1}"));
+            self.report(
+                7,
+                now,
+                format!("front {front} sent {count} retries, its retry budget allows {allowed:.1}"),
+            );
         }
     }
 
@@ -386,7 +400,7 @@
             .map(|(id, _)| *id)
             .collect();
         for id in open {
-            self.report(1, now, format!("try {id} had no answer"));
+            self.report(1, now, format!("try {id} got no response"));
         }
     }
 }
--- a/crates/testing/emulator/src/world.rs
+++ b/crates/testing/emulator/src/world.rs
@@ -329,18 +329,18 @@
         let wrong = |what: &str| Err(DeploymentError { line: None, message: what.to_owned() });
         let engines: u32 = world.engines.iter().map(|kind| kind.count).sum();
         if world.request_classes.is_empty() || engines == 0 || world.fronts == 0 {
-            return wrong("a world has a front, an engine and a service group at least");
+            return wrong("at least one front, one engine and one service group are required");
         }
         let shares: f64 = world.request_classes.iter().map(|group| group.share).sum();
         if (shares - 1.0).abs() > 1e-6 {
-            return wrong("the shares of the service groups come to 1");
+            return wrong("the shares of the service groups must come to 1");
         }
         let positive = world
             .request_classes
             .iter()
             .all(|g| g.mean_work_s > 0.0 && g.threads > 0.0 && g.deadline_s > 0.0);
         if !(positive && world.duration_s > 0.0 && world.requests_per_second > 0.0) {
-            return wrong("times, work, threads and rates are above zero");
+            return wrong("times, work, threads and rates must be above zero");
         }
         for failure in &world.failures {
             let fits = match failure.what {
@@ -355,7 +355,9 @@
                 FailureKind::Restart { front } => front < world.fronts as usize,
             };
             if !fits {
-                return wrong("a failure names an engine, location or front that there is not");
+                return wrong(
+                    "a failure names an engine, location or front that there is not, or a share or duration out of range",
+                );
             }
         }
         Ok(world)
--- a/crates/testing/soak/src/main.rs
+++ b/crates/testing/soak/src/main.rs
@@ -63,7 +63,7 @@
     results.sort_by_key(|result| result.seed);
     print!("{}", summary(&results));
     if let Some(Err(error)) = arguments.csv.map(|path| write_csv(&path, &results)) {
-        eprintln!("lemonusher-soak: the table can't be written: {error}");
+        eprintln!("lemonusher-soak: cannot write the CSV file: {error}");
         return ExitCode::FAILURE;
     }
     let is_clean = results.iter().all(|result| result.violations.is_empty());
--- a/crates/tools/simhost/src/host.rs
+++ b/crates/tools/simhost/src/host.rs
@@ -39,10 +39,10 @@
             match serde_json::from_str::<SimulatorEvent>(raw.get()) {
                 Ok(event) => self.handle_event(now, event),
                 Err(error) => match unknown_event(raw.get()) {
-                    Some(name) => eprintln!("batch {}: unknown event {name} ignored", frame.serial),
+                    Some(name) => eprintln!("frame {}: unknown event {name} ignored", frame.serial),
                     None => {
                         let quoted = quote(raw.get());
-                        return Err(format!("batch {}: event {quoted}: {error}", frame.serial));
+                        return Err(format!("frame {}: malformed event {quoted}: {error}", frame.serial));
                     }
                 },
             }
@@ -67,7 +67,7 @@
             }
             SimulatorEvent::FrontRetired { front } => {
                 if self.fronts.remove(&front).is_none() {
-                    eprintln!("RETIRE for instance {front}, which is not on: ignored");
+                    eprintln!("RETIRE for front {front}, which is not running: ignored");
                 }
             }
             SimulatorEvent::EndpointList { list, entries } => {
@@ -126,7 +126,7 @@
             }
         };
         let Some(entries) = self.endpoint_lists.get(&list) else {
-            eprintln!("list {list} for instance {front} is not known: ignored");
+            eprintln!("unknown endpoint list {list} for front {front}: ignored");
             return;
         };
         let entries = entries.iter().map(translate::engine_entry).collect();
@@ -136,7 +136,7 @@
     /// Delivers an event to a front. `event` builds it with the front's report reader; `None` delivers nothing.
     fn deliver(&mut self, now: Duration, front: u32, event: impl FnOnce(&ReportReader) -> Option<Event>) {
         let Some(running) = self.fronts.get_mut(&front) else {
-            eprintln!("event for instance {front}, which is not on: ignored");
+            eprintln!("event for front {front}, which is not running: ignored");
             return;
         };
         self.to_decide.insert(front);
