--- a/crates/testing/emulator/src/attempts.rs
+++ b/crates/testing/emulator/src/attempts.rs
@@ -5,7 +5,7 @@
 use crate::engine::{Finished, Work};
 use crate::settings::{LoadReports, ReportField, ReportTransport};
 use crate::simulation::{Connection, Fault, InFlightAttempt, Probe, Simulation, TICK};
-use crate::world::span;
+use crate::world::duration_from_secs;
 use lemonusher::{
     AttemptEnd, AttemptOutcome, AttemptProgress, EngineState, Event, LoadReport, RequestId, ResourceUsage,
 };
@@ -55,7 +55,8 @@
             request_class: open_request.request_class,
             id: open_request.id,
             request: open_request.request,
-            next_note: self.now + span(self.world.progress_interval_s.unwrap_or(0.0)),
+            next_progress_report: self.now
+                + duration_from_secs(self.world.progress_interval_s.unwrap_or(0.0)),
         };
         self.in_flight.insert(attempt_number, attempt);
         let (after, connection) = self.connect(front, engine);
@@ -70,15 +71,15 @@
     fn connect(&mut self, front: usize, engine: usize) -> (Duration, Connection) {
         let host = &mut self.engines[engine];
         if host.state == EngineState::Removed {
-            return (span(self.world.refusal_delay_s), Connection::Failed);
+            return (duration_from_secs(self.world.refusal_delay_s), Connection::Failed);
         }
-        let late = self.world.discovery.map_or(0.0, |watch| watch.connect_late);
+        let late = self.world.discovery.map_or(0.0, |discovery| discovery.connect_late);
         if host.started.is_zero() || late <= 0.0 {
             return (Duration::ZERO, Connection::Made);
         }
         // A front begins to connect when it is notified of the engine.
         let notified = self.notified.get(&(front, engine)).copied().unwrap_or(self.now);
-        let delay = span(self.dice.share() * late);
+        let delay = duration_from_secs(self.dice.share() * late);
         let ready = *host.connected.entry(front).or_insert(notified + delay);
         let wait = ready.saturating_sub(self.now);
         if wait > CONNECT_TIMEOUT { (CONNECT_TIMEOUT, Connection::Failed) } else { (wait, Connection::Made) }
@@ -93,7 +94,7 @@
 
     fn connected(&mut self, number: u64, connection: Connection) {
         let Some(attempt) = self.in_flight.get(&number) else { return };
-        let (engine, request, stated) = (attempt.engine, attempt.request, attempt.work);
+        let (engine, request, full_work) = (attempt.engine, attempt.request, attempt.work);
         if connection == Connection::Failed || self.engines[engine].state == EngineState::Removed {
             return self.end_attempt(number, AttemptOutcome::ConnectFailed);
         }
@@ -107,9 +108,12 @@
         );
         let host = &mut self.engines[engine];
         let kind = &self.world.engines[host.kind as usize];
-        let saved =
-            if host.use_table_group(tables, kind.cached_table_groups) { kind.warm_saves() } else { 0.0 };
-        let left = stated * (1.0 - saved);
+        let saved = if host.use_table_group(tables, kind.cached_table_groups) {
+            kind.cached_work_saving()
+        } else {
+            0.0
+        };
+        let left = full_work * (1.0 - saved);
         if let Some(attempt) = self.in_flight.get_mut(&number) {
             attempt.work = left;
         }
@@ -124,23 +128,23 @@
         self.engines[engine].engine.offer(number, work);
         self.interval().work += left;
         self.observe(Observation::RequestRan { request });
-        self.overload(engine, left);
+        self.fail_if_overloaded(engine, left);
     }
 
     /// Fails an engine that warms up if the work sent to it exceeds its overload limit.
-    fn overload(&mut self, engine: usize, work: f64) {
+    fn fail_if_overloaded(&mut self, engine: usize, work: f64) {
         let (now, world) = (self.now, self.world);
         let host = &mut self.engines[engine];
-        if host.started.is_zero() || now >= host.started + span(world.slow_start_s) {
+        if host.started.is_zero() || now >= host.started + duration_from_secs(world.slow_start_s) {
             return;
         }
-        let window = span(world.overload_window_s);
+        let window = duration_from_secs(world.overload_window_s);
         host.slow_start_work.retain(|(at, _)| *at + window > now);
         host.slow_start_work.push_back((now, work));
         let sent: f64 = host.slow_start_work.iter().map(|(_, work)| work).sum();
-        let bears =
+        let overload_limit =
             world.overload_factor * world.slow_start_share * host.engine.cores * world.overload_window_s;
-        if sent > bears
+        if sent > overload_limit
             && let Some(back) = world.overload_restart_s
         {
             self.report.overloaded += 1;
@@ -152,19 +156,20 @@
         for engine in 0..self.engines.len() {
             let host = &mut self.engines[engine];
             let age = self.now.saturating_sub(host.started).as_secs_f64();
-            let fresh = !host.started.is_zero() && age < self.world.slow_start_s;
+            let is_warming_up = !host.started.is_zero() && age < self.world.slow_start_s;
             let from = self.world.slow_start_share;
-            let warmth = if fresh { from + (1.0 - from) * age / self.world.slow_start_s } else { 1.0 };
-            let finished = host.engine.run(TICK.as_secs_f64(), warmth);
-            let mut said: Vec<u64> = finished.into_iter().map(|Finished(number)| number).collect();
+            let slow_start_factor =
+                if is_warming_up { from + (1.0 - from) * age / self.world.slow_start_s } else { 1.0 };
+            let finished = host.engine.run(TICK.as_secs_f64(), slow_start_factor);
+            let mut reported: Vec<u64> = finished.into_iter().map(|Finished(number)| number).collect();
             if host.silent_until > self.now {
-                host.unreported.append(&mut said);
+                host.unreported.append(&mut reported);
             } else {
-                said.append(&mut host.unreported);
+                reported.append(&mut host.unreported);
             }
-            for number in said {
+            for number in reported {
                 if self.probes.contains_key(&number) {
-                    self.probed(number, true);
+                    self.end_probe(number, true);
                 } else {
                     self.end_attempt(number, AttemptOutcome::Returned);
                 }
@@ -198,9 +203,9 @@
             let idle = (attempt.work / self.world.request_classes[attempt.request_class].threads)
                 .max(TICK.as_secs_f64());
             let slowdown = (self.now - attempt.at).as_secs_f64() / idle;
-            let span = self.interval();
-            span.returned += 1;
-            span.slowdown += slowdown;
+            let counts = self.interval();
+            counts.returned += 1;
+            counts.slowdown += slowdown;
         }
         if let Some(open_request) = open_request.filter(|_| outcome == AttemptOutcome::Returned) {
             self.fronts[attempt.front].open_requests.remove(&attempt.name);
@@ -212,7 +217,7 @@
         let over =
             front.open_requests.get(&attempt.name).is_none_or(|open_request| open_request.id != attempt.id);
         let cost = ResourceUsage {
-            work: span(attempt.work),
+            work: duration_from_secs(attempt.work),
             memory_mb: self.world.request_classes[attempt.request_class].memory_mb,
         };
         let has_report = matches!(outcome, AttemptOutcome::Returned | AttemptOutcome::Rejected);
@@ -228,15 +233,15 @@
             usage: (outcome == AttemptOutcome::Returned).then_some(cost),
             load,
         }));
-        let once = self.world.request_classes[attempt.request_class].is_non_idempotent;
-        if self.fault == Fault::SendsAgain && once && outcome == AttemptOutcome::Reset && !over {
+        let is_non_idempotent = self.world.request_classes[attempt.request_class].is_non_idempotent;
+        if self.fault == Fault::SendsAgain && is_non_idempotent && outcome == AttemptOutcome::Reset && !over {
             let other = (attempt.engine + 1) % self.engines.len();
             self.attempt(attempt.front, attempt.name, other, Duration::ZERO);
         }
     }
 
-    fn reported_with(&self, how: ReportTransport) -> bool {
-        self.world.load_reports.as_ref().is_some_and(|reports| reports.how == how)
+    fn reported_with(&self, transport: ReportTransport) -> bool {
+        self.world.load_reports.as_ref().is_some_and(|reports| reports.how == transport)
     }
 
     pub(crate) fn probe(&mut self, front: usize, engine: usize) {
@@ -251,7 +256,7 @@
         self.engines[engine].engine.put(number, work);
     }
 
-    fn probed(&mut self, number: u64, answered: bool) {
+    fn end_probe(&mut self, number: u64, answered: bool) {
         let Some(Probe { front, engine, at }) = self.probes.remove(&number) else { return };
         let after = self.now.saturating_sub(at) + PROBE_ROUND_TRIP;
         let load =
@@ -267,20 +272,21 @@
         for number in lost {
             let engine = self.probes[&number].engine;
             self.engines[engine].engine.cancel(number);
-            self.probed(number, false);
+            self.end_probe(number, false);
         }
     }
 
     /// Samples the engines' load each period; a sample is reported after a delay.
     pub(crate) fn sample_loads(&mut self) {
         let world = self.world;
-        let Some(terms) = &world.load_reports else { return };
+        let Some(reports) = &world.load_reports else { return };
         for engine in 0..self.engines.len() {
             if self.engines[engine].next_sample <= self.now {
-                let load = self.load_of(engine, terms);
+                let load = self.load_of(engine, reports);
                 let host = &mut self.engines[engine];
-                host.samples.push_back((self.now + span(self.dice.between(terms.delay)), load));
-                host.next_sample = self.now + span(terms.period);
+                host.samples
+                    .push_back((self.now + duration_from_secs(self.dice.between(reports.delay)), load));
+                host.next_sample = self.now + duration_from_secs(reports.period);
             }
             let host = &mut self.engines[engine];
             while host.samples.front().is_some_and(|(at, _)| *at <= self.now) {
@@ -289,10 +295,10 @@
         }
     }
 
-    fn load_of(&mut self, engine: usize, terms: &LoadReports) -> LoadReport {
+    fn load_of(&mut self, engine: usize, reports: &LoadReports) -> LoadReport {
         let mut figure = |field: ReportField, figure: f64| {
-            let noise = 1.0 + terms.noise * (2.0 * self.dice.share() - 1.0);
-            terms.fields.contains(&field).then_some(figure * noise)
+            let noise = 1.0 + reports.noise * (2.0 * self.dice.share() - 1.0);
+            reports.fields.contains(&field).then_some(figure * noise)
         };
         let engine = &self.engines[engine].engine;
         LoadReport {
@@ -308,10 +314,10 @@
         let Some(period) = self.world.progress_interval_s else { return };
         let now = self.now;
         for (number, attempt) in &mut self.in_flight {
-            if attempt.next_note > now {
+            if attempt.next_progress_report > now {
                 continue;
             }
-            attempt.next_note = now + span(period);
+            attempt.next_progress_report = now + duration_from_secs(period);
             if let Some(left) = self.engines[attempt.engine].engine.left(*number) {
                 self.fronts[attempt.front].events.push_back(Event::Progress {
                     request: attempt.name.clone(),
--- a/crates/testing/emulator/src/check.rs
+++ b/crates/testing/emulator/src/check.rs
@@ -342,18 +342,18 @@
             start.sent.pop_front();
         }
         start.sent.push_back(SentWork { at: now, work });
-        let bears = config.overload_factor
+        let overload_limit = config.overload_factor
             * config.slow_start_share
             * start.cores
             * config.overload_window.as_secs_f64();
         let all: f64 = start.sent.iter().map(|sent| sent.work).sum();
         // A single request may exceed the limit alone, which no front can prevent.
-        if all > bears && start.sent.len() > 1 {
+        if all > overload_limit && start.sent.len() > 1 {
             self.report(
                 4,
                 now,
                 format!(
-                    "cold engine {engine} with an overload limit of {bears:.1} s of work is sent {all:.1} s"
+                    "cold engine {engine} with an overload limit of {overload_limit:.1} s of work is sent {all:.1} s"
                 ),
             );
         }
--- a/crates/testing/emulator/src/clients.rs
+++ b/crates/testing/emulator/src/clients.rs
@@ -4,7 +4,7 @@
 use crate::dice::Dice;
 use crate::shares::falls_on;
 use crate::simulation::{BEGIN, ClientRequest, Fault, OpenRequest, Simulation};
-use crate::world::span;
+use crate::world::duration_from_secs;
 use lemonusher::{Arrival, Event, RequestId};
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
             let at = (self.next_arrival - begin).as_secs_f64();
             let surge = self.world.surge.filter(|surge| surge.from <= at && at < surge.to);
             let rate = self.world.requests_per_second * surge.map_or(1.0, |surge| surge.times);
-            self.next_arrival += span(self.dice.wait(1.0 / rate));
+            self.next_arrival += duration_from_secs(self.dice.wait(1.0 / rate));
             self.requests_started += 1;
             let (request, request_class) = (self.requests_started, self.draw_class());
             self.requests.insert(request, ClientRequest { request_class, first: self.now, tries: 0 });
@@ -71,7 +71,7 @@
         self.observe(Observation::TryArrived { front, id, request, request_class, key, limit });
         let open_request = OpenRequest { id, request, request_class, arrived: self.now, limit, attempts: 0 };
         self.fronts[front].open_requests.insert(name.clone(), open_request);
-        self.may_depart(front, &name, request_class, id);
+        self.draw_early_give_up(front, &name, request_class, id);
         let marked = self.world.clients.is_none_or(|clients| clients.marked);
         let table_group = self.table_group(request, request_class);
         self.fronts[front].events.push_back(Event::Arrived(Arrival {
@@ -88,7 +88,7 @@
 
     /// Time until which the client waits for a try that is sent now.
     fn limit(&self, request_class: usize, first: Duration) -> Duration {
-        let whole = span(self.world.request_classes[request_class].deadline_s);
+        let whole = duration_from_secs(self.world.request_classes[request_class].deadline_s);
         match self.world.clients {
             Some(clients) => (first + whole).min(self.now + whole.mul_f64(clients.try_share)),
             None => self.now + whole,
@@ -96,16 +96,18 @@
     }
 
     /// Draws whether the client will give up the try early, and when.
-    fn may_depart(&mut self, front: usize, name: &RequestId, request_class: usize, id: u64) {
+    fn draw_early_give_up(&mut self, front: usize, name: &RequestId, request_class: usize, id: u64) {
         let Some(clients) = self.world.clients else { return };
         if self.dice.share() < clients.impatient {
-            let after = span(self.world.request_classes[request_class].deadline_s * 0.5 * self.dice.share());
-            self.departures.insert((self.now + after, id), (front, name.clone()));
+            let after = duration_from_secs(
+                self.world.request_classes[request_class].deadline_s * 0.5 * self.dice.share(),
+            );
+            self.give_ups.insert((self.now + after, id), (front, name.clone()));
         }
     }
 
-    pub(crate) fn handle_departures(&mut self) {
-        while let Some(due) = self.departures.first_entry().filter(|due| due.key().0 <= self.now) {
+    pub(crate) fn handle_give_ups(&mut self) {
+        while let Some(due) = self.give_ups.first_entry().filter(|due| due.key().0 <= self.now) {
             let ((_, id), (front, name)) = due.remove_entry();
             let front = &mut self.fronts[front];
             if front.open_requests.get(&name).is_some_and(|open_request| open_request.id == id) {
@@ -117,24 +119,26 @@
     }
 
     /// Counts a rejection, and schedules the client's retry if there is one.
-    pub(crate) fn reject(&mut self, open_request: &OpenRequest, come_back: Option<Duration>) {
+    pub(crate) fn reject(&mut self, open_request: &OpenRequest, retry_after: Option<Duration>) {
         self.report.rejected += 1;
         self.interval().rejected += 1;
         self.answer(open_request.id);
         let Some(clients) = self.world.clients else {
             if self.dice.share() < self.world.retry_share {
-                let wait = come_back.unwrap_or(Duration::from_millis(500));
+                let wait = retry_after.unwrap_or(Duration::from_millis(500));
                 self.retries.insert((self.now + wait, open_request.request));
             }
             return;
         };
         let Some(request) = self.requests.get(&open_request.request).copied() else { return };
         let doubled = f64::from(1 << (request.tries - 1).min(16));
-        let own = span(self.dice.between(clients.back_off) * doubled);
+        let backoff = duration_from_secs(self.dice.between(clients.back_off) * doubled);
         let honours = self.dice.share() < clients.honour;
-        let at = self.now + come_back.filter(|_| honours).unwrap_or(own);
+        let at = self.now + retry_after.filter(|_| honours).unwrap_or(backoff);
         if request.tries < clients.tries
-            && at < request.first + span(self.world.request_classes[open_request.request_class].deadline_s)
+            && at
+                < request.first
+                    + duration_from_secs(self.world.request_classes[open_request.request_class].deadline_s)
         {
             self.retries.insert((at, open_request.request));
         }
@@ -142,11 +146,12 @@
 
     /// Counts a request that was served, in the interval of its first try.
     pub(crate) fn count_served(&mut self, open_request: &OpenRequest, work: f64) {
-        let goal = span(self.world.request_classes[open_request.request_class].latency_objective_s)
-            + span(work * 1.5);
-        self.report.in_objective += u64::from(self.now - open_request.arrived <= goal);
+        let latency_objective =
+            duration_from_secs(self.world.request_classes[open_request.request_class].latency_objective_s)
+                + duration_from_secs(work * 1.5);
+        self.report.in_objective += u64::from(self.now - open_request.arrived <= latency_objective);
         let Some(request) = self.requests.remove(&open_request.request) else { return };
-        let in_objective = self.now - request.first <= goal;
+        let in_objective = self.now - request.first <= latency_objective;
         let count = &mut self.report.statistics.at((request.first - BEGIN).as_secs_f64()).classes
             [open_request.request_class];
         count.served += 1;
--- a/crates/testing/emulator/src/failures.rs
+++ b/crates/testing/emulator/src/failures.rs
@@ -4,7 +4,7 @@
 use crate::host::EngineHost;
 use crate::settings::Range;
 use crate::simulation::{EndpointUpdate, Replacement, Simulation};
-use crate::world::{FailureKind, ReplacementManner, span};
+use crate::world::{FailureKind, ReplacementManner, duration_from_secs};
 use lemonusher::{AttemptOutcome, EndpointUpdateKind, EngineState, Event};
 use std::time::Duration;
 
@@ -21,10 +21,12 @@
                     (0..self.engines.len()).filter(|n| self.engines[*n].zone == zone).collect();
                 there.into_iter().for_each(|engine| self.kill(engine, Some(back)));
             }
-            FailureKind::Silent { engine, back } => self.engines[engine].silent_until = now + span(back),
+            FailureKind::Silent { engine, back } => {
+                self.engines[engine].silent_until = now + duration_from_secs(back)
+            }
             FailureKind::Slow { engine, times, back } => {
                 self.engines[engine].engine.slow = times.max(1.0);
-                self.engines[engine].slow_until = now + span(back);
+                self.engines[engine].slow_until = now + duration_from_secs(back);
             }
             FailureKind::Drain { engine, back } => self.drain(engine, Some(back)),
             FailureKind::Replace { share, over, manner } => self.plan_replacements(share, over, manner),
@@ -45,7 +47,7 @@
         let count = (active.len() as f64 * share).round() as usize;
         for _ in 0..count {
             let engine = active.swap_remove(self.dice.below(active.len()));
-            let at = self.now + span(self.dice.share() * over);
+            let at = self.now + duration_from_secs(self.dice.share() * over);
             self.replacements.push(Replacement { at, engine, manner });
         }
     }
@@ -68,11 +70,11 @@
     }
 
     fn drain(&mut self, engine: usize, back: Option<f64>) {
-        let grace = span(self.world.drain_grace_s) * 2;
+        let grace = duration_from_secs(self.world.drain_grace_s) * 2;
         let host = &mut self.engines[engine];
         host.state = EngineState::Draining;
         host.removed_at = Some(self.now + grace);
-        host.restarts_at = back.map(|back| self.now + grace + span(back));
+        host.restarts_at = back.map(|back| self.now + grace + duration_from_secs(back));
         // With discovery delays, the drain grace starts for each front when it is notified.
         if self.world.discovery.is_none() {
             self.observe(Observation::EngineDraining { engine, front: None });
@@ -85,8 +87,8 @@
         host.engine.clear();
         host.unreported.clear();
         (host.state, host.removed_at) = (EngineState::Removed, None);
-        host.restarts_at = back.map(|back| self.now + span(back));
-        (host.report, host.samples, host.connected, host.warm) = Default::default();
+        host.restarts_at = back.map(|back| self.now + duration_from_secs(back));
+        (host.report, host.samples, host.connected, host.cached_table_groups) = Default::default();
         self.notify_fronts(engine);
         let lost: Vec<u64> =
             self.in_flight.iter().filter(|(_, attempt)| attempt.engine == engine).map(|(n, _)| *n).collect();
@@ -150,9 +152,9 @@
     }
 
     fn notification_delay(&mut self, front: usize, state: EngineState) -> Duration {
-        let Some(watch) = self.world.discovery else { return NOTIFICATION_DELAY };
-        let delay = if state == EngineState::Active { watch.join_delay } else { watch.leave_delay };
-        let delay = span(self.dice.between(delay));
+        let Some(discovery) = self.world.discovery else { return NOTIFICATION_DELAY };
+        let delay = if state == EngineState::Active { discovery.join_delay } else { discovery.leave_delay };
+        let delay = duration_from_secs(self.dice.between(delay));
         let (from, to) = self.fronts[front].outage;
         let at = self.now + delay;
         if from <= at && at < to { to - self.now } else { delay }
@@ -160,11 +162,11 @@
 
     /// Draws start and end of a front's outage of discovery, once in the run.
     pub(crate) fn draw_outage(&mut self) -> (Duration, Duration) {
-        let Some(silent) = self.world.discovery.and_then(|watch| watch.silent_for) else {
+        let Some(silent) = self.world.discovery.and_then(|discovery| discovery.silent_for) else {
             return Default::default();
         };
         let whole: Range = [0.0, self.world.duration_s];
-        let from = self.now + span(self.dice.between(whole));
-        (from, from + span(self.dice.between(silent)))
+        let from = self.now + duration_from_secs(self.dice.between(whole));
+        (from, from + duration_from_secs(self.dice.between(silent)))
     }
 }
--- a/crates/testing/emulator/src/front_config.rs
+++ b/crates/testing/emulator/src/front_config.rs
@@ -1,7 +1,7 @@
 //! Configuration of the fronts of a simulated deployment.
 
 use crate::settings::ReportTransport;
-use crate::world::{EngineKind, RequestClass, SimulatedDeployment, span};
+use crate::world::{EngineKind, RequestClass, SimulatedDeployment, duration_from_secs};
 use lemonusher::{
     Capabilities, Deployment, Idempotency, LoadReporting, MachineKind, RequestClassConfig, RetryBudget,
     SafetyRules,
@@ -22,7 +22,7 @@
             safety_rules: self.safety_rules(),
             probe_cost: self.probes.map_or(0.0, |probes| probes.price),
             load_reporting: self.load_reporting(),
-            progress_interval: span(self.progress_interval_s.unwrap_or(1.0)),
+            progress_interval: duration_from_secs(self.progress_interval_s.unwrap_or(1.0)),
             retries_marked: self.clients.is_none_or(|clients| clients.marked),
             ..Deployment::default()
         }
@@ -42,11 +42,11 @@
 
     fn safety_rules(&self) -> SafetyRules {
         SafetyRules {
-            drain_grace: span(self.drain_grace_s),
+            drain_grace: duration_from_secs(self.drain_grace_s),
             slow_start_share: self.slow_start_share,
-            slow_start_window: span(self.slow_start_s),
+            slow_start_window: duration_from_secs(self.slow_start_s),
             overload_factor: self.overload_factor,
-            overload_window: span(self.overload_window_s),
+            overload_window: duration_from_secs(self.overload_window_s),
             unknown_outcome_delay: Duration::from_millis(700),
             discovery_poll_deadline: Duration::from_secs(10),
             retry_budget: self.retry_budget.map(|(free_retries, retry_ratio)| RetryBudget {
@@ -73,9 +73,9 @@
             false => Idempotency::Idempotent,
         };
         RequestClassConfig {
-            latency_objective: span(self.latency_objective_s),
+            latency_objective: duration_from_secs(self.latency_objective_s),
             objective_work_factor: 1.5,
-            deadline: span(self.deadline_s),
+            deadline: duration_from_secs(self.deadline_s),
             priority_weight: 1.0,
             late_value_share: 0.5,
             idempotency,
--- a/crates/testing/emulator/src/host.rs
+++ b/crates/testing/emulator/src/host.rs
@@ -27,7 +27,7 @@
     /// Time at which each front's connection is established, by front.
     pub connected: BTreeMap<usize, Duration>,
     /// Cached table groups; the most recently used one is last.
-    pub warm: VecDeque<u64>,
+    pub cached_table_groups: VecDeque<u64>,
     /// Work that it was sent within the overload window while it warms up, with the time of sending.
     pub slow_start_work: VecDeque<(Duration, f64)>,
 }
@@ -58,20 +58,20 @@
             report: None,
             next_sample: Duration::ZERO,
             connected: BTreeMap::new(),
-            warm: VecDeque::new(),
+            cached_table_groups: VecDeque::new(),
             slow_start_work: VecDeque::new(),
         }
     }
 
     /// Records the use of a table group, and returns whether it was cached. At most `most` are cached, in LRU order.
-    pub fn use_table_group(&mut self, tables: u64, most: usize) -> bool {
-        let warmed = self.warm.len();
-        self.warm.retain(|other| *other != tables);
-        let was_warm = self.warm.len() < warmed;
-        self.warm.push_back(tables);
-        while self.warm.len() > most {
-            self.warm.pop_front();
+    pub fn use_table_group(&mut self, table_group: u64, capacity: usize) -> bool {
+        let count_before = self.cached_table_groups.len();
+        self.cached_table_groups.retain(|other| *other != table_group);
+        let was_cached = self.cached_table_groups.len() < count_before;
+        self.cached_table_groups.push_back(table_group);
+        while self.cached_table_groups.len() > capacity {
+            self.cached_table_groups.pop_front();
         }
-        was_warm
+        was_cached
     }
 }
--- a/crates/testing/emulator/src/play.rs
+++ b/crates/testing/emulator/src/play.rs
@@ -7,7 +7,7 @@
 use crate::shares::running_sums;
 use crate::simulation::{BEGIN, Fault, Report, Simulation, TICK};
 use crate::tally::Statistics;
-use crate::world::{Failure, SimulatedDeployment, span};
+use crate::world::{Failure, SimulatedDeployment, duration_from_secs};
 use lemonusher::{Action, AttemptOutcome, Event};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -53,11 +53,11 @@
 fn rules(world: &SimulatedDeployment, engines: &[EngineHost]) -> RuleConfig {
     let classes = &world.request_classes;
     RuleConfig {
-        drain_grace: span(world.drain_grace_s),
-        slow_start_window: span(world.slow_start_s),
+        drain_grace: duration_from_secs(world.drain_grace_s),
+        slow_start_window: duration_from_secs(world.slow_start_s),
         slow_start_share: world.slow_start_share,
         overload_factor: world.overload_factor,
-        overload_window: span(world.overload_window_s),
+        overload_window: duration_from_secs(world.overload_window_s),
         non_idempotent: classes.iter().map(|class| class.is_non_idempotent).collect(),
         allowed_zones: classes.iter().map(|class| class.allowed_zones.clone()).collect(),
         engine_zones: engines.iter().map(|host| host.zone).collect(),
@@ -96,7 +96,7 @@
             next_arrival: BEGIN,
             requests_started: 0,
             retries: BTreeSet::new(),
-            departures: BTreeMap::new(),
+            give_ups: BTreeMap::new(),
             checker: Checker::new(rules(world, &engines)),
             report: Report { statistics: Statistics::new(classes.len()), ..Report::default() },
             dice,
@@ -108,7 +108,7 @@
 impl Simulation<'_> {
     fn play(&mut self, seed: u64) {
         let begin = BEGIN;
-        let end = begin + span(self.world.duration_s);
+        let end = begin + duration_from_secs(self.world.duration_s);
         let longest = self
             .world
             .request_classes
@@ -120,16 +120,16 @@
             all.sort_by(|a, b| a.at.total_cmp(&b.at));
             all.into()
         };
-        while self.now < end + span(longest) + Duration::from_secs(1) {
+        while self.now < end + duration_from_secs(longest) + Duration::from_secs(1) {
             self.now += TICK;
-            while failures.front().is_some_and(|failure| begin + span(failure.at) <= self.now) {
+            while failures.front().is_some_and(|failure| begin + duration_from_secs(failure.at) <= self.now) {
                 if let Some(failure) = failures.pop_front() {
                     self.apply_failure(failure.what, seed);
                 }
             }
             self.update_engines();
             self.handle_arrivals(begin, end);
-            self.handle_departures();
+            self.handle_give_ups();
             self.handle_connections();
             self.sample_loads();
             self.run_engines();
@@ -172,11 +172,11 @@
                         self.end_attempt(attempt, AttemptOutcome::Cancelled);
                     }
                 }
-                Action::Reject { request, retry_after: come_back } => {
+                Action::Reject { request, retry_after: retry_delay } => {
                     let Some(open_request) = self.fronts[number].open_requests.remove(&request) else {
                         continue;
                     };
-                    self.reject(&open_request, come_back);
+                    self.reject(&open_request, retry_delay);
                 }
                 Action::Fail { request } => {
                     let Some(open_request) = self.fronts[number].open_requests.remove(&request) else {
--- a/crates/testing/emulator/src/simulation.rs
+++ b/crates/testing/emulator/src/simulation.rs
@@ -99,7 +99,7 @@
     pub request_class: usize,
     pub id: u64,
     pub request: u64,
-    pub next_note: Duration,
+    pub next_progress_report: Duration,
 }
 
 /// A probe in flight.
@@ -159,22 +159,22 @@
     pub requests_started: u64,
     /// Requests to retry, and tries whose clients will give up, by time.
     pub retries: BTreeSet<(Duration, u64)>,
-    pub departures: BTreeMap<(Duration, u64), (usize, RequestId)>,
+    pub give_ups: BTreeMap<(Duration, u64), (usize, RequestId)>,
     pub checker: Checker,
     pub report: Report,
 }
 
 impl Simulation<'_> {
     pub(crate) fn front(&self, number: u32, seed: u64) -> Front {
-        let mut stated = self.world.deployment(number);
+        let mut deployment = self.world.deployment(number);
         match self.fault {
             Fault::ForgetsPlaces => {
-                stated.request_classes.iter_mut().for_each(|terms| terms.allowed_zones = None)
+                deployment.request_classes.iter_mut().for_each(|class| class.allowed_zones = None)
             }
-            Fault::ForgetsBudget => stated.safety_rules.retry_budget = None,
+            Fault::ForgetsBudget => deployment.safety_rules.retry_budget = None,
             _ => {}
         }
-        let mut gateway = Gateway::new(stated, seed ^ u64::from(number) << 32);
+        let mut gateway = Gateway::new(deployment, seed ^ u64::from(number) << 32);
         let all = (0..self.engines.len()).map(|n| self.entry(n)).filter(|e| e.state != EngineState::Removed);
         gateway.handle_event(self.now, Event::Endpoints(EndpointUpdateKind::Full, all.collect()));
         Front {
--- a/crates/testing/emulator/src/world.rs
+++ b/crates/testing/emulator/src/world.rs
@@ -25,29 +25,29 @@
     #[serde(default)]
     pub surge: Option<Surge>,
     /// Time during which attempts may still begin at a draining engine.
-    #[serde(rename = "drain_grace", default = "SimulatedDeployment::drain_grace")]
+    #[serde(rename = "drain_grace", default = "SimulatedDeployment::default_drain_grace_s")]
     pub drain_grace_s: f64,
     /// Time from an engine's start until full speed.
-    #[serde(rename = "cold_for", default = "SimulatedDeployment::cold_for")]
+    #[serde(rename = "cold_for", default = "SimulatedDeployment::default_slow_start_s")]
     pub slow_start_s: f64,
     /// Speed of an engine at its start, as a share of full speed.
-    #[serde(rename = "cold_from", default = "SimulatedDeployment::cold_from")]
+    #[serde(rename = "cold_from", default = "SimulatedDeployment::default_slow_start_share")]
     pub slow_start_share: f64,
     /// An engine that warms up fails if the work sent to it within an overload window exceeds this multiple of
     /// what its cores can do in the window at starting speed.
-    #[serde(rename = "fall_multiple", default = "SimulatedDeployment::fall_multiple")]
+    #[serde(rename = "fall_multiple", default = "SimulatedDeployment::default_overload_factor")]
     pub overload_factor: f64,
     /// Length of the overload window.
-    #[serde(rename = "fall_after", default = "SimulatedDeployment::fall_after")]
+    #[serde(rename = "fall_after", default = "SimulatedDeployment::default_overload_window_s")]
     pub overload_window_s: f64,
     /// Time until an overloaded engine has restarted. If `None`, engines do not fail by overload.
     #[serde(rename = "fallen_for", default)]
     pub overload_restart_s: Option<f64>,
     /// Whether fronts may cancel attempts in flight.
-    #[serde(default = "SimulatedDeployment::yes")]
+    #[serde(default = "SimulatedDeployment::default_true")]
     pub cancel: bool,
     /// Whether engines drop expired requests by themselves.
-    #[serde(rename = "drops_expired", default = "SimulatedDeployment::yes")]
+    #[serde(rename = "drops_expired", default = "SimulatedDeployment::default_true")]
     pub engines_drop_expired: bool,
     /// Time until a connection to a removed engine fails.
     #[serde(rename = "refused_after", default)]
@@ -113,13 +113,13 @@
     pub memory_mb: f64,
     /// Thrashing loss. If threads exceed what runs without slowdown by the factor `r`, the engine's total work
     /// drops to `1 / (1 + loss * (r - 1))`.
-    #[serde(rename = "loss", default = "EngineKind::loss")]
+    #[serde(rename = "loss", default = "EngineKind::default_thrashing_loss")]
     pub thrashing_loss: f64,
     /// Threads per core up to which requests run without slowdown.
-    #[serde(rename = "knee", default = "EngineKind::one")]
+    #[serde(rename = "knee", default = "EngineKind::default_one")]
     pub max_threads_per_core: f64,
     /// Share of its time that a running thread uses a core, from 0 to 1.
-    #[serde(rename = "on_cores", default = "EngineKind::one")]
+    #[serde(rename = "on_cores", default = "EngineKind::default_one")]
     pub cpu_share: f64,
     /// Most requests that run at once; `None` for no limit.
     #[serde(default)]
@@ -276,47 +276,47 @@
 }
 
 impl EngineKind {
-    fn loss() -> f64 {
+    fn default_thrashing_loss() -> f64 {
         0.15
     }
 
-    fn one() -> f64 {
+    fn default_one() -> f64 {
         1.0
     }
 
     /// Share of a request's work that is saved on a cached table group. Only reading is faster; the time that a
     /// running thread spends off the cores is assumed to be reading.
-    pub(crate) fn warm_saves(&self) -> f64 {
+    pub(crate) fn cached_work_saving(&self) -> f64 {
         self.cached_read_gain * (1.0 - self.cpu_share)
     }
 }
 
-pub(crate) fn span(seconds: f64) -> Duration {
+pub(crate) fn duration_from_secs(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds.max(0.0))
 }
 
 impl SimulatedDeployment {
-    fn drain_grace() -> f64 {
+    fn default_drain_grace_s() -> f64 {
         2.0
     }
 
-    fn cold_for() -> f64 {
+    fn default_slow_start_s() -> f64 {
         14.0
     }
 
-    fn cold_from() -> f64 {
+    fn default_slow_start_share() -> f64 {
         0.34
     }
 
-    fn fall_multiple() -> f64 {
+    fn default_overload_factor() -> f64 {
         3.0
     }
 
-    fn fall_after() -> f64 {
+    fn default_overload_window_s() -> f64 {
         1.5
     }
 
-    fn yes() -> bool {
+    fn default_true() -> bool {
         true
     }
 
@@ -343,7 +343,7 @@
             return wrong("times, work, threads and rates must be above zero");
         }
         for failure in &world.failures {
-            let fits = match failure.what {
+            let is_valid = match failure.what {
                 FailureKind::Kill { engine, .. }
                 | FailureKind::Silent { engine, .. }
                 | FailureKind::Slow { engine, .. }
@@ -354,7 +354,7 @@
                 FailureKind::Replace { share, over, .. } => (0.0..=1.0).contains(&share) && over > 0.0,
                 FailureKind::Restart { front } => front < world.fronts as usize,
             };
-            if !fits {
+            if !is_valid {
                 return wrong(
                     "a failure names an engine, location or front that there is not, or a share or duration out of range",
                 );
--- a/crates/testing/soak/src/clients.rs
+++ b/crates/testing/soak/src/clients.rs
@@ -65,10 +65,10 @@
         let requests = OpenRequests::default();
         let reading = stream.try_clone().ok()?;
         let (open, of_reader, closed) = (requests.clone(), context.clone(), Arc::new(AtomicBool::new(false)));
-        let is_closed = closed.clone();
+        let closed_flag = closed.clone();
         let reader = thread::spawn(move || {
             read_responses(reading, &open, &of_reader.recorder);
-            is_closed.store(true, Ordering::SeqCst);
+            closed_flag.store(true, Ordering::SeqCst);
             if of_reader.crowd.load(Ordering::SeqCst) {
                 let requests: Vec<usize> = lock(&open).values().copied().collect();
                 of_reader.recorder.set_closed_for_crowd(&requests);
@@ -110,7 +110,7 @@
         lock(&self.requests).insert(self.last_id, index);
         if (&self.stream).write_all(format!("{line}\n").as_bytes()).is_err() {
             // The request was not sent, so the client does not wait for it.
-            context.recorder.set_left(index);
+            context.recorder.set_client_left(index);
             return None;
         }
         Some(index)
@@ -119,7 +119,7 @@
     fn cancel_last(&self, index: usize) {
         let line = json!({"jsonrpc": "2.0", "method": "revoke", "params": {"id": self.last_id}});
         if (&self.stream).write_all(format!("{line}\n").as_bytes()).is_ok() {
-            self.context.recorder.set_left(index);
+            self.context.recorder.set_client_left(index);
         }
     }
 
@@ -127,7 +127,7 @@
     fn close(mut self) {
         let _ = self.stream.shutdown(Shutdown::Both);
         let open: Vec<usize> = lock(&self.requests).values().copied().collect();
-        open.into_iter().for_each(|index| self.context.recorder.set_left(index));
+        open.into_iter().for_each(|index| self.context.recorder.set_client_left(index));
         self.reader.take().map(JoinHandle::join);
     }
 
--- a/crates/testing/soak/src/discovery.rs
+++ b/crates/testing/soak/src/discovery.rs
@@ -14,7 +14,7 @@
 /// Time between two checks of a connection for an event to send.
 const POLL_INTERVAL: Duration = Duration::from_millis(4);
 /// Time from a change of address until connections to the old address are closed.
-const LEFT_CLOSES_AFTER: Duration = Duration::from_millis(1500);
+const FORMER_ADDRESS_CLOSE_DELAY: Duration = Duration::from_millis(1500);
 /// Timeout for the first message of a front, which states the last event that it knows.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Number of the event in the start configuration before any drain.
@@ -94,7 +94,7 @@
             DiscoveryChange::Repeat => state.repeats += 1,
             DiscoveryChange::CutNext => state.cut_next = true,
             DiscoveryChange::FallSilent => state.silent_before = Some(Instant::now()),
-            DiscoveryChange::GoDown(span) => state.down_until = Some(Instant::now() + span),
+            DiscoveryChange::GoDown(duration) => state.down_until = Some(Instant::now() + duration),
         }
     }
 
@@ -171,8 +171,8 @@
         if self.current != number {
             // A former address accepts no new connection and sends nothing more; its connections are closed after
             // a delay.
-            let is_over = |at: Instant| now > at + LEFT_CLOSES_AFTER || accepted_at > at;
-            return match self.moved_at.is_some_and(is_over) {
+            let is_closed = |at: Instant| now > at + FORMER_ADDRESS_CLOSE_DELAY || accepted_at > at;
+            return match self.moved_at.is_some_and(is_closed) {
                 true => ConnectionState::Closed,
                 false => ConnectionState::Silent,
             };
--- a/crates/testing/soak/src/judge.rs
+++ b/crates/testing/soak/src/judge.rs
@@ -14,7 +14,7 @@
 const LEFT_SLACK: Duration = Duration::from_millis(100);
 /// Race between a request and the close of its connection: a request sent at most this long before the client
 /// noticed the close may not have reached the front.
-const CROSSING: Duration = Duration::from_millis(50);
+const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
 /// Time from its start within which a front must be ready.
 const READY_WITHIN: Duration = Duration::from_secs(10);
 /// Descriptors that may be open once idle beyond those at the start: for each engine, and in total besides.
@@ -80,9 +80,9 @@
     }
     violations.extend(judge_effects(recording));
     violations.extend(judge_drains(recording));
-    violations.extend(judge_left(recording));
+    violations.extend(judge_client_left(recording));
     for (number, process) in recording.processes.iter().enumerate() {
-        violations.extend(judge_life(recording, number, process));
+        violations.extend(judge_process(recording, number, process));
     }
     violations
 }
@@ -106,12 +106,13 @@
             )
         });
     }
-    let came_in_time = sent_at + recording.driver_delay <= process.terminated_at + ANSWERED_AFTER_SIGNAL;
+    let sent_in_time = sent_at + recording.driver_delay <= process.terminated_at + ANSWERED_AFTER_SIGNAL;
     // A request may be in flight while the front closes its connection to free descriptors; it counts as not received.
-    let crossed =
-        request.closed_for_crowd_at.is_some_and(|at| sent_at + CROSSING + recording.driver_delay >= at);
-    let is_excused = request.left_at.is_some() || request.in_crowd || crossed;
-    let must_be_answered = came_in_time && !is_excused;
+    let raced_with_close = request
+        .closed_for_crowd_at
+        .is_some_and(|at| sent_at + CLOSE_RACE_WINDOW + recording.driver_delay >= at);
+    let is_excused = request.left_at.is_some() || request.in_crowd || raced_with_close;
+    let must_be_answered = sent_in_time && !is_excused;
     must_be_answered.then(|| {
         let after_signal = sent_at.checked_sub(process.terminated_at);
         violation(
@@ -161,7 +162,7 @@
     late.collect()
 }
 
-fn judge_left(recording: &Recording) -> Vec<Violation> {
+fn judge_client_left(recording: &Recording) -> Vec<Violation> {
     let left: BTreeMap<&str, Duration> = recording
         .requests
         .iter()
@@ -180,7 +181,7 @@
     late.collect()
 }
 
-fn judge_life(recording: &Recording, number: usize, process: &ProcessRecord) -> Vec<Violation> {
+fn judge_process(recording: &Recording, number: usize, process: &ProcessRecord) -> Vec<Violation> {
     let mut violations = Vec::new();
     let ready_after = process.ready_at.map(|at| at.saturating_sub(process.started_at));
     if ready_after.is_none_or(|after| after > READY_WITHIN) {
--- a/crates/testing/soak/src/process.rs
+++ b/crates/testing/soak/src/process.rs
@@ -58,7 +58,7 @@
     }
 
     /// Records open descriptors and resident memory now that all clients have disconnected.
-    pub(crate) fn look_at_rest(&mut self) {
+    pub(crate) fn measure_at_rest(&mut self) {
         self.record.descriptors_at_rest = Some(self.front.open_descriptors());
         self.record.memory_at_rest_kb = Some(resident_kb(self.front.id()));
     }
--- a/crates/testing/soak/src/recorder.rs
+++ b/crates/testing/soak/src/recorder.rs
@@ -64,7 +64,7 @@
     }
 
     /// Records that the client cancelled the request or disconnected, unless that is already recorded.
-    pub(crate) fn set_left(&self, request: usize) {
+    pub(crate) fn set_client_left(&self, request: usize) {
         let now = self.now();
         self.lock().requests[request].left_at.get_or_insert(now);
     }
--- a/crates/testing/soak/src/run.rs
+++ b/crates/testing/soak/src/run.rs
@@ -26,8 +26,8 @@
 const CROWD_FROM: Duration = Duration::from_millis(500);
 const CROWD_UNTIL: Duration = Duration::from_millis(1300);
 /// Time for which the second process has clients, and idle time after that before its resources are measured.
-const SECOND_LOAD: Duration = Duration::from_millis(700);
-const REST: Duration = Duration::from_millis(600);
+const SECOND_LOAD_TIME: Duration = Duration::from_millis(700);
+const IDLE_TIME: Duration = Duration::from_millis(600);
 
 /// Options of a run.
 #[derive(Debug, Clone)]
@@ -229,19 +229,20 @@
         }
     }
 
-    /// Runs the second process with clients for `SECOND_LOAD`, then measures its descriptors and memory after `REST`.
+    /// Runs the second process with clients for `SECOND_LOAD_TIME`, then measures its descriptors and memory after
+    /// `IDLE_TIME`.
     fn second_process(&mut self) {
         let channel = self.discovery.open_address();
         let config = self.config(channel);
         let mut process = FrontProcess::start(&self.recorder, self.options, &config);
-        process.record.terminated_at = self.recorder.now() + SECOND_LOAD + REST;
+        process.record.terminated_at = self.recorder.now() + SECOND_LOAD_TIME + IDLE_TIME;
         self.recorder.lock().processes.push(process.record.clone());
         let (context, clients) = self.start_clients(1, process.front.address);
-        thread::sleep(SECOND_LOAD);
+        thread::sleep(SECOND_LOAD_TIME);
         context.ended.store(true, Ordering::SeqCst);
         clients.into_iter().for_each(|client| drop(client.join()));
-        thread::sleep(REST);
-        process.look_at_rest();
+        thread::sleep(IDLE_TIME);
+        process.measure_at_rest();
         process.front.signal("TERM");
         process.set_terminated(self.recorder.now(), self.scenario.deadline);
         let record = process.finish(&self.recorder, self.options);
