--- a/crates/testing/cluster/src/fake_engine.rs
+++ b/crates/testing/cluster/src/fake_engine.rs
@@ -102,7 +102,7 @@
     }
 
     pub(crate) fn set_slowdown(&mut self, factor: f64) {
-        self.model.slow = factor;
+        self.model.slowdown = factor;
     }
 
     pub(crate) fn close_connections_from(&mut self, zone: usize) {
@@ -148,12 +148,12 @@
         self.running
             .insert(self.last_number, RunningRequest { stream: stream.try_clone().unwrap(), id, class });
         let work = Work {
-            left: work,
+            remaining_s: work,
             threads: config.classes[class].threads,
             memory_mb: REQUEST_MEMORY_MB,
-            tables: 0,
-            load: false,
-            waits_for_loads: false,
+            table_group: 0,
+            is_bulk_load: false,
+            waits_for_bulk_loads: false,
         };
         self.model.put(self.last_number, work);
         self.max_load = self.max_load.max(self.model.threads_per_core());
--- a/crates/testing/emulator/src/attempts.rs
+++ b/crates/testing/emulator/src/attempts.rs
@@ -102,33 +102,33 @@
             self.interval().refused_full += 1;
             return self.end_attempt(number, AttemptOutcome::Rejected);
         }
-        let (request_class, tables) = (
+        let (request_class, table_group) = (
             &self.world.request_classes[attempt.request_class],
             self.table_group(request, attempt.request_class),
         );
         let host = &mut self.engines[engine];
         let kind = &self.world.engines[host.kind as usize];
-        let saved = if host.use_table_group(tables, kind.cached_table_groups) {
+        let saved = if host.use_table_group(table_group, kind.cached_table_groups) {
             kind.cached_work_saving()
         } else {
             0.0
         };
-        let left = full_work * (1.0 - saved);
+        let remaining_s = full_work * (1.0 - saved);
         if let Some(attempt) = self.in_flight.get_mut(&number) {
-            attempt.work = left;
+            attempt.work = remaining_s;
         }
         let work = Work {
-            left,
+            remaining_s,
             threads: request_class.threads,
             memory_mb: request_class.memory_mb,
-            tables,
-            load: request_class.is_bulk_load,
-            waits_for_loads: !request_class.is_bulk_load,
+            table_group,
+            is_bulk_load: request_class.is_bulk_load,
+            waits_for_bulk_loads: !request_class.is_bulk_load,
         };
         self.engines[engine].engine.offer(number, work);
-        self.interval().work += left;
+        self.interval().work += remaining_s;
         self.observe(Observation::RequestRan { request });
-        self.fail_if_overloaded(engine, left);
+        self.fail_if_overloaded(engine, remaining_s);
     }
 
     /// Fails an engine that warms up if the work sent to it exceeds its overload limit.
@@ -250,9 +250,15 @@
         let number = self.next;
         self.interval().work += probes.work;
         self.probes.insert(number, Probe { front, engine, at: self.now });
-        let (threads, memory_mb, tables) = (1.0, 0.0, 0);
-        let work =
-            Work { left: probes.work, threads, memory_mb, tables, load: false, waits_for_loads: false };
+        let (threads, memory_mb, table_group) = (1.0, 0.0, 0);
+        let work = Work {
+            remaining_s: probes.work,
+            threads,
+            memory_mb,
+            table_group,
+            is_bulk_load: false,
+            waits_for_bulk_loads: false,
+        };
         self.engines[engine].engine.put(number, work);
     }
 
@@ -318,12 +324,12 @@
                 continue;
             }
             attempt.next_progress_report = now + duration_from_secs(period);
-            if let Some(left) = self.engines[attempt.engine].engine.left(*number) {
+            if let Some(remaining_s) = self.engines[attempt.engine].engine.remaining_s(*number) {
                 self.fronts[attempt.front].events.push_back(Event::Progress {
                     request: attempt.name.clone(),
                     attempt: attempt.attempt,
                     engine: attempt.engine as u32,
-                    progress: AttemptProgress::Done(1.0 - left / attempt.work),
+                    progress: AttemptProgress::Done(1.0 - remaining_s / attempt.work),
                 });
             }
         }
--- a/crates/testing/emulator/src/failures.rs
+++ b/crates/testing/emulator/src/failures.rs
@@ -25,7 +25,7 @@
                 self.engines[engine].silent_until = now + duration_from_secs(back)
             }
             FailureKind::Slow { engine, times, back } => {
-                self.engines[engine].engine.slow = times.max(1.0);
+                self.engines[engine].engine.slowdown = times.max(1.0);
                 self.engines[engine].slow_until = now + duration_from_secs(back);
             }
             FailureKind::Drain { engine, back } => self.drain(engine, Some(back)),
@@ -111,7 +111,7 @@
         for engine in 0..self.engines.len() {
             let host = &mut self.engines[engine];
             if host.slow_until <= self.now {
-                host.engine.slow = host.usual_slowdown;
+                host.engine.slowdown = host.usual_slowdown;
             }
             if host.removed_at.is_some_and(|at| at <= self.now) {
                 let back = host.restarts_at;
--- a/crates/testing/emulator/src/host.rs
+++ b/crates/testing/emulator/src/host.rs
@@ -38,10 +38,10 @@
         let machine = &world.engines[kind as usize];
         let usual_slowdown = 1.0 / (1.0 + machine.speed_spread * (2.0 * draw - 1.0));
         let mut engine = Engine::new(machine.cores, machine.memory_mb, machine.thrashing_loss);
-        (engine.knee, engine.on_cores, engine.slow) =
+        (engine.max_threads_per_core, engine.cpu_share, engine.slowdown) =
             (machine.max_threads_per_core, machine.cpu_share, usual_slowdown);
         engine.slots = machine.slots.unwrap_or(usize::MAX);
-        engine.queue = machine.queue_length.unwrap_or(usize::MAX);
+        engine.queue_length = machine.queue_length.unwrap_or(usize::MAX);
         EngineHost {
             engine,
             kind,
--- a/crates/testing/emulator/src/world.rs
+++ b/crates/testing/emulator/src/world.rs
@@ -112,7 +112,7 @@
     /// Memory of each engine, in megabytes.
     pub memory_mb: f64,
     /// Thrashing loss. If threads exceed what runs without slowdown by the factor `r`, the engine's total work
-    /// drops to `1 / (1 + loss * (r - 1))`.
+    /// drops to `1 / (1 + thrashing_loss * (r - 1))`.
     #[serde(rename = "loss", default = "EngineKind::default_thrashing_loss")]
     pub thrashing_loss: f64,
     /// Threads per core up to which requests run without slowdown.
--- a/crates/testing/emulator/tests/abilities.rs
+++ b/crates/testing/emulator/tests/abilities.rs
@@ -78,23 +78,30 @@
     play(&SimulatedDeployment::parse(text).unwrap(), 3, Fault::None)
 }
 
-fn work(left: f64) -> Work {
-    Work { left, threads: 1.0, memory_mb: 1.0, tables: 1, load: false, waits_for_loads: false }
+fn work(remaining_s: f64) -> Work {
+    Work {
+        remaining_s,
+        threads: 1.0,
+        memory_mb: 1.0,
+        table_group: 1,
+        is_bulk_load: false,
+        waits_for_bulk_loads: false,
+    }
 }
 
 #[test]
 fn engine_runs_its_slots_queues_the_next_and_rejects_beyond() {
     let mut engine = Engine::new(4.0, 1000.0, 0.2);
-    (engine.slots, engine.queue, engine.knee, engine.on_cores) = (2, 1, 2.0, 0.5);
+    (engine.slots, engine.queue_length, engine.max_threads_per_core, engine.cpu_share) = (2, 1, 2.0, 0.5);
     (1..=3).for_each(|number| engine.offer(number, work(0.1 * number as f64)));
-    assert!(engine.is_full() && engine.len() == 3 && engine.left(3).is_none());
+    assert!(engine.is_full() && engine.len() == 3 && engine.remaining_s(3).is_none());
     assert!((engine.cores_busy() - 0.25).abs() < 1e-9, "{}", engine.cores_busy());
     let first = (1..).find(|_| engine.run(0.01, 1.0).contains(&Finished(1))).unwrap();
-    assert!((9..=11).contains(&first) && !engine.is_full() && engine.left(3).is_some());
+    assert!((9..=11).contains(&first) && !engine.is_full() && engine.remaining_s(3).is_some());
     assert!(engine.cancel(3) && engine.len() == 1);
     // With a limit of two threads per core, twice as many threads as cores run without slowdown.
     let mut engine = Engine::new(4.0, 1000.0, 0.2);
-    engine.knee = 2.0;
+    engine.max_threads_per_core = 2.0;
     (0..8).for_each(|number| engine.put(number, work(0.1)));
     let all = (1..).find(|_| engine.run(0.01, 1.0).len() == 8).unwrap();
     assert!((9..=11).contains(&all), "{all}");
--- a/crates/testing/emulator/tests/emulator.rs
+++ b/crates/testing/emulator/tests/emulator.rs
@@ -5,8 +5,15 @@
 
 const MORNING: &str = include_str!("../worlds/morning.toml");
 
-fn work(left: f64, threads: f64, memory_mb: f64, load: bool) -> Work {
-    Work { left, threads, memory_mb, tables: 1, load, waits_for_loads: !load }
+fn work(remaining_s: f64, threads: f64, memory_mb: f64, is_bulk_load: bool) -> Work {
+    Work {
+        remaining_s,
+        threads,
+        memory_mb,
+        table_group: 1,
+        is_bulk_load,
+        waits_for_bulk_loads: !is_bulk_load,
+    }
 }
 
 #[test]
