--- a/crates/testing/emulator/src/attempts.rs
+++ b/crates/testing/emulator/src/attempts.rs
@@ -1,8 +1,8 @@
 //! Attempts from sending to their end at the front; load reports, probes and progress reports.
 
 use crate::check::Observation;
-use crate::dice::Dice;
 use crate::engine::{Finished, Work};
+use crate::rng::SeededRng;
 use crate::settings::{LoadReports, ReportField, ReportTransport};
 use crate::simulation::{Connection, Fault, InFlightAttempt, Probe, Simulation, TICK};
 use crate::world::duration_from_secs;
@@ -22,10 +22,10 @@
     /// Work of a request, in seconds on one thread; the same for all its attempts.
     fn work_of(&self, request: u64, request_class: usize) -> f64 {
         let mean = self.world.request_classes[request_class].mean_work_s;
-        let mut dice = Dice::new(self.seed.wrapping_mul(0x2545_f491_4f6c_dd1d) ^ request);
-        let work = dice.wait(mean).clamp(mean * MIN_WORK_FACTOR, mean * MAX_WORK_FACTOR);
+        let mut rng = SeededRng::new(self.seed.wrapping_mul(0x2545_f491_4f6c_dd1d) ^ request);
+        let work = rng.exponential(mean).clamp(mean * MIN_WORK_FACTOR, mean * MAX_WORK_FACTOR);
         match self.world.runaways {
-            Some(runaways) if dice.share() < runaways.share => mean * dice.between(runaways.times),
+            Some(runaways) if rng.fraction() < runaways.share => mean * rng.uniform(runaways.times),
             _ => work,
         }
     }
@@ -79,7 +79,7 @@
         }
         // A front begins to connect when it is notified of the engine.
         let notified = self.notified.get(&(front, engine)).copied().unwrap_or(self.now);
-        let delay = duration_from_secs(self.dice.share() * late);
+        let delay = duration_from_secs(self.rng.fraction() * late);
         let ready = *host.connected.entry(front).or_insert(notified + delay);
         let wait = ready.saturating_sub(self.now);
         if wait > CONNECT_TIMEOUT { (CONNECT_TIMEOUT, Connection::Failed) } else { (wait, Connection::Made) }
@@ -234,7 +234,11 @@
             load,
         }));
         let is_non_idempotent = self.world.request_classes[attempt.request_class].is_non_idempotent;
-        if self.fault == Fault::SendsAgain && is_non_idempotent && outcome == AttemptOutcome::Reset && !over {
+        if self.fault == Fault::RetriesNonIdempotent
+            && is_non_idempotent
+            && outcome == AttemptOutcome::Reset
+            && !over
+        {
             let other = (attempt.engine + 1) % self.engines.len();
             self.attempt(attempt.front, attempt.name, other, Duration::ZERO);
         }
@@ -291,7 +295,7 @@
                 let load = self.load_of(engine, reports);
                 let host = &mut self.engines[engine];
                 host.samples
-                    .push_back((self.now + duration_from_secs(self.dice.between(reports.delay)), load));
+                    .push_back((self.now + duration_from_secs(self.rng.uniform(reports.delay)), load));
                 host.next_sample = self.now + duration_from_secs(reports.period);
             }
             let host = &mut self.engines[engine];
@@ -303,7 +307,7 @@
 
     fn load_of(&mut self, engine: usize, reports: &LoadReports) -> LoadReport {
         let mut figure = |field: ReportField, figure: f64| {
-            let noise = 1.0 + reports.noise * (2.0 * self.dice.share() - 1.0);
+            let noise = 1.0 + reports.noise * (2.0 * self.rng.fraction() - 1.0);
             reports.fields.contains(&field).then_some(figure * noise)
         };
         let engine = &self.engines[engine].engine;
--- a/crates/testing/emulator/src/clients.rs
+++ b/crates/testing/emulator/src/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: which requests they send to which front, how long they wait, and when they give up or retry.
 
 use crate::check::Observation;
-use crate::dice::Dice;
+use crate::rng::SeededRng;
 use crate::shares::falls_on;
 use crate::simulation::{BEGIN, ClientRequest, Fault, OpenRequest, Simulation};
 use crate::world::duration_from_secs;
@@ -15,7 +15,7 @@
             let at = (self.next_arrival - begin).as_secs_f64();
             let surge = self.world.surge.filter(|surge| surge.from <= at && at < surge.to);
             let rate = self.world.requests_per_second * surge.map_or(1.0, |surge| surge.times);
-            self.next_arrival += duration_from_secs(self.dice.wait(1.0 / rate));
+            self.next_arrival += duration_from_secs(self.rng.exponential(1.0 / rate));
             self.requests_started += 1;
             let (request, request_class) = (self.requests_started, self.draw_class());
             self.requests.insert(request, ClientRequest { request_class, first: self.now, tries: 0 });
@@ -29,7 +29,7 @@
     }
 
     fn draw_class(&mut self) -> usize {
-        let mut drawn = self.dice.share();
+        let mut drawn = self.rng.fraction();
         for (number, request_class) in self.world.request_classes.iter().enumerate() {
             drawn -= request_class.share;
             if drawn < 0.0 {
@@ -44,12 +44,12 @@
         if self.world.request_classes[request_class].zipf_exponent == 0.0 {
             return request % tables.len() as u64;
         }
-        falls_on(tables, Dice::new(request ^ self.seed.rotate_left(32)).share()) as u64
+        falls_on(tables, SeededRng::new(request ^ self.seed.rotate_left(32)).fraction()) as u64
     }
 
     /// Sends a try of a request, the first or a retry, to a random front.
     fn send_try(&mut self, request: u64) {
-        let front = falls_on(&self.traffic, self.dice.share());
+        let front = falls_on(&self.traffic, self.rng.fraction());
         let repeats = self.requests.get(&request).map_or(0, |known| known.tries);
         let name: RequestId = match self.world.clients {
             Some(_) if repeats > 0 => format!("b{request}.{repeats}").into(),
@@ -78,7 +78,7 @@
             request: name,
             request_class,
             table_group,
-            key: key.filter(|_| self.fault != Fault::ForgetsKeys),
+            key: key.filter(|_| self.fault != Fault::HidesKeys),
             client_timeout: limit - self.now,
             work: None,
             memory_mb: 0.0,
@@ -98,9 +98,9 @@
     /// Draws whether the client will give up the try early, and when.
     fn draw_early_give_up(&mut self, front: usize, name: &RequestId, request_class: usize, id: u64) {
         let Some(clients) = self.world.clients else { return };
-        if self.dice.share() < clients.impatient {
+        if self.rng.fraction() < clients.impatient {
             let after = duration_from_secs(
-                self.world.request_classes[request_class].deadline_s * 0.5 * self.dice.share(),
+                self.world.request_classes[request_class].deadline_s * 0.5 * self.rng.fraction(),
             );
             self.give_ups.insert((self.now + after, id), (front, name.clone()));
         }
@@ -124,7 +124,7 @@
         self.interval().rejected += 1;
         self.answer(open_request.id);
         let Some(clients) = self.world.clients else {
-            if self.dice.share() < self.world.retry_share {
+            if self.rng.fraction() < self.world.retry_share {
                 let wait = retry_after.unwrap_or(Duration::from_millis(500));
                 self.retries.insert((self.now + wait, open_request.request));
             }
@@ -132,8 +132,8 @@
         };
         let Some(request) = self.requests.get(&open_request.request).copied() else { return };
         let doubled = f64::from(1 << (request.tries - 1).min(16));
-        let backoff = duration_from_secs(self.dice.between(clients.back_off) * doubled);
-        let honours = self.dice.share() < clients.honour;
+        let backoff = duration_from_secs(self.rng.uniform(clients.back_off) * doubled);
+        let honours = self.rng.fraction() < clients.honour;
         let at = self.now + retry_after.filter(|_| honours).unwrap_or(backoff);
         if request.tries < clients.tries
             && at
--- a/crates/testing/emulator/src/failures.rs
+++ b/crates/testing/emulator/src/failures.rs
@@ -46,8 +46,8 @@
             (0..self.engines.len()).filter(|n| self.engines[*n].state == EngineState::Active).collect();
         let count = (active.len() as f64 * share).round() as usize;
         for _ in 0..count {
-            let engine = active.swap_remove(self.dice.below(active.len()));
-            let at = self.now + duration_from_secs(self.dice.share() * over);
+            let engine = active.swap_remove(self.rng.below(active.len()));
+            let at = self.now + duration_from_secs(self.rng.fraction() * over);
             self.replacements.push(Replacement { at, engine, manner });
         }
     }
@@ -62,7 +62,7 @@
                 ReplacementManner::Vanish => self.kill(engine, None),
                 ReplacementManner::Drain => self.drain(engine, None),
             }
-            let (kind, spread) = (self.engines[engine].kind, self.dice.share());
+            let (kind, spread) = (self.engines[engine].kind, self.rng.fraction());
             self.engines.push(EngineHost::new(self.world, kind, spread));
             let joined = self.engines.len() - 1;
             self.start(joined);
@@ -154,7 +154,7 @@
     fn notification_delay(&mut self, front: usize, state: EngineState) -> Duration {
         let Some(discovery) = self.world.discovery else { return NOTIFICATION_DELAY };
         let delay = if state == EngineState::Active { discovery.join_delay } else { discovery.leave_delay };
-        let delay = duration_from_secs(self.dice.between(delay));
+        let delay = duration_from_secs(self.rng.uniform(delay));
         let (from, to) = self.fronts[front].outage;
         let at = self.now + delay;
         if from <= at && at < to { to - self.now } else { delay }
@@ -166,7 +166,7 @@
             return Default::default();
         };
         let whole: Range = [0.0, self.world.duration_s];
-        let from = self.now + duration_from_secs(self.dice.between(whole));
-        (from, from + duration_from_secs(self.dice.between(silent)))
+        let from = self.now + duration_from_secs(self.rng.uniform(whole));
+        (from, from + duration_from_secs(self.rng.uniform(silent)))
     }
 }
--- a/crates/testing/emulator/src/lib.rs
+++ b/crates/testing/emulator/src/lib.rs
@@ -8,12 +8,12 @@
 mod attempts;
 mod check;
 mod clients;
-mod dice;
 mod engine;
 mod failures;
 mod front_config;
 mod host;
-mod play;
+mod rng;
+mod run;
 mod settings;
 mod shares;
 mod simulation;
@@ -21,9 +21,9 @@
 mod world;
 
 pub use check::Violation;
-pub use dice::Dice;
 pub use engine::{Engine, Finished, Work};
-pub use play::play;
+pub use rng::SeededRng;
+pub use run::simulate;
 pub use settings::{
     ClientBehavior, DiscoveryDelays, LoadReports, Probes, Range, ReportField, ReportTransport, Runaways,
 };
--- a/crates/testing/emulator/src/dice.rs
+++ b/crates/testing/emulator/src/rng.rs
@@ -4,12 +4,12 @@
 
 /// A SplitMix64 generator. It is implemented here so that a seed gives the same numbers on every platform.
 #[derive(Debug, Clone)]
-pub struct Dice(u64);
+pub struct SeededRng(u64);
 
-impl Dice {
+impl SeededRng {
     /// A generator with this seed.
-    pub fn new(seed: u64) -> Dice {
-        Dice(seed ^ 0x9e37_79b9_7f4a_7c15)
+    pub fn new(seed: u64) -> SeededRng {
+        SeededRng(seed ^ 0x9e37_79b9_7f4a_7c15)
     }
 
     fn next(&mut self) -> u64 {
@@ -21,13 +21,13 @@
     }
 
     /// Uniform from 0 to below 1.
-    pub fn share(&mut self) -> f64 {
+    pub fn fraction(&mut self) -> f64 {
         (self.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 
     /// Uniform within a range.
-    pub fn between(&mut self, [least, most]: Range) -> f64 {
-        least + (most - least) * self.share()
+    pub fn uniform(&mut self, [least, most]: Range) -> f64 {
+        least + (most - least) * self.fraction()
     }
 
     /// An integer from 0 to below `most`; 0 if `most` is 0.
@@ -36,7 +36,7 @@
     }
 
     /// Exponentially distributed with this mean.
-    pub fn wait(&mut self, mean: f64) -> f64 {
-        -mean * (1.0 - self.share()).ln()
+    pub fn exponential(&mut self, mean: f64) -> f64 {
+        -mean * (1.0 - self.fraction()).ln()
     }
 }
--- a/crates/testing/emulator/src/play.rs
+++ b/crates/testing/emulator/src/run.rs
@@ -2,8 +2,8 @@
 //! randomness comes from one seed.
 
 use crate::check::{Checker, RetryAllowance, RuleConfig};
-use crate::dice::Dice;
 use crate::host::EngineHost;
+use crate::rng::SeededRng;
 use crate::shares::running_sums;
 use crate::simulation::{BEGIN, Fault, Report, Simulation, TICK};
 use crate::tally::Statistics;
@@ -16,7 +16,7 @@
 const SLACK: Duration = Duration::from_millis(60);
 
 /// Simulates a deployment with a seed and an injected fault.
-pub fn play(world: &SimulatedDeployment, seed: u64, fault: Fault) -> Report {
+pub fn simulate(world: &SimulatedDeployment, seed: u64, fault: Fault) -> Report {
     let mut simulation = Simulation::new(world, seed, fault);
     for number in 0..world.fronts {
         let outage = simulation.draw_outage();
@@ -24,17 +24,17 @@
         front.outage = outage;
         simulation.fronts.push(front);
     }
-    simulation.play(seed);
+    simulation.run(seed);
     simulation.report.violations = std::mem::take(&mut simulation.checker.violations);
     simulation.report
 }
 
 /// The engines, in the order of their kinds.
-fn engines(world: &SimulatedDeployment, dice: &mut Dice) -> Vec<EngineHost> {
+fn engines(world: &SimulatedDeployment, rng: &mut SeededRng) -> Vec<EngineHost> {
     let mut engines = Vec::new();
     for (kind, machine) in world.engines.iter().enumerate() {
         for _ in 0..machine.count {
-            let draw = if machine.speed_spread > 0.0 { dice.share() } else { 0.0 };
+            let draw = if machine.speed_spread > 0.0 { rng.fraction() } else { 0.0 };
             engines.push(EngineHost::new(world, kind as u32, draw));
         }
     }
@@ -42,9 +42,9 @@
 }
 
 /// Draws the fronts' shares of the traffic, and returns their running sums.
-fn traffic(world: &SimulatedDeployment, dice: &mut Dice) -> Vec<f64> {
+fn traffic(world: &SimulatedDeployment, rng: &mut SeededRng) -> Vec<f64> {
     let shares = (0..world.fronts).map(|_| {
-        let drawn = if world.traffic_spread > 0.0 { dice.wait(1.0) } else { 1.0 };
+        let drawn = if world.traffic_spread > 0.0 { rng.exponential(1.0) } else { 1.0 };
         (1.0 - world.traffic_spread) + world.traffic_spread * drawn
     });
     running_sums(shares)
@@ -69,9 +69,9 @@
 impl<'a> Simulation<'a> {
     /// A simulation without fronts. Random numbers are drawn first for the engines, then for the traffic.
     fn new(world: &'a SimulatedDeployment, seed: u64, fault: Fault) -> Simulation<'a> {
-        let mut dice = Dice::new(seed);
-        let engines = engines(world, &mut dice);
-        let traffic = traffic(world, &mut dice);
+        let mut rng = SeededRng::new(seed);
+        let engines = engines(world, &mut rng);
+        let traffic = traffic(world, &mut rng);
         let classes = &world.request_classes;
         let tables = classes.iter().map(|class| {
             running_sums((1..=class.table_groups.max(1)).map(|rank| (rank as f64).powf(-class.zipf_exponent)))
@@ -99,14 +99,14 @@
             give_ups: BTreeMap::new(),
             checker: Checker::new(rules(world, &engines)),
             report: Report { statistics: Statistics::new(classes.len()), ..Report::default() },
-            dice,
+            rng,
             engines,
         }
     }
 }
 
 impl Simulation<'_> {
-    fn play(&mut self, seed: u64) {
+    fn run(&mut self, seed: u64) {
         let begin = BEGIN;
         let end = begin + duration_from_secs(self.world.duration_s);
         let longest = self
--- a/crates/testing/emulator/src/simulation.rs
+++ b/crates/testing/emulator/src/simulation.rs
@@ -1,8 +1,8 @@
 //! State of a simulation. The modules for clients, attempts, engines and failures implement its steps.
 
 use crate::check::{Checker, Observation, Violation};
-use crate::dice::Dice;
 use crate::host::EngineHost;
+use crate::rng::SeededRng;
 use crate::tally::{IntervalCounts, Statistics};
 use crate::world::{ReplacementManner, SimulatedDeployment};
 use lemonusher::{EndpointUpdateKind, EngineEntry, EngineState, Event, Gateway, RequestId};
@@ -21,19 +21,19 @@
     /// No fault.
     None,
     /// Breaks rule 1: some responses are sent twice.
-    AnswersTwice,
+    RespondsTwice,
     /// Breaks rule 2: non-idempotent requests are sent again after a reset.
-    SendsAgain,
+    RetriesNonIdempotent,
     /// Breaks rule 3: drains are hidden from the gateway.
     HidesDrains,
     /// Breaks rule 4: started engines are shown to the gateway as warm.
-    HidesColds,
+    HidesStarts,
     /// Breaks rule 5: keys are hidden from the gateway.
-    ForgetsKeys,
+    HidesKeys,
     /// Breaks rule 6: the classes' allowed zones are hidden from the gateway.
-    ForgetsPlaces,
+    HidesAllowedZones,
     /// Breaks rule 7: the retry budget is hidden from the gateway.
-    ForgetsBudget,
+    HidesRetryBudget,
 }
 
 /// Results of a run.
@@ -136,7 +136,7 @@
     pub world: &'a SimulatedDeployment,
     pub seed: u64,
     pub fault: Fault,
-    pub dice: Dice,
+    pub rng: SeededRng,
     pub now: Duration,
     pub fronts: Vec<Front>,
     /// Running sums of the fronts' shares of the traffic.
@@ -168,10 +168,10 @@
     pub(crate) fn front(&self, number: u32, seed: u64) -> Front {
         let mut deployment = self.world.deployment(number);
         match self.fault {
-            Fault::ForgetsPlaces => {
+            Fault::HidesAllowedZones => {
                 deployment.request_classes.iter_mut().for_each(|class| class.allowed_zones = None)
             }
-            Fault::ForgetsBudget => deployment.safety_rules.retry_budget = None,
+            Fault::HidesRetryBudget => deployment.safety_rules.retry_budget = None,
             _ => {}
         }
         let mut gateway = Gateway::new(deployment, seed ^ u64::from(number) << 32);
@@ -194,7 +194,7 @@
             zone: host.zone,
             machine_kind: host.kind,
             state: if hidden { EngineState::Active } else { host.state },
-            started_at: if self.fault == Fault::HidesColds { Duration::ZERO } else { host.started },
+            started_at: if self.fault == Fault::HidesStarts { Duration::ZERO } else { host.started },
             ..EngineEntry::default()
         }
     }
@@ -214,7 +214,7 @@
 
     pub(crate) fn answer(&mut self, id: u64) {
         self.observe(Observation::TryAnswered { id });
-        if self.fault == Fault::AnswersTwice && id.is_multiple_of(50) {
+        if self.fault == Fault::RespondsTwice && id.is_multiple_of(50) {
             self.observe(Observation::TryAnswered { id });
         }
     }
--- a/crates/testing/emulator/tests/abilities.rs
+++ b/crates/testing/emulator/tests/abilities.rs
@@ -1,7 +1,7 @@
 //! Tests of the optional sections of a deployment's file: each one changes the run as stated, and unknown keys are
 //! rejected.
 
-use lemonusher_emulator::{Engine, Fault, Finished, Report, SimulatedDeployment, Work, play};
+use lemonusher_emulator::{Engine, Fault, Finished, Report, SimulatedDeployment, Work, simulate};
 
 /// A small deployment with every optional section.
 const SMALL: &str = r#"
@@ -75,7 +75,7 @@
 "#;
 
 fn run(text: &str) -> Report {
-    play(&SimulatedDeployment::parse(text).unwrap(), 3, Fault::None)
+    simulate(&SimulatedDeployment::parse(text).unwrap(), 3, Fault::None)
 }
 
 fn work(remaining_s: f64) -> Work {
@@ -114,7 +114,7 @@
     for (manner, seed) in ["vanish", "drain"].into_iter().flat_map(|manner| [1, 2, 3, 4].map(|s| (manner, s)))
     {
         let world = SimulatedDeployment::parse(&tame.replace("vanish", manner)).unwrap();
-        let (first, again) = (play(&world, seed, Fault::None), play(&world, seed, Fault::None));
+        let (first, again) = (simulate(&world, seed, Fault::None), simulate(&world, seed, Fault::None));
         assert_eq!(first, again);
         assert!(first.violations.is_empty(), "{manner} seed {seed}: {:?}", first.violations.first());
         let served = first.statistics.served_share(0, 15.0, 20.0);
@@ -126,7 +126,7 @@
 #[test]
 fn started_engine_fails_when_its_start_is_hidden() {
     let world = SimulatedDeployment::parse(&SMALL.replace("fall_after = 1", "fall_after = 0.2")).unwrap();
-    let fallen: u64 = (1..=3).map(|seed| play(&world, seed, Fault::HidesColds).overloaded).sum();
+    let fallen: u64 = (1..=3).map(|seed| simulate(&world, seed, Fault::HidesStarts).overloaded).sum();
     assert!(fallen > 0);
 }
 
--- a/crates/testing/emulator/tests/collapse.rs
+++ b/crates/testing/emulator/tests/collapse.rs
@@ -2,7 +2,7 @@
 //! each request class must be served as before. The tests guard against a metastable collapse: a deployment that
 //! keeps rejecting requests although the cause is gone.
 
-use lemonusher_emulator::{Fault, INTERVAL_SECONDS, Report, SimulatedDeployment, play};
+use lemonusher_emulator::{Fault, INTERVAL_SECONDS, Report, SimulatedDeployment, simulate};
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Instant;
@@ -97,7 +97,7 @@
             scope.spawn(|| {
                 while let Some(seed) = seeds.get(next.fetch_add(1, Ordering::Relaxed)) {
                     let begun = Instant::now();
-                    let report = play(&world, *seed, Fault::None);
+                    let report = simulate(&world, *seed, Fault::None);
                     println!("{}", proof(trial.name, *seed, &world, &report, begun.elapsed().as_secs_f64()));
                     found.lock().unwrap().extend(faults(trial, *seed, &world, &report));
                 }
--- a/crates/testing/emulator/tests/emulator.rs
+++ b/crates/testing/emulator/tests/emulator.rs
@@ -1,7 +1,7 @@
 //! The engine model keeps its invariants. The checker finds no violation without an injected fault, and detects
 //! each fault.
 
-use lemonusher_emulator::{Engine, Fault, Finished, SimulatedDeployment, Work, play};
+use lemonusher_emulator::{Engine, Fault, Finished, SimulatedDeployment, Work, simulate};
 
 const MORNING: &str = include_str!("../worlds/morning.toml");
 
@@ -40,8 +40,11 @@
 #[test]
 fn same_seed_gives_the_same_run() {
     let world = SimulatedDeployment::parse(MORNING).unwrap();
-    let (a, b, c) =
-        (play(&world, 7, Fault::None), play(&world, 7, Fault::None), play(&world, 8, Fault::None));
+    let (a, b, c) = (
+        simulate(&world, 7, Fault::None),
+        simulate(&world, 7, Fault::None),
+        simulate(&world, 8, Fault::None),
+    );
     assert_eq!(a, b);
     assert_ne!(a.digest, c.digest);
     assert!(a.tries > 1500 && a.returned * 10 > a.tries * 7, "{} of {}", a.returned, a.tries);
@@ -52,7 +55,7 @@
 fn correct_fronts_break_no_rule_and_each_fault_is_detected() {
     let world = SimulatedDeployment::parse(MORNING).unwrap();
     for seed in 1..=5 {
-        let report = play(&world, seed, Fault::None);
+        let report = simulate(&world, seed, Fault::None);
         assert!(
             report.violations.is_empty(),
             "seed {seed}: {:?}",
@@ -60,16 +63,16 @@
         );
     }
     for (fault, rule) in [
-        (Fault::AnswersTwice, 1),
-        (Fault::SendsAgain, 2),
+        (Fault::RespondsTwice, 1),
+        (Fault::RetriesNonIdempotent, 2),
         (Fault::HidesDrains, 3),
-        (Fault::HidesColds, 4),
-        (Fault::ForgetsKeys, 5),
-        (Fault::ForgetsPlaces, 6),
-        (Fault::ForgetsBudget, 7),
+        (Fault::HidesStarts, 4),
+        (Fault::HidesKeys, 5),
+        (Fault::HidesAllowedZones, 6),
+        (Fault::HidesRetryBudget, 7),
     ] {
-        let seen =
-            (1..=5).any(|seed| play(&world, seed, fault).violations.iter().any(|broken| broken.rule == rule));
+        let seen = (1..=5)
+            .any(|seed| simulate(&world, seed, fault).violations.iter().any(|broken| broken.rule == rule));
         assert!(seen, "{fault:?} is not seen");
     }
 }
--- a/crates/testing/emulator/tests/slow_engines.rs
+++ b/crates/testing/emulator/tests/slow_engines.rs
@@ -2,7 +2,7 @@
 //! front has to detect the slow engines from its own requests. Fronts that use a small subset of the engines
 //! detect them at once, which keeps the slow engines from filling up for the rest of the run.
 
-use lemonusher_emulator::{Fault, SimulatedDeployment, play};
+use lemonusher_emulator::{Fault, SimulatedDeployment, simulate};
 
 const BOX_OFFICE: &str = include_str!("../worlds/box-office-join.toml");
 /// Text at which the failures begin in the deployment's file.
@@ -40,7 +40,7 @@
 fn fleet_without_load_reports_serves_beside_slow_engines() {
     let world = world();
     for seed in SEEDS {
-        let report = play(&world, seed, Fault::None);
+        let report = simulate(&world, seed, Fault::None);
         let classes = 0..world.request_classes.len();
         let served: Vec<f64> =
             classes.map(|class| report.statistics.served_share(class, SLOW_AT, END)).collect();
