--- a/crates/testing/soak/src/clients.rs
+++ b/crates/testing/soak/src/clients.rs
@@ -101,7 +101,7 @@
             connected_at: self.connected_at,
             sent_at: context.recorder.now(),
             timeout: Duration::from_millis(ttl),
-            left_at: None,
+            client_left_at: None,
             in_crowd: self.in_crowd,
             closed_for_crowd_at: None,
             responses: Vec::new(),
--- a/crates/testing/soak/src/judge.rs
+++ b/crates/testing/soak/src/judge.rs
@@ -95,7 +95,7 @@
     }
     let due = sent_at + request.timeout + RESPONSE_SLACK + recording.driver_delay;
     if let Some(response) = request.responses.first() {
-        let is_late = response.at > due && request.left_at.is_none();
+        let is_late = response.at > due && request.client_left_at.is_none();
         return is_late.then(|| {
             violation(
                 Rule::Answered,
@@ -111,7 +111,7 @@
     let raced_with_close = request
         .closed_for_crowd_at
         .is_some_and(|at| sent_at + CLOSE_RACE_WINDOW + recording.driver_delay >= at);
-    let is_excused = request.left_at.is_some() || request.in_crowd || raced_with_close;
+    let is_excused = request.client_left_at.is_some() || request.in_crowd || raced_with_close;
     let must_be_answered = sent_in_time && !is_excused;
     must_be_answered.then(|| {
         let after_signal = sent_at.checked_sub(process.terminated_at);
@@ -166,7 +166,7 @@
     let left: BTreeMap<&str, Duration> = recording
         .requests
         .iter()
-        .filter_map(|request| Some((request.call.as_str(), request.left_at?)))
+        .filter_map(|request| Some((request.call.as_str(), request.client_left_at?)))
         .collect();
     let late = recording.attempts.iter().filter_map(|attempt| {
         let allowed = *left.get(attempt.call.as_str())? + LEFT_SLACK + recording.driver_delay;
--- a/crates/testing/soak/src/recorder.rs
+++ b/crates/testing/soak/src/recorder.rs
@@ -66,7 +66,7 @@
     /// Records that the client cancelled the request or disconnected, unless that is already recorded.
     pub(crate) fn set_client_left(&self, request: usize) {
         let now = self.now();
-        self.lock().requests[request].left_at.get_or_insert(now);
+        self.lock().requests[request].client_left_at.get_or_insert(now);
     }
 
     /// Records that the front closed the requests' connection while idle clients filled its descriptors.
--- a/crates/testing/soak/src/records.rs
+++ b/crates/testing/soak/src/records.rs
@@ -47,7 +47,7 @@
     /// The client timeout, at most the class's deadline.
     pub timeout: Duration,
     /// Time at which the client had cancelled it, had closed the connection, or had failed to write it.
-    pub left_at: Option<Duration>,
+    pub client_left_at: Option<Duration>,
     /// Whether its connection was opened while idle clients filled the descriptors. The front may close such a
     /// connection without reading from it.
     pub in_crowd: bool,
--- a/crates/testing/soak/tests/judge.rs
+++ b/crates/testing/soak/tests/judge.rs
@@ -19,7 +19,7 @@
         connected_at: ms(100),
         sent_at: ms(sent_at),
         timeout: ms(1000),
-        left_at: None,
+        client_left_at: None,
         in_crowd: false,
         closed_for_crowd_at: None,
         responses: vec![response(sent_at + 50, ResponseKind::Result)],
@@ -95,7 +95,7 @@
         }),
         ("attempt past the drain's grace", Rule::DrainGrace, |r| r.attempts[1].at = ms(910)),
         ("attempt for a client that has left", Rule::ClientLeft, |r| {
-            r.requests[0].left_at = Some(ms(420));
+            r.requests[0].client_left_at = Some(ms(420));
         }),
         ("never ready", Rule::Ready, |r| r.processes[0].ready_at = None),
         ("ready late", Rule::Ready, |r| r.processes[0].ready_at = Some(ms(10_001))),
@@ -113,7 +113,7 @@
     let cases: [(&str, Change); 6] = [
         ("no response, but its client has left", |r| {
             r.requests[0].responses.clear();
-            r.requests[0].left_at = Some(ms(600));
+            r.requests[0].client_left_at = Some(ms(600));
         }),
         ("no response, long after the signal", |r| {
             r.requests.push(request("c", RequestClass::Idempotent, 3700));
