--- a/crates/testing/emulator/src/attempts.rs
+++ b/crates/testing/emulator/src/attempts.rs
@@ -42,15 +42,15 @@
         self.interval().attempts += 1;
         let mean = self.world.request_classes[open_request.request_class].mean_work_s;
         self.observe(Observation::AttemptSent { front, id: open_request.id, number, engine, work: mean });
-        let until =
+        let times_out_at =
             if time_out.is_zero() { open_request.limit } else { open_request.limit.min(self.now + time_out) };
         let attempt = InFlightAttempt {
             front,
             name,
             attempt: number,
             engine,
-            at: self.now,
-            until,
+            sent_at: self.now,
+            times_out_at,
             work,
             request_class: open_request.request_class,
             id: open_request.id,
@@ -75,14 +75,18 @@
         }
         let late = self.world.discovery.map_or(0.0, |discovery| discovery.connect_late);
         if host.started.is_zero() || late <= 0.0 {
-            return (Duration::ZERO, Connection::Made);
+            return (Duration::ZERO, Connection::Established);
         }
         // A front begins to connect when it is notified of the engine.
         let notified = self.notified.get(&(front, engine)).copied().unwrap_or(self.now);
         let delay = duration_from_secs(self.rng.fraction() * late);
         let ready = *host.connected.entry(front).or_insert(notified + delay);
         let wait = ready.saturating_sub(self.now);
-        if wait > CONNECT_TIMEOUT { (CONNECT_TIMEOUT, Connection::Failed) } else { (wait, Connection::Made) }
+        if wait > CONNECT_TIMEOUT {
+            (CONNECT_TIMEOUT, Connection::Failed)
+        } else {
+            (wait, Connection::Established)
+        }
     }
 
     pub(crate) fn handle_connections(&mut self) {
@@ -178,8 +182,12 @@
     }
 
     pub(crate) fn handle_timeouts(&mut self) {
-        let late: Vec<u64> =
-            self.in_flight.iter().filter(|(_, attempt)| attempt.until <= self.now).map(|(n, _)| *n).collect();
+        let late: Vec<u64> = self
+            .in_flight
+            .iter()
+            .filter(|(_, attempt)| attempt.times_out_at <= self.now)
+            .map(|(n, _)| *n)
+            .collect();
         for number in late {
             let engine = self.in_flight[&number].engine;
             if self.world.cancel || self.world.engines_drop_expired {
@@ -202,7 +210,7 @@
         if outcome == AttemptOutcome::Returned {
             let idle = (attempt.work / self.world.request_classes[attempt.request_class].threads)
                 .max(TICK.as_secs_f64());
-            let slowdown = (self.now - attempt.at).as_secs_f64() / idle;
+            let slowdown = (self.now - attempt.sent_at).as_secs_f64() / idle;
             let counts = self.interval();
             counts.returned += 1;
             counts.slowdown += slowdown;
@@ -211,10 +219,10 @@
             self.fronts[attempt.front].open_requests.remove(&attempt.name);
             self.report.returned += 1;
             self.count_served(&open_request, attempt.work);
-            self.answer(open_request.id);
+            self.respond(open_request.id);
         }
         let front = &self.fronts[attempt.front];
-        let over =
+        let request_is_over =
             front.open_requests.get(&attempt.name).is_none_or(|open_request| open_request.id != attempt.id);
         let cost = ResourceUsage {
             work: duration_from_secs(attempt.work),
@@ -227,9 +235,9 @@
             request: attempt.name.clone(),
             attempt: attempt.attempt,
             engine: attempt.engine as u32,
-            elapsed: self.now.saturating_sub(attempt.at),
+            elapsed: self.now.saturating_sub(attempt.sent_at),
             outcome,
-            request_finished: over,
+            request_finished: request_is_over,
             usage: (outcome == AttemptOutcome::Returned).then_some(cost),
             load,
         }));
@@ -237,7 +245,7 @@
         if self.fault == Fault::RetriesNonIdempotent
             && is_non_idempotent
             && outcome == AttemptOutcome::Reset
-            && !over
+            && !request_is_over
         {
             let other = (attempt.engine + 1) % self.engines.len();
             self.attempt(attempt.front, attempt.name, other, Duration::ZERO);
--- a/crates/testing/emulator/src/check.rs
+++ b/crates/testing/emulator/src/check.rs
@@ -25,7 +25,7 @@
         limit: Duration,
     },
     /// A try got its response.
-    TryAnswered { id: u64 },
+    ResponseSent { id: u64 },
     /// The client disconnected before the response.
     ClientGone { id: u64 },
     /// A front sent an attempt of a try to an engine.
@@ -55,7 +55,7 @@
                 .field("key", key)
                 .field("limit", limit)
                 .finish(),
-            Observation::TryAnswered { id } => f.debug_struct("Answered").field("id", id).finish(),
+            Observation::ResponseSent { id } => f.debug_struct("Answered").field("id", id).finish(),
             Observation::ClientGone { id } => f.debug_struct("Left").field("id", id).finish(),
             Observation::AttemptSent { front, id, number, engine, work } => f
                 .debug_struct("Sent")
@@ -135,7 +135,7 @@
     class: usize,
     key: Option<u64>,
     limit: Duration,
-    answered: bool,
+    ended: bool,
     /// Attempts in flight.
     in_flight: u32,
     may_have_run: bool,
@@ -213,16 +213,16 @@
                     class: request_class,
                     key,
                     limit,
-                    answered: false,
+                    ended: false,
                     in_flight: 0,
                     may_have_run: false,
                 };
                 self.tries.insert(id, arrived);
             }
-            Observation::TryAnswered { id } => self.check_answer(now, id),
+            Observation::ResponseSent { id } => self.check_response(now, id),
             Observation::ClientGone { id } => {
                 if let Some(known) = self.tries.get_mut(&id) {
-                    known.answered = true;
+                    known.ended = true;
                 }
                 self.leave_key_queue(id);
             }
@@ -243,22 +243,22 @@
                 self.start_engine(now, engine, cores, zone);
             }
             Observation::FrontRestarted { front } => {
-                self.key_queues.retain(|(of, _), _| *of != front);
+                self.key_queues.retain(|(queue_front, _), _| *queue_front != front);
                 let of_front = self.tries.values_mut().filter(|known| known.front == front);
-                of_front.for_each(|known| known.answered = true);
+                of_front.for_each(|known| known.ended = true);
             }
         }
     }
 
-    fn check_answer(&mut self, now: Duration, id: u64) {
+    fn check_response(&mut self, now: Duration, id: u64) {
         let Some(known) = self.tries.get_mut(&id) else {
             return self.report(1, now, format!("response to unknown try {id}"));
         };
-        let again = std::mem::replace(&mut known.answered, true);
-        let late = now > known.limit + self.config.slack;
-        if again {
+        let is_second = std::mem::replace(&mut known.ended, true);
+        let is_late = now > known.limit + self.config.slack;
+        if is_second {
             self.report(1, now, format!("second response to try {id}"));
-        } else if late {
+        } else if is_late {
             self.report(1, now, format!("late response to try {id}"));
         }
         self.leave_key_queue(id);
@@ -294,13 +294,13 @@
         let Some(known) = self.tries.get_mut(&id) else {
             return self.report(1, now, format!("attempt of unknown try {id}"));
         };
-        let was_answered = known.answered;
+        let had_ended = known.ended;
         let in_flight = known.in_flight;
         let must_not_run =
             self.config.non_idempotent[known.class] && (known.may_have_run || known.in_flight > 0);
         known.in_flight += 1;
         let (class, key) = (known.class, known.key);
-        if was_answered {
+        if had_ended {
             self.report(1, now, format!("attempt of try {id} after its response"));
         }
         if must_not_run {
@@ -396,7 +396,7 @@
     /// Checks at the end that every try got a response.
     pub fn finish(&mut self, now: Duration) {
         let open: Vec<u64> = (self.tries.iter())
-            .filter(|(_, known)| !known.answered && known.limit + self.config.slack < now)
+            .filter(|(_, known)| !known.ended && known.limit + self.config.slack < now)
             .map(|(id, _)| *id)
             .collect();
         for id in open {
--- a/crates/testing/emulator/src/clients.rs
+++ b/crates/testing/emulator/src/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::check::Observation;
 use crate::rng::SeededRng;
-use crate::shares::falls_on;
+use crate::shares::index_at_share;
 use crate::simulation::{BEGIN, ClientRequest, Fault, OpenRequest, Simulation};
 use crate::world::duration_from_secs;
 use lemonusher::{Arrival, Event, RequestId};
@@ -40,16 +40,16 @@
     }
 
     pub(crate) fn table_group(&self, request: u64, request_class: usize) -> u64 {
-        let tables = &self.tables[request_class];
+        let sums = &self.table_group_sums[request_class];
         if self.world.request_classes[request_class].zipf_exponent == 0.0 {
-            return request % tables.len() as u64;
+            return request % sums.len() as u64;
         }
-        falls_on(tables, SeededRng::new(request ^ self.seed.rotate_left(32)).fraction()) as u64
+        index_at_share(sums, SeededRng::new(request ^ self.seed.rotate_left(32)).fraction()) as u64
     }
 
     /// Sends a try of a request, the first or a retry, to a random front.
     fn send_try(&mut self, request: u64) {
-        let front = falls_on(&self.traffic, self.rng.fraction());
+        let front = index_at_share(&self.traffic, self.rng.fraction());
         let repeats = self.requests.get(&request).map_or(0, |known| known.tries);
         let name: RequestId = match self.world.clients {
             Some(_) if repeats > 0 => format!("b{request}.{repeats}").into(),
@@ -122,7 +122,7 @@
     pub(crate) fn reject(&mut self, open_request: &OpenRequest, retry_after: Option<Duration>) {
         self.report.rejected += 1;
         self.interval().rejected += 1;
-        self.answer(open_request.id);
+        self.respond(open_request.id);
         let Some(clients) = self.world.clients else {
             if self.rng.fraction() < self.world.retry_share {
                 let wait = retry_after.unwrap_or(Duration::from_millis(500));
@@ -133,8 +133,8 @@
         let Some(request) = self.requests.get(&open_request.request).copied() else { return };
         let doubled = f64::from(1 << (request.tries - 1).min(16));
         let backoff = duration_from_secs(self.rng.uniform(clients.back_off) * doubled);
-        let honours = self.rng.fraction() < clients.honour;
-        let at = self.now + retry_after.filter(|_| honours).unwrap_or(backoff);
+        let uses_retry_after = self.rng.fraction() < clients.honour;
+        let at = self.now + retry_after.filter(|_| uses_retry_after).unwrap_or(backoff);
         if request.tries < clients.tries
             && at
                 < request.first
--- a/crates/testing/emulator/src/run.rs
+++ b/crates/testing/emulator/src/run.rs
@@ -73,7 +73,7 @@
         let engines = engines(world, &mut rng);
         let traffic = traffic(world, &mut rng);
         let classes = &world.request_classes;
-        let tables = classes.iter().map(|class| {
+        let table_group_sums = classes.iter().map(|class| {
             running_sums((1..=class.table_groups.max(1)).map(|rank| (rank as f64).powf(-class.zipf_exponent)))
         });
         Simulation {
@@ -83,7 +83,7 @@
             now: BEGIN,
             fronts: Vec::new(),
             traffic,
-            tables: tables.collect(),
+            table_group_sums: table_group_sums.collect(),
             in_flight: BTreeMap::new(),
             connecting: BTreeMap::new(),
             probes: BTreeMap::new(),
@@ -109,7 +109,7 @@
     fn run(&mut self, seed: u64) {
         let begin = BEGIN;
         let end = begin + duration_from_secs(self.world.duration_s);
-        let longest = self
+        let max_deadline_s = self
             .world
             .request_classes
             .iter()
@@ -120,7 +120,7 @@
             all.sort_by(|a, b| a.at.total_cmp(&b.at));
             all.into()
         };
-        while self.now < end + duration_from_secs(longest) + Duration::from_secs(1) {
+        while self.now < end + duration_from_secs(max_deadline_s) + Duration::from_secs(1) {
             self.now += TICK;
             while failures.front().is_some_and(|failure| begin + duration_from_secs(failure.at) <= self.now) {
                 if let Some(failure) = failures.pop_front() {
@@ -146,14 +146,14 @@
     fn decide(&mut self, number: usize) {
         let now = self.now;
         let front = &mut self.fronts[number];
-        let woken = front.timers.first().is_some_and(|at| *at <= now);
-        if front.events.is_empty() && !woken {
+        let timer_fired = front.timers.first().is_some_and(|at| *at <= now);
+        if front.events.is_empty() && !timer_fired {
             return;
         }
         while let Some(event) = front.events.pop_front() {
             front.gateway.handle_event(now, event);
         }
-        if woken {
+        if timer_fired {
             front.timers = front.timers.split_off(&(now + Duration::from_nanos(1)));
             front.gateway.handle_event(now, Event::TimerFired);
         }
@@ -183,7 +183,7 @@
                         continue;
                     };
                     self.report.failed += 1;
-                    self.answer(open_request.id);
+                    self.respond(open_request.id);
                 }
                 Action::SetTimer { at } => drop(self.fronts[number].timers.insert(at)),
                 Action::Probe { engine } => self.probe(number, engine as usize),
--- a/crates/testing/emulator/src/simulation.rs
+++ b/crates/testing/emulator/src/simulation.rs
@@ -93,8 +93,8 @@
     pub name: RequestId,
     pub attempt: u32,
     pub engine: usize,
-    pub at: Duration,
-    pub until: Duration,
+    pub sent_at: Duration,
+    pub times_out_at: Duration,
     pub work: f64,
     pub request_class: usize,
     pub id: u64,
@@ -112,7 +112,7 @@
 /// Outcome of an attempt's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Connection {
-    Made,
+    Established,
     Failed,
 }
 
@@ -142,7 +142,7 @@
     /// Running sums of the fronts' shares of the traffic.
     pub traffic: Vec<f64>,
     /// Running sums of the table groups' shares of the requests, by request class.
-    pub tables: Vec<Vec<f64>>,
+    pub table_group_sums: Vec<Vec<f64>>,
     pub engines: Vec<EngineHost>,
     pub in_flight: BTreeMap<u64, InFlightAttempt>,
     pub connecting: BTreeMap<(Duration, u64), Connection>,
@@ -199,12 +199,12 @@
         }
     }
 
-    pub(crate) fn observe(&mut self, seen: Observation) {
+    pub(crate) fn observe(&mut self, observation: Observation) {
         // FNV-1a hash, starting from zero, over the text of all observations: any difference changes the digest.
-        for byte in format!("{:?}{seen:?}", self.now).bytes() {
+        for byte in format!("{:?}{observation:?}", self.now).bytes() {
             self.report.digest = (self.report.digest ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
         }
-        self.checker.observe(self.now, seen);
+        self.checker.observe(self.now, observation);
     }
 
     /// Counts of the current interval.
@@ -212,10 +212,10 @@
         self.report.statistics.at((self.now - BEGIN).as_secs_f64())
     }
 
-    pub(crate) fn answer(&mut self, id: u64) {
-        self.observe(Observation::TryAnswered { id });
+    pub(crate) fn respond(&mut self, id: u64) {
+        self.observe(Observation::ResponseSent { id });
         if self.fault == Fault::RespondsTwice && id.is_multiple_of(50) {
-            self.observe(Observation::TryAnswered { id });
+            self.observe(Observation::ResponseSent { id });
         }
     }
 }
