--- a/crates/testing/emulator/tests/abilities.rs
+++ b/crates/testing/emulator/tests/abilities.rs
@@ -110,10 +110,10 @@
 #[test]
 fn replaced_engines_join_under_new_ids_and_no_rule_is_broken() {
     // A single runaway request may exceed a cold engine's overload limit, which no front can prevent.
-    let tame = SMALL.replace("share = 0.01", "share = 0");
+    let without_runaways = SMALL.replace("share = 0.01", "share = 0");
     for (manner, seed) in ["vanish", "drain"].into_iter().flat_map(|manner| [1, 2, 3, 4].map(|s| (manner, s)))
     {
-        let world = SimulatedDeployment::parse(&tame.replace("vanish", manner)).unwrap();
+        let world = SimulatedDeployment::parse(&without_runaways.replace("vanish", manner)).unwrap();
         let (first, again) = (simulate(&world, seed, Fault::None), simulate(&world, seed, Fault::None));
         assert_eq!(first, again);
         assert!(first.violations.is_empty(), "{manner} seed {seed}: {:?}", first.violations.first());
@@ -126,8 +126,8 @@
 #[test]
 fn started_engine_fails_when_its_start_is_hidden() {
     let world = SimulatedDeployment::parse(&SMALL.replace("fall_after = 1", "fall_after = 0.2")).unwrap();
-    let fallen: u64 = (1..=3).map(|seed| simulate(&world, seed, Fault::HidesStarts).overloaded).sum();
-    assert!(fallen > 0);
+    let overloaded: u64 = (1..=3).map(|seed| simulate(&world, seed, Fault::HidesStarts).overloaded).sum();
+    assert!(overloaded > 0);
 }
 
 #[test]
@@ -147,25 +147,29 @@
         let spans = &report.statistics.intervals;
         (spans.iter().map(|s| s.requests()).sum::<u64>(), spans.iter().map(|s| s.tries).sum::<u64>())
     };
-    let ((asked, tries), (asked_thrice, tries_thrice)) = (counts(&once), counts(&thrice));
-    assert_eq!(asked, tries);
-    assert!(asked_thrice < tries_thrice && tries_thrice <= 3 * asked_thrice, "{asked_thrice} {tries_thrice}");
+    let ((requests, tries), (requests_thrice, tries_thrice)) = (counts(&once), counts(&thrice));
+    assert_eq!(requests, tries);
+    assert!(
+        requests_thrice < tries_thrice && tries_thrice <= 3 * requests_thrice,
+        "{requests_thrice} {tries_thrice}"
+    );
 }
 
 #[test]
 fn runaways_and_probes_are_work_for_the_engines() {
-    let taken = |text: &str| run(text).statistics.intervals.iter().map(|span| span.work).sum::<f64>();
-    let (few, many) = (taken(SMALL), taken(&SMALL.replace("share = 0.01", "share = 0.1")));
+    let accepted_work = |text: &str| run(text).statistics.intervals.iter().map(|span| span.work).sum::<f64>();
+    let (few, many) = (accepted_work(SMALL), accepted_work(&SMALL.replace("share = 0.01", "share = 0.1")));
     assert!(many > few * 1.5, "{few} {many}");
     let probed = SMALL.replace("\"answers\"", "\"probes\"");
-    let (cheap, costly) = (taken(&probed), taken(&probed.replace("work = 0.001", "work = 0.1")));
+    let (cheap, costly) =
+        (accepted_work(&probed), accepted_work(&probed.replace("work = 0.001", "work = 0.1")));
     assert!(costly > cheap * 1.1, "{cheap} {costly}");
 }
 
 #[test]
 fn load_reports_reach_the_fronts_as_configured() {
-    let digests = ["nothing", "answers", "probes"].map(|how| {
-        let stated = format!("how = \"{how}\"");
+    let digests = ["nothing", "answers", "probes"].map(|transport| {
+        let stated = format!("how = \"{transport}\"");
         run(&SMALL.replace("how = \"answers\"", &stated)).digest
     });
     assert!(digests[0] != digests[1] && digests[1] != digests[2] && digests[0] != digests[2]);
--- a/crates/testing/emulator/tests/collapse.rs
+++ b/crates/testing/emulator/tests/collapse.rs
@@ -68,7 +68,7 @@
 }
 
 /// Reasons why a run fails; empty if it passes.
-fn faults(trial: &Trial, seed: u64, world: &SimulatedDeployment, report: &Report) -> Vec<String> {
+fn recovery_failures(trial: &Trial, seed: u64, world: &SimulatedDeployment, report: &Report) -> Vec<String> {
     let name = trial.name;
     let mut found = Vec::new();
     for (class, group) in world.request_classes.iter().enumerate() {
@@ -96,10 +96,13 @@
         for _ in 0..THREADS {
             scope.spawn(|| {
                 while let Some(seed) = seeds.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let begun = Instant::now();
+                    let started = Instant::now();
                     let report = simulate(&world, *seed, Fault::None);
-                    println!("{}", proof(trial.name, *seed, &world, &report, begun.elapsed().as_secs_f64()));
-                    found.lock().unwrap().extend(faults(trial, *seed, &world, &report));
+                    println!(
+                        "{}",
+                        proof(trial.name, *seed, &world, &report, started.elapsed().as_secs_f64())
+                    );
+                    found.lock().unwrap().extend(recovery_failures(trial, *seed, &world, &report));
                 }
             });
         }
--- a/crates/testing/emulator/tests/emulator.rs
+++ b/crates/testing/emulator/tests/emulator.rs
@@ -21,12 +21,13 @@
     let until = |engine: &mut Engine, number: u64| {
         (1..).find(|_| engine.run(0.01, 1.0).contains(&Finished(number))).unwrap() as f64 * 0.01
     };
-    let alone = |requests: u64, memory: f64| {
+    let run_alone = |requests: u64, memory: f64| {
         let mut engine = Engine::new(4.0, 1000.0, 0.2);
         (0..requests).for_each(|number| engine.put(number, work(1.0, 1.0, memory, false)));
         until(&mut engine, requests - 1)
     };
-    let (one, full, twice, paging) = (alone(1, 10.0), alone(4, 10.0), alone(8, 10.0), alone(4, 500.0));
+    let (one, full, twice, paging) =
+        (run_alone(1, 10.0), run_alone(4, 10.0), run_alone(8, 10.0), run_alone(4, 500.0));
     assert!((one - 1.0).abs() < 0.02 && (full - 1.0).abs() < 0.02, "{one} {full}");
     assert!((twice - 2.4).abs() < 0.05, "{twice}"); // Twice the threads take twice as long, times 1.2 for thrashing.
     assert!((paging - 4.0).abs() < 0.1, "{paging}"); // Twice the memory gives a quarter of the speed.
@@ -71,9 +72,9 @@
         (Fault::HidesAllowedZones, 6),
         (Fault::HidesRetryBudget, 7),
     ] {
-        let seen = (1..=5)
+        let is_detected = (1..=5)
             .any(|seed| simulate(&world, seed, fault).violations.iter().any(|broken| broken.rule == rule));
-        assert!(seen, "{fault:?} is not seen");
+        assert!(is_detected, "{fault:?} is not seen");
     }
 }
 
