--- a/crates/testing/soak/src/judge.rs
+++ b/crates/testing/soak/src/judge.rs
@@ -107,7 +107,8 @@
         });
     }
     let sent_in_time = sent_at + recording.driver_delay <= process.terminated_at + ANSWERED_AFTER_SIGNAL;
-    // A request may be in flight while the front closes its connection to free descriptors; it counts as not received.
+    // A request may be on its way while the front closes its connection to free descriptors. It needs no response: a
+    // client sends it again on another connection.
     let raced_with_close = request
         .closed_for_crowd_at
         .is_some_and(|at| sent_at + CLOSE_RACE_WINDOW + recording.driver_delay >= at);
--- a/crates/testing/soak/src/process.rs
+++ b/crates/testing/soak/src/process.rs
@@ -9,10 +9,9 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// Upper limit of the longest deadline in the time from SIGTERM to SIGKILL, which is the smaller of the two plus
-/// `SHUTDOWN_GRACE`.
+/// The platform kills a front `SHUTDOWN_GRACE` after the smaller of this and the longest deadline, counted from SIGTERM.
 const MAX_SHUTDOWN: Duration = Duration::from_millis(3000);
-/// Time that the platform allows for shutdown beyond the longest deadline or `MAX_SHUTDOWN`.
+/// Time that the platform adds before it kills a front.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(700);
 /// Time between two readiness checks of a front that has started.
 const READY_INTERVAL: Duration = Duration::from_millis(5);
