--- a/crates/testing/emulator/tests/emulator.rs
+++ b/crates/testing/emulator/tests/emulator.rs
@@ -34,7 +34,7 @@
     let mut engine = Engine::new(4.0, 1000.0, 0.2);
     engine.put(1, work(0.5, 1.0, 1.0, true));
     engine.put(2, work(0.1, 1.0, 1.0, false));
-    assert!((until(&mut engine, 2) - 0.6).abs() < 0.03); // Request 2 waited until the bulk load of its table group ended.
+    assert!((until(&mut engine, 2) - 0.6).abs() < 0.03); // Request 2 waited for the bulk load of its table group.
     assert!(engine.is_empty());
 }
 
--- a/crates/testing/soak/src/process.rs
+++ b/crates/testing/soak/src/process.rs
@@ -9,7 +9,8 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// The platform kills a front `SHUTDOWN_GRACE` after the smaller of this and the longest deadline, counted from SIGTERM.
+/// The platform kills a front `SHUTDOWN_GRACE` after the smaller of this and the longest deadline, counted from
+/// SIGTERM.
 const MAX_SHUTDOWN: Duration = Duration::from_millis(3000);
 /// Time that the platform adds before it kills a front.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(700);
