--- a/crates/testing/emulator/src/failures.rs
+++ b/crates/testing/emulator/src/failures.rs
@@ -1,10 +1,10 @@
-//! Failures of engines and fronts, engines that leave and join, and how fronts are notified.
+//! Failures of engines and fronts, engines that leave and join, and the endpoint updates to fronts.
 
 use crate::check::Observation;
 use crate::host::EngineHost;
 use crate::settings::Range;
 use crate::simulation::{EndpointUpdate, Replacement, Simulation};
-use crate::world::{FailureKind, ReplacementManner, span};
+use crate::world::{FailureKind, ReplacementManner, duration_from_secs};
 use lemonusher::{AttemptOutcome, EndpointUpdateKind, EngineState, Event};
 use std::time::Duration;
 
@@ -21,10 +21,12 @@
                     (0..self.engines.len()).filter(|n| self.engines[*n].zone == zone).collect();
                 there.into_iter().for_each(|engine| self.kill(engine, Some(back)));
             }
-            FailureKind::Silent { engine, back } => self.engines[engine].silent_until = now + span(back),
+            FailureKind::Silent { engine, back } => {
+                self.engines[engine].silent_until = now + duration_from_secs(back)
+            }
             FailureKind::Slow { engine, times, back } => {
-                self.engines[engine].engine.slow = times.max(1.0);
-                self.engines[engine].slow_until = now + span(back);
+                self.engines[engine].engine.slowdown = times.max(1.0);
+                self.engines[engine].slow_until = now + duration_from_secs(back);
             }
             FailureKind::Drain { engine, back } => self.drain(engine, Some(back)),
             FailureKind::Replace { share, over, manner } => self.plan_replacements(share, over, manner),
@@ -38,14 +40,14 @@
         }
     }
 
-    /// Draws which engines are replaced and when.
+    /// Draws which active engines are replaced, and when.
     fn plan_replacements(&mut self, share: f64, over: f64, manner: ReplacementManner) {
         let mut active: Vec<usize> =
             (0..self.engines.len()).filter(|n| self.engines[*n].state == EngineState::Active).collect();
         let count = (active.len() as f64 * share).round() as usize;
         for _ in 0..count {
-            let engine = active.swap_remove(self.dice.below(active.len()));
-            let at = self.now + span(self.dice.share() * over);
+            let engine = active.swap_remove(self.rng.below(active.len()));
+            let at = self.now + duration_from_secs(self.rng.fraction() * over);
             self.replacements.push(Replacement { at, engine, manner });
         }
     }
@@ -60,7 +62,7 @@
                 ReplacementManner::Vanish => self.kill(engine, None),
                 ReplacementManner::Drain => self.drain(engine, None),
             }
-            let (kind, spread) = (self.engines[engine].kind, self.dice.share());
+            let (kind, spread) = (self.engines[engine].kind, self.rng.fraction());
             self.engines.push(EngineHost::new(self.world, kind, spread));
             let joined = self.engines.len() - 1;
             self.start(joined);
@@ -68,12 +70,12 @@
     }
 
     fn drain(&mut self, engine: usize, back: Option<f64>) {
-        let grace = span(self.world.drain_grace_s) * 2;
+        let grace = duration_from_secs(self.world.drain_grace_s) * 2;
         let host = &mut self.engines[engine];
         host.state = EngineState::Draining;
         host.removed_at = Some(self.now + grace);
-        host.restarts_at = back.map(|back| self.now + grace + span(back));
-        // With discovery delays, each front must keep the rule from when it is notified.
+        host.restarts_at = back.map(|back| self.now + grace + duration_from_secs(back));
+        // With discovery delays, the drain grace starts for each front when it is notified.
         if self.world.discovery.is_none() {
             self.observe(Observation::EngineDraining { engine, front: None });
         }
@@ -85,15 +87,15 @@
         host.engine.clear();
         host.unreported.clear();
         (host.state, host.removed_at) = (EngineState::Removed, None);
-        host.restarts_at = back.map(|back| self.now + span(back));
-        (host.report, host.samples, host.connected, host.warm) = Default::default();
+        host.restarts_at = back.map(|back| self.now + duration_from_secs(back));
+        (host.report, host.samples, host.connected, host.cached_table_groups) = Default::default();
         self.notify_fronts(engine);
         let lost: Vec<u64> =
             self.in_flight.iter().filter(|(_, attempt)| attempt.engine == engine).map(|(n, _)| *n).collect();
         lost.into_iter().for_each(|number| self.end_attempt(number, AttemptOutcome::Reset));
     }
 
-    /// The engine starts, and warms up.
+    /// Starts an engine, which then warms up.
     fn start(&mut self, engine: usize) {
         let host = &mut self.engines[engine];
         (host.state, host.started, host.restarts_at) = (EngineState::Active, self.now, None);
@@ -103,13 +105,13 @@
         self.notify_fronts(engine);
     }
 
-    /// Engines that leave and return, and endpoint updates that arrive.
+    /// Ends slowdowns, removes and restarts engines that are due, and delivers endpoint updates to fronts.
     pub(crate) fn update_engines(&mut self) {
         self.handle_replacements();
         for engine in 0..self.engines.len() {
             let host = &mut self.engines[engine];
             if host.slow_until <= self.now {
-                host.engine.slow = host.usual_slowdown;
+                host.engine.slowdown = host.usual_slowdown;
             }
             if host.removed_at.is_some_and(|at| at <= self.now) {
                 let back = host.restarts_at;
@@ -134,7 +136,8 @@
         }
     }
 
-    /// Tells every front of an engine, each after a time of its own where the world states a watch.
+    /// Sends an endpoint update on an engine to every front. Each front has its own delay if the deployment states
+    /// discovery delays.
     fn notify_fronts(&mut self, engine: usize) {
         let entry = self.entry(engine);
         for front in 0..self.fronts.len() {
@@ -149,21 +152,21 @@
     }
 
     fn notification_delay(&mut self, front: usize, state: EngineState) -> Duration {
-        let Some(watch) = self.world.discovery else { return NOTIFICATION_DELAY };
-        let delay = if state == EngineState::Active { watch.join_delay } else { watch.leave_delay };
-        let delay = span(self.dice.between(delay));
+        let Some(discovery) = self.world.discovery else { return NOTIFICATION_DELAY };
+        let delay = if state == EngineState::Active { discovery.join_delay } else { discovery.leave_delay };
+        let delay = duration_from_secs(self.rng.uniform(delay));
         let (from, to) = self.fronts[front].outage;
         let at = self.now + delay;
         if from <= at && at < to { to - self.now } else { delay }
     }
 
-    /// When a front's watch falls silent, once in the run, and until when.
+    /// Draws start and end of a front's outage of discovery, once in the run.
     pub(crate) fn draw_outage(&mut self) -> (Duration, Duration) {
-        let Some(silent) = self.world.discovery.and_then(|watch| watch.silent_for) else {
+        let Some(silent) = self.world.discovery.and_then(|discovery| discovery.silent_for) else {
             return Default::default();
         };
         let whole: Range = [0.0, self.world.duration_s];
-        let from = self.now + span(self.dice.between(whole));
-        (from, from + span(self.dice.between(silent)))
+        let from = self.now + duration_from_secs(self.rng.uniform(whole));
+        (from, from + duration_from_secs(self.rng.uniform(silent)))
     }
 }
--- a/crates/testing/emulator/src/play.rs
+++ b/crates/testing/emulator/src/run.rs
@@ -1,21 +1,22 @@
-//! Plays a world in virtual time: steps of one tick, events in one order, chance from one seed.
+//! Runs a simulated deployment in virtual time, in steps of one tick. Events are handled in a fixed order, and all
+//! randomness comes from one seed.
 
 use crate::check::{Checker, RetryAllowance, RuleConfig};
-use crate::dice::Dice;
 use crate::host::EngineHost;
+use crate::rng::SeededRng;
 use crate::shares::running_sums;
 use crate::simulation::{BEGIN, Fault, Report, Simulation, TICK};
 use crate::tally::Statistics;
-use crate::world::{Failure, SimulatedDeployment, span};
+use crate::world::{Failure, SimulatedDeployment, duration_from_secs};
 use lemonusher::{Action, AttemptOutcome, Event};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// By how much an event may be late for the checker.
+/// Lateness of an event that the checker allows.
 const SLACK: Duration = Duration::from_millis(60);
 
-/// Plays a deployment from a seed, in virtual time.
-pub fn play(world: &SimulatedDeployment, seed: u64, fault: Fault) -> Report {
+/// Simulates a deployment with a seed and an injected fault.
+pub fn simulate(world: &SimulatedDeployment, seed: u64, fault: Fault) -> Report {
     let mut simulation = Simulation::new(world, seed, fault);
     for number in 0..world.fronts {
         let outage = simulation.draw_outage();
@@ -23,27 +24,27 @@
         front.outage = outage;
         simulation.fronts.push(front);
     }
-    simulation.play(seed);
+    simulation.run(seed);
     simulation.report.violations = std::mem::take(&mut simulation.checker.violations);
     simulation.report
 }
 
 /// The engines, in the order of their kinds.
-fn engines(world: &SimulatedDeployment, dice: &mut Dice) -> Vec<EngineHost> {
+fn engines(world: &SimulatedDeployment, rng: &mut SeededRng) -> Vec<EngineHost> {
     let mut engines = Vec::new();
     for (kind, machine) in world.engines.iter().enumerate() {
         for _ in 0..machine.count {
-            let draw = if machine.speed_spread > 0.0 { dice.share() } else { 0.0 };
+            let draw = if machine.speed_spread > 0.0 { rng.fraction() } else { 0.0 };
             engines.push(EngineHost::new(world, kind as u32, draw));
         }
     }
     engines
 }
 
-/// Running sums of the fronts' shares of the traffic.
-fn traffic(world: &SimulatedDeployment, dice: &mut Dice) -> Vec<f64> {
+/// Draws the fronts' shares of the traffic, and returns their running sums.
+fn traffic(world: &SimulatedDeployment, rng: &mut SeededRng) -> Vec<f64> {
     let shares = (0..world.fronts).map(|_| {
-        let drawn = if world.traffic_spread > 0.0 { dice.wait(1.0) } else { 1.0 };
+        let drawn = if world.traffic_spread > 0.0 { rng.exponential(1.0) } else { 1.0 };
         (1.0 - world.traffic_spread) + world.traffic_spread * drawn
     });
     running_sums(shares)
@@ -52,11 +53,11 @@
 fn rules(world: &SimulatedDeployment, engines: &[EngineHost]) -> RuleConfig {
     let classes = &world.request_classes;
     RuleConfig {
-        drain_grace: span(world.drain_grace_s),
-        slow_start_window: span(world.slow_start_s),
+        drain_grace: duration_from_secs(world.drain_grace_s),
+        slow_start_window: duration_from_secs(world.slow_start_s),
         slow_start_share: world.slow_start_share,
         overload_factor: world.overload_factor,
-        overload_window: span(world.overload_window_s),
+        overload_window: duration_from_secs(world.overload_window_s),
         non_idempotent: classes.iter().map(|class| class.is_non_idempotent).collect(),
         allowed_zones: classes.iter().map(|class| class.allowed_zones.clone()).collect(),
         engine_zones: engines.iter().map(|host| host.zone).collect(),
@@ -66,13 +67,13 @@
 }
 
 impl<'a> Simulation<'a> {
-    /// A simulation without fronts. Draws first for the engines, then for the traffic.
+    /// A simulation without fronts. Random numbers are drawn first for the engines, then for the traffic.
     fn new(world: &'a SimulatedDeployment, seed: u64, fault: Fault) -> Simulation<'a> {
-        let mut dice = Dice::new(seed);
-        let engines = engines(world, &mut dice);
-        let traffic = traffic(world, &mut dice);
+        let mut rng = SeededRng::new(seed);
+        let engines = engines(world, &mut rng);
+        let traffic = traffic(world, &mut rng);
         let classes = &world.request_classes;
-        let tables = classes.iter().map(|class| {
+        let table_group_sums = classes.iter().map(|class| {
             running_sums((1..=class.table_groups.max(1)).map(|rank| (rank as f64).powf(-class.zipf_exponent)))
         });
         Simulation {
@@ -82,7 +83,7 @@
             now: BEGIN,
             fronts: Vec::new(),
             traffic,
-            tables: tables.collect(),
+            table_group_sums: table_group_sums.collect(),
             in_flight: BTreeMap::new(),
             connecting: BTreeMap::new(),
             probes: BTreeMap::new(),
@@ -95,20 +96,20 @@
             next_arrival: BEGIN,
             requests_started: 0,
             retries: BTreeSet::new(),
-            departures: BTreeMap::new(),
+            give_ups: BTreeMap::new(),
             checker: Checker::new(rules(world, &engines)),
             report: Report { statistics: Statistics::new(classes.len()), ..Report::default() },
-            dice,
+            rng,
             engines,
         }
     }
 }
 
 impl Simulation<'_> {
-    fn play(&mut self, seed: u64) {
+    fn run(&mut self, seed: u64) {
         let begin = BEGIN;
-        let end = begin + span(self.world.duration_s);
-        let longest = self
+        let end = begin + duration_from_secs(self.world.duration_s);
+        let max_deadline_s = self
             .world
             .request_classes
             .iter()
@@ -119,16 +120,16 @@
             all.sort_by(|a, b| a.at.total_cmp(&b.at));
             all.into()
         };
-        while self.now < end + span(longest) + Duration::from_secs(1) {
+        while self.now < end + duration_from_secs(max_deadline_s) + Duration::from_secs(1) {
             self.now += TICK;
-            while failures.front().is_some_and(|failure| begin + span(failure.at) <= self.now) {
+            while failures.front().is_some_and(|failure| begin + duration_from_secs(failure.at) <= self.now) {
                 if let Some(failure) = failures.pop_front() {
                     self.apply_failure(failure.what, seed);
                 }
             }
             self.update_engines();
             self.handle_arrivals(begin, end);
-            self.handle_departures();
+            self.handle_give_ups();
             self.handle_connections();
             self.sample_loads();
             self.run_engines();
@@ -145,14 +146,14 @@
     fn decide(&mut self, number: usize) {
         let now = self.now;
         let front = &mut self.fronts[number];
-        let woken = front.timers.first().is_some_and(|at| *at <= now);
-        if front.events.is_empty() && !woken {
+        let timer_fired = front.timers.first().is_some_and(|at| *at <= now);
+        if front.events.is_empty() && !timer_fired {
             return;
         }
         while let Some(event) = front.events.pop_front() {
             front.gateway.handle_event(now, event);
         }
-        if woken {
+        if timer_fired {
             front.timers = front.timers.split_off(&(now + Duration::from_nanos(1)));
             front.gateway.handle_event(now, Event::TimerFired);
         }
@@ -171,18 +172,18 @@
                         self.end_attempt(attempt, AttemptOutcome::Cancelled);
                     }
                 }
-                Action::Reject { request, retry_after: come_back } => {
+                Action::Reject { request, retry_after: retry_delay } => {
                     let Some(open_request) = self.fronts[number].open_requests.remove(&request) else {
                         continue;
                     };
-                    self.reject(&open_request, come_back);
+                    self.reject(&open_request, retry_delay);
                 }
                 Action::Fail { request } => {
                     let Some(open_request) = self.fronts[number].open_requests.remove(&request) else {
                         continue;
                     };
                     self.report.failed += 1;
-                    self.answer(open_request.id);
+                    self.respond(open_request.id);
                 }
                 Action::SetTimer { at } => drop(self.fronts[number].timers.insert(at)),
                 Action::Probe { engine } => self.probe(number, engine as usize),
--- a/crates/testing/emulator/src/simulation.rs
+++ b/crates/testing/emulator/src/simulation.rs
@@ -1,8 +1,8 @@
-//! The state of a simulation, which the modules above change: clients, attempts and failures, each its part.
+//! State of a simulation. The modules for clients, attempts, engines and failures implement its steps.
 
 use crate::check::{Checker, Observation, Violation};
-use crate::dice::Dice;
 use crate::host::EngineHost;
+use crate::rng::SeededRng;
 use crate::tally::{IntervalCounts, Statistics};
 use crate::world::{ReplacementManner, SimulatedDeployment};
 use lemonusher::{EndpointUpdateKind, EngineEntry, EngineState, Event, Gateway, RequestId};
@@ -11,38 +11,39 @@
 
 pub(crate) const TICK: Duration = Duration::from_millis(5);
 
-/// Where the run's clock begins: zero stands for long ago.
+/// Start of the simulated clock. It is above zero because an engine's start time of zero means that the engine was
+/// warm before the run.
 pub(crate) const BEGIN: Duration = Duration::from_secs(60);
 
-/// A way in which the fronts' owners are made faulty on purpose: each breaks one rule, and the checker must see it.
+/// A fault injected into the simulated fronts. Each one breaks one rule, which the checker must detect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// No fault.
     None,
-    /// Rule 1: some answers are given twice.
-    AnswersTwice,
-    /// Rule 2: what must run once is sent again after a reset.
-    SendsAgain,
-    /// Rule 3: that an engine drains is hidden.
+    /// Breaks rule 1: some responses are sent twice.
+    RespondsTwice,
+    /// Breaks rule 2: non-idempotent requests are sent again after a reset.
+    RetriesNonIdempotent,
+    /// Breaks rule 3: drains are hidden from the gateway.
     HidesDrains,
-    /// Rule 4: started engines are shown as warm.
-    HidesColds,
-    /// Rule 5: keys are hidden.
-    ForgetsKeys,
-    /// Rule 6: placement is hidden.
-    ForgetsPlaces,
-    /// Rule 7: the budget is hidden.
-    ForgetsBudget,
+    /// Breaks rule 4: started engines are shown to the gateway as warm.
+    HidesStarts,
+    /// Breaks rule 5: keys are hidden from the gateway.
+    HidesKeys,
+    /// Breaks rule 6: the classes' allowed zones are hidden from the gateway.
+    HidesAllowedZones,
+    /// Breaks rule 7: the retry budget is hidden from the gateway.
+    HidesRetryBudget,
 }
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Report {
     /// Tries that arrived.
     pub tries: u64,
     /// Tries with a result.
     pub returned: u64,
-    /// Of these, those within the latency objective.
+    /// Returned tries within the latency objective.
     pub in_objective: u64,
     /// Tries that were rejected.
     pub rejected: u64,
@@ -50,17 +51,17 @@
     pub failed: u64,
     /// Attempts that were sent.
     pub attempts: u64,
-    /// How often an engine that warmed up failed under its load.
+    /// Number of failures of engines by overload while they warmed up.
     pub overloaded: u64,
-    /// Counts by class and time.
+    /// Counts by request class and interval.
     pub statistics: Statistics,
-    /// Rules that were broken; the first hundred.
+    /// Violations of the rules; the first hundred.
     pub violations: Vec<Violation>,
-    /// The same for the same world and seed.
+    /// Hash of all observations; the same for the same deployment and seed.
     pub digest: u64,
 }
 
-/// A try that a front holds.
+/// A try that is open at a front.
 #[derive(Clone)]
 pub(crate) struct OpenRequest {
     pub id: u64,
@@ -76,7 +77,7 @@
     pub open_requests: BTreeMap<RequestId, OpenRequest>,
     pub timers: BTreeSet<Duration>,
     pub events: VecDeque<Event>,
-    /// From when to when its watch is silent.
+    /// Start and end of the outage of its discovery.
     pub outage: (Duration, Duration),
 }
 
@@ -92,13 +93,13 @@
     pub name: RequestId,
     pub attempt: u32,
     pub engine: usize,
-    pub at: Duration,
-    pub until: Duration,
+    pub sent_at: Duration,
+    pub times_out_at: Duration,
     pub work: f64,
     pub request_class: usize,
     pub id: u64,
     pub request: u64,
-    pub next_note: Duration,
+    pub next_progress_report: Duration,
 }
 
 /// A probe in flight.
@@ -108,10 +109,10 @@
     pub at: Duration,
 }
 
-/// What becomes of an attempt once its connection is made or has failed.
+/// Outcome of an attempt's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Connection {
-    Made,
+    Established,
     Failed,
 }
 
@@ -135,13 +136,13 @@
     pub world: &'a SimulatedDeployment,
     pub seed: u64,
     pub fault: Fault,
-    pub dice: Dice,
+    pub rng: SeededRng,
     pub now: Duration,
     pub fronts: Vec<Front>,
-    /// How much of the traffic comes to each front and those before it.
+    /// Running sums of the fronts' shares of the traffic.
     pub traffic: Vec<f64>,
-    /// By class, how much of it asks for each table group and those before it.
-    pub tables: Vec<Vec<f64>>,
+    /// Running sums of the table groups' shares of the requests, by request class.
+    pub table_group_sums: Vec<Vec<f64>>,
     pub engines: Vec<EngineHost>,
     pub in_flight: BTreeMap<u64, InFlightAttempt>,
     pub connecting: BTreeMap<(Duration, u64), Connection>,
@@ -149,31 +150,31 @@
     pub next: u64,
     pub next_update: u64,
     pub updates: BTreeMap<(Duration, u64), EndpointUpdate>,
-    /// When the last update on each engine arrives at each front.
+    /// Arrival of the last endpoint update, by front and engine.
     pub notified: BTreeMap<(usize, usize), Duration>,
     pub replacements: Vec<Replacement>,
     pub requests: BTreeMap<u64, ClientRequest>,
-    /// The next first try, and how many there have been.
+    /// Time of the next request's first try, and the number of requests so far.
     pub next_arrival: Duration,
     pub requests_started: u64,
-    /// Requests that are retried, and tries whose clients leave, by when.
+    /// Requests to retry, and tries whose clients will give up, by time.
     pub retries: BTreeSet<(Duration, u64)>,
-    pub departures: BTreeMap<(Duration, u64), (usize, RequestId)>,
+    pub give_ups: BTreeMap<(Duration, u64), (usize, RequestId)>,
     pub checker: Checker,
     pub report: Report,
 }
 
 impl Simulation<'_> {
     pub(crate) fn front(&self, number: u32, seed: u64) -> Front {
-        let mut stated = self.world.deployment(number);
+        let mut deployment = self.world.deployment(number);
         match self.fault {
-            Fault::ForgetsPlaces => {
-                stated.request_classes.iter_mut().for_each(|terms| terms.allowed_zones = None)
+            Fault::HidesAllowedZones => {
+                deployment.request_classes.iter_mut().for_each(|class| class.allowed_zones = None)
             }
-            Fault::ForgetsBudget => stated.safety_rules.retry_budget = None,
+            Fault::HidesRetryBudget => deployment.safety_rules.retry_budget = None,
             _ => {}
         }
-        let mut gateway = Gateway::new(stated, seed ^ u64::from(number) << 32);
+        let mut gateway = Gateway::new(deployment, seed ^ u64::from(number) << 32);
         let all = (0..self.engines.len()).map(|n| self.entry(n)).filter(|e| e.state != EngineState::Removed);
         gateway.handle_event(self.now, Event::Endpoints(EndpointUpdateKind::Full, all.collect()));
         Front {
@@ -193,28 +194,28 @@
             zone: host.zone,
             machine_kind: host.kind,
             state: if hidden { EngineState::Active } else { host.state },
-            started_at: if self.fault == Fault::HidesColds { Duration::ZERO } else { host.started },
+            started_at: if self.fault == Fault::HidesStarts { Duration::ZERO } else { host.started },
             ..EngineEntry::default()
         }
     }
 
-    pub(crate) fn observe(&mut self, seen: Observation) {
-        // FNV over the text of what was observed: any difference shows.
-        for byte in format!("{:?}{seen:?}", self.now).bytes() {
+    pub(crate) fn observe(&mut self, observation: Observation) {
+        // FNV-1a hash, starting from zero, over the text of all observations: any difference changes the digest.
+        for byte in format!("{:?}{observation:?}", self.now).bytes() {
             self.report.digest = (self.report.digest ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
         }
-        self.checker.observe(self.now, seen);
+        self.checker.observe(self.now, observation);
     }
 
-    /// Counts of the span that it is now.
+    /// Counts of the current interval.
     pub(crate) fn interval(&mut self) -> &mut IntervalCounts {
         self.report.statistics.at((self.now - BEGIN).as_secs_f64())
     }
 
-    pub(crate) fn answer(&mut self, id: u64) {
-        self.observe(Observation::TryAnswered { id });
-        if self.fault == Fault::AnswersTwice && id.is_multiple_of(50) {
-            self.observe(Observation::TryAnswered { id });
+    pub(crate) fn respond(&mut self, id: u64) {
+        self.observe(Observation::ResponseSent { id });
+        if self.fault == Fault::RespondsTwice && id.is_multiple_of(50) {
+            self.observe(Observation::ResponseSent { id });
         }
     }
 }
--- a/crates/testing/emulator/tests/abilities.rs
+++ b/crates/testing/emulator/tests/abilities.rs
@@ -1,8 +1,9 @@
-//! What a world may state beyond the plain one: each part changes the run as it says, and unknown keys are refused.
+//! Tests of the optional sections of a deployment's file: each one changes the run as stated, and unknown keys are
+//! rejected.
 
-use lemonusher_emulator::{Engine, Fault, Finished, Report, SimulatedDeployment, Work, play};
+use lemonusher_emulator::{Engine, Fault, Finished, Report, SimulatedDeployment, Work, simulate};
 
-/// Few fronts and engines, with every optional part.
+/// A small deployment with every optional section.
 const SMALL: &str = r#"
 seconds = 20
 fronts = 20
@@ -74,26 +75,33 @@
 "#;
 
 fn run(text: &str) -> Report {
-    play(&SimulatedDeployment::parse(text).unwrap(), 3, Fault::None)
+    simulate(&SimulatedDeployment::parse(text).unwrap(), 3, Fault::None)
 }
 
-fn work(left: f64) -> Work {
-    Work { left, threads: 1.0, memory_mb: 1.0, tables: 1, load: false, waits_for_loads: false }
+fn work(remaining_s: f64) -> Work {
+    Work {
+        remaining_s,
+        threads: 1.0,
+        memory_mb: 1.0,
+        table_group: 1,
+        is_bulk_load: false,
+        waits_for_bulk_loads: false,
+    }
 }
 
 #[test]
 fn engine_runs_its_slots_queues_the_next_and_rejects_beyond() {
     let mut engine = Engine::new(4.0, 1000.0, 0.2);
-    (engine.slots, engine.queue, engine.knee, engine.on_cores) = (2, 1, 2.0, 0.5);
+    (engine.slots, engine.queue_length, engine.max_threads_per_core, engine.cpu_share) = (2, 1, 2.0, 0.5);
     (1..=3).for_each(|number| engine.offer(number, work(0.1 * number as f64)));
-    assert!(engine.is_full() && engine.len() == 3 && engine.left(3).is_none());
+    assert!(engine.is_full() && engine.len() == 3 && engine.remaining_s(3).is_none());
     assert!((engine.cores_busy() - 0.25).abs() < 1e-9, "{}", engine.cores_busy());
     let first = (1..).find(|_| engine.run(0.01, 1.0).contains(&Finished(1))).unwrap();
-    assert!((9..=11).contains(&first) && !engine.is_full() && engine.left(3).is_some());
+    assert!((9..=11).contains(&first) && !engine.is_full() && engine.remaining_s(3).is_some());
     assert!(engine.cancel(3) && engine.len() == 1);
-    // Up to the knee, twice as many threads as cores are not slower.
+    // With a limit of two threads per core, twice as many threads as cores run without slowdown.
     let mut engine = Engine::new(4.0, 1000.0, 0.2);
-    engine.knee = 2.0;
+    engine.max_threads_per_core = 2.0;
     (0..8).for_each(|number| engine.put(number, work(0.1)));
     let all = (1..).find(|_| engine.run(0.01, 1.0).len() == 8).unwrap();
     assert!((9..=11).contains(&all), "{all}");
@@ -101,12 +109,12 @@
 
 #[test]
 fn replaced_engines_join_under_new_ids_and_no_rule_is_broken() {
-    // A runaway alone may be more than a cold engine bears, which is no front's doing.
-    let tame = SMALL.replace("share = 0.01", "share = 0");
+    // A single runaway request may exceed a cold engine's overload limit, which no front can prevent.
+    let without_runaways = SMALL.replace("share = 0.01", "share = 0");
     for (manner, seed) in ["vanish", "drain"].into_iter().flat_map(|manner| [1, 2, 3, 4].map(|s| (manner, s)))
     {
-        let world = SimulatedDeployment::parse(&tame.replace("vanish", manner)).unwrap();
-        let (first, again) = (play(&world, seed, Fault::None), play(&world, seed, Fault::None));
+        let world = SimulatedDeployment::parse(&without_runaways.replace("vanish", manner)).unwrap();
+        let (first, again) = (simulate(&world, seed, Fault::None), simulate(&world, seed, Fault::None));
         assert_eq!(first, again);
         assert!(first.violations.is_empty(), "{manner} seed {seed}: {:?}", first.violations.first());
         let served = first.statistics.served_share(0, 15.0, 20.0);
@@ -118,8 +126,8 @@
 #[test]
 fn started_engine_fails_when_its_start_is_hidden() {
     let world = SimulatedDeployment::parse(&SMALL.replace("fall_after = 1", "fall_after = 0.2")).unwrap();
-    let fallen: u64 = (1..=3).map(|seed| play(&world, seed, Fault::HidesColds).overloaded).sum();
-    assert!(fallen > 0);
+    let overloaded: u64 = (1..=3).map(|seed| simulate(&world, seed, Fault::HidesStarts).overloaded).sum();
+    assert!(overloaded > 0);
 }
 
 #[test]
@@ -139,25 +147,29 @@
         let spans = &report.statistics.intervals;
         (spans.iter().map(|s| s.requests()).sum::<u64>(), spans.iter().map(|s| s.tries).sum::<u64>())
     };
-    let ((asked, tries), (asked_thrice, tries_thrice)) = (counts(&once), counts(&thrice));
-    assert_eq!(asked, tries);
-    assert!(asked_thrice < tries_thrice && tries_thrice <= 3 * asked_thrice, "{asked_thrice} {tries_thrice}");
+    let ((requests, tries), (requests_thrice, tries_thrice)) = (counts(&once), counts(&thrice));
+    assert_eq!(requests, tries);
+    assert!(
+        requests_thrice < tries_thrice && tries_thrice <= 3 * requests_thrice,
+        "{requests_thrice} {tries_thrice}"
+    );
 }
 
 #[test]
 fn runaways_and_probes_are_work_for_the_engines() {
-    let taken = |text: &str| run(text).statistics.intervals.iter().map(|span| span.work).sum::<f64>();
-    let (few, many) = (taken(SMALL), taken(&SMALL.replace("share = 0.01", "share = 0.1")));
+    let accepted_work = |text: &str| run(text).statistics.intervals.iter().map(|span| span.work).sum::<f64>();
+    let (few, many) = (accepted_work(SMALL), accepted_work(&SMALL.replace("share = 0.01", "share = 0.1")));
     assert!(many > few * 1.5, "{few} {many}");
     let probed = SMALL.replace("\"answers\"", "\"probes\"");
-    let (cheap, costly) = (taken(&probed), taken(&probed.replace("work = 0.001", "work = 0.1")));
+    let (cheap, costly) =
+        (accepted_work(&probed), accepted_work(&probed.replace("work = 0.001", "work = 0.1")));
     assert!(costly > cheap * 1.1, "{cheap} {costly}");
 }
 
 #[test]
 fn load_reports_reach_the_fronts_as_configured() {
-    let digests = ["nothing", "answers", "probes"].map(|how| {
-        let stated = format!("how = \"{how}\"");
+    let digests = ["nothing", "answers", "probes"].map(|transport| {
+        let stated = format!("how = \"{transport}\"");
         run(&SMALL.replace("how = \"answers\"", &stated)).digest
     });
     assert!(digests[0] != digests[1] && digests[1] != digests[2] && digests[0] != digests[2]);
--- a/crates/tools/simhost/src/main.rs
+++ b/crates/tools/simhost/src/main.rs
@@ -1,5 +1,6 @@
-//! Hosts fronts for the simulator: frames in on standard input, replies out on standard output, a line each. This
-//! program only translates; each front's gateway decides.
+//! Runs fronts for an external simulator. It reads frames on standard input and writes a reply to each on standard
+//! output, one JSON object per line. This program only translates messages; all decisions are made by the fronts'
+//! gateways.
 
 #![warn(missing_docs)]
 
@@ -29,13 +30,14 @@
     let mut line = String::new();
     for count in 1u64.. {
         line.clear();
-        if input.read_line(&mut line).map_err(|e| format!("batch {count}: cannot read: {e}"))? == 0 {
+        if input.read_line(&mut line).map_err(|e| format!("line {count}: cannot read: {e}"))? == 0 {
             break;
         }
         if line.trim().is_empty() {
             continue;
         }
-        let frame: Frame = serde_json::from_str(&line).map_err(|e| format!("batch {count}: {e}"))?;
+        let frame: Frame =
+            serde_json::from_str(&line).map_err(|e| format!("line {count}: invalid frame: {e}"))?;
         let reply = host.handle_frame(&frame)?;
         serde_json::to_writer(&mut output, &reply).map_err(|e| format!("cannot write: {e}"))?;
         output.write_all(b"\n").and_then(|()| output.flush()).map_err(|e| format!("cannot write: {e}"))?;
