--- a/src/admission.rs
+++ b/src/admission.rs
@@ -5,10 +5,10 @@
 //! - **Few fronts**: this front's own threads at the engine, weighted by how they compete with the request's
 //!   priority, divided by the adaptive concurrency limit there. Thresholds: 1 and
 //!   [`ADMIT_NONE_AT_LIMIT_MULTIPLE`], no unit.
-//! - **Many fronts**: the estimated threads per core, including those that the request adds. Thresholds:
-//!   [`ADMIT_ALL_UP_TO_THREADS_PER_CORE`] and [`ADMIT_NONE_AT_THREADS_PER_CORE`]. The request's own threads
-//!   are multiplied by [`OWN_THREADS_WEIGHT`], and by more the more attempts are slow. This refuses requests
-//!   of many threads first.
+//! - **Many fronts** ([`Gateway::many_fronts`]): the estimated threads per core, including those that the
+//!   request adds. Thresholds: [`ADMIT_ALL_UP_TO_THREADS_PER_CORE`] and [`ADMIT_NONE_AT_THREADS_PER_CORE`].
+//!   The request's own threads are multiplied by [`OWN_THREADS_WEIGHT`], and by more the more attempts are
+//!   slow. This refuses requests of many threads first.
 //! - In many-front mode a bulk load is admitted with a lower probability by an engine whose load is far
 //!   below the usual one, as such an engine may hang while its cores are idle.
 //! - An engine admits nothing while the needed share of its memory is above a threshold.
@@ -42,8 +42,8 @@
 const OWN_THREADS_WEIGHT_OVERLOADED: f64 = 2.5;
 /// An engine whose load is below this share of the usual load may hang while its cores are idle.
 const SUSPICIOUS_LOAD_SHARE: f64 = 0.6;
-/// Exponent of the relative load (1 at the threshold above) that a bulk load's admission probability is
-/// multiplied by.
+/// Many fronts: a bulk load's admission probability is multiplied by load / (`SUSPICIOUS_LOAD_SHARE` × usual
+/// load), raised to this power; the factor is at most 1.
 const SUSPICIOUS_LOAD_EXPONENT: i32 = 4;
 /// One more request is admitted while the needed share of the engine's memory is at most this.
 const MEMORY_ADMIT_BELOW: f64 = 0.55;
--- a/src/attempt_end.rs
+++ b/src/attempt_end.rs
@@ -35,9 +35,9 @@
         }
     }
 
-    /// Updates the health of the engine. In many-front mode a rejection also counts as a slow attempt, as
-    /// during a full overload no response arrives from which slowness could be learned. The drawback is that
-    /// a single full engine also raises the slow share.
+    /// Updates the health of the engine. In many-front mode ([`Gateway::many_fronts`]) a rejection also
+    /// counts as a slow attempt, as during a full overload no response arrives from which slowness could be
+    /// learned. The drawback is that a single full engine also raises the slow share.
     fn record_engine_outcome(&mut self, now: Duration, end: &AttemptEnd) {
         if end.outcome == AttemptOutcome::Rejected && self.many_fronts() {
             self.slow_share.record(now, true);
--- a/src/concurrency_limit.rs
+++ b/src/concurrency_limit.rs
@@ -9,9 +9,9 @@
 //! - Without pressure, if the limit is in use, it grows by [`INCREASE_STEP`] threads per limit's worth of
 //!   responses.
 //!
-//! The limit starts at this front's share of the threads that admit everything (`admission`). This guards
-//! against an overload by other fronts that this front can't see otherwise. Requests that are slow without
-//! any pressure lower the limit for some time as well.
+//! The limit starts at this front's share of the threads of an engine that counts as not loaded
+//! (`admission`). This guards against an overload by other fronts that this front can't see otherwise. The
+//! drawback: a request that is slow for a reason of its own also lowers the limit for some time.
 
 use crate::engine::{Engine, PRIORITIES};
 use std::time::Duration;
@@ -68,7 +68,7 @@
     }
 
     /// This front's threads at the engine that compete with a request of a priority. Threads of a lower
-    /// priority are weighted by their share of the cores.
+    /// priority are weighted by the ratio of that priority's share of the cores to the request's.
     pub(crate) fn contending_threads(&self, priority: u8) -> f64 {
         let own = PRIORITY_SHARES[usize::from(priority)];
         let weighted = |(threads, share): (&f64, f64)| threads * (share / own).min(1.0);
--- a/src/congestion.rs
+++ b/src/congestion.rs
@@ -1,4 +1,4 @@
-//! Congestion: an estimate of an engine's load for fronts to which it reports none, from the last sign of
+//! Congestion: an estimate of an engine's load while there is no recent load report, from the last sign of
 //! overload.
 //!
 //! Signs and their values in threads per core, where full = [`ADMIT_NONE_AT_THREADS_PER_CORE`]:
@@ -11,9 +11,9 @@
 //! below it. The time constant is the time in which the engine's cores could finish one request of the
 //! smallest class from every front.
 //!
-//! In many-front mode a front sends to an engine only every few seconds. This guards it against sending
-//! requests to an engine that hangs because all fronts send to it. The drawback: an engine that has
-//! recovered stays idle until the sign has decayed.
+//! In many-front mode ([`Gateway::many_fronts`]) a front sends to an engine only every few seconds. This
+//! guards it against sending requests to an engine that hangs because all fronts send to it. The drawback:
+//! an engine that has recovered stays idle until the sign has decayed.
 
 use crate::admission::ADMIT_NONE_AT_THREADS_PER_CORE;
 use crate::endpoint::EngineId;
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -21,8 +21,7 @@
     pub tick: Duration,
     /// The capabilities of fronts.
     pub capabilities: Capabilities,
-    /// The cost of one load probe per request, as a share of the request's priority weight; zero if it is
-    /// not configured.
+    /// The cost of one load probe, as a share of a request's priority weight; zero if it is not configured.
     pub probe_cost: f64,
     /// The parameters of the safety rules.
     pub safety_rules: SafetyRules,
@@ -146,8 +145,7 @@
 /// The parameters of the safety rules.
 #[derive(Debug, Clone, Default)]
 pub struct SafetyRules {
-    /// The time after a front's notification of a drain during which an attempt may still begin at the
-    /// engine.
+    /// How long a front that has been notified of an engine's drain may still begin attempts at the engine.
     pub drain_grace: Duration,
     /// The capacity of an engine that has just started, as a share of its usual capacity, from 0 to 1.
     pub slow_start_share: f64,
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -32,7 +32,7 @@
     /// Work that this front has sent there lately, counted against the slow-start quota.
     pub(crate) slow_start_work: Vec<SentWork>,
     /// Work that this front has sent there, in seconds on one thread; decays by the number of requests that
-    /// the front sends to any engine. `None` before the first one.
+    /// the front sends to any engine. `None` before the first request sent there.
     pub(crate) sent_work: Option<DecayingMean>,
     /// Time of its last response or report.
     pub(crate) last_seen: Duration,
--- a/src/event.rs
+++ b/src/event.rs
@@ -52,7 +52,8 @@
     Rejected,
     /// No response arrived in time; it may have run.
     TimedOut,
-    /// No connection was established, or it was closed before the whole request was written; it did not run.
+    /// The connection was not established, or was closed before the whole request was written; the request
+    /// did not run.
     ConnectFailed,
     /// The connection was closed before the response was complete; it may have run.
     Reset,
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -44,12 +44,12 @@
 const ESTIMATE_TIME_CONSTANT: f64 = 1.0;
 /// The shortest time constant of learned means, in seconds.
 const MIN_TIME_CONSTANT: f64 = 1.0;
-/// The maximum age of a load report, as a share of the longest deadline. Also the ratio between the time
-/// constant of means over reports and the one of other means.
+/// The maximum age of a load report, as a share of the longest deadline. Also the time constant
+/// of means over reports and outcomes, as a multiple of that of other learned means.
 const MAX_REPORT_AGE: f64 = 0.15;
 /// The shortest delay before discovery is polled again after a failed call, as a share of the poll deadline.
 const REPOLL_AFTER: f64 = 0.1;
-/// The longest random delay that is added to it, as a share of the poll deadline.
+/// The longest random delay that is added to the shortest delay, as a share of the poll deadline.
 const REPOLL_JITTER: f64 = 0.1;
 
 /// The decisions of one front: takes events, returns actions. It does no I/O and reads no clock.
@@ -209,7 +209,8 @@
         self.poll_at = Some(now + self.deployment.safety_rules.discovery_poll_deadline.mul_f64(share));
     }
 
-    /// Removes the deadline: once the response has started, only the client may give up.
+    /// Removes the deadline: once the response has started, only the client or the shutdown of this front
+    /// ends the request early.
     fn handle_response_started(&mut self, id: &RequestId) {
         let sequence = self.requests.sequence_of(id);
         if let Some(request) = sequence.and_then(|sequence| self.requests.get_mut(sequence)) {
--- a/src/give_up.rs
+++ b/src/give_up.rs
@@ -11,8 +11,9 @@
 //!
 //! A request that was sent before, or that is a retry of its client, may be queued for the same share of
 //! what is left of its objective, counted from the end of its last attempt. Otherwise nearly every migrated
-//! request would be rejected. This applies only in many-front mode with load probes, while the slow share is
-//! below [`MAX_SLOW_SHARE_FOR_RETRIES`] and more than [`MIN_USUAL_LATENCIES_LEFT`] usual latencies are left.
+//! request would be rejected. This applies only in many-front mode ([`Gateway::many_fronts`]) with load
+//! probes, while the slow share is below [`MAX_SLOW_SHARE_FOR_RETRIES`] and more than
+//! [`MIN_USUAL_LATENCIES_LEFT`] usual latencies are left.
 //!
 //! The client gets a rejection with a retry-after time if it may safely retry, or else a failure.
 
@@ -103,7 +104,7 @@
     /// Gives up a request: it is rejected if its client may safely retry, or else it fails.
     pub(crate) fn give_up(&mut self, now: Duration, sequence: u64) {
         let Some(request) = self.requests.get(sequence) else { return };
-        // The client may retry as late as the retry-after time allows.
+        // A client that honours the retry-after time does not retry before this.
         let retry_at = now + self.retry_after(request.class).unwrap_or_default();
         let safe = self.client_may_retry(request, retry_at);
         let goal = if safe { RequestGoal::Rejected } else { RequestGoal::Failed };
--- a/src/idempotency.rs
+++ b/src/idempotency.rs
@@ -23,7 +23,7 @@
 
 impl Gateway {
     /// The time until which repeats of a request are sure to be dropped; `None` for requests without an
-    /// idempotency key and for those that were never sent.
+    /// idempotency key, and for those of which no attempt is in flight or may have run.
     pub(crate) fn deduplicated_until(&self, request: &Request) -> Option<Duration> {
         let Idempotency::IdempotencyKeyed { retention, .. } = self.classes[request.class].config.idempotency
         else {
--- a/src/load_estimate.rs
+++ b/src/load_estimate.rs
@@ -4,10 +4,12 @@
 //! The estimate in threads uses the first of these sources that is available:
 //! 1. A load report that is not older than the maximum report age. If the report counts requests, each
 //!    request of another front counts for as many threads as a typical request of this front. If it states
-//!    the busy share of the cores, the busy cores are corrected by the change of this front's own threads
-//!    since the report; in many-front mode a slow probe raises the estimate, too. From [`CPU_SATURATED`] on,
-//!    the busy share no longer shows how many threads run. With few fronts the estimate is then at least
-//!    this front's own threads times the fleet multiple.
+//!    the busy share of the cores, the estimate with few fronts is the number of busy cores plus the change
+//!    of this front's own threads since the report, and at least the own threads. From [`CPU_SATURATED`] on,
+//!    the busy share no longer shows how many threads run; the estimate is then at least this front's own
+//!    threads times the fleet multiple ([`LoadEstimates::fleet_multiple`]). In many-front mode ([`Gateway::many_fronts`]) the estimate is the
+//!    number of busy cores / [`CPU_SHARE_OF_THREAD`], or more after a slow probe, plus the increase of this
+//!    front's own threads since the report.
 //! 2. In many-front mode without such a report: the usual load of all engines × the traffic bias of this
 //!    engine, or the engine's congestion if that is higher, plus this front's own threads. The traffic bias
 //!    is the work that this front has sent to the engine lately, relative to the mean over its engines. All
--- a/src/overload.rs
+++ b/src/overload.rs
@@ -1,5 +1,5 @@
-//! Overload: measures how slow this front's attempts are, and sheds requests in many-front mode while many
-//! are slow.
+//! Overload: measures how slow this front's attempts are, and sheds requests in many-front mode
+//! ([`Gateway::many_fronts`]) while many are slow.
 //!
 //! An attempt is slow once it has taken [`SLOW_FACTOR`] × work / threads, with the work in seconds on one
 //! thread. In many-front mode a rejected attempt counts as slow, too. The slow share is the exponentially
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -3,7 +3,8 @@
 //! Each table group ranks all engines by rendezvous hashing. The order is the same at every front, so that
 //! requests of a group reach the engines that have its tables cached. The first engine of the order is the
 //! home engine. The request is offered to the engines in this order until one admits it. Engines are left
-//! out if their load, in threads per core, exceeds the lowest load by more than a margin.
+//! out if their load, in threads per core, exceeds the lowest load by more than [`MAX_LOAD_ABOVE_LOWEST`] or,
+//! in many-front mode ([`Gateway::many_fronts`]), [`MAX_LOAD_ABOVE_LOWEST_MANY_FRONTS`].
 //!
 //! - In many-front mode a group that receives more traffic than one engine's share has several home engines:
 //!   each front rotates the first places of the order by its own index.
@@ -14,9 +15,9 @@
 //!   many-front mode an engine that warms up and has little load comes first, as an unused slow-start time
 //!   slot is lost.
 //! - The engine at which the last attempt failed is avoided if there is another one.
-//! - If engines report no load and capacity is missing, requests are shed by the share that load shedding
-//!   admits (`lemonusher-load-shedding`). Engines that warm up are exempt, as slow start already limits what
-//!   they receive.
+//! - If engines report no load and capacity is missing, only the share of the requests that load shedding
+//!   admits (`lemonusher-load-shedding`) is sent. Engines that warm up are exempt, as slow start already
+//!   limits what they receive.
 //!
 //! This guards against cold caches, against hot spots on the home engines, and against losing time on a
 //! failed engine.
@@ -35,7 +36,7 @@
 
 /// An engine is offered a request if its load, in threads per core, exceeds the lowest load by at most this.
 const MAX_LOAD_ABOVE_LOWEST: f64 = 0.8;
-/// The same margin in many-front mode.
+/// The same limit in many-front mode.
 const MAX_LOAD_ABOVE_LOWEST_MANY_FRONTS: f64 = 2.0;
 /// The share of the order, counted from its end, within which the fronts' bulk loads start.
 const BULK_LOAD_TAIL_SHARE: f64 = 0.5;
--- a/src/probing.rs
+++ b/src/probing.rs
@@ -5,8 +5,8 @@
 //!
 //! - **Few fronts**: a request adds [`ROUND_ROBIN_PROBES_PER_REQUEST`] probes. The engine whose last probe is
 //!   oldest is probed next, each engine at most once per connect timeout.
-//! - **Many fronts**: an engine is probed before a request is sent there, unless its last report is younger
-//!   than [`FRESH_REPORT_AGE`] × the shortest latency objective. A request adds
+//! - **Many fronts** ([`Gateway::many_fronts`]): an engine is probed before a request is sent there, unless
+//!   its last report is younger than [`FRESH_REPORT_AGE`] × the shortest latency objective. A request adds
 //!   [`MAX_LOAD_PROBES_PER_REQUEST`] probes, or as many as cost [`MAX_PROBE_COST_SHARE`] of its priority
 //!   weight if that is less. Requests of much work may spend the whole credit; others leave a reserve for
 //!   them.
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -16,8 +16,8 @@
 //!
 //! This guards against bad query plans, slow engines and hung requests. The work done so far is lost. From
 //! attempt [`FIRST_ATTEMPT_NOT_MIGRATED`] on a slow attempt is not migrated, as the request is then taken to
-//! be really large; an attempt that waits for a bulk load still is. An idempotent request that was migrated
-//! before and will not end before its client's deadline is given up.
+//! be really large; an attempt that waits for a bulk load still is. An idempotent request that has had an
+//! earlier attempt is given up instead if the slow attempt will not end before the client's deadline.
 
 use crate::deployment::{Idempotency, RetryBudget};
 use crate::endpoint::EngineId;
--- a/src/scan.rs
+++ b/src/scan.rs
@@ -2,8 +2,8 @@
 //!
 //! A request is considered if
 //! - it is the first in its key's queue;
-//! - its next admission draw is due, or an attempt has ended since the last scan and admission control has
-//!   not refused it;
+//! - its next admission draw is due; or else an attempt has ended or a probe was answered since the last
+//!   scan, and admission control has not refused the request;
 //! - it was never sent, or the retry budget allows a retry.
 //!
 //! A request for which no engine is found draws again after [`REDRAW_INTERVAL`] of its latency objective.
--- a/src/starvation_header.rs
+++ b/src/starvation_header.rs
@@ -3,8 +3,9 @@
 //! Inputs: the oldest queued request, once it has been queued for [`RESERVE_ENGINE_AFTER`] × the longest
 //! deadline, if there is no other header. Its engine is the first in its preference order that is eligible
 //! and where it conflicts with no other request, or else the first eligible one. Later requests that
-//! conflict with the header are not sent to that engine, so that those it conflicts with run out there. The
-//! header is sent to no other engine. If its engine is no longer eligible, the reservation ends.
+//! conflict with the header are not sent to that engine, so that the header can be sent there once the
+//! conflicting attempts in flight have ended. The header is sent to no other engine. If its engine is no
+//! longer eligible, the reservation ends.
 //!
 //! This guards a request against waiting for ever behind later ones. The term is that of the source
 //! (docs/design.md).
--- a/src/subsets.rs
+++ b/src/subsets.rs
@@ -1,9 +1,9 @@
-//! Subsets: in many-front mode a front sends to only a few of the engines of each class
-//! (`lemonusher-subset`).
+//! Subsets: in many-front mode ([`Gateway::many_fronts`]) a front sends to only a few of the engines of each
+//! class (`lemonusher-subset`).
 //!
 //! If a front used all engines, it would send to each only once in several seconds. Its estimates would be
 //! stale, and a hung engine would be sent requests by all fronts. Inputs: the engines that a class may be
-//! sent to and that are warmed up, and which of these have neither failed nor are congested. A table group
+//! sent to and that are warmed up, and which of these are healthy: neither failed nor congested. A table group
 //! has its home engine within each subset.
 //!
 //! Two kinds of requests may leave the subset: those sent to engines that warm up, which slow start divides
@@ -26,8 +26,8 @@
 /// The refresh interval of subsets, as a share of the shortest latency objective.
 const SUBSET_REFRESH: f64 = 0.2;
 
-/// The engines that this front uses, and the load shedding that estimates the capacity of all engines from
-/// them.
+/// The engines that this front uses, and load shedding, which receives the capacity of all engines as
+/// estimated from them.
 #[derive(Default)]
 pub(crate) struct EngineSubsets {
     /// By request class; empty before the first refresh in many-front mode.
