--- a/crates/edges/routing/src/clock.rs
+++ b/crates/edges/routing/src/clock.rs
@@ -38,8 +38,8 @@
     }
 
     /// Converts an engine's Unix start time to a time since the origin. A start before the origin becomes
-    /// zero, which means that slow start is over, or 1 ns if the engine is still within `slow_start_window`,
-    /// so that an engine in slow start is never treated as one past it.
+    /// 1 ns if the engine is still within `slow_start_window`, and otherwise zero, which means that slow start
+    /// is over. So an engine in slow start is never treated as one past it.
     pub fn engine_start(&self, unix: Duration, now: Duration, slow_start_window: Duration) -> Duration {
         let since_origin = unix.saturating_sub(self.unix_origin);
         let unix_now = self.unix_origin + now;
--- a/crates/edges/routing/src/messages.rs
+++ b/crates/edges/routing/src/messages.rs
@@ -75,7 +75,7 @@
 pub enum RouterEvent {
     /// A request arrived.
     Request(IncomingRequest),
-    /// The client of a request disconnected or cancelled it.
+    /// The client of a request disconnected, or cancelled the request.
     ClientGone {
         /// The sink of the request.
         sink: Rc<dyn ResponseSink>,
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Returns the id of the request if this command sends an attempt. Earlier attempts have the same id.
+    /// Returns the id of the request if this command sends an attempt. All attempts of a request have its id.
     pub fn request(&self) -> Option<&RequestId> {
         if let EngineCommand::Send { request, .. } = self { Some(request) } else { None }
     }
--- a/crates/edges/routing/src/router/admission.rs
+++ b/crates/edges/routing/src/router/admission.rs
@@ -103,7 +103,7 @@
             Response::Failed => Counter::Failed,
         };
         self.counters.add(counter, Some(open_request.request_class));
-        log::debug!("batch" = &**request; "request {request} {counter}");
+        log::debug!("batch" = &**request; "request {request} ended, counted as '{counter}'");
         open_request.sink.respond(open_request.ticket, response);
     }
 
--- a/crates/edges/routing/src/router/attempts.rs
+++ b/crates/edges/routing/src/router/attempts.rs
@@ -11,7 +11,7 @@
 
 impl RequestRouter {
     /// Sends an attempt of an open request. It times out at the request's deadline or after `timeout`,
-    /// whichever is earlier; a timeout of zero adds no limit to the deadline.
+    /// whichever is earlier; if `timeout` is zero, only the deadline applies.
     pub(super) fn send_attempt(
         &mut self,
         now: Duration,
@@ -84,7 +84,7 @@
         self.counters.add(Counter::AttemptEnded(label), Some(attempt.request_class));
         log::debug!(
             "batch" = &*attempt.request, engine = attempt.engine;
-            "request {} attempt {} on engine {:08x} ended {label} after {elapsed:?}",
+            "request {} attempt {} on engine {:08x} ended with outcome '{label}' after {elapsed:?}",
             attempt.request,
             attempt.number,
             attempt.engine,
--- a/crates/edges/routing/src/router/endpoints.rs
+++ b/crates/edges/routing/src/router/endpoints.rs
@@ -30,7 +30,7 @@
         for (entry, endpoint) in entries.iter().zip(&listed) {
             log::info!(
                 engine = entry.engine;
-                "engine {:08x} is {} in zone {}, started {:?} ago",
+                "engine {:08x} is {} in zone {}, uptime {:?}",
                 entry.engine,
                 state_label(entry.state),
                 entry.zone,
--- a/crates/edges/routing/src/router/event_loop.rs
+++ b/crates/edges/routing/src/router/event_loop.rs
@@ -14,7 +14,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::{Duration, Instant};
 
-/// Number of events in one iteration from which on no more are taken from the queue before the gateway decides.
+/// An iteration that has this many events takes no more from the queue, so that decisions are not delayed.
 const MAX_EVENTS_PER_ITERATION: usize = 1024;
 
 /// The reason why the event loop wakes up.
@@ -84,7 +84,8 @@
         wakeup
     }
 
-    /// Returns the earliest of all timers and of the next decision; none if there is nothing to wait for.
+    /// Returns the time of the earliest timer or of the next decision, whichever is first; none if there is
+    /// nothing to wait for.
     fn next_timeout(&self) -> Option<Duration> {
         let decision = self.decision_pending.then_some(self.last_decision + self.deployment.tick);
         let wakeup = self.wakeups.first().copied();
@@ -93,7 +94,9 @@
         [decision, wakeup, timeout, start_deadline].into_iter().flatten().min()
     }
 
-    /// Runs one iteration: handles the events, fires the timers that are due, and decides if a decision is due.
+    /// Runs one iteration: sends the command backlog, handles the events, fires the timers that are due, polls
+    /// the zone monitor, and asks the gateway for a decision if one is pending and a tick has passed since the
+    /// last one.
     fn run_iteration(&mut self, now: Duration, events: Vec<RouterEvent>) {
         self.flush_commands();
         self.decision_pending |= !events.is_empty();
--- a/crates/edges/routing/src/router/management.rs
+++ b/crates/edges/routing/src/router/management.rs
@@ -42,7 +42,7 @@
         let Some(PreparedState { desired_state, .. }) = prepared else {
             return Err(ManagementError::NotPrepared { number });
         };
-        log::info!(commit = number; "commit {number} takes effect");
+        log::info!(commit = number; "applying commit {number}");
         self.admission_limiter.set(desired_state.limits());
         let change = self.endpoints.apply_desired_state(desired_state);
         self.apply_endpoint_change(now, EndpointUpdateKind::Delta, change);
--- a/crates/edges/routing/src/router/mod.rs
+++ b/crates/edges/routing/src/router/mod.rs
@@ -113,7 +113,7 @@
     zone_monitor: Option<ZoneMonitor>,
     /// Number of notifications dropped because their queue was full.
     dropped_notifications: u64,
-    /// Events caused by executing actions; handled in the next iteration.
+    /// Ends of attempts that were not sent because the backlog was full; handled in the next iteration.
     pending_events: VecDeque<RouterEvent>,
     /// Commands that did not fit into the engine driver's queue yet, in order.
     command_backlog: VecDeque<EngineCommand>,
--- a/crates/edges/routing/src/router/recovery.rs
+++ b/crates/edges/routing/src/router/recovery.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 impl RequestRouter {
-    /// Responds to every open request with a failure, which does not tell whether it ran, cancels all
-    /// attempts and probes in flight, and creates a new gateway with the known endpoints.
+    /// Responds to every open request with a failure, as the request may or may not have run; cancels all
+    /// attempts and probes in flight; and creates a new gateway with the known endpoints.
     pub(super) fn restart_after_panic(&mut self, now: Duration) {
         self.counters.add(Counter::Panics, None);
         log::error!("gateway panicked; failing {} open requests and restarting it", self.requests.len());
--- a/crates/edges/routing/src/zone_monitor.rs
+++ b/crates/edges/routing/src/zone_monitor.rs
@@ -25,7 +25,8 @@
     pub local: LocalView,
     /// Version of the maintenance requests on which this front's set of engines out of service is based.
     pub maintenance_version: u64,
-    /// Number of attempts that run, or may still run, on each engine that is out of service.
+    /// Number of attempts in flight on each engine that is out of service, plus one for all attempts of
+    /// unknown outcome that may still run there.
     pub in_flight: BTreeMap<EngineId, u32>,
     /// Each engine's zone, number of cores, and whether it replies, if anything was sent to it recently.
     pub engines: Vec<EngineObservation>,
