--- a/crates/core/subset/src/lib.rs
+++ b/crates/core/subset/src/lib.rs
@@ -85,10 +85,11 @@
     shared.max(MIN_SUBSET_SIZE).min(engines)
 }
 
-/// The subset of one front: `size` healthy engines, and the unhealthy ones between them on the ring.
+/// The subset of one front: `size` healthy engines, and the unhealthy ones between them on the ring. It has
+/// at most three times `size` engines.
 ///
-/// The order of the members does not matter. If all fronts have the same engines and find the same ones
-/// healthy, each engine is in equally many subsets, up to rounding.
+/// The order of the members does not matter. If all fronts have the same engines and find all of them
+/// healthy, each engine is in equally many subsets, up to rounding on each ring.
 pub fn subset(position: FrontPosition, members: impl Iterator<Item = Member>, size: usize) -> Subset {
     let index = position.index % position.fronts;
     let ring = index % RINGS;
