--- a/crates/core/external-call/src/calls.rs
+++ b/crates/core/external-call/src/calls.rs
@@ -66,8 +66,8 @@
         self.handle_new_request(now, call_request, respond_by)
     }
 
-    /// Returns the latest time to send the response to a message received at `received`. It does not count
-    /// from when the front handles the message, because the proxy's timeout runs from when it sent it.
+    /// Returns the latest time to send the response to a message received at `received`. The time
+    /// in the front's queue counts, because the proxy's timeout runs from when the proxy sent the message.
     fn respond_by(&self, received: Duration) -> Duration {
         (received + self.config.message_timeout).saturating_sub(self.response_margin())
     }
--- a/crates/core/external-call/src/finished.rs
+++ b/crates/core/external-call/src/finished.rs
@@ -1,5 +1,5 @@
-//! Stores for a limited time whether a finished call's request may have run, so that a late retry of a
-//! non-idempotent request is not forwarded again.
+//! Stores for a limited time whether a finished call's request may have run, so that a late retry is not
+//! forwarded again unless the request is idempotent.
 
 use lemonusher::RequestId;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/core/external-call/src/lib.rs
+++ b/crates/core/external-call/src/lib.rs
@@ -11,8 +11,8 @@
 //! - If a stream ends without a response from the engine, the outcome is unknown, however late the forward response
 //!   was sent: the proxy may have read it just in time. With `failure_mode_allow` a proxy may have forwarded the
 //!   request without any response from this gateway.
-//! - A non-idempotent request is not forwarded again while an outcome of it is unknown. That is the case if a stored
-//!   outcome, a continuation token or the proxy's attempt count shows an earlier attempt that may have run.
+//! - A request that has no open call is not forwarded if an earlier attempt may have run, unless its class is
+//!   idempotent. A stored outcome, a continuation token or the proxy's attempt count shows such an attempt.
 
 #![warn(missing_docs)]
 
--- a/crates/core/external-call/tests/same_decisions.rs
+++ b/crates/core/external-call/tests/same_decisions.rs
@@ -1,6 +1,6 @@
 //! Runs the same arrivals and attempt outcomes through the gateway alone and through external calls, in
-//! virtual time, for several seeds and with failures of all kinds. Both runs must make the same decisions in
-//! the same order.
+//! virtual time and for several seeds. Some attempts fail, are rejected, can't connect, are reset or time out.
+//! Both runs must make the same decisions in the same order.
 
 use lemonusher::*;
 use lemonusher_external_call::{
