--- a/crates/edges/processor/src/stream.rs
+++ b/crates/edges/processor/src/stream.rs
@@ -83,7 +83,7 @@
     awaiting_body: Option<CallRequest>,
     /// The proxy's message that the response belongs to.
     answered_message: AnsweredMessage,
-    /// Time at which that message was received.
+    /// Time at which `answered_message` was received.
     received: Instant,
     /// The last field, so that it is dropped last: the stream's end is reported after everything else is closed.
     guard: StreamGuard,
@@ -122,7 +122,7 @@
                     CLOSE
                 }
                 Input::Message(Err(status)) => {
-                    // Proxies reset the stream of a finished request, so a reset after the engine's response
+                    // Proxies reset the stream of a finished request, so a reset after the response headers
                     // counts as complete. A reset before that, or a lost connection, does not.
                     self.guard.is_complete &= status.code() == Code::Cancelled;
                     CLOSE
@@ -173,7 +173,7 @@
         let (received, sent_at) = (self.received, response.sent_at);
         tracing::debug!(
             request = self.request_id.as_deref().unwrap_or_default(),
-            "response to proxy {:?} after its message was received: queued {:?}, decided after {:?}",
+            "responding to proxy {:?} after its message was received: queued {:?}, decided after {:?}",
             received.elapsed(),
             response.queued,
             sent_at.saturating_duration_since(received),
@@ -260,7 +260,8 @@
         let Ok(headers) = Headers::read(headers.headers) else { return CLOSE };
         let status = headers.get(wire::STATUS_HEADER).and_then(|text| text.parse().ok()).unwrap_or(0);
         let outcome = attempt_outcome(status, headers.get(&self.config.header_names.outcome), details);
-        // The engine has responded, so from now on a reset by the proxy means that the request is finished.
+        // The engine or the proxy has responded, so from now on a reset by the proxy means that the request is
+        // finished.
         self.guard.is_complete = true;
         let event = ProxyEvent::ResponseHeaders { stream: self.guard.stream, outcome };
         if self.report(event).await.is_break() {
