--- a/src/ejection.rs
+++ b/src/ejection.rs
@@ -6,9 +6,9 @@
 //! ejection time = [`BASE_EJECTION_TIME`] × connect timeout × 2^(counted failures - 1)
 //!
 //! Failures are counted up to [`MAX_COUNTED_FAILURES`]; in many-front mode ([`Gateway::many_fronts`]) one
-//! counts for [`FAILURE_WEIGHT_MANY_FRONTS`]. The ejection ends after that
-//! time, with a response to an attempt, or with a restart of the engine. An answered probe does not end it.
-//! After the ejection time and until a response, one attempt at a time is sent to the engine.
+//! counts for [`FAILURE_WEIGHT_MANY_FRONTS`]. The ejection ends after that time, with a response to an
+//! attempt, or with a restart of the engine. An answered probe does not end it. After the ejection time and
+//! until a response, one attempt at a time is sent to the engine.
 //!
 //! This guards against engines that are dead, unreachable, draining or out of connections, whatever the
 //! cause. A transient fault costs one ejection.
--- a/src/load_estimate.rs
+++ b/src/load_estimate.rs
@@ -7,9 +7,9 @@
 //!    the busy share of the cores, the estimate with few fronts is the number of busy cores plus the change
 //!    of this front's own threads since the report, and at least the own threads. From [`CPU_SATURATED`] on,
 //!    the busy share no longer shows how many threads run; the estimate is then at least this front's own
-//!    threads times the fleet multiple ([`LoadEstimates::fleet_multiple`]). In many-front mode ([`Gateway::many_fronts`]) the estimate is the
-//!    number of busy cores / [`CPU_SHARE_OF_THREAD`], or more after a slow probe, plus the increase of this
-//!    front's own threads since the report.
+//!    threads times the fleet multiple ([`LoadEstimates::fleet_multiple`]). In many-front mode
+//!    ([`Gateway::many_fronts`]) the estimate is the number of busy cores / [`CPU_SHARE_OF_THREAD`], or more
+//!    after a slow probe, plus the increase of this front's own threads since the report.
 //! 2. In many-front mode without such a report: the usual load of all engines × the traffic bias of this
 //!    engine, or the engine's congestion if that is higher, plus this front's own threads. The traffic bias
 //!    is the work that this front has sent to the engine lately, relative to the mean over its engines. All
