--- a/src/retry.rs
+++ b/src/retry.rs
@@ -11,7 +11,7 @@
 //!
 //! **Migration.** An attempt in flight is cancelled and its request queued again, provided that another
 //! attempt is allowed, if
-//! - its engine reports that it waits for a bulk load and the request is not a bulk load itself, or
+//! - its engine reports that the attempt waits for a bulk load, and the request is not a bulk load itself, or
 //! - at its current pace the rest would take more than [`MIGRATE_FACTOR`] × the usual latency of its class.
 //!
 //! This guards against bad query plans, slow engines and hung requests. The work done so far is lost. From
