--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,6 +1,6 @@
 //! Slow start of one engine across all fronts: together they never exceed the engine's overload limit, even
-//! when fronts restart, and they still use the engine. Runs in virtual time; each front has its own clock,
-//! seed and endpoint list.
+//! when fronts restart, and they still use the engine. Runs in virtual time; each front has its own clock
+//! and endpoint list. All fronts start with the same seed.
 
 #[allow(dead_code)]
 mod host;
--- a/tests/histories/mod.rs
+++ b/tests/histories/mod.rs
@@ -195,7 +195,7 @@
         let class = self.random.below(self.deployment.request_classes.len() as u64) as usize;
         let deadline = self.deployment.request_classes[class].deadline;
         let client_retry = self.random.one_in(8);
-        // One table group receives most of the traffic, so that it has several home engines.
+        // One table group receives about half of the traffic, so that it has several home engines.
         let table_group = if self.random.one_in(2) { 0 } else { self.random.below(40) };
         Arrival {
             request: format!("batch-{}", self.arrived).into(),
--- a/tests/preference_order.rs
+++ b/tests/preference_order.rs
@@ -1,4 +1,4 @@
-//! Preference orders of table groups: hashed, cached up to a limit, and reversed or rotated without a copy.
+//! Preference orders of table groups: hashed, cached up to a limit, and reversed or rotated.
 
 #[path = "../src/endpoint.rs"]
 #[allow(dead_code)]
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -154,8 +154,8 @@
         early += host.arrive_many(20, SHORT, 3).len();
         host.advance(ms(100));
     }
-    // The overload limit is 3 × 0.3 × 8 cores × 1.5 s = 10.8 s of work. Half of it is this front's; a
-    // request counts for 0.5 s.
+    // The overload limit is 3 × 0.3 × 8 cores × 1.5 s = 10.8 s of work, and a request counts for 0.5 s. The
+    // test allows this front, one of two, half of the limit; its quota is 0.6 of that half.
     assert!((1..=10).contains(&early), "{early} went to the engine in slow start");
 }
 
