--- a/crates/core/external-call/tests/random_failures.rs
+++ b/crates/core/external-call/tests/random_failures.rs
@@ -1,5 +1,7 @@
-//! Random sequences of failures of proxies, engines and processors. Non-idempotent requests never run twice,
-//! every stream gets at most one final response, and every attempt ends with one outcome.
+//! Random sequences of failures of proxies, engines and processors. Without `failure_mode_allow` a
+//! non-idempotent request never runs twice; with it, no response of the processor forwards one that may have
+//! run. Every stream gets at most one final response, and every attempt that a restart of the processor does
+//! not lose ends with one outcome.
 
 mod common;
 
