--- a/crates/edges/processor/src/messages.rs
+++ b/crates/edges/processor/src/messages.rs
@@ -127,7 +127,7 @@
     }
 }
 
-/// Creates the response to a request whose headers can't be read.
+/// Creates the response to a request that is refused because of its headers.
 pub(crate) fn error_response(error: RequestError) -> ProcessingResponse {
     immediate_response(error.status(), Vec::new(), error.details())
 }
