--- a/crates/edges/routing/src/router/commands.rs
+++ b/crates/edges/routing/src/router/commands.rs
@@ -4,9 +4,9 @@
 //! While [`MAX_COMMAND_BACKLOG`] commands or more wait, attempts end at once as not sent, probes are not
 //! sent, and changes of priority are dropped. None of this counts as a success or failure of an engine.
 //! Cancels, withdrawals and endpoint lists are always queued, as there are few of them. An attempt in flight
-//! is cancelled at most once by the gateway, once at its timeout and once per recall by management clients.
-//! It is withdrawn at most once at its start deadline and once when its request is finished. There are as
-//! many lists as discovery sends.
+//! is cancelled at most once by the gateway, once at its timeout, once after a panic and once per recall by
+//! management clients. It is withdrawn at most once at its start deadline and once when its request is
+//! finished. There are as many lists as discovery sends.
 
 use super::RequestRouter;
 use crate::messages::{EngineCommand, RouterEvent, Token};
