--- a/crates/edges/processor/src/wire.rs
+++ b/crates/edges/processor/src/wire.rs
@@ -35,7 +35,7 @@
 // Values of the outcome header in engines' responses.
 /// The engine rejected the attempt before it ran.
 pub(crate) const ENGINE_REJECTED: &str = "full";
-/// The engine dropped the attempt before it ran, because its time limit had passed.
+/// The engine dropped the attempt before it ran, because the attempt's time limit had passed.
 pub(crate) const ENGINE_EXPIRED: &str = "late";
 /// The attempt failed at the engine.
 pub(crate) const ENGINE_FAILED: &str = "errored";
