--- a/crates/edges/front/src/program/engines/connecting.rs
+++ b/crates/edges/front/src/program/engines/connecting.rs
@@ -41,7 +41,7 @@
     }
 
     /// Reserves a descriptor by counting one more connection as being established, and returns the engine's address;
-    /// `None` if no descriptor is free.
+    /// `None` if no descriptor is free or the engine has no pool.
     fn reserve_descriptor(self: &Rc<Self>, engine: EngineId, on_demand: bool) -> Option<SocketAddr> {
         let is_full = self.is_full();
         let mut pools = self.pools.borrow_mut();
--- a/crates/edges/front/src/program/engines/connection.rs
+++ b/crates/edges/front/src/program/engines/connection.rs
@@ -104,7 +104,8 @@
     pub retired: Cell<bool>,
     /// When an attempt or probe was last sent, or a reply last received.
     pub(super) last_used: Cell<Instant>,
-    /// When the first attempt or probe since the engine's last reply was sent; `None` if no reply is awaited.
+    /// When the first attempt or probe since the engine's last reply was sent; `None` if none was sent since
+    /// then, even if earlier ones are still in flight.
     pub(super) awaiting_since: Cell<Option<Instant>>,
 }
 
@@ -145,7 +146,7 @@
         true
     }
 
-    /// Whether a reply has been awaited for longer than `max_silence`.
+    /// Whether the engine has sent no reply for longer than `max_silence` after an attempt or probe.
     pub fn is_silent(&self, max_silence: Duration) -> bool {
         self.awaiting_since.get().is_some_and(|since| since.elapsed() > max_silence)
     }
@@ -184,8 +185,8 @@
         in_flight.into_values().map(end_event).collect()
     }
 
-    /// Number of free streams out of `streams`. There are none while the kernel accepts no more bytes, because a
-    /// message queued behind those bytes could not be withdrawn.
+    /// Number of free streams out of `streams`. There are none while bytes are queued for the kernel, because a
+    /// message behind them could not be withdrawn.
     pub fn free_streams(&self, streams: usize) -> usize {
         if self.retired.get() || self.write_queue.waiting() > 0 {
             0
--- a/crates/edges/front/src/program/engines/endpoints.rs
+++ b/crates/edges/front/src/program/engines/endpoints.rs
@@ -7,9 +7,9 @@
 use std::rc::Rc;
 
 impl EnginePools {
-    /// Applies an endpoint update: creates a pool for each new engine, and retires the connections of removed ones.
-    /// Commands queued for a draining or removed engine are reported as not sent, because an attempt must not start
-    /// on an engine that is known to be draining or removed.
+    /// Applies an endpoint update: creates a pool for each new engine, and retires the connections to engines that
+    /// were removed, or whose address or start time changed. Commands queued for a draining or removed engine are
+    /// reported as not sent, because an attempt must not start on an engine that is known to be draining or removed.
     pub(super) async fn handle_endpoints(
         self: &Rc<Self>,
         kind: EndpointUpdateKind,
--- a/crates/edges/front/src/program/engines/mod.rs
+++ b/crates/edges/front/src/program/engines/mod.rs
@@ -28,8 +28,8 @@
 
 /// An idle connection is retired after the engine's idle timeout divided by this, so before the engine closes it.
 const IDLE_TIMEOUT_DIVISOR: u32 = 2;
-/// A connection is retired if a reply has been awaited for longer than this number of progress intervals plus the
-/// connect timeout.
+/// A connection is retired if its engine has sent no reply for longer than this number of progress intervals plus
+/// the connect timeout after an attempt or probe. Does not apply if engines send no progress reports.
 const MAX_SILENT_PERIODS: u32 = 3;
 
 /// The connection on which an attempt or probe is in flight, and its id there.
--- a/crates/edges/front/src/program/engines/replies.rs
+++ b/crates/edges/front/src/program/engines/replies.rs
@@ -12,7 +12,7 @@
 
 /// Limit of a result of several pages, in bytes.
 const MAX_RESULT_BYTES: usize = 64 * 1024;
-/// Limit of a result's pages.
+/// Limit of the number of pages of a result.
 const MAX_PAGES: usize = 64;
 /// Upper limit of the work that an engine may report for an attempt, in milliseconds; more is cut to this.
 const MAX_WORK_MS: f64 = 1e9;
@@ -88,8 +88,8 @@
         Ok(event.map(|event| TokenEvent { token, event }))
     }
 
-    /// Handles a reply whose id is not in flight. If it has further pages for an attempt sent on this connection,
-    /// which was cancelled meanwhile, the engine is told to release them.
+    /// Handles a reply whose id is not in flight. If the reply announces further pages for an attempt that
+    /// was sent on this connection and is no longer in flight, the pages are released.
     fn handle_unmatched(&self, id: &str, kind: ReplyKind) {
         if self.has_used(id) && matches!(kind, ReplyKind::Completed { pages, .. } if pages > 1) {
             self.release(id);
