--- a/crates/edges/front/src/program/clients/listener.rs
+++ b/crates/edges/front/src/program/clients/listener.rs
@@ -17,7 +17,7 @@
 
 /// Idle time after which a connection is closed. Longer than the time after which clients close idle connections.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
-/// Idle time after which a connection without a complete line so far is closed.
+/// Idle time after which a connection is closed if no complete line has been read on it.
 const FIRST_LINE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time from the accept for which the first line of a new connection is assumed to be on its way.
 const FIRST_LINE_GRACE: Duration = Duration::from_millis(100);
@@ -27,7 +27,7 @@
 const WARNING_INTERVAL: Duration = Duration::from_secs(1);
 /// Delay before the next accept while no descriptor can be freed, and after a failed accept.
 const DESCRIPTOR_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Time after a close request within which the connection has checked whether it may close.
+/// Delay after a close request, in which the connection checks whether it may close.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
 /// The listener for clients, and all connections accepted from it.
--- a/crates/edges/front/src/program/clients/reading.rs
+++ b/crates/edges/front/src/program/clients/reading.rs
@@ -50,7 +50,7 @@
         f.write_str(match self {
             ReadEnd::ClientClosed => "closed by the client",
             ReadEnd::Broken => "socket failed",
-            ReadEnd::Faulty => "input beyond a limit",
+            ReadEnd::Faulty => "input exceeded a limit",
             ReadEnd::Idle => "closed while idle",
         })
     }
