--- a/crates/edges/front/src/program/config.rs
+++ b/crates/edges/front/src/program/config.rs
@@ -106,7 +106,8 @@
     }
 
     /// Names of the keys that differ in a newer file and take effect only at the next start. The endpoint list
-    /// (`known`) is not among them, because the discovery channel continues from the last event.
+    /// (`known`) is not among them, because the discovery channel continues from the last event. A change of
+    /// `seed` is not reported.
     pub fn changes_requiring_restart(&self, newer: &FrontConfig) -> String {
         let changed = [
             (self.name != newer.name).then_some("name"),
--- a/crates/edges/front/src/program/control_channels.rs
+++ b/crates/edges/front/src/program/control_channels.rs
@@ -1,5 +1,6 @@
-//! Channels from the management server and the fleet of fronts to the router. Their messages join its one event
-//! queue.
+//! Channels between the router and the management server, and between the router and the fleet of fronts. Messages
+//! to the router join its one event queue; engine notifications and zone observations leave it on channels of their
+//! own.
 
 use super::shared::Shared;
 use lemonusher_membership::DesiredState;
@@ -23,13 +24,13 @@
 pub struct FleetChannels {
     /// Control updates from the fleet.
     pub control_updates: async_channel::Receiver<ControlUpdate>,
-    /// Whether the fronts share the quota of engines in slow start by leases. If so, this front has none until it
-    /// holds a lease.
+    /// Whether the fronts share the quota of engines in slow start by leases. If so, the quota of this front is zero
+    /// until it holds a lease.
     pub shares_quota: bool,
     /// Zone failover, if it is configured.
     pub zone_failover: Option<ZoneFailover>,
-    /// Whether engines are taken out of service for maintenance. If so, no engine is used until it is known which
-    /// are.
+    /// Whether engines are taken out of service for maintenance. If so, no engine is used until the fleet has
+    /// reported which ones are out of service.
     pub maintenance: bool,
 }
 
@@ -51,8 +52,8 @@
 }
 
 impl FleetChannels {
-    /// Connects the router with the fleet. As the fleet has granted nothing yet, the router's first events set
-    /// the quota to zero and take every engine out of service, as far as the fleet controls these.
+    /// Connects the router with the fleet. The fleet has granted nothing yet. The router's first events therefore
+    /// set the quota to zero if the fronts share it, and take every engine out of service if there is maintenance.
     pub(super) fn attach(self, mut router: RequestRouter, shared: &Shared) -> RequestRouter {
         if self.shares_quota {
             let _ = shared.events.try_send(RouterEvent::Control(ControlUpdate::Quota(0.0)));
--- a/crates/edges/front/src/program/external_processing.rs
+++ b/crates/edges/front/src/program/external_processing.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// Collects the router's responses, which it gives in the middle of an iteration, until the bridge handles them.
+/// Collects responses, which the router gives in the middle of an iteration, until the bridge handles them.
 struct ResponseInbox {
     requests: RefCell<BTreeMap<u64, RequestId>>,
     responses: RefCell<VecDeque<ReceivedResponse>>,
@@ -238,8 +238,8 @@
     async fn submit(&mut self, call: CallRequest) {
         self.last_ticket += 1;
         let ticket = self.last_ticket;
-        // In rare cases the router still holds an earlier request with this id. The ticket is then the new
-        // request's.
+        // In rare cases the router still holds an earlier request with this id. The entry then holds the
+        // ticket of the new request.
         self.tickets.insert(call.request.clone(), ticket);
         self.inbox.requests.borrow_mut().insert(ticket, call.request.clone());
         let incoming = IncomingRequest {
--- a/crates/edges/front/src/program/shutdown.rs
+++ b/crates/edges/front/src/program/shutdown.rs
@@ -79,7 +79,8 @@
             listener.shut_down(exit_at).await;
         }
     }
-    // Requests of proxies belong to no client connection whose close would show that they have a response.
+    // The listener returns once its connections have closed, but requests of proxies belong to no connection here:
+    // their responses are waited for by count.
     while (open_requests.get() > 0 || shared.unwritten_bytes.get() > 0) && Instant::now() < exit_at {
         Timer::after(EXIT_CHECK_INTERVAL).await;
     }
--- a/crates/edges/front/src/program/start.rs
+++ b/crates/edges/front/src/program/start.rs
@@ -88,7 +88,7 @@
     let inputs =
         TaskInputs { router, received_events, received_commands, external_processing, initial, listener };
     async_io::block_on(executor.run(front.run(inputs)));
-    log::info!("ends; counts: {counters}");
+    log::info!("front exits; counts: {counters}");
     Ok(())
 }
 
@@ -96,8 +96,8 @@
     transport::listen(address, LISTEN_BACKLOG).map_err(|error| StartError::Listen { address, error })
 }
 
-/// The clock's origin has to lie before the start of every engine that is in slow start, but no earlier than needed,
-/// because the gateway's initial values decay from the origin on.
+/// Builds the router's clock. Its origin has to lie before the start of every engine that is in slow start, but no
+/// earlier than needed, because the gateway's initial values decay from the origin on.
 fn clock(initial: &InitialEvents, deployment: &Deployment) -> Clock {
     let window = deployment.safety_rules.slow_start_window;
     Clock::with_history(oldest_slow_start(&initial.updates, window) + deployment.tick)
@@ -176,7 +176,7 @@
     shared: Rc<Shared>,
 }
 
-/// What the front's tasks are built from: the router, its queues and the inputs of the drivers.
+/// Inputs of the front's tasks: the router, its queues, and what the drivers start with.
 struct TaskInputs {
     router: RequestRouter,
     received_events: Receiver<RouterEvent>,
