--- a/crates/edges/front/src/protocol/discovery.rs
+++ b/crates/edges/front/src/protocol/discovery.rs
@@ -151,7 +151,7 @@
 impl fmt::Display for DiscoveryError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            DiscoveryError::Length(length) => write!(f, "a frame of {length} bytes"),
+            DiscoveryError::Length(length) => write!(f, "a frame of {length} bytes: invalid length"),
             DiscoveryError::Kind(kind) => write!(f, "a frame of unknown kind {kind}"),
             DiscoveryError::State(state) => write!(f, "a record of unknown state {state}"),
             DiscoveryError::InitialList(key) => {
--- a/crates/edges/front/src/protocol/statement.rs
+++ b/crates/edges/front/src/protocol/statement.rs
@@ -14,7 +14,7 @@
 
 /// Returns the table group of the first table in a position where tables are named: after FROM, JOIN, INTO,
 /// UPDATE, TABLE, TRUNCATE, MERGE, USING or COPY, or after a comma in a list of tables. Strings and comments
-/// are ignored, as are column names with any qualifier and tables of the schema `staging`.
+/// are ignored, as are column names with any qualifier and tables of schemas named `staging_` and a number.
 pub fn table_group(statement: &str) -> Option<u64> {
     let tokens = tokenize(statement);
     let mut scopes = vec![Scope::default()];
--- a/crates/edges/front/src/transport/stall_detector.rs
+++ b/crates/edges/front/src/transport/stall_detector.rs
@@ -39,7 +39,7 @@
         self.last_delay.get().max(self.current_delay(now))
     }
 
-    /// Returns the delay of the next poll by now; zero unless it is a stall.
+    /// Returns how late the next poll is at `now`; zero unless that is a stall.
     fn current_delay(&self, now: Instant) -> Duration {
         let since_poll = now.saturating_duration_since(self.last_poll.get());
         self.zero_if_ordinary(since_poll.saturating_sub(self.period))
