--- a/crates/edges/front/tests/crossings.rs
+++ b/crates/edges/front/tests/crossings.rs
@@ -25,7 +25,7 @@
     frame
 }
 
-/// Returns whether the front's counters contain `what` by now.
+/// Returns whether the front's counters contain this text by now.
 fn counters_contain(front: &Front, text: &str) -> bool {
     std::thread::sleep(Duration::from_millis(5));
     front.signal("USR1");
@@ -44,7 +44,7 @@
     let front = Front::start(FRONT, &config);
     let mut client = front.client();
     let request = client.send_request(1, "look-up");
-    assert!((0..200).any(|_| counters_contain(&front, "dispatched look-up=1")), "not sent on");
+    assert!((0..200).any(|_| counters_contain(&front, "dispatched look-up=1")), "not dispatched");
     (front, client, request, unconnectable, discovery)
 }
 
@@ -76,7 +76,7 @@
     let (other, DiscoveryConnection { stream: mut channel, .. }) =
         (Engine::start(), discovery.next_connection());
     channel.write_all(&delta_frame(2, &[(1, unconnectable.address, 2), (2, other.address, 0)])).unwrap();
-    let retry = other.next_message_within("serve", PROMPT).expect("not sent elsewhere");
+    let retry = other.next_message_within("serve", PROMPT).expect("not sent to the other engine");
     assert_eq!(retry.id, request);
     let descriptors_before = front.open_descriptors();
     let engine = unconnectable.accept_connections();
@@ -86,10 +86,10 @@
         keep_alive();
         counters_contain(&front, "engine connections 2")
     };
-    assert!((0..1000).any(|_| is_established()), "it never came up");
+    assert!((0..1000).any(|_| is_established()), "no connection was established");
     let from = Instant::now();
     while front.open_descriptors() >= descriptors_before {
-        assert!(from.elapsed() < PROMPT, "kept");
+        assert!(from.elapsed() < PROMPT, "the connection was not closed");
         keep_alive();
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -108,7 +108,7 @@
         (Engine::start(), Engine::start(), discovery.next_connection());
     let listed = [(2, other.address, 0), (3, drains.address, 1)];
     channel.write_all(&full_list_frame(9, &listed)).unwrap();
-    let retry = other.next_message_within("serve", PROMPT).expect("not sent elsewhere");
+    let retry = other.next_message_within("serve", PROMPT).expect("not sent to the other engine");
     assert_eq!(retry.id, request);
     retry.respond("HIT", "fetches=1", b"a\tb\tc\n");
     client.expect_result(1, b"a\tb\tc\n");
@@ -139,7 +139,7 @@
     let DiscoveryConnection { last_event, stream: mut channel } = moved.next_connection();
     assert_eq!(last_event, 1);
     channel.write_all(&delta_frame(2, &[(1, unconnectable.address, 1), (2, other.address, 0)])).unwrap();
-    let retry = other.next_message_within("serve", PROMPT).expect("not sent elsewhere");
+    let retry = other.next_message_within("serve", PROMPT).expect("not sent to the other engine");
     assert_eq!(retry.id, request);
     let engine = unconnectable.accept_connections();
     retry.respond("HIT", "fetches=1", b"a\tb\tc\n");
@@ -159,12 +159,12 @@
     for id in 1..=8 {
         let request =
             client.send_request_for_table_group(id, if id % 2 == 0 { "load" } else { "look-up" }, id);
-        let attempt = other.next_message_within("serve", PROMPT).expect("not sent elsewhere");
+        let attempt = other.next_message_within("serve", PROMPT).expect("not sent to the other engine");
         assert_eq!(attempt.id, request);
         attempt.respond("HIT", "fetches=1", b"a\tb\tc\n");
         client.expect_result(id, b"a\tb\tc\n");
     }
-    assert!(counters_contain(&front, "dispatch ended no connection"), "none was tried in vain");
+    assert!(counters_contain(&front, "dispatch ended no connection"), "no connection attempt failed");
     drop(unconnectable);
 }
 
@@ -186,7 +186,7 @@
         if let Some(status) = child.try_wait().unwrap() {
             break status;
         }
-        assert!(from.elapsed() < Duration::from_secs(10), "it does not end");
+        assert!(from.elapsed() < Duration::from_secs(10), "the front does not exit");
         std::thread::sleep(Duration::from_millis(5));
     };
     let _ = std::fs::remove_file(&pipe);
@@ -232,14 +232,14 @@
     let data = base64(("select * from sales_17.orders".to_owned() + &" ".repeat(STATEMENT_BYTES)).as_bytes());
     let mut sent_count = 0;
     loop {
-        assert!(sent_count < 96, "the system takes all");
+        assert!(sent_count < 96, "the kernel accepts all bytes");
         let (request, id) = (format!("{:016x}", sent_count + 1), sent_count / 3 + 1);
         let params = json!({"call": request, "ttl": 20_000, "data": data});
         let line = json!({"jsonrpc": "2.0", "id": id, "method": "look-up", "params": params});
         clients[sent_count % 3].send_line(&line.to_string());
         sent_count += 1;
         let sent = format!("dispatched look-up={sent_count}");
-        assert!((0..1000).any(|_| counters_contain(&front, &sent)), "not sent on");
+        assert!((0..1000).any(|_| counters_contain(&front, &sent)), "not dispatched");
         if bytes_in_the_kernel(port) < sent_count * STATEMENT_BYTES {
             break;
         }
@@ -248,16 +248,16 @@
     let request = last_client.send_request(1, "look-up");
     assert!(
         (0..1000).any(|_| counters_contain(&front, &format!("dispatched look-up={}", sent_count + 1))),
-        "not sent on"
+        "not dispatched"
     );
     last_client.send_line(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":1}}"#);
-    assert!((0..1000).any(|_| counters_contain(&front, "left look-up=1")), "not heard");
+    assert!((0..1000).any(|_| counters_contain(&front, "left look-up=1")), "the revoke was not counted");
     // All earlier requests arrive in full, and nothing of the revoked one.
     stream.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
     let mut received = Vec::new();
     let _ = (&stream).read_to_end(&mut received);
     let was_received = |text: &str| received.windows(text.len()).any(|window| window == text.as_bytes());
     println!("{sent_count} asked before the system took only a part");
-    assert!(received.len() > sent_count * STATEMENT_BYTES, "{} bytes of {sent_count} came", received.len());
-    assert!(!was_received(&request), "sent though taken back");
+    assert!(received.len() > sent_count * STATEMENT_BYTES, "{} bytes for {sent_count}", received.len());
+    assert!(!was_received(&request), "sent although it was revoked");
 }
--- a/crates/edges/front/tests/fleet.rs
+++ b/crates/edges/front/tests/fleet.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const FRONT: &str = env!("CARGO_BIN_EXE_lemonusher-front");
-/// Held by each of these tests, as each of them loads the whole machine.
+/// Held by each of these tests while it runs, because each loads the whole machine.
 static WHOLE_MACHINE: Mutex<()> = Mutex::new(());
 /// Work of a request that the engines report, in milliseconds.
 const WORK_MS: u32 = 200;
--- a/crates/edges/front/tests/limits.rs
+++ b/crates/edges/front/tests/limits.rs
@@ -47,7 +47,7 @@
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
-/// Sends one request for each of `groups` table groups, `at_once` at a time. Returns how many got a result.
+/// Sends one request for each of `groups` table groups, `concurrency` at a time. Returns how many got a result.
 fn send_requests(front: &Front, groups: u64, concurrency: usize) -> u64 {
     let mut clients: Vec<Client> = (0..concurrency).map(|_| front.client()).collect();
     let (mut group, mut served) = (0, 0);
@@ -137,13 +137,13 @@
         front.signal("USR1");
         front.wait_for_log("counts:").contains(&format!("{} engines", 2 * ENGINE_DESCRIPTORS))
     };
-    assert!((0..200).any(|_| listed()), "not listed");
+    assert!((0..200).any(|_| listed()), "the endpoint update was not applied");
     let sent_at = Instant::now();
     for id in 1..=8 {
         client.send_request_for_table_group(group + id, "look-up", id);
     }
     for _ in 1..=8 {
-        let answer = client.next_response().expect("an answer");
+        let answer = client.next_response().expect("no response");
         assert!(answer.get("result").is_some(), "{answer}");
     }
     assert!(sent_at.elapsed() < Duration::from_secs(3), "after {:?}", sent_at.elapsed());
@@ -169,7 +169,7 @@
             assert!(shortage.contains(&format!("{records} engines")), "{shortage}");
         } else {
             front.wait_for_log(&format!("a frame of {} bytes", 9 + 27 * records));
-            assert_eq!(discovery.next_connection().last_event, 1, "asked again from what it has");
+            assert_eq!(discovery.next_connection().last_event, 1, "events not resumed");
         }
         let mut client = front.client();
         client.send_request(1, "look-up");
--- a/crates/edges/front/tests/platform.rs
+++ b/crates/edges/front/tests/platform.rs
@@ -22,7 +22,7 @@
         .collect();
     // A library that is loaded before the C library can only interpose functions that the binary imports from it.
     for name in ["__libc_start_main", "clock_gettime", "read", "write"] {
-        assert!(wanted.contains(name), "{name} is not asked of the C library");
+        assert!(wanted.contains(name), "{name} is not imported from the C library");
     }
     let refused: Vec<&&str> = REFUSED.iter().filter(|name| wanted.contains(**name)).collect();
     assert!(refused.is_empty(), "{refused:?}");
--- a/crates/edges/front/tests/races.rs
+++ b/crates/edges/front/tests/races.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 const FRONT: &str = env!("CARGO_BIN_EXE_lemonusher-front");
-/// Time limit for what a front does without waiting: long enough for a busy machine, and far below the front's
-/// timeouts.
+/// Time limit for what a front does without waiting: long enough for a busy machine, and far below the timeouts
+/// (10 s) after which the front gives up in some of these tests.
 const PROMPT: Duration = Duration::from_secs(3);
 const REVOKE: &str = r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":1}}"#;
 
@@ -22,7 +22,7 @@
     client.send_request(1, "look-up");
     let pause = Duration::from_millis(50);
     let sent = |id: &u32| engines[*id as usize - 1].try_next_request(pause).is_some();
-    [1, 2].into_iter().cycle().take(200).find(sent).expect("sent nowhere")
+    [1, 2].into_iter().cycle().take(200).find(sent).expect("no engine received a request")
 }
 
 /// Starts a front with two engines. The home engine of the look-ups does not accept connections yet.
@@ -38,8 +38,8 @@
     (Front::start(FRONT, &config), home, other, discovery)
 }
 
-/// Asserts that the first request that reaches the engine is a new one, and not `call`, which was assigned to
-/// it earlier.
+/// Asserts that the first request that reaches the engine is a new one, and not `request`, which was assigned
+/// to it earlier.
 fn assert_first_attempt_is_not(front: &Front, engine: &Engine, request: &str) {
     let mut client = front.client();
     let new_request = client.send_request(1, "look-up");
@@ -54,7 +54,7 @@
         front.signal("USR1");
         front.wait_for_log("counts:").contains("dispatched look-up=1")
     };
-    assert!((0..200).any(|_| is_dispatched()), "not sent on");
+    assert!((0..200).any(|_| is_dispatched()), "not dispatched");
 }
 
 fn front_with_one_engine(change_config: impl Fn(&mut Value)) -> (Front, Engine, DiscoveryServer) {
@@ -101,7 +101,7 @@
     let drains = delta_frame(2, &[(home_engine(), unconnectable.address, 1)]);
     channel.write_all(&drains).unwrap();
     // The request is retried on the other engine at once, although the connection may still be established.
-    let retry = other.next_message_within("serve", PROMPT).expect("not sent elsewhere");
+    let retry = other.next_message_within("serve", PROMPT).expect("not sent to the other engine");
     assert_eq!(retry.id, request);
     let engine = unconnectable.accept_connections();
     retry.respond("HIT", "fetches=1", b"a\tb\tc\n");
@@ -195,7 +195,7 @@
     let request = slow.send_request(300, "look-up");
     engine.next_message("serve");
     slow.stream.shutdown(Shutdown::Write).unwrap();
-    let cancel = engine.next_message_within("cancel", PROMPT).expect("still waited for");
+    let cancel = engine.next_message_within("cancel", PROMPT).expect("the attempt was not cancelled");
     assert_eq!(cancel.id, request);
 }
 
@@ -221,7 +221,7 @@
         client.stream.write_all(b"{\"half a li").expect(end);
         assert!(client.is_closed_gracefully(), "{end}: reset");
         drop(client);
-        assert!(engine.is_quiet(Duration::from_millis(200)), "{end}: sent on");
+        assert!(engine.is_quiet(Duration::from_millis(200)), "{end}: forwarded");
     }
 }
 
--- a/crates/edges/front/tests/sockets.rs
+++ b/crates/edges/front/tests/sockets.rs
@@ -557,7 +557,7 @@
         bad.send_line(&format!(r#"{{"jsonrpc":"2.0","id":4,"method":"look-up","params":{params}}}"#));
         assert!(bad.next_response().unwrap()["error"]["code"].as_i64().unwrap() < -32002, "{ttl}");
     }
-    // A revoke after the response is ignored.
+    // A revoke of an id below the highest received is ignored: that request may have got its response.
     bad.send_line(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":3}}"#);
     assert!(bad.is_ready());
     // The client keeps sending, so the close may overtake the last errors.
