--- a/crates/edges/deployment/src/settings.rs
+++ b/crates/edges/deployment/src/settings.rs
@@ -110,11 +110,12 @@
     /// Name of the class, which requests refer to.
     #[serde(default)]
     pub name: String,
-    /// Multiple of the request's own work, divided by its threads, that is added to the latency objective; no
-    /// unit.
+    /// Factor of the part of the latency objective that grows with the work of a request; no unit. See
+    /// `latency_objective_us`.
     #[serde(rename = "aim_stretch", default)]
     pub objective_work_factor: f64,
-    /// A response is in time within this, plus `objective_work_factor` times its work over its threads.
+    /// Fixed part of the latency objective. A response is in time if it arrives within this time plus
+    /// `objective_work_factor` × work of the request ÷ threads of the class.
     #[serde(rename = "aim_us")]
     pub latency_objective_us: u64,
     /// Idempotency of the requests of the class.
