--- a/crates/testing/fakes/src/client.rs
+++ b/crates/testing/fakes/src/client.rs
@@ -69,7 +69,7 @@
             Ok(0) => None,
             Ok(_) => Some(serde_json::from_str(&line).unwrap()),
             Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => None,
-            Err(e) => panic!("no answer: {e}"),
+            Err(e) => panic!("reading a response failed: {e}"),
         }
     }
 
@@ -83,7 +83,7 @@
     pub fn expect_error(&mut self, id: Option<u64>) -> i64 {
         let answer = self.next_response().unwrap();
         assert_eq!(answer["id"], json!(id), "{answer}");
-        answer["error"]["code"].as_i64().expect("an error")
+        answer["error"]["code"].as_i64().expect("the response is not an error")
     }
 
     /// Returns whether the front closed the connection gracefully (end of file, no reset) after its last
--- a/crates/testing/fakes/src/engine.rs
+++ b/crates/testing/fakes/src/engine.rs
@@ -43,7 +43,8 @@
     }
 }
 
-/// An engine that replies to probes by itself, and passes all other messages to the test.
+/// An engine that replies to requests for a load report (`gauges`) by itself, and passes all other messages to the
+/// test.
 pub struct Engine {
     /// Address that it listens on.
     pub address: SocketAddr,
@@ -75,7 +76,7 @@
 
     /// Waits until the front closes a connection. Returns the front's address of that connection.
     pub fn next_closed_connection(&self) -> SocketAddr {
-        self.closed.recv_timeout(TEST_TIMEOUT).expect("an end")
+        self.closed.recv_timeout(TEST_TIMEOUT).expect("no connection was closed")
     }
 
     /// Waits for the next message, which must be this command.
@@ -121,7 +122,7 @@
         let address = listener.local_addr().unwrap();
         let connect = |_| TcpStream::connect_timeout(&address, Duration::from_millis(300)).ok();
         let queued: Vec<TcpStream> = (0..64).map_while(connect).collect();
-        assert!(queued.len() < 64, "connections go on coming up");
+        assert!(queued.len() < 64, "the accept queue never fills up");
         UnconnectableEngine { address, listener, queued }
     }
 
--- a/crates/testing/fakes/src/front.rs
+++ b/crates/testing/fakes/src/front.rs
@@ -64,7 +64,7 @@
         let mut startup_log = Vec::new();
         let address = loop {
             let line: String =
-                log.recv_timeout(TEST_TIMEOUT).unwrap_or_else(|_| panic!("no start: {startup_log:?}"));
+                log.recv_timeout(TEST_TIMEOUT).unwrap_or_else(|_| panic!("not started: {startup_log:?}"));
             if let Some(address) = ready(&line) {
                 break address;
             }
