--- a/crates/edges/front/src/program/descriptor_limits.rs
+++ b/crates/edges/front/src/program/descriptor_limits.rs
@@ -1,7 +1,8 @@
 //! Divides the file descriptors that a front may hold among clients and engines, so that neither uses up those of
 //! the other.
 
-/// Limits of descriptors by use. `clients`, `lingering` and `engines` together stay below the limit of the process.
+/// Limits of descriptors by use. `clients`, `lingering` and `engines` together stay below the limit of the process
+/// if that is at least 16.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DescriptorLimits {
     /// Limit of client connections that are served.
--- a/crates/edges/front/tests/unit/engine.rs
+++ b/crates/edges/front/tests/unit/engine.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn parse_complete(bytes: &[u8]) -> Result<EngineReply, ReplyError> {
-    let reply = parse_reply(bytes)?.expect("a whole answer");
+    let reply = parse_reply(bytes)?.expect("the reply is incomplete");
     assert_eq!(reply.length, bytes.len());
     Ok(reply.message)
 }
