--- a/crates/edges/front/src/program/start.rs
+++ b/crates/edges/front/src/program/start.rs
@@ -88,7 +88,7 @@
     let inputs =
         TaskInputs { router, received_events, received_commands, external_processing, initial, listener };
     async_io::block_on(executor.run(front.run(inputs)));
-    log::info!("front exits; counts: {counters}");
+    log::info!("ends; counts: {counters}");
     Ok(())
 }
 
