--- a/crates/core/leases/src/client.rs
+++ b/crates/core/leases/src/client.rs
@@ -13,7 +13,8 @@
 
 /// The timeout of an attempt is the lease duration divided by this.
 const ATTEMPT_TIMEOUT_DIVISOR: u32 = 6;
-/// Lease durations after a release during which no attempt begins, so that other fronts can acquire the task.
+/// Number of lease durations after a release in which the client begins no attempt for the task, so that another front
+/// can acquire it.
 const RELEASE_BACKOFF_LEASES: u32 = 2;
 
 /// A request to one voter.
@@ -156,9 +157,9 @@
         }
     }
 
-    /// Releases a task. It takes effect at once at this front, and for other fronts when the voters receive the
-    /// message. With `keep_wanted` the front tries to acquire the task again, but only after other fronts have
-    /// had time to acquire it.
+    /// Releases a task and returns the messages for the voters. The release takes effect at once at this front, and
+    /// for other fronts when the voters receive the messages. With `keep_wanted` the front tries to acquire the task
+    /// again, but only after other fronts have had time to acquire it.
     pub fn release(
         &mut self,
         now: Duration,
--- a/crates/core/leases/src/client/reply.rs
+++ b/crates/core/leases/src/client/reply.rs
@@ -9,8 +9,8 @@
 /// Clients that wait for the end of another client's lease retry at random times within this many lease durations
 /// after that end.
 const RETRY_SPREAD_LEASES: u32 = 1;
-/// Additional retry delay for each lease that the client holds, in lease durations, so that tasks spread over the
-/// fronts.
+/// Additional retry delay, in lease durations, for each lease that the client holds. Clients with fewer leases are
+/// therefore likely to retry first, so that tasks spread over the fronts.
 const RETRY_DELAY_PER_HELD_LEASE: f64 = 0.25;
 
 impl LeaseClient {
--- a/crates/core/leases/src/voter.rs
+++ b/crates/core/leases/src/voter.rs
@@ -29,7 +29,7 @@
 /// A voter's state. Its events are the requests given to [`Voter::handle_request`], which returns the replies.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Voter {
-    /// Time by which all grants and promises of an earlier incarnation, which this one does not know, have expired.
+    /// Time by which the unknown grants and promises of earlier incarnations of this voter have expired.
     silent_until: Duration,
     /// A lower limit of the tokens of new leases: at least the highest token of every task that is not in `tasks`.
     token_floor: u64,
@@ -49,7 +49,8 @@
         now < self.silent_until
     }
 
-    /// The highest token of all tasks. A front with a state folder stores it there.
+    /// The highest token of all tasks, and at least the token floor. A front with a state folder stores a limit there
+    /// that is not below this token.
     pub fn highest_token(&self) -> u64 {
         let highest = self.tasks.values().map(|state| state.highest_token).max();
         highest.unwrap_or_default().max(self.token_floor)
--- a/crates/core/leases/tests/exhaustive.rs
+++ b/crates/core/leases/tests/exhaustive.rs
@@ -1,6 +1,6 @@
-//! Model check of every interleaving of a small fleet, on the production code: three voters and two lease
-//! clients. Messages are lost, repeated and delayed without limit, voters lose their memory, and the clocks run
-//! at the limits of the configured drift.
+//! Model check of a small fleet, on the production code: three voters and two lease clients. Each test checks every
+//! interleaving up to its number of clock ticks, attempts and losses of a voter's memory. Accept requests and
+//! their replies are lost, repeated and delayed without limit, and the clocks run at the limits of the drift.
 
 use lemonusher_leases::*;
 use stateright::{Checker, Model, Property};
@@ -105,7 +105,7 @@
             return None;
         }
         state.attempts_begun += 1;
-        // Replies to an abandoned attempt change nothing at its lease client, and prepares of one only block other
+        // Replies to an abandoned attempt change nothing at its lease client, and its prepares only block other
         // clients, so both count as lost. Its accept requests may still arrive at any time.
         let latest = state.sent.iter().filter_map(|sent| match sent {
             InFlight::Request(from, _, LeaseRequest::Prepare { ballot, .. }) if *from == client => {
--- a/crates/core/leases/tests/scenarios.rs
+++ b/crates/core/leases/tests/scenarios.rs
@@ -239,7 +239,7 @@
     client
 }
 
-/// Has the client begin a renewal at `now`, with accept requests to all three voters; returns the ballot of it.
+/// Has the client begin a renewal at `now`, with accept requests to all three voters; returns their ballot.
 fn begin_renewal(client: &mut LeaseClient, now: Duration) -> Ballot {
     let messages = client.poll(now, &CONFIG, &mut || 0.0);
     assert_eq!(messages.len(), 3);
