--- a/crates/core/registers/src/acceptor.rs
+++ b/crates/core/registers/src/acceptor.rs
@@ -69,7 +69,8 @@
     /// The lowest epoch that this acceptor may begin, also if no voter remembers an epoch.
     first_epoch: u64,
     registers: BTreeMap<Name, StoredRegister>,
-    /// Incremented with each accepted entry in this incarnation; no two registers have the same revision above 0.
+    /// Incremented with each entry that this incarnation accepts, copies or restores; no two registers have the same
+    /// revision above 0.
     revision: u64,
     /// None once the acceptor votes.
     recovery: Option<Recovery>,
@@ -148,8 +149,9 @@
         self.recovery.as_mut().map(|recovery| recovery.poll(now, config, voters, index)).unwrap_or_default()
     }
 
-    /// A register that a new epoch began with and that no proposer has proposed since. It can be committed only
-    /// after a proposal, for which an [`Operation::Read`](crate::Operation::Read) is enough.
+    /// The name of a register whose value a new epoch began with and no proposer has proposed since; none while the
+    /// acceptor does not vote. The value counts as committed only after a proposal, for which an
+    /// [`Operation::Read`](crate::Operation::Read) is enough.
     pub fn unproposed_register(&self, now: Duration) -> Option<&Name> {
         let is_unproposed = |register: &StoredRegister| {
             register.accepted.as_ref().is_some_and(|accepted| accepted.ballot.proposer == NO_PROPOSER)
--- a/crates/core/registers/src/learner.rs
+++ b/crates/core/registers/src/learner.rs
@@ -145,7 +145,7 @@
         messages
     }
 
-    /// Records a value that this front has committed or read itself, so that the learner need not poll for it.
+    /// Records a value that this front has committed or read itself, so that it is known before the next poll.
     pub fn observe_committed(&mut self, now: Duration, name: &str, entry: &Entry) {
         if let Some(register) = self.registers.get_mut(name) {
             register.record_committed(now, entry);
--- a/crates/core/registers/src/message.rs
+++ b/crates/core/registers/src/message.rs
@@ -7,7 +7,8 @@
 /// A register's name, such as `sites`; at most [`MAX_NAME_BYTES`](lemonusher_leases::MAX_NAME_BYTES) bytes.
 pub type Name = String;
 
-/// The version of a register's value; a higher one is newer. Commands print it under the keys `era` and `version`.
+/// The version of a register's value; a higher one is newer. In the JSON rows of registers that commands print, its
+/// fields have the keys `era` and `version`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct EntryVersion {
     /// Increases whenever a majority of the voters has lost its memory, so that values may have reverted to older
--- a/crates/core/registers/src/proposer.rs
+++ b/crates/core/registers/src/proposer.rs
@@ -15,7 +15,7 @@
 
 /// The timeout of an attempt is the lease duration divided by this.
 const ATTEMPT_TIMEOUT_DIVISOR: u32 = 6;
-/// Maximum number of attempts per change; then its outcome is unknown.
+/// Maximum number of attempts per change. If the last one fails, the outcome is [`ProposalOutcome::Unknown`].
 const MAX_ATTEMPTS: u32 = 8;
 
 /// An operation on a register.
@@ -44,8 +44,8 @@
         /// The committed value; none after a read of an empty register.
         entry: Option<Entry>,
     },
-    /// The change was not made: the current value has another version or a higher token, or the new value was too
-    /// long.
+    /// The proposed value is not the current one: the current value has another version or a higher token, or the new
+    /// value was too long. An earlier attempt of the change may have been committed and replaced since.
     Conflict {
         /// The name of the register.
         name: Name,
--- a/crates/core/registers/src/proposer/decision.rs
+++ b/crates/core/registers/src/proposer/decision.rs
@@ -9,7 +9,8 @@
 pub(super) struct Decision {
     /// None if the register is empty and nothing is to be written.
     pub(super) entry: Option<Entry>,
-    /// Whether the operation has succeeded once `entry` is committed. If not, `entry` is a conflicting value.
+    /// Whether the operation has succeeded once `entry` is committed. If not, `entry` is the current value, which
+    /// conflicts with the operation; none if the register is empty.
     pub(super) is_success: bool,
 }
 
