--- a/crates/core/failure-detector/src/config.rs
+++ b/crates/core/failure-detector/src/config.rs
@@ -5,7 +5,7 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Minimum probe interval; shorter configured ones are raised to it.
+/// Minimum probe interval; a shorter configured one is raised to this.
 const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(20);
 /// Number of other members that are asked to probe a member that has not replied to a direct probe.
 const INDIRECT_PROBES: usize = 3;
@@ -29,7 +29,7 @@
 /// The settings of the failure detector. They must be the same at all fronts of a fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DetectorConfig {
-    /// Interval in which each member probes one other member; at least 20 ms, shorter ones are raised to it.
+    /// Interval in which each member probes one other member; one below 20 ms is raised to 20 ms.
     pub probe_interval: Duration,
 }
 
--- a/crates/core/failure-detector/src/detector.rs
+++ b/crates/core/failure-detector/src/detector.rs
@@ -13,8 +13,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Probe intervals between two announcements to seed addresses. Each time, the next seed address gets one if no
-/// member is known there.
+/// Number of configured probe intervals from one seed address to the next. Each seed address in turn is sent an
+/// announcement if no member is known there.
 const SEED_ANNOUNCE_PERIODS: u32 = 4;
 /// Maximum number of seed addresses; an announcement to a further one is sent only once.
 const MAX_SEEDS: usize = MAX_MEMBERS;
--- a/crates/core/failure-detector/src/lib.rs
+++ b/crates/core/failure-detector/src/lib.rs
@@ -7,8 +7,8 @@
 //! incarnation of a front counts as a separate member, so a restart is detected without comparing clocks.
 //!
 //! **Its result is a hint.** A member reported as left may still act, and one reported as present may have
-//! failed. Safety depends on leases and registers. The detector only determines which fronts are counted, which
-//! are sent requests, and which are shown to an operator.
+//! failed. Safety depends on leases and registers. The detector only determines which fronts are counted and
+//! shown to an operator.
 //!
 //! [`FailureDetector`] is pure: no sockets and no clocks. A time is a duration since an arbitrary origin, and random
 //! numbers come from a generator with a given seed.
--- a/crates/core/failure-detector/src/member.rs
+++ b/crates/core/failure-detector/src/member.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 
 /// One incarnation of one front. A front that has restarted is another member, even under the same name and
-/// address, and its old incarnation is detected as having left without comparing clocks. Encoded with postcard:
-/// the order of fields is part of the protocol.
+/// address, and its old incarnation is reported as left. No clocks are compared for this. Encoded with postcard: the
+/// order of fields is part of the protocol.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
     /// The front's name; at most [`MAX_NAME_BYTES`](crate::MAX_NAME_BYTES) bytes.
