--- a/crates/core/watch/src/lib.rs
+++ b/crates/core/watch/src/lib.rs
@@ -8,9 +8,10 @@
 //! 1. A sample is due at each sample interval, a heartbeat at each heartbeat interval, and a change as soon as
 //!    it is seen. Missed intervals are skipped. A heartbeat sends the whole state, changed or not.
 //! 2. A sample sends the whole state, or only the changes if redundant updates are suppressed.
-//! 3. A notification that does not fit the subscriber's remaining room is not sent, not even in part. A sample
-//!    that is not sent is lost, and its updates and deletes are counted. Of changes, intermediate states are
-//!    lost and counted; the last state is sent once there is room.
+//! 3. The subscriber's room is the number of updates and deletes that it can take now. A notification that does not
+//!    fit the room is not sent, not even in part. A sample that is not sent is lost, and its updates and deletes
+//!    are counted. A change that does not fit is counted as lost when it is seen. Once there is room, the state at
+//!    that time is sent; intermediate states are not.
 
 #![warn(missing_docs)]
 
