--- a/crates/core/membership/src/admission.rs
+++ b/crates/core/membership/src/admission.rs
@@ -2,10 +2,10 @@
 //! rejected requests.
 //!
 //! A request is open from [`AdmissionLimiter::admit`] to [`AdmissionLimiter::release`]. Each request over the
-//! limit is rejected. Its retry time is one mean interval between releases, at the recent release rate, after
-//! the retry time of the previous rejected request, within the minimum and maximum Retry-After. So clients do
-//! not all retry at once, and retry about as fast as open requests end. A time is a duration since an origin
-//! that the caller chooses.
+//! limit is rejected. Its retry time is the retry time of the previous rejected request plus the recent mean
+//! interval between two releases, limited to the minimum and maximum Retry-After from now. So clients do not all
+//! retry at once, and retry about as fast as open requests end. A time is a duration since an origin that the
+//! caller chooses.
 
 use std::time::Duration;
 
--- a/crates/core/membership/src/endpoint_table.rs
+++ b/crates/core/membership/src/endpoint_table.rs
@@ -71,8 +71,8 @@
         EndpointTable { desired_state, ..EndpointTable::default() }
     }
 
-    /// Applies an update of the endpoint list. The returned change holds the same engines in the same order,
-    /// and is an update of the same kind.
+    /// Applies an update of the endpoint list. The entries of the returned change are those of the update, in the
+    /// same order and with their blocked request classes; they form an update of the same kind.
     pub fn apply_list(&mut self, kind: EndpointUpdateKind, mut entries: Vec<EngineEntry>) -> EndpointChange {
         let replaced = match kind {
             EndpointUpdateKind::Delta => None,
