--- a/crates/edges/fleet/src/body.rs
+++ b/crates/edges/fleet/src/body.rs
@@ -206,8 +206,8 @@
         /// Whether more rows follow this page.
         more: bool,
     },
-    /// Requests that the holder of a task release it. An operator sends it to a voter, which forwards it to
-    /// the holder.
+    /// Requests that the holder of a task releases the task. An operator sends the message to a voter, which
+    /// forwards it to the holder.
     HandOver {
         /// The task's name.
         task: String,
--- a/crates/edges/fleet/src/channel.rs
+++ b/crates/edges/fleet/src/channel.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Maximum number of senders that are remembered; a further one replaces the one with the oldest last datagram.
+/// Maximum number of senders that are remembered; a further one replaces the one that has sent nothing for longest.
 const MAX_SENDERS: usize = 4096;
 /// Maximum number of datagrams opened per second; further ones are dropped without being decoded.
 const MAX_DATAGRAMS_PER_SECOND: u32 = 20_000;
--- a/crates/edges/fleet/src/maintenance.rs
+++ b/crates/edges/fleet/src/maintenance.rs
@@ -218,7 +218,8 @@
         }
     }
 
-    /// Handles the outcome of a proposal that [`Maintenance::poll`] returned. Ignores registers of other kinds.
+    /// Handles the outcome of a proposal that [`Maintenance::poll`] returned. Ignores a register that holds no
+    /// maintenance request.
     pub(crate) fn handle_outcome(&mut self, now: Duration, register: &str, outcome: &ProposalOutcome) {
         let Some(coordinator) = &mut self.coordinator else { return };
         let Some(request) = request_of(register) else { return };
--- a/crates/edges/fleet/src/node/changes.rs
+++ b/crates/edges/fleet/src/node/changes.rs
@@ -35,7 +35,7 @@
             tracing::info!(task, number, "fleet: holds a task");
         }
         LeaseChange::Expired { task, fencing_token: number } => {
-            tracing::warn!(task, number, "fleet: a lease expired because too few voters replied in time");
+            tracing::warn!(task, number, "fleet: a lease expired because too few voters renewed it in time");
         }
         LeaseChange::Released { task, fencing_token: number } => {
             tracing::info!(task, number, "fleet: released a task");
--- a/crates/edges/fleet/src/node/handle.rs
+++ b/crates/edges/fleet/src/node/handle.rs
@@ -55,7 +55,7 @@
         if let Some(state_folder) = &mut self.state_folder
             && let Err(error) = state_folder.store_token(voter.highest_token())
         {
-            return tracing::error!("fleet: can't store the fencing token, so no lease is granted: {error}");
+            return tracing::error!("fleet: can't store the fencing token, so no reply is sent: {error}");
         }
         self.send(Body::LeaseReply(reply), from);
     }
@@ -102,7 +102,8 @@
         } else if let Some(voter) = &self.voter {
             let grant = voter.grants(now).find(|(granted, _)| **granted == task);
             let holder = grant.and_then(|(_, grant)| self.channel.address_of(&grant.holder));
-            // A request that came from the holder itself is not sent back, so it is never forwarded twice.
+            // A request that came from the holder itself is not sent back to it. Otherwise two voters that have
+            // each granted the task to the other would forward the request to each other without end.
             if let Some(address) = holder.filter(|address| *address != from) {
                 self.send(Body::HandOver { task }, address);
             }
@@ -117,7 +118,7 @@
         match state_folder.store_registers(acceptor.persistent_state()) {
             Ok(()) => true,
             Err(error) => {
-                tracing::error!("fleet: can't store the registers, so it does not vote: {error}");
+                tracing::error!("fleet: can't store the registers, so no reply is sent: {error}");
                 false
             }
         }
--- a/crates/edges/fleet/src/node/mod.rs
+++ b/crates/edges/fleet/src/node/mod.rs
@@ -104,9 +104,10 @@
         state_folder: Option<StateFolder>,
         counters: Arc<TrafficCounters>,
     ) -> Node {
-        // Fencing tokens must increase even if no voter remembers the earlier ones. They start above all that
-        // an earlier incarnation can have granted: above the limit in the state folder, or else above the start
-        // time in milliseconds. If the clock was set back, resources report the highest token that they have seen.
+        // Fencing tokens must increase even if no voter remembers the earlier ones. They start above the limit in the
+        // state folder or, without a folder, above the start time in milliseconds. If that is not above all earlier
+        // tokens, because the folder is new or the clock was set back, resources report the highest token that they
+        // have seen.
         let token_floor = state_folder.as_ref().map_or(start.unix_time_ms, StateFolder::token_floor);
         let incarnation = Incarnation { name: config.name.clone(), id: start.incarnation };
         let (leases, voters) = (config.leases, config.voters.len());
@@ -219,8 +220,8 @@
         std::mem::take(&mut self.control_updates)
     }
 
-    /// Handles a resource's report of a higher fencing token. If this front holds the task under a lower
-    /// token, it releases the task and acquires it again under a token above the reported one.
+    /// Handles a resource's report of a higher fencing token. If this front may act on the task under a lower
+    /// token, it releases the task and later tries to acquire it again, under a token above the reported one.
     pub fn handle_token_rejection(&mut self, now: Duration, rejection: &TokenRejection) {
         let TokenRejection { task, highest_token } = rejection;
         self.lease_client.observe_token(task, *highest_token);
@@ -228,7 +229,7 @@
             tracing::warn!(
                 task,
                 seen = highest_token,
-                "fleet: a resource has seen a higher fencing token; reacquiring"
+                "fleet: a resource has seen a higher fencing token; releasing the task to reacquire it"
             );
             let messages = self.lease_client.release(now, &self.config.leases, task, true);
             self.send_lease_requests(messages);
--- a/crates/edges/fleet/src/node/proposals.rs
+++ b/crates/edges/fleet/src/node/proposals.rs
@@ -48,11 +48,11 @@
         self.send_register_requests(messages);
     }
 
-    /// Logs an outcome and passes its entry to the learner, which then need not poll for it.
+    /// Logs an outcome and passes its entry to the learner, which then knows it before the next poll.
     fn observe_outcome(&mut self, now: Duration, outcome: ProposalOutcome) {
         match outcome {
             ProposalOutcome::Committed { name, entry: Some(entry) } => {
-                tracing::info!(name, version = entry.version.counter, "fleet: a register is committed");
+                tracing::info!(name, version = entry.version.counter, "fleet: a register value is committed");
                 self.learner.observe_committed(now, &name, &entry);
             }
             ProposalOutcome::Committed { .. } => {}
--- a/crates/edges/fleet/src/node/stats.rs
+++ b/crates/edges/fleet/src/node/stats.rs
@@ -9,7 +9,8 @@
 const LEASE_OVERHEAD_BYTES: usize = 40;
 /// Size in bytes of a register's version and token, without its name and value.
 const REGISTER_OVERHEAD_BYTES: usize = 24;
-/// Size in bytes of a remembered sender without its name: incarnation, sequence number, address and time.
+/// Size in bytes counted for a remembered sender without its name: incarnation, sequence number, address and time. Its
+/// replay window is not counted.
 const SENDER_OVERHEAD_BYTES: usize = 46;
 
 /// Amount of fleet state that a front holds.
@@ -25,7 +26,8 @@
     pub leases_held: usize,
     /// Number of unexpired leases that this front has granted as a voter.
     pub leases_granted: usize,
-    /// Number of registers that this front knows to be committed, plus those that it has accepted as a voter.
+    /// Number of registers that this front knows to be committed, plus those that it has accepted as a voter. A
+    /// register that is both counts twice.
     pub registers: usize,
     /// Approximate size in bytes of all of these in encoded form.
     pub bytes: usize,
--- a/crates/edges/fleet/src/replay_window.rs
+++ b/crates/edges/fleet/src/replay_window.rs
@@ -3,7 +3,8 @@
 
 /// Number of sequence numbers in one block.
 const BLOCK_BITS: u64 = u64::BITS as u64;
-/// Number of blocks in the ring; one of them always lies partly ahead of the window.
+/// Number of blocks in the ring. The window is one block shorter, because its oldest and its newest block need not lie
+/// in it completely.
 const BLOCKS: u64 = 16;
 
 /// The sequence numbers received, from [`ReplayWindow::REACH`] below the highest one up to it. An older number
@@ -17,7 +18,8 @@
 
 impl ReplayWindow {
     /// How far a sequence number may be behind the highest one and still be accepted. A front that watches all
-    /// registers sends about 200 datagrams in one burst; the window covers several bursts.
+    /// registers sends about 200 datagrams in one burst if the voters run an earlier version, because each of them is
+    /// then sent a read of each register. The window covers several bursts.
     pub const REACH: u64 = (BLOCKS - 1) * BLOCK_BITS;
 
     /// Records a sequence number. Returns false if it was received before or is older than the window. Numbers
--- a/crates/edges/fleet/src/state_folder.rs
+++ b/crates/edges/fleet/src/state_folder.rs
@@ -18,7 +18,7 @@
 /// An open state folder and its content.
 pub struct StateFolder {
     folder: PathBuf,
-    /// The stored limit: no token above it is granted before a higher limit has been written.
+    /// The stored limit: no reply grants a token above it before a higher limit has been written.
     token_floor: u64,
     registers: Option<PersistentState>,
 }
@@ -43,7 +43,8 @@
         self.registers.clone()
     }
 
-    /// Must be called before a token is granted. Writes only if the token is above the stored limit.
+    /// Must be called before a reply that grants this token is sent. Writes only if the token is above the stored
+    /// limit.
     pub fn store_token(&mut self, fencing_token: u64) -> io::Result<()> {
         if fencing_token > self.token_floor {
             let token_floor = fencing_token + TOKEN_RESERVE;
@@ -99,7 +100,7 @@
     std::fs::write(&new, bytes)?;
     std::fs::File::open(&new)?.sync_all()?;
     std::fs::rename(&new, &file)?;
-    // Syncs the folder too, or the older file may be back after a power failure.
+    // Without a sync of the folder, the older file may be back after a power failure.
     std::fs::File::open(folder)?.sync_all()
 }
 
--- a/crates/edges/fleet/tests/nodes.rs
+++ b/crates/edges/fleet/tests/nodes.rs
@@ -1,6 +1,6 @@
-//! Tests of nodes over a network that reverses each burst of messages. Messages that may arrive in any order
-//! are accepted and superseded ones are dropped, watching registers takes few datagrams, and values are
-//! learned again after voters have lost their memory.
+//! Tests of nodes that receive messages in reverse order. Messages that may arrive in any order are accepted, and
+//! repeated and superseded ones are dropped. Watching registers takes few datagrams. A value that one voter still
+//! has after a majority lost its memory becomes known to a new member.
 
 use lemonusher_fleet::*;
 use lemonusher_leases::{Ballot, Incarnation, LeaseConfig, LeaseReply, LeaseRequest};
