--- a/crates/core/leases/tests/scenarios.rs
+++ b/crates/core/leases/tests/scenarios.rs
@@ -106,7 +106,7 @@
     let from = fleet.now;
     while fleet.holders(TASK) != [(1, 2)] {
         fleet.advance(ms(50));
-        assert!(fleet.now < from + CONFIG.voter_hold_time() + CONFIG.duration * 3, "nobody has taken it");
+        assert!(fleet.now < from + CONFIG.voter_hold_time() + CONFIG.duration * 3, "client 1 has no lease");
     }
     let (a, b) = (fleet.clients[0].take_changes(), fleet.clients[1].take_changes());
     assert_eq!(a[1], LeaseChange::Expired { task: TASK.into(), fencing_token: 1 });
@@ -367,7 +367,7 @@
             run(&mut fleet, &mut slots, ms(200));
             assert!(
                 fleet.now < now + CONFIG.duration * 40,
-                "{} of {fronts} seats",
+                "{} of {fronts} quota slots are held",
                 held_slots(&fleet, &slots)
             );
         }
