--- a/crates/core/registers/tests/exhaustive.rs
+++ b/crates/core/registers/tests/exhaustive.rs
@@ -184,10 +184,10 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("a stamp has one value", |_, state: &State| {
+            Property::always("a version has one value", |_, state: &State| {
                 state.committed.values().all(|values| values.len() == 1)
             }),
-            Property::sometimes("both changes settle, one after the other", |_, state: &State| {
+            Property::sometimes("both changes are committed, one after the other", |_, state: &State| {
                 state.committed.len() == 2
             }),
         ]
@@ -196,8 +196,8 @@
 
 fn check(mutation: Mutation) -> (usize, bool, bool) {
     let checker = SmallFleet { mutation }.checker().threads(4).spawn_dfs().join();
-    let found = checker.discovery("a stamp has one value").is_some();
-    let both = checker.discovery("both changes settle, one after the other").is_some();
+    let found = checker.discovery("a version has one value").is_some();
+    let both = checker.discovery("both changes are committed, one after the other").is_some();
     (checker.unique_state_count(), found, both)
 }
 
--- a/crates/core/registers/tests/learner.rs
+++ b/crates/core/registers/tests/learner.rs
@@ -111,7 +111,7 @@
         assert!(requests.iter().all(|request| matches!(request, RegisterRequest::ChangesSince { .. })));
     }
     let confirmed_at = world.learner.committed(&name(0)).unwrap().confirmed_at;
-    assert_eq!(confirmed_at, world.now, "an unchanged value was made sure of");
+    assert_eq!(confirmed_at, world.now, "the unchanged value was not confirmed");
 }
 
 #[test]
@@ -168,13 +168,13 @@
     for n in 0..64 {
         world.accept(&[0, 1, 2], &name(n), &entry(1, 20));
     }
-    assert_eq!(world.poll().len(), VOTERS, "one register each, to see whether names are read");
+    assert_eq!(world.poll().len(), VOTERS, "one read per voter, to find out if reads are supported");
     assert_eq!(world.poll().len(), VOTERS * 64);
     assert!((0..64).all(|n| world.committed(n) == Some(entry(1, 20))));
     world.earlier_version.clear();
     world.poll();
     world.poll();
-    assert_eq!(world.poll().len(), VOTERS, "once changes are reported, no register is read by name");
+    assert_eq!(world.poll().len(), VOTERS, "once voters reply with changes, no register is read");
 }
 
 /// Compares the learner with the entries that a majority accepted, while voters restart and replies are lost,
@@ -214,7 +214,7 @@
                 }
             }
             for (register, committed) in (0..20).filter_map(|n| Some((n, world.committed(n)?))) {
-                assert!(committed.version <= accepted[&register].version, "seed {seed}: not settled yet");
+                assert!(committed.version <= accepted[&register].version, "seed {seed}: not accepted yet");
             }
         }
         (0..4).for_each(|_| drop(world.poll()));
--- a/crates/core/registers/tests/scenarios.rs
+++ b/crates/core/registers/tests/scenarios.rs
@@ -204,7 +204,7 @@
         if let Some(CommittedEntry { entry, .. }) = front.learner.committed(NAME) {
             let entry = entry.clone();
             if Some(entry.version) < front.watched {
-                self.violations.push(format!("a follower went back to {:?}", entry.version));
+                self.violations.push(format!("a learner went back to {:?}", entry.version));
             }
             front.watched = Some(entry.version);
             self.record_committed(&entry);
@@ -263,8 +263,8 @@
         committed += world.highest.len();
     }
     println!("settled {committed}, eras in a run {epochs:?}");
-    assert!(committed > 900 * 20, "hardly anything was settled: {committed}");
-    assert_eq!(epochs, BTreeSet::from([1]), "an era began though no majority had forgotten");
+    assert!(committed > 900 * 20, "only {committed} changes were committed");
+    assert_eq!(epochs, BTreeSet::from([1]), "an epoch began although no majority had lost its memory");
 }
 
 #[test]
@@ -273,7 +273,7 @@
         let voters = [3, 5][seed as usize % 2];
         let mut world = World::new(seed, voters, false);
         world.run(ms(3000));
-        let before = world.highest.last().expect("nothing was settled").1;
+        let before = world.highest.last().expect("nothing was committed").1;
         let index = world.chance.usize(..voters);
         let memory_losses = majority(voters) + usize::from(world.chance.bool());
         (0..memory_losses).for_each(|next| world.start((index + next) % voters));
@@ -323,7 +323,7 @@
             }
         }
     }
-    assert!(recovered(&acceptors), "a majority is blank: the two begin an era");
+    assert!(recovered(&acceptors), "a majority is without memory: the two begin an epoch");
     let now = ms(5000);
     assert_eq!(acceptors[1].unproposed_register(now), Some(&NAME.to_owned()));
     let mut learner = Learner::new(3, ms(80));
@@ -362,7 +362,7 @@
     world.acceptors[2] = None; // Only this voter may still know the committed values.
     let before = world.highest.len();
     world.run(ms(6000));
-    assert_eq!(world.highest.len(), before, "values were settled without a memory");
+    assert_eq!(world.highest.len(), before, "values were committed without the last voter");
     world.acceptors[2] = None;
     world.start(2);
     world.run(ms(4000));
