--- a/crates/core/failure-detector/tests/scenarios.rs
+++ b/crates/core/failure-detector/tests/scenarios.rs
@@ -119,7 +119,7 @@
     assert_eq!(world.known(), [7; 8]);
     assert!(
         world.left[before..].iter().any(|(_, member)| member.name == "n5"),
-        "the old incarnation was not missed"
+        "the old incarnation was not reported as left"
     );
 }
 
--- a/crates/edges/fleet/tests/limits.rs
+++ b/crates/edges/fleet/tests/limits.rs
@@ -85,7 +85,7 @@
                 return (rows, more);
             }
         }
-        panic!("no answer after {after:?}")
+        panic!("no reply with the members after {after:?}")
     }
 
     /// Requests what a voter has accepted since a revision of an incarnation. Sends the request again if a
@@ -100,7 +100,7 @@
                 return changes;
             }
         }
-        panic!("no answer since {since}")
+        panic!("no reply with the changes since {since}")
     }
 
     fn receive(&self) -> Option<Body> {
@@ -171,7 +171,7 @@
             false
         }
     };
-    assert!((0..200).any(|_| is_voting(&mut client)), "it never votes");
+    assert!((0..200).any(|_| is_voting(&mut client)), "the voter does not begin to vote");
     let names: BTreeSet<String> = (0..MAX_REQUESTS as u8).map(maintenance_register).collect();
     let ballot = Ballot { round: 1, proposer: 5 };
     for name in &names {
