--- a/crates/core/registers/src/proposer.rs
+++ b/crates/core/registers/src/proposer.rs
@@ -52,8 +52,8 @@
         /// The current value; none if the register is empty or the new value was too long.
         entry: Option<Entry>,
     },
-    /// Too few voters replied in time, or another change of the register has begun. The change may have been
-    /// committed or may still be.
+    /// Too few voters accepted the change in time, or this front has begun another change of the register. The
+    /// change with this outcome may have been committed or may still be.
     Unknown {
         /// The name of the register.
         name: Name,
