--- a/crates/edges/fleet/src/node/proposals.rs
+++ b/crates/edges/fleet/src/node/proposals.rs
@@ -65,7 +65,7 @@
             ProposalOutcome::Unknown { name } => {
                 tracing::warn!(
                     name,
-                    "fleet: outcome of a register proposal unknown: too few replies, or superseded"
+                    "fleet: outcome of a register proposal unknown: too few acceptances, or superseded"
                 );
             }
         }
