--- a/crates/core/zone-failover/src/coordinator.rs
+++ b/crates/core/zone-failover/src/coordinator.rs
@@ -2,9 +2,9 @@
 //! lease at any time. The one that holds the lease runs the zones' state machines and decides when the plan's
 //! register is read and written.
 //!
-//! A plan is written if a zone or the prober changed. Four report intervals after the last plan, it is also written
-//! if an admitted share changed by more than 20 thousandths or the Retry-After changed; smaller changes don't justify
-//! a round of the register.
+//! A plan is written if a zone's entry or the prober changed. From four report intervals after the register was last
+//! read or written, a plan is also written if an admitted share changed by more than 20 thousandths or the Retry-After
+//! changed; smaller changes don't justify a round of the register.
 
 use crate::health::ObservedZone;
 use crate::{
@@ -228,7 +228,8 @@
         observed
     }
 
-    /// Builds the plan from the zones' present states and starts to write it if it differs from the committed plan.
+    /// Builds the plan from the zones' present states. Starts to write it if no plan is committed, or if it differs
+    /// from the committed plan as the head of the module states.
     fn write(
         &mut self,
         now: Duration,
--- a/crates/core/zone-failover/src/follower.rs
+++ b/crates/core/zone-failover/src/follower.rs
@@ -3,8 +3,8 @@
 //! A front that has not confirmed the plan for [`FailoverConfig::plan_timeout`] is isolated, and follows these rules:
 //!
 //! 1. It keeps following the last plan, and opens nothing that this plan closes.
-//! 2. It closes zones, other than its own, that its own observations show as unreachable for the confirmation time.
-//!    Such a zone stays closed until the front reads the plan again, as a closed zone yields no observations.
+//! 2. It closes each other zone that it has observed as unreachable for the confirmation time. Such a zone stays closed
+//!    until the front reads the plan again, as a closed zone yields no observations.
 //! 3. While any zone is restricted or unreachable, it admits no more work than its share of the capacity of the
 //!    remaining zones ([`LocalView::isolated_share`]), and no greater shares than the last plan. Otherwise the last
 //!    plan's shares apply.
@@ -68,9 +68,10 @@
     /// The version of the plan followed; none before the first plan.
     version: Option<EntryVersion>,
     plan: FailoverPlan,
-    /// Time at which a majority of the voters last confirmed the plan followed, or that there is none.
+    /// The time at which a majority of the voters last confirmed the plan followed, or that no plan was
+    /// ever committed; before that, the time of creation.
     confirmed_at: Duration,
-    /// Since when this front's own observations show the zone as unreachable, by zone.
+    /// The time since which this front's own observations show a zone as unreachable, by zone.
     unreachable_since: [Option<Duration>; MAX_ZONES],
     /// The shares by the isolated-front rule; none while the plan's shares apply.
     isolated_admission: Option<IsolatedAdmission>,
@@ -167,7 +168,8 @@
         restrictions
     }
 
-    /// Records since when the zone is unreachable. Without observations an isolated front keeps the last finding.
+    /// Records the time since which the zone is unreachable. While the zone yields no observations, an isolated front
+    /// keeps the recorded time.
     fn track_unreachable(&mut self, now: Duration, zone: usize, health: ZoneHealth, isolated: bool) {
         let since = &mut self.unreachable_since[zone];
         match health {
@@ -191,7 +193,7 @@
         let open_permille = match plan.state {
             ZoneState::Up | ZoneState::Suspected => FULLY_OPEN,
             ZoneState::Partitioned if is_own => FULLY_OPEN,
-            // All fronts of the zone probe it, as they see it answer first, and one front of another zone.
+            // All fronts of the zone probe it, as they are the first to see it answer. So does the plan's prober.
             ZoneState::Probing if is_own || self.plan.prober == self.incarnation => FULLY_OPEN,
             ZoneState::Lost | ZoneState::Partitioned | ZoneState::Probing => 0,
             ZoneState::Recovering | ZoneState::Disabled => plan.open_permille,
--- a/crates/core/zone-failover/src/health.rs
+++ b/crates/core/zone-failover/src/health.rs
@@ -2,7 +2,7 @@
 //!
 //! A front's view of a zone is good if at least half of the engines there that it has tried answer, and bad
 //! otherwise. A front that has tried none has no view. The views of *local* fronts, in the zone itself, and of
-//! *remote* fronts are counted separately. Where views disagree, the first rule that applies decides:
+//! *remote* fronts are counted separately. The first of these rules that applies decides:
 //!
 //! - `Unknown`: no front has a view.
 //! - `Partitioned`: most remote views are bad, most local views are good.
@@ -23,7 +23,7 @@
 const REPORT_LIFETIME_INTERVALS: u32 = 3;
 /// The maximum number of fronts whose reports count.
 const MAX_FRONTS: usize = 4096;
-/// The capacity of slow engines, as a share of their capacity at full speed.
+/// The weight of a slow attempt in a zone's answering share; an attempt at full speed weighs 1.
 const SLOW_CAPACITY_SHARE: f64 = 0.25;
 /// The least number of bad views for a bad health if several fronts report.
 const MIN_UNHEALTHY_VIEWS: u32 = 2;
--- a/crates/core/zone-failover/src/observer.rs
+++ b/crates/core/zone-failover/src/observer.rs
@@ -1,9 +1,9 @@
 //! Observes the zones through the front's ordinary attempts and probes. The observer itself sends nothing.
 //!
-//! An engine is *silent* if its latest failure is recent and newer than its latest answer, or if an attempt or a
-//! probe has been unanswered for the confirmation time. The latter detects a zone that disappears without an error.
-//! Otherwise an engine *answers* if its latest answer is recent, and else counts as not tried. Recent means within
-//! the last four report intervals.
+//! An engine is *silent* if its latest failure is recent and newer than its latest answer, or if the confirmation time
+//! has passed since the first attempt or probe after its latest answer. The latter detects a zone that disappears
+//! without an error. Otherwise an engine *answers* if its latest answer is recent, and else counts as not tried.
+//! Recent means within the last four report intervals.
 
 use crate::{
     ClassLoad, Demand, FailoverConfig, FrontReport, LocalView, LocalZone, MAX_CLASSES, MAX_ZONES, Zone,
@@ -14,7 +14,7 @@
 
 /// An attempt is slow if it took longer than this multiple of its work divided by its threads.
 const SLOW_FACTOR: f64 = 4.0;
-/// An attempt of up to this duration is never slow, in seconds.
+/// The longest duration, in seconds, of an attempt that is never counted as slow.
 const MIN_SLOW_S: f64 = 0.25;
 /// The number of report intervals for which an answer or a failure counts as recent.
 const RECENT_INTERVALS: u32 = 4;
--- a/crates/core/zone-failover/src/plan.rs
+++ b/crates/core/zone-failover/src/plan.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Below this share of answering engines in any zone the plan limits admission even if all zones are up.
+/// If the answering share of any zone is below this, the plan limits admission even while all zones are up.
 const MIN_ANSWERING_SHARE: f64 = 0.6;
 
 /// The committed state of a zone.
@@ -69,7 +69,7 @@
     Disable,
     /// Like `Disable`, but the drain ends by itself if outcomes in another zone degrade.
     Drill,
-    /// A lost zone is not probed.
+    /// A lost or partitioned zone keeps its state and is not probed.
     #[serde(rename = "HoldReturn")]
     HoldRecovery,
     /// The steps of a recovery are taken at half the ramp interval.
@@ -105,7 +105,7 @@
 
 impl ZonePlan {
     /// The share of the zone's engines that counts as capacity, from 0 to 1. A partitioned zone counts in full, as it
-    /// serves its own fronts.
+    /// serves its own fronts; a probed zone does not count yet.
     fn open_share(&self) -> f64 {
         match self.state {
             ZoneState::Up | ZoneState::Suspected | ZoneState::Partitioned => 1.0,
@@ -206,8 +206,8 @@
     allocation.served_shares.iter().map(permille).collect()
 }
 
-/// The classes that may not be sent to a recovering zone yet, a bit each. The zone warms up with short work: the
-/// first step admits the half of the classes with the least work, the second step three quarters, later steps all.
+/// A bit for each class that may not be sent to a recovering zone yet. The zone warms up with short work: the first
+/// step admits the half of the classes with the least work, the second step three quarters, later steps all.
 fn blocked_classes(open_permille: u16, classes: &[ClassLoad]) -> u64 {
     let mut by_work: Vec<usize> = (0..classes.len()).collect();
     by_work.sort_by(|a, b| classes[*a].work.total_cmp(&classes[*b].work).then(a.cmp(b)));
--- a/crates/core/zone-failover/src/state_machine.rs
+++ b/crates/core/zone-failover/src/state_machine.rs
@@ -4,7 +4,7 @@
 //! stands for [`ZoneState::Lost`] if no front reaches the zone, and for [`ZoneState::Partitioned`] if only its own
 //! fronts do. *Confirmed* means that the health has been the same for the confirmation time, which starts again with
 //! each state. A new coordinator reads the states from the register and restarts all times. A takeover can extend a
-//! wait by at most its own length, and never shortens one.
+//! wait by at most the length of the whole wait, and never shortens one.
 //!
 //! | state | condition | next state | reason |
 //! | --- | --- | --- | --- |
@@ -120,7 +120,7 @@
     entered_at: Duration,
     /// The time at which the state or the open share last changed.
     stepped_at: Duration,
-    /// The health and since when it has not changed; none until the first poll in a state.
+    /// The latest health, with the time of its last change; none until the first poll in a state.
     steady_health: Option<SteadyHealth>,
     /// A drill has ended by itself. The override is ignored until it is neither `Disable` nor `Drill`.
     drill_ended: bool,
--- a/crates/core/zone-failover/tests/mutants.rs
+++ b/crates/core/zone-failover/tests/mutants.rs
@@ -1,4 +1,5 @@
-//! Mutation tests: applies checks of the other tests to rules that are broken on purpose. Each must be detected.
+//! Mutation tests: repeats checks of the other tests with settings or inputs that break a rule on purpose. The check
+//! must fail for each of them.
 
 mod common;
 
--- a/crates/core/zone-failover/tests/observer.rs
+++ b/crates/core/zone-failover/tests/observer.rs
@@ -25,7 +25,7 @@
     );
     observer.attempt_sent(ms(100), 2);
     observer.attempt_ended(ms(300), 2, 0, AttemptResult::Failed);
-    observer.attempt_sent(ms(100), 3); // No answer.
+    observer.attempt_sent(ms(100), 3); // Engine 3 answers only at 1,800 ms.
     let Observation { report, .. } = observer.report(ms(500), &config(), 1.0);
     let seen = |report: &FrontReport, zone: usize| (report.zones[zone].answering, report.zones[zone].silent);
     assert_eq!((seen(&report, 0), seen(&report, 1)), ((1, 0), (0, 1)));
--- a/crates/core/zone-failover/tests/planner.rs
+++ b/crates/core/zone-failover/tests/planner.rs
@@ -1,4 +1,5 @@
-//! Compares the allocation with an exhaustive search over all allocations, on small seeded random cases.
+//! The allocation: its value against an exhaustive search over all allocations, on small random cases with a fixed
+//! seed; the zones' capacities and the classes' allowed zones; the order in which classes are shed; one larger case.
 
 mod common;
 
