--- a/crates/core/maintenance/src/coordinator.rs
+++ b/crates/core/maintenance/src/coordinator.rs
@@ -2,14 +2,14 @@
 //! required fronts have confirmed, and completes returned machines.
 //!
 //! It changes one register at a time, each by a compare-and-set against the version from which it computed the new
-//! value. It drains nothing before it has read all registers by full rounds. A read also completes or supersedes a
-//! write that an earlier coordinator has left in progress, whose machines would otherwise not be counted as
-//! unavailable.
+//! value. It writes nothing before it has read all registers by full rounds. A read also completes or supersedes a
+//! write that an earlier coordinator has left in progress; otherwise the machines that this write drains would not be
+//! counted as unavailable.
 //!
 //! A confirmation counts only if the version that its front followed belongs to the present drain of the machine,
 //! as a front that confirmed an earlier drain may have sent there since. If the coordinator has not seen every
-//! version in between, one drain may have ended and another begun, so only the latest version certainly belongs to
-//! the present drain.
+//! version since the drain began, that drain may have ended and another begun, so only the latest version certainly
+//! belongs to the present drain.
 
 mod drains;
 
--- a/crates/core/maintenance/src/coordinator/drains.rs
+++ b/crates/core/maintenance/src/coordinator/drains.rs
@@ -29,7 +29,7 @@
         fleet: &FleetView,
     ) -> Option<RegisterWrite> {
         let stop_reason = self.stop_reason(now, fleet);
-        // The reserve is costly, so it is computed only if a request is not blocked before.
+        // The reserve is costly, so it is computed only for a request that nothing else blocks.
         let mut reserve = None;
         for register in self.requests_by_urgency(now) {
             let request = &self.requests[&register].request;
--- a/crates/core/maintenance/src/lib.rs
+++ b/crates/core/maintenance/src/lib.rs
@@ -11,8 +11,8 @@
 //!
 //! No front uses a released machine. This holds without any assumption about clocks:
 //!
-//! 1. A machine is released only after every required front has confirmed, following a committed version that drains
-//!    it, that it has nothing in flight there.
+//! 1. A machine is released only after every required front has confirmed that it follows a committed version of the
+//!    request which drains the machine, and that it has nothing in flight on the machine.
 //! 2. A front that has confirmed does not use the machine again in that incarnation before a later version of the
 //!    request opens it.
 //! 3. A front that starts uses no machine before it knows all requests. It reads them from a majority after its
@@ -44,9 +44,9 @@
 pub type Machine = u32;
 /// The number of registers for requests. A request with more than [`MAX_MACHINES`] machines is split over several.
 pub const MAX_REQUESTS: usize = 64;
-/// The maximum number of machines in one register. Its value fits a datagram even with all of them released.
+/// The maximum number of machines in one register. The register's value fits a datagram even if all are released.
 pub const MAX_MACHINES: usize = 32;
-/// The greatest limit of unavailable machines of one request at once: all that the registers hold.
+/// The greatest value of [`MaintenanceRequest::max_concurrent`]: all machines that the registers hold.
 pub const MAX_CONCURRENT: u16 = (MAX_REQUESTS * MAX_MACHINES) as u16;
 /// The maximum length of a requester's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 32;
--- a/crates/core/maintenance/src/phase.rs
+++ b/crates/core/maintenance/src/phase.rs
@@ -48,8 +48,8 @@
         matches!(self, Phase::Draining | Phase::Released { .. })
     }
 
-    /// Whether the machine counts as unavailable, so not towards the fleet's capacity. A returned machine does
-    /// until its probation is over.
+    /// Whether the machine counts as unavailable and adds no capacity to the fleet. A returned machine counts as
+    /// unavailable until its probation is over.
     pub fn is_unavailable(self) -> bool {
         matches!(self, Phase::Draining | Phase::Released { .. } | Phase::Returned)
     }
--- a/crates/core/maintenance/src/request.rs
+++ b/crates/core/maintenance/src/request.rs
@@ -1,12 +1,13 @@
 //! A maintenance request, as stored in a register in postcard. The order and types of its fields must stay. New
-//! fields go to [`Extension`], which is encoded behind the bytes that earlier versions read.
+//! fields go to [`Extension`], which is encoded behind the bytes that earlier versions of the program
+//! read.
 
 use crate::{DeadFronts, MAX_CONCURRENT, MAX_MACHINES, MAX_NAME_BYTES, Machine, Phase};
 use lemonusher_registers::EntryVersion;
 use serde::{Deserialize, Serialize};
 
-/// The maximum number of machines in a register that is accepted on reading. An earlier version may have written more
-/// than [`MAX_MACHINES`].
+/// The maximum number of machines accepted when a register is read. An earlier version of the program may have written
+/// more than [`MAX_MACHINES`].
 const MAX_MACHINES_READ: usize = 60;
 
 /// A machine of a request.
@@ -34,14 +35,14 @@
     pub on_hold: bool,
     /// The machines, sorted by id.
     pub machines: Vec<MachineStatus>,
-    /// The names of fronts that an operator has declared dead; written by earlier versions only.
+    /// The names of fronts that an operator has declared dead; written only by earlier versions of the program.
     pub excluded_fronts: Vec<String>,
-    /// The fields that later versions have added; encoded after all other fields.
+    /// The fields that later versions of the program have added; encoded after all other fields.
     #[serde(skip)]
     pub extension: Extension,
 }
 
-/// The fields added to a request since its first version.
+/// The fields that later versions of the program have added to the encoding of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Extension {
     /// Identifies the request: equal in all its parts; 0 if it has only one part.
--- a/crates/core/maintenance/src/reserve.rs
+++ b/crates/core/maintenance/src/reserve.rs
@@ -1,9 +1,9 @@
 //! Checks whether the remaining machines can serve the load while some are unavailable, also if a zone is lost.
 //!
 //! The load is the present demand plus the configured margin. While machines are unavailable, at least 0.99 of
-//! the value that all machines could serve must still be served. With any one zone lost as well, it is the
-//! configured share of the value that could be served with only that zone lost. Machines that don't answer have no
-//! capacity in either case.
+//! the value that all machines could serve must still be served. With any one zone lost as well, at least the
+//! configured share of the value that could be served with only that zone lost must still be served. Machines that
+//! don't answer have no capacity in any of these cases.
 
 use crate::Machine;
 use lemonusher_zone_failover::{ClassLoad, Zone, ZoneCapacity, allocate};
--- a/crates/core/maintenance/tests/fleet.rs
+++ b/crates/core/maintenance/tests/fleet.rs
@@ -27,8 +27,8 @@
     format!("n{front}")
 }
 
-/// 24 machines with a capacity of 8 each. The demand plus its margin of 0.1 is nine tenths of the capacity that is
-/// left with a zone lost.
+/// 24 machines with a capacity of 8 each. The demand plus its margin of 0.1 is about nine tenths of the capacity that
+/// is left with a zone lost.
 fn fleet(dead: &BTreeSet<Machine>) -> FleetCapacity {
     let capacity = |machine| MachineCapacity {
         zone: machine / MACHINES_PER_ZONE,
@@ -150,7 +150,8 @@
         self.max_out = self.max_out.max(out.len());
     }
 
-    /// Runs one step of a front: it reads requests, applies them, sends attempts, ends some, and confirms drains.
+    /// Runs one step of a front: its router applies the known requests, the front reads newer ones, sends attempts,
+    /// ends some, and confirms drains.
     fn step_front(&mut self, index: usize, released: &BTreeSet<Machine>) {
         let reads_requests = !self.fronts[index].disconnected && self.rng.f64() < 0.3;
         let front = &mut self.fronts[index];
--- a/crates/core/maintenance/tests/limits.rs
+++ b/crates/core/maintenance/tests/limits.rs
@@ -87,8 +87,8 @@
                 parts.get(register).map(|part| VersionedRequest { version: VERSION, request: part.clone() });
             coordinator.handle_committed(now, register as u8, committed);
         }
-        // Each step evaluates many candidates, which is slow, so the test makes at most one step more than two registers
-        // hold machines.
+        // Each step evaluates many candidates, which is slow. So the number of steps is limited to the machines in two
+        // registers, plus one.
         let steps = usize::from(max_concurrent).min(2 * MAX_MACHINES + 1);
         for _ in 0..steps {
             now += config.poll_interval;
