--- a/crates/core/store/src/error.rs
+++ b/crates/core/store/src/error.rs
@@ -22,8 +22,8 @@
     Pending(SessionId),
     /// The session or the given `persist` id has no pending confirmed commit.
     NothingPending,
-    /// One more follow-up to the pending confirmed commit would push the version that it reverts to out of
-    /// the history.
+    /// The pending confirmed commit accepts no further follow-up: the history is full, and its oldest version
+    /// is the one that the pending commit would revert to.
     TooManyFollowUps,
     /// The running version is not the one that the client expected.
     Stale {
--- a/crates/core/store/src/lib.rs
+++ b/crates/core/store/src/lib.rs
@@ -1,11 +1,12 @@
 //! Transactional store of a front's configuration: datastores, locks, commits, history, and the write-ahead
-//! log from which all of it is recovered. Concurrent management clients and crashes never leave a partial
-//! change. Commits have one total order across all protocols. The crate does no I/O. `now` is a duration
-//! since an origin that the caller chooses, dates are Unix times that the caller passes in.
+//! log. The history, the startup datastore and a pending confirmed commit are recovered from the log; sessions,
+//! locks and candidates are not logged. Concurrent management clients and crashes never leave a partial change.
+//! Commits have one total order across all protocols. The crate does no I/O. `now` is a duration since an
+//! origin that the caller chooses, dates are Unix times that the caller passes in.
 //!
 //! A commit has three steps. The [`Store`] plans it and reserves its version number; a [`TwoPhaseCommit`] has
 //! every part of the front prepare it, has it logged, and has all parts activate it; the store then finishes
-//! it. Until the commit is logged, any failure leaves the old state unchanged. Once it is logged, it is
+//! it. A commit that fails before it is logged leaves the old state unchanged. Once it is logged, it is
 //! durable and is not undone.
 
 #![warn(missing_docs)]
--- a/crates/core/store/src/log/frame.rs
+++ b/crates/core/store/src/log/frame.rs
@@ -1,9 +1,10 @@
 //! The log's byte format: a header line, then one frame for each record. A frame is the payload's length in
 //! bytes and its CRC-32, each as a 32-bit little-endian integer, followed by the payload, which is JSON.
 //!
-//! An incomplete frame at the end was truncated by a crash and is ignored. Any other unreadable bytes are
-//! corruption, and the whole log is rejected, because the records after the corrupt bytes may have been
-//! acknowledged.
+//! Bytes that are not a valid frame are ignored if no complete record follows, because a crash may have
+//! truncated a frame at the end. If a complete record follows, they are corruption, because that record may
+//! have been acknowledged; the whole log is then rejected. So is a log with an invalid header, or with a frame
+//! whose checksum is correct but whose payload is not a record.
 
 use super::Record;
 use std::fmt;
@@ -12,7 +13,7 @@
 pub const HEADER: &[u8] = b"lemonusher-state 1\n";
 /// Length of a frame's prefix: payload length and checksum.
 const PREFIX_BYTES: usize = 8;
-/// The longest payload of a frame. A greater length is read as not being a frame.
+/// The longest payload of a frame. Bytes that state a greater length are not a valid frame.
 const MAX_PAYLOAD_BYTES: usize = 256 * 1024 * 1024;
 
 /// Encodes a record as a frame.
@@ -30,7 +31,7 @@
 pub struct LogContents {
     /// All complete records, in order.
     pub records: Vec<Record>,
-    /// Length in bytes up to the end of the last complete record. The rest was truncated by a crash.
+    /// Length in bytes up to the end of the last complete record. The rest is ignored as a truncated tail.
     pub valid_length: usize,
 }
 
--- a/crates/core/store/src/store/candidate.rs
+++ b/crates/core/store/src/store/candidate.rs
@@ -72,9 +72,8 @@
         }
     }
 
-    /// Clears a candidate that has been committed. Its session may have closed during the commit, which
-    /// discards the candidate; if the content is no longer the committed one, it is another session's changes
-    /// and is kept.
+    /// Clears a candidate that has been committed, unless its content has changed since the commit was planned.
+    /// Such changes are kept: they may be another session's, made after the committing session closed.
     pub(super) fn clear_candidate(&mut self, committed: &CommittedCandidate) {
         let candidate = match committed.id {
             CandidateId::Shared => &mut self.shared_candidate,
--- a/crates/core/store/src/store/commit.rs
+++ b/crates/core/store/src/store/commit.rs
@@ -2,7 +2,8 @@
 //!
 //! At most one commit is in progress, from its plan until it is finished or abandoned; this gives all
 //! versions one total order. While a confirmed commit is pending, only commits that confirm it or follow it
-//! up are accepted. A commit that changes nothing and confirms nothing gets no plan.
+//! up are accepted. A commit that changes nothing gets no plan, unless it is a confirmed commit or confirms
+//! one.
 //!
 //! In all calls `now` is the time since the caller's origin, and `unix_ms` is the version's date as Unix time
 //! in milliseconds.
@@ -125,8 +126,8 @@
     }
 
     /// Fails if no commit with these options may be planned now, whatever its content: another commit is in
-    /// progress, the running datastore is locked, the expected version is not running, or a confirmed commit
-    /// is pending that this commit does not refer to.
+    /// progress, another session holds the lock of running, the expected version is not running, a confirmed
+    /// commit is pending that this commit does not refer to, or none is pending though a `persist` id is given.
     fn check_may_commit(&self, author: &Author, options: &CommitOptions) -> Result<(), StoreError> {
         if self.committing.is_some() {
             return Err(StoreError::Busy);
--- a/crates/core/store/src/store/confirmed.rs
+++ b/crates/core/store/src/store/confirmed.rs
@@ -1,9 +1,9 @@
 //! Confirmed commits (RFC 6241, 8.4), which are reverted unless they are confirmed before a deadline.
 //!
-//! A pending commit is confirmed, followed up, extended or cancelled by its own session or, if it has a
-//! `persist` id, by any session that gives this id. It is reverted at its deadline, or at once if its session
-//! has closed and it has no `persist` id. A confirmed commit that follows it up moves the deadline; a revert
-//! undoes all of them and restores the version before the first.
+//! A pending commit without a `persist` id is confirmed, followed up, extended or cancelled only by its own
+//! session; one with a `persist` id, by any session that gives this id. It is reverted at its deadline, or at
+//! the next poll after its session has closed if it has no `persist` id. A confirmed commit that follows it up
+//! moves the deadline; a revert undoes all of them and restores the version before the first.
 
 use super::Store;
 use super::commit::{CommitOptions, CommitPlan};
@@ -55,7 +55,7 @@
         Ok(PendingConfirmation { session: author.session, persist, revert_to, deadline, orphaned: false })
     }
 
-    /// Fails if one more version would push the version to revert to out of the history.
+    /// Fails if the history is full and its oldest version is the one that the pending commit would revert to.
     fn check_follow_up_room(&self) -> Result<(), StoreError> {
         let first = self.pending.as_ref().map(|pending| pending.revert_to.number);
         let full = self.history.len() > self.bounds.history;
--- a/crates/core/store/src/two_phase.rs
+++ b/crates/core/store/src/two_phase.rs
@@ -1,8 +1,9 @@
 //! Two-phase commit across the parts of the front, which are the participants: prepare, log, activate.
 //!
 //! The commit is logged only after every part has prepared, and parts activate only after the commit is
-//! logged. Until it is logged, any failure discards it and leaves the old state in every part. Once it is
-//! logged, it is not undone. Events that arrive too late for their phase are ignored.
+//! logged. If a part fails to prepare, or the write to the log fails, the commit is discarded and every part
+//! keeps the old state. A part that is lost during the write does not stop the commit. Once it is logged, the
+//! commit is not undone. Events that arrive too late for their phase are ignored.
 
 use std::fmt;
 
--- a/crates/core/store/tests/two_phase.rs
+++ b/crates/core/store/tests/two_phase.rs
@@ -1,4 +1,5 @@
-//! The two-phase commit state machine under every order of events.
+//! The two-phase commit state machine, for all orders in which three parts and the log answer, each part once in
+//! each phase.
 
 use lemonusher_store::*;
 
