--- a/crates/core/model/src/compiler.rs
+++ b/crates/core/model/src/compiler.rs
@@ -1,5 +1,7 @@
-//! Compiler from a YANG module to schema nodes. An unsupported statement is an error with its line and is
-//! never ignored, so that everything that the module states is enforced, or else the front does not start.
+//! Compiler from a YANG module to schema nodes. An unsupported data definition or type is an error with its
+//! line, so that the front does not start with a module that it can't enforce. Unsupported statements are not
+//! detected within `enum`, `range`, `length`, `pattern`, `must` and, besides its `type`, `typedef`; `default` and
+//! `mandatory` of a leaf-list are ignored.
 
 mod references;
 mod types;
--- a/crates/core/model/src/edit.rs
+++ b/crates/core/model/src/edit.rs
@@ -31,7 +31,8 @@
         }
     }
 
-    /// Applies one edit. If it fails, the tree is unchanged.
+    /// Applies one edit. If it fails, the tree is unchanged; but a replace without a value removes the old data
+    /// before it fails.
     pub fn apply(
         &mut self,
         schema: &Schema,
--- a/crates/core/model/src/lib.rs
+++ b/crates/core/model/src/lib.rs
@@ -6,9 +6,12 @@
 //! A data tree holds only explicitly set values, without defaults. All containers are non-presence containers
 //! and are absent when empty, so two trees are equal exactly when they hold the same leaves.
 //!
-//! Modules depend on each other in layers: `node_id`, `fault`, `statement` and `xpath` have no dependencies;
-//! `types`, `tree` and `must` use those; `schema` uses these; `compiler`, `evaluate`, `edit`, `path`,
-//! `place_text`, `pattern`, `validate`, `diff` and `json` use `schema`.
+//! The modules form four layers. A module uses only modules of lower layers and, in the top layer, of its own:
+//!
+//! 1. `node_id`, `fault`, `statement` and `xpath`
+//! 2. `types`, `tree` and `must`
+//! 3. `schema`
+//! 4. `compiler`, `evaluate`, `edit`, `path`, `place_text`, `pattern`, `validate`, `diff` and `json`
 
 #![warn(missing_docs)]
 
--- a/crates/core/model/tests/trees.rs
+++ b/crates/core/model/tests/trees.rs
@@ -261,7 +261,7 @@
     assert_eq!(count("/front/pool/admin-state"), 3);
     assert_eq!(count("/front/pool[name=*]"), 3);
     assert_eq!(count("/front/pool[name=b]/admin-state"), 1);
-    assert_eq!(count("/front/*[name=b]/admin-state"), 3); // Keys of a wildcard step are open.
+    assert_eq!(count("/front/*[name=b]/admin-state"), 3); // Keys after a wildcard name are ignored.
     assert_eq!(count("/front/.../admin-state"), 3);
     assert_eq!(count("/front/pool/*"), 6);
     assert!(schema.patterns(&parse_path("/front/nothing").unwrap()).is_err());
