--- a/crates/core/store/tests/datastores.rs
+++ b/crates/core/store/tests/datastores.rs
@@ -133,7 +133,7 @@
     assert!(store.poll_timeout(secs(99), 0).is_none());
     assert_eq!(store.running().cause, Cause::Confirmed);
 
-    // It is reverted at once when its session closes, unless it has a persist id.
+    // A pending commit is reverted at the next poll after its session closes, unless it has a persist id.
     let level = |level| [set(&new_store(), LEVEL, level)];
     store.edit_candidate(a, &level("error"), ErrorOption::Rollback).unwrap();
     commit(&mut store, a, confirmed(10), secs(30)).unwrap();
--- a/crates/core/store/tests/reference.rs
+++ b/crates/core/store/tests/reference.rs
@@ -248,7 +248,8 @@
                 }
                 Step::Crash { length } => {
                     // The crash happens while a commit is written to the log: only its first bytes are there,
-                    // or it is complete but not yet acknowledged.
+                    // or it is complete but not yet acknowledged. While a confirmed commit is pending, the crash
+                    // happens between commits.
                     let edits = [edit(&schema, Op::Merge, LEVEL, Some("trace"))];
                     let planned = match reference.pending {
                         None => store.edit_running(ids[0], &edits, &CommitOptions::default(), at, 0),
