--- a/crates/edges/managed/src/disk.rs
+++ b/crates/edges/managed/src/disk.rs
@@ -26,7 +26,7 @@
     log: File,
     /// The log's length in bytes.
     length: u64,
-    /// Its length in bytes when it was opened or last compacted.
+    /// The log's length in bytes when it was opened or last compacted.
     compacted_length: u64,
     /// A failed append could not be undone: the log may end with an incomplete or unacknowledged record.
     broken: bool,
@@ -73,7 +73,7 @@
         if valid_length < bytes.len() {
             tracing::warn!(
                 bytes = bytes.len() - valid_length,
-                "truncated incomplete record at the end of the log"
+                "truncating an incomplete record at the end of the log"
             );
         }
         let length = prepare_to_append(&mut log, valid_length as u64).map_err(io_error(&path))?;
@@ -89,8 +89,8 @@
         Ok((disk, store))
     }
 
-    /// Appends a record and syncs it. After an error the record is truncated; if that fails too, all further appends
-    /// fail.
+    /// Appends a record and syncs it. After an error the log is truncated to its previous length; if that fails too,
+    /// all further appends fail.
     pub fn append(&mut self, record: &Record) -> io::Result<()> {
         if self.broken {
             return Err(io::Error::other("an earlier record is half written and can't be taken back"));
--- a/crates/edges/managed/src/gnmi/subscribe.rs
+++ b/crates/edges/managed/src/gnmi/subscribe.rs
@@ -28,7 +28,7 @@
 
 /// Maximum number of messages that are queued for a subscriber.
 const MAX_QUEUED_MESSAGES: usize = 64;
-/// Messages of the queue that updates may not use, to leave space for errors and the report of lost updates.
+/// Queue slots that updates leave free for errors and the report of lost updates, unless the queue was empty.
 const RESERVED_MESSAGES: usize = 4;
 const MAX_SUBSCRIPTIONS_PER_CALL: usize = 64;
 /// Maximum number of updates or deletes in one message.
@@ -37,9 +37,10 @@
 const MIN_INTERVAL: Duration = Duration::from_millis(20);
 /// The sample interval of a subscription whose `sample_interval` is 0.
 const DEFAULT_SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
-/// Interval at which ON_CHANGE subscriptions compare state that changes without an event.
+/// Interval at which ON_CHANGE subscriptions compare state that changes without an event. Also the longest wait of a
+/// stream whose client has half-closed the call, which receives no events.
 const COMPARE_INTERVAL: Duration = Duration::from_millis(250);
-/// Delay before sending is retried to a subscriber whose queue was full.
+/// Interval at which updates are sent again to a subscriber whose queue was full.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Longest wait of a stream that has no timeout pending.
 const IDLE_INTERVAL: Duration = Duration::from_secs(3600);
--- a/crates/edges/managed/src/hub.rs
+++ b/crates/edges/managed/src/hub.rs
@@ -317,13 +317,16 @@
         notifications: async_channel::Receiver<EngineNotification>,
     ) {
         while let Ok(notification) = notifications.recv().await {
-            tracing::debug!(engine = format!("{:08x}", notification.engine), "engine changed");
+            tracing::debug!(
+                engine = format!("{:08x}", notification.engine),
+                "state, administrative state or blocked request classes of an engine changed"
+            );
             let _ = self.events.send(ManagementEvent::Engine(notification));
         }
     }
 
-    /// The request router's state, no older than `freshness`; None if the router doesn't reply within
-    /// [`PART_TIMEOUT`].
+    /// The request router's state, no older than `freshness`. None if the router has ended, or if it doesn't reply
+    /// within [`PART_TIMEOUT`] after the call was queued; the wait for space in the queue has no timeout.
     async fn snapshot(&self) -> Option<Arc<Snapshot>> {
         let mut cached = self.cached_snapshot.lock().await;
         if let Some(CachedSnapshot { taken_at, snapshot }) = &*cached
@@ -356,7 +359,8 @@
         view(&sources, config, selection)
     }
 
-    /// The earlier version that this one restored, if it is a rollback, an expired or a cancelled commit.
+    /// The number of the earlier version that `version` restored. None if `version` was not committed by a rollback,
+    /// or by the expiry or cancellation of a confirmed commit.
     pub fn rollback_target(version: &Version) -> Option<u64> {
         match version.cause {
             Cause::RolledBack { to } | Cause::Expired { to } | Cause::Cancelled { to } => Some(to),
--- a/crates/edges/managed/src/netconf/mod.rs
+++ b/crates/edges/managed/src/netconf/mod.rs
@@ -19,7 +19,8 @@
 /// Maximum number of open connections. It is larger than the number of sessions, to leave room for connections that
 /// have not authenticated yet.
 const MAX_CONNECTIONS: usize = 1200;
-/// Timeout for a client to authenticate, and again for it to begin its session.
+/// Timeout for the client's SSH identification, and again for key exchange, authentication and the start of the
+/// session together.
 const LOGIN_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time without received data after which a keepalive is sent.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(30);
--- a/crates/edges/managed/src/netconf/session/operations.rs
+++ b/crates/edges/managed/src/netconf/session/operations.rs
@@ -1,4 +1,4 @@
-//! The operations of a NETCONF session. A reply is its data as XML, or empty for `<ok/>`.
+//! The operations of a NETCONF session.
 
 use super::{Session, Subscription};
 use crate::state::StateSelection;
@@ -14,7 +14,7 @@
 /// The log target of the session module, so that all log lines of a session have the same target.
 const LOG_TARGET: &str = "lemonusher_managed::netconf::session";
 
-/// The data of a reply.
+/// The data of a reply as XML, empty for `<ok/>`, or the errors of the reply.
 type Reply = Result<String, Vec<RpcError>>;
 
 /// The parameters of an `edit-config`.
@@ -65,7 +65,7 @@
         RpcError::of_store_error(&self.schema, &error, false)
     }
 
-    /// An empty reply, or the errors of a reply for a store error.
+    /// Converts a result of the store to an empty reply, or to the errors of a reply.
     fn empty_reply<T>(&self, result: Result<T, StoreError>) -> Reply {
         result.map(|_| String::new()).map_err(|error| self.store_errors(error))
     }
--- a/crates/edges/managed/src/state.rs
+++ b/crates/edges/managed/src/state.rs
@@ -18,7 +18,7 @@
 pub struct StateSelection {
     /// Any part of the state.
     pub state: bool,
-    /// Any part that needs a snapshot from the request router.
+    /// Any part that needs a snapshot from the request router; also set for the uptime and the resident memory.
     pub snapshot: bool,
     /// The request router's counters.
     pub counters: bool,
@@ -52,7 +52,8 @@
         selection
     }
 
-    /// Whether a selected part can change without a [`ManagementEvent`](crate::ManagementEvent).
+    /// Whether a selected part can change without a [`ManagementEvent`](crate::ManagementEvent). The time that is left
+    /// to confirm a commit is not considered.
     pub fn changes_without_event(self) -> bool {
         self.snapshot || self.sessions
     }
--- a/crates/edges/managed/tests/parts.rs
+++ b/crates/edges/managed/tests/parts.rs
@@ -35,20 +35,20 @@
     fn prepare(&self, version: Arc<Version>) -> PartFuture {
         let fault = *self.fault.lock().unwrap();
         self.prepared.store(version.number, Ordering::SeqCst);
-        assert!(fault != Fault::PanicAtPrepare, "as told");
+        assert!(fault != Fault::PanicAtPrepare, "injected fault");
         Box::pin(async move {
-            assert!(fault != Fault::PanicInPrepare, "as told");
-            if fault == Fault::DeclineAtPrepare { Err("as told".to_owned()) } else { Ok(()) }
+            assert!(fault != Fault::PanicInPrepare, "injected fault");
+            if fault == Fault::DeclineAtPrepare { Err("injected fault".to_owned()) } else { Ok(()) }
         })
     }
 
     fn activate(&self, number: u64) -> PartFuture {
         let fault = *self.fault.lock().unwrap();
-        assert!(fault != Fault::PanicAtActivate, "as told");
+        assert!(fault != Fault::PanicAtActivate, "injected fault");
         self.activated.store(number, Ordering::SeqCst);
         Box::pin(async move {
-            assert!(fault != Fault::PanicInActivate, "as told");
-            if fault == Fault::DeclineAtActivate { Err("as told".to_owned()) } else { Ok(()) }
+            assert!(fault != Fault::PanicInActivate, "injected fault");
+            if fault == Fault::DeclineAtActivate { Err("injected fault".to_owned()) } else { Ok(()) }
         })
     }
 
