--- a/crates/edges/cli/src/error.rs
+++ b/crates/edges/cli/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-/// Why a command failed.
+/// An error that ends a command.
 #[derive(Debug)]
 pub enum CommandError {
     /// A file can't be read or is invalid; one message per line.
--- a/crates/edges/cli/src/file/fleet.rs
+++ b/crates/edges/cli/src/file/fleet.rs
@@ -169,11 +169,11 @@
 pub struct TaskSection {
     /// Name of the task and of its lease.
     pub name: Spanned<String>,
-    /// Address of the resource, which receives a datagram at the begin and the end of each action. Loopback
+    /// Address of the resource, which receives a datagram at the start and the end of each action. Loopback
     /// only, as the datagram is not authenticated.
     #[serde(rename = "tell")]
     pub notify: Option<Spanned<SocketAddr>>,
-    /// Time from the begin of one action to the begin of the next, in milliseconds.
+    /// Time from the start of one action to the start of the next, in milliseconds.
     #[serde(rename = "every_ms", default = "TaskSection::default_interval_ms")]
     pub interval_ms: Spanned<u64>,
     /// Duration of an action, in milliseconds.
--- a/crates/edges/cli/src/file/management.rs
+++ b/crates/edges/cli/src/file/management.rs
@@ -25,7 +25,7 @@
     /// Maximum number of sessions, over both protocols.
     #[serde(rename = "sessions", default = "ManagementSection::default_max_sessions")]
     pub max_sessions: Spanned<usize>,
-    /// Maximum number of subscriptions.
+    /// Maximum number of subscriptions, for each protocol.
     #[serde(rename = "subscriptions", default = "ManagementSection::default_max_subscriptions")]
     pub max_subscriptions: Spanned<usize>,
     /// Maximum age of the counters that management clients read, in milliseconds.
@@ -160,7 +160,7 @@
     pub access: Access,
     /// Public key for NETCONF, in OpenSSH's one-line format.
     pub ssh_key: Option<Spanned<String>>,
-    /// File with the password for gNMI.
+    /// File with the password for gNMI, and for NETCONF if no user has an `ssh_key`.
     pub password_file: Option<Spanned<PathBuf>>,
 }
 
--- a/crates/edges/cli/src/file/processor.rs
+++ b/crates/edges/cli/src/file/processor.rs
@@ -53,7 +53,7 @@
     /// Request classes by path prefix.
     #[serde(rename = "paths", default)]
     pub class_by_path: std::collections::BTreeMap<String, String>,
-    /// Client timeout of a request without that header, in milliseconds.
+    /// Client timeout of a request that has no header for it, in milliseconds.
     #[serde(rename = "patience_ms", default = "ProcessorSection::default_client_timeout_ms")]
     pub client_timeout_ms: u64,
 }
--- a/crates/edges/cli/src/file/zones.rs
+++ b/crates/edges/cli/src/file/zones.rs
@@ -24,7 +24,7 @@
     /// How long a lost zone is left alone before it is probed; doubled with each loss in a row, 16-fold at most.
     #[serde(rename = "wait_ms")]
     pub recovery_backoff_ms: u64,
-    /// A front that has not confirmed the plan for so long is isolated.
+    /// A front that has not confirmed the plan for this long is isolated.
     #[serde(rename = "stale_ms")]
     pub plan_timeout_ms: u64,
     /// Maximum share of a zone's cores that a plan fills, above 0 and up to 1.
--- a/crates/edges/cli/src/fleet/leases.rs
+++ b/crates/edges/cli/src/fleet/leases.rs
@@ -97,7 +97,7 @@
         Ok(())
     }
 
-    /// The lease on a task as the first voter that shows one has it.
+    /// The lease on a task, from the first voter that shows one.
     fn holder(&mut self, task: &str) -> Result<Option<LeaseRow>, CommandError> {
         for voter in self.config.voters.clone() {
             let rows = self.leases(voter)?.map(|leases| leases.rows).unwrap_or_default();
@@ -183,8 +183,8 @@
 /// Requests that the holder of a task hands it over to another front, and waits until another front holds it.
 ///
 /// The request is a datagram that may be lost. It is sent again if the voters still show the same grant one and
-/// a half holding times later. A grant that had been released meanwhile would have expired by then, so the
-/// repeated request can't reach the next holder.
+/// a half holding times later. A released grant has expired at the voters by then, so a grant that they still show
+/// was renewed by its holder, and the repeated request can't reach the next holder.
 pub fn hand_over(path: &Path, task: &str, json: bool) -> Result<(), CommandError> {
     let mut operator = Operator::connect(path)?;
     let before =
--- a/crates/edges/cli/src/fleet/maintenance.rs
+++ b/crates/edges/cli/src/fleet/maintenance.rs
@@ -133,8 +133,8 @@
     Ok(section.into_inner().required_fronts)
 }
 
-/// Requests machines, in as many registers as needed. If several registers are needed and fewer are free, nothing is
-/// requested.
+/// Stores a request, split over as many registers as it needs. If it needs several and fewer are free, nothing is
+/// stored.
 fn submit(operator: &mut Operator, request: &MaintenanceRequest, json: bool) -> Result<(), CommandError> {
     let mut parts = request.split(rand::random());
     let free =
@@ -258,7 +258,7 @@
     request: MaintenanceRequest,
     /// Number of the first register that holds a part of the request, if it is stored in several.
     part_of: Option<u8>,
-    /// The reason why it waits, as the coordinator reports it.
+    /// The coordinator's reason why the request waits; none if it does not wait or the coordinator did not reply.
     blocked: Option<String>,
 }
 
--- a/crates/edges/cli/src/fleet/operator.rs
+++ b/crates/edges/cli/src/fleet/operator.rs
@@ -11,7 +11,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Unit of the timeouts and poll intervals of requests that [`Operator::ask`] does not resend.
+/// The timeouts and poll intervals of [`Operator::propose`] and of a hand-over are multiples or fractions of this.
 pub const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
 /// Timeout of the reply to the first attempt of a request; doubled with each further attempt.
 const FIRST_REPLY_TIMEOUT: Duration = Duration::from_millis(200);
--- a/crates/edges/cli/src/fleet/zones.rs
+++ b/crates/edges/cli/src/fleet/zones.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 use std::path::Path;
 
-/// A request class is short of capacity if a smaller share of its demand is served, in thousandths.
+/// Share of a request class's demand, in thousandths; a class of which less is served is short of capacity.
 const SERVED_WHOLE_PERMILLE: u16 = 995;
 /// Maximum number of proposals for one override; a proposal fails if another change of the register came first.
 const MAX_TRIES: usize = 6;
--- a/crates/edges/cli/src/run/processor.rs
+++ b/crates/edges/cli/src/run/processor.rs
@@ -19,8 +19,8 @@
     pub tick: Duration,
 }
 
-/// Converts the section and reads the signing key. Continuation tokens and outcomes of finished calls are kept
-/// for twice the longest deadline of any request class.
+/// Converts the section and reads the signing key. Continuation tokens are valid, and the outcomes of finished calls
+/// are kept, for twice the longest deadline of any request class.
 pub fn processor_config(
     section: &ProcessorSection,
     names: &DeploymentNames,
