--- a/crates/edges/cli/tests/operator.rs
+++ b/crates/edges/cli/tests/operator.rs
@@ -151,7 +151,7 @@
     let from = Instant::now();
     let (code, text) = Folder::new(&voters).run("hand-over", &[TASK]);
     assert!(code == 0 && text.contains("from n1") && text.contains("to n2"), "{code} {text}");
-    // The request is not resent before the old holder's lease would have expired, had it been released.
+    // The request is sent again only after one lease duration: a lease released before has expired by then.
     assert!(from.elapsed() >= LEASE, "{:?}", from.elapsed());
     for voter in &voters {
         let requests = voter.received.try_iter().filter(|body| matches!(body, Body::HandOver { .. })).count();
--- a/crates/edges/cli/tests/proof_leases.rs
+++ b/crates/edges/cli/tests/proof_leases.rs
@@ -1,7 +1,7 @@
 //! Leases under faults: seven fronts run as processes with injected faults between them, and a fake task
-//! service records which front acts. Guards against two holders that act at once. Each test prints its results
-//! as lines `proof: NAME figure`. A failed script prints its seed; `LEASE_SEEDS=17 cargo test ...` runs it
-//! again, and `LEASE_SEEDS=1-300` runs many.
+//! service records which front acts. Guards against two holders that act at once. The last test runs the
+//! operator's commands without faults; the others print their results as lines `proof: NAME figure`. A failed
+//! script prints its seed; `LEASE_SEEDS=17 cargo test ...` runs it again, and `LEASE_SEEDS=1-300` runs many.
 
 use lemonusher_cluster::{Faults, Rig, RigConfig, TaskStep};
 use std::collections::BTreeSet;
@@ -42,8 +42,8 @@
     Duration::from_millis(ms)
 }
 
-/// Steps of actions under an older grant after an action under a newer one began. Fronts in `resumed` were paused
-/// in between: they may try, but must be rejected. Any other front must not try.
+/// Returns the steps of actions under an older grant after an action under a newer one began. Rejected steps of the
+/// fronts in `resumed` are allowed, as these fronts were paused in between.
 fn overlaps(steps: &[TaskStep], resumed: &BTreeSet<usize>) -> Vec<String> {
     let mut violations = Vec::new();
     let (mut highest, mut holder): (u64, String) = (0, String::new());
@@ -206,8 +206,8 @@
     let steps = rig.task_service.steps();
     let resumed = BTreeSet::from([first.front()]);
     assert!(overlaps(&steps, &resumed).is_empty());
-    // The action that it had half done, or one that it began in the belief that it still holds the lease, must
-    // be rejected.
+    // The resumed front may continue its interrupted action, or begin one before it detects that its lease has ended;
+    // both must be rejected.
     let late = steps
         .iter()
         .filter(|step| step.holder == first.holder && step.at > second.at && !step.rejected)
@@ -224,7 +224,8 @@
     for _ in 0..3 {
         let before = rig.task_service.steps().len();
         let first = rig.task_service.wait_for_begin(before, LEASE * 10).unwrap();
-        rig.pause_front(first.front(), true); // During an action, for less than the configured action time.
+        // During an action. The pause is longer than a lease, by less than the configured action time.
+        rig.pause_front(first.front(), true);
         let partition = Faults { blocked: true, ..Faults::default() };
         rig.relays.set_faults(|from, _| from == first.front(), partition, partition); // After it resumes, it can't renew its lease.
         std::thread::sleep(LEASE + ms(200));
--- a/crates/edges/cli/tests/proof_works.rs
+++ b/crates/edges/cli/tests/proof_works.rs
@@ -1,6 +1,7 @@
-//! Maintenance under faults: seven fronts run as processes, with fake engines in three zones and a fake task
-//! service that works on a machine after its release. The engines' own counts decide: an engine must receive no
-//! request between its release and its return. Each test prints its results as lines `proof: NAME figure`.
+//! Maintenance: seven fronts run as processes, with fake engines in three zones and a fake task service that works
+//! on a machine after its release. In the first two tests, fronts fail or are partitioned, and the engines' own
+//! counts decide: an engine must receive no request between its release and its return. These two tests print
+//! their results as lines `proof: NAME figure`. The third tests a request that is split over several registers.
 
 use lemonusher_cluster::{FakeClass, FakeZones, FakeZonesConfig, Faults, LoadClient, Rig, RigConfig};
 use serde_json::Value;
