--- a/crates/edges/cli/tests/proof_sites.rs
+++ b/crates/edges/cli/tests/proof_sites.rs
@@ -224,7 +224,7 @@
     }
 
     /// Checks that every request got at most one response, that no non-idempotent request was sent to engines
-    /// twice, and that the epochs of each front only grow.
+    /// twice, and that the epochs of each front never decrease.
     fn check_invariants(&mut self, counts: &[Vec<RequestCounts>]) {
         self.collect_log_lines();
         assert_eq!(counts.iter().flatten().map(|count| count.duplicates).sum::<u32>(), 0, "answered twice");
