--- a/crates/edges/netconf/src/xml.rs
+++ b/crates/edges/netconf/src/xml.rs
@@ -195,8 +195,8 @@
     }
 }
 
-/// Escapes text for use as element content or attribute value. Control characters that XML can't represent are
-/// replaced by U+FFFD.
+/// Escapes text for use as element content or attribute value. Control characters other than newline, carriage return
+/// and tab are replaced by U+FFFD.
 pub fn escape(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for c in text.chars() {
@@ -206,7 +206,7 @@
             '&' => escaped.push_str("&amp;"),
             '"' => escaped.push_str("&quot;"),
             '\'' => escaped.push_str("&apos;"),
-            // XML 1.0 allows no other control characters.
+            // XML 1.0 forbids the other control characters below U+0020 and discourages most of those above.
             c if c.is_control() && !matches!(c, '\n' | '\r' | '\t') => escaped.push('\u{fffd}'),
             c => escaped.push(c),
         }
