--- a/crates/edges/cli/tests/managers/mod.rs
+++ b/crates/edges/cli/tests/managers/mod.rs
@@ -53,7 +53,7 @@
     _discovery: DiscoveryServer,
 }
 
-/// Runs a front with these engines; `more` is added to section `[managed]` of its file.
+/// Runs a front with these engines; `extra_toml` is added to section `[managed]` of the operator's file.
 pub fn run(engines: &[&CountingEngine], folder: Option<&Path>, extra_toml: &str) -> ManagedFront {
     let discovery = DiscoveryServer::start();
     let engine_addresses: Vec<(u32, SocketAddr)> =
