--- a/crates/edges/cli/tests/proof_processor.rs
+++ b/crates/edges/cli/tests/proof_processor.rs
@@ -338,8 +338,7 @@
         let addresses: Vec<SocketAddr> = engines.iter().map(|engine| engine.address).collect();
         let more = "recovers = false\nstatement = true\nmessage_timeout_ms = 1000\n[managed]\n[managed.gnmi]\nlisten = \"127.0.0.1:0\"";
         let processor = Processor::new(&addresses, more);
-        let front = processor.front.as_ref().unwrap();
-        let gnmi = front.startup_log_value("gNMI server listens on").unwrap().parse().unwrap();
+        let gnmi = processor.front.as_ref().unwrap().startup_log_value("gNMI server listens on").unwrap().parse().unwrap();
         let mut proxy = Proxy::new(&[processor.address], None);
         proxy.body = Some("select * from sales_17.orders".to_owned());
         let first = send_requests(&proxy, 0..100, 4).await;
