--- a/crates/edges/cli/src/run/mod.rs
+++ b/crates/edges/cli/src/run/mod.rs
@@ -57,10 +57,10 @@
     let Started { requests, desired_state: last_state, notifications: engine_events, gnmi, netconf, hub } =
         started;
     if let Some(address) = gnmi {
-        tracing::info!("gNMI server listens on {address}");
+        tracing::info!("gNMI at {address}");
     }
     if let Some(address) = netconf {
-        tracing::info!("NETCONF server listens on {address}");
+        tracing::info!("NETCONF at {address}");
     }
     Ok((hub, ManagementChannels { calls: requests, desired_state: last_state, notifications: engine_events }))
 }
@@ -70,7 +70,7 @@
     let listen = server.listen;
     let started = lemonusher_processor::start(server)
         .map_err(|error| failed(format!("can't listen on {listen}: {error}")))?;
-    tracing::info!("external processor listens on {}", started.address);
+    tracing::info!("external processor at {}", started.address);
     Ok(ExternalProcessing { config: calls, events: started.events, is_recovery: recovers, tick })
 }
 
@@ -100,7 +100,7 @@
     let listen = config.listen;
     let started = lemonusher_fleet::start(config)
         .map_err(|error| failed(format!("fleet: can't start at {listen}: {error}")))?;
-    tracing::info!("fleet socket is bound to {}", started.address);
+    tracing::info!("fleet at {}", started.address);
     let channels = FleetChannels {
         control_updates: started.control_updates.clone(),
         shares_quota: section.quota_slots > 0,
--- a/crates/edges/cli/tests/managers/mod.rs
+++ b/crates/edges/cli/tests/managers/mod.rs
@@ -86,12 +86,7 @@
     command.arg("run").arg(&path);
     let front = Front::spawn(command, path);
     let address = |what: &str| front.startup_log_value(what).and_then(|text| text.parse().ok()).expect(what);
-    ManagedFront {
-        gnmi: address("gNMI server listens on"),
-        netconf: address("NETCONF server listens on"),
-        front,
-        _discovery: discovery,
-    }
+    ManagedFront { gnmi: address("gNMI at"), netconf: address("NETCONF at"), front, _discovery: discovery }
 }
 
 // gNMI client.
--- a/crates/edges/cli/tests/proof_processor.rs
+++ b/crates/edges/cli/tests/proof_processor.rs
@@ -1,5 +1,5 @@
 //! Tests of the external processor: the program runs as a process, behind a fake proxy and with fake engines
-//! that count each request's runs. Each test of this file prints its results as lines `proof: NAME figure`.
+//! that count each request's runs. Each test prints its results as lines `proof: NAME figure`.
 
 #[path = "managers/mod.rs"]
 #[allow(dead_code)]
@@ -7,7 +7,7 @@
 #[path = "proxies/mod.rs"]
 mod proxies;
 
-// Compares the verdicts, one by one and in virtual time, with the decisions of the gateway without a proxy.
+// In virtual time: the verdicts are the same, one by one, as the decisions of the gateway without a proxy.
 #[path = "../../../core/external-call/tests/same_decisions.rs"]
 mod same_decisions;
 
@@ -58,8 +58,8 @@
     all
 }
 
-/// Sends requests, at most `at_once` of them at the same time, until the signal is set and at least
-/// `min_requests` have been sent.
+/// Sends requests, at most `at_once` of them at the same time, until the signal is set and at least `least`
+/// have been sent.
 async fn send_requests_until(
     proxy: &Proxy,
     min_requests: u32,
@@ -338,7 +338,7 @@
         let addresses: Vec<SocketAddr> = engines.iter().map(|engine| engine.address).collect();
         let more = "recovers = false\nstatement = true\nmessage_timeout_ms = 1000\n[managed]\n[managed.gnmi]\nlisten = \"127.0.0.1:0\"";
         let processor = Processor::new(&addresses, more);
-        let gnmi = processor.front.as_ref().unwrap().startup_log_value("gNMI server listens on").unwrap().parse().unwrap();
+        let gnmi = processor.front.as_ref().unwrap().startup_log_value("gNMI at").unwrap().parse().unwrap();
         let mut proxy = Proxy::new(&[processor.address], None);
         proxy.body = Some("select * from sales_17.orders".to_owned());
         let first = send_requests(&proxy, 0..100, 4).await;
--- a/crates/testing/cluster/src/rig.rs
+++ b/crates/testing/cluster/src/rig.rs
@@ -56,8 +56,7 @@
         command.arg("run").arg(&config_file).env("LEMONUSHER_TEST_CLOCK", clock_rate);
         let process = Front::spawn(command, start_file);
         if front < self.config.voters {
-            let address: SocketAddr =
-                process.startup_log_value("fleet socket is bound to ").unwrap().parse().unwrap();
+            let address: SocketAddr = process.startup_log_value("fleet at ").unwrap().parse().unwrap();
             self.relays.set_voter_address(front, address);
         }
         self.fronts[front] = Some(process);
--- a/crates/tools/scale/src/managed/servers.rs
+++ b/crates/tools/scale/src/managed/servers.rs
@@ -21,7 +21,7 @@
 /// What the file of a front on the platform states.
 const START_CONFIG: &str = include_str!("../../../../../docs/front-example.json");
 const PROGRAM: &str = "lemonusher";
-const GNMI_LOG_PREFIX: &str = "gNMI server listens on ";
+const GNMI_LOG_PREFIX: &str = "gNMI at ";
 const MAX_START_TIME: Duration = Duration::from_secs(30);
 
 /// One front's management server.
