--- a/crates/tools/scale/src/fleet/events.rs
+++ b/crates/tools/scale/src/fleet/events.rs
@@ -1,5 +1,5 @@
-//! What happens to leases when holders, voters or a whole region are lost, in a fleet whose fronts want a quota slot each and one
-//! task that all are willing to hold.
+//! Measures how leases recover after the loss of a holder, of all voters or of the link between the regions. Each
+//! front of the fleet requests one quota slot, and every front is a candidate for the lease of one task.
 
 use super::network::Place;
 use super::setup::TASK;
@@ -7,23 +7,23 @@
 use lemonusher_fleet::MessageKind;
 use std::time::Duration;
 
-/// Resolution of the spans.
+/// Resolution of the measured recovery times.
 const STEP: Duration = Duration::from_millis(50);
-/// How long anything is waited for.
+/// Upper limit of every wait; a recovery that takes longer is reported as this value.
 const MAX_WAIT: Duration = Duration::from_secs(120);
-/// Between two losses of a holder.
+/// Virtual time between two losses of a holder.
 const SETTLE_TIME: Duration = Duration::from_secs(10);
 
-/// How long a task was without a working holder, by loss; at most `MAX_WAIT`.
+/// The times for which the task had no working holder, one entry a loss; each at most `MAX_WAIT`.
 #[derive(Debug, Clone, Default)]
 pub struct Replacement {
-    /// The holder was killed.
+    /// After the holder was killed.
     pub killed: Vec<Duration>,
-    /// It was stopped gracefully.
+    /// After the holder was stopped gracefully, which releases its lease.
     pub stopped: Vec<Duration>,
 }
 
-/// Ends the task's holder so many times each way; it returns as a new incarnation.
+/// Kills the task's holder `trials` times and stops it gracefully as often; it restarts as a new incarnation each time.
 pub fn replacements(simulation: &mut Simulation, trials: usize) -> Replacement {
     let mut all = Replacement::default();
     for _ in 0..trials {
@@ -44,18 +44,18 @@
     Some(without)
 }
 
-/// What follows when all voters lose their memory at once.
+/// The recovery after all voters restart at once and lose their state.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ThunderingHerd {
-    /// Until nine in ten quota slots were held again; at most `MAX_WAIT`.
+    /// Time until 90 percent of the quota slots were held again; at most `MAX_WAIT`.
     pub nine_tenths: Duration,
-    /// Until 99 of 100 were.
+    /// Time until 99 percent of the quota slots were held again; at most `MAX_WAIT`.
     pub nearly_all: Duration,
-    /// Messages that one voter received in its busiest second, at most.
+    /// The most messages that any one voter received within a second.
     pub peak_messages: u64,
 }
 
-/// Kills all voters, and starts them a second later.
+/// Kills all voters, restarts them a second later and measures the recovery.
 pub fn herd(simulation: &mut Simulation, voters: usize) -> ThunderingHerd {
     let quota_slots = simulation.leases_held(0..simulation.fronts());
     (0..voters).for_each(|voter| simulation.kill(voter));
@@ -63,7 +63,7 @@
     (0..voters).for_each(|voter| simulation.start_at(voter, restart));
     simulation.run_until(restart);
     let mut herd = ThunderingHerd { nine_tenths: MAX_WAIT, nearly_all: MAX_WAIT, peak_messages: 0 };
-    // Leases that had been granted before run out first.
+    // Leases granted before the restart have to expire first: recovery counts only after fewer than half were held.
     let mut lowest = quota_slots;
     while simulation.now() < restart + MAX_WAIT && herd.nearly_all == MAX_WAIT {
         let before: Vec<u64> = (0..voters).map(|voter| received(simulation, voter)).collect();
@@ -89,24 +89,24 @@
     simulation.traffic(front).received(&kinds).messages
 }
 
-/// What each side of a partition between the regions could do, and what followed its end.
+/// Leases held on each side of a partition between the regions, and the recovery after it ends.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Partition {
-    /// The share of its fronts' quota slots that the side with a majority of the voters held at the end, in percent.
+    /// Quota slots held at the end on the side with a majority of the voters, in percent of that side's fronts.
     pub held_with_majority: f64,
-    /// The same of the other side.
+    /// The same for the side without a majority.
     pub held_without: f64,
-    /// Fronts that could act on the task, by side.
+    /// Fronts on the side with a majority of the voters that could act on the task.
     pub holders_with_majority: usize,
-    /// The same of the other side.
+    /// The same for the side without a majority.
     pub holders_without: usize,
-    /// After the partition's end: until 99 of 100 quota slots were held.
+    /// Time from the partition's end until 99 percent of the earlier leases were held; at most `MAX_WAIT`.
     pub slots_recovered_after: Duration,
-    /// After the partition's end: until every front saw all others.
+    /// Time from the partition's end until every front saw all others; `MAX_WAIT` if the wait for that took longer.
     pub members_recovered_after: Duration,
 }
 
-/// Partitions the regions for so long. The first region has a majority of the voters.
+/// Partitions the regions for `span`. The first region has a majority of the voters.
 pub fn partition_regions(simulation: &mut Simulation, span: Duration) -> Partition {
     let fronts = simulation.fronts();
     let side = |region: u32| (0..fronts).filter(move |front| Place::of(*front).region == region);
--- a/crates/tools/scale/src/fleet/hollow.rs
+++ b/crates/tools/scale/src/fleet/hollow.rs
@@ -1,4 +1,4 @@
-//! One hollow front: its state machine, what it has sent and received, and the processor time that it took.
+//! One simulated front: its fleet state machine, the traffic that it sent and received, and its processor time.
 
 use super::setup::{self, Registers, Setup};
 use super::traffic::Traffic;
@@ -10,31 +10,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A front's thread polls this often at least.
+/// The longest time between two polls, as on a front's thread.
 const MAX_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// The least time between two polls.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// A date in 2026, in milliseconds since 1970, at the origin of the rig's time.
+/// The wall-clock time, in milliseconds since 1970, at the origin of the harness's clock; a date in 2026.
 const ORIGIN_UNIX_MS: u64 = 1_796_000_000_000;
 
-/// A hollow front, in one incarnation.
+/// A simulated front, in one incarnation.
 pub struct Hollow {
     node: Node,
     address: SocketAddr,
-    /// When this incarnation began, on the rig's clock.
+    /// Start of this incarnation, on the harness's clock.
     born: Duration,
-    /// Tells its polls from those of an earlier incarnation.
+    /// Distinguishes its polls from those of an earlier incarnation.
     pub incarnation: u64,
     location: u32,
     observations: Option<Sender<ZoneObservation>>,
-    /// What it has sent and received.
+    /// Messages and bytes that it has sent and received.
     pub traffic: Traffic,
-    /// What all calls into the state machine took.
+    /// Processor time of all calls into the state machine.
     pub processor: Duration,
     counts: Arc<TrafficCounters>,
 }
 
-/// Where and when an incarnation begins.
+/// Parameters of an incarnation.
 pub struct Start<'a> {
     pub setup: &'a Setup,
     pub front: usize,
@@ -47,7 +47,7 @@
 }
 
 impl Hollow {
-    /// Begins an incarnation.
+    /// Starts an incarnation.
     pub fn new(start: Start) -> Hollow {
         let (observations, receiver) = async_channel::bounded(1);
         let Start { setup, front, address, voters, location, now, incarnation, seed } = start;
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -84,12 +84,12 @@
         &self.counts
     }
 
-    /// This incarnation's own clock.
+    /// Converts the harness's clock to this incarnation's own, which starts at zero.
     fn local(&self, now: Duration) -> Duration {
         now.saturating_sub(self.born)
     }
 
-    /// Handles a datagram, and does what is due then, as a front's thread does.
+    /// Handles a datagram and polls, as a front's thread does; returns the messages to send.
     pub fn handle_datagram(&mut self, now: Duration, from: SocketAddr, bytes: &[u8]) -> Vec<Message> {
         let (local, began) = (self.local(now), thread_time());
         self.node.handle_datagram(local, from, bytes);
@@ -97,14 +97,14 @@
         self.sent(began)
     }
 
-    /// Does what is due now; returns what it sends.
+    /// Runs the timers that are due; returns the messages to send.
     pub fn poll(&mut self, now: Duration) -> Vec<Message> {
         let (local, began) = (self.local(now), thread_time());
         self.node.poll(local);
         self.sent(began)
     }
 
-    /// Releases all leases and leaves the fleet, as a front does on a graceful stop.
+    /// Releases all leases and leaves the fleet, as a front does on a graceful stop; returns the messages to send.
     pub fn leave(&mut self, now: Duration) -> Vec<Message> {
         let (local, began) = (self.local(now), thread_time());
         self.node.leave(local);
@@ -121,35 +121,35 @@
         sent
     }
 
-    /// Hands it what a front's requests would have shown of the zones.
+    /// Passes it the zone observation that a front's requests would have produced.
     pub fn observe_zones(&self) {
         if let Some(observations) = &self.observations {
             let _ = observations.force_send(setup::seen(self.location));
         }
     }
 
-    /// When it wants to be polled, on the rig's clock.
+    /// The time of its next poll, on the harness's clock.
     pub fn next_timeout(&self, now: Duration) -> Duration {
         let next_timeout = self.node.next_timeout().unwrap_or(Duration::MAX).saturating_sub(self.local(now));
         now + next_timeout.clamp(MIN_POLL_INTERVAL, MAX_POLL_INTERVAL)
     }
 
-    /// What it sees of the fleet.
+    /// Its statistics of the fleet.
     pub fn census(&self, now: Duration) -> ClusterStats {
         self.node.stats(self.local(now))
     }
 
-    /// Leases that it holds.
+    /// The number of leases that it holds.
     pub fn leases_held(&self, now: Duration) -> usize {
         self.node.leases_held(self.local(now))
     }
 
-    /// Other fronts that it sees.
+    /// The number of other fronts that it sees.
     pub fn members(&self) -> usize {
         self.node.member_count()
     }
 
-    /// Whether it holds the task's lease and may act now.
+    /// Returns whether it holds the task's lease and may act now.
     pub fn may_act(&self, now: Duration, task: &str) -> bool {
         self.node.fencing_token(self.local(now), task).is_some()
     }
--- a/crates/tools/scale/src/fleet/loopback.rs
+++ b/crates/tools/scale/src/fleet/loopback.rs
@@ -1,4 +1,4 @@
-//! A hollow fleet over real loopback datagrams, driven by one thread.
+//! A fleet of simulated fronts that exchange real UDP datagrams over loopback, driven by one thread.
 
 use super::hollow::{Hollow, Start};
 use super::network::Place;
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// All sockets are looked at this often.
+/// Pause between two sweeps over all sockets.
 const SWEEP: Duration = Duration::from_millis(1);
 const MAX_DATAGRAM_BYTES: usize = 2048;
 
@@ -20,7 +20,7 @@
     next_timeout: Duration,
 }
 
-/// Hollow fronts with sockets on loopback.
+/// Simulated fronts with sockets on loopback.
 pub struct Loopback {
     members: Vec<Member>,
     clock: Instant,
@@ -28,7 +28,7 @@
 }
 
 impl Loopback {
-    /// Starts the first `hollow` fronts of a fleet; others of it may run elsewhere, under the same voters.
+    /// Starts the first `hollow` fronts of a fleet. Its other fronts may run elsewhere, with the same voters.
     pub fn start(setup: &Setup, hollow: usize) -> io::Result<Loopback> {
         let sockets: Vec<UdpSocket> =
             (0..hollow).map(|_| UdpSocket::bind("127.0.0.1:0")).collect::<io::Result<_>>()?;
@@ -58,7 +58,7 @@
         self.members.iter().take(voters).map(|member| member.hollow.address()).collect()
     }
 
-    /// Drives all fronts for so long; how late the latest sweep was.
+    /// Drives all fronts for `span`; returns the lateness of the latest sweep.
     pub fn run_for(&mut self, span: Duration) -> Duration {
         let until = self.clock.elapsed() + span;
         let (mut last, mut latest) = (self.clock.elapsed(), Duration::ZERO);
@@ -74,22 +74,22 @@
         latest
     }
 
-    /// How many hollow fronts there are.
+    /// The number of simulated fronts.
     pub fn fronts(&self) -> usize {
         self.members.len()
     }
 
-    /// Hands all fronts what requests would have shown.
+    /// Passes all fronts the zone observations that requests would have produced.
     pub fn observe_zones(&self) {
         self.members.iter().for_each(|member| member.hollow.observe_zones());
     }
 
-    /// What a front has sent and received.
+    /// Messages and bytes that a front has sent and received.
     pub fn traffic(&self, front: usize) -> &Traffic {
         &self.members[front].hollow.traffic
     }
 
-    /// Whether a front may act on a task now.
+    /// Returns whether a front may act on a task now.
     pub fn may_act(&self, front: usize, task: &str) -> bool {
         self.members[front].hollow.may_act(self.clock.elapsed(), task)
     }
@@ -99,7 +99,7 @@
         self.members[front].hollow.processor
     }
 
-    /// What a front sees of the fleet.
+    /// A front's statistics of the fleet.
     pub fn census(&self, front: usize) -> ClusterStats {
         self.members[front].hollow.census(self.clock.elapsed())
     }
@@ -127,7 +127,7 @@
 
     fn send(&self, sent: Vec<Message>) {
         for message in sent {
-            // What a socket refuses is lost, as a datagram may be.
+            // A datagram that the socket refuses counts as lost, as on a network.
             let _ = self.socket.send_to(&message.datagram.bytes, message.datagram.to);
         }
     }
--- a/crates/tools/scale/src/fleet/meter.rs
+++ b/crates/tools/scale/src/fleet/meter.rs
@@ -1,4 +1,4 @@
-//! What the fronts of a simulated fleet cost over a span of virtual time.
+//! Measures the traffic, processor time and state of simulated fronts over an interval of virtual time.
 
 use super::simulation::Simulation;
 use super::traffic::{Flow, Traffic};
@@ -10,14 +10,14 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// A front as it stands when a span begins or ends.
+/// Counters of a front at the start or the end of an interval.
 struct Reading {
     traffic: Traffic,
     processor: Duration,
     members_lost: u64,
 }
 
-/// Watches some fronts from one moment to another.
+/// Measures a range of fronts over an interval.
 pub struct Meter {
     fronts: Range<usize>,
     kinds: Vec<MessageKind>,
@@ -25,7 +25,7 @@
     before: Vec<Reading>,
 }
 
-/// What one front cost, a second; the mean over the fronts watched.
+/// The cost of one front a second, as the mean over the measured fronts.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Cost {
     /// Messages received.
@@ -36,15 +36,16 @@
     pub bytes_in: f64,
     /// Bytes sent.
     pub bytes_out: f64,
-    /// Of the front that sent and received the most.
+    /// Bytes sent and received by the front with the most of both together.
     pub max_bytes: f64,
-    /// Percent of a core; of all that the front's state machine does, whatever kinds are watched.
+    /// Processor time in percent of a core. Covers all work of the front's state machine, whatever message kinds are
+    /// measured.
     pub processor: f64,
-    /// Bytes of its state, at the end.
+    /// Bytes of a front's state at the end of the interval.
     pub state_bytes: f64,
-    /// Fronts that it has reported as lost, an hour.
+    /// Fronts that a front reported as lost, an hour.
     pub members_lost_per_hour: f64,
-    /// Other fronts that it sees.
+    /// Other fronts that a front sees at the end of the interval.
     pub members: f64,
 }
 
@@ -58,13 +59,13 @@
 }
 
 impl Meter {
-    /// Watches these kinds of messages from now on.
+    /// Starts to measure messages of these kinds.
     pub fn start(simulation: &Simulation, fronts: Range<usize>, kinds: &[MessageKind]) -> Meter {
         let before = readings(simulation, fronts.clone());
         Meter { fronts, kinds: kinds.to_vec(), began: simulation.now(), before }
     }
 
-    /// Ends the watch.
+    /// Ends the interval and returns the mean cost.
     pub fn finish(self, simulation: &Simulation) -> Cost {
         let seconds = (simulation.now() - self.began).as_secs_f64();
         let after = readings(simulation, self.fronts.clone());
@@ -99,20 +100,20 @@
     received + sent
 }
 
-/// The resident bytes of this process.
+/// Resident memory of this process, in bytes.
 pub fn resident_bytes() -> Result<f64, MeasureError> {
     Ok(process::own()?.resident_bytes as f64)
 }
 
-/// Makes the samples of one run.
+/// Labels shared by the samples of one run.
 pub struct Run {
-    /// The role that is measured.
+    /// The measured role.
     pub role: Role,
-    /// What else was held fixed.
+    /// The other fixed conditions, such as `loss=20`.
     pub case: String,
-    /// Along the role's axis.
+    /// The size along the role's axis.
     pub size: u32,
-    /// The measurement's own lateness passed its bound.
+    /// The measurement's own lateness exceeded its limit.
     pub disturbed: bool,
 }
 
@@ -129,7 +130,7 @@
         }
     }
 
-    /// What a front costs. Only processor time can be disturbed: all else is virtual.
+    /// The samples of a front's cost. Only processor time can be disturbed: everything else runs in virtual time.
     pub fn cost(&self, cost: &Cost) -> Vec<Sample> {
         let virtual_run = Run { role: self.role, case: self.case.clone(), size: self.size, disturbed: false };
         vec![
--- a/crates/tools/scale/src/fleet/mod.rs
+++ b/crates/tools/scale/src/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! Hollow fronts: the state machine of a front's part in the fleet ([`lemonusher_fleet::Node`]), with the frames and
-//! timers of a real one and no requests behind it. Hundreds run in one process, over virtual time ([`Simulation`]) or
-//! over loopback sockets ([`Loopback`]).
+//! Simulated fronts: each runs the fleet state machine of a front ([`lemonusher_fleet::Node`]) with the frames and
+//! timers of a real one, but serves no requests. Hundreds run in one process, in virtual time ([`Simulation`]) or over
+//! loopback sockets ([`Loopback`]).
 
 mod events;
 mod hollow;
--- a/crates/tools/scale/src/fleet/network.rs
+++ b/crates/tools/scale/src/fleet/network.rs
@@ -1,10 +1,10 @@
-//! Where fronts stand, and how long a datagram takes between them in virtual time.
+//! The zones and regions of fronts, and the delay of a datagram between them in virtual time.
 
 use crate::budget::{REGIONS, ZONES};
 use fastrand::Rng;
 use std::time::Duration;
 
-/// A front's zone and region. Fronts are dealt over the zones in turn; zones belong to the regions in turn.
+/// A front's zone and region. Fronts are assigned to zones round-robin, and zones to regions likewise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Place {
     /// The zone's number.
@@ -14,14 +14,14 @@
 }
 
 impl Place {
-    /// Where a front stands.
+    /// The zone and region of a front, by its index.
     pub fn of(front: usize) -> Place {
         let zone = front as u32 % ZONES;
         Place { zone, region: zone % REGIONS }
     }
 }
 
-/// One way, before jitter.
+/// One-way delays before jitter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Delays {
     /// Within a zone.
@@ -33,14 +33,14 @@
 }
 
 impl Delays {
-    /// What all figures of the capacity page are measured with.
+    /// The delays with which all figures of the capacity page are measured.
     pub const STATED: Delays = Delays {
         same_zone: Duration::from_micros(250),
         same_region: Duration::from_millis(1),
         between_regions: Duration::from_millis(35),
     };
 
-    /// The delay between two places, one way.
+    /// The one-way delay between two places.
     pub fn between(&self, a: Place, b: Place) -> Duration {
         match (a.region == b.region, a.zone == b.zone) {
             (false, _) => self.between_regions,
@@ -50,22 +50,22 @@
     }
 }
 
-/// A delay varies by up to this share of itself.
+/// Maximum jitter, as a share of the delay from 0 to 1; jitter only adds to the delay.
 const JITTER: f64 = 0.2;
 
-/// Loses and delays datagrams.
+/// A network that loses and delays datagrams.
 #[derive(Debug, Clone)]
 pub struct Network {
-    /// One way, before jitter.
+    /// One-way delays before jitter.
     pub delays: Delays,
-    /// The share of datagrams that is lost.
+    /// The probability that a datagram is lost, from 0 to 1.
     pub loss: f64,
-    /// Nothing passes between the regions.
+    /// If true, no datagram passes between the regions.
     pub partitioned: bool,
 }
 
 impl Network {
-    /// How long a datagram takes; none if it is lost.
+    /// The delay of a datagram; none if it is lost.
     pub fn delay(&self, from: Place, to: Place, rng: &mut Rng) -> Option<Duration> {
         if (self.partitioned && from.region != to.region) || rng.f64() < self.loss {
             return None;
--- a/crates/tools/scale/src/fleet/setup.rs
+++ b/crates/tools/scale/src/fleet/setup.rs
@@ -1,4 +1,4 @@
-//! What a hollow fleet is like.
+//! Configuration of a fleet of simulated fronts.
 
 use super::network::Delays;
 use crate::budget;
@@ -10,47 +10,47 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A task that every front is willing to hold.
+/// The task for whose lease every front is a candidate.
 pub const TASK: &str = "account";
-/// Request classes of the plan for lost zones.
+/// Request classes of the zone failover plan.
 const REQUEST_CLASSES: usize = 4;
 
-/// Which registers fronts follow.
+/// The registers that fronts follow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Registers {
-    /// None.
+    /// No registers.
     None,
-    /// The plan for lost zones, and operators' overrides.
+    /// The zone failover plan and the operator overrides.
     Zones,
-    /// These, and one register for each maintenance request.
+    /// Those of `Zones`, and one register for each maintenance request.
     ZonesAndWorks,
 }
 
-/// A fleet, alike at all its fronts.
+/// A fleet whose fronts all have the same configuration.
 #[derive(Debug, Clone)]
 pub struct Setup {
-    /// All fronts, voters among them.
+    /// The number of fronts, including the voters.
     pub fronts: usize,
-    /// The first so many fronts vote.
+    /// The number of voters, which are the first fronts.
     pub voters: usize,
-    /// The terms of leases.
+    /// The lease configuration.
     pub leases: LeaseConfig,
-    /// Each front wants a quota slot of its own.
+    /// Each front requests a quota slot of its own.
     pub quota_slots: bool,
-    /// Each front is willing to hold [`TASK`].
+    /// Each front is a candidate for the lease of [`TASK`].
     pub task: bool,
-    /// The registers that are followed.
+    /// The registers that fronts follow.
     pub registers: Registers,
-    /// Of the network.
+    /// The delays of the network.
     pub delays: Delays,
-    /// The share of datagrams that is lost, from 0 to 1.
+    /// The probability that a datagram is lost, from 0 to 1.
     pub loss: f64,
-    /// Of everything random.
+    /// The seed of all random numbers.
     pub seed: u64,
 }
 
 impl Setup {
-    /// The failure detector alone, on the terms that an operator's file has by default.
+    /// A fleet with the failure detector alone, with the defaults of an operator's configuration file.
     pub fn detector(fronts: usize, loss: f64, seed: u64) -> Setup {
         Setup {
             fronts,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The terms of one front.
+    /// The fleet configuration of one front.
     pub fn terms(
         &self,
         front: usize,
@@ -111,7 +111,7 @@
     }
 }
 
-/// The key of every hollow fleet.
+/// The key of every simulated fleet.
 pub fn key() -> FleetKey {
     FleetKey::new(b"a key of the scale rig")
 }
@@ -145,7 +145,7 @@
     ZoneFailoverSettings { config: zone_terms(), classes: vec![group; REQUEST_CLASSES], observations: seen }
 }
 
-/// The defaults of an operator's file.
+/// The zone failover defaults of an operator's configuration file.
 pub fn zone_terms() -> zones::FailoverConfig {
     let ms = Duration::from_millis;
     zones::FailoverConfig {
@@ -160,7 +160,7 @@
     }
 }
 
-/// What a front sees in a period in which all is well: each zone's engines answer.
+/// The observation of a front in a period without failures: the engines of every zone answer.
 pub fn seen(location: u32) -> ZoneObservation {
     let engines_per_zone = budget::ENGINES / budget::ZONES;
     let sights = (0..budget::ZONES).map(|site| zones::ZoneStats {
--- a/crates/tools/scale/src/fleet/side_by_side.rs
+++ b/crates/tools/scale/src/fleet/side_by_side.rs
@@ -1,4 +1,4 @@
-//! Real fronts and hollow ones in one fleet over loopback: what each sends, receives and holds.
+//! Runs real and simulated fronts in one fleet over loopback, and compares their traffic, state and processor time.
 
 use super::loopback::Loopback;
 use super::network::Place;
@@ -14,53 +14,53 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// The hollow fronts have so long to settle who holds the task before the real one starts.
+/// Timeout for a simulated front to acquire the task's lease before the real fronts start.
 const TASK_HELD: Duration = Duration::from_secs(60);
-/// Real fronts. What one sends varies by a tenth with the gossip that happens to travel with its messages, so the mean of
-/// several is compared.
+/// Number of real fronts. The traffic of one varies by a tenth with the gossip records that its messages happen to
+/// carry, so the mean of several is compared.
 const REAL_FRONTS: usize = 3;
-/// The name of a real front's thread.
+/// The name of the thread of a real front.
 const THREAD: &str = "fleet";
 const KINDS: [MessageKind; 4] =
     [MessageKind::FailureDetector, MessageKind::Leases, MessageKind::Registers, MessageKind::Reports];
 
-/// What one front sent and received over a span, and the state that it held at its end.
+/// The traffic and processor time of one front over an interval, and its state at the end.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Account {
-    /// What it sent.
+    /// Messages and bytes sent.
     pub sent: Flow,
-    /// What it received.
+    /// Messages and bytes received.
     pub received: Flow,
-    /// Bytes of its state.
+    /// Bytes of the front's state.
     pub state_bytes: usize,
-    /// Processor time; a real one's has the time for its socket, too.
+    /// Processor time. That of a real front includes its socket calls.
     pub processor: Duration,
 }
 
-/// Real fronts and hollow ones over the same span.
+/// Real and simulated fronts over the same interval.
 #[derive(Debug, Clone)]
 pub struct SideBySide {
-    /// Of each real front.
+    /// One account for each real front.
     pub real: Vec<Account>,
-    /// Of each hollow front that neither votes nor holds the task, as the real ones don't.
+    /// One account for each simulated front that, like the real ones, neither votes nor holds the task.
     pub hollow: Vec<Account>,
-    /// How late the hollow fronts' driver, or a thread of its own that only sleeps, was at most.
+    /// The greatest lateness of the simulated fronts' driver or of a separate thread that only sleeps.
     pub lateness: Duration,
 }
 
 impl SideBySide {
-    /// The mean over the hollow fronts of one figure of an account.
+    /// The mean of one figure over the simulated fronts.
     pub fn hollow_mean(&self, figure: impl Fn(&Account) -> f64) -> f64 {
         mean(&self.hollow, figure)
     }
 
-    /// The mean over the real fronts of one figure of an account.
+    /// The mean of one figure over the real fronts.
     pub fn real_mean(&self, figure: impl Fn(&Account) -> f64) -> f64 {
         mean(&self.real, figure)
     }
 }
 
-/// A real front on a thread of its own, with its own socket and clock.
+/// A real front, with its own thread, socket and clock.
 struct RealFront {
     handle: FleetHandle,
     observations: Sender<ZoneObservation>,
@@ -77,9 +77,9 @@
     }
 }
 
-/// Runs a fleet of which the last fronts are real ones; accounts for `span` once it has run for `settled`. The task is held
-/// by a hollow front from the start, as its holder renews a lease more than others: of few real fronts among many
-/// hollow ones, holding it or not would show as a difference.
+/// Runs a fleet whose last fronts are real, and measures it over `span` after a warm-up of `settled`. A simulated
+/// front acquires the task's lease before the real ones start: its holder renews one lease more than the others, which
+/// would distort the mean of the few real fronts.
 pub fn side_by_side(setup: &Setup, settled: Duration, span: Duration) -> io::Result<SideBySide> {
     let first_real = setup.fronts - REAL_FRONTS;
     let mut hollow = Loopback::start(setup, first_real)?;
@@ -110,7 +110,7 @@
     accounts.iter().map(figure).sum::<f64>() / accounts.len().max(1) as f64
 }
 
-/// What a hollow front has done so far.
+/// The totals of a simulated front so far.
 struct HollowAccount {
     front: usize,
     account: Account,
@@ -140,7 +140,8 @@
     Ok(())
 }
 
-/// Runs all fronts, and hands them once a period what requests would have shown.
+/// Runs all fronts, and passes them once a period the zone observations that requests would have produced. Returns the
+/// greatest lateness.
 fn run(hollow: &mut Loopback, real: &[RealFront], span: Duration) -> Duration {
     let period = zone_terms().report_interval;
     let mut lateness = Duration::ZERO;
@@ -154,7 +155,7 @@
     lateness
 }
 
-/// The processor time is the mean of all, as their threads have one name.
+/// The totals of each real front. The processor time is the mean over all, since their threads share one name.
 fn real_accounts(real: &[RealFront]) -> Vec<Account> {
     let processor = thread_time_of(THREAD) / real.len().max(1) as u32;
     real.iter().map(|front| real_account(&front.handle, processor)).collect()
--- a/crates/tools/scale/src/fleet/simulation.rs
+++ b/crates/tools/scale/src/fleet/simulation.rs
@@ -1,4 +1,5 @@
-//! A hollow fleet over virtual time: one queue of events, all chance from one seed.
+//! A fleet of simulated fronts in virtual time: one event queue, and one seed for all random numbers, so that a run is
+//! reproducible.
 
 use super::hollow::{Hollow, Start};
 use super::network::{Network, Place};
@@ -11,16 +12,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Fronts start at random within this time.
+/// Fronts other than voters start at a random time within this window.
 const START_SPREAD: Duration = Duration::from_secs(2);
-/// A port whose encoding is as long as that of most ephemeral ports.
+/// The port of every front, whose encoding is as long as that of most ephemeral ports.
 const PORT: u16 = 47_000;
 
 enum EventKind {
     Poll {
         incarnation: u64,
     },
-    /// What requests would have shown in the last period.
+    /// Passes the zone observation that requests would have produced in the last period.
     Observe {
         incarnation: u64,
     },
@@ -34,7 +35,7 @@
 
 struct Event {
     at: Duration,
-    /// Parts events of one moment, in the order in which they were made.
+    /// Orders events of the same time by their creation.
     sequence: u64,
     front: usize,
     what: EventKind,
@@ -60,18 +61,18 @@
     }
 }
 
-/// A front of the fleet, in its present incarnation.
+/// A front of the fleet in its current incarnation; none while it is stopped.
 #[derive(Default)]
 struct Slot {
     front: Option<Hollow>,
-    /// When it is to be woken next.
+    /// The time of its next scheduled poll.
     next_poll: Duration,
 }
 
 /// A simulated fleet.
 pub struct Simulation {
     setup: Setup,
-    /// Between the fronts.
+    /// The network between the fronts.
     pub network: Network,
     now: Duration,
     queue: BinaryHeap<Reverse<Event>>,
@@ -87,7 +88,7 @@
 }
 
 impl Simulation {
-    /// A fleet whose fronts start within the first seconds, its voters first.
+    /// A fleet whose voters start at once and whose other fronts start at random within two seconds.
     pub fn new(setup: Setup) -> Simulation {
         let mut simulation = Simulation {
             network: Network { delays: setup.delays, loss: setup.loss, partitioned: false },
@@ -112,39 +113,39 @@
         self.now
     }
 
-    /// How many fronts the fleet has.
+    /// The number of fronts of the fleet.
     pub fn fronts(&self) -> usize {
         self.slots.len()
     }
 
-    /// Begins a new incarnation of a front, in place of the one that is running.
+    /// Schedules a new incarnation of a front, which replaces the running one.
     pub fn start_at(&mut self, front: usize, at: Duration) {
         self.push(at, front, EventKind::Start);
     }
 
-    /// Ends a front without a word.
+    /// Ends a front without notifying the others.
     pub fn kill(&mut self, front: usize) {
         self.slots[front].front = None;
     }
 
-    /// Stops a front in order.
+    /// Stops a front gracefully.
     pub fn stop(&mut self, front: usize) {
         let Some(mut hollow) = self.slots[front].front.take() else { return };
         let sent = hollow.leave(self.now);
         self.send(front, sent);
     }
 
-    /// A front; none where it is not running.
+    /// A front; none if it is not running.
     pub fn front(&self, front: usize) -> Option<&Hollow> {
         self.slots[front].front.as_ref()
     }
 
-    /// What a front's present incarnation has sent and received.
+    /// Messages and bytes that a front's current incarnation has sent and received.
     pub fn traffic(&self, front: usize) -> Traffic {
         self.front(front).map(|hollow| hollow.traffic.clone()).unwrap_or_default()
     }
 
-    /// What a front sees of the fleet.
+    /// A front's statistics of the fleet.
     pub fn census(&self, front: usize) -> ClusterStats {
         self.front(front).map(|hollow| hollow.census(self.now)).unwrap_or_default()
     }
@@ -155,17 +156,17 @@
         (0..self.slots.len()).filter(holds).collect()
     }
 
-    /// How many leases these fronts hold together.
+    /// The number of leases that these fronts hold together.
     pub fn leases_held(&self, fronts: impl Iterator<Item = usize>) -> usize {
         fronts.filter_map(|front| self.front(front)).map(|hollow| hollow.leases_held(self.now)).sum()
     }
 
-    /// How many other fronts each front sees at least.
+    /// The smallest number of other fronts that any running front sees.
     pub fn fewest_members(&self) -> usize {
         (0..self.slots.len()).filter_map(|front| self.front(front)).map(Hollow::members).min().unwrap_or(0)
     }
 
-    /// Plays all events up to this moment.
+    /// Runs all events up to and including this time.
     pub fn run_until(&mut self, until: Duration) {
         while let Some(Reverse(event)) = self.queue.peek() {
             if event.at > until {
@@ -178,12 +179,12 @@
         self.now = until;
     }
 
-    /// Plays all events of this span.
+    /// Runs all events of the next `span`.
     pub fn run_for(&mut self, span: Duration) {
         self.run_until(self.now + span);
     }
 
-    /// Runs in steps until this holds; how long that took, none if it took longer than `most`.
+    /// Runs in steps until the condition holds; returns the time that took, none if it took longer than `max`.
     pub fn run_until_holds(
         &mut self,
         step: Duration,
@@ -244,7 +245,7 @@
         let Some(hollow) = slot.front.as_mut().filter(|hollow| hollow.incarnation == incarnation) else {
             return;
         };
-        // Another wake-up has taken the place of this one.
+        // A poll scheduled for an earlier time has replaced this one.
         if slot.next_poll != at {
             return;
         }
@@ -272,7 +273,7 @@
         self.schedule(front);
     }
 
-    /// Makes the next wake-up, if it is earlier than the one there is.
+    /// Schedules the next poll, if it is earlier than the one already scheduled.
     fn schedule(&mut self, front: usize) {
         let Some(hollow) = &self.slots[front].front else { return };
         let (next_timeout, incarnation) = (hollow.next_timeout(self.now), hollow.incarnation);
--- a/crates/tools/scale/src/fleet/traffic.rs
+++ b/crates/tools/scale/src/fleet/traffic.rs
@@ -1,15 +1,15 @@
-//! Messages and bytes of one front, by the part that they belong to.
+//! Messages and bytes of one front, by message kind.
 
 use lemonusher_fleet::MessageKind;
 use std::collections::BTreeMap;
 use std::ops::{Add, Sub};
 
-/// Messages and their bytes. Bytes are those of whole sealed datagrams, without the headers of UDP and IP.
+/// A count of messages and their bytes. Bytes are those of whole sealed datagrams, without UDP and IP headers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Flow {
-    /// How many.
+    /// The number of messages.
     pub messages: u64,
-    /// Their bytes.
+    /// The total size of the datagrams, in bytes.
     pub bytes: u64,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// What one front has sent and received so far.
+/// The traffic of one front so far.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Traffic {
     received: BTreeMap<MessageKind, Flow>,
@@ -55,12 +55,12 @@
         self.sent.entry(kind).or_default().count(bytes);
     }
 
-    /// What was received of these kinds.
+    /// The messages received of these kinds.
     pub fn received(&self, kinds: &[MessageKind]) -> Flow {
         sum(&self.received, kinds)
     }
 
-    /// What was sent of these kinds.
+    /// The messages sent of these kinds.
     pub fn sent(&self, kinds: &[MessageKind]) -> Flow {
         sum(&self.sent, kinds)
     }
