--- a/crates/tools/scale/src/roles/configuration.rs
+++ b/crates/tools/scale/src/roles/configuration.rs
@@ -1,5 +1,5 @@
-//! Configuration: nothing replicates a commit between fronts, so a manager commits at each front's gNMI server.
-//! The servers are real; the time that the network takes is drawn and added.
+//! Configuration changes: no commit is replicated between fronts, so a management client commits at each front's gNMI
+//! server. The servers are real; the network delay is drawn at random and added.
 
 use crate::budget::CHANGES_PER_DAY;
 use crate::error::MeasureError;
@@ -18,15 +18,15 @@
 use tokio::runtime::Runtime;
 use tokio::task::JoinSet;
 
-/// Managers that share the fronts between them: one a machine set aside for control.
+/// Management clients that share the fronts between them: one for each machine set aside for control.
 const MANAGERS: usize = 8;
-/// Changes made at once, each by a manager of its own.
+/// Changes made at once, each by a management client of its own.
 const CONCURRENT_CHANGES: usize = 10;
-/// One front in so many is away while a change is made.
+/// One front in this many is unreachable while a change is made.
 const ABSENT_EVERY: usize = 20;
-/// How late the rig may wake.
+/// The lateness of a timer above which a run counts as disturbed.
 const MAX_LATENESS: Duration = Duration::from_millis(100);
-/// What a server takes at most: its store, its log, its thread.
+/// Upper limit of the memory of one server, with its store, log and thread.
 const BYTES_PER_SERVER: u64 = 4 << 20;
 const DESCRIPTORS_PER_SERVER: u64 = 10;
 const REAL_COMMITS: usize = 100;
@@ -34,16 +34,16 @@
 
 const IN_FORCE_MEDIAN: Metric = Metric::new("in_force_p50", "s");
 const IN_FORCE_P99: Metric = Metric::new("in_force_p99", "s");
-/// One commit at one front: connecting, committing, and the answer, without the network.
+/// One commit at one front: connection, commit and response, without the network delay.
 const COMMIT_MEDIAN: Metric = Metric::new("commit_p50", "ms");
 const COMMIT_P99: Metric = Metric::new("commit_p99", "ms");
-/// At one front, both ways.
+/// Bytes of one commit at one front, both directions.
 const COMMIT_BYTES: Metric = Metric::new("bytes_a_commit", "B");
-/// Of the server's thread and the manager's together.
+/// Processor time of the server and the management client together.
 const COMMIT_PROCESSOR: Metric = Metric::new("processor_a_commit", "ms");
-/// Fronts that were away and have not got the change after they are back.
+/// Fronts that were unreachable during a change and still lack it after their return.
 const LEFT_BEHIND: Metric = Metric::new("fronts_left_behind", "1");
-/// Fronts at which the later of two opposed changes is another than at most.
+/// After two opposed changes: fronts whose last commit differs from that of the majority.
 const DIFFERENT: Metric = Metric::new("fronts_that_differ", "1");
 
 /// Commits changes at many fronts' management servers.
@@ -56,7 +56,7 @@
     changes: u32,
 }
 
-/// The management server of a front.
+/// The gNMI address of a front's management server.
 #[derive(Debug, Clone, Copy)]
 struct FrontAddress {
     front: usize,
@@ -103,7 +103,7 @@
         Ok(samples)
     }
 
-    /// One change, the fronts shared out among so many managers.
+    /// Rolls out one change, with the fronts divided among `managers` clients.
     fn shared(
         &mut self,
         size: u32,
@@ -139,7 +139,7 @@
         Ok(samples)
     }
 
-    /// Ten changes at once, each by a manager that commits at all fronts in turn.
+    /// Rolls out ten changes at once, each by a management client that commits at all fronts in turn.
     fn at_once(
         &mut self,
         size: u32,
@@ -162,7 +162,7 @@
         Ok(LOSSES.into_iter().flat_map(|loss| in_force(&case(loss), &parts, loss, seed)).collect())
     }
 
-    /// Some fronts are away while a change is made. Nothing brings it to them later: whoever made it would have to.
+    /// Rolls out a change while some fronts are unreachable. They never receive it unless its author commits it again.
     fn away(&mut self, size: u32) -> Result<Vec<Sample>, MeasureError> {
         let change = self.next_change(0);
         let servers = self.servers.open(size as usize)?;
@@ -175,7 +175,7 @@
         Ok(vec![run("way=8-managers".into(), size, false).sample(LEFT_BEHIND, left as f64)])
     }
 
-    /// Two managers want opposed things of one pool, and go round the fronts in opposed directions.
+    /// Two management clients commit opposed changes of one pool, and visit the fronts in opposite orders.
     fn opposed(&mut self, size: u32, fronts: &[FrontAddress]) -> Result<Vec<Sample>, MeasureError> {
         let backwards: Vec<FrontAddress> = fronts.iter().rev().copied().collect();
         let changes = [(true, fronts.to_vec()), (false, backwards)];
@@ -194,7 +194,7 @@
         Ok(vec![run("way=2-managers-opposed".into(), size, false).sample(DIFFERENT, different as f64)])
     }
 
-    /// What a commit takes at a real front, where its program has been built.
+    /// Measures commits at a real front process; no samples if its program has not been built.
     fn real(&mut self, size: u32) -> Result<Vec<Sample>, MeasureError> {
         let Some(front) = RealFront::start()? else { return Ok(Vec::new()) };
         let manager = Manager::default();
@@ -230,7 +230,7 @@
     place.is_some_and(|place| running.tree.leaf(schema, &place) == Some("draining"))
 }
 
-/// Each manager takes every so-many-th front.
+/// Rolls out a change; each management client takes every `managers`-th front.
 async fn roll_out_all(
     fronts: &[FrontAddress],
     managers: usize,
@@ -269,7 +269,8 @@
     Ok(parts)
 }
 
-/// When a change is in force at the fronts, with the network's time; the managers are in the first zones.
+/// Samples of the time until a change is in force at the fronts, including network delays. Management client number n
+/// is placed where front number n is.
 fn in_force(run: &Run, parts: &[Vec<FrontCommit>], loss: u32, seed: u64) -> Vec<Sample> {
     let network = Network { delays: Delays::STATED, loss: f64::from(loss) / 100.0, partitioned: false };
     let roll_out = |(number, commits): (usize, &Vec<FrontCommit>)| {
@@ -291,7 +292,7 @@
     vec![run.sample(COMMIT_MEDIAN, quantile(&all, 0.5)), run.sample(COMMIT_P99, quantile(&all, 0.99))]
 }
 
-/// Of sorted values; zero for none.
+/// A quantile of sorted values; zero for none.
 fn quantile(sorted: &[f64], share: f64) -> f64 {
     let place = (sorted.len() as f64 * share).ceil() as usize;
     sorted.get(place.saturating_sub(1)).copied().unwrap_or_default()
--- a/crates/tools/scale/src/roles/connections.rs
+++ b/crates/tools/scale/src/roles/connections.rs
@@ -1,7 +1,8 @@
-//! Client connections: what each takes of a real front process while it is idle, and while it only sends heartbeats.
+//! Client connections: the memory, descriptors and processor time of a real front process while its connections are
+//! idle, and while they only send heartbeats.
 //!
-//! A front closes a connection on which nothing was said for six seconds, so the windows are shorter, and a connection
-//! that is to stay must speak. Memory is the process's resident size; buffers inside the system's kernel are not in it.
+//! A front closes a connection that is silent for six seconds, so the windows are shorter, and a connection that is to
+//! stay open sends heartbeats. Memory is the process's resident size, without kernel buffers.
 
 use crate::budget;
 use crate::channel::Channel;
@@ -19,41 +20,41 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Times a second that the front's threads wake up.
+/// Wake-ups of the front's threads, a second.
 pub const WAKEUPS: Metric = Metric::new("wakeups", "1/s");
-/// Connections that are open at the end, of as many as the size says.
+/// Connections that are still open at the end of a run.
 pub const HELD: Metric = Metric::new("held", "connections");
-/// Resident memory above that of a front without clients, by connection.
+/// Resident memory above that of a front without clients, for each open connection.
 pub const BYTES_EACH: Metric = Metric::new("memory_each", "B a connection");
 
-/// The time over which the front is watched.
+/// The time over which the front is measured.
 const WINDOW: Duration = Duration::from_secs(3);
 const QUICK_WINDOW: Duration = Duration::from_millis(500);
-/// A connection that is to stay speaks this often.
+/// Time between two heartbeats of a connection; shorter than the front's idle timeout of six seconds.
 const HEARTBEAT: Duration = Duration::from_secs(3);
-/// Between two looks at which heartbeats are due.
+/// Pause between two checks for due heartbeats.
 const STEP: Duration = Duration::from_millis(10);
-/// A front that has just started settles for so long.
+/// Warm-up of a front after its start.
 const SETTLE: Duration = Duration::from_millis(500);
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How late the rig's own timers may be.
+/// The lateness of the harness's own timers above which a run counts as disturbed.
 const LATENESS: Duration = Duration::from_millis(50);
-/// Descriptors that a front is given for each connection wanted: clients may use a third of them.
+/// Descriptors that a front gets for each connection: clients may use a third of them.
 const DESCRIPTORS_EACH: u32 = 3;
-/// Bytes that a connection takes of both processes and the kernel at most.
+/// Upper limit of the memory of a connection in both processes and the kernel, in bytes.
 const BYTES_AT_MOST: u64 = 64 * 1024;
-/// Descriptors that either process needs beside its connections.
+/// Descriptors that either process needs in addition to its connections.
 const SPARE: u64 = 64;
 const HEARTBEAT_LINE: &[u8] = b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"heartbeat\"}\n";
 
-/// What the connections do, and what the front is given.
+/// The activity of the connections, and the descriptors of the front.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Case {
-    /// Each has spoken once and says nothing more.
+    /// Each connection sends one heartbeat and is idle from then on.
     Resting,
-    /// Each sends heartbeats, often enough to stay open.
+    /// Each connection sends heartbeats often enough to stay open.
     Heartbeat,
-    /// Resting, at a front that has the platform's 1,024 descriptors.
+    /// Idle connections to a front that has the platform's 1,024 descriptors.
     Platform,
 }
 
@@ -75,7 +76,7 @@
     }
 }
 
-/// Opens connections to a real front and leaves them idle.
+/// Measures idle connections and heartbeats at a real front.
 pub struct Connections {
     options: Options,
 }
@@ -115,10 +116,10 @@
     }
 }
 
-/// What one run has shown.
+/// The results of one run.
 struct Run {
     size: u32,
-    /// Without clients, and at both ends of the window.
+    /// Figures of the front before clients connect; `begun` and `after` are those at the start and end of the window.
     before: Figures,
     begun: Figures,
     after: Figures,
@@ -161,20 +162,20 @@
 }
 
 impl Clients {
-    /// Opens so many, each of which speaks once and is answered, if the front takes it.
+    /// Opens `count` connections and sends one heartbeat on each.
     fn open(address: SocketAddr, count: u32) -> Result<Self, MeasureError> {
         let mut lines = Vec::new();
         for _ in 0..count {
             let wire = TcpStream::connect(address).map_err(io("a connection to the front"))?;
             wire.set_read_timeout(Some(RESPONSE_TIMEOUT)).map_err(io("a connection to the front"))?;
             let mut line = BufReader::with_capacity(256, wire);
-            speak(&mut line); // One that was closed is counted at the end.
+            speak(&mut line); // Closed connections are found by `held` at the end.
             lines.push(line);
         }
         Ok(Clients { lines })
     }
 
-    /// Each speaks once in a period, one after the other.
+    /// Sends one heartbeat on each connection in every `HEARTBEAT` period, spread evenly over it.
     fn heartbeat_for(&mut self, window: Duration) {
         let begun = Instant::now();
         let mut spoken = 0u64;
@@ -189,20 +190,20 @@
         }
     }
 
-    /// How many are still open.
+    /// The number of connections that are still open.
     fn held(self) -> usize {
         self.lines.into_iter().filter_map(|line| is_open(line.into_inner()).ok()).filter(|open| *open).count()
     }
 }
 
-/// Sends a heartbeat, and reads the answer; false if the connection is over.
+/// Sends a heartbeat and reads the response; returns false if the connection is closed.
 fn speak(line: &mut BufReader<TcpStream>) -> bool {
     let mut answer = String::new();
     let written = line.get_mut().write_all(HEARTBEAT_LINE);
     written.is_ok() && line.read_line(&mut answer).is_ok_and(|read| read > 0)
 }
 
-/// Whether the other side has neither ended nor reset it.
+/// Returns whether the peer has neither closed nor reset the connection.
 fn is_open(mut wire: TcpStream) -> std::io::Result<bool> {
     wire.set_nonblocking(true)?;
     match wire.read(&mut [0]) {
@@ -212,7 +213,7 @@
     }
 }
 
-/// What a size takes of the machine.
+/// The resources that a size needs.
 fn need(size: u32) -> Need {
     Need { memory_bytes: u64::from(size) * BYTES_AT_MOST, descriptors: u64::from(size) + SPARE, processes: 1 }
 }
--- a/crates/tools/scale/src/roles/control_machines.rs
+++ b/crates/tools/scale/src/roles/control_machines.rs
@@ -1,5 +1,5 @@
-//! The machines set aside for control: what each of 3, 5 or 7 voters carries, and what happens with two of them lost.
-//! The fleet allows up to seven voters, so of eight machines one is spare.
+//! The machines set aside for control: the load of each of 3, 5 or 7 voters, and the leases held after the loss of two
+//! of them. The fleet allows up to seven voters, so one of the eight machines is spare.
 
 use super::failure_detector::fits;
 use super::leases::{full_fleet, max_seconds, voter_samples, with_quota_slots};
@@ -18,15 +18,15 @@
 const SETTLE_TIME: Duration = Duration::from_secs(20);
 const SPAN: Duration = Duration::from_secs(20);
 const QUICK: Duration = Duration::from_secs(5);
-/// Longer than any lease that was granted before.
+/// Time after the loss of the voters; longer than any lease that was granted before.
 const AFTER_LOSS: Duration = Duration::from_secs(10);
 const TRIALS: usize = 5;
-/// The rig's thread may be off its core for this share of the time.
+/// The share of the wall time, from 0 to 1, off its core above which the harness's thread counts as disturbed.
 const PREEMPTED: f64 = 0.6;
 
 const ALL: [MessageKind; 4] =
     [MessageKind::FailureDetector, MessageKind::Leases, MessageKind::Registers, MessageKind::Reports];
-/// With two voters lost.
+/// Fronts that hold a quota slot after the loss of two voters, of all that are left.
 const HELD: Metric = Metric::new("seats_held", "%");
 const HOLDERS: Metric = Metric::new("task_holders", "1");
 
@@ -64,7 +64,7 @@
         let fronts = size as usize;
         let mut simulation = Simulation::new(with_quota_slots(fronts, voters, 0, seed));
         simulation.run_for(SETTLE_TIME);
-        // The last voters, so that the first region keeps its own.
+        // The last voters are lost, so that the first region keeps its first ones.
         (voters - LOST_VOTERS..voters).for_each(|voter| simulation.kill(voter));
         simulation.run_for(AFTER_LOSS);
         let case = format!("voters={voters},gone={LOST_VOTERS}");
--- a/crates/tools/scale/src/roles/decision.rs
+++ b/crates/tools/scale/src/roles/decision.rs
@@ -1,9 +1,9 @@
-//! The decision: processor time and memory of one [`Gateway`] in virtual time, at the request rate of one front.
+//! Routing decisions: processor time and memory of one [`Gateway`] in virtual time, at the request rate of one front.
 //!
-//! Short requests find a place at once. Where requests are to be held, a part of the same request rate is of a second
-//! class, so wide that no engine lets it in: it is held, drawn again and again, and pushed back at a quarter of its
-//! latency objective, as happens under overload. Only the gateway's own processor time is counted. A last case offers the
-//! same rate to a real front process.
+//! Short requests are dispatched at once. In the cases with queued requests, a share of the same request rate belongs
+//! to a second class that needs more threads than any engine admits: such a request stays queued, is considered in one
+//! decision after another, and is rejected after a quarter of its latency objective, as happens under overload. Only
+//! the gateway's own processor time is counted. The last case sends the same request rate to a real front process.
 
 mod driver;
 mod real;
@@ -20,44 +20,45 @@
 use driver::{GatewayDriver, LoadReports, TABLE_GROUPS, TICK, Traffic};
 use std::time::Duration;
 
-/// Processor time of the gateway for each request that arrives.
+/// Processor time of the gateway for each arriving request.
 pub const DECISION: Metric = Metric::new("decision", "µs a request");
-/// The longest tick: what everything else on the front's one core waits for.
+/// Processor time of the longest tick, for which everything else on the front's one core waits.
 pub const MAX_TICK: Metric = Metric::new("longest_tick", "ms");
-/// Processor time beyond the usual that the replacement of one engine costs, until every table group was asked of.
-/// Only in the case that is steady enough.
+/// Additional processor time for the replacement of one engine, until every table group has been requested once.
+/// Measured only in the case whose ticks vary little enough.
 pub const LIST_CHANGE: Metric = Metric::new("list_change", "ms");
-/// Requests held, on the average over the run.
+/// Mean number of queued requests over the run.
 pub const HELD: Metric = Metric::new("held", "requests");
 
-/// Requests held that are aimed at.
+/// Target numbers of queued requests.
 const HELD_CASES: [u32; 3] = [0, 100, 1_000];
 const REPORT_CASES: [LoadReports; 4] =
     [LoadReports::Never, LoadReports::WithResponses, LoadReports::WithProbes, LoadReports::AllFresh];
-/// Of the wall time, the most that a run may be kept off its core. Processor time is counted, so what is left of a
-/// preemption is cold caches.
+/// The largest share of the wall time, from 0 to 1, that an undisturbed run is off its core. Since processor time is
+/// measured, a preemption distorts a run only by cold caches.
 const PREEMPTED_SHARE: f64 = 0.25;
-/// A run that was disturbed is kept as such and run again, so often at most.
+/// The most additional runs that replace disturbed ones. The samples of a disturbed run are kept and marked.
 const MAX_RERUNS: u32 = 3;
-/// A run ends at the first of these, but after [`FEWEST_TICKS`] at least, unless these take [`MOST_OF_ALL`].
+/// A run ends once its virtual time reaches `MAX_WINDOW` or its processor time `MAX_PROCESSOR_TIME`, but not before
+/// `MIN_TICKS` ticks, unless these take `MAX_RUN_TIME`.
 const MAX_WINDOW: Duration = Duration::from_secs(4);
 const MAX_PROCESSOR_TIME: Duration = Duration::from_secs(4);
 const MAX_RUN_TIME: Duration = Duration::from_secs(30);
-/// Reports count for three seconds: all are fresh for so long.
+/// Load reports are valid for three seconds, so all are still valid throughout this window.
 const FRESH_WINDOW: Duration = Duration::from_secs(2);
 const QUICK_WINDOW: Duration = Duration::from_millis(100);
 const MIN_TICKS: u32 = 10;
 
-/// What an engine takes at most, in bytes, beside its place in each table group's order.
+/// Upper limit of the memory of an engine, in bytes, without its entry in each table group's order.
 const BYTES_PER_ENGINE: u64 = 4 * 1024;
 const BYTES_PER_ORDER_ENTRY: u64 = 4;
 
-/// Drives one gateway in virtual time.
+/// Measures one gateway in virtual time.
 pub struct Decision {
     options: Options,
 }
 
-/// What a size takes of the machine.
+/// The resources that a size needs.
 fn need(engines: u32) -> Need {
     let bytes = u64::from(engines) * (BYTES_PER_ENGINE + TABLE_GROUPS * BYTES_PER_ORDER_ENTRY);
     Need { memory_bytes: bytes, ..Need::default() }
@@ -69,7 +70,7 @@
         Decision { options: options.clone() }
     }
 
-    /// Runs one case until there are enough undisturbed runs.
+    /// Runs one case until there are enough undisturbed runs, or the limit of reruns is reached.
     fn repeat(&self, engines: u32, load_reports: LoadReports, held: u32, case: &str) -> Vec<Sample> {
         let mut samples = Vec::new();
         let (mut good, mut runs) = (0, 0);
@@ -137,11 +138,11 @@
     }
 }
 
-/// What one run has shown.
+/// The results of one run.
 struct Run {
     window: Window,
     list_change: Option<Duration>,
-    /// Heap of the gateway and of the requests it holds.
+    /// Heap bytes of the gateway and its simulated clients and engines.
     bytes: usize,
     disturbed: bool,
 }
--- a/crates/tools/scale/src/roles/decision/driver.rs
+++ b/crates/tools/scale/src/roles/decision/driver.rs
@@ -1,4 +1,5 @@
-//! Drives one gateway in virtual time: requests at a steady rate, engines that answer, probes that are answered.
+//! Drives one gateway in virtual time: requests arrive at a constant rate, and simulated engines reply to attempts and
+//! probes.
 
 use crate::budget;
 use crate::process::thread_time;
@@ -12,16 +13,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The gateway decides once in this time.
+/// Virtual time between two decisions of the gateway.
 pub const TICK: Duration = Duration::from_millis(5);
 
-/// Table groups that requests ask of, all alike.
+/// Number of table groups; each gets the same share of the requests.
 pub const TABLE_GROUPS: u64 = 256;
-/// Engines of the list while the host warms up.
+/// Engines of the list during warm-up.
 const WARM_ENGINES: u32 = 20;
-/// Long enough for the number of held requests to be steady.
+/// Virtual duration of the warm-up; long enough for the number of queued requests to be steady.
 const WARM_UP: Duration = Duration::from_secs(2);
-/// Ticks on the whole list before the measurement: every table group is asked of once.
+/// Ticks with the full list before the measurement, in which every table group is requested once.
 const SETTLE_TICKS: u64 = TABLE_GROUPS.div_ceil(14) + 1;
 
 const SHORT: usize = 0;
@@ -30,16 +31,16 @@
 const SHORT_DEADLINE: Duration = Duration::from_secs(5);
 const WIDE_OBJECTIVE: Duration = Duration::from_secs(3);
 const WIDE_DEADLINE: Duration = Duration::from_secs(20);
-/// Of a core's threads so many that no gate lets it in.
+/// Threads of a request of the wide class: more than the admission control of any engine admits.
 const WIDE_THREADS: f64 = 64.0;
-/// A wide request is given up after this part of its goal: the gateway's `START_BY`.
+/// The share of its latency objective after which the gateway rejects a queued request: the gateway's `START_BY_SHARE`.
 const GIVEN_UP_AFTER: f64 = 0.25;
 const CORES: f64 = 16.0;
 const MEMORY_MB: f64 = 65_536.0;
 const WORK: Duration = Duration::from_millis(8);
-/// Ticks until an attempt is answered: from, and up to but not including.
+/// Range of the ticks until the reply to an attempt.
 const ANSWER_TICKS: std::ops::Range<u64> = 1..4;
-/// Busy cores that engines report: from, and up to.
+/// Range of the busy cores that engines report.
 const BUSY: std::ops::Range<f64> = 0.15..0.35;
 
 /// How engines report their load.
@@ -48,8 +49,8 @@
     Never,
     WithResponses,
     WithProbes,
-    /// With responses, and all engines have reported just before the measurement: the best case, as an engine to which
-    /// nothing was sent lately has no report that counts.
+    /// With responses, and all engines have reported just before the measurement. This is the best case: otherwise an
+    /// engine that has received no request lately has no valid report.
     AllFresh,
 }
 
@@ -63,22 +64,22 @@
     }
 }
 
-/// What a run is made of.
+/// Parameters of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Traffic {
     pub engines: u32,
     pub load_reports: LoadReports,
-    /// Requests to be held at any time.
+    /// Target number of queued requests.
     pub held: u32,
     pub seed: u64,
 }
 
-/// What the replacement of an engine cost.
+/// The cost of the replacement of an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct ReplacementCost {
     /// Processor time of the gateway.
     pub processor: Duration,
-    /// Ticks that it was counted over.
+    /// Ticks over which it was measured.
     pub ticks: u32,
 }
 
@@ -89,7 +90,7 @@
     rng: StdRng,
     now: Duration,
     tick: u64,
-    /// Arrivals due, with the fraction of the next one.
+    /// Arrivals that are due, including the fraction of the next one.
     due: f64,
     arrived: u64,
     waiting: BTreeSet<RequestId>,
@@ -97,7 +98,7 @@
 }
 
 impl GatewayDriver {
-    /// A host with the list of the warm-up.
+    /// Creates a gateway with the endpoint list of the warm-up.
     pub fn new(traffic: Traffic) -> Self {
         let mut gateway = Gateway::new(deployment(traffic.load_reports.reports()), traffic.seed);
         gateway.handle_event(Duration::ZERO, full_list(WARM_ENGINES.min(traffic.engines)));
@@ -114,18 +115,18 @@
         }
     }
 
-    /// Requests that have arrived so far.
+    /// The number of requests that have arrived so far.
     pub fn arrived(&self) -> u64 {
         self.arrived
     }
 
-    /// Requests that wait for an attempt.
+    /// The number of requests that wait for an attempt.
     pub fn held(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Runs on a short list until the held requests are steady, then gives the whole list, and asks once of each table
-    /// group.
+    /// Runs with a short list until the number of queued requests is steady, then applies the full list and requests each
+    /// table group once.
     pub fn warm_up(&mut self) {
         while self.now < WARM_UP {
             self.tick();
@@ -142,8 +143,8 @@
         }
     }
 
-    /// One engine is replaced by another. Returns the processor time until each table group was asked of once, and
-    /// the ticks that took.
+    /// Replaces one engine by another. Returns the processor time until each table group was requested once, and the
+    /// number of ticks for that.
     pub fn replace_one(&mut self) -> ReplacementCost {
         let removed = EngineEntry { state: EngineState::Removed, ..entry(0) };
         let changes = Event::Endpoints(EndpointUpdateKind::Delta, vec![removed, entry(self.traffic.engines)]);
@@ -154,8 +155,8 @@
         ReplacementCost { processor: list_time + ticks, ticks: SETTLE_TICKS as u32 }
     }
 
-    /// One tick: responses and arrivals are handled, the gateway decides, its actions are executed. Returns the
-    /// processor time that the gateway took.
+    /// Runs one tick: the gateway handles replies and arrivals and decides, and its actions are executed. Returns the
+    /// processor time of the gateway.
     pub fn tick(&mut self) -> Duration {
         self.tick += 1;
         self.now += TICK;
--- a/crates/tools/scale/src/roles/decision/real.rs
+++ b/crates/tools/scale/src/roles/decision/real.rs
@@ -1,4 +1,5 @@
-//! The same rate at a real front process, with engines and clients over loopback: what of it is served.
+//! Sends the request rate of one front to a real front process, with engines and clients over loopback, and measures
+//! the rate that is served.
 
 use crate::budget;
 use crate::channel::{Entry, ListUpdate, State};
@@ -20,14 +21,14 @@
 
 /// The name of the case.
 pub const CASE: &str = "real front, reports=when-probed";
-/// So many clients that pause for so long offer 2,885 requests a second if each is answered within 2 ms.
+/// 64 clients with this pause between requests send 2,885 requests a second if each is answered within 2 ms.
 const CLIENTS: u64 = 64;
 const CLIENT_PAUSE: Duration = Duration::from_millis(20);
-/// Before the front is watched.
+/// Warm-up before the measurement.
 const SETTLE: Duration = Duration::from_secs(3);
 const WINDOW: Duration = Duration::from_secs(4);
 const QUICK: Duration = Duration::from_millis(300);
-/// How late the rig's own timers may be.
+/// The lateness of the harness's own timers above which a run counts as disturbed.
 const LATENESS: Duration = Duration::from_millis(50);
 const STEP: Duration = Duration::from_millis(2);
 
@@ -41,7 +42,7 @@
     ListUpdate::Full((0..engines).map(entry).collect())
 }
 
-/// One run at a front of the platform's size.
+/// Runs once at a front with the limits of the platform.
 pub fn run(engines: u32, options: &Options) -> Result<Vec<Sample>, MeasureError> {
     let ConnectedFront { channel, front } = ConnectedFront::start(options, STEP)?;
     let engines_listener = Engines::start().map_err(io("an engine's listener"))?;
--- a/crates/tools/scale/src/roles/discovery.rs
+++ b/crates/tools/scale/src/roles/discovery.rs
@@ -1,6 +1,6 @@
-//! Discovery: what the list of engines and its changes take of a real front process, and how long until it acts upon
-//! them. Engines of three kinds of address tell where requests go: those that stay, those of a zone that is removed, and
-//! those that replace it.
+//! Discovery: the cost of the endpoint list and its updates for a real front process, and the time until requests
+//! follow them. Three listeners show which engines receive requests: those that stay, those of a zone that is removed,
+//! and those that replace it.
 
 use crate::budget;
 use crate::channel::{Entry, FRAME_HEADER_BYTES, ListUpdate, RECORD_BYTES, State};
@@ -21,50 +21,51 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Bytes on the wire to one front.
+/// Bytes on the wire of the full endpoint list to one front.
 pub const LIST_BYTES: Metric = Metric::new("whole_list", "B");
-/// The same for the replacement of a zone.
+/// The same for the update that replaces a zone.
 pub const ZONE_BYTES: Metric = Metric::new("zone_replaced", "B");
-/// Processor time of the front for it.
+/// Processor time of the front for the full endpoint list.
 pub const LIST_PROCESSOR: Metric = Metric::new("whole_list_processor", "ms");
-/// The same for the replacement of a zone.
+/// The same for the update that replaces a zone.
 pub const ZONE_PROCESSOR: Metric = Metric::new("zone_replaced_processor", "ms");
-/// From the writing of the frame until a request has reached an engine of the list.
+/// Time from the sending of the full list until a request has reached an engine of the list.
 pub const LIST_USED: Metric = Metric::new("whole_list_used", "ms");
-/// From the writing of the frame until the last request has reached an engine that it removes.
+/// Time from the sending of the update until the last request has reached an engine that it removes.
 pub const ZONE_LEFT: Metric = Metric::new("zone_left", "ms");
-/// From the writing of the frame until a request has reached an engine that it adds.
+/// Time from the sending of the update until a request has reached an engine that it adds.
 pub const ZONE_USED: Metric = Metric::new("zone_used", "ms");
 
 /// The zone that is replaced.
 const ZONE: u32 = 1;
-/// New engines bear ids from here on.
+/// Offset of the ids of new engines.
 const NEW_IDS: u32 = 1 << 24;
-/// The front's own work without clients is watched for so long.
+/// The time over which the front's background work without clients is measured.
 const IDLE: Duration = Duration::from_secs(2);
-/// After a change the front has settled.
+/// Time for the front to apply a list or an update.
 const SETTLE: Duration = Duration::from_millis(500);
 const QUICK: Duration = Duration::from_millis(200);
-/// Requests go on for so long after the zone was replaced.
+/// Time for which requests continue after the replacement of the zone.
 const AFTER_ZONE: Duration = Duration::from_secs(1);
-/// What is not acted upon by then never is.
+/// Timeout after which a list or an update counts as ignored.
 const MAX_WAIT: Duration = Duration::from_secs(10);
 const STEP: Duration = Duration::from_millis(1);
 const CLIENTS: u64 = 8;
 const CLIENT_PAUSE: Duration = Duration::from_millis(10);
-/// How late the rig's own timers may be.
+/// The lateness of the harness's own timers above which a run counts as disturbed.
 const LATENESS: Duration = Duration::from_millis(50);
 const DAY_SECONDS: f64 = 86_400.0;
-/// Bytes that an engine takes of the rig and the front at most, and descriptors and memory of all else.
+/// Upper limit of the memory of an engine in the harness and the front, in bytes.
 const BYTES_PER_ENGINE: u64 = 8 * 1024;
+/// Upper limit of the descriptors of a run.
 const DESCRIPTORS: u64 = 1_024;
 
-/// Tells a real front of engines.
+/// Measures how a real front follows the endpoint list.
 pub struct Discovery {
     options: Options,
 }
 
-/// Listeners in place of the engines.
+/// Listeners that stand in for the engines.
 struct Listeners {
     staying: Engines,
     leaving: Engines,
@@ -94,7 +95,7 @@
     ListUpdate::Full(list.collect())
 }
 
-/// All engines of the zone are replaced by as many new ones.
+/// An update that replaces all engines of the zone by as many new ones.
 fn zone_replacement(engines: u32, listeners: &Listeners) -> ListUpdate {
     let of_zone = || (0..engines).filter(|id| zone(*id) == ZONE);
     let removed = of_zone().map(|id| entry(id, listeners.leaving.address, State::Removed));
@@ -102,7 +103,8 @@
     ListUpdate::Delta(removed.chain(added).collect())
 }
 
-/// What the channel sends one front in a second: an empty frame each second, and a day's replacements.
+/// Mean bytes a second from the discovery channel to one front: an empty frame each second, and the daily
+/// replacements of engines.
 fn bytes_per_second() -> f64 {
     let replacement = (FRAME_HEADER_BYTES + 2 * RECORD_BYTES) as f64;
     FRAME_HEADER_BYTES as f64 + f64::from(budget::REPLACEMENTS_PER_DAY) * replacement / DAY_SECONDS
@@ -122,7 +124,7 @@
         if self.options.quick { usual.min(QUICK) } else { usual }
     }
 
-    /// Without clients: what the front's own work takes.
+    /// Measures the front without clients: its background work, and the cost of a list and an update.
     fn measure_idle(&self, engines: u32) -> Result<Vec<MetricValue>, MeasureError> {
         let ConnectedFront { channel, front } = ConnectedFront::start(&self.options, STEP)?;
         let listeners = Listeners::start()?;
@@ -143,7 +145,7 @@
         thread::sleep(self.span(IDLE));
         let measure_idle = process::of(front.pid())?.processor.saturating_sub(before.1).as_secs_f64();
         let rate = measure_idle / before.0.elapsed().as_secs_f64();
-        // The front's own work goes on while it applies a list.
+        // The background work continues while the front applies a list, and is subtracted.
         let own = rate * milliseconds(span);
         let grown = full.resident_bytes.saturating_sub(empty.resident_bytes) as f64;
         Ok(vec![
@@ -158,7 +160,7 @@
         ])
     }
 
-    /// With clients that ask all the time: how long until requests go where the list says.
+    /// Measures, with clients that send requests continuously, the time until requests follow the list.
     fn measure_reaction(&self, engines: u32) -> Result<Vec<MetricValue>, MeasureError> {
         let ConnectedFront { channel, front } = ConnectedFront::start(&self.options, STEP)?;
         let listeners = Listeners::start()?;
--- a/crates/tools/scale/src/roles/failure_detector.rs
+++ b/crates/tools/scale/src/roles/failure_detector.rs
@@ -1,4 +1,4 @@
-//! The failure detector: what it costs each front, and how often it reports a live front as lost.
+//! The failure detector: its cost for each front, and how often it reports a live front as lost.
 
 use crate::error::MeasureError;
 use crate::fleet::{Meter, Run, Setup, Simulation, resident_bytes};
@@ -12,29 +12,29 @@
 use lemonusher_fleet::MessageKind;
 use std::time::Duration;
 
-/// Percent of datagrams that are lost.
+/// Measured datagram loss rates, in percent.
 pub const LOSSES: [u32; 3] = [0, 1, 20];
-/// Until then all fronts have started and found each other.
+/// Warm-up in which all fronts start and discover each other.
 const SETTLE_TIME: Duration = Duration::from_secs(60);
 const SPAN: Duration = Duration::from_secs(120);
 const QUICK: Duration = Duration::from_secs(10);
-/// The rig's thread may be off its core for this share of the time.
+/// The share of the wall time, from 0 to 1, off its core above which the harness's thread counts as disturbed.
 const PREEMPTED: f64 = 0.6;
-/// A hollow front in a fleet of so many, at most.
+/// Upper limit of the memory of a simulated front, in bytes, without its records of other fronts.
 const BYTES_PER_FRONT: u64 = 64 * 1024;
 const BYTES_PER_PAIR: u64 = 512;
 
-/// Fronts that a front reported as lost though they were alive.
+/// Live fronts that a front reported as lost.
 const FALSE_ALARMS: Metric = Metric::new("false_alarms_a_front", "1/h");
-/// Other fronts that a front sees, of all that there are.
+/// Other fronts that a front sees, as a share of all others.
 const SEEN: Metric = Metric::new("members_seen", "%");
-/// Of the front that sent and received the most.
+/// Bytes sent and received by the front with the most traffic.
 const BYTES_MOST: Metric = Metric::new("bytes_busiest_front", "B/s");
 
-/// Simulates fleets whose fronts watch each other.
+/// Measures the failure detector in simulated fleets.
 pub struct FailureDetector {
     options: Options,
-    /// What this process held before any fleet ran in it.
+    /// Resident memory of this process before any fleet ran in it, in bytes.
     resident: f64,
 }
 
@@ -93,7 +93,7 @@
     }
 }
 
-/// Refuses a hollow fleet that the machine can't hold, or that is none.
+/// Rejects a simulated fleet that exceeds the limits of the machine or has fewer fronts than the minimum.
 pub fn fits(size: u32) -> Result<(), MeasureError> {
     if size < MIN_FRONTS {
         return Err(MeasureError::Failed(format!("a fleet has {MIN_FRONTS} fronts at least, not {size}")));
@@ -105,5 +105,5 @@
     if limits.hold(&need) { Ok(()) } else { Err(MeasureError::DoesNotFit { size, need }) }
 }
 
-/// All voters are fronts, and some fronts are none.
+/// The smallest fleet. Voters are fronts, of which there are up to seven, and at least one front must not vote.
 const MIN_FRONTS: u32 = 8;
--- a/crates/tools/scale/src/roles/leases.rs
+++ b/crates/tools/scale/src/roles/leases.rs
@@ -1,4 +1,4 @@
-//! Leases, quota slots and registers: what they cost each front and a voter, and how long their events last.
+//! Leases, quota slots and registers: their cost for each front and voter, and the recovery times after failures.
 
 use super::failure_detector::{LOSSES, fits};
 use crate::error::MeasureError;
@@ -18,18 +18,19 @@
 const SETTLE_TIME: Duration = Duration::from_secs(20);
 const SPAN: Duration = Duration::from_secs(30);
 const QUICK: Duration = Duration::from_secs(5);
-/// For how long the regions lose each other.
+/// Duration of the partition between the regions.
 const PARTITION_TIME: Duration = Duration::from_secs(3_600);
 const QUICK_PARTITION_TIME: Duration = Duration::from_secs(20);
-/// One thread can drive so many hollow fronts over loopback, and may be late by so much.
+/// The most fronts whose simulated ones a single thread can drive over loopback.
 const MAX_LOOPBACK_FRONTS: u32 = 40;
+/// The lateness of the loopback driver above which a comparison counts as disturbed.
 const MAX_LATENESS: Duration = Duration::from_millis(100);
-/// Losses of a lease holder, each way.
+/// Kills and graceful stops of a lease holder, each.
 const TRIALS: usize = 10;
-/// The rig's thread may be off its core for this share of the time.
+/// The share of the wall time, from 0 to 1, off its core above which the harness's thread counts as disturbed.
 const PREEMPTED: f64 = 0.6;
 
-/// The parts of the whole, by the kinds of messages.
+/// The parts of the fleet protocol that are measured, with their message kinds.
 const PARTS: [(&str, &[MessageKind]); 4] = [
     ("leases", &[MessageKind::Leases]),
     ("registers", &[MessageKind::Registers]),
@@ -41,7 +42,7 @@
 ];
 
 const REPLACEMENT_MEDIAN: Metric = Metric::new("replacement_p50", "s");
-/// From an orderly stop of the holder.
+/// Time from a graceful stop of the holder until another one may act.
 const REPLACEMENT_STOPPED: Metric = Metric::new("replacement_after_stop", "s");
 const HERD_90_PERCENT: Metric = Metric::new("seats_nine_tenths_again", "s");
 const HERD_99_PERCENT: Metric = Metric::new("seats_99_percent_again", "s");
@@ -53,7 +54,7 @@
 const SLOTS_RECOVERED: Metric = Metric::new("seats_99_percent_after_return", "s");
 const MEMBERS_RECOVERED: Metric = Metric::new("all_members_seen_after_return", "s");
 
-/// What a voter carries.
+/// The load of a voter.
 const VOTER: [Metric; 5] = [
     Metric::new("voter_messages_in", "1/s"),
     Metric::new("voter_messages_out", "1/s"),
@@ -62,24 +63,24 @@
     Metric::new("voter_processor", "% of a core"),
 ];
 
-/// Simulates fleets with leases and registers.
+/// Measures leases and registers in simulated fleets.
 pub struct Leases {
     options: Options,
     resident: f64,
 }
 
-/// A fleet with all that fronts have: quota slots, a task, and every register.
+/// A fleet with quota slots, a task and all registers.
 pub fn full_fleet(fronts: usize, voters: usize, loss: u32, seed: u64) -> Setup {
     let setup = Setup::detector(fronts, f64::from(loss) / 100.0, seed);
     Setup { voters, quota_slots: true, task: true, registers: Registers::ZonesAndWorks, ..setup }
 }
 
-/// A fleet with quota slots and a task, and no register.
+/// A fleet with quota slots and a task, but no registers.
 pub fn with_quota_slots(fronts: usize, voters: usize, loss: u32, seed: u64) -> Setup {
     Setup { registers: Registers::None, ..full_fleet(fronts, voters, loss, seed) }
 }
 
-/// A voter's load.
+/// Samples of a voter's load.
 pub fn voter_samples(run: &Run, cost: &Cost) -> Vec<Sample> {
     let values = [cost.messages_in, cost.messages_out, cost.bytes_in, cost.bytes_out, cost.processor];
     VOTER.into_iter().zip(values).map(|(metric, value)| run.sample(metric, value)).collect()
@@ -95,7 +96,7 @@
         Run { role: Role::Leases, case, size, disturbed }
     }
 
-    /// What goes on when nothing happens.
+    /// Measures a fleet without failures.
     fn steady(&self, size: u32, loss: u32, seed: u64) -> Result<Vec<Sample>, MeasureError> {
         let fronts = size as usize;
         let preemption = Preemption::start(PREEMPTED);
@@ -113,7 +114,7 @@
         for (part, front, voter) in meters {
             let run = self.run(format!("part={part},loss={loss}"), size, disturbed);
             let all = run.cost(&front.finish(&simulation));
-            // State and processor time are those of the whole front, whatever part its messages are of.
+            // State and processor time cover the whole front, so they are reported for the part `all` only.
             let is_of_whole_front =
                 |sample: &Sample| [metric::STATE, metric::PROCESSOR].contains(&sample.metric);
             samples.extend(all.into_iter().filter(|sample| part == "all" || !is_of_whole_front(sample)));
@@ -125,7 +126,7 @@
         Ok(samples)
     }
 
-    /// Holders, voters and a region go.
+    /// Measures the loss of a lease holder and the restart of all voters.
     fn events(&self, size: u32, loss: u32, seed: u64) -> Vec<Sample> {
         let fronts = size as usize;
         let trials = if self.options.quick { 1 } else { TRIALS };
@@ -146,7 +147,7 @@
         samples
     }
 
-    /// A real front and hollow ones in one fleet over loopback, with all that fronts have.
+    /// Compares real and simulated fronts in one fleet over loopback, with quota slots, a task and all registers.
     fn side_by_side(&self, size: u32, seed: u64) -> Result<Vec<Sample>, MeasureError> {
         let setup = full_fleet(size as usize, VOTERS, 0, seed);
         let compared = side_by_side(&setup, SETTLE_TIME, SPAN)
@@ -189,7 +190,7 @@
     }
 }
 
-/// The longest span, in seconds; zero for none.
+/// The longest duration, in seconds; zero for none.
 pub fn max_seconds(spans: &[Duration]) -> f64 {
     spans.iter().max().map_or(0.0, Duration::as_secs_f64)
 }
--- a/crates/tools/scale/src/roles/maintenance.rs
+++ b/crates/tools/scale/src/roles/maintenance.rs
@@ -1,6 +1,6 @@
-//! Site loss and maintenance in virtual time: what one front reports, what the coordinators compute. All
-//! fronts, zones and voters' answers are played in one process; registers answer at once, so that only computing is
-//! counted.
+//! Zone failover and maintenance in virtual time: the report of one front, and the computation of the coordinators.
+//! All fronts, zones and replies of voters are simulated in one process. Registers reply at once, so that only
+//! computation is measured.
 
 mod machines;
 mod zones;
@@ -19,22 +19,22 @@
 
 /// The longest single poll.
 pub const MAX_POLL: Metric = Metric::new("longest_turn", "ms");
-/// One front's report, as encoded.
+/// Size of one front's encoded report.
 pub const REPORT: Metric = Metric::new("report", "B");
-/// From the loss of a zone until the plan that closes it is to be settled.
+/// Time from the loss of a zone until the coordinator writes the plan that closes it.
 pub const PLANNED_AFTER: Metric = Metric::new("planned_after", "s");
-/// From a request until its last machine is done, with machines worked on for no time at all.
+/// Time from a maintenance request until its last machine is done; the work on each machine takes no time.
 pub const DONE_AFTER: Metric = Metric::new("done_after", "s");
 
-/// Time between two polls of each part.
+/// Time between two polls of a measured component.
 const PERIOD: Duration = Duration::from_millis(500);
-/// Of the wall time, the most that a run may be kept off its core.
+/// The largest share of the wall time, from 0 to 1, that an undisturbed run is off its core.
 const PREEMPTED_SHARE: f64 = 0.25;
-/// Bytes that a machine takes of all parts at most.
+/// Upper limit of the memory of a machine over all components, in bytes.
 const BYTES_PER_MACHINE: u64 = 8 * 1024;
 /// Cores of a machine.
 const CORES: u32 = 16;
-/// The part of all cores that the demand fills.
+/// The share of all cores that the demand uses, from 0 to 1.
 const UTILIZATION: f64 = 0.5;
 
 /// The zone of a machine.
@@ -42,14 +42,14 @@
     machine % budget::ZONES
 }
 
-/// The parts that are measured by themselves.
+/// The components that are measured separately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Case {
-    /// Any front: it observes all machines and reports each period.
+    /// A front that observes all machines and reports each period.
     Front,
-    /// The coordinator of zone failover: it gets all reports and plans; a zone is lost on the way.
+    /// The coordinator of zone failover: it receives all reports and plans; a zone is lost during the run.
     Planner,
-    /// The maintenance coordinator: a full request is worked off.
+    /// The maintenance coordinator: it completes a request of the maximum size.
     Maintenance,
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// Processor time of the polls of one part.
+/// Processor time of the polls of one component.
 #[derive(Debug, Default)]
 struct PollTimes {
     count: u32,
@@ -74,7 +74,7 @@
 }
 
 impl PollTimes {
-    /// Runs one poll and counts its time.
+    /// Runs one poll and adds its processor time.
     fn time<T>(&mut self, poll: impl FnOnce() -> T) -> T {
         let begun = thread_time();
         let result = poll();
@@ -85,29 +85,29 @@
         result
     }
 
-    /// Percent of a core, with one poll a period.
+    /// Processor time in percent of a core, with one poll a period.
     fn percent(&self) -> f64 {
         self.sum.as_secs_f64() / (PERIOD * self.count.max(1)).as_secs_f64() * 100.0
     }
 }
 
-/// What a case has shown.
+/// The results of a case.
 struct CaseResult {
     poll_times: PollTimes,
-    /// Heap of the part that is measured.
+    /// Heap bytes of the measured component.
     bytes: usize,
     /// Other metrics.
     more: Vec<MetricValue>,
 }
 
-/// Drops what is measured; returns how much of the heap that frees.
+/// Drops a component and returns the heap bytes that this frees.
 fn bytes_of<T>(part: T) -> usize {
     let before = allocated_bytes();
     drop(part);
     before.saturating_sub(allocated_bytes())
 }
 
-/// Plays zones and machines.
+/// Measures zone failover and maintenance.
 pub struct Maintenance {
     options: Options,
 }
--- a/crates/tools/scale/src/roles/maintenance/machines.rs
+++ b/crates/tools/scale/src/roles/maintenance/machines.rs
@@ -1,5 +1,5 @@
-//! Machines taken out for maintenance: one full request is worked off by the coordinator, with every front confirming
-//! within a period.
+//! Machines drained for maintenance: the coordinator completes one request of the maximum size, and every front
+//! confirms each drain within a period.
 
 use super::{CORES, CaseResult, DONE_AFTER, PERIOD, PollTimes, bytes_of, zone, zones};
 use crate::budget;
@@ -11,12 +11,13 @@
 use lemonusher_registers::EntryVersion;
 use std::time::Duration;
 
-/// The request's number, and how long a machine may be out.
+/// The register of the request.
 const REGISTER: u8 = 0;
+/// The longest time for which a machine may be out of service, in seconds.
 const MAX_OUTAGE_S: u32 = 3_600;
 /// Machines of the request in a quick run.
 const QUICK_MACHINES: usize = 4;
-/// Turns at most for each machine of the request.
+/// Limit of the coordinator's polls for each machine of the request.
 const MAX_POLLS_PER_MACHINE: usize = 40;
 
 fn config() -> MaintenanceConfig {
@@ -41,7 +42,7 @@
     FleetCapacity { machines: (0..machines).map(entry).collect(), classes: zones::classes(machines) }
 }
 
-/// The register of the request: what is committed, and its version.
+/// The register of the request: its committed value and version.
 struct Register {
     version: EntryVersion,
     request: MaintenanceRequest,
@@ -63,7 +64,7 @@
     }
 }
 
-/// Works off one request as large as a register holds.
+/// Completes one request of as many machines as a register can hold; a quick run has fewer.
 pub fn request(machines: u32, quick: bool) -> Result<CaseResult, MeasureError> {
     let machine_count = if quick { QUICK_MACHINES } else { MAX_MACHINES }.min(machines as usize);
     let wanted: Vec<Machine> =
@@ -90,7 +91,7 @@
     Err(MeasureError::Failed("the request was never worked off".into()))
 }
 
-/// Every front confirms all drains each period.
+/// Passes the coordinator every front's confirmations of all drains.
 fn confirm_drains(coordinator: &mut MaintenanceCoordinator, register: &Register, fronts: &[String]) {
     let draining = register.machines(|phase| phase == Phase::Draining);
     let confirmation = |machine| DrainConfirmation { request: REGISTER, version: register.version, machine };
@@ -98,7 +99,7 @@
     fronts.iter().for_each(|front| coordinator.handle_confirmations(front, &confirmations));
 }
 
-/// One period of the coordinator: all reads are answered at once, and one change committed.
+/// Polls the coordinator for one period: all reads are replied to at once, and at most one write is committed.
 fn poll_coordinator(
     coordinator: &mut MaintenanceCoordinator,
     register: &mut Register,
@@ -121,7 +122,7 @@
     }
 }
 
-/// Whoever works on the machines says at once that they are back.
+/// Marks all released machines as returned at once, as the operator of the maintenance does.
 fn return_machines(coordinator: &mut MaintenanceCoordinator, register: &mut Register, now: Duration) {
     let released = register.machines(|phase| matches!(phase, Phase::Released { .. }));
     if released.is_empty() {
--- a/crates/tools/scale/src/roles/maintenance/zones.rs
+++ b/crates/tools/scale/src/roles/maintenance/zones.rs
@@ -1,4 +1,4 @@
-//! The loss of a zone: one front's observation of all machines, and the coordinator that gets all reports.
+//! The loss of a zone: one front's observation of all machines, and the coordinator that receives all reports.
 
 use super::{CORES, CaseResult, PERIOD, PLANNED_AFTER, PollTimes, REPORT, UTILIZATION, bytes_of, zone};
 use crate::budget;
@@ -10,21 +10,22 @@
 };
 use std::time::Duration;
 
-/// Periods before the zone is lost, and at most until the plan closes it.
+/// Number of periods before the zone is lost.
 const STEADY_PERIODS: u32 = 20;
+/// Limit of the periods from the loss of the zone until the plan closes it.
 const MAX_PERIODS: u32 = 40;
-/// Periods of a front's watch.
+/// Number of periods over which a front is measured.
 const WATCHED_PERIODS: u32 = 40;
 const QUICK_PERIODS: u32 = 4;
 /// The zone that is lost.
 const LOST: u32 = 1;
-/// Machines of a zone that a front has tried within a period, at most.
+/// The most machines of a zone to which a front has sent attempts within a period.
 const TRIED: u32 = 64;
 /// Seconds of work of one request, by request class.
 const WORK_S: [f64; 4] = [0.01, 0.05, 0.5, 4.0];
 const ELAPSED_S: f64 = 0.02;
 
-/// Zone failover as it is measured.
+/// The zone failover configuration of the measurement.
 pub fn config() -> FailoverConfig {
     FailoverConfig {
         report_interval: PERIOD,
@@ -38,7 +39,7 @@
     }
 }
 
-/// Request classes whose demand fills a part of this many machines, each group alike.
+/// Request classes whose demand together uses the share `UTILIZATION` of these machines, each class the same part.
 pub fn classes(machines: u32) -> Vec<ClassLoad> {
     let all = f64::from(machines * CORES) * UTILIZATION;
     let each = all / WORK_S.len() as f64;
@@ -54,7 +55,7 @@
     WORK_S.into_iter().map(class).collect()
 }
 
-/// A front that every machine answers in every period.
+/// Measures a front to which every machine replies in every period.
 pub fn front(machines: u32, quick: bool) -> Result<CaseResult, MeasureError> {
     let mut observer = Observer::new(Duration::ZERO, 0, classes(machines));
     (0..machines).for_each(|machine| observer.update_engine(machine, zone(machine), CORES, true));
@@ -82,7 +83,7 @@
     Ok(CaseResult { poll_times, bytes: bytes_of(observer), more: vec![REPORT.of(bytes as f64)] })
 }
 
-/// What a front sees of one zone.
+/// A front's statistics of one zone.
 fn zone_stats(zone: u32, machines: u32, lost: bool) -> ZoneStats {
     let listed = machines / budget::ZONES;
     let tried = listed.min(TRIED) as u16;
@@ -110,7 +111,7 @@
     }
 }
 
-/// The coordinator of a fleet of the design size, until it has planned the loss of a zone.
+/// Measures the coordinator of a fleet of the design size, until its plan closes the lost zone.
 pub fn planner(machines: u32) -> Result<CaseResult, MeasureError> {
     let mut coordinator = Coordinator::new(1, classes(machines));
     coordinator.set_lease(Some(1));
@@ -118,7 +119,7 @@
     for period in 0..STEADY_PERIODS + MAX_PERIODS {
         now += PERIOD;
         let lost = (period >= STEADY_PERIODS).then_some(LOST);
-        // The fronts of the lost zone don't report any more.
+        // The fronts of the lost zone no longer report.
         let reporting = (0..budget::FRONTS).filter(|front| lost != Some(front % budget::ZONES));
         let reports: Vec<(u32, FrontReport)> =
             reporting.map(|front| (front, report(front, machines, lost))).collect();
--- a/crates/tools/scale/src/roles/mod.rs
+++ b/crates/tools/scale/src/roles/mod.rs
@@ -1,4 +1,4 @@
-//! One module a role; the registry of the measurements there are.
+//! The measurements, one module for each role, and their registry.
 
 mod configuration;
 mod connections;
@@ -13,7 +13,7 @@
 use crate::measurement::{Measurement, Options};
 use crate::role::Role;
 
-/// The measurement of a role, if there is one.
+/// Creates the measurement of a role.
 pub fn measurement(role: Role, options: &Options) -> Result<Box<dyn Measurement>, MeasureError> {
     match role {
         Role::Decision => Ok(Box::new(decision::Decision::new(options))),
