--- a/crates/tools/scale/src/bin/lemonusher-scale-front.rs
+++ b/crates/tools/scale/src/bin/lemonusher-scale-front.rs
@@ -1,5 +1,5 @@
-//! The front of `lemonusher-front` under another name, so that this package's tests have one to start: the tests of
-//! a package are given the paths of its own programs alone. Measurements for the page run `lemonusher-front` itself.
+//! The program `lemonusher-front` under another name, for the tests of this package: Cargo gives tests only the paths
+//! of their own package's programs. Measurements for the page run `lemonusher-front` itself.
 
 use std::process::ExitCode;
 
--- a/crates/tools/scale/src/budget.rs
+++ b/crates/tools/scale/src/budget.rs
@@ -1,21 +1,21 @@
-//! The size that the fleet is designed for, and what each role may cost there.
+//! The size that the fleet is designed for, and the budget of each role at that size.
 
 use crate::role::{Axis, Role};
 use crate::sample::{Metric, metric};
 
-/// The fleet at the design size.
+/// Fronts at the design size.
 pub const FRONTS: u32 = 520;
-/// Engines.
+/// Engines at the design size.
 pub const ENGINES: u32 = 1_300;
-/// Zones.
+/// Zones at the design size.
 pub const ZONES: u32 = 7;
-/// Regions.
+/// Regions at the design size.
 pub const REGIONS: u32 = 2;
 /// Client connections of all fronts.
 pub const CLIENT_CONNECTIONS: u32 = 3_400_000;
 /// Client connections of one front.
 pub const CONNECTIONS_PER_FRONT: u32 = 6_540;
-/// Requests a second at one front.
+/// Requests a second to one front.
 pub const REQUESTS_PER_SECOND: u32 = 2_885;
 /// Configuration changes a day.
 pub const CHANGES_PER_DAY: u32 = 360;
@@ -24,34 +24,34 @@
 /// Machines set aside for control.
 pub const CONTROL_MACHINES: u32 = 8;
 
-/// What control may cost one front.
+/// Processor time of one front for control, in percent of a core.
 pub const CONTROL_PROCESSOR_PERCENT: f64 = 1.8;
-/// What control may take of one front's memory, in MB.
+/// Memory of one front for control, in MB.
 pub const CONTROL_MEMORY_MB: f64 = 256.0;
-/// What control may send and receive at one front, in bytes a second.
+/// Bytes a second that one front may send and receive for control, in total.
 pub const CONTROL_BYTES_PER_SECOND: f64 = 2_048.0;
-/// A configuration change is in force everywhere within this time.
+/// Time within which a configuration change has to be in force at all fronts, in seconds.
 pub const IN_FORCE_SECONDS: f64 = 3.0;
-/// A task has another working lease holder within this time.
+/// Time within which a task must have another working lease holder, in seconds.
 pub const REPLACEMENT_SECONDS: f64 = 9.0;
 
-/// What the platform gives a front (`docs/front-example.json`, `limits`).
+/// Processor time that the platform gives a front (`docs/front-example.json`, `limits`), in percent of a core.
 pub const FRONT_PROCESSOR_PERCENT: f64 = 100.0;
 /// Memory that the platform gives a front, in MB.
 pub const FRONT_MEMORY_MB: f64 = 192.0;
 /// Descriptors that the platform gives a front.
 pub const FRONT_DESCRIPTORS: f64 = 1_024.0;
 
-/// The most that a metric of a role may be at the design size.
+/// The upper limit of a metric of a role at the design size.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Budget {
     /// The metric.
     pub metric: Metric,
-    /// In the metric's unit.
+    /// The limit, in the metric's unit.
     pub max: f64,
 }
 
-/// The size along an axis that is designed for.
+/// The design size along an axis.
 pub fn design_size(axis: Axis) -> u32 {
     match axis {
         Axis::Fronts => FRONTS,
@@ -60,8 +60,8 @@
     }
 }
 
-/// All budgets of a role. A role's whole budget for control is that of all roles together; each is held against it
-/// alone, and the page adds them up.
+/// All budgets of a role. The budget for control is shared by all roles; each role is compared with all of it, and the
+/// page adds them up.
 pub fn of(role: Role) -> Vec<Budget> {
     let control = [
         (metric::PROCESSOR, CONTROL_PROCESSOR_PERCENT),
--- a/crates/tools/scale/src/channel.rs
+++ b/crates/tools/scale/src/channel.rs
@@ -1,5 +1,5 @@
-//! The command channel's side that fronts connect to: numbered frames on the list of engines, and an empty one each
-//! second.
+//! The server side of the discovery channel: sends fronts numbered frames with endpoint updates, and an empty frame
+//! each second.
 
 use std::io::{self, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
@@ -7,11 +7,11 @@
 use std::thread;
 use std::time::Duration;
 
-/// Bytes of a frame before its records: length, number and kind.
+/// Bytes of a frame header: length, number and kind.
 pub const FRAME_HEADER_BYTES: usize = 13;
-/// Bytes of one engine in a frame.
+/// Bytes of the record of one engine in a frame.
 pub const RECORD_BYTES: usize = 27;
-/// Time between two empty frames.
+/// Interval of empty frames.
 pub const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const HELLO_BYTES: usize = 8;
 const WEIGHT: u32 = 1_000;
@@ -19,9 +19,9 @@
 /// The state of an engine in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It may be used.
+    /// It may receive requests.
     Ready,
-    /// It is removed from the list.
+    /// It is removed from the endpoint list.
     Removed,
 }
 
@@ -30,18 +30,18 @@
 pub struct Entry {
     /// The engine's id.
     pub id: u32,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddrV4,
-    /// Whether it may be used.
+    /// Its state in the list.
     pub state: State,
-    /// The zone that it stands in.
+    /// The zone that it is in.
     pub zone: u8,
 }
 
 /// The content of a frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// Nothing: the channel is alive.
+    /// No change: a keepalive.
     Empty,
     /// The full list.
     Full(Vec<Entry>),
@@ -49,7 +49,7 @@
     Delta(Vec<Entry>),
 }
 
-/// A frame's bytes.
+/// Encodes a frame.
 pub fn frame(number: u64, update: &ListUpdate) -> Vec<u8> {
     let (kind, entries): (u8, &[Entry]) = match update {
         ListUpdate::Empty => (0, &[]),
@@ -81,7 +81,7 @@
 #[derive(Debug, Default)]
 struct Followers {
     number: u64,
-    /// The frame that a new follower gets first.
+    /// The latest frame with a full list, which a new follower gets first.
     full_list: Option<Vec<u8>>,
     streams: Vec<TcpStream>,
 }
@@ -105,7 +105,7 @@
             for stream in listener.incoming() {
                 let Some(state) = accepting.upgrade() else { return };
                 if let Ok(stream) = stream {
-                    let _ = add_follower(stream, &mut lock(&state)); // A front whose connection breaks connects again.
+                    let _ = add_follower(stream, &mut lock(&state)); // A front reconnects after a broken connection.
                 }
             }
         });
@@ -122,7 +122,7 @@
         Ok(Channel { address, state })
     }
 
-    /// Sends an update to all fronts; returns its bytes for each.
+    /// Sends an update to all fronts; returns the bytes sent to each.
     pub fn publish(&self, update: &ListUpdate) -> usize {
         let mut state = lock(&self.state);
         state.number += 1;
@@ -134,7 +134,7 @@
         bytes.len()
     }
 
-    /// How many fronts follow it.
+    /// The number of connected fronts.
     pub fn fronts(&self) -> usize {
         lock(&self.state).streams.len()
     }
@@ -149,7 +149,7 @@
 }
 
 impl Followers {
-    /// Drops followers whose connection is broken.
+    /// Sends a frame to all followers, and drops those whose connection is broken.
     fn send(&mut self, bytes: &[u8]) {
         self.streams.retain_mut(|stream| stream.write_all(bytes).is_ok());
     }
--- a/crates/tools/scale/src/clients.rs
+++ b/crates/tools/scale/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of a real front: a few connections, each of which sends a request, waits for the response, pauses, and sends the next.
+//! Clients of a real front: each connection sends a request, waits for the response, pauses, and sends the next one.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -9,13 +9,13 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// Table groups that they ask of.
+/// Number of table groups that requests are spread over.
 const TABLE_GROUPS: u64 = 256;
-/// What a client gives a request, in milliseconds.
+/// Client timeout of a request, in milliseconds.
 const CLIENT_TIMEOUT_MS: u64 = 4_000;
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Clients that ask until they are dropped.
+/// Clients that send requests until they are dropped.
 #[derive(Debug)]
 pub struct Clients {
     stop: Arc<AtomicBool>,
@@ -24,7 +24,7 @@
 }
 
 impl Clients {
-    /// So many connections, each of which pauses for so long between a response and its next request.
+    /// Starts `count` connections, each of which waits for `pause` between a response and its next request.
     pub fn start(address: SocketAddr, count: u64, pause: Duration) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let returned = Arc::new(AtomicU64::new(0));
@@ -35,7 +35,7 @@
         Clients { threads: threads.collect(), stop, returned }
     }
 
-    /// Requests that were answered with a result.
+    /// The number of requests that were answered with a result.
     pub fn returned(&self) -> u64 {
         self.returned.load(Ordering::Relaxed)
     }
@@ -45,7 +45,7 @@
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
-            let _ = thread.join(); // A client whose connection broke has ended already.
+            let _ = thread.join(); // A client ends with an error when its connection breaks.
         }
     }
 }
@@ -78,7 +78,7 @@
     Ok(())
 }
 
-/// One line that asks of one table group after the other.
+/// The line of one request; successive requests are for different table groups.
 fn request(client: u64, id: u64) -> String {
     let group = (id.wrapping_mul(31) + client * 17) % TABLE_GROUPS;
     let statement = STANDARD.encode(format!("select 1 from s_{group}.t"));
--- a/crates/tools/scale/src/connected_front.rs
+++ b/crates/tools/scale/src/connected_front.rs
@@ -1,4 +1,4 @@
-//! A real front that follows a command channel of the rig.
+//! A real front that is connected to a discovery channel of the harness.
 
 use crate::budget;
 use crate::channel::Channel;
@@ -8,20 +8,20 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A front asks for its list of engines within this time, on however busy a machine.
+/// Timeout for a front to connect to the discovery channel; long enough for a busy machine.
 const MAX_WAIT: Duration = Duration::from_secs(10);
 
-/// A front of the platform's size, and the channel that it follows.
+/// A front with the limits of the platform, and the discovery channel that it follows.
 #[derive(Debug)]
 pub struct ConnectedFront {
-    /// Where its list of engines comes from.
+    /// The discovery channel that sends its endpoint list.
     pub channel: Channel,
     /// The front.
     pub front: Front,
 }
 
 impl ConnectedFront {
-    /// Starts both, and waits until the front has asked for the list, looking once in `interval`.
+    /// Starts both, and waits until the front has connected to the channel, checking once every `interval`.
     pub fn start(options: &Options, interval: Duration) -> Result<Self, MeasureError> {
         let channel = Channel::start().map_err(io("the command channel"))?;
         let front_options = FrontOptions {
--- a/crates/tools/scale/src/engine.rs
+++ b/crates/tools/scale/src/engine.rs
@@ -1,5 +1,5 @@
-//! Engines for a real front: one listener in place of any number of them, which answers each request and probe at once,
-//! and counts requests.
+//! Engines for a real front: one listener stands in for any number of them. It replies to each request and probe at
+//! once, and counts requests.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
@@ -7,27 +7,27 @@
 use std::thread;
 use std::time::Instant;
 
-/// What an answered request is said to have cost, and its row.
+/// The reply to a request, with its reported cost and its row.
 const HIT: &str = "HIT fetches=1,effort=20,high=1 6\r\nx\ty\tz\n\r\n";
 const REPORT: &str = "PONG use=busy:0.2 0\r\n\r\n";
-/// Longest statement that is read.
+/// Upper limit of the statement bytes that are read.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Requests seen so far.
+/// Requests received so far.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ReceivedRequests {
-    /// How many.
+    /// The number of requests.
     pub requests: u64,
-    /// When the first arrived.
+    /// Arrival time of the first request.
     pub first: Option<Instant>,
-    /// When the last arrived.
+    /// Arrival time of the last request.
     pub last: Option<Instant>,
 }
 
-/// A listener in place of engines.
+/// A listener that stands in for engines.
 #[derive(Debug)]
 pub struct Engines {
-    /// Where the engines listen.
+    /// The address of the listener.
     pub address: SocketAddrV4,
     received: Arc<Mutex<ReceivedRequests>>,
 }
@@ -52,12 +52,12 @@
         Ok(Engines { address, received })
     }
 
-    /// What has been received since the start or the last reset.
+    /// The requests received since the start or the last reset.
     pub fn received(&self) -> ReceivedRequests {
         *self.received.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts from nothing again.
+    /// Resets the counters.
     pub fn reset(&self) {
         *self.received.lock().unwrap_or_else(PoisonError::into_inner) = ReceivedRequests::default();
     }
@@ -70,7 +70,7 @@
     }
 }
 
-/// Answers until the front ends the connection.
+/// Replies until the front closes the connection.
 fn serve(stream: TcpStream, received: &Mutex<ReceivedRequests>) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut out = stream.try_clone()?;
--- a/crates/tools/scale/src/error.rs
+++ b/crates/tools/scale/src/error.rs
@@ -1,20 +1,20 @@
-//! Why a measurement yields nothing.
+//! The error of a measurement.
 
 use crate::need::Need;
 use crate::role::Role;
 
-/// Why a measurement yields nothing.
+/// The reason why a measurement has no samples.
 #[derive(Debug, thiserror::Error)]
 pub enum MeasureError {
-    /// The machine, or the rig's own limits, can't hold this size.
+    /// The size exceeds the resources of the machine or the limits of the harness.
     #[error("size {size} does not fit: it needs {need}")]
     DoesNotFit {
         /// The size, along the role's axis.
         size: u32,
-        /// What it would use.
+        /// The resources that it would use.
         need: Need,
     },
-    /// There is no measurement of this role.
+    /// The role has no measurement.
     #[error("{role} is not measured yet")]
     NotMeasured {
         /// The role.
@@ -23,15 +23,15 @@
     /// A system call failed.
     #[error("{what}: {cause}")]
     Io {
-        /// What it was about.
+        /// The object or operation that failed.
         what: String,
-        /// The system's error.
+        /// The error of the system call.
         cause: std::io::Error,
     },
-    /// `/proc` can't be read.
+    /// Statistics in `/proc` can't be read.
     #[error("the system's figures can't be read: {0}")]
     Figures(String),
-    /// What is measured did not behave, such as a process that ended early.
+    /// The measured component failed, for instance a process that ended early.
     #[error("the run failed: {0}")]
     Failed(String),
 }
--- a/crates/tools/scale/src/fit.rs
+++ b/crates/tools/scale/src/fit.rs
@@ -1,42 +1,42 @@
-//! Least squares over size: slope, intercept and the interval of both prediction and slope. Pure.
+//! Least-squares fit of a metric over size: slope, intercept, and the confidence intervals of prediction and slope.
 
 use statrs::distribution::{ContinuousCDF, StudentsT};
 use std::collections::BTreeSet;
 
-/// A fit wants at least so many different sizes that were not disturbed.
+/// The fewest different sizes with undisturbed points that a fit needs.
 pub const MIN_SIZES: usize = 3;
-/// The confidence of all intervals.
+/// Confidence level of all intervals.
 pub const CONFIDENCE: f64 = 0.95;
 
 /// One measured point.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Point {
-    /// Along the role's axis.
+    /// The size along the role's axis.
     pub size: f64,
-    /// In the metric's unit.
+    /// The value, in the metric's unit.
     pub value: f64,
-    /// Not used for the fit.
+    /// The point was disturbed and is not used for a fit.
     pub disturbed: bool,
 }
 
-/// Why points have no fit.
+/// The reason why points have no fit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FitError {
     /// Too few different sizes were measured.
     #[error("too few good sizes: {good}, {MIN_SIZES} wanted")]
     TooFewSizes {
-        /// Different sizes that were not disturbed.
+        /// Number of different sizes with undisturbed points.
         good: usize,
     },
-    /// There would be enough sizes, had some not been disturbed.
+    /// Enough sizes were measured, but too few of them without disturbance.
     #[error("disturbed: {good} good sizes of {measured}, {MIN_SIZES} wanted")]
     Disturbed {
-        /// Different sizes that were not disturbed.
+        /// Number of different sizes with undisturbed points.
         good: usize,
-        /// Different sizes in all.
+        /// Number of different sizes in all.
         measured: usize,
     },
-    /// A size or a value is infinite or no number.
+    /// A size or value is infinite or NaN.
     #[error("a size or value is not a finite number")]
     NotFinite,
 }
@@ -44,23 +44,23 @@
 /// The line `value = intercept + slope * size`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Fit {
-    /// In the metric's unit, for one more of the size.
+    /// The slope, in the metric's unit for each unit of size.
     pub slope: f64,
-    /// At a size of zero.
+    /// The value at size zero.
     pub intercept: f64,
-    /// Half the width of the slope's interval.
+    /// Half the width of the slope's confidence interval.
     pub slope_margin: f64,
-    /// Standard deviation of the values round the line.
+    /// Standard deviation of the values from the line.
     pub residual: f64,
-    /// The curve by a power of the size; none where a value or size is not above zero.
+    /// The fit by a power of the size; none if any value or size is not above zero.
     pub power: Option<Power>,
-    /// Points that were used.
+    /// Number of points used.
     pub points: usize,
-    /// Points that were disturbed and left out.
+    /// Number of disturbed points, which are not used.
     pub left_out: usize,
-    /// The smallest size.
+    /// The smallest size used.
     pub smallest: f64,
-    /// The largest size.
+    /// The largest size used.
     pub largest: f64,
     mean_size: f64,
     /// Sum of squared distances of the sizes from their mean.
@@ -68,17 +68,17 @@
     quantile: f64,
 }
 
-/// The curve `value = factor * size ^ exponent`, from a line through the logarithms.
+/// The curve `value = factor * size ^ exponent`, from a least-squares line through the logarithms.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Power {
-    /// The value at a size of one.
+    /// The value at size one.
     pub factor: f64,
-    /// The power of the size.
+    /// The exponent of the size.
     pub exponent: f64,
 }
 
 impl Power {
-    /// Growth with an exponent above this is not called linear.
+    /// The largest exponent that counts as linear growth.
     pub const LINEAR_UP_TO: f64 = 1.2;
 
     /// The curve's value at a size.
@@ -86,7 +86,7 @@
         self.factor * size.powf(self.exponent)
     }
 
-    /// Whether growth counts as linear.
+    /// Returns whether growth counts as linear.
     pub fn linear(&self) -> bool {
         self.exponent <= Self::LINEAR_UP_TO
     }
@@ -98,19 +98,19 @@
         self.intercept + self.slope * size
     }
 
-    /// Half the width of the interval of the line's value at a size.
+    /// Half the width of the confidence interval of the line's value at a size.
     pub fn margin_at(&self, size: f64) -> f64 {
         let distance = (size - self.mean_size).powi(2) / self.spread;
         self.quantile * self.residual * (1.0 / self.points as f64 + distance).sqrt()
     }
 
-    /// How many times the largest measured size lies below a size; 1 if it was reached.
+    /// The ratio of a size to the largest measured size; at least 1.
     pub fn extrapolation(&self, size: f64) -> f64 {
         (size / self.largest).max(1.0)
     }
 }
 
-/// Fits a line through the points that were not disturbed.
+/// Fits a line through the undisturbed points.
 pub fn fit(points: &[Point]) -> Result<Fit, FitError> {
     if points.iter().any(|point| !point.size.is_finite() || !point.value.is_finite()) {
         return Err(FitError::NotFinite);
@@ -149,7 +149,8 @@
     LeastSquares { slope, intercept: mean_y - slope * mean_x, mean_x, spread }
 }
 
-/// At least three different sizes are given, so the spread is above zero and a degree of freedom is left.
+/// Fits a line. The points have at least three different sizes, so the spread is above zero and there is at least one
+/// degree of freedom.
 fn line(good: &[Point], left_out: usize) -> Fit {
     let pairs: Vec<(f64, f64)> = good.iter().map(|point| (point.size, point.value)).collect();
     let LeastSquares { slope, intercept, mean_x: mean_size, spread } = least_squares(&pairs);
--- a/crates/tools/scale/src/front.rs
+++ b/crates/tools/scale/src/front.rs
@@ -1,4 +1,4 @@
-//! A real front as a process of its own, started with a file as on the platform.
+//! A real front as a separate process, with a start file as on the platform.
 
 use crate::budget;
 use crate::error::MeasureError;
@@ -12,35 +12,35 @@
 use std::time::Duration;
 use tempfile::NamedTempFile;
 
-/// The name of the program.
+/// The name of the front's program.
 const PROGRAM: &str = "lemonusher-front";
-/// It listens within this time, on however busy a machine.
+/// Timeout for a front to listen; long enough for a busy machine.
 const MAX_START_TIME: Duration = Duration::from_secs(30);
-/// What its log says before its address.
+/// The text before the address in the front's log.
 const LISTENS: &str = "listens on ";
 
-/// What a measurement varies of a front's start file.
+/// The settings of a front's start file that a measurement varies.
 #[derive(Debug, Clone)]
 pub struct FrontOptions {
-    /// Where its list of engines comes from.
+    /// The address of the discovery channel that sends its endpoint list.
     pub channel: SocketAddr,
-    /// Descriptors that it shares out.
+    /// The limit of its descriptors.
     pub descriptors: u32,
-    /// Memory that it may use, in MB.
+    /// The limit of its memory, in MB.
     pub memory_mb: u32,
 }
 
-/// A running front; ended when dropped.
+/// A running front; killed when dropped.
 #[derive(Debug)]
 pub struct Front {
     child: Child,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     _start_file: NamedTempFile,
 }
 
 impl Front {
-    /// Starts the program and waits until it listens.
+    /// Starts the program and waits until it has logged its address.
     pub fn start(program: &Path, options: &FrontOptions) -> Result<Self, MeasureError> {
         let file = write(options).map_err(io("the file that the front is told"))?;
         let mut child = Command::new(program)
@@ -59,7 +59,7 @@
         Ok(Front { child, address, _start_file: file })
     }
 
-    /// The id of its process.
+    /// The id of the process.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
@@ -72,25 +72,26 @@
 }
 
 fn end(child: &mut Child) {
-    let _ = child.kill(); // It may have ended by itself.
+    let _ = child.kill(); // The process may have exited already.
     let _ = child.wait();
 }
 
-/// Reads the log to its end, and yields the address that it names.
+/// Reads the log to its end on another thread, and sends the address that it contains.
 fn follow(log: impl BufRead + Send + 'static) -> Receiver<SocketAddr> {
     let (sender, options) = channel();
     thread::spawn(move || {
         for line in log.lines().map_while(Result::ok) {
             let after = line.split_once(LISTENS).and_then(|(_, rest)| rest.split(',').next());
             if let Some(address) = after.and_then(|text| text.parse().ok()) {
-                let _ = sender.send(address); // Nobody waits any more.
+                let _ = sender.send(address); // The receiver may have timed out.
             }
         }
     });
     options
 }
 
-/// The front's program: as given, or beside this one. Tests lie one folder deeper.
+/// The path of the front's program: as given, or in the folder of this program or, since test programs are one folder
+/// deeper, in its parent.
 pub fn program(given: Option<&Path>) -> Result<PathBuf, MeasureError> {
     if let Some(given) = given {
         return Ok(given.to_path_buf());
@@ -104,7 +105,7 @@
     })
 }
 
-/// An I/O error with what it was about.
+/// Converts an I/O error, with the object or operation that failed.
 pub fn io(what: &str) -> impl Fn(std::io::Error) -> MeasureError {
     let what = what.to_string();
     move |cause| MeasureError::Io { what: what.clone(), cause }
@@ -116,7 +117,7 @@
     Ok(file)
 }
 
-/// The file's text: the values of `docs/front-example.json`, at the design size in fronts and zones.
+/// The content of the start file: the values of `docs/front-example.json`, with the fronts and zones of the design size.
 fn text(options: &FrontOptions) -> Value {
     let zones: Vec<String> = (0..budget::ZONES).map(|zone| format!("zone-{zone}")).collect();
     json!({
--- a/crates/tools/scale/src/lib.rs
+++ b/crates/tools/scale/src/lib.rs
@@ -1,8 +1,9 @@
-//! The scale rig: runs one role of a front at several sizes, fits how its cost grows, and writes the capacity page.
+//! The scale harness: measures one role of a front at several sizes, fits the growth of its cost, and writes the
+//! capacity page.
 //!
-//! A role implements [`Measurement`] and yields [`Sample`]s; [`fit::fit`] turns undisturbed samples into a slope with
-//! its interval; [`page`] and [`plot`] write `docs/CAPACITY.md` and one SVG a role from the CSV files alone, so that
-//! the page can be checked against them.
+//! Each role implements [`Measurement`] and produces [`Sample`]s. [`fit::fit`] calculates a slope and its confidence
+//! interval from undisturbed samples. [`page`] and [`plot`] write `docs/CAPACITY.md` and one SVG for each CSV file.
+//! They use nothing but the CSV files, so that the page can be checked against them.
 
 #![warn(missing_docs)]
 
--- a/crates/tools/scale/src/main.rs
+++ b/crates/tools/scale/src/main.rs
@@ -1,4 +1,4 @@
-//! `lemonusher-scale`: measures a role at several sizes, or writes the capacity page from what was measured.
+//! `lemonusher-scale`: measures a role at several sizes, or writes the capacity page from the samples.
 
 use clap::{Parser, Subcommand};
 use comfy_table::Table;
@@ -68,8 +68,8 @@
     })
 }
 
-/// Measures all sizes, writing the file after each. A size that yields nothing leaves the others be, and makes the
-/// command fail in the end.
+/// Measures all sizes, and writes the file after each. If one size fails, the others are still measured, and the
+/// command fails at the end.
 fn measure(arguments: &Measure) -> Result<ExitCode, Box<dyn Error>> {
     let options = Options {
         repeats: arguments.repeats.max(1),
--- a/crates/tools/scale/src/managed/count.rs
+++ b/crates/tools/scale/src/managed/count.rs
@@ -1,11 +1,11 @@
-//! Counts the bytes of a connection, both ways, without the headers of TCP and IP.
+//! Counts the bytes of a connection in both directions, without TCP and IP headers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::net::TcpStream;
 use tokio_util::io::{InspectReader, InspectWriter};
 
-/// Bytes read and written so far, over all connections that count to it.
+/// Bytes read and written so far, over all streams that it counts.
 #[derive(Debug, Clone, Default)]
 pub struct ByteCount(Arc<AtomicU64>);
 
@@ -15,7 +15,7 @@
 pub type Counted = InspectWriter<InspectReader<TcpStream, Inspect>, Inspect>;
 
 impl ByteCount {
-    /// Bytes so far.
+    /// The number of bytes so far.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
@@ -27,7 +27,7 @@
         })
     }
 
-    /// Counts the bytes of this stream.
+    /// Wraps a stream so that its bytes are counted.
     pub fn counted(&self, stream: TcpStream) -> Counted {
         InspectWriter::new(InspectReader::new(stream, self.inspect()), self.inspect())
     }
--- a/crates/tools/scale/src/managed/manager.rs
+++ b/crates/tools/scale/src/managed/manager.rs
@@ -1,4 +1,4 @@
-//! A manager: connects to a front's gNMI server, commits one change, and continues with the next front.
+//! A management client: connects to a front's gNMI server, commits one change, and continues with the next front.
 
 use super::count::{ByteCount, Counted};
 use super::wire::exchange;
@@ -15,22 +15,22 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Code, Status};
 
-/// Engines of one pool of the configuration that all fronts begin with.
+/// Engines in each pool of the initial configuration of all fronts.
 const ENGINES_PER_POOL: u32 = 10;
-/// Until a commit that conflicted with another one is retried.
+/// Delay before a commit that conflicted with another one is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 const MAX_TRIES: u32 = 100;
 
-/// One change of configuration.
+/// One configuration change.
 #[derive(Debug, Clone)]
 pub enum Change {
-    /// All pools of the design size.
+    /// Creates all pools of a fleet of the design size.
     Pools,
-    /// Withdraws a pool, or enables it again.
+    /// Drains a pool, or enables it again.
     Drain {
         /// The pool's number.
         pool: u32,
-        /// Whether it is withdrawn.
+        /// True to drain the pool, false to enable it.
         drained: bool,
     },
 }
@@ -68,12 +68,12 @@
     }
 }
 
-/// What one commit at one front took.
+/// The cost of one commit at one front.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Commit {
-    /// Connecting, the commit, and its answer, over loopback.
+    /// Time for connection, commit and response over loopback.
     pub local: Duration,
-    /// How often another commit was in the way.
+    /// Number of conflicts with other commits before it succeeded.
     pub conflicts: u32,
 }
 
@@ -82,21 +82,21 @@
 pub struct FrontCommit {
     /// The front's index.
     pub front: usize,
-    /// What it took.
+    /// The cost of the commit.
     pub commit: Commit,
 }
 
-/// The commits of one change at front after front, and when it was in force at each.
+/// The commits of one change at one front after the other, and the time when it was in force at each.
 #[derive(Debug, Clone, Default)]
 pub struct Rollout {
-    /// By front of the walk: since the walk began, with the network's time.
+    /// Time from the start of the rollout, including network delays, one entry a front in the order of commits.
     pub in_force: Vec<Duration>,
-    /// By front: its commit.
+    /// The cost of each commit, in the same order.
     pub commits: Vec<Commit>,
 }
 
 impl Rollout {
-    /// The rollout as it would be over this network: at each front in turn.
+    /// Calculates the rollout over a network: at each front in turn, the network delays are added to the measured commit.
     pub fn over(commits: &[FrontCommit], network: &Network, manager: Place, seed: u64) -> Rollout {
         let mut rng = Rng::with_seed(seed);
         let (mut clock, mut rollout) = (Duration::ZERO, Rollout::default());
@@ -111,10 +111,10 @@
     }
 }
 
-/// Commits over real connections, whose bytes it counts.
+/// Commits over real connections and counts their bytes.
 #[derive(Debug, Clone, Default)]
 pub struct Manager {
-    /// Of all its connections.
+    /// Bytes of all its connections.
     pub bytes: ByteCount,
 }
 
--- a/crates/tools/scale/src/managed/mod.rs
+++ b/crates/tools/scale/src/managed/mod.rs
@@ -1,5 +1,6 @@
-//! Managed fronts and their managers: the management servers of many fronts in one process, and a manager that commits at each over
-//! loopback. The time that a network would take is drawn and added; what a server does is measured.
+//! Managed fronts and their management clients: the management servers of many fronts in one process, and a client
+//! that commits at each over loopback. The work of the servers is measured; network delays are drawn at random and
+//! added.
 
 mod count;
 mod manager;
--- a/crates/tools/scale/src/managed/servers.rs
+++ b/crates/tools/scale/src/managed/servers.rs
@@ -1,5 +1,5 @@
-//! The management servers of many fronts in one process, each with its own store, log, thread and listener, as a real front has
-//! them; in place of a front's owner there is one that agrees to everything.
+//! The management servers of many fronts in one process, each with its own store, log, thread and listener, as in a
+//! real front. A stub that accepts every configuration stands in for the request router of a front.
 
 use crate::error::MeasureError;
 use lemonusher_managed::{GnmiConfig, Hub, ManagementConfig, Names, Started, Users, start};
@@ -18,7 +18,7 @@
 const HISTORY: usize = 10;
 const SESSIONS: usize = 16;
 const FRESHNESS: Duration = Duration::from_millis(100);
-/// What the file of a front on the platform states.
+/// The start file of a front on the platform.
 const START_CONFIG: &str = include_str!("../../../../../docs/front-example.json");
 const PROGRAM: &str = "lemonusher";
 const GNMI_LOG_PREFIX: &str = "gNMI at ";
@@ -26,7 +26,7 @@
 
 /// One front's management server.
 pub struct ManagementServer {
-    /// Where it speaks gNMI.
+    /// The address of its gNMI server.
     pub gnmi: SocketAddr,
     /// Its configuration store.
     pub hub: Arc<Hub>,
@@ -39,7 +39,7 @@
     runtime: Handle,
 }
 
-/// The names of a deployment, as a front's file states them.
+/// The names of a deployment, as in a front's start file.
 pub fn names() -> Names {
     Names {
         zones: vec!["east".into(), "west".into()],
@@ -49,13 +49,13 @@
 }
 
 impl ManagementServers {
-    /// None yet. Their logs lie in a temporary folder.
+    /// Creates an empty set of servers, whose logs will be in a temporary folder.
     pub fn new(runtime: Handle) -> Result<ManagementServers, MeasureError> {
         let folder = TempDir::new().map_err(io("a folder for the fronts' logs"))?;
         Ok(ManagementServers { servers: Vec::new(), folder, runtime })
     }
 
-    /// Opens more until there are so many.
+    /// Starts servers until there are `count`, and returns the first `count` of them.
     pub fn open(&mut self, count: usize) -> Result<&[ManagementServer], MeasureError> {
         while self.servers.len() < count {
             let front = self.servers.len();
@@ -86,7 +86,7 @@
     Ok(ManagementServer { gnmi, hub })
 }
 
-/// In place of a request router: accepts every configuration.
+/// Stands in for a request router: accepts every configuration.
 async fn accept_all(requests: async_channel::Receiver<ManagementCall>) {
     while let Ok(request) = requests.recv().await {
         match request {
@@ -98,16 +98,16 @@
     }
 }
 
-/// A real front with its management server, as a process of its own; ended when dropped.
+/// A real front with its management server, as a separate process; killed when dropped.
 pub struct RealFront {
     child: Child,
-    /// Where it speaks gNMI.
+    /// The address of its gNMI server.
     pub gnmi: SocketAddr,
     _folder: TempDir,
 }
 
 impl RealFront {
-    /// Starts the program beside this one; none if it has not been built.
+    /// Starts the front's program from the folder of this program; none if it has not been built.
     pub fn start() -> Result<Option<RealFront>, MeasureError> {
         let Some(program) = program()? else { return Ok(None) };
         let folder = TempDir::new().map_err(io("a folder for the front"))?;
@@ -138,25 +138,25 @@
 }
 
 fn end(child: &mut Child) {
-    let _ = child.kill(); // It may have ended by itself.
+    let _ = child.kill(); // The process may have exited already.
     let _ = child.wait();
 }
 
-/// The address of the management server, from the log; the log is read to its end.
+/// The address of the gNMI server, as logged. Another thread keeps reading the log, so that the front never blocks.
 fn follow(log: impl BufRead + Send + 'static) -> Option<SocketAddr> {
     let (sender, receiver) = channel();
     std::thread::spawn(move || {
         for line in log.lines().map_while(Result::ok) {
             let address = line.split_once(GNMI_LOG_PREFIX).and_then(|(_, rest)| rest.trim().parse().ok());
             if let Some(address) = address {
-                let _ = sender.send(address); // Nobody waits any more.
+                let _ = sender.send(address); // The receiver may have timed out.
             }
         }
     });
     receiver.recv_timeout(MAX_START_TIME).ok()
 }
 
-/// The start file, and the operator's file that names it.
+/// Writes the start file and the operator's configuration file that refers to it; returns the path of the latter.
 fn write_files(folder: &Path) -> std::io::Result<PathBuf> {
     let mut receiver: serde_json::Value = serde_json::from_str(START_CONFIG)?;
     receiver["listen"] = "127.0.0.1:0".into();
@@ -171,7 +171,8 @@
     Ok(operator_path)
 }
 
-/// Beside this program; tests lie one folder deeper.
+/// The path of the front's program, in the folder of this program or, since test programs are one folder deeper, in
+/// its parent.
 fn program() -> Result<Option<PathBuf>, MeasureError> {
     let own = std::env::current_exe().map_err(io("the path of this program"))?;
     Ok(own.ancestors().skip(1).take(2).map(|folder| folder.join(PROGRAM)).find(|path| path.exists()))
--- a/crates/tools/scale/src/managed/wire.rs
+++ b/crates/tools/scale/src/managed/wire.rs
@@ -1,25 +1,27 @@
-//! What a network adds to one commit over TCP, drawn and not waited for.
+//! The network delay of one commit over TCP. It is drawn at random, not waited for.
 
 use crate::fleet::{Network, Place};
 use fastrand::Rng;
 use std::time::Duration;
 
-/// After these a segment is sent again: the first of a connection, and one of data at least; doubled each time.
+/// Retransmission timeout of the first segment of a connection; doubled with each attempt.
 const CONNECT_RETRANSMISSION_TIMEOUT: Duration = Duration::from_secs(1);
+/// Least retransmission timeout of a data segment; doubled with each attempt.
 const MIN_RETRANSMISSION_TIMEOUT: Duration = Duration::from_millis(200);
-/// A connection is given up after so many attempts of its first segment.
+/// Number of attempts after which a segment is no longer retransmitted.
 const ATTEMPTS: u32 = 6;
 
-/// What one commit's connection and request take on the way.
+/// The network delays of the connection and request of one commit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Exchange {
-    /// Until the request has arrived.
+    /// Time until the request has arrived.
     pub there: Duration,
-    /// From then, without the time at the server, until the answer has arrived.
+    /// Time from then until the response has arrived, without the time at the server.
     pub back: Duration,
 }
 
-/// A handshake of one round trip, then a request and its answer; without TLS, as the servers on loopback.
+/// Draws the delays of a handshake of one round trip, a request and its response. There is no TLS, as at the servers
+/// on loopback.
 pub fn exchange(network: &Network, manager: Place, front: Place, rng: &mut Rng) -> Exchange {
     let handshake = round_trip(network, manager, front, CONNECT_RETRANSMISSION_TIMEOUT, rng);
     let resend = MIN_RETRANSMISSION_TIMEOUT.max(network.delays.between(manager, front) * 2);
--- a/crates/tools/scale/src/measurement.rs
+++ b/crates/tools/scale/src/measurement.rs
@@ -1,4 +1,4 @@
-//! The interface of a measurement.
+//! The trait of a measurement, and its options.
 
 use crate::error::MeasureError;
 use crate::progress::Progress;
@@ -8,33 +8,33 @@
 
 /// A way to measure one role.
 pub trait Measurement {
-    /// The role that it measures.
+    /// The measured role.
     fn role(&self) -> Role;
 
-    /// The sizes measured if none are given.
+    /// The sizes that are measured by default.
     fn default_sizes(&self) -> Vec<u32>;
 
-    /// Measures one size. A size that does not fit is refused with [`MeasureError::DoesNotFit`] before it starts.
+    /// Measures one size. A size that exceeds the limits is rejected with [`MeasureError::DoesNotFit`] before it starts.
     fn measure(&mut self, size: u32, progress: &mut Progress) -> Result<Vec<Sample>, MeasureError>;
 }
 
-/// What the command line says of a measurement.
+/// Options of a measurement, as given on the command line.
 #[derive(Debug, Clone, Default)]
 pub struct Options {
-    /// How often each size is measured; every repetition is a sample of its own.
+    /// Number of runs at each size; each run adds samples of its own.
     pub repeats: u32,
-    /// Short runs, which show that the rig works; their figures are not for the page.
+    /// Short runs, which check that the harness works; their figures are not for the page.
     pub quick: bool,
-    /// Of everything random.
+    /// The seed of all random numbers.
     pub seed: u64,
-    /// The program of a real front; none: the one beside this program.
+    /// The program of a real front; if none, the one in the folder of this program.
     pub front: Option<PathBuf>,
-    /// Only cases whose name contains this text are measured, where a role has cases; none: all.
+    /// Only cases whose name contains this text are measured, if the role supports it; if none, all cases.
     pub case: Option<String>,
 }
 
 impl Options {
-    /// Whether a case is to be measured.
+    /// Returns whether a case is to be measured.
     pub fn wants(&self, case: &str) -> bool {
         self.case.as_ref().is_none_or(|text| case.contains(text.as_str()))
     }
--- a/crates/tools/scale/src/need.rs
+++ b/crates/tools/scale/src/need.rs
@@ -1,15 +1,15 @@
-//! What a run would use of the machine.
+//! The resources of the machine that a run would use.
 
 use std::fmt;
 
-/// What a run would use.
+/// The resources that a run would use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Need {
     /// Bytes of memory.
     pub memory_bytes: u64,
-    /// Descriptors of the rig's own process.
+    /// Descriptors of the harness's own process.
     pub descriptors: u64,
-    /// Processes that the rig starts.
+    /// Processes that the harness starts.
     pub processes: u32,
 }
 
--- a/crates/tools/scale/src/page.rs
+++ b/crates/tools/scale/src/page.rs
@@ -1,5 +1,5 @@
-//! The generated tables of `docs/CAPACITY.md`. A block between `<!-- figures:NAME -->` and `<!-- end -->` is made of
-//! `docs/capacity/NAME.csv` alone; the block named `summary` of all files that bear a role's name.
+//! The generated tables of `docs/CAPACITY.md`. A block between `<!-- figures:NAME -->` and `<!-- end -->` is generated
+//! from `docs/capacity/NAME.csv` alone; the block `summary` from all files that have the name of a role.
 
 use crate::budget;
 use crate::role::Role;
@@ -10,23 +10,23 @@
 const BEGIN: &str = "<!-- figures:";
 const BEGIN_END: &str = " -->";
 const END: &str = "<!-- end -->";
-/// The block that holds every role against its budgets.
+/// The block that compares every role with its budgets.
 const SUMMARY: &str = "summary";
-/// In place of figures that were not measured.
+/// The content of a block without samples.
 const NOT_MEASURED: &str = "Not measured.";
 
-/// Why a page can't be generated.
+/// The reason why the page can't be generated.
 #[derive(Debug, thiserror::Error)]
 pub enum PageError {
     /// A block is not closed.
     #[error("the block {0} has no end")]
     NoEnd(String),
-    /// A CSV file can't be used.
+    /// A CSV file can't be read.
     #[error(transparent)]
     File(#[from] FileError),
 }
 
-/// The page with its blocks generated anew from the CSV files in `folder`.
+/// Returns the page with its blocks regenerated from the CSV files in `folder`.
 pub fn regenerate(page: &str, folder: &Path) -> Result<String, PageError> {
     let mut out = String::with_capacity(page.len());
     let mut rest = page;
@@ -61,13 +61,13 @@
     Ok(if samples.is_empty() { format!("{NOT_MEASURED}\n") } else { table(&group(&samples)) })
 }
 
-/// The samples of a file; none if there is no such file.
+/// The samples of a file; empty if there is no such file.
 pub fn samples_of(name: &str, folder: &Path) -> Result<Vec<Sample>, FileError> {
     let path = folder.join(format!("{name}.csv"));
     if path.exists() { sample::read(&path) } else { Ok(Vec::new()) }
 }
 
-/// One line a series.
+/// The table of a block, with one line for each series.
 fn table(all: &[Series]) -> String {
     let axis = all.first().map_or("", |series| series.role.axis().name());
     let design = all.first().map_or(0, Series::design_size);
@@ -104,7 +104,8 @@
     )
 }
 
-/// The value at the design size, with its interval and how far it is extrapolated if it was not measured there.
+/// The value at the design size. If it was not measured there, its confidence interval and the factor of extrapolation
+/// follow.
 fn at_design(series: &Series) -> String {
     let Some(estimate) = series.at_design() else { return "–".into() };
     let value = figure(estimate.value);
@@ -115,7 +116,7 @@
     format!("{value} ± {}{far}", figure(margin))
 }
 
-/// The size at which the budget is passed.
+/// The size at which the metric exceeds its budget.
 fn passed_at(series: &Series) -> String {
     match series.budget_crossing() {
         None => "–".into(),
@@ -125,7 +126,7 @@
     }
 }
 
-/// Each role's worst case against each of its budgets.
+/// The table that compares each role's worst case with each of its budgets.
 fn summary(folder: &Path) -> Result<String, PageError> {
     let mut out = String::from(
         "| role | metric | worst case | at the design size | budget | | budget passed at |\n\
@@ -160,12 +161,12 @@
     format!("| {role} | {metric} | {case} | {} | {max} | {verdict} | {crossing} |\n", at_design(series))
 }
 
-/// A budget as it is stated, thousands parted by commas.
+/// A budget without rounding; if it is a whole number, with commas between thousands.
 fn bound(value: f64) -> String {
     if value.fract() == 0.0 { parted(&format!("{value:.0}")) } else { value.to_string() }
 }
 
-/// A number with three significant digits, thousands parted by commas.
+/// A number with three significant digits and commas between thousands.
 pub fn figure(value: f64) -> String {
     if value == 0.0 {
         return "0".into();
@@ -183,7 +184,7 @@
     parted(&format!("{:.0}", (value / scale).round() * scale))
 }
 
-/// Separates the thousands of a whole number by commas.
+/// Inserts commas between the thousands of a whole number.
 fn parted(whole: &str) -> String {
     let (sign, number) = whole.strip_prefix('-').map_or(("", whole), |number| ("-", number));
     let mut parted = String::new();
--- a/crates/tools/scale/src/plot.rs
+++ b/crates/tools/scale/src/plot.rs
@@ -1,5 +1,5 @@
-//! One SVG a CSV file: points, fits and budget of the metric that is nearest its budget, on logarithmic axes. What
-//! does not grow linearly is drawn with its power of the size.
+//! Draws one SVG for each CSV file: points, fits and budget of the metric that is nearest its budget, on logarithmic
+//! axes. A series that does not grow linearly is drawn with its fitted power of the size.
 
 use crate::series::Series;
 use plotters::coord::combinators::LogCoord;
@@ -8,22 +8,22 @@
 
 const WIDTH: u32 = 860;
 const HEIGHT: u32 = 520;
-/// Points of a fitted line, which is a curve on logarithmic axes.
+/// Segments with which a fitted line is drawn, since it is a curve on logarithmic axes.
 const STEPS: u32 = 64;
-/// Room round the outermost values, as a factor.
+/// Factor by which the axes extend beyond the outermost values.
 const ROOM: f64 = 1.5;
 
-/// Why a plot was not drawn.
+/// The reason why a plot was not drawn.
 #[derive(Debug, thiserror::Error)]
 #[error("{path}: {cause}")]
 pub struct PlotError {
     /// The SVG file.
     pub path: String,
-    /// What failed.
+    /// The message of the underlying error.
     pub cause: String,
 }
 
-/// Draws the series of one metric. Draws nothing if no value is above zero.
+/// Draws the series of one metric; no file is written if no value is above zero.
 pub fn draw(path: &Path, all: &[Series]) -> Result<(), PlotError> {
     let drawn = of_one_metric(all);
     let Some(frame) = Frame::round(&drawn) else { return Ok(()) };
@@ -31,7 +31,7 @@
     chart(path, &drawn, &frame).map_err(|cause| failed(cause.to_string()))
 }
 
-/// All cases of the metric that is nearest its budget, or else of the first metric.
+/// All cases of the metric that is nearest its budget or exceeds it the most; without budgets, of the first metric.
 fn of_one_metric(all: &[Series]) -> Vec<&Series> {
     let share = |series: &&Series| Some(series.at_design()?.value / series.budget()?);
     let nearest = all.iter().filter_map(|series| Some((share(&series)?, series)));
@@ -93,14 +93,14 @@
     Ok(())
 }
 
-/// A straight line with its place in the legend.
+/// Draws a straight line with its entry in the legend.
 fn straight(chart: &mut Chart, label: &str, ends: [(f64, f64); 2], style: ShapeStyle) -> Result<(), Cause> {
     let line = chart.draw_series(LineSeries::new(ends, style))?;
     line.label(label).legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], style));
     Ok(())
 }
 
-/// The points of one series, hollow where they were disturbed, and its fit.
+/// Draws the points of one series, as empty circles where they were disturbed, and its fit.
 fn points(chart: &mut Chart, frame: &Frame, series: &Series, color: RGBAColor) -> Result<(), Cause> {
     let dots = series.points.iter().filter(|point| point.value > 0.0).map(|point| {
         let style = if point.disturbed { ShapeStyle::from(color) } else { color.filled() };
@@ -117,7 +117,7 @@
     Ok(())
 }
 
-/// The part of a line that lies inside the frame.
+/// The points of a curve that are inside the frame.
 fn curve(frame: &Frame, value: impl Fn(f64) -> f64) -> Vec<(f64, f64)> {
     let growth = frame.sizes.end / frame.sizes.start;
     let sizes = (0..=STEPS).map(|step| frame.sizes.start * growth.powf(f64::from(step) / f64::from(STEPS)));
--- a/crates/tools/scale/src/process.rs
+++ b/crates/tools/scale/src/process.rs
@@ -1,13 +1,13 @@
-//! Figures of processes: processor time, memory, descriptors, wake-ups; from `/proc`.
+//! Resource use of processes: processor time, memory, descriptors and wake-ups, from `/proc`.
 
 use crate::error::MeasureError;
 use rustix::time::{ClockId, clock_gettime};
 use std::time::Duration;
 
-/// What one process has used so far.
+/// The resource use of one process so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Figures {
-    /// User and system time of the threads that it has now.
+    /// User and system time of its current threads.
     pub processor: Duration,
     /// Resident memory, in bytes.
     pub resident_bytes: u64,
@@ -15,7 +15,7 @@
     pub peak_bytes: u64,
     /// Open descriptors.
     pub descriptors: usize,
-    /// Voluntary context switches of all its threads: how often they have waited and woken.
+    /// Voluntary context switches of its current threads, each of which ends with a wake-up.
     pub wakeups: u64,
 }
 
@@ -43,14 +43,15 @@
     })
 }
 
-/// Sums over the threads that a process has.
+/// Sums over the current threads of a process.
 #[derive(Default)]
 struct Threads {
     processor: Duration,
     wakeups: u64,
 }
 
-/// Processor time by the scheduler's own count, which has nanoseconds where `stat` has hundredths of a second.
+/// Sums over the threads of a process. Processor time is from `schedstat`, whose resolution is nanoseconds, as that of
+/// `stat` is hundredths of a second.
 fn threads(process: &procfs::process::Process) -> Result<Threads, procfs::ProcError> {
     let mut all = Threads::default();
     for task in process.tasks()? {
@@ -67,11 +68,11 @@
     Duration::new(time.tv_sec.max(0) as u64, time.tv_nsec.max(0) as u32)
 }
 
-/// Processor time of this process's threads of a name; none where it can't be read.
+/// Processor time of all threads of this process with a name; zero if it can't be read.
 pub fn thread_time_of(name: &str) -> Duration {
     let tasks = procfs::process::Process::myself().and_then(|own| own.tasks());
     let named = tasks.into_iter().flatten().flatten().filter(|task| {
-        task.stat().is_ok_and(|stat| stat.comm == name) // A thread may have ended meanwhile.
+        task.stat().is_ok_and(|stat| stat.comm == name) // The thread may have ended since.
     });
     let nanoseconds = named.filter_map(|task| task.schedstat().ok()).map(|stat| stat.sum_exec_runtime);
     Duration::from_nanos(nanoseconds.sum())
@@ -83,7 +84,7 @@
     Duration::new(time.tv_sec.max(0) as u64, time.tv_nsec.max(0) as u32)
 }
 
-/// Counts what is allocated on the heap.
+/// Counts the bytes allocated on the heap.
 #[global_allocator]
 static HEAP: peak_alloc::PeakAlloc = peak_alloc::PeakAlloc;
 
--- a/crates/tools/scale/src/progress.rs
+++ b/crates/tools/scale/src/progress.rs
@@ -1,10 +1,10 @@
-//! Progress of a run, on standard error.
+//! Progress display of a run on standard error.
 
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use std::time::Duration;
 
-/// Shows what is measured and how far it is. Draws nothing where standard error is no terminal, but for one line a
-/// size.
+/// Shows the current measurement and its progress. If standard error is not a terminal, it prints only one line for
+/// each size.
 #[derive(Debug)]
 pub struct Progress {
     bar: ProgressBar,
@@ -12,7 +12,7 @@
 }
 
 impl Progress {
-    /// Progress over so many sizes.
+    /// Creates a progress display over `sizes` sizes.
     pub fn new(sizes: usize) -> Self {
         let bar = ProgressBar::new(sizes as u64);
         if let Ok(style) = ProgressStyle::with_template("{bar:24} {pos}/{len} {elapsed} {wide_msg}") {
@@ -22,17 +22,17 @@
         Progress { bar, quiet: false }
     }
 
-    /// Progress that nobody sees, for tests.
+    /// Creates a progress display without output, for tests.
     pub fn hidden() -> Self {
         Progress { bar: ProgressBar::with_draw_target(None, ProgressDrawTarget::hidden()), quiet: true }
     }
 
-    /// Says what is done now.
+    /// Shows the current step.
     pub fn step(&mut self, what: impl Into<String>) {
         self.bar.set_message(what.into());
     }
 
-    /// One size is over.
+    /// Marks one size as done and prints a line about it.
     pub fn size_done(&mut self, line: &str) {
         self.bar.inc(1);
         if self.quiet {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Clears the bar.
+    /// Ends the display and clears the bar.
     pub fn finish(self) {
         self.bar.finish_and_clear();
     }
--- a/crates/tools/scale/src/role.rs
+++ b/crates/tools/scale/src/role.rs
@@ -5,25 +5,25 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A role of a front. Its names stand on the command line and in CSV files.
+/// A measured role of a front. Its names are used on the command line and in CSV files.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Routing decisions over a list of engines.
+    /// Routing decisions over an endpoint list.
     Decision,
-    /// Following the list of engines.
+    /// Applying updates of the endpoint list.
     Discovery,
-    /// The failure detector among the fronts.
+    /// The failure detector between the fronts.
     FailureDetector,
     /// Leases and registers.
     Leases,
-    /// Changes of configuration by managers.
+    /// Configuration changes by management clients.
     Configuration,
     /// Client connections.
     Connections,
-    /// The plan for lost zones, and maintenance.
+    /// Zone failover and maintenance.
     Maintenance,
-    /// Voters on machines of their own.
+    /// Voters on dedicated machines.
     ControlMachines,
 }
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /// What the sizes of its samples count.
+    /// The axis that the sizes of its samples count along.
     pub fn axis(self) -> Axis {
         match self {
             Role::Decision | Role::Discovery | Role::Maintenance => Axis::Engines,
@@ -82,7 +82,7 @@
     }
 }
 
-/// What a size counts.
+/// The quantity that a size counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Axis {
     /// Fronts of the fleet.
--- a/crates/tools/scale/src/sample.rs
+++ b/crates/tools/scale/src/sample.rs
@@ -1,47 +1,47 @@
-//! Samples and the CSV files that keep them.
+//! Samples and their CSV files.
 
 use crate::role::Role;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::path::Path;
 
-/// A quantity that roles are measured in, with its unit.
+/// A measured quantity, with its unit.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Metric {
-    /// As it stands in CSV files.
+    /// As written in CSV files.
     #[serde(rename = "metric")]
     pub name: Cow<'static, str>,
-    /// As it stands in CSV files.
+    /// As written in CSV files.
     pub unit: Cow<'static, str>,
 }
 
 impl Metric {
-    /// A metric known when the program is built.
+    /// Creates a metric from constants.
     pub const fn new(name: &'static str, unit: &'static str) -> Self {
         Metric { name: Cow::Borrowed(name), unit: Cow::Borrowed(unit) }
     }
 
-    /// A value of this metric.
+    /// Combines this metric with a value.
     pub fn of(self, value: f64) -> MetricValue {
         MetricValue { metric: self, value }
     }
 
-    /// Name and unit; a plain count has the unit `1`, which is left out.
+    /// The name and unit. A plain count has the unit `1`, which is omitted.
     pub fn title(&self) -> String {
         if self.unit == "1" { self.name.to_string() } else { format!("{}, {}", self.name, self.unit) }
     }
 }
 
-/// A value of a metric, before it is known of which role and size.
+/// A value of a metric, not yet assigned to a role and size.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MetricValue {
     /// The metric.
     pub metric: Metric,
-    /// In the metric's unit.
+    /// The value, in the metric's unit.
     pub value: f64,
 }
 
-/// The metrics that more than one role uses, or that a budget names.
+/// The metrics that more than one role uses or that have a budget.
 pub mod metric {
     use super::Metric;
 
@@ -59,15 +59,15 @@
     pub const BYTES_IN: Metric = Metric::new("bytes_in", "B/s");
     /// Bytes sent.
     pub const BYTES_OUT: Metric = Metric::new("bytes_out", "B/s");
-    /// Bytes a second in and out together; what the budget for control names.
+    /// Bytes a second received and sent in total; compared with the budget for control.
     pub const BYTES_CONTROL: Metric = Metric::new("bytes_control", "B/s");
-    /// From the commit at one front until the change is in force at every front.
+    /// Time from the start of a rollout until the change is in force at every front.
     pub const IN_FORCE: Metric = Metric::new("in_force_slowest", "s");
-    /// From the loss of a task's holder until another one works.
+    /// Time from the loss of a task's holder until another one may act.
     pub const REPLACEMENT: Metric = Metric::new("replacement", "s");
     /// Open descriptors.
     pub const DESCRIPTORS: Metric = Metric::new("descriptors", "1");
-    /// A span of time.
+    /// A duration.
     pub const TIME: Metric = Metric::new("time", "ms");
 }
 
@@ -76,48 +76,48 @@
 pub struct Sample {
     /// The role that was measured.
     pub role: Role,
-    /// What else was held fixed, such as `loss=20`; empty if there is only one case.
+    /// The other fixed conditions, such as `loss=20`; empty if there is only one case.
     pub case: String,
     /// The size along the role's [`crate::role::Axis`].
     pub size: u32,
-    /// What was measured.
+    /// The measured metric.
     pub metric: Metric,
-    /// In the metric's unit.
+    /// The value, in the metric's unit.
     pub value: f64,
-    /// The measurement's own lateness passed its bound: not used for a fit.
+    /// The measurement's own lateness exceeded its limit; the sample is not used for a fit.
     pub disturbed: bool,
 }
 
-/// A CSV file that can't be used.
+/// The error of reading or writing a CSV file.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
-    /// It is no CSV file of samples.
+    /// The file can't be parsed as samples, or can't be opened or written.
     #[error("{path}: {cause}")]
     Csv {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// What failed.
+        /// The underlying error.
         cause: csv::Error,
     },
-    /// It can't be written.
+    /// The file can't be flushed.
     #[error("{path}: {cause}")]
     Io {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// What failed.
+        /// The underlying error.
         cause: std::io::Error,
     },
-    /// A value is infinite or no number.
+    /// A value is infinite or NaN.
     #[error("{path}: line {line}: the value is not a finite number")]
     NotFinite {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Counted from 1, the header among them.
+        /// The line number, from 1, where the header is line 1.
         line: usize,
     },
 }
 
-/// A line of a CSV file. Flat, since the format knows no nested values.
+/// A line of a CSV file. It is flat, since CSV has no nested values.
 #[derive(Serialize, Deserialize)]
 struct Line {
     role: Role,
@@ -171,7 +171,7 @@
     Ok(samples)
 }
 
-/// Writes samples over whatever the file held.
+/// Writes samples to a file, and replaces its previous content.
 pub fn write(path: &Path, samples: &[Sample]) -> Result<(), FileError> {
     let failed = |cause| FileError::Csv { path: path.display().to_string(), cause };
     let mut writer = csv::Writer::from_path(path).map_err(failed)?;
--- a/crates/tools/scale/src/series.rs
+++ b/crates/tools/scale/src/series.rs
@@ -1,4 +1,4 @@
-//! Samples grouped by what was measured in which case: the unit of a fit, a table line and a plotted curve.
+//! Series: samples grouped by role, case and metric. Each series has one fit, one table line and one plotted curve.
 
 use crate::budget;
 use crate::fit::{Fit, FitError, Point, fit};
@@ -6,7 +6,8 @@
 use crate::sample::{Metric, Sample};
 use std::collections::BTreeMap;
 
-/// A budget that no line reaches within so many times the largest measured size is not said to be passed anywhere.
+/// The limit of extrapolation, as a factor of the largest measured size: a budget that the fit reaches only beyond it
+/// is reported as not exceeded.
 const MAX_EXTRAPOLATION: f64 = 10.0;
 
 /// All samples of one metric of a role in one case.
@@ -14,31 +15,31 @@
 pub struct Series {
     /// The role.
     pub role: Role,
-    /// What else was held fixed.
+    /// The other fixed conditions of the samples.
     pub case: String,
     /// The metric.
     pub metric: Metric,
-    /// Values by size.
+    /// The measured values, with their sizes.
     pub points: Vec<Point>,
 }
 
 impl Series {
-    /// The line through its good points.
+    /// Fits a line through the undisturbed points.
     pub fn fit(&self) -> Result<Fit, FitError> {
         fit(&self.points)
     }
 
-    /// The most that the metric may be at the design size, if it has a budget.
+    /// The budget of the metric at the design size, if it has one.
     pub fn budget(&self) -> Option<f64> {
         budget::of_metric(self.role, &self.metric)
     }
 
-    /// The size that is designed for.
+    /// The design size along the role's axis.
     pub fn design_size(&self) -> u32 {
         budget::design_size(self.role.axis())
     }
 
-    /// The sizes measured, disturbed or not.
+    /// All measured sizes, including those with disturbed points only.
     pub fn sizes(&self) -> Vec<u32> {
         let mut sizes: Vec<u32> = self.points.iter().map(|point| point.size as u32).collect();
         sizes.sort_unstable();
@@ -46,7 +47,7 @@
         sizes
     }
 
-    /// The median of the good values at one size.
+    /// The median of the undisturbed values at one size.
     pub fn median_at(&self, size: u32) -> Option<f64> {
         let mut values: Vec<f64> = self.good_at(size);
         values.sort_by(f64::total_cmp);
@@ -63,7 +64,7 @@
         good.map(|point| point.value).collect()
     }
 
-    /// The value at the design size: as measured there, else as the fit has it.
+    /// The value at the design size: the measured median if there is one, else the value of the fit.
     pub fn at_design(&self) -> Option<Estimate> {
         let size = self.design_size();
         if let Some(value) = self.median_at(size) {
@@ -74,8 +75,9 @@
         Some(Estimate { value: fit.at(size), margin: Some(fit.margin_at(size)) })
     }
 
-    /// Where the budget is passed: between the two measured sizes where the medians cross it, else where the fit
-    /// reaches it. None without a budget or without a fit.
+    /// The size at which the metric exceeds its budget: interpolated between the first two measured sizes whose medians
+    /// are on both sides of it, else the size at which the fit reaches it. None without a budget, or if the medians don't
+    /// cross it and there is no fit.
     pub fn budget_crossing(&self) -> Option<BudgetCrossing> {
         let max = self.budget()?;
         let medians: Vec<(f64, f64)> =
@@ -101,14 +103,14 @@
     }
 }
 
-/// The size at which a budget is passed.
+/// The size at which a metric exceeds its budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum BudgetCrossing {
-    /// At the smallest size that was measured, or before.
+    /// At or below this size, which is the smallest measured.
     Below(f64),
     /// At this size.
     At(f64),
-    /// Not up to this size, as far as a line can tell.
+    /// Not up to this size, according to the fit.
     Beyond(f64),
 }
 
@@ -117,11 +119,11 @@
 pub struct Estimate {
     /// In the metric's unit.
     pub value: f64,
-    /// Half the width of the fit's interval; none if the value was measured.
+    /// Half the width of the fit's confidence interval; none if the value was measured.
     pub margin: Option<f64>,
 }
 
-/// Groups samples, in the order in which their metrics and cases first occur.
+/// Groups samples by role, case and metric, in the order of their first samples.
 pub fn group(samples: &[Sample]) -> Vec<Series> {
     let mut index: BTreeMap<(Role, String, Metric), usize> = BTreeMap::new();
     let mut all: Vec<Series> = Vec::new();
--- a/crates/tools/scale/src/watch.rs
+++ b/crates/tools/scale/src/watch.rs
@@ -1,4 +1,4 @@
-//! Whether a measurement was disturbed: its own lateness against a stated bound.
+//! Detects disturbed measurements: the harness compares its own lateness with a given limit.
 
 use crate::process::thread_time;
 use std::sync::Arc;
@@ -6,27 +6,27 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// The time between two ticks of a [`Watch`].
+/// The sleep time of a [`Watch`].
 const TICK: Duration = Duration::from_millis(5);
 
-/// How late a measurement was, and how late it may be.
+/// The lateness of a measurement and its limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lateness {
-    /// How late it was at most.
+    /// The greatest lateness observed.
     pub greatest: Duration,
-    /// How late it may be.
+    /// The greatest lateness of an undisturbed measurement.
     pub bound: Duration,
 }
 
 impl Lateness {
-    /// Whether the bound was passed.
+    /// Returns whether the lateness exceeded its limit.
     pub fn disturbed(&self) -> bool {
         self.greatest > self.bound
     }
 }
 
-/// A thread that sleeps for a short time over and over, and notes how late it wakes up. For measurements in which
-/// timers and sockets matter.
+/// A thread that repeatedly sleeps for a short time and records how late it wakes up. For measurements that depend on
+/// timers and sockets.
 #[derive(Debug)]
 pub struct Watch {
     stop: Arc<AtomicBool>,
@@ -35,7 +35,7 @@
 }
 
 impl Watch {
-    /// Watches from now on.
+    /// Starts the thread.
     pub fn start(bound: Duration) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let stopping = stop.clone();
@@ -51,7 +51,7 @@
         Watch { stop, thread, bound }
     }
 
-    /// Ends the watch. A watch whose thread failed counts as disturbed.
+    /// Stops the thread and returns the lateness. If the thread panicked, the measurement counts as disturbed.
     pub fn finish(self) -> Lateness {
         self.stop.store(true, Ordering::Relaxed);
         let greatest = self.thread.join().unwrap_or(Duration::MAX);
@@ -59,16 +59,17 @@
     }
 }
 
-/// What a [`Preemption`] has shown.
+/// The result of a [`Preemption`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PreemptionResult {
     /// Processor time that the thread spent.
     pub processor: Duration,
-    /// The time off its core, against its bound.
+    /// The time off its core, and its limit.
     pub lateness: Lateness,
 }
 
-/// The time for which a computing thread was kept off its core. For measurements in virtual time, which never wait.
+/// Measures the time for which a computing thread was off its core. For measurements in virtual time, which never
+/// wait.
 #[derive(Debug)]
 pub struct Preemption {
     wall: Instant,
@@ -77,12 +78,12 @@
 }
 
 impl Preemption {
-    /// Watches the calling thread, which may be off its core for a share of the time.
+    /// Starts to measure the calling thread, which may be off its core for this share of the wall time, from 0 to 1.
     pub fn start(share: f64) -> Self {
         Preemption { wall: Instant::now(), processor: thread_time(), share }
     }
 
-    /// Ends the watch; to be called by the same thread. Includes the processor time spent.
+    /// Ends the measurement. It has to be called by the thread that started it.
     pub fn finish(self) -> PreemptionResult {
         let wall = self.wall.elapsed();
         let spent = thread_time().saturating_sub(self.processor);
