--- a/crates/tools/scale/tests/proof_scale/lateness.rs
+++ b/crates/tools/scale/tests/proof_scale/lateness.rs
@@ -1,11 +1,11 @@
-//! A measurement knows its own lateness, and is marked as disturbed past a stated bound.
+//! A measurement records its own lateness, and counts as disturbed above a given limit.
 
 use lemonusher_scale::Watch;
 use lemonusher_scale::watch::{Preemption, PreemptionResult};
 use std::thread;
 use std::time::Duration;
 
-/// Longer than any wake-up takes, on however busy a machine.
+/// Longer than any wake-up takes, even on a busy machine.
 const LONG: Duration = Duration::from_secs(600);
 const SPAN: Duration = Duration::from_millis(50);
 
--- a/crates/tools/scale/tests/proof_scale/limits.rs
+++ b/crates/tools/scale/tests/proof_scale/limits.rs
@@ -1,4 +1,4 @@
-//! A size that does not fit is refused with what it would need, before anything is started.
+//! A size that exceeds the limits is rejected before anything is started, with an error that states its need.
 
 use lemonusher_scale::{Limits, Need, Progress, Role, roles};
 use lemonusher_scale::{MeasureError, Options};
--- a/crates/tools/scale/tests/proof_scale/main.rs
+++ b/crates/tools/scale/tests/proof_scale/main.rs
@@ -1,5 +1,5 @@
-//! What the capacity page rests on: fits, refusals, the page's tables, and each role at small sizes. Lines that begin
-//! with `proof:` give figures; no timing fails a test.
+//! Tests of the basis of the capacity page: fits, resource limits, the page's tables, and each role at small sizes.
+//! Output lines that begin with `proof:` contain figures; no test depends on measured times.
 
 mod fits;
 mod lateness;
--- a/crates/tools/scale/tests/proof_scale/page.rs
+++ b/crates/tools/scale/tests/proof_scale/page.rs
@@ -1,4 +1,4 @@
-//! The page: its tables follow from the files beside it, and nothing else.
+//! The capacity page: its tables are generated from the CSV files and nothing else.
 
 use lemonusher_scale::page::{figure, names, regenerate};
 use lemonusher_scale::role::Role;
@@ -10,7 +10,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../docs")
 }
 
-/// The CSV files of the page, by the names of their blocks.
+/// The names of the page's CSV files, which are those of its blocks.
 fn files() -> Vec<String> {
     let entries = std::fs::read_dir(docs().join("capacity")).expect("the folder is there");
     let paths = entries.map(|entry| entry.expect("an entry").path());
--- a/crates/tools/scale/tests/proof_scale/roles.rs
+++ b/crates/tools/scale/tests/proof_scale/roles.rs
@@ -1,11 +1,12 @@
-//! Each role at small sizes: the rig runs, and yields what the page's tables are made of. No timing fails a test.
+//! Each role at small sizes: the harness runs and produces the samples of the page's tables. No test depends on
+//! measured times.
 
 use lemonusher_scale::Options;
 use lemonusher_scale::sample::{Metric, metric};
 use lemonusher_scale::{Progress, Role, Sample, roles};
 use std::collections::BTreeMap;
 
-/// The front of this package, which is that of `lemonusher-front`.
+/// The front program of this package, which is the same as `lemonusher-front`.
 const FRONT: &str = env!("CARGO_BIN_EXE_lemonusher-scale-front");
 
 fn options() -> Options {
@@ -34,7 +35,7 @@
         let held = Metric::new("held", "requests");
         let full =
             samples.iter().filter(|sample| sample.case.ends_with("held=1000") && sample.metric == held);
-        // A run that was disturbed is made again: the last one counts.
+        // A disturbed run is repeated, and the last one counts.
         let full: BTreeMap<&str, f64> = full.map(|sample| (sample.case.as_str(), sample.value)).collect();
         println!(
             "proof: decision at {engines} engines: {:.1} % of a core at most, {full:.0?} of 1,000; a real front serves \
@@ -65,7 +66,7 @@
             max(&samples, &metric::DESCRIPTORS),
         );
         assert_eq!((of_case("resting"), of_case("heartbeat")), (f64::from(size), f64::from(size)));
-        // A third of the descriptors is for clients.
+        // A third of the descriptors is available to clients.
         assert!(platform <= 342.0 && platform >= f64::from(size.min(300)), "{platform}");
         assert!(max(&samples, &metric::DESCRIPTORS) >= f64::from(size));
     }
@@ -98,7 +99,7 @@
         println!(
             "proof: {machines} machines: a lost zone is planned {planned} s after, 4 machines done after {done} s"
         );
-        // The loss is confirmed over three periods of half a second; all time is virtual.
+        // The loss is confirmed after three periods of half a second. All time is virtual.
         assert!((1.5..=5.0).contains(&planned) && done > 0.0);
         assert_eq!(samples.iter().filter(|sample| sample.case == "front").count(), 4);
     }
--- a/crates/tools/scale/tests/proof_scale_fleet/hollow.rs
+++ b/crates/tools/scale/tests/proof_scale_fleet/hollow.rs
@@ -1,19 +1,20 @@
-//! A hollow front sends and holds what a real one does.
+//! A simulated front has the same traffic and state as a real one.
 
 use lemonusher_fleet::MessageKind;
 use lemonusher_scale::fleet::{Account, Delays, Registers, Setup, SideBySide, Simulation, side_by_side};
 use std::time::Duration;
 
-/// For what is seen to need no sockets: a fifth of the default lease.
+/// Lease duration of tests without sockets: a fifth of the default lease.
 const SHORT_LEASE: Duration = Duration::from_millis(600);
-/// The default lease. A socket's wait ends up to 8 ms late; against this lease's timers that is little.
+/// The default lease duration. A wait on a socket ends up to 8 ms late, which is little compared with this lease's
+/// timers.
 const LEASE: Duration = Duration::from_secs(3);
 const SETTLE_TIME: Duration = Duration::from_secs(10);
 const SPAN: Duration = Duration::from_secs(40);
 const FRONTS: usize = 24;
-/// Hollow and real may differ by this share.
+/// The share by which simulated and real fronts may differ.
 const TENTH: f64 = 0.1;
-/// A fleet that was later than this is compared anew: its probes go unanswered, which is the machine's doing.
+/// A comparison with more lateness than this is repeated: probes stay unanswered then, because the machine is busy.
 const MAX_LATENESS: Duration = Duration::from_millis(100);
 const MAX_TRIES: usize = 5;
 
@@ -69,11 +70,11 @@
     compare_over_loopback("all", Registers::ZonesAndWorks);
 }
 
-/// The same fleet over virtual time sends and holds what it does over sockets.
+/// The same fleet has the same traffic and state in virtual time as over sockets.
 #[test]
 fn over_virtual_time_a_hollow_front_is_within_a_tenth_of_a_real_one() {
     let mut setup = setup(Registers::ZonesAndWorks, LEASE);
-    // As near to loopback as the rig's clock has it.
+    // About the delay of loopback.
     let soon = Duration::from_micros(100);
     setup.delays = Delays { same_zone: soon, same_region: soon, between_regions: soon };
     let compared = undisturbed(&setup, SPAN);
@@ -102,7 +103,7 @@
     }
 }
 
-/// One seed, one course of events.
+/// Two runs with the same seed have the same events.
 #[test]
 fn a_simulation_repeats_itself() {
     let run = || {
--- a/crates/tools/scale/tests/proof_scale_fleet/main.rs
+++ b/crates/tools/scale/tests/proof_scale_fleet/main.rs
@@ -1,4 +1,5 @@
-//! Proof of the roles of the scale rig that run hollow fronts. Lines `proof: NAME figure`.
+//! Tests of the roles that the scale harness measures with simulated fronts. Output lines `proof: NAME figure` contain
+//! figures.
 
 mod hollow;
 mod roles;
--- a/crates/tools/scale/tests/proof_scale_fleet/roles.rs
+++ b/crates/tools/scale/tests/proof_scale_fleet/roles.rs
@@ -1,5 +1,6 @@
-//! Each role of hollow fronts at small sizes: the rig runs, and shows what can be told at any size. All but the doors is
-//! virtual time, so nothing here depends on how busy the machine is.
+//! Each role that is measured with simulated fronts, at small sizes: the harness runs and shows the properties that
+//! hold at any size. Everything except the management servers runs in virtual time, so no result depends on how busy
+//! the machine is.
 
 use lemonusher_scale::sample::{Metric, metric};
 use lemonusher_scale::{MeasureError, Options};
@@ -78,7 +79,7 @@
         proof(&samples, &format!("{one},loss={loss}"), &metric::IN_FORCE.name);
         proof(&samples, &format!("way=8-managers,loss={loss}"), &metric::IN_FORCE.name);
     }
-    // Every twentieth is away, and nothing brings the change to it.
+    // Every twentieth front is unreachable during the change, and never receives it.
     assert_eq!(proof(&samples, "way=8-managers", "fronts_left_behind"), 2.0);
     proof(&samples, "way=2-managers-opposed", "fronts_that_differ");
     let hollow = proof(&samples, one, "bytes_a_commit");
@@ -103,7 +104,7 @@
     }
 }
 
-/// The names that the budgets go by are those that the roles yield.
+/// The metrics that have budgets are among those that the roles measure.
 #[test]
 fn budgets_find_their_metrics() {
     let replacement: Metric = metric::REPLACEMENT;
