--- a/crates/tools/scale/src/fleet/events.rs
+++ b/crates/tools/scale/src/fleet/events.rs
@@ -23,7 +23,8 @@
     pub stopped: Vec<Duration>,
 }
 
-/// Kills the task's holder `trials` times and stops it gracefully as often; it restarts as a new incarnation each time.
+/// Kills the task's holder `trials` times and stops it gracefully as often; it restarts as a new incarnation each
+/// time.
 pub fn replacements(simulation: &mut Simulation, trials: usize) -> Replacement {
     let mut all = Replacement::default();
     for _ in 0..trials {
--- a/crates/tools/scale/src/fleet/mod.rs
+++ b/crates/tools/scale/src/fleet/mod.rs
@@ -1,6 +1,8 @@
 //! Simulated fronts: each runs the fleet state machine of a front ([`lemonusher_fleet::Node`]) with the frames and
 //! timers of a real one, but serves no requests. Hundreds run in one process, in virtual time ([`Simulation`]) or over
 //! loopback sockets ([`Loopback`]).
+//!
+//! CSV cases, figures of tests and the type [`Hollow`] name a simulated front `hollow`.
 
 mod events;
 mod hollow;
--- a/crates/tools/scale/src/front.rs
+++ b/crates/tools/scale/src/front.rs
@@ -117,7 +117,8 @@
     Ok(file)
 }
 
-/// The content of the start file: the values of `docs/front-example.json`, with the fronts and zones of the design size.
+/// The content of the start file: the values of `docs/front-example.json`, with the fronts and zones of the design
+/// size.
 fn text(options: &FrontOptions) -> Value {
     let zones: Vec<String> = (0..budget::ZONES).map(|zone| format!("zone-{zone}")).collect();
     json!({
--- a/crates/tools/scale/src/managed/manager.rs
+++ b/crates/tools/scale/src/managed/manager.rs
@@ -96,7 +96,8 @@
 }
 
 impl Rollout {
-    /// Calculates the rollout over a network: at each front in turn, the network delays are added to the measured commit.
+    /// Calculates the rollout over a network: at each front in turn, the network delays are added to the measured
+    /// commit.
     pub fn over(commits: &[FrontCommit], network: &Network, manager: Place, seed: u64) -> Rollout {
         let mut rng = Rng::with_seed(seed);
         let (mut clock, mut rollout) = (Duration::ZERO, Rollout::default());
--- a/crates/tools/scale/src/measurement.rs
+++ b/crates/tools/scale/src/measurement.rs
@@ -14,7 +14,8 @@
     /// The sizes that are measured by default.
     fn default_sizes(&self) -> Vec<u32>;
 
-    /// Measures one size. A size that exceeds the limits is rejected with [`MeasureError::DoesNotFit`] before it starts.
+    /// Measures one size. A size that exceeds the limits is rejected with [`MeasureError::DoesNotFit`] before it
+    /// starts.
     fn measure(&mut self, size: u32, progress: &mut Progress) -> Result<Vec<Sample>, MeasureError>;
 }
 
--- a/crates/tools/scale/src/roles/decision/driver.rs
+++ b/crates/tools/scale/src/roles/decision/driver.rs
@@ -33,7 +33,8 @@
 const WIDE_DEADLINE: Duration = Duration::from_secs(20);
 /// Threads of a request of the wide class: more than the admission control of any engine admits.
 const WIDE_THREADS: f64 = 64.0;
-/// The share of its latency objective after which the gateway rejects a queued request: the gateway's `START_BY_SHARE`.
+/// The share of its latency objective after which the gateway rejects a queued request: the gateway's
+/// `START_BY_SHARE`.
 const GIVEN_UP_AFTER: f64 = 0.25;
 const CORES: f64 = 16.0;
 const MEMORY_MB: f64 = 65_536.0;
@@ -125,8 +126,8 @@
         self.waiting.len()
     }
 
-    /// Runs with a short list until the number of queued requests is steady, then applies the full list and requests each
-    /// table group once.
+    /// Runs with a short list until the number of queued requests is steady, then applies the full list and
+    /// requests each table group once.
     pub fn warm_up(&mut self) {
         while self.now < WARM_UP {
             self.tick();
--- a/crates/tools/scale/src/series.rs
+++ b/crates/tools/scale/src/series.rs
@@ -75,9 +75,9 @@
         Some(Estimate { value: fit.at(size), margin: Some(fit.margin_at(size)) })
     }
 
-    /// The size at which the metric exceeds its budget: interpolated between the first two measured sizes whose medians
-    /// are on both sides of it, else the size at which the fit reaches it. None without a budget, or if the medians don't
-    /// cross it and there is no fit.
+    /// The size at which the metric exceeds its budget: interpolated between the first two measured sizes whose
+    /// medians are on both sides of it, else the size at which the fit reaches it. None without a budget, or if the
+    /// medians don't cross it and there is no fit.
     pub fn budget_crossing(&self) -> Option<BudgetCrossing> {
         let max = self.budget()?;
         let medians: Vec<(f64, f64)> =
--- a/crates/tools/scale/tests/proof_scale/fits.rs
+++ b/crates/tools/scale/tests/proof_scale/fits.rs
@@ -2,7 +2,7 @@
 
 use lemonusher_scale::fit::{FitError, Point, fit};
 
-/// Points on the line `3 + 0.25 * size` with noise whose sum is almost zero.
+/// Points on the line `3 + 0.25 * size` with noise whose sum is zero.
 fn points() -> Vec<Point> {
     let noise = [0.5, -0.5, 0.25, -0.25, 0.4, -0.4];
     let sizes = [40.0, 40.0, 130.0, 130.0, 520.0, 520.0];
