--- a/crates/tools/scale/src/connected_front.rs
+++ b/crates/tools/scale/src/connected_front.rs
@@ -23,7 +23,7 @@
 impl ConnectedFront {
     /// Starts both, and waits until the front has connected to the channel, checking once every `interval`.
     pub fn start(options: &Options, interval: Duration) -> Result<Self, MeasureError> {
-        let channel = Channel::start().map_err(io("the command channel"))?;
+        let channel = Channel::start().map_err(io("the discovery channel"))?;
         let front_options = FrontOptions {
             channel: channel.address,
             descriptors: budget::FRONT_DESCRIPTORS as u32,
@@ -33,7 +33,9 @@
         let begun = Instant::now();
         while channel.fronts() == 0 {
             if begun.elapsed() > MAX_WAIT {
-                return Err(MeasureError::Failed("the front never asked for the list".into()));
+                return Err(MeasureError::Failed(
+                    "the front did not connect to the discovery channel in time".into(),
+                ));
             }
             thread::sleep(interval);
         }
--- a/crates/tools/scale/src/engine.rs
+++ b/crates/tools/scale/src/engine.rs
@@ -37,7 +37,7 @@
     pub fn start() -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let SocketAddr::V4(address) = listener.local_addr()? else {
-            return Err(io::Error::other("the loopback address is of version 4"));
+            return Err(io::Error::other("the listener has no IPv4 address"));
         };
         let received: Arc<Mutex<ReceivedRequests>> = Arc::default();
         let counting = Arc::downgrade(&received);
--- a/crates/tools/scale/src/error.rs
+++ b/crates/tools/scale/src/error.rs
@@ -29,7 +29,7 @@
         cause: std::io::Error,
     },
     /// Statistics in `/proc` can't be read.
-    #[error("the system's figures can't be read: {0}")]
+    #[error("system statistics can't be read: {0}")]
     Figures(String),
     /// The measured component failed, for instance a process that ended early.
     #[error("the run failed: {0}")]
--- a/crates/tools/scale/src/fleet/side_by_side.rs
+++ b/crates/tools/scale/src/fleet/side_by_side.rs
@@ -131,7 +131,10 @@
     let mut waited = Duration::ZERO;
     while !(0..hollow.fronts()).any(|front| hollow.may_act(front, TASK)) {
         if waited >= TASK_HELD {
-            return Err(io::Error::new(io::ErrorKind::TimedOut, "no hollow front got hold of the task"));
+            return Err(io::Error::new(
+                io::ErrorKind::TimedOut,
+                "no simulated front acquired the lease of the task in time",
+            ));
         }
         hollow.observe_zones();
         hollow.run_for(zone_terms().report_interval);
--- a/crates/tools/scale/src/front.rs
+++ b/crates/tools/scale/src/front.rs
@@ -42,7 +42,7 @@
 impl Front {
     /// Starts the program and waits until it has logged its address.
     pub fn start(program: &Path, options: &FrontOptions) -> Result<Self, MeasureError> {
-        let file = write(options).map_err(io("the file that the front is told"))?;
+        let file = write(options).map_err(io("the start file of the front"))?;
         let mut child = Command::new(program)
             .env("PROXY_CONFIG", file.path())
             .env("RUST_LOG", "info")
@@ -54,7 +54,7 @@
         let address = found.and_then(|found| found.recv_timeout(MAX_START_TIME).ok());
         let Some(address) = address else {
             end(&mut child);
-            return Err(MeasureError::Failed("the front did not start to listen".into()));
+            return Err(MeasureError::Failed("the front did not log its listening address in time".into()));
         };
         Ok(Front { child, address, _start_file: file })
     }
@@ -100,7 +100,7 @@
     let found = own.ancestors().skip(1).take(2).map(|folder| folder.join(PROGRAM)).find(|path| path.exists());
     found.ok_or_else(|| {
         MeasureError::Failed(format!(
-            "there is no {PROGRAM} beside this program: build it, or name it by --front"
+            "no {PROGRAM} in the folder of this program: build it, or give its path with --front"
         ))
     })
 }
--- a/crates/tools/scale/src/managed/manager.rs
+++ b/crates/tools/scale/src/managed/manager.rs
@@ -132,7 +132,9 @@
                 Err(status) => return Err(failed(server, &status)),
             }
         }
-        Err(MeasureError::Failed(format!("{server}: another commit was in the way {MAX_TRIES} times")))
+        Err(MeasureError::Failed(format!(
+            "{server}: the commit conflicted with other commits {MAX_TRIES} times"
+        )))
     }
 
     async fn connect(&self, server: SocketAddr) -> Result<GNmiClient<Channel>, MeasureError> {
--- a/crates/tools/scale/src/managed/servers.rs
+++ b/crates/tools/scale/src/managed/servers.rs
@@ -82,7 +82,8 @@
         .map_err(|unfit| MeasureError::Failed(unfit.to_string()))?;
     let Started { requests, hub, gnmi, .. } = started;
     runtime.spawn(accept_all(requests));
-    let gnmi = gnmi.ok_or_else(|| MeasureError::Failed("the door has no address".into()))?;
+    let gnmi =
+        gnmi.ok_or_else(|| MeasureError::Failed("the gNMI server reported no listening address".into()))?;
     Ok(ManagementServer { gnmi, hub })
 }
 
@@ -125,7 +126,7 @@
             Some(gnmi) => Ok(Some(RealFront { child, gnmi, _folder: folder })),
             None => {
                 end(&mut child);
-                Err(MeasureError::Failed("the front did not open its door".into()))
+                Err(MeasureError::Failed("the front did not log its gNMI address in time".into()))
             }
         }
     }
--- a/crates/tools/scale/src/page.rs
+++ b/crates/tools/scale/src/page.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum PageError {
     /// A block is not closed.
-    #[error("the block {0} has no end")]
+    #[error("the block {0} is not closed")]
     NoEnd(String),
     /// A CSV file can't be read.
     #[error(transparent)]
--- a/crates/tools/scale/src/roles/configuration.rs
+++ b/crates/tools/scale/src/roles/configuration.rs
@@ -72,11 +72,10 @@
     /// A measurement with these options.
     pub fn new(options: &Options) -> Result<Self, MeasureError> {
         let resident = resident_bytes()?;
-        let runtime = tokio::runtime::Builder::new_multi_thread()
-            .worker_threads(2)
-            .enable_all()
-            .build()
-            .map_err(|cause| MeasureError::Io { what: "the managers' runtime".into(), cause })?;
+        let runtime =
+            tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().map_err(
+                |cause| MeasureError::Io { what: "the runtime of the management clients".into(), cause },
+            )?;
         let servers = ManagementServers::new(runtime.handle().clone())?;
         Ok(Configuration { options: options.clone(), runtime, servers, resident, changes: 0 })
     }
--- a/crates/tools/scale/src/roles/connections.rs
+++ b/crates/tools/scale/src/roles/connections.rs
@@ -92,7 +92,7 @@
     }
 
     fn run(&self, size: u32, case: Case) -> Result<Run, MeasureError> {
-        let channel = Channel::start().map_err(io("the command channel"))?;
+        let channel = Channel::start().map_err(io("the discovery channel"))?;
         let front_options = FrontOptions {
             channel: channel.address,
             descriptors: case.descriptors(size),
--- a/crates/tools/scale/src/roles/discovery.rs
+++ b/crates/tools/scale/src/roles/discovery.rs
@@ -170,13 +170,19 @@
         channel.publish(&full_list(engines, &listeners));
         let used =
             || listeners.staying.received().first.into_iter().chain(listeners.leaving.received().first).min();
-        wait(|| used().is_some(), "the list was never used")?;
+        wait(|| used().is_some(), "no request reached an engine of the list in time")?;
         let list_used = used().unwrap_or(published_at).saturating_duration_since(published_at);
-        wait(|| listeners.leaving.received().requests > 0, "the zone was never used")?;
+        wait(
+            || listeners.leaving.received().requests > 0,
+            "no request reached an engine of the zone to be replaced in time",
+        )?;
         thread::sleep(self.span(SETTLE));
         let published_at = Instant::now();
         channel.publish(&zone_replacement(engines, &listeners));
-        wait(|| listeners.joining.received().requests > 0, "what replaces the zone was never used")?;
+        wait(
+            || listeners.joining.received().requests > 0,
+            "no request reached an engine that replaces the zone in time",
+        )?;
         thread::sleep(self.span(AFTER_ZONE));
         let since = |at: Option<Instant>| at.unwrap_or(published_at).saturating_duration_since(published_at);
         let (left, used) =
--- a/crates/tools/scale/src/roles/failure_detector.rs
+++ b/crates/tools/scale/src/roles/failure_detector.rs
@@ -96,7 +96,7 @@
 /// Rejects a simulated fleet that exceeds the limits of the machine or has fewer fronts than the minimum.
 pub fn fits(size: u32) -> Result<(), MeasureError> {
     if size < MIN_FRONTS {
-        return Err(MeasureError::Failed(format!("a fleet has {MIN_FRONTS} fronts at least, not {size}")));
+        return Err(MeasureError::Failed(format!("a fleet needs at least {MIN_FRONTS} fronts, got {size}")));
     }
     let fronts = u64::from(size);
     let memory_bytes = fronts * BYTES_PER_FRONT + fronts * fronts * BYTES_PER_PAIR;
--- a/crates/tools/scale/src/roles/leases.rs
+++ b/crates/tools/scale/src/roles/leases.rs
@@ -226,11 +226,11 @@
             }
         }
         if size <= MAX_LOOPBACK_FRONTS && !self.options.quick && self.options.wants("side-by-side=real") {
-            progress.step(format!("{size} fronts over loopback, one of them real"));
+            progress.step(format!("{size} fronts over loopback, some of them real"));
             samples.extend(self.side_by_side(size, self.options.seed)?);
         }
         if self.options.wants("event=regions-cut-an-hour,loss=0") {
-            progress.step(format!("{size} fronts, the regions cut"));
+            progress.step(format!("{size} fronts, the regions partitioned"));
             samples.extend(self.partition(size, self.options.seed));
         }
         Ok(samples)
--- a/crates/tools/scale/src/roles/maintenance/machines.rs
+++ b/crates/tools/scale/src/roles/maintenance/machines.rs
@@ -88,7 +88,7 @@
         }
         return_machines(&mut coordinator, &mut register, now);
     }
-    Err(MeasureError::Failed("the request was never worked off".into()))
+    Err(MeasureError::Failed("the maintenance request was not completed within the limit of polls".into()))
 }
 
 /// Passes the coordinator every front's confirmations of all drains.
--- a/crates/tools/scale/src/roles/maintenance/zones.rs
+++ b/crates/tools/scale/src/roles/maintenance/zones.rs
@@ -147,7 +147,7 @@
             None => {}
         }
     }
-    Err(MeasureError::Failed("the loss of a zone was never planned".into()))
+    Err(MeasureError::Failed("no plan closed the lost zone within the limit of periods".into()))
 }
 
 fn closes(plan: &FailoverPlan) -> bool {
