--- a/crates/tools/scale/src/fleet/events.rs
+++ b/crates/tools/scale/src/fleet/events.rs
@@ -115,25 +115,26 @@
     simulation.network.partitioned = true;
     simulation.run_for(span);
     let holders = simulation.holders(TASK);
-    let of = |region: u32| holders.iter().filter(|front| Place::of(**front).region == region).count();
+    let holders_in = |region: u32| holders.iter().filter(|front| Place::of(**front).region == region).count();
     let held = |simulation: &Simulation, region: u32| {
-        let quota_slots = simulation.leases_held(side(region)) - of(region);
+        let quota_slots = simulation.leases_held(side(region)) - holders_in(region);
         100.0 * quota_slots as f64 / side(region).count().max(1) as f64
     };
     let mut partitioned = Partition {
         held_with_majority: held(simulation, 0),
         held_without: held(simulation, 1),
-        holders_with_majority: of(0),
-        holders_without: of(1),
+        holders_with_majority: holders_in(0),
+        holders_without: holders_in(1),
         ..Partition::default()
     };
     simulation.network.partitioned = false;
     let began = simulation.now();
-    let again = |simulation: &Simulation| simulation.leases_held(0..fronts) * 100 >= before * 99;
+    let slots_recovered = |simulation: &Simulation| simulation.leases_held(0..fronts) * 100 >= before * 99;
     partitioned.slots_recovered_after =
-        simulation.run_until_holds(STEP * 5, MAX_WAIT, again).unwrap_or(MAX_WAIT);
-    let all = |simulation: &Simulation| simulation.fewest_members() + 1 >= fronts;
-    let more = simulation.run_until_holds(STEP * 5, MAX_WAIT, all);
-    partitioned.members_recovered_after = if more.is_some() { simulation.now() - began } else { MAX_WAIT };
+        simulation.run_until_holds(STEP * 5, MAX_WAIT, slots_recovered).unwrap_or(MAX_WAIT);
+    let all_members_seen = |simulation: &Simulation| simulation.fewest_members() + 1 >= fronts;
+    let members_wait = simulation.run_until_holds(STEP * 5, MAX_WAIT, all_members_seen);
+    partitioned.members_recovered_after =
+        if members_wait.is_some() { simulation.now() - began } else { MAX_WAIT };
     partitioned
 }
--- a/crates/tools/scale/src/fleet/hollow.rs
+++ b/crates/tools/scale/src/fleet/hollow.rs
@@ -22,7 +22,7 @@
     node: Node,
     address: SocketAddr,
     /// Start of this incarnation, on the harness's clock.
-    born: Duration,
+    started_at: Duration,
     /// Distinguishes its polls from those of an earlier incarnation.
     pub incarnation: u64,
     location: u32,
@@ -51,12 +51,12 @@
     pub fn new(start: Start) -> Hollow {
         let (observations, receiver) = async_channel::bounded(1);
         let Start { setup, front, address, voters, location, now, incarnation, seed } = start;
-        let terms = setup.terms(front, address, voters, location, receiver);
+        let config = setup.terms(front, address, voters, location, receiver);
         let date_ms = ORIGIN_UNIX_MS + now.as_millis() as u64;
         let counts = Arc::new(TrafficCounters::default());
         let from = thread_time();
         let node = Node::new(
-            terms,
+            config,
             StartParameters { address, incarnation, unix_time_ms: date_ms, seed },
             None,
             counts.clone(),
@@ -64,7 +64,7 @@
         Hollow {
             node,
             address,
-            born: now,
+            started_at: now,
             incarnation,
             location,
             observations: (setup.registers != Registers::None).then_some(observations),
@@ -85,33 +85,33 @@
     }
 
     /// Converts the harness's clock to this incarnation's own, which starts at zero.
-    fn local(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.born)
+    fn local_time(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.started_at)
     }
 
     /// Handles a datagram and polls, as a front's thread does; returns the messages to send.
     pub fn handle_datagram(&mut self, now: Duration, from: SocketAddr, bytes: &[u8]) -> Vec<Message> {
-        let (local, began) = (self.local(now), thread_time());
+        let (local, began) = (self.local_time(now), thread_time());
         self.node.handle_datagram(local, from, bytes);
         self.node.poll(local);
-        self.sent(began)
+        self.take_messages(began)
     }
 
     /// Runs the timers that are due; returns the messages to send.
     pub fn poll(&mut self, now: Duration) -> Vec<Message> {
-        let (local, began) = (self.local(now), thread_time());
+        let (local, began) = (self.local_time(now), thread_time());
         self.node.poll(local);
-        self.sent(began)
+        self.take_messages(began)
     }
 
     /// Releases all leases and leaves the fleet, as a front does on a graceful stop; returns the messages to send.
     pub fn leave(&mut self, now: Duration) -> Vec<Message> {
-        let (local, began) = (self.local(now), thread_time());
+        let (local, began) = (self.local_time(now), thread_time());
         self.node.leave(local);
-        self.sent(began)
+        self.take_messages(began)
     }
 
-    fn sent(&mut self, began: Duration) -> Vec<Message> {
+    fn take_messages(&mut self, began: Duration) -> Vec<Message> {
         let sent = self.node.take_outgoing();
         drop((self.node.take_control_updates(), self.node.take_actions()));
         self.processor += thread_time().saturating_sub(began);
@@ -124,24 +124,25 @@
     /// Passes it the zone observation that a front's requests would have produced.
     pub fn observe_zones(&self) {
         if let Some(observations) = &self.observations {
-            let _ = observations.force_send(setup::seen(self.location));
+            let _ = observations.force_send(setup::healthy_observation(self.location));
         }
     }
 
     /// The time of its next poll, on the harness's clock.
     pub fn next_timeout(&self, now: Duration) -> Duration {
-        let next_timeout = self.node.next_timeout().unwrap_or(Duration::MAX).saturating_sub(self.local(now));
+        let next_timeout =
+            self.node.next_timeout().unwrap_or(Duration::MAX).saturating_sub(self.local_time(now));
         now + next_timeout.clamp(MIN_POLL_INTERVAL, MAX_POLL_INTERVAL)
     }
 
     /// Its statistics of the fleet.
     pub fn census(&self, now: Duration) -> ClusterStats {
-        self.node.stats(self.local(now))
+        self.node.stats(self.local_time(now))
     }
 
     /// The number of leases that it holds.
     pub fn leases_held(&self, now: Duration) -> usize {
-        self.node.leases_held(self.local(now))
+        self.node.leases_held(self.local_time(now))
     }
 
     /// The number of other fronts that it sees.
@@ -151,6 +152,6 @@
 
     /// Returns whether it holds the task's lease and may act now.
     pub fn may_act(&self, now: Duration, task: &str) -> bool {
-        self.node.fencing_token(self.local(now), task).is_some()
+        self.node.fencing_token(self.local_time(now), task).is_some()
     }
 }
--- a/crates/tools/scale/src/fleet/loopback.rs
+++ b/crates/tools/scale/src/fleet/loopback.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// Pause between two sweeps over all sockets.
-const SWEEP: Duration = Duration::from_millis(1);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(1);
 const MAX_DATAGRAM_BYTES: usize = 2048;
 
 struct Member {
@@ -64,11 +64,11 @@
         let (mut last, mut latest) = (self.clock.elapsed(), Duration::ZERO);
         while self.clock.elapsed() < until {
             for member in &mut self.members {
-                member.turn(self.clock, &self.key);
+                member.drive(self.clock, &self.key);
             }
-            thread::sleep(SWEEP);
+            thread::sleep(SWEEP_INTERVAL);
             let now = self.clock.elapsed();
-            latest = latest.max(now.saturating_sub(last + SWEEP));
+            latest = latest.max(now.saturating_sub(last + SWEEP_INTERVAL));
             last = now;
         }
         latest
@@ -106,12 +106,12 @@
 }
 
 impl Member {
-    fn turn(&mut self, clock: Instant, key: &FleetKey) {
+    fn drive(&mut self, clock: Instant, key: &FleetKey) {
         let mut bytes = [0; MAX_DATAGRAM_BYTES];
-        while let Ok((long, from)) = self.socket.recv_from(&mut bytes) {
-            let received = &bytes[..long];
+        while let Ok((length, from)) = self.socket.recv_from(&mut bytes) {
+            let received = &bytes[..length];
             if let Ok(frame) = Frame::open(received, key) {
-                self.hollow.traffic.count_received(frame.body.kind(), long);
+                self.hollow.traffic.count_received(frame.body.kind(), length);
             }
             let sent = self.hollow.handle_datagram(clock.elapsed(), from, received);
             self.send(sent);
--- a/crates/tools/scale/src/fleet/meter.rs
+++ b/crates/tools/scale/src/fleet/meter.rs
@@ -80,7 +80,7 @@
             cost.messages_out += per_second(sent.messages) / fronts;
             cost.bytes_in += per_second(received.bytes) / fronts;
             cost.bytes_out += per_second(sent.bytes) / fronts;
-            cost.max_bytes = cost.max_bytes.max(per_second(both(received, sent).bytes));
+            cost.max_bytes = cost.max_bytes.max(per_second(total_flow(received, sent).bytes));
             let processor = after.processor.saturating_sub(before.processor).as_secs_f64();
             cost.processor += 100.0 * processor / seconds / fronts;
             cost.members_lost_per_hour +=
@@ -96,7 +96,7 @@
 
 const SECONDS_PER_HOUR: f64 = 3_600.0;
 
-fn both(received: Flow, sent: Flow) -> Flow {
+fn total_flow(received: Flow, sent: Flow) -> Flow {
     received + sent
 }
 
--- a/crates/tools/scale/src/fleet/setup.rs
+++ b/crates/tools/scale/src/fleet/setup.rs
@@ -76,7 +76,7 @@
         listen: SocketAddr,
         voters: Vec<SocketAddr>,
         location: u32,
-        seen: Receiver<ZoneObservation>,
+        observation_receiver: Receiver<ZoneObservation>,
     ) -> FleetConfig {
         let votes = front < self.voters;
         FleetConfig {
@@ -94,20 +94,21 @@
             quota_slots: if self.quota_slots { self.fronts as u32 } else { 0 },
             wanted_slots: 1,
             first_slot: front as u32,
-            zone_failover: (self.registers != Registers::None).then(|| sites(seen)),
-            maintenance: (self.registers == Registers::ZonesAndWorks).then(|| self.works()),
+            zone_failover: (self.registers != Registers::None)
+                .then(|| zone_failover_settings(observation_receiver)),
+            maintenance: (self.registers == Registers::ZonesAndWorks).then(|| self.maintenance_settings()),
         }
     }
 
-    fn works(&self) -> MaintenanceSettings {
-        let terms = lemonusher_maintenance::MaintenanceConfig {
-            poll_interval: zone_terms().report_interval,
+    fn maintenance_settings(&self) -> MaintenanceSettings {
+        let maintenance_config = lemonusher_maintenance::MaintenanceConfig {
+            poll_interval: zone_failover_config().report_interval,
             required_fronts: (0..self.fronts).map(front_name).collect(),
             min_reserve: 0.9,
             demand_margin: 0.1,
             probation: Duration::from_secs(10),
         };
-        MaintenanceSettings { config: terms, notify: None }
+        MaintenanceSettings { config: maintenance_config, notify: None }
     }
 }
 
@@ -122,31 +123,35 @@
 }
 
 fn task() -> TaskConfig {
-    let every = Duration::from_secs(1);
+    let task_interval = Duration::from_secs(1);
     TaskConfig {
         name: TASK.to_owned(),
         notify: None,
-        interval: every,
+        interval: task_interval,
         action_time: Duration::from_millis(100),
         fenced: true,
     }
 }
 
-fn sites(seen: Receiver<ZoneObservation>) -> ZoneFailoverSettings {
-    let group = zones::ClassLoad {
+fn zone_failover_settings(observation_receiver: Receiver<ZoneObservation>) -> ZoneFailoverSettings {
+    let class_load = zones::ClassLoad {
         priority_weight: 1.0,
         work: 0.01,
         rate: 0.0,
         latency_objective: 0.1,
         deadline: 5.0,
-        floor: zone_terms().admission_floor,
+        floor: zone_failover_config().admission_floor,
         allowed_zones: None,
     };
-    ZoneFailoverSettings { config: zone_terms(), classes: vec![group; REQUEST_CLASSES], observations: seen }
+    ZoneFailoverSettings {
+        config: zone_failover_config(),
+        classes: vec![class_load; REQUEST_CLASSES],
+        observations: observation_receiver,
+    }
 }
 
 /// The zone failover defaults of an operator's configuration file.
-pub fn zone_terms() -> zones::FailoverConfig {
+pub fn zone_failover_config() -> zones::FailoverConfig {
     let ms = Duration::from_millis;
     zones::FailoverConfig {
         report_interval: ms(500),
@@ -161,10 +166,10 @@
 }
 
 /// The observation of a front in a period without failures: the engines of every zone answer.
-pub fn seen(location: u32) -> ZoneObservation {
+pub fn healthy_observation(location: u32) -> ZoneObservation {
     let engines_per_zone = budget::ENGINES / budget::ZONES;
-    let sights = (0..budget::ZONES).map(|site| zones::ZoneStats {
-        zone: site,
+    let zone_stats = (0..budget::ZONES).map(|zone_index| zones::ZoneStats {
+        zone: zone_index,
         listed: engines_per_zone as u16,
         cores: engines_per_zone * CORES,
         answering: engines_per_zone as u16,
@@ -175,7 +180,7 @@
     });
     let rate = budget::REQUESTS_PER_SECOND as f32 / REQUEST_CLASSES as f32;
     let demand = vec![zones::Demand { rate, work: 0.01 }; REQUEST_CLASSES];
-    let report = zones::FrontReport { zone: location, zones: sights.collect(), demand };
+    let report = zones::FrontReport { zone: location, zones: zone_stats.collect(), demand };
     let engine = |id: u32| zones::EngineObservation {
         engine: id,
         zone: id % budget::ZONES,
--- a/crates/tools/scale/src/fleet/side_by_side.rs
+++ b/crates/tools/scale/src/fleet/side_by_side.rs
@@ -2,7 +2,7 @@
 
 use super::loopback::Loopback;
 use super::network::Place;
-use super::setup::{Setup, TASK, seen, zone_terms};
+use super::setup::{Setup, TASK, healthy_observation, zone_failover_config};
 use super::traffic::Flow;
 use crate::process::thread_time_of;
 use crate::watch::Watch;
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// Timeout for a simulated front to acquire the task's lease before the real fronts start.
-const TASK_HELD: Duration = Duration::from_secs(60);
+const TASK_LEASE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Number of real fronts. The traffic of one varies by a tenth with the gossip records that its messages happen to
 /// carry, so the mean of several is compared.
 const REAL_FRONTS: usize = 3;
@@ -69,26 +69,26 @@
 
 impl RealFront {
     fn start(setup: &Setup, hollow: &Loopback, front: usize) -> io::Result<RealFront> {
-        let (observations, seen) = async_channel::bounded(1);
+        let (observations, observation_receiver) = async_channel::bounded(1);
         let zone = Place::of(front).zone;
         let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-        let terms = setup.terms(front, listen, hollow.voters(setup.voters), zone, seen);
-        Ok(RealFront { handle: lemonusher_fleet::start(terms)?, observations, zone })
+        let config = setup.terms(front, listen, hollow.voters(setup.voters), zone, observation_receiver);
+        Ok(RealFront { handle: lemonusher_fleet::start(config)?, observations, zone })
     }
 }
 
-/// Runs a fleet whose last fronts are real, and measures it over `span` after a warm-up of `settled`. A simulated
+/// Runs a fleet whose last fronts are real, and measures it over `span` after `warm_up`. A simulated
 /// front acquires the task's lease before the real ones start: its holder renews one lease more than the others, which
 /// would distort the mean of the few real fronts.
-pub fn side_by_side(setup: &Setup, settled: Duration, span: Duration) -> io::Result<SideBySide> {
+pub fn side_by_side(setup: &Setup, warm_up: Duration, span: Duration) -> io::Result<SideBySide> {
     let first_real = setup.fronts - REAL_FRONTS;
     let mut hollow = Loopback::start(setup, first_real)?;
     if setup.task {
-        hold_task(&mut hollow)?;
+        wait_for_task_lease(&mut hollow)?;
     }
     let real = (first_real..setup.fronts).map(|front| RealFront::start(setup, &hollow, front));
     let real: Vec<RealFront> = real.collect::<io::Result<_>>()?;
-    run(&mut hollow, &real, settled);
+    run(&mut hollow, &real, warm_up);
     let (real_before, hollow_before) = (real_accounts(&real), hollow_accounts(&hollow, setup));
     let watch = Watch::start(Duration::MAX);
     let lateness = run(&mut hollow, &real, span).max(watch.finish().greatest);
@@ -127,18 +127,18 @@
     }
 }
 
-fn hold_task(hollow: &mut Loopback) -> io::Result<()> {
+fn wait_for_task_lease(hollow: &mut Loopback) -> io::Result<()> {
     let mut waited = Duration::ZERO;
     while !(0..hollow.fronts()).any(|front| hollow.may_act(front, TASK)) {
-        if waited >= TASK_HELD {
+        if waited >= TASK_LEASE_TIMEOUT {
             return Err(io::Error::new(
                 io::ErrorKind::TimedOut,
                 "no simulated front acquired the lease of the task in time",
             ));
         }
         hollow.observe_zones();
-        hollow.run_for(zone_terms().report_interval);
-        waited += zone_terms().report_interval;
+        hollow.run_for(zone_failover_config().report_interval);
+        waited += zone_failover_config().report_interval;
     }
     Ok(())
 }
@@ -146,11 +146,11 @@
 /// Runs all fronts, and passes them once a period the zone observations that requests would have produced. Returns the
 /// greatest lateness.
 fn run(hollow: &mut Loopback, real: &[RealFront], span: Duration) -> Duration {
-    let period = zone_terms().report_interval;
+    let period = zone_failover_config().report_interval;
     let mut lateness = Duration::ZERO;
     for _ in 0..span.as_nanos().div_ceil(period.as_nanos()) {
         for front in real {
-            let _ = front.observations.force_send(seen(front.zone));
+            let _ = front.observations.force_send(healthy_observation(front.zone));
         }
         hollow.observe_zones();
         lateness = lateness.max(hollow.run_for(period));
--- a/crates/tools/scale/src/fleet/simulation.rs
+++ b/crates/tools/scale/src/fleet/simulation.rs
@@ -3,7 +3,7 @@
 
 use super::hollow::{Hollow, Start};
 use super::network::{Network, Place};
-use super::setup::{Registers, Setup, zone_terms};
+use super::setup::{Registers, Setup, zone_failover_config};
 use super::traffic::Traffic;
 use fastrand::Rng;
 use lemonusher_fleet::{ClusterStats, Message, MessageKind};
@@ -38,7 +38,7 @@
     /// Orders events of the same time by their creation.
     sequence: u64,
     front: usize,
-    what: EventKind,
+    event_kind: EventKind,
 }
 
 impl PartialEq for Event {
@@ -102,8 +102,8 @@
         };
         for front in 0..simulation.setup.fronts {
             let votes = front < simulation.setup.voters;
-            let late = if votes { Duration::ZERO } else { START_SPREAD.mul_f64(simulation.rng.f64()) };
-            simulation.start_at(front, late);
+            let start_time = if votes { Duration::ZERO } else { START_SPREAD.mul_f64(simulation.rng.f64()) };
+            simulation.start_at(front, start_time);
         }
         simulation
     }
@@ -174,7 +174,7 @@
             }
             let Some(Reverse(event)) = self.queue.pop() else { break };
             self.now = event.at;
-            self.play(event);
+            self.run_event(event);
         }
         self.now = until;
     }
@@ -201,22 +201,22 @@
         Some(self.now - began)
     }
 
-    fn push(&mut self, at: Duration, front: usize, what: EventKind) {
+    fn push(&mut self, at: Duration, front: usize, event_kind: EventKind) {
         self.sequence += 1;
-        self.queue.push(Reverse(Event { at, sequence: self.sequence, front, what }));
+        self.queue.push(Reverse(Event { at, sequence: self.sequence, front, event_kind }));
     }
 
-    fn play(&mut self, event: Event) {
-        let Event { at, front, what, .. } = event;
-        match what {
-            EventKind::Start => self.begin(front),
+    fn run_event(&mut self, event: Event) {
+        let Event { at, front, event_kind, .. } = event;
+        match event_kind {
+            EventKind::Start => self.start_front(front),
             EventKind::Poll { incarnation } => self.poll(front, incarnation, at),
             EventKind::Observe { incarnation } => self.observe_zones(front, incarnation),
             EventKind::Deliver { from, kind, bytes } => self.deliver(front, from, kind, &bytes),
         }
     }
 
-    fn begin(&mut self, front: usize) {
+    fn start_front(&mut self, front: usize) {
         let start = Start {
             setup: &self.setup,
             front,
@@ -235,7 +235,7 @@
         self.send(front, sent);
         self.schedule(front);
         if self.setup.registers != Registers::None {
-            let first = zone_terms().report_interval.mul_f64(self.rng.f64());
+            let first = zone_failover_config().report_interval.mul_f64(self.rng.f64());
             self.push(now + first, front, EventKind::Observe { incarnation });
         }
     }
@@ -262,7 +262,11 @@
             return;
         };
         hollow.observe_zones();
-        self.push(self.now + zone_terms().report_interval, front, EventKind::Observe { incarnation });
+        self.push(
+            self.now + zone_failover_config().report_interval,
+            front,
+            EventKind::Observe { incarnation },
+        );
     }
 
     fn deliver(&mut self, front: usize, from: SocketAddr, kind: MessageKind, bytes: &[u8]) {
