--- a/crates/tools/scale/src/roles/configuration.rs
+++ b/crates/tools/scale/src/roles/configuration.rs
@@ -19,11 +19,11 @@
 use tokio::task::JoinSet;
 
 /// Management clients that share the fronts between them: one for each machine set aside for control.
-const MANAGERS: usize = 8;
+const MANAGEMENT_CLIENTS: usize = 8;
 /// Changes made at once, each by a management client of its own.
 const CONCURRENT_CHANGES: usize = 10;
 /// One front in this many is unreachable while a change is made.
-const ABSENT_EVERY: usize = 20;
+const ABSENT_FRONT_INTERVAL: usize = 20;
 /// The lateness of a timer above which a run counts as disturbed.
 const MAX_LATENESS: Duration = Duration::from_millis(100);
 /// Upper limit of the memory of one server, with its store, log and thread.
@@ -42,9 +42,9 @@
 /// Processor time of the server and the management client together.
 const COMMIT_PROCESSOR: Metric = Metric::new("processor_a_commit", "ms");
 /// Fronts that were unreachable during a change and still lack it after their return.
-const LEFT_BEHIND: Metric = Metric::new("fronts_left_behind", "1");
+const FRONTS_LEFT_BEHIND: Metric = Metric::new("fronts_left_behind", "1");
 /// After two opposed changes: fronts whose last commit differs from that of the majority.
-const DIFFERENT: Metric = Metric::new("fronts_that_differ", "1");
+const DIFFERING_FRONTS: Metric = Metric::new("fronts_that_differ", "1");
 
 /// Commits changes at many fronts' management servers.
 pub struct Configuration {
@@ -90,20 +90,25 @@
         let servers = self.servers.open(size as usize)?;
         let fronts = addresses(servers);
         if fresh {
-            self.runtime.block_on(roll_out_all(&fronts, MANAGERS, &Change::Pools, &Manager::default()))?;
+            self.runtime.block_on(roll_out_all(
+                &fronts,
+                MANAGEMENT_CLIENTS,
+                &Change::Pools,
+                &Manager::default(),
+            ))?;
         }
         let mut samples = Vec::new();
-        for (way, managers) in [("one-manager", 1), ("8-managers", MANAGERS)] {
-            samples.extend(self.shared(size, way, managers, &fronts, seed)?);
+        for (way, managers) in [("one-manager", 1), ("8-managers", MANAGEMENT_CLIENTS)] {
+            samples.extend(self.roll_out_divided(size, way, managers, &fronts, seed)?);
         }
-        samples.extend(self.at_once(size, &fronts, seed)?);
-        samples.extend(self.away(size)?);
-        samples.extend(self.opposed(size, &fronts)?);
+        samples.extend(self.roll_out_concurrently(size, &fronts, seed)?);
+        samples.extend(self.roll_out_to_present(size)?);
+        samples.extend(self.roll_out_opposed(size, &fronts)?);
         Ok(samples)
     }
 
     /// Rolls out one change, with the fronts divided among `managers` clients.
-    fn shared(
+    fn roll_out_divided(
         &mut self,
         size: u32,
         way: &str,
@@ -121,7 +126,7 @@
         let mut samples = Vec::new();
         for loss in LOSSES {
             let run = run(format!("way={way},loss={loss}"), size, disturbed);
-            samples.extend(in_force(&run, &parts, loss, seed));
+            samples.extend(in_force_samples(&run, &parts, loss, seed));
         }
         let run = run(format!("way={way}"), size, disturbed);
         let each = f64::from(size);
@@ -134,12 +139,12 @@
         samples.push(run.sample(metric::PROCESSOR, commit_ms / 1e3 * per_second * 100.0));
         let memory = (resident_bytes()? - self.resident).max(0.0) / each / 1e6;
         samples.push(run.sample(metric::MEMORY, memory));
-        samples.extend(local(&run, &parts));
+        samples.extend(commit_time_samples(&run, &parts));
         Ok(samples)
     }
 
     /// Rolls out ten changes at once, each by a management client that commits at all fronts in turn.
-    fn at_once(
+    fn roll_out_concurrently(
         &mut self,
         size: u32,
         fronts: &[FrontAddress],
@@ -154,28 +159,29 @@
                 let fronts = fronts.to_vec();
                 rollouts.spawn(async move { roll_out(fronts, change, Manager::default()).await });
             }
-            joined(rollouts).await
+            join_all(rollouts).await
         })?;
         let disturbed = watch.finish().disturbed();
         let case = |loss| run(format!("way=10-changes-at-once,loss={loss}"), size, disturbed);
-        Ok(LOSSES.into_iter().flat_map(|loss| in_force(&case(loss), &parts, loss, seed)).collect())
+        Ok(LOSSES.into_iter().flat_map(|loss| in_force_samples(&case(loss), &parts, loss, seed)).collect())
     }
 
     /// Rolls out a change while some fronts are unreachable. They never receive it unless its author commits it again.
-    fn away(&mut self, size: u32) -> Result<Vec<Sample>, MeasureError> {
+    fn roll_out_to_present(&mut self, size: u32) -> Result<Vec<Sample>, MeasureError> {
         let change = self.next_change(0);
         let servers = self.servers.open(size as usize)?;
-        let is_present = |address: &FrontAddress| !address.front.is_multiple_of(ABSENT_EVERY);
+        let is_present = |address: &FrontAddress| !address.front.is_multiple_of(ABSENT_FRONT_INTERVAL);
         let fronts: Vec<FrontAddress> = addresses(servers).into_iter().filter(is_present).collect();
         let before: Vec<u64> = servers.iter().map(version).collect();
-        self.runtime.block_on(roll_out_all(&fronts, MANAGERS, &change, &Manager::default()))?;
+        self.runtime.block_on(roll_out_all(&fronts, MANAGEMENT_CLIENTS, &change, &Manager::default()))?;
         let servers = self.servers.open(size as usize)?;
-        let left = servers.iter().zip(&before).filter(|(server, before)| version(server) == **before).count();
-        Ok(vec![run("way=8-managers".into(), size, false).sample(LEFT_BEHIND, left as f64)])
+        let left_behind =
+            servers.iter().zip(&before).filter(|(server, before)| version(server) == **before).count();
+        Ok(vec![run("way=8-managers".into(), size, false).sample(FRONTS_LEFT_BEHIND, left_behind as f64)])
     }
 
     /// Two management clients commit opposed changes of one pool, and visit the fronts in opposite orders.
-    fn opposed(&mut self, size: u32, fronts: &[FrontAddress]) -> Result<Vec<Sample>, MeasureError> {
+    fn roll_out_opposed(&mut self, size: u32, fronts: &[FrontAddress]) -> Result<Vec<Sample>, MeasureError> {
         let backwards: Vec<FrontAddress> = fronts.iter().rev().copied().collect();
         let changes = [(true, fronts.to_vec()), (false, backwards)];
         self.runtime.block_on(async {
@@ -184,17 +190,17 @@
                 let change = Change::Drain { pool: CONCURRENT_CHANGES as u32 + 1, drained };
                 rollouts.spawn(async move { roll_out(fronts, change, Manager::default()).await });
             }
-            joined(rollouts).await
+            join_all(rollouts).await
         })?;
         let servers = self.servers.open(size as usize)?;
         let drained =
             servers.iter().filter(|server| is_drained(server, CONCURRENT_CHANGES as u32 + 1)).count();
         let different = drained.min(servers.len() - drained);
-        Ok(vec![run("way=2-managers-opposed".into(), size, false).sample(DIFFERENT, different as f64)])
+        Ok(vec![run("way=2-managers-opposed".into(), size, false).sample(DIFFERING_FRONTS, different as f64)])
     }
 
     /// Measures commits at a real front process; no samples if its program has not been built.
-    fn real(&mut self, size: u32) -> Result<Vec<Sample>, MeasureError> {
+    fn commit_at_real_front(&mut self, size: u32) -> Result<Vec<Sample>, MeasureError> {
         let Some(front) = RealFront::start()? else { return Ok(Vec::new()) };
         let manager = Manager::default();
         self.runtime.block_on(manager.commit(front.gnmi, &Change::Pools))?;
@@ -208,7 +214,7 @@
         let run = run("door=real".into(), size, watch.finish().disturbed());
         let bytes = (manager.bytes.get() - before) as f64 / REAL_COMMITS as f64;
         let mut samples = vec![run.sample(COMMIT_BYTES, bytes)];
-        samples.extend(local(&run, &[commits]));
+        samples.extend(commit_time_samples(&run, &[commits]));
         Ok(samples)
     }
 }
@@ -242,7 +248,7 @@
         let (change, manager) = (change.clone(), manager.clone());
         rollouts.spawn(async move { roll_out(part, change, manager).await });
     }
-    joined(rollouts).await
+    join_all(rollouts).await
 }
 
 async fn roll_out(
@@ -258,7 +264,7 @@
     Ok(commits)
 }
 
-async fn joined(
+async fn join_all(
     mut rollouts: JoinSet<Result<Vec<FrontCommit>, MeasureError>>,
 ) -> Result<Vec<Vec<FrontCommit>>, MeasureError> {
     let mut parts = Vec::new();
@@ -270,7 +276,7 @@
 
 /// Samples of the time until a change is in force at the fronts, including network delays. Management client number n
 /// is placed where front number n is.
-fn in_force(run: &Run, parts: &[Vec<FrontCommit>], loss: u32, seed: u64) -> Vec<Sample> {
+fn in_force_samples(run: &Run, parts: &[Vec<FrontCommit>], loss: u32, seed: u64) -> Vec<Sample> {
     let network = Network { delays: Delays::STATED, loss: f64::from(loss) / 100.0, partitioned: false };
     let roll_out = |(number, commits): (usize, &Vec<FrontCommit>)| {
         Rollout::over(commits, &network, Place::of(number), seed + number as u64).in_force
@@ -285,7 +291,7 @@
     ]
 }
 
-fn local(run: &Run, parts: &[Vec<FrontCommit>]) -> Vec<Sample> {
+fn commit_time_samples(run: &Run, parts: &[Vec<FrontCommit>]) -> Vec<Sample> {
     let mut all: Vec<f64> = parts.iter().flatten().map(|one| one.commit.local.as_secs_f64() * 1e3).collect();
     all.sort_by(f64::total_cmp);
     vec![run.sample(COMMIT_MEDIAN, quantile(&all, 0.5)), run.sample(COMMIT_P99, quantile(&all, 0.99))]
@@ -307,18 +313,18 @@
     }
 
     fn measure(&mut self, size: u32, progress: &mut Progress) -> Result<Vec<Sample>, MeasureError> {
-        fits(size)?;
+        check_limits(size)?;
         let mut samples = Vec::new();
         for repeat in 0..self.options.repeats {
             progress.step(format!("{size} fronts, run {}", repeat + 1));
             samples.extend(self.run(size, self.options.seed + u64::from(repeat), repeat == 0)?);
         }
-        samples.extend(self.real(size)?);
+        samples.extend(self.commit_at_real_front(size)?);
         Ok(samples)
     }
 }
 
-fn fits(size: u32) -> Result<(), MeasureError> {
+fn check_limits(size: u32) -> Result<(), MeasureError> {
     let servers = u64::from(size);
     let need = Need {
         memory_bytes: servers * BYTES_PER_SERVER,
--- a/crates/tools/scale/src/roles/connections.rs
+++ b/crates/tools/scale/src/roles/connections.rs
@@ -31,27 +31,27 @@
 const WINDOW: Duration = Duration::from_secs(3);
 const QUICK_WINDOW: Duration = Duration::from_millis(500);
 /// Time between two heartbeats of a connection; shorter than the front's idle timeout of six seconds.
-const HEARTBEAT: Duration = Duration::from_secs(3);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(3);
 /// Pause between two checks for due heartbeats.
 const STEP: Duration = Duration::from_millis(10);
 /// Warm-up of a front after its start.
-const SETTLE: Duration = Duration::from_millis(500);
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 /// The lateness of the harness's own timers above which a run counts as disturbed.
-const LATENESS: Duration = Duration::from_millis(50);
+const MAX_LATENESS: Duration = Duration::from_millis(50);
 /// Descriptors that a front gets for each connection: clients may use a third of them.
-const DESCRIPTORS_EACH: u32 = 3;
+const DESCRIPTORS_PER_CONNECTION: u32 = 3;
 /// Upper limit of the memory of a connection in both processes and the kernel, in bytes.
-const BYTES_AT_MOST: u64 = 64 * 1024;
+const MAX_BYTES_PER_CONNECTION: u64 = 64 * 1024;
 /// Descriptors that either process needs in addition to its connections.
-const SPARE: u64 = 64;
+const SPARE_DESCRIPTORS: u64 = 64;
 const HEARTBEAT_LINE: &[u8] = b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"heartbeat\"}\n";
 
 /// The activity of the connections, and the descriptors of the front.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Case {
     /// Each connection sends one heartbeat and is idle from then on.
-    Resting,
+    Idle,
     /// Each connection sends heartbeats often enough to stay open.
     Heartbeat,
     /// Idle connections to a front that has the platform's 1,024 descriptors.
@@ -59,18 +59,18 @@
 }
 
 impl Case {
-    const ALL: [Case; 3] = [Case::Resting, Case::Heartbeat, Case::Platform];
+    const ALL: [Case; 3] = [Case::Idle, Case::Heartbeat, Case::Platform];
 
     fn name(self) -> &'static str {
         match self {
-            Case::Resting => "resting",
+            Case::Idle => "resting",
             Case::Heartbeat => "heartbeat",
             Case::Platform => "resting, 1024 descriptors",
         }
     }
 
     fn descriptors(self, size: u32) -> u32 {
-        let wanted = size.saturating_mul(DESCRIPTORS_EACH);
+        let wanted = size.saturating_mul(DESCRIPTORS_PER_CONNECTION);
         let platform = budget::FRONT_DESCRIPTORS as u32;
         if self == Case::Platform { platform } else { wanted.max(platform) }
     }
@@ -99,15 +99,15 @@
             memory_mb: budget::FRONT_MEMORY_MB as u32,
         };
         let front = Front::start(&front::program(self.options.front.as_deref())?, &front_options)?;
-        std::thread::sleep(SETTLE);
+        std::thread::sleep(SETTLE_TIME);
         let before = process::of(front.pid())?;
         let mut clients = Clients::open(front.address, size)?;
-        let watch = Watch::start(LATENESS);
+        let watch = Watch::start(MAX_LATENESS);
         let begun = (Instant::now(), process::of(front.pid())?);
         let window = self.window();
         match case {
             Case::Heartbeat => clients.heartbeat_for(window),
-            Case::Resting | Case::Platform => std::thread::sleep(window),
+            Case::Idle | Case::Platform => std::thread::sleep(window),
         }
         let after = process::of(front.pid())?;
         let span = begun.0.elapsed();
@@ -133,10 +133,10 @@
         let seconds = self.span.as_secs_f64();
         let processor = self.after.processor.saturating_sub(self.begun.processor).as_secs_f64();
         let wakeups = self.after.wakeups.saturating_sub(self.begun.wakeups) as f64;
-        let grown = self.after.resident_bytes.saturating_sub(self.before.resident_bytes) as f64;
+        let client_bytes = self.after.resident_bytes.saturating_sub(self.before.resident_bytes) as f64;
         [
             metric::MEMORY.of(self.after.resident_bytes as f64 / f64::from(1 << 20)),
-            BYTES_EACH.of(grown / self.held.max(1) as f64),
+            BYTES_EACH.of(client_bytes / self.held.max(1) as f64),
             metric::DESCRIPTORS.of(self.after.descriptors as f64),
             metric::PROCESSOR.of(processor / seconds * 100.0),
             WAKEUPS.of(wakeups / seconds),
@@ -166,25 +166,26 @@
     fn open(address: SocketAddr, count: u32) -> Result<Self, MeasureError> {
         let mut lines = Vec::new();
         for _ in 0..count {
-            let wire = TcpStream::connect(address).map_err(io("a connection to the front"))?;
-            wire.set_read_timeout(Some(RESPONSE_TIMEOUT)).map_err(io("a connection to the front"))?;
-            let mut line = BufReader::with_capacity(256, wire);
-            speak(&mut line); // Closed connections are found by `held` at the end.
+            let stream = TcpStream::connect(address).map_err(io("a connection to the front"))?;
+            stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).map_err(io("a connection to the front"))?;
+            let mut line = BufReader::with_capacity(256, stream);
+            send_heartbeat(&mut line); // Closed connections are found by `held` at the end.
             lines.push(line);
         }
         Ok(Clients { lines })
     }
 
-    /// Sends one heartbeat on each connection in every `HEARTBEAT` period, spread evenly over it.
+    /// Sends one heartbeat on each connection in every `HEARTBEAT_INTERVAL` period, spread evenly over it.
     fn heartbeat_for(&mut self, window: Duration) {
         let begun = Instant::now();
-        let mut spoken = 0u64;
+        let mut heartbeats_sent = 0u64;
         while begun.elapsed() < window {
-            let due = begun.elapsed().as_secs_f64() / HEARTBEAT.as_secs_f64() * self.lines.len() as f64;
-            while spoken < due as u64 {
-                let index = spoken as usize % self.lines.len();
-                speak(&mut self.lines[index]);
-                spoken += 1;
+            let due =
+                begun.elapsed().as_secs_f64() / HEARTBEAT_INTERVAL.as_secs_f64() * self.lines.len() as f64;
+            while heartbeats_sent < due as u64 {
+                let index = heartbeats_sent as usize % self.lines.len();
+                send_heartbeat(&mut self.lines[index]);
+                heartbeats_sent += 1;
             }
             std::thread::sleep(STEP);
         }
@@ -197,16 +198,16 @@
 }
 
 /// Sends a heartbeat and reads the response; returns false if the connection is closed.
-fn speak(line: &mut BufReader<TcpStream>) -> bool {
-    let mut answer = String::new();
+fn send_heartbeat(line: &mut BufReader<TcpStream>) -> bool {
+    let mut response = String::new();
     let written = line.get_mut().write_all(HEARTBEAT_LINE);
-    written.is_ok() && line.read_line(&mut answer).is_ok_and(|read| read > 0)
+    written.is_ok() && line.read_line(&mut response).is_ok_and(|read| read > 0)
 }
 
 /// Returns whether the peer has neither closed nor reset the connection.
-fn is_open(mut wire: TcpStream) -> std::io::Result<bool> {
-    wire.set_nonblocking(true)?;
-    match wire.read(&mut [0]) {
+fn is_open(mut stream: TcpStream) -> std::io::Result<bool> {
+    stream.set_nonblocking(true)?;
+    match stream.read(&mut [0]) {
         Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => Ok(true),
         Err(_) | Ok(0) => Ok(false),
         Ok(_) => Ok(true),
@@ -215,7 +216,11 @@
 
 /// The resources that a size needs.
 fn need(size: u32) -> Need {
-    Need { memory_bytes: u64::from(size) * BYTES_AT_MOST, descriptors: u64::from(size) + SPARE, processes: 1 }
+    Need {
+        memory_bytes: u64::from(size) * MAX_BYTES_PER_CONNECTION,
+        descriptors: u64::from(size) + SPARE_DESCRIPTORS,
+        processes: 1,
+    }
 }
 
 impl Measurement for Connections {
--- a/crates/tools/scale/src/roles/control_machines.rs
+++ b/crates/tools/scale/src/roles/control_machines.rs
@@ -1,7 +1,7 @@
 //! The machines set aside for control: the load of each of 3, 5 or 7 voters, and the leases held after the loss of two
 //! of them. The fleet allows up to seven voters, so one of the eight machines is spare.
 
-use super::failure_detector::fits;
+use super::failure_detector::check_limits;
 use super::leases::{full_fleet, max_seconds, voter_samples, with_quota_slots};
 use crate::error::MeasureError;
 use crate::fleet::{Meter, Run, Simulation, TASK, replacements, resident_bytes};
@@ -16,13 +16,13 @@
 const VOTERS: [usize; 3] = [3, 5, 7];
 const LOST_VOTERS: usize = 2;
 const SETTLE_TIME: Duration = Duration::from_secs(20);
-const SPAN: Duration = Duration::from_secs(20);
-const QUICK: Duration = Duration::from_secs(5);
+const WINDOW: Duration = Duration::from_secs(20);
+const QUICK_WINDOW: Duration = Duration::from_secs(5);
 /// Time after the loss of the voters; longer than any lease that was granted before.
 const AFTER_LOSS: Duration = Duration::from_secs(10);
 const TRIALS: usize = 5;
 /// The share of the wall time, from 0 to 1, off its core above which the harness's thread counts as disturbed.
-const PREEMPTED: f64 = 0.6;
+const PREEMPTED_SHARE: f64 = 0.6;
 
 const ALL: [MessageKind; 4] =
     [MessageKind::FailureDetector, MessageKind::Leases, MessageKind::Registers, MessageKind::Reports];
@@ -44,10 +44,11 @@
 
     fn steady(&self, size: u32, voters: usize, seed: u64) -> Result<Vec<Sample>, MeasureError> {
         let fronts = size as usize;
-        let preemption = Preemption::start(PREEMPTED);
+        let preemption = Preemption::start(PREEMPTED_SHARE);
         let mut simulation = Simulation::new(full_fleet(fronts, voters, 0, seed));
-        let (settled, span) = if self.options.quick { (QUICK, QUICK) } else { (SETTLE_TIME, SPAN) };
-        simulation.run_for(settled);
+        let (warm_up, span) =
+            if self.options.quick { (QUICK_WINDOW, QUICK_WINDOW) } else { (SETTLE_TIME, WINDOW) };
+        simulation.run_for(warm_up);
         let front = Meter::start(&simulation, voters..fronts, &ALL);
         let voter = Meter::start(&simulation, 0..voters, &ALL);
         simulation.run_for(span);
@@ -92,7 +93,7 @@
     }
 
     fn measure(&mut self, size: u32, progress: &mut Progress) -> Result<Vec<Sample>, MeasureError> {
-        fits(size)?;
+        check_limits(size)?;
         let mut samples = Vec::new();
         for repeat in 0..self.options.repeats {
             let seed = self.options.seed + u64::from(repeat);
--- a/crates/tools/scale/src/roles/decision.rs
+++ b/crates/tools/scale/src/roles/decision.rs
@@ -73,11 +73,11 @@
     /// Runs one case until there are enough undisturbed runs, or the limit of reruns is reached.
     fn repeat(&self, engines: u32, load_reports: LoadReports, held: u32, case: &str) -> Vec<Sample> {
         let mut samples = Vec::new();
-        let (mut good, mut runs) = (0, 0);
-        while good < self.options.repeats && runs < self.options.repeats + MAX_RERUNS {
-            let run = self.run(engines, load_reports, held, self.options.seed + u64::from(good));
+        let (mut undisturbed, mut runs) = (0, 0);
+        while undisturbed < self.options.repeats && runs < self.options.repeats + MAX_RERUNS {
+            let run = self.run(engines, load_reports, held, self.options.seed + u64::from(undisturbed));
             runs += 1;
-            good += u32::from(!run.disturbed);
+            undisturbed += u32::from(!run.disturbed);
             samples.extend(run.samples(case, engines));
         }
         samples
@@ -94,7 +94,7 @@
         let preemption = Preemption::start(PREEMPTED_SHARE);
         let mut window = Window::default();
         let begun = thread_time();
-        while window.goes_on(longest, thread_time().saturating_sub(begun)) {
+        while window.continues(longest, thread_time().saturating_sub(begun)) {
             let arrived = driver.arrived();
             let spent = driver.tick();
             window.add(spent, driver.arrived() - arrived, driver.held());
@@ -122,7 +122,7 @@
 }
 
 impl Window {
-    fn goes_on(&self, longest: Duration, spent: Duration) -> bool {
+    fn continues(&self, longest: Duration, spent: Duration) -> bool {
         if self.ticks < MIN_TICKS {
             return self.ticks == 0 || spent < MAX_RUN_TIME;
         }
--- a/crates/tools/scale/src/roles/decision/driver.rs
+++ b/crates/tools/scale/src/roles/decision/driver.rs
@@ -35,14 +35,14 @@
 const WIDE_THREADS: f64 = 64.0;
 /// The share of its latency objective after which the gateway rejects a queued request: the gateway's
 /// `START_BY_SHARE`.
-const GIVEN_UP_AFTER: f64 = 0.25;
+const GIVE_UP_SHARE: f64 = 0.25;
 const CORES: f64 = 16.0;
 const MEMORY_MB: f64 = 65_536.0;
 const WORK: Duration = Duration::from_millis(8);
 /// Range of the ticks until the reply to an attempt.
-const ANSWER_TICKS: std::ops::Range<u64> = 1..4;
+const REPLY_TICKS: std::ops::Range<u64> = 1..4;
 /// Range of the busy cores that engines report.
-const BUSY: std::ops::Range<f64> = 0.15..0.35;
+const BUSY_CORES: std::ops::Range<f64> = 0.15..0.35;
 
 /// How engines report their load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -50,13 +50,13 @@
     Never,
     WithResponses,
     WithProbes,
-    /// With responses, and all engines have reported just before the measurement. This is the best case: otherwise an
+    /// Like `WithResponses`, but all engines have reported just before the measurement. This is the best case: otherwise an
     /// engine that has received no request lately has no valid report.
     AllFresh,
 }
 
 impl LoadReports {
-    fn reports(self) -> LoadReporting {
+    fn load_reporting(self) -> LoadReporting {
         match self {
             LoadReports::Never => LoadReporting::None,
             LoadReports::WithResponses | LoadReports::AllFresh => LoadReporting::WithResponses,
@@ -95,13 +95,13 @@
     due: f64,
     arrived: u64,
     waiting: BTreeSet<RequestId>,
-    responses: BTreeMap<u64, Vec<Event>>,
+    replies: BTreeMap<u64, Vec<Event>>,
 }
 
 impl GatewayDriver {
     /// Creates a gateway with the endpoint list of the warm-up.
     pub fn new(traffic: Traffic) -> Self {
-        let mut gateway = Gateway::new(deployment(traffic.load_reports.reports()), traffic.seed);
+        let mut gateway = Gateway::new(deployment(traffic.load_reports.load_reporting()), traffic.seed);
         gateway.handle_event(Duration::ZERO, full_list(WARM_ENGINES.min(traffic.engines)));
         GatewayDriver {
             traffic,
@@ -112,7 +112,7 @@
             due: 0.0,
             arrived: 0,
             waiting: BTreeSet::new(),
-            responses: BTreeMap::new(),
+            replies: BTreeMap::new(),
         }
     }
 
@@ -135,7 +135,7 @@
         self.gateway.handle_event(self.now, full_list(self.traffic.engines));
         if self.traffic.load_reports == LoadReports::AllFresh {
             for engine in 0..self.traffic.engines {
-                let event = self.probed(engine);
+                let event = self.probe_reply(engine);
                 self.gateway.handle_event(self.now, event);
             }
         }
@@ -161,7 +161,7 @@
     pub fn tick(&mut self) -> Duration {
         self.tick += 1;
         self.now += TICK;
-        let mut events = self.responses.remove(&self.tick).unwrap_or_default();
+        let mut events = self.replies.remove(&self.tick).unwrap_or_default();
         self.due += f64::from(budget::REQUESTS_PER_SECOND) * TICK.as_secs_f64();
         while self.due >= 1.0 {
             self.due -= 1.0;
@@ -180,8 +180,8 @@
     }
 
     fn arrival(&mut self) -> Event {
-        let wide_a_second = f64::from(self.traffic.held) / (WIDE_OBJECTIVE.as_secs_f64() * GIVEN_UP_AFTER);
-        let wide = self.rng.random_bool((wide_a_second / f64::from(budget::REQUESTS_PER_SECOND)).min(1.0));
+        let wide_per_second = f64::from(self.traffic.held) / (WIDE_OBJECTIVE.as_secs_f64() * GIVE_UP_SHARE);
+        let wide = self.rng.random_bool((wide_per_second / f64::from(budget::REQUESTS_PER_SECOND)).min(1.0));
         let request: RequestId = format!("{:016x}", self.arrived).into();
         let table_group = self.arrived % TABLE_GROUPS;
         self.arrived += 1;
@@ -202,13 +202,13 @@
         match action {
             Action::Send { request, engine, .. } => {
                 self.waiting.remove(&request);
-                let ticks = self.rng.random_range(ANSWER_TICKS);
-                let response = self.response(request, engine, TICK * ticks as u32);
-                self.responses.entry(self.tick + ticks).or_default().push(response);
+                let ticks = self.rng.random_range(REPLY_TICKS);
+                let reply = self.attempt_reply(request, engine, TICK * ticks as u32);
+                self.replies.entry(self.tick + ticks).or_default().push(reply);
             }
             Action::Probe { engine } => {
-                let response = self.probed(engine);
-                self.responses.entry(self.tick + 1).or_default().push(response);
+                let reply = self.probe_reply(engine);
+                self.replies.entry(self.tick + 1).or_default().push(reply);
             }
             Action::Reject { request, .. } | Action::Fail { request } => {
                 self.waiting.remove(&request);
@@ -220,8 +220,8 @@
         }
     }
 
-    fn response(&mut self, request: RequestId, engine: EngineId, after: Duration) -> Event {
-        let with_answers = self.traffic.load_reports.reports() == LoadReporting::WithResponses;
+    fn attempt_reply(&mut self, request: RequestId, engine: EngineId, after: Duration) -> Event {
+        let with_responses = self.traffic.load_reports.load_reporting() == LoadReporting::WithResponses;
         Event::AttemptEnded(AttemptEnd {
             request,
             attempt: 0,
@@ -230,17 +230,17 @@
             outcome: AttemptOutcome::Returned,
             request_finished: true,
             usage: Some(ResourceUsage { work: WORK, memory_mb: 1.0 }),
-            load: with_answers.then(|| self.report()),
+            load: with_responses.then(|| self.load_report()),
         })
     }
 
-    fn probed(&mut self, engine: EngineId) -> Event {
-        let load = Some(self.report());
+    fn probe_reply(&mut self, engine: EngineId) -> Event {
+        let load = Some(self.load_report());
         Event::ProbeEnded { engine, answered: true, elapsed: TICK, load }
     }
 
-    fn report(&mut self) -> LoadReport {
-        LoadReport { cores_busy: Some(self.rng.random_range(BUSY)), ..LoadReport::default() }
+    fn load_report(&mut self) -> LoadReport {
+        LoadReport { cores_busy: Some(self.rng.random_range(BUSY_CORES)), ..LoadReport::default() }
     }
 }
 
--- a/crates/tools/scale/src/roles/decision/real.rs
+++ b/crates/tools/scale/src/roles/decision/real.rs
@@ -25,12 +25,12 @@
 const CLIENTS: u64 = 64;
 const CLIENT_PAUSE: Duration = Duration::from_millis(20);
 /// Warm-up before the measurement.
-const SETTLE: Duration = Duration::from_secs(3);
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 const WINDOW: Duration = Duration::from_secs(4);
-const QUICK: Duration = Duration::from_millis(300);
+const QUICK_WINDOW: Duration = Duration::from_millis(300);
 /// The lateness of the harness's own timers above which a run counts as disturbed.
-const LATENESS: Duration = Duration::from_millis(50);
-const STEP: Duration = Duration::from_millis(2);
+const MAX_LATENESS: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 fn list(engines: u32, engines_listener: &Engines) -> ListUpdate {
     let entry = |id: u32| Entry {
@@ -44,14 +44,14 @@
 
 /// Runs once at a front with the limits of the platform.
 pub fn run(engines: u32, options: &Options) -> Result<Vec<Sample>, MeasureError> {
-    let ConnectedFront { channel, front } = ConnectedFront::start(options, STEP)?;
+    let ConnectedFront { channel, front } = ConnectedFront::start(options, POLL_INTERVAL)?;
     let engines_listener = Engines::start().map_err(io("an engine's listener"))?;
     channel.publish(&list(engines, &engines_listener));
     let clients = Clients::start(front.address, CLIENTS, CLIENT_PAUSE);
-    thread::sleep(if options.quick { QUICK } else { SETTLE });
-    let watch = Watch::start(LATENESS);
+    thread::sleep(if options.quick { QUICK_WINDOW } else { SETTLE_TIME });
+    let watch = Watch::start(MAX_LATENESS);
     let (begun, before, returned) = (Instant::now(), process::of(front.pid())?, clients.returned());
-    thread::sleep(if options.quick { QUICK } else { WINDOW });
+    thread::sleep(if options.quick { QUICK_WINDOW } else { WINDOW });
     let (span, after) = (begun.elapsed().as_secs_f64(), process::of(front.pid())?);
     let served = (clients.returned() - returned) as f64 / span;
     let disturbed = watch.finish().disturbed();
--- a/crates/tools/scale/src/roles/discovery.rs
+++ b/crates/tools/scale/src/roles/discovery.rs
@@ -37,23 +37,23 @@
 pub const ZONE_USED: Metric = Metric::new("zone_used", "ms");
 
 /// The zone that is replaced.
-const ZONE: u32 = 1;
+const REPLACED_ZONE: u32 = 1;
 /// Offset of the ids of new engines.
 const NEW_IDS: u32 = 1 << 24;
 /// The time over which the front's background work without clients is measured.
-const IDLE: Duration = Duration::from_secs(2);
+const IDLE_WINDOW: Duration = Duration::from_secs(2);
 /// Time for the front to apply a list or an update.
-const SETTLE: Duration = Duration::from_millis(500);
-const QUICK: Duration = Duration::from_millis(200);
+const SETTLE_TIME: Duration = Duration::from_millis(500);
+const QUICK_TIME: Duration = Duration::from_millis(200);
 /// Time for which requests continue after the replacement of the zone.
-const AFTER_ZONE: Duration = Duration::from_secs(1);
+const AFTER_REPLACEMENT: Duration = Duration::from_secs(1);
 /// Timeout after which a list or an update counts as ignored.
 const MAX_WAIT: Duration = Duration::from_secs(10);
 const STEP: Duration = Duration::from_millis(1);
 const CLIENTS: u64 = 8;
 const CLIENT_PAUSE: Duration = Duration::from_millis(10);
 /// The lateness of the harness's own timers above which a run counts as disturbed.
-const LATENESS: Duration = Duration::from_millis(50);
+const MAX_LATENESS: Duration = Duration::from_millis(50);
 const DAY_SECONDS: f64 = 86_400.0;
 /// Upper limit of the memory of an engine in the harness and the front, in bytes.
 const BYTES_PER_ENGINE: u64 = 8 * 1024;
@@ -89,7 +89,7 @@
 
 fn full_list(engines: u32, listeners: &Listeners) -> ListUpdate {
     let list = (0..engines).map(|id| {
-        let place = if zone(id) == ZONE { &listeners.leaving } else { &listeners.staying };
+        let place = if zone(id) == REPLACED_ZONE { &listeners.leaving } else { &listeners.staying };
         entry(id, place.address, State::Ready)
     });
     ListUpdate::Full(list.collect())
@@ -97,7 +97,7 @@
 
 /// An update that replaces all engines of the zone by as many new ones.
 fn zone_replacement(engines: u32, listeners: &Listeners) -> ListUpdate {
-    let of_zone = || (0..engines).filter(|id| zone(*id) == ZONE);
+    let of_zone = || (0..engines).filter(|id| zone(*id) == REPLACED_ZONE);
     let removed = of_zone().map(|id| entry(id, listeners.leaving.address, State::Removed));
     let added = of_zone().map(|id| entry(NEW_IDS + id, listeners.joining.address, State::Ready));
     ListUpdate::Delta(removed.chain(added).collect())
@@ -121,14 +121,14 @@
     }
 
     fn span(&self, usual: Duration) -> Duration {
-        if self.options.quick { usual.min(QUICK) } else { usual }
+        if self.options.quick { usual.min(QUICK_TIME) } else { usual }
     }
 
     /// Measures the front without clients: its background work, and the cost of a list and an update.
     fn measure_idle(&self, engines: u32) -> Result<Vec<MetricValue>, MeasureError> {
         let ConnectedFront { channel, front } = ConnectedFront::start(&self.options, STEP)?;
         let listeners = Listeners::start()?;
-        let span = self.span(SETTLE);
+        let span = self.span(SETTLE_TIME);
         thread::sleep(span);
         let empty = process::of(front.pid())?;
         let spent = |update: ListUpdate| -> Result<(usize, f64), MeasureError> {
@@ -142,11 +142,11 @@
         let full = process::of(front.pid())?;
         let (zone_bytes, zone_processor) = spent(zone_replacement(engines, &listeners))?;
         let before = (Instant::now(), process::of(front.pid())?.processor);
-        thread::sleep(self.span(IDLE));
-        let measure_idle = process::of(front.pid())?.processor.saturating_sub(before.1).as_secs_f64();
-        let rate = measure_idle / before.0.elapsed().as_secs_f64();
+        thread::sleep(self.span(IDLE_WINDOW));
+        let idle_processor = process::of(front.pid())?.processor.saturating_sub(before.1).as_secs_f64();
+        let rate = idle_processor / before.0.elapsed().as_secs_f64();
         // The background work continues while the front applies a list, and is subtracted.
-        let own = rate * milliseconds(span);
+        let background = rate * milliseconds(span);
         let grown = full.resident_bytes.saturating_sub(empty.resident_bytes) as f64;
         Ok(vec![
             metric::PROCESSOR.of(rate * 100.0),
@@ -154,9 +154,9 @@
             metric::STATE.of(grown),
             metric::BYTES_CONTROL.of(bytes_per_second()),
             LIST_BYTES.of(list_bytes as f64),
-            LIST_PROCESSOR.of((list_processor - own).max(0.0)),
+            LIST_PROCESSOR.of((list_processor - background).max(0.0)),
             ZONE_BYTES.of(zone_bytes as f64),
-            ZONE_PROCESSOR.of((zone_processor - own).max(0.0)),
+            ZONE_PROCESSOR.of((zone_processor - background).max(0.0)),
         ])
     }
 
@@ -165,25 +165,25 @@
         let ConnectedFront { channel, front } = ConnectedFront::start(&self.options, STEP)?;
         let listeners = Listeners::start()?;
         let clients = Clients::start(front.address, CLIENTS, CLIENT_PAUSE);
-        thread::sleep(self.span(SETTLE));
+        thread::sleep(self.span(SETTLE_TIME));
         let published_at = Instant::now();
         channel.publish(&full_list(engines, &listeners));
         let used =
             || listeners.staying.received().first.into_iter().chain(listeners.leaving.received().first).min();
-        wait(|| used().is_some(), "no request reached an engine of the list in time")?;
+        wait_until(|| used().is_some(), "no request reached an engine of the list in time")?;
         let list_used = used().unwrap_or(published_at).saturating_duration_since(published_at);
-        wait(
+        wait_until(
             || listeners.leaving.received().requests > 0,
             "no request reached an engine of the zone to be replaced in time",
         )?;
-        thread::sleep(self.span(SETTLE));
+        thread::sleep(self.span(SETTLE_TIME));
         let published_at = Instant::now();
         channel.publish(&zone_replacement(engines, &listeners));
-        wait(
+        wait_until(
             || listeners.joining.received().requests > 0,
             "no request reached an engine that replaces the zone in time",
         )?;
-        thread::sleep(self.span(AFTER_ZONE));
+        thread::sleep(self.span(AFTER_REPLACEMENT));
         let since = |at: Option<Instant>| at.unwrap_or(published_at).saturating_duration_since(published_at);
         let (left, used) =
             (since(listeners.leaving.received().last), since(listeners.joining.received().first));
@@ -196,7 +196,7 @@
     }
 
     fn run(&self, size: u32) -> Result<Vec<Sample>, MeasureError> {
-        let watch = Watch::start(LATENESS);
+        let watch = Watch::start(MAX_LATENESS);
         let mut values = self.measure_idle(size)?;
         values.extend(self.measure_reaction(size)?);
         let disturbed = watch.finish().disturbed();
@@ -212,11 +212,11 @@
     }
 }
 
-fn wait(done: impl Fn() -> bool, otherwise: &str) -> Result<(), MeasureError> {
+fn wait_until(done: impl Fn() -> bool, failure: &str) -> Result<(), MeasureError> {
     let begun = Instant::now();
     while !done() {
         if begun.elapsed() > MAX_WAIT {
-            return Err(MeasureError::Failed(otherwise.into()));
+            return Err(MeasureError::Failed(failure.into()));
         }
         thread::sleep(STEP);
     }
--- a/crates/tools/scale/src/roles/failure_detector.rs
+++ b/crates/tools/scale/src/roles/failure_detector.rs
@@ -16,10 +16,10 @@
 pub const LOSSES: [u32; 3] = [0, 1, 20];
 /// Warm-up in which all fronts start and discover each other.
 const SETTLE_TIME: Duration = Duration::from_secs(60);
-const SPAN: Duration = Duration::from_secs(120);
-const QUICK: Duration = Duration::from_secs(10);
+const WINDOW: Duration = Duration::from_secs(120);
+const QUICK_WINDOW: Duration = Duration::from_secs(10);
 /// The share of the wall time, from 0 to 1, off its core above which the harness's thread counts as disturbed.
-const PREEMPTED: f64 = 0.6;
+const PREEMPTED_SHARE: f64 = 0.6;
 /// Upper limit of the memory of a simulated front, in bytes, without its records of other fronts.
 const BYTES_PER_FRONT: u64 = 64 * 1024;
 const BYTES_PER_PAIR: u64 = 512;
@@ -46,10 +46,11 @@
 
     fn run(&self, size: u32, loss: u32, seed: u64) -> Result<Vec<Sample>, MeasureError> {
         let fronts = size as usize;
-        let preemption = Preemption::start(PREEMPTED);
+        let preemption = Preemption::start(PREEMPTED_SHARE);
         let mut simulation = Simulation::new(Setup::detector(fronts, f64::from(loss) / 100.0, seed));
-        let (settled, span) = if self.options.quick { (QUICK, QUICK) } else { (SETTLE_TIME, SPAN) };
-        simulation.run_for(settled);
+        let (warm_up, span) =
+            if self.options.quick { (QUICK_WINDOW, QUICK_WINDOW) } else { (SETTLE_TIME, WINDOW) };
+        simulation.run_for(warm_up);
         let meter = Meter::start(&simulation, 0..fronts, &[MessageKind::FailureDetector]);
         simulation.run_for(span);
         let cost = meter.finish(&simulation);
@@ -81,7 +82,7 @@
     }
 
     fn measure(&mut self, size: u32, progress: &mut Progress) -> Result<Vec<Sample>, MeasureError> {
-        fits(size)?;
+        check_limits(size)?;
         let mut samples = Vec::new();
         for loss in LOSSES.into_iter().filter(|loss| self.options.wants(&format!("loss={loss}"))) {
             for repeat in 0..self.options.repeats {
@@ -94,7 +95,7 @@
 }
 
 /// Rejects a simulated fleet that exceeds the limits of the machine or has fewer fronts than the minimum.
-pub fn fits(size: u32) -> Result<(), MeasureError> {
+pub fn check_limits(size: u32) -> Result<(), MeasureError> {
     if size < MIN_FRONTS {
         return Err(MeasureError::Failed(format!("a fleet needs at least {MIN_FRONTS} fronts, got {size}")));
     }
--- a/crates/tools/scale/src/roles/leases.rs
+++ b/crates/tools/scale/src/roles/leases.rs
@@ -1,6 +1,6 @@
 //! Leases, quota slots and registers: their cost for each front and voter, and the recovery times after failures.
 
-use super::failure_detector::{LOSSES, fits};
+use super::failure_detector::{LOSSES, check_limits};
 use crate::error::MeasureError;
 use crate::fleet::{
     Account, Cost, Meter, Registers, Run, Setup, Simulation, herd, partition_regions, replacements,
@@ -16,8 +16,8 @@
 
 const VOTERS: usize = 3;
 const SETTLE_TIME: Duration = Duration::from_secs(20);
-const SPAN: Duration = Duration::from_secs(30);
-const QUICK: Duration = Duration::from_secs(5);
+const WINDOW: Duration = Duration::from_secs(30);
+const QUICK_WINDOW: Duration = Duration::from_secs(5);
 /// Duration of the partition between the regions.
 const PARTITION_TIME: Duration = Duration::from_secs(3_600);
 const QUICK_PARTITION_TIME: Duration = Duration::from_secs(20);
@@ -28,7 +28,7 @@
 /// Kills and graceful stops of a lease holder, each.
 const TRIALS: usize = 10;
 /// The share of the wall time, from 0 to 1, off its core above which the harness's thread counts as disturbed.
-const PREEMPTED: f64 = 0.6;
+const PREEMPTED_SHARE: f64 = 0.6;
 
 /// The parts of the fleet protocol that are measured, with their message kinds.
 const PARTS: [(&str, &[MessageKind]); 4] = [
@@ -99,10 +99,11 @@
     /// Measures a fleet without failures.
     fn steady(&self, size: u32, loss: u32, seed: u64) -> Result<Vec<Sample>, MeasureError> {
         let fronts = size as usize;
-        let preemption = Preemption::start(PREEMPTED);
+        let preemption = Preemption::start(PREEMPTED_SHARE);
         let mut simulation = Simulation::new(full_fleet(fronts, VOTERS, loss, seed));
-        let (settled, span) = if self.options.quick { (QUICK, QUICK) } else { (SETTLE_TIME, SPAN) };
-        simulation.run_for(settled);
+        let (warm_up, span) =
+            if self.options.quick { (QUICK_WINDOW, QUICK_WINDOW) } else { (SETTLE_TIME, WINDOW) };
+        simulation.run_for(warm_up);
         let meters = PARTS.map(|(part, kinds)| {
             let front = Meter::start(&simulation, VOTERS..fronts, kinds);
             (part, front, Meter::start(&simulation, 0..VOTERS, kinds))
@@ -150,12 +151,12 @@
     /// Compares real and simulated fronts in one fleet over loopback, with quota slots, a task and all registers.
     fn side_by_side(&self, size: u32, seed: u64) -> Result<Vec<Sample>, MeasureError> {
         let setup = full_fleet(size as usize, VOTERS, 0, seed);
-        let compared = side_by_side(&setup, SETTLE_TIME, SPAN)
+        let compared = side_by_side(&setup, SETTLE_TIME, WINDOW)
             .map_err(|cause| MeasureError::Io { what: "a fleet over loopback".into(), cause })?;
         let disturbed = compared.lateness > MAX_LATENESS;
         let samples = |front: &str, of: &dyn Fn(fn(&Account) -> f64) -> f64| {
             let run = self.run(format!("side-by-side={front}"), size, disturbed);
-            let seconds = SPAN.as_secs_f64();
+            let seconds = WINDOW.as_secs_f64();
             vec![
                 run.sample(metric::MESSAGES_OUT, of(|account| account.sent.messages as f64) / seconds),
                 run.sample(metric::MESSAGES_IN, of(|account| account.received.messages as f64) / seconds),
@@ -211,7 +212,7 @@
     }
 
     fn measure(&mut self, size: u32, progress: &mut Progress) -> Result<Vec<Sample>, MeasureError> {
-        fits(size)?;
+        check_limits(size)?;
         let mut samples = Vec::new();
         for repeat in 0..self.options.repeats {
             let seed = self.options.seed + u64::from(repeat);
--- a/crates/tools/scale/src/roles/maintenance.rs
+++ b/crates/tools/scale/src/roles/maintenance.rs
@@ -101,7 +101,7 @@
 }
 
 /// Drops a component and returns the heap bytes that this frees.
-fn bytes_of<T>(part: T) -> usize {
+fn freed_bytes<T>(part: T) -> usize {
     let before = allocated_bytes();
     drop(part);
     before.saturating_sub(allocated_bytes())
--- a/crates/tools/scale/src/roles/maintenance/machines.rs
+++ b/crates/tools/scale/src/roles/maintenance/machines.rs
@@ -1,7 +1,7 @@
 //! Machines drained for maintenance: the coordinator completes one request of the maximum size, and every front
 //! confirms each drain within a period.
 
-use super::{CORES, CaseResult, DONE_AFTER, PERIOD, PollTimes, bytes_of, zone, zones};
+use super::{CORES, CaseResult, DONE_AFTER, PERIOD, PollTimes, freed_bytes, zone, zones};
 use crate::budget;
 use crate::error::MeasureError;
 use lemonusher_maintenance::{
@@ -84,7 +84,7 @@
         });
         if register.request.is_over() {
             let more = vec![DONE_AFTER.of(now.as_secs_f64())];
-            return Ok(CaseResult { poll_times, bytes: bytes_of((coordinator, view)), more });
+            return Ok(CaseResult { poll_times, bytes: freed_bytes((coordinator, view)), more });
         }
         return_machines(&mut coordinator, &mut register, now);
     }
@@ -107,8 +107,8 @@
     config: &MaintenanceConfig,
     view: &FleetView,
 ) {
-    while let Some(want) = coordinator.poll(now, config, view) {
-        match want {
+    while let Some(action) = coordinator.poll(now, config, view) {
+        match action {
             RegisterAction::Read(REGISTER) => {
                 coordinator.handle_committed(now, REGISTER, Some(register.committed()));
             }
--- a/crates/tools/scale/src/roles/maintenance/zones.rs
+++ b/crates/tools/scale/src/roles/maintenance/zones.rs
@@ -1,6 +1,6 @@
 //! The loss of a zone: one front's observation of all machines, and the coordinator that receives all reports.
 
-use super::{CORES, CaseResult, PERIOD, PLANNED_AFTER, PollTimes, REPORT, UTILIZATION, bytes_of, zone};
+use super::{CORES, CaseResult, PERIOD, PLANNED_AFTER, PollTimes, REPORT, UTILIZATION, freed_bytes, zone};
 use crate::budget;
 use crate::error::MeasureError;
 use lemonusher_registers::EntryVersion;
@@ -15,12 +15,12 @@
 /// Limit of the periods from the loss of the zone until the plan closes it.
 const MAX_PERIODS: u32 = 40;
 /// Number of periods over which a front is measured.
-const WATCHED_PERIODS: u32 = 40;
+const MEASURED_PERIODS: u32 = 40;
 const QUICK_PERIODS: u32 = 4;
 /// The zone that is lost.
-const LOST: u32 = 1;
+const LOST_ZONE: u32 = 1;
 /// The most machines of a zone to which a front has sent attempts within a period.
-const TRIED: u32 = 64;
+const MAX_TRIED_MACHINES: u32 = 64;
 /// Seconds of work of one request, by request class.
 const WORK_S: [f64; 4] = [0.01, 0.05, 0.5, 4.0];
 const ELAPSED_S: f64 = 0.02;
@@ -61,7 +61,7 @@
     (0..machines).for_each(|machine| observer.update_engine(machine, zone(machine), CORES, true));
     let share = 1.0 / f64::from(budget::FRONTS);
     let (mut poll_times, mut now, mut bytes) = (PollTimes::default(), Duration::ZERO, 0);
-    for _ in 0..if quick { QUICK_PERIODS } else { WATCHED_PERIODS } {
+    for _ in 0..if quick { QUICK_PERIODS } else { MEASURED_PERIODS } {
         now += PERIOD;
         let Observation { report, .. } = poll_times.time(|| {
             for machine in 0..machines {
@@ -80,13 +80,13 @@
         });
         bytes = postcard::to_allocvec(&report).map_or(0, |encoded| encoded.len());
     }
-    Ok(CaseResult { poll_times, bytes: bytes_of(observer), more: vec![REPORT.of(bytes as f64)] })
+    Ok(CaseResult { poll_times, bytes: freed_bytes(observer), more: vec![REPORT.of(bytes as f64)] })
 }
 
 /// A front's statistics of one zone.
 fn zone_stats(zone: u32, machines: u32, lost: bool) -> ZoneStats {
     let listed = machines / budget::ZONES;
-    let tried = listed.min(TRIED) as u16;
+    let tried = listed.min(MAX_TRIED_MACHINES) as u16;
     ZoneStats {
         zone,
         listed: listed.min(u32::from(u16::MAX)) as u16,
@@ -118,25 +118,25 @@
     let (mut poll_times, mut now, mut version) = (PollTimes::default(), Duration::ZERO, 0);
     for period in 0..STEADY_PERIODS + MAX_PERIODS {
         now += PERIOD;
-        let lost = (period >= STEADY_PERIODS).then_some(LOST);
+        let lost = (period >= STEADY_PERIODS).then_some(LOST_ZONE);
         // The fronts of the lost zone no longer report.
         let reporting = (0..budget::FRONTS).filter(|front| lost != Some(front % budget::ZONES));
         let reports: Vec<(u32, FrontReport)> =
             reporting.map(|front| (front, report(front, machines, lost))).collect();
-        let want = poll_times.time(|| {
+        let action = poll_times.time(|| {
             reports
                 .into_iter()
                 .for_each(|(front, report)| coordinator.handle_report(now, u64::from(front), report));
             coordinator.poll(now, &config(), &[])
         });
-        match want {
+        match action {
             Some(RegisterAction::Read) => coordinator.handle_committed(now, None, None),
             Some(RegisterAction::Write { plan, .. }) => {
                 version += 1;
-                if closes(&plan) {
+                if closes_lost_zone(&plan) {
                     let after = PERIOD * (period + 1 - STEADY_PERIODS);
                     let more = vec![PLANNED_AFTER.of(after.as_secs_f64())];
-                    return Ok(CaseResult { poll_times, bytes: bytes_of(coordinator), more });
+                    return Ok(CaseResult { poll_times, bytes: freed_bytes(coordinator), more });
                 }
                 coordinator.handle_committed(
                     now,
@@ -150,6 +150,6 @@
     Err(MeasureError::Failed("no plan closed the lost zone within the limit of periods".into()))
 }
 
-fn closes(plan: &FailoverPlan) -> bool {
-    plan.zones.get(LOST as usize).is_some_and(|zone| zone.state == ZoneState::Lost)
+fn closes_lost_zone(plan: &FailoverPlan) -> bool {
+    plan.zones.get(LOST_ZONE as usize).is_some_and(|zone| zone.state == ZoneState::Lost)
 }
