--- a/crates/tools/scale/src/bin/lemonusher-scale-front.rs
+++ b/crates/tools/scale/src/bin/lemonusher-scale-front.rs
@@ -7,8 +7,8 @@
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
     match lemonusher_front::run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(unfit) => {
-            eprintln!("lemonusher-scale-front: {unfit}");
+        Err(cause) => {
+            eprintln!("lemonusher-scale-front: {cause}");
             ExitCode::FAILURE
         }
     }
--- a/crates/tools/scale/src/clients.rs
+++ b/crates/tools/scale/src/clients.rs
@@ -61,16 +61,16 @@
     stream.set_nodelay(true)?;
     stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
     let mut lines = BufReader::new(stream);
-    let mut answer = String::new();
+    let mut response = String::new();
     let mut id = 0;
     while !stop.load(Ordering::Relaxed) {
         id += 1;
         lines.get_mut().write_all(request(number, id).as_bytes())?;
-        answer.clear();
-        if lines.read_line(&mut answer)? == 0 {
+        response.clear();
+        if lines.read_line(&mut response)? == 0 {
             return Ok(());
         }
-        if answer.contains("\"result\"") {
+        if response.contains("\"result\"") {
             returned.fetch_add(1, Ordering::Relaxed);
         }
         thread::sleep(pause);
--- a/crates/tools/scale/src/fit.rs
+++ b/crates/tools/scale/src/fit.rs
@@ -115,16 +115,16 @@
     if points.iter().any(|point| !point.size.is_finite() || !point.value.is_finite()) {
         return Err(FitError::NotFinite);
     }
-    let good: Vec<Point> = points.iter().copied().filter(|point| !point.disturbed).collect();
-    let (good_sizes, all_sizes) = (sizes(&good), sizes(points));
-    if good_sizes < MIN_SIZES {
+    let undisturbed: Vec<Point> = points.iter().copied().filter(|point| !point.disturbed).collect();
+    let (undisturbed_sizes, all_sizes) = (sizes(&undisturbed), sizes(points));
+    if undisturbed_sizes < MIN_SIZES {
         return Err(if all_sizes >= MIN_SIZES {
-            FitError::Disturbed { good: good_sizes, measured: all_sizes }
+            FitError::Disturbed { good: undisturbed_sizes, measured: all_sizes }
         } else {
-            FitError::TooFewSizes { good: good_sizes }
+            FitError::TooFewSizes { good: undisturbed_sizes }
         });
     }
-    Ok(line(&good, points.len() - good.len()))
+    Ok(line(&undisturbed, points.len() - undisturbed.len()))
 }
 
 fn sizes(points: &[Point]) -> usize {
@@ -151,21 +151,21 @@
 
 /// Fits a line. The points have at least three different sizes, so the spread is above zero and there is at least one
 /// degree of freedom.
-fn line(good: &[Point], left_out: usize) -> Fit {
-    let pairs: Vec<(f64, f64)> = good.iter().map(|point| (point.size, point.value)).collect();
+fn line(undisturbed: &[Point], left_out: usize) -> Fit {
+    let pairs: Vec<(f64, f64)> = undisturbed.iter().map(|point| (point.size, point.value)).collect();
     let LeastSquares { slope, intercept, mean_x: mean_size, spread } = least_squares(&pairs);
-    let freedom = (good.len() - 2) as f64;
+    let degrees_of_freedom = (undisturbed.len() - 2) as f64;
     let squares = pairs.iter().map(|(size, value)| (value - intercept - slope * size).powi(2)).sum::<f64>();
-    let residual = (squares / freedom).sqrt();
-    let quantile =
-        StudentsT::new(0.0, 1.0, freedom).map_or(f64::INFINITY, |t| t.inverse_cdf((1.0 + CONFIDENCE) / 2.0));
+    let residual = (squares / degrees_of_freedom).sqrt();
+    let quantile = StudentsT::new(0.0, 1.0, degrees_of_freedom)
+        .map_or(f64::INFINITY, |t| t.inverse_cdf((1.0 + CONFIDENCE) / 2.0));
     Fit {
         slope,
         intercept,
         slope_margin: quantile * residual / spread.sqrt(),
         residual,
         power: power(&pairs),
-        points: good.len(),
+        points: undisturbed.len(),
         left_out,
         smallest: pairs.iter().map(|(size, _)| *size).fold(f64::INFINITY, f64::min),
         largest: pairs.iter().map(|(size, _)| *size).fold(f64::NEG_INFINITY, f64::max),
--- a/crates/tools/scale/src/front.rs
+++ b/crates/tools/scale/src/front.rs
@@ -17,7 +17,7 @@
 /// Timeout for a front to listen; long enough for a busy machine.
 const MAX_START_TIME: Duration = Duration::from_secs(30);
 /// The text before the address in the front's log.
-const LISTENS: &str = "listens on ";
+const LISTEN_LOG_PREFIX: &str = "listens on ";
 
 /// The settings of a front's start file that a measurement varies.
 #[derive(Debug, Clone)]
@@ -42,7 +42,7 @@
 impl Front {
     /// Starts the program and waits until it has logged its address.
     pub fn start(program: &Path, options: &FrontOptions) -> Result<Self, MeasureError> {
-        let file = write(options).map_err(io("the start file of the front"))?;
+        let file = write_start_file(options).map_err(io("the start file of the front"))?;
         let mut child = Command::new(program)
             .env("PROXY_CONFIG", file.path())
             .env("RUST_LOG", "info")
@@ -50,10 +50,10 @@
             .stderr(Stdio::piped())
             .spawn()
             .map_err(io(&program.display().to_string()))?;
-        let found = child.stderr.take().map(|log| follow(BufReader::new(log)));
+        let found = child.stderr.take().map(|log| read_address(BufReader::new(log)));
         let address = found.and_then(|found| found.recv_timeout(MAX_START_TIME).ok());
         let Some(address) = address else {
-            end(&mut child);
+            kill_and_wait(&mut child);
             return Err(MeasureError::Failed("the front did not log its listening address in time".into()));
         };
         Ok(Front { child, address, _start_file: file })
@@ -67,27 +67,27 @@
 
 impl Drop for Front {
     fn drop(&mut self) {
-        end(&mut self.child);
+        kill_and_wait(&mut self.child);
     }
 }
 
-fn end(child: &mut Child) {
+fn kill_and_wait(child: &mut Child) {
     let _ = child.kill(); // The process may have exited already.
     let _ = child.wait();
 }
 
 /// Reads the log to its end on another thread, and sends the address that it contains.
-fn follow(log: impl BufRead + Send + 'static) -> Receiver<SocketAddr> {
-    let (sender, options) = channel();
+fn read_address(log: impl BufRead + Send + 'static) -> Receiver<SocketAddr> {
+    let (sender, receiver) = channel();
     thread::spawn(move || {
         for line in log.lines().map_while(Result::ok) {
-            let after = line.split_once(LISTENS).and_then(|(_, rest)| rest.split(',').next());
+            let after = line.split_once(LISTEN_LOG_PREFIX).and_then(|(_, rest)| rest.split(',').next());
             if let Some(address) = after.and_then(|text| text.parse().ok()) {
                 let _ = sender.send(address); // The receiver may have timed out.
             }
         }
     });
-    options
+    receiver
 }
 
 /// The path of the front's program: as given, or in the folder of this program or, since test programs are one folder
@@ -111,15 +111,15 @@
     move |cause| MeasureError::Io { what: what.clone(), cause }
 }
 
-fn write(options: &FrontOptions) -> std::io::Result<NamedTempFile> {
+fn write_start_file(options: &FrontOptions) -> std::io::Result<NamedTempFile> {
     let mut file = NamedTempFile::new()?;
-    file.write_all(text(options).to_string().as_bytes())?;
+    file.write_all(start_file(options).to_string().as_bytes())?;
     Ok(file)
 }
 
 /// The content of the start file: the values of `docs/front-example.json`, with the fronts and zones of the design
 /// size.
-fn text(options: &FrontOptions) -> Value {
+fn start_file(options: &FrontOptions) -> Value {
     let zones: Vec<String> = (0..budget::ZONES).map(|zone| format!("zone-{zone}")).collect();
     json!({
         "name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
--- a/crates/tools/scale/src/main.rs
+++ b/crates/tools/scale/src/main.rs
@@ -81,11 +81,11 @@
     let mut measurement = roles::measurement(arguments.role, &options)?;
     let given = (!arguments.sizes.is_empty()).then(|| arguments.sizes.clone());
     let sizes = given.unwrap_or_else(|| measurement.default_sizes());
-    let usual = || PathBuf::from(format!("docs/capacity/{}.csv", arguments.role));
-    let path = arguments.output.clone().unwrap_or_else(usual);
+    let default_path = || PathBuf::from(format!("docs/capacity/{}.csv", arguments.role));
+    let path = arguments.output.clone().unwrap_or_else(default_path);
     let mut samples = if arguments.append && path.exists() { sample::read(&path)? } else { Vec::new() };
     let mut progress = Progress::new(sizes.len());
-    let mut whole = true;
+    let mut all_measured = true;
     for size in sizes {
         match measurement.measure(size, &mut progress) {
             Ok(more) => {
@@ -95,14 +95,14 @@
             }
             Err(cause) => {
                 progress.size_done(&format!("{} at {size}: {cause}", arguments.role));
-                whole = false;
+                all_measured = false;
             }
         }
     }
     progress.finish();
     println!("{}", table(&group(&samples)));
     println!("{} samples in {}", samples.len(), path.display());
-    Ok(if whole { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if all_measured { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 fn count(samples: &[Sample]) -> String {
--- a/crates/tools/scale/src/managed/manager.rs
+++ b/crates/tools/scale/src/managed/manager.rs
@@ -102,11 +102,11 @@
         let mut rng = Rng::with_seed(seed);
         let (mut clock, mut rollout) = (Duration::ZERO, Rollout::default());
         for FrontCommit { front, commit } in commits {
-            let way = exchange(network, manager, Place::of(*front), &mut rng);
-            clock += way.there + commit.local;
+            let delays = exchange(network, manager, Place::of(*front), &mut rng);
+            clock += delays.there + commit.local;
             rollout.in_force.push(clock);
             rollout.commits.push(*commit);
-            clock += way.back;
+            clock += delays.back;
         }
         rollout
     }
--- a/crates/tools/scale/src/managed/servers.rs
+++ b/crates/tools/scale/src/managed/servers.rs
@@ -59,15 +59,15 @@
     pub fn open(&mut self, count: usize) -> Result<&[ManagementServer], MeasureError> {
         while self.servers.len() < count {
             let front = self.servers.len();
-            let server = open(front, self.folder.path().join(format!("{front}")), &self.runtime)?;
+            let server = start_server(front, self.folder.path().join(format!("{front}")), &self.runtime)?;
             self.servers.push(server);
         }
         Ok(&self.servers[..count])
     }
 }
 
-fn open(front: usize, folder: PathBuf, runtime: &Handle) -> Result<ManagementServer, MeasureError> {
-    let terms = ManagementConfig {
+fn start_server(front: usize, folder: PathBuf, runtime: &Handle) -> Result<ManagementServer, MeasureError> {
+    let config = ManagementConfig {
         folder: Some(folder),
         history: HISTORY,
         sessions: SESSIONS,
@@ -78,8 +78,8 @@
         netconf: None,
         users: Users::default(),
     };
-    let started = start(terms, names(), format!("front-{front:04}"), Arc::new(|_| {}), Vec::new())
-        .map_err(|unfit| MeasureError::Failed(unfit.to_string()))?;
+    let started = start(config, names(), format!("front-{front:04}"), Arc::new(|_| {}), Vec::new())
+        .map_err(|cause| MeasureError::Failed(cause.to_string()))?;
     let Started { requests, hub, gnmi, .. } = started;
     runtime.spawn(accept_all(requests));
     let gnmi =
@@ -121,11 +121,11 @@
             .stderr(Stdio::piped())
             .spawn()
             .map_err(io(&program.display().to_string()))?;
-        let address = child.stderr.take().and_then(|log| follow(BufReader::new(log)));
+        let address = child.stderr.take().and_then(|log| read_address(BufReader::new(log)));
         match address {
             Some(gnmi) => Ok(Some(RealFront { child, gnmi, _folder: folder })),
             None => {
-                end(&mut child);
+                kill_and_wait(&mut child);
                 Err(MeasureError::Failed("the front did not log its gNMI address in time".into()))
             }
         }
@@ -134,17 +134,17 @@
 
 impl Drop for RealFront {
     fn drop(&mut self) {
-        end(&mut self.child);
+        kill_and_wait(&mut self.child);
     }
 }
 
-fn end(child: &mut Child) {
+fn kill_and_wait(child: &mut Child) {
     let _ = child.kill(); // The process may have exited already.
     let _ = child.wait();
 }
 
 /// The address of the gNMI server, as logged. Another thread keeps reading the log, so that the front never blocks.
-fn follow(log: impl BufRead + Send + 'static) -> Option<SocketAddr> {
+fn read_address(log: impl BufRead + Send + 'static) -> Option<SocketAddr> {
     let (sender, receiver) = channel();
     std::thread::spawn(move || {
         for line in log.lines().map_while(Result::ok) {
@@ -159,10 +159,10 @@
 
 /// Writes the start file and the operator's configuration file that refers to it; returns the path of the latter.
 fn write_files(folder: &Path) -> std::io::Result<PathBuf> {
-    let mut receiver: serde_json::Value = serde_json::from_str(START_CONFIG)?;
-    receiver["listen"] = "127.0.0.1:0".into();
+    let mut start_config: serde_json::Value = serde_json::from_str(START_CONFIG)?;
+    start_config["listen"] = "127.0.0.1:0".into();
     let (start_path, operator_path) = (folder.join("told.json"), folder.join("front.toml"));
-    std::fs::write(&start_path, receiver.to_string())?;
+    std::fs::write(&start_path, start_config.to_string())?;
     let text = format!(
         "[front]\ntold = {:?}\n[managed]\nhistory = {HISTORY}\nfolder = {:?}\n[managed.gnmi]\nlisten = \"127.0.0.1:0\"\n",
         start_path.display().to_string(),
--- a/crates/tools/scale/src/managed/wire.rs
+++ b/crates/tools/scale/src/managed/wire.rs
@@ -24,31 +24,43 @@
 /// on loopback.
 pub fn exchange(network: &Network, manager: Place, front: Place, rng: &mut Rng) -> Exchange {
     let handshake = round_trip(network, manager, front, CONNECT_RETRANSMISSION_TIMEOUT, rng);
-    let resend = MIN_RETRANSMISSION_TIMEOUT.max(network.delays.between(manager, front) * 2);
-    let request = delivery(network, manager, front, resend, rng);
-    let answer = delivery(network, front, manager, resend, rng);
-    Exchange { there: handshake + request, back: answer }
+    let retransmission_timeout = MIN_RETRANSMISSION_TIMEOUT.max(network.delays.between(manager, front) * 2);
+    let request = delivery(network, manager, front, retransmission_timeout, rng);
+    let response = delivery(network, front, manager, retransmission_timeout, rng);
+    Exchange { there: handshake + request, back: response }
 }
 
-fn round_trip(network: &Network, from: Place, to: Place, resend: Duration, rng: &mut Rng) -> Duration {
+fn round_trip(
+    network: &Network,
+    from: Place,
+    to: Place,
+    retransmission_timeout: Duration,
+    rng: &mut Rng,
+) -> Duration {
     let mut waited = Duration::ZERO;
     for attempt in 0..ATTEMPTS {
         let there = network.delay(from, to, rng);
         if let Some((there, back)) = there.zip(network.delay(to, from, rng)) {
             return waited + there + back;
         }
-        waited += resend * (1 << attempt);
+        waited += retransmission_timeout * (1 << attempt);
     }
     waited
 }
 
-fn delivery(network: &Network, from: Place, to: Place, resend: Duration, rng: &mut Rng) -> Duration {
+fn delivery(
+    network: &Network,
+    from: Place,
+    to: Place,
+    retransmission_timeout: Duration,
+    rng: &mut Rng,
+) -> Duration {
     let mut waited = Duration::ZERO;
     for attempt in 0..ATTEMPTS {
         if let Some(delay) = network.delay(from, to, rng) {
             return waited + delay;
         }
-        waited += resend * (1 << attempt);
+        waited += retransmission_timeout * (1 << attempt);
     }
     waited
 }
--- a/crates/tools/scale/src/page.rs
+++ b/crates/tools/scale/src/page.rs
@@ -32,10 +32,10 @@
     let mut rest = page;
     while let Some(start) = rest.find(BEGIN) {
         let after = &rest[start + BEGIN.len()..];
-        let unended = || PageError::NoEnd(after.lines().next().unwrap_or_default().to_string());
-        let name_end = after.find(BEGIN_END).ok_or_else(unended)?;
+        let unclosed = || PageError::NoEnd(after.lines().next().unwrap_or_default().to_string());
+        let name_end = after.find(BEGIN_END).ok_or_else(unclosed)?;
         let name = &after[..name_end];
-        let end = after.find(END).ok_or_else(unended)?;
+        let end = after.find(END).ok_or_else(unclosed)?;
         out.push_str(&rest[..start + BEGIN.len() + name_end + BEGIN_END.len()]);
         out.push_str("\n\n");
         out.push_str(&block(name, folder)?);
@@ -99,8 +99,8 @@
         series.metric.title(),
         sizes.join(", "),
         at_design(series),
-        series.budget().map_or("–".into(), bound),
-        passed_at(series),
+        series.budget().map_or("–".into(), budget_text),
+        crossing_text(series),
     )
 }
 
@@ -112,12 +112,12 @@
     let Some(margin) = estimate.margin else { return value };
     let design = f64::from(series.design_size());
     let times = series.fit().map_or(1.0, |fit| fit.extrapolation(design));
-    let far = if times > 1.0 { format!(", extrapolated {times:.1} times") } else { String::new() };
-    format!("{value} ± {}{far}", figure(margin))
+    let extrapolation = if times > 1.0 { format!(", extrapolated {times:.1} times") } else { String::new() };
+    format!("{value} ± {}{extrapolation}", figure(margin))
 }
 
 /// The size at which the metric exceeds its budget.
-fn passed_at(series: &Series) -> String {
+fn crossing_text(series: &Series) -> String {
     match series.budget_crossing() {
         None => "–".into(),
         Some(BudgetCrossing::Below(size)) => format!("at most {}", figure(size)),
@@ -150,20 +150,20 @@
     let worst = of_metric
         .filter_map(|series| Some((series, series.at_design()?)))
         .max_by(|a, b| a.1.value.total_cmp(&b.1.value));
-    let max = bound(budget.max);
+    let max = budget_text(budget.max);
     let metric = budget.metric.title();
     let Some((series, estimate)) = worst else {
         return format!("| {role} | {metric} | – | not measured | {max} | – | – |\n");
     };
     let verdict = if estimate.value > budget.max { "**past**" } else { "within" };
-    let crossing = format!("{} {}", passed_at(series), series.role.axis().name());
+    let crossing = format!("{} {}", crossing_text(series), series.role.axis().name());
     let case = if series.case.is_empty() { "–" } else { &series.case };
     format!("| {role} | {metric} | {case} | {} | {max} | {verdict} | {crossing} |\n", at_design(series))
 }
 
 /// A budget without rounding; if it is a whole number, with commas between thousands.
-fn bound(value: f64) -> String {
-    if value.fract() == 0.0 { parted(&format!("{value:.0}")) } else { value.to_string() }
+fn budget_text(value: f64) -> String {
+    if value.fract() == 0.0 { separate_thousands(&format!("{value:.0}")) } else { value.to_string() }
 }
 
 /// A number with three significant digits and commas between thousands.
@@ -181,18 +181,18 @@
         };
     }
     let scale = 10f64.powi(-digits);
-    parted(&format!("{:.0}", (value / scale).round() * scale))
+    separate_thousands(&format!("{:.0}", (value / scale).round() * scale))
 }
 
 /// Inserts commas between the thousands of a whole number.
-fn parted(whole: &str) -> String {
+fn separate_thousands(whole: &str) -> String {
     let (sign, number) = whole.strip_prefix('-').map_or(("", whole), |number| ("-", number));
-    let mut parted = String::new();
+    let mut separated = String::new();
     for (index, digit) in number.chars().enumerate() {
         if index > 0 && (number.len() - index).is_multiple_of(3) {
-            parted.push(',');
+            separated.push(',');
         }
-        parted.push(digit);
+        separated.push(digit);
     }
-    format!("{sign}{parted}")
+    format!("{sign}{separated}")
 }
--- a/crates/tools/scale/src/series.rs
+++ b/crates/tools/scale/src/series.rs
@@ -49,7 +49,7 @@
 
     /// The median of the undisturbed values at one size.
     pub fn median_at(&self, size: u32) -> Option<f64> {
-        let mut values: Vec<f64> = self.good_at(size);
+        let mut values: Vec<f64> = self.undisturbed_at(size);
         values.sort_by(f64::total_cmp);
         let middle = values.len() / 2;
         match values.len() {
@@ -59,9 +59,9 @@
         }
     }
 
-    fn good_at(&self, size: u32) -> Vec<f64> {
-        let good = self.points.iter().filter(|point| !point.disturbed && point.size as u32 == size);
-        good.map(|point| point.value).collect()
+    fn undisturbed_at(&self, size: u32) -> Vec<f64> {
+        let undisturbed = self.points.iter().filter(|point| !point.disturbed && point.size as u32 == size);
+        undisturbed.map(|point| point.value).collect()
     }
 
     /// The value at the design size: the measured median if there is one, else the value of the fit.
--- a/crates/tools/scale/tests/proof_scale/lateness.rs
+++ b/crates/tools/scale/tests/proof_scale/lateness.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 /// Longer than any wake-up takes, even on a busy machine.
-const LONG: Duration = Duration::from_secs(600);
+const UNREACHED_LATENESS: Duration = Duration::from_secs(600);
 const SPAN: Duration = Duration::from_millis(50);
 
-fn watched(bound: Duration) -> bool {
+fn is_disturbed(bound: Duration) -> bool {
     let watch = Watch::start(bound);
     thread::sleep(SPAN);
     let lateness = watch.finish();
@@ -20,8 +20,8 @@
 #[test]
 fn timers_later_than_the_bound_mark_a_measurement() {
     // No timer is on time to the nanosecond.
-    assert!(watched(Duration::ZERO));
-    assert!(!watched(LONG));
+    assert!(is_disturbed(Duration::ZERO));
+    assert!(!is_disturbed(UNREACHED_LATENESS));
 }
 
 #[test]
--- a/crates/tools/scale/tests/proof_scale_fleet/hollow.rs
+++ b/crates/tools/scale/tests/proof_scale_fleet/hollow.rs
@@ -46,7 +46,7 @@
     ("state", |account| account.state_bytes as f64),
 ];
 
-fn near(name: &str, real: f64, hollow: f64) {
+fn assert_near(name: &str, real: f64, hollow: f64) {
     let ratio = hollow / real;
     println!("proof: hollow_to_real_{name} {ratio:.3} ({hollow:.0} to {real:.0})");
     assert!((ratio - 1.0).abs() <= TENTH, "{name}: hollow {hollow}, real {real}");
@@ -55,7 +55,7 @@
 fn compare_over_loopback(what: &str, registers: Registers) {
     let compared = undisturbed(&setup(registers, LEASE), SPAN);
     for (figure, of) in FIGURES {
-        near(&format!("{what}_{figure}"), compared.real_mean(of), compared.hollow_mean(of));
+        assert_near(&format!("{what}_{figure}"), compared.real_mean(of), compared.hollow_mean(of));
     }
     println!("proof: hollow_to_real_{what}_late_ms {}", compared.lateness.as_millis());
 }
@@ -99,7 +99,7 @@
         .collect();
     for (figure, of) in FIGURES {
         let mean = accounts.iter().map(of).sum::<f64>() / accounts.len() as f64;
-        near(&format!("virtual_{figure}"), compared.real_mean(of), mean);
+        assert_near(&format!("virtual_{figure}"), compared.real_mean(of), mean);
     }
 }
 
