--- a/crates/tools/scale/src/channel.rs
+++ b/crates/tools/scale/src/channel.rs
@@ -89,7 +89,7 @@
 /// A listener that sends all fronts the same frames.
 #[derive(Debug)]
 pub struct Channel {
-    /// Where fronts connect.
+    /// The address that fronts connect to.
     pub address: SocketAddr,
     state: Arc<Mutex<Followers>>,
 }
--- a/crates/tools/scale/src/roles/decision/driver.rs
+++ b/crates/tools/scale/src/roles/decision/driver.rs
@@ -44,14 +44,14 @@
 /// Range of the busy cores that engines report.
 const BUSY_CORES: std::ops::Range<f64> = 0.15..0.35;
 
-/// How engines report their load.
+/// The load reporting of the engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadReports {
     Never,
     WithResponses,
     WithProbes,
-    /// Like `WithResponses`, but all engines have reported just before the measurement. This is the best case: otherwise an
-    /// engine that has received no request lately has no valid report.
+    /// Like `WithResponses`, but all engines have reported just before the measurement. This is the best case:
+    /// otherwise an engine that has received no request lately has no valid report.
     AllFresh,
 }
 
--- a/crates/tools/scale/src/series.rs
+++ b/crates/tools/scale/src/series.rs
@@ -117,7 +117,7 @@
 /// A value at the design size.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Estimate {
-    /// In the metric's unit.
+    /// The value, in the metric's unit.
     pub value: f64,
     /// Half the width of the fit's confidence interval; none if the value was measured.
     pub margin: Option<f64>,
