--- a/crates/tools/scale/src/roles/configuration.rs
+++ b/crates/tools/scale/src/roles/configuration.rs
@@ -98,8 +98,8 @@
             ))?;
         }
         let mut samples = Vec::new();
-        for (way, managers) in [("one-manager", 1), ("8-managers", MANAGEMENT_CLIENTS)] {
-            samples.extend(self.roll_out_divided(size, way, managers, &fronts, seed)?);
+        for (way, client_count) in [("one-manager", 1), ("8-managers", MANAGEMENT_CLIENTS)] {
+            samples.extend(self.roll_out_divided(size, way, client_count, &fronts, seed)?);
         }
         samples.extend(self.roll_out_concurrently(size, &fronts, seed)?);
         samples.extend(self.roll_out_to_present(size)?);
@@ -107,12 +107,12 @@
         Ok(samples)
     }
 
-    /// Rolls out one change, with the fronts divided among `managers` clients.
+    /// Rolls out one change, with the fronts divided among `client_count` clients.
     fn roll_out_divided(
         &mut self,
         size: u32,
         way: &str,
-        managers: usize,
+        client_count: usize,
         fronts: &[FrontAddress],
         seed: u64,
     ) -> Result<Vec<Sample>, MeasureError> {
@@ -120,7 +120,7 @@
         let manager = Manager::default();
         let watch = Watch::start(MAX_LATENESS);
         let processor = crate::process::process_time();
-        let parts = self.runtime.block_on(roll_out_all(fronts, managers, &change, &manager))?;
+        let parts = self.runtime.block_on(roll_out_all(fronts, client_count, &change, &manager))?;
         let processor = crate::process::process_time().saturating_sub(processor);
         let disturbed = watch.finish().disturbed();
         let mut samples = Vec::new();
@@ -235,16 +235,16 @@
     place.is_some_and(|place| running.tree.leaf(schema, &place) == Some("draining"))
 }
 
-/// Rolls out a change; each management client takes every `managers`-th front.
+/// Rolls out a change; each management client takes every `client_count`-th front.
 async fn roll_out_all(
     fronts: &[FrontAddress],
-    managers: usize,
+    client_count: usize,
     change: &Change,
     manager: &Manager,
 ) -> Result<Vec<Vec<FrontCommit>>, MeasureError> {
     let mut rollouts = JoinSet::new();
-    for first in 0..managers {
-        let part: Vec<FrontAddress> = fronts.iter().skip(first).step_by(managers).copied().collect();
+    for first in 0..client_count {
+        let part: Vec<FrontAddress> = fronts.iter().skip(first).step_by(client_count).copied().collect();
         let (change, manager) = (change.clone(), manager.clone());
         rollouts.spawn(async move { roll_out(part, change, manager).await });
     }
