--- a/crates/tools/scale/src/connected_front.rs
+++ b/crates/tools/scale/src/connected_front.rs
@@ -1,4 +1,4 @@
-//! A real front that follows a command channel of the rig.
+//! A real front that is connected to a discovery channel of the harness.
 
 use crate::budget;
 use crate::channel::Channel;
@@ -8,22 +8,22 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A front asks for its list of engines within this time, on however busy a machine.
+/// Timeout for a front to connect to the discovery channel; long enough for a busy machine.
 const MAX_WAIT: Duration = Duration::from_secs(10);
 
-/// A front of the platform's size, and the channel that it follows.
+/// A front with the limits of the platform, and the discovery channel that it follows.
 #[derive(Debug)]
 pub struct ConnectedFront {
-    /// Where its list of engines comes from.
+    /// The discovery channel that sends its endpoint list.
     pub channel: Channel,
     /// The front.
     pub front: Front,
 }
 
 impl ConnectedFront {
-    /// Starts both, and waits until the front has asked for the list, looking once in `interval`.
+    /// Starts both, and waits until the front has connected to the channel, checking once every `interval`.
     pub fn start(options: &Options, interval: Duration) -> Result<Self, MeasureError> {
-        let channel = Channel::start().map_err(io("the command channel"))?;
+        let channel = Channel::start().map_err(io("the discovery channel"))?;
         let front_options = FrontOptions {
             channel: channel.address,
             descriptors: budget::FRONT_DESCRIPTORS as u32,
@@ -33,7 +33,9 @@
         let begun = Instant::now();
         while channel.fronts() == 0 {
             if begun.elapsed() > MAX_WAIT {
-                return Err(MeasureError::Failed("the front never asked for the list".into()));
+                return Err(MeasureError::Failed(
+                    "the front did not connect to the discovery channel in time".into(),
+                ));
             }
             thread::sleep(interval);
         }
--- a/crates/tools/scale/src/fleet/setup.rs
+++ b/crates/tools/scale/src/fleet/setup.rs
@@ -1,4 +1,4 @@
-//! What a hollow fleet is like.
+//! Configuration of a fleet of simulated fronts.
 
 use super::network::Delays;
 use crate::budget;
@@ -10,47 +10,47 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A task that every front is willing to hold.
+/// The task for whose lease every front is a candidate.
 pub const TASK: &str = "account";
-/// Request classes of the plan for lost zones.
+/// Request classes of the zone failover plan.
 const REQUEST_CLASSES: usize = 4;
 
-/// Which registers fronts follow.
+/// The registers that fronts follow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Registers {
-    /// None.
+    /// No registers.
     None,
-    /// The plan for lost zones, and operators' overrides.
+    /// The zone failover plan and the operator overrides.
     Zones,
-    /// These, and one register for each maintenance request.
+    /// Those of `Zones`, and one register for each maintenance request.
     ZonesAndWorks,
 }
 
-/// A fleet, alike at all its fronts.
+/// A fleet whose fronts all have the same configuration.
 #[derive(Debug, Clone)]
 pub struct Setup {
-    /// All fronts, voters among them.
+    /// The number of fronts, including the voters.
     pub fronts: usize,
-    /// The first so many fronts vote.
+    /// The number of voters, which are the first fronts.
     pub voters: usize,
-    /// The terms of leases.
+    /// The lease configuration.
     pub leases: LeaseConfig,
-    /// Each front wants a quota slot of its own.
+    /// Each front requests a quota slot of its own.
     pub quota_slots: bool,
-    /// Each front is willing to hold [`TASK`].
+    /// Each front is a candidate for the lease of [`TASK`].
     pub task: bool,
-    /// The registers that are followed.
+    /// The registers that fronts follow.
     pub registers: Registers,
-    /// Of the network.
+    /// The delays of the network.
     pub delays: Delays,
-    /// The share of datagrams that is lost, from 0 to 1.
+    /// The probability that a datagram is lost, from 0 to 1.
     pub loss: f64,
-    /// Of everything random.
+    /// The seed of all random numbers.
     pub seed: u64,
 }
 
 impl Setup {
-    /// The failure detector alone, on the terms that an operator's file has by default.
+    /// A fleet with the failure detector alone, with the defaults of an operator's configuration file.
     pub fn detector(fronts: usize, loss: f64, seed: u64) -> Setup {
         Setup {
             fronts,
@@ -69,14 +69,14 @@
         }
     }
 
-    /// The terms of one front.
+    /// The fleet configuration of one front.
     pub fn terms(
         &self,
         front: usize,
         listen: SocketAddr,
         voters: Vec<SocketAddr>,
         location: u32,
-        seen: Receiver<ZoneObservation>,
+        observation_receiver: Receiver<ZoneObservation>,
     ) -> FleetConfig {
         let votes = front < self.voters;
         FleetConfig {
@@ -94,24 +94,25 @@
             quota_slots: if self.quota_slots { self.fronts as u32 } else { 0 },
             wanted_slots: 1,
             first_slot: front as u32,
-            zone_failover: (self.registers != Registers::None).then(|| sites(seen)),
-            maintenance: (self.registers == Registers::ZonesAndWorks).then(|| self.works()),
+            zone_failover: (self.registers != Registers::None)
+                .then(|| zone_failover_settings(observation_receiver)),
+            maintenance: (self.registers == Registers::ZonesAndWorks).then(|| self.maintenance_settings()),
         }
     }
 
-    fn works(&self) -> MaintenanceSettings {
-        let terms = lemonusher_maintenance::MaintenanceConfig {
-            poll_interval: zone_terms().report_interval,
+    fn maintenance_settings(&self) -> MaintenanceSettings {
+        let maintenance_config = lemonusher_maintenance::MaintenanceConfig {
+            poll_interval: zone_failover_config().report_interval,
             required_fronts: (0..self.fronts).map(front_name).collect(),
             min_reserve: 0.9,
             demand_margin: 0.1,
             probation: Duration::from_secs(10),
         };
-        MaintenanceSettings { config: terms, notify: None }
+        MaintenanceSettings { config: maintenance_config, notify: None }
     }
 }
 
-/// The key of every hollow fleet.
+/// The key of every simulated fleet.
 pub fn key() -> FleetKey {
     FleetKey::new(b"a key of the scale rig")
 }
@@ -122,31 +123,35 @@
 }
 
 fn task() -> TaskConfig {
-    let every = Duration::from_secs(1);
+    let task_interval = Duration::from_secs(1);
     TaskConfig {
         name: TASK.to_owned(),
         notify: None,
-        interval: every,
+        interval: task_interval,
         action_time: Duration::from_millis(100),
         fenced: true,
     }
 }
 
-fn sites(seen: Receiver<ZoneObservation>) -> ZoneFailoverSettings {
-    let group = zones::ClassLoad {
+fn zone_failover_settings(observation_receiver: Receiver<ZoneObservation>) -> ZoneFailoverSettings {
+    let class_load = zones::ClassLoad {
         priority_weight: 1.0,
         work: 0.01,
         rate: 0.0,
         latency_objective: 0.1,
         deadline: 5.0,
-        floor: zone_terms().admission_floor,
+        floor: zone_failover_config().admission_floor,
         allowed_zones: None,
     };
-    ZoneFailoverSettings { config: zone_terms(), classes: vec![group; REQUEST_CLASSES], observations: seen }
+    ZoneFailoverSettings {
+        config: zone_failover_config(),
+        classes: vec![class_load; REQUEST_CLASSES],
+        observations: observation_receiver,
+    }
 }
 
-/// The defaults of an operator's file.
-pub fn zone_terms() -> zones::FailoverConfig {
+/// The zone failover defaults of an operator's configuration file.
+pub fn zone_failover_config() -> zones::FailoverConfig {
     let ms = Duration::from_millis;
     zones::FailoverConfig {
         report_interval: ms(500),
@@ -160,11 +165,11 @@
     }
 }
 
-/// What a front sees in a period in which all is well: each zone's engines answer.
-pub fn seen(location: u32) -> ZoneObservation {
+/// The observation of a front in a period without failures: the engines of every zone answer.
+pub fn healthy_observation(location: u32) -> ZoneObservation {
     let engines_per_zone = budget::ENGINES / budget::ZONES;
-    let sights = (0..budget::ZONES).map(|site| zones::ZoneStats {
-        zone: site,
+    let zone_stats = (0..budget::ZONES).map(|zone_index| zones::ZoneStats {
+        zone: zone_index,
         listed: engines_per_zone as u16,
         cores: engines_per_zone * CORES,
         answering: engines_per_zone as u16,
@@ -175,7 +180,7 @@
     });
     let rate = budget::REQUESTS_PER_SECOND as f32 / REQUEST_CLASSES as f32;
     let demand = vec![zones::Demand { rate, work: 0.01 }; REQUEST_CLASSES];
-    let report = zones::FrontReport { zone: location, zones: sights.collect(), demand };
+    let report = zones::FrontReport { zone: location, zones: zone_stats.collect(), demand };
     let engine = |id: u32| zones::EngineObservation {
         engine: id,
         zone: id % budget::ZONES,
--- a/crates/tools/scale/src/fleet/side_by_side.rs
+++ b/crates/tools/scale/src/fleet/side_by_side.rs
@@ -1,8 +1,8 @@
-//! Real fronts and hollow ones in one fleet over loopback: what each sends, receives and holds.
+//! Runs real and simulated fronts in one fleet over loopback, and compares their traffic, state and processor time.
 
 use super::loopback::Loopback;
 use super::network::Place;
-use super::setup::{Setup, TASK, seen, zone_terms};
+use super::setup::{Setup, TASK, healthy_observation, zone_failover_config};
 use super::traffic::Flow;
 use crate::process::thread_time_of;
 use crate::watch::Watch;
@@ -14,53 +14,53 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// The hollow fronts have so long to settle who holds the task before the real one starts.
-const TASK_HELD: Duration = Duration::from_secs(60);
-/// Real fronts. What one sends varies by a tenth with the gossip that happens to travel with its messages, so the mean of
-/// several is compared.
+/// Timeout for a simulated front to acquire the task's lease before the real fronts start.
+const TASK_LEASE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Number of real fronts. The traffic of one varies by a tenth with the gossip records that its messages happen to
+/// carry, so the mean of several is compared.
 const REAL_FRONTS: usize = 3;
-/// The name of a real front's thread.
+/// The name of the thread of a real front.
 const THREAD: &str = "fleet";
 const KINDS: [MessageKind; 4] =
     [MessageKind::FailureDetector, MessageKind::Leases, MessageKind::Registers, MessageKind::Reports];
 
-/// What one front sent and received over a span, and the state that it held at its end.
+/// The traffic and processor time of one front over an interval, and its state at the end.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Account {
-    /// What it sent.
+    /// Messages and bytes sent.
     pub sent: Flow,
-    /// What it received.
+    /// Messages and bytes received.
     pub received: Flow,
-    /// Bytes of its state.
+    /// Bytes of the front's state.
     pub state_bytes: usize,
-    /// Processor time; a real one's has the time for its socket, too.
+    /// Processor time. That of a real front includes its socket calls.
     pub processor: Duration,
 }
 
-/// Real fronts and hollow ones over the same span.
+/// Real and simulated fronts over the same interval.
 #[derive(Debug, Clone)]
 pub struct SideBySide {
-    /// Of each real front.
+    /// One account for each real front.
     pub real: Vec<Account>,
-    /// Of each hollow front that neither votes nor holds the task, as the real ones don't.
+    /// One account for each simulated front that, like the real ones, neither votes nor holds the task.
     pub hollow: Vec<Account>,
-    /// How late the hollow fronts' driver, or a thread of its own that only sleeps, was at most.
+    /// The greatest lateness of the simulated fronts' driver or of a separate thread that only sleeps.
     pub lateness: Duration,
 }
 
 impl SideBySide {
-    /// The mean over the hollow fronts of one figure of an account.
+    /// The mean of one figure over the simulated fronts.
     pub fn hollow_mean(&self, figure: impl Fn(&Account) -> f64) -> f64 {
         mean(&self.hollow, figure)
     }
 
-    /// The mean over the real fronts of one figure of an account.
+    /// The mean of one figure over the real fronts.
     pub fn real_mean(&self, figure: impl Fn(&Account) -> f64) -> f64 {
         mean(&self.real, figure)
     }
 }
 
-/// A real front on a thread of its own, with its own socket and clock.
+/// A real front, with its own thread, socket and clock.
 struct RealFront {
     handle: FleetHandle,
     observations: Sender<ZoneObservation>,
@@ -69,26 +69,26 @@
 
 impl RealFront {
     fn start(setup: &Setup, hollow: &Loopback, front: usize) -> io::Result<RealFront> {
-        let (observations, seen) = async_channel::bounded(1);
+        let (observations, observation_receiver) = async_channel::bounded(1);
         let zone = Place::of(front).zone;
         let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-        let terms = setup.terms(front, listen, hollow.voters(setup.voters), zone, seen);
-        Ok(RealFront { handle: lemonusher_fleet::start(terms)?, observations, zone })
+        let config = setup.terms(front, listen, hollow.voters(setup.voters), zone, observation_receiver);
+        Ok(RealFront { handle: lemonusher_fleet::start(config)?, observations, zone })
     }
 }
 
-/// Runs a fleet of which the last fronts are real ones; accounts for `span` once it has run for `settled`. The task is held
-/// by a hollow front from the start, as its holder renews a lease more than others: of few real fronts among many
-/// hollow ones, holding it or not would show as a difference.
-pub fn side_by_side(setup: &Setup, settled: Duration, span: Duration) -> io::Result<SideBySide> {
+/// Runs a fleet whose last fronts are real, and measures it over `span` after `warm_up`. A simulated
+/// front acquires the task's lease before the real ones start: its holder renews one lease more than the others, which
+/// would distort the mean of the few real fronts.
+pub fn side_by_side(setup: &Setup, warm_up: Duration, span: Duration) -> io::Result<SideBySide> {
     let first_real = setup.fronts - REAL_FRONTS;
     let mut hollow = Loopback::start(setup, first_real)?;
     if setup.task {
-        hold_task(&mut hollow)?;
+        wait_for_task_lease(&mut hollow)?;
     }
     let real = (first_real..setup.fronts).map(|front| RealFront::start(setup, &hollow, front));
     let real: Vec<RealFront> = real.collect::<io::Result<_>>()?;
-    run(&mut hollow, &real, settled);
+    run(&mut hollow, &real, warm_up);
     let (real_before, hollow_before) = (real_accounts(&real), hollow_accounts(&hollow, setup));
     let watch = Watch::start(Duration::MAX);
     let lateness = run(&mut hollow, &real, span).max(watch.finish().greatest);
@@ -110,7 +110,7 @@
     accounts.iter().map(figure).sum::<f64>() / accounts.len().max(1) as f64
 }
 
-/// What a hollow front has done so far.
+/// The totals of a simulated front so far.
 struct HollowAccount {
     front: usize,
     account: Account,
@@ -127,26 +127,30 @@
     }
 }
 
-fn hold_task(hollow: &mut Loopback) -> io::Result<()> {
+fn wait_for_task_lease(hollow: &mut Loopback) -> io::Result<()> {
     let mut waited = Duration::ZERO;
     while !(0..hollow.fronts()).any(|front| hollow.may_act(front, TASK)) {
-        if waited >= TASK_HELD {
-            return Err(io::Error::new(io::ErrorKind::TimedOut, "no hollow front got hold of the task"));
+        if waited >= TASK_LEASE_TIMEOUT {
+            return Err(io::Error::new(
+                io::ErrorKind::TimedOut,
+                "no simulated front acquired the lease of the task in time",
+            ));
         }
         hollow.observe_zones();
-        hollow.run_for(zone_terms().report_interval);
-        waited += zone_terms().report_interval;
+        hollow.run_for(zone_failover_config().report_interval);
+        waited += zone_failover_config().report_interval;
     }
     Ok(())
 }
 
-/// Runs all fronts, and hands them once a period what requests would have shown.
+/// Runs all fronts, and passes them once a period the zone observations that requests would have produced. Returns the
+/// greatest lateness.
 fn run(hollow: &mut Loopback, real: &[RealFront], span: Duration) -> Duration {
-    let period = zone_terms().report_interval;
+    let period = zone_failover_config().report_interval;
     let mut lateness = Duration::ZERO;
     for _ in 0..span.as_nanos().div_ceil(period.as_nanos()) {
         for front in real {
-            let _ = front.observations.force_send(seen(front.zone));
+            let _ = front.observations.force_send(healthy_observation(front.zone));
         }
         hollow.observe_zones();
         lateness = lateness.max(hollow.run_for(period));
@@ -154,7 +158,7 @@
     lateness
 }
 
-/// The processor time is the mean of all, as their threads have one name.
+/// The totals of each real front. The processor time is the mean over all, since their threads share one name.
 fn real_accounts(real: &[RealFront]) -> Vec<Account> {
     let processor = thread_time_of(THREAD) / real.len().max(1) as u32;
     real.iter().map(|front| real_account(&front.handle, processor)).collect()
--- a/crates/tools/scale/src/managed/servers.rs
+++ b/crates/tools/scale/src/managed/servers.rs
@@ -1,5 +1,5 @@
-//! The management servers of many fronts in one process, each with its own store, log, thread and listener, as a real front has
-//! them; in place of a front's owner there is one that agrees to everything.
+//! The management servers of many fronts in one process, each with its own store, log, thread and listener, as in a
+//! real front. A stub that accepts every configuration stands in for the request router of a front.
 
 use crate::error::MeasureError;
 use lemonusher_managed::{GnmiConfig, Hub, ManagementConfig, Names, Started, Users, start};
@@ -18,7 +18,7 @@
 const HISTORY: usize = 10;
 const SESSIONS: usize = 16;
 const FRESHNESS: Duration = Duration::from_millis(100);
-/// What the file of a front on the platform states.
+/// The start file of a front on the platform.
 const START_CONFIG: &str = include_str!("../../../../../docs/front-example.json");
 const PROGRAM: &str = "lemonusher";
 const GNMI_LOG_PREFIX: &str = "gNMI at ";
@@ -26,7 +26,7 @@
 
 /// One front's management server.
 pub struct ManagementServer {
-    /// Where it speaks gNMI.
+    /// The address of its gNMI server.
     pub gnmi: SocketAddr,
     /// Its configuration store.
     pub hub: Arc<Hub>,
@@ -39,7 +39,7 @@
     runtime: Handle,
 }
 
-/// The names of a deployment, as a front's file states them.
+/// The names of a deployment, as in a front's start file.
 pub fn names() -> Names {
     Names {
         zones: vec!["east".into(), "west".into()],
@@ -49,25 +49,25 @@
 }
 
 impl ManagementServers {
-    /// None yet. Their logs lie in a temporary folder.
+    /// Creates an empty set of servers, whose logs will be in a temporary folder.
     pub fn new(runtime: Handle) -> Result<ManagementServers, MeasureError> {
         let folder = TempDir::new().map_err(io("a folder for the fronts' logs"))?;
         Ok(ManagementServers { servers: Vec::new(), folder, runtime })
     }
 
-    /// Opens more until there are so many.
+    /// Starts servers until there are `count`, and returns the first `count` of them.
     pub fn open(&mut self, count: usize) -> Result<&[ManagementServer], MeasureError> {
         while self.servers.len() < count {
             let front = self.servers.len();
-            let server = open(front, self.folder.path().join(format!("{front}")), &self.runtime)?;
+            let server = start_server(front, self.folder.path().join(format!("{front}")), &self.runtime)?;
             self.servers.push(server);
         }
         Ok(&self.servers[..count])
     }
 }
 
-fn open(front: usize, folder: PathBuf, runtime: &Handle) -> Result<ManagementServer, MeasureError> {
-    let terms = ManagementConfig {
+fn start_server(front: usize, folder: PathBuf, runtime: &Handle) -> Result<ManagementServer, MeasureError> {
+    let config = ManagementConfig {
         folder: Some(folder),
         history: HISTORY,
         sessions: SESSIONS,
@@ -78,15 +78,16 @@
         netconf: None,
         users: Users::default(),
     };
-    let started = start(terms, names(), format!("front-{front:04}"), Arc::new(|_| {}), Vec::new())
-        .map_err(|unfit| MeasureError::Failed(unfit.to_string()))?;
+    let started = start(config, names(), format!("front-{front:04}"), Arc::new(|_| {}), Vec::new())
+        .map_err(|cause| MeasureError::Failed(cause.to_string()))?;
     let Started { requests, hub, gnmi, .. } = started;
     runtime.spawn(accept_all(requests));
-    let gnmi = gnmi.ok_or_else(|| MeasureError::Failed("the door has no address".into()))?;
+    let gnmi =
+        gnmi.ok_or_else(|| MeasureError::Failed("the gNMI server reported no listening address".into()))?;
     Ok(ManagementServer { gnmi, hub })
 }
 
-/// In place of a request router: accepts every configuration.
+/// Stands in for a request router: accepts every configuration.
 async fn accept_all(requests: async_channel::Receiver<ManagementCall>) {
     while let Ok(request) = requests.recv().await {
         match request {
@@ -98,16 +99,16 @@
     }
 }
 
-/// A real front with its management server, as a process of its own; ended when dropped.
+/// A real front with its management server, as a separate process; killed when dropped.
 pub struct RealFront {
     child: Child,
-    /// Where it speaks gNMI.
+    /// The address of its gNMI server.
     pub gnmi: SocketAddr,
     _folder: TempDir,
 }
 
 impl RealFront {
-    /// Starts the program beside this one; none if it has not been built.
+    /// Starts the front's program from the folder of this program; none if it has not been built.
     pub fn start() -> Result<Option<RealFront>, MeasureError> {
         let Some(program) = program()? else { return Ok(None) };
         let folder = TempDir::new().map_err(io("a folder for the front"))?;
@@ -120,12 +121,12 @@
             .stderr(Stdio::piped())
             .spawn()
             .map_err(io(&program.display().to_string()))?;
-        let address = child.stderr.take().and_then(|log| follow(BufReader::new(log)));
+        let address = child.stderr.take().and_then(|log| read_address(BufReader::new(log)));
         match address {
             Some(gnmi) => Ok(Some(RealFront { child, gnmi, _folder: folder })),
             None => {
-                end(&mut child);
-                Err(MeasureError::Failed("the front did not open its door".into()))
+                kill_and_wait(&mut child);
+                Err(MeasureError::Failed("the front did not log its gNMI address in time".into()))
             }
         }
     }
@@ -133,35 +134,35 @@
 
 impl Drop for RealFront {
     fn drop(&mut self) {
-        end(&mut self.child);
+        kill_and_wait(&mut self.child);
     }
 }
 
-fn end(child: &mut Child) {
-    let _ = child.kill(); // It may have ended by itself.
+fn kill_and_wait(child: &mut Child) {
+    let _ = child.kill(); // The process may have exited already.
     let _ = child.wait();
 }
 
-/// The address of the management server, from the log; the log is read to its end.
-fn follow(log: impl BufRead + Send + 'static) -> Option<SocketAddr> {
+/// The address of the gNMI server, as logged. Another thread keeps reading the log, so that the front never blocks.
+fn read_address(log: impl BufRead + Send + 'static) -> Option<SocketAddr> {
     let (sender, receiver) = channel();
     std::thread::spawn(move || {
         for line in log.lines().map_while(Result::ok) {
             let address = line.split_once(GNMI_LOG_PREFIX).and_then(|(_, rest)| rest.trim().parse().ok());
             if let Some(address) = address {
-                let _ = sender.send(address); // Nobody waits any more.
+                let _ = sender.send(address); // The receiver may have timed out.
             }
         }
     });
     receiver.recv_timeout(MAX_START_TIME).ok()
 }
 
-/// The start file, and the operator's file that names it.
+/// Writes the start file and the operator's configuration file that refers to it; returns the path of the latter.
 fn write_files(folder: &Path) -> std::io::Result<PathBuf> {
-    let mut receiver: serde_json::Value = serde_json::from_str(START_CONFIG)?;
-    receiver["listen"] = "127.0.0.1:0".into();
+    let mut start_config: serde_json::Value = serde_json::from_str(START_CONFIG)?;
+    start_config["listen"] = "127.0.0.1:0".into();
     let (start_path, operator_path) = (folder.join("told.json"), folder.join("front.toml"));
-    std::fs::write(&start_path, receiver.to_string())?;
+    std::fs::write(&start_path, start_config.to_string())?;
     let text = format!(
         "[front]\ntold = {:?}\n[managed]\nhistory = {HISTORY}\nfolder = {:?}\n[managed.gnmi]\nlisten = \"127.0.0.1:0\"\n",
         start_path.display().to_string(),
@@ -171,7 +172,8 @@
     Ok(operator_path)
 }
 
-/// Beside this program; tests lie one folder deeper.
+/// The path of the front's program, in the folder of this program or, since test programs are one folder deeper, in
+/// its parent.
 fn program() -> Result<Option<PathBuf>, MeasureError> {
     let own = std::env::current_exe().map_err(io("the path of this program"))?;
     Ok(own.ancestors().skip(1).take(2).map(|folder| folder.join(PROGRAM)).find(|path| path.exists()))
--- a/crates/tools/scale/src/page.rs
+++ b/crates/tools/scale/src/page.rs
@@ -1,5 +1,5 @@
-//! The generated tables of `docs/CAPACITY.md`. A block between `<!-- figures:NAME -->` and `<!-- end -->` is made of
-//! `docs/capacity/NAME.csv` alone; the block named `summary` of all files that bear a role's name.
+//! The generated tables of `docs/CAPACITY.md`. A block between `<!-- figures:NAME -->` and `<!-- end -->` is generated
+//! from `docs/capacity/NAME.csv` alone; the block `summary` from all files that have the name of a role.
 
 use crate::budget;
 use crate::role::Role;
@@ -10,32 +10,32 @@
 const BEGIN: &str = "<!-- figures:";
 const BEGIN_END: &str = " -->";
 const END: &str = "<!-- end -->";
-/// The block that holds every role against its budgets.
+/// The block that compares every role with its budgets.
 const SUMMARY: &str = "summary";
-/// In place of figures that were not measured.
+/// The content of a block without samples.
 const NOT_MEASURED: &str = "Not measured.";
 
-/// Why a page can't be generated.
+/// The reason why the page can't be generated.
 #[derive(Debug, thiserror::Error)]
 pub enum PageError {
     /// A block is not closed.
-    #[error("the block {0} has no end")]
+    #[error("the block {0} is not closed")]
     NoEnd(String),
-    /// A CSV file can't be used.
+    /// A CSV file can't be read.
     #[error(transparent)]
     File(#[from] FileError),
 }
 
-/// The page with its blocks generated anew from the CSV files in `folder`.
+/// Returns the page with its blocks regenerated from the CSV files in `folder`.
 pub fn regenerate(page: &str, folder: &Path) -> Result<String, PageError> {
     let mut out = String::with_capacity(page.len());
     let mut rest = page;
     while let Some(start) = rest.find(BEGIN) {
         let after = &rest[start + BEGIN.len()..];
-        let unended = || PageError::NoEnd(after.lines().next().unwrap_or_default().to_string());
-        let name_end = after.find(BEGIN_END).ok_or_else(unended)?;
+        let unclosed = || PageError::NoEnd(after.lines().next().unwrap_or_default().to_string());
+        let name_end = after.find(BEGIN_END).ok_or_else(unclosed)?;
         let name = &after[..name_end];
-        let end = after.find(END).ok_or_else(unended)?;
+        let end = after.find(END).ok_or_else(unclosed)?;
         out.push_str(&rest[..start + BEGIN.len() + name_end + BEGIN_END.len()]);
         out.push_str("\n\n");
         out.push_str(&block(name, folder)?);
@@ -61,13 +61,13 @@
     Ok(if samples.is_empty() { format!("{NOT_MEASURED}\n") } else { table(&group(&samples)) })
 }
 
-/// The samples of a file; none if there is no such file.
+/// The samples of a file; empty if there is no such file.
 pub fn samples_of(name: &str, folder: &Path) -> Result<Vec<Sample>, FileError> {
     let path = folder.join(format!("{name}.csv"));
     if path.exists() { sample::read(&path) } else { Ok(Vec::new()) }
 }
 
-/// One line a series.
+/// The table of a block, with one line for each series.
 fn table(all: &[Series]) -> String {
     let axis = all.first().map_or("", |series| series.role.axis().name());
     let design = all.first().map_or(0, Series::design_size);
@@ -99,24 +99,25 @@
         series.metric.title(),
         sizes.join(", "),
         at_design(series),
-        series.budget().map_or("–".into(), bound),
-        passed_at(series),
+        series.budget().map_or("–".into(), budget_text),
+        crossing_text(series),
     )
 }
 
-/// The value at the design size, with its interval and how far it is extrapolated if it was not measured there.
+/// The value at the design size. If it was not measured there, its confidence interval and the factor of extrapolation
+/// follow.
 fn at_design(series: &Series) -> String {
     let Some(estimate) = series.at_design() else { return "–".into() };
     let value = figure(estimate.value);
     let Some(margin) = estimate.margin else { return value };
     let design = f64::from(series.design_size());
     let times = series.fit().map_or(1.0, |fit| fit.extrapolation(design));
-    let far = if times > 1.0 { format!(", extrapolated {times:.1} times") } else { String::new() };
-    format!("{value} ± {}{far}", figure(margin))
+    let extrapolation = if times > 1.0 { format!(", extrapolated {times:.1} times") } else { String::new() };
+    format!("{value} ± {}{extrapolation}", figure(margin))
 }
 
-/// The size at which the budget is passed.
-fn passed_at(series: &Series) -> String {
+/// The size at which the metric exceeds its budget.
+fn crossing_text(series: &Series) -> String {
     match series.budget_crossing() {
         None => "–".into(),
         Some(BudgetCrossing::Below(size)) => format!("at most {}", figure(size)),
@@ -125,7 +126,7 @@
     }
 }
 
-/// Each role's worst case against each of its budgets.
+/// The table that compares each role's worst case with each of its budgets.
 fn summary(folder: &Path) -> Result<String, PageError> {
     let mut out = String::from(
         "| role | metric | worst case | at the design size | budget | | budget passed at |\n\
@@ -149,23 +150,23 @@
     let worst = of_metric
         .filter_map(|series| Some((series, series.at_design()?)))
         .max_by(|a, b| a.1.value.total_cmp(&b.1.value));
-    let max = bound(budget.max);
+    let max = budget_text(budget.max);
     let metric = budget.metric.title();
     let Some((series, estimate)) = worst else {
         return format!("| {role} | {metric} | – | not measured | {max} | – | – |\n");
     };
     let verdict = if estimate.value > budget.max { "**past**" } else { "within" };
-    let crossing = format!("{} {}", passed_at(series), series.role.axis().name());
+    let crossing = format!("{} {}", crossing_text(series), series.role.axis().name());
     let case = if series.case.is_empty() { "–" } else { &series.case };
     format!("| {role} | {metric} | {case} | {} | {max} | {verdict} | {crossing} |\n", at_design(series))
 }
 
-/// A budget as it is stated, thousands parted by commas.
-fn bound(value: f64) -> String {
-    if value.fract() == 0.0 { parted(&format!("{value:.0}")) } else { value.to_string() }
+/// A budget without rounding; if it is a whole number, with commas between thousands.
+fn budget_text(value: f64) -> String {
+    if value.fract() == 0.0 { separate_thousands(&format!("{value:.0}")) } else { value.to_string() }
 }
 
-/// A number with three significant digits, thousands parted by commas.
+/// A number with three significant digits and commas between thousands.
 pub fn figure(value: f64) -> String {
     if value == 0.0 {
         return "0".into();
@@ -180,18 +181,18 @@
         };
     }
     let scale = 10f64.powi(-digits);
-    parted(&format!("{:.0}", (value / scale).round() * scale))
+    separate_thousands(&format!("{:.0}", (value / scale).round() * scale))
 }
 
-/// Separates the thousands of a whole number by commas.
-fn parted(whole: &str) -> String {
+/// Inserts commas between the thousands of a whole number.
+fn separate_thousands(whole: &str) -> String {
     let (sign, number) = whole.strip_prefix('-').map_or(("", whole), |number| ("-", number));
-    let mut parted = String::new();
+    let mut separated = String::new();
     for (index, digit) in number.chars().enumerate() {
         if index > 0 && (number.len() - index).is_multiple_of(3) {
-            parted.push(',');
+            separated.push(',');
         }
-        parted.push(digit);
+        separated.push(digit);
     }
-    format!("{sign}{parted}")
+    format!("{sign}{separated}")
 }
--- a/crates/tools/scale/src/roles/configuration.rs
+++ b/crates/tools/scale/src/roles/configuration.rs
@@ -1,5 +1,5 @@
-//! Configuration: nothing replicates a commit between fronts, so a manager commits at each front's gNMI server.
-//! The servers are real; the time that the network takes is drawn and added.
+//! Configuration changes: no commit is replicated between fronts, so a management client commits at each front's gNMI
+//! server. The servers are real; the network delay is drawn at random and added.
 
 use crate::budget::CHANGES_PER_DAY;
 use crate::error::MeasureError;
@@ -18,15 +18,15 @@
 use tokio::runtime::Runtime;
 use tokio::task::JoinSet;
 
-/// Managers that share the fronts between them: one a machine set aside for control.
-const MANAGERS: usize = 8;
-/// Changes made at once, each by a manager of its own.
+/// Management clients that share the fronts between them: one for each machine set aside for control.
+const MANAGEMENT_CLIENTS: usize = 8;
+/// Changes made at once, each by a management client of its own.
 const CONCURRENT_CHANGES: usize = 10;
-/// One front in so many is away while a change is made.
-const ABSENT_EVERY: usize = 20;
-/// How late the rig may wake.
+/// One front in this many is unreachable while a change is made.
+const ABSENT_FRONT_INTERVAL: usize = 20;
+/// The lateness of a timer above which a run counts as disturbed.
 const MAX_LATENESS: Duration = Duration::from_millis(100);
-/// What a server takes at most: its store, its log, its thread.
+/// Upper limit of the memory of one server, with its store, log and thread.
 const BYTES_PER_SERVER: u64 = 4 << 20;
 const DESCRIPTORS_PER_SERVER: u64 = 10;
 const REAL_COMMITS: usize = 100;
@@ -34,17 +34,17 @@
 
 const IN_FORCE_MEDIAN: Metric = Metric::new("in_force_p50", "s");
 const IN_FORCE_P99: Metric = Metric::new("in_force_p99", "s");
-/// One commit at one front: connecting, committing, and the answer, without the network.
+/// One commit at one front: connection, commit and response, without the network delay.
 const COMMIT_MEDIAN: Metric = Metric::new("commit_p50", "ms");
 const COMMIT_P99: Metric = Metric::new("commit_p99", "ms");
-/// At one front, both ways.
+/// Bytes of one commit at one front, both directions.
 const COMMIT_BYTES: Metric = Metric::new("bytes_a_commit", "B");
-/// Of the server's thread and the manager's together.
+/// Processor time of the server and the management client together.
 const COMMIT_PROCESSOR: Metric = Metric::new("processor_a_commit", "ms");
-/// Fronts that were away and have not got the change after they are back.
-const LEFT_BEHIND: Metric = Metric::new("fronts_left_behind", "1");
-/// Fronts at which the later of two opposed changes is another than at most.
-const DIFFERENT: Metric = Metric::new("fronts_that_differ", "1");
+/// Fronts that were unreachable during a change and still lack it after their return.
+const FRONTS_LEFT_BEHIND: Metric = Metric::new("fronts_left_behind", "1");
+/// After two opposed changes: fronts whose last commit differs from that of the majority.
+const DIFFERING_FRONTS: Metric = Metric::new("fronts_that_differ", "1");
 
 /// Commits changes at many fronts' management servers.
 pub struct Configuration {
@@ -56,7 +56,7 @@
     changes: u32,
 }
 
-/// The management server of a front.
+/// The gNMI address of a front's management server.
 #[derive(Debug, Clone, Copy)]
 struct FrontAddress {
     front: usize,
@@ -72,11 +72,10 @@
     /// A measurement with these options.
     pub fn new(options: &Options) -> Result<Self, MeasureError> {
         let resident = resident_bytes()?;
-        let runtime = tokio::runtime::Builder::new_multi_thread()
-            .worker_threads(2)
-            .enable_all()
-            .build()
-            .map_err(|cause| MeasureError::Io { what: "the managers' runtime".into(), cause })?;
+        let runtime =
+            tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().map_err(
+                |cause| MeasureError::Io { what: "the runtime of the management clients".into(), cause },
+            )?;
         let servers = ManagementServers::new(runtime.handle().clone())?;
         Ok(Configuration { options: options.clone(), runtime, servers, resident, changes: 0 })
     }
@@ -91,24 +90,29 @@
         let servers = self.servers.open(size as usize)?;
         let fronts = addresses(servers);
         if fresh {
-            self.runtime.block_on(roll_out_all(&fronts, MANAGERS, &Change::Pools, &Manager::default()))?;
+            self.runtime.block_on(roll_out_all(
+                &fronts,
+                MANAGEMENT_CLIENTS,
+                &Change::Pools,
+                &Manager::default(),
+            ))?;
         }
         let mut samples = Vec::new();
-        for (way, managers) in [("one-manager", 1), ("8-managers", MANAGERS)] {
-            samples.extend(self.shared(size, way, managers, &fronts, seed)?);
+        for (way, client_count) in [("one-manager", 1), ("8-managers", MANAGEMENT_CLIENTS)] {
+            samples.extend(self.roll_out_divided(size, way, client_count, &fronts, seed)?);
         }
-        samples.extend(self.at_once(size, &fronts, seed)?);
-        samples.extend(self.away(size)?);
-        samples.extend(self.opposed(size, &fronts)?);
+        samples.extend(self.roll_out_concurrently(size, &fronts, seed)?);
+        samples.extend(self.roll_out_to_present(size)?);
+        samples.extend(self.roll_out_opposed(size, &fronts)?);
         Ok(samples)
     }
 
-    /// One change, the fronts shared out among so many managers.
-    fn shared(
+    /// Rolls out one change, with the fronts divided among `client_count` clients.
+    fn roll_out_divided(
         &mut self,
         size: u32,
         way: &str,
-        managers: usize,
+        client_count: usize,
         fronts: &[FrontAddress],
         seed: u64,
     ) -> Result<Vec<Sample>, MeasureError> {
@@ -116,13 +120,13 @@
         let manager = Manager::default();
         let watch = Watch::start(MAX_LATENESS);
         let processor = crate::process::process_time();
-        let parts = self.runtime.block_on(roll_out_all(fronts, managers, &change, &manager))?;
+        let parts = self.runtime.block_on(roll_out_all(fronts, client_count, &change, &manager))?;
         let processor = crate::process::process_time().saturating_sub(processor);
         let disturbed = watch.finish().disturbed();
         let mut samples = Vec::new();
         for loss in LOSSES {
             let run = run(format!("way={way},loss={loss}"), size, disturbed);
-            samples.extend(in_force(&run, &parts, loss, seed));
+            samples.extend(in_force_samples(&run, &parts, loss, seed));
         }
         let run = run(format!("way={way}"), size, disturbed);
         let each = f64::from(size);
@@ -135,12 +139,12 @@
         samples.push(run.sample(metric::PROCESSOR, commit_ms / 1e3 * per_second * 100.0));
         let memory = (resident_bytes()? - self.resident).max(0.0) / each / 1e6;
         samples.push(run.sample(metric::MEMORY, memory));
-        samples.extend(local(&run, &parts));
+        samples.extend(commit_time_samples(&run, &parts));
         Ok(samples)
     }
 
-    /// Ten changes at once, each by a manager that commits at all fronts in turn.
-    fn at_once(
+    /// Rolls out ten changes at once, each by a management client that commits at all fronts in turn.
+    fn roll_out_concurrently(
         &mut self,
         size: u32,
         fronts: &[FrontAddress],
@@ -155,28 +159,29 @@
                 let fronts = fronts.to_vec();
                 rollouts.spawn(async move { roll_out(fronts, change, Manager::default()).await });
             }
-            joined(rollouts).await
+            join_all(rollouts).await
         })?;
         let disturbed = watch.finish().disturbed();
         let case = |loss| run(format!("way=10-changes-at-once,loss={loss}"), size, disturbed);
-        Ok(LOSSES.into_iter().flat_map(|loss| in_force(&case(loss), &parts, loss, seed)).collect())
+        Ok(LOSSES.into_iter().flat_map(|loss| in_force_samples(&case(loss), &parts, loss, seed)).collect())
     }
 
-    /// Some fronts are away while a change is made. Nothing brings it to them later: whoever made it would have to.
-    fn away(&mut self, size: u32) -> Result<Vec<Sample>, MeasureError> {
+    /// Rolls out a change while some fronts are unreachable. They never receive it unless its author commits it again.
+    fn roll_out_to_present(&mut self, size: u32) -> Result<Vec<Sample>, MeasureError> {
         let change = self.next_change(0);
         let servers = self.servers.open(size as usize)?;
-        let is_present = |address: &FrontAddress| !address.front.is_multiple_of(ABSENT_EVERY);
+        let is_present = |address: &FrontAddress| !address.front.is_multiple_of(ABSENT_FRONT_INTERVAL);
         let fronts: Vec<FrontAddress> = addresses(servers).into_iter().filter(is_present).collect();
         let before: Vec<u64> = servers.iter().map(version).collect();
-        self.runtime.block_on(roll_out_all(&fronts, MANAGERS, &change, &Manager::default()))?;
+        self.runtime.block_on(roll_out_all(&fronts, MANAGEMENT_CLIENTS, &change, &Manager::default()))?;
         let servers = self.servers.open(size as usize)?;
-        let left = servers.iter().zip(&before).filter(|(server, before)| version(server) == **before).count();
-        Ok(vec![run("way=8-managers".into(), size, false).sample(LEFT_BEHIND, left as f64)])
+        let left_behind =
+            servers.iter().zip(&before).filter(|(server, before)| version(server) == **before).count();
+        Ok(vec![run("way=8-managers".into(), size, false).sample(FRONTS_LEFT_BEHIND, left_behind as f64)])
     }
 
-    /// Two managers want opposed things of one pool, and go round the fronts in opposed directions.
-    fn opposed(&mut self, size: u32, fronts: &[FrontAddress]) -> Result<Vec<Sample>, MeasureError> {
+    /// Two management clients commit opposed changes of one pool, and visit the fronts in opposite orders.
+    fn roll_out_opposed(&mut self, size: u32, fronts: &[FrontAddress]) -> Result<Vec<Sample>, MeasureError> {
         let backwards: Vec<FrontAddress> = fronts.iter().rev().copied().collect();
         let changes = [(true, fronts.to_vec()), (false, backwards)];
         self.runtime.block_on(async {
@@ -185,17 +190,17 @@
                 let change = Change::Drain { pool: CONCURRENT_CHANGES as u32 + 1, drained };
                 rollouts.spawn(async move { roll_out(fronts, change, Manager::default()).await });
             }
-            joined(rollouts).await
+            join_all(rollouts).await
         })?;
         let servers = self.servers.open(size as usize)?;
         let drained =
             servers.iter().filter(|server| is_drained(server, CONCURRENT_CHANGES as u32 + 1)).count();
         let different = drained.min(servers.len() - drained);
-        Ok(vec![run("way=2-managers-opposed".into(), size, false).sample(DIFFERENT, different as f64)])
+        Ok(vec![run("way=2-managers-opposed".into(), size, false).sample(DIFFERING_FRONTS, different as f64)])
     }
 
-    /// What a commit takes at a real front, where its program has been built.
-    fn real(&mut self, size: u32) -> Result<Vec<Sample>, MeasureError> {
+    /// Measures commits at a real front process; no samples if its program has not been built.
+    fn commit_at_real_front(&mut self, size: u32) -> Result<Vec<Sample>, MeasureError> {
         let Some(front) = RealFront::start()? else { return Ok(Vec::new()) };
         let manager = Manager::default();
         self.runtime.block_on(manager.commit(front.gnmi, &Change::Pools))?;
@@ -209,7 +214,7 @@
         let run = run("door=real".into(), size, watch.finish().disturbed());
         let bytes = (manager.bytes.get() - before) as f64 / REAL_COMMITS as f64;
         let mut samples = vec![run.sample(COMMIT_BYTES, bytes)];
-        samples.extend(local(&run, &[commits]));
+        samples.extend(commit_time_samples(&run, &[commits]));
         Ok(samples)
     }
 }
@@ -230,20 +235,20 @@
     place.is_some_and(|place| running.tree.leaf(schema, &place) == Some("draining"))
 }
 
-/// Each manager takes every so-many-th front.
+/// Rolls out a change; each management client takes every `client_count`-th front.
 async fn roll_out_all(
     fronts: &[FrontAddress],
-    managers: usize,
+    client_count: usize,
     change: &Change,
     manager: &Manager,
 ) -> Result<Vec<Vec<FrontCommit>>, MeasureError> {
     let mut rollouts = JoinSet::new();
-    for first in 0..managers {
-        let part: Vec<FrontAddress> = fronts.iter().skip(first).step_by(managers).copied().collect();
+    for first in 0..client_count {
+        let part: Vec<FrontAddress> = fronts.iter().skip(first).step_by(client_count).copied().collect();
         let (change, manager) = (change.clone(), manager.clone());
         rollouts.spawn(async move { roll_out(part, change, manager).await });
     }
-    joined(rollouts).await
+    join_all(rollouts).await
 }
 
 async fn roll_out(
@@ -259,7 +264,7 @@
     Ok(commits)
 }
 
-async fn joined(
+async fn join_all(
     mut rollouts: JoinSet<Result<Vec<FrontCommit>, MeasureError>>,
 ) -> Result<Vec<Vec<FrontCommit>>, MeasureError> {
     let mut parts = Vec::new();
@@ -269,8 +274,9 @@
     Ok(parts)
 }
 
-/// When a change is in force at the fronts, with the network's time; the managers are in the first zones.
-fn in_force(run: &Run, parts: &[Vec<FrontCommit>], loss: u32, seed: u64) -> Vec<Sample> {
+/// Samples of the time until a change is in force at the fronts, including network delays. Management client number n
+/// is placed where front number n is.
+fn in_force_samples(run: &Run, parts: &[Vec<FrontCommit>], loss: u32, seed: u64) -> Vec<Sample> {
     let network = Network { delays: Delays::STATED, loss: f64::from(loss) / 100.0, partitioned: false };
     let roll_out = |(number, commits): (usize, &Vec<FrontCommit>)| {
         Rollout::over(commits, &network, Place::of(number), seed + number as u64).in_force
@@ -285,13 +291,13 @@
     ]
 }
 
-fn local(run: &Run, parts: &[Vec<FrontCommit>]) -> Vec<Sample> {
+fn commit_time_samples(run: &Run, parts: &[Vec<FrontCommit>]) -> Vec<Sample> {
     let mut all: Vec<f64> = parts.iter().flatten().map(|one| one.commit.local.as_secs_f64() * 1e3).collect();
     all.sort_by(f64::total_cmp);
     vec![run.sample(COMMIT_MEDIAN, quantile(&all, 0.5)), run.sample(COMMIT_P99, quantile(&all, 0.99))]
 }
 
-/// Of sorted values; zero for none.
+/// A quantile of sorted values; zero for none.
 fn quantile(sorted: &[f64], share: f64) -> f64 {
     let place = (sorted.len() as f64 * share).ceil() as usize;
     sorted.get(place.saturating_sub(1)).copied().unwrap_or_default()
@@ -307,18 +313,18 @@
     }
 
     fn measure(&mut self, size: u32, progress: &mut Progress) -> Result<Vec<Sample>, MeasureError> {
-        fits(size)?;
+        check_limits(size)?;
         let mut samples = Vec::new();
         for repeat in 0..self.options.repeats {
             progress.step(format!("{size} fronts, run {}", repeat + 1));
             samples.extend(self.run(size, self.options.seed + u64::from(repeat), repeat == 0)?);
         }
-        samples.extend(self.real(size)?);
+        samples.extend(self.commit_at_real_front(size)?);
         Ok(samples)
     }
 }
 
-fn fits(size: u32) -> Result<(), MeasureError> {
+fn check_limits(size: u32) -> Result<(), MeasureError> {
     let servers = u64::from(size);
     let need = Need {
         memory_bytes: servers * BYTES_PER_SERVER,
--- a/crates/tools/scale/src/roles/decision/driver.rs
+++ b/crates/tools/scale/src/roles/decision/driver.rs
@@ -1,4 +1,5 @@
-//! Drives one gateway in virtual time: requests at a steady rate, engines that answer, probes that are answered.
+//! Drives one gateway in virtual time: requests arrive at a constant rate, and simulated engines reply to attempts and
+//! probes.
 
 use crate::budget;
 use crate::process::thread_time;
@@ -12,16 +13,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The gateway decides once in this time.
+/// Virtual time between two decisions of the gateway.
 pub const TICK: Duration = Duration::from_millis(5);
 
-/// Table groups that requests ask of, all alike.
+/// Number of table groups; each gets the same share of the requests.
 pub const TABLE_GROUPS: u64 = 256;
-/// Engines of the list while the host warms up.
+/// Engines of the list during warm-up.
 const WARM_ENGINES: u32 = 20;
-/// Long enough for the number of held requests to be steady.
+/// Virtual duration of the warm-up; long enough for the number of queued requests to be steady.
 const WARM_UP: Duration = Duration::from_secs(2);
-/// Ticks on the whole list before the measurement: every table group is asked of once.
+/// Ticks with the full list before the measurement, in which every table group is requested once.
 const SETTLE_TICKS: u64 = TABLE_GROUPS.div_ceil(14) + 1;
 
 const SHORT: usize = 0;
@@ -30,31 +31,32 @@
 const SHORT_DEADLINE: Duration = Duration::from_secs(5);
 const WIDE_OBJECTIVE: Duration = Duration::from_secs(3);
 const WIDE_DEADLINE: Duration = Duration::from_secs(20);
-/// Of a core's threads so many that no gate lets it in.
+/// Threads of a request of the wide class: more than the admission control of any engine admits.
 const WIDE_THREADS: f64 = 64.0;
-/// A wide request is given up after this part of its goal: the gateway's `START_BY`.
-const GIVEN_UP_AFTER: f64 = 0.25;
+/// The share of its latency objective after which the gateway rejects a queued request: the gateway's
+/// `START_BY_SHARE`.
+const GIVE_UP_SHARE: f64 = 0.25;
 const CORES: f64 = 16.0;
 const MEMORY_MB: f64 = 65_536.0;
 const WORK: Duration = Duration::from_millis(8);
-/// Ticks until an attempt is answered: from, and up to but not including.
-const ANSWER_TICKS: std::ops::Range<u64> = 1..4;
-/// Busy cores that engines report: from, and up to.
-const BUSY: std::ops::Range<f64> = 0.15..0.35;
+/// Range of the ticks until the reply to an attempt.
+const REPLY_TICKS: std::ops::Range<u64> = 1..4;
+/// Range of the busy cores that engines report.
+const BUSY_CORES: std::ops::Range<f64> = 0.15..0.35;
 
-/// How engines report their load.
+/// The load reporting of the engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadReports {
     Never,
     WithResponses,
     WithProbes,
-    /// With responses, and all engines have reported just before the measurement: the best case, as an engine to which
-    /// nothing was sent lately has no report that counts.
+    /// Like `WithResponses`, but all engines have reported just before the measurement. This is the best case:
+    /// otherwise an engine that has received no request lately has no valid report.
     AllFresh,
 }
 
 impl LoadReports {
-    fn reports(self) -> LoadReporting {
+    fn load_reporting(self) -> LoadReporting {
         match self {
             LoadReports::Never => LoadReporting::None,
             LoadReports::WithResponses | LoadReports::AllFresh => LoadReporting::WithResponses,
@@ -63,22 +65,22 @@
     }
 }
 
-/// What a run is made of.
+/// Parameters of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Traffic {
     pub engines: u32,
     pub load_reports: LoadReports,
-    /// Requests to be held at any time.
+    /// Target number of queued requests.
     pub held: u32,
     pub seed: u64,
 }
 
-/// What the replacement of an engine cost.
+/// The cost of the replacement of an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct ReplacementCost {
     /// Processor time of the gateway.
     pub processor: Duration,
-    /// Ticks that it was counted over.
+    /// Ticks over which it was measured.
     pub ticks: u32,
 }
 
@@ -89,17 +91,17 @@
     rng: StdRng,
     now: Duration,
     tick: u64,
-    /// Arrivals due, with the fraction of the next one.
+    /// Arrivals that are due, including the fraction of the next one.
     due: f64,
     arrived: u64,
     waiting: BTreeSet<RequestId>,
-    responses: BTreeMap<u64, Vec<Event>>,
+    replies: BTreeMap<u64, Vec<Event>>,
 }
 
 impl GatewayDriver {
-    /// A host with the list of the warm-up.
+    /// Creates a gateway with the endpoint list of the warm-up.
     pub fn new(traffic: Traffic) -> Self {
-        let mut gateway = Gateway::new(deployment(traffic.load_reports.reports()), traffic.seed);
+        let mut gateway = Gateway::new(deployment(traffic.load_reports.load_reporting()), traffic.seed);
         gateway.handle_event(Duration::ZERO, full_list(WARM_ENGINES.min(traffic.engines)));
         GatewayDriver {
             traffic,
@@ -110,22 +112,22 @@
             due: 0.0,
             arrived: 0,
             waiting: BTreeSet::new(),
-            responses: BTreeMap::new(),
+            replies: BTreeMap::new(),
         }
     }
 
-    /// Requests that have arrived so far.
+    /// The number of requests that have arrived so far.
     pub fn arrived(&self) -> u64 {
         self.arrived
     }
 
-    /// Requests that wait for an attempt.
+    /// The number of requests that wait for an attempt.
     pub fn held(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Runs on a short list until the held requests are steady, then gives the whole list, and asks once of each table
-    /// group.
+    /// Runs with a short list until the number of queued requests is steady, then applies the full list and
+    /// requests each table group once.
     pub fn warm_up(&mut self) {
         while self.now < WARM_UP {
             self.tick();
@@ -133,7 +135,7 @@
         self.gateway.handle_event(self.now, full_list(self.traffic.engines));
         if self.traffic.load_reports == LoadReports::AllFresh {
             for engine in 0..self.traffic.engines {
-                let event = self.probed(engine);
+                let event = self.probe_reply(engine);
                 self.gateway.handle_event(self.now, event);
             }
         }
@@ -142,8 +144,8 @@
         }
     }
 
-    /// One engine is replaced by another. Returns the processor time until each table group was asked of once, and
-    /// the ticks that took.
+    /// Replaces one engine by another. Returns the processor time until each table group was requested once, and the
+    /// number of ticks for that.
     pub fn replace_one(&mut self) -> ReplacementCost {
         let removed = EngineEntry { state: EngineState::Removed, ..entry(0) };
         let changes = Event::Endpoints(EndpointUpdateKind::Delta, vec![removed, entry(self.traffic.engines)]);
@@ -154,12 +156,12 @@
         ReplacementCost { processor: list_time + ticks, ticks: SETTLE_TICKS as u32 }
     }
 
-    /// One tick: responses and arrivals are handled, the gateway decides, its actions are executed. Returns the
-    /// processor time that the gateway took.
+    /// Runs one tick: the gateway handles replies and arrivals and decides, and its actions are executed. Returns the
+    /// processor time of the gateway.
     pub fn tick(&mut self) -> Duration {
         self.tick += 1;
         self.now += TICK;
-        let mut events = self.responses.remove(&self.tick).unwrap_or_default();
+        let mut events = self.replies.remove(&self.tick).unwrap_or_default();
         self.due += f64::from(budget::REQUESTS_PER_SECOND) * TICK.as_secs_f64();
         while self.due >= 1.0 {
             self.due -= 1.0;
@@ -178,8 +180,8 @@
     }
 
     fn arrival(&mut self) -> Event {
-        let wide_a_second = f64::from(self.traffic.held) / (WIDE_OBJECTIVE.as_secs_f64() * GIVEN_UP_AFTER);
-        let wide = self.rng.random_bool((wide_a_second / f64::from(budget::REQUESTS_PER_SECOND)).min(1.0));
+        let wide_per_second = f64::from(self.traffic.held) / (WIDE_OBJECTIVE.as_secs_f64() * GIVE_UP_SHARE);
+        let wide = self.rng.random_bool((wide_per_second / f64::from(budget::REQUESTS_PER_SECOND)).min(1.0));
         let request: RequestId = format!("{:016x}", self.arrived).into();
         let table_group = self.arrived % TABLE_GROUPS;
         self.arrived += 1;
@@ -200,13 +202,13 @@
         match action {
             Action::Send { request, engine, .. } => {
                 self.waiting.remove(&request);
-                let ticks = self.rng.random_range(ANSWER_TICKS);
-                let response = self.response(request, engine, TICK * ticks as u32);
-                self.responses.entry(self.tick + ticks).or_default().push(response);
+                let ticks = self.rng.random_range(REPLY_TICKS);
+                let reply = self.attempt_reply(request, engine, TICK * ticks as u32);
+                self.replies.entry(self.tick + ticks).or_default().push(reply);
             }
             Action::Probe { engine } => {
-                let response = self.probed(engine);
-                self.responses.entry(self.tick + 1).or_default().push(response);
+                let reply = self.probe_reply(engine);
+                self.replies.entry(self.tick + 1).or_default().push(reply);
             }
             Action::Reject { request, .. } | Action::Fail { request } => {
                 self.waiting.remove(&request);
@@ -218,8 +220,8 @@
         }
     }
 
-    fn response(&mut self, request: RequestId, engine: EngineId, after: Duration) -> Event {
-        let with_answers = self.traffic.load_reports.reports() == LoadReporting::WithResponses;
+    fn attempt_reply(&mut self, request: RequestId, engine: EngineId, after: Duration) -> Event {
+        let with_responses = self.traffic.load_reports.load_reporting() == LoadReporting::WithResponses;
         Event::AttemptEnded(AttemptEnd {
             request,
             attempt: 0,
@@ -228,17 +230,17 @@
             outcome: AttemptOutcome::Returned,
             request_finished: true,
             usage: Some(ResourceUsage { work: WORK, memory_mb: 1.0 }),
-            load: with_answers.then(|| self.report()),
+            load: with_responses.then(|| self.load_report()),
         })
     }
 
-    fn probed(&mut self, engine: EngineId) -> Event {
-        let load = Some(self.report());
+    fn probe_reply(&mut self, engine: EngineId) -> Event {
+        let load = Some(self.load_report());
         Event::ProbeEnded { engine, answered: true, elapsed: TICK, load }
     }
 
-    fn report(&mut self) -> LoadReport {
-        LoadReport { cores_busy: Some(self.rng.random_range(BUSY)), ..LoadReport::default() }
+    fn load_report(&mut self) -> LoadReport {
+        LoadReport { cores_busy: Some(self.rng.random_range(BUSY_CORES)), ..LoadReport::default() }
     }
 }
 
--- a/crates/tools/scale/src/roles/decision/real.rs
+++ b/crates/tools/scale/src/roles/decision/real.rs
@@ -1,4 +1,5 @@
-//! The same rate at a real front process, with engines and clients over loopback: what of it is served.
+//! Sends the request rate of one front to a real front process, with engines and clients over loopback, and measures
+//! the rate that is served.
 
 use crate::budget;
 use crate::channel::{Entry, ListUpdate, State};
@@ -20,16 +21,16 @@
 
 /// The name of the case.
 pub const CASE: &str = "real front, reports=when-probed";
-/// So many clients that pause for so long offer 2,885 requests a second if each is answered within 2 ms.
+/// 64 clients with this pause between requests send 2,885 requests a second if each is answered within 2 ms.
 const CLIENTS: u64 = 64;
 const CLIENT_PAUSE: Duration = Duration::from_millis(20);
-/// Before the front is watched.
-const SETTLE: Duration = Duration::from_secs(3);
+/// Warm-up before the measurement.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 const WINDOW: Duration = Duration::from_secs(4);
-const QUICK: Duration = Duration::from_millis(300);
-/// How late the rig's own timers may be.
-const LATENESS: Duration = Duration::from_millis(50);
-const STEP: Duration = Duration::from_millis(2);
+const QUICK_WINDOW: Duration = Duration::from_millis(300);
+/// The lateness of the harness's own timers above which a run counts as disturbed.
+const MAX_LATENESS: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 fn list(engines: u32, engines_listener: &Engines) -> ListUpdate {
     let entry = |id: u32| Entry {
@@ -41,16 +42,16 @@
     ListUpdate::Full((0..engines).map(entry).collect())
 }
 
-/// One run at a front of the platform's size.
+/// Runs once at a front with the limits of the platform.
 pub fn run(engines: u32, options: &Options) -> Result<Vec<Sample>, MeasureError> {
-    let ConnectedFront { channel, front } = ConnectedFront::start(options, STEP)?;
+    let ConnectedFront { channel, front } = ConnectedFront::start(options, POLL_INTERVAL)?;
     let engines_listener = Engines::start().map_err(io("an engine's listener"))?;
     channel.publish(&list(engines, &engines_listener));
     let clients = Clients::start(front.address, CLIENTS, CLIENT_PAUSE);
-    thread::sleep(if options.quick { QUICK } else { SETTLE });
-    let watch = Watch::start(LATENESS);
+    thread::sleep(if options.quick { QUICK_WINDOW } else { SETTLE_TIME });
+    let watch = Watch::start(MAX_LATENESS);
     let (begun, before, returned) = (Instant::now(), process::of(front.pid())?, clients.returned());
-    thread::sleep(if options.quick { QUICK } else { WINDOW });
+    thread::sleep(if options.quick { QUICK_WINDOW } else { WINDOW });
     let (span, after) = (begun.elapsed().as_secs_f64(), process::of(front.pid())?);
     let served = (clients.returned() - returned) as f64 / span;
     let disturbed = watch.finish().disturbed();
--- a/crates/tools/scale/src/roles/discovery.rs
+++ b/crates/tools/scale/src/roles/discovery.rs
@@ -1,6 +1,6 @@
-//! Discovery: what the list of engines and its changes take of a real front process, and how long until it acts upon
-//! them. Engines of three kinds of address tell where requests go: those that stay, those of a zone that is removed, and
-//! those that replace it.
+//! Discovery: the cost of the endpoint list and its updates for a real front process, and the time until requests
+//! follow them. Three listeners show which engines receive requests: those that stay, those of a zone that is removed,
+//! and those that replace it.
 
 use crate::budget;
 use crate::channel::{Entry, FRAME_HEADER_BYTES, ListUpdate, RECORD_BYTES, State};
@@ -21,50 +21,51 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Bytes on the wire to one front.
+/// Bytes on the wire of the full endpoint list to one front.
 pub const LIST_BYTES: Metric = Metric::new("whole_list", "B");
-/// The same for the replacement of a zone.
+/// The same for the update that replaces a zone.
 pub const ZONE_BYTES: Metric = Metric::new("zone_replaced", "B");
-/// Processor time of the front for it.
+/// Processor time of the front for the full endpoint list.
 pub const LIST_PROCESSOR: Metric = Metric::new("whole_list_processor", "ms");
-/// The same for the replacement of a zone.
+/// The same for the update that replaces a zone.
 pub const ZONE_PROCESSOR: Metric = Metric::new("zone_replaced_processor", "ms");
-/// From the writing of the frame until a request has reached an engine of the list.
+/// Time from the sending of the full list until a request has reached an engine of the list.
 pub const LIST_USED: Metric = Metric::new("whole_list_used", "ms");
-/// From the writing of the frame until the last request has reached an engine that it removes.
+/// Time from the sending of the update until the last request has reached an engine that it removes.
 pub const ZONE_LEFT: Metric = Metric::new("zone_left", "ms");
-/// From the writing of the frame until a request has reached an engine that it adds.
+/// Time from the sending of the update until a request has reached an engine that it adds.
 pub const ZONE_USED: Metric = Metric::new("zone_used", "ms");
 
 /// The zone that is replaced.
-const ZONE: u32 = 1;
-/// New engines bear ids from here on.
+const REPLACED_ZONE: u32 = 1;
+/// Offset of the ids of new engines.
 const NEW_IDS: u32 = 1 << 24;
-/// The front's own work without clients is watched for so long.
-const IDLE: Duration = Duration::from_secs(2);
-/// After a change the front has settled.
-const SETTLE: Duration = Duration::from_millis(500);
-const QUICK: Duration = Duration::from_millis(200);
-/// Requests go on for so long after the zone was replaced.
-const AFTER_ZONE: Duration = Duration::from_secs(1);
-/// What is not acted upon by then never is.
+/// The time over which the front's background work without clients is measured.
+const IDLE_WINDOW: Duration = Duration::from_secs(2);
+/// Time for the front to apply a list or an update.
+const SETTLE_TIME: Duration = Duration::from_millis(500);
+const QUICK_TIME: Duration = Duration::from_millis(200);
+/// Time for which requests continue after the replacement of the zone.
+const AFTER_REPLACEMENT: Duration = Duration::from_secs(1);
+/// Timeout after which a list or an update counts as ignored.
 const MAX_WAIT: Duration = Duration::from_secs(10);
 const STEP: Duration = Duration::from_millis(1);
 const CLIENTS: u64 = 8;
 const CLIENT_PAUSE: Duration = Duration::from_millis(10);
-/// How late the rig's own timers may be.
-const LATENESS: Duration = Duration::from_millis(50);
+/// The lateness of the harness's own timers above which a run counts as disturbed.
+const MAX_LATENESS: Duration = Duration::from_millis(50);
 const DAY_SECONDS: f64 = 86_400.0;
-/// Bytes that an engine takes of the rig and the front at most, and descriptors and memory of all else.
+/// Upper limit of the memory of an engine in the harness and the front, in bytes.
 const BYTES_PER_ENGINE: u64 = 8 * 1024;
+/// Upper limit of the descriptors of a run.
 const DESCRIPTORS: u64 = 1_024;
 
-/// Tells a real front of engines.
+/// Measures how a real front follows the endpoint list.
 pub struct Discovery {
     options: Options,
 }
 
-/// Listeners in place of the engines.
+/// Listeners that stand in for the engines.
 struct Listeners {
     staying: Engines,
     leaving: Engines,
@@ -88,21 +89,22 @@
 
 fn full_list(engines: u32, listeners: &Listeners) -> ListUpdate {
     let list = (0..engines).map(|id| {
-        let place = if zone(id) == ZONE { &listeners.leaving } else { &listeners.staying };
+        let place = if zone(id) == REPLACED_ZONE { &listeners.leaving } else { &listeners.staying };
         entry(id, place.address, State::Ready)
     });
     ListUpdate::Full(list.collect())
 }
 
-/// All engines of the zone are replaced by as many new ones.
+/// An update that replaces all engines of the zone by as many new ones.
 fn zone_replacement(engines: u32, listeners: &Listeners) -> ListUpdate {
-    let of_zone = || (0..engines).filter(|id| zone(*id) == ZONE);
+    let of_zone = || (0..engines).filter(|id| zone(*id) == REPLACED_ZONE);
     let removed = of_zone().map(|id| entry(id, listeners.leaving.address, State::Removed));
     let added = of_zone().map(|id| entry(NEW_IDS + id, listeners.joining.address, State::Ready));
     ListUpdate::Delta(removed.chain(added).collect())
 }
 
-/// What the channel sends one front in a second: an empty frame each second, and a day's replacements.
+/// Mean bytes a second from the discovery channel to one front: an empty frame each second, and the daily
+/// replacements of engines.
 fn bytes_per_second() -> f64 {
     let replacement = (FRAME_HEADER_BYTES + 2 * RECORD_BYTES) as f64;
     FRAME_HEADER_BYTES as f64 + f64::from(budget::REPLACEMENTS_PER_DAY) * replacement / DAY_SECONDS
@@ -119,14 +121,14 @@
     }
 
     fn span(&self, usual: Duration) -> Duration {
-        if self.options.quick { usual.min(QUICK) } else { usual }
+        if self.options.quick { usual.min(QUICK_TIME) } else { usual }
     }
 
-    /// Without clients: what the front's own work takes.
+    /// Measures the front without clients: its background work, and the cost of a list and an update.
     fn measure_idle(&self, engines: u32) -> Result<Vec<MetricValue>, MeasureError> {
         let ConnectedFront { channel, front } = ConnectedFront::start(&self.options, STEP)?;
         let listeners = Listeners::start()?;
-        let span = self.span(SETTLE);
+        let span = self.span(SETTLE_TIME);
         thread::sleep(span);
         let empty = process::of(front.pid())?;
         let spent = |update: ListUpdate| -> Result<(usize, f64), MeasureError> {
@@ -140,11 +142,11 @@
         let full = process::of(front.pid())?;
         let (zone_bytes, zone_processor) = spent(zone_replacement(engines, &listeners))?;
         let before = (Instant::now(), process::of(front.pid())?.processor);
-        thread::sleep(self.span(IDLE));
-        let measure_idle = process::of(front.pid())?.processor.saturating_sub(before.1).as_secs_f64();
-        let rate = measure_idle / before.0.elapsed().as_secs_f64();
-        // The front's own work goes on while it applies a list.
-        let own = rate * milliseconds(span);
+        thread::sleep(self.span(IDLE_WINDOW));
+        let idle_processor = process::of(front.pid())?.processor.saturating_sub(before.1).as_secs_f64();
+        let rate = idle_processor / before.0.elapsed().as_secs_f64();
+        // The background work continues while the front applies a list, and is subtracted.
+        let background = rate * milliseconds(span);
         let grown = full.resident_bytes.saturating_sub(empty.resident_bytes) as f64;
         Ok(vec![
             metric::PROCESSOR.of(rate * 100.0),
@@ -152,30 +154,36 @@
             metric::STATE.of(grown),
             metric::BYTES_CONTROL.of(bytes_per_second()),
             LIST_BYTES.of(list_bytes as f64),
-            LIST_PROCESSOR.of((list_processor - own).max(0.0)),
+            LIST_PROCESSOR.of((list_processor - background).max(0.0)),
             ZONE_BYTES.of(zone_bytes as f64),
-            ZONE_PROCESSOR.of((zone_processor - own).max(0.0)),
+            ZONE_PROCESSOR.of((zone_processor - background).max(0.0)),
         ])
     }
 
-    /// With clients that ask all the time: how long until requests go where the list says.
+    /// Measures, with clients that send requests continuously, the time until requests follow the list.
     fn measure_reaction(&self, engines: u32) -> Result<Vec<MetricValue>, MeasureError> {
         let ConnectedFront { channel, front } = ConnectedFront::start(&self.options, STEP)?;
         let listeners = Listeners::start()?;
         let clients = Clients::start(front.address, CLIENTS, CLIENT_PAUSE);
-        thread::sleep(self.span(SETTLE));
+        thread::sleep(self.span(SETTLE_TIME));
         let published_at = Instant::now();
         channel.publish(&full_list(engines, &listeners));
         let used =
             || listeners.staying.received().first.into_iter().chain(listeners.leaving.received().first).min();
-        wait(|| used().is_some(), "the list was never used")?;
+        wait_until(|| used().is_some(), "no request reached an engine of the list in time")?;
         let list_used = used().unwrap_or(published_at).saturating_duration_since(published_at);
-        wait(|| listeners.leaving.received().requests > 0, "the zone was never used")?;
-        thread::sleep(self.span(SETTLE));
+        wait_until(
+            || listeners.leaving.received().requests > 0,
+            "no request reached an engine of the zone to be replaced in time",
+        )?;
+        thread::sleep(self.span(SETTLE_TIME));
         let published_at = Instant::now();
         channel.publish(&zone_replacement(engines, &listeners));
-        wait(|| listeners.joining.received().requests > 0, "what replaces the zone was never used")?;
-        thread::sleep(self.span(AFTER_ZONE));
+        wait_until(
+            || listeners.joining.received().requests > 0,
+            "no request reached an engine that replaces the zone in time",
+        )?;
+        thread::sleep(self.span(AFTER_REPLACEMENT));
         let since = |at: Option<Instant>| at.unwrap_or(published_at).saturating_duration_since(published_at);
         let (left, used) =
             (since(listeners.leaving.received().last), since(listeners.joining.received().first));
@@ -188,7 +196,7 @@
     }
 
     fn run(&self, size: u32) -> Result<Vec<Sample>, MeasureError> {
-        let watch = Watch::start(LATENESS);
+        let watch = Watch::start(MAX_LATENESS);
         let mut values = self.measure_idle(size)?;
         values.extend(self.measure_reaction(size)?);
         let disturbed = watch.finish().disturbed();
@@ -204,11 +212,11 @@
     }
 }
 
-fn wait(done: impl Fn() -> bool, otherwise: &str) -> Result<(), MeasureError> {
+fn wait_until(done: impl Fn() -> bool, failure: &str) -> Result<(), MeasureError> {
     let begun = Instant::now();
     while !done() {
         if begun.elapsed() > MAX_WAIT {
-            return Err(MeasureError::Failed(otherwise.into()));
+            return Err(MeasureError::Failed(failure.into()));
         }
         thread::sleep(STEP);
     }
--- a/crates/tools/scale/tests/proof_scale/lateness.rs
+++ b/crates/tools/scale/tests/proof_scale/lateness.rs
@@ -1,15 +1,15 @@
-//! A measurement knows its own lateness, and is marked as disturbed past a stated bound.
+//! A measurement records its own lateness, and counts as disturbed above a given limit.
 
 use lemonusher_scale::Watch;
 use lemonusher_scale::watch::{Preemption, PreemptionResult};
 use std::thread;
 use std::time::Duration;
 
-/// Longer than any wake-up takes, on however busy a machine.
-const LONG: Duration = Duration::from_secs(600);
+/// Longer than any wake-up takes, even on a busy machine.
+const UNREACHED_LATENESS: Duration = Duration::from_secs(600);
 const SPAN: Duration = Duration::from_millis(50);
 
-fn watched(bound: Duration) -> bool {
+fn is_disturbed(bound: Duration) -> bool {
     let watch = Watch::start(bound);
     thread::sleep(SPAN);
     let lateness = watch.finish();
@@ -20,8 +20,8 @@
 #[test]
 fn timers_later_than_the_bound_mark_a_measurement() {
     // No timer is on time to the nanosecond.
-    assert!(watched(Duration::ZERO));
-    assert!(!watched(LONG));
+    assert!(is_disturbed(Duration::ZERO));
+    assert!(!is_disturbed(UNREACHED_LATENESS));
 }
 
 #[test]
