--- a/crates/edges/front/src/program/clients/reading.rs
+++ b/crates/edges/front/src/program/clients/reading.rs
@@ -151,7 +151,7 @@
             }
             ReadError::NoMemory | ReadError::Slow | ReadError::Malformed(_) => {
                 if let ReadError::NoMemory = error {
-                    self.shared.counters.add(Counter::LinesWithoutRoom, None);
+                    self.shared.counters.add(Counter::LinesOverMemoryLimit, None);
                 }
                 ReadEnd::Faulty
             }
@@ -244,7 +244,7 @@
     }
 
     fn handle_fault(&self, fault: Fault) {
-        self.shared.counters.add(Counter::FaultyLines, None);
+        self.shared.counters.add(Counter::InvalidLines, None);
         log::debug!("invalid message from a client: {fault:?}");
         self.write(&client::encode_fault(&fault));
         // Error responses cost little, but they are limited too.
--- a/crates/edges/front/src/program/engines/connecting.rs
+++ b/crates/edges/front/src/program/engines/connecting.rs
@@ -190,7 +190,7 @@
         while let Some(reply) = replies.next().await {
             let reply = reply.inspect_err(|error| {
                 if !matches!(error, ReadError::Io(_)) {
-                    self.shared.counters.add(Counter::SpoiltConnections, None);
+                    self.shared.counters.add(Counter::EngineReadErrors, None);
                 }
             })?;
             let event = connection.handle_reply(reply).map_err(ReadError::Malformed)?;
--- a/crates/edges/front/src/program/engines/replies.rs
+++ b/crates/edges/front/src/program/engines/replies.rs
@@ -81,7 +81,7 @@
             }
             ReplyEffect::Continues(event) => event,
             ReplyEffect::Unmatched => {
-                self.shared.counters.add(Counter::StrayAnswers, None);
+                self.shared.counters.add(Counter::UnmatchedReplies, None);
                 None
             }
         };
@@ -94,7 +94,7 @@
         if self.has_used(id) && matches!(kind, ReplyKind::Completed { pages, .. } if pages > 1) {
             self.release(id);
         }
-        self.shared.counters.add(Counter::StrayAnswers, None);
+        self.shared.counters.add(Counter::UnmatchedReplies, None);
     }
 
     /// Tells the engine to release the pages that it holds of a result.
--- a/crates/edges/routing/src/counters.rs
+++ b/crates/edges/routing/src/counters.rs
@@ -35,17 +35,17 @@
     /// Client connections accepted.
     ClientConnections,
     /// Lines from clients that are not a valid message.
-    FaultyLines,
+    InvalidLines,
     /// Lines from clients that exceeded the memory limit.
-    LinesWithoutRoom,
+    LinesOverMemoryLimit,
     /// Connections to engines opened.
     EngineConnections,
     /// Unmatched replies: no attempt or probe in flight expects them.
-    StrayAnswers,
+    UnmatchedReplies,
     /// Connections to engines that ended because a reply was malformed, too long, too slow or over the memory limit.
-    SpoiltConnections,
+    EngineReadErrors,
     /// Endpoint updates received from discovery.
-    ChannelEvents,
+    EndpointUpdates,
     /// Panics that were caught.
     Panics,
 }
@@ -188,12 +188,12 @@
             Counter::Probes => "probes",
             Counter::ProbeFailures => "probes failed",
             Counter::ClientConnections => "client connections",
-            Counter::FaultyLines => "faulty lines",
-            Counter::LinesWithoutRoom => "lines with no room",
+            Counter::InvalidLines => "faulty lines",
+            Counter::LinesOverMemoryLimit => "lines with no room",
             Counter::EngineConnections => "engine connections",
-            Counter::StrayAnswers => "stray answers",
-            Counter::SpoiltConnections => "engine connections spoilt",
-            Counter::ChannelEvents => "channel events",
+            Counter::UnmatchedReplies => "stray answers",
+            Counter::EngineReadErrors => "engine connections spoilt",
+            Counter::EndpointUpdates => "channel events",
             Counter::Panics => "panics",
         })
     }
--- a/crates/edges/routing/src/router/endpoints.rs
+++ b/crates/edges/routing/src/router/endpoints.rs
@@ -21,7 +21,7 @@
         kind: EndpointUpdateKind,
         listed: Vec<Endpoint>,
     ) {
-        self.counters.add(Counter::ChannelEvents, None);
+        self.counters.add(Counter::EndpointUpdates, None);
         if kind != EndpointUpdateKind::Delta {
             self.addresses.clear();
         }
