--- a/crates/edges/fleet/src/node/mod.rs
+++ b/crates/edges/fleet/src/node/mod.rs
@@ -146,7 +146,7 @@
     /// Begins to acquire the configured leases, to watch the registers and to discover the other members.
     fn begin(&mut self) {
         if self.quota_slots.is_some() {
-            self.update_router(ControlUpdate::Quota(0.0));
+            self.update_router(ControlUpdate::SlowStartQuota(0.0));
         }
         for task in &self.config.tasks {
             self.lease_client.acquire(Duration::ZERO, &task.name, task.fenced);
@@ -262,7 +262,7 @@
         self.send_lease_requests(messages);
         if quota != self.quota {
             self.quota = quota;
-            self.update_router(ControlUpdate::Quota(quota));
+            self.update_router(ControlUpdate::SlowStartQuota(quota));
         }
     }
 
--- a/crates/edges/front/src/program/clients/reading.rs
+++ b/crates/edges/front/src/program/clients/reading.rs
@@ -192,7 +192,7 @@
         accepted.retain(|incoming| incoming.ticket != ticket);
         let router_has_request = accepted_before == accepted.len();
         let request = revoked.filter(|_| router_has_request)?;
-        Some(RouterEvent::ClientGone { sink: self.clone(), ticket, request })
+        Some(RouterEvent::ClientDisconnected { sink: self.clone(), ticket, request })
     }
 
     /// Checks a request and registers it as open, or returns the fault to respond with.
--- a/crates/edges/front/src/program/clients/session.rs
+++ b/crates/edges/front/src/program/clients/session.rs
@@ -163,7 +163,7 @@
     async fn abandon_requests(self: &Rc<Self>, respond_failed: bool) {
         let open_requests = std::mem::take(&mut *self.open_requests.borrow_mut());
         for (ticket, request) in open_requests {
-            let disconnected = RouterEvent::ClientGone { sink: self.clone(), ticket, request };
+            let disconnected = RouterEvent::ClientDisconnected { sink: self.clone(), ticket, request };
             let _ = self.shared.events.send(disconnected).await;
             if respond_failed {
                 self.write(&client::encode_failed(ticket));
--- a/crates/edges/front/src/program/control_channels.rs
+++ b/crates/edges/front/src/program/control_channels.rs
@@ -55,7 +55,7 @@
     /// the quota to zero and take every engine out of service, as far as the fleet controls these.
     pub(super) fn attach(self, mut router: RequestRouter, shared: &Shared) -> RequestRouter {
         if self.shares_quota {
-            let _ = shared.events.try_send(RouterEvent::Control(ControlUpdate::Quota(0.0)));
+            let _ = shared.events.try_send(RouterEvent::Control(ControlUpdate::SlowStartQuota(0.0)));
         }
         if self.maintenance {
             let closed = Arc::default();
--- a/crates/edges/front/src/program/external_processing.rs
+++ b/crates/edges/front/src/program/external_processing.rs
@@ -223,7 +223,7 @@
                     if let Some(ticket) = self.tickets.remove(&request) {
                         self.inbox.requests.borrow_mut().remove(&ticket);
                         let disconnected =
-                            RouterEvent::ClientGone { sink: self.inbox.clone(), ticket, request };
+                            RouterEvent::ClientDisconnected { sink: self.inbox.clone(), ticket, request };
                         let _ = self.shared.events.send(disconnected).await;
                     }
                 }
--- a/crates/edges/routing/src/counters.rs
+++ b/crates/edges/routing/src/counters.rs
@@ -21,7 +21,7 @@
     /// Requests that got a response stating failure.
     Failed,
     /// Requests whose client disconnected or cancelled before a response.
-    ClientGone,
+    ClientDisconnected,
     /// Attempts cancelled.
     Cancels,
     /// Attempts after the first of their request.
@@ -181,7 +181,7 @@
             Counter::Returned => "returned",
             Counter::Rejected => "pushed back",
             Counter::Failed => "errored",
-            Counter::ClientGone => "left",
+            Counter::ClientDisconnected => "left",
             Counter::Cancels => "cancels",
             Counter::Retries => "further dispatches",
             Counter::AttemptEnded(outcome) => return write!(f, "dispatch ended {outcome}"),
--- a/crates/edges/routing/src/messages.rs
+++ b/crates/edges/routing/src/messages.rs
@@ -76,7 +76,7 @@
     /// A request arrived.
     Request(IncomingRequest),
     /// The client of a request disconnected or cancelled it.
-    ClientGone {
+    ClientDisconnected {
         /// The sink of the request.
         sink: Rc<dyn ResponseSink>,
         /// The request's ticket.
@@ -128,7 +128,7 @@
 pub enum ControlUpdate {
     /// This front's share, from 0 to 1, of the requests that all fronts together may send to an engine in
     /// slow start.
-    Quota(f64),
+    SlowStartQuota(f64),
     /// The part of the zone failover plan that applies to this front from now on.
     ZonePlan(Arc<PlanEffect>),
     /// The set of engines that are out of service for maintenance.
--- a/crates/edges/routing/src/router/admission.rs
+++ b/crates/edges/routing/src/router/admission.rs
@@ -79,7 +79,7 @@
 
     /// Closes a request whose client disconnected or cancelled. Ignored unless the open request with this id
     /// has the same sink and ticket: another client may have sent the same id since.
-    pub(super) fn handle_client_gone(
+    pub(super) fn handle_client_disconnected(
         &mut self,
         now: Duration,
         sink: &Rc<dyn ResponseSink>,
@@ -88,7 +88,7 @@
     ) {
         let is_same_client = |open: &&OpenRequest| open.ticket == ticket && Rc::ptr_eq(&open.sink, sink);
         if let Some(open_request) = self.requests.get(&request).filter(is_same_client) {
-            self.counters.add(Counter::ClientGone, Some(open_request.request_class));
+            self.counters.add(Counter::ClientDisconnected, Some(open_request.request_class));
             self.finish_request(&request);
             self.gateway.handle_event(now, Event::ClientDisconnected(request));
         }
--- a/crates/edges/routing/src/router/event_loop.rs
+++ b/crates/edges/routing/src/router/event_loop.rs
@@ -112,8 +112,8 @@
     pub(super) fn handle_event(&mut self, now: Duration, event: RouterEvent) {
         match event {
             RouterEvent::Request(incoming) => self.handle_request(now, incoming),
-            RouterEvent::ClientGone { sink, ticket, request } => {
-                self.handle_client_gone(now, &sink, ticket, request);
+            RouterEvent::ClientDisconnected { sink, ticket, request } => {
+                self.handle_client_disconnected(now, &sink, ticket, request);
             }
             RouterEvent::Endpoints(kind, listed) => self.handle_endpoints(now, kind, listed),
             RouterEvent::AttemptEnded { token, outcome, usage, load, body } => {
@@ -124,7 +124,7 @@
                 self.handle_probe_ended(now, token, answered, load);
             }
             RouterEvent::Management(call) => self.handle_management(now, call),
-            RouterEvent::Control(ControlUpdate::Quota(share)) => {
+            RouterEvent::Control(ControlUpdate::SlowStartQuota(share)) => {
                 self.gateway.handle_event(now, Event::SlowStartQuota(share));
             }
             RouterEvent::Control(ControlUpdate::ZonePlan(effect)) => self.handle_zone_plan(now, &effect),
--- a/crates/testing/emulator/src/check.rs
+++ b/crates/testing/emulator/src/check.rs
@@ -27,7 +27,7 @@
     /// A try got its response.
     ResponseSent { id: u64 },
     /// The client disconnected before the response.
-    ClientGone { id: u64 },
+    ClientDisconnected { id: u64 },
     /// A front sent an attempt of a try to an engine.
     AttemptSent { front: usize, id: u64, number: u32, engine: usize, work: f64 },
     /// An attempt ended for its front; `may_have_run` states whether it may have run as far as the front can know.
@@ -56,7 +56,7 @@
                 .field("limit", limit)
                 .finish(),
             Observation::ResponseSent { id } => f.debug_struct("Answered").field("id", id).finish(),
-            Observation::ClientGone { id } => f.debug_struct("Left").field("id", id).finish(),
+            Observation::ClientDisconnected { id } => f.debug_struct("Left").field("id", id).finish(),
             Observation::AttemptSent { front, id, number, engine, work } => f
                 .debug_struct("Sent")
                 .field("front", front)
@@ -220,7 +220,7 @@
                 self.tries.insert(id, arrived);
             }
             Observation::ResponseSent { id } => self.check_response(now, id),
-            Observation::ClientGone { id } => {
+            Observation::ClientDisconnected { id } => {
                 if let Some(known) = self.tries.get_mut(&id) {
                     known.ended = true;
                 }
--- a/crates/testing/emulator/src/clients.rs
+++ b/crates/testing/emulator/src/clients.rs
@@ -113,7 +113,7 @@
             if front.open_requests.get(&name).is_some_and(|open_request| open_request.id == id) {
                 front.open_requests.remove(&name);
                 front.events.push_back(Event::ClientDisconnected(name));
-                self.observe(Observation::ClientGone { id });
+                self.observe(Observation::ClientDisconnected { id });
             }
         }
     }
