--- a/crates/edges/front/src/program/clients/reading.rs
+++ b/crates/edges/front/src/program/clients/reading.rs
@@ -249,7 +249,8 @@
         self.write(&client::encode_fault(&fault));
         // Error responses cost little, but they are limited too.
         self.faulty_lines.set(self.faulty_lines.get() + u32::from(fault.id.is_none()));
-        if self.faulty_lines.get() >= MAX_FAULTY_LINES || self.write_queue.waiting() > MAX_UNREAD_FAULT_BYTES
+        if self.faulty_lines.get() >= MAX_FAULTY_LINES
+            || self.write_queue.queued_bytes() > MAX_UNREAD_FAULT_BYTES
         {
             self.accepting.set(false);
         }
--- a/crates/edges/front/src/program/clients/session.rs
+++ b/crates/edges/front/src/program/clients/session.rs
@@ -104,7 +104,7 @@
     /// partially read, or the connection accepts no more.
     pub fn idle_time(&self) -> Option<Duration> {
         let is_busy = !self.open_requests.borrow().is_empty()
-            || self.write_queue.waiting() > 0
+            || self.write_queue.queued_bytes() > 0
             || self.has_partial_line.get();
         (self.accepting.get() && !is_busy).then(|| self.last_used.get().elapsed())
     }
@@ -183,8 +183,8 @@
 
     /// Updates this connection's part of [`Shared::unwritten_bytes`].
     fn update_unwritten(&self) {
-        let (unwritten, waiting) = (&self.shared.unwritten_bytes, self.write_queue.waiting());
-        unwritten.set(unwritten.get() - self.counted_bytes.replace(waiting) + waiting);
+        let (unwritten, queued_bytes) = (&self.shared.unwritten_bytes, self.write_queue.queued_bytes());
+        unwritten.set(unwritten.get() - self.counted_bytes.replace(queued_bytes) + queued_bytes);
     }
 
     /// Closes the connection if it is idle and no byte is unread, and returns whether it did. The writing side is
--- a/crates/edges/front/src/program/engines/connecting.rs
+++ b/crates/edges/front/src/program/engines/connecting.rs
@@ -165,7 +165,7 @@
         let write = async {
             let on_progress = || {
                 // Queued commands are sent once the kernel has accepted all bytes written before them.
-                if connection.write_queue.waiting() == 0 {
+                if connection.write_queue.queued_bytes() == 0 {
                     let (engines, engine) = (self.clone(), connection.engine);
                     let send = async move { engines.send_queued(engine).await };
                     self.shared.executor.spawn(send).detach();
--- a/crates/edges/front/src/program/engines/connection.rs
+++ b/crates/edges/front/src/program/engines/connection.rs
@@ -187,7 +187,7 @@
     /// Number of free streams out of `streams`. There are none while the kernel accepts no more bytes, because a
     /// message queued behind those bytes could not be withdrawn.
     pub fn free_streams(&self, streams: usize) -> usize {
-        if self.retired.get() || self.write_queue.waiting() > 0 {
+        if self.retired.get() || self.write_queue.queued_bytes() > 0 {
             0
         } else {
             streams.saturating_sub(self.in_flight.borrow().len())
--- a/crates/edges/front/src/transport/write_queue.rs
+++ b/crates/edges/front/src/transport/write_queue.rs
@@ -68,7 +68,7 @@
     }
 
     /// Bytes that are still queued.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_bytes(&self) -> usize {
         self.state.borrow().queued.len()
     }
 
