--- a/crates/core/maintenance/src/coordinator/drains.rs
+++ b/crates/core/maintenance/src/coordinator/drains.rs
@@ -45,7 +45,8 @@
                 CapacityReserve::new(fleet.capacity.clone(), config.min_reserve, config.demand_margin)
             });
             let unavailable = self.unavailable_machines();
-            let is_available = |machine: &Machine| reserve.knows(*machine) && !unavailable.contains(machine);
+            let is_available =
+                |machine: &Machine| reserve.has_machine(*machine) && !unavailable.contains(machine);
             let available: Vec<Machine> = pending.into_iter().filter(is_available).collect();
             if available.is_empty() {
                 self.block(key, BlockReason::MachineUnavailable);
--- a/crates/core/maintenance/src/reserve.rs
+++ b/crates/core/maintenance/src/reserve.rs
@@ -69,7 +69,7 @@
     }
 
     /// Whether the machine belongs to the fleet.
-    pub fn knows(&self, machine: Machine) -> bool {
+    pub fn has_machine(&self, machine: Machine) -> bool {
         self.fleet.machines.contains_key(&machine)
     }
 
--- a/crates/edges/cli/tests/proof_processor.rs
+++ b/crates/edges/cli/tests/proof_processor.rs
@@ -102,7 +102,7 @@
 fn count_runs(engines: &[&HttpEngine]) -> BTreeMap<String, u32> {
     let mut all: BTreeMap<String, u32> = BTreeMap::new();
     for engine in engines {
-        for (id, count) in engine.ran() {
+        for (id, count) in engine.run_counts() {
             *all.entry(id).or_default() += count;
         }
     }
@@ -344,8 +344,13 @@
         let first = send_requests(&proxy, 0..100, 4).await;
         assert!(first.values().all(|response| response.status == 200));
         // One table group has one home engine, so a majority at one engine shows that the statement was read.
-        let home = usize::from(engines[1].ran().len() > engines[0].ran().len());
-        assert!(engines[home].ran().len() > 60, "{} {}", engines[0].ran().len(), engines[1].ran().len());
+        let home = usize::from(engines[1].run_counts().len() > engines[0].run_counts().len());
+        assert!(
+            engines[home].run_counts().len() > 60,
+            "{} {}",
+            engines[0].run_counts().len(),
+            engines[1].run_counts().len()
+        );
         let id = format!("{:08x}", home + 1);
         let pool = serde_json::json!({"name": "a", "engine": [id], "admin-state": "draining"});
         let mut manager = managers::Gnmi::connect(gnmi).await;
@@ -361,10 +366,10 @@
         while drained.elapsed() < DRAIN_GRACE {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        let then = engines[home].ran().len();
+        let then = engines[home].run_counts().len();
         let after = send_requests(&proxy, 5000..5200, 8).await;
         assert!(after.values().all(|response| response.status == 200));
-        assert_eq!(engines[home].ran().len(), then);
+        assert_eq!(engines[home].run_counts().len(), then);
         println!("proof: drained behind a proxy {} requests after the grace, 0 at the drained engine", after.len());
     });
 }
--- a/crates/edges/cli/tests/proxies/mod.rs
+++ b/crates/edges/cli/tests/proxies/mod.rs
@@ -85,7 +85,7 @@
     }
 
     /// How often each request ran here.
-    pub fn ran(&self) -> BTreeMap<String, u32> {
+    pub fn run_counts(&self) -> BTreeMap<String, u32> {
         self.ran.lock().unwrap().clone()
     }
 }
--- a/crates/edges/fleet/src/replay_window.rs
+++ b/crates/edges/fleet/src/replay_window.rs
@@ -6,7 +6,7 @@
 /// Number of blocks in the ring; one of them always lies partly ahead of the window.
 const BLOCKS: u64 = 16;
 
-/// The sequence numbers received, from [`ReplayWindow::REACH`] below the highest one up to it. An older number
+/// The sequence numbers received, from [`ReplayWindow::MAX_LAG`] below the highest one up to it. An older number
 /// counts as received.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ReplayWindow {
@@ -18,12 +18,12 @@
 impl ReplayWindow {
     /// How far a sequence number may be behind the highest one and still be accepted. A front that watches all
     /// registers sends about 200 datagrams in one burst; the window covers several bursts.
-    pub const REACH: u64 = (BLOCKS - 1) * BLOCK_BITS;
+    pub const MAX_LAG: u64 = (BLOCKS - 1) * BLOCK_BITS;
 
     /// Records a sequence number. Returns false if it was received before or is older than the window. Numbers
     /// start at 1.
     pub fn accept(&mut self, number: u64) -> bool {
-        if number == 0 || number < self.highest.saturating_sub(Self::REACH) {
+        if number == 0 || number < self.highest.saturating_sub(Self::MAX_LAG) {
             return false;
         }
         if number > self.highest {
--- a/crates/edges/front/src/program/engines/sending.rs
+++ b/crates/edges/front/src/program/engines/sending.rs
@@ -131,7 +131,7 @@
     async fn write(self: &Rc<Self>, connection: &Rc<EngineConnection>, command: EngineCommand) {
         let now = Instant::now();
         if let EngineCommand::Send { conditions, .. } = &command
-            && !conditions.hold(now)
+            && !conditions.are_met(now)
         {
             return self.report_end(&command, AttemptOutcome::NotSent).await;
         }
--- a/crates/edges/managed/src/gnmi/get.rs
+++ b/crates/edges/managed/src/gnmi/get.rs
@@ -3,7 +3,7 @@
 use super::paths::{from_place, pattern_text, to_patterns};
 use super::proto::gnmi::get_request::DataType;
 use super::proto::gnmi::*;
-use super::values::{encoding, json_value, typed, unix_ns};
+use super::values::{encoding, json_value, to_typed_value, unix_ns};
 use crate::hub::Hub;
 use crate::state::StateSelection;
 use lemonusher_model::{NodeKind, NodeRef, Pattern, PatternStep, Schema, Segment, Tree, node_of};
@@ -50,7 +50,7 @@
     if encoding == Encoding::Proto {
         for (place, value) in leaves(tree, patterns) {
             let Some(last) = place.last() else { continue };
-            let val = Some(typed(schema, last.node, &value, encoding));
+            let val = Some(to_typed_value(schema, last.node, &value, encoding));
             updates.push(Update { path: Some(from_place(schema, &place)), val, duplicates: 0 });
         }
     } else {
@@ -83,7 +83,7 @@
         return Err(Status::not_found(format!("nothing is set at {}", pattern_text(schema, pattern))));
     };
     let value = lemonusher_watch::Value::Leaf(default.into());
-    let val = Some(typed(schema, last.node, &value, encoding));
+    let val = Some(to_typed_value(schema, last.node, &value, encoding));
     Ok(Update { path: Some(path.clone()), val, duplicates: 0 })
 }
 
--- a/crates/edges/managed/src/gnmi/mod.rs
+++ b/crates/edges/managed/src/gnmi/mod.rs
@@ -27,4 +27,4 @@
 pub use paths::{from_place, to_steps};
 pub use service::serve;
 pub use set::{EXPECTED_VERSION_KEY, EXTENSION_ID};
-pub use values::{typed, untyped};
+pub use values::{parse_typed_value, to_typed_value};
--- a/crates/edges/managed/src/gnmi/set.rs
+++ b/crates/edges/managed/src/gnmi/set.rs
@@ -9,7 +9,7 @@
 use super::proto::gnmi_ext::extension::Ext;
 use super::proto::gnmi_ext::{Commit, Extension, RegisteredExtension};
 use super::status::{fault_status, store_status};
-use super::values::{unix_ns, untyped};
+use super::values::{parse_typed_value, unix_ns};
 use crate::hub::Hub;
 use crate::users::Grant;
 use lemonusher_model::{Op, Place};
@@ -157,7 +157,7 @@
     let place = schema.place(&steps).map_err(|fault| fault_status(&fault))?;
     let id = place.last().map(|segment| segment.node);
     let entry = place.last().is_some_and(|segment| segment.keys.is_some());
-    let value = untyped(schema, id, entry, update.val.as_ref()).map_err(|mut fault| {
+    let value = parse_typed_value(schema, id, entry, update.val.as_ref()).map_err(|mut fault| {
         fault.path.get_or_insert(schema.text(&place));
         fault_status(&fault)
     })?;
--- a/crates/edges/managed/src/gnmi/subscribe.rs
+++ b/crates/edges/managed/src/gnmi/subscribe.rs
@@ -8,7 +8,7 @@
 use super::proto::gnmi::subscription_list::Mode as ListMode;
 use super::proto::gnmi::*;
 use super::status::store_status;
-use super::values::{encoding, typed, unix_ns};
+use super::values::{encoding, to_typed_value, unix_ns};
 use crate::hub::{Hub, ManagementEvent};
 use crate::state::StateSelection;
 use crate::users::Grant;
@@ -215,7 +215,7 @@
     fn messages(&self, notification: watch::Notification) -> Vec<SubscribeResponse> {
         let timestamp = unix_ns();
         let update = |watch::Update { place, value }: &watch::Update| Update {
-            val: place.last().map(|last| typed(&self.schema, last.node, value, self.encoding)),
+            val: place.last().map(|last| to_typed_value(&self.schema, last.node, value, self.encoding)),
             path: Some(from_place(&self.schema, place)),
             duplicates: 0,
         };
--- a/crates/edges/managed/src/gnmi/values.rs
+++ b/crates/edges/managed/src/gnmi/values.rs
@@ -21,7 +21,7 @@
 }
 
 /// The value of a leaf or of a whole leaf-list, in this encoding.
-pub fn typed(schema: &Schema, id: NodeId, value: &Value, encoding: Encoding) -> TypedValue {
+pub fn to_typed_value(schema: &Schema, id: NodeId, value: &Value, encoding: Encoding) -> TypedValue {
     let value = match (encoding, value) {
         (Encoding::Proto, Value::Leaf(text)) => scalar(schema, id, text),
         (Encoding::Proto, Value::LeafList(members)) => {
@@ -61,7 +61,7 @@
 
 /// The node that a value sets. `entry` is set if the path has keys, so that it names one entry of a list. Fails if the
 /// value doesn't fit the schema.
-pub fn untyped(
+pub fn parse_typed_value(
     schema: &Schema,
     id: Option<NodeId>,
     entry: bool,
--- a/crates/edges/routing/src/messages.rs
+++ b/crates/edges/routing/src/messages.rs
@@ -199,7 +199,7 @@
 
 impl WriteConditions {
     /// Returns whether the attempt may be written at `now`.
-    pub fn hold(&self, now: Instant) -> bool {
+    pub fn are_met(&self, now: Instant) -> bool {
         self.request_open.strong_count() > 0
             && now < self.until
             && self.start_by.is_none_or(|start_by| now < start_by)
--- a/crates/testing/cluster/src/fake_engine.rs
+++ b/crates/testing/cluster/src/fake_engine.rs
@@ -155,7 +155,7 @@
             is_bulk_load: false,
             waits_for_bulk_loads: false,
         };
-        self.model.put(self.last_number, work);
+        self.model.run_now(self.last_number, work);
         self.max_load = self.max_load.max(self.model.threads_per_core());
     }
 
--- a/crates/testing/emulator/src/attempts.rs
+++ b/crates/testing/emulator/src/attempts.rs
@@ -271,7 +271,7 @@
             is_bulk_load: false,
             waits_for_bulk_loads: false,
         };
-        self.engines[engine].engine.put(number, work);
+        self.engines[engine].engine.run_now(number, work);
     }
 
     fn end_probe(&mut self, number: u64, answered: bool) {
--- a/crates/testing/emulator/src/clients.rs
+++ b/crates/testing/emulator/src/clients.rs
@@ -152,7 +152,7 @@
         self.report.in_objective += u64::from(self.now - open_request.arrived <= latency_objective);
         let Some(request) = self.requests.remove(&open_request.request) else { return };
         let in_objective = self.now - request.first <= latency_objective;
-        let count = &mut self.report.statistics.at((request.first - BEGIN).as_secs_f64()).classes
+        let count = &mut self.report.statistics.interval_at((request.first - BEGIN).as_secs_f64()).classes
             [open_request.request_class];
         count.served += 1;
         count.in_objective += u64::from(in_objective);
--- a/crates/testing/emulator/src/engine.rs
+++ b/crates/testing/emulator/src/engine.rs
@@ -81,7 +81,7 @@
     }
 
     /// Runs a request at once, regardless of slots.
-    pub fn put(&mut self, number: u64, work: Work) {
+    pub fn run_now(&mut self, number: u64, work: Work) {
         self.running.insert(number, work);
     }
 
--- a/crates/testing/emulator/src/simulation.rs
+++ b/crates/testing/emulator/src/simulation.rs
@@ -209,7 +209,7 @@
 
     /// Counts of the current interval.
     pub(crate) fn interval(&mut self) -> &mut IntervalCounts {
-        self.report.statistics.at((self.now - BEGIN).as_secs_f64())
+        self.report.statistics.interval_at((self.now - BEGIN).as_secs_f64())
     }
 
     pub(crate) fn respond(&mut self, id: u64) {
--- a/crates/testing/emulator/src/tally.rs
+++ b/crates/testing/emulator/src/tally.rs
@@ -62,7 +62,7 @@
     }
 
     /// Counts of the interval that contains this second of the run.
-    pub fn at(&mut self, second: f64) -> &mut IntervalCounts {
+    pub fn interval_at(&mut self, second: f64) -> &mut IntervalCounts {
         let number = (second.max(0.0) / INTERVAL_SECONDS) as usize;
         while self.intervals.len() <= number {
             self.intervals.push(IntervalCounts {
--- a/crates/testing/emulator/tests/abilities.rs
+++ b/crates/testing/emulator/tests/abilities.rs
@@ -102,7 +102,7 @@
     // With a limit of two threads per core, twice as many threads as cores run without slowdown.
     let mut engine = Engine::new(4.0, 1000.0, 0.2);
     engine.max_threads_per_core = 2.0;
-    (0..8).for_each(|number| engine.put(number, work(0.1)));
+    (0..8).for_each(|number| engine.run_now(number, work(0.1)));
     let all = (1..).find(|_| engine.run(0.01, 1.0).len() == 8).unwrap();
     assert!((9..=11).contains(&all), "{all}");
 }
--- a/crates/testing/emulator/tests/emulator.rs
+++ b/crates/testing/emulator/tests/emulator.rs
@@ -23,7 +23,7 @@
     };
     let run_alone = |requests: u64, memory: f64| {
         let mut engine = Engine::new(4.0, 1000.0, 0.2);
-        (0..requests).for_each(|number| engine.put(number, work(1.0, 1.0, memory, false)));
+        (0..requests).for_each(|number| engine.run_now(number, work(1.0, 1.0, memory, false)));
         until(&mut engine, requests - 1)
     };
     let (one, full, twice, paging) =
@@ -32,8 +32,8 @@
     assert!((twice - 2.4).abs() < 0.05, "{twice}"); // Twice the threads take twice as long, times 1.2 for thrashing.
     assert!((paging - 4.0).abs() < 0.1, "{paging}"); // Twice the memory gives a quarter of the speed.
     let mut engine = Engine::new(4.0, 1000.0, 0.2);
-    engine.put(1, work(0.5, 1.0, 1.0, true));
-    engine.put(2, work(0.1, 1.0, 1.0, false));
+    engine.run_now(1, work(0.5, 1.0, 1.0, true));
+    engine.run_now(2, work(0.1, 1.0, 1.0, false));
     assert!((until(&mut engine, 2) - 0.6).abs() < 0.03); // Request 2 waited for the bulk load of its table group.
     assert!(engine.is_empty());
 }
--- a/crates/testing/soak/src/judge.rs
+++ b/crates/testing/soak/src/judge.rs
@@ -11,7 +11,7 @@
 /// grace of 0.7 s, because a request takes time to arrive.
 const ANSWERED_AFTER_SIGNAL: Duration = Duration::from_millis(600);
 /// Time after its client has left within which an attempt may still begin.
-const LEFT_SLACK: Duration = Duration::from_millis(100);
+const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
 /// Race between a request and the close of its connection: a request sent at most this long before the client
 /// noticed the close may not have reached the front.
 const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
@@ -35,7 +35,7 @@
     /// No attempt begins at a draining engine after the drain grace.
     DrainGrace,
     /// No attempt begins for a client that has left.
-    ClientLeft,
+    ClientDisconnected,
     /// A started front becomes ready in time.
     Ready,
     /// After SIGTERM, a front exits by itself before the kill, with exit code 0.
@@ -51,7 +51,7 @@
             Rule::AnsweredOnce => "answered once",
             Rule::NoEffectTwice => "no effect twice",
             Rule::DrainGrace => "drain grace",
-            Rule::ClientLeft => "client left",
+            Rule::ClientDisconnected => "client left",
             Rule::Ready => "ready",
             Rule::Ended => "ended",
             Rule::ReturnedToRest => "returned to rest",
@@ -73,7 +73,7 @@
 }
 
 /// Returns all violations of the rules in a recording.
-pub fn judge(recording: &Recording) -> Vec<Violation> {
+pub fn find_violations(recording: &Recording) -> Vec<Violation> {
     let mut violations = Vec::new();
     for request in &recording.requests {
         violations.extend(judge_answer(recording, request));
@@ -170,14 +170,14 @@
         .filter_map(|request| Some((request.call.as_str(), request.client_left_at?)))
         .collect();
     let late = recording.attempts.iter().filter_map(|attempt| {
-        let allowed = *left.get(attempt.call.as_str())? + LEFT_SLACK + recording.driver_delay;
+        let allowed = *left.get(attempt.call.as_str())? + DISCONNECT_SLACK + recording.driver_delay;
         let detail = format!(
             "{} at engine {}, {:?} too late",
             attempt.call,
             attempt.engine,
             attempt.at.saturating_sub(allowed)
         );
-        (attempt.at > allowed).then(|| violation(Rule::ClientLeft, detail))
+        (attempt.at > allowed).then(|| violation(Rule::ClientDisconnected, detail))
     });
     late.collect()
 }
--- a/crates/testing/soak/src/lib.rs
+++ b/crates/testing/soak/src/lib.rs
@@ -2,8 +2,8 @@
 //! series of signals, failing engines, failing discovery, and crowds of idle clients.
 //!
 //! A [`Scenario`] is drawn from a seed. [`run`] runs it against a front program and returns a [`Recording`] of what
-//! clients, engines, discovery and the driver observed. [`judge`] returns the rules that the front broke; it is a pure
-//! function of the recording.
+//! clients, engines, discovery and the driver observed. [`find_violations`] returns the rules that the front
+//! broke; it is a pure function of the recording.
 
 #![warn(missing_docs)]
 
@@ -19,7 +19,7 @@
 mod run;
 mod scenario;
 
-pub use judge::{Rule, Violation, judge};
+pub use judge::{Rule, Violation, find_violations};
 pub use records::{
     AttemptRecord, DrainRecord, ProcessRecord, Recording, RequestClass, RequestRecord, ResponseKind,
     ResponseRecord,
--- a/crates/testing/soak/src/main.rs
+++ b/crates/testing/soak/src/main.rs
@@ -2,7 +2,7 @@
 //! broken.
 
 use clap::Parser;
-use lemonusher_soak::{RunOptions, Scenario, SeedResult, judge, run, summary, write_csv};
+use lemonusher_soak::{RunOptions, Scenario, SeedResult, find_violations, run, summary, write_csv};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::Mutex;
@@ -45,7 +45,7 @@
                         return;
                     }
                     let recording = run(&Scenario::draw(seed), &options);
-                    let violations = judge(&recording);
+                    let violations = find_violations(&recording);
                     println!(
                         "seed {seed}: {} requests, {} broken",
                         recording.requests.len(),
--- a/crates/testing/soak/tests/judge.rs
+++ b/crates/testing/soak/tests/judge.rs
@@ -61,12 +61,12 @@
 fn rules(change: impl FnOnce(&mut Recording)) -> Vec<Rule> {
     let mut recording = clean();
     change(&mut recording);
-    judge(&recording).iter().map(|violation| violation.rule).collect()
+    find_violations(&recording).iter().map(|violation| violation.rule).collect()
 }
 
 #[test]
 fn clean_recording_breaks_no_rule() {
-    assert_eq!(judge(&clean()), []);
+    assert_eq!(find_violations(&clean()), []);
 }
 
 type Change = fn(&mut Recording);
@@ -94,7 +94,7 @@
             r.requests[1].responses[0].kind = ResponseKind::Rejected;
         }),
         ("attempt past the drain's grace", Rule::DrainGrace, |r| r.attempts[1].at = ms(910)),
-        ("attempt for a client that has left", Rule::ClientLeft, |r| {
+        ("attempt for a client that has left", Rule::ClientDisconnected, |r| {
             r.requests[0].client_left_at = Some(ms(420));
         }),
         ("never ready", Rule::Ready, |r| r.processes[0].ready_at = None),
--- a/crates/testing/soak/tests/soak.rs
+++ b/crates/testing/soak/tests/soak.rs
@@ -25,7 +25,7 @@
                 loop {
                     let Some(seed) = seeds.lock().unwrap().pop() else { return };
                     let recording = run(&Scenario::draw(seed), &options(None));
-                    let violations = judge(&recording);
+                    let violations = find_violations(&recording);
                     results.lock().unwrap().push(SeedResult { seed, recording, violations });
                 }
             });
@@ -44,7 +44,7 @@
 #[test]
 fn front_that_answers_twice_or_not_at_all_is_caught() {
     for (fault, rule) in [(RelayFault::Duplicate, Rule::AnsweredOnce), (RelayFault::Lose, Rule::Answered)] {
-        let violations = judge(&run(&Scenario::draw(1), &options(Some(fault))));
+        let violations = find_violations(&run(&Scenario::draw(1), &options(Some(fault))));
         assert!(violations.iter().any(|violation| violation.rule == rule), "{fault:?}: {violations:?}");
     }
 }
