--- a/crates/edges/front/src/program/clients/reading.rs
+++ b/crates/edges/front/src/program/clients/reading.rs
@@ -25,7 +25,7 @@
 /// A client timeout longer than the request class's deadline times this is refused as invalid.
 const MAX_TIMEOUT_FACTOR: u64 = 2;
 /// Number of malformed lines without an id after which a connection accepts no more.
-const MAX_FAULTY_LINES: u32 = 16;
+const MAX_INVALID_LINES: u32 = 16;
 /// Limit of the unwritten bytes of a connection after a malformed line; above it the connection accepts no more.
 const MAX_UNREAD_FAULT_BYTES: usize = 64 * 1024;
 
@@ -39,7 +39,7 @@
     Broken,
     /// The input exceeded a limit (of length, time, memory or malformed lines). The client may still wait for
     /// responses.
-    Faulty,
+    LimitExceeded,
     /// A requested close: no request was open and no byte unread, and the writing side has been shut down.
     Idle,
 }
@@ -50,7 +50,7 @@
         f.write_str(match self {
             ReadEnd::ClientClosed => "closed by the client",
             ReadEnd::Broken => "socket failed",
-            ReadEnd::Faulty => "input beyond a limit",
+            ReadEnd::LimitExceeded => "input beyond a limit",
             ReadEnd::Idle => "closed while idle",
         })
     }
@@ -73,7 +73,7 @@
         loop {
             let mut pass = self.read_available(&mut lines).await;
             self.has_partial_line.set(lines.has_partial());
-            if matches!(pass.end, Some(ReadEnd::Faulty))
+            if matches!(pass.end, Some(ReadEnd::LimitExceeded))
                 && transport::discard_available(&socket, MAX_DISCARDED_BYTES)
             {
                 pass.end = Some(ReadEnd::ClientClosed);
@@ -115,7 +115,7 @@
                         let _ = self.shared.events.send(event).await;
                     }
                     if !self.accepting.get() {
-                        pass.end = Some(ReadEnd::Faulty);
+                        pass.end = Some(ReadEnd::LimitExceeded);
                     }
                 }
                 ReadStatus::Pending => return pass,
@@ -147,13 +147,13 @@
             ReadError::Truncated => ReadEnd::ClientClosed,
             ReadError::TooLong => {
                 self.handle_fault(Fault { id: None, kind: FaultKind::InvalidRequest });
-                ReadEnd::Faulty
+                ReadEnd::LimitExceeded
             }
             ReadError::NoMemory | ReadError::Slow | ReadError::Malformed(_) => {
                 if let ReadError::NoMemory = error {
                     self.shared.counters.add(Counter::LinesOverMemoryLimit, None);
                 }
-                ReadEnd::Faulty
+                ReadEnd::LimitExceeded
             }
         }
     }
@@ -248,8 +248,8 @@
         log::debug!("invalid message from a client: {fault:?}");
         self.write(&client::encode_fault(&fault));
         // Error responses cost little, but they are limited too.
-        self.faulty_lines.set(self.faulty_lines.get() + u32::from(fault.id.is_none()));
-        if self.faulty_lines.get() >= MAX_FAULTY_LINES
+        self.invalid_lines.set(self.invalid_lines.get() + u32::from(fault.id.is_none()));
+        if self.invalid_lines.get() >= MAX_INVALID_LINES
             || self.write_queue.queued_bytes() > MAX_UNREAD_FAULT_BYTES
         {
             self.accepting.set(false);
--- a/crates/edges/front/src/program/clients/session.rs
+++ b/crates/edges/front/src/program/clients/session.rs
@@ -49,7 +49,7 @@
     /// The highest ticket received.
     pub(super) highest_ticket: Cell<u64>,
     /// Number of malformed lines without an id.
-    pub(super) faulty_lines: Cell<u32>,
+    pub(super) invalid_lines: Cell<u32>,
     /// How long the bytes that are read now may have waited for the connection to be accepted.
     pub(super) accept_wait: Cell<Duration>,
 }
@@ -71,7 +71,7 @@
             last_used: Cell::new(Instant::now()),
             has_received_line: Cell::new(false),
             highest_ticket: Cell::new(0),
-            faulty_lines: Cell::new(0),
+            invalid_lines: Cell::new(0),
             accept_wait: Cell::new(accept_wait),
         }
     }
@@ -138,7 +138,7 @@
             }
             ReadEnd::Broken => return false,
             ReadEnd::Idle => self.write_queue.close(),
-            ReadEnd::Faulty => {
+            ReadEnd::LimitExceeded => {
                 if self.open_requests.borrow().is_empty() {
                     self.write_queue.close();
                 }
