--- a/crates/edges/front/src/program/clients/session.rs
+++ b/crates/edges/front/src/program/clients/session.rs
@@ -49,7 +49,7 @@
     /// The highest ticket received.
     pub(super) highest_ticket: Cell<u64>,
     /// Number of malformed lines without an id.
-    pub(super) faulty_lines: Cell<u32>,
+    pub(super) invalid_lines: Cell<u32>,
     /// How long the bytes that are read now may have waited for the connection to be accepted.
     pub(super) accept_wait: Cell<Duration>,
 }
@@ -71,7 +71,7 @@
             last_used: Cell::new(Instant::now()),
             has_received_line: Cell::new(false),
             highest_ticket: Cell::new(0),
-            faulty_lines: Cell::new(0),
+            invalid_lines: Cell::new(0),
             accept_wait: Cell::new(accept_wait),
         }
     }
@@ -104,7 +104,7 @@
     /// partially read, or the connection accepts no more.
     pub fn idle_time(&self) -> Option<Duration> {
         let is_busy = !self.open_requests.borrow().is_empty()
-            || self.write_queue.waiting() > 0
+            || self.write_queue.queued_bytes() > 0
             || self.has_partial_line.get();
         (self.accepting.get() && !is_busy).then(|| self.last_used.get().elapsed())
     }
@@ -138,7 +138,7 @@
             }
             ReadEnd::Broken => return false,
             ReadEnd::Idle => self.write_queue.close(),
-            ReadEnd::Faulty => {
+            ReadEnd::LimitExceeded => {
                 if self.open_requests.borrow().is_empty() {
                     self.write_queue.close();
                 }
@@ -163,7 +163,7 @@
     async fn abandon_requests(self: &Rc<Self>, respond_failed: bool) {
         let open_requests = std::mem::take(&mut *self.open_requests.borrow_mut());
         for (ticket, request) in open_requests {
-            let disconnected = RouterEvent::ClientGone { sink: self.clone(), ticket, request };
+            let disconnected = RouterEvent::ClientDisconnected { sink: self.clone(), ticket, request };
             let _ = self.shared.events.send(disconnected).await;
             if respond_failed {
                 self.write(&client::encode_failed(ticket));
@@ -183,8 +183,8 @@
 
     /// Updates this connection's part of [`Shared::unwritten_bytes`].
     fn update_unwritten(&self) {
-        let (unwritten, waiting) = (&self.shared.unwritten_bytes, self.write_queue.waiting());
-        unwritten.set(unwritten.get() - self.counted_bytes.replace(waiting) + waiting);
+        let (unwritten, queued_bytes) = (&self.shared.unwritten_bytes, self.write_queue.queued_bytes());
+        unwritten.set(unwritten.get() - self.counted_bytes.replace(queued_bytes) + queued_bytes);
     }
 
     /// Closes the connection if it is idle and no byte is unread, and returns whether it did. The writing side is
--- a/crates/edges/front/src/program/control_channels.rs
+++ b/crates/edges/front/src/program/control_channels.rs
@@ -56,7 +56,7 @@
     /// set the quota to zero if the fronts share it, and take every engine out of service if there is maintenance.
     pub(super) fn attach(self, mut router: RequestRouter, shared: &Shared) -> RequestRouter {
         if self.shares_quota {
-            let _ = shared.events.try_send(RouterEvent::Control(ControlUpdate::Quota(0.0)));
+            let _ = shared.events.try_send(RouterEvent::Control(ControlUpdate::SlowStartQuota(0.0)));
         }
         if self.maintenance {
             let closed = Arc::default();
--- a/crates/edges/routing/src/counters.rs
+++ b/crates/edges/routing/src/counters.rs
@@ -21,7 +21,7 @@
     /// Requests that got a response stating failure.
     Failed,
     /// Requests whose client disconnected or cancelled before a response.
-    ClientGone,
+    ClientDisconnected,
     /// Attempts cancelled.
     Cancels,
     /// Attempts after the first of their request.
@@ -35,17 +35,17 @@
     /// Client connections accepted.
     ClientConnections,
     /// Lines from clients that are not a valid message.
-    FaultyLines,
+    InvalidLines,
     /// Lines from clients that exceeded the memory limit.
-    LinesWithoutRoom,
+    LinesOverMemoryLimit,
     /// Connections to engines opened.
     EngineConnections,
     /// Unmatched replies: no attempt or probe in flight expects them.
-    StrayAnswers,
+    UnmatchedReplies,
     /// Connections to engines that ended because a reply was malformed, too long, too slow or over the memory limit.
-    SpoiltConnections,
+    EngineReadErrors,
     /// Endpoint updates received from discovery.
-    ChannelEvents,
+    EndpointUpdates,
     /// Panics that were caught.
     Panics,
 }
@@ -181,19 +181,19 @@
             Counter::Returned => "returned",
             Counter::Rejected => "pushed back",
             Counter::Failed => "errored",
-            Counter::ClientGone => "left",
+            Counter::ClientDisconnected => "left",
             Counter::Cancels => "cancels",
             Counter::Retries => "further dispatches",
             Counter::AttemptEnded(outcome) => return write!(f, "dispatch ended {outcome}"),
             Counter::Probes => "probes",
             Counter::ProbeFailures => "probes failed",
             Counter::ClientConnections => "client connections",
-            Counter::FaultyLines => "faulty lines",
-            Counter::LinesWithoutRoom => "lines with no room",
+            Counter::InvalidLines => "faulty lines",
+            Counter::LinesOverMemoryLimit => "lines with no room",
             Counter::EngineConnections => "engine connections",
-            Counter::StrayAnswers => "stray answers",
-            Counter::SpoiltConnections => "engine connections spoilt",
-            Counter::ChannelEvents => "channel events",
+            Counter::UnmatchedReplies => "stray answers",
+            Counter::EngineReadErrors => "engine connections spoilt",
+            Counter::EndpointUpdates => "channel events",
             Counter::Panics => "panics",
         })
     }
--- a/crates/testing/emulator/src/clients.rs
+++ b/crates/testing/emulator/src/clients.rs
@@ -113,7 +113,7 @@
             if front.open_requests.get(&name).is_some_and(|open_request| open_request.id == id) {
                 front.open_requests.remove(&name);
                 front.events.push_back(Event::ClientDisconnected(name));
-                self.observe(Observation::ClientGone { id });
+                self.observe(Observation::ClientDisconnected { id });
             }
         }
     }
@@ -152,7 +152,7 @@
         self.report.in_objective += u64::from(self.now - open_request.arrived <= latency_objective);
         let Some(request) = self.requests.remove(&open_request.request) else { return };
         let in_objective = self.now - request.first <= latency_objective;
-        let count = &mut self.report.statistics.at((request.first - BEGIN).as_secs_f64()).classes
+        let count = &mut self.report.statistics.interval_at((request.first - BEGIN).as_secs_f64()).classes
             [open_request.request_class];
         count.served += 1;
         count.in_objective += u64::from(in_objective);
