--- a/crates/testing/cluster/src/fake_engine.rs
+++ b/crates/testing/cluster/src/fake_engine.rs
@@ -1,6 +1,6 @@
 //! A fake engine that speaks the engines' line protocol and runs the emulator's engine model in real time. After a
-//! restart it is cold: its speed rises linearly to full speed over the warm-up. If the work sent to a cold engine
-//! exceeds its overload limit, it stops replying until it is restarted.
+//! restart it is cold: its speed rises linearly to full speed over the warm-up. A cold engine that is sent more work
+//! than its overload limit replies to probes only, and to no request until it is restarted.
 
 use crate::fake_zones::{FakeZonesConfig, Shared};
 use lemonusher_emulator::{Engine as Model, Work};
@@ -9,10 +9,11 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Memory of an engine and of a request, in MB, chosen so that memory is never short.
+/// Memory of an engine, in MB. It is so large that requests never run out of it.
 const ENGINE_MEMORY_MB: f64 = 1e9;
+/// Memory of a request, in MB.
 const REQUEST_MEMORY_MB: f64 = 1.0;
-/// Share of the work that the model loses for each time that threads outnumber cores.
+/// The model's [`Model::thrashing_loss`].
 const THREAD_OVERHEAD: f64 = 0.05;
 
 /// An attempt that an engine received.
--- a/crates/testing/cluster/src/load_client.rs
+++ b/crates/testing/cluster/src/load_client.rs
@@ -11,7 +11,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// JSON-RPC's error code of a rejected request.
+/// JSON-RPC error code of a rejected request.
 const REJECTED_CODE: i64 = -32002;
 /// Time between two checks whether a request is due.
 const SEND_INTERVAL: Duration = Duration::from_millis(4);
--- a/crates/testing/cluster/src/relays.rs
+++ b/crates/testing/cluster/src/relays.rs
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Forwards the datagrams that are due, and returns their number. Those without a known receiver are dropped
-    /// but counted.
+    /// Forwards the datagrams that are due, and returns their number. Datagrams without a known receiver are
+    /// dropped, but counted too.
     fn forward(&mut self, voter_address: Option<SocketAddr>) -> u64 {
         let now = Instant::now();
         let mut forwarded = 0;
@@ -232,7 +232,7 @@
         self.set_faults(|_, _| true, Faults::default(), Faults::default());
     }
 
-    /// Datagrams forwarded so far.
+    /// Datagrams forwarded so far, including those that were dropped for lack of a known receiver.
     pub fn forwarded(&self) -> u64 {
         self.shared.lock().unwrap().forwarded
     }
