--- a/crates/testing/soak/src/clients.rs
+++ b/crates/testing/soak/src/clients.rs
@@ -1,4 +1,5 @@
-//! Clients that use their connections until the front closes them or is killed.
+//! Clients that send requests, and cancel some of them or close their connections at random. After SIGTERM they do
+//! neither, and use their connections until the front closes them or ends.
 
 use crate::recorder::Recorder;
 use crate::records::{RequestClass, RequestRecord, ResponseKind, ResponseRecord};
--- a/crates/testing/soak/src/discovery.rs
+++ b/crates/testing/soak/src/discovery.rs
@@ -32,14 +32,15 @@
     engines: Vec<EngineEntry>,
     /// Indices of the engines that began to drain, one per event after `FIRST_EVENT`.
     drained: Vec<usize>,
-    /// Number of requests so far to repeat the last event.
+    /// Number of [`DiscoveryChange::Repeat`] so far; after each, connections send their last event again.
     repeats: u64,
     cut_next: bool,
     /// Connections accepted before this time send nothing more.
     silent_before: Option<Instant>,
     down_until: Option<Instant>,
-    /// Number of the current address, and the time since which it is current.
+    /// Number of the current address, from 1.
     current: usize,
+    /// Time since which it is current.
     moved_at: Option<Instant>,
 }
 
@@ -98,7 +99,8 @@
         }
     }
 
-    /// Endpoint list for a front's start configuration: the number of the last event, and the engines.
+    /// Endpoint list for a front's start configuration: the number of the last event, and the engines. Records the
+    /// drains in it as notified.
     pub(crate) fn known(&self) -> Value {
         let state = self.lock();
         let member = |(index, engine): (usize, &EngineEntry)| {
@@ -114,7 +116,7 @@
         json!({"cursor": number, "cmds": [{"nodes": {"revision": number, "complete": true, "members": members}}]})
     }
 
-    /// Serves one connection to the address of this number until it is closed.
+    /// Serves one connection until it is closed. `number` is the number of the address that accepted it.
     fn serve(&self, number: usize, mut stream: TcpStream) {
         let accepted_at = Instant::now();
         let mut known = [0; 8];
@@ -162,15 +164,15 @@
 }
 
 impl State {
-    /// State of a connection to the address of this number.
+    /// State of a connection that the address with this number accepted.
     fn connection(&self, number: usize, accepted_at: Instant) -> ConnectionState {
         let now = Instant::now();
         if self.down_until.is_some_and(|until| now < until) {
             return ConnectionState::Closed;
         }
         if self.current != number {
-            // A former address accepts no new connection and sends nothing more; its connections are closed after
-            // a delay.
+            // A former address closes new connections at once. It sends nothing more on older ones, and closes them
+            // after a delay.
             let is_closed = |at: Instant| now > at + FORMER_ADDRESS_CLOSE_DELAY || accepted_at > at;
             return match self.moved_at.is_some_and(is_closed) {
                 true => ConnectionState::Closed,
--- a/crates/testing/soak/src/judge.rs
+++ b/crates/testing/soak/src/judge.rs
@@ -10,15 +10,16 @@
 /// Requests sent within this time after SIGTERM must be answered. It is a little less than the platform's shutdown
 /// grace of 0.7 s, because a request takes time to arrive.
 const ANSWERED_AFTER_SIGNAL: Duration = Duration::from_millis(600);
-/// Time after its client has left within which an attempt may still begin.
+/// Time after a client has left within which an attempt of its request may still begin.
 const LEFT_SLACK: Duration = Duration::from_millis(100);
 /// Race between a request and the close of its connection: a request sent at most this long before the client
 /// noticed the close may not have reached the front.
 const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
-/// Time from its start within which a front must be ready.
+/// Time within which a started front must be ready.
 const READY_WITHIN: Duration = Duration::from_secs(10);
-/// Descriptors that may be open once idle beyond those at the start: for each engine, and in total besides.
+/// Descriptors per engine that an idle front may have open in addition to those at its start.
 const DESCRIPTORS_PER_ENGINE: usize = 4;
+/// Further descriptors that an idle front may have open, regardless of the number of engines.
 const SPARE_DESCRIPTORS: usize = 8;
 /// Allowed growth of resident memory since the start, in kB.
 const MAX_MEMORY_GROWTH_KB: u64 = 24 * 1024;
@@ -107,8 +108,8 @@
         });
     }
     let sent_in_time = sent_at + recording.driver_delay <= process.terminated_at + ANSWERED_AFTER_SIGNAL;
-    // A request may be on its way while the front closes its connection to free descriptors. It needs no response: a
-    // client sends it again on another connection.
+    // The front may close a connection to free descriptors while a request is in transit on it. Such a request needs
+    // no response, because a client can safely retry it on another connection.
     let raced_with_close = request
         .closed_for_crowd_at
         .is_some_and(|at| sent_at + CLOSE_RACE_WINDOW + recording.driver_delay >= at);
--- a/crates/testing/soak/src/lib.rs
+++ b/crates/testing/soak/src/lib.rs
@@ -1,5 +1,5 @@
-//! A soak test of real front processes, under clients that use their connections until the process is killed,
-//! series of signals, failing engines, failing discovery, and crowds of idle clients.
+//! A soak test of real front processes, under clients that go on sending requests after SIGTERM, series of signals,
+//! failing engines, failing discovery, and crowds of idle clients.
 //!
 //! A [`Scenario`] is drawn from a seed. [`run`] runs it against a front program and returns a [`Recording`] of what
 //! clients, engines, discovery and the driver observed. [`judge`] returns the rules that the front broke; it is a pure
--- a/crates/testing/soak/src/recorder.rs
+++ b/crates/testing/soak/src/recorder.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Sleep by which the driver measures its own scheduling delay.
+/// Requested sleep time. The driver's scheduling delay is the time by which the sleep exceeds it.
 const DELAY_PERIOD: Duration = Duration::from_millis(2);
 
 /// The records of one run.
--- a/crates/testing/soak/src/run.rs
+++ b/crates/testing/soak/src/run.rs
@@ -22,11 +22,13 @@
 const STEP: Duration = Duration::from_millis(1);
 /// Time between two new clients after SIGTERM.
 const LATE_CLIENT_INTERVAL: Duration = Duration::from_millis(40);
-/// Times since the front was ready between which the crowd of idle clients is connected.
+/// Time since the front was ready at which the crowd of idle clients connects.
 const CROWD_FROM: Duration = Duration::from_millis(500);
+/// Time since the front was ready at which the crowd disconnects.
 const CROWD_UNTIL: Duration = Duration::from_millis(1300);
-/// Time for which the second process has clients, and idle time after that before its resources are measured.
+/// Time for which the second process has clients.
 const SECOND_LOAD_TIME: Duration = Duration::from_millis(700);
+/// Time from the end of its clients until the second process's descriptors and memory are measured.
 const IDLE_TIME: Duration = Duration::from_millis(600);
 
 /// Options of a run.
--- a/crates/testing/soak/tests/judge.rs
+++ b/crates/testing/soak/tests/judge.rs
@@ -80,7 +80,7 @@
             r.requests.push(request("c", RequestClass::Idempotent, 3550));
             r.requests[2].responses.clear();
         }),
-        ("no response, long before the crowd's end of its connection", Rule::Answered, |r| {
+        ("no response, sent long before its connection was closed in a crowd", Rule::Answered, |r| {
             r.requests[0].responses.clear();
             r.requests[0].closed_for_crowd_at = Some(ms(700));
         }),
@@ -93,7 +93,7 @@
         ("rejected request ran", Rule::NoEffectTwice, |r| {
             r.requests[1].responses[0].kind = ResponseKind::Rejected;
         }),
-        ("attempt past the drain's grace", Rule::DrainGrace, |r| r.attempts[1].at = ms(910)),
+        ("attempt after the drain grace", Rule::DrainGrace, |r| r.attempts[1].at = ms(910)),
         ("attempt for a client that has left", Rule::ClientLeft, |r| {
             r.requests[0].client_left_at = Some(ms(420));
         }),
@@ -119,7 +119,7 @@
             r.requests.push(request("c", RequestClass::Idempotent, 3700));
             r.requests[2].responses.clear();
         }),
-        ("no response, and it crossed its connection's end in a crowd", |r| {
+        ("no response, sent just before its connection was closed in a crowd", |r| {
             r.requests[0].responses.clear();
             r.requests[0].closed_for_crowd_at = Some(ms(520));
         }),
@@ -127,7 +127,7 @@
             r.attempts[2].ran = false;
             r.attempts.push(attempt("b", 1, 650));
         }),
-        ("within the drain's grace", |r| r.attempts[1].at = ms(900)),
+        ("attempt within the drain grace", |r| r.attempts[1].at = ms(900)),
         ("failed, and it ran", |r| r.requests[1].responses[0].kind = ResponseKind::Failed),
     ];
     for (case, change) in cases {
