--- a/crates/testing/emulator/src/attempts.rs
+++ b/crates/testing/emulator/src/attempts.rs
@@ -11,8 +11,9 @@
 };
 use std::time::Duration;
 
-/// Limits of a request's work, as multiples of its class's mean.
+/// Least work of a request, as a multiple of its class's mean.
 const MIN_WORK_FACTOR: f64 = 0.02;
+/// Most work of a request, as a multiple of its class's mean; runaway requests may exceed it.
 const MAX_WORK_FACTOR: f64 = 8.0;
 /// Network round trip of a probe.
 const PROBE_ROUND_TRIP: Duration = Duration::from_millis(1);
@@ -327,7 +328,7 @@
         }
     }
 
-    /// Delivers the progress reports of running attempts that are due.
+    /// Delivers the due progress reports of running attempts.
     pub(crate) fn report_progress(&mut self) {
         let Some(period) = self.world.progress_interval_s else { return };
         let now = self.now;
--- a/crates/testing/emulator/src/check.rs
+++ b/crates/testing/emulator/src/check.rs
@@ -1,10 +1,12 @@
 //! Checks the seven rules on the observations of clients and engines:
 //!
-//! 1. Each try gets one response, in time, and no attempt is sent after it.
+//! 1. Each try gets one response, in time, unless its client disconnects. No attempt is sent after
+//!    the response or the disconnection.
 //! 2. A try has one attempt in flight at most, and a non-idempotent request runs at most once.
 //! 3. No attempt is sent to a draining engine after the drain grace.
-//! 4. An engine that warms up is not sent more work than its overload limit, unless it is a single request.
-//! 5. Requests of one key are sent in order of arrival.
+//! 4. An engine that warms up is not sent more work within the overload window than its overload limit, unless by a
+//!    single request. The work of a request counts as its class's mean.
+//! 5. A front sends requests of one key in order of their arrival.
 //! 6. A request is sent only to its class's allowed zones.
 //! 7. A front's retries stay within the retry budget.
 
@@ -32,7 +34,7 @@
     AttemptSent { front: usize, id: u64, number: u32, engine: usize, work: f64 },
     /// An attempt ended for its front; `may_have_run` states whether it may have run as far as the front can know.
     AttemptEnded { id: u64, may_have_run: bool },
-    /// An engine began to run the request.
+    /// An engine accepted an attempt of the request, to run it at once or from its queue.
     RequestRan { request: u64 },
     /// An engine drains, and this front has been notified, or all fronts if `None`.
     EngineDraining { engine: usize, front: Option<usize> },
@@ -94,7 +96,7 @@
     pub message: String,
 }
 
-/// How many retries a front may send within the budget's window.
+/// Retries that a front may send within the budget's window.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryAllowance {
     /// Retries that are allowed in any case.
@@ -301,7 +303,7 @@
         known.in_flight += 1;
         let (class, key) = (known.class, known.key);
         if had_ended {
-            self.report(1, now, format!("attempt of try {id} after its response"));
+            self.report(1, now, format!("attempt of try {id} that has already ended"));
         }
         if must_not_run {
             self.report(
--- a/crates/testing/emulator/src/engine.rs
+++ b/crates/testing/emulator/src/engine.rs
@@ -150,7 +150,7 @@
             return Vec::new();
         }
         let threads_per_core = threads / (self.cores * self.max_threads_per_core);
-        // Above that many threads per core, threads share the cores, and part of the work is lost to thrashing.
+        // Above `max_threads_per_core`, threads share the cores, and part of the work is lost to thrashing.
         let share = if threads_per_core > 1.0 {
             1.0 / (threads_per_core * (1.0 + self.thrashing_loss * (threads_per_core - 1.0)))
         } else {
--- a/crates/testing/emulator/src/host.rs
+++ b/crates/testing/emulator/src/host.rs
@@ -63,7 +63,8 @@
         }
     }
 
-    /// Records the use of a table group, and returns whether it was cached. At most `most` are cached, in LRU order.
+    /// Records the use of a table group, and returns whether it was cached. The `capacity` most recently used table
+    /// groups are cached.
     pub fn use_table_group(&mut self, table_group: u64, capacity: usize) -> bool {
         let count_before = self.cached_table_groups.len();
         self.cached_table_groups.retain(|other| *other != table_group);
--- a/crates/testing/emulator/src/lib.rs
+++ b/crates/testing/emulator/src/lib.rs
@@ -1,7 +1,7 @@
 //! Simulates a deployment in virtual time: engines whose requests share cores and memory, fronts with a gateway
 //! each, clients that give up and retry, and a script of failures. A TOML file states the deployment. A run is
 //! deterministic: the same file and seed give the same events. A checker observes clients and engines, and reports
-//! each violation of the seven rules with its cause.
+//! the first hundred violations of the seven rules.
 
 #![warn(missing_docs)]
 
--- a/crates/testing/emulator/src/rng.rs
+++ b/crates/testing/emulator/src/rng.rs
@@ -1,8 +1,9 @@
-//! Random numbers that are the same on every platform for one seed.
+//! Random numbers from a seed.
 
 use crate::settings::Range;
 
-/// A SplitMix64 generator. It is implemented here so that a seed gives the same numbers on every platform.
+/// A SplitMix64 generator. It is implemented here so that a seed gives the same numbers on every platform; only
+/// [`SeededRng::exponential`] uses a logarithm, whose last bits may depend on the platform.
 #[derive(Debug, Clone)]
 pub struct SeededRng(u64);
 
--- a/crates/testing/emulator/src/settings.rs
+++ b/crates/testing/emulator/src/settings.rs
@@ -17,7 +17,7 @@
     pub period: f64,
     /// Seconds from a sample until it is reported.
     pub delay: Range,
-    /// Relative error of each value at most, from 0 to 1.
+    /// Largest relative error of a value, from 0 to 1.
     #[serde(default)]
     pub noise: f64,
 }
--- a/crates/testing/emulator/src/simulation.rs
+++ b/crates/testing/emulator/src/simulation.rs
@@ -15,7 +15,7 @@
 /// warm before the run.
 pub(crate) const BEGIN: Duration = Duration::from_secs(60);
 
-/// A fault injected into the simulated fronts. Each one breaks one rule, which the checker must detect.
+/// A fault injected into the simulated fronts. Each one except `None` breaks one rule, which the checker must detect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// No fault.
@@ -57,7 +57,7 @@
     pub statistics: Statistics,
     /// Violations of the rules; the first hundred.
     pub violations: Vec<Violation>,
-    /// Hash of all observations; the same for the same deployment and seed.
+    /// Hash of all observations; the same for the same deployment, seed and fault.
     pub digest: u64,
 }
 
@@ -154,11 +154,13 @@
     pub notified: BTreeMap<(usize, usize), Duration>,
     pub replacements: Vec<Replacement>,
     pub requests: BTreeMap<u64, ClientRequest>,
-    /// Time of the next request's first try, and the number of requests so far.
+    /// Time of the next request's first try.
     pub next_arrival: Duration,
+    /// Number of requests so far.
     pub requests_started: u64,
-    /// Requests to retry, and tries whose clients will give up, by time.
+    /// Requests to retry, by time.
     pub retries: BTreeSet<(Duration, u64)>,
+    /// Front and name of each try that its client will give up, by time and try.
     pub give_ups: BTreeMap<(Duration, u64), (usize, RequestId)>,
     pub checker: Checker,
     pub report: Report,
--- a/crates/testing/emulator/src/tally.rs
+++ b/crates/testing/emulator/src/tally.rs
@@ -1,4 +1,5 @@
-//! Counts the outcomes of requests, by class and by the interval of their first try.
+//! Counts the outcomes of requests, by class and by the interval of their first try; tries, attempts and work are
+//! counted in the interval in which they occur.
 
 /// Outcomes of the requests of one class whose first try arrived in one interval.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
--- a/crates/testing/emulator/src/world.rs
+++ b/crates/testing/emulator/src/world.rs
@@ -165,7 +165,7 @@
     /// Whether it is a bulk load. While it runs, requests of its table group that are not bulk loads make no progress.
     #[serde(rename = "load", default)]
     pub is_bulk_load: bool,
-    /// Number of keys; 0 for none. Requests with the same key run one at a time, in order of arrival.
+    /// Number of keys; 0 for none. A front sends requests with the same key one at a time, in order of arrival.
     #[serde(default)]
     pub keys: u64,
     /// Number of table groups.
--- a/crates/testing/emulator/tests/abilities.rs
+++ b/crates/testing/emulator/tests/abilities.rs
@@ -1,9 +1,9 @@
-//! Tests of the optional sections of a deployment's file: each one changes the run as stated, and unknown keys are
-//! rejected.
+//! Tests of optional settings of a deployment's file. Slots and queues, replaced engines, overload, expired requests,
+//! retries, runaways, probes and load reports affect a run as stated, and unknown keys are rejected.
 
 use lemonusher_emulator::{Engine, Fault, Finished, Report, SimulatedDeployment, Work, simulate};
 
-/// A small deployment with every optional section.
+/// A small deployment with load reports, probes, retries of clients, discovery delays, runaways and a replacement.
 const SMALL: &str = r#"
 seconds = 20
 fronts = 20
--- a/crates/testing/emulator/tests/collapse.rs
+++ b/crates/testing/emulator/tests/collapse.rs
@@ -1,6 +1,6 @@
 //! 60 % of the engines of a deployment with 300 fronts are replaced within seconds. Once the new engines are warm,
-//! each request class must be served as before. The tests guard against a metastable collapse: a deployment that
-//! keeps rejecting requests although the cause is gone.
+//! the served share of each request class must be 90 % of that before, or more. The tests guard against a metastable
+//! collapse: a deployment that keeps rejecting requests although the cause is gone.
 
 use lemonusher_emulator::{Fault, INTERVAL_SECONDS, Report, SimulatedDeployment, simulate};
 use std::sync::Mutex;
@@ -13,18 +13,18 @@
     world: &'static str,
 }
 
-/// Second by which each deployment must serve as before. The replacement begins at 13 s and takes 7 s, the last
+/// Second by which each deployment must have recovered. The replacement begins at 13 s and takes 7 s, the last
 /// new engine is warm 11 or 12 s after that, and 10 s more are allowed.
 const RECOVERED_BY: f64 = 42.0;
 const RECORDS: Trial = Trial { name: "records", world: include_str!("../worlds/records-join.toml") };
 const BOX_OFFICE: Trial = Trial { name: "box-office", world: include_str!("../worlds/box-office-join.toml") };
 const SURVEY: Trial = Trial { name: "survey", world: include_str!("../worlds/survey-join.toml") };
 
-/// Seconds of the run between which the served share is measured before the replacement, and the length of the
-/// measurement after it.
+/// Seconds of the run between which the served share before the replacement is measured.
 const BEFORE: (f64, f64) = (5.0, 10.0);
+/// Length of the measurement after the replacement, in seconds.
 const JUDGED_FOR: f64 = 10.0;
-/// Served share after the replacement, as a share of the one before, that is required.
+/// Least served share after the replacement, as a multiple of the served share before it.
 const RECOVERED: f64 = 0.9;
 const THREADS: usize = 8;
 
--- a/crates/testing/emulator/tests/emulator.rs
+++ b/crates/testing/emulator/tests/emulator.rs
@@ -74,7 +74,7 @@
     ] {
         let is_detected = (1..=5)
             .any(|seed| simulate(&world, seed, fault).violations.iter().any(|broken| broken.rule == rule));
-        assert!(is_detected, "{fault:?} is not seen");
+        assert!(is_detected, "{fault:?} is not detected");
     }
 }
 
--- a/crates/testing/emulator/tests/slow_engines.rs
+++ b/crates/testing/emulator/tests/slow_engines.rs
@@ -7,11 +7,13 @@
 const BOX_OFFICE: &str = include_str!("../worlds/box-office-join.toml");
 /// Text at which the failures begin in the deployment's file.
 const FAILURES: &str = "[[failures]]";
-/// Seconds at which the engines become slow, and at which the run ends.
+/// Second at which the engines become slow.
 const SLOW_AT: f64 = 5.0;
+/// Second at which the run ends.
 const END: f64 = 20.0;
-/// Number of slow engines out of 50, and their slowdown factor.
+/// Number of slow engines, out of 50.
 const SLOW_ENGINES: usize = 5;
+/// Slowdown factor of the slow engines.
 const TIMES: f64 = 6.0;
 /// Memory of an engine. Its usual requests need about half of it, so an engine that falls behind begins to page,
 /// and then falls behind further.
