--- a/crates/tools/simhost/src/host.rs
+++ b/crates/tools/simhost/src/host.rs
@@ -31,7 +31,7 @@
 }
 
 impl Host {
-    /// Handles all events of a frame, then lets each front decide that received one. Fails on a malformed event. An
+    /// Handles all events of a frame, then lets each front that received one decide. Fails on a malformed event. An
     /// event with an unknown name is reported on standard error and ignored.
     pub fn handle_frame(&mut self, frame: &Frame) -> Result<Reply, String> {
         let now = Duration::from_micros(frame.now_us);
@@ -133,7 +133,8 @@
         self.deliver(now, front, |_| Some(Event::Endpoints(kind, entries)));
     }
 
-    /// Delivers an event to a front. `event` builds it with the front's report reader; `None` delivers nothing.
+    /// Delivers an event to a front. `event` builds it with the front's report reader. If it returns `None`, nothing is
+    /// delivered, but the front decides at the end of the frame nevertheless.
     fn deliver(&mut self, now: Duration, front: u32, event: impl FnOnce(&ReportReader) -> Option<Event>) {
         let Some(running) = self.fronts.get_mut(&front) else {
             eprintln!("event for front {front}, which is not running: ignored");
--- a/crates/tools/simhost/src/main.rs
+++ b/crates/tools/simhost/src/main.rs
@@ -30,7 +30,7 @@
     let mut line = String::new();
     for count in 1u64.. {
         line.clear();
-        if input.read_line(&mut line).map_err(|e| format!("line {count}: cannot read: {e}"))? == 0 {
+        if input.read_line(&mut line).map_err(|e| format!("line {count}: cannot read input: {e}"))? == 0 {
             break;
         }
         if line.trim().is_empty() {
@@ -39,8 +39,11 @@
         let frame: Frame =
             serde_json::from_str(&line).map_err(|e| format!("line {count}: invalid frame: {e}"))?;
         let reply = host.handle_frame(&frame)?;
-        serde_json::to_writer(&mut output, &reply).map_err(|e| format!("cannot write: {e}"))?;
-        output.write_all(b"\n").and_then(|()| output.flush()).map_err(|e| format!("cannot write: {e}"))?;
+        serde_json::to_writer(&mut output, &reply).map_err(|e| format!("cannot write a reply: {e}"))?;
+        output
+            .write_all(b"\n")
+            .and_then(|()| output.flush())
+            .map_err(|e| format!("cannot write a reply: {e}"))?;
     }
     Ok(())
 }
--- a/crates/tools/simhost/src/translate.rs
+++ b/crates/tools/simhost/src/translate.rs
@@ -16,7 +16,7 @@
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Reads load reports and resource usage by a front's settings.
+/// Reads load reports and resource usage in the form that a front's settings state.
 pub struct ReportReader {
     fields: LoadReportFields,
     reports_usage: bool,
--- a/crates/tools/simhost/src/wire.rs
+++ b/crates/tools/simhost/src/wire.rs
@@ -152,7 +152,7 @@
     pub request: String,
     #[serde(rename = "is_retry", default)]
     pub client_retry: bool,
-    /// The client's estimate of its work.
+    /// The client's estimate of the request's work.
     #[serde(rename = "estimate_us")]
     pub work_us: Option<u64>,
     #[serde(rename = "grade", default)]
