--- a/crates/testing/soak/src/process.rs
+++ b/crates/testing/soak/src/process.rs
@@ -9,16 +9,16 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// Upper limit of the time that a front has after SIGTERM to finish its requests.
+/// Longest time that a front has after SIGTERM to finish its requests; less if the longest deadline is shorter.
 const MAX_SHUTDOWN: Duration = Duration::from_millis(3000);
-/// Time that the platform adds to it before it kills the front.
+/// Time that the platform waits beyond that before it kills the front.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(700);
 /// Time between two readiness checks of a front that has started.
 const READY_INTERVAL: Duration = Duration::from_millis(5);
 /// Time after which a front that is not ready is recorded as never ready.
 const MAX_READY_TIME: Duration = Duration::from_secs(12);
 
-/// Time from SIGTERM until the platform kills the front: the longest deadline, limited by `MAX_SHUTDOWN`, and
+/// Time from SIGTERM until the platform kills the front: the longest deadline, at most `MAX_SHUTDOWN`, plus
 /// `SHUTDOWN_GRACE`.
 fn kill_after(deadline: Duration) -> Duration {
     deadline.min(MAX_SHUTDOWN) + SHUTDOWN_GRACE
