--- a/crates/tools/scale/src/fleet/events.rs
+++ b/crates/tools/scale/src/fleet/events.rs
@@ -64,7 +64,8 @@
     (0..voters).for_each(|voter| simulation.start_at(voter, restart));
     simulation.run_until(restart);
     let mut herd = ThunderingHerd { nine_tenths: MAX_WAIT, nearly_all: MAX_WAIT, peak_messages: 0 };
-    // Leases granted before the restart have to expire first: recovery counts only after fewer than half were held.
+    // Leases granted before the restart are held until they expire. Recovery counts only once fewer than half of the
+    // quota slots have been held.
     let mut lowest = quota_slots;
     while simulation.now() < restart + MAX_WAIT && herd.nearly_all == MAX_WAIT {
         let before: Vec<u64> = (0..voters).map(|voter| received(simulation, voter)).collect();
@@ -101,9 +102,11 @@
     pub holders_with_majority: usize,
     /// The same for the side without a majority.
     pub holders_without: usize,
-    /// Time from the partition's end until 99 percent of the earlier leases were held; at most `MAX_WAIT`.
+    /// Time from the partition's end until 99 percent of the leases held before it were held again; at most
+    /// `MAX_WAIT`.
     pub slots_recovered_after: Duration,
-    /// Time from the partition's end until every front saw all others; `MAX_WAIT` if the wait for that took longer.
+    /// Time from the partition's end until every front saw all others. The check for that starts only when the wait
+    /// for the leases has ended; if it then lasts longer than `MAX_WAIT`, the value is `MAX_WAIT`.
     pub members_recovered_after: Duration,
 }
 
--- a/crates/tools/scale/src/fleet/hollow.rs
+++ b/crates/tools/scale/src/fleet/hollow.rs
@@ -121,7 +121,7 @@
         sent
     }
 
-    /// Passes it the zone observation that a front's requests would have produced.
+    /// Passes the state machine the zone observation that a front's requests would have produced.
     pub fn observe_zones(&self) {
         if let Some(observations) = &self.observations {
             let _ = observations.force_send(setup::healthy_observation(self.location));
--- a/crates/tools/scale/src/fleet/loopback.rs
+++ b/crates/tools/scale/src/fleet/loopback.rs
@@ -58,7 +58,7 @@
         self.members.iter().take(voters).map(|member| member.hollow.address()).collect()
     }
 
-    /// Drives all fronts for `span`; returns the lateness of the latest sweep.
+    /// Drives all fronts for `span`; returns the greatest lateness of a sweep.
     pub fn run_for(&mut self, span: Duration) -> Duration {
         let until = self.clock.elapsed() + span;
         let (mut last, mut latest) = (self.clock.elapsed(), Duration::ZERO);
--- a/crates/tools/scale/src/fleet/meter.rs
+++ b/crates/tools/scale/src/fleet/meter.rs
@@ -25,7 +25,8 @@
     before: Vec<Reading>,
 }
 
-/// The cost of one front a second, as the mean over the measured fronts.
+/// The cost of one front, as the mean over the measured fronts except for `max_bytes`. Messages and bytes sent or
+/// received are a second.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Cost {
     /// Messages received.
@@ -43,7 +44,7 @@
     pub processor: f64,
     /// Bytes of a front's state at the end of the interval.
     pub state_bytes: f64,
-    /// Fronts that a front reported as lost, an hour.
+    /// The number of fronts that one front reported as lost, per hour.
     pub members_lost_per_hour: f64,
     /// Other fronts that a front sees at the end of the interval.
     pub members: f64,
@@ -113,7 +114,7 @@
     pub case: String,
     /// The size along the role's axis.
     pub size: u32,
-    /// The measurement's own lateness exceeded its limit.
+    /// True if the lateness of the harness exceeded its limit.
     pub disturbed: bool,
 }
 
--- a/crates/tools/scale/src/fleet/network.rs
+++ b/crates/tools/scale/src/fleet/network.rs
@@ -65,7 +65,7 @@
 }
 
 impl Network {
-    /// The delay of a datagram; none if it is lost.
+    /// The delay of a datagram; none if it is lost or would cross a partition.
     pub fn delay(&self, from: Place, to: Place, rng: &mut Rng) -> Option<Duration> {
         if (self.partitioned && from.region != to.region) || rng.f64() < self.loss {
             return None;
--- a/crates/tools/scale/src/fleet/side_by_side.rs
+++ b/crates/tools/scale/src/fleet/side_by_side.rs
@@ -77,9 +77,9 @@
     }
 }
 
-/// Runs a fleet whose last fronts are real, and measures it over `span` after `warm_up`. A simulated
-/// front acquires the task's lease before the real ones start: its holder renews one lease more than the others, which
-/// would distort the mean of the few real fronts.
+/// Runs a fleet whose last fronts are real, and measures it over `span` after `warm_up`. If the fleet has a task, a
+/// simulated front acquires the lease of the task before the real fronts start. The holder renews one lease more than
+/// the other fronts; a real holder would distort the mean of the few real fronts.
 pub fn side_by_side(setup: &Setup, warm_up: Duration, span: Duration) -> io::Result<SideBySide> {
     let first_real = setup.fronts - REAL_FRONTS;
     let mut hollow = Loopback::start(setup, first_real)?;
