--- a/crates/tools/scale/src/roles/control_machines.rs
+++ b/crates/tools/scale/src/roles/control_machines.rs
@@ -21,7 +21,7 @@
 /// Time after the loss of the voters; longer than any lease that was granted before.
 const AFTER_LOSS: Duration = Duration::from_secs(10);
 const TRIALS: usize = 5;
-/// The share of the wall time, from 0 to 1, off its core above which the harness's thread counts as disturbed.
+/// A run counts as disturbed if its thread is off its core for more than this share of the wall time, from 0 to 1.
 const PREEMPTED_SHARE: f64 = 0.6;
 
 const ALL: [MessageKind; 4] =
--- a/crates/tools/scale/src/roles/decision.rs
+++ b/crates/tools/scale/src/roles/decision.rs
@@ -25,7 +25,7 @@
 /// Processor time of the longest tick, for which everything else on the front's one core waits.
 pub const MAX_TICK: Metric = Metric::new("longest_tick", "ms");
 /// Additional processor time for the replacement of one engine, until every table group has been requested once.
-/// Measured only in the case whose ticks vary little enough.
+/// Measured only without queued requests and with all load reports fresh, where ticks vary little enough.
 pub const LIST_CHANGE: Metric = Metric::new("list_change", "ms");
 /// Mean number of queued requests over the run.
 pub const HELD: Metric = Metric::new("held", "requests");
@@ -39,14 +39,16 @@
 const PREEMPTED_SHARE: f64 = 0.25;
 /// The most additional runs that replace disturbed ones. The samples of a disturbed run are kept and marked.
 const MAX_RERUNS: u32 = 3;
-/// A run ends once its virtual time reaches `MAX_WINDOW` or its processor time `MAX_PROCESSOR_TIME`, but not before
-/// `MIN_TICKS` ticks, unless these take `MAX_RUN_TIME`.
+/// Virtual time after which a run of at least `MIN_TICKS` ticks ends.
 const MAX_WINDOW: Duration = Duration::from_secs(4);
+/// Processor time after which a run of at least `MIN_TICKS` ticks ends.
 const MAX_PROCESSOR_TIME: Duration = Duration::from_secs(4);
+/// Processor time after which a run ends even if it has fewer than `MIN_TICKS` ticks.
 const MAX_RUN_TIME: Duration = Duration::from_secs(30);
 /// Load reports are valid for three seconds, so all are still valid throughout this window.
 const FRESH_WINDOW: Duration = Duration::from_secs(2);
 const QUICK_WINDOW: Duration = Duration::from_millis(100);
+/// The fewest ticks of a run, unless they take `MAX_RUN_TIME`.
 const MIN_TICKS: u32 = 10;
 
 /// Upper limit of the memory of an engine, in bytes, without its entry in each table group's order.
--- a/crates/tools/scale/src/roles/decision/real.rs
+++ b/crates/tools/scale/src/roles/decision/real.rs
@@ -21,8 +21,10 @@
 
 /// The name of the case.
 pub const CASE: &str = "real front, reports=when-probed";
-/// 64 clients with this pause between requests send 2,885 requests a second if each is answered within 2 ms.
+/// Number of clients. With `CLIENT_PAUSE`, they send at least the 2,885 requests a second of the design size if each
+/// is answered within 2 ms.
 const CLIENTS: u64 = 64;
+/// The pause of a client between two requests.
 const CLIENT_PAUSE: Duration = Duration::from_millis(20);
 /// Warm-up before the measurement.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
--- a/crates/tools/scale/src/roles/failure_detector.rs
+++ b/crates/tools/scale/src/roles/failure_detector.rs
@@ -18,13 +18,13 @@
 const SETTLE_TIME: Duration = Duration::from_secs(60);
 const WINDOW: Duration = Duration::from_secs(120);
 const QUICK_WINDOW: Duration = Duration::from_secs(10);
-/// The share of the wall time, from 0 to 1, off its core above which the harness's thread counts as disturbed.
+/// A run counts as disturbed if its thread is off its core for more than this share of the wall time, from 0 to 1.
 const PREEMPTED_SHARE: f64 = 0.6;
 /// Upper limit of the memory of a simulated front, in bytes, without its records of other fronts.
 const BYTES_PER_FRONT: u64 = 64 * 1024;
 const BYTES_PER_PAIR: u64 = 512;
 
-/// Live fronts that a front reported as lost.
+/// The number of live fronts that one front reported as lost, per hour.
 const FALSE_ALARMS: Metric = Metric::new("false_alarms_a_front", "1/h");
 /// Other fronts that a front sees, as a share of all others.
 const SEEN: Metric = Metric::new("members_seen", "%");
--- a/crates/tools/scale/src/roles/leases.rs
+++ b/crates/tools/scale/src/roles/leases.rs
@@ -21,13 +21,13 @@
 /// Duration of the partition between the regions.
 const PARTITION_TIME: Duration = Duration::from_secs(3_600);
 const QUICK_PARTITION_TIME: Duration = Duration::from_secs(20);
-/// The most fronts whose simulated ones a single thread can drive over loopback.
+/// The largest fleet of the comparison over loopback, in which a single thread drives all simulated fronts.
 const MAX_LOOPBACK_FRONTS: u32 = 40;
 /// The lateness of the loopback driver above which a comparison counts as disturbed.
 const MAX_LATENESS: Duration = Duration::from_millis(100);
-/// Kills and graceful stops of a lease holder, each.
+/// The number of kills of a lease holder, and the number of graceful stops.
 const TRIALS: usize = 10;
-/// The share of the wall time, from 0 to 1, off its core above which the harness's thread counts as disturbed.
+/// A run counts as disturbed if its thread is off its core for more than this share of the wall time, from 0 to 1.
 const PREEMPTED_SHARE: f64 = 0.6;
 
 /// The parts of the fleet protocol that are measured, with their message kinds.
