--- a/crates/tools/scale/src/fit.rs
+++ b/crates/tools/scale/src/fit.rs
@@ -15,7 +15,7 @@
     pub size: f64,
     /// The value, in the metric's unit.
     pub value: f64,
-    /// The point was disturbed and is not used for a fit.
+    /// True if the point was disturbed; it is then not used for a fit.
     pub disturbed: bool,
 }
 
--- a/crates/tools/scale/src/fleet/meter.rs
+++ b/crates/tools/scale/src/fleet/meter.rs
@@ -26,7 +26,7 @@
 }
 
 /// The cost of one front, as the mean over the measured fronts except for `max_bytes`. Messages and bytes sent or
-/// received are a second.
+/// received are per second.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Cost {
     /// Messages received.
--- a/crates/tools/scale/src/process.rs
+++ b/crates/tools/scale/src/process.rs
@@ -50,8 +50,8 @@
     wakeups: u64,
 }
 
-/// Sums over the threads of a process. Processor time is from `schedstat`, whose resolution is nanoseconds, as that of
-/// `stat` is hundredths of a second.
+/// Sums over the threads of a process. Processor time is from `schedstat`, which counts nanoseconds;
+/// `stat` counts only hundredths of a second.
 fn threads(process: &procfs::process::Process) -> Result<Threads, procfs::ProcError> {
     let mut all = Threads::default();
     for task in process.tasks()? {
--- a/crates/tools/scale/src/roles/control_machines.rs
+++ b/crates/tools/scale/src/roles/control_machines.rs
@@ -26,7 +26,7 @@
 
 const ALL: [MessageKind; 4] =
     [MessageKind::FailureDetector, MessageKind::Leases, MessageKind::Registers, MessageKind::Reports];
-/// Fronts that hold a quota slot after the loss of two voters, of all that are left.
+/// Share of the remaining fronts that hold a quota slot after the loss of two voters.
 const HELD: Metric = Metric::new("seats_held", "%");
 const HOLDERS: Metric = Metric::new("task_holders", "1");
 
@@ -65,7 +65,7 @@
         let fronts = size as usize;
         let mut simulation = Simulation::new(with_quota_slots(fronts, voters, 0, seed));
         simulation.run_for(SETTLE_TIME);
-        // The last voters are lost, so that the first region keeps its first ones.
+        // The voters with the highest indices are lost, so that voter 0, which is in the first region, remains.
         (voters - LOST_VOTERS..voters).for_each(|voter| simulation.kill(voter));
         simulation.run_for(AFTER_LOSS);
         let case = format!("voters={voters},gone={LOST_VOTERS}");
--- a/crates/tools/scale/src/roles/maintenance/zones.rs
+++ b/crates/tools/scale/src/roles/maintenance/zones.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// Request classes whose demand together uses the share `UTILIZATION` of these machines, each class the same part.
+/// Request classes whose demand together uses the share `UTILIZATION` of the cores of all machines, in equal parts.
 pub fn classes(machines: u32) -> Vec<ClassLoad> {
     let all = f64::from(machines * CORES) * UTILIZATION;
     let each = all / WORK_S.len() as f64;
--- a/crates/tools/scale/src/sample.rs
+++ b/crates/tools/scale/src/sample.rs
@@ -8,10 +8,10 @@
 /// A measured quantity, with its unit.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Metric {
-    /// As written in CSV files.
+    /// The name, as written in CSV files.
     #[serde(rename = "metric")]
     pub name: Cow<'static, str>,
-    /// As written in CSV files.
+    /// The unit, as written in CSV files; `1` for a plain count.
     pub unit: Cow<'static, str>,
 }
 
@@ -84,7 +84,7 @@
     pub metric: Metric,
     /// The value, in the metric's unit.
     pub value: f64,
-    /// The measurement's own lateness exceeded its limit; the sample is not used for a fit.
+    /// True if the lateness of the harness exceeded its limit; the sample is then not used for a fit.
     pub disturbed: bool,
 }
 
