--- a/crates/tools/scale/src/roles/configuration.rs
+++ b/crates/tools/scale/src/roles/configuration.rs
@@ -22,7 +22,7 @@
 const MANAGEMENT_CLIENTS: usize = 8;
 /// Changes made at once, each by a management client of its own.
 const CONCURRENT_CHANGES: usize = 10;
-/// One front in this many is unreachable while a change is made.
+/// Every front whose index is a multiple of this number counts as unreachable while a change is made.
 const ABSENT_FRONT_INTERVAL: usize = 20;
 /// The lateness of a timer above which a run counts as disturbed.
 const MAX_LATENESS: Duration = Duration::from_millis(100);
@@ -41,7 +41,7 @@
 const COMMIT_BYTES: Metric = Metric::new("bytes_a_commit", "B");
 /// Processor time of the server and the management client together.
 const COMMIT_PROCESSOR: Metric = Metric::new("processor_a_commit", "ms");
-/// Fronts that were unreachable during a change and still lack it after their return.
+/// Fronts that were left out of a change as unreachable and still have the configuration version from before it.
 const FRONTS_LEFT_BEHIND: Metric = Metric::new("fronts_left_behind", "1");
 /// After two opposed changes: fronts whose last commit differs from that of the majority.
 const DIFFERING_FRONTS: Metric = Metric::new("fronts_that_differ", "1");
@@ -166,7 +166,8 @@
         Ok(LOSSES.into_iter().flat_map(|loss| in_force_samples(&case(loss), &parts, loss, seed)).collect())
     }
 
-    /// Rolls out a change while some fronts are unreachable. They never receive it unless its author commits it again.
+    /// Rolls out a change while some fronts are unreachable. Those fronts never receive the change
+    /// unless the management client commits it again.
     fn roll_out_to_present(&mut self, size: u32) -> Result<Vec<Sample>, MeasureError> {
         let change = self.next_change(0);
         let servers = self.servers.open(size as usize)?;
--- a/crates/tools/scale/src/series.rs
+++ b/crates/tools/scale/src/series.rs
@@ -75,9 +75,9 @@
         Some(Estimate { value: fit.at(size), margin: Some(fit.margin_at(size)) })
     }
 
-    /// The size at which the metric exceeds its budget: interpolated between the first two measured sizes whose
-    /// medians are on both sides of it, else the size at which the fit reaches it. None without a budget, or if the
-    /// medians don't cross it and there is no fit.
+    /// The size at which the metric exceeds its budget: the smallest measured size if its median exceeds the budget;
+    /// else interpolated between the first two neighboring sizes with medians below and above the budget; else the
+    /// size at which the fit reaches the budget. None without a budget, or if the fit would be used and there is none.
     pub fn budget_crossing(&self) -> Option<BudgetCrossing> {
         let max = self.budget()?;
         let medians: Vec<(f64, f64)> =
