--- a/crates/tools/scale/tests/proof_scale/limits.rs
+++ b/crates/tools/scale/tests/proof_scale/limits.rs
@@ -1,4 +1,5 @@
-//! A size that exceeds the limits is rejected before anything is started, with an error that states its need.
+//! Resource limits: a size that exceeds them is rejected with an error that states its need, and the limits of this
+//! machine can be read.
 
 use lemonusher_scale::{Limits, Need, Progress, Role, roles};
 use lemonusher_scale::{MeasureError, Options};
--- a/crates/tools/scale/tests/proof_scale/page.rs
+++ b/crates/tools/scale/tests/proof_scale/page.rs
@@ -1,4 +1,4 @@
-//! The capacity page: its tables are generated from the CSV files and nothing else.
+//! The capacity page: its tables are those of the CSV files. Also CSV files, budget crossings and number formats.
 
 use lemonusher_scale::page::{figure, names, regenerate};
 use lemonusher_scale::role::Role;
--- a/crates/tools/scale/tests/proof_scale/roles.rs
+++ b/crates/tools/scale/tests/proof_scale/roles.rs
@@ -1,5 +1,5 @@
-//! Each role at small sizes: the harness runs and produces the samples of the page's tables. No test depends on
-//! measured times.
+//! The roles that are measured without simulated fronts, at small sizes: the harness runs, and the samples that the
+//! tests check are present. No test depends on measured times.
 
 use lemonusher_scale::Options;
 use lemonusher_scale::sample::{Metric, metric};
--- a/crates/tools/scale/tests/proof_scale_fleet/hollow.rs
+++ b/crates/tools/scale/tests/proof_scale_fleet/hollow.rs
@@ -1,4 +1,5 @@
-//! A simulated front has the same traffic and state as a real one.
+//! The mean traffic and state of simulated fronts are within a tenth of those of real fronts, and a simulation is
+//! reproducible.
 
 use lemonusher_fleet::MessageKind;
 use lemonusher_scale::fleet::{Account, Delays, Registers, Setup, SideBySide, Simulation, side_by_side};
@@ -70,7 +71,8 @@
     compare_over_loopback("all", Registers::ZonesAndWorks);
 }
 
-/// The same fleet has the same traffic and state in virtual time as over sockets.
+/// The mean traffic and state of simulated fronts in virtual time are within a tenth of those of real fronts that use
+/// sockets.
 #[test]
 fn over_virtual_time_a_hollow_front_is_within_a_tenth_of_a_real_one() {
     let mut setup = setup(Registers::ZonesAndWorks, LEASE);
@@ -103,7 +105,7 @@
     }
 }
 
-/// Two runs with the same seed have the same events.
+/// Two runs with the same seed end with the same traffic and statistics at every front.
 #[test]
 fn a_simulation_repeats_itself() {
     let run = || {
--- a/crates/tools/scale/tests/proof_scale_fleet/roles.rs
+++ b/crates/tools/scale/tests/proof_scale_fleet/roles.rs
@@ -79,7 +79,7 @@
         proof(&samples, &format!("{one},loss={loss}"), &metric::IN_FORCE.name);
         proof(&samples, &format!("way=8-managers,loss={loss}"), &metric::IN_FORCE.name);
     }
-    // Every twentieth front is unreachable during the change, and never receives it.
+    // Of the 21 fronts, 0 and 20 count as unreachable during the change and never receive it.
     assert_eq!(proof(&samples, "way=8-managers", "fronts_left_behind"), 2.0);
     proof(&samples, "way=2-managers-opposed", "fronts_that_differ");
     let hollow = proof(&samples, one, "bytes_a_commit");
