--- a/crates/tools/scale/src/connected_front.rs
+++ b/crates/tools/scale/src/connected_front.rs
@@ -21,7 +21,8 @@
 }
 
 impl ConnectedFront {
-    /// Starts the channel and the front, and waits until the front has connected to the channel, checking once every `interval`.
+    /// Starts the channel and the front, and waits until the front has connected to the channel. Checks once every
+    /// `interval`.
     pub fn start(options: &Options, interval: Duration) -> Result<Self, MeasureError> {
         let channel = Channel::start().map_err(io("the discovery channel"))?;
         let front_options = FrontOptions {
--- a/crates/tools/scale/src/managed/manager.rs
+++ b/crates/tools/scale/src/managed/manager.rs
@@ -71,7 +71,7 @@
 /// The cost of one commit at one front.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Commit {
-    /// Time for connection, commit and response over loopback.
+    /// Time for connection, commit and response over loopback, including retries after conflicts.
     pub local: Duration,
     /// Number of conflicts with other commits before it succeeded.
     pub conflicts: u32,
--- a/crates/tools/scale/src/page.rs
+++ b/crates/tools/scale/src/page.rs
@@ -18,8 +18,8 @@
 /// The reason why the page can't be generated.
 #[derive(Debug, thiserror::Error)]
 pub enum PageError {
-    /// A block is not closed.
-    #[error("the block {0} is not closed")]
+    /// The name or the content of a block has no end mark.
+    #[error("block {0} of the page has no `<!-- end -->`")]
     NoEnd(String),
     /// A CSV file can't be read.
     #[error(transparent)]
--- a/crates/tools/scale/src/roles/configuration.rs
+++ b/crates/tools/scale/src/roles/configuration.rs
@@ -80,7 +80,7 @@
         Ok(Configuration { options: options.clone(), runtime, servers, resident, changes: 0 })
     }
 
-    /// A change that differs from what is configured.
+    /// Drains the pool at every odd call and enables it at every even call, counted over all pools.
     fn next_change(&mut self, pool: u32) -> Change {
         self.changes += 1;
         Change::Drain { pool, drained: self.changes % 2 == 1 }
--- a/crates/tools/scale/src/roles/connections.rs
+++ b/crates/tools/scale/src/roles/connections.rs
@@ -119,9 +119,11 @@
 /// The results of one run.
 struct Run {
     size: u32,
-    /// Figures of the front before clients connect; `begun` and `after` are those at the start and end of the window.
+    /// Figures of the front before clients connect.
     before: Figures,
+    /// Figures of the front at the start of the window.
     begun: Figures,
+    /// Figures of the front at the end of the window.
     after: Figures,
     span: Duration,
     held: usize,
--- a/crates/tools/scale/src/roles/maintenance.rs
+++ b/crates/tools/scale/src/roles/maintenance.rs
@@ -17,7 +17,7 @@
 use crate::watch::Preemption;
 use std::time::Duration;
 
-/// The longest single poll.
+/// Processor time of the longest poll.
 pub const MAX_POLL: Metric = Metric::new("longest_turn", "ms");
 /// Size of one front's encoded report.
 pub const REPORT: Metric = Metric::new("report", "B");
