--- a/crates/tools/scale/src/main.rs
+++ b/crates/tools/scale/src/main.rs
@@ -68,8 +68,8 @@
     })
 }
 
-/// Measures all sizes, and writes the file after each that succeeds. If one size fails, the others are still measured, and the
-/// command fails at the end.
+/// Measures all sizes, and writes the file after each that succeeds. If one size fails, the others are still measured,
+/// and the command fails at the end.
 fn measure(arguments: &Measure) -> Result<ExitCode, Box<dyn Error>> {
     let options = Options {
         repeats: arguments.repeats.max(1),
--- a/crates/tools/scale/src/page.rs
+++ b/crates/tools/scale/src/page.rs
@@ -18,8 +18,9 @@
 /// The reason why the page can't be generated.
 #[derive(Debug, thiserror::Error)]
 pub enum PageError {
-    /// The name or the content of a block has no end mark.
-    #[error("block {0} of the page has no `<!-- end -->`")]
+    /// A block is not closed: ` -->` is missing after its name, or `<!-- end -->` after its content. Contains the text
+    /// after `<!-- figures:` on that line.
+    #[error("a block of the page is not closed: <!-- figures:{0}")]
     NoEnd(String),
     /// A CSV file can't be read.
     #[error(transparent)]
