--- a/crates/tools/scale/src/page.rs
+++ b/crates/tools/scale/src/page.rs
@@ -18,8 +18,9 @@
 /// The reason why the page can't be generated.
 #[derive(Debug, thiserror::Error)]
 pub enum PageError {
-    /// A block is not closed.
-    #[error("the block {0} is not closed")]
+    /// A block is not closed: ` -->` is missing after its name, or `<!-- end -->` after its content. Contains the text
+    /// after `<!-- figures:` on that line.
+    #[error("a block of the page is not closed: <!-- figures:{0}")]
     NoEnd(String),
     /// A CSV file can't be read.
     #[error(transparent)]
