--- a/crates/core/leases/src/message.rs
+++ b/crates/core/leases/src/message.rs
@@ -38,7 +38,8 @@
 /// A request from a lease client to a voter.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LeaseRequest {
-    /// Asks for a promise to accept no lower ballot. Changes nothing while another client holds the task.
+    /// Asks for a promise to accept no lower ballot. A voter gives none while it has granted the task to another
+    /// client.
     Prepare {
         /// The task to acquire.
         task: Task,
--- a/crates/core/leases/src/quota.rs
+++ b/crates/core/leases/src/quota.rs
@@ -12,7 +12,8 @@
     held as f64 / f64::from(total.max(1))
 }
 
-/// Chooses the quota slots that a front tries to acquire. If another front holds a slot, it tries the next one.
+/// Chooses the quota slots that a front tries to acquire. If another front holds a slot, the front tries the next
+/// slot.
 #[derive(Debug, Clone)]
 pub struct QuotaSlots {
     total: u32,
@@ -34,8 +35,8 @@
     }
 
     /// The slots whose shares this front may use now. A newly acquired slot counts only after
-    /// [`LeaseConfig::max_action_time`], which must cover the time for which the previous holder's use of the
-    /// share still has an effect.
+    /// [`LeaseConfig::max_action_time`], extended for the clock drift. The previous holder's use
+    /// of the share must have no effect any more by then.
     pub fn held(&self, now: Duration, client: &LeaseClient) -> Vec<u32> {
         let is_held = |slot: &u32| client.active_lease(now, &Self::task_name(*slot)).is_some();
         tracked_slots(client).filter(is_held).collect()
--- a/crates/core/leases/tests/exhaustive.rs
+++ b/crates/core/leases/tests/exhaustive.rs
@@ -1,5 +1,6 @@
-//! Model check of a small fleet, on the production code: three voters and two lease clients. Each test checks every
-//! interleaving up to its number of clock ticks, attempts and losses of a voter's memory. Accept requests and
+//! Model check of a small fleet, on the production code: three voters and two lease clients. One test checks every
+//! interleaving up to a number of clock ticks, attempts and losses of a voter's memory. The other breaks one rule at a
+//! time and searches until two clients act at once. Accept requests and
 //! their replies are lost, repeated and delayed without limit, and the clocks run at the limits of the drift.
 
 use lemonusher_leases::*;
--- a/crates/core/leases/tests/scenarios.rs
+++ b/crates/core/leases/tests/scenarios.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Advances the clock in steps of 50 ms, and checks after each step that at most one client may act.
+    /// Advances the clock in steps of 50 ms, and checks after each step that at most one client may act on `TASK`.
     fn advance(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end {
