--- a/crates/core/registers/src/learner.rs
+++ b/crates/core/registers/src/learner.rs
@@ -10,9 +10,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Poll intervals for which a voter's report of a register counts.
+/// Number of poll intervals for which a voter's report of a register counts.
 const REPORT_LIFETIME_POLLS: u32 = 2;
-/// Poll intervals after a reply for which a voter is assumed to support that kind of request.
+/// Number of poll intervals after a reply for which a voter is assumed to support that kind of request.
 const CAPABILITY_LIFETIME_POLLS: u32 = 8;
 /// Minimum time between two polls, as a share of the poll interval. A random share of up to [`POLL_JITTER_SHARE`]
 /// is added.
--- a/crates/core/registers/src/message.rs
+++ b/crates/core/registers/src/message.rs
@@ -150,11 +150,11 @@
     },
     /// A page of a voter's state, for a voter that recovers.
     StateCopy {
-        /// The round of the request.
+        /// The round of the recovery, from the request.
         round: u64,
         /// The incarnation of the replying voter, so that a restart between pages is detected.
         incarnation: u64,
-        /// The replying voter has no memory itself.
+        /// Whether the replying voter is without memory too.
         without_memory: bool,
         /// The highest epoch that the replying voter knows.
         epoch: u64,
--- a/crates/core/registers/src/proposer.rs
+++ b/crates/core/registers/src/proposer.rs
@@ -21,7 +21,7 @@
 /// An operation on a register.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Operation {
-    /// Commits the current value again, and returns it.
+    /// Commits the current value again, if the register has one, and returns it.
     Read,
     /// Commits a new value.
     CompareAndSet {
--- a/crates/core/registers/tests/learner.rs
+++ b/crates/core/registers/tests/learner.rs
@@ -178,8 +178,8 @@
 }
 
 /// Compares the learner with the entries that a majority accepted, while voters restart and replies are lost,
-/// delayed and repeated. The learner must not report an entry too early, and must know all of them once replies
-/// arrive again.
+/// delayed and repeated. The learner must never report a version above the last accepted one of the register, and
+/// must know the last entry of each register once replies arrive again.
 #[test]
 fn all_committed_values_are_known_once_replies_arrive_again() {
     for seed in 0..200 {
