--- a/crates/core/failure-detector/src/member.rs
+++ b/crates/core/failure-detector/src/member.rs
@@ -15,7 +15,7 @@
     pub address: SocketAddr,
     /// A random number, drawn at each start. Never 0, which stands for an unknown incarnation.
     pub incarnation: u64,
-    /// The zone in which it runs.
+    /// Number of the zone in which the front runs.
     pub zone: u32,
     /// Incremented each time that this incarnation refutes a report that it has left.
     pub refutations: u16,
--- a/crates/core/failure-detector/tests/scenarios.rs
+++ b/crates/core/failure-detector/tests/scenarios.rs
@@ -165,7 +165,8 @@
 }
 
 /// Measures false positives with lost messages, and the messages and bytes that the protocol sends. Prints them, and
-/// checks them against wide limits.
+/// checks that each front sends fewer than 40 messages per second, that members know over 0.9 of the others on average
+/// at the end and, without lost messages, that there is no false positive.
 #[test]
 fn false_positives_and_cost_are_bounded() {
     for (fronts, loss) in [(40, 0.0), (40, 0.2), (120, 0.2)] {
