--- a/crates/core/watch/src/lib.rs
+++ b/crates/core/watch/src/lib.rs
@@ -6,7 +6,8 @@
 //! The rules, for each subscription:
 //!
 //! 1. A sample is due at each sample interval, a heartbeat at each heartbeat interval, and a change as soon as
-//!    it is seen. Missed intervals are skipped. A heartbeat sends the whole state, changed or not.
+//!    it is seen. Missed intervals are skipped. A heartbeat sends the whole state, changed or not; each
+//!    one that is due before the next sample of its subscription replaces that sample.
 //! 2. A sample sends the whole state, or only the changes if redundant updates are suppressed.
 //! 3. The subscriber's room is the number of updates and deletes that it can take now. A notification that does not
 //!    fit the room is not sent, not even in part. A sample that is not sent is lost, and its updates and deletes
--- a/crates/core/watch/src/subscription.rs
+++ b/crates/core/watch/src/subscription.rs
@@ -7,7 +7,7 @@
 /// The condition under which a subscription sends its state or its changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SubscriptionMode {
-    /// Sends changes as soon as they are seen.
+    /// Sends changes when they are seen, or later, once the subscriber has room for them.
     OnChange,
     /// Sends the state once per sample interval.
     Sample {
--- a/crates/core/watch/src/watch.rs
+++ b/crates/core/watch/src/watch.rs
@@ -21,8 +21,9 @@
     subscription: Subscription,
     /// The state as it was last sent to the subscriber.
     sent: Leaves,
-    /// The state when a notification last did not fit the room; none if all changes have been sent. The
-    /// changes from `sent` to this state have been counted as lost.
+    /// For an on-change subscription, the state when a notification last did not fit the room; none if all changes
+    /// have been sent. The changes from `sent` to this state have been counted as lost. Always none for a sample
+    /// subscription.
     missed: Option<Leaves>,
     next_sample: Duration,
     next_heartbeat: Duration,
--- a/crates/core/watch/tests/watch.rs
+++ b/crates/core/watch/tests/watch.rs
@@ -1,5 +1,5 @@
 //! Tests that a subscriber that applies each notification it is sent ends with the current state of the tree, even if
-//! others did not fit its room; and tests of intervals, overlapping subscriptions and room.
+//! other notifications did not fit its room; and tests of intervals, overlapping subscriptions and room.
 
 use lemonusher_model::{Node, Op, Pattern, Schema, Tree, parse_path};
 use lemonusher_watch::{Leaves, Notification, Subscription, SubscriptionMode, Watch, leaves};
