--- a/crates/core/membership/src/admission.rs
+++ b/crates/core/membership/src/admission.rs
@@ -44,7 +44,7 @@
 
 impl AdmissionLimiter {
     /// Creates a limiter without limits for this number of request classes. `max_retry_after` caps the maximum
-    /// Retry-After of every limit.
+    /// Retry-After of every limit, but never below the limit's own minimum.
     pub fn new(request_classes: usize, max_retry_after: Duration) -> AdmissionLimiter {
         AdmissionLimiter { classes: vec![ClassState::default(); request_classes], max_retry_after }
     }
--- a/crates/core/membership/src/desired_state.rs
+++ b/crates/core/membership/src/desired_state.rs
@@ -22,7 +22,8 @@
 #[derive(Debug, Clone, Default)]
 pub struct DesiredState {
     pools: Vec<Pool>,
-    /// Indexes of pools by criterion. Each pool is in one index only, that of its narrowest criterion.
+    /// Indexes of pools by criterion. A pool with criteria is in one index only, that of its first criterion in the
+    /// order of these fields.
     by_engine: PoolIndex,
     by_cell: PoolIndex,
     by_zone: PoolIndex,
--- a/crates/core/membership/tests/membership.rs
+++ b/crates/core/membership/tests/membership.rs
@@ -1,5 +1,5 @@
 //! Tests that compare the endpoint table with a plain reference, for any order of list updates and desired
-//! states, and the admission limiter with plain counts.
+//! states, and the admission limiter with plain counts; and tests of Retry-After, recalls and zone restrictions.
 
 use lemonusher::{EndpointUpdateKind, EngineEntry, EngineState, Idempotency};
 use lemonusher_membership::{
@@ -191,6 +191,7 @@
         table.engines().filter(|seen| seen.entry.zone == zone && seen.is_open()).count()
     };
     assert_eq!((change.entries.len(), open(&table, 0)), (200, 200));
+    // A quarter of the zone's 200 engines is 50; the hash spreads ids over the shares only about evenly.
     assert!((35..=65).contains(&open(&table, 1)), "{}", open(&table, 1));
     assert!(
         table.engines().filter(|s| s.entry.zone == 1 && s.is_open()).all(|s| s.entry.blocked_classes == 0b10)
