--- a/crates/core/desired-state/src/lib.rs
+++ b/crates/core/desired-state/src/lib.rs
@@ -2,7 +2,7 @@
 //! kinds of machines and request classes are converted to the numbers that the deployment gives them.
 //!
 //! A name that the deployment does not define is a fault, and a tree with a fault is rejected as a whole.
-//! Otherwise an unknown name would be dropped, and the tree would take effect only in part. This
+//! If only the unknown name were dropped, the tree would take effect in part. This
 //! package does no input or output and reads no clock.
 
 #![warn(missing_docs)]
