--- a/crates/edges/fleet/src/actions.rs
+++ b/crates/edges/fleet/src/actions.rs
@@ -1,6 +1,6 @@
-//! Fenced actions. While this front holds a task, it begins the task's action once per interval. It notifies
-//! the resource of the begin and end of each action by a datagram with the fencing token. An action that would
-//! outlast the lease is not begun.
+//! Fenced actions. While this front holds a task, it begins the task's action at most once per interval. It
+//! notifies the resource of the begin and end of each action by a datagram with the fencing token. An action that
+//! would outlast the lease is not begun.
 
 use crate::{Datagram, TaskConfig};
 use lemonusher_leases::LeaseClient;
--- a/crates/edges/fleet/src/config.rs
+++ b/crates/edges/fleet/src/config.rs
@@ -13,7 +13,8 @@
 pub struct TaskConfig {
     /// The task's name.
     pub name: String,
-    /// The resource that is notified of the begin and end of each action, and may reject an older fencing token.
+    /// The resource that is notified of the begin and end of each action, and may reject an older fencing token;
+    /// none for a task without actions.
     pub notify: Option<SocketAddr>,
     /// Minimum time from the begin of one action to the begin of the next.
     pub interval: Duration,
--- a/crates/edges/fleet/src/node/changes.rs
+++ b/crates/edges/fleet/src/node/changes.rs
@@ -24,7 +24,7 @@
                 self.members_lost += 1;
                 tracing::info!(name = member.name, "fleet: a member left or was declared failed");
             }
-            MembershipChange::Refuted => tracing::info!("fleet: refuted a report that this front has left"),
+            MembershipChange::Refuted => tracing::info!("fleet: this front refuted a report that it left"),
         }
     }
 }
@@ -38,7 +38,7 @@
             tracing::warn!(task, number, "fleet: a lease expired because too few voters renewed it in time");
         }
         LeaseChange::Released { task, fencing_token: number } => {
-            tracing::info!(task, number, "fleet: released a task");
+            tracing::info!(task, number, "fleet: this front released a task");
         }
     }
 }
--- a/crates/edges/fleet/src/node/control_plane.rs
+++ b/crates/edges/fleet/src/node/control_plane.rs
@@ -43,9 +43,9 @@
             }
         }
         let fencing_token = self.fencing_token(now, maintenance::LEASE);
-        // Waits until no proposal is running. A new proposal would end a running one with an unknown outcome,
-        // and that outcome would be taken for the new proposal's: a coordinator that lost its lease and
-        // reacquired it would restart again and again.
+        // Waits until no proposal on a maintenance register is running. A new proposal on the same register would end
+        // a running one with an unknown outcome, and that outcome would be taken for the new proposal's: a coordinator
+        // that lost its lease and reacquired it would restart again and again.
         let is_busy = (0..MAX_REQUESTS as u8)
             .any(|request| self.proposer.is_busy(&maintenance::register_name(request)));
         if !is_busy && let Some(Proposal { register, operation }) = maintenance.poll(now, fencing_token) {
--- a/crates/edges/fleet/src/node/handle.rs
+++ b/crates/edges/fleet/src/node/handle.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 impl Node {
-    /// Handles a datagram. A datagram that the channel drops is counted and has no other effect.
+    /// Handles a datagram. A datagram that the channel drops is counted and not handled.
     pub fn handle_datagram(&mut self, now: Duration, from: SocketAddr, bytes: &[u8]) {
         let Some(frame) = self.channel.open(now, bytes, from) else { return };
         self.handle_body(now, from, &frame.from, frame.body);
@@ -96,7 +96,7 @@
     /// has granted the task.
     fn handle_hand_over(&mut self, now: Duration, from: SocketAddr, task: String) {
         if self.fencing_token(now, &task).is_some() {
-            tracing::info!(task, "fleet: releasing a task on a hand-over request");
+            tracing::info!(task, "fleet: this front releases a task because of a hand-over request");
             let messages = self.lease_client.release(now, &self.config.leases, &task, true);
             self.send_lease_requests(messages);
         } else if let Some(voter) = &self.voter {
--- a/crates/edges/fleet/src/node/mod.rs
+++ b/crates/edges/fleet/src/node/mod.rs
@@ -62,7 +62,7 @@
     pub incarnation: u64,
     /// Time of the start, in milliseconds since the Unix epoch.
     pub unix_time_ms: u64,
-    /// Seed of this incarnation's random numbers.
+    /// Seed of this incarnation's random numbers, except those of the failure detector: their seed is `incarnation`.
     pub seed: u64,
 }
 
@@ -229,7 +229,7 @@
             tracing::warn!(
                 task,
                 seen = highest_token,
-                "fleet: a resource has seen a higher fencing token; releasing the task to reacquire it"
+                "fleet: a resource has seen a higher fencing token; this front releases the task to reacquire it"
             );
             let messages = self.lease_client.release(now, &self.config.leases, task, true);
             self.send_lease_requests(messages);
--- a/crates/edges/fleet/src/state_folder.rs
+++ b/crates/edges/fleet/src/state_folder.rs
@@ -38,7 +38,7 @@
         self.token_floor
     }
 
-    /// The promises and accepted values of this voter; none if it has never voted with this folder.
+    /// The promises and accepted values of this voter; none if no registers were ever stored in this folder.
     pub fn registers(&self) -> Option<PersistentState> {
         self.registers.clone()
     }
@@ -70,9 +70,9 @@
 /// Returns 0 if there is no file yet.
 fn read_token(folder: &Path) -> io::Result<u64> {
     match std::fs::read_to_string(folder.join(TOKEN_FILE)) {
-        Ok(text) => {
-            text.trim().parse().map_err(|_| io::Error::other("'fleet-number' does not contain a number"))
-        }
+        Ok(text) => text.trim().parse().map_err(|_| {
+            io::Error::other("file 'fleet-number' does not contain a token limit (a whole number)")
+        }),
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(0),
         Err(error) => Err(error),
     }
@@ -82,7 +82,7 @@
     match std::fs::read(folder.join(REGISTERS_FILE)) {
         Ok(bytes) => match decode(&bytes) {
             Some(state) => Ok(Some(state)),
-            None => Err(io::Error::other("'fleet-registers' is corrupt")),
+            None => Err(io::Error::other("file 'fleet-registers' is corrupt")),
         },
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
         Err(error) => Err(error),
--- a/crates/edges/fleet/src/zone_failover.rs
+++ b/crates/edges/fleet/src/zone_failover.rs
@@ -113,7 +113,7 @@
         for ZoneTransition { zone: site, transition } in coordinator.take_transitions() {
             tracing::info!(
                 site,
-                "zone failover: plan for zone {site}: from {} to {}, {} in 1000 of its engines open: {}",
+                "zone failover: plan for zone {site}: from {} to {}, {} in 1000 engines of the zone are open: {}",
                 transition.from,
                 transition.to,
                 transition.open_permille,
--- a/crates/edges/fleet/tests/nodes.rs
+++ b/crates/edges/fleet/tests/nodes.rs
@@ -146,7 +146,8 @@
     fleet.sent.clear();
     fleet.run_for(LEASE * 10);
     let messages = fleet.sent.get(&(VOTERS, MessageKind::Registers)).copied().unwrap_or(0);
-    // Each voter is polled once per quarter of a lease duration, or up to a quarter of that interval earlier.
+    // Each voter is polled once per quarter of a lease duration, or up to a quarter of that interval earlier or later,
+    // rounded up to a time step. That gives about 31 to 53 polls.
     let polls = 10 * 4 * 4 / 3;
     assert!(messages <= VOTERS * (polls + 1), "{messages} messages in {polls} polls at most");
     assert!(messages >= VOTERS * 30, "{messages} messages");
--- a/crates/edges/fleet/tests/replay_window.rs
+++ b/crates/edges/fleet/tests/replay_window.rs
@@ -1,4 +1,4 @@
-//! Tests that each sequence number of a sender is accepted once, in any order.
+//! Tests that each sequence number of a sender is accepted once, in any order within the window.
 
 use lemonusher_fleet::ReplayWindow;
 use std::collections::BTreeSet;
--- a/crates/edges/fleet/tests/unit/state_folder.rs
+++ b/crates/edges/fleet/tests/unit/state_folder.rs
@@ -1,4 +1,4 @@
-//! Tests that stored state is read again and that a corrupt file is an error.
+//! Tests that stored state is read again and that a corrupt file of registers is an error.
 
 use super::*;
 
