--- a/crates/core/registers/tests/exhaustive.rs
+++ b/crates/core/registers/tests/exhaustive.rs
@@ -1,6 +1,7 @@
 //! Model check of every interleaving of a small fleet, on the production code: three voters, one of which may
 //! lose its memory, and two proposers that each propose one change. Requests are lost, delayed without limit and
-//! reordered; a reply arrives at once or never.
+//! reordered; a reply arrives at once or never. With a rule broken on purpose, the search ends once a version has two
+//! values.
 
 use lemonusher_leases::{Incarnation, LeaseConfig};
 use lemonusher_registers::*;
