--- a/crates/edges/fleet/src/maintenance.rs
+++ b/crates/edges/fleet/src/maintenance.rs
@@ -205,7 +205,7 @@
                 for MachineStatus { machine, phase } in &value.machines {
                     tracing::debug!(
                         work = request,
-                        "maintenance: proposing machine {machine:08x} as {phase}"
+                        "maintenance: the coordinator proposes machine {machine:08x} as {phase}"
                     );
                 }
                 let operation = Operation::CompareAndSet {
--- a/crates/edges/fleet/src/node/proposals.rs
+++ b/crates/edges/fleet/src/node/proposals.rs
@@ -15,7 +15,7 @@
         self.send_register_requests(proposals);
         self.send_register_requests(polls);
         for outcome in self.proposer.take_outcomes() {
-            // A repeated proposal after a new epoch was not requested by a coordinator.
+            // No coordinator requested the proposal that commits a value again after a new epoch.
             if self.reproposed.take_if(|name| name == outcome.name()).is_none() {
                 self.route_outcome(now, &outcome);
             }
@@ -48,7 +48,8 @@
         self.send_register_requests(messages);
     }
 
-    /// Logs an outcome and passes its entry to the learner, which then knows it before the next poll.
+    /// Logs an outcome, unless it is a read of an empty register. Passes its entry, if any, to the learner, which then
+    /// knows the entry before the next poll.
     fn observe_outcome(&mut self, now: Duration, outcome: ProposalOutcome) {
         match outcome {
             ProposalOutcome::Committed { name, entry: Some(entry) } => {
@@ -65,7 +66,7 @@
             ProposalOutcome::Unknown { name } => {
                 tracing::warn!(
                     name,
-                    "fleet: outcome of a register proposal unknown: too few acceptances, or superseded"
+                    "fleet: the outcome of a register proposal is unknown: too few acceptances, or superseded"
                 );
             }
         }
