--- a/crates/edges/front/src/program/clients/reading.rs
+++ b/crates/edges/front/src/program/clients/reading.rs
@@ -1,8 +1,8 @@
 //! Reads the lines of a client connection and turns them into router events.
 //!
-//! All available lines are read before any request among them is forwarded. Requests of a client that has already
-//! disconnected are thus dropped before they start, however long they waited unread. The limit of open requests
-//! limits how many are held back.
+//! Lines are read in passes of at most `MAX_LINES_PER_PASS` available lines, and the requests of a pass are
+//! forwarded at its end. If the pass finds that the client has disconnected, its requests are dropped before they
+//! start, however long they waited unread. The limit of open requests limits how many are held back.
 
 use super::session::{ClientSession, MAX_DISCARDED_BYTES, MAX_OPEN_REQUESTS};
 use crate::protocol::client::{
@@ -24,9 +24,10 @@
 const MAX_LINES_PER_PASS: usize = 2048;
 /// A client timeout longer than the request class's deadline times this is refused as invalid.
 const MAX_TIMEOUT_FACTOR: u64 = 2;
-/// Number of malformed lines without an id after which a connection accepts no more.
+/// Number of error responses without an id to invalid lines, after which a connection accepts no more lines.
 const MAX_INVALID_LINES: u32 = 16;
-/// Limit of the unwritten bytes of a connection after a malformed line; above it the connection accepts no more.
+/// Limit of the unwritten bytes of a connection after an invalid line. Above the limit, the connection accepts no
+/// more lines.
 const MAX_UNREAD_FAULT_BYTES: usize = 64 * 1024;
 
 type LineReader = MessageReader<fn(&[u8]) -> Result<Option<ParsedLine>, Infallible>>;
@@ -37,8 +38,8 @@
     ClientClosed,
     /// The socket failed.
     Broken,
-    /// The input exceeded a limit (of length, time, memory or malformed lines). The client may still wait for
-    /// responses.
+    /// A limit was exceeded: of a line's length, time or memory, of invalid lines, or of unwritten bytes after an
+    /// invalid line. The client may still wait for responses.
     LimitExceeded,
     /// A requested close: no request was open and no byte unread, and the writing side has been shut down.
     Idle,
--- a/crates/edges/front/src/program/config.rs
+++ b/crates/edges/front/src/program/config.rs
@@ -123,8 +123,8 @@
     StartError::Malformed { path: path.to_owned(), reason: reason.to_string() }
 }
 
-/// The deployment's names of zones, machine kinds and request classes. Each list is indexed by the number that
-/// stands for the name elsewhere.
+/// The parts of a front's configuration file that the commands need. Each list is in the order of the indices by
+/// which other modules refer to its entries.
 #[derive(Debug, Clone, Default)]
 pub struct DeploymentNames {
     /// Name of this front.
@@ -141,7 +141,7 @@
     pub class_configs: Vec<RequestClassConfig>,
 }
 
-/// Reads the deployment's names from a front's configuration file.
+/// Reads the names, and the configuration of the request classes, from a front's configuration file.
 pub fn read_names(path: &str) -> Result<DeploymentNames, StartError> {
     let config = FrontConfig::read(path)?;
     let settings = config.settings(path)?;
--- a/crates/edges/front/src/program/control_channels.rs
+++ b/crates/edges/front/src/program/control_channels.rs
@@ -1,6 +1,6 @@
 //! Channels between the router and the management server, and between the router and the fleet of fronts. Messages
-//! to the router join its one event queue; engine notifications and zone observations leave it on channels of their
-//! own.
+//! to the router join its one event queue; the router sends engine notifications and zone observations on channels
+//! of their own.
 
 use super::shared::Shared;
 use lemonusher_membership::DesiredState;
--- a/crates/edges/front/src/program/descriptor_limits.rs
+++ b/crates/edges/front/src/program/descriptor_limits.rs
@@ -18,9 +18,9 @@
 /// Descriptors reserved for the process itself, the listener, discovery (an old and a new connection) and the
 /// configuration file during a reload.
 const RESERVED_DESCRIPTORS: usize = 20;
-/// With a very low limit, only the limit divided by this is reserved.
+/// The process limit divided by this is reserved if that is less than [`RESERVED_DESCRIPTORS`].
 const RESERVED_DIVISOR: usize = 4;
-/// One engine gets the descriptors for all engines divided by this, but at least one.
+/// The limit for one engine is the limit for all engines divided by this, but at least 1.
 const PER_ENGINE_DIVISOR: usize = 32;
 
 impl DescriptorLimits {
@@ -29,7 +29,7 @@
         let rest = limit - RESERVED_DESCRIPTORS.min(limit / RESERVED_DIVISOR);
         let third = rest / 3;
         DescriptorLimits {
-            // The platform states that clients hold at most a third of the limit.
+            // The platform states that clients hold at most a third of the process limit; one more is allowed here.
             clients: (limit / 3 + 1).max(1),
             lingering: (rest / 12).max(1),
             engines: third.max(1),
--- a/crates/edges/front/src/program/engines/replies.rs
+++ b/crates/edges/front/src/program/engines/replies.rs
@@ -1,7 +1,8 @@
 //! Applies an engine's replies to the attempts and probes in flight on a connection.
 //!
 //! An unmatched reply (its id is not in flight, or its kind does not fit the attempt or probe) is counted and
-//! ignored. It does no harm, and the connection stays in use.
+//! causes no event for the router; the connection stays in use. If the reply announces further pages of an earlier
+//! attempt's result, the engine is told to release them.
 
 use super::connection::{EngineConnection, InFlightKind, PagedResult, TokenEvent};
 use crate::protocol::engine::{self, EngineReply, ProgressNote, ReplyError, ReplyKind, ReportedUsage};
--- a/crates/edges/front/src/program/engines/sending.rs
+++ b/crates/edges/front/src/program/engines/sending.rs
@@ -1,5 +1,5 @@
-//! Executes the router's commands. An attempt or probe is sent on a connection, queued until there is one, or
-//! reported as ended.
+//! Executes the router's commands. An attempt or probe is sent on a connection, queued until a connection can
+//! carry it, or reported as ended.
 
 use super::connection::{EngineConnection, FailureStage, InFlightKind};
 use super::pool::QueuedCommand;
--- a/crates/edges/front/src/program/shutdown.rs
+++ b/crates/edges/front/src/program/shutdown.rs
@@ -1,7 +1,8 @@
 //! Signal handling and shutdown.
 //!
 //! For some time after the signal, requests still arrive and are accepted. Then each connection closes once no
-//! request is open on it. Every request gets a response, and the process exits, before the platform kills it.
+//! request is open on it. The schedule leaves time for a response to every request, and for the exit of the
+//! process, before the platform kills it.
 
 use super::clients::ClientListener;
 use super::config::FrontConfig;
@@ -16,8 +17,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Longest time from the signal until the platform kills a front, not counting [`SHUTDOWN_GRACE`]. If the longest
-/// deadline of all request classes is shorter, it counts in place of this.
+/// Longest time from the signal until the platform kills a front, not counting [`SHUTDOWN_GRACE`]. The time is
+/// the longest deadline of all request classes if that deadline is shorter.
 const MAX_SHUTDOWN: Duration = Duration::from_millis(3000);
 /// Added to [`MAX_SHUTDOWN`], or to the longest deadline, for the time of the kill.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(700);
@@ -87,7 +88,7 @@
     Timer::after(EXIT_CHECK_INTERVAL).await;
 }
 
-/// Waits for a signal that ends the front, and returns when it was received. SIGHUP reloads the configuration,
+/// Waits for a signal that ends the front, and returns the time of its receipt. SIGHUP reloads the configuration,
 /// SIGUSR1 logs the counters.
 pub(super) async fn wait_for_termination(
     signals: &mut Signals,
--- a/crates/edges/front/src/program/start.rs
+++ b/crates/edges/front/src/program/start.rs
@@ -151,6 +151,8 @@
     }
 }
 
+/// Logs that the front has started. The text "engine events" stands for the endpoint updates in the initial list;
+/// it stays as it is, because the start-up lines are read by other programs.
 fn log_start(
     config: &FrontConfig,
     listener: Option<&Async<TcpListener>>,
--- a/crates/testing/cluster/src/fake_engine.rs
+++ b/crates/testing/cluster/src/fake_engine.rs
@@ -62,7 +62,7 @@
     pub(crate) is_up: bool,
     /// Whether it was overloaded; it replies to no request until it is restarted.
     pub(crate) is_overloaded: bool,
-    /// Most threads per core since the value was last taken.
+    /// Highest number of threads per core since the value was last taken.
     pub(crate) max_load: f64,
 }
 
--- a/crates/testing/cluster/src/relays.rs
+++ b/crates/testing/cluster/src/relays.rs
@@ -13,7 +13,7 @@
 const ROUND_INTERVAL: Duration = Duration::from_millis(1);
 /// Largest datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 2048;
-/// Most senders that a link keeps. Beyond it, the one that has sent nothing for the longest time is dropped.
+/// Limit of the senders that a link keeps. Above it, the one that has sent nothing for the longest time is dropped.
 const MAX_SENDERS: usize = 16;
 
 /// Faults of one direction of a link.
--- a/crates/testing/fakes/src/engine.rs
+++ b/crates/testing/fakes/src/engine.rs
@@ -1,4 +1,4 @@
-//! Fake engines whose replies are sent by the test.
+//! Fake engines whose replies are sent by the test, except those to requests for a load report.
 
 use crate::TEST_TIMEOUT;
 use std::collections::BTreeSet;
