--- a/crates/edges/front/src/program/clients/session.rs
+++ b/crates/edges/front/src/program/clients/session.rs
@@ -21,7 +21,8 @@
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Longest time for which the input of an ended connection is read and discarded.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Limit of the bytes that are read and discarded after a fault, while open requests get their responses.
+/// Limit of the bytes that are read and discarded after the input exceeded a limit, while open requests get their
+/// responses.
 pub(super) const MAX_DISCARDED_BYTES: usize = 1024 * 1024;
 
 /// State of one client connection, shared by its task, the listener and, as a [`ResponseSink`], the router.
@@ -36,7 +37,8 @@
     pub(super) accepting: Cell<bool>,
     /// Whether a partial line has been read.
     pub(super) has_partial_line: Cell<bool>,
-    /// Since when the connection lingers, that is, only waits for its client to close; `None` if it does not.
+    /// Since when the connection lingers, that is, accepts no more lines and only waits for its last write or for its
+    /// client to close; `None` if it does not linger.
     lingering_since: Cell<Option<Instant>>,
     /// Signals the connection's task to check whether it may close, or to stop lingering if it does.
     pub(super) close_requested: Signal,
@@ -48,7 +50,7 @@
     pub(super) has_received_line: Cell<bool>,
     /// The highest ticket received.
     pub(super) highest_ticket: Cell<u64>,
-    /// Number of malformed lines without an id.
+    /// Number of error responses without an id to invalid lines.
     pub(super) invalid_lines: Cell<u32>,
     /// How long the bytes that are read now may have waited for the connection to be accepted.
     pub(super) accept_wait: Cell<Duration>,
@@ -90,7 +92,7 @@
         self.lingering_since.get()
     }
 
-    /// Whether the connection only waits for its client to close.
+    /// Whether the connection accepts no more lines and only waits for its last write or for its client to close.
     pub fn is_lingering(&self) -> bool {
         self.lingering_since.get().is_some()
     }
@@ -120,8 +122,8 @@
         }
     }
 
-    /// Reads until the connection accepts no more. Returns false if nothing is left to write; otherwise never
-    /// returns, and the connection ends with its last write.
+    /// Reads until the connection accepts no more lines. Returns false once the socket has failed, or the client has
+    /// closed its side and the linger timeout is over. Otherwise never returns; the last write ends the connection.
     async fn serve_reads(self: &Rc<Self>) -> bool {
         let end = self.read().await;
         self.accepting.set(false);
@@ -150,7 +152,7 @@
         std::future::pending().await
     }
 
-    /// Waits for the client to close its side, until the linger timeout or a close request.
+    /// Waits for `end`, until the linger timeout or a close request. The connection counts as lingering meanwhile.
     async fn linger(&self, end: impl Future<Output = ()>) {
         self.lingering_since.set(Some(Instant::now()));
         self.close_requested.clear();
@@ -158,8 +160,8 @@
         transport::with_timeout(LINGER_TIMEOUT, end.or(close_requested)).await;
     }
 
-    /// Reports to the router that the client of each open request has disconnected, and forgets the requests.
-    /// This is the only place that reports it.
+    /// Reports to the router that the client of each open request has disconnected, and forgets the requests. A
+    /// revoke reports the same event for its one request.
     async fn abandon_requests(self: &Rc<Self>, respond_failed: bool) {
         let open_requests = std::mem::take(&mut *self.open_requests.borrow_mut());
         for (ticket, request) in open_requests {
--- a/crates/edges/front/src/program/descriptor_limits.rs
+++ b/crates/edges/front/src/program/descriptor_limits.rs
@@ -7,7 +7,8 @@
 pub struct DescriptorLimits {
     /// Limit of client connections that are served.
     pub clients: usize,
-    /// Limit of client connections that only wait for their client to close.
+    /// Limit of client connections that accept no more lines and only wait for their last write or for their client
+    /// to close.
     pub lingering: usize,
     /// Limit of connections to all engines, including those being opened or closed.
     pub engines: usize,
--- a/crates/edges/front/src/program/discovery.rs
+++ b/crates/edges/front/src/program/discovery.rs
@@ -2,7 +2,7 @@
 //! whenever the connection fails.
 //!
 //! The channel sends a frame each second, an empty one if nothing has changed. A channel without a frame for
-//! `SILENCE_TIMEOUT` counts as lost. After a reconnect, events are requested again from the last one published.
+//! `SILENCE_TIMEOUT` counts as lost. After a reconnect, the events after the last published one are requested.
 //! An event counts as published only after it was sent to the router, because the future may be dropped at every
 //! await.
 
@@ -24,7 +24,7 @@
 
 /// Time without a complete frame after which the channel counts as lost.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1800);
-/// Mean delay before the first reconnect. It doubles with each further one.
+/// Mean delay before the first reconnect. The delay doubles with each further one until a frame arrives.
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(50);
 /// Longest mean delay before a reconnect.
 const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(200);
@@ -81,7 +81,8 @@
         let follow_current = async {
             let Some(address) = address else { return std::future::pending().await };
             let loss = client.follow(address, &mut reconnect_delay).await;
-            // Each loss is logged as a warning; failed reconnects after it only at debug level.
+            // A loss after a frame, and the first failure at an address, are logged as warnings. Failures after
+            // them are logged at debug level until the next frame.
             let level =
                 if reconnect_delay == MIN_RECONNECT_DELAY { log::Level::Warn } else { log::Level::Debug };
             log::log!(
--- a/crates/edges/front/src/program/engines/endpoints.rs
+++ b/crates/edges/front/src/program/engines/endpoints.rs
@@ -75,7 +75,7 @@
             if lacks_descriptors {
                 log::warn!(
                     "{active} engines, but descriptors for {max_connections} connections to them: connections are \
-                     opened only on demand, and each replaces the longest idle one"
+                     opened only on demand, and the longest idle one closes if no descriptor is free"
                 );
             } else {
                 log::info!(
--- a/crates/edges/front/src/protocol/engine.rs
+++ b/crates/edges/front/src/protocol/engine.rs
@@ -1,5 +1,6 @@
 //! The protocol between a front and an engine. A message is a line of words separated by spaces and terminated
-//! by CR LF. If the last word is a length, a body of that many bytes and another CR LF follow.
+//! by CR LF. The last word of an attempt, and of each reply, is a length: a body of that many bytes and another
+//! CR LF follow.
 
 use crate::transport::Parsed;
 use std::fmt;
--- a/crates/edges/front/tests/fleet.rs
+++ b/crates/edges/front/tests/fleet.rs
@@ -123,7 +123,7 @@
     let most = arrival_times.iter().map(in_window).max().unwrap_or(0);
     println!("{} sent in all, {most} at most in a window that allows {allowed:.0}", arrival_times.len());
     assert!(most as f64 <= limit, "{most} of {allowed:.0}");
-    // The engine has to get a fair amount of work in slow start.
+    // In the whole test, the engine has to get more than half of what one window allows.
     assert!(
         arrival_times.len() as f64 > 0.5 * allowed,
         "only {} in all, where a window allows {allowed:.0}",
@@ -131,7 +131,8 @@
     );
 }
 
-/// Thirty fronts start at once on a machine with busy cores, and no discovery server listens.
+/// Thirty fronts start at once beside eight busy threads, and no discovery server listens. All but three must be
+/// ready within 10 s; the three allow for a busy machine.
 #[test]
 fn thirty_fronts_that_start_at_once_without_discovery_are_ready_in_time() {
     let _whole_machine = WHOLE_MACHINE.lock().unwrap_or_else(|broken| broken.into_inner());
--- a/crates/edges/front/tests/limits.rs
+++ b/crates/edges/front/tests/limits.rs
@@ -1,5 +1,5 @@
-//! A front with 1,024 engines, few descriptors and little memory, and endpoint lists up to and over the length
-//! limit of a frame of the discovery channel.
+//! A front with 1,024 engines, few descriptors and little memory; idle connections that engines do not close; and
+//! endpoint lists up to and over the length limit of a frame of the discovery channel.
 
 use lemonusher_fakes::*;
 use serde_json::{Value, json};
@@ -47,7 +47,8 @@
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
-/// Sends one request for each of `groups` table groups, `concurrency` at a time. Returns how many got a result.
+/// Sends one request for each of `groups` table groups, `concurrency` at a time. Returns how many got a
+/// result. Panics if the front holds more than `DESCRIPTORS` descriptors in between.
 fn send_requests(front: &Front, groups: u64, concurrency: usize) -> u64 {
     let mut clients: Vec<Client> = (0..concurrency).map(|_| front.client()).collect();
     let (mut group, mut served) = (0, 0);
