--- a/crates/testing/cluster/src/config.rs
+++ b/crates/testing/cluster/src/config.rs
@@ -35,7 +35,7 @@
     pub persistent: bool,
     /// Number of quota slots that the fronts share; 0 for no quota.
     pub quota_slots: u32,
-    /// Seed of all randomness.
+    /// Seed of the relays' random faults. The key in the fleet's key file contains it too.
     pub seed: u64,
     /// Builds the fronts' start configurations. If `None`, fronts have no engines.
     pub front_start: Option<FrontStart>,
--- a/crates/testing/cluster/src/fake_zones.rs
+++ b/crates/testing/cluster/src/fake_zones.rs
@@ -224,7 +224,7 @@
         is_overloaded
     }
 
-    /// Most threads per core that any engine of a zone ran since the last call.
+    /// Highest number of threads per core that any engine of a zone ran since the last call.
     pub fn take_max_load(&self, zone: usize) -> f64 {
         let mut max_load = 0.0f64;
         self.shared.for_each_in(zone, |engine| max_load = max_load.max(std::mem::take(&mut engine.max_load)));
--- a/crates/testing/cluster/src/lib.rs
+++ b/crates/testing/cluster/src/lib.rs
@@ -1,8 +1,8 @@
 //! A test cluster on one machine: several real `lemonusher` processes, a UDP relay with configurable faults on
 //! each link from a front to a voter ([`Relays`]), fake engines in zones that can be stopped, slowed down or
 //! partitioned ([`FakeZones`]), clients that send at a given rate ([`LoadClient`]), and a task service that
-//! records which front acts on it ([`FakeTaskService`]). All randomness comes from one seed. The rig is used by
-//! tests only, so its own failures panic.
+//! records which front acts on it ([`FakeTaskService`]). The relays' faults are drawn from the
+//! configured seed. The rig is used by tests only, so its own failures panic.
 
 #![warn(missing_docs)]
 
--- a/crates/testing/fakes/src/front.rs
+++ b/crates/testing/fakes/src/front.rs
@@ -41,7 +41,7 @@
         Front::spawn(command, file)
     }
 
-    /// Runs a command, and waits until its log contains this text.
+    /// Runs a command, and waits until its log contains this text. [`address`](Self::address) is then 127.0.0.1:0.
     pub fn spawn_until(command: Command, file: PathBuf, log_text: &str) -> Front {
         Front::spawn_with(command, file, |line| {
             line.contains(log_text).then(|| SocketAddr::from(([127, 0, 0, 1], 0)))
