--- a/crates/edges/front/src/program/start.rs
+++ b/crates/edges/front/src/program/start.rs
@@ -28,7 +28,7 @@
 const QUEUE_LENGTH: usize = 4096;
 /// Length of the kernel's accept queue.
 const LISTEN_BACKLOG: i32 = 4096;
-/// Statements may take the memory limit divided by this.
+/// The statements of all open requests may take the memory limit divided by this.
 const STATEMENT_MEMORY_DIVISOR: usize = 4;
 /// Responses that clients are slow to read may take the memory limit divided by this.
 const RESPONSE_MEMORY_DIVISOR: usize = 4;
@@ -152,7 +152,7 @@
 }
 
 /// Logs that the front has started. The text "engine events" stands for the endpoint updates in the initial list;
-/// it stays as it is, because the start-up lines are read by other programs.
+/// it stays as it is, because the start-up lines may be matched by operators' tools.
 fn log_start(
     config: &FrontConfig,
     listener: Option<&Async<TcpListener>>,
--- a/crates/edges/front/src/protocol/client.rs
+++ b/crates/edges/front/src/protocol/client.rs
@@ -73,7 +73,8 @@
 /// Reason why a line is not a valid message.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fault {
-    /// Id of the message; `None` if the line holds no usable id.
+    /// Id of the message; `None` if the line holds no usable id, or the error must not carry the id because a request
+    /// with the same id is open.
     pub id: Option<u64>,
     /// The JSON-RPC error that the client gets.
     pub kind: FaultKind,
--- a/crates/edges/front/src/protocol/engine.rs
+++ b/crates/edges/front/src/protocol/engine.rs
@@ -226,6 +226,7 @@
     Rows,
 }
 
+/// The texts say "answer" for a reply and "word" for its kind, because log lines with them are matched elsewhere.
 impl fmt::Display for ReplyError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
--- a/crates/edges/front/tests/crossings.rs
+++ b/crates/edges/front/tests/crossings.rs
@@ -252,7 +252,7 @@
     );
     last_client.send_line(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":1}}"#);
     assert!((0..1000).any(|_| counters_contain(&front, "left look-up=1")), "the revoke was not counted");
-    // All earlier requests arrive in full, and nothing of the revoked one.
+    // More bytes arrive than the earlier requests' statements hold, and the id of the revoked request does not.
     stream.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
     let mut received = Vec::new();
     let _ = (&stream).read_to_end(&mut received);
--- a/crates/edges/front/tests/fleet.rs
+++ b/crates/edges/front/tests/fleet.rs
@@ -80,7 +80,7 @@
 
 /// Twenty fronts send requests to one engine in slow start, and sixteen of them are killed and restarted twice
 /// meanwhile. A restarted front does not know how much work it has sent; the sum over all fronts must stay
-/// within the limit all the same, except for a slack for random variation.
+/// within the limit all the same, except for the slack stated below.
 #[test]
 fn twenty_fronts_stay_within_the_slow_start_limit_through_their_restarts() {
     const FRONTS: usize = 20;
@@ -114,7 +114,7 @@
     clients.into_iter().for_each(|client| client.join().unwrap());
     // Overload factor 3, slow-start share 0.34, 8 cores, overload window 1.5 s, in requests of 200 ms of work.
     let allowed = 3.0 * 0.34 * 8.0 * 1.5 / (f64::from(WORK_MS) / 1e3);
-    // The number of requests varies at random. The slack is two standard deviations of a Poisson count, and 2.
+    // The slack is two standard deviations of a Poisson count, and 2 requests: arrivals from real processes vary.
     let limit = allowed + 2.0 * allowed.sqrt() + 2.0;
     let arrival_times: Vec<Instant> = engine.requests().into_iter().map(|request| request.at).collect();
     let window = Duration::from_millis(1500);
--- a/crates/edges/front/tests/platform.rs
+++ b/crates/edges/front/tests/platform.rs
@@ -1,5 +1,5 @@
-//! Requirements of the platform on the front binary: one dynamically linked process that starts no other and
-//! makes no call that the platform refuses.
+//! Requirements of the platform on the front binary: one dynamically linked process that has no children and
+//! imports no function for a call that the platform refuses.
 
 use lemonusher_fakes::*;
 use object::{Object, ObjectSymbol};
--- a/crates/edges/front/tests/races.rs
+++ b/crates/edges/front/tests/races.rs
@@ -1,5 +1,6 @@
-//! Races between two events. Each test forces their order: a fake delays a connection, a byte or a reply, or
-//! the front process is stopped, until the test goes on. `docs/races.md` lists all of these races.
+//! Races between two events, and cases of shutdown and limits that belong to them. The test of a race forces the
+//! order of the events: a fake delays a connection, a byte or a reply, or the front process is stopped, until the
+//! test goes on. `docs/races.md` lists the races.
 
 use lemonusher_fakes::*;
 use serde_json::{Value, json};
@@ -199,9 +200,9 @@
     assert_eq!(cancel.id, request);
 }
 
-/// A client sends a request while the front closes its idle connection. The client must see a graceful close.
-/// Its request is not forwarded, and does not cause a reset, which would discard responses that the client has
-/// not read yet.
+/// A client sends a request after the front has shut down its side of an idle connection. The client must see a
+/// graceful close. The request is not forwarded, and does not cause a reset, which would discard responses that
+/// the client has not read yet.
 #[test]
 fn an_idle_connection_is_closed_gracefully_and_later_requests_are_not_forwarded() {
     for end in ["idle", "never spoke", "told to end"] {
@@ -341,7 +342,7 @@
             (DiscoveryServer::start(), (0..60).map(|_| Engine::start()).collect::<Vec<_>>());
         let mut config = start_config(&[], discovery.address);
         config["limits"]["sockets"] = json!(sockets);
-        // No request times out, even on a busy machine.
+        // Timeouts that are long enough for a busy machine.
         config["settings"]["ceilings"]["connect_timeout_us"] = json!(5_000_000);
         config["settings"]["classes"][0]["aim_us"] = json!(20_000_000);
         let front = Front::start_with_descriptor_limit(FRONT, &config, sockets);
