--- a/crates/core/zone-failover/src/allocation.rs
+++ b/crates/core/zone-failover/src/allocation.rs
@@ -13,7 +13,7 @@
 const EPSILON_WORK: f64 = 1e-9;
 /// A lower limit of a request's work where its value is divided by it, in seconds on one thread.
 const MIN_REQUEST_WORK: f64 = 1e-6;
-/// The number of equal steps in which the zones' capacities are released, so that all zones fill alike.
+/// The number of equal steps in which each zone's capacity limit rises to its full capacity; see [`fill_evenly`].
 const FILL_STEPS: usize = 8;
 
 /// A request class, with its demand and its limits.
@@ -122,7 +122,8 @@
     (0..classes.len()).map(|class| network.served(class)).collect()
 }
 
-/// Allocates the served work again while the zones' usable capacities rise in equal steps, so that all fill alike.
+/// Allocates the served work in rounds. Each round raises every zone's capacity limit by the same share of its
+/// capacity, so that the zones are used about equally.
 fn fill_evenly<'a>(
     classes: &'a [ClassLoad],
     capacities: &'a [ZoneCapacity],
--- a/crates/core/zone-failover/src/coordinator.rs
+++ b/crates/core/zone-failover/src/coordinator.rs
@@ -2,9 +2,9 @@
 //! lease at any time. The one that holds the lease runs the zones' state machines and decides when the plan's
 //! register is read and written.
 //!
-//! A plan is written if a zone's entry or the prober changed. From four report intervals after the register was last
-//! read or written, a plan is also written if an admitted share changed by more than 20 thousandths or the Retry-After
-//! changed; smaller changes don't justify a round of the register.
+//! A plan is written if none is committed, or if a zone's entry or the prober changed. From four report intervals
+//! after the register was last read or written, a plan is also written if an admitted share changed by more than 20
+//! thousandths or the Retry-After changed; smaller changes don't justify a round of the register.
 
 use crate::health::ObservedZone;
 use crate::{
@@ -17,7 +17,8 @@
 
 /// A change of an admitted share by up to this, in thousandths, causes no new plan.
 const MIN_ADMISSION_CHANGE_PERMILLE: u16 = 20;
-/// The least time between two plans that differ only in admission or Retry-After, in report intervals.
+/// The least time from the last read or write of the register to a plan that changes only admission or Retry-After,
+/// in report intervals.
 const MIN_INTERVALS_BETWEEN_ADMISSION_CHANGES: u32 = 4;
 /// The least number of ended attempts in another zone for which its degraded share counts.
 const MIN_ATTEMPTS: u32 = 10;
@@ -140,8 +141,8 @@
         }
     }
 
-    /// Handles the committed plan, as a full round of the register has shown it. After a write of this coordinator
-    /// the zones keep their times; otherwise their state machines are built anew from the plan.
+    /// Handles the committed plan, as a full round of the register has shown it. If this is the plan that
+    /// this coordinator was writing, the zones keep their times; if not, their state machines are built anew from it.
     pub fn handle_committed(
         &mut self,
         now: Duration,
@@ -171,7 +172,8 @@
         std::mem::take(&mut self.transitions)
     }
 
-    /// Runs the zones' state machines once a report interval and returns the next operation on the register.
+    /// Returns the next operation on the register, at most one a report interval and none without the lease. Runs the
+    /// zones' state machines only while the committed plan is known and no operation is in progress.
     /// `overrides` are by zone.
     pub fn poll(
         &mut self,
--- a/crates/core/zone-failover/src/health.rs
+++ b/crates/core/zone-failover/src/health.rs
@@ -5,8 +5,9 @@
 //! *remote* fronts are counted separately. The first of these rules that applies decides:
 //!
 //! - `Unknown`: no front has a view.
-//! - `Partitioned`: most remote views are bad, most local views are good.
-//! - `Unreachable`: most remote views and most local views are bad; one of the two groups may have no views.
+//! - `Partitioned`: more than half of the remote views are bad, and more than half of the local views good.
+//! - `Unreachable`: more than half of the remote views and more than half of the local views are bad; one of the two
+//!   groups may have no views.
 //! - `FrontsLost`: at least half of the remote views are good, but no front of the zone reports any more.
 //! - `Healthy`: all other cases.
 //!
@@ -31,13 +32,13 @@
 /// The health of a zone by the evidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ZoneHealth {
-    /// No other case applies: in general most fronts reach it.
+    /// No other case applies; usually at least half of the fronts' views of the zone are good.
     Healthy,
-    /// Its engines answer, but its fronts no longer report.
+    /// At least half of the remote views are good, but the zone's own fronts no longer report.
     FrontsLost,
-    /// Most of its own fronts reach it, most others don't.
+    /// More than half of the local views are good, and more than half of the remote views bad.
     Partitioned,
-    /// Most fronts don't reach it.
+    /// More than half of the views are bad, local and remote alike.
     Unreachable,
     /// No front has a view.
     Unknown,
@@ -253,7 +254,7 @@
     }
 
     /// The demand at all fronts, by request class: the sum of the rates, and the mean work weighted by rate. A front
-    /// that has not learned a request's work yet is left out of the mean.
+    /// that has not learned the work of a class yet is left out of the mean of that class.
     pub fn demand(&self, classes: usize) -> Vec<Demand> {
         let mut total = vec![Demand::default(); classes.min(MAX_CLASSES)];
         let mut work = vec![0.0f32; total.len()];
--- a/crates/core/zone-failover/src/plan.rs
+++ b/crates/core/zone-failover/src/plan.rs
@@ -1,8 +1,9 @@
 //! The plan that all fronts follow, built from the zones' states, the demand and the supply.
 //!
 //! A zone's capacity is its cores, times the share of its engines that answer, times the share of its engines that
-//! its state opens, times the configured utilization. While all zones are up and answer, the plan admits every
-//! request, as each front's admission control then knows the capacity of the engines better than a plan does.
+//! its state opens, times the configured utilization. While every zone is up or suspected and has an answering
+//! share of at least 0.6, the plan admits every request, as each front's admission control then knows the capacity
+//! of the engines better than a plan does.
 //!
 //! [`FailoverPlan`] is stored in a register in postcard, and operators' commands print states and overrides as JSON
 //! and text. The order and types of fields and variants must stay, and so must the names in `serde(rename)` and
@@ -21,24 +22,26 @@
 /// The committed state of a zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ZoneState {
-    /// All fronts use it.
+    /// The plan opens the zone to all fronts.
     #[default]
     Up,
-    /// It is unreachable or partitioned, but not yet for the confirmation time. All fronts still use it.
+    /// The zone is unreachable or partitioned, but not yet for the confirmation time. The plan still opens it to all
+    /// fronts.
     #[serde(rename = "Doubt")]
     Suspected,
-    /// No front sends anything there.
+    /// The plan opens the zone to no front.
     Lost,
-    /// Only the fronts of the zone use it; the others can't reach it.
+    /// The plan opens the zone only to its own fronts, as those of other zones can't reach it.
     #[serde(rename = "Cut")]
     Partitioned,
-    /// Its own fronts and one front of another zone send requests there, to find out whether it answers.
+    /// The plan opens the zone only to its own fronts and to [`FailoverPlan::prober`], whose requests show whether
+    /// the zone answers.
     #[serde(rename = "Trial")]
     Probing,
-    /// Its engines are opened again in steps.
+    /// The plan opens the zone's engines in steps.
     #[serde(rename = "Returning")]
     Recovering,
-    /// An operator drains it, or has drained it.
+    /// An operator drains the zone, or has drained it.
     #[serde(rename = "Out")]
     Disabled,
 }
--- a/crates/core/zone-failover/src/state_machine.rs
+++ b/crates/core/zone-failover/src/state_machine.rs
@@ -2,7 +2,7 @@
 //!
 //! A poll makes at most one transition. Within a state the first condition in the table that holds decides. *Lost*
 //! stands for [`ZoneState::Lost`] if no front reaches the zone, and for [`ZoneState::Partitioned`] if only its own
-//! fronts do. *Confirmed* means that the health has been the same for the confirmation time, which starts again with
+//! fronts do. *Confirmed* means that the health has been the same for the confirmation time, counted anew in
 //! each state. A new coordinator reads the states from the register and restarts all times. A takeover can extend a
 //! wait by at most the length of the whole wait, and never shortens one.
 //!
@@ -25,6 +25,7 @@
 //! | Probing | healthy or without fronts, for the probation | Recovering, first step | `ProbationPassed` |
 //! | Probing | neither, four probations after it began | Lost | `ProbationFailed` |
 //! | Recovering | unreachable or partitioned, confirmed | *lost* | `LostDuringRecovery` |
+//! | Recovering | unreachable or partitioned, not confirmed | no change | |
 //! | Recovering | outcomes there degrade; two report intervals after the last step, beyond the first step | Recovering, one step less open | `OutcomesDegraded` |
 //! | Recovering | outcomes don't degrade, health is known, the ramp interval is over | Recovering, next step | `RampStep` |
 //! | Recovering | the same, and fully open | Up | `RampComplete` |
@@ -49,7 +50,7 @@
 const FORGET_AFTER_BACKOFFS: u32 = 8;
 /// A probed zone that does not answer is lost again after its probation times this number.
 const MAX_PROBATIONS: u32 = 4;
-/// The least time between a step of a recovery and a step back after it, in report intervals.
+/// The least time between any step of a recovery, forward or back, and a step back after it, in report intervals.
 const MIN_REPORTS_BETWEEN_STEPS_BACK: u32 = 2;
 
 /// The input of the state machine at one poll.
@@ -61,7 +62,8 @@
     pub evidence: Evidence,
     /// The operator's override of the zone.
     pub operator_override: OperatorOverride,
-    /// The largest share of attempts that failed or were slow in any other zone, from 0 to 1.
+    /// The largest share of attempts that failed or were slow in any other zone, from 0 to 1; zones with under ten
+    /// ended attempts are left out.
     pub others_degraded_share: f64,
 }
 
