--- a/crates/core/maintenance/src/coordinator.rs
+++ b/crates/core/maintenance/src/coordinator.rs
@@ -1,10 +1,10 @@
 //! The coordinator, run by the voter that holds the lease. It drains machines, releases machines whose drain all
 //! required fronts have confirmed, and completes returned machines.
 //!
-//! It changes one register at a time, each by a compare-and-set against the version from which it computed the new
-//! value. It writes nothing before it has read all registers by full rounds. A read also completes or supersedes a
-//! write that an earlier coordinator has left in progress; otherwise the machines that this write drains would not be
-//! counted as unavailable.
+//! The coordinator changes one register at a time, each by a compare-and-set against the version from which the new
+//! value was computed. It writes nothing before it has read all registers by full rounds. A read also completes or
+//! supersedes a write that an earlier coordinator has left in progress; without the read, the machines that such a
+//! write drains would not be counted as unavailable.
 //!
 //! A confirmation counts only if the version that its front followed belongs to the present drain of the machine,
 //! as a front that confirmed an earlier drain may have sent there since. If the coordinator has not seen every
@@ -59,10 +59,12 @@
     machine: Machine,
 }
 
-/// A machine's phase, with the time since which this coordinator has observed it.
+/// A machine's phase, as this coordinator has observed it.
 #[derive(Debug, Clone, Copy)]
 struct PhaseSince {
     phase: Phase,
+    /// The time at which this coordinator first observed the phase. For a returned machine, each decision that finds
+    /// it not answering resets this time, so that the probation starts anew.
     since: Duration,
     /// The earliest version since which the machine has certainly been in this phase without interruption.
     first_version: EntryVersion,
--- a/crates/core/maintenance/src/lib.rs
+++ b/crates/core/maintenance/src/lib.rs
@@ -3,9 +3,10 @@
 //!
 //! Each [`MaintenanceRequest`] is stored in a register of its own, or split over several. The voter that holds the
 //! lease ([`MaintenanceCoordinator`]) decides which machine is drained next, so that the remaining machines can
-//! serve the load even if a zone is lost meanwhile ([`CapacityReserve`]). Every front ([`Participant`]) stops
-//! sending to a draining machine, and confirms the drain once it has nothing in flight there. When all required
-//! fronts have confirmed, the coordinator commits the machine as released, with a fencing token.
+//! serve the required share of the load, also if a zone is lost meanwhile ([`CapacityReserve`]). Every front
+//! ([`Participant`]) stops sending to a draining machine, and confirms the drain once it has nothing in flight
+//! there. When all required fronts have confirmed, the coordinator commits the machine as released, with a fencing
+//! token.
 //!
 //! # Release safety
 //!
--- a/crates/core/maintenance/src/notice.rs
+++ b/crates/core/maintenance/src/notice.rs
@@ -1,5 +1,5 @@
-//! Notices of the coordinator to operators and to the system that works on machines. Commands print the texts, so
-//! they must stay.
+//! Notices of the coordinator to operators and to the system that works on machines. Commands print these
+//! texts, and operators' scripts may match them, so the wording must not change, older words included.
 
 use crate::Machine;
 use std::fmt;
--- a/crates/core/maintenance/src/phase.rs
+++ b/crates/core/maintenance/src/phase.rs
@@ -11,25 +11,25 @@
     /// The machine waits to be drained.
     #[serde(rename = "Asked")]
     Pending,
-    /// Fronts send nothing new to it; attempts in flight run to their end.
+    /// Fronts send nothing new to the machine; attempts in flight run to their end.
     Draining,
-    /// No front uses it. It may be worked on for the requested outage, under this fencing token.
+    /// No front uses the machine. It may be worked on for the requested outage.
     Released {
         /// The fencing token of the lease under which it was released.
         #[serde(rename = "number")]
         fencing_token: u64,
     },
-    /// It was reported as returned. Fronts use it again, and it is on probation.
+    /// The machine was reported as returned. Fronts send to it, and it is on probation.
     #[serde(rename = "Back")]
     Returned,
-    /// It has answered for the probation.
+    /// The machine was returned and has answered for the whole probation.
     Done,
     /// The request was withdrawn before the machine was released.
     Withdrawn,
 }
 
 impl fmt::Display for Phase {
-    /// The name in logs and in the output of commands.
+    /// The name in logs and in the output of commands. Operators' scripts may match it, so its older words stay.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Phase::Pending => f.write_str("Asked"),
