--- a/crates/core/model/src/edit.rs
+++ b/crates/core/model/src/edit.rs
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Applies one edit. If it fails, the tree is unchanged; but a replace without a value removes the old data
-    /// before it fails.
+    /// Applies one edit. If it fails, the tree is unchanged, except that a replace without a value has already
+    /// removed the old data.
     pub fn apply(
         &mut self,
         schema: &Schema,
--- a/crates/core/store/src/error.rs
+++ b/crates/core/store/src/error.rs
@@ -1,4 +1,5 @@
-//! The errors of the store's operations. Their texts are sent to NETCONF and gNMI clients.
+//! The errors of the store's operations. Their texts are sent to NETCONF and gNMI clients, so they
+//! stay, older words included.
 
 use crate::SessionId;
 use lemonusher_model::Fault;
@@ -8,7 +9,7 @@
 /// [`ErrorOption::Stop`](crate::ErrorOption::Stop) or [`ErrorOption::Continue`](crate::ErrorOption::Continue).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreError {
-    /// There is no session with this id.
+    /// No session with the given id is open.
     UnknownSession,
     /// The limit of open sessions is reached.
     TooManySessions,
--- a/crates/core/store/src/lib.rs
+++ b/crates/core/store/src/lib.rs
@@ -1,6 +1,6 @@
 //! Transactional store of a front's configuration: datastores, locks, commits, history, and the write-ahead
 //! log. The history, the startup datastore and a pending confirmed commit are recovered from the log; sessions,
-//! locks and candidates are not logged. Concurrent management clients and crashes never leave a partial change.
+//! locks and candidates are not logged. Concurrent management clients and crashes leave no partial change in running.
 //! Commits have one total order across all protocols. The crate does no I/O. `now` is a duration since an
 //! origin that the caller chooses, dates are Unix times that the caller passes in.
 //!
--- a/crates/core/store/src/two_phase.rs
+++ b/crates/core/store/src/two_phase.rs
@@ -48,10 +48,10 @@
     Failed(CommitFailure),
 }
 
-/// The reason for which a commit failed. The text is sent to the client.
+/// The reason for which a commit failed. The text is sent to the client, so it stays, older words included.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitFailure {
-    /// A part declined it.
+    /// A part declined the new state.
     Declined {
         /// The part's name.
         part: String,
