--- a/crates/core/zone-failover/src/observer.rs
+++ b/crates/core/zone-failover/src/observer.rs
@@ -12,7 +12,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// An attempt is slow if it took longer than this multiple of its work divided by its threads.
+/// An attempt is slow if it took longer than this multiple of its work divided by its threads, and longer than
+/// [`MIN_SLOW_S`]. An attempt whose reply states no work is not slow, unless it used more threads than this number.
 const SLOW_FACTOR: f64 = 4.0;
 /// The longest duration, in seconds, of an attempt that is never counted as slow.
 const MIN_SLOW_S: f64 = 0.25;
--- a/crates/core/zone-failover/tests/coordinator.rs
+++ b/crates/core/zone-failover/tests/coordinator.rs
@@ -32,10 +32,10 @@
 #[test]
 fn coordinator_reads_first_and_writes_only_changed_plans() {
     let (mut coordinator, mut now) = (coordinator(7), ms(0));
-    assert_eq!(round(&mut coordinator, &mut now, [true; 2]), None, "it holds no lease");
+    assert_eq!(round(&mut coordinator, &mut now, [true; 2]), None, "the coordinator holds no lease");
     coordinator.set_lease(Some(5));
     assert_eq!(round(&mut coordinator, &mut now, [true; 2]), Some(RegisterAction::Read));
-    assert_eq!(round(&mut coordinator, &mut now, [true; 2]), None, "its read is under way");
+    assert_eq!(round(&mut coordinator, &mut now, [true; 2]), None, "the coordinator's read is in progress");
     coordinator.handle_committed(now, None, None);
     let Some(RegisterAction::Write { expected: None, fencing_token: 5, plan }) =
         round(&mut coordinator, &mut now, [true; 2])
--- a/crates/core/zone-failover/tests/fleet.rs
+++ b/crates/core/zone-failover/tests/fleet.rs
@@ -234,6 +234,7 @@
     world.run(ms(3500));
     assert_eq!(world.state(1), ZoneState::Lost);
     assert!((0..12).filter(|front| world.front_zones[*front] != 1).all(|front| world.open(front, 1) == 0));
+    // The maximum utilization is 0.8, and the plan rounds the admitted shares to thousandths.
     assert!(world.utilization() <= 0.801, "{}", world.utilization());
     world.answers = Box::new(|_, _| 1.0);
     world.dead.fill(false);
@@ -325,7 +326,7 @@
             .count();
         losses.push(lost);
     }
-    // During 1,200 seconds of flapping only the backoffs limit the number of state changes.
+    // The zone fails 120 times in 1,200 seconds. Without a growing backoff each failure could cause several changes.
     let changes = world.steps.iter().filter(|step| step.transition.from != step.transition.to).count();
     println!("proof: sites_changes_in_20_minutes_of_flapping {changes}, losses {}", losses.last().unwrap());
     assert!(changes <= 150, "{changes}");
--- a/crates/core/zone-failover/tests/planner.rs
+++ b/crates/core/zone-failover/tests/planner.rs
@@ -151,6 +151,7 @@
                 plan.served_shares
             );
         }
+        // The allocation raises the capacity limits by an eighth (0.125) of each zone's capacity at a time.
         assert!((plan.utilization[0] - plan.utilization[1]).abs() < 0.13, "uneven: {:?}", plan.utilization);
         before = plan.served_shares;
     }
@@ -178,6 +179,7 @@
         .collect();
     let zones: Vec<ZoneCapacity> =
         (0..10).map(|zone| ZoneCapacity { zone, work: 8.0 * 40.0 * (0.5 + rng.f64()) }).collect();
+    // The time of the allocation is printed, but has no limit here.
     let from = std::time::Instant::now();
     let plan = allocate(&classes, &zones);
     println!("proof: sites_plan_of_10_sites_50_groups {:?}", from.elapsed());
