--- a/crates/core/store/src/log.rs
+++ b/crates/core/store/src/log.rs
@@ -54,7 +54,7 @@
     pub user: String,
     /// The name of the protocol; see [`Protocol::name`].
     pub protocol: String,
-    /// The session that committed it; 0 for the front itself.
+    /// The session that committed the version; 0 for the front itself.
     pub session: u32,
     /// The name of the [`Cause`].
     pub cause: String,
@@ -82,7 +82,8 @@
     /// The number of the version that it reverts to unless it is confirmed.
     #[serde(rename = "revert")]
     pub revert_to: u64,
-    /// The `persist` id (RFC 6241, 8.4); with it the commit outlives its session.
+    /// The `persist` id (RFC 6241, 8.4); with it the commit outlives its session, but not a restart of
+    /// the front.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub persist: Option<String>,
 }
--- a/crates/core/store/src/recover.rs
+++ b/crates/core/store/src/recover.rs
@@ -1,7 +1,7 @@
 //! Recovery of a store from its log, and compaction of a store's log.
 //!
-//! Every record must be consistent with the records before it and valid against the model; otherwise the
-//! whole log is rejected. A confirmed commit that is still pending at the end of the log becomes orphaned,
+//! Every record must be consistent with the records before it and valid against the model. If one is
+//! not, the whole log is rejected. A confirmed commit that is still pending at the end of the log becomes orphaned,
 //! even with a `persist` id and before its deadline; the store's first poll reverts it.
 
 use crate::log::{
--- a/crates/core/store/src/store/candidate.rs
+++ b/crates/core/store/src/store/candidate.rs
@@ -1,7 +1,7 @@
 //! Candidate datastores: one shared candidate, and one for each session with a private candidate.
 //!
-//! A candidate is stored only while it differs from its base version; otherwise a session reads the running
-//! version. The lock of the candidate datastore guards only the shared candidate.
+//! A candidate is stored only while it differs from its base version. A session without a stored candidate reads the
+//! running version. The lock of the candidate datastore guards only the shared candidate.
 
 use super::Store;
 use crate::{Datastore, SessionId, StoreError, Version};
--- a/crates/core/store/src/store/commit.rs
+++ b/crates/core/store/src/store/commit.rs
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Options of a commit (RFC 6241, 8.4).
+/// Options of a commit. Those of confirmed commits are from RFC 6241, 8.4; `expected_version` is not.
 #[derive(Debug, Clone, Default)]
 pub struct CommitOptions {
     /// Present for a confirmed commit: the timeout after which it is reverted unless it has been confirmed.
--- a/crates/core/store/src/store/confirmed.rs
+++ b/crates/core/store/src/store/confirmed.rs
@@ -3,7 +3,7 @@
 //! A pending commit without a `persist` id is confirmed, followed up, extended or cancelled only by its own
 //! session; one with a `persist` id, by any session that gives this id. It is reverted at its deadline, or at
 //! the next poll after its session has closed if it has no `persist` id. A confirmed commit that follows it up
-//! moves the deadline; a revert undoes all of them and restores the version before the first.
+//! moves the deadline; a revert undoes the first commit and all follow-ups, and restores the version before the first.
 
 use super::Store;
 use super::commit::{CommitOptions, CommitPlan};
--- a/crates/core/store/tests/reference.rs
+++ b/crates/core/store/tests/reference.rs
@@ -247,7 +247,7 @@
                     }
                 }
                 Step::Crash { length } => {
-                    // The crash happens while a commit is written to the log: only its first bytes are there,
+                    // The crash happens while a commit is written to the log: only its first bytes are in the log,
                     // or it is complete but not yet acknowledged. While a confirmed commit is pending, the crash
                     // happens between commits.
                     let edits = [edit(&schema, Op::Merge, LEVEL, Some("trace"))];
