--- a/crates/core/model/src/compiler.rs
+++ b/crates/core/model/src/compiler.rs
@@ -22,7 +22,7 @@
         Schema::compile(MODEL)
     }
 
-    /// Compiles a module's text. Fails with the line of the first statement that is malformed or unsupported.
+    /// Compiles a module's text. Fails with the line of the first error found, which need not be the first in the text.
     pub fn compile(text: &str) -> Result<Schema, ModelError> {
         let module = Statement::parse(text)?;
         let mut compiler = Compiler {
--- a/crates/core/model/src/diff.rs
+++ b/crates/core/model/src/diff.rs
@@ -12,9 +12,9 @@
 pub struct Change {
     /// The place of the leaf. For a leaf-list member, the last segment has the member's value as its key.
     pub place: Place,
-    /// The value before; `None` if it was not set.
+    /// The value before; `None` if the leaf or member was not set.
     pub old: Option<Text>,
-    /// The value after; `None` if it is not set.
+    /// The value after; `None` if the leaf or member is not set.
     pub new: Option<Text>,
 }
 
