--- a/crates/core/maintenance/tests/fleet.rs
+++ b/crates/core/maintenance/tests/fleet.rs
@@ -407,7 +407,7 @@
 #[test]
 fn withdrawal_opens_machines_that_are_not_released() {
     let mut request = MaintenanceRequest::new("ann", 1, 9, 60, &[1, 2, 3]);
-    assert!(!request.mark_returned(1), "it was never released");
+    assert!(!request.mark_returned(1), "machine 1 was never released");
     let mut bytes = request.to_bytes();
     assert_eq!(MaintenanceRequest::from_bytes(&bytes), Some(request.clone()));
     request.machines[0].phase = Phase::Released { fencing_token: 7 };
--- a/crates/core/maintenance/tests/limits.rs
+++ b/crates/core/maintenance/tests/limits.rs
@@ -1,4 +1,5 @@
-//! The limits of requests: 1,024 machines, as many as the registers hold, and one more; likewise for dead fronts.
+//! The limits of requests and of dead fronts. A request of one machine more than the registers hold is split, but its
+//! parts exceed the registers.
 
 mod common;
 
