--- a/crates/core/model/src/diff.rs
+++ b/crates/core/model/src/diff.rs
@@ -36,7 +36,8 @@
 }
 
 impl Tree {
-    /// Applies changes. Fails if a value is not the old value of its change; the tree is then unchanged.
+    /// Applies changes. Fails if a value is not the old value of its change, unless an earlier change has already
+    /// created or deleted the leaf's list entry. If it fails, the tree is unchanged.
     pub fn apply_changes(&mut self, schema: &Schema, changes: &[Change]) -> Result<(), String> {
         let before = self.clone();
         for change in changes {
