--- a/crates/core/model/src/diff.rs
+++ b/crates/core/model/src/diff.rs
@@ -36,8 +36,8 @@
 }
 
 impl Tree {
-    /// Applies changes. Fails if a value is not the old value of its change, unless an earlier change has already
-    /// created or deleted the leaf's list entry. If it fails, the tree is unchanged.
+    /// Applies changes. Fails if a leaf's value is not the old value of its change; for key leaves, and for removals
+    /// of leaves that are not set, the old value is not compared. If it fails, the tree is unchanged.
     pub fn apply_changes(&mut self, schema: &Schema, changes: &[Change]) -> Result<(), String> {
         let before = self.clone();
         for change in changes {
@@ -70,7 +70,7 @@
             };
         }
         if current != change.old {
-            // An earlier change has deleted the leaf's entry with all its content.
+            // An earlier change may have deleted the leaf's entry with all its content.
             let deleted = change.new.is_none() && current.is_none();
             return if deleted { Ok(()) } else { Err("is not what the change starts from".to_owned()) };
         }
--- a/crates/core/model/src/evaluate.rs
+++ b/crates/core/model/src/evaluate.rs
@@ -163,7 +163,8 @@
     }
 }
 
-/// Compares two values. For a node set, it is sufficient that the comparison holds for one of its nodes.
+/// Compares two values. For a node set, it is sufficient that the comparison holds for one of its nodes; against a
+/// Boolean, a node set counts as true unless it is empty.
 fn compare(a: &Value, comparison: Comparison, b: &Value) -> bool {
     match (a, b) {
         (Value::Boolean(_), _) | (_, Value::Boolean(_)) => match comparison {
--- a/crates/core/model/src/path.rs
+++ b/crates/core/model/src/path.rs
@@ -75,7 +75,7 @@
 
 impl Schema {
     /// Resolves a path to a single place. Each list step needs all keys of the list; only the last step may
-    /// have none and then refers to the whole list.
+    /// have none and then refers to the whole list. A key of `*` counts as not given.
     pub fn place(&self, steps: &[Step]) -> Result<Place, Fault> {
         let mut place = Place::new();
         for (number, step) in steps.iter().enumerate() {
--- a/crates/core/model/src/pattern.rs
+++ b/crates/core/model/src/pattern.rs
@@ -24,8 +24,8 @@
 pub type Pattern = Vec<PatternStep>;
 
 impl Schema {
-    /// Expands the wildcards in the names of a path. Fails if a step matches no schema node, or if there are
-    /// too many patterns.
+    /// Expands the wildcards in the names of a path. Fails if a step matches no schema node, if its keys are
+    /// invalid, or if there are more than `MAX_PATTERNS` patterns. Prefixes of names are ignored.
     pub fn patterns(&self, steps: &[Step]) -> Result<Vec<Pattern>, Fault> {
         let mut patterns: Vec<Pattern> = vec![Pattern::new()];
         for step in steps {
