--- a/crates/core/maintenance/tests/fleet.rs
+++ b/crates/core/maintenance/tests/fleet.rs
@@ -1,6 +1,7 @@
 //! Simulates maintenance in virtual time: fronts that send, restart, and read and confirm requests late; coordinators
 //! that restart without memory; released machines that are reported as returned. Checks that no front sends to a
-//! released machine or has anything in flight there, and that the remaining machines can serve the load.
+//! released machine or has anything in flight there, and, while no zone is down, that the remaining
+//! machines can serve the load.
 
 mod common;
 
