--- a/crates/core/zone-failover/src/health.rs
+++ b/crates/core/zone-failover/src/health.rs
@@ -38,7 +38,7 @@
     FrontsLost,
     /// More than half of the local views are good, and more than half of the remote views bad.
     Partitioned,
-    /// More than half of the views are bad, local and remote alike.
+    /// More than half of the remote views and more than half of the local views are bad; one group may have no views.
     Unreachable,
     /// No front has a view.
     Unknown,
