--- a/crates/edges/managed/src/disk.rs
+++ b/crates/edges/managed/src/disk.rs
@@ -93,6 +93,7 @@
     /// all further appends fail.
     pub fn append(&mut self, record: &Record) -> io::Result<()> {
         if self.broken {
+            // The text stays because clients receive it. The record may also be complete but not synced.
             return Err(io::Error::other("an earlier record is half written and can't be taken back"));
         }
         let bytes = encode_record(record);
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Whether the log has grown enough to be compacted.
+    /// Whether the log has grown enough to be compacted; false once a failed append could not be undone.
     pub fn needs_compaction(&self) -> bool {
         !self.broken
             && self.length > MIN_COMPACTION_BYTES
--- a/crates/edges/managed/src/gnmi/set.rs
+++ b/crates/edges/managed/src/gnmi/set.rs
@@ -79,6 +79,7 @@
         hub.close_session(session);
         committed
     });
+    // The text stays because clients receive it: the task of the commit panicked or was cancelled.
     let committed = committing.await.unwrap_or_else(|_| Err(StoreError::Failed("it came to no end".into())));
     if let Some(status) = refused.lock().unwrap_or_else(PoisonError::into_inner).take() {
         return Err(status);
--- a/crates/edges/managed/src/hub.rs
+++ b/crates/edges/managed/src/hub.rs
@@ -193,6 +193,7 @@
         let (mut commit, actions) =
             TwoPhaseCommit::start(self.parts.iter().map(|part| part.name()).collect());
         let mut actions = VecDeque::from(actions);
+        // The text stays because clients receive it: the commit ended without a result.
         let mut outcome = Err("it came to no end".to_owned());
         while let Some(action) = actions.pop_front() {
             match action {
--- a/crates/edges/managed/src/netconf/mod.rs
+++ b/crates/edges/managed/src/netconf/mod.rs
@@ -19,8 +19,8 @@
 /// Maximum number of open connections. It is larger than the number of sessions, to leave room for connections that
 /// have not authenticated yet.
 const MAX_CONNECTIONS: usize = 1200;
-/// Timeout for the client's SSH identification, and again for key exchange, authentication and the start of the
-/// session together.
+/// Timeout for the client's SSH identification. A second timeout of the same length starts after it, for key exchange,
+/// authentication and the start of the session together.
 const LOGIN_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time without received data after which a keepalive is sent.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(30);
@@ -129,7 +129,8 @@
     }
 }
 
-/// Serves one connection until it ends, or until [`LOGIN_TIMEOUT`] has passed without a session.
+/// Serves one connection until it ends. Closes it if the client's identification takes longer than [`LOGIN_TIMEOUT`],
+/// or if no session has begun within another [`LOGIN_TIMEOUT`].
 async fn serve_connection(config: Arc<Config>, server: Arc<ServerState>, socket: TcpStream) {
     let connection = Connection { server, grant: None, channel: None, session_begun: Arc::default() };
     let session_begun = connection.session_begun.clone();
