--- a/crates/edges/cli/src/run/processor.rs
+++ b/crates/edges/cli/src/run/processor.rs
@@ -13,7 +13,8 @@
     pub server: ServerConfig,
     /// Configuration of the calls: timeouts, limits and idempotency by request class.
     pub calls: CallConfig,
-    /// Whether, after a start, engines count as just started.
+    /// Whether, after a start of the front, engines count as just started (in slow start), because it is unknown which
+    /// requests the proxies have in flight.
     pub recovers: bool,
     /// Interval between two decisions.
     pub tick: Duration,
--- a/crates/edges/cli/tests/proof_processor.rs
+++ b/crates/edges/cli/tests/proof_processor.rs
@@ -1,5 +1,6 @@
 //! Tests of the external processor: the program runs as a process, behind a fake proxy and with fake engines
-//! that count each request's runs. Each test prints its results as lines `proof: NAME figure`.
+//! that count each request's runs. A verdict is the processor's decision on a request: an engine, or a response to
+//! the client. Each test of this file prints its results as lines `proof: NAME figure`.
 
 #[path = "managers/mod.rs"]
 #[allow(dead_code)]
@@ -7,7 +8,8 @@
 #[path = "proxies/mod.rs"]
 mod proxies;
 
-// In virtual time: the verdicts are the same, one by one, as the decisions of the gateway without a proxy.
+// Includes a test that compares, in virtual time, the decisions through external calls with those of the gateway
+// without a proxy: they must be the same, in the same order.
 #[path = "../../../core/external-call/tests/same_decisions.rs"]
 mod same_decisions;
 
@@ -177,7 +179,8 @@
             all_killed.store(true, Ordering::SeqCst);
             let responses = tokio::time::timeout(TEST_TIMEOUT * 2, load).await.expect("all are answered").unwrap();
             assert!(responses.len() >= 3000, "{}", responses.len());
-            // The processor stays down: each request still gets one response, which the proxy generates.
+            // The processor stays down: each request still gets one response, from the fallback engine if the proxy
+            // fails open, otherwise a 504 from the proxy.
             processor.kill();
             let down = send_requests(&proxy, 1_000_000..1_000_060, 12).await;
             let expected = if fails_open { 200 } else { 504 };
--- a/crates/edges/cli/tests/proxies/mod.rs
+++ b/crates/edges/cli/tests/proxies/mod.rs
@@ -1,6 +1,7 @@
 //! A fake proxy with the parts of Envoy's `ext_proc` filter that tests need: it calls the processor for each
 //! request, waits up to the message timeout, fails open or closed, forwards the request over HTTP/1.1 to the
-//! engine of the verdict, and retries. Also fake HTTP engines that count the runs of each request.
+//! engine that the processor chose (its verdict), and retries. Also fake HTTP engines that count the runs of each
+//! request.
 
 use envoy_types::pb::envoy::config::core::v3::{HeaderMap, HeaderValue};
 use envoy_types::pb::envoy::service::ext_proc::v3::external_processor_client::ExternalProcessorClient;
