--- a/crates/testing/soak/src/clients.rs
+++ b/crates/testing/soak/src/clients.rs
@@ -17,9 +17,9 @@
 const MIN_TIMEOUT_MS: u64 = 400;
 /// The longest client timeout, in milliseconds.
 const MAX_TIMEOUT_MS: u64 = 2500;
-/// One request in this many is cancelled.
+/// Before SIGTERM, one request in this many is cancelled, on average.
 const CANCEL_ONE_IN: u32 = 40;
-/// After one request in this many, the client closes its connection and opens another.
+/// Before SIGTERM, the client closes its connection after one request in this many, on average, and opens another.
 const CLOSE_ONE_IN: u32 = 60;
 /// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
--- a/crates/testing/soak/src/process.rs
+++ b/crates/testing/soak/src/process.rs
@@ -11,7 +11,7 @@
 
 /// Longest time that a front has after SIGTERM to finish its requests; less if the longest deadline is shorter.
 const MAX_SHUTDOWN: Duration = Duration::from_millis(3000);
-/// Time that the platform waits beyond that before it kills the front.
+/// Time that the platform waits after the time for finishing requests, before it kills the front.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(700);
 /// Time between two readiness checks of a front that has started.
 const READY_INTERVAL: Duration = Duration::from_millis(5);
@@ -63,7 +63,7 @@
         self.record.memory_at_rest_kb = Some(resident_kb(self.front.id()));
     }
 
-    /// Waits until the process exits, and kills it at the time of the kill.
+    /// Waits until the process exits, at most until `kill_at` of its record, and then kills it if it still runs.
     pub(crate) fn finish(mut self, recorder: &Recorder, options: &RunOptions) -> ProcessRecord {
         let left = self.record.kill_at.saturating_sub(recorder.now());
         if let Some(code) = self.front.exit_code_within(left) {
--- a/crates/testing/soak/src/run.rs
+++ b/crates/testing/soak/src/run.rs
@@ -38,7 +38,8 @@
     pub program: PathBuf,
     /// Fault injected between clients and the front, to test the judge.
     pub fault: Option<RelayFault>,
-    /// Whether the front logs at debug level, one line per request, and its log is printed on standard error.
+    /// Whether the front logs at debug level, with several lines for each request, and its log is printed on standard
+    /// error.
     pub log: bool,
 }
 
