--- a/crates/testing/emulator/src/attempts.rs
+++ b/crates/testing/emulator/src/attempts.rs
@@ -11,9 +11,9 @@
 };
 use std::time::Duration;
 
-/// Least work of a request, as a multiple of its class's mean.
+/// Minimum work of a request, as a multiple of its class's mean.
 const MIN_WORK_FACTOR: f64 = 0.02;
-/// Most work of a request, as a multiple of its class's mean; runaway requests may exceed it.
+/// Maximum work of a request, as a multiple of its class's mean; runaway requests may exceed it.
 const MAX_WORK_FACTOR: f64 = 8.0;
 /// Network round trip of a probe.
 const PROBE_ROUND_TRIP: Duration = Duration::from_millis(1);
--- a/crates/testing/emulator/src/check.rs
+++ b/crates/testing/emulator/src/check.rs
@@ -131,6 +131,7 @@
     pub slack: Duration,
 }
 
+/// One arrival of a request at a front; it may lead to several attempts.
 #[derive(Debug)]
 struct Try {
     front: usize,
@@ -178,13 +179,13 @@
     draining: BTreeMap<(usize, Option<usize>), Duration>,
     slow_starts: BTreeMap<usize, SlowStart>,
     budgets: BTreeMap<usize, Budget>,
-    /// Open tries in order of arrival, by front and key.
+    /// Tries that have not ended, oldest first, by front and the request's key (rule 5).
     key_queues: BTreeMap<(usize, u64), VecDeque<u64>>,
     /// Violations so far; the first hundred.
     pub violations: Vec<Violation>,
 }
 
-/// Most violations that are recorded.
+/// Maximum number of violations that are recorded.
 const MAX_VIOLATIONS: usize = 100;
 /// The window of the retry budget.
 const BUDGET_WINDOW: Duration = Duration::from_secs(10);
--- a/crates/testing/emulator/src/engine.rs
+++ b/crates/testing/emulator/src/engine.rs
@@ -41,9 +41,9 @@
     pub max_threads_per_core: f64,
     /// Share of its time that a running thread uses a core, from 0 to 1.
     pub cpu_share: f64,
-    /// Most requests that run at once.
+    /// Maximum number of requests that run at once.
     pub slots: usize,
-    /// Most requests that wait for a slot.
+    /// Maximum number of requests that wait for a slot.
     pub queue_length: usize,
     running: BTreeMap<u64, Work>,
     waiting: VecDeque<(u64, Work)>,
--- a/crates/testing/emulator/src/settings.rs
+++ b/crates/testing/emulator/src/settings.rs
@@ -61,7 +61,7 @@
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientBehavior {
-    /// Most tries of a request, including the first.
+    /// Maximum number of tries of a request, including the first.
     pub tries: u32,
     /// Client timeout of a try as a share of the deadline; less if less of the deadline remains.
     pub try_share: f64,
@@ -90,7 +90,7 @@
     /// arrive at its end.
     #[serde(default)]
     pub silent_for: Option<Range>,
-    /// Most seconds that a front needs to connect to a new engine after it is notified.
+    /// Maximum number of seconds that a front needs to connect to a new engine after it is notified.
     #[serde(default)]
     pub connect_late: f64,
 }
--- a/crates/testing/emulator/src/simulation.rs
+++ b/crates/testing/emulator/src/simulation.rs
@@ -39,11 +39,11 @@
 /// Results of a run.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Report {
-    /// Tries that arrived.
+    /// Number of tries; a try is one arrival of a client's request at a front, the first or a retry.
     pub tries: u64,
     /// Tries with a result.
     pub returned: u64,
-    /// Returned tries within the latency objective.
+    /// Returned tries within the latency objective, measured from the arrival of the try.
     pub in_objective: u64,
     /// Tries that were rejected.
     pub rejected: u64,
@@ -202,7 +202,8 @@
     }
 
     pub(crate) fn observe(&mut self, observation: Observation) {
-        // FNV-1a hash, starting from zero, over the text of all observations: any difference changes the digest.
+        // FNV-1a hash, starting from zero, over the text of all observations and their times: runs
+        // that differ have different digests, except for hash collisions.
         for byte in format!("{:?}{observation:?}", self.now).bytes() {
             self.report.digest = (self.report.digest ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
         }
--- a/crates/testing/emulator/src/world.rs
+++ b/crates/testing/emulator/src/world.rs
@@ -121,10 +121,10 @@
     /// Share of its time that a running thread uses a core, from 0 to 1.
     #[serde(rename = "on_cores", default = "EngineKind::default_one")]
     pub cpu_share: f64,
-    /// Most requests that run at once; `None` for no limit.
+    /// Maximum number of requests that run at once; `None` for no limit.
     #[serde(default)]
     pub slots: Option<usize>,
-    /// Most requests that wait for a slot; beyond it, the engine rejects. `None` for no limit.
+    /// Maximum number of requests that wait for a slot; beyond it, the engine rejects. `None` for no limit.
     #[serde(rename = "queue", default)]
     pub queue_length: Option<usize>,
     /// Number of table groups that an engine caches, in LRU order. A cached table group is read faster.
--- a/crates/testing/emulator/tests/emulator.rs
+++ b/crates/testing/emulator/tests/emulator.rs
@@ -1,5 +1,5 @@
-//! The engine model keeps its invariants. The checker finds no violation without an injected fault, and detects
-//! each fault.
+//! The engine model shares cores and memory as stated. With five seeds, the checker finds no violation without an
+//! injected fault, and detects each fault with at least one of the seeds.
 
 use lemonusher_emulator::{Engine, Fault, Finished, SimulatedDeployment, Work, simulate};
 
