--- a/crates/tools/simhost/src/host.rs
+++ b/crates/tools/simhost/src/host.rs
@@ -12,7 +12,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
 
-/// Most characters of a malformed event that an error message quotes.
+/// Maximum number of characters of a malformed event that an error message quotes.
 const MAX_QUOTED_CHARS: usize = 60;
 
 struct Front {
