--- a/crates/edges/managed/src/gnmi/subscribe.rs
+++ b/crates/edges/managed/src/gnmi/subscribe.rs
@@ -40,7 +40,7 @@
 /// Interval at which ON_CHANGE subscriptions compare state that changes without an event. Also the longest wait of a
 /// stream whose client has half-closed the call, which receives no events.
 const COMPARE_INTERVAL: Duration = Duration::from_millis(250);
-/// Interval at which updates are sent again to a subscriber whose queue was full.
+/// Interval at which a subscriber is retried whose queue had no space for all updates or for the report of lost ones.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Longest wait of a stream that has no timeout pending.
 const IDLE_INTERVAL: Duration = Duration::from_secs(3600);
