--- a/crates/edges/cli/src/fleet/operator.rs
+++ b/crates/edges/cli/src/fleet/operator.rs
@@ -11,7 +11,8 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// The timeouts and poll intervals of [`Operator::propose`] and of a hand-over are multiples or fractions of this.
+/// Unit of the timeouts that do not follow from the lease configuration: the wait for a datagram in
+/// [`Operator::propose`], its reserve beyond four lease durations, and the poll interval of a hand-over.
 pub const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
 /// Timeout of the reply to the first attempt of a request; doubled with each further attempt.
 const FIRST_REPLY_TIMEOUT: Duration = Duration::from_millis(200);
