--- a/crates/testing/soak/src/discovery.rs
+++ b/crates/testing/soak/src/discovery.rs
@@ -32,7 +32,8 @@
     engines: Vec<EngineEntry>,
     /// Indices of the engines that began to drain, one per event after `FIRST_EVENT`.
     drained: Vec<usize>,
-    /// Number of [`DiscoveryChange::Repeat`] so far; after each, connections send their last event again.
+    /// Number of [`DiscoveryChange::Repeat`] so far. A connection that finds it increased sends its last event again, if
+    /// there was one.
     repeats: u64,
     cut_next: bool,
     /// Connections accepted before this time send nothing more.
@@ -171,8 +172,8 @@
             return ConnectionState::Closed;
         }
         if self.current != number {
-            // A former address closes new connections at once. It sends nothing more on older ones, and closes them
-            // after a delay.
+            // A former address closes new connections after their first message. It sends nothing more on older
+            // ones, and closes them after a delay.
             let is_closed = |at: Instant| now > at + FORMER_ADDRESS_CLOSE_DELAY || accepted_at > at;
             return match self.moved_at.is_some_and(is_closed) {
                 true => ConnectionState::Closed,
--- a/crates/testing/soak/src/judge.rs
+++ b/crates/testing/soak/src/judge.rs
@@ -1,4 +1,5 @@
-//! Checks a recording against the rules that a front must keep. The timing rules allow for the driver's own delay.
+//! Checks a recording against the rules that a front must keep. The timing rules, except that on
+//! readiness, allow for the driver's own delay.
 
 use crate::records::{ProcessRecord, Recording, RequestClass, RequestRecord, ResponseKind};
 use std::collections::BTreeMap;
@@ -27,7 +28,8 @@
 /// A rule that a front must keep.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each request receives its response in time.
+    /// Each request sent before SIGTERM or shortly after it receives its response in time, unless its client has left or
+    /// the front may close its connection during a crowd of idle clients.
     Answered,
     /// No request receives two responses.
     AnsweredOnce,
@@ -41,7 +43,7 @@
     Ready,
     /// After SIGTERM, a front exits by itself before the kill, with exit code 0.
     Ended,
-    /// Descriptors and memory are released when no clients are left.
+    /// When no clients are left, descriptors and memory are at most a fixed allowance above those at the start.
     ReturnedToRest,
 }
 
--- a/crates/testing/soak/src/scenario.rs
+++ b/crates/testing/soak/src/scenario.rs
@@ -48,7 +48,7 @@
     CutNext,
     /// Open connections stay open, but nothing more is sent on them.
     FallSilent,
-    /// Every connection is closed at once for this time.
+    /// For this time, all connections are closed: open ones, and new ones after their first message.
     GoDown(Duration),
 }
 
@@ -69,11 +69,12 @@
     pub tick: Duration,
     /// Health of each engine.
     pub engines: Vec<EngineHealth>,
-    /// Number of connections that clients use throughout the run.
+    /// Number of clients that start with each front process; a client has one connection at a time.
     pub connections: usize,
     /// Mean time between two requests of a connection.
     pub request_interval: Duration,
-    /// Number of idle clients that fill the descriptors in the middle of the run; 0 in three of four runs.
+    /// Number of idle clients that fill the descriptors in the middle of the run; 0 unless the seed is a
+    /// multiple of four.
     pub crowd: usize,
     /// Limit of open descriptors in the front's configuration.
     pub descriptors: usize,
