--- a/src/admission.rs
+++ b/src/admission.rs
@@ -47,9 +47,9 @@
 const SUSPICIOUS_LOAD_EXPONENT: i32 = 4;
 /// One more request is admitted while the needed share of the engine's memory is at most this.
 const MEMORY_ADMIT_BELOW: f64 = 0.55;
-/// The same threshold while this front's responses from the engine show pressure.
+/// The same threshold if the engine's concurrency limit was decreased within the maximum age of a report.
 const MEMORY_ADMIT_BELOW_PRESSURED: f64 = 0.4;
-/// Past this share of its deadline a request is admitted without a draw.
+/// Once this share of its class's deadline has passed since its arrival, a request is admitted without a draw.
 const FORCE_ADMISSION_AFTER: f64 = 1.0 / 3.0;
 
 /// The initial concurrency limit of one front at one engine, in threads.
@@ -62,7 +62,7 @@
     cores * UNLOADED_THREADS_PER_CORE * ADMIT_NONE_AT_LIMIT_MULTIPLE
 }
 
-/// What admission control needs to know of a request.
+/// The values of a request that its admission probability depends on.
 struct Demand {
     priority: u8,
     /// The request's threads times their weight; used in many-front mode.
--- a/src/arrival.rs
+++ b/src/arrival.rs
@@ -1,8 +1,8 @@
 //! Arrivals: a request is queued, and the time at which its client first sent it is estimated.
 //!
-//! A client that retries gives each try only what is left of its deadline. The age of a retry is the class's
-//! deadline minus the client timeout. It counts against the request's objective, so that no work is spent on
-//! a response that comes too late.
+//! A try is one arrival of a request from its client. A client that retries gives each try only what is left
+//! of the deadline. The age of a retry is the class's deadline minus the client timeout. The age counts
+//! against the request's objective, so that no work is spent on a response that comes too late.
 //!
 //! A retry is recognized by the client's mark, if the deployment's clients mark retries. Otherwise it is
 //! recognized by a client timeout that differs from the usual one of first tries by at least
@@ -83,7 +83,7 @@
         self.timeout.abs_diff(timeout) < deadline.mul_f64(TIMEOUT_TOLERANCE)
     }
 
-    /// Counts one vote for or against the usual timeout. Without votes left, it is replaced by `timeout`.
+    /// Counts one vote for or against the usual timeout. Once no votes are left, `timeout` becomes the usual one.
     fn vote(&mut self, timeout: Duration, deadline: Duration) {
         self.votes += if self.is_usual(timeout, deadline) { 1.0 } else { -VOTE_WEIGHT_AGAINST };
         if self.votes <= 0.0 {
--- a/src/candidate.rs
+++ b/src/candidate.rs
@@ -8,7 +8,7 @@
 pub(crate) struct Candidate {
     /// The engine's id.
     pub(crate) engine: EngineId,
-    /// Whether a request of the class may be sent there (`eligibility`).
+    /// Whether a request of the class may be sent to the engine (`eligibility`).
     pub(crate) eligible: bool,
     /// Whether the engine is within its slow-start window.
     pub(crate) warming_up: bool,
--- a/src/concurrency_limit.rs
+++ b/src/concurrency_limit.rs
@@ -10,8 +10,10 @@
 //!   responses.
 //!
 //! The limit starts at this front's share of the threads of an engine that counts as not loaded
-//! (`admission`). This guards against an overload by other fronts that this front can't see otherwise. The
-//! drawback: a request that is slow for a reason of its own also lowers the limit for some time.
+//! (`admission`).
+//!
+//! The limit guards against overload by other fronts, whose requests this front can't see. The drawback: a
+//! request that is slow for a reason of its own also lowers the limit for some time.
 
 use crate::engine::{Engine, PRIORITIES};
 use std::time::Duration;
--- a/src/congestion.rs
+++ b/src/congestion.rs
@@ -11,8 +11,8 @@
 //! below it. The time constant is the time in which the engine's cores could finish one request of the
 //! smallest class from every front.
 //!
-//! In many-front mode ([`Gateway::many_fronts`]) a front sends to an engine only every few seconds. This
-//! guards it against sending requests to an engine that hangs because all fronts send to it. The drawback:
+//! In many-front mode ([`Gateway::many_fronts`]) a front sends to an engine only every few seconds. The
+//! kept sign guards it against sending requests to an engine that hangs because all fronts send to it. The drawback:
 //! an engine that has recovered stays idle until the sign has decayed.
 
 use crate::admission::ADMIT_NONE_AT_THREADS_PER_CORE;
--- a/src/decaying_mean.rs
+++ b/src/decaying_mean.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-/// An exponentially decaying weighted mean. It is brought up to date when it is read or added to.
+/// An exponentially decaying weighted mean. Both sums are decayed whenever a value is added.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct DecayingMean {
     /// Sum of the values added, each decayed since.
     pub(crate) sum: f64,
     /// Sum of the weights added, each decayed since.
     pub(crate) weight: f64,
-    /// When it was last brought up to date.
+    /// The time up to which both sums are decayed.
     pub(crate) at: Duration,
     /// Seconds in which a value decays to a share of 1/e.
     pub(crate) time_constant: f64,
--- a/src/eligibility.rs
+++ b/src/eligibility.rs
@@ -3,7 +3,8 @@
 //! An engine is eligible if
 //! - discovery lists it as active, and it is not blocked for the class;
 //! - its zone and kind of machine are allowed;
-//! - it is not ejected, and it is in this front's subset;
+//! - it is not ejected; if it has not responded since a failure, this front has no attempt in flight there;
+//! - it is in this front's subset, or the request may leave the subset (`subsets`);
 //! - slow start allows the request, if the engine warms up;
 //! - the request can't have a double effect there.
 
--- a/src/give_up.rs
+++ b/src/give_up.rs
@@ -31,7 +31,8 @@
 const MAX_SLOW_SHARE_FOR_RETRIES: f64 = 0.2;
 /// The retry-after time of a rejection, as a share of the latency objective without the part for work.
 const RETRY_AFTER_SHARE: f64 = 0.5;
-/// Number of ticks before its deadline at which a request is answered.
+/// A request is given up this many ticks before its deadline or the shutdown, so that its client gets the
+/// response in time.
 const RESPONSE_MARGIN_TICKS: u32 = 2;
 
 impl Gateway {
--- a/src/overload.rs
+++ b/src/overload.rs
@@ -1,5 +1,5 @@
 //! Overload: measures how slow this front's attempts are, and sheds requests in many-front mode
-//! ([`Gateway::many_fronts`]) while many are slow.
+//! ([`Gateway::many_fronts`]) while many attempts are slow.
 //!
 //! An attempt is slow once it has taken [`SLOW_FACTOR`] × work / threads, with the work in seconds on one
 //! thread. In many-front mode a rejected attempt counts as slow, too. The slow share is the exponentially
@@ -13,7 +13,7 @@
 //! Relief is the class's mean work over that of all classes, at most 1: shedding a small request relieves
 //! the engines less.
 //!
-//! This guards a fleet that hangs, whatever the cause: lack of memory, dead or slow engines, too many
+//! Shedding guards a fleet that hangs, whatever the cause: lack of memory, dead or slow engines, too many
 //! requests. Requests that are slow without an overload raise the slow share as well, and then others are
 //! shed needlessly.
 
@@ -38,7 +38,7 @@
 pub(crate) struct SlowShare(DecayingMean);
 
 impl SlowShare {
-    /// `time_constant` is in seconds.
+    /// Starts as if one attempt had been slow. `time_constant` is in seconds.
     pub(crate) fn new(time_constant: f64) -> SlowShare {
         SlowShare(DecayingMean::new(time_constant, 1.0))
     }
@@ -100,9 +100,9 @@
         Some(SlowAttempt { sequence, engine: attempt.engine, engine_alive })
     }
 
-    /// Counts an attempt that has become slow. If the engine has been silent since the attempt was sent, the
-    /// engine is taken for dead or unreachable: that says nothing about the other engines, so the slow share
-    /// stays as it is.
+    /// Records a sign of congestion at the engine of an attempt that has become slow. The attempt counts in
+    /// the slow share only if the engine has sent a response or a report since the attempt was sent: a silent
+    /// engine is taken for dead or unreachable, which says nothing about the other engines.
     pub(crate) fn record_slow_attempt(&mut self, now: Duration, slow: &SlowAttempt) {
         self.record_slow_in_flight(now, slow.engine, slow.engine_alive);
         if slow.engine_alive {
--- a/src/probing.rs
+++ b/src/probing.rs
@@ -6,7 +6,8 @@
 //! - **Few fronts**: a request adds [`ROUND_ROBIN_PROBES_PER_REQUEST`] probes. The engine whose last probe is
 //!   oldest is probed next, each engine at most once per connect timeout.
 //! - **Many fronts** ([`Gateway::many_fronts`]): an engine is probed before a request is sent there, unless
-//!   its last report is younger than [`FRESH_REPORT_AGE`] × the shortest latency objective. A request adds
+//!   its last report is younger than [`FRESH_REPORT_AGE`] × the shortest latency objective, it was probed
+//!   within the last connect timeout, or the credit does not suffice. A request adds
 //!   [`MAX_LOAD_PROBES_PER_REQUEST`] probes, or as many as cost [`MAX_PROBE_COST_SHARE`] of its priority
 //!   weight if that is less. Requests of much work may spend the whole credit; others leave a reserve for
 //!   them.
@@ -99,8 +100,9 @@
         (self.engines.len() as f64 / PROBE_RESERVE_DIVISOR).clamp(1.0, MAX_PROBE_RESERVE)
     }
 
-    /// Whether a request has to wait for a report of the engine. Sends the probe if none is in flight.
-    /// Returns false if the known state has to suffice.
+    /// Whether a request has to wait for a load report of the engine; false if the known state has to
+    /// suffice. Schedules a probe if the last report is not fresh, no probe was sent within the connect
+    /// timeout, and the credit is at least `reserve`.
     pub(crate) fn probe_first(&mut self, now: Duration, id: EngineId, reserve: f64) -> bool {
         let can_probe = self.can_probe_load();
         let Some(engine) = self.engines.get_mut(&id).filter(|_| can_probe) else { return false };
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -26,7 +26,7 @@
 //! A front that has started after the engine may have sent its whole quota before its own restart, and has
 //! no record of it. It sends nothing to that engine for one window.
 //!
-//! In addition, placement skips an engine that warms up at random. The probability of a skip falls as the
+//! In addition, placement skips at random an engine that warms up. The probability of a skip falls as the
 //! slow-start factor rises from `slow_start_share` to 1. This is the carry-over rule of the paper
 //! (docs/design.md).
 
--- a/src/starvation_header.rs
+++ b/src/starvation_header.rs
@@ -1,7 +1,7 @@
 //! The starvation header: an engine is kept free for the request that has been queued longest.
 //!
-//! Inputs: the oldest queued request, once it has been queued for [`RESERVE_ENGINE_AFTER`] × the longest
-//! deadline, if there is no other header. Its engine is the first in its preference order that is eligible
+//! Inputs: the oldest queued request, once [`RESERVE_ENGINE_AFTER`] × the longest deadline has passed since
+//! its arrival, if there is no other header. Its engine is the first in its preference order that is eligible
 //! and where it conflicts with no other request, or else the first eligible one. Later requests that
 //! conflict with the header are not sent to that engine, so that the header can be sent there once the
 //! conflicting attempts in flight have ended. The header is sent to no other engine. If its engine is no
@@ -14,7 +14,8 @@
 use crate::gateway::Gateway;
 use std::time::Duration;
 
-/// A request becomes the header after it has been queued for this share of the longest deadline.
+/// The oldest queued request may become the header once this share of the longest deadline has passed since
+/// its arrival.
 const RESERVE_ENGINE_AFTER: f64 = 0.1;
 
 /// The longest queued request, and the engine that is reserved for it.
@@ -25,7 +26,7 @@
 }
 
 impl Gateway {
-    /// Makes the oldest queued request the header, if it has been queued long enough and there is no header.
+    /// Makes the oldest queued request the header, if it arrived long enough ago and there is no header.
     pub(crate) fn reserve_for_oldest(&mut self, now: Duration, queued: &[u64]) {
         let Some(&oldest) = queued.first().filter(|_| self.starvation_header.is_none()) else { return };
         let reserve_after = self.derived_times.max_deadline.mul_f64(RESERVE_ENGINE_AFTER);
--- a/src/subsets.rs
+++ b/src/subsets.rs
@@ -105,7 +105,7 @@
             || (self.deduplicated_until(request).is_some() && request.first_possible_run.is_some())
     }
 
-    /// The number of engines that this front uses.
+    /// The number of engines in the largest subset, or of all engines if there is no subset; at least 1.
     pub(crate) fn engines_used(&self) -> f64 {
         let largest = self.subsets.by_class.iter().map(Subset::len).max().filter(|largest| *largest > 0);
         largest.unwrap_or(self.engines.len()).max(1) as f64
