--- a/src/engine.rs
+++ b/src/engine.rs
@@ -29,10 +29,11 @@
     pub(crate) readers: BTreeMap<u64, u32>,
     /// The time until which another front's bulk load is assumed to hold a table group, by table group.
     pub(crate) other_fronts_bulk_loads: BTreeMap<u64, Duration>,
-    /// Work that this front has sent there lately, counted against the slow-start quota.
+    /// Work that this front has sent to the engine, for the slow-start quota. Entries older than the overload
+    /// window and one tick are removed with the next attempt.
     pub(crate) slow_start_work: Vec<SentWork>,
-    /// Work that this front has sent there, in seconds on one thread; decays by the number of requests that
-    /// the front sends to any engine. `None` before the first request sent there.
+    /// Work that this front has sent there, in seconds on one thread; decays by the number of attempts that
+    /// the front sends to any engine. `None` before the first attempt at this engine.
     pub(crate) sent_work: Option<DecayingMean>,
     /// Time of its last response or report.
     pub(crate) last_seen: Duration,
--- a/src/load_estimate.rs
+++ b/src/load_estimate.rs
@@ -18,7 +18,7 @@
 //!
 //! Needed memory, as a share of the engine's memory: the memory that this front's requests there need × the
 //! fleet multiple (few fronts), or the granted memory that the engine reports × [`NEEDED_SHARE_OF_GRANT`],
-//! whichever is higher. This guards against paging and spilling to disk. A front with little traffic knows
+//! whichever is higher. The memory estimate guards against paging and spilling to disk. A front with little traffic knows
 //! the fleet multiple only roughly.
 
 use crate::admission::{
@@ -42,7 +42,7 @@
 /// the prior as reports decay. Without the prior a front that takes all engines for full would send nothing
 /// and would never get a new report.
 const USUAL_LOAD_PRIOR_WEIGHT: f64 = 5.0;
-/// Time constant of the sent work, in requests sent per engine that this front uses.
+/// Time constant of the sent work, in attempts sent per engine that this front uses.
 const SENT_WORK_TIME_CONSTANT: f64 = 2.0;
 /// The share of its granted memory that a request needs.
 const NEEDED_SHARE_OF_GRANT: f64 = 0.36;
@@ -60,9 +60,9 @@
     pub(crate) typical_threads: DecayingMean,
     /// Mean number of cores of an engine.
     pub(crate) mean_cores: f64,
-    /// Work sent to all engines, in seconds on one thread; decays by the number of requests sent.
+    /// Work sent to all engines, in seconds on one thread; decays by the number of attempts sent.
     sent_work: DecayingMean,
-    /// Requests sent so far.
+    /// Attempts sent so far.
     sent_requests: u64,
 }
 
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The clock by which sent work decays: one second for each request sent.
+    /// The clock by which sent work decays: one second for each attempt sent.
     fn sent_clock(&self) -> Duration {
         Duration::from_secs(self.sent_requests)
     }
@@ -118,7 +118,7 @@
         self.usual_load.add(now, threads_per_core.min(ADMIT_NONE_AT_THREADS_PER_CORE), 1.0);
     }
 
-    /// Counts a request as sent to an engine. `work` is in seconds on one thread; `engines_used` is the
+    /// Counts an attempt sent to an engine. `work` is in seconds on one thread; `engines_used` is the
     /// number of engines that this front uses.
     pub(crate) fn record_sent(&mut self, engine: &mut Engine, work: f64, engines_used: f64) {
         self.sent_requests += 1;
--- a/src/reconcile.rs
+++ b/src/reconcile.rs
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Cancels the attempt in flight if it is no longer desired.
+    /// Marks the attempt in flight as cancelled if it is no longer desired, and cancels it if fronts may do so.
     fn cancel_undesired(&mut self, sequence: u64, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(sequence) else { return };
         let (goal, finished) = (request.goal, request.finished);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Begins an attempt.
+    /// Begins an attempt, counts it, and ends the reservation of an engine for its request.
     fn send(&mut self, now: Duration, sequence: u64, engine: EngineId, actions: &mut Vec<Action>) {
         let request = &self.requests[sequence];
         let start_by = self.deduplicated_until(request).filter(|_| request.first_possible_run.is_some());
