--- a/crates/core/subset/src/lib.rs
+++ b/crates/core/subset/src/lib.rs
@@ -3,8 +3,8 @@
 //! If hundreds of fronts spread their requests over all engines, each front sends to one engine only once in
 //! many seconds. Its knowledge of that engine is stale before it sends there again. While an engine hangs,
 //! every front loses requests to it one by one, and all of them together keep it full. A front with a small
-//! subset sends to each of its engines about once a second: it detects a hung engine at once, and only few
-//! fronts have to.
+//! subset sends to each of its engines about once a second: it detects a hung engine soon, and only few
+//! fronts send to that engine.
 //!
 //! Inputs: the index of the front, the number of fronts, and the ids of the engines. The fronts do not
 //! communicate, and yet every engine is in about as many subsets as any other. For this, the engines are
