--- a/crates/edges/routing/src/router/commands.rs
+++ b/crates/edges/routing/src/router/commands.rs
@@ -35,8 +35,8 @@
         self.command_backlog.len() >= MAX_COMMAND_BACKLOG
     }
 
-    /// Moves commands from the backlog to the driver's queue until that is full; the rest is tried again a
-    /// tick later.
+    /// Moves commands from the backlog to the driver's queue until that is full; the rest is moved at a later
+    /// call, for which a wakeup is set a tick from now.
     pub(super) fn flush_commands(&mut self) {
         while let Some(command) = self.command_backlog.pop_front() {
             if let Err(rejected) = self.commands.try_send(command) {
@@ -48,7 +48,7 @@
     }
 
     /// Ends an attempt or probe whose command still waits in the backlog, and returns whether there was one.
-    /// Nothing was sent, so this does not count against the engine.
+    /// Nothing was sent, so this end does not count against the engine.
     pub(super) fn end_unsent(&mut self, now: Duration, token: Token) -> bool {
         let waiting = self.command_backlog.iter().position(|command| command.token() == Some(token));
         let Some(index) = waiting else { return false };
