--- a/src/congestion.rs
+++ b/src/congestion.rs
@@ -8,8 +8,8 @@
 //! - a load report: the load estimated from it, which replaces any earlier sign.
 //!
 //! Between two load reports the highest sign is kept and decays exponentially. A lower sign is ignored until
-//! the kept one has decayed below it. The time constant is the time in which the engine's cores could finish one request of the
-//! smallest class from every front.
+//! the kept one has decayed below it. The time constant is the time in which the engine's cores could finish
+//! one request of the smallest class from every front.
 //!
 //! In many-front mode ([`Gateway::many_fronts`]) a front sends to an engine only every few seconds. The
 //! kept sign guards it against sending requests to an engine that hangs because all fronts send to it. The drawback:
--- a/src/load_estimate.rs
+++ b/src/load_estimate.rs
@@ -18,8 +18,8 @@
 //!
 //! Needed memory, as a share of the engine's memory: the memory that this front's requests there need × the
 //! fleet multiple (few fronts), or the granted memory that the engine reports × [`NEEDED_SHARE_OF_GRANT`],
-//! whichever is higher. The memory estimate guards against paging and spilling to disk. A front with little traffic knows
-//! the fleet multiple only roughly.
+//! whichever is higher. The memory estimate guards against paging and spilling to disk. A front with little
+//! traffic knows the fleet multiple only roughly.
 
 use crate::admission::{
     ADMIT_NONE_AT_LIMIT_MULTIPLE, ADMIT_NONE_AT_THREADS_PER_CORE, UNLOADED_THREADS_PER_CORE,
