--- a/crates/edges/routing/src/counters.rs
+++ b/crates/edges/routing/src/counters.rs
@@ -168,6 +168,7 @@
             }
         }
         let TableSizes { requests, attempts, engines } = self.table_sizes.get();
+        // Requests, attempts and the total decision time, in the words that operators' tools parse.
         write!(f, "; holds {requests} batches, {attempts} dispatches, {engines} engines")?;
         write!(f, "; gateway decided for {} ms", self.decision_time.get().as_millis())
     }
