--- a/crates/testing/fakes/src/engine.rs
+++ b/crates/testing/fakes/src/engine.rs
@@ -93,7 +93,8 @@
         Some(message)
     }
 
-    /// Waits for the next message. Returns `None` if none arrives within `timeout`, or if it is not an attempt.
+    /// Waits for the next message. Returns `None` if none arrives within `timeout`. A message that is not an attempt is
+    /// dropped, and the result is `None` as well.
     pub fn try_next_request(&self, timeout: Duration) -> Option<EngineMessage> {
         self.messages.recv_timeout(timeout).ok().filter(|message| message.command == "serve")
     }
--- a/crates/testing/fakes/src/lib.rs
+++ b/crates/testing/fakes/src/lib.rs
@@ -25,5 +25,5 @@
 
 use std::time::Duration;
 
-/// Timeout of waits, longer than any operation takes even on a busy machine.
+/// Timeout of waits in tests, meant to be longer than any operation of a front takes on a busy machine.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
