--- a/crates/edges/front/tests/fleet.rs
+++ b/crates/edges/front/tests/fleet.rs
@@ -114,7 +114,7 @@
     clients.into_iter().for_each(|client| client.join().unwrap());
     // Overload factor 3, slow-start share 0.34, 8 cores, overload window 1.5 s, in requests of 200 ms of work.
     let allowed = 3.0 * 0.34 * 8.0 * 1.5 / (f64::from(WORK_MS) / 1e3);
-    // The slack is two standard deviations of a Poisson count, and 2 requests: arrivals from real processes vary.
+    // An engine in slow start falls above its N allowed requests, plus two square roots of N, plus 2.
     let limit = allowed + 2.0 * allowed.sqrt() + 2.0;
     let arrival_times: Vec<Instant> = engine.requests().into_iter().map(|request| request.at).collect();
     let window = Duration::from_millis(1500);
@@ -132,7 +132,7 @@
 }
 
 /// Thirty fronts start at once beside eight busy threads, and no discovery server listens. All but three must be
-/// ready within 10 s; the three allow for a busy machine.
+/// ready within 10 s, the stated target of nine in ten.
 #[test]
 fn thirty_fronts_that_start_at_once_without_discovery_are_ready_in_time() {
     let _whole_machine = WHOLE_MACHINE.lock().unwrap_or_else(|broken| broken.into_inner());
