--- a/crates/testing/soak/src/discovery.rs
+++ b/crates/testing/soak/src/discovery.rs
@@ -32,8 +32,8 @@
     engines: Vec<EngineEntry>,
     /// Indices of the engines that began to drain, one per event after `FIRST_EVENT`.
     drained: Vec<usize>,
-    /// Number of [`DiscoveryChange::Repeat`] so far. A connection that finds it increased sends its last event again, if
-    /// there was one.
+    /// Number of [`DiscoveryChange::Repeat`] so far. A connection that finds it increased sends its last event again,
+    /// if it has sent one.
     repeats: u64,
     cut_next: bool,
     /// Connections accepted before this time send nothing more.
--- a/crates/testing/soak/src/judge.rs
+++ b/crates/testing/soak/src/judge.rs
@@ -28,8 +28,8 @@
 /// A rule that a front must keep.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each request sent before SIGTERM or shortly after it receives its response in time, unless its client has left or
-    /// the front may close its connection during a crowd of idle clients.
+    /// Each request sent before SIGTERM or shortly after it receives its response in time, unless its client has left
+    /// or the front may close its connection during a crowd of idle clients.
     Answered,
     /// No request receives two responses.
     AnsweredOnce,
