--- a/crates/testing/emulator/src/check.rs
+++ b/crates/testing/emulator/src/check.rs
@@ -1,14 +1,14 @@
 //! Checks the seven rules on the observations of clients and engines:
 //!
-//! 1. Each try gets one response, in time, unless its client disconnects. No attempt is sent after
-//!    the response or the disconnection.
+//! 1. Each try gets one response, in time, unless its client disconnects or its front restarts. No attempt is sent
+//!    after the response, the disconnection or the restart.
 //! 2. A try has one attempt in flight at most, and a non-idempotent request runs at most once.
 //! 3. No attempt is sent to a draining engine after the drain grace.
 //! 4. An engine that warms up is not sent more work within the overload window than its overload limit, unless by a
 //!    single request. The work of a request counts as its class's mean.
 //! 5. A front sends requests of one key in order of their arrival.
 //! 6. A request is sent only to its class's allowed zones.
-//! 7. A front's retries stay within the retry budget.
+//! 7. A front's retries exceed the retry budget by one at most.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -101,7 +101,7 @@
 pub struct RetryAllowance {
     /// Retries that are allowed in any case.
     pub free: f64,
-    /// Further retries for each request that arrived.
+    /// Further retries for each try that arrived at the front.
     pub share: f64,
 }
 
@@ -396,7 +396,8 @@
         }
     }
 
-    /// Checks at the end that every try got a response.
+    /// Checks at the end that every try whose limit has passed got a response, unless its client disconnected or its
+    /// front restarted.
     pub fn finish(&mut self, now: Duration) {
         let open: Vec<u64> = (self.tries.iter())
             .filter(|(_, known)| !known.ended && known.limit + self.config.slack < now)
--- a/crates/testing/emulator/src/failures.rs
+++ b/crates/testing/emulator/src/failures.rs
@@ -142,7 +142,7 @@
         let entry = self.entry(engine);
         for front in 0..self.fronts.len() {
             let at = self.now + self.notification_delay(front, entry.state);
-            // Updates arrive in the order in which they were sent.
+            // Updates on one engine arrive at a front in the order in which they were sent.
             let last = self.notified.entry((front, engine)).or_default();
             *last = at.max(*last);
             let key = (*last, self.next_update);
--- a/crates/testing/emulator/src/world.rs
+++ b/crates/testing/emulator/src/world.rs
@@ -156,7 +156,7 @@
     /// Latency objective, without the part that depends on the request's work.
     #[serde(rename = "goal")]
     pub latency_objective_s: f64,
-    /// Longest time that a client waits, over all tries of a request.
+    /// Longest time that a client waits: over all tries of a request if `clients` is stated, otherwise for each try.
     #[serde(rename = "limit")]
     pub deadline_s: f64,
     /// Whether a request must not run twice.
