--- a/crates/testing/soak/src/clients.rs
+++ b/crates/testing/soak/src/clients.rs
@@ -160,7 +160,7 @@
 /// JSON-RPC error code of a rejected request.
 const REJECTED: i64 = -32002;
 
-/// Starts a client that uses one connection after another until the front is terminated.
+/// Starts a client that opens one connection after another until SIGTERM, and uses the last one until its end.
 pub(crate) fn start_steady(context: &Arc<ClientContext>, mut rng: fastrand::Rng) -> JoinHandle<()> {
     let context = context.clone();
     thread::spawn(move || {
