--- a/crates/tools/simhost/src/host.rs
+++ b/crates/tools/simhost/src/host.rs
@@ -25,14 +25,14 @@
 pub struct Host {
     fronts: BTreeMap<u32, Front>,
     endpoint_lists: BTreeMap<u32, Vec<EndpointEntry>>,
-    /// Fronts that received an event in the current frame, and decide at its end.
+    /// Fronts that were started or received an event in the current frame, and decide at its end.
     to_decide: BTreeSet<u32>,
     crashes: Vec<Command>,
 }
 
 impl Host {
-    /// Handles all events of a frame, then lets each front that received one decide. Fails on a malformed event. An
-    /// event with an unknown name is reported on standard error and ignored.
+    /// Handles all events of a frame, then lets each front that was started or received one decide. Fails on a
+    /// malformed event. An event with an unknown name is reported on standard error and ignored.
     pub fn handle_frame(&mut self, frame: &Frame) -> Result<Reply, String> {
         let now = Duration::from_micros(frame.now_us);
         for raw in &frame.events {
