--- a/crates/edges/cli/src/fleet/maintenance.rs
+++ b/crates/edges/cli/src/fleet/maintenance.rs
@@ -15,7 +15,8 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Maximum number of proposals for one change; a proposal fails if another change of the register came first.
+/// Maximum number of proposals for one change, including the read before the first change; a proposal fails if
+/// another change of the register came first.
 const MAX_TRIES: usize = 8;
 
 #[derive(clap::Subcommand)]
