--- a/crates/testing/soak/src/recorder.rs
+++ b/crates/testing/soak/src/recorder.rs
@@ -63,8 +63,8 @@
         self.lock().requests[request].responses.push(response);
     }
 
-    /// Records that the client cancelled the request, disconnected or failed to write it, unless one of these is already
-    /// recorded.
+    /// Records that the client cancelled the request, disconnected or failed to write it, unless one of these is
+    /// already recorded.
     pub(crate) fn set_client_left(&self, request: usize) {
         let now = self.now();
         self.lock().requests[request].client_left_at.get_or_insert(now);
