--- a/crates/edges/routing/src/counters.rs
+++ b/crates/edges/routing/src/counters.rs
@@ -12,7 +12,7 @@
 pub enum Counter {
     /// Requests received.
     Received,
-    /// Attempts sent.
+    /// Attempts begun, including those that end as not sent.
     Attempts,
     /// Requests that got a result.
     Returned,
--- a/crates/edges/routing/src/router/attempts.rs
+++ b/crates/edges/routing/src/router/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts and probes: start, progress and end. Each ends with exactly one outcome.
+//! Attempts and probes: start, progress and end. Only the first outcome of each is handled.
 
 use super::{InFlightAttempt, InFlightProbe, RequestRouter, TokenTimer};
 use crate::counters::{Counter, OutcomeLabel};
