--- a/crates/core/load-shedding/src/lib.rs
+++ b/crates/core/load-shedding/src/lib.rs
@@ -62,7 +62,7 @@
     arrivals: Average,
     usual_arrivals: Average,
     usual_capacity: Average,
-    /// Current capacity in cores, according to the endpoint list. Engines that warm up count in part.
+    /// Current capacity in cores, as set by the last call of `observe`.
     capacity_cores: f64,
     /// Requests that have arrived since `observed_at`.
     arrivals_since_observation: f64,
