--- a/crates/edges/processor/src/headers.rs
+++ b/crates/edges/processor/src/headers.rs
@@ -60,7 +60,7 @@
     /// Request classes by path prefix, used if the request class header is missing. The first matching prefix
     /// counts.
     pub path_classes: Vec<PathClass>,
-    /// Client timeout of a request without that header.
+    /// Client timeout of a request whose client timeout header is missing, zero or not a whole number.
     pub default_client_timeout: Duration,
 }
 
@@ -164,7 +164,7 @@
     }
 }
 
-/// Hashes a table group's text. The result is the same at every processor.
+/// Hashes a table group's text. The result is the same at all processors built with the same Rust release.
 fn hash_table_group(text: &str) -> u64 {
     let mut hasher = std::hash::DefaultHasher::new();
     text.hash(&mut hasher);
