--- a/crates/core/external-call/src/round_trip.rs
+++ b/crates/core/external-call/src/round_trip.rs
@@ -19,7 +19,8 @@
 const NEW_SAMPLE_WEIGHT: f64 = 0.1;
 /// Minimum ratio of the margin to the longest round trip.
 const LONGEST_FACTOR: f64 = 1.5;
-/// Length of a window of the maximum. A longest round trip counts for one to two windows.
+/// Minimum length of a window of the maximum; a window ends with the first sample after this time. A longest
+/// round trip counts until the end of the window after its own.
 const WINDOW: Duration = Duration::from_secs(10);
 
 /// The longest round trip of the current and the previous window.
