--- a/crates/edges/routing/src/zone_monitor.rs
+++ b/crates/edges/routing/src/zone_monitor.rs
@@ -62,6 +62,7 @@
     maintenance_version: u64,
     /// Time until which an attempt of unknown outcome may still run, by engine.
     unknown_until: BTreeMap<EngineId, Duration>,
+    /// The safety rule's delay, or the connect timeout if that is longer.
     unknown_outcome_delay: Duration,
 }
 
