--- a/crates/core/external-call/src/calls.rs
+++ b/crates/core/external-call/src/calls.rs
@@ -72,7 +72,8 @@
         (received + self.config.message_timeout).saturating_sub(self.response_margin())
     }
 
-    /// Handles a retry of an open call. It uses the attempt that the router has granted or will grant.
+    /// Handles another message about an open call. A retry that the call waits for uses the attempt that the
+    /// router has granted or will grant; any other message gets a failure.
     fn handle_known_request(&mut self, call_request: CallRequest, respond_by: Duration) -> Vec<CallAction> {
         let CallRequest { stream, request, .. } = call_request;
         let Some(call) = self.calls.get_mut(&request) else { return Vec::new() };
