--- a/crates/edges/processor/src/stream.rs
+++ b/crates/edges/processor/src/stream.rs
@@ -161,7 +161,7 @@
             return CLOSE;
         }
         if is_last {
-            // The proxy now has the response to the client and sends no more messages.
+            // The proxy answers the client with this response and sends no more messages.
             self.guard.is_complete = true;
             return CLOSE;
         }
