--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -577,7 +577,8 @@
     Deployment { probe_cost: 1e9, retries_marked: true, ..many_probing_fronts() }
 }
 
-/// Returns responses from which the front learns that short requests take 0.1 s of work.
+/// A host whose front has received nine responses, each after 0.1 s. The front has learned the work of short
+/// requests from their latency.
 fn with_known_work(deployment: Deployment, engines: u32) -> Host {
     let mut host = Host::with(deployment, (1..=engines).map(entry).collect());
     for n in 0..9 {
