--- a/crates/core/maintenance/src/reserve.rs
+++ b/crates/core/maintenance/src/reserve.rs
@@ -11,7 +11,7 @@
 
 /// The share of the value that must still be served while no zone is lost.
 const MIN_VALUE_SHARE: f64 = 0.99;
-/// A required value a second up to this counts as zero.
+/// A required value of at most this, per second, counts as zero.
 const EPSILON_VALUE: f64 = 1e-9;
 
 /// The capacity of a machine.
--- a/crates/core/maintenance/tests/fleet.rs
+++ b/crates/core/maintenance/tests/fleet.rs
@@ -285,7 +285,8 @@
         self.registers.values().all(|known| known.request.is_over())
     }
 
-    /// Whether a block reason that satisfies the condition occurs within this number of steps.
+    /// Runs up to `steps` steps, until the coordinator reports a block reason that satisfies the condition.
+    /// Returns whether it did.
     fn is_blocked_by(&mut self, steps: usize, condition: impl Fn(&BlockReason) -> bool) -> bool {
         let is_blocked =
             |notice: &Notice| matches!(notice, Notice::Blocked { reason, .. } if condition(reason));
--- a/crates/core/store/src/store/confirmed.rs
+++ b/crates/core/store/src/store/confirmed.rs
@@ -40,8 +40,9 @@
 }
 
 impl Store {
-    /// The pending confirmation of a new confirmed commit. One that follows up a pending commit keeps the
-    /// latter's version to revert to, and its `persist` id unless the options give another.
+    /// The pending confirmation of a new confirmed commit. If another confirmed commit is still pending, the
+    /// version to revert to stays that of the pending commit, and so does its `persist` id unless the options
+    /// give another.
     pub(super) fn new_confirmation(
         &self,
         author: &Author,
--- a/crates/edges/fleet/src/channel.rs
+++ b/crates/edges/fleet/src/channel.rs
@@ -157,7 +157,8 @@
         Some(frame)
     }
 
-    /// Whether the frame is accepted. If so, updates the sender's address and its time of last receipt.
+    /// Whether the frame is accepted: it is new and not superseded by a later one from its sender
+    /// (`Sender::accept`). If so, updates the sender's address and its time of last receipt.
     fn accept(&mut self, frame: &Frame, from: SocketAddr, now: Duration) -> bool {
         if self.senders.len() >= MAX_SENDERS && !self.senders.contains_key(&frame.from) {
             self.remove_oldest_sender();
--- a/crates/edges/fleet/src/state_folder.rs
+++ b/crates/edges/fleet/src/state_folder.rs
@@ -71,7 +71,7 @@
 fn read_token(folder: &Path) -> io::Result<u64> {
     match std::fs::read_to_string(folder.join(TOKEN_FILE)) {
         Ok(text) => text.trim().parse().map_err(|_| {
-            io::Error::other("file 'fleet-number' does not contain a token limit (a whole number)")
+            io::Error::other("file 'fleet-number' does not contain a whole number (the fencing token limit)")
         }),
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(0),
         Err(error) => Err(error),
--- a/crates/edges/front/src/program/clients/reading.rs
+++ b/crates/edges/front/src/program/clients/reading.rs
@@ -188,7 +188,7 @@
     /// request.
     fn revoke(self: &Rc<Self>, ticket: u64, accepted: &mut Vec<IncomingRequest>) -> Option<RouterEvent> {
         let revoked = self.open_requests.borrow_mut().remove(&ticket);
-        log::debug!("ticket {ticket} revoked, batch {revoked:?}");
+        log::debug!("the client revoked its request {ticket}; request id if still open: {revoked:?}");
         let accepted_before = accepted.len();
         accepted.retain(|incoming| incoming.ticket != ticket);
         let router_has_request = accepted_before == accepted.len();
--- a/crates/edges/front/src/transport/write_queue.rs
+++ b/crates/edges/front/src/transport/write_queue.rs
@@ -78,8 +78,8 @@
         self.wake.notify();
     }
 
-    /// Writes queued bytes until the queue is closed or the connection breaks, and calls `on_progress` after
-    /// each step. Fails if the connection accepts no bytes for `stall_timeout`.
+    /// Writes queued bytes, and calls `on_progress` after each step. Returns once the queue is
+    /// closed and empty. Fails if the connection breaks or accepts no bytes for `stall_timeout`.
     pub async fn run(&self, stall_timeout: Duration, mut on_progress: impl FnMut()) -> io::Result<()> {
         loop {
             let (has_queued, closing, error) = {
--- a/crates/edges/front/tests/fleet.rs
+++ b/crates/edges/front/tests/fleet.rs
@@ -114,7 +114,8 @@
     clients.into_iter().for_each(|client| client.join().unwrap());
     // Overload factor 3, slow-start share 0.34, 8 cores, overload window 1.5 s, in requests of 200 ms of work.
     let allowed = 3.0 * 0.34 * 8.0 * 1.5 / (f64::from(WORK_MS) / 1e3);
-    // An engine in slow start falls above its N allowed requests, plus two square roots of N, plus 2.
+    // By the stated rule of the service, an engine in slow start that is allowed N requests of mean work in the
+    // overload window becomes overloaded above N + 2 x square root of N + 2.
     let limit = allowed + 2.0 * allowed.sqrt() + 2.0;
     let arrival_times: Vec<Instant> = engine.requests().into_iter().map(|request| request.at).collect();
     let window = Duration::from_millis(1500);
--- a/crates/edges/front/tests/sockets.rs
+++ b/crates/edges/front/tests/sockets.rs
@@ -560,7 +560,8 @@
     // A revoke of an id below the highest received is ignored: that request may have got its response.
     bad.send_line(r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":3}}"#);
     assert!(bad.is_ready());
-    // The client keeps sending, so the close may overtake the last errors.
+    // The client may still be sending when the front closes, so the connection may end before the client has
+    // read the last errors.
     let _ = bad.stream.write_all("{\n".repeat(100).as_bytes());
     while let Some(answer) = bad.next_response() {
         assert_eq!(answer["error"]["code"], -32700);
--- a/crates/edges/managed/src/hub.rs
+++ b/crates/edges/managed/src/hub.rs
@@ -180,7 +180,7 @@
             user = version.author.user,
             protocol = version.author.protocol.name(),
             changes = version.changes.len(),
-            "{}",
+            "committed, cause: {}",
             version.cause
         );
         let _ = self.events.send(ManagementEvent::Committed(version.clone()));
--- a/crates/edges/managed/src/start.rs
+++ b/crates/edges/managed/src/start.rs
@@ -110,7 +110,7 @@
 impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            StartError::Model(what) => write!(f, "the front's YANG model: {what}"),
+            StartError::Model(what) => write!(f, "the front's YANG model is invalid: {what}"),
             StartError::Disk(error) => write!(f, "can't open the log: {error}"),
             StartError::Log(error) => write!(f, "can't write to the log: {error}"),
             StartError::Listen(address, error) => write!(f, "can't listen on {address}: {error}"),
@@ -208,7 +208,7 @@
         if let Some(disk) = disk {
             disk.append(&Record::commit(schema, &plan)).map_err(StartError::Log)?;
         }
-        tracing::info!(commit = plan.version.number, "commit at startup: {}", plan.version.cause);
+        tracing::info!(commit = plan.version.number, "commit at startup, cause: {}", plan.version.cause);
         store.finish_commit(plan);
     }
     Ok(())
--- a/crates/edges/routing/src/counters.rs
+++ b/crates/edges/routing/src/counters.rs
@@ -42,7 +42,8 @@
     EngineConnections,
     /// Unmatched replies: no attempt or probe in flight expects them.
     UnmatchedReplies,
-    /// Connections to engines that ended because a reply was malformed, too long, too slow or over the memory limit.
+    /// Connections to engines that ended because a reply was malformed, incomplete, too long, too slow or over
+    /// the memory limit.
     EngineReadErrors,
     /// Endpoint updates received from discovery.
     EndpointUpdates,
--- a/crates/tools/scale/src/fleet/loopback.rs
+++ b/crates/tools/scale/src/fleet/loopback.rs
@@ -99,7 +99,7 @@
         self.members[front].hollow.processor
     }
 
-    /// A front's statistics of the fleet.
+    /// The amount of fleet state that a front holds.
     pub fn census(&self, front: usize) -> ClusterStats {
         self.members[front].hollow.census(self.clock.elapsed())
     }
--- a/crates/tools/scale/src/fleet/simulation.rs
+++ b/crates/tools/scale/src/fleet/simulation.rs
@@ -21,7 +21,8 @@
     Poll {
         incarnation: u64,
     },
-    /// Passes the zone observation that requests would have produced in the last period.
+    /// Passes to the front the zone observation that requests, which are not simulated, would have produced in
+    /// the last period.
     Observe {
         incarnation: u64,
     },
--- a/crates/tools/scale/src/process.rs
+++ b/crates/tools/scale/src/process.rs
@@ -19,7 +19,7 @@
     pub wakeups: u64,
 }
 
-/// The figures of this process.
+/// The resource use of this process so far.
 pub fn own() -> Result<Figures, MeasureError> {
     figures(std::process::id())
 }
--- a/crates/tools/scale/src/progress.rs
+++ b/crates/tools/scale/src/progress.rs
@@ -32,7 +32,7 @@
         self.bar.set_message(what.into());
     }
 
-    /// Marks one size as done and prints a line about it.
+    /// Marks one size as done and, unless quiet, prints a line about it.
     pub fn size_done(&mut self, line: &str) {
         self.bar.inc(1);
         if self.quiet {
--- a/crates/tools/scale/src/roles/decision/driver.rs
+++ b/crates/tools/scale/src/roles/decision/driver.rs
@@ -41,7 +41,7 @@
 const WORK: Duration = Duration::from_millis(8);
 /// Range of the ticks until the reply to an attempt.
 const REPLY_TICKS: std::ops::Range<u64> = 1..4;
-/// Range of the busy cores that engines report.
+/// Range of the share of its cores that an engine reports as busy; 1 is all of them.
 const BUSY_CORES: std::ops::Range<f64> = 0.15..0.35;
 
 /// The load reporting of the engines.
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -100,7 +100,7 @@
         None
     }
 
-    /// Whether a request has been queued for so long that it is admitted without a draw.
+    /// Whether a request has been queued for so long that it is admitted without the random draw.
     pub(crate) fn is_admission_forced(&self, now: Duration, sequence: u64) -> bool {
         let request = &self.requests[sequence];
         let deadline = self.classes[request.class].config.deadline;
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -43,7 +43,8 @@
     pub(crate) last_probe: Duration,
     /// The duration of the fastest probe.
     pub(crate) fastest_probe: Duration,
-    /// Consecutive failures without a response, up to the counted maximum (`ejection`).
+    /// Failures since the last response to an attempt or restart of the engine, up to the counted maximum. In
+    /// many-front mode one counts for several; a failure while the engine is ejected is not counted (`ejection`).
     pub(crate) consecutive_failures: u32,
     /// Nothing is sent there before this time.
     pub(crate) ejected_until: Duration,
--- a/src/event.rs
+++ b/src/event.rs
@@ -156,7 +156,7 @@
     PeerMessage {
         /// The other front's index.
         from: u32,
-        /// The message.
+        /// The message's text. The gateway ignores it.
         data: String,
     },
     /// This front shuts down. Requests that are not answered by the deadline are lost.
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -163,7 +163,8 @@
         self.engines.get(&engine).is_some_and(|engine| self.is_eligible(now, request, engine))
     }
 
-    /// The eligible engines at which the request conflicts with no other, in the order of preference.
+    /// The eligible engines at which the request conflicts with no other, in the order of preference; only the
+    /// `reserved` one if there is one. An engine in slow start has to pass a random draw.
     fn choices(
         &mut self,
         now: Duration,
--- a/src/request.rs
+++ b/src/request.rs
@@ -59,7 +59,7 @@
     pub(crate) goal: RequestGoal,
     /// The priority that was last set at the engines.
     pub(crate) priority: u8,
-    /// The engine at which its last attempt ended without a response.
+    /// The engine at which its last attempt ended without a result, a rejection included.
     pub(crate) last_failed_engine: Option<EngineId>,
     /// Time of the next admission draw.
     pub(crate) next_admission_draw: Duration,
